--- a/crates/decisions/src/choice.rs
+++ b/crates/decisions/src/choice.rs
@@ -4,34 +4,30 @@
 //! `trim` (what can't be won is turned away) -> `start` (best worth per core time, under the running limit)
 //! -> `gate` (calls below, or going on without) -> `completed`. `period` samples the gauges for all of it.
 
+use crate::class_estimates::ClassEstimates;
+use crate::demand::{RecentDemand, decay_factor};
+use crate::idempotency_keys::IdempotencyKeys;
 use crate::interface::*;
-use rand_pcg::Pcg64Mcg;
-use rand_pcg::rand_core::{Rng, SeedableRng};
+use crate::memory::MemoryAccount;
+use crate::random::RandomSource;
+use crate::retry_patterns::RetryPatterns;
+use crate::tenant_quota::TenantQuotas;
+use crate::throttling::Throttle;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
 // Every constant, with unit and reason. Shares have no unit.
 const PERIOD: Span = Span(100_000_000); // ns; the source's sampling period
-const CP: f64 = 1.0; // per cent; the law's coefficient: 10 % at U = 0.9, all at U = 0.99
-const DANGER_ZONE: f64 = 0.9; // utilization past which the law throttles, as in the source's tests
-const LAW_WEIGHT: f64 = 0.3; // of a new sample in the law's exponential average: about three periods
-const MEMORY_FILL: f64 = 0.96; // share of the memory that exact accounting lets things fill
 const CROWD_FILL: f64 = 0.85; // share of the survivable crowd that runs, those at calls too, may reach
-const PATIENCE_SPREAD: f64 = 0.01; // part of the deadline by which one habit's tries differ: the way here
-const PATIENCES: usize = 8; // habits of callers told apart; a new one takes the place of the rarest
-const PATIENCE_SEEN: [f64; 2] = [0.05, 0.25]; // shares of first tries: a part is no noise, all parts tell
 const IDLE_LEAST: f64 = 0.1; // part of the callers' own idle time after which connections close at the least
 const IDLE_STEP: f64 = 0.1; // a Period; by which that part moves: through its whole range in some 3 s
 const IDLE_USE: f64 = 0.9; // share of the cores in use under which more callers are let in
 const INTAKE_CROWD: f64 = 0.8; // readings and new connections a core that are too many beside the runs
-const FIRST_RUN: f64 = 0.125; // share of its class's aim that a run takes, before any was seen
-const RUN_WEIGHT: f64 = 0.12; // of a run in its class's estimate: a dozen replace it
 const TRIM_SLACK: f64 = 0.6; // predicted sojourn over target that counts as winnable: runs differ as much
 const CORES_BUSY: f64 = 0.95; // share of the cores in use under which the running limit grows
 const CROWD_AIM: f64 = 1.15; // smoothed crowd per core above which the running limit shrinks
 const STALL_RUNS: f64 = 5.0; // mean runs for which nothing moves on full cores: then work hangs here
 const STALL_AIM: f64 = 0.5; // and at least this part of the shortest aim
-const CROWDED: [f64; 2] = [0.1, 0.2]; // share of retries, or unmarked of refusals: then the fleet is full
 const CALL_SLOW: f64 = 2.5; // times their floor that calls may take before fewer are made
 const CALL_FLOOR_DRIFT: f64 = 1.003; // a Period; a new usual is learnt in some 20 s, calls or no calls
 const CALL_RETURN: f64 = 0.03; // a Period; part of the way from a call's time back to its floor, unasked
@@ -42,21 +38,12 @@
 const CALL_SHORTEST: f64 = 0.25; // part of the shortest aim that any call may take
 const CALL_FIRST: f64 = 0.35; // part of the shortest aim over which the first calls of a fleet are spread
 const CALL_BACKOFF_S: f64 = 0.05; // s; first half wait after a failed call, doubled with each
-const MEMORY_OF_COUNTS_S: f64 = 8.0; // s; time constant of what was asked and turned away
 const HOLD_AIM: f64 = 0.5; // part of the shortest aim that held work may take before arrivals are shaped
 const WINDOW_AIM: f64 = 0.25; // part of the shortest aim that callers' windows may fill with held work
 const UNREAD_UNWELL: f64 = 0.4; // part of the shortest aim waited unread at which health goes bad
 const FIRST_WAIT: f64 = 0.125; // part of the wait winnable that a first try may wait however short runs are
 const SWAMP_AIM: f64 = 0.4; // part of the shortest aim for which readings may fill the cores alone
 const UNREAD_WELL: f64 = 0.1; // and at which it is good again, and runs get all the cores
-const UNASKED: f64 = 0.1; // requests that a class in force counts by in the mean run, asked for or not
-const FORGOTTEN: f64 = 1e-18; // requests; a count below it changes no sum any more, and fades no further
-const AT_REST: f64 = 4_000.0; // periods; by then an estimate is back at where it began
-
-/// Output of the law at a utilization, in per cent of the arrivals, before the danger zone is looked at.
-pub fn throttling(utilization: f64) -> f64 {
-    if utilization >= 1.0 { 100.0 } else { (CP / (1.0 - utilization)).clamp(0.0, 100.0) }
-}
 
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 enum State {
@@ -97,36 +84,11 @@
     }
 }
 
-/// What is learnt of the class in a slot; `counts` is 0 where the slot is free.
-#[derive(Debug, Default)]
-struct Class {
-    definition: Arc<ClassDefinition>,
-    counts: f64,
-    recent: bool,
-    core_s: f64,
-    lat_s: f64,
-    per_work: f64,
-    seen: f64,
-    asked: f64,
-    /// Run time taken before any was seen, and periods since the last was.
-    first_s: f64,
-    idle: f64,
-}
-
-impl Class {
-    fn fresh(definition: Arc<ClassDefinition>) -> Self {
-        let first = secs(definition.profile.promise) * FIRST_RUN;
-        let start = Class { core_s: first, lat_s: first, first_s: first, per_work: 1.0, ..Class::default() };
-        let counts = if definition.profile.name.is_empty() { 0.0 } else { UNASKED };
-        Class { definition, counts, ..start }
-    }
-}
-
 /// The controller of one worker.
 #[derive(Debug, Default)]
 pub struct Controller {
     set: Settings,
-    rng: Option<Pcg64Mcg>,
+    random: RandomSource,
     now: Time,
     born: Time,
     begun: bool,
@@ -136,8 +98,7 @@
     held: Vec<u64>,
     at_gate: Vec<u64>,
     dues: BTreeSet<(Time, u64)>,
-    keys: BTreeMap<RequestId, Time>,
-    key_ends: BTreeSet<(Time, RequestId)>,
+    keys: IdempotencyKeys,
     on_core: usize,
     at_calls: usize,
     calls_out: usize,
@@ -145,27 +106,16 @@
     /// Calls over, by when they leave the averaging span, and their length in s; and the sum of those.
     call_log: VecDeque<(Time, f64)>,
     call_spent: f64,
-    kb: f64,
-    kb_unseen: f64,
-    classes: Vec<Class>,
-    /// By slot: quotas in requests a second, and what was asked for lately.
-    tenants: Vec<(f64, f64)>,
-    /// Slots seen lately, whose figures fade.
-    recent_classes: Vec<usize>,
-    recent_tenants: Vec<usize>,
-    shortest_aim: f64,
-    aims_changed: bool,
-    /// Parts of their deadlines that first tries may take, and how often each was seen.
-    patiences: Vec<(f64, f64)>,
-    arrivals: f64,
-    retries: f64,
-    refusals: f64,
+    memory: MemoryAccount,
+    classes: ClassEstimates,
+    tenants: TenantQuotas,
+    retry_patterns: RetryPatterns,
+    demand: RecentDemand,
     limit: f64,
     crowd: f64,
     busy: f64,
     gauges: Option<Gauges>,
-    output: f64,
-    throttle: f64,
+    throttle: Throttle,
     call_limit: f64,
     call_s: f64,
     call_floor_s: f64,
@@ -201,7 +151,7 @@
         let (cores, shared) = (f64::from(set.specifics.n_cores), set.specifics.below == Below::Shared);
         let (set, classes, tenants) = set.split();
         let mut new = Self {
-            rng: Some(Pcg64Mcg::seed_from_u64(seed)),
+            random: RandomSource::seeded(seed),
             now,
             limit: cores,
             crowd: cores,
@@ -210,7 +160,7 @@
             pace: CALL_PACE[1],
             idle_part: IDLE_LEAST,
             next_period: now,
-            shortest_aim: f64::INFINITY,
+            classes: ClassEstimates::new(),
             set,
             ..Self::default()
         };
@@ -223,23 +173,12 @@
     /// The class of a slot from now on, of no name where it is free. What was learnt goes by the name; the
     /// host gives no slot away that an open request is in.
     pub fn put_class(&mut self, slot: usize, definition: Arc<ClassDefinition>) {
-        self.classes.resize_with(self.classes.len().max(slot + 1), Class::default);
-        self.shortest_aim = self.shortest_aim.min(secs(definition.profile.promise));
-        self.aims_changed = true;
-        let class = &mut self.classes[slot];
-        if class.definition.profile.name == definition.profile.name {
-            class.definition = definition;
-        } else {
-            // It stays listed where the one before was, or it would be listed twice.
-            *class = Class { recent: class.recent, ..Class::fresh(definition) };
-        }
+        self.classes.put(slot, definition);
     }
 
     /// The quota of the tenant in a slot, in requests a second; another one than before begins anew.
     pub fn put_tenant(&mut self, slot: usize, quota_rps: f64, another: bool) {
-        self.tenants.resize_with(self.tenants.len().max(slot + 1), Default::default);
-        let asked = self.tenants[slot].1;
-        self.tenants[slot] = (quota_rps, if another { asked.min(2.0 * FORGOTTEN) } else { asked });
+        self.tenants.put(slot, quota_rps, another);
     }
 
     /// The cores started then, cold or not: with the worker, or again beside one that goes on.
@@ -261,7 +200,7 @@
         // Booked anew, or what ends takes off another figure than was put on, and the rest stays for good.
         let (told, gone) = (&self.set.specifics, after(self.now, self.set.specifics.linger));
         let tries: f64 = self.tries.values().map(|t| t.booked(&self.set)).sum();
-        self.kb = tries + self.keys.len() as f64 * told.kb_per_key;
+        self.memory.set_reserved(tries + self.keys.len() as f64 * told.kb_per_key);
         self.lingering.iter_mut().for_each(|until| *until = gone.min(*until));
         self.call_log.iter_mut().for_each(|call| call.0 = after(gone, told.share_span).min(call.0));
     }
@@ -306,11 +245,11 @@
     // ---- arrival
 
     fn arrive(&mut self, r: &Request, out: &mut Vec<Action>) {
-        let class = self.classes.get_mut(r.class).filter(|class| class.counts > 0.0);
-        let Some(class) = class.filter(|_| !self.seqs.contains_key(&r.id)) else { return };
-        self.recent_classes.extend((!class.recent).then_some(r.class));
-        (class.recent, class.idle) = (true, class.idle.min(10.0));
-        let definition = Arc::clone(&class.definition);
+        if !self.classes.is_in_force(r.class) || self.seqs.contains_key(&r.id) {
+            return;
+        }
+        self.classes.note_arrival(r.class);
+        let definition = Arc::clone(self.classes.class(r.class).definition());
         let profile = &definition.profile;
         let arrived = before(self.now, r.queued_for);
         let told = r.expires_in.map(|wait| after(self.now, wait));
@@ -319,19 +258,17 @@
         let stretch = r.work.map_or(0.0, |w| secs(w) * profile.aim_stretch);
         let promise = Span(profile.promise.0.saturating_add(span(stretch).0).min(profile.deadline.0));
         let patience = left(arrived, told.unwrap_or(due)) / secs(profile.deadline);
-        let age = span(secs(profile.deadline) * self.age(r, patience));
+        let elapsed = self.retry_patterns.elapsed_fraction(r, patience, &self.set, &self.demand);
+        let age = span(secs(profile.deadline) * elapsed);
         let aim = before(after(arrived, promise), age).min(due);
-        self.arrivals += 1.0;
+        self.demand.count_arrival(r.retry);
         let unread = secs(r.queued_for).min(secs(profile.promise)) - self.unread_s;
         self.unread_s += if unread > 0.0 { 0.4 } else { 0.1 } * unread;
-        if r.retry {
-            self.retries += 1.0;
-        } else {
-            self.classes[r.class].asked += 1.0;
-            self.learn_patience(patience);
-            if let Some(((_, asked), slot)) = r.tenant.and_then(|t| Some((self.tenants.get_mut(t)?, t))) {
-                self.recent_tenants.extend((*asked <= FORGOTTEN).then_some(slot));
-                *asked += 1.0;
+        if !r.retry {
+            self.classes.count_first_attempt(r.class);
+            self.retry_patterns.learn(patience);
+            if let Some(tenant) = r.tenant {
+                self.tenants.count_first_attempt(tenant);
             }
         }
         let seq = self.next_seq;
@@ -352,38 +289,14 @@
         self.seqs.insert(r.id.clone(), seq);
         self.dues.insert((due, seq));
         self.held.push(seq);
-        self.kb += r.size_kb;
+        self.memory.reserve(r.size_kb);
         self.tries.insert(seq, t);
         self.admit(seq, r, out);
     }
 
-    /// Part of the deadline gone before a retry came. Each habit of callers gives its tries a set part of it,
-    /// seen again in first tries; a retry, or any try where none is marked, with another was given the rest.
-    fn age(&self, r: &Request, patience: f64) -> f64 {
-        let seen: f64 = self.patiences.iter().map(|(_, seen)| seen).sum();
-        let near = |part: f64| (part - patience).abs() < PATIENCE_SPREAD;
-        let habit = self.patiences.iter().any(|&(part, times)| near(part) && times > PATIENCE_SEEN[0] * seen);
-        let old = (r.retry || !self.set.callers.marks_retry) && self.set.tier == 0;
-        let again: f64 = self.patiences.iter().map(|(_, seen)| (seen - 1.0).max(0.0)).sum();
-        let told = old && again > PATIENCE_SEEN[1] * (self.arrivals - self.retries) && r.expires_in.is_some();
-        if told && !habit { (1.0 - patience).max(0.0) } else { 0.0 }
-    }
-
-    fn learn_patience(&mut self, patience: f64) {
-        let same = |(part, _): &&mut (f64, f64)| (*part - patience).abs() < PATIENCE_SPREAD;
-        match self.patiences.iter_mut().find(same) {
-            Some((_, times)) => *times += 1.0,
-            None => {
-                self.patiences.push((patience, 1.0));
-                self.patiences.sort_by(|a, b| b.1.total_cmp(&a.1));
-                self.patiences.truncate(PATIENCES);
-            }
-        }
-    }
-
     /// What becomes of a request that was just read.
     fn admit(&mut self, seq: u64, r: &Request, out: &mut Vec<Action>) {
-        let effect = self.classes[r.class].definition.profile.effect;
+        let effect = self.classes.class(r.class).definition().profile.effect;
         let held = |c: &Self, seq: &u64| c.tries.get(seq).is_some_and(|t| t.state == State::Held);
         let known = r.earlier.as_ref().and_then(|id| self.seqs.get(id)).copied().filter(|k| held(self, k));
         let fits = self.make_room(seq, 0.0, out);
@@ -399,13 +312,13 @@
         let late = self.leaving.is_some_and(|(last, _)| self.tries[&seq].arrived > last);
         // Dead on arrival, as after a long wait unread: nothing spent on it can win worth any more.
         let dead = late || !fits || self.stalled || self.density(seq) <= 0.0;
-        if dead || (self.throttle > 0.0 && self.unit() * 100.0 < self.throttle) {
+        if dead || self.throttle.picks_request(&mut self.random) {
             // Lost before it came here, as a retry after a timeout: turning it away is no sign of too little
             // room, and a level raised for it keeps callers from cores that idle.
             let (t, told) = (&self.tries[&seq], self.refused_now);
             let cores = f64::from(self.set.specifics.n_cores);
             let free = self.busy < cores && (self.on_core as f64) < cores;
-            let lost = free && left(t.arrived, t.aim) < self.classes[t.class].first_s;
+            let lost = free && left(t.arrived, t.aim) < self.classes.class(t.class).initial_seconds();
             self.refuse(seq, out);
             self.refused_now = if lost { told } else { self.refused_now };
             return;
@@ -439,7 +352,7 @@
     /// Keeps a request in the table: a keyed one until its window from arrival is past, a read while fresh.
     fn remember(&mut self, seq: u64, out: &mut Vec<Action>) {
         let t = &self.tries[&seq];
-        let profile = &self.classes[t.class].definition.profile;
+        let profile = &self.classes.class(t.class).definition().profile;
         let until = match profile.effect {
             Effect::ByKey => after(after(t.arrived, profile.window), self.set.granularity),
             _ => after(t.aim.max(self.now), self.set.specifics.fresh_for),
@@ -447,22 +360,22 @@
         let until = until.max(after(self.now, self.set.granularity));
         let id = t.id.clone();
         self.drop_key(&id);
-        self.kb += self.set.specifics.kb_per_key;
+        self.memory.reserve(self.set.specifics.kb_per_key);
         self.keys.insert(id.clone(), until);
-        self.key_ends.insert((until, id.clone()));
         out.push(Action::Remember { id, hold_for: Span(until.0 - self.now.0) });
     }
 
     fn drop_key(&mut self, id: &RequestId) -> bool {
-        let Some(until) = self.keys.remove(id) else { return false };
-        self.key_ends.remove(&(until, id.clone()));
-        self.kb -= self.set.specifics.kb_per_key;
-        true
+        let removed = self.keys.remove(id);
+        if removed {
+            self.memory.release(self.set.specifics.kb_per_key);
+        }
+        removed
     }
 
     fn forget_keys(&mut self) {
         let gone = before(self.now, self.set.granularity);
-        while let Some((_, id)) = self.key_ends.first().filter(|(until, _)| *until <= gone).cloned() {
+        while let Some(id) = self.keys.first_expired(gone) {
             self.drop_key(&id);
         }
     }
@@ -478,11 +391,11 @@
     /// Guards rule 4: gives up the least of what is held until all fits. False if the newcomer is the least.
     fn make_room(&mut self, seq: u64, more: f64, out: &mut Vec<Action>) -> bool {
         // What is held must not take the memory that it needs to run.
-        let whole = self.set.specifics.memory_kb * MEMORY_FILL - self.kb_unseen;
+        let whole = self.memory.reservable_kb(self.set.specifics.memory_kb);
         let starts = (self.limit - self.on_core as f64).max(1.0);
         let reserve = starts * self.tries[&seq].kb * (self.set.specifics.run_factor - 1.0);
         let room = whole - reserve.min(whole.max(0.0) / 2.0);
-        while self.kb + more > room {
+        while self.memory.exceeds(room, more) {
             let worst = self.held.iter().copied().map(|s| (self.density(s), s));
             match worst.min_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1))) {
                 Some((_, worst)) if worst != seq => self.refuse(worst, out),
@@ -492,16 +405,8 @@
         true
     }
 
-    fn unit(&mut self) -> f64 {
-        (self.rng.as_mut().map_or(0, |rng| rng.next_u64()) >> 11) as f64 / (1_u64 << 53) as f64
-    }
-
-    /// Many arrivals were turned away elsewhere: the fleet is full, not this worker alone. Where no retry is
-    /// marked, what this worker turns away itself stands in, and more of it must be.
     fn crowded(&self) -> bool {
-        let marked = self.set.callers.marks_retry;
-        let (seen, bound) = if marked { (self.retries, CROWDED[0]) } else { (self.refusals, CROWDED[1]) };
-        seen > bound * self.arrivals.max(5.0)
+        self.demand.is_fleet_overloaded(self.set.callers.marks_retry)
     }
 
     /// Turns a held request away. Further tries only help while the fleet isn't turning many away itself.
@@ -511,11 +416,11 @@
         let last = !away && (t.retry || self.crowded() || t.aim <= self.now);
         // What another worker may still take is no sign that the fleet has too little room.
         self.refused_now |= last || away;
-        self.refusals += 1.0;
+        self.demand.count_rejection();
         let most = self.set.limits.max_retry_after;
         // Of random length, and about one request of its caller at most, or callers leave and return in step.
-        let gap = f64::from(self.set.specifics.clients_total) * MEMORY_OF_COUNTS_S / self.arrivals.max(1.0);
-        let wait = self.unit() * (self.wait_s() + 4.0 * self.unread_s).min(gap);
+        let gap = self.demand.seconds_per_caller_request(self.set.specifics.clients_total);
+        let wait = self.random.unit_interval() * (self.wait_s() + 4.0 * self.unread_s).min(gap);
         let wait = if away { most } else { span(wait).min(most) };
         let come_back = if self.set.limits.retry_after { wait } else { Span(0) };
         if self.drop_key(&t.id) {
@@ -529,7 +434,7 @@
         let t = self.tries.remove(&seq)?;
         self.seqs.remove(&t.id);
         self.dues.remove(&(t.due, seq));
-        self.kb -= t.booked(&self.set);
+        self.memory.release(t.booked(&self.set));
         match t.state {
             State::Held | State::Joined => self.held.retain(|&s| s != seq),
             State::Running => self.on_core -= 1,
@@ -577,7 +482,8 @@
         t.answered = true;
         self.at_gate.retain(|&s| s != seq);
         self.dues.remove(&(t.due, seq));
-        let safe = self.classes[t.class].definition.profile.effect == Effect::Repeatable && t.serves <= 1.0;
+        let safe =
+            self.classes.class(t.class).definition().profile.effect == Effect::Repeatable && t.serves <= 1.0;
         if safe && self.set.specifics.stop_mode != StopMode::Off && t.state == State::Running {
             out.push(Action::Suspend(t.id.clone()));
         }
@@ -606,21 +512,13 @@
         if outcome != Outcome::Delivered || t.state == State::Joined {
             return;
         }
-        let class = &mut self.classes[t.class];
-        let core = (secs(took) - t.call_s).max(1e-4);
-        (class.seen, class.idle) = (class.seen + 1.0, 0.0);
-        let w = RUN_WEIGHT.max(1.0 / class.seen);
-        class.core_s += w * (core - class.core_s);
-        class.lat_s += w * (secs(took) - class.lat_s);
-        if let Some(work) = t.work.filter(|&work| work > 0.0) {
-            class.per_work += w * ((core / work).min(100.0) - class.per_work);
-        }
+        self.classes.learn_run(t.class, took, t.call_s, t.work);
     }
 
     // ---- calls
 
     fn skip_worth(&self, class: usize) -> f64 {
-        self.classes[class].definition.skip_worth
+        self.classes.class(class).definition().skip_worth
     }
 
     fn ready(&mut self, id: &RequestId) {
@@ -659,7 +557,7 @@
         }
         let class = t.class;
         let never_ran = matches!(outcome, Outcome::Shed | Outcome::DialFailed);
-        if never_ran || self.classes[class].definition.profile.effect == Effect::Repeatable {
+        if never_ran || self.classes.class(class).definition().profile.effect == Effect::Repeatable {
             self.at_gate.push(seq);
         } else if self.skip_worth(class) > 0.0 {
             self.degrade(seq, out);
@@ -686,7 +584,7 @@
         if self.calls_seen == 1 && self.small_share() {
             // Now that a length is known, the next one is spaced by it.
             let gap = took / (self.set.specifics.calls_out * self.pace).max(1e-6);
-            self.next_call = after(self.now, span(gap * self.unit()));
+            self.next_call = after(self.now, span(gap * self.random.unit_interval()));
         }
         let floor = if self.calls_seen > 10 { self.call_floor_s } else { self.call_s };
         self.call_floor_s = floor.min(self.call_s).max(1e-4);
@@ -722,14 +620,14 @@
         while self.call_log.front().is_some_and(|&(until, _)| until <= self.now) {
             self.call_spent -= self.call_log.pop_front().map_or(0.0, |(_, took)| took);
         }
-        let dice = self.unit();
+        let dice = self.random.unit_interval();
         let mut waiting: Vec<(f64, u64)> = self.at_gate.iter().map(|&s| (self.density(s), s)).collect();
         waiting.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         for (place, (_, seq)) in waiting.into_iter().enumerate() {
             let t = &self.tries[&seq];
             let State::Gate(since, not_before) = t.state else { continue };
-            let class = &self.classes[t.class];
-            let aim_left = left(self.now, t.aim) - class.core_s * 0.5;
+            let class = self.classes.class(t.class);
+            let aim_left = left(self.now, t.aim) - class.core_seconds() * 0.5;
             let skip = self.skip_worth(t.class) > 0.0;
             let turn = 1.0 + place as f64 / self.call_limit;
             let (waited, down) = (left(since, self.now), self.call_failing >= 3 && t.call_fails > 0);
@@ -754,7 +652,7 @@
             let usual = if unknown || tiny { cost } else { self.call_s };
             let gap = usual / (share * if unknown && !tiny { 1.0 } else { self.pace }).max(1e-6);
             if unknown && self.next_call == Time(0) {
-                let first = if tiny { gap } else { CALL_FIRST * self.shortest_aim };
+                let first = if tiny { gap } else { CALL_FIRST * self.classes.shortest_objective_seconds() };
                 self.next_call = after(self.now, span(first * dice));
             }
             if small && self.call_spent > (budget - cost).min(budget / 2.0).max(1e-6) {
@@ -766,11 +664,14 @@
                 continue;
             }
             let mut timeout = left(self.now, t.due).max(secs(self.set.granularity));
-            if self.classes[t.class].definition.profile.effect == Effect::Repeatable && self.calls_seen > 10 {
+            if self.classes.class(t.class).definition().profile.effect == Effect::Repeatable
+                && self.calls_seen > 10
+            {
                 // A call may be lost on its way: what is safe to repeat doesn't wait for it to the end.
-                let heavy =
-                    (self.core_s(t) / class.core_s).max(1.0) * f64::from(1 << (2 * t.call_fails).min(16));
-                let usual = (CALL_PATIENCE * self.call_s).max(CALL_SHORTEST * self.shortest_aim);
+                let heavy = (self.core_s(t) / class.core_seconds()).max(1.0)
+                    * f64::from(1 << (2 * t.call_fails).min(16));
+                let usual = (CALL_PATIENCE * self.call_s)
+                    .max(CALL_SHORTEST * self.classes.shortest_objective_seconds());
                 timeout = timeout.min(usual * heavy);
             }
             if small {
@@ -788,20 +689,15 @@
     }
 
     fn core_s(&self, t: &Try) -> f64 {
-        let class = &self.classes[t.class];
-        match t.work {
-            Some(work) if class.seen > 0.0 => {
-                (work * class.per_work).clamp(class.core_s * 0.1, class.core_s * 10.0)
-            }
-            _ => class.core_s,
-        }
+        let class = self.classes.class(t.class);
+        class.run_seconds(t.work)
     }
 
     /// Seconds until a run of this class that can't go on without its call gets a turn at the calls, as those
     /// that wait there tell. Where several calls may be out at once, the longest waiting are the passed over.
     fn gate_s(&self, class: usize) -> f64 {
         let (told, now) = (&self.set.specifics, self.now);
-        let calls = self.classes[class].definition.calls && told.calls_out < 1.0;
+        let calls = self.classes.class(class).definition().calls && told.calls_out < 1.0;
         if !calls || self.skip_worth(class) > 0.0 || told.below != Below::Shared {
             return 0.0;
         }
@@ -812,28 +708,17 @@
     /// Worth still winnable per core time.
     fn density(&self, seq: u64) -> f64 {
         let t = &self.tries[&seq];
-        let class = &self.classes[t.class];
-        let profile = &class.definition.profile;
+        let class = self.classes.class(t.class);
+        let profile = &class.definition().profile;
         let cost = self.core_s(t);
-        let wait = class.lat_s.min(class.lat_s - class.core_s + cost) + self.gate_s(t.class);
+        let wait = class.base_latency_seconds(cost) + self.gate_s(t.class);
         let part = match (left(self.now, t.aim), left(self.now, t.due)) {
             (aim, _) if aim >= wait => 1.0,
             (_, due) if due >= wait => profile.late_value,
             _ => 0.0,
         };
         let cost = if self.set.worth_by == WorthBy::Work { 1.0 } else { cost.max(1e-4) };
-        part * t.serves * profile.worth * self.tenant_factor(t.tenant) / cost
-    }
-
-    /// What a tenant sends over its local share is worth little, and nothing marks it: the mean counts.
-    fn tenant_factor(&self, tenant: Option<usize>) -> f64 {
-        let Some(&(quota, asked)) = tenant.and_then(|slot| self.tenants.get(slot)) else { return 1.0 };
-        let mine = quota / f64::from(self.set.servers.max(1)) * MEMORY_OF_COUNTS_S;
-        if self.set.tier > 0 || quota <= 0.0 || asked <= mine {
-            return 1.0;
-        }
-        let inside = mine / asked;
-        inside + (1.0 - inside) * self.set.over_share_worth
+        part * t.serves * profile.worth * self.tenants.weight_factor(t.tenant, &self.set) / cost
     }
 
     /// Seconds that all held work would take.
@@ -850,9 +735,10 @@
         let mut ahead = 0.0;
         for (_, seq) in line {
             let Some(t) = self.tries.get(&seq) else { continue };
-            let (class, profile) = (&self.classes[t.class], &self.classes[t.class].definition.profile);
+            let (class, profile) =
+                (self.classes.class(t.class), &self.classes.class(t.class).definition().profile);
             let cost = self.core_s(t);
-            let base = class.lat_s.min(class.lat_s - class.core_s + cost) + self.gate_s(t.class);
+            let base = class.base_latency_seconds(cost) + self.gate_s(t.class);
             let target = left(self.now, t.aim) - base;
             let late = profile.late_value > 0.0 && left(self.now, t.due) > base;
             let hopeless = target < 0.0 && !(late && self.held.len() as f64 <= self.limit);
@@ -861,9 +747,9 @@
             // while another box has time for it; a retry more.
             let first = self.set.callers.marks_retry && !t.retry && !self.crowded();
             let bound = target * TRIM_SLACK;
-            let bound = if first { bound.min(class.core_s.max(FIRST_WAIT * target)) } else { bound };
+            let bound = if first { bound.min(class.core_seconds().max(FIRST_WAIT * target)) } else { bound };
             // On a warm server a guess turns nobody away before a run took longer than it.
-            let guess = class.seen == 0.0 && !self.set.specifics.just_started;
+            let guess = !class.has_completed_runs() && !self.set.specifics.just_started;
             let starts_in = if guess && left(self.progress, self.now) < cost { 0.0 } else { starts_in };
             if self.stalled || hopeless || (target >= 0.0 && starts_in > bound) {
                 self.refuse(seq, out);
@@ -883,12 +769,12 @@
             let best = held.max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
             let Some((_, seq)) = best.filter(|&(worth, _)| worth > 0.0) else { break };
             let extra = self.tries[&seq].kb * (self.set.specifics.run_factor - 1.0);
-            let room = self.set.specifics.memory_kb * MEMORY_FILL - self.kb - self.kb_unseen;
+            let room = self.memory.free_kb(self.set.specifics.memory_kb);
             if extra > room {
                 break;
             }
             self.held.retain(|&s| s != seq);
-            self.kb += extra;
+            self.memory.reserve(extra);
             self.on_core += 1;
             if let Some(t) = self.tries.get_mut(&seq) {
                 t.state = State::Running;
@@ -910,38 +796,24 @@
     fn period(&mut self, out: &mut Vec<Action>) {
         self.next_period = after(self.now, PERIOD);
         let gauges = self.gauges.take().unwrap_or_default();
-        if std::mem::take(&mut self.aims_changed) {
-            let aims = self.classes.iter().map(|class| secs(class.definition.profile.promise));
-            self.shortest_aim = aims.fold(f64::INFINITY, f64::min);
-        }
+        self.classes.refresh_shortest_objective();
         self.law(&gauges, out);
         self.adapt_limit(&gauges);
         // The way back: while calls look too slow to make, none comes back to say that they no longer are.
         self.call_s -= CALL_RETURN * (self.call_s - self.call_floor_s).max(0.0);
         self.call_floor_s *= CALL_FLOOR_DRIFT;
-        let keep = (-secs(PERIOD) / MEMORY_OF_COUNTS_S).exp();
-        [&mut self.arrivals, &mut self.retries, &mut self.refusals].into_iter().for_each(|n| *n *= keep);
-        let (classes, tenants) = (&mut self.classes, &mut self.tenants);
-        self.recent_classes.retain(|&slot| {
-            let class = &mut classes[slot];
-            class.asked *= keep;
-            // The way back for an estimate so long that nothing is started to correct it.
-            class.idle += 1.0;
-            if class.idle > 10.0 {
-                class.core_s -= 0.03 * (class.core_s - class.first_s).max(0.0);
-                class.lat_s -= 0.03 * (class.lat_s - class.first_s).max(0.0);
-            }
-            class.recent = class.asked > FORGOTTEN || class.idle < AT_REST;
-            class.recent
-        });
-        self.recent_tenants.retain(|&slot| {
-            tenants[slot].1 *= keep;
-            tenants[slot].1 > FORGOTTEN
-        });
-        self.patiences.iter_mut().for_each(|(_, times)| *times *= keep);
-        let mean = self.mean_run();
-        let usual = (STALL_RUNS * mean).max(STALL_AIM * self.shortest_aim);
-        let usual = if self.swamped { usual.min(SWAMP_AIM * self.shortest_aim) } else { usual };
+        let keep = decay_factor(PERIOD);
+        self.demand.decay(keep);
+        self.classes.end_period(keep);
+        self.tenants.decay(keep);
+        self.retry_patterns.decay(keep);
+        let mean = self.classes.mean_run_seconds();
+        let usual = (STALL_RUNS * mean).max(STALL_AIM * self.classes.shortest_objective_seconds());
+        let usual = if self.swamped {
+            usual.min(SWAMP_AIM * self.classes.shortest_objective_seconds())
+        } else {
+            usual
+        };
         self.stalled = left(self.progress, self.now) > usual;
         self.trim(out);
         self.shape_connections(&gauges, out);
@@ -950,16 +822,10 @@
 
     /// The design's law: past the danger zone, Output per cent of the arrivals are refused before being held.
     fn law(&mut self, gauges: &Gauges, out: &mut Vec<Action>) {
-        let own = self.kb / self.set.specifics.memory_kb;
-        let utilization = gauges.heap_share.unwrap_or(own);
-        let unseen = ((utilization - own) * self.set.specifics.memory_kb).max(0.0);
-        self.kb_unseen = if unseen > self.kb_unseen { unseen } else { self.kb_unseen * 0.9 };
-        self.output += LAW_WEIGHT * (throttling(utilization) - self.output);
-        let throttle = if utilization > DANGER_ZONE { self.output } else { 0.0 };
-        if throttle > 0.0 && self.throttle == 0.0 {
+        let utilization = self.memory.sample(gauges.heap_share, self.set.specifics.memory_kb);
+        if self.throttle.sample(utilization) {
             out.push(Action::Emit(format!("danger zone: utilization {utilization:.2}")));
         }
-        self.throttle = throttle;
     }
 
     /// The running limit grows while cores idle and work is held, and shrinks while the cores are crowded.
@@ -974,7 +840,7 @@
             self.limit -= 0.25;
         }
         // The floor gives way while requests wait unread: runs and readings crowd each other.
-        let unread = self.unread_s / self.shortest_aim;
+        let unread = self.unread_s / self.classes.shortest_objective_seconds();
         let floor = cores * (1.0 - (unread - UNREAD_WELL) / (UNREAD_UNWELL - UNREAD_WELL)).clamp(0.0, 1.0);
         self.limit = self.limit.clamp(floor.min(self.crowd), self.crowd.max(1.0));
     }
@@ -997,14 +863,9 @@
         }
     }
 
-    fn mean_run(&self) -> f64 {
-        let asked: f64 = self.classes.iter().map(|c| c.asked + c.counts).sum();
-        self.classes.iter().map(|c| c.core_s * (c.asked + c.counts) / asked).sum()
-    }
-
     /// Tells callers early what this worker has room for.
     fn advise(&mut self, mean: f64, out: &mut Vec<Action>) {
-        let promise = self.shortest_aim;
+        let promise = self.classes.shortest_objective_seconds();
         let fill = self.wait_s() / (HOLD_AIM * promise);
         if self.refused_now || fill > 1.0 {
             self.accept = (self.accept * 0.95).max(0.05);
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -25,11 +25,20 @@
 #![warn(missing_docs)]
 
 mod choice;
+mod class_estimates;
+mod demand;
+mod idempotency_keys;
 mod interface;
+mod memory;
 pub mod numbers;
+mod random;
+mod retry_patterns;
+mod tenant_quota;
+mod throttling;
 
-pub use choice::{Controller, throttling};
+pub use choice::Controller;
 pub use interface::*;
+pub use throttling::throttling;
 
 /// The examples of README.md, compiled as doc tests.
 #[cfg(doctest)]
--- /dev/null
+++ b/crates/decisions/src/throttling.rs
@@ -0,0 +1,53 @@
+//! Request throttling by memory utilization: the throttling half of MemLimiter's `nextgc` controller.
+//!
+//! Each sampling period, the utilization of the memory gives `Kp = Cp / (1 - utilization)`, saturated to 0..100
+//! per cent and smoothed by an exponential average. While the utilization is past the danger zone, that share of
+//! the arriving requests, picked at random, is rejected before being held.
+//!
+//! Source: "MemLimiter: library to limit memory consumption of Go services", the control function and
+//! `DangerZoneThrottling`.
+
+use crate::random::RandomSource;
+
+/// Per cent; the coefficient `Cp`: 10 % are throttled at a utilization of 0.9, all at 0.99.
+const PROPORTIONAL_COEFFICIENT: f64 = 1.0;
+/// Utilization past which requests are throttled (`DangerZoneThrottling`).
+const DANGER_ZONE_UTILIZATION: f64 = 0.9;
+/// Weight of a new sample in the exponential average, which spans about three sampling periods.
+const SAMPLE_WEIGHT: f64 = 0.3;
+
+/// Output of the control function for a utilization of the memory, in per cent of the arriving requests, before
+/// the danger zone is considered. A utilization of 1 or more gives 100.
+pub fn throttling(utilization: f64) -> f64 {
+    if utilization >= 1.0 {
+        100.0
+    } else {
+        (PROPORTIONAL_COEFFICIENT / (1.0 - utilization)).clamp(0.0, 100.0)
+    }
+}
+
+/// The share of arriving requests that is rejected at present.
+#[derive(Debug, Default)]
+pub(crate) struct Throttle {
+    /// Exponential average of the control function's output, in per cent.
+    smoothed_output: f64,
+    /// Per cent of the arriving requests; 0 outside the danger zone.
+    rejected_percent: f64,
+}
+
+impl Throttle {
+    /// Takes in the utilization of one sampling period. Returns whether throttling starts with it.
+    pub(crate) fn sample(&mut self, utilization: f64) -> bool {
+        self.smoothed_output += SAMPLE_WEIGHT * (throttling(utilization) - self.smoothed_output);
+        let in_danger_zone = utilization > DANGER_ZONE_UTILIZATION;
+        let rejected_percent = if in_danger_zone { self.smoothed_output } else { 0.0 };
+        let starts = rejected_percent > 0.0 && self.rejected_percent == 0.0;
+        self.rejected_percent = rejected_percent;
+        starts
+    }
+
+    /// Whether an arriving request is picked for rejection. Draws a random number only while throttling.
+    pub(crate) fn picks_request(&self, random: &mut RandomSource) -> bool {
+        self.rejected_percent > 0.0 && random.unit_interval() * 100.0 < self.rejected_percent
+    }
+}
