--- a/crates/decisions/src/choice.rs
+++ b/crates/decisions/src/choice.rs
@@ -1,18 +1,24 @@
-//! Every decision of gradepin. Its interface (settings, events, actions, ids, times) is `interface.rs`.
+//! Every decision of gradepin. Its interface stands in `settings.rs`, `events.rs` and `actions.rs`.
 //!
 //! A request's path: `arrive` (drain, the law's random share, repeats, memory) -> the hold -> `expire` and
 //! `trim` (what can't be won is turned away) -> `start` (best worth per core time, under the running limit)
 //! -> `gate` (calls below, or going on without) -> `completed`. `period` samples the gauges for all of it.
 
+use crate::actions::Action;
+use crate::class_definition::{ClassDefinition, Effect};
 use crate::class_estimates::ClassEstimates;
 use crate::demand::{RecentDemand, decay_factor};
+use crate::events::{Event, Gauges};
 use crate::idempotency_keys::IdempotencyKeys;
-use crate::interface::*;
 use crate::memory::MemoryAccount;
 use crate::random::RandomSource;
+use crate::request::{Outcome, Request, RequestId};
 use crate::retry_patterns::RetryPatterns;
+use crate::settings::{Settings, WorthBy};
+use crate::specifics::{Advert, Below, StopMode};
 use crate::tenant_quota::TenantQuotas;
 use crate::throttling::Throttle;
+use crate::time::{Span, Time, after, before, left, secs, span};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
--- a/crates/decisions/src/class_estimates.rs
+++ b/crates/decisions/src/class_estimates.rs
@@ -4,8 +4,9 @@
 //! An estimate grown so long that nothing of its class is started any more would never be corrected: without
 //! runs it returns to where it began.
 
+use crate::class_definition::ClassDefinition;
 use crate::demand::NEGLIGIBLE_COUNT;
-use crate::interface::{ClassDefinition, Span, secs};
+use crate::time::{Span, secs};
 use std::sync::Arc;
 
 /// Fraction of its class's latency objective that a run is taken to need before any was seen.
--- a/crates/decisions/src/demand.rs
+++ b/crates/decisions/src/demand.rs
@@ -1,6 +1,6 @@
 //! Recent demand: counts of arrived, retried and rejected requests that decay exponentially.
 
-use crate::interface::{Span, secs};
+use crate::time::{Span, secs};
 
 /// Time constant of all decaying counts.
 pub(crate) const COUNT_TIME_CONSTANT_SECONDS: f64 = 8.0;
--- a/crates/decisions/src/idempotency_keys.rs
+++ b/crates/decisions/src/idempotency_keys.rs
@@ -3,7 +3,8 @@
 //! The host answers repeats from its own copy of the table; this one mirrors it, to account for the memory and to
 //! know which entries are live. Bounded by the memory account, in which the caller reserves each entry.
 
-use crate::interface::{RequestId, Time};
+use crate::request::RequestId;
+use crate::time::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Entries by request, and their order of expiration. Invariant: both hold the same entries.
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -24,21 +24,33 @@
 //! ```
 #![warn(missing_docs)]
 
+mod actions;
 mod choice;
+mod class_definition;
 mod class_estimates;
 mod demand;
+mod events;
 mod idempotency_keys;
-mod interface;
 mod memory;
 pub mod numbers;
 mod random;
+mod request;
 mod retry_patterns;
+mod settings;
+mod specifics;
 mod tenant_quota;
 mod throttling;
+mod time;
 
+pub use actions::Action;
 pub use choice::Controller;
-pub use interface::*;
+pub use class_definition::{ClassDefinition, Effect, Profile};
+pub use events::{Event, Gauges};
+pub use request::{Outcome, Request, RequestId};
+pub use settings::{BadSettings, Callers, Customer, Goal, Limits, Prices, Rules, Settings, WorthBy};
+pub use specifics::{Advert, Below, Specifics, StopMode};
 pub use throttling::throttling;
+pub use time::{Span, Time, after, before, left, secs, span};
 
 /// The examples of README.md, compiled as doc tests.
 #[cfg(doctest)]
--- a/crates/decisions/src/numbers.rs
+++ b/crates/decisions/src/numbers.rs
@@ -3,8 +3,7 @@
 //! Writers of JSON differ: `4000000000`, `4000000000.0` and `4e9` are one number. Guards against a server that doesn't start
 //! because its customer's tool writes whole numbers with a point.
 
-use crate::interface::Span;
-use serde::de::{Deserialize, Deserializer, Error, Unexpected, Visitor};
+use serde::de::{Deserializer, Error, Unexpected, Visitor};
 use std::fmt;
 use std::marker::PhantomData;
 
@@ -84,8 +83,7 @@
     number(deserializer, Fraction::Dropped)
 }
 
-impl<'de> Deserialize<'de> for Span {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        whole_part(deserializer).map(Span)
-    }
+/// All of something: the share that counts where a settings file leaves it out.
+pub(crate) fn full_share() -> f64 {
+    1.0
 }
--- a/crates/decisions/src/retry_patterns.rs
+++ b/crates/decisions/src/retry_patterns.rs
@@ -5,7 +5,8 @@
 //! and the difference is its age. Guards against retries that are taken for new work with all their time left.
 
 use crate::demand::RecentDemand;
-use crate::interface::{Request, Settings};
+use crate::request::Request;
+use crate::settings::Settings;
 
 /// Fraction of the deadline within which two timeouts count as the same; they differ by the time on the way here.
 const TIMEOUT_TOLERANCE: f64 = 0.01;
--- a/crates/decisions/src/tenant_quota.rs
+++ b/crates/decisions/src/tenant_quota.rs
@@ -4,7 +4,7 @@
 //! over its quota earns little, and nothing marks which requests those are, so the mean over all of them counts.
 
 use crate::demand::{COUNT_TIME_CONSTANT_SECONDS, NEGLIGIBLE_COUNT};
-use crate::interface::Settings;
+use crate::settings::Settings;
 
 /// A slot's quota, and the decaying count of first attempts of its tenant.
 #[derive(Debug, Clone, Copy, Default)]
--- /dev/null
+++ b/crates/decisions/src/time.rs
@@ -0,0 +1,42 @@
+//! Points on the server's clock and lengths of time, both in nanoseconds, and the arithmetic of them.
+//!
+//! Sums saturate: a point before the clock's start, or past its end, is the start or the end.
+
+use crate::numbers::whole_part;
+use serde::{Deserialize, Deserializer, Serialize};
+
+/// A point on the worker's clock, in nanoseconds; the clock has no special start.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
+pub struct Time(pub u64);
+
+/// A length of time in nanoseconds.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize)]
+#[serde(transparent)]
+pub struct Span(pub u64);
+
+impl<'de> Deserialize<'de> for Span {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        whole_part(deserializer).map(Span)
+    }
+}
+
+/// Seconds of a span.
+pub fn secs(span: Span) -> f64 {
+    span.0 as f64 / 1e9
+}
+/// A span from seconds, none below 0.
+pub fn span(secs: f64) -> Span {
+    Span((secs.max(0.0) * 1e9) as u64)
+}
+/// The time a span later.
+pub fn after(t: Time, s: Span) -> Time {
+    Time(t.0.saturating_add(s.0))
+}
+/// The time a span earlier.
+pub fn before(t: Time, s: Span) -> Time {
+    Time(t.0.saturating_sub(s.0))
+}
+/// Seconds from one time to another, below 0 if it is past.
+pub fn left(from: Time, to: Time) -> f64 {
+    (to.0 as f64 - from.0 as f64) / 1e9
+}
--- a/crates/decisions/tests/size.rs
+++ b/crates/decisions/tests/size.rs
@@ -8,5 +8,5 @@
     for (number, line) in text.lines().enumerate() {
         assert!(line.chars().count() <= 110, "line {} is longer than 110 characters", number + 1);
     }
-    assert!(text.lines().take(3).any(|line| line.contains("interface.rs")));
+    assert!(text.lines().take(3).any(|line| line.contains("settings.rs")));
 }
