--- a/crates/decisions/src/actions.rs
+++ b/crates/decisions/src/actions.rs
@@ -3,54 +3,54 @@
 use crate::request::RequestId;
 use crate::time::{Span, Time};
 
-/// What the worker is to do.
+/// What the host is to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Run a held request, or take up a paused one.
+    /// Start a held request, or resume a paused one.
     Process(RequestId),
-    /// Stop a running request.
+    /// Stop a running request, which its response does not depend on any more.
     Suspend(RequestId),
-    /// Final answer: turned away, never ran.
+    /// Final response: rejected, and never ran.
     Refuse {
         /// Which request.
         id: RequestId,
-        /// How long the caller should stay away.
+        /// Retry-After: how long the caller should stay away; 0 for no advice.
         come_back: Span,
-        /// Whether the caller should not try elsewhere.
+        /// Whether the caller should not try another server.
         last: bool,
     },
-    /// Final answer: failed, no promises.
+    /// Final response: failed, and may have run.
     Error(RequestId),
-    /// Make the call a request waits for.
+    /// Make the upstream call that a request waits for.
     AskBelow {
         /// Which request.
         id: RequestId,
         /// Give the call up after this.
         timeout: Span,
     },
-    /// Go on without the call.
+    /// Go on without the upstream call.
     Degrade(RequestId),
-    /// Enter a request in the table of keys.
+    /// Enter a request into the table of idempotency keys.
     Remember {
         /// Which request.
         id: RequestId,
         /// How long the entry lasts.
         hold_for: Span,
     },
-    /// Take its entry out.
+    /// Remove the entry of a request from that table.
     ReleaseKey(RequestId),
-    /// Serve a held request from the one it repeats.
+    /// Answer a held request from the result of the one that it repeats.
     Join(RequestId),
     /// Set the answer to health checks.
     ReportHealth {
-        /// Answer from store.
+        /// Checks are answered from this status alone, without real work.
         shallow: bool,
-        /// Good.
+        /// Whether checks succeed.
         active: bool,
     },
-    /// Set the free value sent with every answer.
+    /// Set the advertised value that goes with every response.
     Signal(f64),
-    /// Close connections idle for this long.
+    /// Close connections that were idle for this long.
     IdleLimit(Span),
     /// Ask for a [`Event::Timer`] at this time.
     Remind(Time),
--- a/crates/decisions/src/class_definition.rs
+++ b/crates/decisions/src/class_definition.rs
@@ -3,14 +3,15 @@
 use crate::time::Span;
 use serde::{Deserialize, Serialize};
 
-/// A request class with the settings of it that the module keeps beside its profile.
+/// A request class with those of its settings that are given by its place.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassDefinition {
-    /// Name, latency target, deadline, effect and worth.
+    /// Name, latency objective, deadline, effect and priority weight.
     pub profile: Profile,
-    /// Whether its runs call the shared dependency; `specifics.calls_by_class` of the configuration file.
+    /// Whether its runs may make upstream calls; from `specifics.calls_by_class`.
     pub calls: bool,
-    /// Worth kept when the call is left out, as a part; `specifics.class_skip_worth` of the configuration file.
+    /// Part of the priority weight that is earned without the upstream call; from
+    /// `specifics.class_skip_worth`.
     pub skip_worth: f64,
 }
 
@@ -33,23 +34,26 @@
     }
 }
 
-/// A request class.
+/// What a request class promises, and what it is worth.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-#[allow(missing_docs)]
 pub struct Profile {
+    /// Its name; empty for the class of a free slot.
     pub name: String,
-    /// An answer within this long of the first try earns the full worth.
+    /// Latency objective: a response within this time of the first attempt earns the full weight.
     pub promise: Span,
-    /// How long a client waits for all tries together.
+    /// How long a client waits, over all attempts.
     pub deadline: Span,
+    /// Whether a request may run again.
     pub effect: Effect,
+    /// Part of the weight that a response after the objective and before the deadline still earns.
     #[serde(default)]
     pub late_value: f64,
-    /// For keyed classes: how long after its arrival a request can come again.
+    /// For requests with an idempotency key: time after its arrival within which one can arrive again.
     #[serde(default)]
     pub window: Span,
+    /// Priority weight of one request.
     pub worth: f64,
-    /// The aim grows by this many times the request's own work.
+    /// Times the request's own work by which the objective grows, up to the deadline.
     #[serde(default)]
     pub aim_stretch: f64,
 }
@@ -58,10 +62,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// Safe to repeat.
+    /// Idempotent: may run any number of times.
     Repeatable,
-    /// Runs once a worker for each key within the window.
+    /// Idempotent by its key: runs once on a server within the window.
     ByKey,
-    /// Unsafe: runs once.
+    /// Not idempotent: runs once.
     Once,
 }
--- a/crates/decisions/src/class_estimates.rs
+++ b/crates/decisions/src/class_estimates.rs
@@ -1,8 +1,8 @@
 //! What is learnt of each request class, by slot: core time and latency of its runs, and recent demand.
 //!
-//! Estimates begin at a fraction of the class's latency objective and follow the runs by exponential averages.
-//! An estimate grown so long that nothing of its class is started any more would never be corrected: without
-//! runs it returns to where it began.
+//! Estimates begin at a fraction of the class's latency objective and follow the runs by exponential
+//! averages. An estimate grown so long that nothing of its class is started any more would never be
+//! corrected: without runs it returns to where it began.
 
 use crate::class_definition::ClassDefinition;
 use crate::demand::NEGLIGIBLE_COUNT;
@@ -65,6 +65,7 @@
         }
     }
 
+    /// The class as the configuration defines it.
     pub(crate) fn definition(&self) -> &Arc<ClassDefinition> {
         &self.definition
     }
@@ -74,6 +75,7 @@
         self.core_seconds
     }
 
+    /// Run time assumed before any run was seen, in seconds.
     pub(crate) fn initial_seconds(&self) -> f64 {
         self.initial_seconds
     }
@@ -177,6 +179,7 @@
         class.periods_without_run = class.periods_without_run.min(PERIODS_BEFORE_RETURN);
     }
 
+    /// Counts a first attempt into the demand of its class.
     pub(crate) fn count_first_attempt(&mut self, slot: usize) {
         self.classes[slot].first_attempts += 1.0;
     }
--- /dev/null
+++ b/crates/decisions/src/controller.rs
@@ -0,0 +1,248 @@
+//! The admission controller of one server: what becomes of each request, and what callers are told about it.
+//!
+//! A request's path through the modules below:
+//!
+//! 1. `arrival`: it is read, gets its deadline and objective, and is held, joined to an earlier attempt, or
+//!    rejected (shutdown, throttling, lack of memory).
+//! 2. `scheduling`: while held, it is rejected once it cannot succeed in time; the held request with the most
+//!    priority weight per core second starts first, under the concurrency limit.
+//! 3. `upstream_calls`: its run waits for the limiter of upstream calls, makes its call, or goes on without.
+//! 4. `endings`: it completes, is rejected, expires, or its caller leaves.
+//!
+//! `sampling` adapts all limits to the host's gauges, once per sampling period.
+
+mod arrival;
+mod endings;
+mod sampling;
+mod scheduling;
+mod upstream_calls;
+
+use crate::actions::Action;
+use crate::advice::Advice;
+use crate::call_limiter::CallLimiter;
+use crate::class_definition::ClassDefinition;
+use crate::class_estimates::ClassEstimates;
+use crate::concurrency_limit::ConcurrencyLimit;
+use crate::demand::RecentDemand;
+use crate::drain::Drain;
+use crate::events::{Event, Gauges};
+use crate::health::Health;
+use crate::idempotency_keys::IdempotencyKeys;
+use crate::idle_connections::IdleConnections;
+use crate::memory::MemoryAccount;
+use crate::open_requests::OpenRequests;
+use crate::random::RandomSource;
+use crate::request::RequestId;
+use crate::retry_patterns::RetryPatterns;
+use crate::settings::Settings;
+use crate::slow_start::SlowStart;
+use crate::tenant_quota::TenantQuotas;
+use crate::throttling::Throttle;
+use crate::time::{Span, Time, after, before, secs};
+use crate::wait_queue::WaitQueue;
+use std::sync::Arc;
+
+/// Least time from a batch to the next timer.
+const MIN_TIMER_DELAY: Span = Span(1);
+
+/// The controller of one server. It has no clock and does no I/O: the same seed, settings and events give the
+/// same actions.
+#[derive(Debug, Default)]
+pub struct Controller {
+    settings: Settings,
+    random: RandomSource,
+    /// Time of the batch that is handled; never goes back.
+    now: Time,
+    has_begun: bool,
+
+    requests: OpenRequests,
+    wait_queue: WaitQueue,
+    keys: IdempotencyKeys,
+    memory: MemoryAccount,
+
+    classes: ClassEstimates,
+    tenants: TenantQuotas,
+    retry_patterns: RetryPatterns,
+    demand: RecentDemand,
+
+    throttle: Throttle,
+    concurrency: ConcurrencyLimit,
+    slow_start: SlowStart,
+    calls: CallLimiter,
+    health: Health,
+    idle_connections: IdleConnections,
+    advice: Advice,
+    drain: Option<Drain>,
+
+    /// The latest gauges, until a sampling period takes them in.
+    gauges: Option<Gauges>,
+    next_sampling_at: Time,
+    /// When the last timer that was asked for is due.
+    timer_at: Option<Time>,
+}
+
+impl Controller {
+    /// A controller for a server that starts now. `seed` decides all of its random draws. Fewer cores than
+    /// one count as one.
+    pub fn new(mut settings: Settings, seed: u64, now: Time) -> Self {
+        settings.specifics.n_cores = settings.specifics.n_cores.max(1);
+        let cores = f64::from(settings.specifics.n_cores);
+        let (settings, classes, tenants) = settings.split();
+        let mut controller = Self {
+            random: RandomSource::seeded(seed),
+            now,
+            classes: ClassEstimates::new(),
+            concurrency: ConcurrencyLimit::new(cores),
+            calls: CallLimiter::new(&settings.specifics),
+            idle_connections: IdleConnections::new(),
+            advice: Advice::new(),
+            next_sampling_at: now,
+            settings,
+            ..Self::default()
+        };
+        controller.cores_started(controller.settings.specifics.just_started, now);
+        for (slot, class) in classes.into_iter().enumerate() {
+            controller.put_class(slot, class);
+        }
+        for (slot, tenant) in tenants.iter().enumerate() {
+            controller.put_tenant(slot, tenant.quota_rps, true);
+        }
+        controller
+    }
+
+    /// The class of a slot from now on, of no name where it is free. What was learnt stays with the name;
+    /// the host gives no slot away that an open request is in.
+    pub fn put_class(&mut self, slot: usize, definition: Arc<ClassDefinition>) {
+        self.classes.put(slot, definition);
+    }
+
+    /// The quota of the tenant in a slot, in requests a second; the counts of another tenant than before
+    /// begin anew.
+    pub fn put_tenant(&mut self, slot: usize, quota_rps: f64, another: bool) {
+        self.tenants.put(slot, quota_rps, another);
+    }
+
+    /// The cores started at a time, cold or not: with the server, or again beside one that goes on.
+    pub fn cores_started(&mut self, cold: bool, at: Time) {
+        self.settings.specifics.just_started = cold;
+        self.slow_start.restart(at);
+        self.advice.restart(if cold { self.settings.rules.cold_share } else { 1.0 });
+    }
+
+    /// All settings but classes and tenants.
+    pub fn set_rest(&mut self, mut rest: Settings) {
+        rest.specifics.n_cores = rest.specifics.n_cores.max(1);
+        // Whether the cores began cold was learnt at their start, and is not in the file.
+        rest.specifics.just_started = self.settings.specifics.just_started;
+        let previous = std::mem::replace(&mut self.settings, rest);
+        let specifics = &self.settings.specifics;
+        // What ends must release the figure that was reserved for it, or the difference would stay for good.
+        let requests_kb = self.requests.reserved_kb(&self.settings);
+        self.memory.set_reserved(requests_kb + self.keys.len() as f64 * specifics.kb_per_key);
+        self.calls.reconfigure(&previous.specifics, specifics, self.now);
+    }
+
+    /// Takes in all events of a batch, then decides once. Events of requests that it doesn't know change
+    /// nothing.
+    pub fn handle(&mut self, now: Time, events: &[Event], out: &mut Vec<Action>) {
+        self.now = self.now.max(now);
+        self.begin_once(out);
+        self.remove_expired_keys();
+        self.update_concurrency_ceiling();
+        for event in events {
+            self.note_progress(event);
+            self.handle_event(event, out);
+        }
+        self.expire_requests(out);
+        if self.now >= self.next_sampling_at {
+            self.sample_period(out);
+        }
+        self.make_calls(out);
+        self.start_runs(out);
+        self.set_timer(out);
+    }
+
+    fn handle_event(&mut self, event: &Event, out: &mut Vec<Action>) {
+        match event {
+            Event::Arrived(request) => self.request_arrived(request, out),
+            Event::Completed { id, outcome, took } => self.run_completed(id, *outcome, *took, out),
+            Event::Left(id) => self.caller_left(id, out),
+            Event::ReadyToCall(id) => self.run_needs_call(id),
+            Event::CallResult { id, outcome, took } => self.call_ended(id, *outcome, *took, out),
+            Event::Sigterm(time_to_stop) => self.begin_drain(*time_to_stop, out),
+            Event::Timer(gauges) => self.gauges = Some(*gauges),
+        }
+    }
+
+    /// Answers health checks from the first batch on.
+    fn begin_once(&mut self, out: &mut Vec<Action>) {
+        if !self.has_begun {
+            self.has_begun = true;
+            self.health.begin(self.now);
+            out.push(Action::ReportHealth { shallow: true, active: true });
+        }
+    }
+
+    /// Notes whether work moves on here: a run does, or a core is free. A free core is no progress while
+    /// reading alone fills the cores, and what it brings is lost.
+    fn note_progress(&mut self, event: &Event) {
+        let run_moves_on = matches!(event, Event::Completed { .. } | Event::ReadyToCall(_));
+        let has_free_core = self.concurrency.has_free_core(self.settings.specifics.n_cores)
+            && !self.idle_connections.reading_fills_cores();
+        if run_moves_on || has_free_core {
+            self.health.note_progress(self.now);
+        }
+    }
+
+    fn update_concurrency_ceiling(&mut self) {
+        let speed_share = self.slow_start.speed_share(self.now, &self.settings);
+        self.concurrency.set_ceiling(speed_share, &self.settings);
+    }
+
+    /// Starts the graceful shutdown. All requests that are open get their response before the process is
+    /// stopped.
+    fn begin_drain(&mut self, time_to_stop: Span, out: &mut Vec<Action>) {
+        if self.drain.is_some() {
+            return;
+        }
+        let drain = Drain::new(self.now, time_to_stop, &self.settings);
+        self.drain = Some(drain);
+        out.push(Action::ReportHealth { shallow: true, active: false });
+        out.push(Action::Emit(format!("draining, stop in {:.1} s", secs(time_to_stop))));
+        self.requests.limit_deadlines(drain.answered_by());
+    }
+
+    fn is_draining(&self) -> bool {
+        self.drain.is_some()
+    }
+
+    /// Removes a request from the table of idempotency keys. False if it had no entry.
+    fn remove_key(&mut self, id: &RequestId) -> bool {
+        let was_present = self.keys.remove(id);
+        if was_present {
+            self.memory.release(self.settings.specifics.kb_per_key);
+        }
+        was_present
+    }
+
+    /// Removes entries of the table a batch after they expired: the host may still have answered from them.
+    fn remove_expired_keys(&mut self) {
+        let expired_by = before(self.now, self.settings.granularity);
+        while let Some(id) = self.keys.first_expired(expired_by) {
+            self.remove_key(&id);
+        }
+    }
+
+    /// Asks for one timer: at the next deadline, sampling period or paced upstream call, whichever comes
+    /// first.
+    fn set_timer(&mut self, out: &mut Vec<Action>) {
+        let next_call_at = self.calls.next_call_at(self.now);
+        let times = [Some(self.next_sampling_at), self.requests.next_deadline(), next_call_at];
+        let earliest = after(self.now, MIN_TIMER_DELAY);
+        let due_at = times.into_iter().flatten().min().unwrap_or(earliest).max(earliest);
+        if self.timer_at.is_none_or(|timer_at| timer_at <= self.now || due_at < timer_at) {
+            self.timer_at = Some(due_at);
+            out.push(Action::Remind(due_at));
+        }
+    }
+}
--- /dev/null
+++ b/crates/decisions/src/controller/sampling.rs
@@ -0,0 +1,118 @@
+//! Once per sampling period: gauges are taken in, estimates and limits adapted, and advice given.
+
+use super::Controller;
+use crate::actions::Action;
+use crate::advice::Capacity;
+use crate::concurrency_limit::CoreLoad;
+use crate::demand::decay_factor;
+use crate::events::Gauges;
+use crate::idle_connections::IntakeLoad;
+use crate::time::{Span, after};
+
+/// The sampling period of MemLimiter's tests.
+const SAMPLING_PERIOD: Span = Span(100_000_000);
+/// Least share of the capacity that stays advertised while requests wait unread.
+const MIN_OPEN_SHARE: f64 = 0.05;
+
+impl Controller {
+    pub(super) fn sample_period(&mut self, out: &mut Vec<Action>) {
+        self.next_sampling_at = after(self.now, SAMPLING_PERIOD);
+        let gauges = self.gauges.take().unwrap_or_default();
+        self.classes.refresh_shortest_objective();
+        self.sample_memory(&gauges, out);
+        self.adapt_concurrency_limit(&gauges);
+        self.calls.end_period();
+        self.decay_counts();
+        let mean_run_seconds = self.classes.mean_run_seconds();
+        self.check_stall(mean_run_seconds);
+        self.enforce_sojourn_bound(out);
+        self.adapt_idle_timeout(&gauges, out);
+        self.adapt_advice(mean_run_seconds, out);
+    }
+
+    fn cores(&self) -> f64 {
+        f64::from(self.settings.specifics.n_cores)
+    }
+
+    fn sample_memory(&mut self, gauges: &Gauges, out: &mut Vec<Action>) {
+        let utilization = self.memory.sample(gauges.heap_share, self.settings.specifics.memory_kb);
+        if self.throttle.sample(utilization) {
+            out.push(Action::Emit(format!("danger zone: utilization {utilization:.2}")));
+        }
+    }
+
+    fn adapt_concurrency_limit(&mut self, gauges: &Gauges) {
+        let shortest_objective = self.classes.shortest_objective_seconds();
+        let load = CoreLoad {
+            cores: self.cores(),
+            has_held_requests: !self.wait_queue.is_empty(),
+            floor_share: self.health.unread_wait_margin(shortest_objective).clamp(0.0, 1.0),
+        };
+        self.concurrency.adapt(gauges, &load);
+    }
+
+    fn decay_counts(&mut self) {
+        let factor = decay_factor(SAMPLING_PERIOD);
+        self.demand.decay(factor);
+        self.classes.end_period(factor);
+        self.tenants.decay(factor);
+        self.retry_patterns.decay(factor);
+    }
+
+    fn check_stall(&mut self, mean_run_seconds: f64) {
+        let shortest_objective = self.classes.shortest_objective_seconds();
+        let reading_fills_cores = self.idle_connections.reading_fills_cores();
+        self.health.check_stall(self.now, mean_run_seconds, shortest_objective, reading_fills_cores);
+    }
+
+    fn adapt_idle_timeout(&mut self, gauges: &Gauges, out: &mut Vec<Action>) {
+        let load = IntakeLoad {
+            cores: self.cores(),
+            runs_on_cores: self.concurrency.on_cores(),
+            has_held_requests: !self.wait_queue.is_empty(),
+            has_rejected: self.advice.has_rejected(),
+            callers_idle_timeout: self.settings.specifics.idle,
+        };
+        if let Some(timeout) = self.idle_connections.sample(gauges, &load) {
+            out.push(Action::IdleLimit(timeout));
+        }
+    }
+
+    /// Tells callers and health checks early what this server has capacity for.
+    fn adapt_advice(&mut self, mean_run_seconds: f64, out: &mut Vec<Action>) {
+        let shortest_objective = self.classes.shortest_objective_seconds();
+        self.advice.end_period(self.queue_seconds(), shortest_objective);
+        self.health.decay_unread_wait();
+        self.report_health(shortest_objective, out);
+        let capacity = Capacity {
+            open_share: self.open_share(shortest_objective),
+            concurrency_limit: self.concurrency.limit(),
+            mean_run_seconds,
+            shortest_objective,
+        };
+        if let Some(value) = self.advice.advertise(&capacity, &self.settings) {
+            out.push(Action::Signal(value));
+        }
+    }
+
+    fn report_health(&mut self, shortest_objective: f64, out: &mut Vec<Action>) {
+        if self.is_draining() {
+            return;
+        }
+        let list_follows_health = self.settings.specifics.list_follows;
+        let is_unhealthy = self.health.should_be_unhealthy(shortest_objective, list_follows_health);
+        if self.health.set_unhealthy(is_unhealthy) {
+            out.push(Action::ReportHealth { shallow: true, active: !is_unhealthy });
+        }
+    }
+
+    /// Share of the capacity that is open to callers: none while draining or stalled, and less while
+    /// requests wait unread. Reading itself takes a while: up to the wait at which all is well, nothing is
+    /// taken off.
+    fn open_share(&self, shortest_objective: f64) -> f64 {
+        if self.is_draining() || self.health.is_stalled() {
+            return 0.0;
+        }
+        self.health.unread_wait_margin(shortest_objective).clamp(MIN_OPEN_SHARE, 1.0)
+    }
+}
--- /dev/null
+++ b/crates/decisions/src/controller/upstream_calls.rs
@@ -0,0 +1,160 @@
+//! Upstream calls of runs: when each is made, what its result means, and which runs go on without.
+
+use super::Controller;
+use crate::actions::Action;
+use crate::call_limiter::{backoff, can_skip_call};
+use crate::call_share::CallSpacing;
+use crate::class_definition::{ClassDefinition, Effect};
+use crate::density;
+use crate::open_requests::{OpenRequest, RequestState, Sequence};
+use crate::request::{Outcome, RequestId};
+use crate::time::{Span, Time, after, left, secs, span};
+
+/// Part of its class's mean core time that a run still needs after its call.
+const RUN_AFTER_CALL: f64 = 0.5;
+/// Times the mean latency of a call that a turn in the queue is taken to last.
+const TURN_LATENCY_RATIO: f64 = 1.2;
+
+/// Whether an outcome proves that the call never ran, so that it may be repeated whatever its effect.
+fn proves_never_ran(outcome: Outcome) -> bool {
+    matches!(outcome, Outcome::Shed | Outcome::DialFailed)
+}
+
+/// Whether the dependency may still work on a call that ended so.
+fn is_given_up(outcome: Outcome) -> bool {
+    matches!(outcome, Outcome::Expired | Outcome::Dropped)
+}
+
+impl Controller {
+    fn class_definition_of(&self, request: &OpenRequest) -> &ClassDefinition {
+        self.class_of(request).definition()
+    }
+
+    pub(super) fn run_needs_call(&mut self, id: &RequestId) {
+        let Some(sequence) = self.requests.find(id) else { return };
+        let request = self.requests.get_mut(sequence);
+        let Some(request) = request.filter(|request| request.state == RequestState::Running) else { return };
+        request.state = RequestState::AwaitingCall { since: self.now, not_before: self.now };
+        self.concurrency.run_awaits_call();
+        if !request.is_answered {
+            self.calls.enqueue(sequence);
+        }
+    }
+
+    pub(super) fn call_ended(&mut self, id: &RequestId, outcome: Outcome, took: Span, out: &mut Vec<Action>) {
+        let Some(sequence) = self.requests.find(id) else { return };
+        let RequestState::Calling { since } = self.requests.open(sequence).state else { return };
+        self.calls.call_ended(since, self.now, is_given_up(outcome), &self.settings.specifics);
+        if let Some(request) = self.requests.get_mut(sequence) {
+            request.call_seconds += left(since, self.now).max(0.0);
+        }
+        if outcome == Outcome::Delivered {
+            self.call_succeeded(sequence, took);
+        } else {
+            self.call_failed(sequence, outcome, out);
+        }
+    }
+
+    fn call_succeeded(&mut self, sequence: Sequence, took: Span) {
+        let Some(request) = self.requests.get_mut(sequence) else { return };
+        request.state = RequestState::Running;
+        request.consecutive_failed_calls = 0;
+        self.concurrency.run_resumed();
+        let max_runs = self.concurrency.ceiling();
+        let specifics = &self.settings.specifics;
+        self.calls.call_succeeded(took, max_runs, specifics, self.now, &mut self.random);
+    }
+
+    /// Repeats a failed call where that is safe, else goes on without it, else gives the request up.
+    fn call_failed(&mut self, sequence: Sequence, outcome: Outcome, out: &mut Vec<Action>) {
+        self.calls.call_failed();
+        let Some(request) = self.requests.get_mut(sequence) else { return };
+        request.consecutive_failed_calls += 1;
+        let not_before = after(self.now, backoff(request.consecutive_failed_calls));
+        request.state = RequestState::AwaitingCall { since: self.now, not_before };
+        if request.is_answered {
+            return;
+        }
+        let definition = self.classes.class(request.class).definition();
+        if proves_never_ran(outcome) || definition.profile.effect == Effect::Repeatable {
+            self.calls.enqueue(sequence);
+        } else if can_skip_call(definition) {
+            self.continue_without_call(sequence, out);
+        } else {
+            self.answer_run_with_error(sequence, out);
+        }
+    }
+
+    fn continue_without_call(&mut self, sequence: Sequence, out: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(sequence) else { return };
+        request.state = RequestState::Running;
+        self.concurrency.run_resumed();
+        out.push(Action::Degrade(request.id.clone()));
+    }
+
+    /// Makes the calls that the limiter admits, highest density first; goes on without a call where waiting
+    /// for it would miss the objective.
+    pub(super) fn make_calls(&mut self, out: &mut Vec<Action>) {
+        let spacing = self.calls.begin_batch(&self.settings, self.now);
+        let shortest_objective = self.classes.shortest_objective_seconds();
+        let random_unit = self.random.unit_interval();
+        let queue = density::highest_first(self.ranked(self.calls.queue()));
+        for (place, ranked) in queue.into_iter().enumerate() {
+            let sequence = ranked.sequence;
+            let request = self.requests.open(sequence);
+            let RequestState::AwaitingCall { since, not_before } = request.state else { continue };
+            if self.should_skip_call(request, place, since) {
+                self.calls.dequeue(sequence);
+                self.continue_without_call(sequence, out);
+                continue;
+            }
+            let is_admitted = self.calls.admits_call(&spacing, shortest_objective, self.now, random_unit);
+            if !is_admitted || not_before > self.now {
+                continue;
+            }
+            let timeout = self.call_timeout_seconds(self.requests.open(sequence), &spacing);
+            self.calls.call_started(sequence, &spacing, self.now, random_unit);
+            self.start_call(sequence, since, span(timeout), out);
+        }
+    }
+
+    fn start_call(&mut self, sequence: Sequence, waits_since: Time, timeout: Span, out: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(sequence) else { return };
+        request.call_seconds += left(waits_since, self.now);
+        request.state = RequestState::Calling { since: self.now };
+        out.push(Action::AskBelow { id: request.id.clone(), timeout });
+    }
+
+    /// Whether a request that earns something without its call does better to go on without it: the
+    /// dependency is down, or its turn would come too late for the objective. A request past its objective
+    /// still waits the time of one call.
+    fn should_skip_call(&self, request: &OpenRequest, place: usize, waits_since: Time) -> bool {
+        if !can_skip_call(self.class_definition_of(request)) {
+            return false;
+        }
+        if self.calls.is_dependency_down() && request.consecutive_failed_calls > 0 {
+            return true;
+        }
+        let call_seconds = self.calls.latency().mean_seconds();
+        let run_after_call = self.class_of(request).core_seconds() * RUN_AFTER_CALL;
+        let time_to_call = request.seconds_to_objective(self.now) - run_after_call;
+        let turns = 1.0 + place as f64 / self.calls.limit();
+        let comes_too_late = time_to_call < turns * call_seconds * TURN_LATENCY_RATIO;
+        let has_waited_a_call = left(waits_since, self.now) > call_seconds;
+        comes_too_late && (time_to_call > 0.0 || has_waited_a_call)
+    }
+
+    /// Seconds after which a call is given up: when the caller of its request stops waiting, or sooner.
+    fn call_timeout_seconds(&self, request: &OpenRequest, spacing: &CallSpacing) -> f64 {
+        let mut timeout = request.seconds_to_expiry(self.now).max(secs(self.settings.granularity));
+        let class = self.class_of(request);
+        if class.definition().profile.effect == Effect::Repeatable {
+            let run_ratio = self.run_seconds(request) / class.core_seconds();
+            let shortest_objective = self.classes.shortest_objective_seconds();
+            let failures = request.consecutive_failed_calls;
+            let idempotent = self.calls.idempotent_timeout_seconds(run_ratio, failures, shortest_objective);
+            timeout = idempotent.map_or(timeout, |longest| timeout.min(longest));
+        }
+        spacing.max_call_seconds().map_or(timeout, |longest| timeout.min(longest))
+    }
+}
--- a/crates/decisions/src/demand.rs
+++ b/crates/decisions/src/demand.rs
@@ -28,6 +28,7 @@
 }
 
 impl RecentDemand {
+    /// Counts an attempt that was read.
     pub(crate) fn count_arrival(&mut self, is_retry: bool) {
         self.arrivals += 1.0;
         if is_retry {
@@ -35,10 +36,12 @@
         }
     }
 
+    /// Counts an attempt that this server rejected.
     pub(crate) fn count_rejection(&mut self) {
         self.rejections += 1.0;
     }
 
+    /// Ends a period; see [`decay_factor`].
     pub(crate) fn decay(&mut self, factor: f64) {
         self.arrivals *= factor;
         self.retries *= factor;
@@ -56,7 +59,8 @@
     }
 
     /// Whether many arrivals were rejected elsewhere before, so that the fleet is full and not this server
-    /// alone. Where retries are not marked, this server's own rejections stand in, and more of them are needed.
+    /// alone. Where retries are not marked, this server's own rejections stand in, and more of them are
+    /// needed.
     pub(crate) fn is_fleet_overloaded(&self, marks_retry: bool) -> bool {
         let arrivals = self.arrivals.max(MIN_ARRIVALS);
         if marks_retry {
--- a/crates/decisions/src/events.rs
+++ b/crates/decisions/src/events.rs
@@ -8,16 +8,17 @@
 pub struct Gauges {
     /// Share of the cores busy in the last half second.
     pub core_use: Option<f64>,
-    /// All that needs a core now.
+    /// What needs a core now: runs, reading, health checks and new connections.
     pub on_cores: Option<f64>,
-    /// Share of the memory in use.
+    /// Share of the memory in use, from 0 up.
     pub heap_share: Option<f64>,
     /// Open connections.
     pub links: Option<f64>,
 }
 
 impl Gauges {
-    /// Sets the gauge of a name; other names, and values that are no numbers, change nothing.
+    /// Sets the gauge with a name; other names change nothing, and a value that is not finite counts as
+    /// absent.
     pub fn set(&mut self, name: &str, value: f64) {
         let value = Some(value).filter(|value| value.is_finite());
         match name {
@@ -30,25 +31,25 @@
     }
 }
 
-/// What happened.
+/// What happened on the server.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// A request was read.
     Arrived(Request),
-    /// A run or join is over.
+    /// A run is over, or the wait of a joined request.
     Completed {
         /// Which request.
         id: RequestId,
         /// How it ended.
         outcome: Outcome,
-        /// Time since the action that started it.
+        /// Time since the action that started it, waits for disk and calls included.
         took: Span,
     },
-    /// The caller has gone.
+    /// The caller no longer waits.
     Left(RequestId),
-    /// A running request needs a call.
+    /// A run cannot go on without an upstream call; it waits off the cores.
     ReadyToCall(RequestId),
-    /// A call is over.
+    /// An upstream call is over.
     CallResult {
         /// Which request.
         id: RequestId,
@@ -57,7 +58,7 @@
         /// Time since the call was made.
         took: Span,
     },
-    /// Notice to leave: the process is stopped this long from now.
+    /// A graceful shutdown begins: the process is stopped this long from now.
     Sigterm(Span),
     /// A timer set with [`Action::Remind`].
     Timer(Gauges),
--- /dev/null
+++ b/crates/decisions/src/health.rs
@@ -0,0 +1,107 @@
+//! Health: how long requests wait unread, whether runs move on, and the answer to health checks that follows.
+//!
+//! Requests that wait unread starve the runs, and answers then come too late for callers to heed any
+//! advice; so health checks fail, which calls the checkers off until the backlog has drained. Where the
+//! endpoint list follows health, many servers late at once would empty it: there only a stall counts.
+
+use crate::time::{Span, Time, left, secs};
+
+/// Parts of the shortest latency objective that requests wait unread: past the first, health goes bad;
+/// below the second it is good again, and runs get all the cores.
+const UNHEALTHY_UNREAD_WAIT: f64 = 0.4;
+const HEALTHY_UNREAD_WAIT: f64 = 0.1;
+/// Weights of a request's wait in the smoothed wait, where it is longer and where it is shorter.
+const LONGER_WAIT_WEIGHT: f64 = 0.4;
+const SHORTER_WAIT_WEIGHT: f64 = 0.1;
+/// Per sampling period; by which the smoothed wait falls, requests or none.
+const UNREAD_WAIT_DECAY: f64 = 0.98;
+
+/// Mean runs, and at least a part of the shortest latency objective, without progress on full cores: a stall.
+const STALL_MEAN_RUNS: f64 = 5.0;
+const MIN_STALL_OBJECTIVES: f64 = 0.5;
+/// Part of the shortest latency objective for which reading may fill the cores alone.
+const MAX_READING_OBJECTIVES: f64 = 0.4;
+
+/// What health is judged by, and the answer that was last given to health checks.
+#[derive(Debug, Default)]
+pub(crate) struct Health {
+    /// Smoothed time that requests waited unread.
+    unread_seconds: f64,
+    is_unhealthy: bool,
+    /// When runs last moved on, or a core was free.
+    last_progress: Time,
+    /// Whether that is suspiciously long ago.
+    is_stalled: bool,
+}
+
+impl Health {
+    /// Starts the watch over progress. Guards against a stall seen in the first period, which would take
+    /// each new server off the endpoint list: its clock may have started at any time, and its processor
+    /// long before it.
+    pub(crate) fn begin(&mut self, now: Time) {
+        self.last_progress = now;
+    }
+
+    pub(crate) fn note_progress(&mut self, now: Time) {
+        self.last_progress = now;
+        self.is_stalled = false;
+    }
+
+    pub(crate) fn seconds_since_progress(&self, now: Time) -> f64 {
+        left(self.last_progress, now)
+    }
+
+    pub(crate) fn is_stalled(&self) -> bool {
+        self.is_stalled
+    }
+
+    /// Decides whether work hangs here: nothing moved on for much longer than a run takes.
+    pub(crate) fn check_stall(
+        &mut self,
+        now: Time,
+        mean_run_seconds: f64,
+        shortest_objective: f64,
+        reading_fills_cores: bool,
+    ) {
+        let usual = (STALL_MEAN_RUNS * mean_run_seconds).max(MIN_STALL_OBJECTIVES * shortest_objective);
+        let longest =
+            if reading_fills_cores { usual.min(MAX_READING_OBJECTIVES * shortest_objective) } else { usual };
+        self.is_stalled = self.seconds_since_progress(now) > longest;
+    }
+
+    /// Takes in how long a request waited unread; more than its latency objective counts as that.
+    pub(crate) fn note_unread_wait(&mut self, waited: Span, latency_objective: Span) {
+        let difference = secs(waited).min(secs(latency_objective)) - self.unread_seconds;
+        let weight = if difference > 0.0 { LONGER_WAIT_WEIGHT } else { SHORTER_WAIT_WEIGHT };
+        self.unread_seconds += weight * difference;
+    }
+
+    pub(crate) fn decay_unread_wait(&mut self) {
+        self.unread_seconds *= UNREAD_WAIT_DECAY;
+    }
+
+    pub(crate) fn unread_seconds(&self) -> f64 {
+        self.unread_seconds
+    }
+
+    /// How far the unread wait is from turning health bad: 1 or more where all is well, 0 or less where it
+    /// is bad.
+    pub(crate) fn unread_wait_margin(&self, shortest_objective: f64) -> f64 {
+        let unread_wait = self.unread_seconds / shortest_objective;
+        1.0 - (unread_wait - HEALTHY_UNREAD_WAIT) / (UNHEALTHY_UNREAD_WAIT - HEALTHY_UNREAD_WAIT)
+    }
+
+    /// Whether the answer to health checks should be bad now, with a hysteresis.
+    pub(crate) fn should_be_unhealthy(&self, shortest_objective: f64, list_follows_health: bool) -> bool {
+        let bound = if self.is_unhealthy { HEALTHY_UNREAD_WAIT } else { UNHEALTHY_UNREAD_WAIT };
+        let reads_late = self.unread_seconds / shortest_objective > bound;
+        self.is_stalled || (reads_late && !list_follows_health)
+    }
+
+    /// Sets the answer to health checks. Returns whether it changes.
+    pub(crate) fn set_unhealthy(&mut self, is_unhealthy: bool) -> bool {
+        let changes = is_unhealthy != self.is_unhealthy;
+        self.is_unhealthy = is_unhealthy;
+        changes
+    }
+}
--- a/crates/decisions/src/idempotency_keys.rs
+++ b/crates/decisions/src/idempotency_keys.rs
@@ -1,7 +1,9 @@
-//! The table of idempotency keys: requests whose repeats the host must still recognize, with their expirations.
+//! The table of idempotency keys: requests whose repeats the host must still recognize, with their
+//! expirations.
 //!
-//! The host answers repeats from its own copy of the table; this one mirrors it, to account for the memory and to
-//! know which entries are live. Bounded by the memory account, in which the caller reserves each entry.
+//! The host answers repeats from its own copy of the table; this one mirrors it, to account for the memory
+//! and to know which entries are live. Bounded by the memory account, in which the caller reserves each
+//! entry.
 
 use crate::request::RequestId;
 use crate::time::Time;
@@ -34,6 +36,7 @@
         (*expires_at <= at).then(|| id.clone())
     }
 
+    /// Entries in the table.
     pub(crate) fn len(&self) -> usize {
         self.expirations.len()
     }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -25,26 +25,38 @@
 #![warn(missing_docs)]
 
 mod actions;
-mod choice;
+mod advice;
+mod call_latency;
+mod call_limiter;
+mod call_share;
 mod class_definition;
 mod class_estimates;
+mod concurrency_limit;
+mod controller;
 mod demand;
+mod density;
+mod drain;
 mod events;
+mod health;
 mod idempotency_keys;
+mod idle_connections;
 mod memory;
 pub mod numbers;
+mod open_requests;
 mod random;
 mod request;
 mod retry_patterns;
 mod settings;
+mod slow_start;
 mod specifics;
 mod tenant_quota;
 mod throttling;
 mod time;
+mod wait_queue;
 
 pub use actions::Action;
-pub use choice::Controller;
 pub use class_definition::{ClassDefinition, Effect, Profile};
+pub use controller::Controller;
 pub use events::{Event, Gauges};
 pub use request::{Outcome, Request, RequestId};
 pub use settings::{BadSettings, Callers, Customer, Goal, Limits, Prices, Rules, Settings, WorthBy};
--- a/crates/decisions/src/memory.rs
+++ b/crates/decisions/src/memory.rs
@@ -1,7 +1,7 @@
 //! The memory account of the server: what its requests and the table of idempotency keys take, in kilobytes.
 //!
-//! What this module reserves is known exactly. What the gauge shows beyond it (connections, the program itself)
-//! is estimated and kept free: a server that needs more than its memory dies.
+//! What this module reserves is known exactly. What the gauge shows beyond it (connections, the program
+//! itself) is estimated and kept free: a server that needs more than its memory dies.
 
 /// Share of the memory that reservations and the unaccounted part may fill.
 const USABLE_SHARE: f64 = 0.96;
@@ -16,10 +16,12 @@
 }
 
 impl MemoryAccount {
+    /// Reserves memory; whether it fits was asked before.
     pub(crate) fn reserve(&mut self, kb: f64) {
         self.reserved_kb += kb;
     }
 
+    /// Releases as much as was reserved before.
     pub(crate) fn release(&mut self, kb: f64) {
         self.reserved_kb -= kb;
     }
--- a/crates/decisions/src/numbers.rs
+++ b/crates/decisions/src/numbers.rs
@@ -1,7 +1,7 @@
 //! Numbers of a settings file in either form that JSON has for them.
 //!
-//! Writers of JSON differ: `4000000000`, `4000000000.0` and `4e9` are one number. Guards against a server that doesn't start
-//! because its customer's tool writes whole numbers with a point.
+//! Writers of JSON differ: `4000000000`, `4000000000.0` and `4e9` are one number. Guards against a server
+//! that doesn't start because its customer's tool writes whole numbers with a point.
 
 use serde::de::{Deserializer, Error, Unexpected, Visitor};
 use std::fmt;
@@ -10,11 +10,11 @@
 /// The first float past `u64`: 2 to the power of 64.
 const PAST_U64: f64 = 18_446_744_073_709_551_616.0;
 
-/// What becomes of a part below one.
+/// What becomes of a number's fractional part.
 #[derive(Clone, Copy, PartialEq)]
 enum Fraction {
-    Refused,
-    Dropped,
+    Rejected,
+    Truncated,
 }
 
 struct Number<N> {
@@ -26,9 +26,9 @@
     type Value = N;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let most = 8 * size_of::<N>();
-        let kind = if self.fraction == Fraction::Refused { "a whole number" } else { "a number" };
-        write!(formatter, "{kind} from 0 to 2^{most} - 1")
+        let bits = 8 * size_of::<N>();
+        let kind = if self.fraction == Fraction::Rejected { "a whole number" } else { "a number" };
+        write!(formatter, "{kind} from 0 to 2^{bits} - 1")
     }
 
     fn visit_u64<E: Error>(self, number: u64) -> Result<N, E> {
@@ -43,7 +43,7 @@
     }
 
     fn visit_f64<E: Error>(self, number: f64) -> Result<N, E> {
-        let whole = self.fraction == Fraction::Dropped || number.fract() == 0.0;
+        let whole = self.fraction == Fraction::Truncated || number.fract() == 0.0;
         if whole && (0.0..PAST_U64).contains(&number) {
             return self.visit_u64(number as u64);
         }
@@ -57,7 +57,7 @@
     N: TryFrom<u64>,
 {
     let visitor = Number { fraction, of: PhantomData };
-    // Forms that don't tell of what type a value is hold it as it is.
+    // Forms without types of their own, such as postcard, cannot be asked for any type.
     if deserializer.is_human_readable() {
         deserializer.deserialize_any(visitor)
     } else {
@@ -71,16 +71,16 @@
     D: Deserializer<'de>,
     N: TryFrom<u64>,
 {
-    number(deserializer, Fraction::Refused)
+    number(deserializer, Fraction::Rejected)
 }
 
-/// A measure of which only whole units count; a part of one is dropped.
+/// A measure of which only whole units count; the fractional part is dropped.
 pub fn whole_part<'de, D, N>(deserializer: D) -> Result<N, D::Error>
 where
     D: Deserializer<'de>,
     N: TryFrom<u64>,
 {
-    number(deserializer, Fraction::Dropped)
+    number(deserializer, Fraction::Truncated)
 }
 
 /// All of something: the share that counts where a settings file leaves it out.
--- a/crates/decisions/src/random.rs
+++ b/crates/decisions/src/random.rs
@@ -8,6 +8,7 @@
 pub(crate) struct RandomSource(Option<Pcg64Mcg>);
 
 impl RandomSource {
+    /// A generator whose draws are decided by the seed.
     pub(crate) fn seeded(seed: u64) -> Self {
         Self(Some(Pcg64Mcg::seed_from_u64(seed)))
     }
--- a/crates/decisions/src/request.rs
+++ b/crates/decisions/src/request.rs
@@ -3,7 +3,7 @@
 use crate::time::Span;
 use std::sync::Arc;
 
-/// Names one try of one request; never repeated, and says nothing about it.
+/// Id of one attempt; never used again, and without any meaning.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub Arc<str>);
 
@@ -25,11 +25,11 @@
 pub struct Request {
     /// Its id.
     pub id: RequestId,
-    /// How long its caller still waits for this try.
+    /// How long its caller still waits for this attempt.
     pub expires_in: Option<Span>,
     /// Index into [`Settings::profiles`].
     pub class: usize,
-    /// Whether it names a subject whose answer may be shared.
+    /// Whether it names a subject, whose response may serve others.
     pub has_key: bool,
     /// Number of the caller.
     pub caller: u64,
@@ -37,17 +37,17 @@
     pub work: Option<Span>,
     /// Index into [`Settings::customers`].
     pub tenant: Option<usize>,
-    /// Memory it takes while held.
+    /// Memory that it takes while held, in kilobytes.
     pub size_kb: f64,
-    /// Its rank by worth, 0 to below 1.
+    /// Its rank by priority weight, from 0 to below 1.
     pub precedence: f64,
-    /// A marked retry or second copy.
+    /// Whether it is marked as a retry or a hedged request.
     pub retry: bool,
-    /// Writes.
+    /// Whether it changes its subject.
     pub write: bool,
-    /// The kept request that this one repeats.
+    /// The request in the table of idempotency keys that this one repeats.
     pub earlier: Option<RequestId>,
-    /// How long since it reached the machine.
+    /// How long ago it reached the machine.
     pub queued_for: Span,
 }
 
@@ -58,16 +58,16 @@
     Delivered,
     /// It failed and may have had its effect.
     AppError,
-    /// The call was bounced without a look.
+    /// The call was rejected without being looked at; it never ran.
     Shed,
-    /// The call was abandoned.
+    /// The call was given up; it may have had its effect.
     Expired,
-    /// What lies below was unreachable.
+    /// The dependency was unreachable; the call never ran.
     DialFailed,
-    /// The call was broken off.
+    /// The call was interrupted; it may have had its effect.
     Dropped,
-    /// The run was stopped.
+    /// The run was stopped, or ended at a call because it was answered or its caller had left.
     Revoked,
-    /// Nothing started.
+    /// Nothing was started, as the request was already over.
     Unused,
 }
--- a/crates/decisions/src/retry_patterns.rs
+++ b/crates/decisions/src/retry_patterns.rs
@@ -1,14 +1,16 @@
 //! The timeouts of callers, learnt from first attempts, and from them the age of a retry.
 //!
-//! A request does not say how long ago its first attempt began. But callers of one kind give each first attempt
-//! the same fraction of the class's deadline; a retry that arrives with another fraction was given what remained,
-//! and the difference is its age. Guards against retries that are taken for new work with all their time left.
+//! A request does not say how long ago its first attempt began. But callers of one kind give each first
+//! attempt the same fraction of the class's deadline; a retry that arrives with another fraction was given
+//! what remained, and the difference is its age. Guards against retries that are taken for new work with
+//! all their time left.
 
 use crate::demand::RecentDemand;
 use crate::request::Request;
 use crate::settings::Settings;
 
-/// Fraction of the deadline within which two timeouts count as the same; they differ by the time on the way here.
+/// Fraction of the deadline within which two timeouts count as the same; they differ by the time on the way
+/// here.
 const TIMEOUT_TOLERANCE: f64 = 0.01;
 /// Patterns kept; a new one takes the place of the rarest.
 const MAX_PATTERNS: usize = 8;
@@ -38,8 +40,8 @@
 }
 
 impl RetryPatterns {
-    /// Fraction of the class's deadline that had passed before this attempt was sent: 0 for first attempts, and
-    /// where the patterns do not tell.
+    /// Fraction of the class's deadline that had passed before this attempt was sent: 0 for first attempts,
+    /// and where nothing is known.
     pub(crate) fn elapsed_fraction(
         &self,
         request: &Request,
@@ -47,16 +49,18 @@
         settings: &Settings,
         demand: &RecentDemand,
     ) -> f64 {
-        let is_known_age = self.tells_age_of(request, settings, demand);
-        if is_known_age && !self.is_first_attempt_timeout(timeout_fraction) {
+        let shows_age = self.shows_age(request, settings, demand);
+        if shows_age && !self.is_first_attempt_timeout(timeout_fraction) {
             (1.0 - timeout_fraction).max(0.0)
         } else {
             0.0
         }
     }
 
-    fn tells_age_of(&self, request: &Request, settings: &Settings, demand: &RecentDemand) -> bool {
-        // Where no retry is marked, any request may be one. Only the first tier is called by clients' callers.
+    /// Whether the timeout of a request says how old it is.
+    fn shows_age(&self, request: &Request, settings: &Settings, demand: &RecentDemand) -> bool {
+        // Where no retry is marked, any request may be one. Only the first tier is called by clients'
+        // callers.
         let may_be_retry = (request.retry || !settings.callers.marks_retry) && settings.tier == 0;
         let repeated: f64 = self.patterns.iter().map(|pattern| (pattern.observations - 1.0).max(0.0)).sum();
         let has_patterns = repeated > MIN_REPEATED_SHARE * demand.first_attempts();
@@ -80,6 +84,7 @@
         self.patterns.truncate(MAX_PATTERNS);
     }
 
+    /// Ends a period; see [`crate::demand::decay_factor`].
     pub(crate) fn decay(&mut self, factor: f64) {
         self.patterns.iter_mut().for_each(|pattern| pattern.observations *= factor);
     }
--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -7,51 +7,64 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// What a worker is told when it starts. Unknown keys are skipped.
+/// Settings of a server, as the host reads them at its start. Keys that are not known are skipped.
 #[derive(Debug, Clone, Default, Deserialize)]
-#[allow(missing_docs)]
 pub struct Settings {
-    /// The shortest gap between batches.
+    /// Shortest time between two batches.
     pub granularity: Span,
-    /// Workers of this tier at this start.
+    /// Servers of this tier at this start.
     #[serde(default = "one", deserialize_with = "whole_number")]
     pub servers: u32,
+    /// This server's tier: its place on the path of a request, 0 for the one that clients' callers reach.
     #[serde(default, deserialize_with = "whole_number")]
     pub tier: u32,
+    /// The request classes; their places are the indexes that [`crate::Request`] names.
     pub profiles: Vec<Profile>,
+    /// The tenants; their places are the indexes that [`crate::Request`] names.
     #[serde(default)]
     pub customers: Vec<Customer>,
+    /// How callers behave.
     #[serde(default)]
     pub callers: Callers,
+    /// Weights of the parts of the result.
     #[serde(default)]
     pub goal: Goal,
+    /// What the site allows.
     #[serde(default)]
     pub limits: Limits,
+    /// Points taken off the result.
     #[serde(default)]
     pub prices: Prices,
+    /// What the priority weight of a class counts for.
     #[serde(default)]
     pub worth_by: WorthBy,
-    /// Worth of a request over its tenant's share, as a part of its class's worth.
+    /// Priority weight of a request over its tenant's quota, as a part of its class's weight.
     #[serde(default = "full_share")]
     pub over_share_worth: f64,
+    /// Figures of the platform's rules.
     pub rules: Rules,
+    /// Facts about this server and its site.
     pub specifics: Specifics,
 }
 
-/// A setting that the module can't work with.
+/// A setting that the module cannot work with.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("expected settings: {name} {range}, got {value}")]
 pub struct BadSettings {
-    /// Which one.
+    /// Its path in the settings.
     pub name: &'static str,
-    /// What it may be.
+    /// The values that it may have.
     pub range: &'static str,
-    /// What was told.
+    /// The value that it has.
     pub value: f64,
 }
 
 impl Settings {
-    /// Whether the module can work with these; if not, why.
+    /// Checks that the module can work with these settings.
+    ///
+    /// # Errors
+    ///
+    /// The first setting that is out of its range.
     pub fn check(&self) -> Result<(), BadSettings> {
         let positive = |name: &'static str, value: f64| {
             let good = value > 0.0 && value.is_finite();
@@ -62,7 +75,7 @@
         positive("specifics.memory_kb", self.specifics.memory_kb)?;
         positive("specifics.run_factor", self.specifics.run_factor)?;
         positive("rules.tip_multiple", self.rules.tip_multiple)?;
-        // Past 1 the module would say less than nothing to callers.
+        // Past 1 a negative capacity would be advertised.
         let (name, value) = ("rules.cold_share", self.rules.cold_share);
         if !(0.0..=1.0).contains(&value) {
             return Err(BadSettings { name, range: "from 0 to 1", value });
@@ -74,28 +87,29 @@
         Ok(())
     }
 
-    /// The class of a name.
+    /// Index of the class with a name.
     pub fn class(&self, name: &str) -> Option<usize> {
         self.profiles.iter().position(|profile| profile.name == name)
     }
 
-    /// The tenant of a name.
+    /// Index of the tenant with a name.
     pub fn tenant(&self, name: &str) -> Option<usize> {
         self.customers.iter().position(|customer| customer.name == name)
     }
 }
 
 impl Settings {
-    /// The rest, the classes and the tenants: what the settings of a class are told by its place for is in its definition.
+    /// Splits off the classes and the tenants, in the order of the settings. Settings that name classes by
+    /// their place move into the definitions.
     pub fn split(mut self) -> (Self, Vec<Arc<ClassDefinition>>, Vec<Arc<Customer>>) {
         let calls = std::mem::take(&mut self.specifics.calls_by_class);
-        let worths = std::mem::take(&mut self.specifics.class_skip_worth);
+        let skip_worths = std::mem::take(&mut self.specifics.class_skip_worth);
         let define = |(place, profile): (usize, Profile)| {
             let calls = calls.get(place).copied().unwrap_or(true);
             Arc::new(ClassDefinition {
                 profile,
                 calls,
-                skip_worth: worths.get(place).copied().unwrap_or(0.0),
+                skip_worth: skip_worths.get(place).copied().unwrap_or(0.0),
             })
         };
         let classes = std::mem::take(&mut self.profiles).into_iter().enumerate().map(define).collect();
@@ -110,12 +124,13 @@
 
 /// A tenant.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-#[allow(missing_docs)]
 pub struct Customer {
+    /// Its name.
     pub name: String,
-    /// Requests a second inside its share, for all workers together.
+    /// Requests a second within its quota, over all servers together; 0 for no quota.
     #[serde(default)]
     pub quota_rps: f64,
+    /// Its part of the service, from 0 to 1.
     #[serde(default)]
     pub portion: f64,
 }
@@ -123,7 +138,7 @@
 /// How callers behave.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct Callers {
-    /// Further tries are marked.
+    /// Whether retries and hedged requests are marked.
     #[serde(default)]
     pub marks_retry: bool,
 }
@@ -131,11 +146,14 @@
 /// Weights of the parts of the result.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
-#[allow(missing_docs)]
 pub struct Goal {
+    /// Of the result over all requests.
     pub whole: f64,
+    /// Of the weakest class.
     pub worst_class: f64,
+    /// Of the weakest tenant, within its quota.
     pub worst_tenant: f64,
+    /// Of the weakest 10 seconds.
     pub worst_window: f64,
 }
 
@@ -145,54 +163,60 @@
     }
 }
 
-/// What the site lets us do.
+/// What the site allows.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// The longest `come_back` that is honoured.
+    /// The longest Retry-After that callers follow.
     pub max_retry_after: Span,
-    /// `come_back` is passed on.
+    /// Whether a Retry-After is passed on to callers.
     pub retry_after: bool,
 }
 
-/// Points taken off the result.
+/// Points taken off the result, each times its share or rate.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
-#[allow(missing_docs)]
 pub struct Prices {
+    /// For open connections, as a mean over 100 times the servers.
     pub connection: f64,
+    /// For new connections, per first attempt.
     pub handshake: f64,
+    /// For weight left unserved once its latency objective has passed.
     pub late_fail: f64,
+    /// For upstream calls, per first attempt.
     pub origin: f64,
+    /// For work that served nothing, as a share of the work offered.
     pub waste: f64,
 }
 
-/// What worth is counted by.
+/// What the priority weight of a class counts for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorthBy {
-    /// Each request counts the worth of its class.
+    /// Each request counts for the weight of its class.
     #[default]
     Request,
-    /// The worth counts for each unit of work.
+    /// Each unit of a request's work counts for it.
     Work,
 }
 
-/// Figures of the four rules.
+/// Figures of the platform's rules.
 #[derive(Debug, Clone, Default, Deserialize)]
-#[allow(missing_docs)]
 pub struct Rules {
+    /// How long after its deadline a response still counts.
     #[serde(default)]
     pub answer_slack: Span,
-    /// A cold worker is fully warm within this long.
+    /// Time within which cold cores are fully warm.
     #[serde(default)]
     pub cold: Span,
-    /// And begins at no less than this share of its speed.
+    /// Share of their full speed with which cold cores begin at least, from 0 to 1.
     #[serde(default = "full_share")]
     pub cold_share: f64,
+    /// Requests that arrive later than this after the notice of a shutdown are not run.
     pub drain_grace: Span,
-    /// Span over which the crowd is averaged.
+    /// Time over which the runs on the cores are averaged, when their number is held against what a server
+    /// survives.
     pub fall: Span,
-    /// Requests a core that a warm worker survives.
+    /// Runs at once per core that a warm server survives.
     pub tip_multiple: f64,
 }
--- a/crates/decisions/src/specifics.rs
+++ b/crates/decisions/src/specifics.rs
@@ -4,13 +4,13 @@
 use crate::time::Span;
 use serde::Deserialize;
 
-/// What lies below a worker.
+/// What the runs of this server call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Below {
-    /// One dependency that every worker uses.
+    /// One dependency that all servers share.
     Shared,
-    /// The next tier, running this same code.
+    /// The next tier of servers, which run this same code.
     Tier,
     /// Nothing.
     #[default]
@@ -30,71 +30,89 @@
     Suspend,
 }
 
-/// What callers do with the signal.
+/// What callers make of the advertised value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Advert {
     /// They send nothing of a lower precedence.
     Threshold,
-    /// Each has at most this many requests out here.
+    /// Each has at most so many requests open here; of a fraction, one by chance.
     Window,
-    /// The chance that one coming here doesn't pass by.
+    /// The probability with which a caller that comes to this server sends its request here.
     ShareOf,
     /// There is no signal.
     #[default]
     Off,
 }
 
-/// Facts about this worker and its site.
+/// Facts about this server and its site.
 #[derive(Debug, Clone, Default, Deserialize)]
-#[allow(missing_docs)]
 pub struct Specifics {
+    /// What callers make of the advertised value.
     #[serde(default)]
     pub advert: Advert,
+    /// What the runs of this server call.
     #[serde(default)]
     pub below: Below,
+    /// By class: whether its requests may make upstream calls; where a class is left out, they may.
     #[serde(default)]
     pub calls_by_class: Vec<bool>,
-    /// Share of the calls that the dependency survives, as a mean count in hand.
+    /// This server's share of the upstream calls that the shared dependency survives, as a mean number of
+    /// calls in its hands; possibly below 1.
     #[serde(default)]
     pub calls_out: f64,
+    /// By class: part of the priority weight that is earned without the upstream call; where a class is
+    /// left out, none.
     #[serde(default)]
     pub class_skip_worth: Vec<f64>,
+    /// Callers of this tier at this start.
     #[serde(default, deserialize_with = "whole_number")]
     pub clients_total: u32,
-    /// How long a read's answer may serve others.
+    /// How long the response to a read may serve others; 0 for never.
     #[serde(default)]
     pub fresh_for: Span,
+    /// Whether health checks do real work, unless they are answered from the stored status.
     #[serde(default)]
     pub full_checks: bool,
     /// Names of the gauges, in the order in which they come.
     #[serde(default)]
     pub gauges: Vec<String>,
+    /// How long a caller keeps an advertised value.
     #[serde(default)]
     pub heeded: Span,
+    /// Time after which callers close idle connections themselves.
     #[serde(default)]
     pub idle: Span,
+    /// Whether the cores start cold.
     #[serde(default)]
     pub just_started: bool,
+    /// Memory of an entry in the table of idempotency keys, in kilobytes.
     #[serde(default)]
     pub kb_per_key: f64,
-    /// How long an abandoned call stays in the dependency's hands.
+    /// Longest time that a call that was given up stays in the dependency's hands.
     #[serde(default)]
     pub linger: Span,
+    /// Whether the endpoint list follows the answers to health checks.
     #[serde(default)]
     pub list_follows: bool,
+    /// Memory of the server, in kilobytes; it dies when requests and keys need more.
     pub memory_kb: f64,
+    /// Cores of the server, of unknown speed.
     #[serde(deserialize_with = "whole_number")]
     pub n_cores: u32,
+    /// Whether requests say how long their caller waits.
     #[serde(default)]
     pub passes_deadline: bool,
+    /// Memory of a running request as a multiple of that of a held one.
     #[serde(default = "full_share")]
     pub run_factor: f64,
-    /// Window over which calls in hand are averaged.
+    /// Time over which the calls in the dependency's hands are averaged.
     #[serde(default)]
     pub share_span: Span,
+    /// Whether running work can be stopped.
     #[serde(default)]
     pub stop_mode: StopMode,
+    /// Whether the server learns that a caller has given up.
     #[serde(default)]
     pub tells_gone: bool,
 }
--- a/crates/decisions/src/tenant_quota.rs
+++ b/crates/decisions/src/tenant_quota.rs
@@ -1,7 +1,8 @@
 //! Quotas of tenants, by slot, and how much of them was used lately.
 //!
-//! A tenant's quota counts for the fleet; each server holds the tenant to an equal part of it. What a tenant sends
-//! over its quota earns little, and nothing marks which requests those are, so the mean over all of them counts.
+//! A tenant's quota counts for the fleet; each server holds the tenant to an equal part of it. What a
+//! tenant sends over its quota earns little, and nothing marks which requests those are, so the mean over
+//! all of them counts.
 
 use crate::demand::{COUNT_TIME_CONSTANT_SECONDS, NEGLIGIBLE_COUNT};
 use crate::settings::Settings;
@@ -34,6 +35,7 @@
         }
     }
 
+    /// Counts a first attempt against its tenant's quota.
     pub(crate) fn count_first_attempt(&mut self, slot: usize) {
         let Some(usage) = self.tenants.get_mut(slot) else { return };
         if usage.first_attempts <= NEGLIGIBLE_COUNT {
@@ -42,6 +44,7 @@
         usage.first_attempts += 1.0;
     }
 
+    /// Ends a period; see [`crate::demand::decay_factor`].
     pub(crate) fn decay(&mut self, factor: f64) {
         let tenants = &mut self.tenants;
         self.recently_used.retain(|&slot| {
@@ -50,8 +53,8 @@
         });
     }
 
-    /// Factor of a request's priority weight: 1 within the quota, and past it the mean over what is inside and
-    /// what is over it.
+    /// Factor of a request's priority weight: 1 within the quota, and past it the mean over what is inside
+    /// and what is over it.
     pub(crate) fn weight_factor(&self, tenant: Option<usize>, settings: &Settings) -> f64 {
         let Some(usage) = tenant.and_then(|slot| self.tenants.get(slot)) else { return 1.0 };
         let servers = f64::from(settings.servers.max(1));
--- a/crates/decisions/src/throttling.rs
+++ b/crates/decisions/src/throttling.rs
@@ -1,8 +1,8 @@
 //! Request throttling by memory utilization: the throttling half of MemLimiter's `nextgc` controller.
 //!
-//! Each sampling period, the utilization of the memory gives `Kp = Cp / (1 - utilization)`, saturated to 0..100
-//! per cent and smoothed by an exponential average. While the utilization is past the danger zone, that share of
-//! the arriving requests, picked at random, is rejected before being held.
+//! Each sampling period, the utilization of the memory gives `Kp = Cp / (1 - utilization)`, saturated to
+//! 0..100 per cent and smoothed by an exponential average. While the utilization is past the danger zone,
+//! that share of the arriving requests, picked at random, is rejected before being held.
 //!
 //! Source: "MemLimiter: library to limit memory consumption of Go services", the control function and
 //! `DangerZoneThrottling`.
@@ -16,8 +16,8 @@
 /// Weight of a new sample in the exponential average, which spans about three sampling periods.
 const SAMPLE_WEIGHT: f64 = 0.3;
 
-/// Output of the control function for a utilization of the memory, in per cent of the arriving requests, before
-/// the danger zone is considered. A utilization of 1 or more gives 100.
+/// Output of the control function for a utilization of the memory, in per cent of the arriving requests,
+/// before the danger zone is considered. A utilization of 1 or more gives 100.
 pub fn throttling(utilization: f64) -> f64 {
     if utilization >= 1.0 {
         100.0
--- a/crates/decisions/src/time.rs
+++ b/crates/decisions/src/time.rs
@@ -5,7 +5,7 @@
 use crate::numbers::whole_part;
 use serde::{Deserialize, Deserializer, Serialize};
 
-/// A point on the worker's clock, in nanoseconds; the clock has no special start.
+/// A point on the server's clock, in nanoseconds. The clock begins at any value and never goes back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Time(pub u64);
 
@@ -20,23 +20,23 @@
     }
 }
 
-/// Seconds of a span.
+/// Seconds of a length of time.
 pub fn secs(span: Span) -> f64 {
     span.0 as f64 / 1e9
 }
-/// A span from seconds, none below 0.
+/// A length of time from seconds; negative ones count as 0.
 pub fn span(secs: f64) -> Span {
     Span((secs.max(0.0) * 1e9) as u64)
 }
-/// The time a span later.
+/// The point in time that lies so much later.
 pub fn after(t: Time, s: Span) -> Time {
     Time(t.0.saturating_add(s.0))
 }
-/// The time a span earlier.
+/// The point in time that lies so much earlier.
 pub fn before(t: Time, s: Span) -> Time {
     Time(t.0.saturating_sub(s.0))
 }
-/// Seconds from one time to another, below 0 if it is past.
+/// Seconds from one point in time to another; below 0 if the other is the earlier.
 pub fn left(from: Time, to: Time) -> f64 {
     (to.0 as f64 - from.0 as f64) / 1e9
 }
