--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -1,7 +1,9 @@
 //! Shared by the module's tests: settings, requests and short ways to ask what a reply holds.
 #![allow(dead_code)]
 
-use gradepin_decisions::{Action, Controller, Event, Gauges, Request, RequestId, Settings, Span, Time};
+use gradepin_decisions::{
+    Action, Controller, Event, Gauges, Outcome, Request, RequestId, Settings, Span, Time,
+};
 use serde_json::{Value, json};
 
 pub const MS: u64 = 1_000_000;
@@ -76,3 +78,8 @@
 pub fn refused(out: &[Action]) -> Vec<&str> {
     out.iter().filter_map(|a| if let Action::Refuse { id, .. } = a { Some(&*id.0) } else { None }).collect()
 }
+
+/// The end of a run of 100 ms.
+pub fn done(name: &str, outcome: Outcome) -> Event {
+    Event::Completed { id: id(name), outcome, took: Span(100 * MS) }
+}
--- /dev/null
+++ b/crates/decisions/tests/controller/memory_and_keys.rs
@@ -0,0 +1,121 @@
+//! The memory account and the table of idempotency keys.
+
+use crate::common::*;
+use gradepin_decisions::{Action, Event, Outcome, Request, Span};
+use serde_json::json;
+
+#[test]
+fn reserves_no_memory_twice() {
+    let mut low = base();
+    low["specifics"]["memory_kb"] = json!(200.0);
+    low["specifics"]["fresh_for"] = json!(1000 * MS);
+    let mut c = started(low);
+    // Followers of one read count as well: they once went past the guard.
+    let first = Request { has_key: true, ..read("r0") };
+    let mut requests = vec![first];
+    requests.extend((1..20).map(|n| Request {
+        earlier: Some(id("r0")),
+        has_key: true,
+        ..read(&format!("r{n}"))
+    }));
+    let out = arrive(&mut c, 1, requests);
+    let (run, gone) = (processed(&out).len(), refused(&out).len());
+    let keys = out.iter().filter(|a| matches!(a, Action::Remember { .. })).count();
+    let need = (20 - gone - run) as f64 * 20.0 + run as f64 * 80.0 + keys as f64 * 10.0;
+    assert!(need <= 200.0, "needs {need} of 200 kB");
+    assert!(run > 0);
+}
+
+#[test]
+fn repeat_whose_earlier_attempt_was_evicted_for_it_stands_alone() {
+    // Making room for the repeat once turned its elder away and then looked it up.
+    let mut low = base();
+    low["specifics"]["memory_kb"] = json!(340.0);
+    let mut c = started(low);
+    arrive(&mut c, 1, vec![read("r0"), read("r1"), read("r2")]);
+    arrive(&mut c, 2, vec![claim("a", None)]);
+    let big = Request { size_kb: 150.0, ..claim("b", Some("a")) };
+    let out = arrive(&mut c, 3, vec![big]);
+    assert!(!out.contains(&Action::Join(id("b"))), "{out:?}");
+    assert!(processed(&out).len() <= 1);
+}
+
+#[test]
+fn repeat_with_idempotency_key_never_runs_beside_its_first_attempt() {
+    // First try held: the repeat takes its place, and the elder is turned away.
+    let mut c = started(base());
+    arrive(&mut c, 1, (0..4).map(|n| claim(&format!("x{n}"), None)).collect());
+    arrive(&mut c, 2, vec![claim("a", None)]);
+    let out = arrive(&mut c, 3, vec![claim("b", Some("a"))]);
+    assert_eq!(refused(&out), ["a"]);
+    assert!(!out.contains(&Action::ReleaseKey(id("a"))), "the entry is the repeat's now");
+    // First try running, then over, then failed: the repeat joins it.
+    assert!(arrive(&mut c, 4, vec![claim("c", Some("x0"))]).contains(&Action::Join(id("c"))));
+    at(&mut c, 50, vec![done("x1", Outcome::Delivered), done("x2", Outcome::AppError)]);
+    let out = arrive(&mut c, 60, vec![claim("d", Some("x1")), claim("e", Some("x2"))]);
+    assert!(out.contains(&Action::Join(id("d"))) && out.contains(&Action::Join(id("e"))));
+    assert!(processed(&out).is_empty() && refused(&out).is_empty());
+}
+
+#[test]
+fn key_entry_covers_the_window_from_arrival() {
+    let mut c = started(base());
+    let late = Request { queued_for: Span(500 * MS), ..claim("a", None) };
+    let out = arrive(&mut c, 1000, vec![late]);
+    let kept = out
+        .iter()
+        .find_map(|a| if let Action::Remember { hold_for, .. } = a { Some(hold_for.0) } else { None });
+    assert!(kept.is_some_and(|ns| (8500 * MS..8600 * MS).contains(&ns)), "kept {kept:?}");
+}
+
+#[test]
+fn attempt_read_out_of_order_never_takes_over_the_key_of_a_later_one() {
+    // The younger came after the window of an older run, the try itself within it.
+    let mut c = started(base());
+    arrive(&mut c, 900, (0..4).map(|n| read(&format!("x{n}"))).collect());
+    arrive(&mut c, 1000, vec![claim("young", None)]);
+    let old = Request { queued_for: Span(800 * MS), ..claim("old", Some("young")) };
+    let out = arrive(&mut c, 1005, vec![old]);
+    assert!(out.contains(&Action::Error(id("old"))) && refused(&out).is_empty(), "{out:?}");
+    assert_eq!(processed(&at(&mut c, 1100, vec![done("x0", Outcome::Delivered)])), ["young"]);
+}
+
+/// Guards against a server that turns all away for good, or takes more than its memory holds, because a file that was read
+/// again books the keys and runs that it has at another size: what ends must take off what was put on.
+#[test]
+fn reserves_memory_anew_when_sizes_in_the_settings_change() {
+    for (key_kb, run_factor) in [(0.0, 1.0), (0.1, 8.0), (25.0, 1.5)] {
+        let mut value = base();
+        value["profiles"][1]["window"] = json!(3_000 * MS);
+        value["specifics"]["memory_kb"] = json!(2_000.0);
+        value["specifics"]["kb_per_key"] = json!(25.0);
+        let mut c = started(value.clone());
+        for n in 0..40 {
+            let taken = arrive(&mut c, n, vec![claim(&format!("k{n}"), None)]);
+            assert_eq!(refused(&taken), Vec::<&str>::new(), "claim {n}");
+            let end =
+                Event::Completed { id: id(&format!("k{n}")), outcome: Outcome::Delivered, took: Span(MS) };
+            at(&mut c, n, vec![end]);
+        }
+        arrive(&mut c, 40, vec![read("runs")]);
+        value["specifics"]["kb_per_key"] = json!(key_kb);
+        value["specifics"]["run_factor"] = json!(run_factor);
+        value["profiles"] = json!([]);
+        c.set_rest(settings(value));
+        at(
+            &mut c,
+            50,
+            vec![Event::Completed { id: id("runs"), outcome: Outcome::Delivered, took: Span(MS) }],
+        );
+        // All windows are past: the whole memory is free, and no more than that.
+        for n in 0..40 {
+            at(&mut c, 4_000 + 100 * n, vec![timer(0.0)]);
+        }
+        let fills = Request { size_kb: 900.0, ..read("fills") };
+        let out = arrive(&mut c, 8_010, vec![fills]);
+        assert_eq!(refused(&out), Vec::<&str>::new(), "{key_kb} kB a key, {run_factor} a run");
+        let too_much = Request { size_kb: 1_100.0, ..read("too much") };
+        let out = arrive(&mut c, 8_011, vec![too_much]);
+        assert!(refused(&out).contains(&"too much"), "{key_kb} kB a key, {run_factor} a run");
+    }
+}
--- /dev/null
+++ b/crates/decisions/tests/controller/robustness.rs
@@ -0,0 +1,92 @@
+//! Shutdown, unknown requests, clock jumps, names and extreme settings.
+
+use crate::common::*;
+use gradepin_decisions::{Action, Event, Outcome, Request, Span, Time};
+use serde_json::json;
+
+#[test]
+fn drain_runs_requests_within_the_grace_and_answers_all_before_the_stop() {
+    let mut c = started(base());
+    arrive(&mut c, 1, vec![read("old")]);
+    let out = at(&mut c, 10, vec![Event::Sigterm(Span(3000 * MS))]);
+    assert!(out.contains(&Action::ReportHealth { shallow: true, active: false }));
+    assert_eq!(processed(&arrive(&mut c, 1010, vec![read("in")])), ["in"]);
+    let out = arrive(&mut c, 1011, vec![read("out")]);
+    assert_eq!((processed(&out).len(), refused(&out)), (0, vec!["out"]));
+    let read_late = Request { queued_for: Span(100 * MS), ..read("unread") };
+    assert_eq!(
+        processed(&arrive(&mut c, 1100, vec![read_late])),
+        ["unread"],
+        "it had arrived within the grace"
+    );
+    let out = at(&mut c, 3000, vec![]);
+    assert_eq!(out.iter().filter(|a| matches!(a, Action::Error(_))).count(), 3);
+}
+
+#[test]
+fn events_of_unknown_and_answered_requests_change_nothing() {
+    let mut c = started(base());
+    let ghost = vec![
+        done("ghost", Outcome::Delivered),
+        Event::Left(id("ghost")),
+        Event::ReadyToCall(id("ghost")),
+        Event::CallResult { id: id("ghost"), outcome: Outcome::Expired, took: Span(1) },
+    ];
+    let out = at(&mut c, 1, ghost);
+    assert!(out.iter().all(|a| matches!(a, Action::Remind(_))), "{out:?}");
+    let out = arrive(&mut c, 2, vec![Request { class: 99, ..read("odd") }]);
+    assert!(processed(&out).is_empty());
+}
+
+#[test]
+fn requests_start_after_clock_jumps_and_silence() {
+    let mut c = started(base());
+    arrive(&mut c, 1, (0..6).map(|n| read(&format!("r{n}"))).collect());
+    let out = at(&mut c, 600_000, vec![]);
+    let answers = out.iter().filter(|a| matches!(a, Action::Error(_) | Action::Refuse { .. })).count();
+    assert_eq!(answers, 6);
+    assert!(out.iter().any(|a| matches!(a, Action::Remind(t) if *t > Time(600_000 * MS))));
+    at(&mut c, 600_001, (0..4).map(|n| done(&format!("r{n}"), Outcome::Revoked)).collect());
+    assert_eq!(processed(&arrive(&mut c, 600_100, vec![read("new")])), ["new"]);
+}
+
+#[test]
+fn names_of_classes_change_nothing() {
+    let mut other = base();
+    other["profiles"][0]["name"] = json!("zeta");
+    other["profiles"][1]["name"] = json!("alpha");
+    let run = |value| {
+        let mut c = started(value);
+        let mut out = arrive(&mut c, 1, (0..9).map(|n| claim(&format!("r{n}"), None)).collect());
+        out.extend(at(&mut c, 700, vec![timer(0.2)]));
+        out
+    };
+    assert_eq!(run(base()), run(other));
+}
+
+#[test]
+fn extreme_sizes_neither_panic_nor_stop_every_request() {
+    let spoil: [fn(&mut gradepin_decisions::Settings); 6] = [
+        |s| s.servers = 0,
+        |s| s.specifics.clients_total = 0,
+        |s| s.specifics.n_cores = 0,
+        |s| s.specifics.calls_out = 0.0,
+        |s| s.specifics.calls_out = f64::NAN,
+        |s| s.rules.tip_multiple = f64::NAN,
+    ];
+    for (which, spoil) in spoil.iter().enumerate() {
+        let mut settings = settings(base());
+        spoil(&mut settings);
+        let mut c = gradepin_decisions::Controller::new(settings, 11, Time(0));
+        let mut started = 0;
+        for n in 0..200_u64 {
+            let out = at(&mut c, n * 50, vec![Event::Arrived(read(&format!("r{n}"))), timer(0.1)]);
+            for name in processed(&out) {
+                started += 1;
+                at(&mut c, n * 50 + 20, vec![Event::ReadyToCall(id(name))]);
+                at(&mut c, n * 50 + 40, vec![done(name, Outcome::Delivered)]);
+            }
+        }
+        assert!(started > 20, "setting {which}: {started} started");
+    }
+}
