--- a/crates/decisions/src/advice.rs
+++ b/crates/decisions/src/advice.rs
@@ -60,10 +60,12 @@
         self.accepted_share = accepted_share;
     }
 
+    /// Notes that a request was rejected for lack of capacity.
     pub(crate) fn note_rejection(&mut self) {
         self.has_rejected = true;
     }
 
+    /// Whether requests were rejected for lack of capacity in this sampling period.
     pub(crate) fn has_rejected(&self) -> bool {
         self.has_rejected
     }
--- a/crates/decisions/src/call_latency.rs
+++ b/crates/decisions/src/call_latency.rs
@@ -24,6 +24,7 @@
 }
 
 impl CallLatency {
+    /// Takes in a call that succeeded.
     pub(crate) fn learn(&mut self, took_seconds: f64) {
         self.mean_seconds = if self.mean_seconds == 0.0 {
             took_seconds
@@ -36,6 +37,7 @@
         self.floor_seconds = floor_seconds.min(self.mean_seconds).max(MIN_FLOOR_SECONDS);
     }
 
+    /// Ends a sampling period: the mean moves towards its floor, and the floor up.
     pub(crate) fn end_period(&mut self) {
         self.mean_seconds -= RETURN_RATE * (self.mean_seconds - self.floor_seconds).max(0.0);
         self.floor_seconds *= FLOOR_DRIFT;
--- a/crates/decisions/src/call_limiter.rs
+++ b/crates/decisions/src/call_limiter.rs
@@ -58,6 +58,7 @@
 }
 
 impl CallLimiter {
+    /// No calls yet; the limit starts at a part of the share, or one call a core for a tier of servers.
     pub(crate) fn new(specifics: &Specifics) -> Self {
         let limit = if specifics.below == Below::Shared {
             (specifics.calls_out * INITIAL_SHARE).max(1.0)
@@ -67,30 +68,37 @@
         Self { limit, share: CallShare::new(), ..Self::default() }
     }
 
+    /// Adapts to new settings.
     pub(crate) fn reconfigure(&mut self, previous: &Specifics, specifics: &Specifics, now: Time) {
         self.share.reconfigure(previous, specifics, now);
     }
 
+    /// Ends a sampling period.
     pub(crate) fn end_period(&mut self) {
         self.latency.end_period();
     }
 
+    /// Adds a run whose call is to be made.
     pub(crate) fn enqueue(&mut self, sequence: Sequence) {
         self.queue.push(sequence);
     }
 
+    /// Removes a run, if it is in the queue.
     pub(crate) fn dequeue(&mut self, sequence: Sequence) {
         self.queue.retain(|&queued| queued != sequence);
     }
 
+    /// Runs whose call is to be made, in the order in which they came.
     pub(crate) fn queue(&self) -> impl Iterator<Item = Sequence> {
         self.queue.iter().copied()
     }
 
+    /// Latency of the calls that succeeded.
     pub(crate) fn latency(&self) -> &CallLatency {
         &self.latency
     }
 
+    /// Calls that may be in flight; a fraction counts as none.
     pub(crate) fn limit(&self) -> f64 {
         self.limit
     }
@@ -132,6 +140,7 @@
         self.limit = limit.clamp(floor, ceiling);
     }
 
+    /// Takes in a call that failed: fewer are made.
     pub(crate) fn call_failed(&mut self) {
         self.consecutive_failures += 1;
         self.limit = (self.limit * LIMIT_FALL_ON_FAILURE).max(1.0);
@@ -197,9 +206,9 @@
         Some(usual * heaviness)
     }
 
-    /// Seconds until a run of a class that cannot go on without its call gets its turn, as the waits of
-    /// those in the queue tell. Where several calls may be in flight, the longest waiting are those passed
-    /// over, and tell nothing.
+    /// Seconds until a run of a class that cannot go on without its call gets its turn, judged by the waits
+    /// of those in the queue. 0 where several calls may be in flight: there the longest waiting are those
+    /// that others were preferred to, and their waits say nothing.
     pub(crate) fn expected_wait_seconds(
         &self,
         definition: &ClassDefinition,
@@ -211,11 +220,11 @@
         if !needs_call || !CallShare::is_below_one_call(specifics) {
             return 0.0;
         }
-        let waited = |&sequence: &Sequence| match requests.open(sequence).state {
+        let wait_seconds = |&sequence: &Sequence| match requests.open(sequence).state {
             RequestState::AwaitingCall { since, .. } => left(since, now),
             _ => 0.0,
         };
-        let total: f64 = self.queue.iter().map(waited).sum();
+        let total: f64 = self.queue.iter().map(wait_seconds).sum();
         EXPECTED_WAIT_RATIO * total / (self.queue.len() as f64).max(1.0)
     }
 }
--- a/crates/decisions/src/call_share.rs
+++ b/crates/decisions/src/call_share.rs
@@ -19,10 +19,10 @@
 /// Factor by which that part moves with each call, up or down.
 const TARGET_STEP: f64 = 1.1;
 /// Part of the shortest latency objective over which the first calls of a fleet are spread: all servers
-/// hear of a dependency's start at once.
+/// learn of a dependency's start at once.
 const FIRST_CALLS_OBJECTIVES: f64 = 0.35;
-/// Part of the budget that one call, its lingering included, may take, and that it may take however long it
-/// would linger.
+/// Part of the budget that one call may take with the lingering after it, and the least that a call may take
+/// without it.
 const MAX_CALL_BUDGET_SHARE: f64 = 0.5;
 const MIN_CALL_BUDGET_SHARE: f64 = 0.125;
 /// The least share, or budget in seconds, that is divided by or compared with.
@@ -44,7 +44,7 @@
     is_paced: bool,
     /// Whether calls are paced and none has succeeded yet.
     is_latency_unknown: bool,
-    /// Whether a call that is given up takes more than the whole budget.
+    /// Whether a call that is given up takes more than the budget.
     exceeds_budget: bool,
     /// Call seconds that the share allows in its span.
     budget_seconds: f64,
@@ -78,6 +78,7 @@
 }
 
 impl CallShare {
+    /// No calls yet.
     pub(crate) fn new() -> Self {
         Self { target_fraction: MAX_TARGET_FRACTION, ..Self::default() }
     }
@@ -218,6 +219,7 @@
         self.next_call_at = after(now, span(gap_seconds));
     }
 
+    /// When the next paced call is due; in the past where calls are not paced.
     pub(crate) fn next_call_at(&self) -> Time {
         self.next_call_at
     }
--- a/crates/decisions/src/class_definition.rs
+++ b/crates/decisions/src/class_definition.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// What a request class promises, and what it is worth.
+/// The times, the effect and the priority weight of a request class.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Profile {
     /// Its name; empty for the class of a free slot.
--- a/crates/decisions/src/concurrency_limit.rs
+++ b/crates/decisions/src/concurrency_limit.rs
@@ -40,6 +40,7 @@
 }
 
 impl ConcurrencyLimit {
+    /// No runs yet, and a limit of one a core.
     pub(crate) fn new(cores: f64) -> Self {
         Self { limit: cores, ceiling: cores, ..Self::default() }
     }
@@ -78,14 +79,17 @@
         (self.limit - self.on_cores as f64).max(1.0)
     }
 
+    /// Runs that may be on the cores; a fraction counts as none.
     pub(crate) fn limit(&self) -> f64 {
         self.limit
     }
 
+    /// Runs that may be on the cores and at calls together.
     pub(crate) fn ceiling(&self) -> f64 {
         self.ceiling
     }
 
+    /// Runs on the cores now.
     pub(crate) fn on_cores(&self) -> usize {
         self.on_cores
     }
@@ -100,10 +104,12 @@
         self.smoothed_on_cores < cores && (self.on_cores as f64) < cores
     }
 
+    /// A held request starts to run.
     pub(crate) fn run_started(&mut self) {
         self.on_cores += 1;
     }
 
+    /// A run ended that was on the cores.
     pub(crate) fn run_ended(&mut self) {
         self.on_cores -= 1;
     }
--- a/crates/decisions/src/controller.rs
+++ b/crates/decisions/src/controller.rs
@@ -1,4 +1,4 @@
-//! The admission controller of one server: what becomes of each request, and what callers are told about it.
+//! The admission controller of one server: what becomes of each request, and what callers are advised.
 //!
 //! A request's path through the modules below:
 //!
@@ -53,7 +53,7 @@
     random: RandomSource,
     /// Time of the batch that is handled; never goes back.
     now: Time,
-    has_begun: bool,
+    is_started: bool,
 
     requests: OpenRequests,
     wait_queue: WaitQueue,
@@ -146,7 +146,7 @@
     /// nothing.
     pub fn handle(&mut self, now: Time, events: &[Event], out: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        self.begin_once(out);
+        self.start_once(out);
         self.remove_expired_keys();
         self.update_concurrency_ceiling();
         for event in events {
@@ -175,9 +175,9 @@
     }
 
     /// Answers health checks from the first batch on.
-    fn begin_once(&mut self, out: &mut Vec<Action>) {
-        if !self.has_begun {
-            self.has_begun = true;
+    fn start_once(&mut self, out: &mut Vec<Action>) {
+        if !self.is_started {
+            self.is_started = true;
             self.health.begin(self.now);
             out.push(Action::ReportHealth { shallow: true, active: true });
         }
--- a/crates/decisions/src/controller/arrival.rs
+++ b/crates/decisions/src/controller/arrival.rs
@@ -14,7 +14,7 @@
 /// Most of the memory that is kept free for held requests to run.
 const MAX_RUN_RESERVE_SHARE: f64 = 0.5;
 
-/// The earlier attempt that a request names, after room was made for the request.
+/// The earlier attempt that a request names, after others may have been evicted for the request.
 struct EarlierAttempt {
     /// Its number, while it is held.
     held: Option<Sequence>,
@@ -115,7 +115,7 @@
     /// Decides what becomes of a request that was just read, and is held.
     fn admit(&mut self, sequence: Sequence, request: &Request, effect: Effect, out: &mut Vec<Action>) {
         let held_before = self.held_earlier_attempt(request);
-        let fits = self.make_room(sequence, 0.0, out);
+        let fits = self.evict_for(sequence, 0.0, out);
         let earlier = self.earlier_attempt(sequence, request, held_before);
         if let Some(earlier) = &earlier
             && effect != Effect::Repeatable
@@ -132,7 +132,7 @@
         }
         let needs_key = effect == Effect::ByKey || (is_shared && request.has_key);
         let key_kb = if needs_key { self.settings.specifics.kb_per_key } else { 0.0 };
-        if !self.make_room(sequence, key_kb, out) {
+        if !self.evict_for(sequence, key_kb, out) {
             return self.reject(sequence, RejectionCause::Capacity, out);
         }
         if needs_key {
@@ -250,7 +250,7 @@
 
     /// Rejects held requests of the lowest density until a new one fits into the memory, with so much more.
     /// False if the new one itself has the lowest.
-    fn make_room(&mut self, sequence: Sequence, more_kb: f64, out: &mut Vec<Action>) -> bool {
+    fn evict_for(&mut self, sequence: Sequence, more_kb: f64, out: &mut Vec<Action>) -> bool {
         let capacity_kb = self.held_capacity_kb(sequence);
         while self.memory.exceeds(capacity_kb, more_kb) {
             match density::lowest(self.ranked(self.wait_queue.iter())) {
--- a/crates/decisions/src/controller/endings.rs
+++ b/crates/decisions/src/controller/endings.rs
@@ -9,7 +9,7 @@
 use crate::time::{Span, span};
 
 /// Times the unread wait that a rejected caller is asked to stay away, beside the time that the queue takes.
-const RETRY_AFTER_UNREAD_WAITS: f64 = 4.0;
+const RETRY_AFTER_UNREAD_RATIO: f64 = 4.0;
 
 /// Why a request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -50,7 +50,7 @@
     /// random time of about one request of its own at most, or callers would leave and return in step.
     fn retry_after(&mut self, is_closed: bool) -> Span {
         let random_unit = self.random.unit_interval();
-        let backlog = self.queue_seconds() + RETRY_AFTER_UNREAD_WAITS * self.health.unread_seconds();
+        let backlog = self.queue_seconds() + RETRY_AFTER_UNREAD_RATIO * self.health.unread_seconds();
         let callers = self.settings.specifics.clients_total;
         let wait_seconds = random_unit * backlog.min(self.demand.seconds_per_caller_request(callers));
         let limits = &self.settings.limits;
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Nobody waits for a run any more: stops it, unless a repeat could still be answered from it.
+    /// Ends the need for a response of a run: stops it, unless a repeat could still be answered from it.
     fn abandon_run(&mut self, sequence: Sequence, out: &mut Vec<Action>) {
         self.calls.dequeue(sequence);
         self.requests.clear_deadline(sequence);
@@ -123,6 +123,8 @@
         }
     }
 
+    /// Takes in that the caller of a request no longer waits: drops it while held or joined, else abandons
+    /// its run.
     pub(super) fn caller_left(&mut self, id: &RequestId, out: &mut Vec<Action>) {
         let Some(sequence) = self.requests.find(id) else { return };
         if !self.requests.open(sequence).is_waiting() {
@@ -134,6 +136,7 @@
         }
     }
 
+    /// Takes in the end of a run, or of a joined request's wait. Only runs that succeeded are learnt from.
     pub(super) fn run_completed(
         &mut self,
         id: &RequestId,
--- a/crates/decisions/src/controller/sampling.rs
+++ b/crates/decisions/src/controller/sampling.rs
@@ -15,6 +15,7 @@
 const MIN_OPEN_SHARE: f64 = 0.05;
 
 impl Controller {
+    /// Ends a sampling period. Gauges that have not come count as absent.
     pub(super) fn sample_period(&mut self, out: &mut Vec<Action>) {
         self.next_sampling_at = after(self.now, SAMPLING_PERIOD);
         let gauges = self.gauges.take().unwrap_or_default();
--- a/crates/decisions/src/controller/scheduling.rs
+++ b/crates/decisions/src/controller/scheduling.rs
@@ -13,6 +13,7 @@
 const MIN_RUN_SECONDS: f64 = 1e-4;
 
 impl Controller {
+    /// The estimates of a request's class.
     pub(super) fn class_of(&self, request: &OpenRequest) -> &ClassEstimate {
         self.classes.class(request.class)
     }
@@ -85,21 +86,21 @@
     fn sojourn_check(&self, request: &OpenRequest, seconds_ahead: f64) -> SojournCheck {
         let class = self.class_of(request);
         let base_latency = self.base_latency_seconds(request);
-        let earns_when_late =
+        let earns_after_objective =
             class.definition().profile.late_value > 0.0 && request.seconds_to_expiry(self.now) > base_latency;
         let has_short_queue = self.wait_queue.len() as f64 <= self.concurrency.limit();
         let marks_retry = self.settings.callers.marks_retry;
         SojournCheck {
-            time_to_start: request.seconds_to_objective(self.now) - base_latency,
-            predicted_wait: self.predicted_wait_seconds(request, seconds_ahead),
-            may_be_late: earns_when_late && has_short_queue,
+            seconds_to_start: request.seconds_to_objective(self.now) - base_latency,
+            predicted_wait_seconds: self.predicted_wait_seconds(request, seconds_ahead),
+            may_miss_objective: earns_after_objective && has_short_queue,
             is_movable_first_attempt: marks_retry && !request.is_retry && !self.is_fleet_overloaded(),
             class_core_seconds: class.core_seconds(),
         }
     }
 
-    /// Seconds until the requests ahead have run. On a warm server, a guessed run time rejects nobody
-    /// before some run took longer than it.
+    /// Seconds until the requests ahead have run. On a warm server, a guessed run time rejects no
+    /// request before some run took longer than it.
     fn predicted_wait_seconds(&self, request: &OpenRequest, seconds_ahead: f64) -> f64 {
         let is_guess = !self.class_of(request).has_completed_runs() && !self.settings.specifics.just_started;
         if is_guess && self.health.seconds_since_progress(self.now) < self.run_seconds(request) {
--- a/crates/decisions/src/controller/upstream_calls.rs
+++ b/crates/decisions/src/controller/upstream_calls.rs
@@ -30,6 +30,7 @@
         self.class_of(request).definition()
     }
 
+    /// Takes a run that needs a call off the cores, and queues the call unless the run was answered.
     pub(super) fn run_needs_call(&mut self, id: &RequestId) {
         let Some(sequence) = self.requests.find(id) else { return };
         let request = self.requests.get_mut(sequence);
@@ -41,6 +42,7 @@
         }
     }
 
+    /// Takes in the result of a call that is in flight.
     pub(super) fn call_ended(&mut self, id: &RequestId, outcome: Outcome, took: Span, out: &mut Vec<Action>) {
         let Some(sequence) = self.requests.find(id) else { return };
         let RequestState::Calling { since } = self.requests.open(sequence).state else { return };
@@ -118,9 +120,9 @@
         }
     }
 
-    fn start_call(&mut self, sequence: Sequence, waits_since: Time, timeout: Span, out: &mut Vec<Action>) {
+    fn start_call(&mut self, sequence: Sequence, queued_since: Time, timeout: Span, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(sequence) else { return };
-        request.call_seconds += left(waits_since, self.now);
+        request.call_seconds += left(queued_since, self.now);
         request.state = RequestState::Calling { since: self.now };
         out.push(Action::AskBelow { id: request.id.clone(), timeout });
     }
@@ -128,7 +130,7 @@
     /// Whether a request that earns something without its call does better to go on without it: the
     /// dependency is down, or its turn would come too late for the objective. A request past its objective
     /// still waits the time of one call.
-    fn should_skip_call(&self, request: &OpenRequest, place: usize, waits_since: Time) -> bool {
+    fn should_skip_call(&self, request: &OpenRequest, place: usize, queued_since: Time) -> bool {
         if !can_skip_call(self.class_definition_of(request)) {
             return false;
         }
@@ -139,9 +141,9 @@
         let run_after_call = self.class_of(request).core_seconds() * RUN_AFTER_CALL;
         let time_to_call = request.seconds_to_objective(self.now) - run_after_call;
         let turns = 1.0 + place as f64 / self.calls.limit();
-        let comes_too_late = time_to_call < turns * call_seconds * TURN_LATENCY_RATIO;
-        let has_waited_a_call = left(waits_since, self.now) > call_seconds;
-        comes_too_late && (time_to_call > 0.0 || has_waited_a_call)
+        let would_miss_objective = time_to_call < turns * call_seconds * TURN_LATENCY_RATIO;
+        let exceeds_call_latency = left(queued_since, self.now) > call_seconds;
+        would_miss_objective && (time_to_call > 0.0 || exceeds_call_latency)
     }
 
     /// Seconds after which a call is given up: when the caller of its request stops waiting, or sooner.
--- a/crates/decisions/src/density.rs
+++ b/crates/decisions/src/density.rs
@@ -19,14 +19,17 @@
     }
 }
 
+/// The request that ranks highest.
 pub(crate) fn highest(requests: impl Iterator<Item = RankedRequest>) -> Option<RankedRequest> {
     requests.max_by(RankedRequest::compare)
 }
 
+/// The request that ranks lowest.
 pub(crate) fn lowest(requests: impl Iterator<Item = RankedRequest>) -> Option<RankedRequest> {
     requests.min_by(RankedRequest::compare)
 }
 
+/// All requests by rank, from the highest.
 pub(crate) fn highest_first(requests: impl Iterator<Item = RankedRequest>) -> Vec<RankedRequest> {
     let mut ranked: Vec<RankedRequest> = requests.collect();
     ranked.sort_by(|a, b| b.compare(a));
--- a/crates/decisions/src/drain.rs
+++ b/crates/decisions/src/drain.rs
@@ -28,10 +28,12 @@
         }
     }
 
+    /// Whether a request that reached the machine at a time may still run.
     pub(crate) fn allows_run(&self, arrived_at: Time) -> bool {
         arrived_at <= self.last_arrival
     }
 
+    /// When every request must have its response.
     pub(crate) fn answered_by(&self) -> Time {
         self.answered_by
     }
--- a/crates/decisions/src/health.rs
+++ b/crates/decisions/src/health.rs
@@ -42,15 +42,18 @@
         self.last_progress = now;
     }
 
+    /// Notes that a run moved on, or that a core is free; a stall ends with it.
     pub(crate) fn note_progress(&mut self, now: Time) {
         self.last_progress = now;
         self.is_stalled = false;
     }
 
+    /// How long ago a run moved on or a core was free.
     pub(crate) fn seconds_since_progress(&self, now: Time) -> f64 {
         left(self.last_progress, now)
     }
 
+    /// Whether work hangs here.
     pub(crate) fn is_stalled(&self) -> bool {
         self.is_stalled
     }
@@ -70,16 +73,18 @@
     }
 
     /// Takes in how long a request waited unread; more than its latency objective counts as that.
-    pub(crate) fn note_unread_wait(&mut self, waited: Span, latency_objective: Span) {
-        let difference = secs(waited).min(secs(latency_objective)) - self.unread_seconds;
+    pub(crate) fn note_unread_wait(&mut self, unread_for: Span, latency_objective: Span) {
+        let difference = secs(unread_for).min(secs(latency_objective)) - self.unread_seconds;
         let weight = if difference > 0.0 { LONGER_WAIT_WEIGHT } else { SHORTER_WAIT_WEIGHT };
         self.unread_seconds += weight * difference;
     }
 
+    /// Ends a sampling period.
     pub(crate) fn decay_unread_wait(&mut self) {
         self.unread_seconds *= UNREAD_WAIT_DECAY;
     }
 
+    /// Smoothed time that requests waited unread.
     pub(crate) fn unread_seconds(&self) -> f64 {
         self.unread_seconds
     }
@@ -94,8 +99,8 @@
     /// Whether the answer to health checks should be bad now, with a hysteresis.
     pub(crate) fn should_be_unhealthy(&self, shortest_objective: f64, list_follows_health: bool) -> bool {
         let bound = if self.is_unhealthy { HEALTHY_UNREAD_WAIT } else { UNHEALTHY_UNREAD_WAIT };
-        let reads_late = self.unread_seconds / shortest_objective > bound;
-        self.is_stalled || (reads_late && !list_follows_health)
+        let is_reading_delayed = self.unread_seconds / shortest_objective > bound;
+        self.is_stalled || (is_reading_delayed && !list_follows_health)
     }
 
     /// Sets the answer to health checks. Returns whether it changes.
--- a/crates/decisions/src/idle_connections.rs
+++ b/crates/decisions/src/idle_connections.rs
@@ -11,7 +11,8 @@
 const MIN_TIMEOUT_FRACTION: f64 = 0.1;
 /// Per sampling period; by which the part moves, which takes it through its range in some 3 s.
 const TIMEOUT_STEP: f64 = 0.1;
-/// Share of the cores in use below which more callers are let in.
+/// Share of the cores in use below which connections are closed sooner, so that more callers find
+/// a place.
 const IDLE_CORE_USE: f64 = 0.9;
 /// Readings and new connections per core, beside the runs, from which on there are too many of them.
 const MAX_INTAKE_PER_CORE: f64 = 0.8;
@@ -40,6 +41,7 @@
 }
 
 impl IdleConnections {
+    /// Nothing reported yet, and the shortest timeout.
     pub(crate) fn new() -> Self {
         Self { timeout_fraction: MIN_TIMEOUT_FRACTION, ..Self::default() }
     }
--- a/crates/decisions/src/open_requests.rs
+++ b/crates/decisions/src/open_requests.rs
@@ -50,7 +50,7 @@
     pub(crate) work_seconds: Option<f64>,
     pub(crate) is_retry: bool,
     pub(crate) state: RequestState,
-    /// Whether nobody waits for its run any more: it was answered, or its caller is gone.
+    /// Whether its run needs no response any more: it was answered, or its caller left.
     pub(crate) is_answered: bool,
     /// Time that its run has spent waiting for and making upstream calls.
     pub(crate) call_seconds: f64,
@@ -91,6 +91,7 @@
 }
 
 impl OpenRequests {
+    /// Adds a request and its deadline, under the next sequence number.
     pub(crate) fn insert(&mut self, request: OpenRequest) -> Sequence {
         let sequence = Sequence(self.next_sequence);
         self.next_sequence += 1;
@@ -100,6 +101,7 @@
         sequence
     }
 
+    /// Removes a request and its deadline.
     pub(crate) fn remove(&mut self, sequence: Sequence) -> Option<OpenRequest> {
         let request = self.requests.remove(&sequence)?;
         self.sequences.remove(&request.id);
@@ -107,14 +109,17 @@
         Some(request)
     }
 
+    /// The open request with an id.
     pub(crate) fn find(&self, id: &RequestId) -> Option<Sequence> {
         self.sequences.get(id).copied()
     }
 
+    /// A request, if it is open.
     pub(crate) fn get(&self, sequence: Sequence) -> Option<&OpenRequest> {
         self.requests.get(&sequence)
     }
 
+    /// A request, if it is open; its deadline must not be changed here.
     pub(crate) fn get_mut(&mut self, sequence: Sequence) -> Option<&mut OpenRequest> {
         self.requests.get_mut(&sequence)
     }
@@ -124,6 +129,7 @@
         &self.requests[&sequence]
     }
 
+    /// Whether a request is open and in the wait queue.
     pub(crate) fn is_held(&self, sequence: Sequence) -> bool {
         self.get(sequence).is_some_and(|request| request.state == RequestState::Held)
     }
@@ -135,6 +141,7 @@
         Some(sequence)
     }
 
+    /// The first deadline in the queue.
     pub(crate) fn next_deadline(&self) -> Option<Time> {
         self.deadlines.first().map(|&(expires_at, _)| expires_at)
     }
--- a/crates/decisions/src/slow_start.rs
+++ b/crates/decisions/src/slow_start.rs
@@ -17,6 +17,7 @@
 }
 
 impl SlowStart {
+    /// Begins anew, as the cores started at a time.
     pub(crate) fn restart(&mut self, at: Time) {
         self.cores_started_at = at;
     }
