--- a/crates/decisions/src/advice.rs
+++ b/crates/decisions/src/advice.rs
@@ -26,14 +26,14 @@
     pub(crate) open_share: f64,
     pub(crate) concurrency_limit: f64,
     pub(crate) mean_run_seconds: f64,
-    pub(crate) shortest_objective: f64,
+    pub(crate) shortest_objective_seconds: f64,
 }
 
 impl Capacity {
     /// Requests that all callers together may have open here.
     fn requests(&self) -> f64 {
         let mean_run_seconds = self.mean_run_seconds.max(MIN_MEAN_RUN_SECONDS);
-        let held_per_run = WINDOW_QUEUE_OBJECTIVES * self.shortest_objective / mean_run_seconds;
+        let held_per_run = WINDOW_QUEUE_OBJECTIVES * self.shortest_objective_seconds / mean_run_seconds;
         self.open_share * self.concurrency_limit * (1.0 + held_per_run)
     }
 }
@@ -71,8 +71,8 @@
     }
 
     /// Adapts the accepted share to the held requests and the rejections of one sampling period.
-    pub(crate) fn end_period(&mut self, queue_seconds: f64, shortest_objective: f64) {
-        let queue_fill = queue_seconds / (MAX_QUEUE_OBJECTIVES * shortest_objective);
+    pub(crate) fn end_period(&mut self, queue_seconds: f64, shortest_objective_seconds: f64) {
+        let queue_fill = queue_seconds / (MAX_QUEUE_OBJECTIVES * shortest_objective_seconds);
         if self.has_rejected || queue_fill > 1.0 {
             self.accepted_share = (self.accepted_share * ACCEPTED_SHARE_FALL).max(MIN_ACCEPTED_SHARE);
         } else if queue_fill < LOW_QUEUE_FILL {
--- a/crates/decisions/src/call_limiter.rs
+++ b/crates/decisions/src/call_limiter.rs
@@ -162,11 +162,11 @@
     pub(crate) fn admits_call(
         &mut self,
         spacing: &CallSpacing,
-        shortest_objective: f64,
+        shortest_objective_seconds: f64,
         now: Time,
         random_unit: f64,
     ) -> bool {
-        self.share.schedule(spacing, shortest_objective, now, random_unit);
+        self.share.schedule(spacing, shortest_objective_seconds, now, random_unit);
         self.has_capacity() && !self.share.is_too_early(spacing, now)
     }
 
@@ -194,7 +194,7 @@
         &self,
         run_ratio: f64,
         consecutive_failures: u32,
-        shortest_objective: f64,
+        shortest_objective_seconds: f64,
     ) -> Option<f64> {
         if !self.latency.is_settled() {
             return None;
@@ -202,7 +202,7 @@
         let doublings = (TIMEOUT_DOUBLINGS_PER_FAILURE * consecutive_failures).min(MAX_TIMEOUT_DOUBLINGS);
         let heaviness = run_ratio.max(1.0) * f64::from(1_u32 << doublings);
         let by_latency = IDEMPOTENT_TIMEOUT_RATIO * self.latency.mean_seconds();
-        let usual = by_latency.max(MIN_TIMEOUT_OBJECTIVES * shortest_objective);
+        let usual = by_latency.max(MIN_TIMEOUT_OBJECTIVES * shortest_objective_seconds);
         Some(usual * heaviness)
     }
 
--- a/crates/decisions/src/call_share.rs
+++ b/crates/decisions/src/call_share.rs
@@ -182,7 +182,7 @@
     pub(crate) fn schedule(
         &mut self,
         spacing: &CallSpacing,
-        shortest_objective: f64,
+        shortest_objective_seconds: f64,
         now: Time,
         random_unit: f64,
     ) {
@@ -190,7 +190,7 @@
             let spread_seconds = if spacing.exceeds_budget {
                 spacing.gap_seconds
             } else {
-                FIRST_CALLS_OBJECTIVES * shortest_objective
+                FIRST_CALLS_OBJECTIVES * shortest_objective_seconds
             };
             self.next_call_at = after(now, span(spread_seconds * random_unit));
         }
--- a/crates/decisions/src/class_estimates.rs
+++ b/crates/decisions/src/class_estimates.rs
@@ -134,20 +134,21 @@
     /// Slots whose figures still change from period to period; each once.
     recently_used: Vec<usize>,
     /// Seconds; the shortest latency objective of all classes.
-    shortest_objective: f64,
+    shortest_objective_seconds: f64,
     is_shortest_objective_stale: bool,
 }
 
 impl ClassEstimates {
     /// No classes yet.
     pub(crate) fn new() -> Self {
-        Self { shortest_objective: f64::INFINITY, ..Self::default() }
+        Self { shortest_objective_seconds: f64::INFINITY, ..Self::default() }
     }
 
     /// Sets the class of a slot. What was learnt stays with the name of the class.
     pub(crate) fn put(&mut self, slot: usize, definition: Arc<ClassDefinition>) {
         self.classes.resize_with(self.classes.len().max(slot + 1), ClassEstimate::default);
-        self.shortest_objective = self.shortest_objective.min(secs(definition.profile.promise));
+        self.shortest_objective_seconds =
+            self.shortest_objective_seconds.min(secs(definition.profile.promise));
         self.is_shortest_objective_stale = true;
         let class = &mut self.classes[slot];
         if class.definition.profile.name == definition.profile.name {
@@ -159,8 +160,8 @@
         }
     }
 
-    /// The class of a slot that an open request is in.
-    pub(crate) fn class(&self, slot: usize) -> &ClassEstimate {
+    /// The estimates of a class that an open request is in.
+    pub(crate) fn estimate(&self, slot: usize) -> &ClassEstimate {
         &self.classes[slot]
     }
 
@@ -199,7 +200,7 @@
     pub(crate) fn refresh_shortest_objective(&mut self) {
         if std::mem::take(&mut self.is_shortest_objective_stale) {
             let objectives = self.classes.iter().map(|class| secs(class.definition.profile.promise));
-            self.shortest_objective = objectives.fold(f64::INFINITY, f64::min);
+            self.shortest_objective_seconds = objectives.fold(f64::INFINITY, f64::min);
         }
     }
 
@@ -215,7 +216,7 @@
 
     /// Shortest latency objective of all classes, in seconds: the yardstick of what may take how long here.
     pub(crate) fn shortest_objective_seconds(&self) -> f64 {
-        self.shortest_objective
+        self.shortest_objective_seconds
     }
 
     /// Mean core time of a run over all classes, by their demand, in seconds.
--- a/crates/decisions/src/concurrency_limit.rs
+++ b/crates/decisions/src/concurrency_limit.rs
@@ -31,8 +31,8 @@
 /// The limit, and the counts of runs that it applies to.
 #[derive(Debug, Default)]
 pub(crate) struct ConcurrencyLimit {
-    on_cores: usize,
-    at_calls: usize,
+    runs_on_cores: usize,
+    runs_at_calls: usize,
     limit: f64,
     /// Runs that may be on the cores and at calls together: the survivable concurrency less a margin.
     ceiling: f64,
@@ -55,7 +55,7 @@
     /// Adapts the limit to the gauges of one sampling period.
     pub(crate) fn adapt(&mut self, gauges: &Gauges, load: &CoreLoad) {
         let target = load.cores * TARGET_CONCURRENCY_PER_CORE;
-        let on_cores = gauges.on_cores.unwrap_or(self.on_cores as f64);
+        let on_cores = gauges.on_cores.unwrap_or(self.runs_on_cores as f64);
         self.smoothed_on_cores += SAMPLE_WEIGHT * (on_cores - self.smoothed_on_cores);
         let core_use = gauges.core_use.unwrap_or(on_cores / load.cores);
         if core_use < CORE_USE_TO_GROW && on_cores < target && load.has_held_requests {
@@ -69,14 +69,15 @@
 
     /// Whether one more run may start.
     pub(crate) fn admits_run(&self) -> bool {
-        let is_within_limit = self.on_cores as f64 + 1.0 <= self.limit.floor();
-        let is_within_ceiling = (self.on_cores + self.at_calls) as f64 + 1.0 <= self.ceiling.floor().max(1.0);
+        let is_within_limit = self.runs_on_cores as f64 + 1.0 <= self.limit.floor();
+        let is_within_ceiling =
+            (self.runs_on_cores + self.runs_at_calls) as f64 + 1.0 <= self.ceiling.floor().max(1.0);
         is_within_limit && is_within_ceiling
     }
 
     /// Runs that the limit has capacity for, at least one.
     pub(crate) fn free_runs(&self) -> f64 {
-        (self.limit - self.on_cores as f64).max(1.0)
+        (self.limit - self.runs_on_cores as f64).max(1.0)
     }
 
     /// Runs that may be on the cores; a fraction counts as none.
@@ -90,44 +91,44 @@
     }
 
     /// Runs on the cores now.
-    pub(crate) fn on_cores(&self) -> usize {
-        self.on_cores
+    pub(crate) fn runs_on_cores(&self) -> usize {
+        self.runs_on_cores
     }
 
     /// Whether some core has no run now.
     pub(crate) fn has_free_core(&self, cores: u32) -> bool {
-        self.on_cores < cores as usize
+        self.runs_on_cores < cores as usize
     }
 
     /// Whether cores have been free lately, by the smoothed gauge, and are now.
     pub(crate) fn has_idle_cores(&self, cores: f64) -> bool {
-        self.smoothed_on_cores < cores && (self.on_cores as f64) < cores
+        self.smoothed_on_cores < cores && (self.runs_on_cores as f64) < cores
     }
 
     /// A held request starts to run.
     pub(crate) fn run_started(&mut self) {
-        self.on_cores += 1;
+        self.runs_on_cores += 1;
     }
 
     /// A run ended that was on the cores.
     pub(crate) fn run_ended(&mut self) {
-        self.on_cores -= 1;
+        self.runs_on_cores -= 1;
     }
 
     /// A run left the cores, for it needs an upstream call.
     pub(crate) fn run_awaits_call(&mut self) {
-        self.on_cores -= 1;
-        self.at_calls += 1;
+        self.runs_on_cores -= 1;
+        self.runs_at_calls += 1;
     }
 
     /// A run is back on the cores, after its call or without it.
     pub(crate) fn run_resumed(&mut self) {
-        self.at_calls -= 1;
-        self.on_cores += 1;
+        self.runs_at_calls -= 1;
+        self.runs_on_cores += 1;
     }
 
     /// A run ended while it needed an upstream call.
     pub(crate) fn run_ended_at_call(&mut self) {
-        self.at_calls -= 1;
+        self.runs_at_calls -= 1;
     }
 }
--- a/crates/decisions/src/controller.rs
+++ b/crates/decisions/src/controller.rs
@@ -68,14 +68,14 @@
     throttle: Throttle,
     concurrency: ConcurrencyLimit,
     slow_start: SlowStart,
-    calls: CallLimiter,
+    call_limiter: CallLimiter,
     health: Health,
     idle_connections: IdleConnections,
     advice: Advice,
     drain: Option<Drain>,
 
     /// The latest gauges, until a sampling period takes them in.
-    gauges: Option<Gauges>,
+    latest_gauges: Option<Gauges>,
     next_sampling_at: Time,
     /// When the last timer that was asked for is due.
     timer_at: Option<Time>,
@@ -93,7 +93,7 @@
             now,
             classes: ClassEstimates::new(),
             concurrency: ConcurrencyLimit::new(cores),
-            calls: CallLimiter::new(&settings.specifics),
+            call_limiter: CallLimiter::new(&settings.specifics),
             idle_connections: IdleConnections::new(),
             advice: Advice::new(),
             next_sampling_at: now,
@@ -139,7 +139,7 @@
         // What ends must release the figure that was reserved for it, or the difference would stay for good.
         let requests_kb = self.requests.reserved_kb(&self.settings);
         self.memory.set_reserved(requests_kb + self.keys.len() as f64 * specifics.kb_per_key);
-        self.calls.reconfigure(&previous.specifics, specifics, self.now);
+        self.call_limiter.reconfigure(&previous.specifics, specifics, self.now);
     }
 
     /// Takes in all events of a batch, then decides once. Events of requests that it doesn't know change
@@ -170,7 +170,7 @@
             Event::ReadyToCall(id) => self.run_needs_call(id),
             Event::CallResult { id, outcome, took } => self.call_ended(id, *outcome, *took, out),
             Event::Sigterm(time_to_stop) => self.begin_drain(*time_to_stop, out),
-            Event::Timer(gauges) => self.gauges = Some(*gauges),
+            Event::Timer(gauges) => self.latest_gauges = Some(*gauges),
         }
     }
 
@@ -236,7 +236,7 @@
     /// Asks for one timer: at the next deadline, sampling period or paced upstream call, whichever comes
     /// first.
     fn set_timer(&mut self, out: &mut Vec<Action>) {
-        let next_call_at = self.calls.next_call_at(self.now);
+        let next_call_at = self.call_limiter.next_call_at(self.now);
         let times = [Some(self.next_sampling_at), self.requests.next_deadline(), next_call_at];
         let earliest = after(self.now, MIN_TIMER_DELAY);
         let due_at = times.into_iter().flatten().min().unwrap_or(earliest).max(earliest);
--- a/crates/decisions/src/controller/arrival.rs
+++ b/crates/decisions/src/controller/arrival.rs
@@ -38,7 +38,7 @@
             return;
         }
         self.classes.note_arrival(request.class);
-        let definition = Arc::clone(self.classes.class(request.class).definition());
+        let definition = Arc::clone(self.classes.estimate(request.class).definition());
         let profile = &definition.profile;
         let timeout_fraction = self.timeout_fraction(request, profile);
         let open_request = self.open_request(request, profile, timeout_fraction);
@@ -138,9 +138,11 @@
         if needs_key {
             self.remember_key(sequence, out);
         }
-        let elder = earlier.and_then(|earlier| earlier.held).filter(|&elder| self.requests.is_held(elder));
-        if let (Some(elder), Effect::ByKey) = (elder, effect) {
-            self.replace_held_attempt(elder, out);
+        let earlier = earlier.and_then(|earlier| earlier.held);
+        if let Some(earlier) = earlier.filter(|&earlier| self.requests.is_held(earlier))
+            && effect == Effect::ByKey
+        {
+            self.replace_held_attempt(earlier, out);
         }
     }
 
@@ -224,10 +226,10 @@
     }
 
     /// A repeat takes over the key of a held attempt, which never ran and whose caller has given it up.
-    fn replace_held_attempt(&mut self, elder: Sequence, out: &mut Vec<Action>) {
-        let id = self.requests.open(elder).id.clone();
+    fn replace_held_attempt(&mut self, earlier: Sequence, out: &mut Vec<Action>) {
+        let id = self.requests.open(earlier).id.clone();
         self.remove_key(&id);
-        self.reject(elder, RejectionCause::Capacity, out);
+        self.reject(earlier, RejectionCause::Capacity, out);
     }
 
     /// Enters a request into the table of idempotency keys: until its window from arrival is past, or a
--- a/crates/decisions/src/controller/endings.rs
+++ b/crates/decisions/src/controller/endings.rs
@@ -39,7 +39,7 @@
             self.advice.note_rejection();
         }
         self.demand.count_rejection();
-        let come_back = self.retry_after(is_closed);
+        let come_back = self.advised_retry_after(is_closed);
         if self.remove_key(&request.id) {
             out.push(Action::ReleaseKey(request.id.clone()));
         }
@@ -48,7 +48,7 @@
 
     /// How long a rejected caller is asked to stay away: as long as may be from a closed server, else for a
     /// random time of about one request of its own at most, or callers would leave and return in step.
-    fn retry_after(&mut self, is_closed: bool) -> Span {
+    fn advised_retry_after(&mut self, is_closed: bool) -> Span {
         let random_unit = self.random.unit_interval();
         let backlog = self.queue_seconds() + RETRY_AFTER_UNREAD_RATIO * self.health.unread_seconds();
         let callers = self.settings.specifics.clients_total;
@@ -72,11 +72,11 @@
             RequestState::Running => self.concurrency.run_ended(),
             RequestState::AwaitingCall { .. } => {
                 self.concurrency.run_ended_at_call();
-                self.calls.dequeue(sequence);
+                self.call_limiter.dequeue(sequence);
             }
             RequestState::Calling { since } => {
                 self.concurrency.run_ended_at_call();
-                self.calls.call_ended(since, self.now, true, &self.settings.specifics);
+                self.call_limiter.call_ended(since, self.now, true, &self.settings.specifics);
             }
         }
         Some(request)
@@ -111,11 +111,11 @@
 
     /// Ends the need for a response of a run: stops it, unless a repeat could still be answered from it.
     fn abandon_run(&mut self, sequence: Sequence, out: &mut Vec<Action>) {
-        self.calls.dequeue(sequence);
+        self.call_limiter.dequeue(sequence);
         self.requests.clear_deadline(sequence);
         let Some(request) = self.requests.get_mut(sequence) else { return };
         request.is_answered = true;
-        let effect = self.classes.class(request.class).definition().profile.effect;
+        let effect = self.classes.estimate(request.class).definition().profile.effect;
         let serves_itself_only = effect == Effect::Repeatable && request.attempts_served <= 1.0;
         let can_stop = self.settings.specifics.stop_mode != StopMode::Off;
         if serves_itself_only && can_stop && request.state == RequestState::Running {
--- a/crates/decisions/src/controller/sampling.rs
+++ b/crates/decisions/src/controller/sampling.rs
@@ -18,11 +18,11 @@
     /// Ends a sampling period. Gauges that have not come count as absent.
     pub(super) fn sample_period(&mut self, out: &mut Vec<Action>) {
         self.next_sampling_at = after(self.now, SAMPLING_PERIOD);
-        let gauges = self.gauges.take().unwrap_or_default();
+        let gauges = self.latest_gauges.take().unwrap_or_default();
         self.classes.refresh_shortest_objective();
         self.sample_memory(&gauges, out);
         self.adapt_concurrency_limit(&gauges);
-        self.calls.end_period();
+        self.call_limiter.end_period();
         self.decay_counts();
         let mean_run_seconds = self.classes.mean_run_seconds();
         self.check_stall(mean_run_seconds);
@@ -43,11 +43,11 @@
     }
 
     fn adapt_concurrency_limit(&mut self, gauges: &Gauges) {
-        let shortest_objective = self.classes.shortest_objective_seconds();
+        let shortest_objective_seconds = self.classes.shortest_objective_seconds();
         let load = CoreLoad {
             cores: self.cores(),
             has_held_requests: !self.wait_queue.is_empty(),
-            floor_share: self.health.unread_wait_margin(shortest_objective).clamp(0.0, 1.0),
+            floor_share: self.health.unread_wait_margin(shortest_objective_seconds).clamp(0.0, 1.0),
         };
         self.concurrency.adapt(gauges, &load);
     }
@@ -61,15 +61,15 @@
     }
 
     fn check_stall(&mut self, mean_run_seconds: f64) {
-        let shortest_objective = self.classes.shortest_objective_seconds();
+        let shortest_objective_seconds = self.classes.shortest_objective_seconds();
         let reading_fills_cores = self.idle_connections.reading_fills_cores();
-        self.health.check_stall(self.now, mean_run_seconds, shortest_objective, reading_fills_cores);
+        self.health.check_stall(self.now, mean_run_seconds, shortest_objective_seconds, reading_fills_cores);
     }
 
     fn adapt_idle_timeout(&mut self, gauges: &Gauges, out: &mut Vec<Action>) {
         let load = IntakeLoad {
             cores: self.cores(),
-            runs_on_cores: self.concurrency.on_cores(),
+            runs_on_cores: self.concurrency.runs_on_cores(),
             has_held_requests: !self.wait_queue.is_empty(),
             has_rejected: self.advice.has_rejected(),
             callers_idle_timeout: self.settings.specifics.idle,
@@ -81,27 +81,27 @@
 
     /// Tells callers and health checks early what this server has capacity for.
     fn adapt_advice(&mut self, mean_run_seconds: f64, out: &mut Vec<Action>) {
-        let shortest_objective = self.classes.shortest_objective_seconds();
-        self.advice.end_period(self.queue_seconds(), shortest_objective);
+        let shortest_objective_seconds = self.classes.shortest_objective_seconds();
+        self.advice.end_period(self.queue_seconds(), shortest_objective_seconds);
         self.health.decay_unread_wait();
-        self.report_health(shortest_objective, out);
+        self.report_health(shortest_objective_seconds, out);
         let capacity = Capacity {
-            open_share: self.open_share(shortest_objective),
+            open_share: self.open_share(shortest_objective_seconds),
             concurrency_limit: self.concurrency.limit(),
             mean_run_seconds,
-            shortest_objective,
+            shortest_objective_seconds,
         };
         if let Some(value) = self.advice.advertise(&capacity, &self.settings) {
             out.push(Action::Signal(value));
         }
     }
 
-    fn report_health(&mut self, shortest_objective: f64, out: &mut Vec<Action>) {
+    fn report_health(&mut self, shortest_objective_seconds: f64, out: &mut Vec<Action>) {
         if self.is_draining() {
             return;
         }
         let list_follows_health = self.settings.specifics.list_follows;
-        let is_unhealthy = self.health.should_be_unhealthy(shortest_objective, list_follows_health);
+        let is_unhealthy = self.health.should_be_unhealthy(shortest_objective_seconds, list_follows_health);
         if self.health.set_unhealthy(is_unhealthy) {
             out.push(Action::ReportHealth { shallow: true, active: !is_unhealthy });
         }
@@ -110,10 +110,10 @@
     /// Share of the capacity that is open to callers: none while draining or stalled, and less while
     /// requests wait unread. Reading itself takes a while: up to the wait at which all is well, nothing is
     /// taken off.
-    fn open_share(&self, shortest_objective: f64) -> f64 {
+    fn open_share(&self, shortest_objective_seconds: f64) -> f64 {
         if self.is_draining() || self.health.is_stalled() {
             return 0.0;
         }
-        self.health.unread_wait_margin(shortest_objective).clamp(MIN_OPEN_SHARE, 1.0)
+        self.health.unread_wait_margin(shortest_objective_seconds).clamp(MIN_OPEN_SHARE, 1.0)
     }
 }
--- a/crates/decisions/src/controller/scheduling.rs
+++ b/crates/decisions/src/controller/scheduling.rs
@@ -15,7 +15,7 @@
 impl Controller {
     /// The estimates of a request's class.
     pub(super) fn class_of(&self, request: &OpenRequest) -> &ClassEstimate {
-        self.classes.class(request.class)
+        self.classes.estimate(request.class)
     }
 
     /// Core time, in seconds, that the run of a request is expected to take.
@@ -27,9 +27,9 @@
     fn base_latency_seconds(&self, request: &OpenRequest) -> f64 {
         let class = self.class_of(request);
         let specifics = &self.settings.specifics;
-        let call_wait =
-            self.calls.expected_wait_seconds(class.definition(), &self.requests, specifics, self.now);
-        class.base_latency_seconds(self.run_seconds(request)) + call_wait
+        let call_wait_seconds =
+            self.call_limiter.expected_wait_seconds(class.definition(), &self.requests, specifics, self.now);
+        class.base_latency_seconds(self.run_seconds(request)) + call_wait_seconds
     }
 
     /// Priority weight that a request can still earn per core second, or per request where weight counts by
@@ -37,10 +37,10 @@
     pub(super) fn density(&self, sequence: Sequence) -> f64 {
         let request = self.requests.open(sequence);
         let profile = &self.class_of(request).definition().profile;
-        let base_latency = self.base_latency_seconds(request);
-        let earned_part = if request.seconds_to_objective(self.now) >= base_latency {
+        let base_latency_seconds = self.base_latency_seconds(request);
+        let earned_part = if request.seconds_to_objective(self.now) >= base_latency_seconds {
             1.0
-        } else if request.seconds_to_expiry(self.now) >= base_latency {
+        } else if request.seconds_to_expiry(self.now) >= base_latency_seconds {
             profile.late_value
         } else {
             0.0
@@ -85,13 +85,13 @@
 
     fn sojourn_check(&self, request: &OpenRequest, seconds_ahead: f64) -> SojournCheck {
         let class = self.class_of(request);
-        let base_latency = self.base_latency_seconds(request);
-        let earns_after_objective =
-            class.definition().profile.late_value > 0.0 && request.seconds_to_expiry(self.now) > base_latency;
+        let base_latency_seconds = self.base_latency_seconds(request);
+        let earns_after_objective = class.definition().profile.late_value > 0.0
+            && request.seconds_to_expiry(self.now) > base_latency_seconds;
         let has_short_queue = self.wait_queue.len() as f64 <= self.concurrency.limit();
         let marks_retry = self.settings.callers.marks_retry;
         SojournCheck {
-            seconds_to_start: request.seconds_to_objective(self.now) - base_latency,
+            seconds_to_start: request.seconds_to_objective(self.now) - base_latency_seconds,
             predicted_wait_seconds: self.predicted_wait_seconds(request, seconds_ahead),
             may_miss_objective: earns_after_objective && has_short_queue,
             is_movable_first_attempt: marks_retry && !request.is_retry && !self.is_fleet_overloaded(),
--- a/crates/decisions/src/controller/upstream_calls.rs
+++ b/crates/decisions/src/controller/upstream_calls.rs
@@ -38,7 +38,7 @@
         request.state = RequestState::AwaitingCall { since: self.now, not_before: self.now };
         self.concurrency.run_awaits_call();
         if !request.is_answered {
-            self.calls.enqueue(sequence);
+            self.call_limiter.enqueue(sequence);
         }
     }
 
@@ -46,7 +46,7 @@
     pub(super) fn call_ended(&mut self, id: &RequestId, outcome: Outcome, took: Span, out: &mut Vec<Action>) {
         let Some(sequence) = self.requests.find(id) else { return };
         let RequestState::Calling { since } = self.requests.open(sequence).state else { return };
-        self.calls.call_ended(since, self.now, is_given_up(outcome), &self.settings.specifics);
+        self.call_limiter.call_ended(since, self.now, is_given_up(outcome), &self.settings.specifics);
         if let Some(request) = self.requests.get_mut(sequence) {
             request.call_seconds += left(since, self.now).max(0.0);
         }
@@ -64,12 +64,12 @@
         self.concurrency.run_resumed();
         let max_runs = self.concurrency.ceiling();
         let specifics = &self.settings.specifics;
-        self.calls.call_succeeded(took, max_runs, specifics, self.now, &mut self.random);
+        self.call_limiter.call_succeeded(took, max_runs, specifics, self.now, &mut self.random);
     }
 
     /// Repeats a failed call where that is safe, else goes on without it, else gives the request up.
     fn call_failed(&mut self, sequence: Sequence, outcome: Outcome, out: &mut Vec<Action>) {
-        self.calls.call_failed();
+        self.call_limiter.call_failed();
         let Some(request) = self.requests.get_mut(sequence) else { return };
         request.consecutive_failed_calls += 1;
         let not_before = after(self.now, backoff(request.consecutive_failed_calls));
@@ -77,9 +77,9 @@
         if request.is_answered {
             return;
         }
-        let definition = self.classes.class(request.class).definition();
+        let definition = self.classes.estimate(request.class).definition();
         if proves_never_ran(outcome) || definition.profile.effect == Effect::Repeatable {
-            self.calls.enqueue(sequence);
+            self.call_limiter.enqueue(sequence);
         } else if can_skip_call(definition) {
             self.continue_without_call(sequence, out);
         } else {
@@ -97,26 +97,27 @@
     /// Makes the calls that the limiter admits, highest density first; goes on without a call where waiting
     /// for it would miss the objective.
     pub(super) fn make_calls(&mut self, out: &mut Vec<Action>) {
-        let spacing = self.calls.begin_batch(&self.settings, self.now);
-        let shortest_objective = self.classes.shortest_objective_seconds();
+        let spacing = self.call_limiter.begin_batch(&self.settings, self.now);
+        let shortest_objective_seconds = self.classes.shortest_objective_seconds();
         let random_unit = self.random.unit_interval();
-        let queue = density::highest_first(self.ranked(self.calls.queue()));
+        let queue = density::highest_first(self.ranked(self.call_limiter.queue()));
         for (place, ranked) in queue.into_iter().enumerate() {
             let sequence = ranked.sequence;
             let request = self.requests.open(sequence);
             let RequestState::AwaitingCall { since, not_before } = request.state else { continue };
             if self.should_skip_call(request, place, since) {
-                self.calls.dequeue(sequence);
+                self.call_limiter.dequeue(sequence);
                 self.continue_without_call(sequence, out);
                 continue;
             }
-            let is_admitted = self.calls.admits_call(&spacing, shortest_objective, self.now, random_unit);
+            let is_admitted =
+                self.call_limiter.admits_call(&spacing, shortest_objective_seconds, self.now, random_unit);
             if !is_admitted || not_before > self.now {
                 continue;
             }
-            let timeout = self.call_timeout_seconds(self.requests.open(sequence), &spacing);
-            self.calls.call_started(sequence, &spacing, self.now, random_unit);
-            self.start_call(sequence, since, span(timeout), out);
+            let timeout_seconds = self.call_timeout_seconds(self.requests.open(sequence), &spacing);
+            self.call_limiter.call_started(sequence, &spacing, self.now, random_unit);
+            self.start_call(sequence, since, span(timeout_seconds), out);
         }
     }
 
@@ -134,13 +135,13 @@
         if !can_skip_call(self.class_definition_of(request)) {
             return false;
         }
-        if self.calls.is_dependency_down() && request.consecutive_failed_calls > 0 {
+        if self.call_limiter.is_dependency_down() && request.consecutive_failed_calls > 0 {
             return true;
         }
-        let call_seconds = self.calls.latency().mean_seconds();
+        let call_seconds = self.call_limiter.latency().mean_seconds();
         let run_after_call = self.class_of(request).core_seconds() * RUN_AFTER_CALL;
         let time_to_call = request.seconds_to_objective(self.now) - run_after_call;
-        let turns = 1.0 + place as f64 / self.calls.limit();
+        let turns = 1.0 + place as f64 / self.call_limiter.limit();
         let would_miss_objective = time_to_call < turns * call_seconds * TURN_LATENCY_RATIO;
         let exceeds_call_latency = left(queued_since, self.now) > call_seconds;
         would_miss_objective && (time_to_call > 0.0 || exceeds_call_latency)
@@ -148,15 +149,16 @@
 
     /// Seconds after which a call is given up: when the caller of its request stops waiting, or sooner.
     fn call_timeout_seconds(&self, request: &OpenRequest, spacing: &CallSpacing) -> f64 {
-        let mut timeout = request.seconds_to_expiry(self.now).max(secs(self.settings.granularity));
+        let mut timeout_seconds = request.seconds_to_expiry(self.now).max(secs(self.settings.granularity));
         let class = self.class_of(request);
         if class.definition().profile.effect == Effect::Repeatable {
             let run_ratio = self.run_seconds(request) / class.core_seconds();
-            let shortest_objective = self.classes.shortest_objective_seconds();
+            let shortest_objective_seconds = self.classes.shortest_objective_seconds();
             let failures = request.consecutive_failed_calls;
-            let idempotent = self.calls.idempotent_timeout_seconds(run_ratio, failures, shortest_objective);
-            timeout = idempotent.map_or(timeout, |longest| timeout.min(longest));
+            let idempotent =
+                self.call_limiter.idempotent_timeout_seconds(run_ratio, failures, shortest_objective_seconds);
+            timeout_seconds = idempotent.map_or(timeout_seconds, |longest| timeout_seconds.min(longest));
         }
-        spacing.max_call_seconds().map_or(timeout, |longest| timeout.min(longest))
+        spacing.max_call_seconds().map_or(timeout_seconds, |longest| timeout_seconds.min(longest))
     }
 }
--- a/crates/decisions/src/health.rs
+++ b/crates/decisions/src/health.rs
@@ -63,13 +63,17 @@
         &mut self,
         now: Time,
         mean_run_seconds: f64,
-        shortest_objective: f64,
+        shortest_objective_seconds: f64,
         reading_fills_cores: bool,
     ) {
-        let usual = (STALL_MEAN_RUNS * mean_run_seconds).max(MIN_STALL_OBJECTIVES * shortest_objective);
-        let longest =
-            if reading_fills_cores { usual.min(MAX_READING_OBJECTIVES * shortest_objective) } else { usual };
-        self.is_stalled = self.seconds_since_progress(now) > longest;
+        let usual_seconds =
+            (STALL_MEAN_RUNS * mean_run_seconds).max(MIN_STALL_OBJECTIVES * shortest_objective_seconds);
+        let longest_seconds = if reading_fills_cores {
+            usual_seconds.min(MAX_READING_OBJECTIVES * shortest_objective_seconds)
+        } else {
+            usual_seconds
+        };
+        self.is_stalled = self.seconds_since_progress(now) > longest_seconds;
     }
 
     /// Takes in how long a request waited unread; more than its latency objective counts as that.
@@ -91,15 +95,19 @@
 
     /// How far the unread wait is from turning health bad: 1 or more where all is well, 0 or less where it
     /// is bad.
-    pub(crate) fn unread_wait_margin(&self, shortest_objective: f64) -> f64 {
-        let unread_wait = self.unread_seconds / shortest_objective;
+    pub(crate) fn unread_wait_margin(&self, shortest_objective_seconds: f64) -> f64 {
+        let unread_wait = self.unread_seconds / shortest_objective_seconds;
         1.0 - (unread_wait - HEALTHY_UNREAD_WAIT) / (UNHEALTHY_UNREAD_WAIT - HEALTHY_UNREAD_WAIT)
     }
 
     /// Whether the answer to health checks should be bad now, with a hysteresis.
-    pub(crate) fn should_be_unhealthy(&self, shortest_objective: f64, list_follows_health: bool) -> bool {
+    pub(crate) fn should_be_unhealthy(
+        &self,
+        shortest_objective_seconds: f64,
+        list_follows_health: bool,
+    ) -> bool {
         let bound = if self.is_unhealthy { HEALTHY_UNREAD_WAIT } else { UNHEALTHY_UNREAD_WAIT };
-        let is_reading_delayed = self.unread_seconds / shortest_objective > bound;
+        let is_reading_delayed = self.unread_seconds / shortest_objective_seconds > bound;
         self.is_stalled || (is_reading_delayed && !list_follows_health)
     }
 
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,7 +1,18 @@
-//! gradepin decides, inside one server of a fleet, what that server takes, holds, runs, calls and turns away.
-//! A worker makes one [`Controller`] at its start, hands it what happened with [`Controller::handle`], and
-//! carries out the [`Action`]s that come back. The controller has no clock, does no I/O and keeps no globals:
-//! the same events give the same actions.
+//! Admission control inside one server of a fleet: which requests are held, run, joined or rejected, when
+//! their upstream calls are made, and what callers are advised.
+//!
+//! A host makes one [`Controller`] for its server, hands it the [`Event`]s of each batch with
+//! [`Controller::handle`], and carries out the [`Action`]s that come back. The controller has no clock,
+//! does no I/O and keeps no globals: the same seed, settings and events give the same actions.
+//!
+//! - Interface: `settings`, `specifics`, `class_definition`, `request`, `events`, `actions`, `time`,
+//!   `numbers`.
+//! - Composition: `controller`, whose submodules follow a request from its arrival to its end.
+//! - Capacity: `throttling` and `memory`, `concurrency_limit` and `slow_start`, `wait_queue` and `density`.
+//! - Upstream calls: `call_limiter`, `call_latency`, `call_share`.
+//! - What is learnt: `class_estimates`, `tenant_quota`, `retry_patterns`, `demand`.
+//! - What is reported: `health`, `advice`, `idle_connections`.
+//! - Tables and the rest: `open_requests`, `idempotency_keys`, `drain`, `random`.
 //!
 //! ```
 //! use gradepin_decisions::{Action, Controller, Event, Request, RequestId, Settings, Span, Time};
--- a/crates/decisions/src/wait_queue.rs
+++ b/crates/decisions/src/wait_queue.rs
@@ -64,13 +64,13 @@
     pub(crate) fn is_past_bound(&self) -> bool {
         let is_hopeless = self.seconds_to_start < 0.0 && !self.may_miss_objective;
         let exceeds_longest_wait =
-            self.seconds_to_start >= 0.0 && self.predicted_wait_seconds > self.longest_wait();
+            self.seconds_to_start >= 0.0 && self.predicted_wait_seconds > self.longest_wait_seconds();
         is_hopeless || exceeds_longest_wait
     }
 
     /// A first attempt may wait a mean run of its class, or as much of its time as costs nothing, while
     /// another server has time for it; any other request longer.
-    fn longest_wait(&self) -> f64 {
+    fn longest_wait_seconds(&self) -> f64 {
         let longest = self.seconds_to_start * SOJOURN_SLACK;
         if self.is_movable_first_attempt {
             longest.min(self.class_core_seconds.max(MIN_FIRST_ATTEMPT_WAIT * self.seconds_to_start))
