--- a/crates/decisions/src/advice.rs
+++ b/crates/decisions/src/advice.rs
@@ -5,13 +5,15 @@
 
 /// Part of the shortest latency objective that held requests may take before the advertised share falls.
 const MAX_QUEUE_OBJECTIVES: f64 = 0.5;
+/// Share of that time below which the advertised share grows.
+const LOW_QUEUE_FILL: f64 = 0.5;
 /// Part of the shortest latency objective that the windows of all callers may fill with held requests.
 const WINDOW_QUEUE_OBJECTIVES: f64 = 0.25;
-/// Share of that wait up to which the advertised share grows.
-const LOW_QUEUE_FILL: f64 = 0.5;
-/// Per sampling period; how the advertised share falls and grows, and its least value.
+/// Per sampling period; factor by which the advertised share falls.
 const ACCEPTED_SHARE_FALL: f64 = 0.95;
+/// Per sampling period; what is added to the advertised share.
 const ACCEPTED_SHARE_GROWTH: f64 = 0.02;
+/// Least advertised share.
 const MIN_ACCEPTED_SHARE: f64 = 0.05;
 /// Relative change from which on a value is advertised anew.
 const MIN_RELATIVE_CHANGE: f64 = 0.1;
--- a/crates/decisions/src/call_limiter.rs
+++ b/crates/decisions/src/call_limiter.rs
@@ -12,18 +12,21 @@
 use crate::specifics::{Below, Specifics};
 use crate::time::{Span, Time, left, secs, span};
 
-/// Calls; how the limit grows with a call at usual latency, and shrinks with a slow one.
+/// Calls by which the limit grows with a call at usual latency.
 const LIMIT_GROWTH: f64 = 0.2;
+/// Calls by which the limit shrinks with a slow call.
 const LIMIT_SHRINK: f64 = 0.1;
 /// Factor by which the limit shrinks with a failed call.
 const LIMIT_FALL_ON_FAILURE: f64 = 0.8;
-/// Part of its share at which the limit starts, and part of its ceiling that is its floor; one call at least.
+/// Part of this server's share at which the limit starts; one call at least.
 const INITIAL_SHARE: f64 = 0.5;
+/// Part of the limit's ceiling that is its floor; one call at least.
 const FLOOR_SHARE: f64 = 0.25;
 /// Failed calls in a row from which on the dependency counts as down.
 const FAILURES_WHEN_DOWN: u32 = 3;
-/// Seconds before a failed call is repeated, doubled with each failure in a row after that.
+/// Half the pause after a first failed call; the pause doubles with each failure in a row.
 const CALL_BACKOFF_SECONDS: f64 = 0.05;
+/// Doublings of the pause at the most.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 /// Times the mean wait so far of the runs in the queue that one more will wait.
 const EXPECTED_WAIT_RATIO: f64 = 3.0;
@@ -33,6 +36,7 @@
 const MIN_TIMEOUT_OBJECTIVES: f64 = 0.25;
 /// With each failure in a row, the timeout of an idempotent request's call grows by this power of two.
 const TIMEOUT_DOUBLINGS_PER_FAILURE: u32 = 2;
+/// Doublings of the timeout at the most.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 16;
 
 /// Pause before a call that has failed so many times in a row is repeated.
--- a/crates/decisions/src/call_share.rs
+++ b/crates/decisions/src/call_share.rs
@@ -13,19 +13,20 @@
 use crate::time::{Span, Time, after, left, secs, span};
 use std::collections::VecDeque;
 
-/// Least and greatest part of a share below one call that pacing aims at.
+/// Least part of a share below one call that pacing aims at.
 const MIN_TARGET_FRACTION: f64 = 0.125;
+/// Greatest part of a share below one call that pacing aims at.
 const MAX_TARGET_FRACTION: f64 = 0.5;
 /// Factor by which that part moves with each call, up or down.
 const TARGET_STEP: f64 = 1.1;
 /// Part of the shortest latency objective over which the first calls of a fleet are spread: all servers
 /// learn of a dependency's start at once.
 const FIRST_CALLS_OBJECTIVES: f64 = 0.35;
-/// Part of the budget that one call may take with the lingering after it, and the least that a call may take
-/// without it.
+/// Part of the budget that one call may take with the lingering after it, and that past calls may take.
 const MAX_CALL_BUDGET_SHARE: f64 = 0.5;
+/// Part of the budget that one call may take at least, however long it would linger.
 const MIN_CALL_BUDGET_SHARE: f64 = 0.125;
-/// The least share, or budget in seconds, that is divided by or compared with.
+/// Least share that is divided by, and least spendable budget in seconds.
 const MIN_SHARE: f64 = 1e-6;
 /// Least part of the usual spacing between two calls; the rest is random.
 const MIN_SPACING_FRACTION: f64 = 0.5;
--- a/crates/decisions/src/class_estimates.rs
+++ b/crates/decisions/src/class_estimates.rs
@@ -17,8 +17,9 @@
 const MIN_CORE_SECONDS: f64 = 1e-4;
 /// Core seconds per second of declared work; the most that one run contributes to the estimate.
 const MAX_CORE_SECONDS_PER_WORK: f64 = 100.0;
-/// Times the mean run of the class between which a single run's estimate by its declared work stays.
+/// Least estimate of a run by its declared work, as a multiple of its class's mean run.
 const MIN_RUN_RATIO: f64 = 0.1;
+/// Greatest estimate of a run by its declared work, as a multiple of its class's mean run.
 const MAX_RUN_RATIO: f64 = 10.0;
 /// Requests by which each class in force counts in the mean run, whether it is in demand or not.
 const BASE_DEMAND: f64 = 0.1;
--- a/crates/decisions/src/concurrency_limit.rs
+++ b/crates/decisions/src/concurrency_limit.rs
@@ -16,8 +16,9 @@
 const TARGET_CONCURRENCY_PER_CORE: f64 = 1.15;
 /// Weight of a new sample in the smoothed concurrency.
 const SAMPLE_WEIGHT: f64 = 0.3;
-/// Runs per sampling period.
+/// Runs per sampling period by which the limit grows.
 const GROWTH_STEP: f64 = 0.5;
+/// Runs per sampling period by which the limit shrinks.
 const SHRINK_STEP: f64 = 0.25;
 
 /// What a sampling period shows of the load on the cores, beside the gauges.
--- a/crates/decisions/src/health.rs
+++ b/crates/decisions/src/health.rs
@@ -6,20 +6,23 @@
 
 use crate::time::{Span, Time, left, secs};
 
-/// Parts of the shortest latency objective that requests wait unread: past the first, health goes bad;
-/// below the second it is good again, and runs get all the cores.
+/// Unread wait past which health goes bad, as a part of the shortest latency objective.
 const UNHEALTHY_UNREAD_WAIT: f64 = 0.4;
+/// Unread wait, in the same unit, below which health is good again and runs get all the cores.
 const HEALTHY_UNREAD_WAIT: f64 = 0.1;
-/// Weights of a request's wait in the smoothed wait, where it is longer and where it is shorter.
+/// Weight of a request's wait in the smoothed wait, where it is longer than that.
 const LONGER_WAIT_WEIGHT: f64 = 0.4;
+/// Weight of a request's wait in the smoothed wait, where it is shorter than that.
 const SHORTER_WAIT_WEIGHT: f64 = 0.1;
 /// Per sampling period; by which the smoothed wait falls, requests or none.
 const UNREAD_WAIT_DECAY: f64 = 0.98;
 
-/// Mean runs, and at least a part of the shortest latency objective, without progress on full cores: a stall.
+/// Mean runs without progress on full cores that make a stall.
 const STALL_MEAN_RUNS: f64 = 5.0;
+/// Part of the shortest latency objective without progress that a stall needs at least.
 const MIN_STALL_OBJECTIVES: f64 = 0.5;
-/// Part of the shortest latency objective for which reading may fill the cores alone.
+/// Part of the shortest latency objective without progress that makes a stall while reading alone fills the
+/// cores.
 const MAX_READING_OBJECTIVES: f64 = 0.4;
 
 /// What health is judged by, and the answer that was last given to health checks.
