--- a/crates/decisions/src/actions.rs
+++ b/crates/admission/src/actions.rs
@@ -7,40 +7,40 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Start a held request, or resume a paused one.
-    Process(RequestId),
+    Run(RequestId),
     /// Stop a running request, which its response does not depend on any more.
-    Suspend(RequestId),
+    StopRun(RequestId),
     /// Final response: rejected, and never ran.
-    Refuse {
+    Reject {
         /// Which request.
         id: RequestId,
         /// Retry-After: how long the caller should stay away; 0 for no advice.
-        come_back: Span,
+        retry_after: Span,
         /// Whether the caller should not try another server.
         last: bool,
     },
     /// Final response: failed, and may have run.
-    Error(RequestId),
+    Fail(RequestId),
     /// Make the upstream call that a request waits for.
-    AskBelow {
+    CallUpstream {
         /// Which request.
         id: RequestId,
         /// Give the call up after this.
         timeout: Span,
     },
     /// Go on without the upstream call.
-    Degrade(RequestId),
+    SkipUpstreamCall(RequestId),
     /// Enter a request into the table of idempotency keys.
-    Remember {
+    RetainIdempotencyKey {
         /// Which request.
         id: RequestId,
         /// How long the entry lasts.
-        hold_for: Span,
+        retain_for: Span,
     },
     /// Remove the entry of a request from that table.
-    ReleaseKey(RequestId),
+    ReleaseIdempotencyKey(RequestId),
     /// Answer a held request from the result of the one that it repeats.
-    Join(RequestId),
+    JoinRun(RequestId),
     /// Set the answer to health checks.
     ReportHealth {
         /// Checks are answered from this status alone, without real work.
@@ -49,11 +49,11 @@
         active: bool,
     },
     /// Set the advertised value that goes with every response.
-    Signal(f64),
+    AdvertiseCapacity(f64),
     /// Close connections that were idle for this long.
-    IdleLimit(Span),
+    SetIdleTimeout(Span),
     /// Ask for a [`Event::Timer`] at this time.
-    Remind(Time),
+    SetTimer(Time),
     /// A line for the log.
-    Emit(String),
+    Log(String),
 }
--- a/crates/decisions/src/advice.rs
+++ b/crates/admission/src/advice.rs
@@ -1,7 +1,7 @@
 //! Advice to callers: the capacity that is advertised with every response, before anything must be rejected.
 
 use crate::settings::Settings;
-use crate::specifics::Advert;
+use crate::specifics::CapacitySignal;
 
 /// Part of the shortest latency objective that held requests may take before the advertised share falls.
 const MAX_QUEUE_OBJECTIVES: f64 = 0.5;
@@ -86,10 +86,12 @@
     /// The value to advertise, in the form that the site's callers understand; none where it hardly changed.
     pub(crate) fn advertise(&mut self, capacity: &Capacity, settings: &Settings) -> Option<f64> {
         let value = match settings.specifics.advert {
-            Advert::Off => return None,
-            Advert::Window => capacity.requests() / f64::from(settings.specifics.clients_total.max(1)),
-            Advert::ShareOf => capacity.open_share * self.accepted_share,
-            Advert::Threshold => 1.0 - capacity.open_share * self.accepted_share,
+            CapacitySignal::Off => return None,
+            CapacitySignal::ConcurrencyWindow => {
+                capacity.requests() / f64::from(settings.specifics.clients_total.max(1))
+            }
+            CapacitySignal::AcceptanceProbability => capacity.open_share * self.accepted_share,
+            CapacitySignal::PrecedenceThreshold => 1.0 - capacity.open_share * self.accepted_share,
         };
         let change = (value - self.last_advertised).abs();
         if change > MIN_RELATIVE_CHANGE * self.last_advertised.abs() {
--- a/crates/decisions/src/call_limiter.rs
+++ b/crates/admission/src/call_limiter.rs
@@ -9,8 +9,8 @@
 use crate::open_requests::{OpenRequests, RequestState, Sequence};
 use crate::random::RandomSource;
 use crate::settings::Settings;
-use crate::specifics::{Below, Specifics};
-use crate::time::{Span, Time, left, secs, span};
+use crate::specifics::{Specifics, UpstreamKind};
+use crate::time::{Span, Time, seconds_until, span_from_seconds, span_seconds};
 
 /// Calls by which the limit grows with a call at usual latency.
 const LIMIT_GROWTH: f64 = 0.2;
@@ -42,12 +42,12 @@
 /// Pause before a call that has failed so many times in a row is repeated.
 pub(crate) fn backoff(consecutive_failures: u32) -> Span {
     let factor = f64::from(1_u32 << consecutive_failures.min(MAX_BACKOFF_DOUBLINGS));
-    span(CALL_BACKOFF_SECONDS * factor)
+    span_from_seconds(CALL_BACKOFF_SECONDS * factor)
 }
 
 /// Whether a request of a class earns something when it goes on without its call.
 pub(crate) fn can_skip_call(definition: &ClassDefinition) -> bool {
-    definition.skip_worth > 0.0
+    definition.skip_weight > 0.0
 }
 
 /// The queue and the limit, with the latency and the share that the limit rests on.
@@ -64,7 +64,7 @@
 impl CallLimiter {
     /// No calls yet; the limit starts at a part of the share, or one call a core for a tier of servers.
     pub(crate) fn new(specifics: &Specifics) -> Self {
-        let limit = if specifics.below == Below::Shared {
+        let limit = if specifics.below == UpstreamKind::Shared {
             (specifics.calls_out * INITIAL_SHARE).max(1.0)
         } else {
             f64::from(specifics.n_cores)
@@ -114,7 +114,7 @@
 
     /// Most calls in flight: the share, or for a tier of servers the runs that may be here.
     fn ceiling(specifics: &Specifics, max_runs: f64) -> f64 {
-        if specifics.below == Below::Shared { specifics.calls_out.max(1.0) } else { max_runs }
+        if specifics.below == UpstreamKind::Shared { specifics.calls_out.max(1.0) } else { max_runs }
     }
 
     /// Ends a call in flight, however it ended.
@@ -132,9 +132,9 @@
         random: &mut RandomSource,
     ) {
         self.consecutive_failures = 0;
-        self.latency.learn(secs(took));
+        self.latency.learn(span_seconds(took));
         if self.latency.is_first() && CallShare::is_below_one_call(specifics) {
-            self.share.space_by_first_call(secs(took), specifics, now, random);
+            self.share.space_by_first_call(span_seconds(took), specifics, now, random);
         }
         let is_slow = self.latency.is_slow();
         self.share.adapt_target(is_slow);
@@ -225,7 +225,7 @@
             return 0.0;
         }
         let wait_seconds = |&sequence: &Sequence| match requests.open(sequence).state {
-            RequestState::AwaitingCall { since, .. } => left(since, now),
+            RequestState::AwaitingCall { since, .. } => seconds_until(since, now),
             _ => 0.0,
         };
         let total: f64 = self.queue.iter().map(wait_seconds).sum();
--- a/crates/decisions/src/call_share.rs
+++ b/crates/admission/src/call_share.rs
@@ -9,8 +9,8 @@
 use crate::call_latency::CallLatency;
 use crate::random::RandomSource;
 use crate::settings::Settings;
-use crate::specifics::{Below, Specifics};
-use crate::time::{Span, Time, after, left, secs, span};
+use crate::specifics::{Specifics, UpstreamKind};
+use crate::time::{Span, Time, seconds_until, span_from_seconds, span_seconds, time_after};
 use std::collections::VecDeque;
 
 /// Least part of a share below one call that pacing aims at.
@@ -86,7 +86,7 @@
 
     /// Whether the share is below one call, so that it is a mean kept by pacing.
     pub(crate) fn is_below_one_call(specifics: &Specifics) -> bool {
-        specifics.below == Below::Shared && specifics.calls_out < 1.0
+        specifics.below == UpstreamKind::Shared && specifics.calls_out < 1.0
     }
 
     /// Adapts to new settings, which the times of past calls depend on.
@@ -95,8 +95,8 @@
         if specifics.calls_out != previous.calls_out {
             self.next_call_at = Time(0);
         }
-        let lingers_until = after(now, specifics.linger);
-        let leaves_span_at = after(lingers_until, specifics.share_span);
+        let lingers_until = time_after(now, specifics.linger);
+        let leaves_span_at = time_after(lingers_until, specifics.share_span);
         self.lingering.iter_mut().for_each(|until| *until = lingers_until.min(*until));
         for call in &mut self.recent_calls {
             call.leaves_span_at = leaves_span_at.min(call.leaves_span_at);
@@ -119,13 +119,13 @@
     /// Ends a call. One that was given up lingers, and is taken to do so for as long as it can.
     pub(crate) fn call_ended(&mut self, since: Time, now: Time, is_given_up: bool, specifics: &Specifics) {
         let linger = if is_given_up { specifics.linger } else { Span(0) };
-        let released_at = after(now, linger);
-        let seconds = left(since, now) + secs(linger);
+        let released_at = time_after(now, linger);
+        let seconds = seconds_until(since, now) + span_seconds(linger);
         self.in_flight -= 1;
         if is_given_up {
             self.lingering.push_back(released_at);
         }
-        let leaves_span_at = after(released_at, specifics.share_span);
+        let leaves_span_at = time_after(released_at, specifics.share_span);
         self.recent_calls.push_back(RecentCall { leaves_span_at, seconds });
         self.recent_call_seconds += seconds;
     }
@@ -146,7 +146,7 @@
         random: &mut RandomSource,
     ) {
         let gap_seconds = took_seconds / (specifics.calls_out * self.target_fraction).max(MIN_SHARE);
-        self.next_call_at = after(now, span(gap_seconds * random.unit_interval()));
+        self.next_call_at = time_after(now, span_from_seconds(gap_seconds * random.unit_interval()));
     }
 
     /// How calls are to be spaced under the present share and latency.
@@ -154,8 +154,8 @@
         let specifics = &settings.specifics;
         let share = specifics.calls_out;
         let is_paced = Self::is_below_one_call(specifics);
-        let linger_seconds = secs(specifics.linger);
-        let budget_seconds = secs(specifics.share_span) * share;
+        let linger_seconds = span_seconds(specifics.linger);
+        let budget_seconds = span_seconds(specifics.share_span) * share;
         let longest = budget_seconds * MAX_CALL_BUDGET_SHARE - linger_seconds;
         let max_call_seconds = longest.max(budget_seconds * MIN_CALL_BUDGET_SHARE);
         let max_occupied_seconds = max_call_seconds + linger_seconds;
@@ -193,11 +193,11 @@
             } else {
                 FIRST_CALLS_OBJECTIVES * shortest_objective_seconds
             };
-            self.next_call_at = after(now, span(spread_seconds * random_unit));
+            self.next_call_at = time_after(now, span_from_seconds(spread_seconds * random_unit));
         }
         if spacing.is_paced && self.is_budget_spent(spacing) {
             // At random, or all servers call together once their budgets are back.
-            self.next_call_at = after(now, span(spacing.gap_seconds * random_unit));
+            self.next_call_at = time_after(now, span_from_seconds(spacing.gap_seconds * random_unit));
         }
     }
 
@@ -217,7 +217,7 @@
     pub(crate) fn call_started(&mut self, spacing: &CallSpacing, now: Time, random_unit: f64) {
         self.in_flight += 1;
         let gap_seconds = spacing.gap_seconds * (MIN_SPACING_FRACTION + random_unit);
-        self.next_call_at = after(now, span(gap_seconds));
+        self.next_call_at = time_after(now, span_from_seconds(gap_seconds));
     }
 
     /// When the next paced call is due; in the past where calls are not paced.
--- a/crates/decisions/src/class_definition.rs
+++ b/crates/admission/src/class_definition.rs
@@ -7,44 +7,46 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassDefinition {
     /// Name, latency objective, deadline, effect and priority weight.
-    pub profile: Profile,
+    pub profile: ClassProfile,
     /// Whether its runs may make upstream calls; from `specifics.calls_by_class`.
     pub calls: bool,
     /// Part of the priority weight that is earned without the upstream call; from
     /// `specifics.class_skip_worth`.
-    pub skip_worth: f64,
+    #[serde(rename = "skip_worth")]
+    pub skip_weight: f64,
 }
 
 impl Default for ClassDefinition {
     /// The class of a free slot, which no request is in.
     fn default() -> Self {
         let (name, none, never) = (String::new(), Span(0), Span(u64::MAX));
-        let (effect, worth) = (Effect::Once, 0.0);
-        let profile = Profile {
+        let (effect, priority_weight) = (Idempotency::NonIdempotent, 0.0);
+        let profile = ClassProfile {
             name,
-            promise: never,
+            latency_objective: never,
             deadline: never,
             effect,
             late_value: 0.0,
             window: none,
-            worth,
-            aim_stretch: 0.0,
+            priority_weight,
+            objective_stretch: 0.0,
         };
-        Self { profile, calls: true, skip_worth: 0.0 }
+        Self { profile, calls: true, skip_weight: 0.0 }
     }
 }
 
 /// The times, the effect and the priority weight of a request class.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Profile {
+pub struct ClassProfile {
     /// Its name; empty for the class of a free slot.
     pub name: String,
     /// Latency objective: a response within this time of the first attempt earns the full weight.
-    pub promise: Span,
+    #[serde(rename = "promise")]
+    pub latency_objective: Span,
     /// How long a client waits, over all attempts.
     pub deadline: Span,
     /// Whether a request may run again.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// Part of the weight that a response after the objective and before the deadline still earns.
     #[serde(default)]
     pub late_value: f64,
@@ -52,20 +54,22 @@
     #[serde(default)]
     pub window: Span,
     /// Priority weight of one request.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub priority_weight: f64,
     /// Times the request's own work by which the objective grows, up to the deadline.
     #[serde(default)]
-    pub aim_stretch: f64,
+    #[serde(rename = "aim_stretch")]
+    pub objective_stretch: f64,
 }
 
 /// Whether a request may run again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Effect {
+pub enum Idempotency {
     /// Idempotent: may run any number of times.
-    Repeatable,
+    Idempotent,
     /// Idempotent by its key: runs once on a server within the window.
-    ByKey,
+    Keyed,
     /// Not idempotent: runs once.
-    Once,
+    NonIdempotent,
 }
--- a/crates/decisions/src/class_estimates.rs
+++ b/crates/admission/src/class_estimates.rs
@@ -6,7 +6,7 @@
 
 use crate::class_definition::ClassDefinition;
 use crate::demand::NEGLIGIBLE_COUNT;
-use crate::time::{Span, secs};
+use crate::time::{Span, span_seconds};
 use std::sync::Arc;
 
 /// Fraction of its class's latency objective that a run is taken to need before any was seen.
@@ -53,7 +53,7 @@
 
 impl ClassEstimate {
     fn new(definition: Arc<ClassDefinition>) -> Self {
-        let initial_seconds = secs(definition.profile.promise) * INITIAL_RUN_FRACTION;
+        let initial_seconds = span_seconds(definition.profile.latency_objective) * INITIAL_RUN_FRACTION;
         let is_free = definition.profile.name.is_empty();
         Self {
             definition,
@@ -104,12 +104,12 @@
 
     /// Takes in a run that succeeded. Its time at upstream calls is latency, but no core time.
     fn learn_run(&mut self, took: Span, call_seconds: f64, work_seconds: Option<f64>) {
-        let core_seconds = (secs(took) - call_seconds).max(MIN_CORE_SECONDS);
+        let core_seconds = (span_seconds(took) - call_seconds).max(MIN_CORE_SECONDS);
         self.completed_runs += 1.0;
         self.periods_without_run = 0.0;
         let weight = RUN_WEIGHT.max(1.0 / self.completed_runs);
         self.core_seconds += weight * (core_seconds - self.core_seconds);
-        self.latency_seconds += weight * (secs(took) - self.latency_seconds);
+        self.latency_seconds += weight * (span_seconds(took) - self.latency_seconds);
         if let Some(work) = work_seconds.filter(|&work| work > 0.0) {
             let per_work = (core_seconds / work).min(MAX_CORE_SECONDS_PER_WORK);
             self.core_seconds_per_work += weight * (per_work - self.core_seconds_per_work);
@@ -149,7 +149,7 @@
     pub(crate) fn put(&mut self, slot: usize, definition: Arc<ClassDefinition>) {
         self.classes.resize_with(self.classes.len().max(slot + 1), ClassEstimate::default);
         self.shortest_objective_seconds =
-            self.shortest_objective_seconds.min(secs(definition.profile.promise));
+            self.shortest_objective_seconds.min(span_seconds(definition.profile.latency_objective));
         self.is_shortest_objective_stale = true;
         let class = &mut self.classes[slot];
         if class.definition.profile.name == definition.profile.name {
@@ -200,7 +200,8 @@
     /// Brings the shortest objective up to date with classes that were changed or removed.
     pub(crate) fn refresh_shortest_objective(&mut self) {
         if std::mem::take(&mut self.is_shortest_objective_stale) {
-            let objectives = self.classes.iter().map(|class| secs(class.definition.profile.promise));
+            let objectives =
+                self.classes.iter().map(|class| span_seconds(class.definition.profile.latency_objective));
             self.shortest_objective_seconds = objectives.fold(f64::INFINITY, f64::min);
         }
     }
--- a/crates/decisions/src/concurrency_limit.rs
+++ b/crates/admission/src/concurrency_limit.rs
@@ -49,17 +49,17 @@
     /// Sets the ceiling for the present speed of the cores, a share of their full speed.
     pub(crate) fn set_ceiling(&mut self, speed_share: f64, settings: &Settings) {
         let cores = f64::from(settings.specifics.n_cores);
-        let survivable = cores * (1.0 + (settings.rules.tip_multiple - 1.0) * speed_share);
+        let survivable = cores * (1.0 + (settings.rules.max_concurrency_per_core - 1.0) * speed_share);
         self.ceiling = (survivable * SURVIVABLE_SHARE).max(1.0);
     }
 
     /// Adapts the limit to the gauges of one sampling period.
     pub(crate) fn adapt(&mut self, gauges: &Gauges, load: &CoreLoad) {
         let target = load.cores * TARGET_CONCURRENCY_PER_CORE;
-        let on_cores = gauges.on_cores.unwrap_or(self.runs_on_cores as f64);
-        self.smoothed_on_cores += SAMPLE_WEIGHT * (on_cores - self.smoothed_on_cores);
-        let core_use = gauges.core_use.unwrap_or(on_cores / load.cores);
-        if core_use < CORE_USE_TO_GROW && on_cores < target && load.has_held_requests {
+        let runnable = gauges.runnable.unwrap_or(self.runs_on_cores as f64);
+        self.smoothed_on_cores += SAMPLE_WEIGHT * (runnable - self.smoothed_on_cores);
+        let cpu_utilization = gauges.cpu_utilization.unwrap_or(runnable / load.cores);
+        if cpu_utilization < CORE_USE_TO_GROW && runnable < target && load.has_held_requests {
             self.limit += GROWTH_STEP;
         } else if self.smoothed_on_cores > target {
             self.limit -= SHRINK_STEP;
--- a/crates/decisions/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -38,7 +38,7 @@
 use crate::slow_start::SlowStart;
 use crate::tenant_quota::TenantQuotas;
 use crate::throttling::Throttle;
-use crate::time::{Span, Time, after, before, secs};
+use crate::time::{Span, Time, span_seconds, time_after, time_before};
 use crate::wait_queue::WaitQueue;
 use std::sync::Arc;
 
@@ -100,7 +100,7 @@
             settings,
             ..Self::default()
         };
-        controller.cores_started(controller.settings.specifics.just_started, now);
+        controller.cores_started(controller.settings.specifics.cold_start, now);
         for (slot, class) in classes.into_iter().enumerate() {
             controller.put_class(slot, class);
         }
@@ -124,21 +124,21 @@
 
     /// The cores started at a time, cold or not: with the server, or again beside one that goes on.
     pub fn cores_started(&mut self, cold: bool, at: Time) {
-        self.settings.specifics.just_started = cold;
+        self.settings.specifics.cold_start = cold;
         self.slow_start.restart(at);
-        self.advice.restart(if cold { self.settings.rules.cold_share } else { 1.0 });
+        self.advice.restart(if cold { self.settings.rules.cold_capacity } else { 1.0 });
     }
 
     /// All settings but classes and tenants.
     pub fn set_rest(&mut self, mut rest: Settings) {
         rest.specifics.n_cores = rest.specifics.n_cores.max(1);
         // Whether the cores began cold was learnt at their start, and is not in the file.
-        rest.specifics.just_started = self.settings.specifics.just_started;
+        rest.specifics.cold_start = self.settings.specifics.cold_start;
         let previous = std::mem::replace(&mut self.settings, rest);
         let specifics = &self.settings.specifics;
         // What ends must release the figure that was reserved for it, or the difference would stay for good.
         let requests_kb = self.requests.reserved_kb(&self.settings);
-        self.memory.set_reserved(requests_kb + self.keys.len() as f64 * specifics.kb_per_key);
+        self.memory.set_reserved(requests_kb + self.keys.len() as f64 * specifics.idempotency_key_kb);
         self.call_limiter.reconfigure(&previous.specifics, specifics, self.now);
     }
 
@@ -166,10 +166,10 @@
         match event {
             Event::Arrived(request) => self.request_arrived(request, out),
             Event::Completed { id, outcome, took } => self.run_completed(id, *outcome, *took, out),
-            Event::Left(id) => self.caller_left(id, out),
-            Event::ReadyToCall(id) => self.run_needs_call(id),
-            Event::CallResult { id, outcome, took } => self.call_ended(id, *outcome, *took, out),
-            Event::Sigterm(time_to_stop) => self.begin_drain(*time_to_stop, out),
+            Event::CallerGone(id) => self.caller_left(id, out),
+            Event::UpstreamCallNeeded(id) => self.run_needs_call(id),
+            Event::UpstreamCallEnded { id, outcome, took } => self.call_ended(id, *outcome, *took, out),
+            Event::ShutdownNotice(time_to_stop) => self.begin_drain(*time_to_stop, out),
             Event::Timer(gauges) => self.latest_gauges = Some(*gauges),
         }
     }
@@ -186,7 +186,7 @@
     /// Notes whether work moves on here: a run does, or a core is free. A free core is no progress while
     /// reading alone fills the cores, and what it brings is lost.
     fn note_progress(&mut self, event: &Event) {
-        let run_moves_on = matches!(event, Event::Completed { .. } | Event::ReadyToCall(_));
+        let run_moves_on = matches!(event, Event::Completed { .. } | Event::UpstreamCallNeeded(_));
         let has_free_core = self.concurrency.has_free_core(self.settings.specifics.n_cores)
             && !self.idle_connections.reading_fills_cores();
         if run_moves_on || has_free_core {
@@ -208,7 +208,7 @@
         let drain = Drain::new(self.now, time_to_stop, &self.settings);
         self.drain = Some(drain);
         out.push(Action::ReportHealth { shallow: true, active: false });
-        out.push(Action::Emit(format!("draining, stop in {:.1} s", secs(time_to_stop))));
+        out.push(Action::Log(format!("draining, stop in {:.1} s", span_seconds(time_to_stop))));
         self.requests.limit_deadlines(drain.answered_by());
     }
 
@@ -220,14 +220,14 @@
     fn remove_key(&mut self, id: &RequestId) -> bool {
         let was_present = self.keys.remove(id);
         if was_present {
-            self.memory.release(self.settings.specifics.kb_per_key);
+            self.memory.release(self.settings.specifics.idempotency_key_kb);
         }
         was_present
     }
 
     /// Removes entries of the table a batch after they expired: the host may still have answered from them.
     fn remove_expired_keys(&mut self) {
-        let expired_by = before(self.now, self.settings.granularity);
+        let expired_by = time_before(self.now, self.settings.granularity);
         while let Some(id) = self.keys.first_expired(expired_by) {
             self.remove_key(&id);
         }
@@ -238,11 +238,11 @@
     fn set_timer(&mut self, out: &mut Vec<Action>) {
         let next_call_at = self.call_limiter.next_call_at(self.now);
         let times = [Some(self.next_sampling_at), self.requests.next_deadline(), next_call_at];
-        let earliest = after(self.now, MIN_TIMER_DELAY);
+        let earliest = time_after(self.now, MIN_TIMER_DELAY);
         let due_at = times.into_iter().flatten().min().unwrap_or(earliest).max(earliest);
         if self.timer_at.is_none_or(|timer_at| timer_at <= self.now || due_at < timer_at) {
             self.timer_at = Some(due_at);
-            out.push(Action::Remind(due_at));
+            out.push(Action::SetTimer(due_at));
         }
     }
 }
--- a/crates/decisions/src/controller/arrival.rs
+++ b/crates/admission/src/controller/arrival.rs
@@ -4,11 +4,11 @@
 use super::Controller;
 use super::endings::RejectionCause;
 use crate::actions::Action;
-use crate::class_definition::{Effect, Profile};
+use crate::class_definition::{ClassProfile, Idempotency};
 use crate::density;
 use crate::open_requests::{OpenRequest, RequestState, Sequence};
 use crate::request::Request;
-use crate::time::{Span, Time, after, before, left, secs, span};
+use crate::time::{Span, Time, seconds_until, span_from_seconds, span_seconds, time_after, time_before};
 use std::sync::Arc;
 
 /// Most of the memory that is kept free for held requests to run.
@@ -50,10 +50,10 @@
     }
 
     fn arrived_at(&self, request: &Request) -> Time {
-        before(self.now, request.queued_for)
+        time_before(self.now, request.queued_for)
     }
 
-    fn open_request(&self, request: &Request, profile: &Profile, timeout_fraction: f64) -> OpenRequest {
+    fn open_request(&self, request: &Request, profile: &ClassProfile, timeout_fraction: f64) -> OpenRequest {
         let expires_at = self.expires_at(request, profile);
         let objective_at = self.objective_at(request, profile, timeout_fraction).min(expires_at);
         OpenRequest {
@@ -65,7 +65,7 @@
             arrived_at: self.arrived_at(request),
             expires_at,
             objective_at,
-            work_seconds: request.work.map(secs),
+            work_seconds: request.work.map(span_seconds),
             is_retry: request.retry,
             ..OpenRequest::default()
         }
@@ -73,35 +73,36 @@
 
     /// When the caller stops waiting, as it said or by the class's deadline; sooner while draining, and
     /// never before the request was read.
-    fn expires_at(&self, request: &Request, profile: &Profile) -> Time {
-        let by_caller = request.expires_in.map(|wait| after(self.now, wait));
-        let by_class = after(self.arrived_at(request), profile.deadline);
+    fn expires_at(&self, request: &Request, profile: &ClassProfile) -> Time {
+        let by_caller = request.expires_in.map(|wait| time_after(self.now, wait));
+        let by_class = time_after(self.arrived_at(request), profile.deadline);
         let expires_at = by_caller.unwrap_or(by_class);
         self.drain.map_or(expires_at, |drain| expires_at.min(drain.answered_by())).max(self.now)
     }
 
     /// Until when the first attempt's latency objective lasts; it counts from that attempt, so a retry has
     /// less of it left.
-    fn objective_at(&self, request: &Request, profile: &Profile, timeout_fraction: f64) -> Time {
-        let stretch_seconds = request.work.map_or(0.0, |work| secs(work) * profile.aim_stretch);
-        let stretched = Span(profile.promise.0.saturating_add(span(stretch_seconds).0));
+    fn objective_at(&self, request: &Request, profile: &ClassProfile, timeout_fraction: f64) -> Time {
+        let stretch_seconds = request.work.map_or(0.0, |work| span_seconds(work) * profile.objective_stretch);
+        let stretched =
+            Span(profile.latency_objective.0.saturating_add(span_from_seconds(stretch_seconds).0));
         let objective = stretched.min(profile.deadline);
         let elapsed_fraction =
             self.retry_patterns.elapsed_fraction(request, timeout_fraction, &self.settings, &self.demand);
-        let elapsed = span(secs(profile.deadline) * elapsed_fraction);
-        before(after(self.arrived_at(request), objective), elapsed)
+        let elapsed = span_from_seconds(span_seconds(profile.deadline) * elapsed_fraction);
+        time_before(time_after(self.arrived_at(request), objective), elapsed)
     }
 
     /// Time that the caller gave this attempt, as a fraction of the class's deadline.
-    fn timeout_fraction(&self, request: &Request, profile: &Profile) -> f64 {
-        let by_caller = request.expires_in.map(|wait| after(self.now, wait));
+    fn timeout_fraction(&self, request: &Request, profile: &ClassProfile) -> f64 {
+        let by_caller = request.expires_in.map(|wait| time_after(self.now, wait));
         let gives_up_at = by_caller.unwrap_or_else(|| self.expires_at(request, profile));
-        left(self.arrived_at(request), gives_up_at) / secs(profile.deadline)
+        seconds_until(self.arrived_at(request), gives_up_at) / span_seconds(profile.deadline)
     }
 
-    fn count_arrival(&mut self, request: &Request, profile: &Profile, timeout_fraction: f64) {
+    fn count_arrival(&mut self, request: &Request, profile: &ClassProfile, timeout_fraction: f64) {
         self.demand.count_arrival(request.retry);
-        self.health.note_unread_wait(request.queued_for, profile.promise);
+        self.health.note_unread_wait(request.queued_for, profile.latency_objective);
         if request.retry {
             return;
         }
@@ -113,12 +114,12 @@
     }
 
     /// Decides what becomes of a request that was just read, and is held.
-    fn admit(&mut self, sequence: Sequence, request: &Request, effect: Effect, out: &mut Vec<Action>) {
+    fn admit(&mut self, sequence: Sequence, request: &Request, effect: Idempotency, out: &mut Vec<Action>) {
         let held_before = self.held_earlier_attempt(request);
         let fits = self.evict_for(sequence, 0.0, out);
         let earlier = self.earlier_attempt(sequence, request, held_before);
         if let Some(earlier) = &earlier
-            && effect != Effect::Repeatable
+            && effect != Idempotency::Idempotent
             && earlier.may_have_run()
         {
             return self.answer_from_run(sequence, fits && !earlier.arrived_later, out);
@@ -126,12 +127,12 @@
         if !fits || self.is_dead_on_arrival(sequence) || self.throttle.picks_request(&mut self.random) {
             return self.reject_on_arrival(sequence, out);
         }
-        let is_shared = effect == Effect::Repeatable && !request.write && self.shares_responses();
+        let is_shared = effect == Idempotency::Idempotent && !request.write && self.shares_responses();
         if earlier.is_some() && is_shared {
             return self.share_run(sequence, request, out);
         }
-        let needs_key = effect == Effect::ByKey || (is_shared && request.has_key);
-        let key_kb = if needs_key { self.settings.specifics.kb_per_key } else { 0.0 };
+        let needs_key = effect == Idempotency::Keyed || (is_shared && request.has_key);
+        let key_kb = if needs_key { self.settings.specifics.idempotency_key_kb } else { 0.0 };
         if !self.evict_for(sequence, key_kb, out) {
             return self.reject(sequence, RejectionCause::Capacity, out);
         }
@@ -140,7 +141,7 @@
         }
         let earlier = earlier.and_then(|earlier| earlier.held);
         if let Some(earlier) = earlier.filter(|&earlier| self.requests.is_held(earlier))
-            && effect == Effect::ByKey
+            && effect == Idempotency::Keyed
         {
             self.replace_held_attempt(earlier, out);
         }
@@ -191,7 +192,7 @@
     fn reject_on_arrival(&mut self, sequence: Sequence, out: &mut Vec<Action>) {
         let request = self.requests.open(sequence);
         let initial_run_seconds = self.class_of(request).initial_seconds();
-        let had_little_time = left(request.arrived_at, request.objective_at) < initial_run_seconds;
+        let had_little_time = seconds_until(request.arrived_at, request.objective_at) < initial_run_seconds;
         let has_idle_cores = self.concurrency.has_idle_cores(f64::from(self.settings.specifics.n_cores));
         let cause = if has_idle_cores && had_little_time {
             RejectionCause::LostBeforeArrival
@@ -221,7 +222,7 @@
         self.wait_queue.remove(sequence);
         if let Some(request) = self.requests.get_mut(sequence) {
             request.state = RequestState::Joined;
-            out.push(Action::Join(request.id.clone()));
+            out.push(Action::JoinRun(request.id.clone()));
         }
     }
 
@@ -239,15 +240,15 @@
         let profile = &self.class_of(request).definition().profile;
         let granularity = self.settings.granularity;
         let expires_at = match profile.effect {
-            Effect::ByKey => after(after(request.arrived_at, profile.window), granularity),
-            _ => after(request.objective_at.max(self.now), self.settings.specifics.fresh_for),
+            Idempotency::Keyed => time_after(time_after(request.arrived_at, profile.window), granularity),
+            _ => time_after(request.objective_at.max(self.now), self.settings.specifics.fresh_for),
         };
-        let expires_at = expires_at.max(after(self.now, granularity));
+        let expires_at = expires_at.max(time_after(self.now, granularity));
         let id = request.id.clone();
         self.remove_key(&id);
-        self.memory.reserve(self.settings.specifics.kb_per_key);
+        self.memory.reserve(self.settings.specifics.idempotency_key_kb);
         self.keys.insert(id.clone(), expires_at);
-        out.push(Action::Remember { id, hold_for: Span(expires_at.0 - self.now.0) });
+        out.push(Action::RetainIdempotencyKey { id, retain_for: Span(expires_at.0 - self.now.0) });
     }
 
     /// Rejects held requests of the lowest density until a new one fits into the memory, with so much more.
--- a/crates/decisions/src/controller/endings.rs
+++ b/crates/admission/src/controller/endings.rs
@@ -2,11 +2,11 @@
 
 use super::Controller;
 use crate::actions::Action;
-use crate::class_definition::Effect;
+use crate::class_definition::Idempotency;
 use crate::open_requests::{OpenRequest, RequestState, Sequence};
 use crate::request::{Outcome, RequestId};
 use crate::specifics::StopMode;
-use crate::time::{Span, span};
+use crate::time::{Span, span_from_seconds};
 
 /// Times the unread wait that a rejected caller is asked to stay away, beside the time that the queue takes.
 const RETRY_AFTER_UNREAD_RATIO: f64 = 4.0;
@@ -23,7 +23,7 @@
 impl Controller {
     /// Whether the fleet is full, and not this server alone.
     pub(super) fn is_fleet_overloaded(&self) -> bool {
-        self.demand.is_fleet_overloaded(self.settings.callers.marks_retry)
+        self.demand.is_fleet_overloaded(self.settings.callers.marks_retries)
     }
 
     /// Rejects a held request, which promises that it never ran. Its caller is asked not to try elsewhere
@@ -39,11 +39,11 @@
             self.advice.note_rejection();
         }
         self.demand.count_rejection();
-        let come_back = self.advised_retry_after(is_closed);
+        let retry_after = self.advised_retry_after(is_closed);
         if self.remove_key(&request.id) {
-            out.push(Action::ReleaseKey(request.id.clone()));
+            out.push(Action::ReleaseIdempotencyKey(request.id.clone()));
         }
-        out.push(Action::Refuse { id: request.id, come_back, last });
+        out.push(Action::Reject { id: request.id, retry_after, last });
     }
 
     /// How long a rejected caller is asked to stay away: as long as may be from a closed server, else for a
@@ -59,7 +59,7 @@
         } else if is_closed {
             limits.max_retry_after
         } else {
-            span(wait_seconds).min(limits.max_retry_after)
+            span_from_seconds(wait_seconds).min(limits.max_retry_after)
         }
     }
 
@@ -96,7 +96,7 @@
     /// Ends, with an error, a request that must not be said never to have run.
     pub(super) fn end_with_error(&mut self, sequence: Sequence, out: &mut Vec<Action>) {
         if let Some(request) = self.remove(sequence) {
-            out.push(Action::Error(request.id));
+            out.push(Action::Fail(request.id));
         }
     }
 
@@ -104,7 +104,7 @@
     pub(super) fn answer_run_with_error(&mut self, sequence: Sequence, out: &mut Vec<Action>) {
         let unanswered = self.requests.get(sequence).filter(|request| !request.is_answered);
         if let Some(request) = unanswered {
-            out.push(Action::Error(request.id.clone()));
+            out.push(Action::Fail(request.id.clone()));
             self.abandon_run(sequence, out);
         }
     }
@@ -116,10 +116,10 @@
         let Some(request) = self.requests.get_mut(sequence) else { return };
         request.is_answered = true;
         let effect = self.classes.estimate(request.class).definition().profile.effect;
-        let serves_itself_only = effect == Effect::Repeatable && request.attempts_served <= 1.0;
+        let serves_itself_only = effect == Idempotency::Idempotent && request.attempts_served <= 1.0;
         let can_stop = self.settings.specifics.stop_mode != StopMode::Off;
         if serves_itself_only && can_stop && request.state == RequestState::Running {
-            out.push(Action::Suspend(request.id.clone()));
+            out.push(Action::StopRun(request.id.clone()));
         }
     }
 
@@ -132,7 +132,7 @@
         }
         let was_held = self.remove(sequence).is_some_and(|request| request.state == RequestState::Held);
         if was_held && self.remove_key(id) {
-            out.push(Action::ReleaseKey(id.clone()));
+            out.push(Action::ReleaseIdempotencyKey(id.clone()));
         }
     }
 
@@ -149,11 +149,11 @@
             return;
         }
         let Some(request) = self.remove(sequence) else { return };
-        if outcome == Outcome::Revoked && !request.is_answered {
-            out.push(Action::Error(request.id.clone()));
+        if outcome == Outcome::Stopped && !request.is_answered {
+            out.push(Action::Fail(request.id.clone()));
         }
         let is_own_run = request.state != RequestState::Joined;
-        if outcome == Outcome::Delivered && is_own_run {
+        if outcome == Outcome::Success && is_own_run {
             self.classes.learn_run(request.class, took, request.call_seconds, request.work_seconds);
         }
     }
--- a/crates/decisions/src/controller/sampling.rs
+++ b/crates/admission/src/controller/sampling.rs
@@ -7,7 +7,7 @@
 use crate::demand::decay_factor;
 use crate::events::Gauges;
 use crate::idle_connections::IntakeLoad;
-use crate::time::{Span, after};
+use crate::time::{Span, time_after};
 
 /// The sampling period of MemLimiter's tests.
 const SAMPLING_PERIOD: Span = Span(100_000_000);
@@ -17,7 +17,7 @@
 impl Controller {
     /// Ends a sampling period. Gauges that have not come count as absent.
     pub(super) fn sample_period(&mut self, out: &mut Vec<Action>) {
-        self.next_sampling_at = after(self.now, SAMPLING_PERIOD);
+        self.next_sampling_at = time_after(self.now, SAMPLING_PERIOD);
         let gauges = self.latest_gauges.take().unwrap_or_default();
         self.classes.refresh_shortest_objective();
         self.sample_memory(&gauges, out);
@@ -36,9 +36,9 @@
     }
 
     fn sample_memory(&mut self, gauges: &Gauges, out: &mut Vec<Action>) {
-        let utilization = self.memory.sample(gauges.heap_share, self.settings.specifics.memory_kb);
+        let utilization = self.memory.sample(gauges.memory_utilization, self.settings.specifics.memory_kb);
         if self.throttle.sample(utilization) {
-            out.push(Action::Emit(format!("danger zone: utilization {utilization:.2}")));
+            out.push(Action::Log(format!("danger zone: utilization {utilization:.2}")));
         }
     }
 
@@ -75,7 +75,7 @@
             callers_idle_timeout: self.settings.specifics.idle,
         };
         if let Some(timeout) = self.idle_connections.sample(gauges, &load) {
-            out.push(Action::IdleLimit(timeout));
+            out.push(Action::SetIdleTimeout(timeout));
         }
     }
 
@@ -92,7 +92,7 @@
             shortest_objective_seconds,
         };
         if let Some(value) = self.advice.advertise(&capacity, &self.settings) {
-            out.push(Action::Signal(value));
+            out.push(Action::AdvertiseCapacity(value));
         }
     }
 
@@ -100,7 +100,7 @@
         if self.is_draining() {
             return;
         }
-        let list_follows_health = self.settings.specifics.list_follows;
+        let list_follows_health = self.settings.specifics.endpoint_list_follows_health;
         let is_unhealthy = self.health.should_be_unhealthy(shortest_objective_seconds, list_follows_health);
         if self.health.set_unhealthy(is_unhealthy) {
             out.push(Action::ReportHealth { shallow: true, active: !is_unhealthy });
--- a/crates/decisions/src/controller/scheduling.rs
+++ b/crates/admission/src/controller/scheduling.rs
@@ -6,7 +6,7 @@
 use crate::class_estimates::ClassEstimate;
 use crate::density::{self, RankedRequest};
 use crate::open_requests::{OpenRequest, RequestState, Sequence};
-use crate::settings::WorthBy;
+use crate::settings::WeightBasis;
 use crate::wait_queue::SojournCheck;
 
 /// Seconds; the least core time by which a priority weight is divided.
@@ -46,11 +46,11 @@
             0.0
         };
         let tenant_factor = self.tenants.weight_factor(request.tenant, &self.settings);
-        let cost = match self.settings.worth_by {
-            WorthBy::Work => 1.0,
-            WorthBy::Request => self.run_seconds(request).max(MIN_RUN_SECONDS),
+        let cost = match self.settings.weight_basis {
+            WeightBasis::Work => 1.0,
+            WeightBasis::Request => self.run_seconds(request).max(MIN_RUN_SECONDS),
         };
-        earned_part * request.attempts_served * profile.worth * tenant_factor / cost
+        earned_part * request.attempts_served * profile.priority_weight * tenant_factor / cost
     }
 
     /// Requests of a queue with their densities of now.
@@ -89,12 +89,12 @@
         let earns_after_objective = class.definition().profile.late_value > 0.0
             && request.seconds_to_expiry(self.now) > base_latency_seconds;
         let has_short_queue = self.wait_queue.len() as f64 <= self.concurrency.limit();
-        let marks_retry = self.settings.callers.marks_retry;
+        let marks_retries = self.settings.callers.marks_retries;
         SojournCheck {
             seconds_to_start: request.seconds_to_objective(self.now) - base_latency_seconds,
             predicted_wait_seconds: self.predicted_wait_seconds(request, seconds_ahead),
             may_miss_objective: earns_after_objective && has_short_queue,
-            is_movable_first_attempt: marks_retry && !request.is_retry && !self.is_fleet_overloaded(),
+            is_movable_first_attempt: marks_retries && !request.is_retry && !self.is_fleet_overloaded(),
             class_core_seconds: class.core_seconds(),
         }
     }
@@ -102,7 +102,7 @@
     /// Seconds until the requests ahead have run. On a warm server, a guessed run time rejects no
     /// request before some run took longer than it.
     fn predicted_wait_seconds(&self, request: &OpenRequest, seconds_ahead: f64) -> f64 {
-        let is_guess = !self.class_of(request).has_completed_runs() && !self.settings.specifics.just_started;
+        let is_guess = !self.class_of(request).has_completed_runs() && !self.settings.specifics.cold_start;
         if is_guess && self.health.seconds_since_progress(self.now) < self.run_seconds(request) {
             0.0
         } else {
@@ -130,7 +130,7 @@
         self.concurrency.run_started();
         if let Some(request) = self.requests.get_mut(sequence) {
             request.state = RequestState::Running;
-            out.push(Action::Process(request.id.clone()));
+            out.push(Action::Run(request.id.clone()));
         }
     }
 }
--- a/crates/decisions/src/controller/upstream_calls.rs
+++ b/crates/admission/src/controller/upstream_calls.rs
@@ -4,11 +4,11 @@
 use crate::actions::Action;
 use crate::call_limiter::{backoff, can_skip_call};
 use crate::call_share::CallSpacing;
-use crate::class_definition::{ClassDefinition, Effect};
+use crate::class_definition::{ClassDefinition, Idempotency};
 use crate::density;
 use crate::open_requests::{OpenRequest, RequestState, Sequence};
 use crate::request::{Outcome, RequestId};
-use crate::time::{Span, Time, after, left, secs, span};
+use crate::time::{Span, Time, seconds_until, span_from_seconds, span_seconds, time_after};
 
 /// Part of its class's mean core time that a run still needs after its call.
 const RUN_AFTER_CALL: f64 = 0.5;
@@ -17,12 +17,12 @@
 
 /// Whether an outcome proves that the call never ran, so that it may be repeated whatever its effect.
 fn proves_never_ran(outcome: Outcome) -> bool {
-    matches!(outcome, Outcome::Shed | Outcome::DialFailed)
+    matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed)
 }
 
 /// Whether the dependency may still work on a call that ended so.
 fn is_given_up(outcome: Outcome) -> bool {
-    matches!(outcome, Outcome::Expired | Outcome::Dropped)
+    matches!(outcome, Outcome::TimedOut | Outcome::Aborted)
 }
 
 impl Controller {
@@ -48,9 +48,9 @@
         let RequestState::Calling { since } = self.requests.open(sequence).state else { return };
         self.call_limiter.call_ended(since, self.now, is_given_up(outcome), &self.settings.specifics);
         if let Some(request) = self.requests.get_mut(sequence) {
-            request.call_seconds += left(since, self.now).max(0.0);
+            request.call_seconds += seconds_until(since, self.now).max(0.0);
         }
-        if outcome == Outcome::Delivered {
+        if outcome == Outcome::Success {
             self.call_succeeded(sequence, took);
         } else {
             self.call_failed(sequence, outcome, out);
@@ -72,13 +72,13 @@
         self.call_limiter.call_failed();
         let Some(request) = self.requests.get_mut(sequence) else { return };
         request.consecutive_failed_calls += 1;
-        let not_before = after(self.now, backoff(request.consecutive_failed_calls));
+        let not_before = time_after(self.now, backoff(request.consecutive_failed_calls));
         request.state = RequestState::AwaitingCall { since: self.now, not_before };
         if request.is_answered {
             return;
         }
         let definition = self.classes.estimate(request.class).definition();
-        if proves_never_ran(outcome) || definition.profile.effect == Effect::Repeatable {
+        if proves_never_ran(outcome) || definition.profile.effect == Idempotency::Idempotent {
             self.call_limiter.enqueue(sequence);
         } else if can_skip_call(definition) {
             self.continue_without_call(sequence, out);
@@ -91,7 +91,7 @@
         let Some(request) = self.requests.get_mut(sequence) else { return };
         request.state = RequestState::Running;
         self.concurrency.run_resumed();
-        out.push(Action::Degrade(request.id.clone()));
+        out.push(Action::SkipUpstreamCall(request.id.clone()));
     }
 
     /// Makes the calls that the limiter admits, highest density first; goes on without a call where waiting
@@ -117,15 +117,15 @@
             }
             let timeout_seconds = self.call_timeout_seconds(self.requests.open(sequence), &spacing);
             self.call_limiter.call_started(sequence, &spacing, self.now, random_unit);
-            self.start_call(sequence, since, span(timeout_seconds), out);
+            self.start_call(sequence, since, span_from_seconds(timeout_seconds), out);
         }
     }
 
     fn start_call(&mut self, sequence: Sequence, queued_since: Time, timeout: Span, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(sequence) else { return };
-        request.call_seconds += left(queued_since, self.now);
+        request.call_seconds += seconds_until(queued_since, self.now);
         request.state = RequestState::Calling { since: self.now };
-        out.push(Action::AskBelow { id: request.id.clone(), timeout });
+        out.push(Action::CallUpstream { id: request.id.clone(), timeout });
     }
 
     /// Whether a request that earns something without its call does better to go on without it: the
@@ -143,15 +143,16 @@
         let time_to_call = request.seconds_to_objective(self.now) - run_after_call;
         let turns = 1.0 + place as f64 / self.call_limiter.limit();
         let would_miss_objective = time_to_call < turns * call_seconds * TURN_LATENCY_RATIO;
-        let exceeds_call_latency = left(queued_since, self.now) > call_seconds;
+        let exceeds_call_latency = seconds_until(queued_since, self.now) > call_seconds;
         would_miss_objective && (time_to_call > 0.0 || exceeds_call_latency)
     }
 
     /// Seconds after which a call is given up: when the caller of its request stops waiting, or sooner.
     fn call_timeout_seconds(&self, request: &OpenRequest, spacing: &CallSpacing) -> f64 {
-        let mut timeout_seconds = request.seconds_to_expiry(self.now).max(secs(self.settings.granularity));
+        let mut timeout_seconds =
+            request.seconds_to_expiry(self.now).max(span_seconds(self.settings.granularity));
         let class = self.class_of(request);
-        if class.definition().profile.effect == Effect::Repeatable {
+        if class.definition().profile.effect == Idempotency::Idempotent {
             let run_ratio = self.run_seconds(request) / class.core_seconds();
             let shortest_objective_seconds = self.classes.shortest_objective_seconds();
             let failures = request.consecutive_failed_calls;
--- a/crates/decisions/src/demand.rs
+++ b/crates/admission/src/demand.rs
@@ -1,6 +1,6 @@
 //! Recent demand: counts of arrived, retried and rejected requests that decay exponentially.
 
-use crate::time::{Span, secs};
+use crate::time::{Span, span_seconds};
 
 /// Time constant of all decaying counts.
 pub(crate) const COUNT_TIME_CONSTANT_SECONDS: f64 = 8.0;
@@ -16,7 +16,7 @@
 
 /// Factor by which a decaying count shrinks over a period.
 pub(crate) fn decay_factor(period: Span) -> f64 {
-    (-secs(period) / COUNT_TIME_CONSTANT_SECONDS).exp()
+    (-span_seconds(period) / COUNT_TIME_CONSTANT_SECONDS).exp()
 }
 
 /// Decaying counts of requests on this server.
@@ -61,9 +61,9 @@
     /// Whether many arrivals were rejected elsewhere before, so that the fleet is full and not this server
     /// alone. Where retries are not marked, this server's own rejections stand in, and more of them are
     /// needed.
-    pub(crate) fn is_fleet_overloaded(&self, marks_retry: bool) -> bool {
+    pub(crate) fn is_fleet_overloaded(&self, marks_retries: bool) -> bool {
         let arrivals = self.arrivals.max(MIN_ARRIVALS);
-        if marks_retry {
+        if marks_retries {
             self.retries > OVERLOADED_RETRY_SHARE * arrivals
         } else {
             self.rejections > OVERLOADED_REJECTION_SHARE * arrivals
--- a/crates/decisions/src/drain.rs
+++ b/crates/admission/src/drain.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown: until when requests still run, and until when all must have their response.
 
 use crate::settings::Settings;
-use crate::time::{Span, Time, after, before};
+use crate::time::{Span, Time, time_after, time_before};
 
 /// Batches that may still come between the last response and the stop.
 const STOP_MARGIN_BATCHES: u64 = 4;
@@ -23,8 +23,8 @@
         let batches = settings.granularity.0.saturating_mul(STOP_MARGIN_BATCHES);
         let margin = Span(batches.min(time_to_stop.0 / STOP_MARGIN_DIVISOR));
         Self {
-            last_arrival: after(now, settings.rules.drain_grace),
-            answered_by: before(after(now, time_to_stop), margin),
+            last_arrival: time_after(now, settings.rules.drain_grace),
+            answered_by: time_before(time_after(now, time_to_stop), margin),
         }
     }
 
--- a/crates/decisions/src/events.rs
+++ b/crates/admission/src/events.rs
@@ -7,11 +7,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Gauges {
     /// Share of the cores busy in the last half second.
-    pub core_use: Option<f64>,
+    pub cpu_utilization: Option<f64>,
     /// What needs a core now: runs, reading, health checks and new connections.
-    pub on_cores: Option<f64>,
+    pub runnable: Option<f64>,
     /// Share of the memory in use, from 0 up.
-    pub heap_share: Option<f64>,
+    pub memory_utilization: Option<f64>,
     /// Open connections.
     pub links: Option<f64>,
 }
@@ -22,9 +22,9 @@
     pub fn set(&mut self, name: &str, value: f64) {
         let value = Some(value).filter(|value| value.is_finite());
         match name {
-            "core_use" => self.core_use = value,
-            "on_cores" => self.on_cores = value,
-            "heap_share" => self.heap_share = value,
+            "core_use" => self.cpu_utilization = value,
+            "on_cores" => self.runnable = value,
+            "heap_share" => self.memory_utilization = value,
             "links" => self.links = value,
             _ => {}
         }
@@ -46,11 +46,11 @@
         took: Span,
     },
     /// The caller no longer waits.
-    Left(RequestId),
+    CallerGone(RequestId),
     /// A run cannot go on without an upstream call; it waits off the cores.
-    ReadyToCall(RequestId),
+    UpstreamCallNeeded(RequestId),
     /// An upstream call is over.
-    CallResult {
+    UpstreamCallEnded {
         /// Which request.
         id: RequestId,
         /// How it ended.
@@ -59,7 +59,7 @@
         took: Span,
     },
     /// A graceful shutdown begins: the process is stopped this long from now.
-    Sigterm(Span),
-    /// A timer set with [`Action::Remind`].
+    ShutdownNotice(Span),
+    /// A timer set with [`Action::SetTimer`].
     Timer(Gauges),
 }
--- a/crates/decisions/src/health.rs
+++ b/crates/admission/src/health.rs
@@ -4,7 +4,7 @@
 //! advice; so health checks fail, which calls the checkers off until the backlog has drained. Where the
 //! endpoint list follows health, many servers late at once would empty it: there only a stall counts.
 
-use crate::time::{Span, Time, left, secs};
+use crate::time::{Span, Time, seconds_until, span_seconds};
 
 /// Unread wait past which health goes bad, as a part of the shortest latency objective.
 const UNHEALTHY_UNREAD_WAIT: f64 = 0.4;
@@ -53,7 +53,7 @@
 
     /// How long ago a run moved on or a core was free.
     pub(crate) fn seconds_since_progress(&self, now: Time) -> f64 {
-        left(self.last_progress, now)
+        seconds_until(self.last_progress, now)
     }
 
     /// Whether work hangs here.
@@ -81,7 +81,7 @@
 
     /// Takes in how long a request waited unread; more than its latency objective counts as that.
     pub(crate) fn note_unread_wait(&mut self, unread_for: Span, latency_objective: Span) {
-        let difference = secs(unread_for).min(secs(latency_objective)) - self.unread_seconds;
+        let difference = span_seconds(unread_for).min(span_seconds(latency_objective)) - self.unread_seconds;
         let weight = if difference > 0.0 { LONGER_WAIT_WEIGHT } else { SHORTER_WAIT_WEIGHT };
         self.unread_seconds += weight * difference;
     }
--- a/crates/decisions/src/idle_connections.rs
+++ b/crates/admission/src/idle_connections.rs
@@ -5,7 +5,7 @@
 //! new connections, callers keep their places: those that find no place cost nothing here.
 
 use crate::events::Gauges;
-use crate::time::{Span, secs, span};
+use crate::time::{Span, span_from_seconds, span_seconds};
 
 /// Least part of the callers' own idle timeout after which connections are closed.
 const MIN_TIMEOUT_FRACTION: f64 = 0.1;
@@ -53,9 +53,9 @@
 
     /// Takes in one sampling period. Returns the idle timeout where it has changed enough to be set anew.
     pub(crate) fn sample(&mut self, gauges: &Gauges, load: &IntakeLoad) -> Option<Span> {
-        let intake = gauges.on_cores.map_or(0.0, |on_cores| on_cores - load.runs_on_cores as f64);
+        let intake = gauges.runnable.map_or(0.0, |runnable| runnable - load.runs_on_cores as f64);
         self.smoothed_intake += SAMPLE_WEIGHT * (intake - self.smoothed_intake);
-        let is_idle = gauges.core_use.is_some_and(|core_use| core_use < IDLE_CORE_USE);
+        let is_idle = gauges.cpu_utilization.is_some_and(|cpu_utilization| cpu_utilization < IDLE_CORE_USE);
         self.reading_fills_cores = !is_idle && intake >= load.cores && !load.has_held_requests;
         let has_too_much_intake = self.smoothed_intake > MAX_INTAKE_PER_CORE * load.cores;
         let is_overloaded = !is_idle && load.has_rejected && has_too_much_intake;
@@ -74,7 +74,7 @@
         let change = (self.timeout_fraction - self.last_reported_fraction).abs();
         if change > TIMEOUT_STEP * self.last_reported_fraction {
             self.last_reported_fraction = self.timeout_fraction;
-            Some(span(secs(callers_idle_timeout) * self.timeout_fraction))
+            Some(span_from_seconds(span_seconds(callers_idle_timeout) * self.timeout_fraction))
         } else {
             None
         }
--- a/crates/decisions/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -15,7 +15,7 @@
 //! - Tables and the rest: `open_requests`, `idempotency_keys`, `drain`, `random`.
 //!
 //! ```
-//! use gradepin_decisions::{Action, Controller, Event, Request, RequestId, Settings, Span, Time};
+//! use gradepin_admission::{Action, Controller, Event, Request, RequestId, Settings, Span, Time};
 //!
 //! let settings: Settings = serde_json::from_str(r#"{
 //!     "granularity": 1000000,
@@ -66,14 +66,16 @@
 mod wait_queue;
 
 pub use actions::Action;
-pub use class_definition::{ClassDefinition, Effect, Profile};
+pub use class_definition::{ClassDefinition, ClassProfile, Idempotency};
 pub use controller::Controller;
 pub use events::{Event, Gauges};
 pub use request::{Outcome, Request, RequestId};
-pub use settings::{BadSettings, Callers, Customer, Goal, Limits, Prices, Rules, Settings, WorthBy};
-pub use specifics::{Advert, Below, Specifics, StopMode};
+pub use settings::{
+    AdmissionSettingsError, Callers, Goal, Limits, Prices, Rules, Settings, Tenant, WeightBasis,
+};
+pub use specifics::{CapacitySignal, Specifics, StopMode, UpstreamKind};
 pub use throttling::throttling;
-pub use time::{Span, Time, after, before, left, secs, span};
+pub use time::{Span, Time, seconds_until, span_from_seconds, span_seconds, time_after, time_before};
 
 /// The examples of README.md, compiled as doc tests.
 #[cfg(doctest)]
--- a/crates/decisions/src/open_requests.rs
+++ b/crates/admission/src/open_requests.rs
@@ -7,7 +7,7 @@
 
 use crate::request::RequestId;
 use crate::settings::Settings;
-use crate::time::{Time, left};
+use crate::time::{Time, seconds_until};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Number of an attempt on this server, in the order in which attempts were read.
@@ -70,12 +70,12 @@
 
     /// Seconds until its latency objective passes; below 0 when it has.
     pub(crate) fn seconds_to_objective(&self, now: Time) -> f64 {
-        left(now, self.objective_at)
+        seconds_until(now, self.objective_at)
     }
 
     /// Seconds until its caller stops waiting.
     pub(crate) fn seconds_to_expiry(&self, now: Time) -> f64 {
-        left(now, self.expires_at)
+        seconds_until(now, self.expires_at)
     }
 }
 
--- a/crates/decisions/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -55,19 +55,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// It succeeded.
-    Delivered,
+    Success,
     /// It failed and may have had its effect.
-    AppError,
+    Failure,
     /// The call was rejected without being looked at; it never ran.
-    Shed,
+    Rejected,
     /// The call was given up; it may have had its effect.
-    Expired,
+    TimedOut,
     /// The dependency was unreachable; the call never ran.
-    DialFailed,
+    ConnectFailed,
     /// The call was interrupted; it may have had its effect.
-    Dropped,
+    Aborted,
     /// The run was stopped, or ended at a call because it was answered or its caller had left.
-    Revoked,
+    Stopped,
     /// Nothing was started, as the request was already over.
-    Unused,
+    NotStarted,
 }
--- a/crates/decisions/src/retry_patterns.rs
+++ b/crates/admission/src/retry_patterns.rs
@@ -61,7 +61,7 @@
     fn shows_age(&self, request: &Request, settings: &Settings, demand: &RecentDemand) -> bool {
         // Where no retry is marked, any request may be one. Only the first tier is called by clients'
         // callers.
-        let may_be_retry = (request.retry || !settings.callers.marks_retry) && settings.tier == 0;
+        let may_be_retry = (request.retry || !settings.callers.marks_retries) && settings.tier == 0;
         let repeated: f64 = self.patterns.iter().map(|pattern| (pattern.observations - 1.0).max(0.0)).sum();
         let has_patterns = repeated > MIN_REPEATED_SHARE * demand.first_attempts();
         may_be_retry && has_patterns && request.expires_in.is_some()
--- a/crates/decisions/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of the module as the host reads them from its configuration, and their validation.
 
-use crate::class_definition::{ClassDefinition, Profile};
+use crate::class_definition::{ClassDefinition, ClassProfile};
 use crate::numbers::{full_share, whole as whole_number};
 use crate::specifics::Specifics;
 use crate::time::Span;
@@ -19,10 +19,10 @@
     #[serde(default, deserialize_with = "whole_number")]
     pub tier: u32,
     /// The request classes; their places are the indexes that [`crate::Request`] names.
-    pub profiles: Vec<Profile>,
+    pub profiles: Vec<ClassProfile>,
     /// The tenants; their places are the indexes that [`crate::Request`] names.
     #[serde(default)]
-    pub customers: Vec<Customer>,
+    pub customers: Vec<Tenant>,
     /// How callers behave.
     #[serde(default)]
     pub callers: Callers,
@@ -37,10 +37,12 @@
     pub prices: Prices,
     /// What the priority weight of a class counts for.
     #[serde(default)]
-    pub worth_by: WorthBy,
+    #[serde(rename = "worth_by")]
+    pub weight_basis: WeightBasis,
     /// Priority weight of a request over its tenant's quota, as a part of its class's weight.
     #[serde(default = "full_share")]
-    pub over_share_worth: f64,
+    #[serde(rename = "over_share_worth")]
+    pub over_quota_weight: f64,
     /// Figures of the platform's rules.
     pub rules: Rules,
     /// Facts about this server and its site.
@@ -50,7 +52,7 @@
 /// A setting that the module cannot work with.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("expected settings: {name} {range}, got {value}")]
-pub struct BadSettings {
+pub struct AdmissionSettingsError {
     /// Its path in the settings.
     pub name: &'static str,
     /// The values that it may have.
@@ -65,24 +67,24 @@
     /// # Errors
     ///
     /// The first setting that is out of its range.
-    pub fn check(&self) -> Result<(), BadSettings> {
+    pub fn check(&self) -> Result<(), AdmissionSettingsError> {
         let positive = |name: &'static str, value: f64| {
             let good = value > 0.0 && value.is_finite();
-            if good { Ok(()) } else { Err(BadSettings { name, range: "above 0", value }) }
+            if good { Ok(()) } else { Err(AdmissionSettingsError { name, range: "above 0", value }) }
         };
         positive("number of profiles", self.profiles.len() as f64)?;
         positive("specifics.n_cores", f64::from(self.specifics.n_cores))?;
         positive("specifics.memory_kb", self.specifics.memory_kb)?;
         positive("specifics.run_factor", self.specifics.run_factor)?;
-        positive("rules.tip_multiple", self.rules.tip_multiple)?;
+        positive("rules.tip_multiple", self.rules.max_concurrency_per_core)?;
         // Past 1 a negative capacity would be advertised.
-        let (name, value) = ("rules.cold_share", self.rules.cold_share);
+        let (name, value) = ("rules.cold_share", self.rules.cold_capacity);
         if !(0.0..=1.0).contains(&value) {
-            return Err(BadSettings { name, range: "from 0 to 1", value });
+            return Err(AdmissionSettingsError { name, range: "from 0 to 1", value });
         }
         for profile in &self.profiles {
             positive("profiles[].deadline", profile.deadline.0 as f64)?;
-            positive("profiles[].promise", profile.promise.0 as f64)?;
+            positive("profiles[].promise", profile.latency_objective.0 as f64)?;
         }
         Ok(())
     }
@@ -101,15 +103,15 @@
 impl Settings {
     /// Splits off the classes and the tenants, in the order of the settings. Settings that name classes by
     /// their place move into the definitions.
-    pub fn split(mut self) -> (Self, Vec<Arc<ClassDefinition>>, Vec<Arc<Customer>>) {
+    pub fn split(mut self) -> (Self, Vec<Arc<ClassDefinition>>, Vec<Arc<Tenant>>) {
         let calls = std::mem::take(&mut self.specifics.calls_by_class);
-        let skip_worths = std::mem::take(&mut self.specifics.class_skip_worth);
-        let define = |(place, profile): (usize, Profile)| {
+        let skip_worths = std::mem::take(&mut self.specifics.class_skip_weights);
+        let define = |(place, profile): (usize, ClassProfile)| {
             let calls = calls.get(place).copied().unwrap_or(true);
             Arc::new(ClassDefinition {
                 profile,
                 calls,
-                skip_worth: skip_worths.get(place).copied().unwrap_or(0.0),
+                skip_weight: skip_worths.get(place).copied().unwrap_or(0.0),
             })
         };
         let classes = std::mem::take(&mut self.profiles).into_iter().enumerate().map(define).collect();
@@ -124,7 +126,7 @@
 
 /// A tenant.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Customer {
+pub struct Tenant {
     /// Its name.
     pub name: String,
     /// Requests a second within its quota, over all servers together; 0 for no quota.
@@ -140,7 +142,8 @@
 pub struct Callers {
     /// Whether retries and hedged requests are marked.
     #[serde(default)]
-    pub marks_retry: bool,
+    #[serde(rename = "marks_retry")]
+    pub marks_retries: bool,
 }
 
 /// Weights of the parts of the result.
@@ -192,7 +195,7 @@
 /// What the priority weight of a class counts for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum WorthBy {
+pub enum WeightBasis {
     /// Each request counts for the weight of its class.
     #[default]
     Request,
@@ -211,12 +214,14 @@
     pub cold: Span,
     /// Share of their full speed with which cold cores begin at least, from 0 to 1.
     #[serde(default = "full_share")]
-    pub cold_share: f64,
+    #[serde(rename = "cold_share")]
+    pub cold_capacity: f64,
     /// Requests that arrive later than this after the notice of a shutdown are not run.
     pub drain_grace: Span,
     /// Time over which the runs on the cores are averaged, when their number is held against what a server
     /// survives.
     pub fall: Span,
     /// Runs at once per core that a warm server survives.
-    pub tip_multiple: f64,
+    #[serde(rename = "tip_multiple")]
+    pub max_concurrency_per_core: f64,
 }
--- a/crates/decisions/src/slow_start.rs
+++ b/crates/admission/src/slow_start.rs
@@ -5,7 +5,7 @@
 //! survive.
 
 use crate::settings::Settings;
-use crate::time::{Time, left, secs};
+use crate::time::{Time, seconds_until, span_seconds};
 
 /// Seconds; the least warming time, so that nothing is divided by 0.
 const MIN_WARMING_SECONDS: f64 = 1e-9;
@@ -25,9 +25,9 @@
     /// Share of the cores' full speed that they have at least, 1 when warm.
     pub(crate) fn speed_share(&self, now: Time, settings: &Settings) -> f64 {
         let rules = &settings.rules;
-        let warming_seconds = secs(rules.cold).max(MIN_WARMING_SECONDS);
-        let warmed = (left(self.cores_started_at, now) / warming_seconds).clamp(0.0, 1.0);
-        let warmed = if settings.specifics.just_started { warmed } else { 1.0 };
-        rules.cold_share + (1.0 - rules.cold_share) * warmed
+        let warming_seconds = span_seconds(rules.cold).max(MIN_WARMING_SECONDS);
+        let warmed = (seconds_until(self.cores_started_at, now) / warming_seconds).clamp(0.0, 1.0);
+        let warmed = if settings.specifics.cold_start { warmed } else { 1.0 };
+        rules.cold_capacity + (1.0 - rules.cold_capacity) * warmed
     }
 }
--- a/crates/decisions/src/specifics.rs
+++ b/crates/admission/src/specifics.rs
@@ -7,7 +7,7 @@
 /// What the runs of this server call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Below {
+pub enum UpstreamKind {
     /// One dependency that all servers share.
     Shared,
     /// The next tier of servers, which run this same code.
@@ -27,19 +27,19 @@
     /// Stopping throws the work away.
     Abort,
     /// Stopping pauses it.
-    Suspend,
+    Pause,
 }
 
 /// What callers make of the advertised value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Advert {
+pub enum CapacitySignal {
     /// They send nothing of a lower precedence.
-    Threshold,
+    PrecedenceThreshold,
     /// Each has at most so many requests open here; of a fraction, one by chance.
-    Window,
+    ConcurrencyWindow,
     /// The probability with which a caller that comes to this server sends its request here.
-    ShareOf,
+    AcceptanceProbability,
     /// There is no signal.
     #[default]
     Off,
@@ -50,10 +50,10 @@
 pub struct Specifics {
     /// What callers make of the advertised value.
     #[serde(default)]
-    pub advert: Advert,
+    pub advert: CapacitySignal,
     /// What the runs of this server call.
     #[serde(default)]
-    pub below: Below,
+    pub below: UpstreamKind,
     /// By class: whether its requests may make upstream calls; where a class is left out, they may.
     #[serde(default)]
     pub calls_by_class: Vec<bool>,
@@ -64,7 +64,8 @@
     /// By class: part of the priority weight that is earned without the upstream call; where a class is
     /// left out, none.
     #[serde(default)]
-    pub class_skip_worth: Vec<f64>,
+    #[serde(rename = "class_skip_worth")]
+    pub class_skip_weights: Vec<f64>,
     /// Callers of this tier at this start.
     #[serde(default, deserialize_with = "whole_number")]
     pub clients_total: u32,
@@ -85,16 +86,19 @@
     pub idle: Span,
     /// Whether the cores start cold.
     #[serde(default)]
-    pub just_started: bool,
+    #[serde(rename = "just_started")]
+    pub cold_start: bool,
     /// Memory of an entry in the table of idempotency keys, in kilobytes.
     #[serde(default)]
-    pub kb_per_key: f64,
+    #[serde(rename = "kb_per_key")]
+    pub idempotency_key_kb: f64,
     /// Longest time that a call that was given up stays in the dependency's hands.
     #[serde(default)]
     pub linger: Span,
     /// Whether the endpoint list follows the answers to health checks.
     #[serde(default)]
-    pub list_follows: bool,
+    #[serde(rename = "list_follows")]
+    pub endpoint_list_follows_health: bool,
     /// Memory of the server, in kilobytes; it dies when requests and keys need more.
     pub memory_kb: f64,
     /// Cores of the server, of unknown speed.
@@ -102,7 +106,8 @@
     pub n_cores: u32,
     /// Whether requests say how long their caller waits.
     #[serde(default)]
-    pub passes_deadline: bool,
+    #[serde(rename = "passes_deadline")]
+    pub propagates_deadline: bool,
     /// Memory of a running request as a multiple of that of a held one.
     #[serde(default = "full_share")]
     pub run_factor: f64,
@@ -114,5 +119,6 @@
     pub stop_mode: StopMode,
     /// Whether the server learns that a caller has given up.
     #[serde(default)]
-    pub tells_gone: bool,
+    #[serde(rename = "tells_gone")]
+    pub reports_disconnects: bool,
 }
--- a/crates/decisions/src/tenant_quota.rs
+++ b/crates/admission/src/tenant_quota.rs
@@ -64,6 +64,6 @@
             return 1.0;
         }
         let inside = quota_here / usage.first_attempts;
-        inside + (1.0 - inside) * settings.over_share_worth
+        inside + (1.0 - inside) * settings.over_quota_weight
     }
 }
--- a/crates/decisions/src/time.rs
+++ b/crates/admission/src/time.rs
@@ -21,22 +21,22 @@
 }
 
 /// Seconds of a length of time.
-pub fn secs(span: Span) -> f64 {
-    span.0 as f64 / 1e9
+pub fn span_seconds(span_from_seconds: Span) -> f64 {
+    span_from_seconds.0 as f64 / 1e9
 }
 /// A length of time from seconds; negative ones count as 0.
-pub fn span(secs: f64) -> Span {
-    Span((secs.max(0.0) * 1e9) as u64)
+pub fn span_from_seconds(span_seconds: f64) -> Span {
+    Span((span_seconds.max(0.0) * 1e9) as u64)
 }
 /// The point in time that lies so much later.
-pub fn after(t: Time, s: Span) -> Time {
+pub fn time_after(t: Time, s: Span) -> Time {
     Time(t.0.saturating_add(s.0))
 }
 /// The point in time that lies so much earlier.
-pub fn before(t: Time, s: Span) -> Time {
+pub fn time_before(t: Time, s: Span) -> Time {
     Time(t.0.saturating_sub(s.0))
 }
 /// Seconds from one point in time to another; below 0 if the other is the earlier.
-pub fn left(from: Time, to: Time) -> f64 {
+pub fn seconds_until(from: Time, to: Time) -> f64 {
     (to.0 as f64 - from.0 as f64) / 1e9
 }
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/admission/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Shared by the module's tests: settings, requests and short ways to ask what a reply holds.
 #![allow(dead_code)]
 
-use gradepin_decisions::{
+use gradepin_admission::{
     Action, Controller, Event, Gauges, Outcome, Request, RequestId, Settings, Span, Time,
 };
 use serde_json::{Value, json};
@@ -54,8 +54,12 @@
 }
 
 pub fn timer(heap: f64) -> Event {
-    let gauges =
-        Gauges { core_use: Some(0.5), on_cores: Some(2.0), heap_share: Some(heap), links: Some(9.0) };
+    let gauges = Gauges {
+        cpu_utilization: Some(0.5),
+        runnable: Some(2.0),
+        memory_utilization: Some(heap),
+        links: Some(9.0),
+    };
     Event::Timer(gauges)
 }
 
@@ -71,12 +75,12 @@
 }
 
 pub fn processed(out: &[Action]) -> Vec<&str> {
-    let named = out.iter().filter_map(|a| if let Action::Process(id) = a { Some(&*id.0) } else { None });
+    let named = out.iter().filter_map(|a| if let Action::Run(id) = a { Some(&*id.0) } else { None });
     named.collect()
 }
 
 pub fn refused(out: &[Action]) -> Vec<&str> {
-    out.iter().filter_map(|a| if let Action::Refuse { id, .. } = a { Some(&*id.0) } else { None }).collect()
+    out.iter().filter_map(|a| if let Action::Reject { id, .. } = a { Some(&*id.0) } else { None }).collect()
 }
 
 /// The end of a run of 100 ms.
--- a/crates/decisions/tests/controller/advice.rs
+++ b/crates/admission/tests/controller/advice.rs
@@ -1,15 +1,15 @@
 //! Advice to callers: advertised capacity, Retry-After and the idle timeout of connections.
 
 use crate::common::*;
-use gradepin_decisions::{Action, Controller, Event, Gauges, Outcome, Request, Settings, Span, Time};
+use gradepin_admission::{Action, Controller, Event, Gauges, Outcome, Request, Settings, Span, Time};
 use serde_json::json;
 
 #[test]
 fn closes_connections_before_their_callers_would() {
     // Found at full size: 900 callers filled every table with connections that none came back to.
-    let mut c = gradepin_decisions::Controller::new(settings(base()), 11, Time(0));
+    let mut c = gradepin_admission::Controller::new(settings(base()), 11, Time(0));
     let out = at(&mut c, 0, vec![]);
-    assert!(out.iter().any(|a| matches!(a, Action::IdleLimit(limit) if *limit < Span(15000 * MS))));
+    assert!(out.iter().any(|a| matches!(a, Action::SetIdleTimeout(limit) if *limit < Span(15000 * MS))));
 }
 
 #[test]
@@ -18,15 +18,15 @@
     let mut c = started(base());
     let gauges = |used: f64, on: f64| {
         Event::Timer(Gauges {
-            core_use: Some(used),
-            on_cores: Some(on),
-            heap_share: Some(0.1),
+            cpu_utilization: Some(used),
+            runnable: Some(on),
+            memory_utilization: Some(0.1),
             links: Some(9.0),
         })
     };
     let last = |out: &[Action]| {
         out.iter()
-            .filter_map(|a| if let Action::IdleLimit(limit) = a { Some(*limit) } else { None })
+            .filter_map(|a| if let Action::SetIdleTimeout(limit) = a { Some(*limit) } else { None })
             .next_back()
     };
     let mut told = Vec::new();
@@ -57,15 +57,15 @@
         if n % 8 == 0 {
             events.extend(runs.pop_front().map(|name: String| Event::Completed {
                 id: id(&name),
-                outcome: Outcome::Delivered,
+                outcome: Outcome::Success,
                 took: Span(600 * MS),
             }));
         }
         let out = at(&mut c, 10 + n * 25, events);
         runs.extend(processed(&out).iter().map(ToString::to_string));
         for action in out {
-            if let Action::Refuse { come_back, .. } = action {
-                longest = longest.max(if n > 300 { come_back.0 / MS } else { 0 });
+            if let Action::Reject { retry_after, .. } = action {
+                longest = longest.max(if n > 300 { retry_after.0 / MS } else { 0 });
             }
         }
     }
@@ -85,13 +85,13 @@
     let mut value = base();
     value["specifics"]["clients_total"] = json!(4000);
     value["specifics"]["advert"] = json!("window");
-    let mut c = gradepin_decisions::Controller::new(settings(value), 11, Time(0));
+    let mut c = gradepin_admission::Controller::new(settings(value), 11, Time(0));
     let mut said = Vec::new();
     for n in 0..60_u64 {
         let waited = Request { queued_for: Span(600 * MS), ..read(&format!("r{n}")) };
         let events = if n == 0 { vec![] } else { vec![Event::Arrived(waited), timer(0.1)] };
         for action in at(&mut c, n * 20, events) {
-            if let Action::Signal(amount) = action {
+            if let Action::AdvertiseCapacity(amount) = action {
                 said.push(amount);
             }
         }
@@ -111,10 +111,10 @@
             let name = format!("r{n}");
             let request = Request { queued_for: Span(wait * MS), ..read(&name) };
             let mut out = arrive(&mut c, 1000 + 100 * n, vec![request]);
-            let ends = Event::Completed { id: id(&name), outcome: Outcome::Delivered, took: Span(40 * MS) };
+            let ends = Event::Completed { id: id(&name), outcome: Outcome::Success, took: Span(40 * MS) };
             out.extend(at(&mut c, 1050 + 100 * n, vec![ends, timer(0.1)]));
             for action in &out {
-                if let Action::Signal(value) = action {
+                if let Action::AdvertiseCapacity(value) = action {
                     level = *value;
                 }
             }
@@ -137,7 +137,7 @@
         // Its caller waits less than a run takes: it is turned away at once.
         let late = Request { retry, expires_in: Some(Span(100 * MS)), ..read("late") };
         assert_eq!(refused(&arrive(&mut c, 1001, vec![late])), ["late"]);
-        at(&mut c, 1102, vec![timer(0.1)]).iter().any(|a| matches!(a, Action::Signal(_)))
+        at(&mut c, 1102, vec![timer(0.1)]).iter().any(|a| matches!(a, Action::AdvertiseCapacity(_)))
     };
     assert!(!level(false));
     assert!(level(true), "a refused retry has nowhere else to go");
@@ -150,9 +150,9 @@
         let mut value = base();
         value["specifics"]["advert"] = json!("threshold");
         value["specifics"]["just_started"] = json!(cold);
-        let mut c = gradepin_decisions::Controller::new(settings(value), 11, Time(0));
+        let mut c = gradepin_admission::Controller::new(settings(value), 11, Time(0));
         let out = at(&mut c, 0, vec![]);
-        out.iter().find_map(|a| if let Action::Signal(level) = a { Some(*level) } else { None })
+        out.iter().find_map(|a| if let Action::AdvertiseCapacity(level) = a { Some(*level) } else { None })
     };
     assert!(first(true).is_some_and(|level| level > 0.7), "{:?}", first(true));
     assert_eq!(first(false), Some(0.0));
@@ -162,23 +162,25 @@
 fn request_lost_before_it_arrived_raises_no_threshold_while_cores_are_free() {
     // Guards against incident r3e27a7: retries that had timed out on a swamped server came to the others, whose
     // cores were 14% busy, and each raised their level until callers kept half of all requests to themselves.
-    let course = |on_cores: f64| {
+    let course = |runnable: f64| {
         let mut value = base();
         value["specifics"]["advert"] = json!("threshold");
         value["profiles"][0]["late_value"] = json!(0.0);
         let mut c = started(value);
         let (mut level, mut turned_away) = (0.0, 0);
         for n in 0..60 {
-            let gauges = Gauges { core_use: Some(0.2), on_cores: Some(on_cores), ..Gauges::default() };
+            let gauges = Gauges { cpu_utilization: Some(0.2), runnable: Some(runnable), ..Gauges::default() };
             let first = read(&format!("f{n}"));
             let ends =
-                Event::Completed { id: first.id.clone(), outcome: Outcome::Delivered, took: Span(40 * MS) };
+                Event::Completed { id: first.id.clone(), outcome: Outcome::Success, took: Span(40 * MS) };
             let mut out = at(&mut c, 100 * n, vec![Event::Arrived(first), Event::Timer(gauges)]);
             // Three quarters of its caller's patience went elsewhere.
             let lost = Request { retry: true, expires_in: Some(Span(1000 * MS)), ..read(&format!("r{n}")) };
             out.extend(at(&mut c, 100 * n + 50, vec![ends, Event::Arrived(lost)]));
             turned_away += refused(&out).len();
-            level = out.iter().fold(level, |level, a| if let Action::Signal(v) = a { *v } else { level });
+            level = out
+                .iter()
+                .fold(level, |level, a| if let Action::AdvertiseCapacity(v) = a { *v } else { level });
         }
         assert!(turned_away > 40, "{turned_away}");
         level
@@ -210,5 +212,6 @@
 fn first_advertised_value(set: Settings) -> Option<f64> {
     let mut out = Vec::new();
     Controller::new(set, 11, Time(0)).handle(Time(0), &[], &mut out);
-    out.iter().find_map(|action| if let Action::Signal(value) = action { Some(*value) } else { None })
+    out.iter()
+        .find_map(|action| if let Action::AdvertiseCapacity(value) = action { Some(*value) } else { None })
 }
--- a/crates/decisions/tests/controller/health.rs
+++ b/crates/admission/tests/controller/health.rs
@@ -1,13 +1,13 @@
 //! Health, stalls and unread waits.
 
 use crate::common::*;
-use gradepin_decisions::{Action, Event, Gauges, Outcome, Request, Span, Time};
+use gradepin_admission::{Action, Event, Gauges, Outcome, Request, Span, Time};
 use serde_json::json;
 
 /// Health after requests that were read 900 ms late, and after a silence.
-fn health_after_unread_waits(list_follows: bool) -> (Option<bool>, Option<bool>) {
+fn health_after_unread_waits(endpoint_list_follows_health: bool) -> (Option<bool>, Option<bool>) {
     let mut set = base();
-    set["specifics"]["list_follows"] = json!(list_follows);
+    set["specifics"]["list_follows"] = json!(endpoint_list_follows_health);
     let mut c = started(set);
     let health = |out: &[Action]| {
         out.iter()
@@ -20,7 +20,7 @@
         let out = at(&mut c, 10 + n * 20, vec![Event::Arrived(waited), timer(0.1)]);
         last = health(&out).or(last);
         for name in processed(&out) {
-            last = health(&at(&mut c, 15 + n * 20, vec![done(name, Outcome::Delivered)])).or(last);
+            last = health(&at(&mut c, 15 + n * 20, vec![done(name, Outcome::Success)])).or(last);
         }
     }
     let late = last;
@@ -47,7 +47,7 @@
     for n in 0..8_u64 {
         arrive(&mut c, n * 100, vec![read(&format!("r{n}"))]);
         if n < 4 {
-            at(&mut c, n * 100 + 90, vec![timer(0.1), done(&format!("r{n}"), Outcome::Delivered)]);
+            at(&mut c, n * 100 + 90, vec![timer(0.1), done(&format!("r{n}"), Outcome::Success)]);
         }
     }
     for ms in (800..2000).step_by(100) {
@@ -55,8 +55,8 @@
     }
     let retry = Request { retry: true, ..read("hung") };
     let out = arrive(&mut c, 2001, vec![retry]);
-    assert!(out.iter().any(|a| matches!(a, Action::Refuse { last: false, .. })), "{out:?}");
-    let moved = (4..8).map(|n| done(&format!("r{n}"), Outcome::Delivered)).collect();
+    assert!(out.iter().any(|a| matches!(a, Action::Reject { last: false, .. })), "{out:?}");
+    let moved = (4..8).map(|n| done(&format!("r{n}"), Outcome::Success)).collect();
     at(&mut c, 2050, moved);
     at(&mut c, 2200, vec![timer(0.1)]);
     assert_eq!(processed(&arrive(&mut c, 2210, vec![read("later")])), ["later"], "it comes back by itself");
@@ -68,7 +68,7 @@
     // processor that came up before its server: health went bad for a period after each start, and the list
     // took the server off for a second.
     let start = Time(8_000 * MS);
-    let mut c = gradepin_decisions::Controller::new(settings(base()), 11, Time(2_000 * MS));
+    let mut c = gradepin_admission::Controller::new(settings(base()), 11, Time(2_000 * MS));
     let mut out = Vec::new();
     c.handle(start, &[], &mut out);
     c.handle(Time(start.0 + 100 * MS), &[timer(0.1)], &mut out);
@@ -85,9 +85,9 @@
     let mut c = started(value);
     let full = |on: f64| {
         Event::Timer(Gauges {
-            core_use: Some(1.0),
-            on_cores: Some(on),
-            heap_share: Some(0.1),
+            cpu_utilization: Some(1.0),
+            runnable: Some(on),
+            memory_utilization: Some(0.1),
             links: Some(9.0),
         })
     };
--- a/crates/decisions/tests/controller/memory_and_keys.rs
+++ b/crates/admission/tests/controller/memory_and_keys.rs
@@ -1,7 +1,7 @@
 //! The memory account and the table of idempotency keys.
 
 use crate::common::*;
-use gradepin_decisions::{Action, Event, Outcome, Request, Span};
+use gradepin_admission::{Action, Event, Outcome, Request, Span};
 use serde_json::json;
 
 #[test]
@@ -20,7 +20,7 @@
     }));
     let out = arrive(&mut c, 1, requests);
     let (run, gone) = (processed(&out).len(), refused(&out).len());
-    let keys = out.iter().filter(|a| matches!(a, Action::Remember { .. })).count();
+    let keys = out.iter().filter(|a| matches!(a, Action::RetainIdempotencyKey { .. })).count();
     let need = (20 - gone - run) as f64 * 20.0 + run as f64 * 80.0 + keys as f64 * 10.0;
     assert!(need <= 200.0, "needs {need} of 200 kB");
     assert!(run > 0);
@@ -36,7 +36,7 @@
     arrive(&mut c, 2, vec![claim("a", None)]);
     let big = Request { size_kb: 150.0, ..claim("b", Some("a")) };
     let out = arrive(&mut c, 3, vec![big]);
-    assert!(!out.contains(&Action::Join(id("b"))), "{out:?}");
+    assert!(!out.contains(&Action::JoinRun(id("b"))), "{out:?}");
     assert!(processed(&out).len() <= 1);
 }
 
@@ -48,12 +48,12 @@
     arrive(&mut c, 2, vec![claim("a", None)]);
     let out = arrive(&mut c, 3, vec![claim("b", Some("a"))]);
     assert_eq!(refused(&out), ["a"]);
-    assert!(!out.contains(&Action::ReleaseKey(id("a"))), "the entry is the repeat's now");
+    assert!(!out.contains(&Action::ReleaseIdempotencyKey(id("a"))), "the entry is the repeat's now");
     // First try running, then over, then failed: the repeat joins it.
-    assert!(arrive(&mut c, 4, vec![claim("c", Some("x0"))]).contains(&Action::Join(id("c"))));
-    at(&mut c, 50, vec![done("x1", Outcome::Delivered), done("x2", Outcome::AppError)]);
+    assert!(arrive(&mut c, 4, vec![claim("c", Some("x0"))]).contains(&Action::JoinRun(id("c"))));
+    at(&mut c, 50, vec![done("x1", Outcome::Success), done("x2", Outcome::Failure)]);
     let out = arrive(&mut c, 60, vec![claim("d", Some("x1")), claim("e", Some("x2"))]);
-    assert!(out.contains(&Action::Join(id("d"))) && out.contains(&Action::Join(id("e"))));
+    assert!(out.contains(&Action::JoinRun(id("d"))) && out.contains(&Action::JoinRun(id("e"))));
     assert!(processed(&out).is_empty() && refused(&out).is_empty());
 }
 
@@ -62,9 +62,9 @@
     let mut c = started(base());
     let late = Request { queued_for: Span(500 * MS), ..claim("a", None) };
     let out = arrive(&mut c, 1000, vec![late]);
-    let kept = out
-        .iter()
-        .find_map(|a| if let Action::Remember { hold_for, .. } = a { Some(hold_for.0) } else { None });
+    let kept = out.iter().find_map(|a| {
+        if let Action::RetainIdempotencyKey { retain_for, .. } = a { Some(retain_for.0) } else { None }
+    });
     assert!(kept.is_some_and(|ns| (8500 * MS..8600 * MS).contains(&ns)), "kept {kept:?}");
 }
 
@@ -76,8 +76,8 @@
     arrive(&mut c, 1000, vec![claim("young", None)]);
     let old = Request { queued_for: Span(800 * MS), ..claim("old", Some("young")) };
     let out = arrive(&mut c, 1005, vec![old]);
-    assert!(out.contains(&Action::Error(id("old"))) && refused(&out).is_empty(), "{out:?}");
-    assert_eq!(processed(&at(&mut c, 1100, vec![done("x0", Outcome::Delivered)])), ["young"]);
+    assert!(out.contains(&Action::Fail(id("old"))) && refused(&out).is_empty(), "{out:?}");
+    assert_eq!(processed(&at(&mut c, 1100, vec![done("x0", Outcome::Success)])), ["young"]);
 }
 
 /// Guards against a server that turns all away for good, or takes more than its memory holds, because a file that was read
@@ -94,7 +94,7 @@
             let taken = arrive(&mut c, n, vec![claim(&format!("k{n}"), None)]);
             assert_eq!(refused(&taken), Vec::<&str>::new(), "claim {n}");
             let end =
-                Event::Completed { id: id(&format!("k{n}")), outcome: Outcome::Delivered, took: Span(MS) };
+                Event::Completed { id: id(&format!("k{n}")), outcome: Outcome::Success, took: Span(MS) };
             at(&mut c, n, vec![end]);
         }
         arrive(&mut c, 40, vec![read("runs")]);
@@ -102,11 +102,7 @@
         value["specifics"]["run_factor"] = json!(run_factor);
         value["profiles"] = json!([]);
         c.set_rest(settings(value));
-        at(
-            &mut c,
-            50,
-            vec![Event::Completed { id: id("runs"), outcome: Outcome::Delivered, took: Span(MS) }],
-        );
+        at(&mut c, 50, vec![Event::Completed { id: id("runs"), outcome: Outcome::Success, took: Span(MS) }]);
         // All windows are past: the whole memory is free, and no more than that.
         for n in 0..40 {
             at(&mut c, 4_000 + 100 * n, vec![timer(0.0)]);
--- a/crates/decisions/tests/controller/retry_patterns.rs
+++ b/crates/admission/tests/controller/retry_patterns.rs
@@ -1,7 +1,7 @@
 //! The age of retries, and the load of the fleet, as requests show them.
 
 use crate::common::*;
-use gradepin_decisions::{Action, Event, Outcome, Request, Span};
+use gradepin_admission::{Action, Event, Outcome, Request, Span};
 use serde_json::json;
 
 /// A retry with a part of the deadline to wait; the second habit of the two callers waits less than the first.
@@ -13,7 +13,7 @@
         let name = format!("r{n}-{ms}");
         let first = Request { expires_in: Some(Span(ms * MS)), ..read(&name) };
         arrive(&mut c, 1 + n * 400, vec![first]);
-        at(&mut c, 100 + n * 400, vec![timer(0.1), done(&name, Outcome::Delivered)]);
+        at(&mut c, 100 + n * 400, vec![timer(0.1), done(&name, Outcome::Success)]);
     }
     let retry = Request { expires_in: Some(Span(retry_ms * MS)), retry: marks, ..claim("again", None) };
     arrive(&mut c, 9000, vec![retry])
@@ -52,7 +52,7 @@
             vec![Request { expires_in: Some(odd), ..claim(&name, None) }],
         ))
         .len();
-        at(&mut c, 100 + n * 200, vec![timer(0.1), done(&name, Outcome::Delivered)]);
+        at(&mut c, 100 + n * 200, vec![timer(0.1), done(&name, Outcome::Success)]);
     }
     assert!(runs > 35, "{runs} of 40");
 }
@@ -66,11 +66,11 @@
     let (mut last, mut runs) = (false, Vec::new());
     for n in 0..100_u64 {
         let arrived = (0..8).map(|m| Event::Arrived(read(&format!("r{n}-{m}"))));
-        let ends = runs.drain(..).map(|name: String| done(&name, Outcome::Delivered));
+        let ends = runs.drain(..).map(|name: String| done(&name, Outcome::Success));
         let out = at(&mut c, 10 + n * 100, ends.chain(arrived).chain([timer(0.1)]).collect());
         runs.extend(processed(&out).into_iter().map(String::from));
         for action in &out {
-            if let Action::Refuse { last: l, .. } = action {
+            if let Action::Reject { last: l, .. } = action {
                 last = *l;
             }
         }
--- a/crates/decisions/tests/controller/robustness.rs
+++ b/crates/admission/tests/controller/robustness.rs
@@ -1,14 +1,14 @@
 //! Shutdown, unknown requests, clock jumps, names and extreme settings.
 
 use crate::common::*;
-use gradepin_decisions::{Action, Event, Outcome, Request, Span, Time};
+use gradepin_admission::{Action, Event, Outcome, Request, Span, Time};
 use serde_json::json;
 
 #[test]
 fn drain_runs_requests_within_the_grace_and_answers_all_before_the_stop() {
     let mut c = started(base());
     arrive(&mut c, 1, vec![read("old")]);
-    let out = at(&mut c, 10, vec![Event::Sigterm(Span(3000 * MS))]);
+    let out = at(&mut c, 10, vec![Event::ShutdownNotice(Span(3000 * MS))]);
     assert!(out.contains(&Action::ReportHealth { shallow: true, active: false }));
     assert_eq!(processed(&arrive(&mut c, 1010, vec![read("in")])), ["in"]);
     let out = arrive(&mut c, 1011, vec![read("out")]);
@@ -20,20 +20,20 @@
         "it had arrived within the grace"
     );
     let out = at(&mut c, 3000, vec![]);
-    assert_eq!(out.iter().filter(|a| matches!(a, Action::Error(_))).count(), 3);
+    assert_eq!(out.iter().filter(|a| matches!(a, Action::Fail(_))).count(), 3);
 }
 
 #[test]
 fn events_of_unknown_and_answered_requests_change_nothing() {
     let mut c = started(base());
     let ghost = vec![
-        done("ghost", Outcome::Delivered),
-        Event::Left(id("ghost")),
-        Event::ReadyToCall(id("ghost")),
-        Event::CallResult { id: id("ghost"), outcome: Outcome::Expired, took: Span(1) },
+        done("ghost", Outcome::Success),
+        Event::CallerGone(id("ghost")),
+        Event::UpstreamCallNeeded(id("ghost")),
+        Event::UpstreamCallEnded { id: id("ghost"), outcome: Outcome::TimedOut, took: Span(1) },
     ];
     let out = at(&mut c, 1, ghost);
-    assert!(out.iter().all(|a| matches!(a, Action::Remind(_))), "{out:?}");
+    assert!(out.iter().all(|a| matches!(a, Action::SetTimer(_))), "{out:?}");
     let out = arrive(&mut c, 2, vec![Request { class: 99, ..read("odd") }]);
     assert!(processed(&out).is_empty());
 }
@@ -43,10 +43,10 @@
     let mut c = started(base());
     arrive(&mut c, 1, (0..6).map(|n| read(&format!("r{n}"))).collect());
     let out = at(&mut c, 600_000, vec![]);
-    let answers = out.iter().filter(|a| matches!(a, Action::Error(_) | Action::Refuse { .. })).count();
+    let answers = out.iter().filter(|a| matches!(a, Action::Fail(_) | Action::Reject { .. })).count();
     assert_eq!(answers, 6);
-    assert!(out.iter().any(|a| matches!(a, Action::Remind(t) if *t > Time(600_000 * MS))));
-    at(&mut c, 600_001, (0..4).map(|n| done(&format!("r{n}"), Outcome::Revoked)).collect());
+    assert!(out.iter().any(|a| matches!(a, Action::SetTimer(t) if *t > Time(600_000 * MS))));
+    at(&mut c, 600_001, (0..4).map(|n| done(&format!("r{n}"), Outcome::Stopped)).collect());
     assert_eq!(processed(&arrive(&mut c, 600_100, vec![read("new")])), ["new"]);
 }
 
@@ -66,25 +66,25 @@
 
 #[test]
 fn extreme_sizes_neither_panic_nor_stop_every_request() {
-    let spoil: [fn(&mut gradepin_decisions::Settings); 6] = [
+    let spoil: [fn(&mut gradepin_admission::Settings); 6] = [
         |s| s.servers = 0,
         |s| s.specifics.clients_total = 0,
         |s| s.specifics.n_cores = 0,
         |s| s.specifics.calls_out = 0.0,
         |s| s.specifics.calls_out = f64::NAN,
-        |s| s.rules.tip_multiple = f64::NAN,
+        |s| s.rules.max_concurrency_per_core = f64::NAN,
     ];
     for (which, spoil) in spoil.iter().enumerate() {
         let mut settings = settings(base());
         spoil(&mut settings);
-        let mut c = gradepin_decisions::Controller::new(settings, 11, Time(0));
+        let mut c = gradepin_admission::Controller::new(settings, 11, Time(0));
         let mut started = 0;
         for n in 0..200_u64 {
             let out = at(&mut c, n * 50, vec![Event::Arrived(read(&format!("r{n}"))), timer(0.1)]);
             for name in processed(&out) {
                 started += 1;
-                at(&mut c, n * 50 + 20, vec![Event::ReadyToCall(id(name))]);
-                at(&mut c, n * 50 + 40, vec![done(name, Outcome::Delivered)]);
+                at(&mut c, n * 50 + 20, vec![Event::UpstreamCallNeeded(id(name))]);
+                at(&mut c, n * 50 + 40, vec![done(name, Outcome::Success)]);
             }
         }
         assert!(started > 20, "setting {which}: {started} started");
--- a/crates/decisions/tests/controller/scheduling.rs
+++ b/crates/admission/tests/controller/scheduling.rs
@@ -1,7 +1,7 @@
 //! The wait queue: what is given up, and what starts first.
 
 use crate::common::*;
-use gradepin_decisions::{Action, Event, Gauges, Outcome, Request, Span};
+use gradepin_admission::{Action, Event, Gauges, Outcome, Request, Span};
 use serde_json::json;
 
 #[test]
@@ -14,7 +14,7 @@
         answers.extend(at(&mut c, ms, vec![]));
     }
     assert_eq!(refused(&answers).len(), 2, "held ones never ran");
-    let errors = answers.iter().filter(|a| matches!(a, Action::Error(_))).count();
+    let errors = answers.iter().filter(|a| matches!(a, Action::Fail(_))).count();
     assert_eq!(errors, 4, "running ones are answered at their due time too");
 }
 
@@ -23,7 +23,7 @@
     let mut c = started(base());
     arrive(&mut c, 1, (0..4).map(|n| read(&format!("r{n}"))).collect());
     arrive(&mut c, 2, vec![read("low"), claim("high", None)]);
-    let out = at(&mut c, 101, vec![done("r0", Outcome::Delivered)]);
+    let out = at(&mut c, 101, vec![done("r0", Outcome::Success)]);
     assert_eq!(processed(&out), ["high"]);
 }
 
@@ -44,7 +44,7 @@
         at(
             &mut c,
             n * 10 + 5,
-            vec![Event::Completed { id: id(&name), outcome: Outcome::Delivered, took: Span(30_000 * MS) }],
+            vec![Event::Completed { id: id(&name), outcome: Outcome::Success, took: Span(30_000 * MS) }],
         );
     }
     assert_eq!(processed(&arrive(&mut c, 200, vec![read("soon")])).len(), 0, "nothing can be won now");
@@ -61,7 +61,7 @@
     for n in 0..20_u64 {
         let name = format!("r{n}");
         arrive(&mut c, n * 200, vec![Request { work: Some(Span(100 * MS)), ..read(&name) }]);
-        at(&mut c, n * 200 + 100, vec![done(&name, Outcome::Delivered)]);
+        at(&mut c, n * 200 + 100, vec![done(&name, Outcome::Success)]);
     }
     let heavy = Request { work: Some(Span(1500 * MS)), ..read("heavy") };
     assert_eq!(processed(&arrive(&mut c, 5000, vec![heavy])), ["heavy"]);
@@ -98,7 +98,7 @@
     for n in 0..20_u64 {
         let name = format!("r{n}");
         arrive(&mut c, 10 + n * 10, vec![read(&name)]);
-        at(&mut c, 15 + n * 10, vec![done(&name, Outcome::Delivered)]);
+        at(&mut c, 15 + n * 10, vec![done(&name, Outcome::Success)]);
     }
     let retry = |n: u64| Request { retry: true, ..read(&format!("t{n}")) };
     let mut out = arrive(&mut c, 301, (0..34).map(retry).collect());
@@ -123,8 +123,8 @@
     arrive(&mut c, 3, vec![Request { has_key: true, ..read("shared") }]);
     let twin = Request { has_key: true, earlier: Some(id("shared")), ..read("twin") };
     let out = arrive(&mut c, 4, vec![twin]);
-    assert!(out.contains(&Action::Join(id("twin"))));
-    let out = at(&mut c, 101, vec![done("r0", Outcome::Delivered)]);
+    assert!(out.contains(&Action::JoinRun(id("twin"))));
+    let out = at(&mut c, 101, vec![done("r0", Outcome::Success)]);
     assert_eq!(processed(&out), ["shared"]);
 }
 
@@ -137,7 +137,7 @@
             let twin = Request { has_key: true, earlier: Some(id("first")), ..read("twin") };
             arrive(&mut c, 2, vec![twin]);
         }
-        at(&mut c, 10, vec![Event::Left(id("first"))]).contains(&Action::Suspend(id("first")))
+        at(&mut c, 10, vec![Event::CallerGone(id("first"))]).contains(&Action::StopRun(id("first")))
     };
     assert!(stopped(false));
     assert!(!stopped(true));
@@ -156,7 +156,7 @@
     while next < asked {
         let mut events: Vec<Event> = Vec::new();
         for name in running.drain(..) {
-            events.push(Event::Completed { id: id(&name), outcome: Outcome::Delivered, took: Span(MS) });
+            events.push(Event::Completed { id: id(&name), outcome: Outcome::Success, took: Span(MS) });
             due += 1;
         }
         for _ in 0..due {
@@ -165,8 +165,8 @@
         }
         if ms % 100 == 0 {
             events.push(Event::Timer(Gauges {
-                core_use: Some(0.2),
-                on_cores: Some(1.0),
+                cpu_utilization: Some(0.2),
+                runnable: Some(1.0),
                 ..Gauges::default()
             }));
         }
--- a/crates/decisions/tests/controller/throttling.rs
+++ b/crates/admission/tests/controller/throttling.rs
@@ -1,7 +1,7 @@
 //! Throttling by memory utilization.
 
 use crate::common::*;
-use gradepin_decisions::{Outcome, throttling};
+use gradepin_admission::{Outcome, throttling};
 
 #[test]
 fn control_function_gives_the_figures_of_its_source() {
@@ -24,7 +24,7 @@
         let name = format!("r{n}");
         let out = arrive(&mut c, 4000 + n * 5, vec![read(&name)]);
         count += refused(&out).len();
-        at(&mut c, 4001 + n * 5, vec![timer(heap), done(&name, Outcome::Delivered)]);
+        at(&mut c, 4001 + n * 5, vec![timer(heap), done(&name, Outcome::Success)]);
     }
     count
 }
--- a/crates/decisions/tests/controller/upstream_calls.rs
+++ b/crates/admission/tests/controller/upstream_calls.rs
@@ -1,21 +1,27 @@
 //! Upstream calls: limits, pacing, timeouts and repeats.
 
 use crate::common::*;
-use gradepin_decisions::{Action, Event, Outcome, Span, Time};
+use gradepin_admission::{Action, Event, Outcome, Span, Time};
 use serde_json::json;
 
 #[test]
 fn repeats_a_failed_call_only_where_that_is_safe() {
-    for (outcome, again) in [(Outcome::Shed, true), (Outcome::DialFailed, true), (Outcome::Dropped, false)] {
+    for (outcome, again) in
+        [(Outcome::Rejected, true), (Outcome::ConnectFailed, true), (Outcome::Aborted, false)]
+    {
         let mut c = started(base());
         arrive(&mut c, 1, vec![claim("a", None)]);
-        let out = at(&mut c, 5, vec![Event::ReadyToCall(id("a"))]);
-        assert!(out.iter().any(|a| matches!(a, Action::AskBelow { .. })));
-        let mut out = at(&mut c, 10, vec![Event::CallResult { id: id("a"), outcome, took: Span(5 * MS) }]);
+        let out = at(&mut c, 5, vec![Event::UpstreamCallNeeded(id("a"))]);
+        assert!(out.iter().any(|a| matches!(a, Action::CallUpstream { .. })));
+        let mut out =
+            at(&mut c, 10, vec![Event::UpstreamCallEnded { id: id("a"), outcome, took: Span(5 * MS) }]);
         out.extend(at(&mut c, 500, vec![]));
-        assert_eq!(out.iter().any(|a| matches!(a, Action::AskBelow { .. })), again);
-        assert_eq!(out.contains(&Action::Error(id("a"))), !again);
-        assert!(!out.contains(&Action::Degrade(id("a"))), "its class earns nothing without the call");
+        assert_eq!(out.iter().any(|a| matches!(a, Action::CallUpstream { .. })), again);
+        assert_eq!(out.contains(&Action::Fail(id("a"))), !again);
+        assert!(
+            !out.contains(&Action::SkipUpstreamCall(id("a"))),
+            "its class earns nothing without the call"
+        );
     }
 }
 
@@ -29,11 +35,15 @@
     for n in 0..100_u64 {
         let (name, ms) = (format!("a{n}"), 10 + n * 50);
         arrive(&mut c, ms, vec![claim(&name, None)]);
-        let out = at(&mut c, ms + 5, vec![Event::ReadyToCall(id(&name))]);
-        asked += out.iter().filter(|a| matches!(a, Action::AskBelow { .. })).count();
+        let out = at(&mut c, ms + 5, vec![Event::UpstreamCallNeeded(id(&name))]);
+        asked += out.iter().filter(|a| matches!(a, Action::CallUpstream { .. })).count();
         let took = Span(5 * MS);
-        at(&mut c, ms + 10, vec![Event::CallResult { id: id(&name), outcome: Outcome::Delivered, took }]);
-        at(&mut c, ms + 20, vec![done(&name, Outcome::Delivered)]);
+        at(
+            &mut c,
+            ms + 10,
+            vec![Event::UpstreamCallEnded { id: id(&name), outcome: Outcome::Success, took }],
+        );
+        at(&mut c, ms + 20, vec![done(&name, Outcome::Success)]);
     }
     assert!(asked > 95, "asked {asked} of 100");
 }
@@ -42,23 +52,23 @@
 fn times_of_calls(seed: u64, took: u64) -> Vec<u64> {
     let mut small = base();
     small["specifics"]["calls_out"] = json!(0.4);
-    let mut c = gradepin_decisions::Controller::new(settings(small), seed, Time(0));
+    let mut c = gradepin_admission::Controller::new(settings(small), seed, Time(0));
     let (mut made, mut back) = (Vec::new(), None::<(String, u64)>);
     for n in 0..800_u64 {
         let (name, ms) = (format!("a{n}"), 5 + n * 5);
         let mut events = Vec::new();
         if let Some((name, _)) = back.take_if(|(_, due)| *due <= ms) {
             let (id, took) = (id(&name), Span(took * MS));
-            events.push(Event::CallResult { id: id.clone(), outcome: Outcome::Delivered, took });
-            events.push(Event::Completed { id, outcome: Outcome::Delivered, took });
+            events.push(Event::UpstreamCallEnded { id: id.clone(), outcome: Outcome::Success, took });
+            events.push(Event::Completed { id, outcome: Outcome::Success, took });
         }
         if n % 20 == 0 {
             events.push(Event::Arrived(claim(&name, None)));
         }
         let out = at(&mut c, ms, events);
-        let ready = processed(&out).into_iter().map(|name| Event::ReadyToCall(id(name))).collect();
+        let ready = processed(&out).into_iter().map(|name| Event::UpstreamCallNeeded(id(name))).collect();
         for action in out.iter().chain(&at(&mut c, ms + 1, ready)) {
-            if let Action::AskBelow { id, .. } = action {
+            if let Action::CallUpstream { id, .. } = action {
                 made.push(ms);
                 back = Some((id.0.to_string(), ms + took));
             }
@@ -88,7 +98,7 @@
     let mut c = started(set);
     let at_gate: Vec<String> = (0..4).map(|n| format!("gate{n}")).collect();
     arrive(&mut c, 10, at_gate.iter().map(|name| claim(name, None)).collect());
-    at(&mut c, 11, at_gate.iter().map(|name| Event::ReadyToCall(id(name))).collect());
+    at(&mut c, 11, at_gate.iter().map(|name| Event::UpstreamCallNeeded(id(name))).collect());
     let out = arrive(&mut c, 950, vec![claim("late", None), read("plain")]);
     assert_eq!((processed(&out), refused(&out)), (vec!["plain"], vec!["late"]));
 }
@@ -100,9 +110,9 @@
     for n in 0..40_u64 {
         let name = format!("a{n}");
         out.extend(arrive(&mut c, 1 + n * 2, vec![claim(&name, None)]));
-        out.extend(at(&mut c, 2 + n * 2, vec![Event::ReadyToCall(id(&name))]));
+        out.extend(at(&mut c, 2 + n * 2, vec![Event::UpstreamCallNeeded(id(&name))]));
     }
-    let asked = out.iter().filter(|a| matches!(a, Action::AskBelow { .. })).count();
+    let asked = out.iter().filter(|a| matches!(a, Action::CallUpstream { .. })).count();
     assert!((1..=4).contains(&asked), "asked {asked}");
 }
 
@@ -117,13 +127,13 @@
         for n in 0..30_u64 {
             let name = format!("a{n}");
             arrive(&mut c, 10 + n * 10, vec![claim(&name, None)]);
-            let out = at(&mut c, 15 + n * 10, vec![Event::ReadyToCall(id(&name))]);
-            asked += out.iter().filter(|a| matches!(a, Action::AskBelow { .. })).count();
+            let out = at(&mut c, 15 + n * 10, vec![Event::UpstreamCallNeeded(id(&name))]);
+            asked += out.iter().filter(|a| matches!(a, Action::CallUpstream { .. })).count();
             if n < 20 {
                 // The bound opens as calls come back fast; then the dependency hangs.
                 let took = Span(5 * MS);
-                let back = Event::CallResult { id: id(&name), outcome: Outcome::Delivered, took };
-                at(&mut c, 19 + n * 10, vec![back, done(&name, Outcome::Delivered)]);
+                let back = Event::UpstreamCallEnded { id: id(&name), outcome: Outcome::Success, took };
+                at(&mut c, 19 + n * 10, vec![back, done(&name, Outcome::Success)]);
                 asked = 0;
             }
         }
@@ -138,14 +148,18 @@
     for n in 0..200_u64 {
         let (name, ms) = (format!("a{n}"), 10 + n * 50);
         arrive(&mut c, ms, vec![claim(&name, None)]);
-        at(&mut c, ms + 1, vec![Event::ReadyToCall(id(&name))]);
+        at(&mut c, ms + 1, vec![Event::UpstreamCallNeeded(id(&name))]);
         let took = Span(if n % 10 == 0 { 2 } else { 25 } * MS);
-        at(&mut c, ms + 26, vec![Event::CallResult { id: id(&name), outcome: Outcome::Delivered, took }]);
-        at(&mut c, ms + 30, vec![done(&name, Outcome::Delivered)]);
+        at(
+            &mut c,
+            ms + 26,
+            vec![Event::UpstreamCallEnded { id: id(&name), outcome: Outcome::Success, took }],
+        );
+        at(&mut c, ms + 30, vec![done(&name, Outcome::Success)]);
     }
     arrive(&mut c, 20_000, (0..4).map(|n| claim(&format!("b{n}"), None)).collect());
-    let out = at(&mut c, 20_005, (0..4).map(|n| Event::ReadyToCall(id(&format!("b{n}")))).collect());
-    let asked = out.iter().filter(|a| matches!(a, Action::AskBelow { .. })).count();
+    let out = at(&mut c, 20_005, (0..4).map(|n| Event::UpstreamCallNeeded(id(&format!("b{n}")))).collect());
+    let asked = out.iter().filter(|a| matches!(a, Action::CallUpstream { .. })).count();
     assert_eq!(asked, 4, "the whole share is open while calls take their usual time");
 }
 
@@ -153,13 +167,13 @@
 fn calls_a_dependency_again_that_was_slow() {
     // Calls that looked too slow to make were never made again, though what lies below stood idle.
     let mut c = started(base());
-    let ask = |c: &mut gradepin_decisions::Controller, ms: u64, name: &str, took: u64| {
+    let ask = |c: &mut gradepin_admission::Controller, ms: u64, name: &str, took: u64| {
         arrive(c, ms, vec![read(name)]);
-        let out = at(c, ms + 1, vec![Event::ReadyToCall(id(name))]);
+        let out = at(c, ms + 1, vec![Event::UpstreamCallNeeded(id(name))]);
         let took = Span(took * MS);
-        at(c, ms + 2, vec![Event::CallResult { id: id(name), outcome: Outcome::Delivered, took }]);
-        at(c, ms + 3, vec![done(name, Outcome::Delivered)]);
-        out.iter().any(|a| matches!(a, Action::AskBelow { .. }))
+        at(c, ms + 2, vec![Event::UpstreamCallEnded { id: id(name), outcome: Outcome::Success, took }]);
+        at(c, ms + 3, vec![done(name, Outcome::Success)]);
+        out.iter().any(|a| matches!(a, Action::CallUpstream { .. }))
     };
     for n in 0..20_u64 {
         ask(&mut c, 10 + n * 10, &format!("fast{n}"), 20);
@@ -178,19 +192,20 @@
 fn gives_up_a_lost_call_early_where_it_may_be_repeated() {
     let mut c = started(base());
     let timeout = |out: &[Action]| {
-        out.iter().find_map(|a| if let Action::AskBelow { timeout, .. } = a { Some(timeout.0) } else { None })
+        out.iter()
+            .find_map(|a| if let Action::CallUpstream { timeout, .. } = a { Some(timeout.0) } else { None })
     };
     for n in 0..20_u64 {
         let (name, ms) = (format!("r{n}"), 10 + n * 10);
         arrive(&mut c, ms, vec![read(&name)]);
-        at(&mut c, ms + 1, vec![Event::ReadyToCall(id(&name))]);
+        at(&mut c, ms + 1, vec![Event::UpstreamCallNeeded(id(&name))]);
         let took = Span(20 * MS);
-        at(&mut c, ms + 2, vec![Event::CallResult { id: id(&name), outcome: Outcome::Delivered, took }]);
-        at(&mut c, ms + 3, vec![done(&name, Outcome::Delivered)]);
+        at(&mut c, ms + 2, vec![Event::UpstreamCallEnded { id: id(&name), outcome: Outcome::Success, took }]);
+        at(&mut c, ms + 3, vec![done(&name, Outcome::Success)]);
     }
     arrive(&mut c, 500, vec![read("safe"), claim("keyed", None)]);
-    let safe = timeout(&at(&mut c, 501, vec![Event::ReadyToCall(id("safe"))]));
-    let keyed = timeout(&at(&mut c, 502, vec![Event::ReadyToCall(id("keyed"))]));
+    let safe = timeout(&at(&mut c, 501, vec![Event::UpstreamCallNeeded(id("safe"))]));
+    let keyed = timeout(&at(&mut c, 502, vec![Event::UpstreamCallNeeded(id("keyed"))]));
     assert!(safe.is_some_and(|ns| ns <= 250 * MS), "{safe:?}");
     assert!(
         keyed.is_some_and(|ns| ns > 3900 * MS),
@@ -209,11 +224,12 @@
     let mut c = started(value.clone());
     // The first calls of a fleet are spread over a part of the aim.
     arrive(&mut c, 1_000, vec![read("first")]);
-    at(&mut c, 1_010, vec![Event::ReadyToCall(id("first"))]);
+    at(&mut c, 1_010, vec![Event::UpstreamCallNeeded(id("first"))]);
     let called = (0..50).any(|n| makes_call(&at(&mut c, 1_020 + 20 * n, vec![]), "first"));
     assert!(called, "no first call");
-    let expired = Event::CallResult { id: id("first"), outcome: Outcome::Expired, took: Span(500 * MS) };
-    at(&mut c, 4_100, vec![expired, done("first", Outcome::AppError)]);
+    let expired =
+        Event::UpstreamCallEnded { id: id("first"), outcome: Outcome::TimedOut, took: Span(500 * MS) };
+    at(&mut c, 4_100, vec![expired, done("first", Outcome::Failure)]);
     value["specifics"]["linger"] = json!(200 * MS);
     value["specifics"]["share_span"] = json!(5_000 * MS);
     value["profiles"] = json!([]);
@@ -222,9 +238,9 @@
     let asks = |c: &mut _, n: u64| {
         let (name, ms) = (format!("r{n}"), 5_000 + 1_000 * n);
         arrive(c, ms, vec![read(&name)]);
-        at(c, ms + 1, vec![Event::ReadyToCall(id(&name))]);
+        at(c, ms + 1, vec![Event::UpstreamCallNeeded(id(&name))]);
         let called = (0..40).any(|step| makes_call(&at(c, ms + 2 + 20 * step, vec![timer(0.0)]), &name));
-        at(c, ms + 900, vec![done(&name, Outcome::AppError)]);
+        at(c, ms + 900, vec![done(&name, Outcome::Failure)]);
         called
     };
     assert!((0..60).any(|n| asks(&mut c, n)), "no call in a minute");
@@ -232,5 +248,5 @@
 
 /// Whether a call is made for a request.
 fn makes_call(out: &[Action], name: &str) -> bool {
-    out.iter().any(|action| matches!(action, Action::AskBelow { id, .. } if *id.0 == *name))
+    out.iter().any(|action| matches!(action, Action::CallUpstream { id, .. } if *id.0 == *name))
 }
--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -3,8 +3,8 @@
 //! A [`Transaction`] is applied whole or not at all. A [`Commit`] is a transaction that the consensus group has given a
 //! [`Revision`]; commits are applied in the order of their revisions, without gaps.
 
-pub use gradepin_decisions::ClassDefinition;
-use gradepin_decisions::{Customer, Span};
+pub use gradepin_admission::ClassDefinition;
+use gradepin_admission::{Span, Tenant};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -67,7 +67,7 @@
     /// Removes a class.
     RemoveClass(Name),
     /// Adds a tenant, or replaces the one of this name.
-    PutTenant(Arc<Customer>),
+    PutTenant(Arc<Tenant>),
     /// Removes a tenant.
     RemoveTenant(Name),
     /// Sets a rule.
--- a/crates/config/tests/validation.rs
+++ b/crates/config/tests/validation.rs
@@ -3,12 +3,12 @@
 mod common;
 
 use common::{base, class, commit, put_class, put_tenant, settings, tenant};
+use gradepin_admission::Span;
 use gradepin_config::change::{MAX_CHANGES, MAX_CLASSES, MAX_TENANTS};
 use gradepin_config::{
-    ApplyError, Change, ClassDefinition, Configuration, Invalid, Proposal, Refused, Revision, Rule,
+    ApplyError, Change, ClassDefinition, CommitRejected, Configuration, Invalid, Proposal, Revision, Rule,
     Transaction,
 };
-use gradepin_decisions::Span;
 
 /// The refusal of changes by a state, which stays as it is.
 fn refusal(state: &Configuration, changes: Vec<Change>) -> Invalid {
@@ -40,21 +40,26 @@
             "99000000 ns",
         ),
         (
-            with(|c| c.profile.promise = ms(0)),
+            with(|c| c.profile.latency_objective = ms(0)),
             "class.label-save.promise",
             "from 1 to 86400000000000 ns",
             "0 ns",
         ),
-        (with(|c| c.profile.worth = f64::NAN), "class.label-save.worth", "from 0 to 1000000000", "NaN"),
-        (with(|c| c.profile.worth = -1.0), "class.label-save.worth", "from 0 to 1000000000", "-1"),
+        (
+            with(|c| c.profile.priority_weight = f64::NAN),
+            "class.label-save.worth",
+            "from 0 to 1000000000",
+            "NaN",
+        ),
+        (with(|c| c.profile.priority_weight = -1.0), "class.label-save.worth", "from 0 to 1000000000", "-1"),
         (with(|c| c.profile.late_value = 1.5), "class.label-save.late_value", "from 0 to 1", "1.5"),
         (
-            with(|c| c.profile.aim_stretch = f64::INFINITY),
+            with(|c| c.profile.objective_stretch = f64::INFINITY),
             "class.label-save.aim_stretch",
             "from 0 to 1000000",
             "inf",
         ),
-        (with(|c| c.skip_worth = 2.0), "class.label-save.skip_worth", "from 0 to 1", "2"),
+        (with(|c| c.skip_weight = 2.0), "class.label-save.skip_worth", "from 0 to 1", "2"),
         (
             with(|c| c.profile.window = Span(u64::MAX)),
             "class.label-save.window",
@@ -131,10 +136,10 @@
         transaction: Transaction { changes: vec![put_tenant(tenant("acme", 0.1))] },
     };
     assert_eq!(state.check(&proposal("why", Some(Revision(0)))), Ok(()));
-    let moved = Refused::Moved { expected: Revision(3), in_force: Revision(0) };
+    let moved = CommitRejected::Moved { expected: Revision(3), in_force: Revision(0) };
     assert_eq!(state.check(&proposal("why", Some(Revision(3)))), Err(moved));
     let empty = Invalid::new("reason", "a text", "an empty one");
-    assert_eq!(state.check(&proposal("", None)), Err(Refused::Invalid(empty)));
+    assert_eq!(state.check(&proposal("", None)), Err(CommitRejected::Invalid(empty)));
 }
 
 #[test]
--- a/crates/releases/src/controller/settings.rs
+++ b/crates/coordination/src/controller/settings.rs
@@ -1,9 +1,9 @@
 //! How the leader's controller goes by what it hears.
 
 use super::MS;
-use crate::record::Limits;
+use crate::replicated_state::Limits;
 use crate::rollback::Cell;
-use gradepin_decisions::Span;
+use gradepin_admission::Span;
 use std::collections::BTreeMap;
 
 /// What an operator sets of the controller.
--- a/crates/releases/tests/common/base.rs
+++ b/crates/coordination/tests/common/base.rs
@@ -1,20 +1,20 @@
 //! The start file's content: a configuration holds at least one class.
 
+use gradepin_admission::{ClassProfile, Idempotency, Settings, Span};
 use gradepin_config::configuration::Configuration;
-use gradepin_decisions::{Effect, Profile, Settings, Span};
 
 pub fn base() -> Configuration {
     let second = Span(1_000_000_000);
-    let profile = Profile {
+    let profile = ClassProfile {
         name: "read".into(),
-        promise: second,
+        latency_objective: second,
         deadline: second,
-        effect: Effect::Repeatable,
+        effect: Idempotency::Idempotent,
         late_value: 0.0,
         window: Span(0),
-        worth: 1.0,
-        aim_stretch: 0.0,
+        priority_weight: 1.0,
+        objective_stretch: 0.0,
     };
-    let settings = Settings { profiles: vec![profile], over_share_worth: 1.0, ..Settings::default() };
+    let settings = Settings { profiles: vec![profile], over_quota_weight: 1.0, ..Settings::default() };
     Configuration::from_settings(&settings).expect("valid")
 }
--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration.rs
@@ -1,10 +1,10 @@
 //! What the reducer and its shell tell each other of the configuration service: what a server starts with, what is to be
 //! written, and how it stands.
 
-use gradepin_config::admin::{ApplyReply, ApplyRequest, Refusal, Source, StatusReply};
+use gradepin_config::admin::{ApplyReply, ApplyRequest, AdminError, Source, StatusReply};
 use gradepin_config::dissemination::{DisseminationSettings, Member};
 use gradepin_config::{Commit, Configuration, Name, Revision, Snapshot};
-use gradepin_decisions::Span;
+use gradepin_admission::Span;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -44,7 +44,7 @@
 
 /// What became of writing it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ConfigurationWritten {
+pub enum ConfigurationSaveResult {
     /// The state of this revision is durable.
     Durable(Revision),
     /// It couldn't be made so, and why; it is tried again.
@@ -53,29 +53,29 @@
 
 /// What an operator asks of the configuration service.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ConfigurationCall {
+pub enum ConfigurationAdminRequest {
     /// A change, or the check of one.
     Apply(Box<ApplyRequest>),
     /// What became of the request of this id.
-    Became(Name),
+    RequestStatus(Name),
     /// How the configuration stands here.
     Status,
 }
 
 /// What that is answered.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ConfigurationAnswer {
+pub enum ConfigurationAdminResponse {
     /// To a change, or to a question about one.
     Apply(ApplyReply),
     /// How it stands.
     Status(Box<StatusReply>),
     /// Nothing was changed.
-    Refused(Refusal),
+    Rejected(AdminError),
 }
 
 /// The figures of a scrape.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ConfigurationFigures {
+pub struct ConfigurationMetrics {
     /// The revision in force.
     pub revision: u64,
     /// Seconds since the state was last confirmed as the newest one.
--- a/crates/core/src/claims.rs
+++ b/crates/core/src/pending_claims.rs
@@ -1,7 +1,7 @@
 //! Which keyed requests wait to hear whether their run is this process's, where the two processes of an upgrade share
 //! them. No I/O: the shell makes the claims, and what became of each is told.
 
-use gradepin_decisions::{RequestId, Span};
+use gradepin_admission::{RequestId, Span};
 use std::collections::BTreeSet;
 
 /// The end of another process's run is waited for so many times the deadline of its class: it was begun no later
@@ -10,12 +10,12 @@
 
 /// The claims of one server. Bounded: an entry for a request that is open.
 #[derive(Debug, Default)]
-pub struct Claims {
+pub struct PendingClaims {
     shared: bool,
     waiting: BTreeSet<RequestId>,
 }
 
-impl Claims {
+impl PendingClaims {
     /// For a process that shares its keyed runs.
     pub fn shared() -> Self {
         Self { shared: true, waiting: BTreeSet::new() }
--- a/crates/core/src/reducer/agreed.rs
+++ b/crates/core/src/reducer/agreed.rs
@@ -1,19 +1,19 @@
 //! The server's part in what the fleet agrees on: permits to leave, turns in a release, and the council where this server is a
 //! voter. Words go over the fleet's datagrams; files and commands are the shell's.
 //!
-//! Not here: what is agreed and when, which is [`gradepin_releases`]'. Without a council block nothing here does anything, and
+//! Not here: what is agreed and when, which is [`gradepin_coordination`]'. Without a council block nothing here does anything, and
 //! SIGTERM means what it always did: a server that the platform stops is out without a permit.
 
 use super::{MS, Reducer};
-use crate::admin::{FleetAnswer, FleetCall};
+use crate::admin::{AgreementResponse, AgreementRequest};
 use crate::messages::Effect;
 use gradepin_cluster::counters::CellId;
-use gradepin_decisions::{Span, Time, after};
-use gradepin_releases::council::Found;
-use gradepin_releases::messages::Report;
-use gradepin_releases::release::Kind;
-use gradepin_releases::rollback::Total;
-use gradepin_releases::server_agent::{Effect as Asked, ServerAgent};
+use gradepin_admission::{Span, Time, time_after};
+use gradepin_coordination::consensus::VoterState;
+use gradepin_coordination::messages::ServerReport;
+use gradepin_coordination::rollout::ReleaseKind;
+use gradepin_coordination::rollback::ServiceTotal;
+use gradepin_coordination::server_agent::{AgentEffect as Asked, ServerAgent};
 use slog::Level;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -32,7 +32,7 @@
     settings: String,
     staged: Vec<String>,
     failed: Option<(u64, String)>,
-    totals: BTreeMap<CellId, Total>,
+    totals: BTreeMap<CellId, ServiceTotal>,
     ready: bool,
     next_look: Time,
     /// Grows with each failure of the council's folder: writes of before are nobody's.
@@ -73,7 +73,7 @@
     }
 
     /// It couldn't be; the folder was read anew.
-    pub(super) fn council_failed(&mut self, found: Found, why: &str) {
+    pub(super) fn council_failed(&mut self, found: VoterState, why: &str) {
         self.agreed.generation += 1;
         if let Some(part) = &mut self.agreed.part {
             part.failed(self.moment.now, found);
@@ -139,8 +139,8 @@
         let ready = self.ready().is_ok();
         let agreed = &mut self.agreed;
         if now >= agreed.next_look || ready != agreed.ready {
-            (agreed.next_look, agreed.ready) = (after(now, LOOK), ready);
-            let report = Report {
+            (agreed.next_look, agreed.ready) = (time_after(now, LOOK), ready);
+            let report = ServerReport {
                 zone: agreed.zone.clone(),
                 ready,
                 program: agreed.program.clone(),
@@ -148,7 +148,7 @@
                 staged: agreed.staged.clone(),
                 failed: agreed.failed.clone(),
                 totals: agreed.totals.iter().map(|(cell, total)| (cell.0, *total)).collect(),
-                ..Report::default()
+                ..ServerReport::default()
             };
             if let Some(part) = &mut agreed.part {
                 part.tells(now, report);
@@ -168,7 +168,7 @@
         match effect {
             Asked::Send(to, word) => self.fleet_post(&to, &word),
             Asked::Write(number, records) => {
-                self.effects.push(Effect::Council(self.agreed.generation, number, records));
+                self.effects.push(Effect::WriteVoterState(self.agreed.generation, number, records));
             }
             Asked::MayLeave(epoch, until) => {
                 if now < until {
@@ -189,9 +189,9 @@
                     }
                     return;
                 }
-                let what = if kind == Kind::Program { "program" } else { "settings" };
+                let what = if kind == ReleaseKind::Program { "program" } else { "settings" };
                 self.log(Level::Info, format!("changing to {what} {version} by permit {}", turn.epoch));
-                self.effects.push(Effect::Change(Box::new(turn), until));
+                self.effects.push(Effect::StartRolloutStep(Box::new(turn), until));
             }
             Asked::Configuration(effect) => self.configuration_agreed(effect),
             Asked::Note(bad, text) => {
@@ -201,32 +201,32 @@
     }
 
     /// An operator's call about the fleet's agreements.
-    pub(super) fn agreed_call(&mut self, call: FleetCall) -> FleetAnswer {
+    pub(super) fn agreed_call(&mut self, call: AgreementRequest) -> AgreementResponse {
         let now = self.moment.now;
-        let Some(part) = &mut self.agreed.part else { return FleetAnswer::Off };
+        let Some(part) = &mut self.agreed.part else { return AgreementResponse::Off };
         match call {
-            FleetCall::Status => FleetAnswer::Status(Box::new(part.status(now))),
-            FleetCall::Order(order) => {
+            AgreementRequest::Status => AgreementResponse::Status(Box::new(part.status(now))),
+            AgreementRequest::Command(order) => {
                 self.agreed.tickets += 1;
                 let ticket = self.agreed.tickets;
                 match part.order(now, ticket, *order) {
-                    Ok(()) => FleetAnswer::Ticket(ticket),
-                    Err(why) => FleetAnswer::Said(Err(why)),
+                    Ok(()) => AgreementResponse::Ticket(ticket),
+                    Err(why) => AgreementResponse::Completed(Err(why)),
                 }
             }
-            FleetCall::Became(ticket) => FleetAnswer::Became(part.became(ticket)),
-            FleetCall::Found => FleetAnswer::Said(part.found(now).map_err(|why| why.to_string())),
-            FleetCall::Wanted(name) => {
-                FleetAnswer::Wanted(part.record().and_then(|record| record.program_for(&name)))
+            AgreementRequest::CommandStatus(ticket) => AgreementResponse::CommandStatus(part.became(ticket)),
+            AgreementRequest::FoundGroup => AgreementResponse::Completed(part.found(now).map_err(|why| why.to_string())),
+            AgreementRequest::TargetVersion(name) => {
+                AgreementResponse::TargetVersion(part.record().and_then(|record| record.program_for(&name)))
             }
-            FleetCall::Leave => {
+            AgreementRequest::Leave => {
                 self.asks_to_leave();
-                FleetAnswer::Said(Ok("asking for a permit".into()))
+                AgreementResponse::Completed(Ok("asking for a permit".into()))
             }
-            FleetCall::Stay => {
+            AgreementRequest::Stay => {
                 self.asks_to_stay();
                 self.take_in();
-                FleetAnswer::Said(Ok("staying".into()))
+                AgreementResponse::Completed(Ok("staying".into()))
             }
         }
     }
--- a/crates/core/src/reducer/calls.rs
+++ b/crates/core/src/reducer/calls.rs
@@ -3,9 +3,9 @@
 //! body and the time it went out; how many are out at once is the module's to say.
 
 use super::{MS, Reducer};
-use crate::messages::{CallNumber, Effect};
-use crate::pool::Buffer;
-use gradepin_decisions::{Event, Outcome, RequestId, Span, Time};
+use crate::messages::{UpstreamCallId, Effect};
+use crate::buffer_pool::Buffer;
+use gradepin_admission::{Event, Outcome, RequestId, Span, Time};
 use slog::Level;
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
         open.call = Some(Arc::new(body));
         (open.call_since, open.call_number) = (None, None);
         self.fleet_asks(id, true);
-        self.events.push(Event::ReadyToCall(id.clone()));
+        self.events.push(Event::UpstreamCallNeeded(id.clone()));
     }
 
     /// The module makes the call a run waits for.
@@ -38,7 +38,7 @@
     }
 
     /// A call leaves, with so much time for its reply; past a time it must not leave any more. Its number.
-    pub(super) fn make_call(&mut self, id: &RequestId, timeout: Span, leaves: Option<Time>) -> CallNumber {
+    pub(super) fn make_call(&mut self, id: &RequestId, timeout: Span, leaves: Option<Time>) -> UpstreamCallId {
         let now = self.moment.now;
         self.calls += 1;
         let number = self.calls;
@@ -48,7 +48,7 @@
             open.call.clone()
         });
         if let Some(body) = body {
-            self.effects.push(Effect::Call(id.clone(), number, body, timeout, leaves));
+            self.effects.push(Effect::CallUpstream(id.clone(), number, body, timeout, leaves));
         }
         number
     }
@@ -57,7 +57,7 @@
     pub(super) fn called(
         &mut self,
         id: &RequestId,
-        number: CallNumber,
+        number: UpstreamCallId,
         outcome: Outcome,
         reply: Option<Buffer>,
     ) {
@@ -71,7 +71,7 @@
     pub(super) fn call_ended(
         &mut self,
         id: &RequestId,
-        number: Option<CallNumber>,
+        number: Option<UpstreamCallId>,
         outcome: Outcome,
         reply: Option<Buffer>,
     ) {
@@ -80,19 +80,19 @@
         let Some(since) = open.call_since.take() else { return };
         open.call_number = None;
         let took = Span(now.0.saturating_sub(since.0));
-        if outcome != Outcome::Delivered {
+        if outcome != Outcome::Success {
             let text =
                 format!("a call to the ledger for {} ended {outcome:?} after {} ms", id.0, took.0 / MS);
             self.effects.push(Effect::Log(Level::Warning, text));
         }
-        if let (Outcome::Delivered, Some(reply)) = (outcome, reply) {
+        if let (Outcome::Success, Some(reply)) = (outcome, reply) {
             open.call = None;
             self.reply(id.clone(), Arc::new(reply));
         } else {
             // It waits for its call still, until the module makes it again or gives the request up.
             self.fleet_asks(id, true);
         }
-        self.events.push(Event::CallResult { id: id.clone(), outcome, took });
+        self.events.push(Event::UpstreamCallEnded { id: id.clone(), outcome, took });
     }
 
     /// Gives a run the reply to its call, now or once the link stands and is settled; what a fallen link may have lost
@@ -100,7 +100,7 @@
     /// made twice, or keyed requests failed, because a link fell beside them.
     pub(super) fn reply(&mut self, id: RequestId, reply: Arc<Buffer>) {
         if let Some(link) = self.link.settled() {
-            self.effects.push(Effect::Reply(link, id.clone(), Arc::clone(&reply)));
+            self.effects.push(Effect::DeliverUpstreamReply(link, id.clone(), Arc::clone(&reply)));
         }
         self.link.replies.push((id, reply, self.link.asked));
     }
@@ -108,7 +108,7 @@
     /// Stops a run where there is a link; a run that ends so is told as stopped.
     pub(super) fn interrupt(&mut self, id: &RequestId) {
         if let (Some(_), Some(link)) = (self.requests.get(id), self.link.number) {
-            self.effects.push(Effect::Interrupt(link, id.clone()));
+            self.effects.push(Effect::StopRun(link, id.clone()));
         }
     }
 }
--- a/crates/core/src/reducer/cells.rs
+++ b/crates/core/src/reducer/cells.rs
@@ -5,7 +5,7 @@
 use crate::slots::Handle;
 use crate::tenants::Tenants;
 use gradepin_cluster::counters::{CellId, MAX_CELLS, WINDOW};
-use gradepin_decisions::{Time, after};
+use gradepin_admission::{Time, time_after};
 use std::collections::{BTreeMap, HashMap};
 
 /// Cells kept at their pairs, some 160 KB; another pair of the same place is hashed anew.
@@ -41,7 +41,7 @@
     }
 
     fn forget(&mut self, now: Time) {
-        self.0.retain(|_, seen| after(*seen, WINDOW) > now);
+        self.0.retain(|_, seen| time_after(*seen, WINDOW) > now);
     }
 
     fn slots(&self) -> impl Iterator<Item = usize> {
--- a/crates/core/src/reducer/claims.rs
+++ b/crates/core/src/reducer/claims.rs
@@ -2,9 +2,9 @@
 //! process answers the tries here too. To the module it runs meanwhile, as it does anywhere on this server.
 
 use super::Reducer;
-use crate::keys::End;
-use crate::messages::{Claim, Effect};
-use gradepin_decisions::{Event, Outcome, RequestId, Span};
+use crate::idempotency_table::RunOutcome;
+use crate::messages::{RunClaim, Effect};
+use gradepin_admission::{Event, Outcome, RequestId, Span};
 use std::sync::Arc;
 
 impl Reducer {
@@ -13,29 +13,29 @@
         let Some(open) = self.requests.get(id) else { return };
         let Some((token, print)) = open.key() else { return };
         let patience = self.claims.asked(id, self.classes.profile(open.class).deadline);
-        self.effects.push(Effect::Claim(id.clone(), Arc::clone(token), print, patience));
+        self.effects.push(Effect::ClaimRun(id.clone(), Arc::clone(token), print, patience));
     }
 
     /// It is told whose the run is.
-    pub(super) fn claimed(&mut self, id: &RequestId, claim: Claim) {
+    pub(super) fn claimed(&mut self, id: &RequestId, claim: RunClaim) {
         if !self.claims.told(id) {
             return;
         }
         match claim {
-            Claim::Ours => self.begin(id),
-            Claim::Ended(end) => self.ran_elsewhere(id, end),
-            Claim::Unsure => self.never_ran(id),
+            RunClaim::Ours => self.begin(id),
+            RunClaim::Ended(end) => self.ran_elsewhere(id, end),
+            RunClaim::Unknown => self.never_ran(id),
         }
     }
 
     /// The other process ran it: its end answers this try and all that wait for it.
-    fn ran_elsewhere(&mut self, id: &RequestId, end: End) {
+    fn ran_elsewhere(&mut self, id: &RequestId, end: RunOutcome) {
         let Some(open) = self.requests.running(id) else { return };
         let token = open.token.clone();
         self.answer_end(id, end.clone());
         self.forget(id);
         // Nothing was started here, and nothing is to be learnt of how long it took.
-        self.events.push(Event::Completed { id: id.clone(), outcome: Outcome::Unused, took: Span(0) });
+        self.events.push(Event::Completed { id: id.clone(), outcome: Outcome::NotStarted, took: Span(0) });
         let waiters = token.map(|token| self.keys.ended(&token, id, Some(end.clone()))).unwrap_or_default();
         for waiter in waiters {
             self.joined(&waiter, end.clone());
@@ -43,10 +43,10 @@
     }
 
     /// A keyed run has its end, or with none never began: the other process is to know.
-    pub(super) fn claim_ended(&mut self, token: &Arc<str>, end: Option<End>) {
+    pub(super) fn claim_ended(&mut self, token: &Arc<str>, end: Option<RunOutcome>) {
         if self.claims.is_on() {
             let print = self.keys.known(token, self.moment.now).map_or(0, |known| known.print);
-            self.effects.push(Effect::ClaimEnded(Arc::clone(token), print, end));
+            self.effects.push(Effect::ReleaseClaim(Arc::clone(token), print, end));
         }
     }
 }
--- a/crates/core/src/reducer/link.rs
+++ b/crates/core/src/reducer/link.rs
@@ -2,9 +2,9 @@
 //! Not here: the connection itself, which is the shell's, and what the ends of runs mean ([`super::runs`]).
 
 use super::{MS, Reducer};
-use crate::messages::{Effect, LEAST_RESTART, RunEnd};
-use crate::pool::Buffer;
-use gradepin_decisions::{Controller, Event, Gauges, RequestId, Settings, Span, Time, after, before};
+use crate::messages::{Effect, MIN_PROCESSOR_RESTART, RunEnd};
+use crate::buffer_pool::Buffer;
+use gradepin_admission::{Controller, Event, Gauges, RequestId, Settings, Span, Time, time_after, time_before};
 use slog::Level;
 use std::sync::Arc;
 
@@ -76,13 +76,13 @@
 impl Reducer {
     pub(super) fn link_up(&mut self, number: u64, cold: bool, age: Span) {
         let now = self.moment.now;
-        self.registration.processor_up(before(now, age), cold);
+        self.registration.processor_up(time_before(now, age), cold);
         let first = self.controller.is_none();
         if first {
             // Warmth counts from the start of the processor, which may be long after this process's.
             let mut settings = Settings::clone(&self.settings);
-            settings.specifics.just_started = cold;
-            let mut controller = Controller::new(settings, self.seed, before(now, age));
+            settings.specifics.cold_start = cold;
+            let mut controller = Controller::new(settings, self.seed, time_before(now, age));
             for (slot, class) in self.classes.iter() {
                 controller.put_class(slot, Arc::clone(class));
             }
@@ -99,12 +99,12 @@
             self.log(Level::Info, format!("the processor is up, {}", if cold { "cold" } else { "warm" }));
         }
         // It started with this process or after it: nothing of an earlier life runs there.
-        self.past.processor_up(now, before(now, age), LEAST_RESTART);
+        self.past.processor_up(now, time_before(now, age), MIN_PROCESSOR_RESTART);
         if std::mem::take(&mut self.link.is_another)
             && let Some(controller) = self.controller.as_mut().filter(|_| !first)
         {
             // Guards against runs for a warm processor on one that begins cold: those make it fall over.
-            controller.cores_started(cold, before(now, age));
+            controller.cores_started(cold, time_before(now, age));
         }
         self.link.heard = now;
         self.link.number = Some(number);
@@ -125,7 +125,7 @@
         self.link.last_notice = 0;
         self.link.is_another = true;
         for id in self.requests.all_running() {
-            self.ended(&id, RunEnd::Error, Span(0), None);
+            self.ended(&id, RunEnd::Failed, Span(0), None);
         }
     }
 
@@ -133,7 +133,7 @@
     pub(super) fn ask(&mut self, link: u64) {
         self.link.asked += 1;
         self.link.open_since = Some(self.moment.now);
-        self.effects.push(Effect::Usage(link, self.link.asked));
+        self.effects.push(Effect::ReadGauges(link, self.link.asked));
     }
 
     pub(super) fn used(&mut self, tag: u64, values: &[f64]) {
@@ -158,14 +158,14 @@
         self.link.replies.retain(|(.., asked)| *asked >= tag);
         // Guards against an answer from before the retelling: the end of an earlier life's run may still be told.
         if self.link.retold.is_some_and(|retold| retold <= tag) {
-            self.count_runs(gauges.on_cores);
+            self.count_runs(gauges.runnable);
         }
     }
 
     /// Where no more runs than were begun here are on the cores, none of an earlier life is, and its end was told before or
     /// never will be. Guards against repeats that wait in life after life for a run that never reached the processor.
-    pub(super) fn count_runs(&mut self, on_cores: Option<f64>) {
-        let (Some(_), Some(on)) = (self.past.hope(), on_cores) else { return };
+    pub(super) fn count_runs(&mut self, runnable: Option<f64>) {
+        let (Some(_), Some(on)) = (self.past.hope(), runnable) else { return };
         let running = self.requests.count_running();
         // Those still without an intent, and those begun after the question, aren't among them.
         let own = running.saturating_sub(self.ledger.waiting() + self.link.unproven.len());
@@ -183,10 +183,10 @@
             match (self.link.number, self.link.open_since) {
                 (None, _) => {}
                 (Some(link), None) => return self.ask(link),
-                (Some(_), Some(since)) if now < after(since, GAUGES_WAIT) => return,
-                (Some(link), Some(since)) if now >= after(since, LINK_PATIENCE) => {
+                (Some(_), Some(since)) if now < time_after(since, GAUGES_WAIT) => return,
+                (Some(link), Some(since)) if now >= time_after(since, LINK_PATIENCE) => {
                     self.log(Level::Warning, "the processor doesn't answer; renewing the link".into());
-                    self.effects.push(Effect::Renew(link));
+                    self.effects.push(Effect::ReconnectProcessor(link));
                     self.link.open_since = Some(now);
                 }
                 _ => {}
--- a/crates/core/src/reducer/runs.rs
+++ b/crates/core/src/reducer/runs.rs
@@ -4,17 +4,17 @@
 
 use super::requests::State;
 use super::{MS, Reducer};
-use crate::keys::End;
-use crate::messages::{Answer, Effect, RunEnd};
-use crate::pool::Buffer;
-use gradepin_decisions::{Event, Outcome, RequestId, Span};
+use crate::idempotency_table::RunOutcome;
+use crate::messages::{Response, Effect, RunEnd};
+use crate::buffer_pool::Buffer;
+use gradepin_admission::{Event, Outcome, RequestId, Span};
 use slog::Level;
 use std::sync::Arc;
 
 impl Reducer {
     pub(super) fn process(&mut self, id: &RequestId) {
         let Some(open) = self.requests.get_mut(id).filter(|open| open.state == State::Held) else {
-            let (id, outcome) = (id.clone(), Outcome::Unused);
+            let (id, outcome) = (id.clone(), Outcome::NotStarted);
             return self.events.push(Event::Completed { id, outcome, took: Span(0) });
         };
         open.state = State::Running;
@@ -44,7 +44,7 @@
         if let Some(link) = self.link.settled() {
             self.tally.relayed();
             let class = Arc::clone(self.classes.get(open.class));
-            self.effects.push(Effect::Begin(link, id.clone(), class, Arc::clone(&open.body)));
+            self.effects.push(Effect::StartRun(link, id.clone(), class, Arc::clone(&open.body)));
             if let Some(open) = self.requests.get_mut(id) {
                 open.begins = open.begins.saturating_add(1);
             }
@@ -56,7 +56,7 @@
     pub(super) fn rejected(&mut self, id: &RequestId) {
         self.log(Level::Error, format!("the processor rejected the run of {}", id.0));
         let once = self.requests.running(id).is_some_and(|open| open.begins == 1);
-        let end = if once && self.link.is_unproven(id) { RunEnd::Moot } else { RunEnd::Error };
+        let end = if once && self.link.is_unproven(id) { RunEnd::NotStarted } else { RunEnd::Failed };
         self.ended(id, end, Span(0), None);
     }
 
@@ -72,27 +72,27 @@
     pub(super) fn learned(&mut self, id: &RequestId, end: RunEnd, result: &Buffer) {
         let Some(token) = self.keys.learned(id) else { return };
         let end = match end {
-            RunEnd::Ok => Some(End::Served(Arc::new(result.exact()))),
-            RunEnd::Error | RunEnd::Stopped => Some(End::Failed),
-            RunEnd::Moot => None,
+            RunEnd::Ok => Some(RunOutcome::Served(Arc::new(result.exact()))),
+            RunEnd::Failed | RunEnd::Stopped => Some(RunOutcome::Failed),
+            RunEnd::NotStarted => None,
         };
         self.settle(&token, id, end);
     }
 
     /// A keyed run has its end, or with none never was: it is kept and written, and its repeats are answered.
-    pub(super) fn settle(&mut self, token: &Arc<str>, id: &RequestId, end: Option<End>) {
+    pub(super) fn settle(&mut self, token: &Arc<str>, id: &RequestId, end: Option<RunOutcome>) {
         let replaced = self.keys.is_replaced(token, id);
         let waiters = self.keys.ended(token, id, end.clone());
         if !replaced {
             self.told_end(token, id, end.clone());
         }
         for waiter in waiters {
-            self.joined(&waiter, end.clone().unwrap_or(End::Failed));
+            self.joined(&waiter, end.clone().unwrap_or(RunOutcome::Failed));
         }
     }
 
     /// The last run of a token has its end: the other process of an upgrade and the store are to know.
-    fn told_end(&mut self, token: &Arc<str>, id: &RequestId, end: Option<End>) {
+    fn told_end(&mut self, token: &Arc<str>, id: &RequestId, end: Option<RunOutcome>) {
         let void = end.is_none();
         self.claim_ended(token, end);
         if void {
@@ -113,9 +113,9 @@
             self.claim_ended(token, None);
         }
         for id in std::iter::once(id.clone()).chain(waiters) {
-            self.answer(&id, Answer::Refused { backoff: self.store_advice(), last: false });
+            self.answer(&id, Response::Rejected { backoff: self.store_advice(), last: false });
             self.forget(&id);
-            self.events.push(Event::Completed { id, outcome: Outcome::Unused, took: Span(0) });
+            self.events.push(Event::Completed { id, outcome: Outcome::NotStarted, took: Span(0) });
         }
     }
 
@@ -132,20 +132,20 @@
             // Kept for repeats in no more room than it needs.
             (RunEnd::Ok, Some(result)) => {
                 let kept = if token.is_some() { Arc::new(result.exact()) } else { result };
-                (Outcome::Delivered, Some(End::Served(kept)))
+                (Outcome::Success, Some(RunOutcome::Served(kept)))
             }
-            (RunEnd::Moot, _) => (Outcome::Unused, None),
-            (RunEnd::Stopped, _) => (Outcome::Revoked, Some(End::Failed)),
-            (RunEnd::Ok | RunEnd::Error, _) => (Outcome::AppError, Some(End::Failed)),
+            (RunEnd::NotStarted, _) => (Outcome::NotStarted, None),
+            (RunEnd::Stopped, _) => (Outcome::Stopped, Some(RunOutcome::Failed)),
+            (RunEnd::Ok | RunEnd::Failed, _) => (Outcome::Failure, Some(RunOutcome::Failed)),
         };
-        let answer = kept.clone().unwrap_or(End::Failed);
-        if outcome != Outcome::Revoked {
+        let answer = kept.clone().unwrap_or(RunOutcome::Failed);
+        if outcome != Outcome::Stopped {
             self.answer_end(id, answer.clone());
         }
         self.events.push(Event::Completed { id: id.clone(), outcome, took });
         match self.requests.get_mut(id) {
             // The module answers it. Guards against one that stays in the books for good, as if its run were to end yet.
-            Some(open) if outcome == Outcome::Revoked && open.owed => open.state = State::Stopped,
+            Some(open) if outcome == Outcome::Stopped && open.owed => open.state = State::Stopped,
             _ => self.forget(id),
         }
         if let Some(token) = token {
--- a/crates/core/src/moment.rs
+++ b/crates/core/src/timestamp.rs
@@ -1,10 +1,10 @@
 //! One reading of the system's clocks, as a shell makes it.
 
-use gradepin_decisions::Time;
+use gradepin_admission::Time;
 
 /// One reading of both clocks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Moment {
+pub struct Timestamp {
     /// The monotonic clock, which the module and all timers go by.
     pub now: Time,
     /// The Unix clock in milliseconds, which the stamps of requests go by.
--- a/crates/gradepin/tests/customers/world.rs
+++ b/crates/gradepin/tests/customers/world.rs
@@ -1,16 +1,16 @@
 //! One server's reducer with stand-ins for its clients and its processor, in virtual time. What each request must see holds
 //! here in one place: one answer by its due time, and its own body under its own class at the processor.
 
-use gradepin_core::answer::Answer;
+use gradepin_core::response::Response;
 use gradepin_core::config::Config;
-use gradepin_core::messages::{Call, CallNumber, Effect, Input, RunEnd};
-use gradepin_core::moment::Moment;
-use gradepin_core::pool::Pool;
+use gradepin_core::messages::{ClientRequest, UpstreamCallId, Effect, Input, RunEnd};
+use gradepin_core::timestamp::Timestamp;
+use gradepin_core::buffer_pool::BufferPool;
 use gradepin_core::reducer::Reducer;
 use gradepin_core::registration::Registration;
-use gradepin_decisions::{Effect as Kind, Outcome, RequestId, Span, Time};
-use gradepin_node::fronts::thrift::codec;
-use gradepin_node::settings::Live;
+use gradepin_admission::{Idempotency as Kind, Outcome, RequestId, Span, Time};
+use gradepin_node::frontend::thrift::codec;
+use gradepin_node::settings::ActiveSettings;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use serde_json::Value;
@@ -53,10 +53,10 @@
 
 pub struct World {
     reducer: Reducer,
-    names: Live,
+    names: ActiveSettings,
     classes: Vec<String>,
     tenants: Vec<String>,
-    pool: Arc<Pool>,
+    pool: Arc<BufferPool>,
     now: u64,
     rng: Pcg64Mcg,
     inputs: Vec<Input>,
@@ -67,7 +67,7 @@
     next_seq: i32,
     running: Vec<RequestId>,
     ran: Vec<Ran>,
-    calls: Vec<(RequestId, CallNumber)>,
+    calls: Vec<(RequestId, UpstreamCallId)>,
     notice: u64,
     link: u64,
     mute: bool,
@@ -107,11 +107,11 @@
     fn new(config: Config, seed: u64) -> Self {
         let settings = Arc::new(config.settings.clone());
         let mut world = Self {
-            names: Live::new(&settings),
+            names: ActiveSettings::new(&settings),
             classes: Vec::new(),
             tenants: Vec::new(),
             reducer: Reducer::new(&config, settings, Registration::default()).expect("a valid configuration"),
-            pool: Pool::new(64),
+            pool: BufferPool::new(64),
             now: 1_000_000 * MS,
             rng: Pcg64Mcg::seed_from_u64(seed),
             inputs: Vec::new(),
@@ -159,7 +159,7 @@
         let second = self.now / (1_000 * MS);
         self.second = if self.second.0 == second { (second, self.second.1 + 1) } else { (second, 0) };
         assert!(self.second.1 < STEPS_A_SECOND, "the reducer hardly rests");
-        let moment = Moment { now: Time(self.now), unix_ms: self.unix_ms() };
+        let moment = Timestamp { now: Time(self.now), unix_ms: self.unix_ms() };
         let mut effects = Vec::new();
         self.reducer.step(moment, inputs, &mut effects);
         effects.into_iter().for_each(|effect| self.effect(effect));
@@ -196,52 +196,52 @@
 
     fn effect(&mut self, effect: Effect) {
         match effect {
-            Effect::Answer(conn, seq, answer, hint) => {
+            Effect::Respond(conn, seq, answer, hint) => {
                 assert!(hint.is_none_or(|hint| hint.is_finite() && hint >= 0.0), "a hint of {hint:?}");
                 assert!(
                     codec::encode(seq, &answer, hint, &self.pool).is_some(),
                     "an answer that doesn't fit"
                 );
                 let Some(id) = self.of_seq.get(&(conn, seq)) else {
-                    assert!(matches!(answer, Answer::Health(..)), "an answer to what nobody sent");
+                    assert!(matches!(answer, Response::Health(..)), "an answer to what nobody sent");
                     return;
                 };
                 let sent = self.sent.get_mut(id).expect("sent");
                 assert!(!std::mem::replace(&mut sent.answered, true), "two answers to {}", id.0);
                 sent.owed = false;
                 assert!(
-                    !(sent.running && matches!(answer, Answer::Refused { .. })),
+                    !(sent.running && matches!(answer, Response::Rejected { .. })),
                     "{} runs and was refused",
                     id.0
                 );
-                if let Answer::Served(result) = &answer {
+                if let Response::Served(result) = &answer {
                     self.counts[1] += 1;
                     assert_eq!(&result[..], &sent.body[..], "{} was served another's result", id.0);
                 }
             }
-            Effect::Begin(_, id, class, body) => self.begun(&id, &class.profile, &body),
-            Effect::Usage(_, tag) if !self.mute => {
+            Effect::StartRun(_, id, class, body) => self.begun(&id, &class.profile, &body),
+            Effect::ReadGauges(_, tag) if !self.mute => {
                 let odd = [0.5, f64::NAN, f64::INFINITY, -1.0, 1e308, 0.0, 1.0, 3.0];
                 let values = (0..self.below(7)).map(|_| odd[self.below(8) as usize]).collect();
-                self.inputs.push(Input::Used(tag, values));
+                self.inputs.push(Input::GaugesRead(tag, values));
             }
-            Effect::Call(id, number, ..) => self.calls.push((id, number)),
-            Effect::Names { edition, changes } => self.names.publish(edition, changes),
-            Effect::Reloaded => self.reloading = false,
-            Effect::CloseResting(conn, _) | Effect::Close(conn) if self.open.remove(&conn) => {
+            Effect::CallUpstream(id, number, ..) => self.calls.push((id, number)),
+            Effect::UpdateNames { edition, changes } => self.names.publish(edition, changes),
+            Effect::ReloadFinished => self.reloading = false,
+            Effect::CloseIdleConnection(conn, _) | Effect::CloseConnection(conn) if self.open.remove(&conn) => {
                 let owed = self.sent.iter().find(|(_, sent)| sent.owed && sent.conn == conn);
                 assert!(owed.is_none(), "a connection was closed that an answer is owed on");
-                self.inputs.push(Input::Closed(conn));
+                self.inputs.push(Input::ConnectionClosed(conn));
                 self.gone(conn);
             }
-            Effect::StopAccepting => self.inputs.push(Input::NotAccepting),
+            Effect::StopAccepting => self.inputs.push(Input::StoppedAccepting),
             Effect::Exit => self.left = true,
             Effect::Log(_, text) => assert!(!text.contains("turned down"), "{text}"),
             _ => {}
         }
     }
 
-    fn begun(&mut self, id: &RequestId, profile: &gradepin_decisions::Profile, body: &[u8]) {
+    fn begun(&mut self, id: &RequestId, profile: &gradepin_admission::ClassProfile, body: &[u8]) {
         let sent = self.sent.get_mut(id).expect("a begin of what was sent");
         assert_eq!(profile.name, sent.class, "{} began under another class", id.0);
         assert_eq!(body, &sent.body[..], "{} began with another body", id.0);
@@ -315,7 +315,7 @@
                 1 if !self.open.is_empty() => {
                     let conn = self.pick_conn();
                     self.open.remove(&conn);
-                    self.inputs.push(Input::Closed(conn));
+                    self.inputs.push(Input::ConnectionClosed(conn));
                     self.gone(conn);
                 }
                 2 if self.link > 0 => {
@@ -328,7 +328,7 @@
             _ => {
                 let conn = self.pick_conn();
                 self.next_seq += 1;
-                self.inputs.push(Input::Health(conn, self.next_seq));
+                self.inputs.push(Input::HealthCheck(conn, self.next_seq));
             }
         }
     }
@@ -356,7 +356,7 @@
             None => {
                 self.next_conn += 1;
                 self.open.insert(self.next_conn);
-                self.inputs.push(Input::Opened(self.next_conn));
+                self.inputs.push(Input::ConnectionOpened(self.next_conn));
                 self.next_conn
             }
         }
@@ -383,7 +383,7 @@
         let (retry, has_key) = (self.below(3) == 0, self.below(2) == 0);
         let size_kb = [0.001, 1.0, 20.0, 1_999.0][self.below(4) as usize];
         let precedence = self.below(1_000) as f64 / 1_000.0;
-        let call = Call {
+        let call = ClientRequest {
             id: id.clone(),
             class,
             tenant,
@@ -412,7 +412,7 @@
         };
         self.sent.insert(id.clone(), sent);
         self.of_seq.insert((conn, seq), id);
-        self.inputs.push(Input::Call(conn, seq, Box::new(call)));
+        self.inputs.push(Input::Request(conn, seq, Box::new(call)));
     }
 
     fn complete(&mut self) {
@@ -427,26 +427,26 @@
     fn end(&mut self, id: RequestId) {
         self.notice += 1;
         let end =
-            [RunEnd::Ok, RunEnd::Ok, RunEnd::Ok, RunEnd::Error, RunEnd::Stopped][self.below(5) as usize];
+            [RunEnd::Ok, RunEnd::Ok, RunEnd::Ok, RunEnd::Failed, RunEnd::Stopped][self.below(5) as usize];
         let took = Span([0, 1, 20 * MS, 900 * MS, u64::MAX][self.below(5) as usize]);
         let result = self.pool.copy(&self.sent[&id].body).expect("fits");
-        self.inputs.push(Input::Complete { notice: self.notice, id, end, took, result });
+        self.inputs.push(Input::RunCompleted { notice: self.notice, id, end, took, result });
     }
 
     fn asks(&mut self) {
         if let Some(id) = self.running.first().cloned() {
             self.notice += 1;
             let body = self.pool.copy(b"entry").expect("fits");
-            self.inputs.push(Input::Ask { notice: self.notice, id, body });
+            self.inputs.push(Input::UpstreamCallRequested { notice: self.notice, id, body });
         }
     }
 
     fn call_ends(&mut self) {
         let Some((id, number)) = self.calls.pop() else { return };
-        let ends = [Outcome::Delivered, Outcome::Shed, Outcome::Expired, Outcome::AppError, Outcome::Dropped];
+        let ends = [Outcome::Success, Outcome::Rejected, Outcome::TimedOut, Outcome::Failure, Outcome::Aborted];
         let outcome = ends[self.below(5) as usize];
-        let reply = (outcome == Outcome::Delivered).then(|| self.pool.copy(b"reply").expect("fits"));
-        self.inputs.push(Input::Called { id, number, outcome, reply });
+        let reply = (outcome == Outcome::Success).then(|| self.pool.copy(b"reply").expect("fits"));
+        self.inputs.push(Input::UpstreamCallEnded { id, number, outcome, reply });
     }
 
     fn cancel(&mut self) {
@@ -458,7 +458,7 @@
     }
 
     fn drain(&mut self) {
-        self.inputs.push(Input::Terminate);
+        self.inputs.push(Input::ShutdownNotice);
         self.traffic(300);
         assert!(!self.reloading, "a reload never ended");
         self.advance(self.now + 6_000 * MS);
--- a/crates/model/src/config/truth.rs
+++ b/crates/model/src/config/truth.rs
@@ -1,8 +1,8 @@
 //! The committed log, and the check that a server's state is a prefix of it.
 
+use gradepin_admission::{ClassProfile, Idempotency, Tenant, span_from_seconds};
 use gradepin_config::change::{Change, ClassDefinition, Commit, Revision, Transaction};
 use gradepin_config::{Configuration, Snapshot, Version};
-use gradepin_decisions::{Customer, Effect, Profile, span};
 use std::sync::Arc;
 
 /// Changes in one of the transactions that the first state is made of.
@@ -18,23 +18,23 @@
 }
 
 /// A class of this name.
-pub fn class(name: &str, worth: f64) -> Change {
-    let profile = Profile {
+pub fn class(name: &str, priority_weight: f64) -> Change {
+    let profile = ClassProfile {
         name: name.to_string(),
-        promise: span(1.0),
-        deadline: span(4.0),
-        effect: Effect::Repeatable,
+        latency_objective: span_from_seconds(1.0),
+        deadline: span_from_seconds(4.0),
+        effect: Idempotency::Idempotent,
         late_value: 0.3,
-        window: span(0.0),
-        worth,
-        aim_stretch: 0.0,
+        window: span_from_seconds(0.0),
+        priority_weight,
+        objective_stretch: 0.0,
     };
-    Change::PutClass(Arc::new(ClassDefinition { profile, calls: false, skip_worth: 0.0 }))
+    Change::PutClass(Arc::new(ClassDefinition { profile, calls: false, skip_weight: 0.0 }))
 }
 
 /// A tenant of this name.
 pub fn tenant(name: &str, quota_rps: f64) -> Change {
-    Change::PutTenant(Arc::new(Customer { name: name.to_string(), quota_rps, portion: 0.001 }))
+    Change::PutTenant(Arc::new(Tenant { name: name.to_string(), quota_rps, portion: 0.001 }))
 }
 
 impl Truth {
--- a/crates/model/tests/agreed.rs
+++ b/crates/model/tests/agreed.rs
@@ -1,9 +1,9 @@
 //! Drains and releases of a fleet in virtual time: permits under faults, waves, the halt, the way back.
 
+use gradepin_coordination::messages::OperatorCommand;
+use gradepin_coordination::replicated_state::Target;
+use gradepin_coordination::rollout::{ReleaseKind, RolloutCommand, RolloutState, ServerProgress};
 use gradepin_model::agreed::{Day, Fleet, SOUND, limits, plan, play};
-use gradepin_releases::messages::Order;
-use gradepin_releases::record::Target;
-use gradepin_releases::release::{Kind, ReleaseOrder, State, Step};
 use std::sync::Arc;
 
 fn all_have(fleet: &Fleet, version: &str) -> bool {
@@ -17,7 +17,7 @@
     let mut fleet = Fleet::new(9, 3, most.clone(), 1);
     (0..9).for_each(|n| fleet.leave(n));
     assert!(fleet.until(120_000, |fleet| fleet.began.len() == 9), "{:?}", fleet.notes);
-    fleet.promise(&most).unwrap();
+    fleet.latency_objective(&most).unwrap();
     assert!(fleet.until(20_000, |fleet| fleet.record().permits.is_empty()));
     let waited = fleet.began.last().unwrap().at.0 - fleet.began[0].at.0;
     assert!(waited > 5_000_000_000, "they went at once");
@@ -42,7 +42,7 @@
             }
         }
         assert!(fleet.until(120_000, |fleet| fleet.began.len() >= 4), "seed {seed}: {:?}", fleet.notes);
-        fleet.promise(&most).unwrap();
+        fleet.latency_objective(&most).unwrap();
     }
 }
 
@@ -68,7 +68,7 @@
     assert_eq!(fleet.began.len(), 1);
     fleet.cut.clear();
     assert!(fleet.until(20_000, |fleet| fleet.began.len() == 2));
-    fleet.promise(&most).unwrap();
+    fleet.latency_objective(&most).unwrap();
 }
 
 /// Hard case 3: a holder is stopped before it leaves and goes on a minute later, its slot freed by an operator meanwhile and
@@ -91,7 +91,11 @@
         let holder = Target::Server(Arc::from("n5"));
         if let Some(epoch) = fleet.record().permit_of(&holder).map(|(epoch, _)| epoch) {
             assert!(fleet.began.is_empty(), "seed {seed}: the place is kept");
-            let free = Order::Free { epoch, by: Arc::from("kaisa"), why: "its board is dead".into() };
+            let free = OperatorCommand::ReleasePermit {
+                epoch,
+                by: Arc::from("kaisa"),
+                why: "its board is dead".into(),
+            };
             fleet.order(4, free).expect("it is freed");
             assert!(fleet.began.is_empty(), "seed {seed}: it counts until the holder's time is over");
         }
@@ -100,7 +104,7 @@
         assert!(fleet.began.is_empty(), "seed {seed}: {:?}", fleet.began);
         fleet.servers[5].stopped = false;
         assert!(fleet.until(60_000, |fleet| fleet.began.len() == 2), "seed {seed}: {:?}", fleet.notes);
-        fleet.promise(&most).unwrap();
+        fleet.latency_objective(&most).unwrap();
     }
 }
 
@@ -110,7 +114,7 @@
 fn a_zone_that_loses_power_stops_grants_and_fails_no_release() {
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 4);
-    fleet.release(plan("v2", Kind::Program)).expect("it starts");
+    fleet.release(plan("v2", ReleaseKind::Program)).expect("it starts");
     assert!(fleet.until(40_000, |fleet| fleet.began.len() >= 2));
     let zone: Vec<usize> = (0..9).filter(|n| n % 3 == 1).collect();
     for &n in &zone {
@@ -121,14 +125,18 @@
     let began = fleet.began.len();
     fleet.run(20_000);
     assert_eq!(fleet.began.len(), began, "three are out, two may be");
-    assert_eq!(fleet.state(), State::Runs, "{:?}", fleet.notes);
+    assert_eq!(fleet.state(), RolloutState::Running, "{:?}", fleet.notes);
     for &n in &zone {
         fleet.servers[n].dark = false;
         fleet.revive(n);
     }
-    assert!(fleet.until(200_000, |fleet| fleet.state() == State::Done), "{:?}", fleet.record().release);
+    assert!(
+        fleet.until(200_000, |fleet| fleet.state() == RolloutState::Done),
+        "{:?}",
+        fleet.record().release
+    );
     assert!(all_have(&fleet, "v2"));
-    fleet.promise(&most).unwrap();
+    fleet.latency_objective(&most).unwrap();
 }
 
 /// A sound release goes through, one first, then shares, and takes no more time than its parts.
@@ -137,15 +145,19 @@
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 5);
     let begin = fleet.now;
-    fleet.release(plan("v2", Kind::Program)).expect("it starts");
+    fleet.release(plan("v2", ReleaseKind::Program)).expect("it starts");
     // Said twice it is one; another has to wait.
-    assert!(fleet.release(plan("v2", Kind::Program)).is_ok());
-    assert!(fleet.release(plan("v3", Kind::Program)).unwrap_err().contains("to v2 is running"));
+    assert!(fleet.release(plan("v2", ReleaseKind::Program)).is_ok());
+    assert!(fleet.release(plan("v3", ReleaseKind::Program)).unwrap_err().contains("to v2 is running"));
     fleet.run(6_000);
     assert!(fleet.servers.iter().filter(|server| server.program == "v2").count() <= 1, "one first");
-    assert!(fleet.until(120_000, |fleet| fleet.state() == State::Done), "{:?}", fleet.record().release);
+    assert!(
+        fleet.until(120_000, |fleet| fleet.state() == RolloutState::Done),
+        "{:?}",
+        fleet.record().release
+    );
     assert!(all_have(&fleet, "v2") && fleet.began.len() == 9);
-    fleet.promise(&most).unwrap();
+    fleet.latency_objective(&most).unwrap();
     let took = (fleet.now.0 - begin.0) as f64 / 1e9;
     // A step: drain, start, steady as the plan and the permit say, and some looks. One first, then two at a time.
     let step = 0.8 + 1.2 + 1.0 + 0.8;
@@ -161,20 +173,22 @@
     {
         let most = limits(2, 1);
         let mut fleet = Fleet::new(9, 3, most.clone(), 6);
-        let mut plan = plan(version, Kind::Program);
+        let mut plan = plan(version, ReleaseKind::Program);
         if version == "v-slight" {
             // Long looks: a slight fall takes some thousand tries.
             plan.waves.iter_mut().for_each(|wave| wave.pause_ms = 60_000);
         }
         fleet.release(plan).expect("it starts");
-        let goes = |fleet: &Fleet| matches!(fleet.state(), State::GoesBack(_) | State::Undone(_));
+        let goes = |fleet: &Fleet| {
+            matches!(fleet.state(), RolloutState::RollingBack(_) | RolloutState::RolledBack(_))
+        };
         assert!(fleet.until(within_ms, goes), "{version}: {:?} {:?}", fleet.state(), fleet.notes);
         let had = fleet.servers.iter().filter(|server| server.program == version).count();
         assert!(had <= most_had, "{version}: {had} had it");
-        let undone = |fleet: &Fleet| matches!(fleet.state(), State::Undone(_));
+        let undone = |fleet: &Fleet| matches!(fleet.state(), RolloutState::RolledBack(_));
         assert!(fleet.until(120_000, undone), "{version}: {:?} {:?}", fleet.record().release, fleet.notes);
         assert!(fleet.until(10_000, |fleet| all_have(fleet, "v1")), "{version}");
-        fleet.promise(&most).unwrap();
+        fleet.latency_objective(&most).unwrap();
     }
 }
 
@@ -190,24 +204,25 @@
     fleet.servers[8].dark = true;
     fleet.kill(8);
     fleet.run(5_000);
-    fleet.release(plan("v2", Kind::Program)).expect("it starts");
+    fleet.release(plan("v2", ReleaseKind::Program)).expect("it starts");
     fleet.run(7_000);
     fleet.sound = 0.6;
     fleet.run(15_000);
-    assert_eq!(fleet.state(), State::Runs, "{:?}", fleet.notes);
+    assert_eq!(fleet.state(), RolloutState::Running, "{:?}", fleet.notes);
     // It would fit now, and is held.
     fleet.servers[8].dark = false;
     fleet.revive(8);
     fleet.run(20_000);
-    assert!(fleet.began.is_empty() && fleet.state() == State::Runs, "{:?}", fleet.notes);
+    assert!(fleet.began.is_empty() && fleet.state() == RolloutState::Running, "{:?}", fleet.notes);
     let held = fleet.notes.iter().filter(|note| note.contains("no server has the version")).count();
     assert_eq!(held, 1, "said once: {:?}", fleet.notes);
     fleet.sound = SOUND;
     assert!(fleet.until(20_000, |fleet| !fleet.began.is_empty()), "{:?}", fleet.notes);
     fleet.sound = 0.6;
-    let goes = |fleet: &Fleet| matches!(fleet.state(), State::GoesBack(_) | State::Undone(_));
+    let goes =
+        |fleet: &Fleet| matches!(fleet.state(), RolloutState::RollingBack(_) | RolloutState::RolledBack(_));
     assert!(fleet.until(20_000, goes), "{:?} {:?}", fleet.state(), fleet.notes);
-    fleet.promise(&most).unwrap();
+    fleet.latency_objective(&most).unwrap();
 }
 
 /// Hard case 6, the other side: a sound version while a trouble of another cause is on, the same for old and new, isn't blamed;
@@ -216,19 +231,27 @@
 fn settings_are_staged_checked_and_taken_back() {
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 7);
-    let missing = fleet.release(plan("s-nowhere", Kind::Settings)).unwrap_err();
+    let missing = fleet.release(plan("s-nowhere", ReleaseKind::Settings)).unwrap_err();
     assert!(missing.contains("aren't staged on n0"), "{missing}");
-    fleet.release(plan("s2", Kind::Settings)).expect("it starts");
-    assert!(fleet.until(60_000, |fleet| fleet.state() == State::Done), "{:?}", fleet.record().release);
+    fleet.release(plan("s2", ReleaseKind::Settings)).expect("it starts");
+    assert!(fleet.until(60_000, |fleet| fleet.state() == RolloutState::Done), "{:?}", fleet.record().release);
     assert!(fleet.servers.iter().all(|server| server.settings == "s2") && fleet.began.is_empty());
     // Valid, and starves saves: seen, halted, taken back.
-    fleet.release(plan("s-bad", Kind::Settings)).expect("it starts");
-    assert!(fleet.until(60_000, |fleet| matches!(fleet.state(), State::Undone(_))), "{:?}", fleet.state());
+    fleet.release(plan("s-bad", ReleaseKind::Settings)).expect("it starts");
+    assert!(
+        fleet.until(60_000, |fleet| matches!(fleet.state(), RolloutState::RolledBack(_))),
+        "{:?}",
+        fleet.state()
+    );
     assert!(fleet.servers.iter().all(|server| server.settings == "s2"));
     // One that no server can take.
-    fleet.release(plan("s-broken", Kind::Settings)).expect("it starts");
-    assert!(fleet.until(60_000, |fleet| matches!(fleet.state(), State::Undone(_))), "{:?}", fleet.state());
-    let State::Undone(why) = fleet.state() else { panic!("undone") };
+    fleet.release(plan("s-broken", ReleaseKind::Settings)).expect("it starts");
+    assert!(
+        fleet.until(60_000, |fleet| matches!(fleet.state(), RolloutState::RolledBack(_))),
+        "{:?}",
+        fleet.state()
+    );
+    let RolloutState::RolledBack(why) = fleet.state() else { panic!("undone") };
     assert_eq!(why, "n0: it can't be read");
 }
 
@@ -237,7 +260,7 @@
 fn a_halt_needs_no_majority_and_a_resume_names_its_halt() {
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 8);
-    fleet.release(plan("v2", Kind::Program)).expect("it starts");
+    fleet.release(plan("v2", ReleaseKind::Program)).expect("it starts");
     let half = |fleet: &Fleet| fleet.servers.iter().filter(|server| server.program == "v2").count() >= 4;
     assert!(fleet.until(60_000, half));
     fleet.order(6, fleet.halt("to v2")).expect("it is halted");
@@ -245,8 +268,13 @@
     let began = fleet.began.len();
     fleet.run(20_000);
     assert_eq!(fleet.began.len(), began, "it stands still");
-    let resume =
-        |halts| Order::Release(ReleaseOrder::Resume { name: "to v2".into(), halts, by: Arc::from("kaisa") });
+    let resume = |halts| {
+        OperatorCommand::Rollout(RolloutCommand::Resume {
+            name: "to v2".into(),
+            halts,
+            by: Arc::from("kaisa"),
+        })
+    };
     assert!(fleet.order(6, resume(0)).is_err(), "it names another halt");
     fleet.order(6, resume(1)).expect("it goes on");
     fleet.run(1_000);
@@ -263,7 +291,7 @@
     assert!(of_leader.is_empty());
     fleet.cut.clear();
     fleet.run(3_000);
-    fleet.promise(&most).unwrap();
+    fleet.latency_objective(&most).unwrap();
 }
 
 /// Hard case 8: `back` and `halt` from both ends of a cut, and a back by hand in the middle of a wave.
@@ -271,7 +299,7 @@
 fn back_by_hand_in_the_middle_of_a_wave() {
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 9);
-    fleet.release(plan("v2", Kind::Program)).expect("it starts");
+    fleet.release(plan("v2", ReleaseKind::Program)).expect("it starts");
     let some = |fleet: &Fleet| fleet.servers.iter().filter(|server| server.program == "v2").count() >= 3;
     assert!(fleet.until(60_000, some));
     // The one with the minority can't have anything agreed; the other one can.
@@ -284,15 +312,15 @@
     fleet.order(6, back).expect("it goes back");
     fleet.cut.clear();
     assert!(
-        fleet.until(120_000, |fleet| matches!(fleet.state(), State::Undone(_))),
+        fleet.until(120_000, |fleet| matches!(fleet.state(), RolloutState::RolledBack(_))),
         "{:?}",
         fleet.record().release
     );
     assert!(fleet.until(10_000, |fleet| all_have(fleet, "v1")));
-    let steps: Vec<&Step> =
+    let steps: Vec<&ServerProgress> =
         fleet.record().release.as_ref().unwrap().servers.values().map(|s| &s.step).collect();
-    assert!(steps.iter().all(|step| matches!(step, Step::Waits | Step::Back)));
-    fleet.promise(&most).unwrap();
+    assert!(steps.iter().all(|step| matches!(step, ServerProgress::Pending | ServerProgress::RolledBack)));
+    fleet.latency_objective(&most).unwrap();
 }
 
 /// Hard case 9: the whole council is killed in the middle of a release and comes back, one of three never: the release goes on.
@@ -300,7 +328,7 @@
 fn a_release_outlives_its_council() {
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 10);
-    fleet.release(plan("v2", Kind::Program)).expect("it starts");
+    fleet.release(plan("v2", ReleaseKind::Program)).expect("it starts");
     assert!(fleet.until(60_000, |fleet| fleet.began.len() >= 2));
     for n in 0..3 {
         fleet.kill(n);
@@ -313,12 +341,14 @@
     fleet.run(15_000);
     // The one that never comes back is struck from the roster, and its place is free.
     let by = Arc::from("kaisa");
-    fleet.order(5, Order::Strike { name: Arc::from("n1"), by, why: "burnt".into() }).expect("it is struck");
+    fleet
+        .order(5, OperatorCommand::RemoveServer { name: Arc::from("n1"), by, why: "burnt".into() })
+        .expect("it is struck");
     let rest = |fleet: &Fleet| {
         fleet.servers.iter().enumerate().all(|(n, server)| n == 1 || server.ready && server.program == "v2")
     };
     assert!(fleet.until(200_000, rest), "{:?} {:?}", fleet.record().release, fleet.notes);
-    fleet.promise(&most).unwrap();
+    fleet.latency_objective(&most).unwrap();
 }
 
 /// Drawn faults while all want out and a release goes: kills, stops, cuts, loss. The promise by those who see the truth, and
@@ -331,7 +361,7 @@
         let most = limits(2, 1);
         let mut fleet = Fleet::new(9, 3, most.clone(), seed);
         fleet.loss = fleet.draw(15) as f64 / 100.0;
-        let _ = fleet.release(plan("v2", Kind::Program));
+        let _ = fleet.release(plan("v2", ReleaseKind::Program));
         for _ in 0..20 {
             let n = fleet.draw(9) as usize;
             match fleet.draw(7) {
@@ -357,29 +387,33 @@
             fleet.servers[n].stopped = false;
             fleet.revive(n);
         }
-        fleet.promise(&most).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
+        fleet.latency_objective(&most).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
         fleet.run(20_000);
         // A release that was halted or went back for the faults is put through by hand.
         for _ in 0..4 {
             if fleet.record().release.is_none() {
-                let _ = fleet.release(plan("v2", Kind::Program));
+                let _ = fleet.release(plan("v2", ReleaseKind::Program));
             }
             let halts = fleet.record().release.as_ref().map_or(0, |release| release.halts);
-            if matches!(fleet.record().release.as_ref().map(|r| &r.state), Some(State::Halted(_))) {
+            if matches!(fleet.record().release.as_ref().map(|r| &r.state), Some(RolloutState::Halted(_))) {
                 let by = Arc::from("kaisa");
-                let resume = ReleaseOrder::Resume { name: "to v2".into(), halts, by };
-                let _ = fleet.order(5, Order::Release(resume));
+                let resume = RolloutCommand::Resume { name: "to v2".into(), halts, by };
+                let _ = fleet.order(5, OperatorCommand::Rollout(resume));
             }
             fleet.run(40_000);
         }
         let state = fleet.state();
-        assert!(matches!(state, State::Done | State::Undone(_)), "seed {seed}: {state:?} {:?}", fleet.notes);
+        assert!(
+            matches!(state, RolloutState::Done | RolloutState::RolledBack(_)),
+            "seed {seed}: {state:?} {:?}",
+            fleet.notes
+        );
         assert!(
             fleet.until(30_000, |fleet| fleet.record().permits.is_empty()),
             "seed {seed}: {:?}",
             fleet.record()
         );
-        fleet.promise(&most).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
+        fleet.latency_objective(&most).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
     }
 }
 
@@ -399,5 +433,5 @@
     };
     let outcome = play(&day);
     assert_eq!(outcome.broken, None);
-    assert_eq!(outcome.state, State::Done, "{outcome:?}");
+    assert_eq!(outcome.state, RolloutState::Done, "{outcome:?}");
 }
--- a/crates/node/src/admin/agreements.rs
+++ b/crates/node/src/admin/agreements.rs
@@ -10,53 +10,58 @@
 //! ```
 
 use super::http::Response;
-use gradepin_core::admin::FleetAnswer;
-use gradepin_releases::record::{Limits, Purpose, Stage, Target};
-use gradepin_releases::release::{Release, Step};
-use gradepin_releases::server_agent::{Became, Status};
+use gradepin_coordination::replicated_state::{Limits, PermitStage, Purpose, Target};
+use gradepin_coordination::rollout::{Rollout, ServerProgress};
+use gradepin_coordination::server_agent::{AgentStatus, CommandStatus};
+use gradepin_core::admin::AgreementResponse;
 use serde_json::{Value, json};
 
 /// The response to a call about the fleet's agreements.
-pub fn response(answer: &FleetAnswer) -> Response {
+pub fn response(answer: &AgreementResponse) -> Response {
     let said = |said: &Result<String, String>| match said {
         Ok(text) => Response::text(200, format!("{text}\n")),
         Err(why) => Response::text(409, format!("{why}\n")),
     };
     match answer {
-        FleetAnswer::Off => Response::text(404, "this server takes no part in what a fleet agrees on\n"),
-        FleetAnswer::Status(status) => {
+        AgreementResponse::Off => {
+            Response::text(404, "this server takes no part in what a fleet agrees on\n")
+        }
+        AgreementResponse::Status(status) => {
             let mut response = Response::text(200, format!("{}\n", value(status)));
             response.content_type = "application/json";
             response
         }
-        FleetAnswer::Ticket(ticket) => Response::text(202, format!("{ticket}\n")),
-        FleetAnswer::Became(Became::Pending) => Response::text(202, "under way\n"),
-        FleetAnswer::Became(Became::Unknown) => {
+        AgreementResponse::Ticket(ticket) => Response::text(202, format!("{ticket}\n")),
+        AgreementResponse::CommandStatus(CommandStatus::Pending) => Response::text(202, "under way\n"),
+        AgreementResponse::CommandStatus(CommandStatus::Unknown) => {
             Response::text(404, "no order of this ticket is known here\n")
         }
-        FleetAnswer::Became(Became::Over(answer)) | FleetAnswer::Said(answer) => said(answer),
-        FleetAnswer::Wanted(Some(version)) => Response::text(200, format!("{version}\n")),
-        FleetAnswer::Wanted(None) => Response::text(404, "no release says which version it shall have\n"),
+        AgreementResponse::CommandStatus(CommandStatus::Finished(answer))
+        | AgreementResponse::Completed(answer) => said(answer),
+        AgreementResponse::TargetVersion(Some(version)) => Response::text(200, format!("{version}\n")),
+        AgreementResponse::TargetVersion(None) => {
+            Response::text(404, "no release says which version it shall have\n")
+        }
     }
 }
 
-fn stage(stage: &Stage) -> &'static str {
+fn stage(stage: &PermitStage) -> &'static str {
     match stage {
-        Stage::Reserved => "reserved",
-        Stage::Begun => "begun",
-        Stage::Freed => "freed",
+        PermitStage::Reserved => "reserved",
+        PermitStage::Begun => "begun",
+        PermitStage::Released => "freed",
     }
 }
 
-fn step(step: &Step) -> String {
+fn step(step: &ServerProgress) -> String {
     match step {
-        Step::Waits => "waits".into(),
-        Step::Changes => "changes".into(),
-        Step::New => "new".into(),
-        Step::Failed(why) => format!("failed: {why}"),
-        Step::GoesBack => "goes back".into(),
-        Step::Back => "back".into(),
-        Step::Stuck(why) => format!("can't go back: {why}"),
+        ServerProgress::Pending => "waits".into(),
+        ServerProgress::Updating => "changes".into(),
+        ServerProgress::Updated => "new".into(),
+        ServerProgress::Failed(why) => format!("failed: {why}"),
+        ServerProgress::RollingBack => "goes back".into(),
+        ServerProgress::RolledBack => "back".into(),
+        ServerProgress::RollbackFailed(why) => format!("can't go back: {why}"),
     }
 }
 
@@ -64,7 +69,7 @@
     json!({"fleet": limits.fleet, "zone": limits.zone, "zones": limits.zones, "services": limits.services})
 }
 
-fn release(release: &Release) -> Value {
+fn release(release: &Rollout) -> Value {
     json!({
         "name": release.plan.name, "number": release.number, "version": release.plan.version, "by": &*release.by,
         "state": release.state.to_string(), "open": release.is_open(), "wave": release.wave,
@@ -72,7 +77,7 @@
     })
 }
 
-fn value(status: &Status) -> Value {
+fn value(status: &AgentStatus) -> Value {
     let mut value = json!({
         "leader": status.leader.as_deref(), "voter": status.voter, "lost": status.lost, "unsure": status.unsure,
     });
--- a/crates/node/src/fronts/pace.rs
+++ b/crates/node/src/frontend/pace.rs
@@ -1,6 +1,6 @@
 //! How fast one connection may send.
 
-use gradepin_core::messages::Answer;
+use gradepin_core::messages::Response;
 use std::time::{Duration, Instant};
 
 /// Points that a connection may spend a second, and at once. A request that is served costs one for its reading
@@ -21,11 +21,11 @@
 
 impl Worth {
     /// What an answer says of its request.
-    pub fn of(answer: &Answer) -> Self {
+    pub fn of(answer: &Response) -> Self {
         match answer {
-            Answer::Served(_) | Answer::Health(..) => Self::Served,
-            Answer::Refused { .. } | Answer::Failed { .. } | Answer::Unknown => Self::Lost,
-            Answer::Invalid(..) => Self::Nonsense,
+            Response::Served(_) | Response::Health(..) => Self::Served,
+            Response::Rejected { .. } | Response::Failed { .. } | Response::OutcomeUnknown => Self::Lost,
+            Response::Invalid(..) => Self::Nonsense,
         }
     }
 
@@ -79,8 +79,9 @@
     /// Guards against nonsense at full speed, and against a pace that holds back a busy client proxy.
     #[test]
     fn nonsense_is_slowed_down_and_use_is_not() {
-        let (nonsense, lost, served) =
-            [Worth::Nonsense, Worth::Lost, Worth::Served].map(|worth| through(1 + worth.cost())).into();
+        let (nonsense, lost, served) = [Worth::Nonsense, Worth::Lost, Worth::Served]
+            .map(|priority_weight| through(1 + priority_weight.cost()))
+            .into();
         assert!(nonsense < 50 && lost < 250 && served > 900, "{nonsense} {lost} {served}");
     }
 }
--- a/crates/node/src/fronts/reader/tests.rs
+++ b/crates/node/src/frontend/reader/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::fronts::thrift::Thrift;
-use crate::settings::Live;
+use crate::frontend::thrift::Thrift;
+use crate::settings::ActiveSettings;
 use crossbeam_channel::{Receiver, unbounded};
-use gradepin_core::pool::Pool;
+use gradepin_core::buffer_pool::BufferPool;
 use rustix::net::{SendFlags, send};
 use slog::Logger;
 use std::io::{Read, Write};
@@ -15,13 +15,13 @@
     let address = listener.local_addr().unwrap();
     let listener = if shared { Listener::Shared(listener) } else { Listener::Tcp(listener) };
     let (inputs, came) = unbounded();
-    let front: Arc<dyn Front> = Arc::new(Thrift::new(Live::new(&Default::default())));
+    let front: Arc<dyn Protocol> = Arc::new(Thrift::new(ActiveSettings::new(&Default::default())));
     let log = Logger::root(slog::Discard, slog::o!());
     let shared = Shared {
         handles: Arc::default(),
         accepting: Arc::new(AtomicBool::new(true)),
         inputs,
-        pool: Pool::new(4),
+        pool: BufferPool::new(4),
         log,
     };
     (Reader::new(vec![(front, listener)], most, shared).unwrap(), address, came)
@@ -37,9 +37,9 @@
         reader.shared.accepting.store(false, Ordering::SeqCst);
         reader.accept();
         let inputs: Vec<Input> = came.try_iter().collect();
-        let opened = inputs.iter().filter(|input| matches!(input, Input::Opened(_))).count();
+        let opened = inputs.iter().filter(|input| matches!(input, Input::ConnectionOpened(_))).count();
         assert_eq!(opened, if shared { 0 } else { 40 });
-        assert!(matches!(inputs.last(), Some(Input::NotAccepting)), "{inputs:?}");
+        assert!(matches!(inputs.last(), Some(Input::StoppedAccepting)), "{inputs:?}");
         assert!(TcpStream::connect(address).is_err(), "nobody listens any more");
         reader.accept();
         assert!(came.is_empty(), "it is told once");
@@ -51,17 +51,17 @@
 fn past_its_places_it_accepts_the_spare_ones_and_a_lingering_peer_gives_way() {
     let (mut reader, address, came) = reader(4, false);
     let _peers: Vec<TcpStream> =
-        (0..4 + SPARE_PLACES + 3).map(|_| TcpStream::connect(address).unwrap()).collect();
+        (0..4 + RESERVED_CONNECTIONS + 3).map(|_| TcpStream::connect(address).unwrap()).collect();
     reader.accept();
-    assert_eq!(came.try_iter().count(), 4 + SPARE_PLACES);
-    let conn = |n: ConnId| Arc::clone(&reader.readings[&n].socket);
+    assert_eq!(came.try_iter().count(), 4 + RESERVED_CONNECTIONS);
+    let conn = |n: ConnectionId| Arc::clone(&reader.readings[&n].socket);
     conn(2).close();
     let lingering = conn(2);
     assert!(lingering.lingers_since().is_some());
     drop(lingering);
     reader.accept();
     let inputs: Vec<Input> = came.try_iter().collect();
-    assert!(matches!(inputs[..], [Input::Closed(2), Input::Opened(_)]), "{inputs:?}");
+    assert!(matches!(inputs[..], [Input::ConnectionClosed(2), Input::ConnectionOpened(_)]), "{inputs:?}");
 }
 
 /// A health check as a client proxy frames it.
@@ -112,7 +112,7 @@
 
 fn health_checks(came: &Receiver<Input>) -> Vec<i32> {
     came.try_iter()
-        .filter_map(|input| if let Input::Health(_, seq) = input { Some(seq) } else { None })
+        .filter_map(|input| if let Input::HealthCheck(_, seq) = input { Some(seq) } else { None })
         .collect()
 }
 
@@ -181,5 +181,5 @@
     reader.doors[0].accepts = false;
     reader.tick(Instant::now());
     reader.accept();
-    assert!(matches!(came.try_recv(), Ok(Input::Opened(_))));
+    assert!(matches!(came.try_recv(), Ok(Input::ConnectionOpened(_))));
 }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peer_datagrams.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::Clock;
 use crossbeam_channel::{Sender, TrySendError};
-use gradepin_cluster::authentication::{DropReason, Keys, MAX_DATAGRAM_BYTES};
+use gradepin_cluster::authentication::{AuthenticationKeys, DropReason, MAX_DATAGRAM_BYTES};
 use gradepin_cluster::cluster::Envelope;
 use gradepin_cluster::rate_limit::RateLimiter;
 use gradepin_core::messages::Input;
@@ -23,15 +23,15 @@
 
 /// The fleet's socket.
 #[derive(Debug)]
-pub struct Peers {
+pub struct PeerDatagrams {
     socket: UdpSocket,
     log: Logger,
 }
 
 /// Keys that the socket's thread goes by; a reload changes them.
-pub type SharedKeys = Arc<RwLock<Keys>>;
+pub type SharedKeys = Arc<RwLock<AuthenticationKeys>>;
 
-impl Peers {
+impl PeerDatagrams {
     /// Reads the socket, and hands in what has a good tag. The queue of `inputs` is the fleet's own: what finds no room there is
     /// dropped, so that no flood of datagrams holds back anything else.
     pub fn start(
@@ -57,7 +57,7 @@
     }
 }
 
-fn receive(socket: &UdpSocket, keys: &RwLock<Keys>, inputs: &Sender<Input>, clock: Clock) {
+fn receive(socket: &UdpSocket, keys: &RwLock<AuthenticationKeys>, inputs: &Sender<Input>, clock: Clock) {
     // One byte more than a datagram may have, so that a longer one isn't taken for a whole one.
     let mut buffer = [0_u8; MAX_DATAGRAM_BYTES + 1];
     let mut limiter = RateLimiter::default();
@@ -78,7 +78,7 @@
             }
         };
         let result = match envelope {
-            Some(Ok(envelope)) => match inputs.try_send(Input::Envelope(Box::new(envelope))) {
+            Some(Ok(envelope)) => match inputs.try_send(Input::PeerDatagram(Box::new(envelope))) {
                 Ok(()) => Ok(()),
                 Err(TrySendError::Full(_)) => Err(DropReason::RateLimited),
                 Err(TrySendError::Disconnected(_)) => return,
@@ -91,7 +91,7 @@
         }
         if !dropped.is_empty() && told.elapsed() >= TELL {
             let figures: Vec<(DropReason, u64)> = dropped.iter().map(|(why, times)| (*why, *times)).collect();
-            if inputs.try_send(Input::EnvelopesDropped(figures)).is_ok() {
+            if inputs.try_send(Input::PeerDatagramsDropped(figures)).is_ok() {
                 dropped.clear();
                 told = Instant::now();
             }
