--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -1,43 +1,43 @@
 //! Joins the parts: the one thread that owns the reducer, and carries out what it asks for.
 
 use crate::admin::Admin;
-use crate::change::Stage;
 use crate::claims::{Claims, Place};
 use crate::clock::Clock;
 use crate::configuration_service::{self, ConfigurationService, ConfigurationStartError};
 use crate::control::Control;
-use crate::council::CouncilFolder;
 use crate::descriptors;
 pub use crate::fleet_start::fleet_settings;
 use crate::fleet_start::part_settings;
-use crate::fronts::scgi::Scgi;
-use crate::fronts::scgi::routes::{BadRoute, Routes};
-use crate::fronts::thrift::Thrift;
-use crate::fronts::{Front, Fronts, Listener};
-use crate::handed::{self, Handed, HandedError};
-use crate::held::Held;
-use crate::peers::{Peers, SharedKeys};
+use crate::frontend::scgi::Scgi;
+use crate::frontend::scgi::routes::{BadRoute, Routes};
+use crate::frontend::thrift::Thrift;
+use crate::frontend::{Frontend, Listener, Protocol};
+use crate::inherited_listener::{self, InheritedListener, InheritedListenerError};
+use crate::peer_datagrams::{PeerDatagrams, SharedKeys};
+use crate::predecessor_wait::PredecessorWait;
 use crate::processor::Processor;
 use crate::registry::Registry;
-use crate::reload::{Parties, Reloads};
+use crate::reload::{ConfigReloader, ReloadTargets};
 use crate::settings::cluster::{self, KeysError};
-use crate::settings::{Live, Own};
-use crate::shared_ledger::SharedLedger;
+use crate::settings::{ActiveSettings, OperatorSettings};
 use crate::signals::Signals;
+use crate::staging::StagingArea;
 use crate::store::{self, Store};
+use crate::upstream_client::UpstreamClient;
+use crate::voter_storage::VoterStorage;
 use crossbeam_channel::{Sender, bounded, never, select};
-use gradepin_cluster::authentication::Keys;
+use gradepin_admission::{Outcome, Settings, Span, UpstreamKind};
+use gradepin_cluster::authentication::AuthenticationKeys;
 use gradepin_cluster::cluster::Cluster;
 use gradepin_cluster::peer::MAX_NAME_BYTES;
+use gradepin_coordination::server_agent::ServerAgent;
+use gradepin_core::buffer_pool::{BUFFER_BYTES, BufferPool};
 use gradepin_core::config::{Config, ConfigError};
-use gradepin_core::ledger::Ledger;
+use gradepin_core::idempotency_log::IdempotencyLog;
 use gradepin_core::messages::{Effect, Input};
-use gradepin_core::pool::{Pool, SIZE};
 use gradepin_core::reducer::{Reducer, cell_names};
 use gradepin_core::registration::Registration;
-use gradepin_decisions::{Below, Outcome, Settings, Span};
 use gradepin_registry::membership::Membership;
-use gradepin_releases::server_agent::ServerAgent;
 use signal_hook::consts::{SIGHUP, SIGTERM, SIGUSR1, SIGUSR2, SIGXFSZ};
 use slog::{Level, Logger, error, info, warn};
 use std::hash::{BuildHasher, Hasher, RandomState};
@@ -87,7 +87,7 @@
     Configuration(#[from] ConfigurationStartError),
     /// What was handed over can't be used.
     #[error(transparent)]
-    Handed(#[from] HandedError),
+    Handed(#[from] InheritedListenerError),
     /// The system denies something.
     #[error("{what}: {why}")]
     System {
@@ -129,9 +129,9 @@
 /// Serves until the process is told to leave and its time is up.
 pub fn serve(
     mut config: Config,
-    own: Own,
+    own: OperatorSettings,
     files: Files,
-    handed: Handed,
+    handed: InheritedListener,
     signals: Signals,
     log: &Logger,
 ) -> Result<(), StartError> {
@@ -151,7 +151,7 @@
     let councils = own.council.as_ref().filter(|_| handed.accept_fd.is_none() && own.cluster.is_some());
     let councils = councils.and_then(|set| set.folder.as_deref());
     let configurations = service_set.and_then(|set| set.folder.as_deref());
-    if !Held::new(&signals, log).folders_are_free(councils.into_iter().chain(configurations)) {
+    if !PredecessorWait::new(&signals, log).folders_are_free(councils.into_iter().chain(configurations)) {
         return Ok(());
     }
     let service = service_set
@@ -164,7 +164,7 @@
     let (rest, classes, tenants) = std::mem::take(&mut config.settings).split();
     config.settings = rest;
     let settings = Arc::new(config.settings.clone());
-    let live = Live::of(&classes, &tenants);
+    let live = ActiveSettings::of(&classes, &tenants);
     let clock = Clock::start();
     let seed = config.seed()?;
     let membership = own.registry.as_ref().map(|set| set.membership(&config));
@@ -175,9 +175,9 @@
     if handed.accept_fd.is_some() {
         reducer = reducer.sharing_listener();
     }
-    let pool = Pool::new(POOL.min(config.memory(POOL_PART) / SIZE));
+    let pool = BufferPool::new(POOL.min(config.memory(POOL_PART) / BUFFER_BYTES));
     if let Some(set) = &own.store {
-        reducer = reducer.with_store(Ledger::opening(set.patience), Arc::clone(&pool));
+        reducer = reducer.with_store(IdempotencyLog::opening(set.patience), Arc::clone(&pool));
     }
     let (inputs, queue) = bounded(QUEUE);
     let (urgently, urgent) = bounded(URGENT);
@@ -195,7 +195,7 @@
     }
     // Before the clients' addresses, which the process before this one gives up first: whoever connects there is served at
     // once.
-    let held = Held::new(&signals, log);
+    let held = PredecessorWait::new(&signals, log);
     let door = match config.admin_addr {
         Some(address) => {
             match held.taken(&format!("the operators' door on {address}"), || TcpListener::bind(address))? {
@@ -220,10 +220,10 @@
         None => None,
     };
     let mut control = Control::new(&config.name, config.listen, config.control).map_err(failed("control"))?;
-    let thrift: Arc<dyn Front> = Arc::new(Thrift::new(live.clone()));
+    let thrift: Arc<dyn Protocol> = Arc::new(Thrift::new(live.clone()));
     let listener = match handed.accept_fd {
         // The platform holds it, and the process before this one may still accept on it.
-        Some(fd) => Listener::Shared(handed::listener(fd)?),
+        Some(fd) => Listener::Shared(inherited_listener::listener(fd)?),
         None => match held.tcp(config.listen)? {
             Some(listener) => listener,
             None => return Ok(()),
@@ -237,25 +237,25 @@
     if let (Some(front), Some(set)) = (&scgi, &own.scgi) {
         for &address in &set.listen {
             let Some(listener) = held.tcp(address)? else { return Ok(()) };
-            listeners.push((Arc::clone(front) as Arc<dyn Front>, listener));
+            listeners.push((Arc::clone(front) as Arc<dyn Protocol>, listener));
         }
         for path in &set.unix {
             let what = format!("listening on {}", path.display());
             let Some(listener) = held.taken(&what, || Listener::unix(path))? else { return Ok(()) };
-            listeners.push((Arc::clone(front) as Arc<dyn Front>, listener));
+            listeners.push((Arc::clone(front) as Arc<dyn Protocol>, listener));
         }
     }
     let (letters_in, letters) = bounded(LETTERS);
     let agrees = own.council.as_ref().filter(|_| fleet.is_some());
     let stage = agrees.and_then(|set| set.stage.clone().map(|folder| (folder, set.replace.clone())));
     let stage = stage.map(|(folder, replace)| {
-        Stage::new(folder, files.config.clone(), replace, config.name.clone()).map(Arc::new)
+        StagingArea::new(folder, files.config.clone(), replace, config.name.clone()).map(Arc::new)
     });
     let stage = stage.transpose().map_err(failed("the folder of staged settings"))?;
     let council = agrees.and_then(|set| set.folder.clone()).map(|folder| {
         // The system's own randomness: an identity never comes again.
         let fresh = RandomState::new().build_hasher().finish() | 1;
-        CouncilFolder::start(folder, fresh, urgently.clone())
+        VoterStorage::start(folder, fresh, urgently.clone())
     });
     let council = council.transpose().map_err(failed("the council's folder"))?;
     if let Some(set) = agrees.filter(|set| set.folder.is_none())
@@ -287,7 +287,7 @@
                     reducer = reducer.with_configuration(start, clock.read().now);
                 }
             }
-            let peers = Peers::start(socket, Arc::clone(keys), letters_in, clock, log.clone());
+            let peers = PeerDatagrams::start(socket, Arc::clone(keys), letters_in, clock, log.clone());
             Some(peers.map_err(failed("the fleet's thread"))?)
         }
         _ => None,
@@ -296,8 +296,8 @@
     let writer = writer.map_err(failed("the writer of the configuration"))?.flatten();
     let letters = if peers.is_some() { letters } else { never() };
     let (reloaded, is_reloaded) = bounded(1);
-    let parties = Parties { files, scgi, keys, live: live.clone(), inputs: urgently.clone() };
-    let reloads = Reloads::start(parties, is_reloaded).map_err(failed("reloads"))?;
+    let parties = ReloadTargets { files, scgi, keys, live: live.clone(), inputs: urgently.clone() };
+    let reloads = ConfigReloader::start(parties, is_reloaded).map_err(failed("reloads"))?;
     watch_signals(signals, reloads.clone(), urgently.clone()).map_err(failed("signals"))?;
     let (mut arrived, mut effects): (Vec<Input>, Vec<Effect>) = (Vec::new(), Vec::new());
     let store = own.store.as_ref().zip(store_limits).map(|(set, limits)| {
@@ -310,20 +310,20 @@
     }
     let admin = door.map(|door| Admin::start(door, urgently.clone(), stage.clone(), log.clone()));
     let admin = admin.transpose().map_err(failed("the operators' door"))?;
-    let fronts = Fronts::listen(listeners, config.connections(), inputs, Arc::clone(&pool), log.clone());
+    let fronts = Frontend::listen(listeners, config.connections(), inputs, Arc::clone(&pool), log.clone());
     let fronts = fronts.map_err(failed("reading"))?;
     let registry = own.registry.as_ref().map(|set| Registry::start(set, &id, &urgently, log));
     let registry = registry.transpose().map_err(failed("registry"))?;
     let (calls_end, buffers) = (urgently.clone(), Arc::clone(&pool));
     let calls_to = |address, most| {
-        SharedLedger::start(address, most, calls_end.clone(), Arc::clone(&buffers), log.clone())
+        UpstreamClient::start(address, most, calls_end.clone(), Arc::clone(&buffers), log.clone())
     };
-    let ledger = config.ledger.filter(|_| settings.specifics.below == Below::Shared);
+    let ledger = config.ledger.filter(|_| settings.specifics.below == UpstreamKind::Shared);
     let ledger = ledger.map(|address| calls_to(address, config.calls()).map_err(failed("ledger")));
     let mut ledger = ledger.transpose()?;
     let changes = urgently.clone();
     if let Some(stage) = &stage {
-        arrived.push(Input::SettingsAre(None, stage.staged()));
+        arrived.push(Input::StagedSettingsChanged(None, stage.staged()));
     }
     let processor = Processor::connect(config.processor, urgently, pool, log.clone());
     let processor = processor.map_err(failed("processor"))?;
@@ -333,27 +333,32 @@
         reducer.step(clock.read(), arrived.drain(..), &mut effects);
         for effect in effects.drain(..) {
             match effect {
-                Effect::Answer(conn, seq, answer, hint) => fronts.answer(conn, seq, &answer, hint),
-                Effect::Draining(conn) => fronts.draining(conn),
+                Effect::Respond(conn, seq, answer, hint) => fronts.answer(conn, seq, &answer, hint),
+                Effect::RequestDrain(conn) => fronts.draining(conn),
                 Effect::StopAccepting => fronts.stop_accepting(),
-                Effect::Close(conn) => fronts.close(conn),
-                Effect::CloseResting(conn, taken) => fronts.close_resting(conn, taken),
-                Effect::CloseLate(conn, taken) => fronts.close_late(conn, taken),
-                Effect::Begin(link, id, class, body) => {
+                Effect::CloseConnection(conn) => fronts.close(conn),
+                Effect::CloseIdleConnection(conn, taken) => fronts.close_resting(conn, taken),
+                Effect::CloseLateConnection(conn, taken) => fronts.close_late(conn, taken),
+                Effect::StartRun(link, id, class, body) => {
                     processor.begin(link, &id, &class.profile.name, &body);
                 }
-                Effect::Usage(link, tag) => processor.usage(link, tag),
-                Effect::Call(id, number, body, limit, leaves) => {
+                Effect::ReadGauges(link, tag) => processor.usage(link, tag),
+                Effect::CallUpstream(id, number, body, limit, leaves) => {
                     let leaves = leaves.map(|at| clock.instant(at));
                     let ended = match &ledger {
                         Some(ledger) => ledger.call((id, number), &body, limit, leaves).err(),
                         // Nobody would tell its end, and the run would wait for that until its caller gives up.
-                        None => Some(Input::Called { id, number, outcome: Outcome::DialFailed, reply: None }),
+                        None => Some(Input::UpstreamCallEnded {
+                            id,
+                            number,
+                            outcome: Outcome::ConnectFailed,
+                            reply: None,
+                        }),
                     };
                     // In its own queue: this thread must not wait for itself.
                     arrived.extend(ended);
                 }
-                Effect::Peer(to, datagram) => {
+                Effect::SendPeerDatagram(to, datagram) => {
                     if let Some(peers) = &peers {
                         peers.send(to, &datagram);
                     }
@@ -363,12 +368,12 @@
                         writer.hand_in(save.state, save.commit);
                     }
                 }
-                Effect::Council(generation, number, records) => {
+                Effect::WriteVoterState(generation, number, records) => {
                     if let Some((folder, _)) = &council {
                         folder.write(generation, number, records);
                     }
                 }
-                Effect::Change(turn, until) => {
+                Effect::StartRolloutStep(turn, until) => {
                     let release = turn.release;
                     let changed = match &stage {
                         Some(stage) => stage
@@ -377,54 +382,54 @@
                         None => Err("the settings name no stage".to_string()),
                     };
                     // In its own queue: this thread must not wait for itself.
-                    arrived.extend(changed.err().map(|why| Input::ChangeFailed(release, why)));
+                    arrived.extend(changed.err().map(|why| Input::RolloutStepFailed(release, why)));
                 }
-                Effect::Reply(link, id, reply) => processor.answer(link, &id, &reply),
-                Effect::Interrupt(link, id) => processor.interrupt(link, &id),
-                Effect::Renew(link) => processor.renew(link),
-                Effect::Processor(address) => processor.retarget(address),
-                Effect::Control(address) => control.retarget(address),
-                Effect::Ledger(address) => match &ledger {
+                Effect::DeliverUpstreamReply(link, id, reply) => processor.answer(link, &id, &reply),
+                Effect::StopRun(link, id) => processor.interrupt(link, &id),
+                Effect::ReconnectProcessor(link) => processor.renew(link),
+                Effect::SetProcessorAddress(address) => processor.retarget(address),
+                Effect::SetControlAddress(address) => control.retarget(address),
+                Effect::SetUpstreamAddress(address) => match &ledger {
                     Some(ledger) => ledger.retarget(address),
                     None => match calls_to(address, LATE_CALLS) {
                         Ok(started) => ledger = Some(started),
                         Err(e) => error!(log, "no calls can be made to the ledger"; "error" => %e),
                     },
                 },
-                Effect::Report(ready) => {
+                Effect::ReportReadiness(ready) => {
                     if let Err(e) = control.report(ready) {
                         info!(log, "a report could not be sent"; "error" => %e);
                     }
                 }
-                Effect::Registry(ask) => {
+                Effect::AskRegistry(ask) => {
                     if let Some(registry) = &registry {
                         registry.ask(ask);
                     }
                 }
-                Effect::Persist(number, batch) => {
+                Effect::PersistRecords(number, batch) => {
                     if let Some(store) = &store {
                         store.persist(number, batch);
                     }
                 }
-                Effect::Retell => processor.retell(),
-                Effect::Claim(id, token, print, patience) => {
+                Effect::ReplayNotices => processor.retell(),
+                Effect::ClaimRun(id, token, print, patience) => {
                     if let Some(claims) = &claims {
                         claims.claim(id, token, print, patience);
                     }
                 }
-                Effect::ClaimEnded(token, print, end) => {
+                Effect::ReleaseClaim(token, print, end) => {
                     if let Some(claims) = &claims {
                         claims.ended(token, print, end);
                     }
                 }
-                Effect::Names { edition, changes } => live.publish(edition, changes),
-                Effect::LongestWindow(window) => {
+                Effect::UpdateNames { edition, changes } => live.publish(edition, changes),
+                Effect::SetLongestWindow(window) => {
                     if let Some(claims) = &claims {
                         claims.window(window);
                     }
                 }
-                Effect::Reloaded => drop(reloaded.try_send(())),
-                Effect::Admin(id, answer) => {
+                Effect::ReloadFinished => drop(reloaded.try_send(())),
+                Effect::AnswerAdmin(id, answer) => {
                     if let Some(admin) = &admin {
                         admin.answer(id, answer);
                     }
@@ -464,7 +469,11 @@
 
 /// SIGTERM becomes the notice to leave, SIGUSR1 an operator's order to go out of service and then leave, SIGUSR2 the
 /// order to come back from that. SIGHUP has the configuration read again.
-fn watch_signals(mut signals: Signals, reloads: Reloads, inputs: Sender<Input>) -> std::io::Result<()> {
+fn watch_signals(
+    mut signals: Signals,
+    reloads: ConfigReloader,
+    inputs: Sender<Input>,
+) -> std::io::Result<()> {
     let watch = move || {
         while let Ok(came) = signals.wait() {
             for signal in came {
@@ -473,9 +482,9 @@
                         reloads.files();
                         continue;
                     }
-                    SIGUSR1 => Input::TakeOut,
-                    SIGUSR2 => Input::TakeIn,
-                    _ => Input::Terminate,
+                    SIGUSR1 => Input::TakeOutOfService,
+                    SIGUSR2 => Input::ReturnToService,
+                    _ => Input::ShutdownNotice,
                 };
                 if inputs.send(input).is_err() {
                     return;
@@ -486,6 +495,6 @@
     thread::Builder::new().name("signals".into()).stack_size(SIGNAL_STACK).spawn(watch).map(drop)
 }
 
-fn read(keys: &SharedKeys) -> Keys {
+fn read(keys: &SharedKeys) -> AuthenticationKeys {
     keys.read().unwrap_or_else(PoisonError::into_inner).clone()
 }
--- a/crates/node/src/shared_ledger.rs
+++ b/crates/node/src/upstream_client.rs
@@ -11,9 +11,9 @@
 //! | a connection that broke during the call | `Dropped` |
 
 use crossbeam_channel::{Receiver, Sender, bounded};
-use gradepin_core::messages::{CallNumber, Input};
-use gradepin_core::pool::{Buffer, Pool, SIZE};
-use gradepin_decisions::{Outcome, RequestId, Span};
+use gradepin_admission::{Outcome, RequestId, Span};
+use gradepin_core::buffer_pool::{BUFFER_BYTES, Buffer, BufferPool};
+use gradepin_core::messages::{Input, UpstreamCallId};
 use slog::{Logger, warn};
 use std::io;
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
 /// A call as the threads take it.
 struct Call {
     id: RequestId,
-    number: CallNumber,
+    number: UpstreamCallId,
     body: Arc<Vec<u8>>,
     limit: Duration,
     until: Instant,
@@ -44,7 +44,7 @@
 }
 
 /// The calls to the ledger that all servers share.
-pub struct SharedLedger {
+pub struct UpstreamClient {
     calls: Sender<Call>,
     url: Arc<RwLock<Arc<str>>>,
     log: Logger,
@@ -54,13 +54,13 @@
     Arc::from(format!("http://{address}/post"))
 }
 
-impl SharedLedger {
+impl UpstreamClient {
     /// Calls this address from now on, so many calls at a time with a thread each, and tells how each ended.
     pub fn start(
         address: SocketAddr,
         most: usize,
         inputs: Sender<Input>,
-        pool: Arc<Pool>,
+        pool: Arc<BufferPool>,
         log: Logger,
     ) -> io::Result<Self> {
         let config = Agent::config_builder()
@@ -92,7 +92,7 @@
     /// `leaves` is the time after which it must not leave here any more: a lease that it goes by is over then.
     pub fn call(
         &self,
-        (id, number): (RequestId, CallNumber),
+        (id, number): (RequestId, UpstreamCallId),
         body: &[u8],
         limit: Span,
         leaves: Option<Instant>,
@@ -103,7 +103,7 @@
         self.calls.try_send(call).map_err(|unsent| {
             warn!(self.log, "a call to the ledger found no room; it is turned away unmade");
             let Call { id, number, .. } = unsent.into_inner();
-            Input::Called { id, number, outcome: Outcome::Shed, reply: None }
+            Input::UpstreamCallEnded { id, number, outcome: Outcome::Rejected, reply: None }
         })
     }
 }
@@ -113,18 +113,21 @@
     url: &RwLock<Arc<str>>,
     queue: &Receiver<Call>,
     inputs: &Sender<Input>,
-    pool: &Arc<Pool>,
+    pool: &Arc<BufferPool>,
 ) {
     for call in queue {
         let url = Arc::clone(&url.read().unwrap_or_else(PoisonError::into_inner));
         let (outcome, reply) = match call.until.checked_duration_since(Instant::now()) {
             // Its time ran out while it waited here: it never left.
-            None => (Outcome::Shed, None),
+            None => (Outcome::Rejected, None),
             // The last look at the clock: this thread may have been stopped since the call was decided.
-            Some(_) if call.leaves.is_some_and(|leaves| Instant::now() >= leaves) => (Outcome::Shed, None),
+            Some(_) if call.leaves.is_some_and(|leaves| Instant::now() >= leaves) => {
+                (Outcome::Rejected, None)
+            }
             Some(left) => exchange(agent, &url, &call, left, pool),
         };
-        if inputs.send(Input::Called { id: call.id, number: call.number, outcome, reply }).is_err() {
+        if inputs.send(Input::UpstreamCallEnded { id: call.id, number: call.number, outcome, reply }).is_err()
+        {
             return;
         }
     }
@@ -135,7 +138,7 @@
     url: &str,
     call: &Call,
     left: Duration,
-    pool: &Arc<Pool>,
+    pool: &Arc<BufferPool>,
 ) -> (Outcome, Option<Buffer>) {
     let request = agent.post(url).config().timeout_global(Some(left)).build();
     let request = request
@@ -147,27 +150,27 @@
     };
     let untouched = response.headers().get("X-Untouched").is_some_and(|value| value.as_bytes() == b"1");
     match response.status().as_u16() {
-        200 => match response.body_mut().with_config().limit(SIZE as u64).read_to_vec() {
+        200 => match response.body_mut().with_config().limit(BUFFER_BYTES as u64).read_to_vec() {
             Ok(body) => match pool.copy(&body) {
-                Some(body) => (Outcome::Delivered, Some(body)),
-                None => (Outcome::AppError, None),
+                Some(body) => (Outcome::Success, Some(body)),
+                None => (Outcome::Failure, None),
             },
             Err(error) => (failed(&error), None),
         },
-        503 | 409 if untouched => (Outcome::Shed, None),
-        504 => (Outcome::Expired, None),
-        _ => (Outcome::AppError, None),
+        503 | 409 if untouched => (Outcome::Rejected, None),
+        504 => (Outcome::TimedOut, None),
+        _ => (Outcome::Failure, None),
     }
 }
 
 /// What an error of the exchange says of the call.
 fn failed(error: &ureq::Error) -> Outcome {
     match error {
-        ureq::Error::Timeout(ureq::Timeout::Connect | ureq::Timeout::Resolve) => Outcome::DialFailed,
-        ureq::Error::Timeout(_) => Outcome::Expired,
-        ureq::Error::ConnectionFailed | ureq::Error::HostNotFound => Outcome::DialFailed,
-        ureq::Error::Io(io) if io.kind() == io::ErrorKind::ConnectionRefused => Outcome::DialFailed,
-        _ => Outcome::Dropped,
+        ureq::Error::Timeout(ureq::Timeout::Connect | ureq::Timeout::Resolve) => Outcome::ConnectFailed,
+        ureq::Error::Timeout(_) => Outcome::TimedOut,
+        ureq::Error::ConnectionFailed | ureq::Error::HostNotFound => Outcome::ConnectFailed,
+        ureq::Error::Io(io) if io.kind() == io::ErrorKind::ConnectionRefused => Outcome::ConnectFailed,
+        _ => Outcome::Aborted,
     }
 }
 
--- a/crates/node/tests/hold.rs
+++ b/crates/node/tests/hold.rs
@@ -6,32 +6,32 @@
 use gradepin_config::change::{Change, Transaction};
 use gradepin_core::config::Config;
 use gradepin_core::messages::{Effect, Input};
-use gradepin_core::moment::Moment;
+use gradepin_core::timestamp::Timestamp;
 use gradepin_core::reducer::Reducer;
 use gradepin_core::registration::Registration;
 use gradepin_core::reload::Reload;
-use gradepin_decisions::{ClassDefinition, Customer, Span, Time};
+use gradepin_admission::{ClassDefinition, Tenant, Span, Time};
 use serde_json::json;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 const MS: u64 = 1_000_000;
 
-fn class(n: usize, worth: f64) -> Arc<ClassDefinition> {
+fn class(n: usize, priority_weight: f64) -> Arc<ClassDefinition> {
     let profile = json!({"name": format!("class-{n}"), "promise": 1000 * MS, "deadline": 4000 * MS,
-        "effect": "repeatable", "worth": worth});
+        "effect": "repeatable", "worth": priority_weight});
     let profile = serde_json::from_value(profile).expect("a class");
-    Arc::new(ClassDefinition { profile, calls: true, skip_worth: 0.0 })
+    Arc::new(ClassDefinition { profile, calls: true, skip_weight: 0.0 })
 }
 
-fn tenant(n: usize, quota_rps: f64) -> Arc<Customer> {
-    Arc::new(Customer { name: format!("tenant-{n}"), quota_rps, portion: 0.0 })
+fn tenant(n: usize, quota_rps: f64) -> Arc<Tenant> {
+    Arc::new(Tenant { name: format!("tenant-{n}"), quota_rps, portion: 0.0 })
 }
 
 fn step(reducer: &mut Reducer, ms: u64, inputs: Vec<Input>) -> (Duration, Vec<Effect>) {
     let mut effects = Vec::new();
     let began = Instant::now();
-    reducer.step(Moment { now: Time(ms * MS), unix_ms: ms }, inputs, &mut effects);
+    reducer.step(Timestamp { now: Time(ms * MS), unix_ms: ms }, inputs, &mut effects);
     (began.elapsed(), effects)
 }
 
@@ -69,11 +69,11 @@
             Reload { config: config.clone(), changes, new_classes: 0, new_tenants: 0, compared_at: 3 };
         let (mut longest, effects) = step(&mut reducer, 9_080, vec![Input::Reload(Box::new(reload))]);
         let (mut whole, mut pieces) = (longest, 1);
-        let mut over = effects.iter().any(|effect| matches!(effect, Effect::Reloaded));
+        let mut over = effects.iter().any(|effect| matches!(effect, Effect::ReloadFinished));
         while !over {
             let (took, effects) = step(&mut reducer, 9_081, Vec::new());
             (longest, whole, pieces) = (longest.max(took), whole + took, pieces + 1);
-            over = effects.iter().any(|effect| matches!(effect, Effect::Reloaded));
+            over = effects.iter().any(|effect| matches!(effect, Effect::ReloadFinished));
         }
         println!(
             "{classes} classes, {tenants} tenants: a tenant {one:?}, a class {put_class:?}, 100 changes \
--- a/crates/kit/src/commands/explore.rs
+++ b/crates/testkit/src/commands/explore.rs
@@ -1,7 +1,7 @@
-//! `gradepin-kit explore`: permits, exhaustively in the small.
+//! `gradepin-testkit explore`: permits, exhaustively in the small.
 
 use clap::Args;
-use gradepin_kit::explore::permits::{self, Small, Without};
+use gradepin_testkit::explore::permits::{self, Small, Without};
 use std::error::Error;
 use std::time::Duration;
 
--- a/crates/kit/src/commands/fleet.rs
+++ b/crates/testkit/src/commands/fleet.rs
@@ -1,10 +1,10 @@
-//! `gradepin-kit fleet`: real servers under load, a line a second.
+//! `gradepin-testkit fleet`: real servers under load, a line a second.
 
 use super::shared::{daemon, each_second};
 use clap::Args;
-use gradepin_kit::fleet::{self, Fleet, FleetSpec};
-use gradepin_kit::load::{Books, Fixed, Habit, Live, Proxy, classes};
-use gradepin_kit::processor::Spec;
+use gradepin_testkit::fleet::{self, Fleet, FleetSpec};
+use gradepin_testkit::load::{Books, Fixed, Habit, Live, Proxy, classes};
+use gradepin_testkit::processor::Spec;
 use hdrhistogram::Histogram;
 use std::error::Error;
 use std::io;
@@ -65,11 +65,11 @@
 
 fn start(args: &FleetArgs, folder: &Path) -> io::Result<Fleet> {
     let work = classes().into_iter().map(|class| (class.name, Duration::from_millis(60))).collect();
-    let cold_share = if args.cold { 0.21 } else { 1.0 };
+    let cold_capacity = if args.cold { 0.21 } else { 1.0 };
     Fleet::start(&FleetSpec {
         daemon: daemon(args.daemon.clone())?,
         servers: args.servers,
-        processor: Spec { classes: work, seed: args.seed, cold_share, ..Spec::default() },
+        processor: Spec { classes: work, seed: args.seed, cold_capacity, ..Spec::default() },
         callers: args.proxies,
         scgi: args.scgi,
         folder: folder.to_path_buf(),
--- a/crates/kit/src/commands/mod.rs
+++ b/crates/testkit/src/commands/mod.rs
@@ -13,9 +13,9 @@
 mod shared;
 
 use clap::Subcommand;
-use gradepin_kit::interrupt;
-use gradepin_kit::model::cli::{self as model, ModelCommand};
-use gradepin_kit::scale::cli::{self as scale, ScaleArgs};
+use gradepin_testkit::interrupt;
+use gradepin_testkit::model::cli::{self as model, ModelCommand};
+use gradepin_testkit::scale::cli::{self as scale, ScaleArgs};
 use std::error::Error;
 
 /// What the kit does.
--- a/crates/kit/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -4,7 +4,7 @@
 
 use clap::Parser;
 use commands::Command;
-use gradepin_kit::drill::NotScored;
+use gradepin_testkit::drill::NotScored;
 use std::process::ExitCode;
 
 #[derive(Parser)]
@@ -19,7 +19,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(message) => {
-            eprintln!("gradepin-kit: {message}");
+            eprintln!("gradepin-testkit: {message}");
             ExitCode::from(if message.is::<NotScored>() { NotScored::EXIT_STATUS } else { 2 })
         }
     }
--- a/crates/kit/src/scale/fleet/requests/tests.rs
+++ b/crates/testkit/src/scale/fleet/requests/tests.rs
@@ -12,8 +12,8 @@
         "specifics": {"n_cores": 2, "memory_kb": 4096.0, "run_factor": 4.0}}
 }"#;
 
-fn moment(ms: u64) -> Moment {
-    Moment { now: Time(1_000_000_000_000 + ms * 1_000_000), unix_ms: ms }
+fn moment(ms: u64) -> Timestamp {
+    Timestamp { now: Time(1_000_000_000_000 + ms * 1_000_000), unix_ms: ms }
 }
 
 /// Guards the load: arrivals come at the rate that is set, whatever the host's own turns are, with a token where the class is
@@ -21,7 +21,7 @@
 #[test]
 fn requests_come_at_their_rate_and_runs_end_once() {
     let settings = Config::parse(SETTINGS).unwrap().settings;
-    let pool = Pool::new(8);
+    let pool = BufferPool::new(8);
     let (_, classes, _) = settings.clone().split();
     let mut requests = Requests::new(3, 11, 200.0, 20.0, moment(0).now);
     let (mut inputs, mut arrived, mut ended) = (Vec::new(), 0, 0);
@@ -30,14 +30,14 @@
         arrived += requests.due(moment(ms), &settings, &pool, &mut inputs);
         for input in std::mem::take(&mut inputs) {
             match input {
-                Input::Call(_, _, call) => {
+                Input::Request(_, _, call) => {
                     assert_eq!(call.token.is_some(), call.class.slot() == 0, "keyed classes have a token");
                     let body = Arc::new(call.body);
                     let class = Arc::clone(&classes[call.class.slot()]);
-                    let begin = Effect::Begin(LINK, call.id, class, body);
+                    let begin = Effect::StartRun(LINK, call.id, class, body);
                     requests.take(moment(ms).now, begin, &mut inputs);
                 }
-                Input::Complete { notice, .. } => {
+                Input::RunCompleted { notice, .. } => {
                     ended += 1;
                     assert_eq!(notice, ended, "notices are numbered without a gap");
                 }
@@ -53,15 +53,15 @@
 #[test]
 fn a_closed_connection_is_made_anew() {
     let settings = Config::parse(SETTINGS).unwrap().settings;
-    let pool = Pool::new(8);
+    let pool = BufferPool::new(8);
     let mut requests = Requests::new(1, 5, 100.0, 5.0, moment(0).now);
     let mut inputs = Vec::new();
     requests.due(moment(500), &settings, &pool, &mut inputs);
-    assert!(matches!(inputs[0], Input::Opened(1)));
+    assert!(matches!(inputs[0], Input::ConnectionOpened(1)));
     inputs.clear();
-    requests.take(moment(500).now, Effect::CloseResting(1, 9), &mut inputs);
-    assert!(matches!(inputs[..], [Input::Closed(1)]));
+    requests.take(moment(500).now, Effect::CloseIdleConnection(1, 9), &mut inputs);
+    assert!(matches!(inputs[..], [Input::ConnectionClosed(1)]));
     inputs.clear();
     requests.due(moment(1_000), &settings, &pool, &mut inputs);
-    assert!(matches!(inputs[0], Input::Opened(2)));
+    assert!(matches!(inputs[0], Input::ConnectionOpened(2)));
 }
