--- a/crates/decisions/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -4,7 +4,7 @@
 //! the same events give the same actions.
 //!
 //! ```
-//! use gradepin_decisions::{Action, Controller, Event, Request, RequestId, Settings, Span, Time};
+//! use gradepin_admission::{Action, Controller, Event, Request, RequestId, Settings, Span, Time};
 //!
 //! let settings: Settings = serde_json::from_str(r#"{
 //!     "granularity": 1000000,
--- a/crates/decisions/tests/cold_start.rs
+++ b/crates/admission/tests/cold_start.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use gradepin_decisions::{Action, Controller, Event, Gauges, Outcome, Request, Settings, Span, Time};
+use gradepin_admission::{Action, Controller, Event, Gauges, Outcome, Request, Settings, Span, Time};
 use serde_json::json;
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/admission/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Shared by the module's tests: settings, requests and short ways to ask what a reply holds.
 #![allow(dead_code)]
 
-use gradepin_decisions::{Action, Controller, Event, Gauges, Request, RequestId, Settings, Span, Time};
+use gradepin_admission::{Action, Controller, Event, Gauges, Request, RequestId, Settings, Span, Time};
 use serde_json::{Value, json};
 
 pub const MS: u64 = 1_000_000;
--- a/crates/decisions/tests/customers.rs
+++ b/crates/admission/tests/customers.rs
@@ -5,7 +5,7 @@
 mod customers;
 
 use customers::{MS, settings};
-use gradepin_decisions::{
+use gradepin_admission::{
     Action, Controller, Event, Gauges, Outcome, Request, RequestId, Settings, Span, Time,
 };
 use proptest::prelude::*;
--- a/crates/decisions/tests/module.rs
+++ b/crates/admission/tests/module.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use gradepin_decisions::{
+use gradepin_admission::{
     Action, Controller, Event, Gauges, Outcome, Request, Settings, Span, Time, throttling,
 };
 use serde_json::json;
@@ -276,7 +276,7 @@
 fn calls_made(seed: u64, took: u64) -> Vec<u64> {
     let mut small = base();
     small["specifics"]["calls_out"] = json!(0.4);
-    let mut c = gradepin_decisions::Controller::new(settings(small), seed, Time(0));
+    let mut c = gradepin_admission::Controller::new(settings(small), seed, Time(0));
     let (mut made, mut back) = (Vec::new(), None::<(String, u64)>);
     for n in 0..800_u64 {
         let (name, ms) = (format!("a{n}"), 5 + n * 5);
@@ -428,7 +428,7 @@
 fn a_dependency_once_slow_is_asked_again() {
     // Calls that looked too slow to make were never made again, though what lies below stood idle.
     let mut c = started(base());
-    let ask = |c: &mut gradepin_decisions::Controller, ms: u64, name: &str, took: u64| {
+    let ask = |c: &mut gradepin_admission::Controller, ms: u64, name: &str, took: u64| {
         arrive(c, ms, vec![read(name)]);
         let out = at(c, ms + 1, vec![Event::ReadyToCall(id(name))]);
         let took = Span(took * MS);
@@ -569,7 +569,7 @@
 #[test]
 fn connections_are_closed_before_their_callers_would() {
     // Found at full size: 900 callers filled every table with connections that none came back to.
-    let mut c = gradepin_decisions::Controller::new(settings(base()), 11, Time(0));
+    let mut c = gradepin_admission::Controller::new(settings(base()), 11, Time(0));
     let out = at(&mut c, 0, vec![]);
     assert!(out.iter().any(|a| matches!(a, Action::IdleLimit(limit) if *limit < Span(15000 * MS))));
 }
@@ -712,7 +712,7 @@
     let mut value = base();
     value["specifics"]["clients_total"] = json!(4000);
     value["specifics"]["advert"] = json!("window");
-    let mut c = gradepin_decisions::Controller::new(settings(value), 11, Time(0));
+    let mut c = gradepin_admission::Controller::new(settings(value), 11, Time(0));
     let mut said = Vec::new();
     for n in 0..60_u64 {
         let waited = Request { queued_for: Span(600 * MS), ..read(&format!("r{n}")) };
@@ -750,7 +750,7 @@
 
 #[test]
 fn senseless_sizes_neither_panic_nor_stop_every_request() {
-    let spoil: [fn(&mut gradepin_decisions::Settings); 6] = [
+    let spoil: [fn(&mut gradepin_admission::Settings); 6] = [
         |s| s.servers = 0,
         |s| s.specifics.clients_total = 0,
         |s| s.specifics.n_cores = 0,
@@ -761,7 +761,7 @@
     for (which, spoil) in spoil.iter().enumerate() {
         let mut settings = settings(base());
         spoil(&mut settings);
-        let mut c = gradepin_decisions::Controller::new(settings, 11, Time(0));
+        let mut c = gradepin_admission::Controller::new(settings, 11, Time(0));
         let mut started = 0;
         for n in 0..200_u64 {
             let out = at(&mut c, n * 50, vec![Event::Arrived(read(&format!("r{n}"))), timer(0.1)]);
@@ -781,7 +781,7 @@
     // processor that came up before its server: health went bad for a period after each start, and the list
     // took the server off for a second.
     let start = Time(8_000 * MS);
-    let mut c = gradepin_decisions::Controller::new(settings(base()), 11, Time(2_000 * MS));
+    let mut c = gradepin_admission::Controller::new(settings(base()), 11, Time(2_000 * MS));
     let mut out = Vec::new();
     c.handle(start, &[], &mut out);
     c.handle(Time(start.0 + 100 * MS), &[timer(0.1)], &mut out);
@@ -876,7 +876,7 @@
         let mut value = base();
         value["specifics"]["advert"] = json!("threshold");
         value["specifics"]["just_started"] = json!(cold);
-        let mut c = gradepin_decisions::Controller::new(settings(value), 11, Time(0));
+        let mut c = gradepin_admission::Controller::new(settings(value), 11, Time(0));
         let out = at(&mut c, 0, vec![]);
         out.iter().find_map(|a| if let Action::Signal(level) = a { Some(*level) } else { None })
     };
--- a/crates/decisions/tests/shares.rs
+++ b/crates/admission/tests/shares.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use gradepin_decisions::{Action, Controller, Event, Outcome, Span, Time};
+use gradepin_admission::{Action, Controller, Event, Outcome, Span, Time};
 use serde_json::json;
 
 /// The span of the mean and how long a call given up lingers, from `common::base`; in ms.
@@ -27,7 +27,7 @@
         Self { module, now_ms: 0, requests: 0, out: Vec::new(), held: Vec::new() }
     }
 
-    fn settings(share: f64) -> gradepin_decisions::Settings {
+    fn settings(share: f64) -> gradepin_admission::Settings {
         let mut set = base();
         set["specifics"]["calls_out"] = json!(share);
         set["specifics"]["class_skip_worth"] = json!([0.0, 0.0]);
--- a/crates/decisions/tests/stream.rs
+++ b/crates/admission/tests/stream.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use gradepin_decisions::{Action, Controller, Event, Gauges, Outcome, Request, RequestId, Span, Time};
+use gradepin_admission::{Action, Controller, Event, Gauges, Outcome, Request, RequestId, Span, Time};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use serde_json::{Value, json};
--- a/crates/cluster/src/circuit_breaker.rs
+++ b/crates/cluster/src/circuit_breaker.rs
@@ -12,7 +12,7 @@
 pub use observation::{Observation, PeerObservations};
 
 use crate::MS;
-use gradepin_decisions::{Outcome, Span, Time, after, span};
+use gradepin_admission::{Outcome, Span, Time, after, span};
 use observation::{FRESH_FOR, ObservationWindow};
 
 /// Other servers that must have seen the upstream dead before the circuit opens without an own observation.
--- a/crates/cluster/src/circuit_breaker/observation.rs
+++ b/crates/cluster/src/circuit_breaker/observation.rs
@@ -1,7 +1,7 @@
 //! What servers saw of the shared upstream: counts over a sliding window here, and the sum of what others tell.
 
 use crate::MS;
-use gradepin_decisions::{Outcome, Span, Time, after};
+use gradepin_admission::{Outcome, Span, Time, after};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
--- a/crates/cluster/src/cluster.rs
+++ b/crates/cluster/src/cluster.rs
@@ -29,7 +29,7 @@
 use crate::members::{Members, MembershipChange};
 use crate::peer::Incarnation;
 use crate::replay_window::ReplayWindow;
-use gradepin_decisions::{Span, Time, after, secs};
+use gradepin_admission::{Span, Time, after, secs};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use send::SendBudget;
--- a/crates/cluster/src/cluster/quota.rs
+++ b/crates/cluster/src/cluster/quota.rs
@@ -3,7 +3,7 @@
 use super::Cluster;
 use crate::MS;
 use crate::counters::{CellId, Reading, WINDOW, WorkCount};
-use gradepin_decisions::{Span, Time, secs};
+use gradepin_admission::{Span, Time, secs};
 use std::collections::BTreeMap;
 
 impl Cluster {
--- a/crates/cluster/src/cluster/receive.rs
+++ b/crates/cluster/src/cluster/receive.rs
@@ -8,7 +8,7 @@
 use crate::counters::GossipedRow;
 use crate::leases::LeaseMessage;
 use crate::peer::Incarnation;
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use std::sync::Arc;
 
 /// Between two notices to a server that is known in a greater incarnation.
--- a/crates/cluster/src/cluster/send.rs
+++ b/crates/cluster/src/cluster/send.rs
@@ -8,7 +8,7 @@
 use crate::fragments;
 use crate::leases::LeaseMessage;
 use crate::peer::Peer;
-use gradepin_decisions::{Span, Time, secs};
+use gradepin_admission::{Span, Time, secs};
 use rand_pcg::rand_core::Rng;
 use std::sync::Arc;
 
--- a/crates/cluster/src/cluster/status.rs
+++ b/crates/cluster/src/cluster/status.rs
@@ -5,7 +5,7 @@
 use crate::authentication::DropReason;
 use crate::leases::SLOT;
 use crate::peer::Incarnation;
-use gradepin_decisions::{Time, secs};
+use gradepin_admission::{Time, secs};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/cluster/src/cluster/upstream.rs
+++ b/crates/cluster/src/cluster/upstream.rs
@@ -4,7 +4,7 @@
 use crate::MS;
 use crate::circuit_breaker::{Admission, PeerObservations};
 use crate::leases::{LenderOffer, SLOT, Slot};
-use gradepin_decisions::{Outcome, Span, Time, after};
+use gradepin_admission::{Outcome, Span, Time, after};
 use rand_pcg::rand_core::Rng;
 use std::sync::Arc;
 
--- a/crates/cluster/src/counters.rs
+++ b/crates/cluster/src/counters.rs
@@ -14,7 +14,7 @@
 use crate::MS;
 use crate::circuit_breaker::Observation;
 use crate::peer::Incarnation;
-use gradepin_decisions::{Span, Time, before};
+use gradepin_admission::{Span, Time, before};
 use local::LocalCounters;
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/cluster/src/counters/local.rs
+++ b/crates/cluster/src/counters/local.rs
@@ -3,7 +3,7 @@
 use super::row::{CellId, CounterCell, WorkCount};
 use super::{MAX_CELLS, WINDOW};
 use crate::MS;
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use std::collections::{BTreeMap, VecDeque};
 
 /// The window moves in steps of this.
--- a/crates/cluster/src/counters/row.rs
+++ b/crates/cluster/src/counters/row.rs
@@ -2,7 +2,7 @@
 
 use crate::circuit_breaker::Observation;
 use crate::peer::Incarnation;
-use gradepin_decisions::{Span, Time};
+use gradepin_admission::{Span, Time};
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 use std::sync::Arc;
--- a/crates/cluster/src/counters/tests.rs
+++ b/crates/cluster/src/counters/tests.rs
@@ -1,7 +1,7 @@
 //! Merging as a join, and the bounds of rows and cells.
 
 use super::*;
-use gradepin_decisions::after;
+use gradepin_admission::after;
 use proptest::prelude::*;
 
 fn gossiped(name: &str, incarnation: u64, version: u32, requested_ms: u32, age_ms: u32) -> GossipedRow {
--- a/crates/cluster/src/fragments.rs
+++ b/crates/cluster/src/fragments.rs
@@ -11,7 +11,7 @@
 use crate::MS;
 use crate::authentication::{DropReason, MAX_DATAGRAM_BYTES, MAX_OVERHEAD_BYTES};
 use crate::peer::Incarnation;
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
 use std::sync::Arc;
--- a/crates/cluster/src/leases.rs
+++ b/crates/cluster/src/leases.rs
@@ -20,7 +20,7 @@
 use crate::MS;
 use crate::peer::Incarnation;
 use borrower::{BorrowedLease, Grant, PendingRequest};
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use lender::{LeaseKey, LentLease, RequestQueue};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
--- a/crates/cluster/src/leases/borrower.rs
+++ b/crates/cluster/src/leases/borrower.rs
@@ -4,7 +4,7 @@
 use super::message::{LeaseMessage, LenderOffer, OutgoingLeaseMessage};
 use super::{LeaseTable, SLOT};
 use crate::MS;
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use std::sync::Arc;
 
 /// Leases taken at a time.
--- a/crates/cluster/src/leases/lender.rs
+++ b/crates/cluster/src/leases/lender.rs
@@ -4,7 +4,7 @@
 use super::{LeaseTable, SLOT};
 use crate::MS;
 use crate::peer::Incarnation;
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
--- a/crates/cluster/src/leases/settings.rs
+++ b/crates/cluster/src/leases/settings.rs
@@ -1,7 +1,7 @@
 //! What an operator sets of leases, and how long a lender holds back what it lent.
 
 use crate::MS;
-use gradepin_decisions::Span;
+use gradepin_admission::Span;
 
 /// How leases are made.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/members.rs
@@ -15,7 +15,7 @@
 use crate::peer::{Incarnation, Peer};
 use awake_clock::AwakeClock;
 use foca::{Codec, Foca, OwnedNotification, PostcardCodec, State, Timer};
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use library::LibraryRequests;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
--- a/crates/cluster/src/members/awake_clock.rs
+++ b/crates/cluster/src/members/awake_clock.rs
@@ -4,7 +4,7 @@
 //! time that it was stopped itself (the idea of Lifeguard's local health, Dadgar, Phillips and Currey, 2017).
 
 use crate::MS;
-use gradepin_decisions::{Span, Time, after, before};
+use gradepin_admission::{Span, Time, after, before};
 
 /// Time beyond this between the wake that was asked for and the one that came was not this process's: it was stopped, or
 /// starved.
--- a/crates/cluster/src/members/library.rs
+++ b/crates/cluster/src/members/library.rs
@@ -4,7 +4,7 @@
 use crate::authentication::{MAX_DATAGRAM_BYTES, MAX_OVERHEAD_BYTES};
 use crate::peer::Peer;
 use foca::{Notification, OwnedNotification, PeriodicParams, Runtime, Timer};
-use gradepin_decisions::Span;
+use gradepin_admission::Span;
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
--- a/crates/cluster/src/members/settings.rs
+++ b/crates/cluster/src/members/settings.rs
@@ -1,7 +1,7 @@
 //! How quickly the fleet notices a failure.
 
 use crate::MS;
-use gradepin_decisions::Span;
+use gradepin_admission::Span;
 
 /// The periods of SWIM's failure detector.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/cluster/src/rate_limit.rs
+++ b/crates/cluster/src/rate_limit.rs
@@ -2,7 +2,7 @@
 //! stranger may send any number.
 
 use crate::MS;
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 
 /// The span over which datagrams are counted.
 const WINDOW: Span = Span(100 * MS);
--- a/crates/cluster/src/replay_window.rs
+++ b/crates/cluster/src/replay_window.rs
@@ -9,7 +9,7 @@
 use crate::MS;
 use crate::authentication::{DropReason, Header};
 use crate::peer::Incarnation;
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use std::collections::HashMap;
 use std::sync::Arc;
 
--- a/crates/cluster/tests/common/mod.rs
+++ b/crates/cluster/tests/common/mod.rs
@@ -1,12 +1,12 @@
 //! Two servers that talk, in virtual time.
 #![allow(dead_code)]
 
+use gradepin_admission::{Span, Time, after};
 use gradepin_cluster::authentication::Keys;
 use gradepin_cluster::cluster::{Cluster, ClusterSettings, Effect, Envelope};
 use gradepin_cluster::leases::LeaseSettings;
 use gradepin_cluster::members::FailureDetection;
 use gradepin_cluster::peer::{Incarnation, Peer};
-use gradepin_decisions::{Span, Time, after};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
--- a/crates/cluster/tests/counted.rs
+++ b/crates/cluster/tests/counted.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{MS, Two};
+use gradepin_admission::Span;
 use gradepin_cluster::counters::CellId;
-use gradepin_decisions::Span;
 
 const OFFICE: CellId = CellId(7);
 const OTHER: CellId = CellId(8);
--- a/crates/cluster/tests/datagrams.rs
+++ b/crates/cluster/tests/datagrams.rs
@@ -4,10 +4,10 @@
 mod common;
 
 use common::{MS, Two, cluster};
+use gradepin_admission::Span;
 use gradepin_cluster::authentication::{DropReason, Keys};
 use gradepin_cluster::cluster::Envelope;
 use gradepin_cluster::peer::Incarnation;
-use gradepin_decisions::Span;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 
--- a/crates/cluster/tests/odd_content.rs
+++ b/crates/cluster/tests/odd_content.rs
@@ -4,11 +4,11 @@
 mod common;
 
 use common::{MS, Two, cluster, cluster_that};
+use gradepin_admission::{Outcome, Span, Time, after};
 use gradepin_cluster::authentication::{Header, Keys};
 use gradepin_cluster::cluster::{Cluster, Effect, Envelope, MessageKind};
 use gradepin_cluster::leases::LeaseMessage;
 use gradepin_cluster::peer::Incarnation;
-use gradepin_decisions::{Outcome, Span, Time, after};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 
--- a/crates/cluster/tests/wire.rs
+++ b/crates/cluster/tests/wire.rs
@@ -4,6 +4,7 @@
 mod common;
 
 use common::{MS, Two};
+use gradepin_admission::{Span, Time};
 use gradepin_cluster::authentication::{Header, Keys};
 use gradepin_cluster::circuit_breaker::Observation;
 use gradepin_cluster::cluster::Envelope;
@@ -11,7 +12,6 @@
 use gradepin_cluster::fragments;
 use gradepin_cluster::leases::LeaseMessage;
 use gradepin_cluster::peer::{Incarnation, Peer};
-use gradepin_decisions::{Span, Time};
 use std::sync::Arc;
 
 fn hex(bytes: &[u8]) -> String {
--- a/crates/config/src/admin.rs
+++ b/crates/config/src/admin.rs
@@ -3,7 +3,7 @@
 
 use crate::change::{Change, ClassDefinition, Name, Proposal, Revision, Rule};
 use crate::validation::Invalid;
-use gradepin_decisions::Customer;
+use gradepin_admission::Customer;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -3,8 +3,8 @@
 //! A [`Transaction`] is applied whole or not at all. A [`Commit`] is a transaction that the consensus group has given a
 //! [`Revision`]; commits are applied in the order of their revisions, without gaps.
 
-pub use gradepin_decisions::ClassDefinition;
-use gradepin_decisions::{Customer, Span};
+pub use gradepin_admission::ClassDefinition;
+use gradepin_admission::{Customer, Span};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
--- a/crates/config/src/chunk.rs
+++ b/crates/config/src/chunk.rs
@@ -6,7 +6,7 @@
 use crate::change::{ClassDefinition, Name};
 use crate::digest::{Digest, Entry};
 use crate::validation;
-use gradepin_decisions::Customer;
+use gradepin_admission::Customer;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -10,7 +10,7 @@
 use crate::digest::{Digest, Entry, Version};
 use crate::rules::RuleSet;
 use crate::validation::{self, Invalid};
-use gradepin_decisions::{Customer, Settings};
+use gradepin_admission::{Customer, Settings};
 use std::sync::Arc;
 
 /// All classes, tenants and rules at one revision.
--- a/crates/config/src/difference.rs
+++ b/crates/config/src/difference.rs
@@ -7,7 +7,7 @@
 use crate::configuration::Configuration;
 use crate::digest::Entry;
 use crate::validation::Invalid;
-use gradepin_decisions::Settings;
+use gradepin_admission::Settings;
 use std::sync::Arc;
 
 impl Configuration {
--- a/crates/config/src/digest.rs
+++ b/crates/config/src/digest.rs
@@ -5,7 +5,7 @@
 //! peers do not construct whole colliding states is left to the authentication of the messages between them.
 
 use crate::change::{ClassDefinition, Revision, Rule};
-use gradepin_decisions::Customer;
+use gradepin_admission::Customer;
 use serde::{Deserialize, Serialize};
 use std::sync::{Arc, LazyLock};
 
--- a/crates/config/src/dissemination/budget.rs
+++ b/crates/config/src/dissemination/budget.rs
@@ -1,6 +1,6 @@
 //! Bytes a second, as a token bucket.
 
-use gradepin_decisions::{Span, Time, after, secs, span};
+use gradepin_admission::{Span, Time, after, secs, span};
 
 /// A bucket of bytes.
 #[derive(Debug, Clone)]
--- a/crates/config/src/dissemination/machine.rs
+++ b/crates/config/src/dissemination/machine.rs
@@ -15,7 +15,7 @@
 use crate::configuration::Configuration;
 use crate::digest::{Digest, Version};
 use crate::snapshot::Snapshot;
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::SeedableRng;
 use std::sync::Arc;
--- a/crates/config/src/dissemination/outbox.rs
+++ b/crates/config/src/dissemination/outbox.rs
@@ -5,7 +5,7 @@
 use super::settings::DisseminationSettings;
 use crate::change::{Commit, Name};
 use crate::snapshot::Snapshot;
-use gradepin_decisions::Time;
+use gradepin_admission::Time;
 use std::sync::Arc;
 
 /// Seconds' worth of bytes that a burst may take.
--- a/crates/config/src/dissemination/quarantine.rs
+++ b/crates/config/src/dissemination/quarantine.rs
@@ -1,7 +1,7 @@
 //! Sources whose data failed a check, left out for a time.
 
 use crate::change::Name;
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use std::collections::BTreeMap;
 
 /// Sources remembered, at the most.
--- a/crates/config/src/dissemination/requests.rs
+++ b/crates/config/src/dissemination/requests.rs
@@ -8,7 +8,7 @@
 use super::settings::{DisseminationSettings, Selection};
 use crate::change::{Name, Revision};
 use crate::digest::Version;
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
--- a/crates/config/src/dissemination/serving.rs
+++ b/crates/config/src/dissemination/serving.rs
@@ -7,7 +7,7 @@
 use crate::configuration::Configuration;
 use crate::digest::Version;
 use crate::snapshot::{ChunkDigest, Snapshot};
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use std::collections::VecDeque;
 
 /// The longest answer to one request for commits, in bytes: about a dozen datagrams.
--- a/crates/config/src/dissemination/settings.rs
+++ b/crates/config/src/dissemination/settings.rs
@@ -1,7 +1,7 @@
 //! What an operator may set of dissemination.
 
 use crate::log::LogLimits;
-use gradepin_decisions::Span;
+use gradepin_admission::Span;
 
 const MS: u64 = 1_000_000;
 
--- a/crates/config/src/dissemination/transfer.rs
+++ b/crates/config/src/dissemination/transfer.rs
@@ -14,7 +14,7 @@
 use crate::configuration::Configuration;
 use crate::digest::{Digest, Version};
 use crate::snapshot::{Assembly, ChunkDigest, Manifest, Snapshot};
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/config/src/dissemination/witnesses.rs
+++ b/crates/config/src/dissemination/witnesses.rs
@@ -5,7 +5,7 @@
 
 use crate::change::Name;
 use crate::digest::Version;
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use std::collections::BTreeMap;
 
 /// What was heard counts for so long.
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -4,7 +4,7 @@
 //! of its name whole.
 
 use crate::change::{Change, ClassDefinition, Name, Rule, Transaction};
-use gradepin_decisions::{Customer, Effect, Profile, Span};
+use gradepin_admission::{Customer, Effect, Profile, Span};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
--- a/crates/config/src/rules.rs
+++ b/crates/config/src/rules.rs
@@ -2,7 +2,7 @@
 
 use crate::change::Rule;
 use crate::digest::{Digest, Entry};
-use gradepin_decisions::Settings;
+use gradepin_admission::Settings;
 
 /// The kinds of rules.
 const KINDS: usize = 7;
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -10,7 +10,7 @@
 };
 use crate::chunk::{ChunkNumber, MAX_CHUNK_ENTRIES};
 use crate::configuration::Configuration;
-use gradepin_decisions::{Customer, Span};
+use gradepin_admission::{Customer, Span};
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
 use std::ops::RangeInclusive;
--- a/crates/config/tests/admin.rs
+++ b/crates/config/tests/admin.rs
@@ -1,9 +1,9 @@
 //! The JSON of the admin endpoints as the design page states it, and queries that are read as they were written.
 
+use gradepin_admission::Span;
 use gradepin_config::admin::query::{self, Diff, History, Page, Show};
 use gradepin_config::admin::{ApplyReply, ApplyRequest, Refusal, RollbackRequest, StatusReply};
 use gradepin_config::change::{Change, Revision, Rule};
-use gradepin_decisions::Span;
 use std::sync::Arc;
 
 /// The examples of `docs/design/configuration-admin.md`.
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! Small configurations for the tests of this crate.
 #![allow(dead_code)]
 
+use gradepin_admission::{Customer, Effect, Profile, Settings, Span};
 use gradepin_config::{Change, ClassDefinition, Commit, Configuration, Revision, Rule, Transaction};
-use gradepin_decisions::{Customer, Effect, Profile, Settings, Span};
 use proptest::prelude::*;
 use std::sync::Arc;
 
--- a/crates/config/tests/dissemination.rs
+++ b/crates/config/tests/dissemination.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{base, commit, put_tenant, tenant};
+use gradepin_admission::{Span, Time, after};
 use gradepin_config::dissemination::{Dissemination, DisseminationSettings, Effect, Member, Message, Record};
 use gradepin_config::{Configuration, Name, Revision, Snapshot};
-use gradepin_decisions::{Span, Time, after};
 use std::sync::Arc;
 
 const SEED: u64 = 1;
--- a/crates/config/tests/odd_messages.rs
+++ b/crates/config/tests/odd_messages.rs
@@ -5,9 +5,9 @@
 mod common;
 
 use common::{base, class, commit, put_class, put_tenant, tenant};
+use gradepin_admission::{Span, Time, after};
 use gradepin_config::dissemination::{Dissemination, DisseminationSettings, Effect, Member, Message};
 use gradepin_config::{Name, Revision, Snapshot};
-use gradepin_decisions::{Span, Time, after};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::sync::Arc;
--- a/crates/config/tests/parts.rs
+++ b/crates/config/tests/parts.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use common::{base, class, commit, put_class, put_tenant, settings, tenant};
+use gradepin_admission::{Customer, Span};
 use gradepin_config::chunk::{ChunkError, ChunkNumber};
 use gradepin_config::log::Gap;
 use gradepin_config::snapshot::SnapshotError;
 use gradepin_config::{Assembly, ClassDefinition, CommitLog, Configuration, LogLimits, Revision, Snapshot};
-use gradepin_decisions::{Customer, Span};
 use std::sync::Arc;
 
 fn some(first_promise: u64) -> Snapshot {
--- a/crates/config/tests/validation.rs
+++ b/crates/config/tests/validation.rs
@@ -3,12 +3,12 @@
 mod common;
 
 use common::{base, class, commit, put_class, put_tenant, settings, tenant};
+use gradepin_admission::Span;
 use gradepin_config::change::{MAX_CHANGES, MAX_CLASSES, MAX_TENANTS};
 use gradepin_config::{
     ApplyError, Change, ClassDefinition, Configuration, Invalid, Proposal, Refused, Revision, Rule,
     Transaction,
 };
-use gradepin_decisions::Span;
 
 /// The refusal of changes by a state, which stays as it is.
 fn refusal(state: &Configuration, changes: Vec<Change>) -> Invalid {
--- a/crates/releases/src/controller.rs
+++ b/crates/coordination/src/controller.rs
@@ -17,7 +17,7 @@
 use crate::council::Council;
 use crate::messages::{OrderReply, PermitReply, Report, Turn};
 use crate::record::{Command, Name, Record, Target, Why};
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use permits::PermitController;
 use proposals::Proposals;
 use rollout::RolloutController;
--- a/crates/releases/src/controller/orders.rs
+++ b/crates/coordination/src/controller/orders.rs
@@ -7,7 +7,7 @@
 use crate::messages::{Order, OrderReply};
 use crate::record::{Command, Ends, Name, Purpose, Target};
 use crate::release::{Kind, Plan, ReleaseOrder};
-use gradepin_decisions::Time;
+use gradepin_admission::Time;
 use std::sync::Arc;
 
 impl Controller {
--- a/crates/releases/src/controller/permits.rs
+++ b/crates/coordination/src/controller/permits.rs
@@ -9,7 +9,7 @@
 use super::{Context, KeyedCommand, MS};
 use crate::messages::BEGIN_WITHIN;
 use crate::record::{Command, Ends, Name, Permit, Purpose, Record, Stage, Target};
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A permit that was reserved and never begun is over after this, if its server is ready all the while.
--- a/crates/releases/src/controller/proposals.rs
+++ b/crates/coordination/src/controller/proposals.rs
@@ -3,7 +3,7 @@
 use super::MS;
 use crate::council::{Council, Refused};
 use crate::record::{Command, Name, Target};
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use std::collections::BTreeMap;
 
 /// Proposals under way at a time.
--- a/crates/releases/src/controller/requests.rs
+++ b/crates/coordination/src/controller/requests.rs
@@ -6,7 +6,7 @@
 use crate::messages::{OrderReply, PermitAction, PermitReply, PermitRequest};
 use crate::record::{Command, Ends, Name, Outcome, Purpose, Record, Target, Why};
 use crate::release::Release;
-use gradepin_decisions::{Span, Time};
+use gradepin_admission::{Span, Time};
 use std::sync::Arc;
 
 /// A reply to begin goes by who was heard no longer ago than this when it was proposed and agreed on.
--- a/crates/releases/src/controller/rollout.rs
+++ b/crates/coordination/src/controller/rollout.rs
@@ -10,7 +10,7 @@
 use crate::record::{Command, MOST_TEXT, Name, Permit, Purpose, Record, Stage, Target};
 use crate::release::{Release, ReleaseOrder, Server, State, Step, Wave};
 use crate::rollback::Watch;
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/releases/src/controller/servers.rs
+++ b/crates/coordination/src/controller/servers.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::Report;
 use crate::record::{MOST_SERVERS, Name, Record};
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/crates/releases/src/controller/settings.rs
+++ b/crates/coordination/src/controller/settings.rs
@@ -3,7 +3,7 @@
 use super::MS;
 use crate::record::Limits;
 use crate::rollback::Cell;
-use gradepin_decisions::Span;
+use gradepin_admission::Span;
 use std::collections::BTreeMap;
 
 /// What an operator sets of the controller.
--- a/crates/releases/src/council.rs
+++ b/crates/coordination/src/council.rs
@@ -13,8 +13,8 @@
 use crate::record::{Command, Name, Outcome, Record};
 use crate::replicated_snapshot;
 use configuration::Content;
+use gradepin_admission::{Span, Time, after};
 use gradepin_config::change::{Commit, Revision};
-use gradepin_decisions::{Span, Time, after};
 use log::{Log, snapshot};
 use protobuf::Message as _;
 use raft::eraftpb::{
--- a/crates/releases/src/founding.rs
+++ b/crates/coordination/src/founding.rs
@@ -6,7 +6,7 @@
 
 use crate::council::{Council, VoterId};
 use crate::record::Name;
-use gradepin_decisions::{Span, Time, after, secs};
+use gradepin_admission::{Span, Time, after, secs};
 use std::collections::BTreeMap;
 
 /// How long the founding is sent to voters that have not taken it. Asking again sends it for as long again.
--- a/crates/releases/src/messages.rs
+++ b/crates/coordination/src/messages.rs
@@ -5,7 +5,7 @@
 use crate::record::{Name, Target, Why};
 use crate::release::{Kind, Plan, ReleaseOrder};
 use crate::rollback::{Cell, Total};
-use gradepin_decisions::Span;
+use gradepin_admission::Span;
 use serde::{Deserialize, Serialize};
 
 /// How long the holder of a permit may begin after it asked, by its own clock.
--- a/crates/releases/src/permit_client.rs
+++ b/crates/coordination/src/permit_client.rs
@@ -5,7 +5,7 @@
 
 use crate::messages::{BEGIN_WITHIN, PermitAction, PermitReply, PermitRequest};
 use crate::record::{Name, Why};
-use gradepin_decisions::{Span, Time, after, secs};
+use gradepin_admission::{Span, Time, after, secs};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
--- a/crates/releases/src/proposal_client.rs
+++ b/crates/coordination/src/proposal_client.rs
@@ -5,8 +5,8 @@
 
 use crate::configuration_log::{ConfigurationRequest, ProposalRefused};
 use crate::record::Name;
+use gradepin_admission::{Span, Time, after};
 use gradepin_config::change::Revision;
-use gradepin_decisions::{Span, Time, after};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/releases/src/release.rs
+++ b/crates/coordination/src/release.rs
@@ -5,7 +5,7 @@
 //! another goes on where the record stands.
 
 use crate::record::{MOST_TEXT, Name, Outcome, Purpose, Record, Stage, Target, Why};
-use gradepin_decisions::Span;
+use gradepin_admission::Span;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
--- a/crates/releases/src/server_agent.rs
+++ b/crates/coordination/src/server_agent.rs
@@ -12,9 +12,9 @@
 use crate::proposal_client::{Answered, Outgoing, ProposalClient, VoterAnswer, Waiter, Waiters};
 use crate::record::{Name, Record, Target};
 use crate::release::Kind;
+use gradepin_admission::{Span, Time, after, secs};
 use gradepin_config::change::{Commit, Revision};
 use gradepin_config::configuration::Configuration;
-use gradepin_decisions::{Span, Time, after, secs};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
--- a/crates/releases/tests/common/base.rs
+++ b/crates/coordination/tests/common/base.rs
@@ -1,7 +1,7 @@
 //! The start file's content: a configuration holds at least one class.
 
+use gradepin_admission::{Effect, Profile, Settings, Span};
 use gradepin_config::configuration::Configuration;
-use gradepin_decisions::{Effect, Profile, Settings, Span};
 
 pub fn base() -> Configuration {
     let second = Span(1_000_000_000);
--- a/crates/releases/tests/common/fleet.rs
+++ b/crates/coordination/tests/common/fleet.rs
@@ -4,14 +4,14 @@
 #[path = "base.rs"]
 mod base;
 
-use gradepin_decisions::{Span, Time, after};
-use gradepin_releases::configuration_log::ConfigurationSettings;
-use gradepin_releases::controller::ControllerSettings;
-use gradepin_releases::council::Found;
-use gradepin_releases::founding::FoundingError;
-use gradepin_releases::messages::Report;
-use gradepin_releases::record::Name;
-use gradepin_releases::server_agent::{AgentSettings, ConfigurationEffect, Effect, ServerAgent};
+use gradepin_admission::{Span, Time, after};
+use gradepin_coordination::configuration_log::ConfigurationSettings;
+use gradepin_coordination::controller::ControllerSettings;
+use gradepin_coordination::council::Found;
+use gradepin_coordination::founding::FoundingError;
+use gradepin_coordination::messages::Report;
+use gradepin_coordination::record::Name;
+use gradepin_coordination::server_agent::{AgentSettings, ConfigurationEffect, Effect, ServerAgent};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
--- a/crates/releases/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -1,10 +1,10 @@
 //! Voters in virtual time, on a net that loses, doubles, delays and cuts, with disks that forget what wasn't synced.
 #![allow(dead_code)]
 
+use gradepin_admission::{Span, Time, after};
 use gradepin_config::change::{Commit, Revision};
-use gradepin_decisions::{Span, Time, after};
-use gradepin_releases::council::{Council, Durable, Effect, Found, VoterId};
-use gradepin_releases::record::{Command, Name, Outcome, Record};
+use gradepin_coordination::council::{Council, Durable, Effect, Found, VoterId};
+use gradepin_coordination::record::{Command, Name, Outcome, Record};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/crates/releases/tests/configuration.rs
+++ b/crates/coordination/tests/configuration.rs
@@ -7,17 +7,17 @@
 
 use base::base;
 use common::{Disk, World, enrol};
+use gradepin_admission::Customer;
 use gradepin_config::change::{Change, Commit, Proposal, Revision, Transaction};
 use gradepin_config::configuration::Configuration;
 use gradepin_config::digest::{Digest, Version};
-use gradepin_decisions::Customer;
-use gradepin_releases::configuration_log::{
+use gradepin_coordination::configuration_log::{
     ConfigurationEntry, ConfigurationRequest, ConfigurationSettings, MAX_ENTRY_BYTES, ProposalRefused,
     ReplicatedConfiguration,
 };
-use gradepin_releases::council::{NotTaken, Taken};
-use gradepin_releases::record::{Command, Record};
-use gradepin_releases::replicated_snapshot;
+use gradepin_coordination::council::{NotTaken, Taken};
+use gradepin_coordination::record::{Command, Record};
+use gradepin_coordination::replicated_snapshot;
 use std::sync::Arc;
 
 fn put(name: &str, quota_rps: f64) -> Change {
--- a/crates/releases/tests/council.rs
+++ b/crates/coordination/tests/council.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{Disk, World, enrol, name};
-use gradepin_releases::record::{Command, Outcome, Stage, Target};
-use gradepin_releases::record::{Limits, Purpose};
+use gradepin_coordination::record::{Command, Outcome, Stage, Target};
+use gradepin_coordination::record::{Limits, Purpose};
 
 /// Proposes until it is told to be done.
 fn agree(world: &mut World, command: &Command) -> Outcome {
--- a/crates/releases/tests/drawn_members.rs
+++ b/crates/coordination/tests/drawn_members.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{Disk, World, enrol, name};
-use gradepin_releases::record::Record;
+use gradepin_coordination::record::Record;
 use std::collections::BTreeMap;
 
 /// A voter whose council ended would have ended the test.
--- a/crates/releases/tests/founding.rs
+++ b/crates/coordination/tests/founding.rs
@@ -4,8 +4,8 @@
 mod fleet;
 
 use fleet::{ALL, Fleet, SECOND, name};
-use gradepin_decisions::Span;
-use gradepin_releases::founding::FoundingError;
+use gradepin_admission::Span;
+use gradepin_coordination::founding::FoundingError;
 
 /// Whoever asked doesn't learn that it is founded and asks again: at once, at another voter, and when the group has long run.
 #[test]
--- a/crates/releases/tests/leader_leaves.rs
+++ b/crates/coordination/tests/leader_leaves.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{World, enrol};
-use gradepin_releases::record::Outcome;
+use gradepin_coordination::record::Outcome;
 
 /// Guards the leader's process, and the council: entries behind its own removal become durable after it is no member any more.
 #[test]
--- a/crates/releases/tests/odd_agents.rs
+++ b/crates/coordination/tests/odd_agents.rs
@@ -6,12 +6,12 @@
 mod fleet;
 
 use fleet::{ALL, Fleet, SECOND, name};
+use gradepin_admission::{Customer, Span};
 use gradepin_config::change::{Change, Proposal, Revision, Transaction};
-use gradepin_decisions::{Customer, Span};
-use gradepin_releases::configuration_log::ConfigurationRequest;
-use gradepin_releases::messages::Order;
-use gradepin_releases::record::{Name, Target};
-use gradepin_releases::release::{Kind, Plan, Wave};
+use gradepin_coordination::configuration_log::ConfigurationRequest;
+use gradepin_coordination::messages::Order;
+use gradepin_coordination::record::{Name, Target};
+use gradepin_coordination::release::{Kind, Plan, Wave};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::sync::Arc;
--- a/crates/releases/tests/odd_orders.rs
+++ b/crates/coordination/tests/odd_orders.rs
@@ -7,12 +7,12 @@
 
 use common::{World, enrol, name};
 use fleet::{ALL, Fleet, SECOND};
-use gradepin_decisions::Span;
-use gradepin_releases::council::Refused;
-use gradepin_releases::messages::Order;
-use gradepin_releases::record::{Command, Outcome};
-use gradepin_releases::release::{Kind, Plan, Wave};
-use gradepin_releases::server_agent::Became;
+use gradepin_admission::Span;
+use gradepin_coordination::council::Refused;
+use gradepin_coordination::messages::Order;
+use gradepin_coordination::record::{Command, Outcome};
+use gradepin_coordination::release::{Kind, Plan, Wave};
+use gradepin_coordination::server_agent::Became;
 use std::sync::Arc;
 
 /// What one message between servers may hold (`gradepin_cluster::fragments::MAX_MESSAGE_BYTES`).
--- a/crates/releases/tests/odd_words.rs
+++ b/crates/coordination/tests/odd_words.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{Disk, World, enrol};
-use gradepin_releases::council::{Council, Durable, Effect, Found, VoterId};
+use gradepin_coordination::council::{Council, Durable, Effect, Found, VoterId};
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, EntryType, Message, MessageType};
 use rand_pcg::Pcg64Mcg;
--- a/crates/releases/tests/requests.rs
+++ b/crates/coordination/tests/requests.rs
@@ -4,11 +4,11 @@
 mod fleet;
 
 use fleet::{ALL, Fleet, SECOND, name};
+use gradepin_admission::{Customer, Span, Time};
 use gradepin_config::change::{Change, Proposal, Revision, Transaction};
-use gradepin_decisions::{Customer, Span, Time};
-use gradepin_releases::configuration_log::{ConfigurationRequest, ProposalRefused};
-use gradepin_releases::proposal_client::Answer;
-use gradepin_releases::server_agent::ConfigurationEffect;
+use gradepin_coordination::configuration_log::{ConfigurationRequest, ProposalRefused};
+use gradepin_coordination::proposal_client::Answer;
+use gradepin_coordination::server_agent::ConfigurationEffect;
 use std::sync::Arc;
 
 fn request(id: &str) -> ConfigurationRequest {
--- a/crates/core/src/admin.rs
+++ b/crates/core/src/admin.rs
@@ -6,10 +6,10 @@
 
 use crate::configuration::{ConfigurationAnswer, ConfigurationCall};
 use crate::tally::Stats;
+use gradepin_admission::Time;
 use gradepin_cluster::cluster::FleetView;
-use gradepin_decisions::Time;
-use gradepin_releases::messages::Order;
-use gradepin_releases::server_agent::{Became, Status as Agreements};
+use gradepin_coordination::messages::Order;
+use gradepin_coordination::server_agent::{Became, Status as Agreements};
 
 /// Names a call of the door until it is answered; never used again.
 pub type CallId = u64;
--- a/crates/core/src/answer.rs
+++ b/crates/core/src/answer.rs
@@ -1,7 +1,7 @@
 //! What a request is answered, in terms of no protocol. Fronts write it out, the figures count it.
 
 use crate::pool::Buffer;
-use gradepin_decisions::Span;
+use gradepin_admission::Span;
 use std::sync::Arc;
 
 /// How a message is wrong; each front has its own words for it.
--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -1,7 +1,7 @@
 //! Which keyed requests wait to hear whether their run is this process's, where the two processes of an upgrade share
 //! them. No I/O: the shell makes the claims, and what became of each is told.
 
-use gradepin_decisions::{RequestId, Span};
+use gradepin_admission::{RequestId, Span};
 use std::collections::BTreeSet;
 
 /// The end of another process's run is waited for so many times the deadline of its class: it was begun no later
--- a/crates/core/src/classes.rs
+++ b/crates/core/src/classes.rs
@@ -14,8 +14,8 @@
 //! classes there are. Not here: which changes are valid, and what the module makes of the figures.
 
 use crate::slots::{Handle, Slots};
+use gradepin_admission::{ClassDefinition, Effect, Profile, Settings, Span, Time, after};
 use gradepin_config::change::MAX_CLASSES;
-use gradepin_decisions::{ClassDefinition, Effect, Profile, Settings, Span, Time, after};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -4,8 +4,8 @@
 mod place;
 
 use crate::classes::{self, NamesError};
-use gradepin_decisions::numbers::whole_part;
-use gradepin_decisions::{BadSettings, Below, Settings};
+use gradepin_admission::numbers::whole_part;
+use gradepin_admission::{BadSettings, Below, Settings};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration.rs
@@ -1,10 +1,10 @@
 //! What the reducer and its shell tell each other of the configuration service: what a server starts with, what is to be
 //! written, and how it stands.
 
+use gradepin_admission::Span;
 use gradepin_config::admin::{ApplyReply, ApplyRequest, Refusal, Source, StatusReply};
 use gradepin_config::dissemination::{DisseminationSettings, Member};
 use gradepin_config::{Commit, Configuration, Name, Revision, Snapshot};
-use gradepin_decisions::Span;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/core/src/handover.rs
+++ b/crates/core/src/handover.rs
@@ -9,7 +9,7 @@
 //! accepted connection is still on its way), nothing is open and no connection stands; at the latest a margin
 //! before SIGKILL, which resets whatever stands. Not here: the drain of the module, which goes on as at any SIGTERM.
 
-use gradepin_decisions::{Span, Time, after, before};
+use gradepin_admission::{Span, Time, after, before};
 
 /// How long a connection asked to drain may rest with nothing open before it no longer keeps the process: its
 /// proxy closes it once all is answered, and one that crossed the notice is sent again within 50 ms.
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/keys.rs
@@ -7,7 +7,7 @@
 pub use crate::records::{End, Known, Print};
 use crate::records::{Past, PastEnd};
 use crate::wheel::{Due, Wheel};
-use gradepin_decisions::{RequestId, Span, Time, after};
+use gradepin_admission::{RequestId, Span, Time, after};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::hash::{Hash, Hasher};
--- a/crates/core/src/known_processor.rs
+++ b/crates/core/src/known_processor.rs
@@ -11,7 +11,7 @@
 //! another's: runs are failed then, where otherwise all results would be dropped.
 
 use crate::messages::LEAST_RESTART;
-use gradepin_decisions::{Span, Time, after, before};
+use gradepin_admission::{Span, Time, after, before};
 
 /// How far the clocks of two processes of a machine may be apart, and still tell one start from another.
 const CLOCKS_APART: Span = Span(1_000_000_000);
--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/ledger.rs
@@ -10,7 +10,7 @@
 use crate::pool::Buffer;
 use crate::records::{End, Known};
 pub use crate::records::{Past, PastEnd};
-use gradepin_decisions::{RequestId, Span, Time, after};
+use gradepin_admission::{RequestId, Span, Time, after};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -8,12 +8,12 @@
 use crate::records::{End, Print};
 use crate::reload::Reload;
 use crate::slots::Handle;
+use gradepin_admission::{ClassDefinition, Customer, Outcome, RequestId, Span, Time};
 use gradepin_cluster::authentication::{DropReason, Keys};
 use gradepin_cluster::cluster::Envelope;
-use gradepin_decisions::{ClassDefinition, Customer, Outcome, RequestId, Span, Time};
+use gradepin_coordination::council::{Durable, Found};
+use gradepin_coordination::messages::Turn;
 use gradepin_registry::membership::{Ask, Reply};
-use gradepin_releases::council::{Durable, Found};
-use gradepin_releases::messages::Turn;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
--- a/crates/core/src/moment.rs
+++ b/crates/core/src/moment.rs
@@ -1,6 +1,6 @@
 //! One reading of the system's clocks, as a shell makes it.
 
-use gradepin_decisions::Time;
+use gradepin_admission::Time;
 
 /// One reading of both clocks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -1,7 +1,7 @@
 //! What is known of a keyed run: as the table of this life holds it, and as the store of an earlier one told it.
 
 use crate::pool::Buffer;
-use gradepin_decisions::{RequestId, Span};
+use gradepin_admission::{RequestId, Span};
 use std::sync::Arc;
 
 /// Tells requests under one token apart: all tries of one request have the same body and class.
--- a/crates/core/src/reducer/agreed.rs
+++ b/crates/core/src/reducer/agreed.rs
@@ -1,19 +1,19 @@
 //! The server's part in what the fleet agrees on: permits to leave, turns in a release, and the council where this server is a
 //! voter. Words go over the fleet's datagrams; files and commands are the shell's.
 //!
-//! Not here: what is agreed and when, which is [`gradepin_releases`]'. Without a council block nothing here does anything, and
+//! Not here: what is agreed and when, which is [`gradepin_coordination`]'. Without a council block nothing here does anything, and
 //! SIGTERM means what it always did: a server that the platform stops is out without a permit.
 
 use super::{MS, Reducer};
 use crate::admin::{FleetAnswer, FleetCall};
 use crate::messages::Effect;
+use gradepin_admission::{Span, Time, after};
 use gradepin_cluster::counters::CellId;
-use gradepin_decisions::{Span, Time, after};
-use gradepin_releases::council::Found;
-use gradepin_releases::messages::Report;
-use gradepin_releases::release::Kind;
-use gradepin_releases::rollback::Total;
-use gradepin_releases::server_agent::{Effect as Asked, ServerAgent};
+use gradepin_coordination::council::Found;
+use gradepin_coordination::messages::Report;
+use gradepin_coordination::release::Kind;
+use gradepin_coordination::rollback::Total;
+use gradepin_coordination::server_agent::{Effect as Asked, ServerAgent};
 use slog::Level;
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/core/src/reducer/calls.rs
+++ b/crates/core/src/reducer/calls.rs
@@ -5,7 +5,7 @@
 use super::{MS, Reducer};
 use crate::messages::{CallNumber, Effect};
 use crate::pool::Buffer;
-use gradepin_decisions::{Event, Outcome, RequestId, Span, Time};
+use gradepin_admission::{Event, Outcome, RequestId, Span, Time};
 use slog::Level;
 use std::sync::Arc;
 
--- a/crates/core/src/reducer/cells.rs
+++ b/crates/core/src/reducer/cells.rs
@@ -4,8 +4,8 @@
 use crate::classes::Classes;
 use crate::slots::Handle;
 use crate::tenants::Tenants;
+use gradepin_admission::{Time, after};
 use gradepin_cluster::counters::{CellId, MAX_CELLS, WINDOW};
-use gradepin_decisions::{Time, after};
 use std::collections::{BTreeMap, HashMap};
 
 /// Cells kept at their pairs, some 160 KB; another pair of the same place is hashed anew.
--- a/crates/core/src/reducer/claims.rs
+++ b/crates/core/src/reducer/claims.rs
@@ -4,7 +4,7 @@
 use super::Reducer;
 use crate::keys::End;
 use crate::messages::{Claim, Effect};
-use gradepin_decisions::{Event, Outcome, RequestId, Span};
+use gradepin_admission::{Event, Outcome, RequestId, Span};
 use std::sync::Arc;
 
 impl Reducer {
--- a/crates/core/src/reducer/configuration.rs
+++ b/crates/core/src/reducer/configuration.rs
@@ -12,11 +12,11 @@
     CONFIGURATION_TAG, ConfigurationFigures, ConfigurationSave, ConfigurationStart, ConfigurationWritten,
 };
 use crate::messages::{Effect, sooner};
+use gradepin_admission::{Span, Time, after, secs};
 use gradepin_config::admin::Source;
 use gradepin_config::dissemination::{Dissemination, Effect as Spread, Member};
 use gradepin_config::{Commit, Configuration, Name, Revision, Snapshot, Transaction};
-use gradepin_decisions::{Span, Time, after, secs};
-use gradepin_releases::server_agent::ConfigurationEffect;
+use gradepin_coordination::server_agent::ConfigurationEffect;
 use slog::Level;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
--- a/crates/core/src/reducer/configuration/tests.rs
+++ b/crates/core/src/reducer/configuration/tests.rs
@@ -1,6 +1,6 @@
 //! Committed changes and whole states on their way into force, without a network: what dissemination says is handed in.
 
-#[path = "../../../../decisions/tests/common/mod.rs"]
+#[path = "../../../../admission/tests/common/mod.rs"]
 mod common;
 
 use super::*;
@@ -10,10 +10,10 @@
 use crate::messages::Input;
 use crate::moment::Moment;
 use crate::registration::Registration;
+use gradepin_admission::{ClassDefinition, Customer};
 use gradepin_config::admin::{Refusal, StatusReply};
 use gradepin_config::change::Change;
 use gradepin_config::dissemination::DisseminationSettings;
-use gradepin_decisions::{ClassDefinition, Customer};
 use serde_json::json;
 
 /// More than one transaction holds.
--- a/crates/core/src/reducer/configuration_calls.rs
+++ b/crates/core/src/reducer/configuration_calls.rs
@@ -2,12 +2,12 @@
 
 use super::{MS, Reducer};
 use crate::configuration::{ConfigurationAnswer, ConfigurationCall};
+use gradepin_admission::{Time, secs};
 use gradepin_config::admin::{ApplyReply, ApplyRequest, Refusal, StatusReply};
 use gradepin_config::configuration::Refused;
 use gradepin_config::{Invalid, Name, Proposal, Revision};
-use gradepin_decisions::{Time, secs};
-use gradepin_releases::configuration_log::{ConfigurationRequest, ProposalRefused};
-use gradepin_releases::proposal_client::Answered;
+use gradepin_coordination::configuration_log::{ConfigurationRequest, ProposalRefused};
+use gradepin_coordination::proposal_client::Answered;
 use std::collections::VecDeque;
 use std::sync::Arc;
 
--- a/crates/core/src/reducer/connections.rs
+++ b/crates/core/src/reducer/connections.rs
@@ -5,7 +5,7 @@
 use crate::messages::{ConnId, Effect, SeqId};
 use crate::resting::Resting;
 use crate::wheel::{Due, Wheel};
-use gradepin_decisions::{RequestId, Span, Time, after};
+use gradepin_admission::{RequestId, Span, Time, after};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Connections looked at in one sweep, and how long one of them is not looked at again at the most: the module may
--- a/crates/core/src/reducer/drain.rs
+++ b/crates/core/src/reducer/drain.rs
@@ -4,7 +4,7 @@
 use super::{MS, Reducer};
 use crate::handover::{Handover, Left};
 use crate::messages::{Effect, sooner};
-use gradepin_decisions::{Event, Span, Time, after, before};
+use gradepin_admission::{Event, Span, Time, after, before};
 use slog::Level;
 
 /// How much sooner than told the module is to be done when the process will be stopped: the notice and the
--- a/crates/core/src/reducer/fleet.rs
+++ b/crates/core/src/reducer/fleet.rs
@@ -8,13 +8,13 @@
 use super::{MS, Reducer};
 use crate::classes::Classes;
 use crate::messages::{CallNumber, Effect, sooner};
+use gradepin_admission::{Below, Outcome, RequestId, Settings, Span, Time, after};
 use gradepin_cluster::authentication::{DropReason, Keys};
 use gradepin_cluster::cluster::{
     CallDecision, Cluster, Effect as ClusterEffect, Envelope, FleetView, Severity, Status,
 };
 use gradepin_cluster::counters::CellId;
 use gradepin_cluster::leases::Slot;
-use gradepin_decisions::{Below, Outcome, RequestId, Settings, Span, Time, after};
 use slog::Level;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
--- a/crates/core/src/reducer/housekeeping.rs
+++ b/crates/core/src/reducer/housekeeping.rs
@@ -3,7 +3,7 @@
 use super::link::GAUGES_WAIT;
 use super::{MS, Reducer};
 use crate::messages::Effect;
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use std::collections::BTreeSet;
 
 /// Between reports to the control plane, which forgets a server after 3 s.
--- a/crates/core/src/reducer/keeping.rs
+++ b/crates/core/src/reducer/keeping.rs
@@ -6,7 +6,7 @@
 use crate::ledger::{Recovered, Standing};
 use crate::messages::Effect;
 use crate::pool::Pool;
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use slog::Level;
 use std::sync::Arc;
 
--- a/crates/core/src/reducer/link.rs
+++ b/crates/core/src/reducer/link.rs
@@ -4,7 +4,7 @@
 use super::{MS, Reducer};
 use crate::messages::{Effect, LEAST_RESTART, RunEnd};
 use crate::pool::Buffer;
-use gradepin_decisions::{Controller, Event, Gauges, RequestId, Settings, Span, Time, after, before};
+use gradepin_admission::{Controller, Event, Gauges, RequestId, Settings, Span, Time, after, before};
 use slog::Level;
 use std::sync::Arc;
 
--- a/crates/core/src/reducer/mod.rs
+++ b/crates/core/src/reducer/mod.rs
@@ -40,7 +40,7 @@
 use drain::Drain;
 use fleet::Fleet;
 pub use fleet::{cell_names, lent_share};
-use gradepin_decisions::{Action, ClassDefinition, Controller, Customer, Event, Settings, Span, Time, after};
+use gradepin_admission::{Action, ClassDefinition, Controller, Customer, Event, Settings, Span, Time, after};
 use housekeeping::Duties;
 use keeping::Past;
 use link::Link;
--- a/crates/core/src/reducer/requests.rs
+++ b/crates/core/src/reducer/requests.rs
@@ -7,7 +7,7 @@
 use crate::keys::{End, Print};
 use crate::messages::{Answer, Call, CallNumber, ConnId, Effect, Misuse, SeqId};
 use crate::pool::Buffer;
-use gradepin_decisions::{Event, Outcome, Request, RequestId, Span, Time};
+use gradepin_admission::{Event, Outcome, Request, RequestId, Span, Time};
 use siphasher::sip::SipHasher13;
 use slog::Level;
 use std::collections::{BTreeSet, HashMap};
@@ -176,7 +176,7 @@
             // against more bodies than the memory holds, on many connections.
             return self.turn_away(conn, seq, class, Span(0));
         }
-        if self.classes.profile(class).effect != gradepin_decisions::Effect::ByKey {
+        if self.classes.profile(class).effect != gradepin_admission::Effect::ByKey {
             // Where no class is keyed by it, a token means nothing.
             call.token = None;
         }
--- a/crates/core/src/reducer/runs.rs
+++ b/crates/core/src/reducer/runs.rs
@@ -7,7 +7,7 @@
 use crate::keys::End;
 use crate::messages::{Answer, Effect, RunEnd};
 use crate::pool::Buffer;
-use gradepin_decisions::{Event, Outcome, RequestId, Span};
+use gradepin_admission::{Event, Outcome, RequestId, Span};
 use slog::Level;
 use std::sync::Arc;
 
--- a/crates/core/src/registration.rs
+++ b/crates/core/src/registration.rs
@@ -3,7 +3,7 @@
 
 use crate::messages::Effect;
 use crate::moment::Moment;
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use gradepin_registry::membership::{Membership, Reply};
 use slog::Level;
 
--- a/crates/core/src/resting.rs
+++ b/crates/core/src/resting.rs
@@ -5,7 +5,7 @@
 //! memory stays within twice the places, and each message pays for a constant part of it.
 
 use crate::messages::ConnId;
-use gradepin_decisions::Time;
+use gradepin_admission::Time;
 use std::collections::VecDeque;
 
 /// Entries that are not worth a sweep.
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -5,7 +5,7 @@
 //! resolves to nothing, so what is on its way can't be taken for another name's. Every operation costs the same
 //! however many slots there are; the table of names is split, since a map that grows moves all it holds.
 
-use gradepin_decisions::{ClassDefinition, Customer};
+use gradepin_admission::{ClassDefinition, Customer};
 use std::borrow::Borrow;
 use std::collections::HashMap;
 use std::hash::{BuildHasher, Hash, Hasher, RandomState};
--- a/crates/core/src/tally.rs
+++ b/crates/core/src/tally.rs
@@ -105,7 +105,7 @@
 mod tests {
     use super::*;
     use crate::pool::Pool;
-    use gradepin_decisions::Span;
+    use gradepin_admission::Span;
 
     fn served() -> Answer {
         Answer::Served(Arc::new(Pool::new(1).copy(b"tile").unwrap()))
--- a/crates/core/src/tenants.rs
+++ b/crates/core/src/tenants.rs
@@ -9,8 +9,8 @@
 
 use crate::classes::Put;
 use crate::slots::{Handle, Slots};
+use gradepin_admission::Customer;
 use gradepin_config::change::MAX_TENANTS;
-use gradepin_decisions::Customer;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/core/src/wheel.rs
+++ b/crates/core/src/wheel.rs
@@ -5,7 +5,7 @@
 //! is moved from a coarser level to a finer one, which would be a pause that grows with the number of entries. Nothing
 //! is removed before its time either: whoever put an entry in looks, when it is due, whether that still holds.
 
-use gradepin_decisions::{Span, Time};
+use gradepin_admission::{Span, Time};
 
 /// The width of a slot. Whatever is kept here may come so much late.
 pub const TICK: Span = Span(1 << 27);
--- a/crates/core/tests/again.rs
+++ b/crates/core/tests/again.rs
@@ -2,9 +2,9 @@
 
 mod support;
 
+use gradepin_admission::{RequestId, Span};
 use gradepin_core::messages::{Answer, Call, Claim, Effect, Input};
 use gradepin_core::pool::Pool;
-use gradepin_decisions::{RequestId, Span};
 use std::sync::Arc;
 use support::step;
 
--- a/crates/core/tests/apply.rs
+++ b/crates/core/tests/apply.rs
@@ -1,9 +1,10 @@
 //! Changes of classes and tenants while requests are open, runs are inside their windows and repeats are on their way,
 //! held against a model that knows names alone.
 
-#[path = "../../decisions/tests/common/mod.rs"]
+#[path = "../../admission/tests/common/mod.rs"]
 mod common;
 
+use gradepin_admission::{ClassDefinition, Customer, Profile, RequestId, Span, Time};
 use gradepin_config::change::{Change, Name, Transaction};
 use gradepin_core::admin::{AdminAnswer, AdminCall};
 use gradepin_core::answer::Answer;
@@ -15,7 +16,6 @@
 use gradepin_core::registration::Registration;
 use gradepin_core::slots::Handle;
 use gradepin_core::tally::Counts;
-use gradepin_decisions::{ClassDefinition, Customer, Profile, RequestId, Span, Time};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use serde_json::json;
@@ -150,7 +150,7 @@
                         .iter()
                         .find(|ran| ran.name == one.name && ran.token == token && one.t0 < ran.closes);
                     assert!(twice.is_none(), "seed {seed}: {} {token} ran twice at {}", one.name, self.ms);
-                    if one.keyed && class.profile.effect == gradepin_decisions::Effect::ByKey {
+                    if one.keyed && class.profile.effect == gradepin_admission::Effect::ByKey {
                         let closes = one.t0 + class.profile.window.0 / MS;
                         let (name, slot) = (one.name.clone(), one.slot);
                         self.ran.push(Ran { name, token, slot, closes });
@@ -244,7 +244,7 @@
                 let (name, handle, keyed) = match (stale, self.names.get(name)) {
                     (Some((name, handle)), _) => (name, handle, false),
                     (None, Some((handle, class))) => {
-                        let keyed = class.profile.effect == gradepin_decisions::Effect::ByKey;
+                        let keyed = class.profile.effect == gradepin_admission::Effect::ByKey;
                         (name.to_string(), *handle, keyed)
                     }
                     (None, None) => return,
@@ -282,7 +282,7 @@
 
     fn is_keyed(&self, name: &str) -> bool {
         let class = self.names.get(name).map(|(_, class)| class);
-        class.is_some_and(|class| class.profile.effect == gradepin_decisions::Effect::ByKey)
+        class.is_some_and(|class| class.profile.effect == gradepin_admission::Effect::ByKey)
     }
 
     /// A name that was defined as keyed until now.
--- a/crates/core/tests/room.rs
+++ b/crates/core/tests/room.rs
@@ -2,9 +2,9 @@
 
 mod support;
 
+use gradepin_admission::{RequestId, Span};
 use gradepin_core::messages::{Call, Effect, Input, Misuse};
 use gradepin_core::pool::Pool;
-use gradepin_decisions::{RequestId, Span};
 use support::{MS, reducer, step};
 
 /// Of 128 descriptors 96 may be connections; from seven eighths of those on one gives way.
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -1,9 +1,10 @@
 //! What a server begins while its processor is cold: within what the settings say that such a processor survives, whenever
 //! it started.
 
-#[path = "../../decisions/tests/common/mod.rs"]
+#[path = "../../admission/tests/common/mod.rs"]
 mod common;
 
+use gradepin_admission::{RequestId, Span, Time};
 use gradepin_config::change::{Change, Rule, Transaction};
 use gradepin_core::config::Config;
 use gradepin_core::messages::{Call, Effect, Input, RunEnd};
@@ -11,7 +12,6 @@
 use gradepin_core::pool::Pool;
 use gradepin_core::reducer::Reducer;
 use gradepin_core::registration::Registration;
-use gradepin_decisions::{RequestId, Span, Time};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use serde_json::json;
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -1,14 +1,14 @@
 //! A reducer for tests: the settings of the module's tests, with no calls below, and steps of virtual time.
 
-#[path = "../../../decisions/tests/common/mod.rs"]
+#[path = "../../../admission/tests/common/mod.rs"]
 mod common;
 
+use gradepin_admission::Time;
 use gradepin_core::config::Config;
 use gradepin_core::messages::{Effect, Input};
 use gradepin_core::moment::Moment;
 use gradepin_core::reducer::Reducer;
 use gradepin_core::registration::Registration;
-use gradepin_decisions::Time;
 use serde_json::json;
 use std::sync::Arc;
 
--- a/crates/gradepin/src/config/render.rs
+++ b/crates/gradepin/src/config/render.rs
@@ -1,11 +1,11 @@
 //! Replies of the configuration's admin endpoints as text for a terminal.
 
+use gradepin_admission::secs;
 use gradepin_config::admin::{
     CommitLine, DiffReply, Entry, HistoryReply, Lagging, RevisionSpread, ShowReply, Source, StatusReply,
 };
 use gradepin_config::change::{Change, Rule};
 use gradepin_config::document::{ClassEntry, TenantEntry};
-use gradepin_decisions::secs;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// `status`.
--- a/crates/gradepin/src/fleet.rs
+++ b/crates/gradepin/src/fleet.rs
@@ -2,10 +2,10 @@
 
 use crate::admin_client;
 use clap::{Args, Subcommand};
+use gradepin_coordination::messages::Order;
+use gradepin_coordination::record::{Name, Target};
+use gradepin_coordination::release::{Kind, Plan, ReleaseOrder, Wave};
 use gradepin_node::settings::kdl_text;
-use gradepin_releases::messages::Order;
-use gradepin_releases::record::{Name, Target};
-use gradepin_releases::release::{Kind, Plan, ReleaseOrder, Wave};
 use kdl::{KdlDocument, KdlNode};
 use serde_json::Value;
 use std::error::Error;
--- a/crates/gradepin/src/store.rs
+++ b/crates/gradepin/src/store.rs
@@ -1,9 +1,9 @@
 //! `gradepin store`: looks into a folder without a server, says what it holds and what is damaged.
 
+use gradepin_admission::{RequestId, Span};
 use gradepin_core::keys::READ_LATE;
 use gradepin_core::ledger::{Past, PastEnd, Record};
 use gradepin_core::pool::Pool;
-use gradepin_decisions::{RequestId, Span};
 use gradepin_store::disk::{Disk, Folder};
 use gradepin_store::frame::{self, Frames, Stored};
 use gradepin_store::log::{self, Limits, Log, Stamp};
--- a/crates/gradepin/tests/customers/main.rs
+++ b/crates/gradepin/tests/customers/main.rs
@@ -1,7 +1,7 @@
 //! Drawn settings of other customers, through the reducer alone: start, serve, reload to another customer's under load,
 //! and drain. What is drawn is valid, so each is served with.
 
-#[path = "../../../decisions/tests/common/customers.rs"]
+#[path = "../../../admission/tests/common/customers.rs"]
 mod customers;
 mod process;
 mod world;
--- a/crates/gradepin/tests/customers/world.rs
+++ b/crates/gradepin/tests/customers/world.rs
@@ -1,6 +1,7 @@
 //! One server's reducer with stand-ins for its clients and its processor, in virtual time. What each request must see holds
 //! here in one place: one answer by its due time, and its own body under its own class at the processor.
 
+use gradepin_admission::{Effect as Kind, Outcome, RequestId, Span, Time};
 use gradepin_core::answer::Answer;
 use gradepin_core::config::Config;
 use gradepin_core::messages::{Call, CallNumber, Effect, Input, RunEnd};
@@ -8,7 +9,6 @@
 use gradepin_core::pool::Pool;
 use gradepin_core::reducer::Reducer;
 use gradepin_core::registration::Registration;
-use gradepin_decisions::{Effect as Kind, Outcome, RequestId, Span, Time};
 use gradepin_node::fronts::thrift::codec;
 use gradepin_node::settings::Live;
 use rand_pcg::Pcg64Mcg;
@@ -241,7 +241,7 @@
         }
     }
 
-    fn begun(&mut self, id: &RequestId, profile: &gradepin_decisions::Profile, body: &[u8]) {
+    fn begun(&mut self, id: &RequestId, profile: &gradepin_admission::Profile, body: &[u8]) {
         let sent = self.sent.get_mut(id).expect("a begin of what was sent");
         assert_eq!(profile.name, sent.class, "{} began under another class", id.0);
         assert_eq!(body, &sent.body[..], "{} began with another body", id.0);
--- a/crates/gradepin/tests/node.rs
+++ b/crates/gradepin/tests/node.rs
@@ -1,8 +1,8 @@
 //! Scenarios of the whole server on a virtual clock; the language is described in `scenario/mod.rs`.
 
 mod scenario;
+use gradepin_admission::{Span, Time};
 use gradepin_core::registration::Registration;
-use gradepin_decisions::{Span, Time};
 use gradepin_registry::instance::Instance;
 use gradepin_registry::membership::{Membership, MembershipSettings};
 use scenario::play;
--- a/crates/gradepin/tests/scenario/mod.rs
+++ b/crates/gradepin/tests/scenario/mod.rs
@@ -39,7 +39,7 @@
 //! The processor answers every `usage` by itself, unless it was sent `mute`.
 #![allow(dead_code)]
 
-#[path = "../../../decisions/tests/common/mod.rs"]
+#[path = "../../../admission/tests/common/mod.rs"]
 pub mod common;
 pub mod scripted;
 pub mod sockets;
--- a/crates/gradepin/tests/scenario/virtually.rs
+++ b/crates/gradepin/tests/scenario/virtually.rs
@@ -1,6 +1,7 @@
 //! A stage with no sockets and no real time: the reducer alone, with the clients' codec before it.
 
 use super::{Stage, begins, changed, config, thrift};
+use gradepin_admission::{Outcome, RequestId, Settings, Span, Time};
 use gradepin_cluster::authentication::{Header, Keys};
 use gradepin_cluster::cluster::{Cluster, ClusterSettings, Envelope, MessageKind};
 use gradepin_cluster::leases::LeaseSettings;
@@ -15,7 +16,6 @@
 use gradepin_core::pool::Pool;
 use gradepin_core::reducer::{Reducer, lent_share};
 use gradepin_core::registration::Registration;
-use gradepin_decisions::{Outcome, RequestId, Settings, Span, Time};
 use gradepin_node::admin;
 use gradepin_node::fronts::thrift::codec;
 use gradepin_node::settings::Live;
--- a/crates/model/src/agreed/days.rs
+++ b/crates/model/src/agreed/days.rs
@@ -1,9 +1,9 @@
 //! Days of a large fleet: a release goes while zones lose power and servers are cut off, drawn from a seed.
 
 use super::{Fleet, SOUND, limits, plan};
-use gradepin_decisions::Time;
-use gradepin_releases::record::Limits;
-use gradepin_releases::release::{Kind, State, Wave};
+use gradepin_admission::Time;
+use gradepin_coordination::record::Limits;
+use gradepin_coordination::release::{Kind, State, Wave};
 
 const MS: u64 = 1_000_000;
 
--- a/crates/model/src/agreed/mod.rs
+++ b/crates/model/src/agreed/mod.rs
@@ -8,14 +8,14 @@
 
 pub use days::{Day, Outcome, play};
 
-use gradepin_decisions::{Span, Time, after};
-use gradepin_releases::controller::ControllerSettings;
-use gradepin_releases::council::{Durable, Found};
-use gradepin_releases::messages::{Order, Report};
-use gradepin_releases::record::{Limits, Name};
-use gradepin_releases::release::{Kind, Plan, ReleaseOrder, State, Wave};
-use gradepin_releases::rollback::{Cell, Total};
-use gradepin_releases::server_agent::{AgentSettings, Became, Effect, ServerAgent};
+use gradepin_admission::{Span, Time, after};
+use gradepin_coordination::controller::ControllerSettings;
+use gradepin_coordination::council::{Durable, Found};
+use gradepin_coordination::messages::{Order, Report};
+use gradepin_coordination::record::{Limits, Name};
+use gradepin_coordination::release::{Kind, Plan, ReleaseOrder, State, Wave};
+use gradepin_coordination::rollback::{Cell, Total};
+use gradepin_coordination::server_agent::{AgentSettings, Became, Effect, ServerAgent};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -459,7 +459,7 @@
     }
 
     /// The newest record that anybody who runs has.
-    pub fn record(&self) -> &gradepin_releases::record::Record {
+    pub fn record(&self) -> &gradepin_coordination::record::Record {
         let records = self.servers.iter().filter_map(|server| server.part.as_ref()?.record());
         records.max_by_key(|record| record.index).expect("somebody has one")
     }
--- a/crates/model/src/config/truth.rs
+++ b/crates/model/src/config/truth.rs
@@ -1,8 +1,8 @@
 //! The committed log, and the check that a server's state is a prefix of it.
 
+use gradepin_admission::{Customer, Effect, Profile, span};
 use gradepin_config::change::{Change, ClassDefinition, Commit, Revision, Transaction};
 use gradepin_config::{Configuration, Snapshot, Version};
-use gradepin_decisions::{Customer, Effect, Profile, span};
 use std::sync::Arc;
 
 /// Changes in one of the transactions that the first state is made of.
--- a/crates/model/src/peers/world.rs
+++ b/crates/model/src/peers/world.rs
@@ -3,13 +3,13 @@
 use super::{Break, Outcome, Sharing, Spec, Trouble, What};
 use crate::queue::{At, Heap, Queue, nanos};
 use crate::streams::{Streams, unit, within};
+use gradepin_admission::{Outcome as Ended, Span, Time, secs, span};
 use gradepin_cluster::authentication::Keys;
 use gradepin_cluster::cluster::{CallDecision, Cluster, ClusterSettings, Effect, Envelope};
 use gradepin_cluster::counters::CellId;
 use gradepin_cluster::leases::{LeaseSettings, Slot};
 use gradepin_cluster::members::{FailureDetection, KnownMember};
 use gradepin_cluster::peer::{Incarnation, Peer};
-use gradepin_decisions::{Outcome as Ended, Span, Time, secs, span};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::Rng;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
--- a/crates/model/src/policies/codel.rs
+++ b/crates/model/src/policies/codel.rs
@@ -3,7 +3,7 @@
 
 use super::shell::{Ask, Load, Policy};
 use super::shortest_aim;
-use gradepin_decisions::{Settings, Span, Time, after};
+use gradepin_admission::{Settings, Span, Time, after};
 
 /// The target as a part of the shortest aim, and the interval.
 const TARGET: f64 = 0.05;
--- a/crates/model/src/policies/dagor.rs
+++ b/crates/model/src/policies/dagor.rs
@@ -4,7 +4,7 @@
 
 use super::shell::{Ask, Load, Policy};
 use super::shortest_aim;
-use gradepin_decisions::{Settings, Span, Time, after};
+use gradepin_admission::{Settings, Span, Time, after};
 
 /// As in the paper: the window, the parts by which what is let in shrinks and grows.
 const WINDOW: Span = Span(1_000_000_000);
--- a/crates/model/src/policies/fixed.rs
+++ b/crates/model/src/policies/fixed.rs
@@ -1,7 +1,7 @@
 //! Fixed limits: a plain pool, and a limit with a short line that drops what comes too late.
 
 use super::shell::{Ask, Load, Policy};
-use gradepin_decisions::Time;
+use gradepin_admission::Time;
 
 /// So many runs and so many waiting, first come first served.
 #[derive(Debug)]
--- a/crates/model/src/policies/gradient.rs
+++ b/crates/model/src/policies/gradient.rs
@@ -2,7 +2,7 @@
 //! than they did over a long window, and grows by a small queue where they don't.
 
 use super::shell::{Ask, Load, Policy};
-use gradepin_decisions::{Settings, Span, Time};
+use gradepin_admission::{Settings, Span, Time};
 
 /// As in the library's defaults: how much a sample moves the limit, how much longer than the long time is tolerated, the
 /// window of the long time in samples.
--- a/crates/model/src/policies/mod.rs
+++ b/crates/model/src/policies/mod.rs
@@ -10,15 +10,15 @@
 pub mod shell;
 
 use crate::day::{Day, What};
+use gradepin_admission::{
+    Advert, Below, Callers, Customer, Effect as Repeat, Goal, Limits as Site, Prices, Profile, Rules,
+    Settings, Span, Specifics, StopMode, Time, WorthBy,
+};
 use gradepin_core::config::{Config, Limits};
 use gradepin_core::messages::{Effect, Input};
 use gradepin_core::moment::Moment;
 use gradepin_core::reducer::Reducer;
 use gradepin_core::registration::Registration;
-use gradepin_decisions::{
-    Advert, Below, Callers, Customer, Effect as Repeat, Goal, Limits as Site, Prices, Profile, Rules,
-    Settings, Span, Specifics, StopMode, Time, WorthBy,
-};
 use shell::{Shell, ShellSpec};
 use std::sync::Arc;
 
--- a/crates/model/src/policies/shell.rs
+++ b/crates/model/src/policies/shell.rs
@@ -2,11 +2,11 @@
 //! all. What is let in, how many run and in what order is its [`Policy`]'s.
 
 use super::Node;
+use gradepin_admission::{RequestId, Settings, Span, Time, after, before};
 use gradepin_core::messages::{Answer, Call, ConnId, Effect, Input, RunEnd, SeqId, sooner};
 use gradepin_core::moment::Moment;
 use gradepin_core::pool::Buffer;
 use gradepin_core::registration::Registration;
-use gradepin_decisions::{RequestId, Settings, Span, Time, after, before};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 
--- a/crates/model/src/queue.rs
+++ b/crates/model/src/queue.rs
@@ -4,7 +4,7 @@
 //! Whatever the queue, events come out by time, and those of one time in the order in which they went in: a day must not
 //! depend on which of them is used.
 
-use gradepin_decisions::span;
+use gradepin_admission::span;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap};
 
--- a/crates/model/src/roster/mod.rs
+++ b/crates/model/src/roster/mod.rs
@@ -4,7 +4,7 @@
 pub mod registry;
 
 use crate::queue::At;
-use gradepin_decisions::{Time, span};
+use gradepin_admission::{Time, span};
 use gradepin_registry::instance::{Instance, Lease, Port, Status};
 use gradepin_registry::membership::MembershipSettings;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
--- a/crates/model/src/world/roster.rs
+++ b/crates/model/src/world/roster.rs
@@ -6,7 +6,7 @@
 use crate::roster::registry::Outcome;
 use crate::roster::{self, APP, VIP};
 use crate::streams::within;
-use gradepin_decisions::span;
+use gradepin_admission::span;
 use gradepin_registry::instance::{Applications, Status};
 use gradepin_registry::membership::{Ask, Op, Reply};
 use gradepin_registry::view::{Fetch, View, ViewSettings};
--- a/crates/model/tests/agreed.rs
+++ b/crates/model/tests/agreed.rs
@@ -1,9 +1,9 @@
 //! Drains and releases of a fleet in virtual time: permits under faults, waves, the halt, the way back.
 
+use gradepin_coordination::messages::Order;
+use gradepin_coordination::record::Target;
+use gradepin_coordination::release::{Kind, ReleaseOrder, State, Step};
 use gradepin_model::agreed::{Day, Fleet, SOUND, limits, plan, play};
-use gradepin_releases::messages::Order;
-use gradepin_releases::record::Target;
-use gradepin_releases::release::{Kind, ReleaseOrder, State, Step};
 use std::sync::Arc;
 
 fn all_have(fleet: &Fleet, version: &str) -> bool {
--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -1,9 +1,9 @@
 //! Shared by the model's tests: days made for one thing, and nodes that break rules on purpose.
 #![allow(dead_code)]
 
+use gradepin_admission::{RequestId, Span, Time};
 use gradepin_core::messages::{Answer, Effect, Input};
 use gradepin_core::moment::Moment;
-use gradepin_decisions::{RequestId, Span, Time};
 use gradepin_model::day::{Day, Ranges, Trouble, What};
 use gradepin_model::policies::{Kind, Node, Start, Starts};
 use gradepin_model::world::{Maker, Order, Outcome, World};
--- a/crates/model/tests/slow_start.rs
+++ b/crates/model/tests/slow_start.rs
@@ -4,10 +4,10 @@
 mod common;
 
 use common::{Fault, careless, seed, trouble};
+use gradepin_admission::{RequestId, Time};
 use gradepin_core::messages::{Answer, Effect, Input};
 use gradepin_core::moment::Moment;
 use gradepin_core::registration::Registration;
-use gradepin_decisions::{RequestId, Time};
 use gradepin_model::account::rules::{Breach, Figures, Rules, SlowStart};
 use gradepin_model::account::slow_start::{budget, survived};
 use gradepin_model::day::{Day, What};
--- a/crates/model/tests/slow_start_calls.rs
+++ b/crates/model/tests/slow_start_calls.rs
@@ -3,11 +3,11 @@
 //! that failed while it was down) or all begin with it.
 
 mod common;
-#[path = "../../decisions/tests/common/mod.rs"]
+#[path = "../../admission/tests/common/mod.rs"]
 mod module;
 
 use common::seed;
-use gradepin_decisions::{Action, Controller, Event, Outcome, Request, Span, Time};
+use gradepin_admission::{Action, Controller, Event, Outcome, Request, Span, Time};
 use gradepin_model::account::slow_start::{MeanOver, budget};
 use gradepin_model::queue::{Heap, Queue};
 use module::{MS, base, id, read, settings};
--- a/crates/node/src/admin/agreements.rs
+++ b/crates/node/src/admin/agreements.rs
@@ -10,10 +10,10 @@
 //! ```
 
 use super::http::Response;
+use gradepin_coordination::record::{Limits, Purpose, Stage, Target};
+use gradepin_coordination::release::{Release, Step};
+use gradepin_coordination::server_agent::{Became, Status};
 use gradepin_core::admin::FleetAnswer;
-use gradepin_releases::record::{Limits, Purpose, Stage, Target};
-use gradepin_releases::release::{Release, Step};
-use gradepin_releases::server_agent::{Became, Status};
 use serde_json::{Value, json};
 
 /// The response to a call about the fleet's agreements.
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,7 +1,7 @@
 //! The system's clocks, read in one place.
 
+use gradepin_admission::Time;
 use gradepin_core::moment::Moment;
-use gradepin_decisions::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// What the clock shows at its start.
--- a/crates/node/src/configuration_writer/tests.rs
+++ b/crates/node/src/configuration_writer/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use crossbeam_channel::{Receiver, unbounded};
+use gradepin_admission::{Customer, Effect, Profile, Settings, Span};
 use gradepin_config::{Change, Configuration, Revision, Transaction};
-use gradepin_decisions::{Customer, Effect, Profile, Settings, Span};
 use gradepin_store::sim::{Fault, SimDisk};
 
 /// A wait that only ends a test which would hang.
--- a/crates/node/src/council.rs
+++ b/crates/node/src/council.rs
@@ -2,8 +2,8 @@
 //! nothing: what waits for a write, and what follows from a failure, is the council's.
 
 use crossbeam_channel::{Receiver, Sender, unbounded};
+use gradepin_coordination::council::{Durable, Found};
 use gradepin_core::messages::Input;
-use gradepin_releases::council::{Durable, Found};
 use gradepin_store::council::CouncilLog;
 use gradepin_store::disk::{Disk, Folder};
 use std::io;
--- a/crates/node/src/fronts/reader.rs
+++ b/crates/node/src/fronts/reader.rs
@@ -4,9 +4,9 @@
 use super::pace::Pace;
 use super::reading::{Intake, Reading, Turn};
 use super::{Conn, Front, Listener, MOST_UNREAD, Shared};
+use gradepin_admission::Span;
 use gradepin_core::config::SPARE_PLACES;
 use gradepin_core::messages::{ConnId, Input};
-use gradepin_decisions::Span;
 use rustix::event::{Timespec, epoll};
 use rustix::io::Errno;
 use slog::{info, warn};
--- a/crates/node/src/fronts/scgi/routes.rs
+++ b/crates/node/src/fronts/scgi/routes.rs
@@ -3,9 +3,9 @@
 
 use super::codec::Request;
 use crate::settings::{Headers, Live, ScgiSettings};
+use gradepin_admission::{Effect, RequestId};
 use gradepin_core::messages::{Call, Misuse};
 use gradepin_core::pool::Pool;
-use gradepin_decisions::{Effect, RequestId};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/node/src/fronts/scgi/routes/tests.rs
+++ b/crates/node/src/fronts/scgi/routes/tests.rs
@@ -19,7 +19,7 @@
         health: Some("/health".into()),
         ..ScgiSettings::default()
     };
-    let settings: gradepin_decisions::Settings = settings.expect("settings");
+    let settings: gradepin_admission::Settings = settings.expect("settings");
     Routes::new(&set, Live::new(&settings), |class| settings.class(class).is_some())
 }
 
--- a/crates/node/src/fronts/scgi/tests.rs
+++ b/crates/node/src/fronts/scgi/tests.rs
@@ -1,6 +1,6 @@
 use super::codec::Response;
 use super::*;
-use gradepin_decisions::Span;
+use gradepin_admission::Span;
 
 fn told(answer: &Answer, leaving: bool) -> Response {
     Response::read(&encode(answer, Some(0.5), leaving, &Pool::new(1)).expect("it fits")).expect("an answer")
--- a/crates/node/src/fronts/thrift/codec.rs
+++ b/crates/node/src/fronts/thrift/codec.rs
@@ -1,9 +1,9 @@
 //! Thrift's framed transport and strict binary protocol: bytes to messages and answers to bytes.
 
 use crate::settings::Live;
+use gradepin_admission::{Effect, RequestId};
 use gradepin_core::messages::{Answer, Call, Misuse, SeqId, UNKNOWN};
 use gradepin_core::pool::{Buffer, Pool, SIZE};
-use gradepin_decisions::{Effect, RequestId};
 use std::sync::Arc;
 
 const VERSION: u32 = 0x8001_0000;
--- a/crates/node/src/fronts/thrift/codec/tests.rs
+++ b/crates/node/src/fronts/thrift/codec/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::fronts::STACK;
-use gradepin_decisions::Settings;
+use gradepin_admission::Settings;
 use proptest::prelude::*;
 use std::thread;
 
--- a/crates/node/src/processor.rs
+++ b/crates/node/src/processor.rs
@@ -4,10 +4,10 @@
 
 use crate::outgoing::Outgoing;
 use crossbeam_channel::{Receiver, Sender, bounded};
+use gradepin_admission::{RequestId, Span, Time};
 use gradepin_core::known_processor::KnownProcessor;
 use gradepin_core::messages::Input;
 use gradepin_core::pool::{Buffer, Pool, SIZE};
-use gradepin_decisions::{RequestId, Span, Time};
 use lines::{Line, Lines};
 use rustix::io::Errno;
 use slog::{Logger, info, warn};
--- a/crates/node/src/processor/lines.rs
+++ b/crates/node/src/processor/lines.rs
@@ -1,9 +1,9 @@
 //! Lines of the processor, cut out of the bytes that a link brings. Owns what came and was not taken yet: one buffer,
 //! whatever comes. No line with a meaning is longer than that; a remark may be, and is passed over as it comes.
 
+use gradepin_admission::{RequestId, Span, span};
 use gradepin_core::messages::RunEnd;
 use gradepin_core::pool::{Buffer, Pool};
-use gradepin_decisions::{RequestId, Span, span};
 use std::io;
 use std::sync::Arc;
 
--- a/crates/node/src/registry.rs
+++ b/crates/node/src/registry.rs
@@ -4,8 +4,8 @@
 use crate::settings::{RegistrySettings, ServiceUrl};
 use base64::Engine;
 use crossbeam_channel::{Sender, bounded};
+use gradepin_admission::Span;
 use gradepin_core::messages::Input;
-use gradepin_decisions::Span;
 use gradepin_registry::instance::Applications;
 use gradepin_registry::membership::{Ask, Lane, Op, Reply};
 use gradepin_registry::view::Fetch;
--- a/crates/node/src/settings/cluster.rs
+++ b/crates/node/src/settings/cluster.rs
@@ -1,11 +1,11 @@
 //! Settings of the fleet: how servers reach each other, and what they share.
 
 use super::reader::{Block, OldName};
+use gradepin_admission::Span;
 use gradepin_cluster::authentication::{BadKeys, Keys};
 use gradepin_cluster::leases::LeaseSettings;
 use gradepin_cluster::members::FailureDetection;
 use gradepin_cluster::peer::MAX_NAME_BYTES;
-use gradepin_decisions::Span;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
--- a/crates/node/src/settings/configuration.rs
+++ b/crates/node/src/settings/configuration.rs
@@ -1,8 +1,8 @@
 //! Settings of the configuration service: where the last good state is kept, and how changes spread.
 
 use super::reader::Block;
+use gradepin_admission::Span;
 use gradepin_cluster::peer::MAX_NAME_BYTES;
-use gradepin_decisions::Span;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
--- a/crates/node/src/settings/council.rs
+++ b/crates/node/src/settings/council.rs
@@ -1,8 +1,8 @@
 //! Settings of what the fleet agrees on: the council, the most that may be out, and how a release changes this server.
 
 use super::reader::Block;
-use gradepin_decisions::Span;
-use gradepin_releases::record::{Limits, Name};
+use gradepin_admission::Span;
+use gradepin_coordination::record::{Limits, Name};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::sync::Arc;
--- a/crates/node/src/settings/live.rs
+++ b/crates/node/src/settings/live.rs
@@ -3,12 +3,12 @@
 //! long; definitions are shared with the reducer. A handle read before its slot was used again resolves to nothing there
 //! ([`gradepin_core::slots`]), so a front may act on a name a moment too late.
 
+use gradepin_admission::{ClassDefinition, Customer, Settings};
 use gradepin_config::change::Change;
 use gradepin_core::config::Config;
 use gradepin_core::messages::NameChange;
 use gradepin_core::reload::Reload;
 use gradepin_core::slots::{ByName, Handle, Named, PARTS};
-use gradepin_decisions::{ClassDefinition, Customer, Settings};
 use std::collections::{HashMap, HashSet};
 use std::hash::{BuildHasher, RandomState};
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/node/src/settings/mod.rs
+++ b/crates/node/src/settings/mod.rs
@@ -20,8 +20,8 @@
 pub use scgi::{Headers, Route, ScgiSettings};
 pub use store::StoreSettings;
 
+use gradepin_admission::Span;
 use gradepin_core::config::Config;
-use gradepin_decisions::Span;
 use gradepin_registry::instance::{Instance, Lease, Port};
 use gradepin_registry::membership::MembershipSettings;
 use gradepin_registry::wire::Format;
--- a/crates/node/src/settings/reader.rs
+++ b/crates/node/src/settings/reader.rs
@@ -1,7 +1,7 @@
 //! Takes a KDL document apart, and keeps what is wrong with it.
 
 use super::{Problem, kdl_text};
-use gradepin_decisions::Span;
+use gradepin_admission::Span;
 use kdl::{KdlNode, KdlValue};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
--- a/crates/node/src/settings/store.rs
+++ b/crates/node/src/settings/store.rs
@@ -1,8 +1,8 @@
 //! Settings of the store.
 
 use super::reader::Block;
+use gradepin_admission::{Effect, Span};
 use gradepin_core::config::Config;
-use gradepin_decisions::{Effect, Span};
 use gradepin_store::log::Limits;
 use std::path::PathBuf;
 
--- a/crates/node/src/settings/transaction.rs
+++ b/crates/node/src/settings/transaction.rs
@@ -5,9 +5,9 @@
 
 use super::Problem;
 use super::reader::{Block, Problems, Repeated};
+use gradepin_admission::{Effect, Span};
 use gradepin_config::document::{ClassEntry, Document, RuleEntries, TenantEntry};
 use gradepin_config::{Name, Transaction};
-use gradepin_decisions::{Effect, Span};
 use std::ops::RangeInclusive;
 
 /// The longest document, in bytes: a transaction of the most changes fits.
--- a/crates/node/src/shared_ledger.rs
+++ b/crates/node/src/shared_ledger.rs
@@ -11,9 +11,9 @@
 //! | a connection that broke during the call | `Dropped` |
 
 use crossbeam_channel::{Receiver, Sender, bounded};
+use gradepin_admission::{Outcome, RequestId, Span};
 use gradepin_core::messages::{CallNumber, Input};
 use gradepin_core::pool::{Buffer, Pool, SIZE};
-use gradepin_decisions::{Outcome, RequestId, Span};
 use slog::{Logger, warn};
 use std::io;
 use std::net::SocketAddr;
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -151,8 +151,8 @@
 mod tests {
     use super::*;
     use crossbeam_channel::bounded;
+    use gradepin_admission::{RequestId, Span};
     use gradepin_core::ledger::Recovered;
-    use gradepin_decisions::{RequestId, Span};
     use gradepin_store::sim::{Fault, SimDisk};
     use slog::{Discard, o};
 
--- a/crates/node/tests/hold.rs
+++ b/crates/node/tests/hold.rs
@@ -1,8 +1,9 @@
 //! How long one change holds the reducer at the target size. A measurement: nothing here fails by a time.
 
-#[path = "../../decisions/tests/common/mod.rs"]
+#[path = "../../admission/tests/common/mod.rs"]
 mod common;
 
+use gradepin_admission::{ClassDefinition, Customer, Span, Time};
 use gradepin_config::change::{Change, Transaction};
 use gradepin_core::config::Config;
 use gradepin_core::messages::{Effect, Input};
@@ -10,7 +11,6 @@
 use gradepin_core::reducer::Reducer;
 use gradepin_core::registration::Registration;
 use gradepin_core::reload::Reload;
-use gradepin_decisions::{ClassDefinition, Customer, Span, Time};
 use serde_json::json;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/crates/registry/src/backoff.rs
+++ b/crates/registry/src/backoff.rs
@@ -1,7 +1,7 @@
 //! Waits between tries that fail: doubled each time up to a bound, of random length so that a fleet doesn't return in
 //! step.
 
-use gradepin_decisions::Span;
+use gradepin_admission::Span;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::Rng;
 
--- a/crates/registry/src/membership.rs
+++ b/crates/registry/src/membership.rs
@@ -18,7 +18,7 @@
 
 use crate::backoff::Backoff;
 use crate::instance::{Instance, Status};
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::SeedableRng;
 
--- a/crates/registry/src/view.rs
+++ b/crates/registry/src/view.rs
@@ -7,7 +7,7 @@
 
 use crate::backoff::Backoff;
 use crate::instance::{ActionType, Applications, Instance, Status, hash_code};
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use hashbrown::HashTable;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
--- a/crates/registry/tests/odd_replies.rs
+++ b/crates/registry/tests/odd_replies.rs
@@ -1,7 +1,7 @@
 //! A server's registration against a registry that says anything at any time, and a clock that jumps: nothing ends the process,
 //! no question is put for ever at one moment, and what was undone here stays undone.
 
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use gradepin_registry::instance::{Instance, Status};
 use gradepin_registry::membership::{Ask, Lane, Membership, MembershipSettings, Op, Reply};
 use gradepin_registry::wire::{self, Format};
--- a/crates/registry/tests/view.rs
+++ b/crates/registry/tests/view.rs
@@ -1,6 +1,6 @@
 //! What a caller believes of a fleet, whatever its registry tells.
 
-use gradepin_decisions::Time;
+use gradepin_admission::Time;
 use gradepin_registry::instance::{ActionType, Applications, Instance, Port, Status, hash_code};
 use gradepin_registry::view::{Fetch, View, ViewSettings};
 use proptest::prelude::*;
--- a/crates/adapter/src/main.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -3,7 +3,7 @@
 
 mod wire;
 
-use gradepin_decisions::{Action, Controller, Event, Settings, Time};
+use gradepin_admission::{Action, Controller, Event, Settings, Time};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
@@ -118,11 +118,12 @@
     }
 }
 
-fn main() -> ExitCode {
+/// Serves the simulator on standard input and output until its input ends; status 2 for input that is not of its form.
+pub fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("gradepin-adapter: {message}");
+            eprintln!("gradepin-simulator-adapter: {message}");
             ExitCode::from(2)
         }
     }
--- a/crates/adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! The text of the wire: lines to settings and events, actions to lines.
 
-use gradepin_decisions::{Action, Event, Gauges, Outcome, Request, RequestId, Settings, Span, Time};
+use gradepin_admission::{Action, Event, Gauges, Outcome, Request, RequestId, Settings, Span, Time};
 use std::fmt::Write;
 
 const EVENTS: [&str; 7] =
--- a/crates/adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -1,13 +1,13 @@
 //! Transcripts of the adapter: what goes in and what comes out, good and bad.
 
-#[path = "../../decisions/tests/common/mod.rs"]
+#[path = "../../admission/tests/common/mod.rs"]
 mod common;
 use std::io::Write;
 use std::process::{Command, Stdio};
 
 /// Exit status, standard output and standard error for an input.
 fn host(input: &str) -> (Option<i32>, String, String) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_gradepin-adapter"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_gradepin-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/adapter/tests/customers.rs
+++ b/crates/simulator-adapter/tests/customers.rs
@@ -1,7 +1,7 @@
 //! Drawn settings of other customers through the adapter's process: each instance starts with them, and says on the wire
 //! only what the wire has words for.
 
-#[path = "../../decisions/tests/common/customers.rs"]
+#[path = "../../admission/tests/common/customers.rs"]
 mod customers;
 
 use customers::{MS, settings, text};
@@ -14,7 +14,7 @@
 
 /// Exit status, standard output and standard error for an input.
 fn host(input: &str) -> (Option<i32>, String, String) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_gradepin-adapter"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_gradepin-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/store/src/council.rs
+++ b/crates/store/src/council.rs
@@ -10,10 +10,10 @@
 //! A write that begins with a snapshot begins a new segment: all that counts from then on is in it, so the ones before go
 //! once it is durable. A segment counts if its first frame is whole; the one with the greatest number that counts is read, up to
 //! its first frame that is not whole. What comes after a frame that is damaged is not taken: a voter whose files end sooner
-//! than they did is found out by what it acknowledged (`gradepin_releases::council`).
+//! than they did is found out by what it acknowledged (`gradepin_coordination::council`).
 
 use crate::disk::{Disk, Segment};
-use gradepin_releases::council::{Durable, Found};
+use gradepin_coordination::council::{Durable, Found};
 use std::io;
 
 const MAGIC: &[u8; 8] = b"gpcouncl";
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -9,9 +9,9 @@
 use crate::frame::{self, BadHead, Batch, HEAD, Head, MOST_PAYLOAD, Stored};
 use crate::framing;
 use crate::recovery::{Found, Reading};
+use gradepin_admission::Span;
 use gradepin_core::keys::READ_LATE;
 use gradepin_core::ledger::Record;
-use gradepin_decisions::Span;
 use std::collections::VecDeque;
 use std::io;
 
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -5,9 +5,9 @@
 //! count for nothing: a window may so be longer than it was, and never shorter.
 
 use crate::frame::{Frames, Head, Stored, Tail};
+use gradepin_admission::Span;
 use gradepin_core::keys::READ_LATE;
 use gradepin_core::ledger::{Past, PastEnd, Recovered};
-use gradepin_decisions::Span;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::ops::Bound;
 
--- a/crates/store/tests/configuration.rs
+++ b/crates/store/tests/configuration.rs
@@ -1,9 +1,9 @@
 //! The last good configuration under kill -9, crashes of the machine and full disks at each write: a start uses a whole
 //! state that was in force, never one older than what was durable.
 
+use gradepin_admission::{Effect, Settings, Span};
 use gradepin_config::document::{ClassEntry, TenantEntry};
 use gradepin_config::{Change, Commit, Configuration, Document, Revision, Snapshot, Transaction, Version};
-use gradepin_decisions::{Effect, Settings, Span};
 use gradepin_store::configuration::{ConfigurationStore, MAX_COMMIT_BYTES, Opened};
 use gradepin_store::disk::Folder;
 use gradepin_store::sim::{Fault, Files, SimDisk};
--- a/crates/store/tests/council.rs
+++ b/crates/store/tests/council.rs
@@ -1,7 +1,7 @@
 //! The council's folder on a disk that crashes, is killed, fills up or fails at any step: what a start finds is what was written up
 //! to a whole write, no less than what was durable, and the folder does not fill with what failed.
 
-use gradepin_releases::council::{Durable, Found};
+use gradepin_coordination::council::{Durable, Found};
 use gradepin_store::council::{CouncilError, CouncilLog};
 use gradepin_store::disk::Disk;
 use gradepin_store::sim::{Fault, Files, SimDisk};
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -269,8 +269,8 @@
 /// and the oldest results are gone: their repeats fail, and none runs again.
 #[test]
 fn a_recovery_keeps_its_results_within_their_bound() {
+    use gradepin_admission::{RequestId, Span};
     use gradepin_core::ledger::{PastEnd, Record};
-    use gradepin_decisions::{RequestId, Span};
     use gradepin_store::log::{Limits, Log, Stamp};
     let disk = gradepin_store::sim::SimDisk::new(1);
     let window = Span(WINDOW_MS * world::MS);
--- a/crates/store/tests/full.rs
+++ b/crates/store/tests/full.rs
@@ -1,7 +1,7 @@
 //! The log of keyed runs on a disk that is full for long.
 
+use gradepin_admission::{RequestId, Span};
 use gradepin_core::ledger::Record;
-use gradepin_decisions::{RequestId, Span};
 use gradepin_store::log::{Limits, Log, Stamp};
 use gradepin_store::sim::{Fault, SimDisk};
 
--- a/crates/store/tests/names.rs
+++ b/crates/store/tests/names.rs
@@ -1,7 +1,7 @@
 //! Files in a store's folder that no writer made.
 
+use gradepin_admission::{RequestId, Span};
 use gradepin_core::ledger::Record;
-use gradepin_decisions::{RequestId, Span};
 use gradepin_store::configuration::{self, ConfigurationStore};
 use gradepin_store::council::{self, CouncilLog};
 use gradepin_store::disk::{Disk, Folder};
--- a/crates/store/tests/world/mod.rs
+++ b/crates/store/tests/world/mod.rs
@@ -2,9 +2,10 @@
 //! and books of what ran and what was answered, by which the rules are checked across lives.
 #![allow(dead_code)]
 
-#[path = "../../../decisions/tests/common/mod.rs"]
+#[path = "../../../admission/tests/common/mod.rs"]
 mod common;
 
+use gradepin_admission::{RequestId, Span, Time};
 use gradepin_core::config::Config;
 use gradepin_core::keys::READ_LATE;
 use gradepin_core::ledger::{Batch, Ledger};
@@ -13,7 +14,6 @@
 use gradepin_core::pool::Pool;
 use gradepin_core::reducer::Reducer;
 use gradepin_core::registration::Registration;
-use gradepin_decisions::{RequestId, Span, Time};
 use gradepin_store::log::{Limits, Log, Stamp};
 use gradepin_store::sim::{Files, SimDisk};
 use rand_pcg::Pcg64Mcg;
@@ -350,7 +350,7 @@
                 let body = String::from_utf8_lossy(&body).into_owned();
                 // Runs take from 20 ms to 1.3 s.
                 let takes = 20 + self.rng.next_u64() % 16 * (self.rng.next_u64() % 80);
-                if class.profile.effect == gradepin_decisions::Effect::ByKey {
+                if class.profile.effect == gradepin_admission::Effect::ByKey {
                     let now = self.truth.ms;
                     let ran = self.truth.ran.entry(body.clone()).or_default();
                     // A run begun again on a new link is the same run.
--- a/crates/kit/src/bench/council.rs
+++ b/crates/testkit/src/bench/council.rs
@@ -1,12 +1,12 @@
 //! What a permit costs: voters with files on a real disk in one process, no net between them. Time from a server's question until it may
 //! begin, syncs, and what the files keep.
 
-use gradepin_decisions::{Span, Time, after};
-use gradepin_releases::controller::ControllerSettings;
-use gradepin_releases::council::Found;
-use gradepin_releases::messages::Report;
-use gradepin_releases::record::{Limits, Name};
-use gradepin_releases::server_agent::{AgentSettings, Effect, ServerAgent};
+use gradepin_admission::{Span, Time, after};
+use gradepin_coordination::controller::ControllerSettings;
+use gradepin_coordination::council::Found;
+use gradepin_coordination::messages::Report;
+use gradepin_coordination::record::{Limits, Name};
+use gradepin_coordination::server_agent::{AgentSettings, Effect, ServerAgent};
 use gradepin_store::council::CouncilLog;
 use gradepin_store::disk::Folder;
 use hdrhistogram::Histogram;
--- a/crates/kit/src/bench/doors.rs
+++ b/crates/testkit/src/bench/doors.rs
@@ -1,8 +1,8 @@
 //! What a door goes by, measured against plain ones: the sketch of heavy clients beside a map of all, and two ways to take
 //! turns.
 
-use gradepin_doors::heavy::Heavy;
-use gradepin_doors::turns::{Drr, Sfq, Turns};
+use gradepin_fair_queue::heavy::Heavy;
+use gradepin_fair_queue::turns::{Drr, Sfq, Turns};
 use gradepin_model::streams::{Streams, one_of, unit};
 use std::collections::HashMap;
 use std::hint::black_box;
--- a/crates/kit/src/bench/keys.rs
+++ b/crates/testkit/src/bench/keys.rs
@@ -1,8 +1,8 @@
 //! The table of keyed requests: the wheel beside a sweep over everything (as it was), and beside an ordered set.
 
+use gradepin_admission::{RequestId, Time};
 use gradepin_core::keys::{End, Keys, READ_LATE};
 use gradepin_core::moment::Moment;
-use gradepin_decisions::{RequestId, Time};
 use std::collections::{BTreeSet, HashMap};
 use std::hint::black_box;
 use std::sync::Arc;
--- a/crates/kit/src/bench/mod.rs
+++ b/crates/testkit/src/bench/mod.rs
@@ -9,7 +9,7 @@
 use crate::thrift::{self, Answer, Message};
 use flate2::Compression;
 use flate2::write::GzEncoder;
-use gradepin_decisions::Time;
+use gradepin_admission::Time;
 use gradepin_registry::instance::{Applications, Instance, Port, Status, hash_code};
 use gradepin_registry::membership::{Membership, Op, Reply};
 use gradepin_registry::view::{Fetch, View, ViewSettings};
--- a/crates/kit/src/bench/peers.rs
+++ b/crates/testkit/src/bench/peers.rs
@@ -4,13 +4,13 @@
 use super::{nanos, spec};
 use crate::fleet::{self, Fleet, FleetSpec, PeersSpec};
 use crate::load::{Fixed, Habit, Proxy};
+use gradepin_admission::{Span, Time, after};
 use gradepin_cluster::circuit_breaker::Observation;
 use gradepin_cluster::counters::{
     CellId, CounterCell, CounterRow, Counters, GossipedRow, MAX_CELLS, WorkCount,
 };
 use gradepin_cluster::members::{FailureDetection, Members};
 use gradepin_cluster::peer::{Incarnation, Peer};
-use gradepin_decisions::{Span, Time, after};
 use std::hint::black_box;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/kit/src/bench/store.rs
+++ b/crates/testkit/src/bench/store.rs
@@ -4,9 +4,9 @@
 //! are open loop; each request is an intent, and with it goes the end of one before. An intent's time counts from its
 //! moment in the schedule until it is durable.
 
+use gradepin_admission::{RequestId, Span};
 use gradepin_core::ledger::Record;
 use gradepin_core::pool::Pool;
-use gradepin_decisions::{RequestId, Span};
 use gradepin_store::disk::Folder;
 use gradepin_store::log::{Limits, Log, Stamp};
 use hdrhistogram::Histogram;
--- a/crates/kit/src/main.rs
+++ b/crates/testkit/src/cli.rs
@@ -1,10 +1,8 @@
-//! The command line of the kit.
-
-mod commands;
+//! The command line of the test kit.
 
+use crate::commands::Command;
+use crate::drill::NotScored;
 use clap::Parser;
-use commands::Command;
-use gradepin_kit::drill::NotScored;
 use std::process::ExitCode;
 
 #[derive(Parser)]
@@ -14,12 +12,14 @@
     command: Command,
 }
 
-fn main() -> ExitCode {
+/// Carries out the command of this process: status 0 if all was kept, 1 if something was not, 2 for an error, or 3 if the
+/// machine was too late to judge by.
+pub fn main() -> ExitCode {
     match Cli::parse().command.run() {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(message) => {
-            eprintln!("gradepin-kit: {message}");
+            eprintln!("gradepin-testkit: {message}");
             ExitCode::from(if message.is::<NotScored>() { NotScored::EXIT_STATUS } else { 2 })
         }
     }
--- a/crates/kit/src/commands/ask.rs
+++ b/crates/testkit/src/commands/ask.rs
@@ -1,4 +1,4 @@
-//! `gradepin-kit ask`: one question to a registry.
+//! `gradepin-testkit ask`: one question to a registry.
 
 use clap::{Args, Subcommand};
 use gradepin_node::registry::Client;
--- a/crates/kit/src/commands/bench.rs
+++ b/crates/testkit/src/commands/bench.rs
@@ -1,8 +1,8 @@
-//! `gradepin-kit bench`: measurements that compare two ways in one run.
+//! `gradepin-testkit bench`: measurements that compare two ways in one run.
 
 use super::shared::daemon;
+use crate::{bench, fleet};
 use clap::{Args, Subcommand};
-use gradepin_kit::{bench, fleet};
 use std::error::Error;
 use std::path::PathBuf;
 
--- a/crates/kit/src/commands/control.rs
+++ b/crates/testkit/src/commands/control.rs
@@ -1,8 +1,8 @@
-//! `gradepin-kit control`: a stand-in control plane.
+//! `gradepin-testkit control`: a stand-in control plane.
 
 use super::shared::each_second;
+use crate::control::Control;
 use clap::Args;
-use gradepin_kit::control::Control;
 use std::error::Error;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
--- a/crates/kit/src/commands/drill.rs
+++ b/crates/testkit/src/commands/drill.rs
@@ -1,8 +1,8 @@
-//! `gradepin-kit drill`: failures against real servers, a line a claim.
+//! `gradepin-testkit drill`: failures against real servers, a line a claim.
 
 use super::shared::daemon;
+use crate::drill::{Verdict, faults, recovery, registry, release, scgi, shared};
 use clap::{Args, Subcommand, ValueEnum};
-use gradepin_kit::drill::{Verdict, faults, recovery, registry, release, scgi, shared};
 use std::error::Error;
 use std::path::PathBuf;
 
--- a/crates/kit/src/commands/explore.rs
+++ b/crates/testkit/src/commands/explore.rs
@@ -1,7 +1,7 @@
-//! `gradepin-kit explore`: permits, exhaustively in the small.
+//! `gradepin-testkit explore`: permits, exhaustively in the small.
 
+use crate::explore::permits::{self, Small, Without};
 use clap::Args;
-use gradepin_kit::explore::permits::{self, Small, Without};
 use std::error::Error;
 use std::time::Duration;
 
--- a/crates/kit/src/commands/fleet.rs
+++ b/crates/testkit/src/commands/fleet.rs
@@ -1,10 +1,10 @@
-//! `gradepin-kit fleet`: real servers under load, a line a second.
+//! `gradepin-testkit fleet`: real servers under load, a line a second.
 
 use super::shared::{daemon, each_second};
+use crate::fleet::{self, Fleet, FleetSpec};
+use crate::load::{Books, Fixed, Habit, Live, Proxy, classes};
+use crate::processor::Spec;
 use clap::Args;
-use gradepin_kit::fleet::{self, Fleet, FleetSpec};
-use gradepin_kit::load::{Books, Fixed, Habit, Live, Proxy, classes};
-use gradepin_kit::processor::Spec;
 use hdrhistogram::Histogram;
 use std::error::Error;
 use std::io;
--- a/crates/kit/src/commands/forward.rs
+++ b/crates/testkit/src/commands/forward.rs
@@ -1,7 +1,7 @@
-//! `gradepin-kit forward`: a bare forwarder, for measurements.
+//! `gradepin-testkit forward`: a bare forwarder, for measurements.
 
+use crate::forward;
 use clap::Args;
-use gradepin_kit::forward;
 use std::error::Error;
 use std::net::SocketAddr;
 
--- a/crates/kit/src/commands/load.rs
+++ b/crates/testkit/src/commands/load.rs
@@ -1,8 +1,8 @@
-//! `gradepin-kit load`: open-loop load on servers that run already.
+//! `gradepin-testkit load`: open-loop load on servers that run already.
 
+use crate::load::{Habit, Repeats, Retry};
+use crate::measure::{self, Load};
 use clap::Args;
-use gradepin_kit::load::{Habit, Repeats, Retry};
-use gradepin_kit::measure::{self, Load};
 use std::error::Error;
 use std::net::SocketAddr;
 
--- a/crates/kit/src/commands/mod.rs
+++ b/crates/testkit/src/commands/mod.rs
@@ -12,10 +12,10 @@
 mod registry;
 mod shared;
 
+use crate::interrupt;
+use crate::model::cli::{self as model, ModelCommand};
+use crate::scale::cli::{self as scale, ScaleArgs};
 use clap::Subcommand;
-use gradepin_kit::interrupt;
-use gradepin_kit::model::cli::{self as model, ModelCommand};
-use gradepin_kit::scale::cli::{self as scale, ScaleArgs};
 use std::error::Error;
 
 /// What the kit does.
--- a/crates/kit/src/commands/processor.rs
+++ b/crates/testkit/src/commands/processor.rs
@@ -1,8 +1,8 @@
-//! `gradepin-kit processor`: a stand-in processor.
+//! `gradepin-testkit processor`: a stand-in processor.
 
 use super::shared::each_second;
+use crate::processor::{Processor, Spec};
 use clap::Args;
-use gradepin_kit::processor::{Processor, Spec};
 use std::error::Error;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/kit/src/commands/registry.rs
+++ b/crates/testkit/src/commands/registry.rs
@@ -1,10 +1,10 @@
-//! `gradepin-kit registry`: a stand-in registry with Eureka's API.
+//! `gradepin-testkit registry`: a stand-in registry with Eureka's API.
 
 use super::shared::each_second;
+use crate::registry::faults::Script;
+use crate::registry::server::{Server, ServerSettings};
+use crate::registry::state::RegistrySettings;
 use clap::Args;
-use gradepin_kit::registry::faults::Script;
-use gradepin_kit::registry::server::{Server, ServerSettings};
-use gradepin_kit::registry::state::RegistrySettings;
 use std::error::Error;
 use std::net::SocketAddr;
 
--- a/crates/kit/src/commands/shared.rs
+++ b/crates/testkit/src/commands/shared.rs
@@ -1,6 +1,6 @@
 //! What several commands share: the daemon to start, and a line a second.
 
-use gradepin_kit::{fleet, interrupt};
+use crate::{fleet, interrupt};
 use std::io;
 use std::path::PathBuf;
 use std::sync::atomic::Ordering;
--- a/crates/kit/src/drill/registry.rs
+++ b/crates/testkit/src/drill/registry.rs
@@ -9,7 +9,7 @@
 use crate::registry::server::{Server, ServerSettings, unix_ms};
 use crate::registry::state::RegistrySettings;
 use crate::watch::Watcher;
-use gradepin_decisions::Span;
+use gradepin_admission::Span;
 use gradepin_node::settings::ServiceUrl;
 use gradepin_registry::instance::Status;
 use gradepin_registry::view::ViewSettings;
--- a/crates/kit/src/drill/release/mod.rs
+++ b/crates/testkit/src/drill/release/mod.rs
@@ -20,7 +20,7 @@
 use crate::rig::supervisor::{NO_SAVES, Supervisor};
 use faults::Faults;
 use gradepin_cluster::authentication::Keys;
-use gradepin_releases::release::{Kind, Plan, Wave};
+use gradepin_coordination::release::{Kind, Plan, Wave};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::SeedableRng;
 use session::Session;
--- a/crates/kit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -2,6 +2,8 @@
 //! control plane, client proxies, fleets of real daemons, and drills.
 
 pub mod bench;
+pub mod cli;
+mod commands;
 pub mod control;
 pub mod drill;
 pub mod explore;
--- a/crates/kit/src/model/agreed.rs
+++ b/crates/testkit/src/model/agreed.rs
@@ -1,8 +1,8 @@
-//! `gradepin-kit model releases`: seeds of releases over a large fleet in virtual time.
+//! `gradepin-testkit model releases`: seeds of releases over a large fleet in virtual time.
 
 use clap::Args;
+use gradepin_coordination::release::State;
 use gradepin_model::agreed::{Day, Outcome, play};
-use gradepin_releases::release::State;
 use rayon::prelude::*;
 use std::time::Instant;
 
--- a/crates/kit/src/model/cli.rs
+++ b/crates/testkit/src/model/cli.rs
@@ -1,4 +1,4 @@
-//! `gradepin-kit model`: days of the fleet model, sweeps of them, and what is made of their results.
+//! `gradepin-testkit model`: days of the fleet model, sweeps of them, and what is made of their results.
 
 use super::experiment::Experiment;
 use super::results::{self, FIGURES, Line};
--- a/crates/kit/src/model/config.rs
+++ b/crates/testkit/src/model/config.rs
@@ -1,4 +1,4 @@
-//! `gradepin-kit model config`: seeds of how changes of the configuration reach a fleet in virtual time.
+//! `gradepin-testkit model config`: seeds of how changes of the configuration reach a fleet in virtual time.
 
 use clap::{Args, ValueEnum};
 use gradepin_config::dissemination::Selection;
--- a/crates/kit/src/model/peers.rs
+++ b/crates/testkit/src/model/peers.rs
@@ -1,4 +1,4 @@
-//! `gradepin-kit model peers`: seeds by the thousand of what servers share, over modelled datagrams.
+//! `gradepin-testkit model peers`: seeds by the thousand of what servers share, over modelled datagrams.
 
 use super::plots::{Curve, Labels, draw as svg};
 use clap::{Args, ValueEnum};
--- a/crates/kit/src/registry/mod.rs
+++ b/crates/testkit/src/registry/mod.rs
@@ -5,7 +5,7 @@
 pub mod server;
 pub use gradepin_model::roster::registry as state;
 
-use gradepin_decisions::Span;
+use gradepin_admission::Span;
 use gradepin_registry::instance::Instance;
 use gradepin_registry::membership::MembershipSettings;
 
--- a/crates/kit/src/scale/cli.rs
+++ b/crates/testkit/src/scale/cli.rs
@@ -1,4 +1,4 @@
-//! `gradepin-kit scale`: its commands.
+//! `gradepin-testkit scale`: its commands.
 
 use super::connections::{self, ConnectionsArgs};
 use super::consensus::{self, ConsensusArgs};
--- a/crates/kit/src/scale/connections.rs
+++ b/crates/testkit/src/scale/connections.rs
@@ -1,4 +1,4 @@
-//! `gradepin-kit scale connections`: what connections that rest take of a real server, up to what descriptors allow.
+//! `gradepin-testkit scale connections`: what connections that rest take of a real server, up to what descriptors allow.
 
 use super::budgets::{CALLERS, CPU_PERCENT, MEMORY_MB};
 use super::figure::{Budget, Claim, Figure};
--- a/crates/kit/src/scale/consensus.rs
+++ b/crates/testkit/src/scale/consensus.rs
@@ -1,4 +1,4 @@
-//! `gradepin-kit scale consensus`: what agreed entries cost three voters with files on a real disk, by how many there were.
+//! `gradepin-testkit scale consensus`: what agreed entries cost three voters with files on a real disk, by how many there were.
 
 use super::figure::Figure;
 use super::options::{Options, check_resources, go_on, progress};
--- a/crates/kit/src/scale/counters.rs
+++ b/crates/testkit/src/scale/counters.rs
@@ -1,4 +1,4 @@
-//! `gradepin-kit scale counters`: gossiped counter rows and leases by the number of servers, apart by the kind of message.
+//! `gradepin-testkit scale counters`: gossiped counter rows and leases by the number of servers, apart by the kind of message.
 
 use super::budgets::{BYTES_S, SERVERS};
 use super::figure::{Budget, Claim, Figure};
--- a/crates/kit/src/scale/fleet/host.rs
+++ b/crates/testkit/src/scale/fleet/host.rs
@@ -6,7 +6,7 @@
 use super::server::{HollowServer, Surroundings, thread_cpu_ns};
 use clap::Args;
 use crossbeam_channel::{Receiver, unbounded};
-use gradepin_decisions::{Span, Time, after};
+use gradepin_admission::{Span, Time, after};
 use gradepin_node::config;
 use gradepin_node::settings::{Own, cluster};
 use hdrhistogram::Histogram;
--- a/crates/kit/src/scale/fleet/mod.rs
+++ b/crates/testkit/src/scale/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! `gradepin-kit scale fleet`: fleets of hollow servers with real daemons among them, in real time on loopback addresses.
+//! `gradepin-testkit scale fleet`: fleets of hollow servers with real daemons among them, in real time on loopback addresses.
 //!
 //! A hollow server is the real reducer, decision module and cluster on a real UDP socket, without threads, fronts and a
 //! processor. Many share a thread of a host process; the host measures how late it is, and what it was late for isn't scored.
--- a/crates/kit/src/scale/fleet/requests.rs
+++ b/crates/testkit/src/scale/fleet/requests.rs
@@ -2,10 +2,10 @@
 //! answered after a drawn time, and no work is done.
 
 use crate::load;
+use gradepin_admission::{RequestId, Settings, Span, Time, after};
 use gradepin_core::messages::{Call, ConnId, Effect, Input, RunEnd};
 use gradepin_core::moment::Moment;
 use gradepin_core::pool::Pool;
-use gradepin_decisions::{RequestId, Settings, Span, Time, after};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -99,7 +99,7 @@
         match effect {
             Effect::Begin(_, id, ..) => {
                 let takes = self.exponential(self.mean_run_s).min(MOST_OF_MEAN * self.mean_run_s);
-                self.runs.push(Reverse((after(now, gradepin_decisions::span(takes)), id)));
+                self.runs.push(Reverse((after(now, gradepin_admission::span(takes)), id)));
             }
             Effect::Usage(_, tag) => {
                 let gauges = vec![CORE_USE, self.runs.len() as f64, HEAP_SHARE, 0.0];
@@ -120,7 +120,7 @@
         let class = self.class(settings);
         let (keyed, deadline) = {
             let profile = &settings.profiles[class];
-            (profile.effect == gradepin_decisions::Effect::ByKey, profile.deadline)
+            (profile.effect == gradepin_admission::Effect::ByKey, profile.deadline)
         };
         let tenants = settings.customers.len();
         let number = self.name << 40 | self.last_request;
@@ -164,7 +164,7 @@
 
     fn arrival_after(&mut self, at: Time) -> Option<Time> {
         let pause = (self.rate > 0.0).then(|| self.exponential(1.0 / self.rate))?;
-        Some(after(at, gradepin_decisions::span(pause)))
+        Some(after(at, gradepin_admission::span(pause)))
     }
 
     fn exponential(&mut self, mean: f64) -> f64 {
--- a/crates/kit/src/scale/membership.rs
+++ b/crates/testkit/src/scale/membership.rs
@@ -1,4 +1,4 @@
-//! `gradepin-kit scale membership`: SWIM by the number of servers.
+//! `gradepin-testkit scale membership`: SWIM by the number of servers.
 
 use super::budgets::{BYTES_S, CPU_PERCENT, MEMORY_MB, SERVERS};
 use super::figure::{Budget, Claim, Figure};
--- a/crates/kit/src/scale/requests.rs
+++ b/crates/testkit/src/scale/requests.rs
@@ -1,4 +1,4 @@
-//! `gradepin-kit scale requests`: what a request costs and how much later its answer is, by the size of the settings, open loop.
+//! `gradepin-testkit scale requests`: what a request costs and how much later its answer is, by the size of the settings, open loop.
 
 use super::budgets::{ADDED_MS, REQUESTS_S, TENANTS};
 use super::figure::{Budget, Claim, Figure};
--- a/crates/kit/src/scale/settings.rs
+++ b/crates/testkit/src/scale/settings.rs
@@ -1,4 +1,4 @@
-//! `gradepin-kit scale settings`: a real server by the classes and tenants of its settings.
+//! `gradepin-testkit scale settings`: a real server by the classes and tenants of its settings.
 
 use super::budgets::{CPU_PERCENT, MEMORY_MB, TENANTS};
 use super::figure::{Budget, Claim, Figure};
--- a/crates/kit/src/watch.rs
+++ b/crates/testkit/src/watch.rs
@@ -1,7 +1,7 @@
 //! A caller's view of a fleet, kept up from registries by a thread of its own.
 
 use crate::load::Servers;
-use gradepin_decisions::Time;
+use gradepin_admission::Time;
 use gradepin_node::registry::Client;
 use gradepin_node::settings::ServiceUrl;
 use gradepin_registry::view::{View, ViewSettings};
--- a/crates/kit/tests/configuration.rs
+++ b/crates/testkit/tests/configuration.rs
@@ -2,14 +2,14 @@
 //! nothing passes or fails by how fast the machine is.
 
 use gradepin_cluster::authentication::Keys;
-use gradepin_kit::fleet::{self, CouncilSpec, Fleet, FleetSpec, PeersSpec};
-use gradepin_kit::load::classes;
-use gradepin_kit::processor::Spec;
-use gradepin_kit::rig::history::History;
-use gradepin_kit::rig::ledger::Ledger;
-use gradepin_kit::rig::play::{ask, ask_text, call};
-use gradepin_kit::rig::relay::Net;
-use gradepin_kit::thrift;
+use gradepin_testkit::fleet::{self, CouncilSpec, Fleet, FleetSpec, PeersSpec};
+use gradepin_testkit::load::classes;
+use gradepin_testkit::processor::Spec;
+use gradepin_testkit::rig::history::History;
+use gradepin_testkit::rig::ledger::Ledger;
+use gradepin_testkit::rig::play::{ask, ask_text, call};
+use gradepin_testkit::rig::relay::Net;
+use gradepin_testkit::thrift;
 use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/kit/tests/faults.rs
+++ b/crates/testkit/tests/faults.rs
@@ -1,11 +1,11 @@
 //! The drill of faults in its small form, and a seeded defect for each oracle: it must be seen by that one and by no other.
 //! Waits are upper bounds; what a late machine changes is not scored.
 
-use gradepin_kit::drill::Verdict;
-use gradepin_kit::drill::faults::oracles::Oracle;
-use gradepin_kit::drill::faults::plan::{Size, schedule};
-use gradepin_kit::drill::faults::{Defect, Drill, Report, run};
-use gradepin_kit::fleet;
+use gradepin_testkit::drill::Verdict;
+use gradepin_testkit::drill::faults::oracles::Oracle;
+use gradepin_testkit::drill::faults::plan::{Size, schedule};
+use gradepin_testkit::drill::faults::{Defect, Drill, Report, run};
+use gradepin_testkit::fleet;
 use std::collections::BTreeSet;
 
 /// Cases beside each other: most of each is the wait for the end of its drain.
--- a/crates/kit/tests/hollow.rs
+++ b/crates/testkit/tests/hollow.rs
@@ -12,7 +12,7 @@
 const SEED: &str = "7";
 
 fn scale_fleet(args: &[&str]) -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_gradepin-kit"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_gradepin-testkit"));
     command.args(["scale", "fleet", "--seed", SEED, "--rate", "0"]).args(args);
     command
 }
--- a/crates/kit/tests/load.rs
+++ b/crates/testkit/tests/load.rs
@@ -1,7 +1,7 @@
 //! The kit's open-loop client against a scripted server on loopback. No verdict hangs on how fast the machine is.
 
-use gradepin_kit::load::{Asked, Books, Fixed, Habit, Proxy, Repeats, Retry};
-use gradepin_kit::thrift;
+use gradepin_testkit::load::{Asked, Books, Fixed, Habit, Proxy, Repeats, Retry};
+use gradepin_testkit::thrift;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
--- a/crates/kit/tests/membership.rs
+++ b/crates/testkit/tests/membership.rs
@@ -1,11 +1,11 @@
 //! A server's registration against the stand-in registry's rules, in virtual time, over a network that loses, delays,
 //! doubles and reorders. What is compared is what the registry shows in the end with what is true at the server.
 
-use gradepin_decisions::{Span, Time};
-use gradepin_kit::registry::member;
-use gradepin_kit::registry::state::{Outcome, Registry, RegistrySettings};
+use gradepin_admission::{Span, Time};
 use gradepin_registry::instance::{Instance, Status};
 use gradepin_registry::membership::{Ask, Lane, Membership, MembershipSettings, Op, Reply};
+use gradepin_testkit::registry::member;
+use gradepin_testkit::registry::state::{Outcome, Registry, RegistrySettings};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 
--- a/crates/kit/tests/scale.rs
+++ b/crates/testkit/tests/scale.rs
@@ -14,7 +14,7 @@
 const TENANTS: [&str; 4] = ["--sizes", "11,22,44,88,176", "--target", "176"];
 
 fn kit(command: &str, args: &[&str]) -> Command {
-    let mut kit = Command::new(env!("CARGO_BIN_EXE_gradepin-kit"));
+    let mut kit = Command::new(env!("CARGO_BIN_EXE_gradepin-testkit"));
     kit.args(["scale", command, "--seed", SEED]).args(args).stdin(Stdio::null());
     kit
 }
--- a/crates/kit/tests/scgi.rs
+++ b/crates/testkit/tests/scgi.rs
@@ -1,12 +1,12 @@
 //! The SCGI front of the real daemon, beside Thrift, on loopback sockets. Waits are upper bounds; nothing passes or fails by
 //! how long anything takes.
 
-use gradepin_kit::fleet::{self, Fleet, FleetSpec, scgi_of};
-use gradepin_kit::load::classes;
-use gradepin_kit::processor::Spec;
-use gradepin_kit::registry::server::unix_ms;
-use gradepin_kit::thrift::{self, Answer, Message};
 use gradepin_node::fronts::scgi::codec::{Response, encode};
+use gradepin_testkit::fleet::{self, Fleet, FleetSpec, scgi_of};
+use gradepin_testkit::load::classes;
+use gradepin_testkit::processor::Spec;
+use gradepin_testkit::registry::server::unix_ms;
+use gradepin_testkit::thrift::{self, Answer, Message};
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::os::unix::net::UnixStream;
--- a/crates/kit/tests/shared.rs
+++ b/crates/testkit/tests/shared.rs
@@ -2,15 +2,15 @@
 //! passes or fails by how fast the machine is.
 
 use gradepin_cluster::authentication::Keys;
-use gradepin_kit::drill::shared::{Drill, run};
-use gradepin_kit::drill::{Verdict, release};
-use gradepin_kit::fleet::{self, Fleet, FleetSpec, PeersSpec};
-use gradepin_kit::load::{Fixed, Habit, Proxy, classes};
-use gradepin_kit::processor::Spec;
-use gradepin_kit::rig::history::{History, What};
-use gradepin_kit::rig::ledger::Ledger;
-use gradepin_kit::rig::play::ask;
-use gradepin_kit::rig::relay::Net;
+use gradepin_testkit::drill::shared::{Drill, run};
+use gradepin_testkit::drill::{Verdict, release};
+use gradepin_testkit::fleet::{self, Fleet, FleetSpec, PeersSpec};
+use gradepin_testkit::load::{Fixed, Habit, Proxy, classes};
+use gradepin_testkit::processor::Spec;
+use gradepin_testkit::rig::history::{History, What};
+use gradepin_testkit::rig::ledger::Ledger;
+use gradepin_testkit::rig::play::ask;
+use gradepin_testkit::rig::relay::Net;
 use std::net::UdpSocket;
 use std::sync::Arc;
 use std::thread;
--- a/crates/kit/tests/sockets.rs
+++ b/crates/testkit/tests/sockets.rs
@@ -1,17 +1,17 @@
 //! The real daemon beside a stand-in registry, on loopback sockets. Waits are upper bounds; nothing passes or fails by
 //! how long anything takes.
 
-use gradepin_kit::fleet::{self, Fleet, FleetSpec};
-use gradepin_kit::load::{End, Fixed, Habit, Proxy, classes};
-use gradepin_kit::processor::Spec;
-use gradepin_kit::registry::faults::Fault;
-use gradepin_kit::registry::server::{Server, ServerSettings};
 use gradepin_node::registry::Client;
 use gradepin_node::settings::ServiceUrl;
 use gradepin_registry::instance::{Instance, Status};
 use gradepin_registry::membership::{Op, Reply};
 use gradepin_registry::view::Fetch;
 use gradepin_registry::wire::Format;
+use gradepin_testkit::fleet::{self, Fleet, FleetSpec};
+use gradepin_testkit::load::{End, Fixed, Habit, Proxy, classes};
+use gradepin_testkit::processor::Spec;
+use gradepin_testkit::registry::faults::Fault;
+use gradepin_testkit::registry::server::{Server, ServerSettings};
 use std::net::SocketAddr;
 use std::thread;
 use std::time::{Duration, Instant};
--- a/crates/kit/tests/store.rs
+++ b/crates/testkit/tests/store.rs
@@ -1,12 +1,12 @@
 //! The real daemon with a store, killed and started again on loopback sockets. Waits are upper bounds; nothing passes or
 //! fails by how long anything takes.
 
-use gradepin_kit::fleet::{self, Fleet, FleetSpec};
-use gradepin_kit::load::classes;
-use gradepin_kit::processor::Spec;
-use gradepin_kit::registry::server::{Server, ServerSettings};
-use gradepin_kit::saver::{Saver, Tried};
-use gradepin_kit::thrift::{self, Answer, Message};
+use gradepin_testkit::fleet::{self, Fleet, FleetSpec};
+use gradepin_testkit::load::classes;
+use gradepin_testkit::processor::Spec;
+use gradepin_testkit::registry::server::{Server, ServerSettings};
+use gradepin_testkit::saver::{Saver, Tried};
+use gradepin_testkit::thrift::{self, Answer, Message};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
