--- a/crates/admission/src/choice.rs
+++ b/crates/admission/src/choice.rs
@@ -115,7 +115,7 @@
 
 impl Class {
     fn fresh(definition: Arc<ClassDefinition>) -> Self {
-        let first = secs(definition.profile.promise) * FIRST_RUN;
+        let first = span_seconds(definition.profile.promise) * FIRST_RUN;
         let start = Class { core_s: first, lat_s: first, first_s: first, per_work: 1.0, ..Class::default() };
         let counts = if definition.profile.name.is_empty() { 0.0 } else { UNASKED };
         Class { definition, counts, ..start }
@@ -198,7 +198,7 @@
     /// A controller for a worker that starts now.
     pub fn new(mut set: Settings, seed: u64, now: Time) -> Self {
         set.specifics.n_cores = set.specifics.n_cores.max(1);
-        let (cores, shared) = (f64::from(set.specifics.n_cores), set.specifics.below == Below::Shared);
+        let (cores, shared) = (f64::from(set.specifics.n_cores), set.specifics.below == UpstreamKind::Shared);
         let (set, classes, tenants) = set.split();
         let mut new = Self {
             rng: Some(Pcg64Mcg::seed_from_u64(seed)),
@@ -224,7 +224,7 @@
     /// host gives no slot away that an open request is in.
     pub fn put_class(&mut self, slot: usize, definition: Arc<ClassDefinition>) {
         self.classes.resize_with(self.classes.len().max(slot + 1), Class::default);
-        self.shortest_aim = self.shortest_aim.min(secs(definition.profile.promise));
+        self.shortest_aim = self.shortest_aim.min(span_seconds(definition.profile.promise));
         self.aims_changed = true;
         let class = &mut self.classes[slot];
         if class.definition.profile.name == definition.profile.name {
@@ -259,11 +259,11 @@
         self.next_call = if same { self.next_call } else { Time(0) };
         self.set = rest;
         // Booked anew, or what ends takes off another figure than was put on, and the rest stays for good.
-        let (told, gone) = (&self.set.specifics, after(self.now, self.set.specifics.linger));
+        let (told, gone) = (&self.set.specifics, time_after(self.now, self.set.specifics.linger));
         let tries: f64 = self.tries.values().map(|t| t.booked(&self.set)).sum();
         self.kb = tries + self.keys.len() as f64 * told.kb_per_key;
         self.lingering.iter_mut().for_each(|until| *until = gone.min(*until));
-        self.call_log.iter_mut().for_each(|call| call.0 = after(gone, told.share_span).min(call.0));
+        self.call_log.iter_mut().for_each(|call| call.0 = time_after(gone, told.share_span).min(call.0));
     }
 
     /// Takes in all events of a batch, then decides once. Events of requests it doesn't know change nothing.
@@ -312,17 +312,18 @@
         (class.recent, class.idle) = (true, class.idle.min(10.0));
         let definition = Arc::clone(&class.definition);
         let profile = &definition.profile;
-        let arrived = before(self.now, r.queued_for);
-        let told = r.expires_in.map(|wait| after(self.now, wait));
-        let due = told.unwrap_or(after(arrived, profile.deadline));
+        let arrived = time_before(self.now, r.queued_for);
+        let told = r.expires_in.map(|wait| time_after(self.now, wait));
+        let due = told.unwrap_or(time_after(arrived, profile.deadline));
         let due = self.leaving.map_or(due, |(_, stop)| due.min(stop)).max(self.now);
-        let stretch = r.work.map_or(0.0, |w| secs(w) * profile.aim_stretch);
-        let promise = Span(profile.promise.0.saturating_add(span(stretch).0).min(profile.deadline.0));
-        let patience = left(arrived, told.unwrap_or(due)) / secs(profile.deadline);
-        let age = span(secs(profile.deadline) * self.age(r, patience));
-        let aim = before(after(arrived, promise), age).min(due);
+        let stretch = r.work.map_or(0.0, |w| span_seconds(w) * profile.aim_stretch);
+        let promise =
+            Span(profile.promise.0.saturating_add(span_from_seconds(stretch).0).min(profile.deadline.0));
+        let patience = seconds_until(arrived, told.unwrap_or(due)) / span_seconds(profile.deadline);
+        let age = span_from_seconds(span_seconds(profile.deadline) * self.age(r, patience));
+        let aim = time_before(time_after(arrived, promise), age).min(due);
         self.arrivals += 1.0;
-        let unread = secs(r.queued_for).min(secs(profile.promise)) - self.unread_s;
+        let unread = span_seconds(r.queued_for).min(span_seconds(profile.promise)) - self.unread_s;
         self.unread_s += if unread > 0.0 { 0.4 } else { 0.1 } * unread;
         if r.retry {
             self.retries += 1.0;
@@ -345,7 +346,7 @@
             arrived,
             due,
             aim,
-            work: r.work.map(secs),
+            work: r.work.map(span_seconds),
             retry: r.retry,
             ..Try::default()
         };
@@ -392,7 +393,7 @@
         let earlier = r.earlier.as_ref().filter(|_| known == known_held);
         // Read after, but arrived before its elder: it may fall into the window of an older run.
         let swapped = known_held.is_some_and(|k| self.tries[&k].arrived > self.tries[&seq].arrived);
-        if earlier.is_some() && effect != Effect::Repeatable && (known_held.is_none() || swapped) {
+        if earlier.is_some() && effect != Idempotency::Repeatable && (known_held.is_none() || swapped) {
             // Repeats of what ran, or runs, are answered from it: a second run would be a second effect.
             return if fits && !swapped { self.join(seq, out) } else { self.give_up(seq, out) };
         }
@@ -405,12 +406,12 @@
             let (t, told) = (&self.tries[&seq], self.refused_now);
             let cores = f64::from(self.set.specifics.n_cores);
             let free = self.busy < cores && (self.on_core as f64) < cores;
-            let lost = free && left(t.arrived, t.aim) < self.classes[t.class].first_s;
+            let lost = free && seconds_until(t.arrived, t.aim) < self.classes[t.class].first_s;
             self.refuse(seq, out);
             self.refused_now = if lost { told } else { self.refused_now };
             return;
         }
-        let share = self.set.specifics.fresh_for.0 > 0 && effect == Effect::Repeatable && !r.write;
+        let share = self.set.specifics.fresh_for.0 > 0 && effect == Idempotency::Repeatable && !r.write;
         if earlier.is_some() && share {
             let aim = self.tries[&seq].aim;
             let first = r.earlier.as_ref().and_then(|id| self.seqs.get(id));
@@ -420,7 +421,7 @@
             }
             return self.join(seq, out);
         }
-        let keep = effect == Effect::ByKey || (share && r.has_key);
+        let keep = effect == Idempotency::ByKey || (share && r.has_key);
         let room = if keep { self.set.specifics.kb_per_key } else { 0.0 };
         if !self.make_room(seq, room, out) {
             return self.refuse(seq, out);
@@ -428,7 +429,7 @@
         if keep {
             self.remember(seq, out);
         }
-        if let (Some(first), Effect::ByKey) = (known_held.filter(|k| held(self, k)), effect) {
+        if let (Some(first), Idempotency::ByKey) = (known_held.filter(|k| held(self, k)), effect) {
             // The repeat takes the entry over; its elder never ran, and its caller has given it up.
             let elder = self.tries[&first].id.clone();
             self.drop_key(&elder);
@@ -441,10 +442,10 @@
         let t = &self.tries[&seq];
         let profile = &self.classes[t.class].definition.profile;
         let until = match profile.effect {
-            Effect::ByKey => after(after(t.arrived, profile.window), self.set.granularity),
-            _ => after(t.aim.max(self.now), self.set.specifics.fresh_for),
+            Idempotency::ByKey => time_after(time_after(t.arrived, profile.window), self.set.granularity),
+            _ => time_after(t.aim.max(self.now), self.set.specifics.fresh_for),
         };
-        let until = until.max(after(self.now, self.set.granularity));
+        let until = until.max(time_after(self.now, self.set.granularity));
         let id = t.id.clone();
         self.drop_key(&id);
         self.kb += self.set.specifics.kb_per_key;
@@ -461,7 +462,7 @@
     }
 
     fn forget_keys(&mut self) {
-        let gone = before(self.now, self.set.granularity);
+        let gone = time_before(self.now, self.set.granularity);
         while let Some((_, id)) = self.key_ends.first().filter(|(until, _)| *until <= gone).cloned() {
             self.drop_key(&id);
         }
@@ -516,7 +517,7 @@
         // Of random length, and about one request of its caller at most, or callers leave and return in step.
         let gap = f64::from(self.set.specifics.clients_total) * MEMORY_OF_COUNTS_S / self.arrivals.max(1.0);
         let wait = self.unit() * (self.wait_s() + 4.0 * self.unread_s).min(gap);
-        let wait = if away { most } else { span(wait).min(most) };
+        let wait = if away { most } else { span_from_seconds(wait).min(most) };
         let come_back = if self.set.limits.retry_after { wait } else { Span(0) };
         if self.drop_key(&t.id) {
             out.push(Action::ReleaseKey(t.id.clone()));
@@ -577,7 +578,8 @@
         t.answered = true;
         self.at_gate.retain(|&s| s != seq);
         self.dues.remove(&(t.due, seq));
-        let safe = self.classes[t.class].definition.profile.effect == Effect::Repeatable && t.serves <= 1.0;
+        let safe =
+            self.classes[t.class].definition.profile.effect == Idempotency::Repeatable && t.serves <= 1.0;
         if safe && self.set.specifics.stop_mode != StopMode::Off && t.state == State::Running {
             out.push(Action::Suspend(t.id.clone()));
         }
@@ -607,11 +609,11 @@
             return;
         }
         let class = &mut self.classes[t.class];
-        let core = (secs(took) - t.call_s).max(1e-4);
+        let core = (span_seconds(took) - t.call_s).max(1e-4);
         (class.seen, class.idle) = (class.seen + 1.0, 0.0);
         let w = RUN_WEIGHT.max(1.0 / class.seen);
         class.core_s += w * (core - class.core_s);
-        class.lat_s += w * (secs(took) - class.lat_s);
+        class.lat_s += w * (span_seconds(took) - class.lat_s);
         if let Some(work) = t.work.filter(|&work| work > 0.0) {
             class.per_work += w * ((core / work).min(100.0) - class.per_work);
         }
@@ -639,27 +641,27 @@
         let Some(State::Calling(since)) = self.tries.get(&seq).map(|t| t.state) else { return };
         self.call_over(since, matches!(outcome, Outcome::Expired | Outcome::Dropped));
         let Some(t) = self.tries.get_mut(&seq) else { return };
-        t.call_s += left(since, self.now).max(0.0);
+        t.call_s += seconds_until(since, self.now).max(0.0);
         if outcome == Outcome::Delivered {
             t.state = State::Running;
             t.call_fails = 0;
             self.at_calls -= 1;
             self.on_core += 1;
             self.call_failing = 0;
-            self.learn_call(secs(took));
+            self.learn_call(span_seconds(took));
             return;
         }
         self.call_failing += 1;
         self.call_limit = (self.call_limit * 0.8).max(1.0);
         t.call_fails += 1;
-        let wait = span(CALL_BACKOFF_S * f64::from(1_u32 << t.call_fails.min(6)));
-        t.state = State::Gate(self.now, after(self.now, wait));
+        let wait = span_from_seconds(CALL_BACKOFF_S * f64::from(1_u32 << t.call_fails.min(6)));
+        t.state = State::Gate(self.now, time_after(self.now, wait));
         if t.answered {
             return;
         }
         let class = t.class;
         let never_ran = matches!(outcome, Outcome::Shed | Outcome::DialFailed);
-        if never_ran || self.classes[class].definition.profile.effect == Effect::Repeatable {
+        if never_ran || self.classes[class].definition.profile.effect == Idempotency::Repeatable {
             self.at_gate.push(seq);
         } else if self.skip_worth(class) > 0.0 {
             self.degrade(seq, out);
@@ -671,10 +673,11 @@
     /// A call is over. One given up stays in the dependency's hands for a while, which counts as long.
     fn call_over(&mut self, since: Time, given_up: bool) {
         let linger = if given_up { self.set.specifics.linger } else { Span(0) };
-        let (gone, took) = (after(self.now, linger), left(since, self.now) + secs(linger));
+        let (gone, took) =
+            (time_after(self.now, linger), seconds_until(since, self.now) + span_seconds(linger));
         self.calls_out -= 1;
         self.lingering.extend(given_up.then_some(gone));
-        self.call_log.push_back((after(gone, self.set.specifics.share_span), took));
+        self.call_log.push_back((time_after(gone, self.set.specifics.share_span), took));
         self.call_spent += took;
     }
 
@@ -686,7 +689,7 @@
         if self.calls_seen == 1 && self.small_share() {
             // Now that a length is known, the next one is spaced by it.
             let gap = took / (self.set.specifics.calls_out * self.pace).max(1e-6);
-            self.next_call = after(self.now, span(gap * self.unit()));
+            self.next_call = time_after(self.now, span_from_seconds(gap * self.unit()));
         }
         let floor = if self.calls_seen > 10 { self.call_floor_s } else { self.call_s };
         self.call_floor_s = floor.min(self.call_s).max(1e-4);
@@ -699,12 +702,12 @@
 
     /// Whether the told share is below one call, so that a mean over its span is kept, by pacing.
     fn small_share(&self) -> bool {
-        self.set.specifics.below == Below::Shared && self.set.specifics.calls_out < 1.0
+        self.set.specifics.below == UpstreamKind::Shared && self.set.specifics.calls_out < 1.0
     }
 
     /// Most calls in hand: the told share, or for a tier of servers the crowd that may run here.
     fn call_cap(&self) -> f64 {
-        let shared = self.set.specifics.below == Below::Shared;
+        let shared = self.set.specifics.below == UpstreamKind::Shared;
         if shared { self.set.specifics.calls_out.max(1.0) } else { self.crowd }
     }
 
@@ -729,10 +732,10 @@
             let t = &self.tries[&seq];
             let State::Gate(since, not_before) = t.state else { continue };
             let class = &self.classes[t.class];
-            let aim_left = left(self.now, t.aim) - class.core_s * 0.5;
+            let aim_left = seconds_until(self.now, t.aim) - class.core_s * 0.5;
             let skip = self.skip_worth(t.class) > 0.0;
             let turn = 1.0 + place as f64 / self.call_limit;
-            let (waited, down) = (left(since, self.now), self.call_failing >= 3 && t.call_fails > 0);
+            let (waited, down) = (seconds_until(since, self.now), self.call_failing >= 3 && t.call_fails > 0);
             if skip
                 && (down || (aim_left < turn * self.call_s * 1.2 && (aim_left > 0.0 || waited > self.call_s)))
             {
@@ -744,8 +747,8 @@
             // The told share rounds down: 1.2 lets one call out, or a full fleet would pass what is survived.
             let room = (self.calls_out + self.lingering.len() + 1) as f64 <= self.call_limit.max(1.0);
             // Below a share of one call, the mean over the span is kept by what calls may still take in it.
-            let (small, linger) = (self.small_share(), secs(self.set.specifics.linger));
-            let budget = secs(self.set.specifics.share_span) * share;
+            let (small, linger) = (self.small_share(), span_seconds(self.set.specifics.linger));
+            let budget = span_seconds(self.set.specifics.share_span) * share;
             let longest = (budget / 2.0 - linger).max(budget / 8.0);
             let cost = longest + linger;
             // Before any came back, one may take the longest it may, always where that is over the budget;
@@ -755,18 +758,20 @@
             let gap = usual / (share * if unknown && !tiny { 1.0 } else { self.pace }).max(1e-6);
             if unknown && self.next_call == Time(0) {
                 let first = if tiny { gap } else { CALL_FIRST * self.shortest_aim };
-                self.next_call = after(self.now, span(first * dice));
+                self.next_call = time_after(self.now, span_from_seconds(first * dice));
             }
             if small && self.call_spent > (budget - cost).min(budget / 2.0).max(1e-6) {
                 // One more given up must fit. At random, or all call together once their budgets are back.
-                self.next_call = after(self.now, span(gap * dice));
+                self.next_call = time_after(self.now, span_from_seconds(gap * dice));
             }
             let paced = small && self.now < self.next_call;
             if !room || not_before > self.now || paced {
                 continue;
             }
-            let mut timeout = left(self.now, t.due).max(secs(self.set.granularity));
-            if self.classes[t.class].definition.profile.effect == Effect::Repeatable && self.calls_seen > 10 {
+            let mut timeout = seconds_until(self.now, t.due).max(span_seconds(self.set.granularity));
+            if self.classes[t.class].definition.profile.effect == Idempotency::Repeatable
+                && self.calls_seen > 10
+            {
                 // A call may be lost on its way: what is safe to repeat doesn't wait for it to the end.
                 let heavy =
                     (self.core_s(t) / class.core_s).max(1.0) * f64::from(1 << (2 * t.call_fails).min(16));
@@ -779,11 +784,11 @@
             self.at_gate.retain(|&s| s != seq);
             self.calls_out += 1;
             // Spaced by what a call takes, and at random: a budget spent at once leaves all silent together.
-            self.next_call = after(self.now, span(gap * (0.5 + dice)));
+            self.next_call = time_after(self.now, span_from_seconds(gap * (0.5 + dice)));
             let Some(t) = self.tries.get_mut(&seq) else { continue };
             t.call_s += waited;
             t.state = State::Calling(self.now);
-            out.push(Action::AskBelow { id: t.id.clone(), timeout: span(timeout) });
+            out.push(Action::AskBelow { id: t.id.clone(), timeout: span_from_seconds(timeout) });
         }
     }
 
@@ -802,10 +807,11 @@
     fn gate_s(&self, class: usize) -> f64 {
         let (told, now) = (&self.set.specifics, self.now);
         let calls = self.classes[class].definition.calls && told.calls_out < 1.0;
-        if !calls || self.skip_worth(class) > 0.0 || told.below != Below::Shared {
+        if !calls || self.skip_worth(class) > 0.0 || told.below != UpstreamKind::Shared {
             return 0.0;
         }
-        let waited = |s| if let State::Gate(since, _) = self.tries[s].state { left(since, now) } else { 0.0 };
+        let waited =
+            |s| if let State::Gate(since, _) = self.tries[s].state { seconds_until(since, now) } else { 0.0 };
         GATE_WAITS * self.at_gate.iter().map(waited).sum::<f64>() / (self.at_gate.len() as f64).max(1.0)
     }
 
@@ -816,12 +822,12 @@
         let profile = &class.definition.profile;
         let cost = self.core_s(t);
         let wait = class.lat_s.min(class.lat_s - class.core_s + cost) + self.gate_s(t.class);
-        let part = match (left(self.now, t.aim), left(self.now, t.due)) {
+        let part = match (seconds_until(self.now, t.aim), seconds_until(self.now, t.due)) {
             (aim, _) if aim >= wait => 1.0,
             (_, due) if due >= wait => profile.late_value,
             _ => 0.0,
         };
-        let cost = if self.set.worth_by == WorthBy::Work { 1.0 } else { cost.max(1e-4) };
+        let cost = if self.set.worth_by == WeightBasis::Work { 1.0 } else { cost.max(1e-4) };
         part * t.serves * profile.worth * self.tenant_factor(t.tenant) / cost
     }
 
@@ -853,8 +859,8 @@
             let (class, profile) = (&self.classes[t.class], &self.classes[t.class].definition.profile);
             let cost = self.core_s(t);
             let base = class.lat_s.min(class.lat_s - class.core_s + cost) + self.gate_s(t.class);
-            let target = left(self.now, t.aim) - base;
-            let late = profile.late_value > 0.0 && left(self.now, t.due) > base;
+            let target = seconds_until(self.now, t.aim) - base;
+            let late = profile.late_value > 0.0 && seconds_until(self.now, t.due) > base;
             let hopeless = target < 0.0 && !(late && self.held.len() as f64 <= self.limit);
             let starts_in = ahead / self.limit.max(1.0);
             // A first try may wait a mean run of its class, or as much of its aim as costs nothing,
@@ -864,7 +870,8 @@
             let bound = if first { bound.min(class.core_s.max(FIRST_WAIT * target)) } else { bound };
             // On a warm server a guess turns nobody away before a run took longer than it.
             let guess = class.seen == 0.0 && !self.set.specifics.just_started;
-            let starts_in = if guess && left(self.progress, self.now) < cost { 0.0 } else { starts_in };
+            let starts_in =
+                if guess && seconds_until(self.progress, self.now) < cost { 0.0 } else { starts_in };
             if self.stalled || hopeless || (target >= 0.0 && starts_in > bound) {
                 self.refuse(seq, out);
             } else {
@@ -900,7 +907,7 @@
     /// The crowd survived: less while cold, by the slowest warming the settings allow.
     fn see_crowd(&mut self) {
         let rules = &self.set.rules;
-        let warm = (left(self.born, self.now) / secs(rules.cold).max(1e-9)).clamp(0.0, 1.0);
+        let warm = (seconds_until(self.born, self.now) / span_seconds(rules.cold).max(1e-9)).clamp(0.0, 1.0);
         let warm = if self.set.specifics.just_started { warm } else { 1.0 };
         let share = rules.cold_share + (1.0 - rules.cold_share) * warm;
         let survived = f64::from(self.set.specifics.n_cores) * (1.0 + (rules.tip_multiple - 1.0) * share);
@@ -908,10 +915,10 @@
     }
 
     fn period(&mut self, out: &mut Vec<Action>) {
-        self.next_period = after(self.now, PERIOD);
+        self.next_period = time_after(self.now, PERIOD);
         let gauges = self.gauges.take().unwrap_or_default();
         if std::mem::take(&mut self.aims_changed) {
-            let aims = self.classes.iter().map(|class| secs(class.definition.profile.promise));
+            let aims = self.classes.iter().map(|class| span_seconds(class.definition.profile.promise));
             self.shortest_aim = aims.fold(f64::INFINITY, f64::min);
         }
         self.law(&gauges, out);
@@ -919,7 +926,7 @@
         // The way back: while calls look too slow to make, none comes back to say that they no longer are.
         self.call_s -= CALL_RETURN * (self.call_s - self.call_floor_s).max(0.0);
         self.call_floor_s *= CALL_FLOOR_DRIFT;
-        let keep = (-secs(PERIOD) / MEMORY_OF_COUNTS_S).exp();
+        let keep = (-span_seconds(PERIOD) / MEMORY_OF_COUNTS_S).exp();
         [&mut self.arrivals, &mut self.retries, &mut self.refusals].into_iter().for_each(|n| *n *= keep);
         let (classes, tenants) = (&mut self.classes, &mut self.tenants);
         self.recent_classes.retain(|&slot| {
@@ -942,7 +949,7 @@
         let mean = self.mean_run();
         let usual = (STALL_RUNS * mean).max(STALL_AIM * self.shortest_aim);
         let usual = if self.swamped { usual.min(SWAMP_AIM * self.shortest_aim) } else { usual };
-        self.stalled = left(self.progress, self.now) > usual;
+        self.stalled = seconds_until(self.progress, self.now) > usual;
         self.trim(out);
         self.shape_connections(&gauges, out);
         self.advise(mean, out);
@@ -993,7 +1000,9 @@
         self.idle_part = (self.idle_part * (1.0 + step)).clamp(IDLE_LEAST, 1.0);
         if (self.idle_part - self.idle_told).abs() > IDLE_STEP * self.idle_told {
             self.idle_told = self.idle_part;
-            out.push(Action::IdleLimit(span(secs(self.set.specifics.idle) * self.idle_part)));
+            out.push(Action::IdleLimit(span_from_seconds(
+                span_seconds(self.set.specifics.idle) * self.idle_part,
+            )));
         }
     }
 
@@ -1028,10 +1037,10 @@
         let open = if self.leaving.is_some() || self.stalled { 0.0 } else { read };
         let room = open * self.limit * (1.0 + WINDOW_AIM * promise / mean.max(1e-3));
         let value = match self.set.specifics.advert {
-            Advert::Off => return,
-            Advert::Window => room / f64::from(self.set.specifics.clients_total.max(1)),
-            Advert::ShareOf => open * self.accept,
-            Advert::Threshold => 1.0 - open * self.accept,
+            CapacitySignal::Off => return,
+            CapacitySignal::Window => room / f64::from(self.set.specifics.clients_total.max(1)),
+            CapacitySignal::ShareOf => open * self.accept,
+            CapacitySignal::Threshold => 1.0 - open * self.accept,
         };
         if (value - self.signalled).abs() > 0.1 * self.signalled.abs() {
             self.signalled = value;
@@ -1043,12 +1052,12 @@
         if self.leaving.is_some() {
             return;
         }
-        let last = after(self.now, self.set.rules.drain_grace);
+        let last = time_after(self.now, self.set.rules.drain_grace);
         let margin = Span(self.set.granularity.0.saturating_mul(4).min(wait.0 / 4));
-        let stop = before(after(self.now, wait), margin);
+        let stop = time_before(time_after(self.now, wait), margin);
         self.leaving = Some((last, stop));
         out.push(Action::ReportHealth { shallow: true, active: false });
-        out.push(Action::Emit(format!("draining, stop in {:.1} s", secs(wait))));
+        out.push(Action::Emit(format!("draining, stop in {:.1} s", span_seconds(wait))));
         let later: Vec<(Time, u64)> = self.dues.iter().copied().filter(|&(due, _)| due > stop).collect();
         for (due, seq) in later {
             self.dues.remove(&(due, seq));
@@ -1062,7 +1071,7 @@
         let due = self.dues.first().map_or(self.next_period, |&(due, _)| due.min(self.next_period));
         let paced = !self.at_gate.is_empty() && self.next_call > self.now;
         let due = if paced { due.min(self.next_call) } else { due };
-        let due = due.max(after(self.now, Span(1)));
+        let due = due.max(time_after(self.now, Span(1)));
         if self.armed.is_none_or(|armed| armed <= self.now || due < armed) {
             self.armed = Some(due);
             out.push(Action::Remind(due));
--- a/crates/admission/src/interface.rs
+++ b/crates/admission/src/interface.rs
@@ -14,23 +14,23 @@
 pub struct Span(pub u64);
 
 /// Seconds of a span.
-pub fn secs(span: Span) -> f64 {
-    span.0 as f64 / 1e9
+pub fn span_seconds(span_from_seconds: Span) -> f64 {
+    span_from_seconds.0 as f64 / 1e9
 }
 /// A span from seconds, none below 0.
-pub fn span(secs: f64) -> Span {
-    Span((secs.max(0.0) * 1e9) as u64)
+pub fn span_from_seconds(span_seconds: f64) -> Span {
+    Span((span_seconds.max(0.0) * 1e9) as u64)
 }
 /// The time a span later.
-pub fn after(t: Time, s: Span) -> Time {
+pub fn time_after(t: Time, s: Span) -> Time {
     Time(t.0.saturating_add(s.0))
 }
 /// The time a span earlier.
-pub fn before(t: Time, s: Span) -> Time {
+pub fn time_before(t: Time, s: Span) -> Time {
     Time(t.0.saturating_sub(s.0))
 }
 /// Seconds from one time to another, below 0 if it is past.
-pub fn left(from: Time, to: Time) -> f64 {
+pub fn seconds_until(from: Time, to: Time) -> f64 {
     (to.0 as f64 - from.0 as f64) / 1e9
 }
 
@@ -62,9 +62,9 @@
     pub servers: u32,
     #[serde(default, deserialize_with = "whole_number")]
     pub tier: u32,
-    pub profiles: Vec<Profile>,
+    pub profiles: Vec<ClassProfile>,
     #[serde(default)]
-    pub customers: Vec<Customer>,
+    pub customers: Vec<Tenant>,
     #[serde(default)]
     pub callers: Callers,
     #[serde(default)]
@@ -74,7 +74,7 @@
     #[serde(default)]
     pub prices: Prices,
     #[serde(default)]
-    pub worth_by: WorthBy,
+    pub worth_by: WeightBasis,
     /// Worth of a request over its tenant's share, as a part of its class's worth.
     #[serde(default = "whole")]
     pub over_share_worth: f64,
@@ -85,7 +85,7 @@
 /// A setting that the module can't work with.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("expected settings: {name} {range}, got {value}")]
-pub struct BadSettings {
+pub struct AdmissionSettingsError {
     /// Which one.
     pub name: &'static str,
     /// What it may be.
@@ -96,10 +96,10 @@
 
 impl Settings {
     /// Whether the module can work with these; if not, why.
-    pub fn check(&self) -> Result<(), BadSettings> {
+    pub fn check(&self) -> Result<(), AdmissionSettingsError> {
         let positive = |name: &'static str, value: f64| {
             let good = value > 0.0 && value.is_finite();
-            if good { Ok(()) } else { Err(BadSettings { name, range: "above 0", value }) }
+            if good { Ok(()) } else { Err(AdmissionSettingsError { name, range: "above 0", value }) }
         };
         positive("number of profiles", self.profiles.len() as f64)?;
         positive("specifics.n_cores", f64::from(self.specifics.n_cores))?;
@@ -109,7 +109,7 @@
         // Past 1 the module would say less than nothing to callers.
         let (name, value) = ("rules.cold_share", self.rules.cold_share);
         if !(0.0..=1.0).contains(&value) {
-            return Err(BadSettings { name, range: "from 0 to 1", value });
+            return Err(AdmissionSettingsError { name, range: "from 0 to 1", value });
         }
         for profile in &self.profiles {
             positive("profiles[].deadline", profile.deadline.0 as f64)?;
@@ -133,7 +133,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassDefinition {
     /// Name, latency target, deadline, effect and worth.
-    pub profile: Profile,
+    pub profile: ClassProfile,
     /// Whether its runs call the shared dependency; `specifics.calls_by_class` of the configuration file.
     pub calls: bool,
     /// Worth kept when the call is left out, as a part; `specifics.class_skip_worth` of the configuration file.
@@ -144,8 +144,8 @@
     /// The class of a free slot, which no request is in.
     fn default() -> Self {
         let (name, none, never) = (String::new(), Span(0), Span(u64::MAX));
-        let (effect, worth) = (Effect::Once, 0.0);
-        let profile = Profile {
+        let (effect, worth) = (Idempotency::Once, 0.0);
+        let profile = ClassProfile {
             name,
             promise: never,
             deadline: never,
@@ -161,10 +161,10 @@
 
 impl Settings {
     /// The rest, the classes and the tenants: what the settings of a class are told by its place for is in its definition.
-    pub fn split(mut self) -> (Self, Vec<Arc<ClassDefinition>>, Vec<Arc<Customer>>) {
+    pub fn split(mut self) -> (Self, Vec<Arc<ClassDefinition>>, Vec<Arc<Tenant>>) {
         let calls = std::mem::take(&mut self.specifics.calls_by_class);
         let worths = std::mem::take(&mut self.specifics.class_skip_worth);
-        let define = |(place, profile): (usize, Profile)| {
+        let define = |(place, profile): (usize, ClassProfile)| {
             let calls = calls.get(place).copied().unwrap_or(true);
             Arc::new(ClassDefinition {
                 profile,
@@ -188,13 +188,13 @@
 /// A request class.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[allow(missing_docs)]
-pub struct Profile {
+pub struct ClassProfile {
     pub name: String,
     /// An answer within this long of the first try earns the full worth.
     pub promise: Span,
     /// How long a client waits for all tries together.
     pub deadline: Span,
-    pub effect: Effect,
+    pub effect: Idempotency,
     #[serde(default)]
     pub late_value: f64,
     /// For keyed classes: how long after its arrival a request can come again.
@@ -209,7 +209,7 @@
 /// Whether a request may run again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to repeat.
     Repeatable,
     /// Runs once a worker for each key within the window.
@@ -221,7 +221,7 @@
 /// A tenant.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[allow(missing_docs)]
-pub struct Customer {
+pub struct Tenant {
     pub name: String,
     /// Requests a second inside its share, for all workers together.
     #[serde(default)]
@@ -280,7 +280,7 @@
 /// What worth is counted by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum WorthBy {
+pub enum WeightBasis {
     /// Each request counts the worth of its class.
     #[default]
     Request,
@@ -310,7 +310,7 @@
 /// What lies below a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Below {
+pub enum UpstreamKind {
     /// One dependency that every worker uses.
     Shared,
     /// The next tier, running this same code.
@@ -336,7 +336,7 @@
 /// What callers do with the signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Advert {
+pub enum CapacitySignal {
     /// They send nothing of a lower precedence.
     Threshold,
     /// Each has at most this many requests out here.
@@ -353,9 +353,9 @@
 #[allow(missing_docs)]
 pub struct Specifics {
     #[serde(default)]
-    pub advert: Advert,
+    pub advert: CapacitySignal,
     #[serde(default)]
-    pub below: Below,
+    pub below: UpstreamKind,
     #[serde(default)]
     pub calls_by_class: Vec<bool>,
     /// Share of the calls that the dependency survives, as a mean count in hand.
--- a/crates/cluster/src/authentication.rs
+++ b/crates/cluster/src/authentication.rs
@@ -67,7 +67,7 @@
 
 /// Why a text holds no keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum BadKeys {
+pub enum InvalidKeys {
     /// A line is no key.
     #[error("line {0}: expected 64 hex digits")]
     Line(usize),
@@ -78,29 +78,29 @@
 
 /// The keys of the fleet: the first one tags what is sent, both are accepted.
 #[derive(Clone, PartialEq, Eq)]
-pub struct Keys {
+pub struct AuthenticationKeys {
     keys: Vec<[u8; 32]>,
 }
 
-impl fmt::Debug for Keys {
+impl fmt::Debug for AuthenticationKeys {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         // Keys don't belong in a log.
         write!(f, "{} keys", self.keys.len())
     }
 }
 
-impl Keys {
+impl AuthenticationKeys {
     /// Reads keys, a line each; blank lines and those that begin with `#` are skipped.
-    pub fn parse(text: &str) -> Result<Self, BadKeys> {
+    pub fn parse(text: &str) -> Result<Self, InvalidKeys> {
         let mut keys = Vec::new();
         for (n, line) in text.lines().enumerate() {
             let line = line.trim();
             if !line.is_empty() && !line.starts_with('#') {
-                keys.push(key(line).ok_or(BadKeys::Line(n + 1))?);
+                keys.push(key(line).ok_or(InvalidKeys::Line(n + 1))?);
             }
         }
         if keys.is_empty() || keys.len() > 2 {
-            return Err(BadKeys::Number(keys.len()));
+            return Err(InvalidKeys::Number(keys.len()));
         }
         Ok(Self { keys })
     }
--- a/crates/cluster/src/circuit_breaker.rs
+++ b/crates/cluster/src/circuit_breaker.rs
@@ -12,7 +12,7 @@
 pub use observation::{Observation, PeerObservations};
 
 use crate::MS;
-use gradepin_admission::{Outcome, Span, Time, after, span};
+use gradepin_admission::{Outcome, Span, Time, span_from_seconds, time_after};
 use observation::{FRESH_FOR, ObservationWindow};
 
 /// Other servers that must have seen the upstream dead before the circuit opens without an own observation.
@@ -163,21 +163,21 @@
     /// The probe after this one: at random around this server's part of what the fleet may probe, so that they don't all
     /// probe at once.
     fn following_probe(&self, now: Time, random: f64) -> Time {
-        after(now, span(self.probe_gap_s() * (0.5 + random)))
+        time_after(now, span_from_seconds(self.probe_gap_s() * (0.5 + random)))
     }
 
     fn relapse(&mut self, now: Time, random: f64) {
         self.relapses += 1;
         let factor = 1 << self.relapses.min(MAX_RELAPSE_DOUBLINGS);
         let hold = RELAPSE_HOLD.0.saturating_mul(factor).min(MAX_RELAPSE_HOLD.0);
-        self.ignore_others_until = after(now, Span(hold));
+        self.ignore_others_until = time_after(now, Span(hold));
         self.open(now, random, "it failed again while the circuit was half open");
     }
 
     fn open(&mut self, now: Time, random: f64, why: &str) {
         self.notes.push(format!("the circuit to the upstream opens, calls are rejected: {why}"));
         // The first probe at any point of the gap, or all that saw it die together would probe together.
-        let next_probe = after(now, span(self.probe_gap_s() * random));
+        let next_probe = time_after(now, span_from_seconds(self.probe_gap_s() * random));
         self.state = State::Open { since: now, next_probe };
     }
 
@@ -198,14 +198,14 @@
             State::Open { since, .. } => {
                 // Not at once: what others saw may be from before. Where only the way from here is broken, the circuit opens
                 // again with the first call, and what others see closes it ever later.
-                let old_enough = now >= self.ignore_others_until && now >= after(since, FRESH_FOR);
+                let old_enough = now >= self.ignore_others_until && now >= time_after(since, FRESH_FOR);
                 if self.others.answered > 0 && old_enough {
                     let why = format!("it answers {} other servers", self.others.answered);
                     self.half_open(now, &why);
                 }
             }
             State::HalfOpen { step, since, succeeded, .. } => {
-                if succeeded > 0 && now >= after(since, HALF_OPEN_STEP) {
+                if succeeded > 0 && now >= time_after(since, HALF_OPEN_STEP) {
                     self.next_step(now, step + 1);
                 }
             }
--- a/crates/cluster/src/circuit_breaker/observation.rs
+++ b/crates/cluster/src/circuit_breaker/observation.rs
@@ -1,7 +1,7 @@
 //! What servers saw of the shared upstream: counts over a sliding window here, and the sum of what others tell.
 
 use crate::MS;
-use gradepin_admission::{Outcome, Span, Time, after};
+use gradepin_admission::{Outcome, Span, Time, time_after};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
@@ -90,9 +90,9 @@
     pub(super) fn add(&mut self, now: Time, outcome: Outcome, took: Span) {
         let seen = Observation::of(outcome);
         let took_ms = if seen.succeeded > 0 { (took.0 / MS) as u32 } else { 0 };
-        self.steps.retain(|step| after(step.since, WINDOW) > now);
+        self.steps.retain(|step| time_after(step.since, WINDOW) > now);
         match self.steps.back_mut() {
-            Some(last) if now < after(last.since, STEP) => {
+            Some(last) if now < time_after(last.since, STEP) => {
                 last.seen.add(&seen);
                 last.took_ms = last.took_ms.saturating_add(took_ms);
             }
@@ -104,7 +104,7 @@
     pub(super) fn sum(&self, now: Time) -> Observation {
         let mut sum = Observation::default();
         let mut took_ms = 0;
-        for step in self.steps.iter().filter(|step| after(step.since, WINDOW) > now) {
+        for step in self.steps.iter().filter(|step| time_after(step.since, WINDOW) > now) {
             sum.add(&step.seen);
             took_ms += u64::from(step.took_ms);
         }
--- a/crates/cluster/src/cluster.rs
+++ b/crates/cluster/src/cluster.rs
@@ -17,11 +17,11 @@
 pub use envelope::Envelope;
 pub use message::MessageKind;
 pub use settings::ClusterSettings;
-pub use status::{FleetView, MemberView, Status};
+pub use status::{ClusterStatus, FleetView, MemberView};
 pub use upstream::CallDecision;
 
 use crate::MS;
-use crate::authentication::Keys;
+use crate::authentication::AuthenticationKeys;
 use crate::circuit_breaker::CircuitBreaker;
 use crate::counters::Counters;
 use crate::fragments::Reassembly;
@@ -29,7 +29,7 @@
 use crate::members::{Members, MembershipChange};
 use crate::peer::Incarnation;
 use crate::replay_window::ReplayWindow;
-use gradepin_admission::{Span, Time, after, secs};
+use gradepin_admission::{Span, Time, span_seconds, time_after};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use send::SendBudget;
@@ -55,7 +55,7 @@
 
 /// What is to be done.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Effect {
+pub enum ClusterEffect {
     /// Send a datagram.
     Send {
         /// Where to.
@@ -99,8 +99,8 @@
     reassembly: Reassembly,
     /// The number of the last post.
     posts: u32,
-    effects: Vec<Effect>,
-    status: Status,
+    effects: Vec<ClusterEffect>,
+    status: ClusterStatus,
 }
 
 impl Cluster {
@@ -127,13 +127,13 @@
             reassembly: Reassembly::default(),
             posts: 0,
             effects: Vec::new(),
-            status: Status::default(),
+            status: ClusterStatus::default(),
             settings,
         }
     }
 
     /// New keys, read at a reload.
-    pub fn set_keys(&mut self, keys: Keys) {
+    pub fn set_keys(&mut self, keys: AuthenticationKeys) {
         self.settings.keys = keys;
     }
 
@@ -145,7 +145,7 @@
     }
 
     /// Does what is due, and appends what is to be done.
-    pub fn step(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    pub fn step(&mut self, now: Time, effects: &mut Vec<ClusterEffect>) {
         if self.members.wake_at(now) <= now || now >= self.next_tick {
             self.members.step(now);
         }
@@ -162,7 +162,7 @@
             self.send(now, &peer, MessageKind::Membership, &data);
         }
         for note in self.circuit_breaker.take_notes() {
-            self.effects.push(Effect::Log(Severity::Info, note));
+            self.effects.push(ClusterEffect::Log(Severity::Info, note));
         }
         effects.append(&mut self.effects);
     }
@@ -178,19 +178,19 @@
                 (Severity::Warning, text)
             }
             MembershipChange::Paused(paused) => {
-                let seconds = secs(paused);
+                let seconds = span_seconds(paused);
                 let text =
                     format!("this process did not run for {seconds:.1} s; it doubts itself before others");
                 (Severity::Warning, text)
             }
         };
-        self.effects.push(Effect::Log(severity, text));
+        self.effects.push(ClusterEffect::Log(severity, text));
         // The own incarnation may have changed, and the own row with it.
         self.next_write = self.next_write.min(now);
     }
 
     fn tick(&mut self, now: Time) {
-        self.next_tick = after(now, TICK);
+        self.next_tick = time_after(now, TICK);
         self.counters.forget(now);
         self.write_own_row(now);
         let random = self.random();
@@ -209,7 +209,7 @@
         let own = self.members.own().clone();
         let observation = self.circuit_breaker.observation(now);
         self.counters.write(now, own.incarnation, &own.zone, spare, observation);
-        self.next_write = after(now, WRITE_INTERVAL);
+        self.next_write = time_after(now, WRITE_INTERVAL);
         self.published_spare = spare;
     }
 
--- a/crates/cluster/src/cluster/envelope.rs
+++ b/crates/cluster/src/cluster/envelope.rs
@@ -1,7 +1,7 @@
 //! A datagram whose tag was checked: what shells pass on to the reducer.
 
 use super::message::MessageKind;
-use crate::authentication::{DropReason, Header, Keys};
+use crate::authentication::{AuthenticationKeys, DropReason, Header};
 use crate::leases::LeaseMessage;
 use crate::peer::Incarnation;
 
@@ -18,7 +18,7 @@
 
 impl Envelope {
     /// Opens a datagram; the error says why it is dropped.
-    pub fn open(keys: &Keys, datagram: &[u8]) -> Result<Self, DropReason> {
+    pub fn open(keys: &AuthenticationKeys, datagram: &[u8]) -> Result<Self, DropReason> {
         let (header, content) = keys.verify(datagram)?;
         let Header { name, incarnation, to, number, sent_us } = header;
         Ok(Self { name: name.to_string(), incarnation, to, number, sent_us, content: content.to_vec() })
--- a/crates/cluster/src/cluster/quota.rs
+++ b/crates/cluster/src/cluster/quota.rs
@@ -3,7 +3,7 @@
 use super::Cluster;
 use crate::MS;
 use crate::counters::{CellId, Reading, WINDOW, WorkCount};
-use gradepin_admission::{Span, Time, secs};
+use gradepin_admission::{Span, Time, span_seconds};
 use std::collections::BTreeMap;
 
 impl Cluster {
@@ -68,7 +68,7 @@
         let own = self.counters.local(|_| true);
         let counted = if own.retries > fleet.retries { own } else { fleet };
         // Some are always taken: of few requests a rate says nothing.
-        let room = ratio * f64::from(counted.first_attempts) + ratio * secs(WINDOW);
+        let room = ratio * f64::from(counted.first_attempts) + ratio * span_seconds(WINDOW);
         let retries = f64::from(counted.retries);
         retries <= room || self.random() * retries < room
     }
--- a/crates/cluster/src/cluster/receive.rs
+++ b/crates/cluster/src/cluster/receive.rs
@@ -2,13 +2,13 @@
 
 use super::envelope::Envelope;
 use super::message::MessageKind;
-use super::{Cluster, Effect};
+use super::{Cluster, ClusterEffect};
 use crate::MS;
 use crate::authentication::DropReason;
 use crate::counters::GossipedRow;
 use crate::leases::LeaseMessage;
 use crate::peer::Incarnation;
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
 use std::sync::Arc;
 
 /// Between two notices to a server that is known in a greater incarnation.
@@ -109,7 +109,7 @@
         let Envelope { name, incarnation, .. } = envelope;
         if let Some(content) = self.reassembly.take(now, name, *incarnation, content)? {
             let from = Arc::from(name.as_str());
-            self.effects.push(Effect::Post { from, incarnation: *incarnation, content });
+            self.effects.push(ClusterEffect::Post { from, incarnation: *incarnation, content });
         }
         Ok(())
     }
@@ -128,7 +128,7 @@
 
     /// Whether a server may be told now that it is mistaken about an incarnation: not with each of its datagrams.
     fn may_notify(&mut self, now: Time, name: &str) -> bool {
-        self.notified.retain(|_, at| now < after(*at, NOTICE_INTERVAL));
+        self.notified.retain(|_, at| now < time_after(*at, NOTICE_INTERVAL));
         let may = !self.notified.contains_key(name);
         if may {
             self.notified.insert(Arc::from(name), now);
--- a/crates/cluster/src/cluster/send.rs
+++ b/crates/cluster/src/cluster/send.rs
@@ -1,14 +1,14 @@
 //! Datagrams that go out: the bound on bytes a second, and what is gossiped to whom.
 
 use super::message::MessageKind;
-use super::{Cluster, Effect};
+use super::{Cluster, ClusterEffect};
 use crate::MS;
 use crate::authentication::{Header, MAX_DATAGRAM_BYTES, MAX_OVERHEAD_BYTES};
 use crate::counters::{GossipedRow, StoredRow};
 use crate::fragments;
 use crate::leases::LeaseMessage;
 use crate::peer::Peer;
-use gradepin_admission::{Span, Time, secs};
+use gradepin_admission::{Span, Time, span_seconds};
 use rand_pcg::rand_core::Rng;
 use std::sync::Arc;
 
@@ -36,7 +36,7 @@
     }
 
     fn refill(&mut self, now: Time) {
-        let passed = secs(Span(now.0.saturating_sub(self.at.0)));
+        let passed = span_seconds(Span(now.0.saturating_sub(self.at.0)));
         self.available = (self.available + self.rate * passed).min(self.rate);
         self.at = now;
     }
@@ -115,7 +115,7 @@
     }
 
     /// Sends a message to another server, by name, in as many datagrams as it takes, each of which may be lost. The
-    /// receiver's cluster gives it out as [`Effect::Post`]; its content is not the cluster's to know.
+    /// receiver's cluster gives it out as [`ClusterEffect::Post`]; its content is not the cluster's to know.
     pub fn post(&mut self, now: Time, to: &str, content: &[u8]) {
         let Some(peer) = self.members.find(to).map(|known| known.peer.clone()) else { return };
         self.posts = self.posts.wrapping_add(1);
@@ -154,6 +154,6 @@
         self.budget.spend(datagram.len());
         self.status.sent += 1;
         self.status.bytes_sent += datagram.len() as u64;
-        self.effects.push(Effect::Send { to: peer.address, datagram });
+        self.effects.push(ClusterEffect::Send { to: peer.address, datagram });
     }
 }
--- a/crates/cluster/src/cluster/settings.rs
+++ b/crates/cluster/src/cluster/settings.rs
@@ -1,6 +1,6 @@
 //! What an operator sets of the cluster, and what the server knows of itself.
 
-use crate::authentication::Keys;
+use crate::authentication::AuthenticationKeys;
 use crate::leases::LeaseSettings;
 use crate::members::FailureDetection;
 use crate::peer::Peer;
@@ -14,7 +14,7 @@
     /// Where others may be found.
     pub seeds: Vec<SocketAddr>,
     /// Keys of the fleet.
-    pub keys: Keys,
+    pub keys: AuthenticationKeys,
     /// How quickly the fleet notices a failure.
     pub failure_detection: FailureDetection,
     /// Bytes sent in a second at the most, over any length of time but for one second's worth.
--- a/crates/cluster/src/cluster/status.rs
+++ b/crates/cluster/src/cluster/status.rs
@@ -5,13 +5,13 @@
 use crate::authentication::DropReason;
 use crate::leases::SLOT;
 use crate::peer::Incarnation;
-use gradepin_admission::{Time, secs};
+use gradepin_admission::{Time, span_seconds};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// What the figures show.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Status {
+pub struct ClusterStatus {
     /// Other servers that are believed to be up.
     pub up: usize,
     /// Other servers that are believed dead.
@@ -69,7 +69,7 @@
     /// The others, by name.
     pub members: Vec<MemberView>,
     /// The figures.
-    pub status: Status,
+    pub status: ClusterStatus,
 }
 
 impl Cluster {
@@ -92,14 +92,14 @@
     }
 
     /// The figures.
-    pub fn status(&self, now: Time) -> Status {
+    pub fn status(&self, now: Time) -> ClusterStatus {
         let reading = self.counters.read(now, |_| true);
         let slots = |thousandths: u32| f64::from(thousandths) / f64::from(SLOT);
-        Status {
+        ClusterStatus {
             up: self.members.up_count(),
             down: self.members.known().filter(|known| !known.up).count(),
             reporting: reading.servers,
-            oldest_report_s: secs(reading.oldest),
+            oldest_report_s: span_seconds(reading.oldest),
             retained_slots: slots(self.leases.retained(now)),
             lent_slots: slots(self.leases.lent(now)),
             borrowed_slots: slots(self.leases.borrowed(now)),
--- a/crates/cluster/src/cluster/upstream.rs
+++ b/crates/cluster/src/cluster/upstream.rs
@@ -4,7 +4,7 @@
 use crate::MS;
 use crate::circuit_breaker::{Admission, PeerObservations};
 use crate::leases::{LenderOffer, SLOT, Slot};
-use gradepin_admission::{Outcome, Span, Time, after};
+use gradepin_admission::{Outcome, Span, Time, time_after};
 use rand_pcg::rand_core::Rng;
 use std::sync::Arc;
 
@@ -31,7 +31,7 @@
     pub fn set_waiting(&mut self, now: Time, waiting: usize) {
         self.leases.set_waiting(now, waiting as u32);
         if self.leases.is_short(now) {
-            self.next_lease_step = self.next_lease_step.min(after(now, SHORT_TICK));
+            self.next_lease_step = self.next_lease_step.min(time_after(now, SHORT_TICK));
         }
     }
 
@@ -76,7 +76,7 @@
 
     /// Leases that end, are missing, or are recalled.
     pub(super) fn step_leases(&mut self, now: Time) {
-        self.next_lease_step = after(now, TICK);
+        self.next_lease_step = time_after(now, TICK);
         if self.settings.share.is_none() {
             return;
         }
@@ -88,7 +88,7 @@
             self.send_lease(now, &outgoing.to, outgoing.message);
         }
         if is_short {
-            self.next_lease_step = after(now, SHORT_TICK);
+            self.next_lease_step = time_after(now, SHORT_TICK);
         }
     }
 
--- a/crates/cluster/src/counters.rs
+++ b/crates/cluster/src/counters.rs
@@ -14,7 +14,7 @@
 use crate::MS;
 use crate::circuit_breaker::Observation;
 use crate::peer::Incarnation;
-use gradepin_admission::{Span, Time, before};
+use gradepin_admission::{Span, Time, time_before};
 use local::LocalCounters;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -103,7 +103,7 @@
 
     /// Takes in a row of another server that was under way for `delay`; whether it was news.
     pub fn merge(&mut self, now: Time, gossiped: GossipedRow, delay: Span) -> bool {
-        let at = before(now, Span(u64::from(gossiped.age_ms) * MS + delay.0));
+        let at = time_before(now, Span(u64::from(gossiped.age_ms) * MS + delay.0));
         self.join(now, StoredRow { row: gossiped.row, at })
     }
 
--- a/crates/cluster/src/counters/local.rs
+++ b/crates/cluster/src/counters/local.rs
@@ -3,7 +3,7 @@
 use super::row::{CellId, CounterCell, WorkCount};
 use super::{MAX_CELLS, WINDOW};
 use crate::MS;
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
 use std::collections::{BTreeMap, VecDeque};
 
 /// The window moves in steps of this.
@@ -27,14 +27,14 @@
 impl WindowedCount {
     fn add(&mut self, now: Time, work: WorkCount) {
         match self.steps.back_mut() {
-            Some(last) if now < after(last.since, STEP) => last.work.add(&work),
+            Some(last) if now < time_after(last.since, STEP) => last.work.add(&work),
             _ => self.steps.push_back(WindowStep { since: now, work }),
         }
         self.sum.add(&work);
     }
 
     fn expire(&mut self, now: Time) {
-        while let Some(gone) = self.steps.pop_front_if(|step| after(step.since, WINDOW) <= now) {
+        while let Some(gone) = self.steps.pop_front_if(|step| time_after(step.since, WINDOW) <= now) {
             self.sum.subtract(&gone.work);
         }
     }
--- a/crates/cluster/src/counters/tests.rs
+++ b/crates/cluster/src/counters/tests.rs
@@ -1,7 +1,7 @@
 //! Merging as a join, and the bounds of rows and cells.
 
 use super::*;
-use gradepin_admission::after;
+use gradepin_admission::time_after;
 use proptest::prelude::*;
 
 fn gossiped(name: &str, incarnation: u64, version: u32, requested_ms: u32, age_ms: u32) -> GossipedRow {
@@ -57,12 +57,12 @@
     assert_eq!((reading.sum.requested_ms, reading.servers, reading.coverage(12)), (130, 3, 0.25));
     assert_eq!((reading.oldest, reading.median), (Span(4_000 * MS), Span(1_500 * MS)));
     assert_eq!(reading.zones.values().copied().collect::<Vec<_>>(), [1, 2]);
-    let later = after(NOW, Span(7_000 * MS));
+    let later = time_after(NOW, Span(7_000 * MS));
     assert_eq!(requested(&counters, later), 120, "the older row no longer counters");
-    counters.forget(after(NOW, Span(60_000 * MS)));
+    counters.forget(time_after(NOW, Span(60_000 * MS)));
     assert!(counters.is_empty());
-    counters.write(after(NOW, WINDOW), Incarnation(1), &Arc::from("y"), 0, Observation::default());
-    assert_eq!(requested(&counters, after(NOW, WINDOW)), 0, "what was counted here leaves the window");
+    counters.write(time_after(NOW, WINDOW), Incarnation(1), &Arc::from("y"), 0, Observation::default());
+    assert_eq!(requested(&counters, time_after(NOW, WINDOW)), 0, "what was counted here leaves the window");
 }
 
 /// Guards memory: cells and rows are bounded whatever names come.
--- a/crates/cluster/src/fragments.rs
+++ b/crates/cluster/src/fragments.rs
@@ -11,7 +11,7 @@
 use crate::MS;
 use crate::authentication::{DropReason, MAX_DATAGRAM_BYTES, MAX_OVERHEAD_BYTES};
 use crate::peer::Incarnation;
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
 use std::sync::Arc;
@@ -172,7 +172,7 @@
         let Self { partial, bytes, messages } = self;
         partial.retain(|_, partials| {
             partials.retain(|partial| {
-                let stays = now < after(partial.since, REASSEMBLY_TIMEOUT);
+                let stays = now < time_after(partial.since, REASSEMBLY_TIMEOUT);
                 if !stays {
                     *bytes -= partial.bytes();
                     *messages -= 1;
--- a/crates/cluster/src/leases.rs
+++ b/crates/cluster/src/leases.rs
@@ -20,7 +20,7 @@
 use crate::MS;
 use crate::peer::Incarnation;
 use borrower::{BorrowedLease, Grant, PendingRequest};
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
 use lender::{LeaseKey, LentLease, RequestQueue};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -87,7 +87,7 @@
         let (calls_from, restart_hold_until) = if settings.ignore_expiry {
             (now, now)
         } else {
-            (after(now, settings.upstream_linger), after(now, settings.hold()))
+            (time_after(now, settings.upstream_linger), time_after(now, settings.hold()))
         };
         Self {
             own_share: thousandths(share),
@@ -190,7 +190,7 @@
         self.calls = self.calls.saturating_sub(1);
         self.lingering.retain(|until| now < *until);
         if given_up && !self.settings.ignore_expiry {
-            self.lingering.push_back(after(now, self.settings.linger()));
+            self.lingering.push_back(time_after(now, self.settings.linger()));
         }
     }
 
--- a/crates/cluster/src/leases/borrower.rs
+++ b/crates/cluster/src/leases/borrower.rs
@@ -4,7 +4,7 @@
 use super::message::{LeaseMessage, LenderOffer, OutgoingLeaseMessage};
 use super::{LeaseTable, SLOT};
 use crate::MS;
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
 use std::sync::Arc;
 
 /// Leases taken at a time.
@@ -53,7 +53,7 @@
 
     fn waits(&self, now: Time) -> bool {
         let timeout = if self.is_first() { REQUEST_TIMEOUT } else { EXTENSION_TIMEOUT };
-        now < after(self.sent_at, timeout)
+        now < time_after(self.sent_at, timeout)
     }
 }
 
@@ -100,7 +100,7 @@
 
     fn back_off(&mut self, now: Time, name: Arc<str>, span: Span) {
         if self.backoff.len() < 2 * MAX_LENT {
-            self.backoff.insert(name, after(now, span));
+            self.backoff.insert(name, time_after(now, span));
         }
     }
 
@@ -135,7 +135,7 @@
         for lease in self.borrowed.iter_mut().filter(|lease| !lease.ending) {
             let waits = self.pending.iter().any(|request| request.number == lease.number)
                 || self.backoff.contains_key(&lease.lender);
-            if now >= lease.until || after(now, half) < lease.until || waits {
+            if now >= lease.until || time_after(now, half) < lease.until || waits {
                 continue;
             }
             lease.round += 1;
@@ -155,7 +155,7 @@
         out: &mut Vec<OutgoingLeaseMessage>,
     ) {
         // A server that lends and needs is to recall, not to borrow.
-        let waits = self.short_since.is_some_and(|since| now >= after(since, BORROW_AFTER));
+        let waits = self.short_since.is_some_and(|since| now >= time_after(since, BORROW_AFTER));
         if !waits || !self.lent.is_empty() || now < self.calls_from {
             return;
         }
@@ -206,7 +206,7 @@
         // No lender that keeps to the protocol grants more than it was asked for, and what is borrowed is summed up.
         let amount = amount.min(request.amount);
         // From when it was asked, and no longer than the own settings say.
-        let until = after(request.sent_at, duration.min(self.settings.duration));
+        let until = time_after(request.sent_at, duration.min(self.settings.duration));
         if until <= now {
             return;
         }
--- a/crates/cluster/src/leases/lender.rs
+++ b/crates/cluster/src/leases/lender.rs
@@ -4,7 +4,7 @@
 use super::{LeaseTable, SLOT};
 use crate::MS;
 use crate::peer::Incarnation;
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -86,7 +86,7 @@
 
     /// Whether runs wait for longer than a moment.
     fn is_in_need(&self, now: Time) -> bool {
-        self.short_since.is_some_and(|since| now >= after(since, RECALL_AFTER))
+        self.short_since.is_some_and(|since| now >= time_after(since, RECALL_AFTER))
     }
 
     /// The lender is short itself: enough of what it lent is recalled.
@@ -100,7 +100,7 @@
                 return;
             }
             missing = missing.saturating_sub(lease.amount);
-            if lease.recalled_at.is_none_or(|at| now >= after(at, RECALL_INTERVAL)) {
+            if lease.recalled_at.is_none_or(|at| now >= time_after(at, RECALL_INTERVAL)) {
                 lease.recalled_at = Some(now);
                 let message = LeaseMessage::Recall { number: key.number };
                 out.push(OutgoingLeaseMessage { to: Arc::clone(&key.borrower), message });
@@ -135,7 +135,7 @@
     fn extend(&mut self, now: Time, key: &LeaseKey, round: u32) -> LeaseMessage {
         let refusal = LeaseMessage::Refuse { number: key.number };
         let short = self.is_in_need(now) || self.retained(now) < self.taken(now) * SLOT;
-        let until = after(now, self.settings.hold());
+        let until = time_after(now, self.settings.hold());
         let duration_ms = self.settings.duration_ms();
         let Some(lease) = self.lent.get_mut(key) else { return refusal };
         if round < lease.round {
@@ -153,7 +153,7 @@
 
     /// Lends what is free to those that asked for it, the first one first.
     pub(super) fn grant_queued(&mut self, now: Time, out: &mut Vec<OutgoingLeaseMessage>) {
-        self.requests.retain(|request| now < after(request.since, REQUEST_QUEUED_FOR));
+        self.requests.retain(|request| now < time_after(request.since, REQUEST_QUEUED_FOR));
         let duration_ms = self.settings.duration_ms();
         while let Some(request) = self.requests.front() {
             let amount = request.amount.min(self.spare(now));
@@ -164,7 +164,7 @@
             }
             let Some(LeaseRequest { key, .. }) = self.requests.pop_front() else { return };
             let (to, number) = (Arc::clone(&key.borrower), key.number);
-            let until = after(now, self.settings.hold());
+            let until = time_after(now, self.settings.hold());
             self.lent.insert(key, LentLease { round: 0, amount, until, recalled_at: None });
             let message = LeaseMessage::Grant { number, round: 0, amount, duration_ms };
             out.push(OutgoingLeaseMessage { to, message });
--- a/crates/cluster/src/leases/tests.rs
+++ b/crates/cluster/src/leases/tests.rs
@@ -83,7 +83,7 @@
     assert_eq!(b.retained(ms(12_000)), 3_000, "a call made at the last moment may still be out");
     let hold = LeaseSettings::default().hold();
     assert_eq!(b.retained(Time(now.0 + hold.0 - 1)), 3_000);
-    assert_eq!(b.retained(after(now, hold)), 4_000);
+    assert_eq!(b.retained(time_after(now, hold)), 4_000);
     assert!(hold.0 > 3_700 * MS * 101 / 100, "the length, the call and its linger, by clocks that drift");
 }
 
@@ -95,7 +95,7 @@
     assert_eq!(again.retained(start), 0, "calls of the earlier incarnation may still be out");
     assert_eq!(again.retained(ms(50_200)), 2_000);
     assert_eq!(again.spare(ms(50_200)), 0);
-    let free = after(start, LeaseSettings::default().hold());
+    let free = time_after(start, LeaseSettings::default().hold());
     assert_eq!((again.retained(free), again.spare(free)), (4_000, 2_000));
     let ignore_expiry = LeaseSettings { ignore_expiry: true, ..LeaseSettings::default() };
     assert_eq!(
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/members.rs
@@ -15,7 +15,7 @@
 use crate::peer::{Incarnation, Peer};
 use awake_clock::AwakeClock;
 use foca::{Codec, Foca, OwnedNotification, PostcardCodec, State, Timer};
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
 use library::LibraryRequests;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
@@ -176,7 +176,7 @@
         let pause = if alone { ANNOUNCE_INTERVAL } else { SEED_INTERVAL };
         // Spread, or a fleet that starts at once would ask its seeds at once for ever.
         let pause = pause.0 / 2 + self.rng.next_u64() % pause.0;
-        self.next_seed = after(now, Span(pause));
+        self.next_seed = time_after(now, Span(pause));
         self.take_requests(now);
     }
 
@@ -233,7 +233,7 @@
         let awake = self.clock.awake(now);
         for (wait, timer) in self.requests.timers.drain(..) {
             self.timer_no += 1;
-            let due = after(awake, Span(wait.as_nanos() as u64));
+            let due = time_after(awake, Span(wait.as_nanos() as u64));
             self.timers.insert((due, self.timer_no), timer);
         }
         for notification in std::mem::take(&mut self.requests.notifications) {
--- a/crates/cluster/src/members/awake_clock.rs
+++ b/crates/cluster/src/members/awake_clock.rs
@@ -4,7 +4,7 @@
 //! time that it was stopped itself (the idea of Lifeguard's local health, Dadgar, Phillips and Currey, 2017).
 
 use crate::MS;
-use gradepin_admission::{Span, Time, after, before};
+use gradepin_admission::{Span, Time, time_after, time_before};
 
 /// Time beyond this between the wake that was asked for and the one that came was not this process's: it was stopped, or
 /// starved.
@@ -28,7 +28,7 @@
 
     /// The process runs now; how long it was paused, if for long.
     pub(super) fn resume(&mut self, now: Time) -> Option<Span> {
-        let late = now.0.saturating_sub(after(self.expected_at, MAX_LATENESS).0);
+        let late = now.0.saturating_sub(time_after(self.expected_at, MAX_LATENESS).0);
         self.paused += late;
         (late >= REPORTED_PAUSE.0).then_some(Span(late))
     }
@@ -40,11 +40,11 @@
 
     /// The time awake at a time of the real clock.
     pub(super) fn awake(&self, now: Time) -> Time {
-        before(now, Span(self.paused))
+        time_before(now, Span(self.paused))
     }
 
     /// The time of the real clock at a time awake, if no pause is to come.
     pub(super) fn real(&self, awake: Time) -> Time {
-        after(awake, Span(self.paused))
+        time_after(awake, Span(self.paused))
     }
 }
--- a/crates/cluster/src/members/tests.rs
+++ b/crates/cluster/src/members/tests.rs
@@ -33,7 +33,7 @@
 
     fn run(&mut self, ms: u64, cut: impl Fn(usize, usize) -> bool) {
         for _ in 0..ms / 10 {
-            self.now = after(self.now, Span(10 * MS));
+            self.now = time_after(self.now, Span(10 * MS));
             for n in 0..self.members.len() {
                 if self.stopped[n] {
                     continue;
--- a/crates/cluster/src/rate_limit.rs
+++ b/crates/cluster/src/rate_limit.rs
@@ -2,7 +2,7 @@
 //! stranger may send any number.
 
 use crate::MS;
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
 
 /// The span over which datagrams are counted.
 const WINDOW: Span = Span(100 * MS);
@@ -19,7 +19,7 @@
 impl RateLimiter {
     /// Whether one more is taken now.
     pub fn takes(&mut self, now: Time) -> bool {
-        if now >= after(self.since, WINDOW) {
+        if now >= time_after(self.since, WINDOW) {
             self.since = now;
             self.taken = 0;
         }
--- a/crates/cluster/src/replay_window.rs
+++ b/crates/cluster/src/replay_window.rs
@@ -9,7 +9,7 @@
 use crate::MS;
 use crate::authentication::{DropReason, Header};
 use crate::peer::Incarnation;
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -150,7 +150,7 @@
 
     /// How much later than a quick datagram one is with this offset of clocks.
     fn delay(&mut self, now: Time, offset_us: i64) -> Span {
-        if now >= after(self.since, BASELINE_SPAN) {
+        if now >= time_after(self.since, BASELINE_SPAN) {
             self.rebase(now, self.next_baseline_us.min(offset_us), offset_us);
         }
         self.next_baseline_us = self.next_baseline_us.min(offset_us);
@@ -165,7 +165,7 @@
         let mut late = self.late.unwrap_or(LateSpan { since: now, least_offset_us: offset_us });
         late.least_offset_us = late.least_offset_us.min(offset_us);
         self.late = Some(late);
-        if now < after(late.since, REBASE_AFTER) {
+        if now < time_after(late.since, REBASE_AFTER) {
             return delay;
         }
         self.late = None;
--- a/crates/cluster/tests/common/mod.rs
+++ b/crates/cluster/tests/common/mod.rs
@@ -1,9 +1,9 @@
 //! Two servers that talk, in virtual time.
 #![allow(dead_code)]
 
-use gradepin_admission::{Span, Time, after};
-use gradepin_cluster::authentication::Keys;
-use gradepin_cluster::cluster::{Cluster, ClusterSettings, Effect, Envelope};
+use gradepin_admission::{Span, Time, time_after};
+use gradepin_cluster::authentication::AuthenticationKeys;
+use gradepin_cluster::cluster::{Cluster, ClusterEffect, ClusterSettings, Envelope};
 use gradepin_cluster::leases::LeaseSettings;
 use gradepin_cluster::members::FailureDetection;
 use gradepin_cluster::peer::{Incarnation, Peer};
@@ -34,7 +34,7 @@
     let mut settings = ClusterSettings {
         own,
         seeds: vec![SocketAddr::from(([127, 0, 0, 1], 1))],
-        keys: Keys::of([3; 32]),
+        keys: AuthenticationKeys::of([3; 32]),
         failure_detection: FailureDetection::default(),
         max_bytes_per_second: 32_000,
         servers: 2,
@@ -64,14 +64,14 @@
     }
 
     pub fn run(&mut self, ms: u64) {
-        let keys = Keys::of([3; 32]);
+        let keys = AuthenticationKeys::of([3; 32]);
         for _ in 0..ms / 10 {
-            self.now = after(self.now, Span(10 * MS));
+            self.now = time_after(self.now, Span(10 * MS));
             for n in 0..2 {
                 let mut effects = Vec::new();
                 self.servers[n].step(self.now, &mut effects);
                 for effect in effects {
-                    if let Effect::Send { datagram, .. } = effect
+                    if let ClusterEffect::Send { datagram, .. } = effect
                         && !self.cut
                     {
                         let envelope = Envelope::open(&keys, &datagram).expect("what we send is tagged");
--- a/crates/cluster/tests/datagrams.rs
+++ b/crates/cluster/tests/datagrams.rs
@@ -5,7 +5,7 @@
 
 use common::{MS, Two, cluster};
 use gradepin_admission::Span;
-use gradepin_cluster::authentication::{DropReason, Keys};
+use gradepin_cluster::authentication::{AuthenticationKeys, DropReason};
 use gradepin_cluster::cluster::Envelope;
 use gradepin_cluster::peer::Incarnation;
 use rand_pcg::Pcg64Mcg;
@@ -16,7 +16,7 @@
 fn noise_and_mutated_datagrams_are_dropped_and_change_nothing() {
     let mut two = Two::new();
     two.run(5_000);
-    let keys = Keys::of([3; 32]);
+    let keys = AuthenticationKeys::of([3; 32]);
     let before = two.servers[0].view(two.now);
     let seed = 20_261_201;
     println!("seed {seed}");
@@ -53,7 +53,7 @@
 fn replays_are_dropped_one_by_one() {
     let mut two = Two::new();
     two.run(5_000);
-    let keys = Keys::of([3; 32]);
+    let keys = AuthenticationKeys::of([3; 32]);
     let to_first: Vec<Vec<u8>> =
         two.passed.iter().filter(|(to, _)| *to == 0).map(|(_, d)| d.clone()).collect();
     let before = two.servers[0].status(two.now);
@@ -75,7 +75,7 @@
 fn datagrams_of_and_for_an_earlier_life_count_for_nobody() {
     let mut two = Two::new();
     two.run(5_000);
-    let keys = Keys::of([3; 32]);
+    let keys = AuthenticationKeys::of([3; 32]);
     let old = std::mem::take(&mut two.passed);
     two.servers[0] = cluster(1, 30, two.now);
     two.run(3_000);
--- a/crates/cluster/tests/odd_content.rs
+++ b/crates/cluster/tests/odd_content.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::{MS, Two, cluster, cluster_that};
-use gradepin_admission::{Outcome, Span, Time, after};
-use gradepin_cluster::authentication::{Header, Keys};
-use gradepin_cluster::cluster::{Cluster, Effect, Envelope, MessageKind};
+use gradepin_admission::{Outcome, Span, Time, time_after};
+use gradepin_cluster::authentication::{AuthenticationKeys, Header};
+use gradepin_cluster::cluster::{Cluster, ClusterEffect, Envelope, MessageKind};
 use gradepin_cluster::leases::LeaseMessage;
 use gradepin_cluster::peer::Incarnation;
 use rand_pcg::Pcg64Mcg;
@@ -16,7 +16,7 @@
 
 /// A datagram with a good tag, opened.
 fn envelope(header: &Header<'_>, body: &[u8]) -> Envelope {
-    let keys = Keys::of(KEY);
+    let keys = AuthenticationKeys::of(KEY);
     Envelope::open(&keys, &keys.authenticate(header, body)).expect("its tag is good")
 }
 
@@ -35,7 +35,7 @@
             for now in [Time(0), Time(1_000 * MS), Time(u64::MAX / 2)] {
                 let mut server = cluster(1, 10, now);
                 server.receive(now, &envelope(&stranger(1, first), &[0]));
-                server.receive(after(now, Span(MS)), &envelope(&stranger(2, second), &[0]));
+                server.receive(time_after(now, Span(MS)), &envelope(&stranger(2, second), &[0]));
                 let status = server.status(now);
                 let seen = status.received + status.dropped.values().sum::<u64>();
                 assert_eq!(seen, 2, "{first} and {second} at {}: {status:?}", now.0);
@@ -45,10 +45,10 @@
 }
 
 /// The message about a lease that a server sent last.
-fn lease_sent(effects: &[Effect]) -> Option<LeaseMessage> {
-    let keys = Keys::of(KEY);
+fn lease_sent(effects: &[ClusterEffect]) -> Option<LeaseMessage> {
+    let keys = AuthenticationKeys::of(KEY);
     let opened = effects.iter().filter_map(|effect| match effect {
-        Effect::Send { datagram, .. } => Envelope::open(&keys, datagram).ok(),
+        ClusterEffect::Send { datagram, .. } => Envelope::open(&keys, datagram).ok(),
         _ => None,
     });
     opened.filter_map(|envelope| envelope.lease_message()).next_back()
@@ -67,7 +67,7 @@
     server.set_waiting(now, 2);
     let mut asked = None;
     for _ in 0..20 {
-        now = after(now, Span(20 * MS));
+        now = time_after(now, Span(20 * MS));
         server.set_waiting(now, 2);
         let mut effects = Vec::new();
         server.step(now, &mut effects);
@@ -105,7 +105,7 @@
                     settings.probes_per_second = f64::MIN_POSITIVE;
                 });
                 for _ in 0..50 {
-                    now = after(now, Span(100 * MS));
+                    now = time_after(now, Span(100 * MS));
                     server.set_waiting(now, 1_000);
                     let _ = server.call(now);
                     server.called(now, Outcome::Expired, Span(u64::MAX));
@@ -170,7 +170,7 @@
         two.servers.iter_mut().for_each(|server| server.set_waiting(two.now, 9));
         two.run(4_000);
         let passed = std::mem::take(&mut two.passed);
-        let keys = Keys::of(KEY);
+        let keys = AuthenticationKeys::of(KEY);
         let [server, _] = &mut two.servers;
         let mut now = two.now;
         for n in 0..5_000_u64 {
@@ -200,11 +200,11 @@
             mutate(&mut rng, &mut body, other);
             server.receive(now, &envelope(&odd, &body));
             match rng.next_u64() % 50 {
-                0 => now = after(now, Span(rng.next_u64() % (8_000 * MS))),
+                0 => now = time_after(now, Span(rng.next_u64() % (8_000 * MS))),
                 1 => server.set_waiting(now, rng.next_u64() as usize % 20),
                 2 => drop(server.call(now)),
                 3 => server.called(now, Outcome::Expired, Span(MS)),
-                4..10 => now = after(now, Span(20 * MS)),
+                4..10 => now = time_after(now, Span(20 * MS)),
                 _ => {}
             }
             turn(server, now);
--- a/crates/cluster/tests/wire.rs
+++ b/crates/cluster/tests/wire.rs
@@ -5,7 +5,7 @@
 
 use common::{MS, Two};
 use gradepin_admission::{Span, Time};
-use gradepin_cluster::authentication::{Header, Keys};
+use gradepin_cluster::authentication::{AuthenticationKeys, Header};
 use gradepin_cluster::circuit_breaker::Observation;
 use gradepin_cluster::cluster::Envelope;
 use gradepin_cluster::counters::{CellId, CounterCell, CounterRow, GossipedRow, WorkCount};
@@ -22,7 +22,7 @@
 fn the_envelope_keeps_its_bytes() {
     let header =
         Header { name: "n1", incarnation: Incarnation(7), to: Incarnation(9), number: 3, sent_us: 44 };
-    let datagram = Keys::of([5; 32]).authenticate(&header, b"body");
+    let datagram = AuthenticationKeys::of([5; 32]).authenticate(&header, b"body");
     let expected = "01026e31000000000000000700000000000000090000000000000003000000000000002c626f6479ea83bc3cf9fa349a32d3e866ad61181b";
     assert_eq!(hex(&datagram), expected);
 }
@@ -96,12 +96,12 @@
     let mut kinds = [0_usize; 5];
     let mut digest = blake3::Hasher::new();
     for (to, datagram) in &two.passed {
-        let (_, body) = Keys::of([3; 32]).verify(datagram).expect("what we send is tagged");
+        let (_, body) = AuthenticationKeys::of([3; 32]).verify(datagram).expect("what we send is tagged");
         kinds[usize::from(body[0])] += 1;
         digest.update(&[*to as u8]);
         digest.update(datagram);
     }
-    assert!(Envelope::open(&Keys::of([3; 32]), &two.passed[0].1).is_ok() && two.now > Time(0));
+    assert!(Envelope::open(&AuthenticationKeys::of([3; 32]), &two.passed[0].1).is_ok() && two.now > Time(0));
     assert_eq!(
         (kinds, digest.finalize().to_hex().as_str()),
         ([54, 198, 6, 0, 3], "2206be44508ed878f44cb6f164c252aa45c2cfcc80d7d2fcc1c8a210b242df75")
--- a/crates/config/src/admin.rs
+++ b/crates/config/src/admin.rs
@@ -3,7 +3,7 @@
 
 use crate::change::{Change, ClassDefinition, Name, Proposal, Revision, Rule};
 use crate::validation::Invalid;
-use gradepin_admission::Customer;
+use gradepin_admission::Tenant;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -76,7 +76,7 @@
 /// Why a call changed nothing.
 #[derive(Debug, Clone, PartialEq, thiserror::Error, Serialize, Deserialize)]
 #[serde(tag = "refused", rename_all = "snake_case")]
-pub enum Refusal {
+pub enum AdminError {
     /// Somebody else committed a change since.
     #[error("expected revision {expected} to be in force, revision {in_force} is")]
     Stale {
@@ -155,7 +155,7 @@
     Off,
 }
 
-impl Refusal {
+impl AdminError {
     /// The HTTP status that it goes with.
     pub fn status(&self) -> u16 {
         match self {
@@ -322,5 +322,5 @@
     /// A class.
     Class(Arc<ClassDefinition>),
     /// A tenant.
-    Tenant(Arc<Customer>),
+    Tenant(Arc<Tenant>),
 }
--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -4,7 +4,7 @@
 //! [`Revision`]; commits are applied in the order of their revisions, without gaps.
 
 pub use gradepin_admission::ClassDefinition;
-use gradepin_admission::{Customer, Span};
+use gradepin_admission::{Span, Tenant};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -67,7 +67,7 @@
     /// Removes a class.
     RemoveClass(Name),
     /// Adds a tenant, or replaces the one of this name.
-    PutTenant(Arc<Customer>),
+    PutTenant(Arc<Tenant>),
     /// Removes a tenant.
     RemoveTenant(Name),
     /// Sets a rule.
--- a/crates/config/src/chunk.rs
+++ b/crates/config/src/chunk.rs
@@ -6,7 +6,7 @@
 use crate::change::{ClassDefinition, Name};
 use crate::digest::{Digest, Entry};
 use crate::validation;
-use gradepin_admission::Customer;
+use gradepin_admission::Tenant;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -42,7 +42,7 @@
     }
 }
 
-impl Named for Customer {
+impl Named for Tenant {
     fn name(&self) -> &str {
         &self.name
     }
@@ -95,7 +95,7 @@
 pub(crate) struct Chunk {
     pub digest: Digest,
     pub classes: Sorted<ClassDefinition>,
-    pub tenants: Sorted<Customer>,
+    pub tenants: Sorted<Tenant>,
 }
 
 /// Why the bytes of a chunk are not taken.
--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -10,7 +10,7 @@
 use crate::digest::{Digest, Entry, Version};
 use crate::rules::RuleSet;
 use crate::validation::{self, Invalid};
-use gradepin_admission::{Customer, Settings};
+use gradepin_admission::{Settings, Tenant};
 use std::sync::Arc;
 
 /// All classes, tenants and rules at one revision.
@@ -42,7 +42,7 @@
 
 /// Why a proposal is refused before it is proposed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum CommitRejected {
     /// The author saw another revision than the one in force.
     #[error("expected revision {expected} in force, got {in_force}")]
     Moved {
@@ -140,7 +140,7 @@
     }
 
     /// The tenant of a name.
-    pub fn tenant(&self, name: &str) -> Option<&Arc<Customer>> {
+    pub fn tenant(&self, name: &str) -> Option<&Arc<Tenant>> {
         self.chunk(ChunkNumber::of(name))?.tenants.get(name)
     }
 
@@ -155,7 +155,7 @@
     }
 
     /// All tenants, in the canonical order.
-    pub fn tenants(&self) -> impl Iterator<Item = &Arc<Customer>> {
+    pub fn tenants(&self) -> impl Iterator<Item = &Arc<Tenant>> {
         self.chunks.iter().flatten().flat_map(|chunk| chunk.tenants.iter())
     }
 
@@ -169,11 +169,11 @@
     }
 
     /// Whether a proposal may be committed next.
-    pub fn check(&self, proposal: &Proposal) -> Result<(), Refused> {
+    pub fn check(&self, proposal: &Proposal) -> Result<(), CommitRejected> {
         validation::texts(proposal)?;
         match proposal.expected {
             Some(expected) if expected != self.revision => {
-                Err(Refused::Moved { expected, in_force: self.revision })
+                Err(CommitRejected::Moved { expected, in_force: self.revision })
             }
             _ => Ok(self.validate(&proposal.transaction)?),
         }
@@ -233,7 +233,7 @@
         self.account(name, None, before.map(Entry::Class));
     }
 
-    fn put_tenant(&mut self, tenant: Arc<Customer>) {
+    fn put_tenant(&mut self, tenant: Arc<Tenant>) {
         let name = tenant.name.clone();
         let before = self.chunk_mut(&name).tenants.put(Arc::clone(&tenant));
         self.tenants += usize::from(before.is_none());
@@ -260,7 +260,7 @@
         settings.profiles = self.classes().map(|class| class.profile.clone()).collect();
         settings.specifics.calls_by_class = self.classes().map(|class| class.calls).collect();
         settings.specifics.class_skip_worth = self.classes().map(|class| class.skip_worth).collect();
-        settings.customers = self.tenants().map(|tenant| Customer::clone(tenant)).collect();
+        settings.customers = self.tenants().map(|tenant| Tenant::clone(tenant)).collect();
         settings
     }
 }
--- a/crates/config/src/digest.rs
+++ b/crates/config/src/digest.rs
@@ -5,7 +5,7 @@
 //! peers do not construct whole colliding states is left to the authentication of the messages between them.
 
 use crate::change::{ClassDefinition, Revision, Rule};
-use gradepin_admission::Customer;
+use gradepin_admission::Tenant;
 use serde::{Deserialize, Serialize};
 use std::sync::{Arc, LazyLock};
 
@@ -56,7 +56,7 @@
     /// A class.
     Class(Arc<ClassDefinition>),
     /// A tenant.
-    Tenant(Arc<Customer>),
+    Tenant(Arc<Tenant>),
     /// A rule.
     Rule(Rule),
 }
--- a/crates/config/src/dissemination/budget.rs
+++ b/crates/config/src/dissemination/budget.rs
@@ -1,6 +1,6 @@
 //! Bytes a second, as a token bucket.
 
-use gradepin_admission::{Span, Time, after, secs, span};
+use gradepin_admission::{Span, Time, span_from_seconds, span_seconds, time_after};
 
 /// A bucket of bytes.
 #[derive(Debug, Clone)]
@@ -19,7 +19,7 @@
 
     fn refill(&mut self, now: Time) {
         if now > self.at {
-            self.left = (self.left + self.rate * secs(Span(now.0 - self.at.0))).min(self.most);
+            self.left = (self.left + self.rate * span_seconds(Span(now.0 - self.at.0))).min(self.most);
             self.at = now;
         }
     }
@@ -44,6 +44,10 @@
     /// When so many bytes can be taken.
     pub fn ready_at(&self, bytes: usize, reserve: f64) -> Time {
         let missing = bytes as f64 + reserve * self.most - self.left;
-        if missing <= 0.0 || self.rate <= 0.0 { self.at } else { after(self.at, span(missing / self.rate)) }
+        if missing <= 0.0 || self.rate <= 0.0 {
+            self.at
+        } else {
+            time_after(self.at, span_from_seconds(missing / self.rate))
+        }
     }
 }
--- a/crates/config/src/dissemination/history.rs
+++ b/crates/config/src/dissemination/history.rs
@@ -1,6 +1,6 @@
 //! What peers that are behind may ask for: the last commits, and the digests of the last states.
 
-use super::messages::Record;
+use super::messages::CommitRecord;
 use crate::change::{Commit, Revision};
 use crate::digest::{Digest, Version};
 use crate::log::{CommitLog, LogLimits};
@@ -49,17 +49,17 @@
     }
 
     /// The record of a revision, if it is kept.
-    pub fn get(&self, revision: Revision) -> Option<Record> {
+    pub fn get(&self, revision: Revision) -> Option<CommitRecord> {
         let commit = self.log.get(revision)?;
-        Some(Record::new(Arc::clone(commit), self.digest_at(revision)?))
+        Some(CommitRecord::new(Arc::clone(commit), self.digest_at(revision)?))
     }
 
     /// The records after a revision, in order; none if some of them are gone or the revision is yet to come.
-    pub fn after(&self, revision: Revision) -> Option<impl Iterator<Item = Record> + '_> {
+    pub fn after(&self, revision: Revision) -> Option<impl Iterator<Item = CommitRecord> + '_> {
         let records = self.log.after(revision)?;
         Some(records.filter_map(|commit| {
             let digest = self.digest_at(commit.revision)?;
-            Some(Record::new(Arc::clone(commit), digest))
+            Some(CommitRecord::new(Arc::clone(commit), digest))
         }))
     }
 }
--- a/crates/config/src/dissemination/machine.rs
+++ b/crates/config/src/dissemination/machine.rs
@@ -1,21 +1,21 @@
 //! The parts together: messages in, effects out.
 
 use super::history::History;
-use super::messages::{Message, Record};
-use super::outbox::{Effect, Outbox, Sent, Traffic};
+use super::messages::{CommitRecord, Message};
+use super::outbox::{DisseminationEffect, Outbox, Sent, Traffic};
 use super::peers::{Member, Peers, below};
 use super::pending::{Origin, Pending, Waiting};
 use super::quarantine::Quarantine;
 use super::requests::Requests;
 use super::serving::{self, Snapshots};
 use super::settings::DisseminationSettings;
-use super::transfer::{Surroundings, Transfer};
+use super::transfer::{Transfer, TransferContext};
 use super::witnesses::Witnesses;
 use crate::change::{Commit, Name, Revision};
 use crate::configuration::Configuration;
 use crate::digest::{Digest, Version};
 use crate::snapshot::Snapshot;
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::SeedableRng;
 use std::sync::Arc;
@@ -255,10 +255,10 @@
 
     // ---- commits
 
-    fn records(&mut self, now: Time, from: &Name, records: Vec<Record>, origin: Origin) {
+    fn records(&mut self, now: Time, from: &Name, records: Vec<CommitRecord>, origin: Origin) {
         let own = self.state.revision();
-        let newest = records.last().map(Record::version);
-        if !self.settings.plain && !records.iter().all(Record::is_intact) {
+        let newest = records.last().map(CommitRecord::version);
+        if !self.settings.plain && !records.iter().all(CommitRecord::is_intact) {
             return self.leave_out(now, from, "a commit of it is not as it was");
         }
         for record in records {
@@ -325,13 +325,13 @@
         self.history.push(Arc::clone(&waiting.commit), self.state.digest());
         if !matches!(waiting.origin, Origin::Fetch(_)) {
             if self.fresh.is_empty() {
-                self.push_at = after(now, self.settings.push_every).max(self.hold_push_until);
+                self.push_at = time_after(now, self.settings.push_every).max(self.hold_push_until);
             }
             if self.fresh.len() < MOST_PUSHED {
                 self.fresh.push(self.state.revision());
             }
         }
-        self.outbox.push(Effect::Apply(waiting.commit));
+        self.outbox.push(DisseminationEffect::Apply(waiting.commit));
     }
 
     fn refuse_commit(&mut self, now: Time, waiting: Waiting, why: &CommitError) {
@@ -358,7 +358,7 @@
 
     fn report_commit(&mut self, now: Time, revision: Revision, why: &CommitError) {
         self.outbox.note(true, format!("revision {revision} can't be applied: {why}"));
-        self.cannot_apply = Some((revision, after(now, RETRY_APPLY)));
+        self.cannot_apply = Some((revision, time_after(now, RETRY_APPLY)));
     }
 
     /// After commits were fetched: peers of the zone lack them, most likely, and fetch them from here.
@@ -405,7 +405,7 @@
         self.fresh.clear();
         self.cannot_apply = None;
         self.installed += 1;
-        self.outbox.push(Effect::Install(snapshot));
+        self.outbox.push(DisseminationEffect::Install(snapshot));
         self.requests.reached(now, new.revision);
         self.apply_pending(now);
     }
@@ -448,11 +448,11 @@
     // ---- what is due
 
     /// Does what is due, and appends what is to be done.
-    pub fn step(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    pub fn step(&mut self, now: Time, effects: &mut Vec<DisseminationEffect>) {
         if let Some((revision, _)) = self.cannot_apply.filter(|(_, until)| now >= *until) {
             self.apply_pending(now);
             if self.cannot_apply.is_some() {
-                self.cannot_apply = Some((revision, after(now, RETRY_APPLY)));
+                self.cannot_apply = Some((revision, time_after(now, RETRY_APPLY)));
             }
         }
         if now >= self.next_advert {
@@ -470,7 +470,7 @@
         // A tenth more or less, so that servers that started together don't stay together.
         let every = self.settings.advert_every.0;
         let jitter = below(&mut self.rng, (every / 5) as usize) as u64;
-        self.next_advert = after(now, Span(every - every / 10 + jitter));
+        self.next_advert = time_after(now, Span(every - every / 10 + jitter));
         let advert = Message::Advert(self.state.version());
         for peer in self.peers.advert_targets(&self.settings, &mut self.rng) {
             self.send(now, &peer, &advert, Traffic::Small);
@@ -493,7 +493,7 @@
         }
         if refused {
             // The bytes are spent: the others fetch, and what comes next waits to go in fewer datagrams.
-            self.hold_push_until = after(now, HOLD_PUSH);
+            self.hold_push_until = time_after(now, HOLD_PUSH);
         }
     }
 
@@ -511,7 +511,7 @@
 
     fn step_transfer(&mut self, now: Time) {
         let Some(transfer) = &mut self.transfer else { return };
-        let around = Surroundings {
+        let around = TransferContext {
             settings: &self.settings,
             peers: &self.peers,
             quarantine: &self.quarantine,
--- a/crates/config/src/dissemination/messages.rs
+++ b/crates/config/src/dissemination/messages.rs
@@ -11,7 +11,7 @@
 /// A commit with the digest of the state after it, as the voter that applied it first computed it. Peers pass it on
 /// unchanged.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Record {
+pub struct CommitRecord {
     /// The commit.
     pub commit: Arc<Commit>,
     /// The digest of the state after it.
@@ -20,7 +20,7 @@
     pub checksum: u64,
 }
 
-impl Record {
+impl CommitRecord {
     /// Of a commit that was applied here.
     pub fn new(commit: Arc<Commit>, digest: Digest) -> Self {
         let checksum = checksum(&commit);
@@ -51,13 +51,13 @@
     /// The state that the sender is in.
     Advert(Version),
     /// Fresh commits, to be passed on.
-    Push(Vec<Record>),
+    Push(Vec<CommitRecord>),
     /// Asks for the commits after the sender's state.
     Fetch(Version),
     /// Commits that were asked for; the last message of the answer says so.
     Commits {
         /// In the order of their revisions.
-        records: Vec<Record>,
+        records: Vec<CommitRecord>,
         /// Whether the answer ends here.
         last: bool,
     },
--- a/crates/config/src/dissemination/mod.rs
+++ b/crates/config/src/dissemination/mod.rs
@@ -29,7 +29,7 @@
 pub mod witnesses;
 
 pub use machine::{Dissemination, Status};
-pub use messages::{Message, Record};
-pub use outbox::{Effect, Sent};
+pub use messages::{CommitRecord, Message};
+pub use outbox::{DisseminationEffect, Sent};
 pub use peers::Member;
 pub use settings::{DisseminationSettings, Selection};
--- a/crates/config/src/dissemination/outbox.rs
+++ b/crates/config/src/dissemination/outbox.rs
@@ -15,7 +15,7 @@
 
 /// What is to be done by the host.
 #[derive(Debug, Clone)]
-pub enum Effect {
+pub enum DisseminationEffect {
     /// Send a message to a server, over the cluster's datagrams.
     Send {
         /// The server.
@@ -63,7 +63,7 @@
 /// Effects that wait for the host, and the budgets.
 #[derive(Debug)]
 pub struct Outbox {
-    effects: Vec<Effect>,
+    effects: Vec<DisseminationEffect>,
     messages: Budget,
     snapshots: Budget,
     requests: Budget,
@@ -103,7 +103,7 @@
             return false;
         }
         *counter += wire as u64;
-        self.effects.push(Effect::Send { to: to.clone(), bytes });
+        self.effects.push(DisseminationEffect::Send { to: to.clone(), bytes });
         true
     }
 
@@ -118,17 +118,17 @@
     }
 
     /// Something for the host.
-    pub fn push(&mut self, effect: Effect) {
+    pub fn push(&mut self, effect: DisseminationEffect) {
         self.effects.push(effect);
     }
 
     /// Something for the log.
     pub fn note(&mut self, bad: bool, text: String) {
-        self.effects.push(Effect::Note { bad, text });
+        self.effects.push(DisseminationEffect::Note { bad, text });
     }
 
     /// Hands over what waits.
-    pub fn drain(&mut self, effects: &mut Vec<Effect>) {
+    pub fn drain(&mut self, effects: &mut Vec<DisseminationEffect>) {
         effects.append(&mut self.effects);
     }
 
--- a/crates/config/src/dissemination/pending.rs
+++ b/crates/config/src/dissemination/pending.rs
@@ -1,6 +1,6 @@
 //! Commits that came before the ones that they follow.
 
-use super::messages::Record;
+use super::messages::CommitRecord;
 use crate::change::{Commit, Name, Revision};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -38,10 +38,10 @@
 
 impl Pending {
     /// A record of a peer. One that is there already stays, unless it came from a peer that gave it up.
-    pub fn add(&mut self, own: Revision, record: Record, origin: Origin) {
+    pub fn add(&mut self, own: Revision, record: CommitRecord, origin: Origin) {
         let revision = record.commit.revision;
         if revision > own && revision.0 - own.0 <= MOST as u64 {
-            let Record { commit, digest, .. } = record;
+            let CommitRecord { commit, digest, .. } = record;
             self.waiting.entry(revision).or_insert(Waiting { commit, digest: Some(digest), origin });
         }
     }
--- a/crates/config/src/dissemination/quarantine.rs
+++ b/crates/config/src/dissemination/quarantine.rs
@@ -1,7 +1,7 @@
 //! Sources whose data failed a check, left out for a time.
 
 use crate::change::Name;
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
 use std::collections::BTreeMap;
 
 /// Sources remembered, at the most.
@@ -35,7 +35,7 @@
         if now < entry.until {
             return;
         }
-        entry.until = after(now, Span(length.0 << entry.times.min(MOST_DOUBLINGS)));
+        entry.until = time_after(now, Span(length.0 << entry.times.min(MOST_DOUBLINGS)));
         entry.times += 1;
         self.total += 1;
     }
--- a/crates/config/src/dissemination/requests.rs
+++ b/crates/config/src/dissemination/requests.rs
@@ -8,7 +8,7 @@
 use super::settings::{DisseminationSettings, Selection};
 use crate::change::{Name, Revision};
 use crate::digest::Version;
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
@@ -95,7 +95,7 @@
     /// A part of an answer came.
     pub fn answered(&mut self, now: Time, from: &Name, last: bool) {
         if let Some(request) = self.outstanding.as_mut().filter(|request| request.to == *from) {
-            request.until = after(now, ANSWER_GAP);
+            request.until = time_after(now, ANSWER_GAP);
             if last {
                 self.outstanding = None;
             }
@@ -109,7 +109,7 @@
             let pause =
                 Span((settings.request_timeout.0 / 8) << self.refusals.min(6)).min(settings.most_backoff);
             self.refusals += 1;
-            self.next = after(now, pause);
+            self.next = time_after(now, pause);
         }
     }
 
@@ -120,7 +120,7 @@
         let Some(request) = self.outstanding.take() else { return };
         self.failed.retain(|_, until| now < *until);
         if self.failed.len() < MOST_FAILED {
-            self.failed.insert(request.to, after(now, FAILED_FOR));
+            self.failed.insert(request.to, time_after(now, FAILED_FOR));
         }
     }
 
@@ -162,7 +162,7 @@
         let rank = |name: &Name| (self.has_failed(now, name), peers.distance(name), !peers.is_voter(name));
         let may = |name: &&Name| {
             let delay = self.delay(settings, peers.distance(name));
-            now >= after(since, delay) && peers.may_fetch(settings, name) && !quarantine.holds(now, name)
+            now >= time_after(since, delay) && peers.may_fetch(settings, name) && !quarantine.holds(now, name)
         };
         let best = self.ahead.keys().filter(may).map(rank).min()?;
         let equal: Vec<&Name> = self.ahead.keys().filter(may).filter(|name| rank(name) == best).collect();
@@ -190,12 +190,13 @@
 
     /// A request could not be sent for the bounds on bytes.
     pub fn postpone(&mut self, now: Time) {
-        self.next = after(now, ZONE_DELAY);
+        self.next = time_after(now, ZONE_DELAY);
     }
 
     /// A request was sent.
     pub fn sent(&mut self, now: Time, to: &Name, settings: &DisseminationSettings) {
-        self.outstanding = Some(Outstanding { to: to.clone(), until: after(now, settings.request_timeout) });
+        self.outstanding =
+            Some(Outstanding { to: to.clone(), until: time_after(now, settings.request_timeout) });
     }
 
     /// When [`Requests::choose`] may have something new to say.
@@ -205,9 +206,9 @@
         }
         let since = self.behind_since?;
         let distances = [Distance::Zone, Distance::Region, Distance::Far];
-        let due = distances.map(|distance| after(since, self.delay(settings, distance)));
+        let due = distances.map(|distance| time_after(since, self.delay(settings, distance)));
         let next = due.into_iter().find(|due| *due > now);
         // All may be asked and none fits: those that are left out may be back after a while.
-        Some(next.unwrap_or(after(now, REGION_DELAY)).max(self.next))
+        Some(next.unwrap_or(time_after(now, REGION_DELAY)).max(self.next))
     }
 }
--- a/crates/config/src/dissemination/serving.rs
+++ b/crates/config/src/dissemination/serving.rs
@@ -1,13 +1,13 @@
 //! Answers to peers' requests.
 
 use super::history::History;
-use super::messages::{Message, Record};
+use super::messages::{CommitRecord, Message};
 use super::settings::DisseminationSettings;
 use crate::change::Revision;
 use crate::configuration::Configuration;
 use crate::digest::Version;
 use crate::snapshot::{ChunkDigest, Snapshot};
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
 use std::collections::VecDeque;
 
 /// The longest answer to one request for commits, in bytes: about a dozen datagrams.
@@ -22,8 +22,11 @@
 const SERVE_AGAIN: Span = Span(2_000_000_000);
 
 /// Records by messages, each of one datagram if its records are small.
-pub fn batches(settings: &DisseminationSettings, records: impl Iterator<Item = Record>) -> Vec<Vec<Record>> {
-    let mut batches: Vec<Vec<Record>> = Vec::new();
+pub fn batches(
+    settings: &DisseminationSettings,
+    records: impl Iterator<Item = CommitRecord>,
+) -> Vec<Vec<CommitRecord>> {
+    let mut batches: Vec<Vec<CommitRecord>> = Vec::new();
     let (mut batch_bytes, mut all_bytes) = (usize::MAX, 0);
     for record in records {
         let bytes = postcard::to_stdvec(&record).map_or(0, |bytes| bytes.len());
@@ -77,7 +80,7 @@
         if state.revision() < least {
             return None;
         }
-        let young = now < after(self.served_at, SERVE_AGAIN);
+        let young = now < time_after(self.served_at, SERVE_AGAIN);
         let again = |last: &Snapshot| young && last.version().revision >= least;
         if !self.served.back().is_some_and(again) {
             self.served.push_back(Snapshot::of(state));
--- a/crates/config/src/dissemination/transfer.rs
+++ b/crates/config/src/dissemination/transfer.rs
@@ -14,7 +14,7 @@
 use crate::configuration::Configuration;
 use crate::digest::{Digest, Version};
 use crate::snapshot::{Assembly, ChunkDigest, Manifest, Snapshot};
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -48,7 +48,7 @@
 const MANIFEST_BYTES: usize = 20_000;
 
 /// What a transfer may look at.
-pub struct Surroundings<'a> {
+pub struct TransferContext<'a> {
     /// Settings.
     pub settings: &'a DisseminationSettings,
     /// Who is up.
@@ -290,7 +290,7 @@
     pub fn step(
         &mut self,
         now: Time,
-        around: &Surroundings<'_>,
+        around: &TransferContext<'_>,
         outbox: &mut Outbox,
         rng: &mut Pcg64Mcg,
     ) -> Vec<Request> {
@@ -302,11 +302,11 @@
             Phase::Confirming(_) => self.confirm(now, around, rng),
             Phase::Loading(loading) => {
                 loading.assembly.adopt(around.state);
-                if now >= after(loading.progress_at, STUCK) || loading.outdated {
+                if now >= time_after(loading.progress_at, STUCK) || loading.outdated {
                     self.restart(now);
                     return self.find(now, around, outbox, rng);
                 }
-                self.next = after(now, TICK);
+                self.next = time_after(now, TICK);
                 loading.requests(now, around, outbox, rng)
             }
         }
@@ -315,7 +315,7 @@
     fn find(
         &mut self,
         now: Time,
-        around: &Surroundings<'_>,
+        around: &TransferContext<'_>,
         outbox: &mut Outbox,
         rng: &mut Pcg64Mcg,
     ) -> Vec<Request> {
@@ -332,17 +332,17 @@
             may.get(below(rng, may.len())).cloned()
         });
         let Some(to) = from.filter(|_| outbox.may_request(now, MANIFEST_BYTES)) else {
-            self.next = after(now, CONFIRM_EVERY);
+            self.next = time_after(now, CONFIRM_EVERY);
             return Vec::new();
         };
-        let until = after(now, around.settings.request_timeout);
+        let until = time_after(now, around.settings.request_timeout);
         self.phase = Phase::Finding(Some((to.clone(), until)));
         self.next = until;
         let message = Message::FetchManifest(self.least);
         vec![Request { to, message }]
     }
 
-    fn confirm(&mut self, now: Time, around: &Surroundings<'_>, rng: &mut Pcg64Mcg) -> Vec<Request> {
+    fn confirm(&mut self, now: Time, around: &TransferContext<'_>, rng: &mut Pcg64Mcg) -> Vec<Request> {
         let Phase::Confirming(candidate) = &mut self.phase else { return Vec::new() };
         if now < candidate.next_round {
             self.next = candidate.next_round;
@@ -359,7 +359,7 @@
             return Vec::new();
         }
         candidate.rounds += 1;
-        candidate.next_round = after(now, CONFIRM_EVERY);
+        candidate.next_round = time_after(now, CONFIRM_EVERY);
         self.next = candidate.next_round;
         let revision = candidate.manifest.revision();
         let peers = around.peers.snapshot_peers(around.settings, rng);
@@ -404,7 +404,7 @@
 
     fn give_up(&mut self, now: Time, name: &Name) {
         self.drop_source(name);
-        self.given_up.insert(name.clone(), after(now, REFILL_EVERY));
+        self.given_up.insert(name.clone(), time_after(now, REFILL_EVERY));
     }
 
     fn expire(&mut self, now: Time) {
@@ -420,11 +420,11 @@
         }
     }
 
-    fn refill(&mut self, now: Time, around: &Surroundings<'_>, rng: &mut Pcg64Mcg) {
+    fn refill(&mut self, now: Time, around: &TransferContext<'_>, rng: &mut Pcg64Mcg) {
         if now < self.next_refill && !self.sources.is_empty() {
             return;
         }
-        self.next_refill = after(now, REFILL_EVERY);
+        self.next_refill = time_after(now, REFILL_EVERY);
         self.given_up.retain(|_, until| now < *until);
         // Who served the manifest keeps its chunks; others have only those that no commit changed since.
         let origin = self.origin.clone();
@@ -442,13 +442,13 @@
     fn requests(
         &mut self,
         now: Time,
-        around: &Surroundings<'_>,
+        around: &TransferContext<'_>,
         outbox: &mut Outbox,
         rng: &mut Pcg64Mcg,
     ) -> Vec<Request> {
         self.expire(now);
         self.refill(now, around, rng);
-        let until = after(now, around.settings.request_timeout);
+        let until = time_after(now, around.settings.request_timeout);
         let window = (WINDOW_BYTES / self.chunk_bytes.max(1)).clamp(WINDOW, MOST_WINDOW);
         let window = if around.settings.selection == Selection::Voters { 2 * window } else { window };
         let mut requests = Vec::new();
--- a/crates/config/src/dissemination/witnesses.rs
+++ b/crates/config/src/dissemination/witnesses.rs
@@ -5,7 +5,7 @@
 
 use crate::change::Name;
 use crate::digest::Version;
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
 use std::collections::BTreeMap;
 
 /// What was heard counts for so long.
@@ -26,7 +26,7 @@
 
 fn remember(list: &mut BTreeMap<Name, Time>, now: Time, name: &Name) {
     if list.len() >= MOST && !list.contains_key(name) {
-        list.retain(|_, at| now < after(*at, WINDOW));
+        list.retain(|_, at| now < time_after(*at, WINDOW));
     }
     if list.len() < MOST || list.contains_key(name) {
         list.insert(name.clone(), now);
@@ -45,7 +45,7 @@
         self.confirming.remove(name);
         remember(&mut self.contradicting, now, name);
         let fresh =
-            |list: &BTreeMap<Name, Time>| list.values().filter(|at| now < after(**at, WINDOW)).count();
+            |list: &BTreeMap<Name, Time>| list.values().filter(|at| now < time_after(**at, WINDOW)).count();
         let against = fresh(&self.contradicting);
         against >= DOUBT && against > fresh(&self.confirming)
     }
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -4,7 +4,7 @@
 //! of its name whole.
 
 use crate::change::{Change, ClassDefinition, Name, Rule, Transaction};
-use gradepin_admission::{Customer, Effect, Profile, Span};
+use gradepin_admission::{ClassProfile, Idempotency, Span, Tenant};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -37,7 +37,7 @@
     pub name: String,
     pub promise: Span,
     pub deadline: Span,
-    pub effect: Effect,
+    pub effect: Idempotency,
     pub worth: f64,
     #[serde(default)]
     pub late_value: f64,
@@ -124,7 +124,7 @@
 
 impl From<ClassEntry> for ClassDefinition {
     fn from(entry: ClassEntry) -> Self {
-        let profile = Profile {
+        let profile = ClassProfile {
             name: entry.name,
             promise: entry.promise,
             deadline: entry.deadline,
@@ -156,14 +156,14 @@
     }
 }
 
-impl From<TenantEntry> for Customer {
+impl From<TenantEntry> for Tenant {
     fn from(entry: TenantEntry) -> Self {
         Self { name: entry.name, quota_rps: entry.quota_rps, portion: entry.portion }
     }
 }
 
-impl From<&Customer> for TenantEntry {
-    fn from(tenant: &Customer) -> Self {
+impl From<&Tenant> for TenantEntry {
+    fn from(tenant: &Tenant) -> Self {
         Self { name: tenant.name.clone(), quota_rps: tenant.quota_rps, portion: tenant.portion }
     }
 }
@@ -172,7 +172,7 @@
     /// Rules first, then classes, then tenants; removals behind what is put.
     fn from(document: Document) -> Self {
         let class = |entry| Change::PutClass(Arc::new(ClassDefinition::from(entry)));
-        let tenant = |entry| Change::PutTenant(Arc::new(Customer::from(entry)));
+        let tenant = |entry| Change::PutTenant(Arc::new(Tenant::from(entry)));
         let mut changes: Vec<Change> = document.rules.iter().map(Change::PutRule).collect();
         changes.extend(document.classes.into_iter().map(class));
         changes.extend(document.remove_classes.into_iter().map(Change::RemoveClass));
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -27,7 +27,7 @@
 pub mod validation;
 
 pub use change::{Change, ClassDefinition, Commit, Name, Proposal, Revision, Rule, Transaction};
-pub use configuration::{ApplyError, Configuration, Refused};
+pub use configuration::{ApplyError, CommitRejected, Configuration};
 pub use digest::{Digest, Version};
 pub use document::Document;
 pub use log::{CommitLog, LogLimits};
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -10,7 +10,7 @@
 };
 use crate::chunk::{ChunkNumber, MAX_CHUNK_ENTRIES};
 use crate::configuration::Configuration;
-use gradepin_admission::{Customer, Span};
+use gradepin_admission::{Span, Tenant};
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
 use std::ops::RangeInclusive;
@@ -78,7 +78,7 @@
 }
 
 /// The same for a tenant.
-pub(crate) fn may_hold_tenant(tenant: &Customer) -> bool {
+pub(crate) fn may_hold_tenant(tenant: &Tenant) -> bool {
     tenant.quota_rps.is_finite() && tenant.portion.is_finite()
 }
 
@@ -213,7 +213,7 @@
     number(&at("skip_worth"), class.skip_worth, 0.0..=1.0)
 }
 
-fn tenant(path: &str, tenant: &Customer) -> Checked {
+fn tenant(path: &str, tenant: &Tenant) -> Checked {
     text(path, &tenant.name, MAX_NAME_BYTES)?;
     number(&format!("{path}.quota_rps"), tenant.quota_rps, 0.0..=MAX_QUOTA_RPS)?;
     number(&format!("{path}.portion"), tenant.portion, 0.0..=1.0)
--- a/crates/config/tests/admin.rs
+++ b/crates/config/tests/admin.rs
@@ -2,7 +2,7 @@
 
 use gradepin_admission::Span;
 use gradepin_config::admin::query::{self, Diff, History, Page, Show};
-use gradepin_config::admin::{ApplyReply, ApplyRequest, Refusal, RollbackRequest, StatusReply};
+use gradepin_config::admin::{AdminError, ApplyReply, ApplyRequest, RollbackRequest, StatusReply};
 use gradepin_config::change::{Change, Revision, Rule};
 use std::sync::Arc;
 
@@ -52,14 +52,14 @@
         assert_eq!(serde_json::to_string(&reply).unwrap(), text);
         assert_eq!(serde_json::from_str::<ApplyReply>(text).unwrap(), reply);
     }
-    let stale = Refusal::Stale { expected: Revision(41), in_force: Revision(43) };
+    let stale = AdminError::Stale { expected: Revision(41), in_force: Revision(43) };
     let text = r#"{"refused":"stale","expected":41,"in_force":43}"#;
     assert_eq!(serde_json::to_string(&stale).unwrap(), text);
-    assert_eq!(serde_json::from_str::<Refusal>(text).unwrap(), stale);
+    assert_eq!(serde_json::from_str::<AdminError>(text).unwrap(), stale);
     assert_eq!((stale.status(), stale.is_transient()), (409, false));
-    let busy: Refusal = serde_json::from_str(r#"{"refused":"too_busy","retry_ms":500}"#).unwrap();
+    let busy: AdminError = serde_json::from_str(r#"{"refused":"too_busy","retry_ms":500}"#).unwrap();
     assert_eq!((busy.status(), busy.is_transient()), (429, true));
-    assert_eq!(serde_json::from_str::<Refusal>(r#"{"refused":"off"}"#).unwrap().status(), 404);
+    assert_eq!(serde_json::from_str::<AdminError>(r#"{"refused":"off"}"#).unwrap().status(), 404);
 }
 
 #[test]
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Small configurations for the tests of this crate.
 #![allow(dead_code)]
 
-use gradepin_admission::{Customer, Effect, Profile, Settings, Span};
+use gradepin_admission::{ClassProfile, Idempotency, Settings, Span, Tenant};
 use gradepin_config::{Change, ClassDefinition, Commit, Configuration, Revision, Rule, Transaction};
 use proptest::prelude::*;
 use std::sync::Arc;
@@ -9,11 +9,11 @@
 const MS: u64 = 1_000_000;
 
 pub fn class(name: &str, promise_ms: u64) -> ClassDefinition {
-    let profile = Profile {
+    let profile = ClassProfile {
         name: name.into(),
         promise: Span(promise_ms * MS),
         deadline: Span(2 * promise_ms * MS),
-        effect: Effect::Repeatable,
+        effect: Idempotency::Repeatable,
         late_value: 0.0,
         window: Span(0),
         worth: 1.0,
@@ -22,20 +22,20 @@
     ClassDefinition { profile, calls: true, skip_worth: 0.0 }
 }
 
-pub fn tenant(name: &str, portion: f64) -> Customer {
-    Customer { name: name.into(), quota_rps: 10.0, portion }
+pub fn tenant(name: &str, portion: f64) -> Tenant {
+    Tenant { name: name.into(), quota_rps: 10.0, portion }
 }
 
 pub fn put_class(class: ClassDefinition) -> Change {
     Change::PutClass(Arc::new(class))
 }
 
-pub fn put_tenant(tenant: Customer) -> Change {
+pub fn put_tenant(tenant: Tenant) -> Change {
     Change::PutTenant(Arc::new(tenant))
 }
 
 /// Settings with these classes and tenants.
-pub fn settings(classes: &[ClassDefinition], tenants: &[Customer]) -> Settings {
+pub fn settings(classes: &[ClassDefinition], tenants: &[Tenant]) -> Settings {
     let mut settings = Settings {
         profiles: classes.iter().map(|class| class.profile.clone()).collect(),
         customers: tenants.to_vec(),
--- a/crates/config/tests/dissemination.rs
+++ b/crates/config/tests/dissemination.rs
@@ -3,8 +3,10 @@
 mod common;
 
 use common::{base, commit, put_tenant, tenant};
-use gradepin_admission::{Span, Time, after};
-use gradepin_config::dissemination::{Dissemination, DisseminationSettings, Effect, Member, Message, Record};
+use gradepin_admission::{Span, Time, time_after};
+use gradepin_config::dissemination::{
+    CommitRecord, Dissemination, DisseminationEffect, DisseminationSettings, Member, Message,
+};
 use gradepin_config::{Configuration, Name, Revision, Snapshot};
 use std::sync::Arc;
 
@@ -24,12 +26,12 @@
 }
 
 /// The state after the first commit, which sets this portion, and the record of it.
-fn first(portion: f64) -> (Configuration, Record) {
+fn first(portion: f64) -> (Configuration, CommitRecord) {
     let commit = commit(1, vec![put_tenant(tenant("acme", portion))]);
     let mut state = base();
     state.apply(&commit).expect("the next commit");
     let digest = state.digest();
-    (state, Record::new(Arc::new(commit), digest))
+    (state, CommitRecord::new(Arc::new(commit), digest))
 }
 
 #[test]
@@ -44,7 +46,7 @@
     let whole = Message::Push(vec![record]).encode();
     server.receive(Time(1), &bad, &whole);
     assert_eq!(server.state().revision(), Revision(0));
-    let later = after(Time(0), DisseminationSettings::default().quarantine);
+    let later = time_after(Time(0), DisseminationSettings::default().quarantine);
     server.receive(later, &bad, &whole);
     assert_eq!(server.state().revision(), Revision(1));
 }
@@ -63,7 +65,7 @@
         let mut effects = Vec::new();
         server.step(now, &mut effects);
         for effect in effects {
-            let Effect::Send { to, bytes } = effect else { continue };
+            let DisseminationEffect::Send { to, bytes } = effect else { continue };
             let answer = match Message::decode(&bytes) {
                 Some(Message::FetchManifest(_)) if to == bad => {
                     Message::Manifest(Snapshot::of(&forged).manifest())
@@ -80,7 +82,7 @@
             };
             server.receive(now, &to, &answer.encode());
         }
-        now = after(now, Span(10_000_000));
+        now = time_after(now, Span(10_000_000));
         assert!(now < Time(60_000_000_000), "nobody was asked for the digest of the revision");
         assert_ne!(server.state().digest(), forged.digest());
     }
--- a/crates/config/tests/odd_messages.rs
+++ b/crates/config/tests/odd_messages.rs
@@ -5,8 +5,10 @@
 mod common;
 
 use common::{base, class, commit, put_class, put_tenant, tenant};
-use gradepin_admission::{Span, Time, after};
-use gradepin_config::dissemination::{Dissemination, DisseminationSettings, Effect, Member, Message};
+use gradepin_admission::{Span, Time, time_after};
+use gradepin_config::dissemination::{
+    Dissemination, DisseminationEffect, DisseminationSettings, Member, Message,
+};
 use gradepin_config::{Name, Revision, Snapshot};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
@@ -49,7 +51,7 @@
                 let mut effects = Vec::new();
                 self.servers[n].step(self.now, &mut effects);
                 for effect in effects {
-                    let Effect::Send { to, bytes } = effect else { continue };
+                    let DisseminationEffect::Send { to, bytes } = effect else { continue };
                     let Some(to) = (0..SERVERS).find(|other| name(*other) == to) else { continue };
                     self.servers[to].receive(self.now, &name(n), &bytes);
                     if keeps {
@@ -66,7 +68,7 @@
 
     fn run(&mut self, ms: u64, keeps: bool) {
         for _ in 0..ms / 20 {
-            self.now = after(self.now, Span(20 * MS));
+            self.now = time_after(self.now, Span(20 * MS));
             self.settle(keeps);
         }
     }
@@ -124,11 +126,11 @@
         server.receive(Time(0), &peer, &Message::Compacted.encode());
         let mut now = Time(0);
         for _ in 0..400 {
-            now = after(now, Span(20 * MS));
+            now = time_after(now, Span(20 * MS));
             let mut effects = Vec::new();
             server.step(now, &mut effects);
             for effect in effects {
-                let Effect::Send { bytes, .. } = effect else { continue };
+                let DisseminationEffect::Send { bytes, .. } = effect else { continue };
                 if let Some(Message::FetchManifest(_)) = Message::decode(&bytes) {
                     let mut manifest = Snapshot::of(&base()).manifest();
                     manifest.version.revision = Revision(revision);
--- a/crates/config/tests/parts.rs
+++ b/crates/config/tests/parts.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{base, class, commit, put_class, put_tenant, settings, tenant};
-use gradepin_admission::{Customer, Span};
+use gradepin_admission::{Span, Tenant};
 use gradepin_config::chunk::{ChunkError, ChunkNumber};
 use gradepin_config::log::Gap;
 use gradepin_config::snapshot::SnapshotError;
@@ -135,7 +135,7 @@
     ];
     let mut other = settings(std::slice::from_ref(&good), &[tenant("t", f64::NAN)]);
     bad.push(other.clone());
-    other.customers = vec![Customer { quota_rps: f64::INFINITY, ..tenant("t", 0.5) }];
+    other.customers = vec![Tenant { quota_rps: f64::INFINITY, ..tenant("t", 0.5) }];
     bad.push(other.clone());
     other.customers = Vec::new();
     other.rules.cold_share = f64::NAN;
--- a/crates/config/tests/validation.rs
+++ b/crates/config/tests/validation.rs
@@ -6,7 +6,7 @@
 use gradepin_admission::Span;
 use gradepin_config::change::{MAX_CHANGES, MAX_CLASSES, MAX_TENANTS};
 use gradepin_config::{
-    ApplyError, Change, ClassDefinition, Configuration, Invalid, Proposal, Refused, Revision, Rule,
+    ApplyError, Change, ClassDefinition, CommitRejected, Configuration, Invalid, Proposal, Revision, Rule,
     Transaction,
 };
 
@@ -131,10 +131,10 @@
         transaction: Transaction { changes: vec![put_tenant(tenant("acme", 0.1))] },
     };
     assert_eq!(state.check(&proposal("why", Some(Revision(0)))), Ok(()));
-    let moved = Refused::Moved { expected: Revision(3), in_force: Revision(0) };
+    let moved = CommitRejected::Moved { expected: Revision(3), in_force: Revision(0) };
     assert_eq!(state.check(&proposal("why", Some(Revision(3)))), Err(moved));
     let empty = Invalid::new("reason", "a text", "an empty one");
-    assert_eq!(state.check(&proposal("", None)), Err(Refused::Invalid(empty)));
+    assert_eq!(state.check(&proposal("", None)), Err(CommitRejected::Invalid(empty)));
 }
 
 #[test]
--- a/crates/coordination/src/configuration_log.rs
+++ b/crates/coordination/src/configuration_log.rs
@@ -5,7 +5,7 @@
 //! needs no content and comes out the same on every voter. Invariant: revisions are given without gaps, and one request id
 //! gets one revision for as long as it is known here.
 
-use crate::record::{Command, Name};
+use crate::replicated_state::{Command, Name};
 use gradepin_config::change::{Commit, MAX_TEXT_BYTES, Proposal, Revision};
 use gradepin_config::digest::Version;
 use gradepin_config::validation::Invalid;
@@ -49,7 +49,7 @@
 
 /// Why a change is not committed. Nothing was changed, unless said otherwise.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-pub enum ProposalRefused {
+pub enum ConfigurationRejected {
     /// The author saw another revision than the one in force.
     #[error("expected revision {expected} in force, got {in_force}")]
     Moved {
@@ -106,12 +106,12 @@
     Off,
 }
 
-impl From<gradepin_config::configuration::Refused> for ProposalRefused {
-    fn from(refused: gradepin_config::configuration::Refused) -> Self {
-        use gradepin_config::configuration::Refused;
+impl From<gradepin_config::configuration::CommitRejected> for ConfigurationRejected {
+    fn from(refused: gradepin_config::configuration::CommitRejected) -> Self {
+        use gradepin_config::configuration::CommitRejected;
         match refused {
-            Refused::Moved { expected, in_force } => Self::Moved { expected, in_force },
-            Refused::Invalid(invalid) => Self::Invalid(invalid),
+            CommitRejected::Moved { expected, in_force } => Self::Moved { expected, in_force },
+            CommitRejected::Invalid(invalid) => Self::Invalid(invalid),
         }
     }
 }
@@ -140,7 +140,7 @@
 
 /// A commit without its content.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CommitRecord {
+pub struct CommitHistoryEntry {
     /// Its revision.
     pub revision: Revision,
     /// The id under which it was asked for.
@@ -153,7 +153,7 @@
     pub asked_at_ms: u64,
 }
 
-impl CommitRecord {
+impl CommitHistoryEntry {
     fn of(commit: &Commit) -> Self {
         Self {
             revision: commit.revision,
@@ -175,7 +175,7 @@
     version: Version,
     /// The newest commit that is no longer remembered; 0 if all are.
     forgotten: Revision,
-    history: VecDeque<CommitRecord>,
+    history: VecDeque<CommitHistoryEntry>,
     history_bytes: usize,
 }
 
@@ -186,7 +186,7 @@
     }
 
     /// The commits that are remembered, the newest first.
-    pub fn history(&self) -> impl Iterator<Item = &CommitRecord> {
+    pub fn history(&self) -> impl Iterator<Item = &CommitHistoryEntry> {
         self.history.iter().rev()
     }
 
@@ -201,15 +201,15 @@
     }
 
     /// Refuses a request so old that its id may be forgotten.
-    pub fn knows_since(&self, seen: Revision) -> Result<(), ProposalRefused> {
+    pub fn knows_since(&self, seen: Revision) -> Result<(), ConfigurationRejected> {
         if seen < self.forgotten {
-            return Err(ProposalRefused::Forgotten { seen, known_since: self.forgotten });
+            return Err(ConfigurationRejected::Forgotten { seen, known_since: self.forgotten });
         }
         Ok(())
     }
 
     /// Applies an entry: the revision of its request id, which is a new one if the entry follows what was committed.
-    pub fn apply(&mut self, entry: &ConfigurationEntry) -> Result<Revision, ProposalRefused> {
+    pub fn apply(&mut self, entry: &ConfigurationEntry) -> Result<Revision, ConfigurationRejected> {
         let commit = &entry.commit;
         if let Some(revision) = self.revision_of(&commit.request_id) {
             return Ok(revision);
@@ -220,14 +220,14 @@
         let follows = entry.base.revision == self.version.revision && (first || entry.base == self.version);
         if !follows || commit.revision != self.version.revision.next() {
             let (expected, in_force) = (entry.base.revision, self.version.revision);
-            return Err(ProposalRefused::Moved { expected, in_force });
+            return Err(ConfigurationRejected::Moved { expected, in_force });
         }
         self.version = Version { revision: commit.revision, digest: entry.result.digest };
-        self.remember(CommitRecord::of(commit), entry.history);
+        self.remember(CommitHistoryEntry::of(commit), entry.history);
         Ok(commit.revision)
     }
 
-    fn remember(&mut self, record: CommitRecord, limit: u32) {
+    fn remember(&mut self, record: CommitHistoryEntry, limit: u32) {
         debug_assert!(record.request_id.len() <= MAX_TEXT_BYTES);
         let limit = limit.clamp(1, MAX_HISTORY) as usize;
         self.history_bytes += record.bytes();
--- a/crates/coordination/src/council.rs
+++ b/crates/coordination/src/consensus.rs
@@ -1,19 +1,19 @@
 //! One voter of the council: the library's Raft, what must be durable before what leaves, and when a voter may vote at all.
 //!
 //! A voter is a disk: its identity is made with the folder of its files. What a disk may have forgotten is this file's
-//! concern; what is agreed on is [`crate::record`]'s, and the files are the store's. Effects are to be done in their order:
-//! what stands behind a [`Effect::Write`] never depends on it, what does is held back until [`Council::written`].
+//! concern; what is agreed on is [`crate::replicated_state`]'s, and the files are the store's. Effects are to be done in their order:
+//! what stands behind a [`VoterEffect::Write`] never depends on it, what does is held back until [`ConsensusVoter::written`].
 
 mod configuration;
 mod intake;
 mod log;
 
-pub use configuration::{NotTaken, Taken};
+pub use configuration::{ProposalAccepted, ProposalRejected};
 
-use crate::record::{Command, Name, Outcome, Record};
 use crate::replicated_snapshot;
+use crate::replicated_state::{Command, CommandOutcome, Name, ReplicatedState};
 use configuration::Content;
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
 use gradepin_config::change::{Commit, Revision};
 use log::{Log, snapshot};
 use protobuf::Message as _;
@@ -29,13 +29,13 @@
 
 const MS: u64 = 1_000_000;
 /// The library's unit of time.
-pub const TICK: Span = Span(100 * MS);
+pub const RAFT_TICK: Span = Span(100 * MS);
 /// A leader that isn't heard for 1 to 2 s is replaced; it is heard three times in one.
 const ELECTION_TICKS: usize = 10;
 const HEARTBEAT_TICKS: usize = 3;
 /// A voter that starts waits for so long to hear a leader, or all others, before it votes: longer than any leader takes to be
 /// heard, or to be elected by the others.
-pub const QUIET: Span = Span(3_000 * MS);
+pub const VOTE_DELAY_AFTER_START: Span = Span(3_000 * MS);
 /// Entries since the last snapshot that make the next one.
 const SNAPSHOT_EVERY: u64 = 128;
 /// Entries since the last snapshot that make the next one though the configuration isn't durable here yet.
@@ -56,7 +56,7 @@
 
 /// What has to be on the disk, in this order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Durable {
+pub enum DurableRecord {
     /// All before counts no more: the record as of an entry. The files begin anew with it.
     Snapshot {
         /// The last entry that is in it, and its term.
@@ -92,20 +92,20 @@
 
 /// What an earlier life left on the disk.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Found {
+pub struct VoterState {
     /// The folder's identity.
     pub id: VoterId,
     /// Everything in its order; empty if no council was founded here.
-    pub records: Vec<Durable>,
+    pub records: Vec<DurableRecord>,
 }
 
 /// What is to be done.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Effect {
+pub enum VoterEffect {
     /// Send this to a voter; it may be lost.
     Send(VoterId, Vec<u8>),
-    /// Make these durable, then call [`Council::written`] with the number.
-    Write(u64, Vec<Durable>),
+    /// Make these durable, then call [`ConsensusVoter::written`] with the number.
+    Write(u64, Vec<DurableRecord>),
     /// A command was applied: its entry, who proposed it with which number, and what it came to.
     Applied {
         /// Its index.
@@ -115,12 +115,12 @@
         /// Under which number.
         number: u64,
         /// What it came to.
-        outcome: Outcome,
+        outcome: CommandOutcome,
     },
     /// A change of the configuration is committed. In the order of revisions; after a failure of the disk some come again.
     Committed(Arc<Commit>),
     /// The host is to make the configuration durable, at this revision or a later one, then call
-    /// [`Council::configuration_durable`]; the log is not compacted before.
+    /// [`ConsensusVoter::configuration_durable`]; the log is not compacted before.
     MakeDurable(Revision),
     /// Tell it in the log; whether it is bad.
     Note(bool, String),
@@ -136,7 +136,7 @@
 
 /// Why something can't be proposed here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum ProposalError {
     /// Another voter leads.
     #[error("another voter leads")]
     Elsewhere(VoterId),
@@ -155,11 +155,14 @@
 }
 
 /// What a voter founds the council with: the same on each.
-pub fn founding(voters: &BTreeMap<VoterId, Name>) -> Vec<Durable> {
-    let record = Record { index: 1, voters: voters.clone(), ..Record::default() };
+pub fn founding(voters: &BTreeMap<VoterId, Name>) -> Vec<DurableRecord> {
+    let record = ReplicatedState { index: 1, voters: voters.clone(), ..ReplicatedState::default() };
     let data = replicated_snapshot::encode(&record);
     let voters = voters.keys().copied().collect();
-    vec![Durable::Snapshot { index: 1, term: 1, voters, data }, Durable::Term { term: 1, vote: 0, commit: 1 }]
+    vec![
+        DurableRecord::Snapshot { index: 1, term: 1, voters, data },
+        DurableRecord::Term { term: 1, vote: 0, commit: 1 },
+    ]
 }
 
 /// How far a voter that started goes by its own disk, which may be an old copy.
@@ -200,17 +203,17 @@
 }
 
 /// One voter.
-pub struct Council {
+pub struct ConsensusVoter {
     id: VoterId,
     node: Option<RawNode<Log>>,
-    record: Record,
+    record: ReplicatedState,
     /// The configuration's content, as far as it is here.
     content: Content,
     /// Since which tick a voter waits for a snapshot that may have been lost.
     snapshots_sent: BTreeMap<VoterId, u32>,
     held: VecDeque<Held>,
     /// Records that needn't be durable by themselves: they go with the next ones that must.
-    along: Vec<Durable>,
+    along: Vec<DurableRecord>,
     /// The council has changed since the last snapshot.
     changed: bool,
     /// Since it started: how much it may be trusted with votes.
@@ -222,16 +225,16 @@
     next_tick: Time,
     timeout: usize,
     rng: Pcg64Mcg,
-    effects: Vec<Effect>,
+    effects: Vec<VoterEffect>,
 }
 
-impl Council {
+impl ConsensusVoter {
     /// A voter, or one who may become one, with what its disk holds.
-    pub fn new(found: Found, seed: u64, now: Time) -> Self {
+    pub fn new(found: VoterState, seed: u64, now: Time) -> Self {
         let mut council = Self {
             id: found.id,
             node: None,
-            record: Record::default(),
+            record: ReplicatedState::default(),
             content: Content::default(),
             snapshots_sent: BTreeMap::new(),
             held: VecDeque::new(),
@@ -247,31 +250,31 @@
         };
         if !found.records.is_empty() {
             council.read(found.records);
-            council.trust = Trust::Mute(after(now, QUIET), BTreeMap::new());
+            council.trust = Trust::Mute(time_after(now, VOTE_DELAY_AFTER_START), BTreeMap::new());
         }
         council
     }
 
     /// The council is founded here, with these voters: to be called on each of them, with the same, once.
-    pub fn found(&mut self, voters: &BTreeMap<VoterId, Name>) -> Result<(), Refused> {
+    pub fn found(&mut self, voters: &BTreeMap<VoterId, Name>) -> Result<(), ProposalError> {
         // A disk without an identity is nobody's: the library takes no such member, and what is founded is kept.
         let has_nobody = voters.contains_key(&raft::INVALID_ID);
         if self.node.is_some() || has_nobody || !voters.contains_key(&self.id) {
-            return Err(Refused::NoVoter);
+            return Err(ProposalError::NoVoter);
         }
         let records = founding(voters);
         self.read(records.clone());
         // Nothing was acknowledged or voted for yet, so there is nothing to have forgotten.
         self.held.push_back(Held { number: 0, written: false, snapshot: false, messages: Vec::new() });
-        self.effects.push(Effect::Write(0, records));
+        self.effects.push(VoterEffect::Write(0, records));
         Ok(())
     }
 
-    fn read(&mut self, records: Vec<Durable>) {
+    fn read(&mut self, records: Vec<DurableRecord>) {
         let mut log = Log::default();
         for record in records {
             match record {
-                Durable::Snapshot { index, term, voters, data } => {
+                DurableRecord::Snapshot { index, term, voters, data } => {
                     let Some(record) = replicated_snapshot::decode(&data) else {
                         return self.lose(format!("the state as of entry {index} on its disk can't be read"));
                     };
@@ -279,7 +282,7 @@
                     let conf = ConfState { voters, ..ConfState::default() };
                     log.restore(snapshot(index, term, conf, data));
                 }
-                Durable::Entry { index, term, changes, data } => {
+                DurableRecord::Entry { index, term, changes, data } => {
                     let kind = if changes { EntryType::EntryConfChange } else { EntryType::EntryNormal };
                     let mut entry = Entry::default();
                     entry.set_entry_type(kind);
@@ -289,7 +292,7 @@
                         log.append(&[entry]);
                     }
                 }
-                Durable::Term { term, vote, commit } => {
+                DurableRecord::Term { term, vote, commit } => {
                     (log.hard.term, log.hard.vote, log.hard.commit) = (term, vote, commit);
                 }
             }
@@ -320,20 +323,21 @@
     }
 
     fn lose(&mut self, why: String) {
-        self.effects.push(Effect::Note(true, format!("out of the council until it is replaced: {why}")));
+        self.effects.push(VoterEffect::Note(true, format!("out of the council until it is replaced: {why}")));
         (self.node, self.lost) = (None, Some(why));
         self.held.clear();
     }
 
     /// What must not be durable failed to be: nothing that was held back leaves, and the voter goes on from what its disk has.
-    pub fn failed(&mut self, found: Found, now: Time) {
+    pub fn failed(&mut self, found: VoterState, now: Time) {
         let lost = self.lost.take();
         let content = std::mem::take(&mut self.content);
         let (seed, effects) = (self.rng.next_u64(), std::mem::take(&mut self.effects));
         *self = Self::new(found, seed, now);
         self.content = content;
         self.content.restart(self.record.configuration.version());
-        self.effects.splice(0..0, effects.into_iter().filter(|effect| matches!(effect, Effect::Note(..))));
+        self.effects
+            .splice(0..0, effects.into_iter().filter(|effect| matches!(effect, VoterEffect::Note(..))));
         if let Some(why) = lost {
             (self.node, self.lost) = (None, Some(why));
         }
@@ -345,7 +349,7 @@
     }
 
     /// The record, as far as it is known here.
-    pub fn record(&self) -> &Record {
+    pub fn record(&self) -> &ReplicatedState {
         &self.record
     }
 
@@ -383,38 +387,38 @@
         self.heard.map(|at| Span(now.0.saturating_sub(at.0)))
     }
 
-    /// Has a command agreed on; [`Effect::Applied`] with this number tells what it came to. Nothing may tell, and then it may
+    /// Has a command agreed on; [`VoterEffect::Applied`] with this number tells what it came to. Nothing may tell, and then it may
     /// or may not be.
-    pub fn propose(&mut self, number: u64, command: Command) -> Result<(), Refused> {
+    pub fn propose(&mut self, number: u64, command: Command) -> Result<(), ProposalError> {
         let by = self.id;
         let data = postcard::to_stdvec(&Proposal { by, number, command }).unwrap_or_default();
         if data.len() > MOST_COMMAND {
-            return Err(Refused::Long);
+            return Err(ProposalError::Long);
         }
-        self.leading()?.propose(Vec::new(), data).map_err(|_| Refused::Busy)
+        self.leading()?.propose(Vec::new(), data).map_err(|_| ProposalError::Busy)
     }
 
     /// Makes somebody a voter, or takes one out: one at a time.
-    pub fn change(&mut self, id: VoterId, name: Option<&Name>) -> Result<(), Refused> {
+    pub fn change(&mut self, id: VoterId, name: Option<&Name>) -> Result<(), ProposalError> {
         let mut change = ConfChange::default();
         let kind = if name.is_some() { ConfChangeType::AddNode } else { ConfChangeType::RemoveNode };
         change.set_change_type(kind);
         change.node_id = id;
         let node = self.leading()?;
         if node.raft.has_pending_conf() {
-            return Err(Refused::Busy);
+            return Err(ProposalError::Busy);
         }
         let context = name.map(|name| name.as_bytes().to_vec()).unwrap_or_default();
         change.set_context(context.into());
-        node.propose_conf_change(Vec::new(), change).map_err(|_| Refused::Busy)
+        node.propose_conf_change(Vec::new(), change).map_err(|_| ProposalError::Busy)
     }
 
-    fn leading(&mut self) -> Result<&mut RawNode<Log>, Refused> {
-        let node = self.node.as_mut().ok_or(Refused::NoVoter)?;
+    fn leading(&mut self) -> Result<&mut RawNode<Log>, ProposalError> {
+        let node = self.node.as_mut().ok_or(ProposalError::NoVoter)?;
         match (node.raft.state, node.raft.leader_id) {
             (StateRole::Leader, _) => Ok(node),
-            (_, 0) => Err(Refused::Leaderless),
-            (_, leader) => Err(Refused::Elsewhere(leader)),
+            (_, 0) => Err(ProposalError::Leaderless),
+            (_, leader) => Err(ProposalError::Elsewhere(leader)),
         }
     }
 
@@ -536,12 +540,12 @@
 
     fn say(&mut self, to: VoterId, said: &Said) {
         if let Ok(bytes) = postcard::to_stdvec(said) {
-            self.effects.push(Effect::Send(to, bytes));
+            self.effects.push(VoterEffect::Send(to, bytes));
         }
     }
 
     /// Lets time pass, and appends what is to be done.
-    pub fn step(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    pub fn step(&mut self, now: Time, effects: &mut Vec<VoterEffect>) {
         if let Trust::Mute(until, heard) = &self.trust {
             let others = self.record.voters.keys().filter(|id| **id != self.id);
             if now >= *until || others.into_iter().all(|id| heard.contains_key(id)) {
@@ -549,9 +553,9 @@
                 self.trust = Trust::Careful(furthest.max(self.place().unwrap_or_default()));
             }
         }
-        let late = now.0.saturating_sub(self.next_tick.0) / TICK.0;
+        let late = now.0.saturating_sub(self.next_tick.0) / RAFT_TICK.0;
         if now >= self.next_tick {
-            self.next_tick = after(now, TICK);
+            self.next_tick = time_after(now, RAFT_TICK);
             // One that was stopped must not find all others silent by a clock that ran on without it.
             for _ in 0..=late.min(MOST_TICKS) {
                 self.tick();
@@ -563,7 +567,7 @@
         effects.append(&mut self.effects);
     }
 
-    /// When [`Council::step`] must be called again.
+    /// When [`ConsensusVoter::step`] must be called again.
     pub fn wake_at(&self) -> Time {
         if self.node.is_some() { self.next_tick } else { Time(u64::MAX) }
     }
@@ -629,7 +633,7 @@
             node.mut_store().append(ready.entries());
             if let Some(hard) = ready.hs() {
                 node.mut_store().hard = hard.clone();
-                records.push(Durable::Term { term: hard.term, vote: hard.vote, commit: hard.commit });
+                records.push(DurableRecord::Term { term: hard.term, vote: hard.vote, commit: hard.commit });
             }
             let committed = ready.take_committed_entries();
             let must = ready.must_sync();
@@ -646,7 +650,7 @@
             if must || full {
                 let records = std::mem::take(&mut self.along);
                 self.held.push_back(Held { number, written: false, snapshot: taken, messages: held });
-                self.effects.push(Effect::Write(number, records));
+                self.effects.push(VoterEffect::Write(number, records));
             } else {
                 self.held.push_back(Held { number, written: true, snapshot: taken, messages: held });
             }
@@ -683,7 +687,11 @@
         self.along = vec![durable(&log.snapshot)];
         self.along.extend(log.entries.iter().filter(|entry| entry.index > index).map(entry_record));
         let hard = &log.hard;
-        self.along.push(Durable::Term { term: hard.term, vote: hard.vote, commit: hard.commit.max(index) });
+        self.along.push(DurableRecord::Term {
+            term: hard.term,
+            vote: hard.vote,
+            commit: hard.commit.max(index),
+        });
         true
     }
 
@@ -704,7 +712,7 @@
                     {
                         self.configuration_committed(&entry);
                     }
-                    self.effects.push(Effect::Applied { index, by, number, outcome });
+                    self.effects.push(VoterEffect::Applied { index, by, number, outcome });
                 }
                 continue;
             }
@@ -725,7 +733,7 @@
                     let name = self.record.voters.remove(&id).unwrap_or_else(|| Arc::from("?"));
                     format!("{name} is no voter of the council any more")
                 };
-                self.effects.push(Effect::Note(false, text));
+                self.effects.push(VoterEffect::Note(false, text));
             }
         }
     }
@@ -741,9 +749,9 @@
     }
 }
 
-fn durable(snapshot: &Snapshot) -> Durable {
+fn durable(snapshot: &Snapshot) -> DurableRecord {
     let meta = snapshot.get_metadata();
-    Durable::Snapshot {
+    DurableRecord::Snapshot {
         index: meta.index,
         term: meta.term,
         voters: meta.get_conf_state().voters.clone(),
@@ -751,8 +759,8 @@
     }
 }
 
-fn entry_record(entry: &Entry) -> Durable {
-    Durable::Entry {
+fn entry_record(entry: &Entry) -> DurableRecord {
+    DurableRecord::Entry {
         index: entry.index,
         term: entry.term,
         changes: entry.get_entry_type() == EntryType::EntryConfChange,
--- a/crates/coordination/src/council/configuration.rs
+++ b/crates/coordination/src/consensus/configuration.rs
@@ -4,9 +4,9 @@
 //! The content is not in the group's log snapshots: it is had from the voter's own durable copy, which the host makes when it
 //! is asked to before the log is compacted, or from peers. A voter without the content of the last revision refuses requests.
 
-use super::{Council, Effect, StateRole, VoterId};
+use super::{ConsensusVoter, StateRole, VoterEffect, VoterId};
 use crate::configuration_log::{
-    ConfigurationEntry, ConfigurationRequest, ConfigurationSettings, MAX_ENTRY_BYTES, ProposalRefused,
+    ConfigurationEntry, ConfigurationRejected, ConfigurationRequest, ConfigurationSettings, MAX_ENTRY_BYTES,
 };
 use gradepin_config::change::{Commit, Revision};
 use gradepin_config::configuration::Configuration;
@@ -20,7 +20,7 @@
 
 /// What becomes of a request at a voter.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Taken {
+pub enum ProposalAccepted {
     /// It is committed.
     Committed(Revision),
     /// It waits to be committed, under this revision if it is.
@@ -29,11 +29,11 @@
 
 /// Why a voter doesn't take a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum NotTaken {
+pub enum ProposalRejected {
     /// Another voter leads, or nobody that is heard here.
     Elsewhere(Option<VoterId>),
     /// It is refused.
-    Refused(ProposalRefused),
+    Refused(ConfigurationRejected),
 }
 
 /// What a leader has proposed on top of the content, in its term.
@@ -121,7 +121,7 @@
     }
 }
 
-impl Council {
+impl ConsensusVoter {
     /// How changes are committed here when this voter leads.
     pub fn set_configuration(&mut self, mut set: ConfigurationSettings) {
         set.entry_bytes = set.entry_bytes.min(MAX_ENTRY_BYTES);
@@ -151,51 +151,54 @@
         }
         if self.content.asked_durable < committed {
             self.content.asked_durable = committed;
-            self.effects.push(Effect::MakeDurable(committed));
+            self.effects.push(VoterEffect::MakeDurable(committed));
         }
         false
     }
 
-    /// Asks for a change here: on the leader it is validated and proposed; [`Effect::Committed`] tells of its commit.
-    pub fn request(&mut self, request: &ConfigurationRequest) -> Result<Taken, NotTaken> {
+    /// Asks for a change here: on the leader it is validated and proposed; [`VoterEffect::Committed`] tells of its commit.
+    pub fn request(&mut self, request: &ConfigurationRequest) -> Result<ProposalAccepted, ProposalRejected> {
         let id = &request.proposal.request_id;
         if let Some(revision) = self.record.configuration.revision_of(id) {
-            return Ok(Taken::Committed(revision));
+            return Ok(ProposalAccepted::Committed(revision));
         }
         let term = self.leads_and_is_current()?;
         if self.content.ahead.as_ref().is_none_or(|ahead| ahead.term != term) {
-            self.content.ahead = Some(self.start_ahead(term).map_err(NotTaken::Refused)?);
+            self.content.ahead = Some(self.start_ahead(term).map_err(ProposalRejected::Refused)?);
         }
         if let Some(revision) = self.content.ahead.as_ref().and_then(|ahead| ahead.proposed.get(id)) {
-            return Ok(Taken::Proposed(*revision));
+            return Ok(ProposalAccepted::Proposed(*revision));
         }
-        self.validate_and_propose(request).map_err(NotTaken::Refused)
+        self.validate_and_propose(request).map_err(ProposalRejected::Refused)
     }
 
     /// The term, if this voter leads and has applied an entry of it: only then does it know all that was committed before.
-    fn leads_and_is_current(&self) -> Result<u64, NotTaken> {
-        let Some(node) = &self.node else { return Err(NotTaken::Elsewhere(None)) };
+    fn leads_and_is_current(&self) -> Result<u64, ProposalRejected> {
+        let Some(node) = &self.node else { return Err(ProposalRejected::Elsewhere(None)) };
         if node.raft.state != StateRole::Leader {
-            return Err(NotTaken::Elsewhere(Some(node.raft.leader_id).filter(|id| *id != 0)));
+            return Err(ProposalRejected::Elsewhere(Some(node.raft.leader_id).filter(|id| *id != 0)));
         }
         let term = node.raft.term;
         let applied = node.raft.raft_log.term(self.record.index).unwrap_or(0);
-        if applied == term { Ok(term) } else { Err(NotTaken::Elsewhere(None)) }
+        if applied == term { Ok(term) } else { Err(ProposalRejected::Elsewhere(None)) }
     }
 
-    fn start_ahead(&self, term: u64) -> Result<Ahead, ProposalRefused> {
+    fn start_ahead(&self, term: u64) -> Result<Ahead, ConfigurationRejected> {
         let committed = self.record.configuration.version().revision;
         let current = self.content.state.as_ref().filter(|state| state.revision() == committed);
         let state = current.cloned();
-        let state = state.ok_or(ProposalRefused::Behind { has: self.content.revision(), committed })?;
+        let state = state.ok_or(ConfigurationRejected::Behind { has: self.content.revision(), committed })?;
         Ok(Ahead { term, state, proposed: BTreeMap::new() })
     }
 
-    fn validate_and_propose(&mut self, request: &ConfigurationRequest) -> Result<Taken, ProposalRefused> {
+    fn validate_and_propose(
+        &mut self,
+        request: &ConfigurationRequest,
+    ) -> Result<ProposalAccepted, ConfigurationRejected> {
         let proposal = &request.proposal;
         self.record.configuration.knows_since(request.seen)?;
         let set = self.content.set;
-        let Some(ahead) = &self.content.ahead else { return Err(ProposalRefused::Busy) };
+        let Some(ahead) = &self.content.ahead else { return Err(ConfigurationRejected::Busy) };
         ahead.state.check(proposal)?;
         let base = ahead.state.version();
         let commit = Arc::new(Commit {
@@ -208,24 +211,24 @@
         });
         let came = postcard::to_stdvec(&*commit).map_or(usize::MAX, |bytes| bytes.len());
         if came > set.entry_bytes as usize {
-            return Err(ProposalRefused::TooLong { limit: set.entry_bytes, came });
+            return Err(ConfigurationRejected::TooLong { limit: set.entry_bytes, came });
         }
         let mut state = ahead.state.clone();
-        state.apply(&commit).map_err(|_| ProposalRefused::Busy)?;
+        state.apply(&commit).map_err(|_| ConfigurationRejected::Busy)?;
         let (result, revision) = (state.version(), commit.revision);
         let entry = ConfigurationEntry { base, result, seen: request.seen, history: set.history, commit };
-        self.propose(UNNUMBERED, entry.command()).map_err(|_| ProposalRefused::Busy)?;
+        self.propose(UNNUMBERED, entry.command()).map_err(|_| ConfigurationRejected::Busy)?;
         if let Some(ahead) = &mut self.content.ahead {
             ahead.state = state;
             ahead.proposed.insert(proposal.request_id.clone(), revision);
         }
-        Ok(Taken::Proposed(revision))
+        Ok(ProposalAccepted::Proposed(revision))
     }
 
     /// An entry was applied and gave a new revision.
     pub(super) fn configuration_committed(&mut self, entry: &ConfigurationEntry) {
         if let Some(why) = self.content.committed(entry) {
-            self.effects.push(Effect::Note(true, why));
+            self.effects.push(VoterEffect::Note(true, why));
         }
         if let Some(ahead) = &mut self.content.ahead {
             ahead.proposed.remove(&entry.commit.request_id);
@@ -234,6 +237,6 @@
                 self.content.ahead = None;
             }
         }
-        self.effects.push(Effect::Committed(Arc::clone(&entry.commit)));
+        self.effects.push(VoterEffect::Committed(Arc::clone(&entry.commit)));
     }
 }
--- a/crates/coordination/src/controller.rs
+++ b/crates/coordination/src/controller.rs
@@ -8,19 +8,19 @@
 mod permits;
 mod proposals;
 mod requests;
-mod rollout;
+mod rollout_controller;
 mod servers;
 mod settings;
 
 pub use settings::ControllerSettings;
 
-use crate::council::Council;
-use crate::messages::{OrderReply, PermitReply, Report, Turn};
-use crate::record::{Command, Name, Record, Target, Why};
-use gradepin_admission::{Span, Time, after};
+use crate::consensus::ConsensusVoter;
+use crate::messages::{OperatorCommandReply, PermitReply, ServerReport, StepAssignment};
+use crate::replicated_state::{Command, DenialReason, Name, ReplicatedState, Target};
+use gradepin_admission::{Span, Time, time_after};
 use permits::PermitController;
 use proposals::Proposals;
-use rollout::RolloutController;
+use rollout_controller::RolloutController;
 use servers::ServerTable;
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -48,14 +48,14 @@
         /// The server.
         to: Name,
         /// Its turn.
-        turn: Turn,
+        turn: StepAssignment,
     },
     /// Tell what an operator's order came to.
     OrderReply {
         /// The ticket under which it was given.
         ticket: u64,
         /// What it came to.
-        reply: OrderReply,
+        reply: OperatorCommandReply,
     },
     /// Write a line into the log; whether it is bad.
     Log(bool, String),
@@ -72,7 +72,7 @@
 struct Context<'a> {
     now: Time,
     settings: &'a ControllerSettings,
-    record: &'a Record,
+    record: &'a ReplicatedState,
     servers: &'a ServerTable,
 }
 
@@ -83,7 +83,7 @@
     }
 
     /// Whether one more may be out, by all that is known here.
-    fn fits(&self, target: &Target) -> Result<(), Why> {
+    fn fits(&self, target: &Target) -> Result<(), DenialReason> {
         if self.settings.ignore_limits {
             return Ok(());
         }
@@ -118,7 +118,7 @@
         }
     }
 
-    fn context<'a>(&'a self, now: Time, record: &'a Record) -> Context<'a> {
+    fn context<'a>(&'a self, now: Time, record: &'a ReplicatedState) -> Context<'a> {
         Context { now, settings: &self.settings, record, servers: &self.servers }
     }
 
@@ -133,22 +133,29 @@
     }
 
     /// What a server last reported, and how long ago.
-    pub fn report(&self, now: Time, name: &str) -> Option<(&Report, Span)> {
+    pub fn report(&self, now: Time, name: &str) -> Option<(&ServerReport, Span)> {
         self.servers.report(now, name)
     }
 
     /// Everybody that ever reported here.
-    pub fn reports(&self) -> impl Iterator<Item = (&Name, &Report)> {
+    pub fn reports(&self) -> impl Iterator<Item = (&Name, &ServerReport)> {
         self.servers.reports()
     }
 
     /// Servers of the roster that aren't heard to be ready.
-    pub fn unplanned(&self, now: Time, record: &Record) -> BTreeSet<Name> {
+    pub fn unplanned(&self, now: Time, record: &ReplicatedState) -> BTreeSet<Name> {
         self.servers.unplanned(now, record)
     }
 
     /// A server reported.
-    pub fn reported(&mut self, now: Time, record: &Record, name: &Name, incarnation: u64, report: Report) {
+    pub fn reported(
+        &mut self,
+        now: Time,
+        record: &ReplicatedState,
+        name: &Name,
+        incarnation: u64,
+        report: ServerReport,
+    ) {
         if !self.servers.accepts(name, incarnation) {
             return;
         }
@@ -158,16 +165,16 @@
     }
 
     /// A halt was ordered somewhere: no further step here, agreed or not.
-    pub fn halt(&mut self, record: &Record, name: &str) {
+    pub fn halt(&mut self, record: &ReplicatedState, name: &str) {
         self.rollout.halt(record, name);
     }
 
     /// Does what is due.
-    pub fn step(&mut self, now: Time, council: &mut Council) {
+    pub fn step(&mut self, now: Time, council: &mut ConsensusVoter) {
         if now < self.next_step {
             return;
         }
-        self.next_step = after(now, TICK);
+        self.next_step = time_after(now, TICK);
         let term = council.leads();
         if term != self.term {
             self.begin_term(now, term);
@@ -193,14 +200,14 @@
         }
     }
 
-    fn propose_all(&mut self, now: Time, council: &mut Council, commands: Vec<KeyedCommand>) {
+    fn propose_all(&mut self, now: Time, council: &mut ConsensusVoter, commands: Vec<KeyedCommand>) {
         for KeyedCommand { key, command } in commands {
             self.proposals.propose_once(now, council, key, command);
         }
     }
 
     /// Proposes limits that differ from the settings', and servers that the roster lacks.
-    fn enrol(&mut self, now: Time, council: &mut Council) {
+    fn enrol(&mut self, now: Time, council: &mut ConsensusVoter) {
         let record = council.record();
         let mut commands = Vec::new();
         if record.limits != self.settings.limits {
@@ -218,14 +225,14 @@
         self.propose_all(now, council, commands);
     }
 
-    fn end_permits(&mut self, now: Time, council: &mut Council) {
+    fn end_permits(&mut self, now: Time, council: &mut ConsensusVoter) {
         let record = council.record();
         let context = Context { now, settings: &self.settings, record, servers: &self.servers };
         let commands = self.permits.ended(&context);
         self.propose_all(now, council, commands);
     }
 
-    fn step_rollout(&mut self, now: Time, council: &mut Council) {
+    fn step_rollout(&mut self, now: Time, council: &mut ConsensusVoter) {
         let record = council.record();
         let context = Context { now, settings: &self.settings, record, servers: &self.servers };
         let step = self.rollout.step(&context, &mut self.permits);
--- a/crates/coordination/src/controller/orders.rs
+++ b/crates/coordination/src/controller/orders.rs
@@ -3,65 +3,71 @@
 use super::proposals::Waiter;
 use super::servers::HeardServer;
 use super::{Controller, ControllerEffect};
-use crate::council::{Council, VoterId};
-use crate::messages::{Order, OrderReply};
-use crate::record::{Command, Ends, Name, Purpose, Target};
-use crate::release::{Kind, Plan, ReleaseOrder};
+use crate::consensus::{ConsensusVoter, VoterId};
+use crate::messages::{OperatorCommand, OperatorCommandReply};
+use crate::replicated_state::{Command, Name, PermitEnd, Purpose, Target};
+use crate::rollout::{ReleaseKind, RolloutCommand, RolloutPlan};
 use gradepin_admission::Time;
 use std::sync::Arc;
 
 impl Controller {
     /// An operator orders something; what it came to is told by [`ControllerEffect::OrderReply`] with the ticket.
-    pub fn order(&mut self, now: Time, council: &mut Council, ticket: u64, order: Order) {
-        if let Order::Release(ReleaseOrder::Halt { name, .. }) = &order {
+    pub fn order(&mut self, now: Time, council: &mut ConsensusVoter, ticket: u64, order: OperatorCommand) {
+        if let OperatorCommand::Release(RolloutCommand::Halt { name, .. }) = &order {
             // It takes effect here before anybody agrees.
             self.halt(council.record(), name);
         }
         if council.leads().is_none() {
             let leader = council.leader().and_then(|id| council.record().voters.get(&id).cloned());
-            return self.order_reply(ticket, OrderReply::Redirect(leader));
+            return self.order_reply(ticket, OperatorCommandReply::Redirect(leader));
         }
         if let Err(why) = self.try_order(now, council, ticket, order) {
-            self.order_reply(ticket, OrderReply::Done(Err(why)));
+            self.order_reply(ticket, OperatorCommandReply::Done(Err(why)));
         }
     }
 
-    fn order_reply(&mut self, ticket: u64, reply: OrderReply) {
+    fn order_reply(&mut self, ticket: u64, reply: OperatorCommandReply) {
         self.effects.push(ControllerEffect::OrderReply { ticket, reply });
     }
 
     fn try_order(
         &mut self,
         now: Time,
-        council: &mut Council,
+        council: &mut ConsensusVoter,
         ticket: u64,
-        order: Order,
+        order: OperatorCommand,
     ) -> Result<(), String> {
         let command = match order {
-            Order::Out { target, by } => self.take_out(now, council, target, by)?,
-            Order::In { target, by } => put_in(council, &target, &by)?,
-            Order::Free { epoch, by, why } => Command::Free { epoch, by, why },
-            Order::Strike { name, by, why } => {
+            OperatorCommand::Out { target, by } => self.take_out(now, council, target, by)?,
+            OperatorCommand::In { target, by } => put_in(council, &target, &by)?,
+            OperatorCommand::Free { epoch, by, why } => Command::Free { epoch, by, why },
+            OperatorCommand::Strike { name, by, why } => {
                 if self.servers.get_fresh(now, &name).is_some() {
                     return Err(format!("{name} is there"));
                 }
                 self.servers.remove(&name);
                 Command::Strike { name, by, why }
             }
-            Order::Voter { name, puts_in, by } => {
+            OperatorCommand::Voter { name, puts_in, by } => {
                 let text = self.change_voters(council, &name, puts_in)?;
                 self.effects.push(ControllerEffect::Log(false, format!("{by}: {text}")));
-                self.order_reply(ticket, OrderReply::Done(Ok(text)));
+                self.order_reply(ticket, OperatorCommandReply::Done(Ok(text)));
                 return Ok(());
             }
-            Order::Start { plan, by } => self.start_release(now, council, plan, by)?,
-            Order::Release(order) => Command::Release(order),
+            OperatorCommand::Start { plan, by } => self.start_release(now, council, plan, by)?,
+            OperatorCommand::Release(order) => Command::Release(order),
         };
         let proposed = self.proposals.propose(now, council, command, Waiter::Operator(ticket));
         proposed.map(drop).map_err(|why| why.to_string())
     }
 
-    fn take_out(&self, now: Time, council: &Council, target: Target, by: Name) -> Result<Command, String> {
+    fn take_out(
+        &self,
+        now: Time,
+        council: &ConsensusVoter,
+        target: Target,
+        by: Name,
+    ) -> Result<Command, String> {
         if let Target::Server(name) = &target {
             return Err(format!("a server asks itself: tell {name} to leave"));
         }
@@ -72,15 +78,15 @@
     fn start_release(
         &self,
         now: Time,
-        council: &Council,
-        plan: Box<Plan>,
+        council: &ConsensusVoter,
+        plan: Box<RolloutPlan>,
         by: Name,
     ) -> Result<Command, String> {
         plan.check()?;
         let roster = council.record().roster.keys();
         let heard: Vec<(&Name, &HeardServer)> =
             roster.filter_map(|name| Some((name, self.servers.get_fresh(now, name)?))).collect();
-        if plan.kind == Kind::Settings {
+        if plan.kind == ReleaseKind::Settings {
             let lacks: Vec<&str> = heard
                 .iter()
                 .filter(|(_, heard)| !heard.report.staged.contains(&plan.version))
@@ -94,10 +100,15 @@
             .iter()
             .map(|(name, heard)| (Arc::clone(name), heard.report.version(plan.kind).clone()))
             .collect();
-        Ok(Command::Release(ReleaseOrder::Start { plan, by, before }))
+        Ok(Command::Release(RolloutCommand::Start { plan, by, before }))
     }
 
-    fn change_voters(&self, council: &mut Council, name: &Name, puts_in: bool) -> Result<String, String> {
+    fn change_voters(
+        &self,
+        council: &mut ConsensusVoter,
+        name: &Name,
+        puts_in: bool,
+    ) -> Result<String, String> {
         let voters = &council.record().voters;
         let present: Vec<VoterId> = voters.iter().filter(|(_, of)| *of == name).map(|(id, _)| *id).collect();
         let reported = self.servers.get(name).and_then(|heard| heard.report.voter);
@@ -119,11 +130,11 @@
 }
 
 /// Ends the permit of a zone or of a service's member.
-fn put_in(council: &Council, target: &Target, by: &Name) -> Result<Command, String> {
+fn put_in(council: &ConsensusVoter, target: &Target, by: &Name) -> Result<Command, String> {
     let permit = council.record().permit_of(target);
     let (epoch, permit) = permit.ok_or_else(|| format!("{target} has no permit"))?;
     if permit.holder != *by {
         return Err(format!("the permit of {target} is {}'s", permit.holder));
     }
-    Ok(Command::End { epoch, by: Ends::Word(permit.life) })
+    Ok(Command::End { epoch, by: PermitEnd::Word(permit.life) })
 }
--- a/crates/coordination/src/controller/permits.rs
+++ b/crates/coordination/src/controller/permits.rs
@@ -1,15 +1,17 @@
 //! When permits end: by a holder that is back and stable, by a right to begin that is over, or freed by an operator once
 //! that is safe.
 //!
-//! A permit's right to begin counts by the holder's clock from its request ([`BEGIN_WITHIN`]); here it counts as over only
+//! A permit's right to begin counts by the holder's clock from its request ([`BEGIN_TIMEOUT`]); here it counts as over only
 //! by the slowest and the fastest clock. A later incarnation has none of the right that an earlier one was given.
 
 use super::requests::AGREED_WITHIN;
 use super::servers::HeardServer;
 use super::{Context, KeyedCommand, MS};
-use crate::messages::BEGIN_WITHIN;
-use crate::record::{Command, Ends, Name, Permit, Purpose, Record, Stage, Target};
-use gradepin_admission::{Span, Time, after};
+use crate::messages::BEGIN_TIMEOUT;
+use crate::replicated_state::{
+    Command, Name, Permit, PermitEnd, PermitStage, Purpose, ReplicatedState, Target,
+};
+use gradepin_admission::{Span, Time, time_after};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A permit that was reserved and never begun is over after this, if its server is ready all the while.
@@ -20,7 +22,7 @@
 /// What was observed of a permit since this term began.
 #[derive(Debug)]
 pub(super) struct ObservedPermit {
-    stage: Stage,
+    stage: PermitStage,
     begins: u32,
     /// Since when it is as it is.
     pub since: Time,
@@ -70,7 +72,7 @@
 
 impl PermitController {
     /// A server reported.
-    pub(super) fn reported(&mut self, record: &Record, name: &Name, incarnation: u64) {
+    pub(super) fn reported(&mut self, record: &ReplicatedState, name: &Name, incarnation: u64) {
         for (epoch, observed) in &mut self.observed {
             let target = record.permits.get(epoch).map(|permit| &permit.target);
             let is_its = matches!(target, Some(Target::Server(of)) if of == name);
@@ -128,18 +130,18 @@
     let restarted = holder.is_some_and(|heard| observed.first.is_some_and(|first| heard.incarnation > first));
     let right_is_over = restarted
         || has_wanted_version(context, permit, holder)
-        || now >= after(observed.since, right_to_begin(context));
+        || now >= time_after(observed.since, right_to_begin(context));
     let stable = |name: &Name, span: Span| context.servers.is_stable(now, name, span);
-    let by = Ends::Steady(permit.begins);
+    let by = PermitEnd::Steady(permit.begins);
     match (&permit.stage, &permit.target) {
-        (Stage::Freed, _) if right_is_over => Some(Command::Gone { epoch }),
-        (Stage::Begun, Target::Server(name))
+        (PermitStage::Freed, _) if right_is_over => Some(Command::Gone { epoch }),
+        (PermitStage::Begun, Target::Server(name))
             if right_is_over && stable(name, context.settings.stabilization) =>
         {
             Some(Command::End { epoch, by })
         }
-        (Stage::Reserved, Target::Server(name))
-            if now >= after(observed.since, UNUSED_AFTER) && stable(name, UNUSED_AFTER) =>
+        (PermitStage::Reserved, Target::Server(name))
+            if now >= time_after(observed.since, UNUSED_AFTER) && stable(name, UNUSED_AFTER) =>
         {
             Some(Command::End { epoch, by })
         }
@@ -164,6 +166,6 @@
     let drift = context.settings.max_drift_ppm;
     let fast = 1_000_000 + drift;
     let slow = 1_000_000 - drift.min(999_999);
-    let span = u128::from(BEGIN_WITHIN.0) * u128::from(fast) / u128::from(slow);
+    let span = u128::from(BEGIN_TIMEOUT.0) * u128::from(fast) / u128::from(slow);
     Span(span as u64 + AGREED_WITHIN.0)
 }
--- a/crates/coordination/src/controller/proposals.rs
+++ b/crates/coordination/src/controller/proposals.rs
@@ -1,9 +1,9 @@
 //! Proposals of the leader that are under way, and who waits for what became of them.
 
 use super::MS;
-use crate::council::{Council, Refused};
-use crate::record::{Command, Name, Target};
-use gradepin_admission::{Span, Time, after};
+use crate::consensus::{ConsensusVoter, ProposalError};
+use crate::replicated_state::{Command, Name, Target};
+use gradepin_admission::{Span, Time, time_after};
 use std::collections::BTreeMap;
 
 /// Proposals under way at a time.
@@ -48,12 +48,12 @@
     pub(super) fn propose(
         &mut self,
         now: Time,
-        council: &mut Council,
+        council: &mut ConsensusVoter,
         command: Command,
         waiter: Waiter,
-    ) -> Result<u64, Refused> {
+    ) -> Result<u64, ProposalError> {
         if self.pending.len() >= MAX_PENDING {
-            return Err(Refused::Busy);
+            return Err(ProposalError::Busy);
         }
         self.last_number += 1;
         council.propose(self.last_number, command)?;
@@ -62,7 +62,13 @@
     }
 
     /// Proposes what nobody waits for, unless the same is under way.
-    pub(super) fn propose_once(&mut self, now: Time, council: &mut Council, key: String, command: Command) {
+    pub(super) fn propose_once(
+        &mut self,
+        now: Time,
+        council: &mut ConsensusVoter,
+        key: String,
+        command: Command,
+    ) {
         if self.keys.get(&key).is_some_and(|number| self.pending.contains_key(number)) {
             return;
         }
@@ -78,7 +84,7 @@
 
     /// Forgets what was under way for too long.
     pub(super) fn expire(&mut self, now: Time) {
-        self.pending.retain(|_, pending| now < after(pending.at, FORGET_AFTER));
+        self.pending.retain(|_, pending| now < time_after(pending.at, FORGET_AFTER));
     }
 
     /// A new term: what an earlier one proposed may be proposed again.
--- a/crates/coordination/src/controller/requests.rs
+++ b/crates/coordination/src/controller/requests.rs
@@ -2,10 +2,12 @@
 
 use super::proposals::{PendingProposal, Waiter};
 use super::{Controller, ControllerEffect, MS};
-use crate::council::{Council, Refused};
-use crate::messages::{OrderReply, PermitAction, PermitReply, PermitRequest};
-use crate::record::{Command, Ends, Name, Outcome, Purpose, Record, Target, Why};
-use crate::release::Release;
+use crate::consensus::{ConsensusVoter, ProposalError};
+use crate::messages::{OperatorCommandReply, PermitAction, PermitReply, PermitRequest};
+use crate::replicated_state::{
+    Command, CommandOutcome, DenialReason, Name, PermitEnd, Purpose, ReplicatedState, Target,
+};
+use crate::rollout::Rollout;
 use gradepin_admission::{Span, Time};
 use std::sync::Arc;
 
@@ -17,7 +19,7 @@
     pub fn request(
         &mut self,
         now: Time,
-        council: &mut Council,
+        council: &mut ConsensusVoter,
         from: &Name,
         incarnation: u64,
         request: PermitRequest,
@@ -30,8 +32,11 @@
         let waiter = Waiter::Server { name: Arc::clone(from), number, begins };
         if let Err(why) = self.proposals.propose(now, council, command, waiter) {
             let leader = match why {
-                Refused::Elsewhere(id) => council.record().voters.get(&id).cloned(),
-                Refused::Busy | Refused::Leaderless | Refused::NoVoter | Refused::Long => None,
+                ProposalError::Elsewhere(id) => council.record().voters.get(&id).cloned(),
+                ProposalError::Busy
+                | ProposalError::Leaderless
+                | ProposalError::NoVoter
+                | ProposalError::Long => None,
             };
             self.reply(from, number, PermitReply::Redirect(leader));
         }
@@ -41,7 +46,7 @@
     fn command_for(
         &self,
         now: Time,
-        council: &Council,
+        council: &ConsensusVoter,
         from: &Name,
         incarnation: u64,
         action: PermitAction,
@@ -69,13 +74,19 @@
                 if !is_its {
                     return Err(PermitReply::Ended);
                 }
-                Ok((Command::End { epoch, by: Ends::Word(incarnation) }, None))
+                Ok((Command::End { epoch, by: PermitEnd::Word(incarnation) }, None))
             }
         }
     }
 
     /// Whether a step may begin: it fits, and its release was not halted here.
-    fn may_begin(&self, now: Time, record: &Record, epoch: u64, target: &Target) -> Result<(), Why> {
+    fn may_begin(
+        &self,
+        now: Time,
+        record: &ReplicatedState,
+        epoch: u64,
+        target: &Target,
+    ) -> Result<(), DenialReason> {
         if let Some(Purpose::Release(number)) = record.permits.get(&epoch).map(|permit| &permit.purpose)
             && let Some(release) = record.release.as_ref().filter(|release| release.number == *number)
         {
@@ -85,13 +96,13 @@
     }
 
     /// Whether a release that is open may take a further step.
-    fn goes_on(&self, record: &Record, release: &Release) -> Result<(), Why> {
+    fn goes_on(&self, record: &ReplicatedState, release: &Rollout) -> Result<(), DenialReason> {
         let name = &release.plan.name;
         if self.rollout.is_halted(record) {
-            return Err(Why::Release(format!("{name} is ordered to halt")));
+            return Err(DenialReason::Release(format!("{name} is ordered to halt")));
         }
         match self.rollout.fall_from_outside(&self.servers, release) {
-            Some(fall) => Err(Why::Release(fall.hold(name))),
+            Some(fall) => Err(DenialReason::Release(fall.hold(name))),
             None => Ok(()),
         }
     }
@@ -101,30 +112,32 @@
     }
 
     /// A proposal of this controller was applied.
-    pub fn applied(&mut self, now: Time, record: &Record, number: u64, outcome: Outcome) {
+    pub fn applied(&mut self, now: Time, record: &ReplicatedState, number: u64, outcome: CommandOutcome) {
         let Some(PendingProposal { at, waiter }) = self.proposals.take(number) else { return };
         match waiter {
             Waiter::Nobody => {}
             Waiter::Operator(ticket) => {
                 let result = match outcome {
-                    Outcome::Done => Ok("done".to_string()),
-                    Outcome::Permit(epoch, _) => Ok(format!("permit {epoch}")),
-                    Outcome::Refused(why) => Err(why.to_string()),
-                    Outcome::Revision(revision) => Ok(format!("revision {revision}")),
-                    Outcome::NotCommitted(why) => Err(why.to_string()),
+                    CommandOutcome::Done => Ok("done".to_string()),
+                    CommandOutcome::Permit(epoch, _) => Ok(format!("permit {epoch}")),
+                    CommandOutcome::Refused(why) => Err(why.to_string()),
+                    CommandOutcome::Revision(revision) => Ok(format!("revision {revision}")),
+                    CommandOutcome::NotCommitted(why) => Err(why.to_string()),
                 };
-                self.effects.push(ControllerEffect::OrderReply { ticket, reply: OrderReply::Done(result) });
+                self.effects
+                    .push(ControllerEffect::OrderReply { ticket, reply: OperatorCommandReply::Done(result) });
             }
             Waiter::Server { name, number, begins } => {
                 let reply = match (outcome, begins) {
-                    (Outcome::Refused(why), _) => PermitReply::Wait(why),
-                    (Outcome::Permit(epoch, _), Some(target)) => {
+                    (CommandOutcome::Refused(why), _) => PermitReply::Wait(why),
+                    (CommandOutcome::Permit(epoch, _), Some(target)) => {
                         self.reply_to_begin(now, at, record, epoch, &target)
                     }
-                    (Outcome::Permit(epoch, _), None) => PermitReply::Reserved(epoch),
-                    (Outcome::Done | Outcome::Revision(_) | Outcome::NotCommitted(_), _) => {
-                        PermitReply::Ended
-                    }
+                    (CommandOutcome::Permit(epoch, _), None) => PermitReply::Reserved(epoch),
+                    (
+                        CommandOutcome::Done | CommandOutcome::Revision(_) | CommandOutcome::NotCommitted(_),
+                        _,
+                    ) => PermitReply::Ended,
                 };
                 self.reply(&name, number, reply);
             }
@@ -136,14 +149,14 @@
         &self,
         now: Time,
         proposed_at: Time,
-        record: &Record,
+        record: &ReplicatedState,
         epoch: u64,
         target: &Target,
     ) -> PermitReply {
         let is_late = now.0.saturating_sub(proposed_at.0) > AGREED_WITHIN.0;
         match self.may_begin(now, record, epoch, target) {
             Ok(()) if !is_late => PermitReply::Begin(epoch),
-            Ok(()) => PermitReply::Wait(Why::Sense("it took too long to agree; ask again".into())),
+            Ok(()) => PermitReply::Wait(DenialReason::Sense("it took too long to agree; ask again".into())),
             Err(why) => PermitReply::Wait(why),
         }
     }
--- a/crates/coordination/src/controller/rollout.rs
+++ b/crates/coordination/src/controller/rollout_controller.rs
@@ -6,11 +6,13 @@
 use super::permits::{MAX_INCARNATIONS, PermitController};
 use super::servers::{HeardServer, ServerTable};
 use super::{Context, ControllerEffect, KeyedCommand, MS};
-use crate::messages::{Report, Turn};
-use crate::record::{Command, MOST_TEXT, Name, Permit, Purpose, Record, Stage, Target};
-use crate::release::{Release, ReleaseOrder, Server, State, Step, Wave};
-use crate::rollback::Watch;
-use gradepin_admission::{Span, Time, after};
+use crate::messages::{ServerReport, StepAssignment};
+use crate::replicated_state::{
+    Command, MAX_TEXT_BYTES, Name, Permit, PermitStage, Purpose, ReplicatedState, Target,
+};
+use crate::rollback::RegressionDetector;
+use crate::rollout::{Batch, Rollout, RolloutCommand, RolloutServer, RolloutState, ServerProgress};
+use gradepin_admission::{Span, Time, time_after};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -35,25 +37,25 @@
 }
 
 impl RolloutStep {
-    fn order(&mut self, key: &str, order: ReleaseOrder) {
+    fn order(&mut self, key: &str, order: RolloutCommand) {
         self.commands.push(KeyedCommand { key: format!("release {key}"), command: Command::Release(order) });
     }
 
-    fn server_stepped(&mut self, number: u64, name: &Name, step: Step) {
+    fn server_stepped(&mut self, number: u64, name: &Name, step: ServerProgress) {
         let server = Arc::clone(name);
-        self.order(&format!("step {name}"), ReleaseOrder::Stepped { number, server, step });
+        self.order(&format!("step {name}"), RolloutCommand::Stepped { number, server, step });
     }
 
     /// Halts the release, and rolls it back if the plan says so.
-    fn stop(&mut self, release: &Release, why: String) {
+    fn stop(&mut self, release: &Rollout, why: String) {
         let name = release.plan.name.clone();
         let by: Name = Arc::from(AUTOMATIC);
-        let rolls_back = release.plan.goes_back && release.state == State::Runs;
+        let rolls_back = release.plan.goes_back && release.state == RolloutState::Runs;
         self.effects.push(ControllerEffect::Log(true, format!("release {name} stops: {why}")));
         let order = if rolls_back {
-            ReleaseOrder::Back { name, by, why }
+            RolloutCommand::Back { name, by, why }
         } else {
-            ReleaseOrder::Halt { name, by, why }
+            RolloutCommand::Halt { name, by, why }
         };
         self.order("stop", order);
     }
@@ -82,7 +84,7 @@
 /// What this leader knows of the rollout beside the replicated state.
 #[derive(Debug)]
 pub(super) struct RolloutController {
-    watch: Watch,
+    watch: RegressionDetector,
     /// The release that is watched.
     watched: Option<u64>,
     /// Whether the release goes forward or back.
@@ -99,7 +101,7 @@
 impl RolloutController {
     pub(super) fn new(now: Time) -> Self {
         Self {
-            watch: Watch::default(),
+            watch: RegressionDetector::default(),
             watched: None,
             forward: None,
             next_watch_step: now,
@@ -111,13 +113,19 @@
 
     /// A new term begins, or this one is over.
     pub(super) fn begin_term(&mut self) {
-        self.watch = Watch::default();
+        self.watch = RegressionDetector::default();
         self.watched = None;
         self.batch_whole_since = None;
     }
 
     /// A server reported: what it counted is its old or its new version's.
-    pub(super) fn reported(&mut self, record: &Record, name: &Name, incarnation: u64, report: &Report) {
+    pub(super) fn reported(
+        &mut self,
+        record: &ReplicatedState,
+        name: &Name,
+        incarnation: u64,
+        report: &ServerReport,
+    ) {
         let release = record.release.as_ref().filter(|release| self.watched == Some(release.number));
         let Some(release) = release else { return };
         let Some(server) = release.servers.get(name) else { return };
@@ -128,14 +136,14 @@
     }
 
     /// Whether a halt was ordered here that the replicated state doesn't know yet.
-    pub(super) fn is_halted(&self, record: &Record) -> bool {
+    pub(super) fn is_halted(&self, record: &ReplicatedState) -> bool {
         record.release.as_ref().is_some_and(|release| {
             self.halted.get(&release.plan.name).is_some_and(|halts| release.halts <= *halts)
         })
     }
 
     /// A halt was ordered somewhere: no further step here, agreed or not.
-    pub(super) fn halt(&mut self, record: &Record, name: &str) {
+    pub(super) fn halt(&mut self, record: &ReplicatedState, name: &str) {
         if let Some(release) = record.release.as_ref().filter(|release| release.plan.name == name) {
             self.halted.insert(name.to_string(), release.halts);
         }
@@ -150,10 +158,10 @@
             return out;
         };
         self.step_watch(context.now, release.number);
-        if matches!(release.state, State::Halted(_)) || self.is_halted(context.record) {
+        if matches!(release.state, RolloutState::Halted(_)) || self.is_halted(context.record) {
             return out;
         }
-        let forward = release.state == State::Runs;
+        let forward = release.state == RolloutState::Runs;
         if self.forward != Some(forward) {
             // What was seen of the way forward says nothing of the way back.
             permits.restart_all(context.now);
@@ -181,19 +189,19 @@
 
     fn step_watch(&mut self, now: Time, number: u64) {
         if self.watched != Some(number) {
-            self.watch = Watch::default();
+            self.watch = RegressionDetector::default();
             self.watched = Some(number);
             self.next_watch_step = now;
             self.is_held = false;
         }
         if now >= self.next_watch_step {
             self.watch.next_step();
-            self.next_watch_step = after(now, WATCH_STEP);
+            self.next_watch_step = time_after(now, WATCH_STEP);
         }
     }
 
     /// Why the release is to stop by what servers of its version count beside those of the old one, if it is.
-    fn worse_cell(&self, context: &Context<'_>, release: &Release) -> Option<String> {
+    fn worse_cell(&self, context: &Context<'_>, release: &Rollout) -> Option<String> {
         let worse = self.watch.worse(release.plan.worse)?;
         let name = context.settings.cell_names.get(&worse.cell).cloned();
         let name = name.unwrap_or_else(|| format!("cell {:x}", worse.cell));
@@ -203,17 +211,17 @@
         ))
     }
 
-    fn fleet_fall(&self, release: &Release) -> Option<FleetFall> {
+    fn fleet_fall(&self, release: &Rollout) -> Option<FleetFall> {
         let least = release.plan.worse.max(MIN_FLEET_FALL);
         self.watch.fleet_falls(least).map(|(before, since)| FleetFall { before, since })
     }
 
     /// The fall of the fleet's service while no server has the release's version: nothing of the release can be the cause,
     /// and there is nothing to roll back.
-    pub(super) fn fall_from_outside(&self, servers: &ServerTable, release: &Release) -> Option<FleetFall> {
+    pub(super) fn fall_from_outside(&self, servers: &ServerTable, release: &Rollout) -> Option<FleetFall> {
         let plan = &release.plan;
-        let has_begun = release.servers.values().any(|server| server.step != Step::Waits);
-        if self.watched != Some(release.number) || release.state != State::Runs || has_begun {
+        let has_begun = release.servers.values().any(|server| server.step != ServerProgress::Waits);
+        if self.watched != Some(release.number) || release.state != RolloutState::Runs || has_begun {
             return None;
         }
         if servers.reports().any(|(_, report)| *report.version(plan.kind) == plan.version) {
@@ -223,7 +231,7 @@
     }
 
     /// Holds the release while the fleet's service falls from outside, and says so once; whether it is held.
-    fn hold(&mut self, servers: &ServerTable, release: &Release, out: &mut RolloutStep) -> bool {
+    fn hold(&mut self, servers: &ServerTable, release: &Rollout, out: &mut RolloutStep) -> bool {
         let fall = self.fall_from_outside(servers, release);
         let name = &release.plan.name;
         match fall {
@@ -239,26 +247,26 @@
     }
 
     /// Ends the release where all are there, or begins the next batch where this one has been whole for its pause.
-    fn step_batch(&mut self, now: Time, release: &Release, out: &mut RolloutStep) {
+    fn step_batch(&mut self, now: Time, release: &Rollout, out: &mut RolloutStep) {
         let number = release.number;
-        let forward = release.state == State::Runs;
-        let is_done = |server: &Server| match server.step {
-            Step::New => forward,
-            Step::Waits | Step::Back => !forward,
+        let forward = release.state == RolloutState::Runs;
+        let is_done = |server: &RolloutServer| match server.step {
+            ServerProgress::New => forward,
+            ServerProgress::Waits | ServerProgress::Back => !forward,
             _ => false,
         };
         if release.servers.values().all(is_done) {
-            return out.order("over", ReleaseOrder::Over { number });
+            return out.order("over", RolloutCommand::Over { number });
         }
         if !forward || !release.wave_is_whole() {
             self.batch_whole_since = None;
             return;
         }
         let since = *self.batch_whole_since.get_or_insert(now);
-        let pause = release.plan.waves.get(release.wave as usize).map_or(Span(0), Wave::pause);
-        if now >= after(since, pause) {
+        let pause = release.plan.waves.get(release.wave as usize).map_or(Span(0), Batch::pause);
+        if now >= time_after(since, pause) {
             self.batch_whole_since = None;
-            out.order("wave", ReleaseOrder::Wave { number, wave: release.wave + 1 });
+            out.order("wave", RolloutCommand::Wave { number, wave: release.wave + 1 });
         }
     }
 }
@@ -274,18 +282,22 @@
 fn step_server(
     context: &Context<'_>,
     permits: &mut PermitController,
-    release: &Release,
+    release: &Rollout,
     name: &Name,
     out: &mut RolloutStep,
 ) -> Progress {
     let Some(server) = release.servers.get(name) else { return Progress::GoesOn };
     let (now, plan) = (context.now, &release.plan);
-    let forward = release.state == State::Runs;
+    let forward = release.state == RolloutState::Runs;
     let wanted = if forward { &plan.version } else { &server.before };
     let heard = context.servers.get_fresh(now, name);
     let has_wanted = heard.is_some_and(|heard| heard.report.version(plan.kind) == wanted);
     if has_wanted && context.servers.is_stable(now, name, plan.steady()) {
-        out.server_stepped(release.number, name, if forward { Step::New } else { Step::Back });
+        out.server_stepped(
+            release.number,
+            name,
+            if forward { ServerProgress::New } else { ServerProgress::Back },
+        );
         return Progress::GoesOn;
     }
     let permit = context.record.permit_of(&Target::Server(Arc::clone(name)));
@@ -303,15 +315,16 @@
             return Progress::GoesOn;
         }
         let text = format!("{name}: {why}");
-        let step = if forward { Step::Failed(why) } else { Step::Stuck(why) };
+        let step = if forward { ServerProgress::Failed(why) } else { ServerProgress::Stuck(why) };
         out.server_stepped(release.number, name, step);
         out.stop(release, text);
         return Progress::Stops;
     }
-    let is_due = observed.turn_sent_at.is_none_or(|at| now >= after(at, TURN_INTERVAL));
+    let is_due = observed.turn_sent_at.is_none_or(|at| now >= time_after(at, TURN_INTERVAL));
     if is_due && heard.is_some() && !has_wanted {
         observed.turn_sent_at = Some(now);
-        let turn = Turn { release: release.number, epoch, kind: plan.kind, version: wanted.clone() };
+        let turn =
+            StepAssignment { release: release.number, epoch, kind: plan.kind, version: wanted.clone() };
         out.effects.push(ControllerEffect::Turn { to: Arc::clone(name), turn });
     }
     Progress::GoesOn
@@ -320,7 +333,7 @@
 /// Reserves a permit for a server whose turn it is. Who isn't there can't be told; who is there and doesn't fit waits.
 fn reserve(
     context: &Context<'_>,
-    release: &Release,
+    release: &Rollout,
     name: &Name,
     heard: Option<&HeardServer>,
     out: &mut RolloutStep,
@@ -342,7 +355,7 @@
 /// Why a server's step failed, if it did: by its own word, by a process that ends again and again, or by time.
 fn failure(
     context: &Context<'_>,
-    release: &Release,
+    release: &Rollout,
     permit: &Permit,
     since: Time,
     incarnations: usize,
@@ -351,15 +364,15 @@
     let reported = heard.and_then(|heard| heard.report.failed.as_ref());
     if let Some((_, why)) = reported.filter(|(of, _)| *of == release.number) {
         // In the record as in the acts: a reason of any length would be an entry that no message can carry.
-        return Some(why[..why.floor_char_boundary(MOST_TEXT)].to_string());
+        return Some(why[..why.floor_char_boundary(MAX_TEXT_BYTES)].to_string());
     }
-    if permit.stage != Stage::Begun {
+    if permit.stage != PermitStage::Begun {
         return None;
     }
     if incarnations > MAX_INCARNATIONS {
         return Some("its process ends again and again".into());
     }
-    let is_late = context.now >= after(since, release.plan.ready());
+    let is_late = context.now >= time_after(since, release.plan.ready());
     is_late.then(|| format!("not ready within {} ms", release.plan.ready_ms))
 }
 
--- a/crates/coordination/src/controller/servers.rs
+++ b/crates/coordination/src/controller/servers.rs
@@ -1,8 +1,8 @@
 //! What is heard of the servers: their last reports, and since when each has been ready without a break.
 
-use crate::messages::Report;
-use crate::record::{MOST_SERVERS, Name, Record};
-use gradepin_admission::{Span, Time, after};
+use crate::messages::ServerReport;
+use crate::replicated_state::{MAX_SERVERS, Name, ReplicatedState};
+use gradepin_admission::{Span, Time, time_after};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -11,12 +11,12 @@
 pub(super) struct HeardServer {
     at: Time,
     pub incarnation: u64,
-    pub report: Report,
+    pub report: ServerReport,
     /// Since when it has been ready without a break.
     ready_since: Option<Time>,
 }
 
-/// The servers that reported, of at most [`MOST_SERVERS`].
+/// The servers that reported, of at most [`MAX_SERVERS`].
 #[derive(Debug)]
 pub(super) struct ServerTable {
     heard: BTreeMap<Name, HeardServer>,
@@ -32,12 +32,12 @@
     pub(super) fn accepts(&self, name: &Name, incarnation: u64) -> bool {
         match self.heard.get(name) {
             Some(known) => known.incarnation <= incarnation,
-            None => self.heard.len() < MOST_SERVERS,
+            None => self.heard.len() < MAX_SERVERS,
         }
     }
 
     /// A server reported.
-    pub(super) fn reported(&mut self, now: Time, name: &Name, incarnation: u64, report: Report) {
+    pub(super) fn reported(&mut self, now: Time, name: &Name, incarnation: u64, report: ServerReport) {
         let known = self.heard.get(name);
         let unbroken = known.filter(|known| known.incarnation == incarnation && self.is_fresh(now, known));
         let ready_since = unbroken.and_then(|known| known.ready_since).unwrap_or(now);
@@ -58,13 +58,13 @@
     }
 
     /// What a server last reported, and how long ago.
-    pub(super) fn report(&self, now: Time, name: &str) -> Option<(&Report, Span)> {
+    pub(super) fn report(&self, now: Time, name: &str) -> Option<(&ServerReport, Span)> {
         let heard = self.heard.get(name)?;
         Some((&heard.report, Span(now.0.saturating_sub(heard.at.0))))
     }
 
     /// Everybody that ever reported.
-    pub(super) fn reports(&self) -> impl Iterator<Item = (&Name, &Report)> {
+    pub(super) fn reports(&self) -> impl Iterator<Item = (&Name, &ServerReport)> {
         self.heard.iter().map(|(name, heard)| (name, &heard.report))
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// Reports of all that were heard lately.
-    pub(super) fn fresh(&self, now: Time) -> impl Iterator<Item = (&Name, &Report)> {
+    pub(super) fn fresh(&self, now: Time) -> impl Iterator<Item = (&Name, &ServerReport)> {
         self.heard
             .iter()
             .filter(move |(_, heard)| self.is_fresh(now, heard))
@@ -91,7 +91,7 @@
     }
 
     /// Servers of the roster that aren't heard to be ready.
-    pub(super) fn unplanned(&self, now: Time, record: &Record) -> BTreeSet<Name> {
+    pub(super) fn unplanned(&self, now: Time, record: &ReplicatedState) -> BTreeSet<Name> {
         let is_ready = |name: &Name| self.get_fresh(now, name).is_some_and(|heard| heard.report.ready);
         record.roster.keys().filter(|name| !is_ready(name)).cloned().collect()
     }
@@ -99,6 +99,6 @@
     /// Whether a server has been ready for so long without a break.
     pub(super) fn is_stable(&self, now: Time, name: &Name, span: Span) -> bool {
         let heard = self.get_fresh(now, name);
-        heard.and_then(|heard| heard.ready_since).is_some_and(|since| now >= after(since, span))
+        heard.and_then(|heard| heard.ready_since).is_some_and(|since| now >= time_after(since, span))
     }
 }
--- a/crates/coordination/src/controller/settings.rs
+++ b/crates/coordination/src/controller/settings.rs
@@ -1,7 +1,7 @@
 //! How the leader's controller goes by what it hears.
 
 use super::MS;
-use crate::record::Limits;
+use crate::replicated_state::Limits;
 use crate::rollback::Cell;
 use gradepin_admission::Span;
 use std::collections::BTreeMap;
--- a/crates/coordination/src/founding.rs
+++ b/crates/coordination/src/founding.rs
@@ -4,9 +4,9 @@
 //! same voters give the same answer. Invariant: a group that has committed an entry is never founded anew, as a voter that
 //! was founded twice could have forgotten a vote; whoever is late learns of such a group from its leader.
 
-use crate::council::{Council, VoterId};
-use crate::record::Name;
-use gradepin_admission::{Span, Time, after, secs};
+use crate::consensus::{ConsensusVoter, VoterId};
+use crate::replicated_state::Name;
+use gradepin_admission::{Span, Time, span_seconds, time_after};
 use std::collections::BTreeMap;
 
 /// How long the founding is sent to voters that have not taken it. Asking again sends it for as long again.
@@ -103,7 +103,7 @@
         &mut self,
         now: Time,
         own: &Name,
-        council: &Council,
+        council: &ConsensusVoter,
         reported: impl Fn(&Name) -> Option<ReportedVoter>,
     ) -> Result<BTreeMap<VoterId, Name>, FoundingError> {
         let voters = if council.is_founded() {
@@ -161,7 +161,7 @@
             self.sending = None;
             return FoundingStep::Idle;
         }
-        if now < after(sending.since, SENT_FOR) {
+        if now < time_after(sending.since, SENT_FOR) {
             return FoundingStep::Send(sending.voters.clone());
         }
         self.sending = None;
@@ -175,7 +175,7 @@
         let Self::GivenUp(span) = self else { return None };
         Some(format!(
             "not all voters founded the council within {:.0} s; it may be asked for again",
-            secs(*span)
+            span_seconds(*span)
         ))
     }
 }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,8 +1,8 @@
 //! Who may be out, and when: agreed by a group of servers, without I/O and without a clock: `(now, inputs) -> effects`.
 //!
-//! - [`record`]: the replicated state: roster, permits with their epochs; changed by the log's commands alone.
-//! - [`release`]: the release in it: plan, batches, where each server stands, the rollback.
-//! - [`council`]: one voter, on the `raft` library: what must be durable before what leaves, and when it may vote.
+//! - [`replicated_state`]: the replicated state: roster, permits with their epochs; changed by the log's commands alone.
+//! - [`rollout`]: the release in it: plan, batches, where each server stands, the rollback.
+//! - [`consensus`]: one voter, on the `raft` library: what must be durable before what leaves, and when it may vote.
 //! - [`configuration_log`]: the order of configuration changes: revisions, request ids, history.
 //! - [`proposal_client`]: requests for such changes, from any server to the leader.
 //! - [`replicated_snapshot`]: the encoding of the replicated state in snapshots.
@@ -17,14 +17,14 @@
 //! the settings allow, whatever is cut, paused, killed or restarted. The argument is in `docs/design/releases.md`.
 
 pub mod configuration_log;
+pub mod consensus;
 pub mod controller;
-pub mod council;
 pub mod founding;
 pub mod messages;
 pub mod permit_client;
 pub mod proposal_client;
-pub mod record;
-pub mod release;
 pub mod replicated_snapshot;
+pub mod replicated_state;
 pub mod rollback;
+pub mod rollout;
 pub mod server_agent;
