--- a/crates/coordination/src/messages.rs
+++ b/crates/coordination/src/messages.rs
@@ -1,15 +1,15 @@
 //! What servers say to each other about permits, rollouts and operators' orders. The order of variants and fields is the
 //! wire format.
 
-use crate::council::VoterId;
-use crate::record::{Name, Target, Why};
-use crate::release::{Kind, Plan, ReleaseOrder};
-use crate::rollback::{Cell, Total};
+use crate::consensus::VoterId;
+use crate::replicated_state::{DenialReason, Name, Target};
+use crate::rollback::{Cell, ServiceTotal};
+use crate::rollout::{ReleaseKind, RolloutCommand, RolloutPlan};
 use gradepin_admission::Span;
 use serde::{Deserialize, Serialize};
 
 /// How long the holder of a permit may begin after it asked, by its own clock.
-pub const BEGIN_WITHIN: Span = Span(5_000_000_000);
+pub const BEGIN_TIMEOUT: Span = Span(5_000_000_000);
 
 /// What a server asks for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -37,10 +37,10 @@
     /// Ask this one, or if nobody is named, another.
     Redirect(Option<Name>),
     /// Not now.
-    Wait(Why),
+    Wait(DenialReason),
     /// The permit of this epoch is reserved for you: ask to begin when you do.
     Reserved(u64),
-    /// Begin, within [`BEGIN_WITHIN`] of your request.
+    /// Begin, within [`BEGIN_TIMEOUT`] of your request.
     Begin(u64),
     /// It is over.
     Ended,
@@ -48,7 +48,7 @@
 
 /// What a server reports of itself to the voters, again and again.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct ServerReport {
     /// Its zone.
     pub zone: String,
     /// Whether it is ready to serve: not draining, its processor there.
@@ -66,22 +66,22 @@
     /// The release whose step it couldn't take, and why.
     pub failed: Option<(u64, String)>,
     /// What it counted in its incarnation.
-    pub totals: Vec<(Cell, Total)>,
+    pub totals: Vec<(Cell, ServiceTotal)>,
 }
 
-impl Report {
+impl ServerReport {
     /// What the server runs of a kind.
-    pub fn version(&self, kind: Kind) -> &String {
+    pub fn version(&self, kind: ReleaseKind) -> &String {
         match kind {
-            Kind::Program => &self.program,
-            Kind::Settings => &self.settings,
+            ReleaseKind::Program => &self.program,
+            ReleaseKind::Settings => &self.settings,
         }
     }
 }
 
 /// What an operator orders.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Order {
+pub enum OperatorCommand {
     /// A permit for a zone or a member of a service.
     Out {
         /// What.
@@ -126,17 +126,17 @@
     /// A release begins.
     Start {
         /// What and how.
-        plan: Box<Plan>,
+        plan: Box<RolloutPlan>,
         /// Who.
         by: Name,
     },
     /// Something about the release that is there.
-    Release(ReleaseOrder),
+    Release(RolloutCommand),
 }
 
 /// What an order came to.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum OrderReply {
+pub enum OperatorCommandReply {
     /// Send it to this one, or if nobody is named, to another.
     Redirect(Option<Name>),
     /// It is done, or why not.
@@ -145,13 +145,13 @@
 
 /// A server's turn in a release.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Turn {
+pub struct StepAssignment {
     /// The release.
     pub release: u64,
     /// The permit to ask to begin by.
     pub epoch: u64,
     /// What is changed.
-    pub kind: Kind,
+    pub kind: ReleaseKind,
     /// What it shall have then.
     pub version: String,
 }
--- a/crates/coordination/src/messages/tests.rs
+++ b/crates/coordination/src/messages/tests.rs
@@ -16,7 +16,7 @@
     assert_eq!(hex(&request(PermitAction::Begin(7))), "ac020107");
     assert_eq!(hex(&request(PermitAction::Cancel(7))), "ac020207");
     assert_eq!(hex(&PermitReply::Redirect(Some(Arc::from("n1")))), "0001026e31");
-    assert_eq!(hex(&PermitReply::Wait(Why::Stale(7)))[..2], *"01");
+    assert_eq!(hex(&PermitReply::Wait(DenialReason::Stale(7)))[..2], *"01");
     assert_eq!(hex(&PermitReply::Reserved(7)), "0207");
     assert_eq!(hex(&PermitReply::Begin(7)), "0307");
     assert_eq!(hex(&PermitReply::Ended), "04");
@@ -24,7 +24,7 @@
 
 #[test]
 fn a_report_keeps_its_bytes() {
-    let report = Report {
+    let report = ServerReport {
         zone: "z".into(),
         ready: true,
         program: "v1".into(),
@@ -33,7 +33,7 @@
         voter: Some(300),
         founded: true,
         failed: Some((5, "no".into())),
-        totals: vec![(1, Total { came: 2, served: 1 })],
+        totals: vec![(1, ServiceTotal { came: 2, served: 1 })],
     };
     assert_eq!(hex(&report), "017a01027631017301017401ac02010105026e6f01010201");
 }
@@ -42,19 +42,22 @@
 fn orders_and_turns_keep_their_bytes() {
     let by: Name = Arc::from("k");
     let target = Target::Zone(Arc::from("z"));
-    assert_eq!(hex(&Order::Out { target: target.clone(), by: by.clone() }), "0001017a016b");
-    assert_eq!(hex(&Order::In { target, by: by.clone() }), "0101017a016b");
-    assert_eq!(hex(&Order::Free { epoch: 7, by: by.clone(), why: "x".into() }), "0207016b0178");
+    assert_eq!(hex(&OperatorCommand::Out { target: target.clone(), by: by.clone() }), "0001017a016b");
+    assert_eq!(hex(&OperatorCommand::In { target, by: by.clone() }), "0101017a016b");
+    assert_eq!(hex(&OperatorCommand::Free { epoch: 7, by: by.clone(), why: "x".into() }), "0207016b0178");
     assert_eq!(
-        hex(&Order::Strike { name: Arc::from("n1"), by: by.clone(), why: "x".into() }),
+        hex(&OperatorCommand::Strike { name: Arc::from("n1"), by: by.clone(), why: "x".into() }),
         "03026e31016b0178"
     );
-    assert_eq!(hex(&Order::Voter { name: Arc::from("n1"), puts_in: true, by: by.clone() }), "04026e3101016b");
-    let halt = ReleaseOrder::Halt { name: "r".into(), by, why: "x".into() };
-    assert_eq!(hex(&Order::Release(halt)), "06010172016b0178");
-    assert_eq!(hex(&OrderReply::Redirect(None)), "0000");
-    assert_eq!(hex(&OrderReply::Done(Ok("done".into()))), "010004646f6e65");
-    assert_eq!(hex(&OrderReply::Done(Err("no".into()))), "0101026e6f");
-    let turn = Turn { release: 20, epoch: 21, kind: Kind::Settings, version: "v2".into() };
+    assert_eq!(
+        hex(&OperatorCommand::Voter { name: Arc::from("n1"), puts_in: true, by: by.clone() }),
+        "04026e3101016b"
+    );
+    let halt = RolloutCommand::Halt { name: "r".into(), by, why: "x".into() };
+    assert_eq!(hex(&OperatorCommand::Release(halt)), "06010172016b0178");
+    assert_eq!(hex(&OperatorCommandReply::Redirect(None)), "0000");
+    assert_eq!(hex(&OperatorCommandReply::Done(Ok("done".into()))), "010004646f6e65");
+    assert_eq!(hex(&OperatorCommandReply::Done(Err("no".into()))), "0101026e6f");
+    let turn = StepAssignment { release: 20, epoch: 21, kind: ReleaseKind::Settings, version: "v2".into() };
     assert_eq!(hex(&turn), "141501027632");
 }
--- a/crates/coordination/src/permit_client.rs
+++ b/crates/coordination/src/permit_client.rs
@@ -3,9 +3,9 @@
 //! The right to begin counts from when the request left that was answered, by this server's own clock: whoever is stopped
 //! between the reply and its leaving finds its time over. Not here: what leaving is, which is the server's.
 
-use crate::messages::{BEGIN_WITHIN, PermitAction, PermitReply, PermitRequest};
-use crate::record::{Name, Why};
-use gradepin_admission::{Span, Time, after, secs};
+use crate::messages::{BEGIN_TIMEOUT, PermitAction, PermitReply, PermitRequest};
+use crate::replicated_state::{DenialReason, Name};
+use gradepin_admission::{Span, Time, span_seconds, time_after};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -122,7 +122,7 @@
     /// Why it waits and for how long already.
     pub fn waits(&self, now: Time) -> Option<WaitingRequest> {
         let current = self.current.as_ref()?;
-        let for_s = secs(Span(now.0.saturating_sub(current.since.0)));
+        let for_s = span_seconds(Span(now.0.saturating_sub(current.since.0)));
         Some(WaitingRequest { for_s, why: current.why.clone() })
     }
 
@@ -137,7 +137,7 @@
             self.target += 1;
         }
         self.last_number += 1;
-        current.next = after(now, REPLY_TIMEOUT);
+        current.next = time_after(now, REPLY_TIMEOUT);
         current.sent.push_back(SentRequest { number: self.last_number, at: now });
         if current.sent.len() > MAX_SENT {
             current.sent.pop_front();
@@ -172,7 +172,7 @@
             PermitReply::Begin(epoch) => {
                 if current.action == PermitAction::Begin(epoch) {
                     self.current = None;
-                    return ClientEvent::MayBegin { epoch, until: after(sent.at, BEGIN_WITHIN) };
+                    return ClientEvent::MayBegin { epoch, until: time_after(sent.at, BEGIN_TIMEOUT) };
                 }
             }
             PermitReply::Ended => {
@@ -190,21 +190,21 @@
         match leader.and_then(|leader| self.voters.iter().position(|voter| *voter == leader)) {
             Some(place) => {
                 self.target = place;
-                current.retry(after(now, MIN_INTERVAL));
+                current.retry(time_after(now, MIN_INTERVAL));
             }
             None => {
                 self.target += 1;
-                current.retry(after(now, REPLY_TIMEOUT));
+                current.retry(time_after(now, REPLY_TIMEOUT));
                 current.why = "the council has no leader that is heard".into();
             }
         }
     }
 
-    fn told_to_wait(&mut self, now: Time, why: Why) -> ClientEvent {
+    fn told_to_wait(&mut self, now: Time, why: DenialReason) -> ClientEvent {
         let Some(current) = &mut self.current else { return ClientEvent::Nothing };
         current.why = why.to_string();
-        current.retry(after(now, RETRY_AFTER));
-        if let (Why::Stale(epoch), PermitAction::Begin(_)) = (why, &current.action) {
+        current.retry(time_after(now, RETRY_AFTER));
+        if let (DenialReason::Stale(epoch), PermitAction::Begin(_)) = (why, &current.action) {
             self.current = None;
             return ClientEvent::Stale(epoch);
         }
--- a/crates/coordination/src/permit_client/tests.rs
+++ b/crates/coordination/src/permit_client/tests.rs
@@ -29,7 +29,7 @@
         ClientEvent::Nothing,
         "to no question"
     );
-    let until = after(first_at, BEGIN_WITHIN);
+    let until = time_after(first_at, BEGIN_TIMEOUT);
     assert_eq!(
         client.receive(ms(9_000), first.number, PermitReply::Begin(7)),
         ClientEvent::MayBegin { epoch: 7, until }
@@ -47,17 +47,20 @@
     let (at, _, request) = next(&mut client);
     client.receive(at, request.number, PermitReply::Redirect(Some(Arc::from("n2"))));
     let (then, to, request) = next(&mut client);
-    assert!(&*to == "n2" && then >= after(at, MIN_INTERVAL));
-    let why = Why::Zones { out: 2, most: 1 };
+    assert!(&*to == "n2" && then >= time_after(at, MIN_INTERVAL));
+    let why = DenialReason::Zones { out: 2, most: 1 };
     client.receive(then, request.number, PermitReply::Wait(why.clone()));
-    let waits = client.waits(after(then, Span(2_000 * MS))).unwrap();
+    let waits = client.waits(time_after(then, Span(2_000 * MS))).unwrap();
     assert!(waits.why == why.to_string() && waits.for_s > 3.0);
     let (_, to, request) = next(&mut client);
     assert_eq!(&*to, "n2", "the leader again");
     client.receive(then, request.number, PermitReply::Reserved(12));
     assert_eq!(client.wanted(), Some(&PermitAction::Begin(12)));
     let (at, to, request) = next(&mut client);
-    assert!(at <= after(then, RETRY_AFTER) && &*to == "n2");
-    assert_eq!(client.receive(at, request.number, PermitReply::Wait(Why::Stale(12))), ClientEvent::Stale(12));
+    assert!(at <= time_after(then, RETRY_AFTER) && &*to == "n2");
+    assert_eq!(
+        client.receive(at, request.number, PermitReply::Wait(DenialReason::Stale(12))),
+        ClientEvent::Stale(12)
+    );
     assert_eq!(client.wake_at(), None);
 }
--- a/crates/coordination/src/proposal_client.rs
+++ b/crates/coordination/src/proposal_client.rs
@@ -1,18 +1,18 @@
 //! Requests for configuration changes that were handed in at this server: which voter each is sent to, when it is sent to the
 //! next one, and what it is answered at the latest.
 //!
-//! Invariant: each request is answered once, within [`PATIENCE`]. Sending a request again is safe by its id.
+//! Invariant: each request is answered once, within [`PROPOSAL_TIMEOUT`]. Sending a request again is safe by its id.
 
-use crate::configuration_log::{ConfigurationRequest, ProposalRefused};
-use crate::record::Name;
-use gradepin_admission::{Span, Time, after};
+use crate::configuration_log::{ConfigurationRejected, ConfigurationRequest};
+use crate::replicated_state::Name;
+use gradepin_admission::{Span, Time, time_after};
 use gradepin_config::change::Revision;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 const MS: u64 = 1_000_000;
 /// A request is answered after so long whatever happens: inside the 2 s that its caller is promised.
-pub const PATIENCE: Span = Span(1_800 * MS);
+pub const PROPOSAL_TIMEOUT: Span = Span(1_800 * MS);
 /// A voter that doesn't answer is passed over for the next after this. A commit takes two writes and a round trip.
 const AGAIN: Span = Span(350 * MS);
 /// Before another voter is asked because one knows no leader: an election takes a second or two.
@@ -21,31 +21,31 @@
 const MAX_REQUESTS: usize = 64;
 
 /// What a request came to.
-pub type Answer = Result<Revision, ProposalRefused>;
+pub type ProposalResult = Result<Revision, ConfigurationRejected>;
 
 /// What a voter says to a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum VoterAnswer {
+pub enum VoterReply {
     /// This voter leads; nobody, if none is known.
     Elsewhere(Option<Name>),
     /// It is proposed; what it came to follows.
     Proposed,
     /// What it came to.
-    Over(Answer),
+    Over(ProposalResult),
 }
 
 /// An answer to whoever handed a request in.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answered {
+pub struct ProposalResponse {
     /// The ticket under which it was handed in.
     pub ticket: u64,
     /// What it came to.
-    pub answer: Answer,
+    pub answer: ProposalResult,
 }
 
 /// A request to be sent.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Outgoing {
+pub struct OutgoingProposal {
     /// To which voter.
     pub to: Name,
     /// Under which ticket.
@@ -61,7 +61,7 @@
     next: Time,
     turn: usize,
     /// What it is answered if nothing better is heard in time.
-    otherwise: ProposalRefused,
+    otherwise: ConfigurationRejected,
 }
 
 /// The requests of one server.
@@ -77,17 +77,17 @@
         now: Time,
         ticket: u64,
         request: ConfigurationRequest,
-    ) -> Result<(), ProposalRefused> {
+    ) -> Result<(), ConfigurationRejected> {
         if self.waiting.len() >= MAX_REQUESTS {
-            return Err(ProposalRefused::Busy);
+            return Err(ConfigurationRejected::Busy);
         }
-        let otherwise = ProposalRefused::NoVoter;
+        let otherwise = ConfigurationRejected::NoVoter;
         self.waiting.insert(ticket, Waiting { request, since: now, next: now, turn: 0, otherwise });
         Ok(())
     }
 
     /// Requests that are due to be sent.
-    pub fn due(&mut self, now: Time, voters: &[Name]) -> Vec<Outgoing> {
+    pub fn due(&mut self, now: Time, voters: &[Name]) -> Vec<OutgoingProposal> {
         if voters.is_empty() {
             return Vec::new();
         }
@@ -95,16 +95,17 @@
         for (ticket, waiting) in self.waiting.iter_mut().filter(|(_, waiting)| now >= waiting.next) {
             let to = voters[waiting.turn % voters.len()].clone();
             waiting.turn += 1;
-            waiting.next = after(now, AGAIN);
-            due.push(Outgoing { to, ticket: *ticket, request: waiting.request.clone() });
+            waiting.next = time_after(now, AGAIN);
+            due.push(OutgoingProposal { to, ticket: *ticket, request: waiting.request.clone() });
         }
         due
     }
 
     /// Requests whose time is up.
-    pub fn expired(&mut self, now: Time) -> Vec<Answered> {
-        let over = self.waiting.extract_if(.., |_, waiting| now >= after(waiting.since, PATIENCE));
-        over.map(|(ticket, waiting)| Answered { ticket, answer: Err(waiting.otherwise) }).collect()
+    pub fn expired(&mut self, now: Time) -> Vec<ProposalResponse> {
+        let over =
+            self.waiting.extract_if(.., |_, waiting| now >= time_after(waiting.since, PROPOSAL_TIMEOUT));
+        over.map(|(ticket, waiting)| ProposalResponse { ticket, answer: Err(waiting.otherwise) }).collect()
     }
 
     /// A voter answered.
@@ -112,24 +113,24 @@
         &mut self,
         now: Time,
         ticket: u64,
-        answer: VoterAnswer,
+        answer: VoterReply,
         voters: &[Name],
-    ) -> Option<Answered> {
+    ) -> Option<ProposalResponse> {
         let waiting = self.waiting.get_mut(&ticket)?;
         match answer {
-            VoterAnswer::Over(answer) => {
+            VoterReply::Over(answer) => {
                 self.waiting.remove(&ticket);
-                return Some(Answered { ticket, answer });
+                return Some(ProposalResponse { ticket, answer });
             }
-            VoterAnswer::Proposed => waiting.otherwise = ProposalRefused::Unconfirmed,
-            VoterAnswer::Elsewhere(leader) => {
+            VoterReply::Proposed => waiting.otherwise = ConfigurationRejected::Unconfirmed,
+            VoterReply::Elsewhere(leader) => {
                 // Once a leader took it, that nobody leads now doesn't say that it won't be committed.
-                if waiting.otherwise == ProposalRefused::NoVoter {
-                    waiting.otherwise = ProposalRefused::NoLeader;
+                if waiting.otherwise == ConfigurationRejected::NoVoter {
+                    waiting.otherwise = ConfigurationRejected::NoLeader;
                 }
                 match leader.and_then(|leader| voters.iter().position(|voter| *voter == leader)) {
                     Some(place) => (waiting.turn, waiting.next) = (place, now),
-                    None => waiting.next = after(now, LEADERLESS),
+                    None => waiting.next = time_after(now, LEADERLESS),
                 }
             }
         }
@@ -138,7 +139,10 @@
 
     /// When [`ProposalClient::due`] or [`ProposalClient::expired`] has something.
     pub fn wake_at(&self) -> Option<Time> {
-        self.waiting.values().map(|waiting| waiting.next.min(after(waiting.since, PATIENCE))).min()
+        self.waiting
+            .values()
+            .map(|waiting| waiting.next.min(time_after(waiting.since, PROPOSAL_TIMEOUT)))
+            .min()
     }
 }
 
@@ -165,8 +169,9 @@
     /// Somebody waits. Past [`MAX_REQUESTS`] a server the oldest gives way: it asks again by itself.
     pub fn wait(&mut self, waiter: Waiter) {
         let same = |other: &Waiter| other.server == waiter.server && other.ticket == waiter.ticket;
-        self.waiting
-            .retain(|other| !same(other) && other.since >= Time(waiter.since.0.saturating_sub(PATIENCE.0)));
+        self.waiting.retain(|other| {
+            !same(other) && other.since >= Time(waiter.since.0.saturating_sub(PROPOSAL_TIMEOUT.0))
+        });
         if self.waiting.len() >= 4 * MAX_REQUESTS {
             self.waiting.remove(0);
         }
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/replicated_state.rs
@@ -2,10 +2,10 @@
 //! commands of the council's log alone, applied in their order, and is the same wherever the same commands were applied.
 //!
 //! Not here: who is heard to be ready (the leader's to see, [`crate::controller`]), and how commands are agreed on
-//! ([`crate::council`]).
+//! ([`crate::consensus`]).
 
-use crate::configuration_log::{ConfigurationEntry, ProposalRefused, ReplicatedConfiguration};
-use crate::release::{Release, ReleaseOrder, Step};
+use crate::configuration_log::{ConfigurationEntry, ConfigurationRejected, ReplicatedConfiguration};
+use crate::rollout::{Rollout, RolloutCommand, ServerProgress};
 use gradepin_config::change::Revision;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -13,13 +13,13 @@
 use std::sync::Arc;
 
 /// Servers in the roster at the most.
-pub const MOST_SERVERS: usize = 4_096;
+pub const MAX_SERVERS: usize = 4_096;
 /// Permits for services at a time, beside those for servers and zones.
 const MOST_SERVICES: usize = 256;
 /// What operators did, kept for the next one who asks: the last so many acts.
 const MOST_ACTS: usize = 64;
 /// The longest name, reason or version.
-pub const MOST_TEXT: usize = 200;
+pub const MAX_TEXT_BYTES: usize = 200;
 
 /// The name of a server, zone, service or person.
 pub type Name = Arc<str>;
@@ -80,7 +80,7 @@
 
 /// How far a permit has got.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Stage {
+pub enum PermitStage {
     /// The place is kept.
     Reserved,
     /// The holder was told to begin, or may have been.
@@ -99,7 +99,7 @@
     /// What for.
     pub purpose: Purpose,
     /// How far it has got.
-    pub stage: Stage,
+    pub stage: PermitStage,
     /// How often its holder was told that it may begin: each is a right of its own.
     pub begins: u32,
     /// The life of its holder that asked last; 0 for a person.
@@ -108,7 +108,7 @@
 
 /// What an operator did.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Act {
+pub struct OperatorAction {
     /// The index of its entry.
     pub index: u64,
     /// Who.
@@ -128,7 +128,7 @@
 
 /// Why something isn't granted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-pub enum Why {
+pub enum DenialReason {
     /// The fleet has as many out as it may, or would have more.
     #[error("{out} servers of the fleet would be out, {most} may be: {who}")]
     Fleet {
@@ -237,7 +237,7 @@
         /// The permit.
         epoch: u64,
         /// By what.
-        by: Ends,
+        by: PermitEnd,
     },
     /// An operator frees it.
     Free {
@@ -254,7 +254,7 @@
         epoch: u64,
     },
     /// Something about the release.
-    Release(ReleaseOrder),
+    Release(RolloutCommand),
     /// A change of the configuration. Last, so that logs of versions without it are read as they were written.
     Configuration(Box<ConfigurationEntry>),
 }
@@ -262,7 +262,7 @@
 /// By what a permit ends. Either names what it saw: between the seeing and the agreeing the holder may have asked to begin once
 /// more, and what it was told then must not be taken from it unseen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ends {
+pub enum PermitEnd {
     /// A leader saw its target steady after so many beginnings.
     Steady(u32),
     /// Its holder's word, in this life.
@@ -271,22 +271,22 @@
 
 /// What a command came to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Outcome {
+pub enum CommandOutcome {
     /// It is done.
     Done,
     /// The permit with this epoch is there, and in this stage.
-    Permit(u64, Stage),
+    Permit(u64, PermitStage),
     /// It is not done.
-    Refused(Why),
+    Refused(DenialReason),
     /// A change of the configuration has this revision.
     Revision(Revision),
     /// A change of the configuration is not committed.
-    NotCommitted(ProposalRefused),
+    NotCommitted(ConfigurationRejected),
 }
 
 /// The record.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Record {
+pub struct ReplicatedState {
     /// The last entry that was applied.
     pub index: u64,
     /// The council's voters: the identities of their disks, and whose they are.
@@ -298,9 +298,9 @@
     /// Permits by their epochs.
     pub permits: BTreeMap<u64, Permit>,
     /// What operators did last.
-    pub acts: VecDeque<Act>,
+    pub acts: VecDeque<OperatorAction>,
     /// The release, the last one if it is over.
-    pub release: Option<Release>,
+    pub release: Option<Rollout>,
     /// The order of configuration changes; encoded by [`crate::replicated_snapshot`] and not shown to servers that look.
     #[serde(skip)]
     pub configuration: ReplicatedConfiguration,
@@ -319,32 +319,32 @@
     }
 }
 
-impl Record {
+impl ReplicatedState {
     /// Applies the command of an entry. The same commands in the same order give the same record.
-    pub fn apply(&mut self, index: u64, command: Command) -> Outcome {
+    pub fn apply(&mut self, index: u64, command: Command) -> CommandOutcome {
         self.index = index;
         match command {
             Command::Limits(limits) => self.limits = limits,
             Command::Enrol { name, zone } => {
                 let known = self.roster.contains_key(&name);
-                if name.len() > MOST_TEXT
-                    || zone.len() > MOST_TEXT
-                    || (!known && self.roster.len() >= MOST_SERVERS)
+                if name.len() > MAX_TEXT_BYTES
+                    || zone.len() > MAX_TEXT_BYTES
+                    || (!known && self.roster.len() >= MAX_SERVERS)
                 {
-                    return Outcome::Refused(Why::Sense(format!(
-                        "expected {MOST_SERVERS} servers at the most"
+                    return CommandOutcome::Refused(DenialReason::Sense(format!(
+                        "expected {MAX_SERVERS} servers at the most"
                     )));
                 }
                 self.roster.insert(name, Member { zone });
             }
             Command::Strike { name, by, why } => {
                 if self.roster.remove(&name).is_none() {
-                    return Outcome::Refused(Why::Unknown(name.to_string()));
+                    return CommandOutcome::Refused(DenialReason::Unknown(name.to_string()));
                 }
                 // Its holder may have been told to begin just now: what it had counts for as long as that is worth anything.
                 let target = Target::Server(Arc::clone(&name));
                 let its = self.permits.values_mut().filter(|permit| permit.target == target);
-                its.for_each(|permit| permit.stage = Stage::Freed);
+                its.for_each(|permit| permit.stage = PermitStage::Freed);
                 if let Some(release) = &mut self.release {
                     release.servers.remove(&name);
                 }
@@ -356,14 +356,14 @@
             Command::Begin { epoch, holder, life } => return self.begin(epoch, &holder, life),
             Command::End { epoch, by } => {
                 let Some(permit) = self.permits.get(&epoch) else {
-                    return Outcome::Refused(Why::Stale(epoch));
+                    return CommandOutcome::Refused(DenialReason::Stale(epoch));
                 };
                 let is_it = match by {
-                    Ends::Steady(begins) => permit.begins == begins,
-                    Ends::Word(life) => permit.life == life,
+                    PermitEnd::Steady(begins) => permit.begins == begins,
+                    PermitEnd::Word(life) => permit.life == life,
                 };
                 if !is_it {
-                    return Outcome::Refused(Why::Sense(format!(
+                    return CommandOutcome::Refused(DenialReason::Sense(format!(
                         "permit {epoch} was asked for again meanwhile"
                     )));
                 }
@@ -371,85 +371,97 @@
             }
             Command::Free { epoch, by, why } => {
                 let Some(permit) = self.permits.get_mut(&epoch) else {
-                    return Outcome::Refused(Why::Stale(epoch));
+                    return CommandOutcome::Refused(DenialReason::Stale(epoch));
                 };
-                permit.stage = Stage::Freed;
+                permit.stage = PermitStage::Freed;
                 let what = format!("permit {epoch} of {} for {} freed", permit.holder, permit.target);
                 self.act(index, by, what, why);
             }
             Command::Gone { epoch } => {
-                if self.permits.get(&epoch).is_some_and(|permit| permit.stage == Stage::Freed) {
+                if self.permits.get(&epoch).is_some_and(|permit| permit.stage == PermitStage::Freed) {
                     self.permits.remove(&epoch);
                 }
             }
             Command::Release(order) => return self.order(index, order),
             Command::Configuration(entry) => {
                 return match self.configuration.apply(&entry) {
-                    Ok(revision) => Outcome::Revision(revision),
-                    Err(why) => Outcome::NotCommitted(why),
+                    Ok(revision) => CommandOutcome::Revision(revision),
+                    Err(why) => CommandOutcome::NotCommitted(why),
                 };
             }
         }
-        Outcome::Done
+        CommandOutcome::Done
     }
 
     /// Writes down what an operator did.
     pub(crate) fn act(&mut self, index: u64, by: Name, what: String, mut why: String) {
-        why.truncate(why.floor_char_boundary(MOST_TEXT));
-        self.acts.push_back(Act { index, by, what, why });
+        why.truncate(why.floor_char_boundary(MAX_TEXT_BYTES));
+        self.acts.push_back(OperatorAction { index, by, what, why });
         while self.acts.len() > MOST_ACTS {
             self.acts.pop_front();
         }
     }
 
-    fn reserve(&mut self, index: u64, target: Target, holder: Name, life: u64, purpose: Purpose) -> Outcome {
+    fn reserve(
+        &mut self,
+        index: u64,
+        target: Target,
+        holder: Name,
+        life: u64,
+        purpose: Purpose,
+    ) -> CommandOutcome {
         let known = self.permits.iter_mut().find(|(_, permit)| permit.target == target);
         if let Some((&epoch, permit)) = known {
             // Asked again, here or elsewhere: the same permit, unless it is another's or was taken away.
             return if permit.holder != holder {
-                Outcome::Refused(Why::Other { epoch, holder: Arc::clone(&permit.holder) })
-            } else if permit.stage == Stage::Freed {
-                Outcome::Refused(Why::Stale(epoch))
+                CommandOutcome::Refused(DenialReason::Other { epoch, holder: Arc::clone(&permit.holder) })
+            } else if permit.stage == PermitStage::Freed {
+                CommandOutcome::Refused(DenialReason::Stale(epoch))
             } else {
                 permit.life = permit.life.max(life);
-                Outcome::Permit(epoch, permit.stage.clone())
+                CommandOutcome::Permit(epoch, permit.stage.clone())
             };
         }
         if let Purpose::Release(number) = purpose
             && let Err(why) = self.release_goes_on(number)
         {
-            return Outcome::Refused(why);
+            return CommandOutcome::Refused(why);
         }
         // Whatever the leader thought that proposed it: among permits it has to fit here.
         if let Err(why) = self.fits(&target, &BTreeSet::new()) {
-            return Outcome::Refused(why);
+            return CommandOutcome::Refused(why);
         }
         self.permits
-            .insert(index, Permit { target, holder, purpose, stage: Stage::Reserved, begins: 0, life });
-        Outcome::Permit(index, Stage::Reserved)
+            .insert(index, Permit { target, holder, purpose, stage: PermitStage::Reserved, begins: 0, life });
+        CommandOutcome::Permit(index, PermitStage::Reserved)
     }
 
-    fn begin(&mut self, epoch: u64, holder: &Name, life: u64) -> Outcome {
+    fn begin(&mut self, epoch: u64, holder: &Name, life: u64) -> CommandOutcome {
         let purpose = match self.permits.get(&epoch) {
-            None => return Outcome::Refused(Why::Stale(epoch)),
-            Some(permit) if permit.stage == Stage::Freed => return Outcome::Refused(Why::Stale(epoch)),
+            None => return CommandOutcome::Refused(DenialReason::Stale(epoch)),
+            Some(permit) if permit.stage == PermitStage::Freed => {
+                return CommandOutcome::Refused(DenialReason::Stale(epoch));
+            }
             Some(permit) if permit.holder != *holder => {
-                return Outcome::Refused(Why::Other { epoch, holder: Arc::clone(&permit.holder) });
+                return CommandOutcome::Refused(DenialReason::Other {
+                    epoch,
+                    holder: Arc::clone(&permit.holder),
+                });
             }
             Some(permit) => permit.purpose.clone(),
         };
         if let Purpose::Release(number) = purpose
             && let Err(why) = self.release_goes_on(number)
         {
-            return Outcome::Refused(why);
+            return CommandOutcome::Refused(why);
         }
         if let Some(permit) = self.permits.get_mut(&epoch) {
-            permit.stage = Stage::Begun;
+            permit.stage = PermitStage::Begun;
             permit.begins += 1;
             permit.life = permit.life.max(life);
         }
         self.began(epoch);
-        Outcome::Permit(epoch, Stage::Begun)
+        CommandOutcome::Permit(epoch, PermitStage::Begun)
     }
 
     /// The permit that there is for a target.
@@ -477,7 +489,7 @@
     }
 
     /// Whether one more may be out, beside all permits and those that are out without one.
-    pub fn fits(&self, target: &Target, unplanned: &BTreeSet<Name>) -> Result<(), Why> {
+    pub fn fits(&self, target: &Target, unplanned: &BTreeSet<Name>) -> Result<(), DenialReason> {
         let limits = &self.limits;
         if let Target::Service { group, member } = target {
             let of =
@@ -485,11 +497,11 @@
             let others = self.permits.values().filter(of);
             let out = others.filter(|permit| permit.target != *target).count() as u32 + 1;
             let most = limits.services.get(group).copied();
-            let most = most.ok_or_else(|| Why::Unknown(format!("{group}/{member}")))?;
+            let most = most.ok_or_else(|| DenialReason::Unknown(format!("{group}/{member}")))?;
             let services =
                 self.permits.values().filter(|p| matches!(p.target, Target::Service { .. })).count();
             return if out > most || services >= MOST_SERVICES {
-                Err(Why::Service { group: Arc::clone(group), out, most })
+                Err(DenialReason::Service { group: Arc::clone(group), out, most })
             } else {
                 Ok(())
             };
@@ -497,7 +509,7 @@
         let going = self.servers_of(target);
         // One that the roster doesn't know can't be weighed.
         if going.is_empty() || going.iter().any(|name| !self.roster.contains_key(name)) {
-            return Err(Why::Unknown(target.to_string()));
+            return Err(DenialReason::Unknown(target.to_string()));
         }
         let mut before = self.out_by_permit();
         before.extend(unplanned.iter().filter(|name| self.roster.contains_key(*name)).cloned());
@@ -509,13 +521,17 @@
             )
         };
         if out.len() as u32 > limits.fleet {
-            return Err(Why::Fleet { out: out.len() as u32, most: limits.fleet, who: who(&before, None) });
+            return Err(DenialReason::Fleet {
+                out: out.len() as u32,
+                most: limits.fleet,
+                who: who(&before, None),
+            });
         }
         if let Target::Zone(zone) = target {
             let other = |p: &&Permit| matches!(&p.target, Target::Zone(other) if other != zone);
             let zones = self.permits.values().filter(other).count() as u32 + 1;
             return if zones > limits.zones {
-                Err(Why::Zones { out: zones, most: limits.zones })
+                Err(DenialReason::Zones { out: zones, most: limits.zones })
             } else {
                 Ok(())
             };
@@ -527,7 +543,7 @@
             let out = of.count() as u32;
             if out > limits.zone {
                 let (zone, most) = (Arc::clone(zone), limits.zone);
-                return Err(Why::Zone { out, most, who: who(&before, Some(&zone)), zone });
+                return Err(DenialReason::Zone { out, most, who: who(&before, Some(&zone)), zone });
             }
         }
         Ok(())
@@ -561,8 +577,8 @@
             && let Some(server) = release.servers.get_mut(name)
         {
             server.step = match server.step {
-                Step::Waits | Step::Changes => Step::Changes,
-                _ => Step::GoesBack,
+                ServerProgress::Waits | ServerProgress::Changes => ServerProgress::Changes,
+                _ => ServerProgress::GoesBack,
             };
         }
     }
@@ -581,8 +597,8 @@
     }
 
     /// Nine servers in three zones; two may be out, one of each zone, two of the ledger's replicas.
-    fn record() -> Record {
-        let mut record = Record::default();
+    fn record() -> ReplicatedState {
+        let mut record = ReplicatedState::default();
         let services = [(name("ledger"), 2)].into();
         record.apply(1, Command::Limits(Limits { fleet: 2, zone: 1, zones: 0, services }));
         for n in 0..9 {
@@ -592,7 +608,7 @@
         record
     }
 
-    fn reserve(record: &mut Record, index: u64, target: Target) -> Outcome {
+    fn reserve(record: &mut ReplicatedState, index: u64, target: Target) -> CommandOutcome {
         let holder = name(&format!("by {target}"));
         record.apply(index, Command::Reserve { target, holder, life: 1, purpose: Purpose::Drain })
     }
@@ -601,23 +617,31 @@
     #[test]
     fn no_more_is_out_than_may_be() {
         let mut record = record();
-        assert_eq!(reserve(&mut record, 20, server("n0")), Outcome::Permit(20, Stage::Reserved));
-        let Outcome::Refused(why) = reserve(&mut record, 21, server("n3")) else { panic!("two of one zone") };
+        assert_eq!(reserve(&mut record, 20, server("n0")), CommandOutcome::Permit(20, PermitStage::Reserved));
+        let CommandOutcome::Refused(why) = reserve(&mut record, 21, server("n3")) else {
+            panic!("two of one zone")
+        };
         assert_eq!(why.to_string(), "2 servers of zone z0 would be out, 1 may be: n0");
-        assert_eq!(reserve(&mut record, 22, server("n1")), Outcome::Permit(22, Stage::Reserved));
-        let Outcome::Refused(why) = reserve(&mut record, 23, server("n2")) else {
+        assert_eq!(reserve(&mut record, 22, server("n1")), CommandOutcome::Permit(22, PermitStage::Reserved));
+        let CommandOutcome::Refused(why) = reserve(&mut record, 23, server("n2")) else {
             panic!("three of the fleet")
         };
         assert_eq!(why.to_string(), "3 servers of the fleet would be out, 2 may be: n0, n1");
-        assert!(matches!(reserve(&mut record, 24, server("stranger")), Outcome::Refused(Why::Unknown(_))));
+        assert!(matches!(
+            reserve(&mut record, 24, server("stranger")),
+            CommandOutcome::Refused(DenialReason::Unknown(_))
+        ));
         assert!(matches!(
             reserve(&mut record, 24, Target::Zone(name("z2"))),
-            Outcome::Refused(Why::Fleet { .. })
+            CommandOutcome::Refused(DenialReason::Fleet { .. })
         ));
         let replica = |n: &str| Target::Service { group: name("ledger"), member: name(n) };
-        assert_eq!(reserve(&mut record, 25, replica("a")), Outcome::Permit(25, Stage::Reserved));
-        assert_eq!(reserve(&mut record, 26, replica("b")), Outcome::Permit(26, Stage::Reserved));
-        assert!(matches!(reserve(&mut record, 27, replica("c")), Outcome::Refused(Why::Service { .. })));
+        assert_eq!(reserve(&mut record, 25, replica("a")), CommandOutcome::Permit(25, PermitStage::Reserved));
+        assert_eq!(reserve(&mut record, 26, replica("b")), CommandOutcome::Permit(26, PermitStage::Reserved));
+        assert!(matches!(
+            reserve(&mut record, 27, replica("c")),
+            CommandOutcome::Refused(DenialReason::Service { .. })
+        ));
         let limits = record.limits.clone();
         assert!(record.holds(&limits) && !record.holds(&Limits { fleet: 1, ..limits }));
     }
@@ -628,8 +652,11 @@
         let mut record = record();
         let unplanned = |names: &[&str]| names.iter().map(|n| name(n)).collect::<BTreeSet<Name>>();
         assert!(record.fits(&server("n0"), &unplanned(&["n1"])).is_ok());
-        assert!(matches!(record.fits(&server("n0"), &unplanned(&["n3"])), Err(Why::Zone { .. })));
-        assert!(matches!(record.fits(&server("n0"), &unplanned(&["n1", "n2"])), Err(Why::Fleet { .. })));
+        assert!(matches!(record.fits(&server("n0"), &unplanned(&["n3"])), Err(DenialReason::Zone { .. })));
+        assert!(matches!(
+            record.fits(&server("n0"), &unplanned(&["n1", "n2"])),
+            Err(DenialReason::Fleet { .. })
+        ));
         // One that is out by its permit and silent for it is one, and may ask again.
         reserve(&mut record, 20, server("n1"));
         assert!(record.fits(&server("n0"), &unplanned(&["n1"])).is_ok());
@@ -644,31 +671,34 @@
     fn a_permit_is_one_however_often_it_is_asked_for() {
         let mut record = record();
         reserve(&mut record, 20, server("n0"));
-        assert_eq!(reserve(&mut record, 21, server("n0")), Outcome::Permit(20, Stage::Reserved));
+        assert_eq!(reserve(&mut record, 21, server("n0")), CommandOutcome::Permit(20, PermitStage::Reserved));
         let holder = name("by n0");
-        let begin = |record: &mut Record, at, epoch, holder: &Name| {
+        let begin = |record: &mut ReplicatedState, at, epoch, holder: &Name| {
             record.apply(at, Command::Begin { epoch, holder: Arc::clone(holder), life: 1 })
         };
-        assert!(matches!(begin(&mut record, 22, 20, &name("x")), Outcome::Refused(Why::Other { .. })));
-        assert_eq!(begin(&mut record, 23, 20, &holder), Outcome::Permit(20, Stage::Begun));
+        assert!(matches!(
+            begin(&mut record, 22, 20, &name("x")),
+            CommandOutcome::Refused(DenialReason::Other { .. })
+        ));
+        assert_eq!(begin(&mut record, 23, 20, &holder), CommandOutcome::Permit(20, PermitStage::Begun));
         assert_eq!(
             begin(&mut record, 24, 20, &holder),
-            Outcome::Permit(20, Stage::Begun),
+            CommandOutcome::Permit(20, PermitStage::Begun),
             "told twice, begun once"
         );
         record.apply(25, Command::Free { epoch: 20, by: name("kaisa"), why: "its board is dead".into() });
-        assert_eq!(begin(&mut record, 26, 20, &holder), Outcome::Refused(Why::Stale(20)));
-        assert_eq!(reserve(&mut record, 27, server("n0")), Outcome::Refused(Why::Stale(20)));
+        assert_eq!(begin(&mut record, 26, 20, &holder), CommandOutcome::Refused(DenialReason::Stale(20)));
+        assert_eq!(reserve(&mut record, 27, server("n0")), CommandOutcome::Refused(DenialReason::Stale(20)));
         assert!(
-            matches!(record.fits(&server("n3"), &BTreeSet::new()), Err(Why::Zone { .. })),
+            matches!(record.fits(&server("n3"), &BTreeSet::new()), Err(DenialReason::Zone { .. })),
             "it counts still"
         );
         record.apply(28, Command::Gone { epoch: 20 });
         assert!(record.fits(&server("n3"), &BTreeSet::new()).is_ok());
-        assert_eq!(begin(&mut record, 29, 20, &holder), Outcome::Refused(Why::Stale(20)));
+        assert_eq!(begin(&mut record, 29, 20, &holder), CommandOutcome::Refused(DenialReason::Stale(20)));
         let act = record.acts.back().unwrap();
         assert_eq!((act.index, &*act.by, &*act.why), (25, "kaisa", "its board is dead"));
-        assert_eq!(reserve(&mut record, 30, server("n0")), Outcome::Permit(30, Stage::Reserved));
+        assert_eq!(reserve(&mut record, 30, server("n0")), CommandOutcome::Permit(30, PermitStage::Reserved));
     }
 
     /// Guards a right that was given between the seeing of an end and its agreeing, and one of a later life against an earlier
@@ -683,14 +713,20 @@
         record.apply(22, begin(1));
         let end = |by| Command::End { epoch: 20, by };
         assert!(
-            matches!(record.apply(23, end(Ends::Steady(1))), Outcome::Refused(_)),
+            matches!(record.apply(23, end(PermitEnd::Steady(1))), CommandOutcome::Refused(_)),
             "it was told once more"
         );
         record.apply(24, begin(2));
-        assert!(matches!(record.apply(25, end(Ends::Word(1))), Outcome::Refused(_)), "another life has it");
-        assert!(matches!(record.fits(&server("n3"), &BTreeSet::new()), Err(Why::Zone { .. })));
-        assert_eq!(record.apply(26, end(Ends::Steady(3))), Outcome::Done);
-        assert!(matches!(record.apply(27, end(Ends::Word(2))), Outcome::Refused(Why::Stale(20))));
+        assert!(
+            matches!(record.apply(25, end(PermitEnd::Word(1))), CommandOutcome::Refused(_)),
+            "another life has it"
+        );
+        assert!(matches!(record.fits(&server("n3"), &BTreeSet::new()), Err(DenialReason::Zone { .. })));
+        assert_eq!(record.apply(26, end(PermitEnd::Steady(3))), CommandOutcome::Done);
+        assert!(matches!(
+            record.apply(27, end(PermitEnd::Word(2))),
+            CommandOutcome::Refused(DenialReason::Stale(20))
+        ));
     }
 
     /// Guards the record's size: acts and texts are bounded, and a place is had for who is gone.
@@ -702,10 +738,10 @@
             record.apply(100 + n, Command::Strike { name: name("n0"), by: name("kaisa"), why });
             record.apply(100 + n, Command::Enrol { name: name("n0"), zone: name("z0") });
         }
-        assert!(record.acts.len() == MOST_ACTS && record.acts[0].why.len() == MOST_TEXT);
-        for n in 0..MOST_SERVERS as u64 + 10 {
+        assert!(record.acts.len() == MOST_ACTS && record.acts[0].why.len() == MAX_TEXT_BYTES);
+        for n in 0..MAX_SERVERS as u64 + 10 {
             record.apply(1_000 + n, Command::Enrol { name: name(&format!("m{n}")), zone: name("z0") });
         }
-        assert_eq!(record.roster.len(), MOST_SERVERS);
+        assert_eq!(record.roster.len(), MAX_SERVERS);
     }
 }
--- a/crates/coordination/src/rollback.rs
+++ b/crates/coordination/src/rollback.rs
@@ -7,7 +7,7 @@
 //! sequences", 2021), where a fixed bound would be passed by noise sooner or later. Servers differ among themselves;
 //! the variance counts by what the old ones differ.
 
-use crate::record::Name;
+use crate::replicated_state::Name;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -25,7 +25,7 @@
 
 /// What a server counted in a cell since its life began.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Total {
+pub struct ServiceTotal {
     /// First tries that came.
     pub came: u32,
     /// Of those, how many were served.
@@ -49,14 +49,14 @@
 #[derive(Debug, Clone, Default)]
 struct Seen {
     life: u64,
-    totals: BTreeMap<Cell, Total>,
+    totals: BTreeMap<Cell, ServiceTotal>,
     /// By side: whether it had the new version, and what it counted then.
     sums: BTreeMap<(bool, Cell), Sum>,
 }
 
 /// A cell in which the new version is worse.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Worse {
+pub struct ServiceRegression {
     /// Which.
     pub cell: Cell,
     /// The share served by the old version, and by the new one.
@@ -69,7 +69,7 @@
 
 /// The counts of a release, from its start on.
 #[derive(Debug, Default)]
-pub struct Watch {
+pub struct RegressionDetector {
     servers: BTreeMap<Name, Seen>,
     /// The whole fleet before the release, and since: by steps, the last one first.
     fleet: Vec<Sum>,
@@ -78,10 +78,10 @@
 /// Steps of the fleet's service that are held against the one before the release.
 const STEPS: usize = 4;
 
-impl Watch {
+impl RegressionDetector {
     /// A server told its totals. What it counted since the last time belongs to the version that it has now; what it counted
     /// across a change of version belongs to neither.
-    pub fn told(&mut self, name: &Name, life: u64, new: Option<bool>, totals: &[(Cell, Total)]) {
+    pub fn told(&mut self, name: &Name, life: u64, new: Option<bool>, totals: &[(Cell, ServiceTotal)]) {
         let seen = self.servers.entry(Arc::clone(name)).or_default();
         let known = seen.life == life;
         if !known {
@@ -121,13 +121,13 @@
     }
 
     /// The cell in which the new version is worse by more than `worse` and by more than noise, the worst of them.
-    pub fn worse(&self, worse: f64) -> Option<Worse> {
+    pub fn worse(&self, worse: f64) -> Option<ServiceRegression> {
         let mut cells: BTreeMap<Cell, [Sum; 2]> = BTreeMap::new();
         for ((new, cell), sum) in self.servers.values().flat_map(|seen| &seen.sums) {
             let side = &mut cells.entry(*cell).or_default()[usize::from(*new)];
             (side.came, side.served) = (side.came + sum.came, side.served + sum.served);
         }
-        let mut found: Vec<(f64, Worse)> = Vec::new();
+        let mut found: Vec<(f64, ServiceRegression)> = Vec::new();
         for (cell, [old, new]) in cells {
             if new.came < LEAST || old.came < LEAST {
                 continue;
@@ -135,7 +135,7 @@
             let by = worse_by(old, new, self.spread(cell, old.share()));
             if by > worse {
                 let tries = new.came as u64;
-                found.push((by, Worse { cell, old: old.share(), new: new.share(), tries }));
+                found.push((by, ServiceRegression { cell, old: old.share(), new: new.share(), tries }));
             }
         }
         found.into_iter().max_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, worse)| worse)
--- a/crates/coordination/src/rollback/tests.rs
+++ b/crates/coordination/src/rollback/tests.rs
@@ -8,8 +8,8 @@
 fn play(seed: u64, old: f64, new: f64, uneven: f64, reports: u32) -> Option<u64> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut unit = move || (rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64;
-    let mut watch = Watch::default();
-    let mut totals = [Total::default(); 9];
+    let mut watch = RegressionDetector::default();
+    let mut totals = [ServiceTotal::default(); 9];
     let own: Vec<f64> = (0..9).map(|_| (unit() - 0.5) * 2.0 * uneven).collect();
     for _ in 0..reports {
         for n in 0..9 {
@@ -60,9 +60,9 @@
 /// Guards against counts of an earlier life, and against those that no version can be told of.
 #[test]
 fn a_new_life_counts_from_nothing() {
-    let mut watch = Watch::default();
+    let mut watch = RegressionDetector::default();
     let name: Name = Arc::from("n0");
-    let total = |came, served| [(1, Total { came, served })];
+    let total = |came, served| [(1, ServiceTotal { came, served })];
     watch.told(&name, 1, Some(false), &total(1_000, 900));
     watch.told(&name, 1, None, &total(2_000, 900));
     watch.told(&name, 2, Some(true), &total(30, 30));
@@ -74,13 +74,13 @@
 /// Guards the fleet: service that falls everywhere halts whoever is at fault.
 #[test]
 fn a_fall_of_the_whole_fleet_is_seen() {
-    let mut watch = Watch::default();
+    let mut watch = RegressionDetector::default();
     let name: Name = Arc::from("n0");
     let (mut came, mut served) = (0, 0);
     for step in 0..6 {
         watch.next_step();
         (came, served) = (came + 500, served + if step < 4 { 480 } else { 330 });
-        watch.told(&name, 1, Some(false), &[(1, Total { came, served })]);
+        watch.told(&name, 1, Some(false), &[(1, ServiceTotal { came, served })]);
         let falls = watch.fleet_falls(0.05);
         assert_eq!(falls.is_some(), step == 5, "step {step}: {falls:?}");
     }
--- a/crates/coordination/src/release.rs
+++ b/crates/coordination/src/rollout.rs
@@ -4,7 +4,9 @@
 //! Nothing here goes on by itself: each step is a command of the log, so that any process may die at any moment and
 //! another goes on where the record stands.
 
-use crate::record::{MOST_TEXT, Name, Outcome, Purpose, Record, Stage, Target, Why};
+use crate::replicated_state::{
+    CommandOutcome, DenialReason, MAX_TEXT_BYTES, Name, PermitStage, Purpose, ReplicatedState, Target,
+};
 use gradepin_admission::Span;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -13,11 +15,11 @@
 
 const MS: u64 = 1_000_000;
 /// Waves of a plan at the most.
-pub const MOST_WAVES: usize = 32;
+pub const MAX_BATCHES: usize = 32;
 
 /// What is released.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum ReleaseKind {
     /// A program: a command of the operators' own replaces the process.
     Program,
     /// Settings: staged to each server, checked as a whole there, put in force as at SIGHUP.
@@ -26,14 +28,14 @@
 
 /// Servers that are changed before anything is looked at again.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Wave {
+pub struct Batch {
     /// The share of all servers that is changed when it is over, from 0 to 1; at least one server more than before.
     pub share: f64,
     /// How long is looked after it, in ms.
     pub pause_ms: u64,
 }
 
-impl Wave {
+impl Batch {
     /// How long is looked after it.
     pub fn pause(&self) -> Span {
         millis(self.pause_ms)
@@ -47,15 +49,15 @@
 
 /// What is to be released, and how.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Plan {
+pub struct RolloutPlan {
     /// Its name: the same name with the same plan is the same release.
     pub name: String,
     /// What.
-    pub kind: Kind,
+    pub kind: ReleaseKind,
     /// The version, as servers tell it: of settings the digest of the staged text.
     pub version: String,
     /// The waves, in order; the last one has a share of 1.
-    pub waves: Vec<Wave>,
+    pub waves: Vec<Batch>,
     /// Zone after zone within a wave, rather than by turns.
     pub zone_by_zone: bool,
     /// How long a changed server may take to be ready, in ms.
@@ -68,7 +70,7 @@
     pub goes_back: bool,
 }
 
-impl Plan {
+impl RolloutPlan {
     /// How long a changed server may take to be ready.
     pub fn ready(&self) -> Span {
         millis(self.ready_ms)
@@ -82,11 +84,11 @@
     /// What is wrong with it, if something is.
     pub fn check(&self) -> Result<(), String> {
         let texts = [&self.name, &self.version];
-        if texts.iter().any(|text| text.is_empty() || text.len() > MOST_TEXT) {
-            return Err(format!("expected a name and a version of 1 to {MOST_TEXT} bytes"));
+        if texts.iter().any(|text| text.is_empty() || text.len() > MAX_TEXT_BYTES) {
+            return Err(format!("expected a name and a version of 1 to {MAX_TEXT_BYTES} bytes"));
         }
-        if self.waves.is_empty() || self.waves.len() > MOST_WAVES {
-            return Err(format!("expected 1 to {MOST_WAVES} waves, got {}", self.waves.len()));
+        if self.waves.is_empty() || self.waves.len() > MAX_BATCHES {
+            return Err(format!("expected 1 to {MAX_BATCHES} waves, got {}", self.waves.len()));
         }
         let shares: Vec<f64> = self.waves.iter().map(|wave| wave.share).collect();
         if !shares.iter().all(|share| (0.0..=1.0).contains(share)) || !shares.is_sorted() {
@@ -107,7 +109,7 @@
 
 /// Where a server stands.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Step {
+pub enum ServerProgress {
     /// Not yet its turn.
     Waits,
     /// It began to change.
@@ -126,18 +128,18 @@
 
 /// A server of a release.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Server {
+pub struct RolloutServer {
     /// In which wave.
     pub wave: u32,
     /// What it had before.
     pub before: String,
     /// Where it stands.
-    pub step: Step,
+    pub step: ServerProgress,
 }
 
 /// Where a release stands.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum State {
+pub enum RolloutState {
     /// It goes forward.
     Runs,
     /// It stands still, and why.
@@ -150,7 +152,7 @@
     Undone(String),
 }
 
-impl fmt::Display for State {
+impl fmt::Display for RolloutState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Runs => write!(f, "running"),
@@ -164,42 +166,48 @@
 
 /// A release.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Release {
+pub struct Rollout {
     /// The index of the entry that started it.
     pub number: u64,
     /// What and how.
-    pub plan: Plan,
+    pub plan: RolloutPlan,
     /// Who started it.
     pub by: Name,
     /// Where it stands.
-    pub state: State,
+    pub state: RolloutState,
     /// The wave that is changed or looked at.
     pub wave: u32,
     /// How often it was halted: a resume names the halt that it is for.
     pub halts: u32,
     /// Its servers.
-    pub servers: BTreeMap<Name, Server>,
+    pub servers: BTreeMap<Name, RolloutServer>,
 }
 
-impl Release {
+impl Rollout {
     /// Whether it is neither over nor undone.
     pub fn is_open(&self) -> bool {
-        matches!(self.state, State::Runs | State::Halted(_) | State::GoesBack(_))
+        matches!(self.state, RolloutState::Runs | RolloutState::Halted(_) | RolloutState::GoesBack(_))
     }
 
     /// Servers whose turn it is: of the wave forward, and all that have or began something new when it goes back, the
     /// latest first.
     pub fn turns(&self) -> Vec<&Name> {
         match self.state {
-            State::Runs => {
-                let due = |server: &Server| {
-                    server.wave <= self.wave && matches!(server.step, Step::Waits | Step::Changes)
+            RolloutState::Runs => {
+                let due = |server: &RolloutServer| {
+                    server.wave <= self.wave
+                        && matches!(server.step, ServerProgress::Waits | ServerProgress::Changes)
                 };
                 self.servers.iter().filter(|(_, server)| due(server)).map(|(name, _)| name).collect()
             }
-            State::GoesBack(_) => {
-                let due = |server: &Server| !matches!(server.step, Step::Waits | Step::Back | Step::Stuck(_));
-                let mut all: Vec<(&Name, &Server)> =
+            RolloutState::GoesBack(_) => {
+                let due = |server: &RolloutServer| {
+                    !matches!(
+                        server.step,
+                        ServerProgress::Waits | ServerProgress::Back | ServerProgress::Stuck(_)
+                    )
+                };
+                let mut all: Vec<(&Name, &RolloutServer)> =
                     self.servers.iter().filter(|(_, server)| due(server)).collect();
                 all.sort_by_key(|(_, server)| std::cmp::Reverse(server.wave));
                 all.into_iter().map(|(name, _)| name).collect()
@@ -209,28 +217,28 @@
     }
 
     /// The version that a server shall have as things stand.
-    pub fn wanted(&self, server: &Server) -> String {
+    pub fn wanted(&self, server: &RolloutServer) -> String {
         match self.state {
-            State::GoesBack(_) | State::Undone(_) => server.before.clone(),
-            _ if matches!(server.step, Step::Waits) => server.before.clone(),
+            RolloutState::GoesBack(_) | RolloutState::Undone(_) => server.before.clone(),
+            _ if matches!(server.step, ServerProgress::Waits) => server.before.clone(),
             _ => self.plan.version.clone(),
         }
     }
 
     /// Whether all of the wave stand where they should.
     pub fn wave_is_whole(&self) -> bool {
-        let of = |server: &&Server| server.wave <= self.wave;
-        self.servers.values().filter(of).all(|server| server.step == Step::New)
+        let of = |server: &&RolloutServer| server.wave <= self.wave;
+        self.servers.values().filter(of).all(|server| server.step == ServerProgress::New)
     }
 }
 
 /// What is ordered about a release. Orders name what they are for, so that two that cross can't do what neither wanted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum ReleaseOrder {
+pub enum RolloutCommand {
     /// Begin one.
     Start {
         /// What and how.
-        plan: Box<Plan>,
+        plan: Box<RolloutPlan>,
         /// Who says so.
         by: Name,
         /// What servers have now; those that aren't named take no part.
@@ -270,7 +278,7 @@
         /// Which server.
         server: Name,
         /// Where.
-        step: Step,
+        step: ServerProgress,
     },
     /// The next wave.
     Wave {
@@ -286,22 +294,26 @@
     },
 }
 
-fn refused(text: impl Into<String>) -> Outcome {
-    Outcome::Refused(Why::Sense(text.into()))
+fn refused(text: impl Into<String>) -> CommandOutcome {
+    CommandOutcome::Refused(DenialReason::Sense(text.into()))
 }
 
-impl Record {
+impl ReplicatedState {
     /// Whether a step of this release may be taken.
-    pub(crate) fn release_goes_on(&self, number: u64) -> Result<(), Why> {
+    pub(crate) fn release_goes_on(&self, number: u64) -> Result<(), DenialReason> {
         match &self.release {
-            Some(release) if release.number != number => Err(Why::Release("another one by now".into())),
-            Some(release) if matches!(release.state, State::Runs | State::GoesBack(_)) => Ok(()),
-            Some(release) => Err(Why::Release(release.state.to_string())),
-            None => Err(Why::Release("not there".into())),
+            Some(release) if release.number != number => {
+                Err(DenialReason::Release("another one by now".into()))
+            }
+            Some(release) if matches!(release.state, RolloutState::Runs | RolloutState::GoesBack(_)) => {
+                Ok(())
+            }
+            Some(release) => Err(DenialReason::Release(release.state.to_string())),
+            None => Err(DenialReason::Release("not there".into())),
         }
     }
 
-    fn named(&mut self, name: &str) -> Result<&mut Release, Outcome> {
+    fn named(&mut self, name: &str) -> Result<&mut Rollout, CommandOutcome> {
         let release = self.release.as_mut().ok_or_else(|| refused(format!("there is no release {name}")))?;
         if release.plan.name != name {
             return Err(refused(format!("expected the release {}, got {name}", release.plan.name)));
@@ -310,31 +322,31 @@
     }
 
     /// Applies an order.
-    pub(crate) fn order(&mut self, index: u64, order: ReleaseOrder) -> Outcome {
+    pub(crate) fn order(&mut self, index: u64, order: RolloutCommand) -> CommandOutcome {
         match self.try_order(index, order) {
             Ok(outcome) | Err(outcome) => outcome,
         }
     }
 
-    fn try_order(&mut self, index: u64, order: ReleaseOrder) -> Result<Outcome, Outcome> {
+    fn try_order(&mut self, index: u64, order: RolloutCommand) -> Result<CommandOutcome, CommandOutcome> {
         match order {
-            ReleaseOrder::Start { plan, by, before } => return Ok(self.start(index, *plan, by, before)),
-            ReleaseOrder::Halt { name, by, why } => {
+            RolloutCommand::Start { plan, by, before } => return Ok(self.start(index, *plan, by, before)),
+            RolloutCommand::Halt { name, by, why } => {
                 let release = self.named(&name)?;
                 match &release.state {
-                    State::Runs => {}
-                    State::Halted(_) => return Ok(Outcome::Done),
+                    RolloutState::Runs => {}
+                    RolloutState::Halted(_) => return Ok(CommandOutcome::Done),
                     // A way back is halted too: then nothing moves until somebody says which way.
-                    State::GoesBack(_) => {}
+                    RolloutState::GoesBack(_) => {}
                     over => return Err(refused(format!("the release is {over}"))),
                 }
                 release.halts += 1;
-                release.state = State::Halted(why.clone());
+                release.state = RolloutState::Halted(why.clone());
                 self.act(index, by, format!("release {name} halted"), why);
             }
-            ReleaseOrder::Resume { name, halts, by } => {
+            RolloutCommand::Resume { name, halts, by } => {
                 let release = self.named(&name)?;
-                let State::Halted(_) = &release.state else {
+                let RolloutState::Halted(_) = &release.state else {
                     return Err(refused(format!("the release is {}", release.state)));
                 };
                 if release.halts != halts {
@@ -342,38 +354,44 @@
                 }
                 // What failed is tried again: somebody has looked at it.
                 for server in release.servers.values_mut() {
-                    if matches!(server.step, Step::Failed(_) | Step::GoesBack | Step::Back | Step::Stuck(_)) {
-                        server.step = Step::Waits;
+                    if matches!(
+                        server.step,
+                        ServerProgress::Failed(_)
+                            | ServerProgress::GoesBack
+                            | ServerProgress::Back
+                            | ServerProgress::Stuck(_)
+                    ) {
+                        server.step = ServerProgress::Waits;
                     }
                 }
-                release.state = State::Runs;
+                release.state = RolloutState::Runs;
                 self.act(index, by, format!("release {name} resumed"), String::new());
             }
-            ReleaseOrder::Back { name, by, why } => {
+            RolloutCommand::Back { name, by, why } => {
                 let release = self.named(&name)?;
                 match &release.state {
-                    State::GoesBack(_) | State::Undone(_) => return Ok(Outcome::Done),
+                    RolloutState::GoesBack(_) | RolloutState::Undone(_) => return Ok(CommandOutcome::Done),
                     _ => {}
                 }
                 for server in release.servers.values_mut() {
-                    if let Step::Stuck(_) = server.step {
-                        server.step = Step::Failed("tried again".into());
+                    if let ServerProgress::Stuck(_) = server.step {
+                        server.step = ServerProgress::Failed("tried again".into());
                     }
                 }
-                release.state = State::GoesBack(why.clone());
+                release.state = RolloutState::GoesBack(why.clone());
                 self.act(index, by, format!("release {name} goes back"), why);
             }
-            ReleaseOrder::Stepped { number, server, step } => {
+            RolloutCommand::Stepped { number, server, step } => {
                 let release = self.release.as_mut().filter(|release| release.number == number);
                 let release = release.ok_or_else(|| refused("another release by now"))?;
-                let back = matches!(release.state, State::GoesBack(_));
+                let back = matches!(release.state, RolloutState::GoesBack(_));
                 let Some(server) = release.servers.get_mut(&server) else {
                     return Err(refused(format!("{server} takes no part")));
                 };
                 // What was seen before the way turned says nothing of the way that it goes now.
                 let fits = match step {
-                    Step::New | Step::Failed(_) => !back,
-                    Step::Back | Step::Stuck(_) => back,
+                    ServerProgress::New | ServerProgress::Failed(_) => !back,
+                    ServerProgress::Back | ServerProgress::Stuck(_) => back,
                     _ => true,
                 };
                 if !fits {
@@ -381,38 +399,50 @@
                 }
                 server.step = step;
             }
-            ReleaseOrder::Wave { number, wave } => {
+            RolloutCommand::Wave { number, wave } => {
                 let release = self.release.as_mut().filter(|release| release.number == number);
                 let release = release.ok_or_else(|| refused("another release by now"))?;
-                if release.state != State::Runs || wave != release.wave + 1 || !release.wave_is_whole() {
+                if release.state != RolloutState::Runs || wave != release.wave + 1 || !release.wave_is_whole()
+                {
                     return Err(refused("not the time for the next wave"));
                 }
                 release.wave = wave;
             }
-            ReleaseOrder::Over { number } => {
+            RolloutCommand::Over { number } => {
                 let release = self.release.as_mut().filter(|release| release.number == number);
                 let release = release.ok_or_else(|| refused("another release by now"))?;
-                let all =
-                    |holds: fn(&Step) -> bool| release.servers.values().all(|server| holds(&server.step));
+                let all = |holds: fn(&ServerProgress) -> bool| {
+                    release.servers.values().all(|server| holds(&server.step))
+                };
                 match &release.state {
-                    State::Runs if all(|step| *step == Step::New) => release.state = State::Done,
-                    State::GoesBack(why) if all(|step| matches!(step, Step::Waits | Step::Back)) => {
-                        release.state = State::Undone(why.clone());
+                    RolloutState::Runs if all(|step| *step == ServerProgress::New) => {
+                        release.state = RolloutState::Done
+                    }
+                    RolloutState::GoesBack(why)
+                        if all(|step| matches!(step, ServerProgress::Waits | ServerProgress::Back)) =>
+                    {
+                        release.state = RolloutState::Undone(why.clone());
                     }
                     _ => return Err(refused("not all are there yet")),
                 }
             }
         }
-        Ok(Outcome::Done)
+        Ok(CommandOutcome::Done)
     }
 
-    fn start(&mut self, index: u64, plan: Plan, by: Name, before: Vec<(Name, String)>) -> Outcome {
+    fn start(
+        &mut self,
+        index: u64,
+        plan: RolloutPlan,
+        by: Name,
+        before: Vec<(Name, String)>,
+    ) -> CommandOutcome {
         if let Some(release) = &self.release
             && (release.is_open() || release.plan.name == plan.name)
         {
             // Said twice it is one, also where the second word of it comes after its end; another has to wait.
-            return if release.plan == plan && !matches!(release.state, State::Undone(_)) {
-                Outcome::Done
+            return if release.plan == plan && !matches!(release.state, RolloutState::Undone(_)) {
+                CommandOutcome::Done
             } else if release.is_open() {
                 refused(format!("release {} is {}", release.plan.name, release.state))
             } else {
@@ -441,30 +471,31 @@
         }
         let mut servers = BTreeMap::new();
         let mut upto = 0;
-        for (wave, Wave { share, .. }) in plan.waves.iter().enumerate() {
+        for (wave, Batch { share, .. }) in plan.waves.iter().enumerate() {
             // At least one more than the wave before, as long as there are any.
             let until = ((share * order.len() as f64).floor() as usize).max(upto + 1).min(order.len());
             for name in &order[upto..until] {
                 let before = before.get(*name).cloned().unwrap_or_default();
-                let server = Server { wave: wave as u32, before, step: Step::Waits };
+                let server = RolloutServer { wave: wave as u32, before, step: ServerProgress::Waits };
                 servers.insert(Arc::clone(name), server);
             }
             upto = until;
         }
         self.act(index, Arc::clone(&by), format!("release {} started", plan.name), String::new());
-        let release = Release { number: index, plan, by, state: State::Runs, wave: 0, halts: 0, servers };
+        let release =
+            Rollout { number: index, plan, by, state: RolloutState::Runs, wave: 0, halts: 0, servers };
         self.release = Some(release);
-        Outcome::Done
+        CommandOutcome::Done
     }
 
     /// The program that the release, if there is one, wants a server to have: for whoever starts its process.
     pub fn program_for(&self, name: &str) -> Option<String> {
-        let release = self.release.as_ref().filter(|release| release.plan.kind == Kind::Program)?;
+        let release = self.release.as_ref().filter(|release| release.plan.kind == ReleaseKind::Program)?;
         Some(release.wanted(release.servers.get(name)?))
     }
 
     /// Permits of a release, by server.
-    pub fn release_permits(&self, number: u64) -> impl Iterator<Item = (u64, &Name, &Stage)> {
+    pub fn release_permits(&self, number: u64) -> impl Iterator<Item = (u64, &Name, &PermitStage)> {
         self.permits.iter().filter_map(move |(epoch, permit)| match (&permit.target, &permit.purpose) {
             (Target::Server(name), Purpose::Release(of)) if *of == number => {
                 Some((*epoch, name, &permit.stage))
--- a/crates/coordination/src/server_agent.rs
+++ b/crates/coordination/src/server_agent.rs
@@ -2,17 +2,25 @@
 //! its controller. Words to other servers go out as bytes by name; who said what came in is the fleet's tag's to prove.
 
 use crate::configuration_log::{
-    ConfigurationRequest, ConfigurationSettings, ProposalRefused, ReplicatedConfiguration,
+    ConfigurationRejected, ConfigurationRequest, ConfigurationSettings, ReplicatedConfiguration,
+};
+use crate::consensus::{
+    ConsensusVoter, DurableRecord, ProposalAccepted, ProposalRejected, VoterEffect as Voted, VoterId,
+    VoterState,
 };
 use crate::controller::{Controller, ControllerEffect, ControllerSettings};
-use crate::council::{Council, Durable, Effect as Voted, Found, NotTaken, Taken, VoterId};
 use crate::founding::{self, Founding, FoundingError, FoundingStep, ReportedVoter};
-use crate::messages::{Order, OrderReply, PermitAction, PermitReply, PermitRequest, Report, Turn};
+use crate::messages::{
+    OperatorCommand, OperatorCommandReply, PermitAction, PermitReply, PermitRequest, ServerReport,
+    StepAssignment,
+};
 use crate::permit_client::{ClientEvent, OutgoingRequest, PermitClient, WaitingRequest};
-use crate::proposal_client::{Answered, Outgoing, ProposalClient, VoterAnswer, Waiter, Waiters};
-use crate::record::{Name, Record, Target};
-use crate::release::Kind;
-use gradepin_admission::{Span, Time, after, secs};
+use crate::proposal_client::{
+    OutgoingProposal, ProposalClient, ProposalResponse, VoterReply, Waiter, Waiters,
+};
+use crate::replicated_state::{Name, ReplicatedState, Target};
+use crate::rollout::ReleaseKind;
+use gradepin_admission::{Span, Time, span_seconds, time_after};
 use gradepin_config::change::{Commit, Revision};
 use gradepin_config::configuration::Configuration;
 use serde::{Deserialize, Serialize};
@@ -36,17 +44,17 @@
     /// Between voters, by the identities of their disks.
     Voter { from: VoterId, to: VoterId, bytes: Vec<u8> },
     /// A server of itself.
-    Report(Box<Report>),
+    Report(Box<ServerReport>),
     /// A server's question, and the answer.
     Request(PermitRequest),
     /// See `Request`.
     Reply(u64, PermitReply),
     /// It is a server's turn.
-    Turn(Turn),
+    Turn(StepAssignment),
     /// An operator's order, on its way to the leader, and what it came to.
-    Order(u64, Order),
-    /// See `Order`.
-    OrderReply(u64, OrderReply),
+    Order(u64, OperatorCommand),
+    /// See `OperatorCommand`.
+    OrderReply(u64, OperatorCommandReply),
     /// A release is to halt: no further step, agreed or not.
     Halt(String),
     /// A council is founded with these voters.
@@ -54,11 +62,11 @@
     /// The record is asked for, and told.
     Look,
     /// See `Look`.
-    Record(Box<Record>),
+    Record(Box<ReplicatedState>),
     /// A request for a change of the configuration, on its way to the leader, and what a voter says to it.
     ConfigurationRequest(u64, Box<ConfigurationRequest>),
     /// See `ConfigurationRequest`.
-    ConfigurationReply(u64, VoterAnswer),
+    ConfigurationReply(u64, VoterReply),
 }
 
 /// What an operator sets, and what the server knows of itself.
@@ -73,7 +81,7 @@
     /// The voters, as the settings name them.
     pub voters: Vec<Name>,
     /// Its folder, if it is to be a voter.
-    pub folder: Option<Found>,
+    pub folder: Option<VoterState>,
     /// How its controller goes by what it hears.
     pub controller: ControllerSettings,
     /// Whether a leave without a permit to be had waits for one, or is refused.
@@ -84,17 +92,17 @@
 
 /// What is to be done.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Effect {
+pub enum AgentEffect {
     /// Tell another server; it may be lost.
     Send(Name, Vec<u8>),
     /// Make these durable in the council's folder, then say [`ServerAgent::written`].
-    Write(u64, Vec<Durable>),
+    Write(u64, Vec<DurableRecord>),
     /// This server may leave by this permit, if that is still before the time.
     MayLeave(u64, Time),
     /// The leave that was asked for is refused, and why.
     Refused(String),
     /// This server may change by this turn, if that is still before the time.
-    MayChange(Turn, Time),
+    MayChange(StepAssignment, Time),
     /// About the configuration.
     Configuration(ConfigurationEffect),
     /// Tell it in the log; whether it is bad.
@@ -110,12 +118,12 @@
     /// The configuration is to be made durable at this revision or a later one, then [`ServerAgent::configuration_durable`] called.
     MakeDurable(Revision),
     /// What a request came to that was handed in here.
-    Answered(Answered),
+    Answered(ProposalResponse),
 }
 
 /// What became of an operator's order.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Became {
+pub enum CommandStatus {
     /// It is under way.
     Pending,
     /// This.
@@ -126,7 +134,7 @@
 
 #[derive(Debug)]
 struct Under {
-    order: Order,
+    order: OperatorCommand,
     since: Time,
     next: Time,
     turn: usize,
@@ -136,9 +144,9 @@
 
 /// What operators are shown.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Status {
+pub struct AgentStatus {
     /// The record as it is known here, and how old that is in seconds; none if it was never heard.
-    pub record: Option<(Record, f64)>,
+    pub record: Option<(ReplicatedState, f64)>,
     /// Who leads the council, as far as is known here.
     pub leader: Option<Name>,
     /// Whether this server is a voter, and if it can't be one for good, why.
@@ -158,17 +166,17 @@
 /// One server's part.
 pub struct ServerAgent {
     set: AgentSettings,
-    council: Option<Council>,
+    council: Option<ConsensusVoter>,
     controller: Controller,
     permit_client: PermitClient,
     /// A turn that is asked for, and the permit of one that this life has taken.
-    turn: Option<Turn>,
+    turn: Option<StepAssignment>,
     taken: Option<u64>,
-    report: Report,
+    report: ServerReport,
     next_report: Time,
     next_look: Time,
     /// The record as a voter told it, where this server is none.
-    looked: Option<(Record, Time)>,
+    looked: Option<(ReplicatedState, Time)>,
     orders: BTreeMap<u64, Under>,
     answers: VecDeque<(u64, Result<String, String>)>,
     /// Orders that this server's controller was given: by whom, under which ticket of theirs.
@@ -179,7 +187,7 @@
     configuration: Option<ConfigurationSettings>,
     requests: ProposalClient,
     waiters: Waiters,
-    effects: Vec<Effect>,
+    effects: Vec<AgentEffect>,
 }
 
 impl ServerAgent {
@@ -187,14 +195,14 @@
     pub fn new(set: AgentSettings, now: Time) -> Self {
         // Numbers of another life are less: a life is greater than any before.
         let number = set.life;
-        let council = set.folder.clone().map(|found| Council::new(found, set.seed, now));
+        let council = set.folder.clone().map(|found| ConsensusVoter::new(found, set.seed, now));
         Self {
             council,
             controller: Controller::new(set.controller.clone(), number, now),
             permit_client: PermitClient::new(set.voters.clone(), number),
             turn: None,
             taken: None,
-            report: Report { zone: set.zone.clone(), ..Report::default() },
+            report: ServerReport { zone: set.zone.clone(), ..ServerReport::default() },
             next_report: now,
             next_look: now,
             looked: None,
@@ -212,7 +220,7 @@
     }
 
     /// What this server tells of itself from now on; a change of readiness is told at once.
-    pub fn tells(&mut self, now: Time, report: Report) {
+    pub fn tells(&mut self, now: Time, report: ServerReport) {
         if report.ready != self.report.ready || report.failed != self.report.failed {
             self.next_report = now;
         }
@@ -249,17 +257,17 @@
     }
 
     /// The record as it is known here.
-    pub fn record(&self) -> Option<&Record> {
-        let own = self.council.as_ref().filter(|council| council.is_founded()).map(Council::record);
+    pub fn record(&self) -> Option<&ReplicatedState> {
+        let own = self.council.as_ref().filter(|council| council.is_founded()).map(ConsensusVoter::record);
         own.or(self.looked.as_ref().map(|(record, _)| record))
     }
 
     /// An operator orders something: taken under this ticket.
-    pub fn order(&mut self, now: Time, ticket: u64, order: Order) -> Result<(), String> {
+    pub fn order(&mut self, now: Time, ticket: u64, order: OperatorCommand) -> Result<(), String> {
         if self.orders.len() >= MOST_ORDERS {
             return Err("too many orders are under way".into());
         }
-        if let Order::Release(crate::release::ReleaseOrder::Halt { name, .. }) = &order {
+        if let OperatorCommand::Release(crate::rollout::RolloutCommand::Halt { name, .. }) = &order {
             // Wherever it is said: here, and with all voters that hear it, no further step is taken from now on.
             self.halt(name);
             let name = name.clone();
@@ -287,12 +295,12 @@
     }
 
     /// What became of an order.
-    pub fn became(&self, ticket: u64) -> Became {
+    pub fn became(&self, ticket: u64) -> CommandStatus {
         if self.orders.contains_key(&ticket) {
-            return Became::Pending;
+            return CommandStatus::Pending;
         }
         let answer = self.answers.iter().rev().find(|(of, _)| *of == ticket);
-        answer.map_or(Became::Unknown, |(_, answer)| Became::Over(answer.clone()))
+        answer.map_or(CommandStatus::Unknown, |(_, answer)| CommandStatus::Over(answer.clone()))
     }
 
     fn over(&mut self, ticket: u64, answer: Result<String, String>) {
@@ -321,10 +329,11 @@
     fn founded(&mut self, voters: &BTreeMap<VoterId, Name>) {
         let Some(council) = self.council.as_mut().filter(|council| !council.is_founded()) else { return };
         if let Err(why) = self.founding.accepts(voters) {
-            return self.effects.push(Effect::Note(true, format!("not founded: {why}")));
+            return self.effects.push(AgentEffect::Note(true, format!("not founded: {why}")));
         }
         if council.found(voters).is_ok() {
-            self.effects.push(Effect::Note(false, "a council is founded, and this server is a voter".into()));
+            self.effects
+                .push(AgentEffect::Note(false, "a council is founded, and this server is a voter".into()));
         }
     }
 
@@ -334,7 +343,7 @@
         let founded =
             |name: &Name| self.controller.report(now, name).is_some_and(|(report, _)| report.founded);
         let step = self.founding.step(now, &own, founded);
-        self.effects.extend(step.note().map(|text| Effect::Note(true, text)));
+        self.effects.extend(step.note().map(|text| AgentEffect::Note(true, text)));
         if let FoundingStep::Send(voters) = step {
             let found = Message::Found(voters.clone());
             voters.values().filter(|voter| **voter != own).for_each(|voter| self.send(voter, &found));
@@ -349,7 +358,7 @@
     }
 
     /// It couldn't be; this is what the folder holds.
-    pub fn failed(&mut self, now: Time, found: Found) {
+    pub fn failed(&mut self, now: Time, found: VoterState) {
         if let Some(council) = &mut self.council {
             council.failed(found, now);
         }
@@ -376,7 +385,9 @@
             Message::Halt(name) => self.halt(&name),
             Message::Found(voters) => self.founded(&voters),
             Message::Look => {
-                if let Some(record) = self.council.as_ref().filter(|c| c.is_founded()).map(Council::record) {
+                if let Some(record) =
+                    self.council.as_ref().filter(|c| c.is_founded()).map(ConsensusVoter::record)
+                {
                     let record = Message::Record(Box::new(record.clone()));
                     self.send(from, &record);
                 }
@@ -392,7 +403,7 @@
         }
     }
 
-    fn reported(&mut self, now: Time, from: &Name, life: u64, report: Report) {
+    fn reported(&mut self, now: Time, from: &Name, life: u64, report: ServerReport) {
         // Who is no voter hears no reports; one whose council isn't founded yet goes by them for that.
         if let Some(council) = &self.council {
             self.controller.reported(now, council.record(), from, life, report);
@@ -407,31 +418,31 @@
         match self.permit_client.receive(now, number, reply) {
             ClientEvent::Nothing if refuses => {
                 self.permit_client.stop();
-                self.effects.push(Effect::Refused(why));
+                self.effects.push(AgentEffect::Refused(why));
             }
             ClientEvent::Nothing => {}
             ClientEvent::MayBegin { epoch, until } => match self.turn.take() {
                 Some(turn) if turn.epoch == epoch => {
                     self.taken = Some(epoch);
-                    self.effects.push(Effect::MayChange(turn, until));
+                    self.effects.push(AgentEffect::MayChange(turn, until));
                 }
-                _ => self.effects.push(Effect::MayLeave(epoch, until)),
+                _ => self.effects.push(AgentEffect::MayLeave(epoch, until)),
             },
             ClientEvent::Stale(epoch) => {
                 if self.turn.take().is_none() {
                     // The place was given away meanwhile: it has to be asked for anew.
                     let text = format!("permit {epoch} is over or was freed; another is asked for");
-                    self.effects.push(Effect::Note(true, text));
+                    self.effects.push(AgentEffect::Note(true, text));
                     self.permit_client.request(now, PermitAction::Reserve);
                 }
             }
         }
     }
 
-    fn take_turn(&mut self, now: Time, turn: Turn) {
+    fn take_turn(&mut self, now: Time, turn: StepAssignment) {
         let has = match turn.kind {
-            Kind::Program => &self.report.program,
-            Kind::Settings => &self.report.settings,
+            ReleaseKind::Program => &self.report.program,
+            ReleaseKind::Settings => &self.report.settings,
         };
         // A drain by hand comes first; and who couldn't take a step doesn't try it again by itself.
         let failed = self.report.failed.as_ref().is_some_and(|(release, _)| *release == turn.release);
@@ -444,9 +455,9 @@
     }
 
     /// An order for this server's controller, its own or another's.
-    fn given(&mut self, now: Time, from: &Name, ticket: u64, order: Order) {
+    fn given(&mut self, now: Time, from: &Name, ticket: u64, order: OperatorCommand) {
         let Some(council) = &mut self.council else {
-            return self.send(from, &Message::OrderReply(ticket, OrderReply::Redirect(None)));
+            return self.send(from, &Message::OrderReply(ticket, OperatorCommandReply::Redirect(None)));
         };
         self.given_no += 1;
         self.given.push_back((self.given_no, Arc::clone(from), ticket));
@@ -458,15 +469,15 @@
     }
 
     /// A voter says what became of an order.
-    fn ordered(&mut self, now: Time, ticket: u64, answer: OrderReply) {
+    fn ordered(&mut self, now: Time, ticket: u64, answer: OperatorCommandReply) {
         let Some(under) = self.orders.get_mut(&ticket) else { return };
         match answer {
-            OrderReply::Done(answer) => self.over(ticket, answer),
-            OrderReply::Redirect(whom) => {
+            OperatorCommandReply::Done(answer) => self.over(ticket, answer),
+            OperatorCommandReply::Redirect(whom) => {
                 let known = whom.and_then(|whom| self.set.voters.iter().position(|voter| *voter == whom));
                 let pause = if known.is_some() { Span(20 * MS) } else { ORDER_AGAIN };
                 under.turn = known.unwrap_or(under.turn + 1);
-                under.next = after(now, pause);
+                under.next = time_after(now, pause);
                 under.why = "the council has no leader that is heard";
             }
         }
@@ -477,21 +488,21 @@
         let late: Vec<(u64, &str)> = self
             .orders
             .iter()
-            .filter(|(_, under)| now >= after(under.since, ORDER_PATIENCE))
+            .filter(|(_, under)| now >= time_after(under.since, ORDER_PATIENCE))
             .map(|(ticket, under)| (*ticket, under.why))
             .collect();
         for (ticket, why) in late {
             // It may have been agreed on all the same: the status shows.
             self.over(
                 ticket,
-                Err(format!("{why} within {:.0} s; it may still be done", secs(ORDER_PATIENCE))),
+                Err(format!("{why} within {:.0} s; it may still be done", span_seconds(ORDER_PATIENCE))),
             );
         }
         let mut due = Vec::new();
         for (ticket, under) in &mut self.orders {
             if now >= under.next && !self.set.voters.is_empty() {
                 let to = Arc::clone(&self.set.voters[under.turn % self.set.voters.len()]);
-                under.next = after(now, ORDER_AGAIN);
+                under.next = time_after(now, ORDER_AGAIN);
                 under.turn += 1;
                 due.push((to, *ticket, under.order.clone()));
             }
@@ -507,12 +518,12 @@
 
     fn send(&mut self, to: &Name, message: &Message) {
         if let Ok(bytes) = postcard::to_stdvec(message) {
-            self.effects.push(Effect::Send(Arc::clone(to), bytes));
+            self.effects.push(AgentEffect::Send(Arc::clone(to), bytes));
         }
     }
 
     /// Does what is due, and appends what is to be done.
-    pub fn step(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    pub fn step(&mut self, now: Time, effects: &mut Vec<AgentEffect>) {
         self.vote(now);
         if let Some(council) = &mut self.council {
             self.controller.step(now, council);
@@ -532,11 +543,11 @@
             }
         }
         if now >= self.next_report {
-            self.next_report = after(now, REPORT);
+            self.next_report = time_after(now, REPORT);
             self.tell_voters(now);
         }
         if now >= self.next_look {
-            self.next_look = after(now, LOOK);
+            self.next_look = time_after(now, LOOK);
             self.look();
         }
         self.vote(now);
@@ -557,7 +568,7 @@
                         self.send(&name, &Message::Voter { from: id, to, bytes });
                     }
                 }
-                Voted::Write(number, records) => self.effects.push(Effect::Write(number, records)),
+                Voted::Write(number, records) => self.effects.push(AgentEffect::Write(number, records)),
                 Voted::Applied { by, number, outcome, .. } if by == id => {
                     if let Some(council) = &self.council {
                         self.controller.applied(now, council.record(), number, outcome);
@@ -567,9 +578,11 @@
                 Voted::Committed(commit) => self.committed(now, commit),
                 Voted::MakeDurable(revision) => {
                     let effect = ConfigurationEffect::MakeDurable(revision);
-                    self.effects.push(Effect::Configuration(effect));
+                    self.effects.push(AgentEffect::Configuration(effect));
+                }
+                Voted::Note(bad, text) => {
+                    self.effects.push(AgentEffect::Note(bad, format!("council: {text}")))
                 }
-                Voted::Note(bad, text) => self.effects.push(Effect::Note(bad, format!("council: {text}"))),
             }
         }
         self.apply_controller_effects(now);
@@ -577,7 +590,7 @@
 
     /// Whose a disk is: by the record, or while that doesn't know it yet, by what servers report.
     fn voter_name(&self, id: VoterId) -> Option<Name> {
-        let record = self.council.as_ref().map(Council::record);
+        let record = self.council.as_ref().map(ConsensusVoter::record);
         if let Some(name) = record.and_then(|record| record.voters.get(&id)) {
             return Some(Arc::clone(name));
         }
@@ -610,7 +623,7 @@
                     }
                 }
                 ControllerEffect::Log(bad, text) => {
-                    self.effects.push(Effect::Note(bad, format!("council: {text}")))
+                    self.effects.push(AgentEffect::Note(bad, format!("council: {text}")))
                 }
             }
         }
@@ -656,7 +669,7 @@
 
     /// When [`ServerAgent::step`] must be called again.
     pub fn wake_at(&self) -> Time {
-        let council = self.council.as_ref().map_or(Time(u64::MAX), Council::wake_at);
+        let council = self.council.as_ref().map_or(Time(u64::MAX), ConsensusVoter::wake_at);
         let controller = if self.council.is_some() { self.controller.wake_at() } else { Time(u64::MAX) };
         let orders = self.orders.values().map(|under| under.next).min();
         let permit_client = self.permit_client.wake_at();
@@ -691,9 +704,9 @@
         now: Time,
         ticket: u64,
         request: ConfigurationRequest,
-    ) -> Result<(), ProposalRefused> {
+    ) -> Result<(), ConfigurationRejected> {
         if self.configuration.is_none() {
-            return Err(ProposalRefused::Off);
+            return Err(ConfigurationRejected::Off);
         }
         self.requests.ask(now, ticket, request)
     }
@@ -721,11 +734,11 @@
 
     /// The content that this voter holds, if it does.
     pub fn configuration(&self) -> Option<&Configuration> {
-        self.council.as_ref().and_then(Council::configuration)
+        self.council.as_ref().and_then(ConsensusVoter::configuration)
     }
 
     fn put_requests(&mut self, now: Time) {
-        for Outgoing { to, ticket, request } in self.requests.due(now, &self.set.voters) {
+        for OutgoingProposal { to, ticket, request } in self.requests.due(now, &self.set.voters) {
             if to == self.set.name {
                 self.requested(now, &to, ticket, &request);
             } else {
@@ -739,26 +752,26 @@
     /// A request came to this voter, its own or another server's.
     fn requested(&mut self, now: Time, from: &Name, ticket: u64, request: &ConfigurationRequest) {
         let answer = match (&mut self.council, self.configuration) {
-            (None, _) => VoterAnswer::Elsewhere(None),
-            (Some(_), None) => VoterAnswer::Over(Err(ProposalRefused::Off)),
+            (None, _) => VoterReply::Elsewhere(None),
+            (Some(_), None) => VoterReply::Over(Err(ConfigurationRejected::Off)),
             (Some(council), Some(_)) => match council.request(request) {
-                Ok(Taken::Committed(revision)) => VoterAnswer::Over(Ok(revision)),
-                Ok(Taken::Proposed(_)) => {
+                Ok(ProposalAccepted::Committed(revision)) => VoterReply::Over(Ok(revision)),
+                Ok(ProposalAccepted::Proposed(_)) => {
                     let request_id = request.proposal.request_id.clone();
                     self.waiters.wait(Waiter { request_id, server: Arc::clone(from), ticket, since: now });
-                    VoterAnswer::Proposed
+                    VoterReply::Proposed
                 }
-                Err(NotTaken::Refused(why)) => VoterAnswer::Over(Err(why)),
-                Err(NotTaken::Elsewhere(leader)) => {
+                Err(ProposalRejected::Refused(why)) => VoterReply::Over(Err(why)),
+                Err(ProposalRejected::Elsewhere(leader)) => {
                     let voters = &council.record().voters;
-                    VoterAnswer::Elsewhere(leader.and_then(|leader| voters.get(&leader).cloned()))
+                    VoterReply::Elsewhere(leader.and_then(|leader| voters.get(&leader).cloned()))
                 }
             },
         };
         self.tell_request(now, from, ticket, answer);
     }
 
-    fn tell_request(&mut self, now: Time, to: &Name, ticket: u64, answer: VoterAnswer) {
+    fn tell_request(&mut self, now: Time, to: &Name, ticket: u64, answer: VoterReply) {
         if *to == self.set.name {
             self.request_answered(now, ticket, answer);
         } else {
@@ -766,32 +779,34 @@
         }
     }
 
-    fn request_answered(&mut self, now: Time, ticket: u64, answer: VoterAnswer) {
+    fn request_answered(&mut self, now: Time, ticket: u64, answer: VoterReply) {
         if let Some(answered) = self.requests.answered(now, ticket, answer, &self.set.voters) {
             self.answer_request(answered);
         }
     }
 
-    fn answer_request(&mut self, answered: Answered) {
-        self.effects.push(Effect::Configuration(ConfigurationEffect::Answered(answered)));
+    fn answer_request(&mut self, answered: ProposalResponse) {
+        self.effects.push(AgentEffect::Configuration(ConfigurationEffect::Answered(answered)));
     }
 
     fn committed(&mut self, now: Time, commit: Arc<Commit>) {
         for waiter in self.waiters.committed(&commit.request_id) {
-            self.tell_request(now, &waiter.server, waiter.ticket, VoterAnswer::Over(Ok(commit.revision)));
+            self.tell_request(now, &waiter.server, waiter.ticket, VoterReply::Over(Ok(commit.revision)));
         }
-        self.effects.push(Effect::Configuration(ConfigurationEffect::Committed(commit)));
+        self.effects.push(AgentEffect::Configuration(ConfigurationEffect::Committed(commit)));
     }
 
     /// The fleet's agreements as they are known here.
-    pub fn status(&self, now: Time) -> Status {
+    pub fn status(&self, now: Time) -> AgentStatus {
         let founded = self.council.as_ref().filter(|council| council.is_founded());
         let record = match founded {
             Some(council) => {
-                let age = council.heard(now).map_or(f64::INFINITY, secs);
+                let age = council.heard(now).map_or(f64::INFINITY, span_seconds);
                 Some((council.record().clone(), age))
             }
-            None => self.looked.as_ref().map(|(record, at)| (record.clone(), secs(Span(now.0 - at.0)))),
+            None => {
+                self.looked.as_ref().map(|(record, at)| (record.clone(), span_seconds(Span(now.0 - at.0))))
+            }
         };
         let leader = founded.and_then(|council| council.leader());
         let leader = leader.and_then(|id| founded?.record().voters.get(&id).cloned());
@@ -800,12 +815,12 @@
             .controller
             .reports()
             .map(|(name, report)| (Arc::clone(name), (report.program.clone(), report.settings.clone())));
-        Status {
+        AgentStatus {
             record,
             leader,
             voter: founded.is_some(),
             lost: self.council.as_ref().and_then(|council| council.lost()).map(String::from),
-            unsure: founded.is_some_and(Council::is_unsure),
+            unsure: founded.is_some_and(ConsensusVoter::is_unsure),
             waits: self.permit_client.waits(now),
             unheard: unheard.into_iter().flatten().collect(),
             versions: versions.collect(),
--- a/crates/coordination/tests/common/fleet.rs
+++ b/crates/coordination/tests/common/fleet.rs
@@ -4,14 +4,14 @@
 #[path = "base.rs"]
 mod base;
 
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
 use gradepin_coordination::configuration_log::ConfigurationSettings;
+use gradepin_coordination::consensus::VoterState;
 use gradepin_coordination::controller::ControllerSettings;
-use gradepin_coordination::council::Found;
 use gradepin_coordination::founding::FoundingError;
-use gradepin_coordination::messages::Report;
-use gradepin_coordination::record::Name;
-use gradepin_coordination::server_agent::{AgentSettings, ConfigurationEffect, Effect, ServerAgent};
+use gradepin_coordination::messages::ServerReport;
+use gradepin_coordination::replicated_state::Name;
+use gradepin_coordination::server_agent::{AgentEffect, AgentSettings, ConfigurationEffect, ServerAgent};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -40,7 +40,7 @@
     pub fn new(voters_of: &[&[usize]]) -> Self {
         let now = Time(SECOND.0);
         let part = |(n, voters): (usize, &&[usize])| {
-            let found = Found { id: 100 + n as u64, records: Vec::new() };
+            let found = VoterState { id: 100 + n as u64, records: Vec::new() };
             let set = AgentSettings {
                 name: name(n),
                 life: 1,
@@ -66,9 +66,9 @@
     }
 
     pub fn run(&mut self, span: Span) {
-        let until = after(self.now, span);
+        let until = time_after(self.now, span);
         while self.now < until {
-            self.now = after(self.now, TURN);
+            self.now = time_after(self.now, TURN);
             (0..self.parts.len()).for_each(|n| self.step(n));
         }
     }
@@ -87,12 +87,12 @@
     fn step(&mut self, n: usize) {
         let mut effects = Vec::new();
         let program = self.programs[n].clone();
-        let report = Report { zone: format!("z{n}"), ready: true, program, ..Report::default() };
+        let report = ServerReport { zone: format!("z{n}"), ready: true, program, ..ServerReport::default() };
         self.parts[n].tells(self.now, report);
         self.parts[n].step(self.now, &mut effects);
         for effect in effects {
             match effect {
-                Effect::Send(to, bytes) => {
+                AgentEffect::Send(to, bytes) => {
                     // Other services mark their messages by a first byte of 0x80 and above.
                     assert!(bytes[0] < 0x80, "a consensus message began with {:#x}", bytes[0]);
                     // Odd words name servers that aren't there.
@@ -107,9 +107,9 @@
                         self.parts[to].word(self.now, &name(n), 1, &bytes);
                     }
                 }
-                Effect::Configuration(effect) => self.told.push((n, self.now, effect)),
-                Effect::Write(number, _) => self.parts[n].written(number),
-                Effect::MayChange(turn, _) => self.programs[n] = turn.version,
+                AgentEffect::Configuration(effect) => self.told.push((n, self.now, effect)),
+                AgentEffect::Write(number, _) => self.parts[n].written(number),
+                AgentEffect::MayChange(turn, _) => self.programs[n] = turn.version,
                 _ => {}
             }
         }
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -1,10 +1,10 @@
 //! Voters in virtual time, on a net that loses, doubles, delays and cuts, with disks that forget what wasn't synced.
 #![allow(dead_code)]
 
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
 use gradepin_config::change::{Commit, Revision};
-use gradepin_coordination::council::{Council, Durable, Effect, Found, VoterId};
-use gradepin_coordination::record::{Command, Name, Outcome, Record};
+use gradepin_coordination::consensus::{ConsensusVoter, DurableRecord, VoterEffect, VoterId, VoterState};
+use gradepin_coordination::replicated_state::{Command, CommandOutcome, Name, ReplicatedState};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -29,11 +29,11 @@
 
 pub struct Voter {
     pub id: VoterId,
-    pub council: Option<Council>,
+    pub council: Option<ConsensusVoter>,
     /// What the disk holds, what is under way to it, and an old copy.
-    pub durable: Vec<Durable>,
-    pending: VecDeque<(Time, u64, Vec<Durable>)>,
-    copy: Option<Vec<Durable>>,
+    pub durable: Vec<DurableRecord>,
+    pending: VecDeque<(Time, u64, Vec<DurableRecord>)>,
+    copy: Option<Vec<DurableRecord>>,
     pub full: bool,
     pub stopped: bool,
     pub writes: u64,
@@ -43,16 +43,16 @@
 }
 
 impl Voter {
-    fn put(&mut self, records: Vec<Durable>) {
-        if matches!(records.first(), Some(Durable::Snapshot { .. })) {
+    fn put(&mut self, records: Vec<DurableRecord>) {
+        if matches!(records.first(), Some(DurableRecord::Snapshot { .. })) {
             self.durable = records;
         } else {
             self.durable.extend(records);
         }
     }
 
-    fn found(&self) -> Found {
-        Found { id: self.id, records: self.durable.clone() }
+    fn found(&self) -> VoterState {
+        VoterState { id: self.id, records: self.durable.clone() }
     }
 }
 
@@ -73,7 +73,7 @@
     /// What was applied by whom, by index: the same everywhere, for ever.
     pub applied: BTreeMap<u64, (VoterId, u64)>,
     /// What proposers were told came of their numbers.
-    pub told: BTreeMap<(VoterId, u64), Outcome>,
+    pub told: BTreeMap<(VoterId, u64), CommandOutcome>,
     pub notes: Vec<String>,
     pub number: u64,
     next_id: VoterId,
@@ -116,7 +116,7 @@
     pub fn add(&mut self) -> usize {
         let id = self.next_id;
         self.next_id += 1;
-        let council = Council::new(Found { id, records: Vec::new() }, 7, self.now);
+        let council = ConsensusVoter::new(VoterState { id, records: Vec::new() }, 7, self.now);
         self.voters.push(Voter {
             id,
             council: Some(council),
@@ -141,9 +141,9 @@
     }
 
     pub fn run(&mut self, ms: u64) {
-        let until = after(self.now, Span(ms * MS));
+        let until = time_after(self.now, Span(ms * MS));
         while self.now < until {
-            self.now = after(self.now, TURN);
+            self.now = time_after(self.now, TURN);
             let due: Vec<_> = self.net.extract_if(.., |(at, ..)| *at <= self.now).collect();
             for (_, to, from, bytes) in due {
                 let voter = &mut self.voters[to];
@@ -179,21 +179,21 @@
         self.voters[n].council.as_mut().unwrap().step(now, &mut effects);
         for effect in effects {
             match effect {
-                Effect::Send(to, bytes) => self.send(n, to, bytes),
-                Effect::Write(number, records) => {
-                    let at = after(now, Span(self.sync_ms * MS));
+                VoterEffect::Send(to, bytes) => self.send(n, to, bytes),
+                VoterEffect::Write(number, records) => {
+                    let at = time_after(now, Span(self.sync_ms * MS));
                     self.voters[n].pending.push_back((at, number, records));
                 }
-                Effect::Applied { index, by, number, outcome } => {
+                VoterEffect::Applied { index, by, number, outcome } => {
                     let before = self.applied.insert(index, (by, number));
                     assert!(before.is_none_or(|before| before == (by, number)), "two entries at {index}");
                     if by == self.voters[n].id {
                         self.told.insert((by, number), outcome);
                     }
                 }
-                Effect::Committed(commit) => self.voters[n].commits.push(commit),
-                Effect::MakeDurable(revision) => self.voters[n].asked_durable = Some(revision),
-                Effect::Note(_, text) => self.notes.push(format!("{}: {text}", name(n))),
+                VoterEffect::Committed(commit) => self.voters[n].commits.push(commit),
+                VoterEffect::MakeDurable(revision) => self.voters[n].asked_durable = Some(revision),
+                VoterEffect::Note(_, text) => self.notes.push(format!("{}: {text}", name(n))),
             }
         }
     }
@@ -210,7 +210,7 @@
         for _ in 0..copies {
             let late = 1 + self.draw(self.slow_ms);
             if !self.chance(self.loss) && !self.cut.contains(&(from, to)) {
-                let at = after(self.now, Span(late * MS));
+                let at = time_after(self.now, Span(late * MS));
                 self.net.push((at, to, self.voters[from].id, bytes.clone()));
             }
         }
@@ -245,7 +245,7 @@
             Disk::Torn => {
                 // Of a write that was under way the first records may have got there; a new beginning counts as a whole.
                 if let Some((_, _, records)) = voter.pending.pop_front()
-                    && !matches!(records.first(), Some(Durable::Snapshot { .. }))
+                    && !matches!(records.first(), Some(DurableRecord::Snapshot { .. }))
                 {
                     voter.durable.extend(records.into_iter().take(torn as usize));
                 }
@@ -258,15 +258,15 @@
         }
         let voter = &mut self.voters[n];
         voter.pending.clear();
-        voter.council = Some(Council::new(voter.found(), 11 + n as u64, now));
+        voter.council = Some(ConsensusVoter::new(voter.found(), 11 + n as u64, now));
     }
 
-    pub fn council(&mut self, n: usize) -> &mut Council {
+    pub fn council(&mut self, n: usize) -> &mut ConsensusVoter {
         self.voters[n].council.as_mut().expect("it runs")
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |voter: &Voter| voter.council.as_ref().and_then(Council::leads);
+        let leads = |voter: &Voter| voter.council.as_ref().and_then(ConsensusVoter::leads);
         let all = self.voters.iter().enumerate().filter(|(_, voter)| !voter.stopped);
         all.filter_map(|(n, voter)| Some((leads(voter)?, n))).max().map(|(_, n)| n)
     }
@@ -291,7 +291,7 @@
         self.council(leader).propose(number, command).ok().map(|()| (id, number))
     }
 
-    pub fn record(&self, n: usize) -> &Record {
+    pub fn record(&self, n: usize) -> &ReplicatedState {
         self.voters[n].council.as_ref().expect("it runs").record()
     }
 }
--- a/crates/coordination/tests/configuration.rs
+++ b/crates/coordination/tests/configuration.rs
@@ -7,21 +7,21 @@
 
 use base::base;
 use common::{Disk, World, enrol};
-use gradepin_admission::Customer;
+use gradepin_admission::Tenant;
 use gradepin_config::change::{Change, Commit, Proposal, Revision, Transaction};
 use gradepin_config::configuration::Configuration;
 use gradepin_config::digest::{Digest, Version};
 use gradepin_coordination::configuration_log::{
-    ConfigurationEntry, ConfigurationRequest, ConfigurationSettings, MAX_ENTRY_BYTES, ProposalRefused,
+    ConfigurationEntry, ConfigurationRejected, ConfigurationRequest, ConfigurationSettings, MAX_ENTRY_BYTES,
     ReplicatedConfiguration,
 };
-use gradepin_coordination::council::{NotTaken, Taken};
-use gradepin_coordination::record::{Command, Record};
+use gradepin_coordination::consensus::{ProposalAccepted, ProposalRejected};
 use gradepin_coordination::replicated_snapshot;
+use gradepin_coordination::replicated_state::{Command, ReplicatedState};
 use std::sync::Arc;
 
 fn put(name: &str, quota_rps: f64) -> Change {
-    Change::PutTenant(Arc::new(Customer { name: name.into(), quota_rps, portion: 0.001 }))
+    Change::PutTenant(Arc::new(Tenant { name: name.into(), quota_rps, portion: 0.001 }))
 }
 
 fn request(id: &str, expected: Option<u64>, changes: Vec<Change>) -> ConfigurationRequest {
@@ -32,9 +32,9 @@
     ConfigurationRequest { proposal, seen: Revision(0), asked_at_ms: 7 }
 }
 
-fn refused(result: Result<Taken, NotTaken>) -> ProposalRefused {
+fn refused(result: Result<ProposalAccepted, ProposalRejected>) -> ConfigurationRejected {
     match result {
-        Err(NotTaken::Refused(why)) => why,
+        Err(ProposalRejected::Refused(why)) => why,
         other => panic!("expected a refusal, got {other:?}"),
     }
 }
@@ -53,7 +53,7 @@
 fn commit(world: &mut World, request: &ConfigurationRequest) -> Revision {
     for _ in 0..1_000 {
         if let Some(leader) = world.led(10_000)
-            && let Ok(Taken::Committed(revision)) = world.council(leader).request(request)
+            && let Ok(ProposalAccepted::Committed(revision)) = world.council(leader).request(request)
         {
             return revision;
         }
@@ -73,8 +73,12 @@
         let mut world = world(3, seed);
         let leader = world.leader().expect("it leads still");
         let ask = request("id-1", Some(0), vec![put("a", 1.0)]);
-        assert_eq!(world.council(leader).request(&ask), Ok(Taken::Proposed(Revision(1))));
-        assert_eq!(world.council(leader).request(&ask), Ok(Taken::Proposed(Revision(1))), "asked twice");
+        assert_eq!(world.council(leader).request(&ask), Ok(ProposalAccepted::Proposed(Revision(1))));
+        assert_eq!(
+            world.council(leader).request(&ask),
+            Ok(ProposalAccepted::Proposed(Revision(1))),
+            "asked twice"
+        );
         world.run(5 * (seed % 8));
         world.kill(leader);
         assert_eq!(commit(&mut world, &ask), Revision(1));
@@ -102,8 +106,12 @@
             let ask =
                 request(&format!("id-{last}"), Some(last), vec![put(&format!("t{}", last % 7), last as f64)]);
             match world.council(leader).request(&ask) {
-                Ok(Taken::Proposed(revision) | Taken::Committed(revision)) => last = revision.0,
-                Err(NotTaken::Refused(ProposalRefused::Moved { in_force, .. })) => last = in_force.0,
+                Ok(ProposalAccepted::Proposed(revision) | ProposalAccepted::Committed(revision)) => {
+                    last = revision.0
+                }
+                Err(ProposalRejected::Refused(ConfigurationRejected::Moved { in_force, .. })) => {
+                    last = in_force.0
+                }
                 Err(_) => world.run(50),
             }
             let pause = world.draw(30);
@@ -116,7 +124,7 @@
         world.run(4_000);
         let leader = world.led(6_000).expect("a leader");
         let in_force = version(&world, leader).revision;
-        let moved = ProposalRefused::Moved { expected: Revision(39), in_force };
+        let moved = ConfigurationRejected::Moved { expected: Revision(39), in_force };
         assert_eq!(refused(world.council(leader).request(&late)), moved);
         for n in 0..5 {
             assert_eq!(version(&world, n), version(&world, leader));
@@ -139,13 +147,13 @@
     let before: Vec<(u64, Version)> = (0..3).map(|n| (world.record(n).index, version(&world, n))).collect();
     let leader = world.leader().expect("it leads");
     let unknown = request("second", None, vec![Change::RemoveTenant("nobody".into())]);
-    let ProposalRefused::Invalid(invalid) = refused(world.council(leader).request(&unknown)) else {
+    let ConfigurationRejected::Invalid(invalid) = refused(world.council(leader).request(&unknown)) else {
         panic!()
     };
     assert!(invalid.path.starts_with("changes[0].tenant"), "{invalid}");
     assert!(!invalid.expected.is_empty() && !invalid.came.is_empty());
     let long = request("third", None, (0..1_000).map(|n| put(&format!("{n:0>100}"), 1.0)).collect());
-    let ProposalRefused::TooLong { limit, came } = refused(world.council(leader).request(&long)) else {
+    let ConfigurationRejected::TooLong { limit, came } = refused(world.council(leader).request(&long)) else {
         panic!()
     };
     assert!(limit == MAX_ENTRY_BYTES && came > 100_000);
@@ -167,7 +175,7 @@
         taken += usize::from(result.is_ok());
         result.err()
     });
-    assert_eq!(busy, Some(NotTaken::Refused(ProposalRefused::Busy)), "after {taken}");
+    assert_eq!(busy, Some(ProposalRejected::Refused(ConfigurationRejected::Busy)), "after {taken}");
     assert!(taken < 10, "{taken}");
 }
 
@@ -209,7 +217,7 @@
     let leader = world.led(10_000).expect("one of two without the content leads");
     world.run(500);
     let ask = request("next", None, vec![put("next", 1.0)]);
-    assert!(matches!(refused(world.council(leader).request(&ask)), ProposalRefused::Behind { .. }));
+    assert!(matches!(refused(world.council(leader).request(&ask)), ConfigurationRejected::Behind { .. }));
     world.council(leader).hold_configuration(&content);
     assert_eq!(commit(&mut world, &ask), Revision(203));
 }
@@ -285,11 +293,11 @@
     }
     assert!(order.history().count() == 4 && order.known_since() == Revision(6));
     let stale = Version { revision: Revision(9), ..order.version() };
-    let moved = ProposalRefused::Moved { expected: Revision(9), in_force: Revision(10) };
+    let moved = ConfigurationRejected::Moved { expected: Revision(9), in_force: Revision(10) };
     assert_eq!(order.apply(&entry(stale, "stale", 9, 4)), Err(moved));
     let other = Version { digest: Digest(1), ..order.version() };
     assert!(order.apply(&entry(other, "other content", 10, 4)).is_err());
-    let forgotten = ProposalRefused::Forgotten { seen: Revision(1), known_since: Revision(6) };
+    let forgotten = ConfigurationRejected::Forgotten { seen: Revision(1), known_since: Revision(6) };
     assert_eq!(order.apply(&entry(order.version(), "id-2", 1, 4)), Err(forgotten));
     assert_eq!(order.version().revision, Revision(10));
     let settings = ConfigurationSettings::default();
@@ -311,7 +319,7 @@
     let bytes = replicated_snapshot::encode(&record);
     assert!(bytes.starts_with(&snapshot) && bytes.len() > snapshot.len());
     assert_eq!(replicated_snapshot::decode(&bytes), Some(record));
-    assert_eq!(replicated_snapshot::decode(&bytes[..bytes.len() - 1]), None::<Record>);
+    assert_eq!(replicated_snapshot::decode(&bytes[..bytes.len() - 1]), None::<ReplicatedState>);
     // An enrolment and a release order keep their places among the commands.
     let enrolment = [&[1, 2][..], b"n0", &[1], b"z"].concat();
     assert!(matches!(postcard::from_bytes(&enrolment), Ok(Command::Enrol { .. })));
--- a/crates/coordination/tests/council.rs
+++ b/crates/coordination/tests/council.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use common::{Disk, World, enrol, name};
-use gradepin_coordination::record::{Command, Outcome, Stage, Target};
-use gradepin_coordination::record::{Limits, Purpose};
+use gradepin_coordination::replicated_state::{Command, CommandOutcome, PermitStage, Target};
+use gradepin_coordination::replicated_state::{Limits, Purpose};
 
 /// Proposes until it is told to be done.
-fn agree(world: &mut World, command: &Command) -> Outcome {
+fn agree(world: &mut World, command: &Command) -> CommandOutcome {
     for _ in 0..100 {
         world.led(10_000);
         if let Some(ticket) = world.propose(command.clone()) {
@@ -29,11 +29,11 @@
     for count in [3, 5] {
         let mut world = World::new(count, 4);
         let first = world.led(6_000).expect("a leader");
-        assert_eq!(agree(&mut world, &enrol(0)), Outcome::Done);
+        assert_eq!(agree(&mut world, &enrol(0)), CommandOutcome::Done);
         world.kill(first);
         let second = world.led(6_000).expect("another leader");
         assert_ne!(first, second);
-        assert_eq!(agree(&mut world, &enrol(1)), Outcome::Done);
+        assert_eq!(agree(&mut world, &enrol(1)), CommandOutcome::Done);
         world.start(first, Disk::Kept);
         world.run(4_000);
         assert_eq!(world.record(first), world.record(second));
@@ -234,13 +234,16 @@
         let first = agree(&mut world, &reserve(0));
         let again = agree(&mut world, &reserve(0));
         assert!(
-            matches!(first, Outcome::Permit(_, Stage::Reserved)) && first == again,
+            matches!(first, CommandOutcome::Permit(_, PermitStage::Reserved)) && first == again,
             "{first:?}, {again:?}"
         );
         if let Some(told) = world.told.get(&ticket) {
             assert_eq!(*told, first);
         }
-        assert!(matches!(agree(&mut world, &reserve(1)), Outcome::Refused(_)), "seed {seed}: two permits");
+        assert!(
+            matches!(agree(&mut world, &reserve(1)), CommandOutcome::Refused(_)),
+            "seed {seed}: two permits"
+        );
         let now = world.leader().unwrap();
         assert_eq!(world.record(now).permits.len(), 1);
     }
--- a/crates/coordination/tests/drawn_members.rs
+++ b/crates/coordination/tests/drawn_members.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{Disk, World, enrol, name};
-use gradepin_coordination::record::Record;
+use gradepin_coordination::replicated_state::ReplicatedState;
 use std::collections::BTreeMap;
 
 /// A voter whose council ended would have ended the test.
@@ -17,7 +17,7 @@
         world.add();
     }
     let all = world.voters.len();
-    let mut states: BTreeMap<u64, Record> = BTreeMap::new();
+    let mut states: BTreeMap<u64, ReplicatedState> = BTreeMap::new();
     let mut proposed = 0;
     for _ in 0..80 {
         let n = world.draw(all as u64) as usize;
--- a/crates/coordination/tests/leader_leaves.rs
+++ b/crates/coordination/tests/leader_leaves.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{World, enrol};
-use gradepin_coordination::record::Outcome;
+use gradepin_coordination::replicated_state::CommandOutcome;
 
 /// Guards the leader's process, and the council: entries behind its own removal become durable after it is no member any more.
 #[test]
@@ -27,7 +27,7 @@
         assert_ne!(new, old, "proposed after {later} turns");
         let ticket = world.propose(enrol(2)).expect("it takes proposals");
         world.run(1_000);
-        assert_eq!(world.told.get(&ticket), Some(&Outcome::Done), "proposed after {later} turns");
+        assert_eq!(world.told.get(&ticket), Some(&CommandOutcome::Done), "proposed after {later} turns");
         assert!(!world.record(new).voters.contains_key(&id));
     }
 }
@@ -47,7 +47,7 @@
         let last = world.led(10_000).expect("the last one leads");
         let ticket = world.propose(enrol(1)).expect("it takes proposals");
         world.run(1_000);
-        assert_eq!(world.told.get(&ticket), Some(&Outcome::Done), "of {count}");
+        assert_eq!(world.told.get(&ticket), Some(&CommandOutcome::Done), "of {count}");
         assert_eq!(world.record(last).voters.len(), 1, "of {count}");
     }
 }
--- a/crates/coordination/tests/odd_agents.rs
+++ b/crates/coordination/tests/odd_agents.rs
@@ -6,12 +6,12 @@
 mod fleet;
 
 use fleet::{ALL, Fleet, SECOND, name};
-use gradepin_admission::{Customer, Span};
+use gradepin_admission::{Span, Tenant};
 use gradepin_config::change::{Change, Proposal, Revision, Transaction};
 use gradepin_coordination::configuration_log::ConfigurationRequest;
-use gradepin_coordination::messages::Order;
-use gradepin_coordination::record::{Name, Target};
-use gradepin_coordination::release::{Kind, Plan, Wave};
+use gradepin_coordination::messages::OperatorCommand;
+use gradepin_coordination::replicated_state::{Name, Target};
+use gradepin_coordination::rollout::{Batch, ReleaseKind, RolloutPlan};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::sync::Arc;
@@ -68,10 +68,10 @@
     fleet.run(SECOND);
     fleet.found(0).expect("all are heard");
     fleet.run(Span(6 * SECOND.0));
-    let waves = [0.0, 1.0].map(|share| Wave { share, pause_ms: 200 }).into();
-    let plan = Plan {
+    let waves = [0.0, 1.0].map(|share| Batch { share, pause_ms: 200 }).into();
+    let plan = RolloutPlan {
         name: "one".into(),
-        kind: Kind::Program,
+        kind: ReleaseKind::Program,
         version: "v2".into(),
         waves,
         zone_by_zone: false,
@@ -83,17 +83,17 @@
     let by: Name = "ada".into();
     let target = Target::Zone(Arc::from("z1"));
     let orders = [
-        Order::Out { target, by: by.clone() },
-        Order::Start { plan: Box::new(plan), by: by.clone() },
-        Order::Strike { name: name(9), by: by.clone(), why: "gone".into() },
-        Order::Voter { name: name(4), puts_in: true, by },
+        OperatorCommand::Out { target, by: by.clone() },
+        OperatorCommand::Start { plan: Box::new(plan), by: by.clone() },
+        OperatorCommand::Strike { name: name(9), by: by.clone(), why: "gone".into() },
+        OperatorCommand::Voter { name: name(4), puts_in: true, by },
     ];
     for (ticket, order) in orders.into_iter().enumerate() {
         fleet.parts[ticket % 5].order(fleet.now, ticket as u64, order).expect("there is room");
         fleet.run(Span(SECOND.0 / 5));
     }
     fleet.parts[3].leave(fleet.now);
-    let tenant = Customer { name: "t".into(), quota_rps: 1.0, portion: 0.1 };
+    let tenant = Tenant { name: "t".into(), quota_rps: 1.0, portion: 0.1 };
     let transaction = Transaction { changes: vec![Change::PutTenant(Arc::new(tenant))] };
     let proposal = Proposal {
         request_id: "r".into(),
--- a/crates/coordination/tests/odd_orders.rs
+++ b/crates/coordination/tests/odd_orders.rs
@@ -8,21 +8,21 @@
 use common::{World, enrol, name};
 use fleet::{ALL, Fleet, SECOND};
 use gradepin_admission::Span;
-use gradepin_coordination::council::Refused;
-use gradepin_coordination::messages::Order;
-use gradepin_coordination::record::{Command, Outcome};
-use gradepin_coordination::release::{Kind, Plan, Wave};
-use gradepin_coordination::server_agent::Became;
+use gradepin_coordination::consensus::ProposalError;
+use gradepin_coordination::messages::OperatorCommand;
+use gradepin_coordination::replicated_state::{Command, CommandOutcome};
+use gradepin_coordination::rollout::{Batch, ReleaseKind, RolloutPlan};
+use gradepin_coordination::server_agent::CommandStatus;
 use std::sync::Arc;
 
 /// What one message between servers may hold (`gradepin_cluster::fragments::MAX_MESSAGE_BYTES`).
 const LONGEST_MESSAGE: usize = 259_000;
 
-fn plan(pause_ms: u64, ready_ms: u64, steady_ms: u64) -> Plan {
-    let waves = [0.0, 1.0].map(|share| Wave { share, pause_ms }).into();
-    Plan {
+fn plan(pause_ms: u64, ready_ms: u64, steady_ms: u64) -> RolloutPlan {
+    let waves = [0.0, 1.0].map(|share| Batch { share, pause_ms }).into();
+    RolloutPlan {
         name: "odd".into(),
-        kind: Kind::Program,
+        kind: ReleaseKind::Program,
         version: "v2".into(),
         waves,
         zone_by_zone: false,
@@ -47,13 +47,14 @@
         fleet.run(SECOND);
         fleet.found(0).expect("all are heard");
         fleet.run(Span(8 * SECOND.0));
-        let start = Order::Start { plan: Box::new(plan(pause_ms, ready_ms, steady_ms)), by: "ada".into() };
+        let start =
+            OperatorCommand::Start { plan: Box::new(plan(pause_ms, ready_ms, steady_ms)), by: "ada".into() };
         let now = fleet.now;
         fleet.parts[1].order(now, 1, start).expect("there is room");
         fleet.run(Span(20 * SECOND.0));
         assert_eq!(
             fleet.parts[1].became(1),
-            Became::Over(Ok("done".into())),
+            CommandStatus::Over(Ok("done".into())),
             "{pause_ms} {ready_ms} {steady_ms}"
         );
         let changed = fleet.programs.iter().filter(|program| *program == "v2").count();
@@ -76,7 +77,11 @@
     };
     let leader = world.leader().expect("it leads");
     for bytes in [200_000, 260_000, 1 << 20] {
-        assert_eq!(world.council(leader).propose(900, strike(bytes)), Err(Refused::Long), "{bytes} bytes");
+        assert_eq!(
+            world.council(leader).propose(900, strike(bytes)),
+            Err(ProposalError::Long),
+            "{bytes} bytes"
+        );
     }
     for (n, bytes) in [10_000, 100_000, 199_000].into_iter().enumerate() {
         let ticket = world.propose(strike(bytes)).expect("it is taken");
@@ -84,6 +89,6 @@
         assert!(world.told.contains_key(&ticket), "{bytes} bytes");
         let ticket = world.propose(enrol(n)).expect("it is taken");
         world.run(1_000);
-        assert_eq!(world.told.get(&ticket), Some(&Outcome::Done), "behind {bytes} bytes");
+        assert_eq!(world.told.get(&ticket), Some(&CommandOutcome::Done), "behind {bytes} bytes");
     }
 }
--- a/crates/coordination/tests/odd_words.rs
+++ b/crates/coordination/tests/odd_words.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{Disk, World, enrol};
-use gradepin_coordination::council::{Council, Durable, Effect, Found, VoterId};
+use gradepin_coordination::consensus::{ConsensusVoter, DurableRecord, VoterEffect, VoterId, VoterState};
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, EntryType, Message, MessageType};
 use rand_pcg::Pcg64Mcg;
@@ -145,18 +145,18 @@
     world.propose(enrol(1));
     world.run(1_000);
     let records = world.voters[0].durable.clone();
-    let Some(Durable::Snapshot { index, term, voters, .. }) = records.first().cloned() else {
+    let Some(DurableRecord::Snapshot { index, term, voters, .. }) = records.first().cloned() else {
         panic!("none")
     };
     for data in [Vec::new(), vec![0xff; 40], vec![1]] {
-        let snapshot = Durable::Snapshot { index, term, voters: voters.clone(), data };
+        let snapshot = DurableRecord::Snapshot { index, term, voters: voters.clone(), data };
         let records = std::iter::once(snapshot).chain(records[1..].iter().cloned()).collect();
-        let mut council = Council::new(Found { id: 101, records }, 1, world.now);
+        let mut council = ConsensusVoter::new(VoterState { id: 101, records }, 1, world.now);
         assert!(council.lost().is_some() && !council.is_founded());
         let mut effects = Vec::new();
         council.step(world.now, &mut effects);
-        assert!(effects.iter().any(|effect| matches!(effect, Effect::Note(true, _))), "{effects:?}");
-        assert!(!effects.iter().any(|effect| matches!(effect, Effect::Write(..))), "{effects:?}");
+        assert!(effects.iter().any(|effect| matches!(effect, VoterEffect::Note(true, _))), "{effects:?}");
+        assert!(!effects.iter().any(|effect| matches!(effect, VoterEffect::Write(..))), "{effects:?}");
     }
 }
 
--- a/crates/coordination/tests/requests.rs
+++ b/crates/coordination/tests/requests.rs
@@ -4,15 +4,15 @@
 mod fleet;
 
 use fleet::{ALL, Fleet, SECOND, name};
-use gradepin_admission::{Customer, Span, Time};
+use gradepin_admission::{Span, Tenant, Time};
 use gradepin_config::change::{Change, Proposal, Revision, Transaction};
-use gradepin_coordination::configuration_log::{ConfigurationRequest, ProposalRefused};
-use gradepin_coordination::proposal_client::Answer;
+use gradepin_coordination::configuration_log::{ConfigurationRejected, ConfigurationRequest};
+use gradepin_coordination::proposal_client::ProposalResult;
 use gradepin_coordination::server_agent::ConfigurationEffect;
 use std::sync::Arc;
 
 fn request(id: &str) -> ConfigurationRequest {
-    let tenant = Customer { name: id.into(), quota_rps: 1.0, portion: 0.1 };
+    let tenant = Tenant { name: id.into(), quota_rps: 1.0, portion: 0.1 };
     let transaction = Transaction { changes: vec![Change::PutTenant(Arc::new(tenant))] };
     let (request_id, author, reason) = (Arc::from(id), Arc::from("an operator"), Arc::from("a test"));
     let proposal = Proposal { request_id, author, reason, expected: None, transaction };
@@ -31,11 +31,11 @@
 }
 
 /// Hands it in, lets 2 s pass and gives the one answer.
-fn answer(fleet: &mut Fleet, server: usize, id: &str) -> Answer {
+fn answer(fleet: &mut Fleet, server: usize, id: &str) -> ProposalResult {
     let (begin, ticket) = (fleet.now, fleet.now.0);
     fleet.parts[server].request(begin, ticket, request(id)).expect("taken");
     fleet.run(Span(5 * SECOND.0));
-    let answers: Vec<(Time, Answer)> = fleet
+    let answers: Vec<(Time, ProposalResult)> = fleet
         .told
         .iter()
         .filter_map(|(n, at, effect)| match effect {
@@ -71,11 +71,11 @@
     let mut fleet = fleet();
     let leader = (0..3).find(|n| fleet.leader(0) == Some(name(*n))).expect("a voter leads");
     fleet.cut.extend((0..3).filter(|n| *n != leader));
-    assert_eq!(answer(&mut fleet, leader, "one"), Err(ProposalRefused::Unconfirmed));
-    assert_eq!(answer(&mut fleet, leader, "two"), Err(ProposalRefused::NoLeader));
-    assert_eq!(answer(&mut fleet, 4, "three"), Err(ProposalRefused::NoLeader));
+    assert_eq!(answer(&mut fleet, leader, "one"), Err(ConfigurationRejected::Unconfirmed));
+    assert_eq!(answer(&mut fleet, leader, "two"), Err(ConfigurationRejected::NoLeader));
+    assert_eq!(answer(&mut fleet, 4, "three"), Err(ConfigurationRejected::NoLeader));
     fleet.cut = [0, 1, 2].into();
-    assert_eq!(answer(&mut fleet, 4, "four"), Err(ProposalRefused::NoVoter));
+    assert_eq!(answer(&mut fleet, 4, "four"), Err(ConfigurationRejected::NoVoter));
     fleet.cut.clear();
     fleet.run(Span(8 * SECOND.0));
     let first = answer(&mut fleet, 3, "one").expect("a quorum");
--- a/crates/core/src/admin.rs
+++ b/crates/core/src/admin.rs
@@ -4,19 +4,19 @@
 //! Owns no socket and speaks no HTTP: the shell makes calls of requests and responses of answers, and it answers on
 //! its own where the reducer is late.
 
-use crate::configuration::{ConfigurationAnswer, ConfigurationCall};
-use crate::tally::Stats;
+use crate::configuration::{ConfigurationAdminRequest, ConfigurationAdminResponse};
+use crate::request_metrics::MetricsSnapshot;
 use gradepin_admission::Time;
 use gradepin_cluster::cluster::FleetView;
-use gradepin_coordination::messages::Order;
-use gradepin_coordination::server_agent::{Became, Status as Agreements};
+use gradepin_coordination::messages::OperatorCommand;
+use gradepin_coordination::server_agent::{AgentStatus as Agreements, CommandStatus};
 
 /// Names a call of the door until it is answered; never used again.
-pub type CallId = u64;
+pub type AdminRequestId = u64;
 
 /// What an operator asks.
 #[derive(Debug, Clone, PartialEq)]
-pub enum AdminCall {
+pub enum AdminRequest {
     /// Whether this process is ready to serve.
     Health,
     /// The figures.
@@ -28,18 +28,18 @@
     /// The drain ends: back to work.
     Ok,
     /// About what the fleet agrees on.
-    Agreed(FleetCall),
+    Agreed(AgreementRequest),
     /// About the committed configuration.
-    Configuration(ConfigurationCall),
+    Configuration(ConfigurationAdminRequest),
 }
 
 /// What an operator asks of the fleet's agreements.
 #[derive(Debug, Clone, PartialEq)]
-pub enum FleetCall {
+pub enum AgreementRequest {
     /// How they stand, as far as is known here.
     Status,
     /// Have the council agree on something.
-    Order(Box<Order>),
+    Order(Box<OperatorCommand>),
     /// What became of an order of this ticket.
     Became(u64),
     /// Found the council.
@@ -54,7 +54,7 @@
 
 /// What that is answered.
 #[derive(Debug, Clone, PartialEq)]
-pub enum FleetAnswer {
+pub enum AgreementResponse {
     /// This server takes no part.
     Off,
     /// How they stand.
@@ -62,7 +62,7 @@
     /// The order is under way, under this ticket.
     Ticket(u64),
     /// What became of it.
-    Became(Became),
+    Became(CommandStatus),
     /// Done, or not, and why.
     Said(Result<String, String>),
     /// The version, if a release has one for it.
@@ -71,15 +71,15 @@
 
 /// What a call is answered.
 #[derive(Debug, Clone, PartialEq)]
-pub enum AdminAnswer {
+pub enum AdminResponse {
     /// Ready to serve, or not, and why not.
-    Health(Result<(), NotReady>),
+    Health(Result<(), NotReadyReason>),
     /// The figures as of now.
-    Stats(Box<Stats>),
+    Stats(Box<MetricsSnapshot>),
     /// About what the fleet agrees on.
-    Agreed(FleetAnswer),
+    Agreed(AgreementResponse),
     /// About the committed configuration.
-    Configuration(Box<ConfigurationAnswer>),
+    Configuration(Box<ConfigurationAdminResponse>),
     /// The fleet as it is seen from here; none where servers don't talk to each other.
     Fleet(Option<Box<FleetView>>),
     /// The order is in force, and whether it changed anything.
@@ -93,7 +93,7 @@
 
 /// Why a process is not ready to serve; the first that holds, in this order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NotReady {
+pub enum NotReadyReason {
     /// It was told to leave.
     Leaving,
     /// An operator drains it.
@@ -104,7 +104,7 @@
     Unwell,
 }
 
-impl NotReady {
+impl NotReadyReason {
     /// In a word, for the response and the log.
     pub fn word(self) -> &'static str {
         match self {
@@ -118,7 +118,7 @@
 
 /// What the reducer tells of itself when readiness is asked.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Standing {
+pub struct ReadinessInputs {
     /// The processor has greeted, and the module is there.
     pub processor: bool,
     /// The module says it takes work, and no operator took the server out.
@@ -129,23 +129,23 @@
 
 /// The drain that operators order at the door, and since when.
 #[derive(Debug, Default)]
-pub struct Door {
+pub struct OperatorDrain {
     failed_since: Option<Time>,
 }
 
-impl Door {
+impl OperatorDrain {
     /// Takes a call that changes something, and says what it is answered; the others are the reducer's to answer.
-    pub fn order(&mut self, now: Time, call: &AdminCall) -> Option<AdminAnswer> {
+    pub fn order(&mut self, now: Time, call: &AdminRequest) -> Option<AdminResponse> {
         let changed = match call {
-            AdminCall::Fail => self.failed_since.replace(self.failed_since.unwrap_or(now)).is_none(),
-            AdminCall::Ok => self.failed_since.take().is_some(),
-            AdminCall::Health
-            | AdminCall::Stats
-            | AdminCall::Fleet
-            | AdminCall::Agreed(_)
-            | AdminCall::Configuration(_) => return None,
+            AdminRequest::Fail => self.failed_since.replace(self.failed_since.unwrap_or(now)).is_none(),
+            AdminRequest::Ok => self.failed_since.take().is_some(),
+            AdminRequest::Health
+            | AdminRequest::Stats
+            | AdminRequest::Fleet
+            | AdminRequest::Agreed(_)
+            | AdminRequest::Configuration(_) => return None,
         };
-        Some(AdminAnswer::Done { failed: self.failed_since.is_some(), changed })
+        Some(AdminResponse::Done { failed: self.failed_since.is_some(), changed })
     }
 
     /// Whether an operator drains the process, and since when.
@@ -154,15 +154,15 @@
     }
 
     /// Whether the process is ready: it answers as it serves, and says no at once after a drain was ordered.
-    pub fn ready(&self, standing: Standing) -> Result<(), NotReady> {
+    pub fn ready(&self, standing: ReadinessInputs) -> Result<(), NotReadyReason> {
         if standing.leaving {
-            Err(NotReady::Leaving)
+            Err(NotReadyReason::Leaving)
         } else if self.failed_since.is_some() {
-            Err(NotReady::Drained)
+            Err(NotReadyReason::Drained)
         } else if !standing.processor {
-            Err(NotReady::NoProcessor)
+            Err(NotReadyReason::NoProcessor)
         } else if !standing.well {
-            Err(NotReady::Unwell)
+            Err(NotReadyReason::Unwell)
         } else {
             Ok(())
         }
@@ -173,40 +173,40 @@
 mod tests {
     use super::*;
 
-    const UP: Standing = Standing { processor: true, well: true, leaving: false };
+    const UP: ReadinessInputs = ReadinessInputs { processor: true, well: true, leaving: false };
 
     /// Guards the drain rule: no good answer from the call on, and a good one again as soon as it ends.
     #[test]
     fn a_drain_says_no_at_once_and_its_end_says_yes_at_once() {
-        let mut door = Door::default();
+        let mut door = OperatorDrain::default();
         assert_eq!(door.ready(UP), Ok(()));
-        let failed = door.order(Time(5), &AdminCall::Fail);
-        assert_eq!(failed, Some(AdminAnswer::Done { failed: true, changed: true }));
-        assert_eq!(door.ready(UP), Err(NotReady::Drained));
+        let failed = door.order(Time(5), &AdminRequest::Fail);
+        assert_eq!(failed, Some(AdminResponse::Done { failed: true, changed: true }));
+        assert_eq!(door.ready(UP), Err(NotReadyReason::Drained));
         // A second call changes nothing, and the drain counts from the first.
         assert_eq!(
-            door.order(Time(9), &AdminCall::Fail),
-            Some(AdminAnswer::Done { failed: true, changed: false })
+            door.order(Time(9), &AdminRequest::Fail),
+            Some(AdminResponse::Done { failed: true, changed: false })
         );
         assert_eq!(door.failed_since(), Some(Time(5)));
         assert_eq!(
-            door.order(Time(12), &AdminCall::Ok),
-            Some(AdminAnswer::Done { failed: false, changed: true })
+            door.order(Time(12), &AdminRequest::Ok),
+            Some(AdminResponse::Done { failed: false, changed: true })
         );
         assert_eq!(door.ready(UP), Ok(()));
         assert_eq!(
-            door.order(Time(13), &AdminCall::Ok),
-            Some(AdminAnswer::Done { failed: false, changed: false })
+            door.order(Time(13), &AdminRequest::Ok),
+            Some(AdminResponse::Done { failed: false, changed: false })
         );
     }
 
     /// Guards the upgrade: a new process says yes only once it can serve, and an old one no once it leaves.
     #[test]
     fn readiness_follows_what_the_process_can_do() {
-        let mut door = Door::default();
-        assert_eq!(door.ready(Standing::default()), Err(NotReady::NoProcessor));
-        assert_eq!(door.ready(Standing { well: false, ..UP }), Err(NotReady::Unwell));
-        assert_eq!(door.ready(Standing { leaving: true, ..UP }), Err(NotReady::Leaving));
-        assert_eq!(door.order(Time(1), &AdminCall::Health), None);
+        let mut door = OperatorDrain::default();
+        assert_eq!(door.ready(ReadinessInputs::default()), Err(NotReadyReason::NoProcessor));
+        assert_eq!(door.ready(ReadinessInputs { well: false, ..UP }), Err(NotReadyReason::Unwell));
+        assert_eq!(door.ready(ReadinessInputs { leaving: true, ..UP }), Err(NotReadyReason::Leaving));
+        assert_eq!(door.order(Time(1), &AdminRequest::Health), None);
     }
 }
--- a/crates/core/src/pool.rs
+++ b/crates/core/src/buffer_pool.rs
@@ -4,16 +4,16 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// Bytes in a buffer: the largest result (4 KiB) and the envelope it travels in.
-pub const SIZE: usize = 4608;
+pub const BUFFER_BYTES: usize = 4608;
 
 /// The buffers that are free now.
 #[derive(Debug)]
-pub struct Pool {
+pub struct BufferPool {
     free: Mutex<Vec<Box<[u8]>>>,
     keep: usize,
 }
 
-impl Pool {
+impl BufferPool {
     /// A pool that keeps at most this many free buffers for later.
     pub fn new(keep: usize) -> Arc<Self> {
         Arc::new(Self { free: Mutex::default(), keep })
@@ -22,14 +22,14 @@
     /// An empty buffer.
     pub fn take(self: &Arc<Self>) -> Buffer {
         let free = self.free.lock().unwrap_or_else(PoisonError::into_inner).pop();
-        let bytes = free.unwrap_or_else(|| vec![0; SIZE].into_boxed_slice());
+        let bytes = free.unwrap_or_else(|| vec![0; BUFFER_BYTES].into_boxed_slice());
         Buffer { bytes, len: 0, pool: Arc::clone(self) }
     }
 
     /// A buffer of no more than these bytes, for what is kept for long; it never enters the pool. None if they are
     /// more than a buffer holds. Guards against whole buffers held for small things, which the memory limit feels.
     pub fn exact(self: &Arc<Self>, bytes: &[u8]) -> Option<Buffer> {
-        let copy = (bytes.len() <= SIZE).then(|| bytes.to_vec().into_boxed_slice())?;
+        let copy = (bytes.len() <= BUFFER_BYTES).then(|| bytes.to_vec().into_boxed_slice())?;
         Some(Buffer { len: copy.len(), bytes: copy, pool: Arc::clone(self) })
     }
 
@@ -45,7 +45,7 @@
 pub struct Buffer {
     bytes: Box<[u8]>,
     len: usize,
-    pool: Arc<Pool>,
+    pool: Arc<BufferPool>,
 }
 
 impl Buffer {
@@ -98,7 +98,7 @@
 
 impl Drop for Buffer {
     fn drop(&mut self) {
-        if self.bytes.len() != SIZE {
+        if self.bytes.len() != BUFFER_BYTES {
             return;
         }
         let mut free = self.pool.free.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/core/src/classes.rs
+++ b/crates/core/src/classes.rs
@@ -14,7 +14,7 @@
 //! classes there are. Not here: which changes are valid, and what the module makes of the figures.
 
 use crate::slots::{Handle, Slots};
-use gradepin_admission::{ClassDefinition, Effect, Profile, Settings, Span, Time, after};
+use gradepin_admission::{ClassDefinition, ClassProfile, Idempotency, Settings, Span, Time, time_after};
 use gradepin_config::change::MAX_CLASSES;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -24,9 +24,9 @@
 pub const DROP_GRACE: Span = Span(2_500_000_000);
 /// The longest name of a class or tenant, in bytes: one of each fits into a message beside the longest body and all other
 /// fields at their longest. Guards against requests of a class that can't be read.
-pub const LONGEST_NAME: usize = 1_024;
+pub const MAX_CLASS_NAME_BYTES: usize = 1_024;
 /// Slots at the most: besides all classes in force, as many that are dropped and still referred to.
-pub const MOST_SLOTS: usize = 2 * MAX_CLASSES;
+pub const MAX_CLASS_SLOTS: usize = 2 * MAX_CLASSES;
 
 /// Why settings can't be used.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -40,7 +40,9 @@
         name: String,
     },
     /// A name leaves no room for the longest body in a message of a client proxy.
-    #[error("expected names of at most {LONGEST_NAME} bytes in settings.{what}, got {came} in '{start}..'")]
+    #[error(
+        "expected names of at most {MAX_CLASS_NAME_BYTES} bytes in settings.{what}, got {came} in '{start}..'"
+    )]
     TooLong {
         /// Of classes or tenants.
         what: &'static str,
@@ -126,7 +128,7 @@
 
     /// How many names more would find a slot now.
     pub fn room(&self) -> usize {
-        MOST_SLOTS - (self.slots.len() - self.slots.free())
+        MAX_CLASS_SLOTS - (self.slots.len() - self.slots.free())
     }
 
     /// Whether a class of this name is in force.
@@ -160,7 +162,7 @@
     }
 
     /// What holds for the class in a slot.
-    pub fn profile(&self, slot: usize) -> &Profile {
+    pub fn profile(&self, slot: usize) -> &ClassProfile {
         &self.get(slot).profile
     }
 
@@ -193,20 +195,20 @@
         let Some(old) = self.slots.replace(slot, Arc::clone(&definition)) else { return (slot, Put::Same) };
         self.forget_window(old.profile.window);
         let Some(standing) = self.slots.state_mut(slot) else { return (slot, Put::Same) };
-        if old.profile.effect == Effect::ByKey {
-            standing.new_tokens = after(now, DROP_GRACE);
+        if old.profile.effect == Idempotency::ByKey {
+            standing.new_tokens = time_after(now, DROP_GRACE);
             let (before, window) = standing.keyed.filter(|(until, _)| *until > now).unwrap_or_default();
             // What begins under a new token until then goes by the longest window, not by the last.
             let window = window.max(old.profile.window);
-            standing.keyed = Some((before.max(after(standing.new_tokens, window)), window));
+            standing.keyed = Some((before.max(time_after(standing.new_tokens, window)), window));
         }
         let back = standing.dropped.take().is_some();
         standing.still = None;
         if let Some((until, window)) = standing.keyed
-            && definition.profile.effect != Effect::ByKey
+            && definition.profile.effect != Idempotency::ByKey
         {
             let mut still = ClassDefinition::clone(&definition);
-            (still.profile.effect, still.profile.window) = (Effect::ByKey, window);
+            (still.profile.effect, still.profile.window) = (Idempotency::ByKey, window);
             standing.still = Some(Arc::new(still));
             self.due.insert((until, slot));
         }
@@ -228,9 +230,9 @@
     /// When the slot of a dropped class may be free at the earliest.
     fn free_at(&self, slot: usize) -> Option<Time> {
         let (definition, standing) = self.slots.get(slot)?;
-        let grace = after(standing.dropped?, DROP_GRACE);
-        let keyed = definition.profile.effect == Effect::ByKey;
-        let window = if keyed { after(grace, definition.profile.window) } else { grace };
+        let grace = time_after(standing.dropped?, DROP_GRACE);
+        let keyed = definition.profile.effect == Idempotency::ByKey;
+        let window = if keyed { time_after(grace, definition.profile.window) } else { grace };
         Some(standing.keyed.map_or(window, |(until, _)| until.max(window)))
     }
 
@@ -293,7 +295,7 @@
     pub fn takes(&self, slot: usize, now: Time) -> bool {
         match self.slots.get(slot) {
             Some((_, Standing { dropped: None, .. })) => true,
-            Some((_, Standing { dropped: Some(since), .. })) => now < after(*since, DROP_GRACE),
+            Some((_, Standing { dropped: Some(since), .. })) => now < time_after(*since, DROP_GRACE),
             None => false,
         }
     }
@@ -331,7 +333,7 @@
     }
     let mut seen = std::collections::HashSet::with_capacity(came);
     for name in names {
-        if name.len() > LONGEST_NAME {
+        if name.len() > MAX_CLASS_NAME_BYTES {
             let start = name.chars().take(40).collect();
             return Err(NamesError::TooLong { what, start, came: name.len() });
         }
--- a/crates/core/src/classes/tests.rs
+++ b/crates/core/src/classes/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn class(name: &str, effect: Effect, window: u64, deadline: u64) -> Arc<ClassDefinition> {
+fn class(name: &str, effect: Idempotency, window: u64, deadline: u64) -> Arc<ClassDefinition> {
     let mut class = ClassDefinition::default();
     (class.profile.name, class.profile.effect) = (name.to_string(), effect);
     (class.profile.window, class.profile.deadline) = (Span(window), Span(deadline));
@@ -8,7 +8,7 @@
 }
 
 fn plain(name: &str, deadline: u64) -> Arc<ClassDefinition> {
-    class(name, Effect::Repeatable, 0, deadline)
+    class(name, Idempotency::Repeatable, 0, deadline)
 }
 
 fn names(classes: &Classes) -> Vec<(&str, u64)> {
@@ -16,7 +16,7 @@
 }
 
 fn grace(since: u64, more: u64) -> Time {
-    after(after(Time(since), DROP_GRACE), Span(more))
+    time_after(time_after(Time(since), DROP_GRACE), Span(more))
 }
 
 /// Guards open requests and counts across a change: slots stay, new classes come after, dropped ones stay taken for the
@@ -41,7 +41,7 @@
 /// Guards against a slot that is given away while something refers to it, and one that is never used again.
 #[test]
 fn a_slot_is_free_once_its_grace_its_windows_and_its_requests_are_over() {
-    let mut classes = Classes::new([plain("view", 4), class("save", Effect::ByKey, 700, 4)]);
+    let mut classes = Classes::new([plain("view", 4), class("save", Idempotency::ByKey, 700, 4)]);
     for slot in 0..2 {
         classes.acquire(slot);
     }
@@ -71,10 +71,10 @@
         assert!(classes.remove(now, &name).is_some());
         classes.settle(now, 4);
     }
-    assert!(classes.room() >= MOST_SLOTS - 4, "{}", classes.room());
+    assert!(classes.room() >= MAX_CLASS_SLOTS - 4, "{}", classes.room());
     let mut many = Settings { profiles: vec![plain("a", 1).profile.clone(); 2], ..Settings::default() };
     assert_eq!(check(&many), Err(NamesError::Twice { what: "profiles", name: "a".into() }));
-    let profile = |n: usize| Profile { name: n.to_string(), ..many.profiles[0].clone() };
+    let profile = |n: usize| ClassProfile { name: n.to_string(), ..many.profiles[0].clone() };
     many.profiles = (0..=MAX_CLASSES).map(profile).collect();
     let came = MAX_CLASSES + 1;
     assert_eq!(check(&many), Err(NamesError::TooMany { what: "profiles", most: MAX_CLASSES, came }));
@@ -85,32 +85,32 @@
 /// Guards the window of a run under a token across changes that make its class keyed no more, and keyed again.
 #[test]
 fn a_class_stays_keyed_for_the_module_until_its_last_window_is_past() {
-    let of = |effect| class("save", effect, if effect == Effect::ByKey { 700 } else { 0 }, 4);
+    let of = |effect| class("save", effect, if effect == Idempotency::ByKey { 700 } else { 0 }, 4);
     let holds = |classes: &Classes| (classes.profile(0).effect, classes.profile(0).window);
-    let mut classes = Classes::new([of(Effect::ByKey)]);
-    classes.put(Time(100), of(Effect::Once));
-    assert_eq!(classes.defined(0).profile.effect, Effect::Once);
-    assert_eq!(holds(&classes), (Effect::ByKey, Span(700)));
+    let mut classes = Classes::new([of(Idempotency::ByKey)]);
+    classes.put(Time(100), of(Idempotency::Once));
+    assert_eq!(classes.defined(0).profile.effect, Idempotency::Once);
+    assert_eq!(holds(&classes), (Idempotency::ByKey, Span(700)));
     // Other changes meanwhile don't lengthen it, nor cut it short.
-    classes.put(Time(200), of(Effect::Repeatable));
+    classes.put(Time(200), of(Idempotency::Repeatable));
     let until = grace(800, 0);
     assert!(classes.settle(Time(until.0 - 1), 9).is_empty());
-    assert_eq!(holds(&classes), (Effect::ByKey, Span(700)));
+    assert_eq!(holds(&classes), (Idempotency::ByKey, Span(700)));
     assert_eq!(classes.settle(until, 9), [Settled::Unkeyed(0)]);
     assert!(classes.settle(until, 9).is_empty());
-    assert_eq!(holds(&classes), (Effect::Repeatable, Span(0)));
-    for (at, effect) in [(300, Effect::ByKey), (400, Effect::Once), (500, Effect::ByKey)] {
-        classes.put(after(until, Span(at)), of(effect));
+    assert_eq!(holds(&classes), (Idempotency::Repeatable, Span(0)));
+    for (at, effect) in [(300, Idempotency::ByKey), (400, Idempotency::Once), (500, Idempotency::ByKey)] {
+        classes.put(time_after(until, Span(at)), of(effect));
     }
     assert!(classes.settle(Time(u64::MAX), 9).is_empty());
-    assert_eq!(holds(&classes), (Effect::ByKey, Span(700)));
+    assert_eq!(holds(&classes), (Idempotency::ByKey, Span(700)));
 }
 
 /// Guards a run begun under a long window against a change to a short one and then to none: the long one counts.
 #[test]
 fn the_longest_window_of_what_a_class_was_counts() {
-    let mut classes = Classes::new([class("save", Effect::ByKey, 9_000, 4)]);
-    classes.put(Time(100), class("save", Effect::ByKey, 10, 4));
+    let mut classes = Classes::new([class("save", Idempotency::ByKey, 9_000, 4)]);
+    classes.put(Time(100), class("save", Idempotency::ByKey, 10, 4));
     assert_eq!(classes.longest_window(), Span(10));
     classes.put(Time(200), plain("save", 4));
     assert!(classes.settle(Time(grace(9_200, 0).0 - 1), 9).is_empty());
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -5,7 +5,7 @@
 
 use crate::classes::{self, NamesError};
 use gradepin_admission::numbers::whole_part;
-use gradepin_admission::{BadSettings, Below, Settings};
+use gradepin_admission::{AdmissionSettingsError, Settings, UpstreamKind};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -66,7 +66,7 @@
 const RESERVED_SOCKETS: usize = 32;
 /// Of those, places for connections that come while all others are taken: each has one exchange, a health check or a
 /// refusal, and is closed. Guards against peers that fill all places for as long as they like.
-pub const SPARE_PLACES: usize = 8;
+pub const RESERVED_CONNECTIONS: usize = 8;
 /// Kept back beside those where there is a door for operators: its listener and its callers.
 pub const ADMIN_SOCKETS: usize = 33;
 
@@ -102,7 +102,7 @@
     Seed(String),
     /// The module can't work with its settings.
     #[error(transparent)]
-    Settings(#[from] BadSettings),
+    Settings(#[from] AdmissionSettingsError),
     /// A name stands for two classes or two tenants.
     #[error(transparent)]
     Names(#[from] NamesError),
@@ -161,7 +161,7 @@
     /// Most calls to the ledger at a time, each with a connection and a thread of its own. Their descriptors are kept back:
     /// a call that can't be made for want of one would count as one that may have run.
     pub fn calls(&self) -> usize {
-        if self.ledger.is_none() || self.settings.specifics.below != Below::Shared {
+        if self.ledger.is_none() || self.settings.specifics.below != UpstreamKind::Shared {
             return 0;
         }
         let share = self.settings.specifics.calls_out * if self.lends { BORROWED } else { 1.0 };
--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration.rs
@@ -2,7 +2,7 @@
 //! written, and how it stands.
 
 use gradepin_admission::Span;
-use gradepin_config::admin::{ApplyReply, ApplyRequest, Refusal, Source, StatusReply};
+use gradepin_config::admin::{AdminError, ApplyReply, ApplyRequest, Source, StatusReply};
 use gradepin_config::dissemination::{DisseminationSettings, Member};
 use gradepin_config::{Commit, Configuration, Name, Revision, Snapshot};
 use std::collections::BTreeMap;
@@ -44,7 +44,7 @@
 
 /// What became of writing it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ConfigurationWritten {
+pub enum ConfigurationSaveResult {
     /// The state of this revision is durable.
     Durable(Revision),
     /// It couldn't be made so, and why; it is tried again.
@@ -53,7 +53,7 @@
 
 /// What an operator asks of the configuration service.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ConfigurationCall {
+pub enum ConfigurationAdminRequest {
     /// A change, or the check of one.
     Apply(Box<ApplyRequest>),
     /// What became of the request of this id.
@@ -64,18 +64,18 @@
 
 /// What that is answered.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ConfigurationAnswer {
+pub enum ConfigurationAdminResponse {
     /// To a change, or to a question about one.
     Apply(ApplyReply),
     /// How it stands.
     Status(Box<StatusReply>),
     /// Nothing was changed.
-    Refused(Refusal),
+    Refused(AdminError),
 }
 
 /// The figures of a scrape.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ConfigurationFigures {
+pub struct ConfigurationMetrics {
     /// The revision in force.
     pub revision: u64,
     /// Seconds since the state was last confirmed as the newest one.
--- a/crates/core/src/handover.rs
+++ b/crates/core/src/handover.rs
@@ -4,22 +4,22 @@
 //!
 //! So from SIGTERM on the old process accepts nothing more, tells the control plane nothing more (a `NotReady` of
 //! its own would take the server off the list while the new one says `Ready`), asks its connections to drain, and
-//! answers all it read. Connections that rest [`REST_AFTER_DRAIN`] after they were asked to drain are closed where
+//! answers all it read. Connections that rest [`IDLE_AFTER_DRAIN`] after they were asked to drain are closed where
 //! the shell finds nothing unread on them. It leaves once the shell has said that it accepts no more (so that no
 //! accepted connection is still on its way), nothing is open and no connection stands; at the latest a margin
 //! before SIGKILL, which resets whatever stands. Not here: the drain of the module, which goes on as at any SIGTERM.
 
-use gradepin_admission::{Span, Time, after, before};
+use gradepin_admission::{Span, Time, time_after, time_before};
 
 /// How long a connection asked to drain may rest with nothing open before it no longer keeps the process: its
 /// proxy closes it once all is answered, and one that crossed the notice is sent again within 50 ms.
-pub const REST_AFTER_DRAIN: Span = Span(300_000_000);
+pub const IDLE_AFTER_DRAIN: Span = Span(300_000_000);
 /// How long before SIGKILL the process leaves whatever stands.
 pub const KILL_MARGIN: Span = Span(150_000_000);
 
 /// What the reducer tells of its connections when it asks whether the old process may leave.
 #[derive(Debug, Clone, Copy)]
-pub struct Left {
+pub struct RemainingWork {
     /// Requests owed an answer.
     pub open: usize,
     /// Client connections that stand.
@@ -52,7 +52,7 @@
         if !self.shared || self.since.is_some() {
             return false;
         }
-        self.since = Some((now, after(now, stop)));
+        self.since = Some((now, time_after(now, stop)));
         true
     }
 
@@ -62,7 +62,7 @@
         if self.since.is_some() {
             return false;
         }
-        self.since = Some((now, after(after(now, patience), KILL_MARGIN)));
+        self.since = Some((now, time_after(time_after(now, patience), KILL_MARGIN)));
         true
     }
 
@@ -79,14 +79,14 @@
     /// Whether a connection that was asked to drain then and last spoke then has rested long enough to be closed,
     /// during a hand-over.
     pub fn closes(&self, now: Time, draining: Option<Time>, last: Time) -> bool {
-        let rested = |since| after(since, REST_AFTER_DRAIN) <= now;
+        let rested = |since| time_after(since, IDLE_AFTER_DRAIN) <= now;
         self.since.is_some() && draining.is_some_and(rested) && rested(last)
     }
 
     /// Whether the process may leave now.
-    pub fn may_leave(&self, now: Time, left: Left) -> bool {
+    pub fn may_leave(&self, now: Time, left: RemainingWork) -> bool {
         let Some((_, kill)) = self.since else { return false };
-        now >= before(kill, KILL_MARGIN) || (self.stopped && left.open == 0 && left.connections == 0)
+        now >= time_before(kill, KILL_MARGIN) || (self.stopped && left.open == 0 && left.connections == 0)
     }
 
     /// Whether a hand-over is under way.
@@ -96,7 +96,7 @@
 
     /// When to look again whether it may leave, though nothing comes in.
     pub fn wake_at(&self) -> Option<Time> {
-        self.since.map(|(_, kill)| before(kill, KILL_MARGIN))
+        self.since.map(|(_, kill)| time_before(kill, KILL_MARGIN))
     }
 }
 
--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/idempotency_log.rs
@@ -6,11 +6,11 @@
 //! no earlier run answers are refused with a time to come back; all others are served. The way back is always the same: all that
 //! is known is written anew, and counts once that is durable.
 
-use crate::moment::Moment;
-use crate::pool::Buffer;
-use crate::records::{End, Known};
-pub use crate::records::{Past, PastEnd};
-use gradepin_admission::{RequestId, Span, Time, after};
+use crate::buffer_pool::Buffer;
+use crate::keyed_run::{KeyedRun, RunOutcome};
+pub use crate::keyed_run::{SavedOutcome, SavedRun};
+use crate::timestamp::Timestamp;
+use gradepin_admission::{RequestId, Span, Time, time_after};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
 
 /// A record for the store.
 #[derive(Debug, Clone)]
-pub enum Record {
+pub enum LogRecord {
     /// A try will be begun.
     Intent {
         /// What all tries share.
@@ -65,9 +65,9 @@
 
 /// What a store held.
 #[derive(Debug, Clone, Default)]
-pub struct Recovered {
+pub struct RecoveredRuns {
     /// The runs whose windows may be open, in the order of their tokens.
-    pub past: Vec<Past>,
+    pub past: Vec<SavedRun>,
     /// The key of all prints in this store.
     pub salt: u64,
     /// If something that was durable can't be read: any token may have run, for so long.
@@ -78,7 +78,7 @@
 
 /// Whether the store can be relied on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum StoreHealth {
     /// There is none: nothing survives this process.
     Off,
     /// It is still read.
@@ -91,7 +91,7 @@
     Down,
 }
 
-impl Standing {
+impl StoreHealth {
     /// In a word, for health checks and a registry.
     pub fn word(self) -> Option<&'static str> {
         match self {
@@ -120,16 +120,16 @@
 
 /// A batch of records that leaves with a step.
 #[derive(Debug)]
-pub enum Batch {
+pub enum RecordBatch {
     /// To be added.
-    Add(Vec<Record>),
+    Add(Vec<LogRecord>),
     /// All that is known, to be written anew; what was before counts no more once this is durable.
-    Anew(Vec<Record>),
+    Anew(Vec<LogRecord>),
 }
 
 /// The ledger of one server.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct IdempotencyLog {
     state: State,
     /// How long an intent may take to become durable.
     patience: Span,
@@ -139,13 +139,13 @@
     /// The last batch that left, and those under way with their times.
     last: u64,
     under_way: VecDeque<(u64, Time)>,
-    batch: Vec<Record>,
+    batch: Vec<LogRecord>,
     /// Tries whose intent waits, with the batch that holds it.
     waiting: VecDeque<(u64, RequestId, Time)>,
     notes: Vec<(bool, String)>,
 }
 
-impl Ledger {
+impl IdempotencyLog {
     /// For a server without a store.
     pub fn off() -> Self {
         Self::new(State::Off, Span(0))
@@ -176,13 +176,13 @@
     }
 
     /// Whether it can be relied on.
-    pub fn standing(&self, now: Time) -> Standing {
+    pub fn standing(&self, now: Time) -> StoreHealth {
         match &self.state {
-            State::Off => Standing::Off,
-            State::Opening => Standing::Opening,
-            State::Good if self.doubtful_until.is_some_and(|until| until > now) => Standing::Doubtful,
-            State::Good => Standing::Good,
-            State::Down { .. } => Standing::Down,
+            State::Off => StoreHealth::Off,
+            State::Opening => StoreHealth::Opening,
+            State::Good if self.doubtful_until.is_some_and(|until| until > now) => StoreHealth::Doubtful,
+            State::Good => StoreHealth::Good,
+            State::Down { .. } => StoreHealth::Down,
         }
     }
 
@@ -201,18 +201,18 @@
     }
 
     /// A try is to run once its intent is durable; false if it can't be written, and then it must be turned away.
-    pub fn intent(&mut self, now: Time, known: Known) -> bool {
+    pub fn intent(&mut self, now: Time, known: KeyedRun) -> bool {
         if self.refuses(now).is_some() {
             return false;
         }
-        let Known { token, print, id, left, .. } = known;
+        let KeyedRun { token, print, id, left, .. } = known;
         self.waiting.push_back((self.last + 1, id.clone(), now));
-        self.batch.push(Record::Intent { token, print, id, left });
+        self.batch.push(LogRecord::Intent { token, print, id, left });
         true
     }
 
     /// A run has ended.
-    pub fn end(&mut self, known: Known) {
+    pub fn end(&mut self, known: KeyedRun) {
         // Where the store is down, this goes out when all is written anew.
         if matches!(self.state, State::Good)
             && let Some(record) = known_record(known)
@@ -224,14 +224,14 @@
     /// A try whose intent was given here never ran.
     pub fn void(&mut self, token: &Arc<str>, id: &RequestId) {
         if matches!(self.state, State::Good) {
-            self.batch.push(Record::Void { token: Arc::clone(token), id: id.clone() });
+            self.batch.push(LogRecord::Void { token: Arc::clone(token), id: id.clone() });
         }
     }
 
     /// The store was opened and read.
-    pub fn recovered(&mut self, now: Time, recovered: &Recovered) {
+    pub fn recovered(&mut self, now: Time, recovered: &RecoveredRuns) {
         self.state = State::Good;
-        self.doubtful_until = recovered.doubt.map(|doubt| after(now, doubt));
+        self.doubtful_until = recovered.doubt.map(|doubt| time_after(now, doubt));
         self.notes.extend(recovered.notes.iter().map(|note| (recovered.doubt.is_some(), note.clone())));
         let count = recovered.past.len();
         self.notes.push((false, format!("the store is open, with {count} runs of an earlier life")));
@@ -277,7 +277,7 @@
             State::Down { next, pause, under_way } => {
                 if under_way.take_if(|number| *number <= upto).is_some() {
                     *pause = Span((pause.0 * 2).min(MOST_AGAIN.0));
-                    *next = after(now, *pause);
+                    *next = time_after(now, *pause);
                     self.notes.push((true, format!("the store is still down: {why}")));
                 }
                 Vec::new()
@@ -287,16 +287,16 @@
 
     fn down(&mut self, now: Time) -> Vec<RequestId> {
         // A disk that falls again soon is given longer each time: it would else go to and fro at every save.
-        let again = self.back.filter(|(at, _)| after(*at, STEADY) > now);
+        let again = self.back.filter(|(at, _)| time_after(*at, STEADY) > now);
         let pause = again.map_or(AGAIN, |(_, before)| Span((before.0 * 2).min(MOST_AGAIN.0)));
-        self.state = State::Down { next: after(now, pause), pause, under_way: None };
+        self.state = State::Down { next: time_after(now, pause), pause, under_way: None };
         self.batch.clear();
         self.waiting.drain(..).map(|(_, id, _)| id).collect()
     }
 
     /// Looks at what has taken too long; returns the tries to be turned away.
     pub fn overdue(&mut self, now: Time) -> Vec<RequestId> {
-        let late = |since: Time| after(since, self.patience) <= now;
+        let late = |since: Time| time_after(since, self.patience) <= now;
         if matches!(self.state, State::Good) && self.under_way.front().is_some_and(|(_, since)| late(*since))
         {
             let text =
@@ -308,13 +308,17 @@
     }
 
     /// What leaves with this step, with its number. `all` is asked for when all must be written anew.
-    pub fn take(&mut self, moment: Moment, all: impl FnOnce() -> Vec<Known>) -> Option<(u64, Batch)> {
+    pub fn take(
+        &mut self,
+        moment: Timestamp,
+        all: impl FnOnce() -> Vec<KeyedRun>,
+    ) -> Option<(u64, RecordBatch)> {
         let batch = match &mut self.state {
-            State::Good if !self.batch.is_empty() => Batch::Add(std::mem::take(&mut self.batch)),
+            State::Good if !self.batch.is_empty() => RecordBatch::Add(std::mem::take(&mut self.batch)),
             // One at a time: behind a sync that never returns a second one would only wait too.
             State::Down { next, under_way: under_way @ None, .. } if *next <= moment.now => {
                 *under_way = Some(self.last + 1);
-                Batch::Anew(all().into_iter().filter_map(anew).collect())
+                RecordBatch::Anew(all().into_iter().filter_map(anew).collect())
             }
             _ => return None,
         };
@@ -326,7 +330,7 @@
     /// When something is due though nothing comes in.
     pub fn wake_at(&self) -> Option<Time> {
         match &self.state {
-            State::Good => self.under_way.front().map(|(_, since)| after(*since, self.patience)),
+            State::Good => self.under_way.front().map(|(_, since)| time_after(*since, self.patience)),
             State::Down { next, under_way: None, .. } => Some(*next),
             _ => None,
         }
@@ -339,23 +343,23 @@
 }
 
 /// The record of a run that has ended.
-fn known_record(known: Known) -> Option<Record> {
-    let Known { token, print, id, left, end } = known;
+fn known_record(known: KeyedRun) -> Option<LogRecord> {
+    let KeyedRun { token, print, id, left, end } = known;
     let result = match end {
-        Some(End::Served(result)) => Some(result),
-        Some(End::Failed) => None,
+        Some(RunOutcome::Served(result)) => Some(result),
+        Some(RunOutcome::Failed) => None,
         // Nothing is known that the intent doesn't say.
-        Some(End::Unknown) | None => return None,
+        Some(RunOutcome::Unknown) | None => return None,
     };
-    Some(Record::Known { token, print, id, left, result })
+    Some(LogRecord::Known { token, print, id, left, result })
 }
 
 /// The record of a run when all is written anew: one without an end may have run, and stays an intent.
-fn anew(known: Known) -> Option<Record> {
-    let Known { token, print, id, left, end } = &known;
+fn anew(known: KeyedRun) -> Option<LogRecord> {
+    let KeyedRun { token, print, id, left, end } = &known;
     match end {
-        Some(End::Unknown) | None => {
-            Some(Record::Intent { token: Arc::clone(token), print: *print, id: id.clone(), left: *left })
+        Some(RunOutcome::Unknown) | None => {
+            Some(LogRecord::Intent { token: Arc::clone(token), print: *print, id: id.clone(), left: *left })
         }
         _ => known_record(known),
     }
@@ -365,22 +369,22 @@
 mod tests {
     use super::*;
 
-    fn at(ms: u64) -> Moment {
-        Moment { now: Time(ms * MS), unix_ms: ms }
+    fn at(ms: u64) -> Timestamp {
+        Timestamp { now: Time(ms * MS), unix_ms: ms }
     }
 
-    fn known(n: u64) -> Known {
+    fn known(n: u64) -> KeyedRun {
         let (token, id) = (Arc::from(format!("t{n}")), RequestId::new(&format!("{n:016x}")));
-        Known { token, print: 0, id, left: Span(8_000 * MS), end: None }
+        KeyedRun { token, print: 0, id, left: Span(8_000 * MS), end: None }
     }
 
-    fn good() -> Ledger {
-        let mut ledger = Ledger::opening(Span(250 * MS));
-        ledger.recovered(Time(0), &Recovered::default());
+    fn good() -> IdempotencyLog {
+        let mut ledger = IdempotencyLog::opening(Span(250 * MS));
+        ledger.recovered(Time(0), &RecoveredRuns::default());
         ledger
     }
 
-    fn take(ledger: &mut Ledger, ms: u64) -> Option<(u64, Batch)> {
+    fn take(ledger: &mut IdempotencyLog, ms: u64) -> Option<(u64, RecordBatch)> {
         ledger.take(at(ms), Vec::new)
     }
 
@@ -388,9 +392,9 @@
     fn a_try_begins_when_its_own_batch_is_durable() {
         let mut ledger = good();
         assert!(ledger.intent(Time(1), known(1)));
-        assert!(matches!(take(&mut ledger, 1), Some((1, Batch::Add(records))) if records.len() == 1));
+        assert!(matches!(take(&mut ledger, 1), Some((1, RecordBatch::Add(records))) if records.len() == 1));
         assert!(ledger.intent(Time(2), known(2)) && ledger.intent(Time(2), known(3)));
-        assert!(matches!(take(&mut ledger, 2), Some((2, Batch::Add(records))) if records.len() == 2));
+        assert!(matches!(take(&mut ledger, 2), Some((2, RecordBatch::Add(records))) if records.len() == 2));
         assert!(take(&mut ledger, 3).is_none());
         assert_eq!(ledger.persisted(Time(0), 1), [known(1).id]);
         assert_eq!(ledger.persisted(Time(0), 2), [known(2).id, known(3).id]);
@@ -406,14 +410,14 @@
         take(&mut ledger, 0);
         assert!(ledger.intent(Time(0), known(2)));
         assert_eq!(ledger.failed(Time(10 * MS), 1, "EIO"), [known(1).id, known(2).id]);
-        assert_eq!(ledger.standing(Time(10 * MS)), Standing::Down);
+        assert_eq!(ledger.standing(Time(10 * MS)), StoreHealth::Down);
         assert!(ledger.persisted(Time(0), 1).is_empty() && ledger.persisted(Time(0), 9).is_empty());
         assert!(
             !ledger.intent(Time(20 * MS), known(3)) && ledger.refuses(Time(20 * MS)) >= Some(Span(500 * MS))
         );
         assert!(take(&mut ledger, 900).is_none(), "not at once");
-        let anew = |ledger: &mut Ledger, ms| match ledger.take(at(ms), || vec![known(7)]) {
-            Some((number, Batch::Anew(records))) => (number, records.len()),
+        let anew = |ledger: &mut IdempotencyLog, ms| match ledger.take(at(ms), || vec![known(7)]) {
+            Some((number, RecordBatch::Anew(records))) => (number, records.len()),
             other => panic!("{other:?}"),
         };
         let (number, count) = anew(&mut ledger, 1_010);
@@ -425,7 +429,7 @@
         ledger.persisted(Time(0), number);
         assert_eq!(
             (ledger.standing(Time(4_000 * MS)), ledger.refuses(Time(4_000 * MS))),
-            (Standing::Good, None)
+            (StoreHealth::Good, None)
         );
         assert!(ledger.intent(Time(4_000 * MS), known(4)));
     }
@@ -441,23 +445,24 @@
         assert_eq!(ledger.overdue(Time(250 * MS)), [known(1).id]);
         for ms in (300..60_000).step_by(100) {
             assert!(!ledger.intent(Time(ms * MS), known(ms)));
-            ledger.end(Known { end: Some(End::Failed), ..known(1) });
+            ledger.end(KeyedRun { end: Some(RunOutcome::Failed), ..known(1) });
             take(&mut ledger, ms);
         }
         assert!(ledger.last <= 2 && ledger.batch.is_empty() && ledger.waiting.is_empty());
         // It returns after all: the copy behind it brings the store back.
         assert!(ledger.persisted(Time(0), 1).is_empty());
-        assert_eq!(ledger.standing(Time(60_000 * MS)), Standing::Down);
+        assert_eq!(ledger.standing(Time(60_000 * MS)), StoreHealth::Down);
         ledger.persisted(Time(0), 2);
-        assert_eq!(ledger.standing(Time(60_000 * MS)), Standing::Good);
+        assert_eq!(ledger.standing(Time(60_000 * MS)), StoreHealth::Good);
     }
 
     /// Guards against a second run where a record was lost to damage: any token may have run.
     #[test]
     fn while_in_doubt_nothing_new_of_a_key_runs() {
-        let mut ledger = Ledger::opening(Span(250 * MS));
+        let mut ledger = IdempotencyLog::opening(Span(250 * MS));
         assert_eq!(ledger.refuses(Time(0)), Some(SOON));
-        ledger.recovered(Time(0), &Recovered { doubt: Some(Span(8_000 * MS)), ..Recovered::default() });
+        ledger
+            .recovered(Time(0), &RecoveredRuns { doubt: Some(Span(8_000 * MS)), ..RecoveredRuns::default() });
         assert_eq!(ledger.refuses(Time(1_000 * MS)), Some(Span(7_000 * MS)));
         assert!(!ledger.intent(Time(1_000 * MS), known(1)));
         assert!(ledger.intent(Time(8_000 * MS), known(1)));
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/idempotency_table.rs
@@ -1,13 +1,13 @@
 //! The table of keyed requests: which try holds a token's entry, what ran under it, and what that run made.
 //!
-//! What no try can ask for any more is found by a [`Wheel`], a bounded part at a time, so that no pause grows with the
+//! What no try can ask for any more is found by a [`TimerWheel`], a bounded part at a time, so that no pause grows with the
 //! number of keys. The table is split for the same reason: a map that grows moves all it holds.
 
-use crate::moment::Moment;
-pub use crate::records::{End, Known, Print};
-use crate::records::{Past, PastEnd};
-use crate::wheel::{Due, Wheel};
-use gradepin_admission::{RequestId, Span, Time, after};
+pub use crate::keyed_run::{Fingerprint, KeyedRun, RunOutcome};
+use crate::keyed_run::{SavedOutcome, SavedRun};
+use crate::timer_wheel::{DueEntry, TimerWheel};
+use crate::timestamp::Timestamp;
+use gradepin_admission::{RequestId, Span, Time, time_after};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -26,10 +26,10 @@
 const SWEEP: usize = 128;
 
 #[derive(Debug)]
-pub struct Keys {
+pub struct IdempotencyTable {
     parts: Vec<HashMap<Arc<str>, Record>>,
     /// One entry for each record, not later than the time at which something of it ends.
-    due: Wheel<Arc<str>>,
+    due: TimerWheel<Arc<str>>,
     /// Tokens with a kept result and the number of its keeping, oldest first; stale where that result is gone.
     kept: VecDeque<(Arc<str>, u64)>,
     keepings: u64,
@@ -49,7 +49,7 @@
     /// Runs before that one, begun again past their window, that go on and that tries wait for yet.
     replaced: Vec<Run>,
     /// Of the body and the class of its tries.
-    print: Print,
+    print: Fingerprint,
 }
 
 #[derive(Debug)]
@@ -59,7 +59,7 @@
     closes_ms: u64,
     /// The end of its window here.
     closes: Time,
-    end: Option<End>,
+    end: Option<RunOutcome>,
     /// Tries to be answered from it; each is open.
     waiters: Vec<RequestId>,
     /// What its kept result takes, and the number of the keeping.
@@ -69,17 +69,17 @@
 impl Run {
     /// When it is known no longer.
     fn over(&self) -> Time {
-        let late = after(self.closes, READ_LATE);
-        if self.end.is_some() { late } else { after(late, ENDLESS) }
+        let late = time_after(self.closes, READ_LATE);
+        if self.end.is_some() { late } else { time_after(late, ENDLESS) }
     }
 }
 
-impl Keys {
+impl IdempotencyTable {
     /// An empty table whose results may take so many bytes.
     pub fn new(most: usize) -> Self {
         Self {
             parts: (0..PARTS).map(|_| HashMap::new()).collect(),
-            due: Wheel::default(),
+            due: TimerWheel::default(),
             kept: VecDeque::new(),
             keepings: 0,
             bytes: 0,
@@ -129,7 +129,7 @@
         t0: u64,
         now: Time,
         held: impl Fn(&RequestId) -> bool,
-    ) -> Option<(RequestId, Print)> {
+    ) -> Option<(RequestId, Fingerprint)> {
         let record = self.get(token)?;
         let holder = record.holder.as_ref().filter(|(_, until)| *until > now).map(|(id, _)| id);
         let holder = holder.filter(|id| record.run.is_some() || held(id));
@@ -143,7 +143,7 @@
     }
 
     /// Gives a token's entry to a try.
-    pub fn remember(&mut self, token: &Arc<str>, print: Print, id: &RequestId, until: Time) {
+    pub fn remember(&mut self, token: &Arc<str>, print: Fingerprint, id: &RequestId, until: Time) {
         let record = self.entry(token, until);
         record.holder = Some((id.clone(), until));
         record.print = print;
@@ -157,11 +157,18 @@
     }
 
     /// A try was begun; its window ends then, in Unix milliseconds.
-    pub fn began(&mut self, token: &Arc<str>, print: Print, id: &RequestId, closes_ms: u64, moment: Moment) {
+    pub fn began(
+        &mut self,
+        token: &Arc<str>,
+        print: Fingerprint,
+        id: &RequestId,
+        closes_ms: u64,
+        moment: Timestamp,
+    ) {
         let left = Span(closes_ms.saturating_sub(moment.unix_ms).saturating_mul(MS));
-        let closes = after(moment.now, left);
+        let closes = time_after(moment.now, left);
         let run = Run { id: id.clone(), closes_ms, closes, end: None, waiters: Vec::new(), kept: None };
-        let record = self.entry(token, after(closes, READ_LATE));
+        let record = self.entry(token, time_after(closes, READ_LATE));
         record.print = print;
         let before = record.run.replace(run);
         match before {
@@ -179,18 +186,18 @@
 
     /// Takes over a run of an earlier life. Its window goes on by this life's clocks: between the two, the Unix clock
     /// may have been set.
-    pub fn restore(&mut self, past: Past, moment: Moment, pool: &Arc<crate::pool::Pool>) {
-        let Past { token, print, id, left, end } = past;
+    pub fn restore(&mut self, past: SavedRun, moment: Timestamp, pool: &Arc<crate::buffer_pool::BufferPool>) {
+        let SavedRun { token, print, id, left, end } = past;
         let (token, id): (Arc<str>, _) = (Arc::from(token), RequestId::new(&id));
         let closes_ms = moment.unix_ms.saturating_add(left.0.div_ceil(MS));
         self.began(&token, print, &id, closes_ms, moment);
         let end = match end {
-            PastEnd::Served(result) => Some(match pool.exact(&result) {
-                Some(result) => End::Served(Arc::new(result)),
-                None => End::Failed,
+            SavedOutcome::Served(result) => Some(match pool.exact(&result) {
+                Some(result) => RunOutcome::Served(Arc::new(result)),
+                None => RunOutcome::Failed,
             }),
-            PastEnd::Failed => Some(End::Failed),
-            PastEnd::None => None,
+            SavedOutcome::Failed => Some(RunOutcome::Failed),
+            SavedOutcome::None => None,
         };
         match end {
             Some(end) => drop(self.ended(&token, &id, Some(end))),
@@ -199,7 +206,7 @@
     }
 
     /// A run has ended, or with no end was never started; returns the tries that wait for it.
-    pub fn ended(&mut self, token: &Arc<str>, id: &RequestId, end: Option<End>) -> Vec<RequestId> {
+    pub fn ended(&mut self, token: &Arc<str>, id: &RequestId, end: Option<RunOutcome>) -> Vec<RequestId> {
         let (most, keepings) = (self.most, self.keepings + 1);
         let Some(record) = self.get_mut(token) else { return Vec::new() };
         if let Some(place) = record.replaced.iter().position(|run| run.id == *id) {
@@ -212,7 +219,7 @@
             record.run = None;
             return waiters;
         };
-        let kept = if let End::Served(result) = &end { Some(result.len() + BESIDE) } else { None };
+        let kept = if let RunOutcome::Served(result) = &end { Some(result.len() + BESIDE) } else { None };
         run.kept = kept.map(|bytes| (bytes, keepings));
         run.end = Some(end);
         if let Some(bytes) = kept {
@@ -230,7 +237,7 @@
         let run = self.get_mut(&oldest).and_then(|record| record.run.as_mut());
         let run = run.filter(|run| run.kept.is_some_and(|(_, kept)| kept == number));
         if let Some((bytes, _)) = run.and_then(|run| {
-            run.end = Some(End::Failed);
+            run.end = Some(RunOutcome::Failed);
             run.kept.take()
         }) {
             self.bytes -= bytes;
@@ -239,9 +246,9 @@
     }
 
     /// What a repeat is answered with; none if its run still goes on, and then it waits for that.
-    pub fn join(&mut self, token: &str, id: &RequestId) -> Option<End> {
+    pub fn join(&mut self, token: &str, id: &RequestId) -> Option<RunOutcome> {
         let run = self.get_mut(token).and_then(|record| record.run.as_mut());
-        let Some(run) = run else { return Some(End::Failed) };
+        let Some(run) = run else { return Some(RunOutcome::Failed) };
         if run.end.is_none() {
             run.waiters.push(id.clone());
         }
@@ -276,14 +283,17 @@
     /// Nobody will tell any more: returns the tries that waited, and the runs.
     pub fn give_up(&mut self) -> Vec<RequestId> {
         let unknown = std::mem::take(&mut self.unknown);
-        unknown.into_iter().flat_map(|(id, token)| self.ended(&token, &id, Some(End::Unknown))).collect()
+        unknown
+            .into_iter()
+            .flat_map(|(id, token)| self.ended(&token, &id, Some(RunOutcome::Unknown)))
+            .collect()
     }
 
     /// What is known of a try's run, for the store.
-    pub fn known(&self, token: &Arc<str>, now: Time) -> Option<Known> {
+    pub fn known(&self, token: &Arc<str>, now: Time) -> Option<KeyedRun> {
         let record = self.get(token)?;
         let run = record.run.as_ref()?;
-        Some(Known {
+        Some(KeyedRun {
             token: Arc::clone(token),
             print: record.print,
             id: run.id.clone(),
@@ -293,9 +303,9 @@
     }
 
     /// All that a later life would need, in an order that depends on nothing but what is known.
-    pub fn all_known(&self, now: Time) -> Vec<Known> {
+    pub fn all_known(&self, now: Time) -> Vec<KeyedRun> {
         let tokens = self.parts.iter().flat_map(HashMap::keys);
-        let mut all: Vec<Known> = tokens.filter_map(|token| self.known(token, now)).collect();
+        let mut all: Vec<KeyedRun> = tokens.filter_map(|token| self.known(token, now)).collect();
         all.sort_by(|a, b| a.token.cmp(&b.token));
         all
     }
@@ -305,9 +315,9 @@
         let mut budget = SWEEP;
         let more = loop {
             let token = match self.due.next_due(now, &mut budget) {
-                Due::Entry(token) => token,
-                Due::None => break false,
-                Due::Later => break true,
+                DueEntry::Entry(token) => token,
+                DueEntry::None => break false,
+                DueEntry::Later => break true,
             };
             let part = &mut self.parts[Self::part(&token)];
             let Some(record) = part.get_mut(&token) else { continue };
--- a/crates/core/src/keys/tests.rs
+++ b/crates/core/src/idempotency_table/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
-use crate::pool::Pool;
+use crate::buffer_pool::BufferPool;
 
-fn at(ms: u64) -> Moment {
-    Moment { now: Time(ms * MS), unix_ms: 1_000_000 + ms }
+fn at(ms: u64) -> Timestamp {
+    Timestamp { now: Time(ms * MS), unix_ms: 1_000_000 + ms }
 }
 
-fn run(keys: &mut Keys, n: usize, end: Option<End>) {
+fn run(keys: &mut IdempotencyTable, n: usize, end: Option<RunOutcome>) {
     let (token, id) = (Arc::from(format!("t{n}")), RequestId::new(&format!("r{n}")));
     keys.remember(&token, 0, &id, Time(9));
     keys.began(&token, 0, &id, 1_009_000, at(0));
@@ -14,41 +14,45 @@
     }
 }
 
-fn sweep(keys: &mut Keys, now: Time) {
+fn sweep(keys: &mut IdempotencyTable, now: Time) {
     while keys.sweep(now) {}
 }
 
 /// Guards against runs whose end never comes: their records stayed for good.
 #[test]
 fn nothing_is_kept_for_ever() {
-    let mut keys = Keys::new(10_000);
+    let mut keys = IdempotencyTable::new(10_000);
     run(&mut keys, 1, None);
-    run(&mut keys, 2, Pool::new(0).exact(b"out").map(|result| End::Served(Arc::new(result))));
-    let late = after(Time(9_000 * MS), Span(READ_LATE.0 + crate::wheel::TICK.0));
+    run(&mut keys, 2, BufferPool::new(0).exact(b"out").map(|result| RunOutcome::Served(Arc::new(result))));
+    let late = time_after(Time(9_000 * MS), Span(READ_LATE.0 + crate::timer_wheel::TICK.0));
     sweep(&mut keys, late);
     assert!(keys.len() == 1 && keys.bytes == 0 && keys.kept.is_empty());
-    sweep(&mut keys, after(late, ENDLESS));
+    sweep(&mut keys, time_after(late, ENDLESS));
     assert!(keys.is_empty() && keys.parts.iter().all(HashMap::is_empty));
 }
 
 /// Guards against kept results that fill the memory. The oldest goes, and its repeats fail.
 #[test]
 fn results_take_no_more_than_they_may() {
-    let mut keys = Keys::new(2 * (1000 + BESIDE));
+    let mut keys = IdempotencyTable::new(2 * (1000 + BESIDE));
     for n in 1..=3 {
-        run(&mut keys, n, Pool::new(0).exact(&[7; 1000]).map(|result| End::Served(Arc::new(result))));
+        run(
+            &mut keys,
+            n,
+            BufferPool::new(0).exact(&[7; 1000]).map(|result| RunOutcome::Served(Arc::new(result))),
+        );
     }
     assert!(keys.bytes <= keys.most);
     let mut join = |n: usize| keys.join(&format!("t{n}"), &RequestId::new("again"));
-    assert!(matches!(join(1), Some(End::Failed)));
-    assert!(matches!(join(3), Some(End::Served(result)) if result.len() == 1000));
+    assert!(matches!(join(1), Some(RunOutcome::Failed)));
+    assert!(matches!(join(3), Some(RunOutcome::Served(result)) if result.len() == 1000));
 }
 
 /// Guards against a window that a set clock shortens: a run of an earlier life is found for what was left of its
 /// window, though the Unix clock says now that it is long past, or far ahead.
 #[test]
 fn a_restored_window_goes_by_the_time_that_was_left() {
-    let past = |n: u64, end| Past {
+    let past = |n: u64, end| SavedRun {
         token: format!("t{n}"),
         print: n,
         id: format!("{n:016x}"),
@@ -56,23 +60,23 @@
         end,
     };
     for unix_ms in [5, 1_000_000, 9_000_000_000] {
-        let (mut keys, pool) = (Keys::new(10_000), Pool::new(0));
-        let moment = Moment { now: Time(77 * MS), unix_ms };
-        keys.restore(past(1, PastEnd::Served(b"out".to_vec())), moment, &pool);
-        keys.restore(past(2, PastEnd::None), moment, &pool);
+        let (mut keys, pool) = (IdempotencyTable::new(10_000), BufferPool::new(0));
+        let moment = Timestamp { now: Time(77 * MS), unix_ms };
+        keys.restore(past(1, SavedOutcome::Served(b"out".to_vec())), moment, &pool);
+        keys.restore(past(2, SavedOutcome::None), moment, &pool);
         assert!(keys.ran("t1", unix_ms + 7_999) && !keys.ran("t1", unix_ms + 8_000));
-        assert!(matches!(keys.join("t1", &RequestId::new("x")), Some(End::Served(_))));
+        assert!(matches!(keys.join("t1", &RequestId::new("x")), Some(RunOutcome::Served(_))));
         assert!(keys.join("t2", &RequestId::new("y")).is_none(), "the processor may still tell");
         assert_eq!(keys.give_up(), [RequestId::new("y")]);
-        assert!(matches!(keys.join("t2", &RequestId::new("z")), Some(End::Unknown)));
+        assert!(matches!(keys.join("t2", &RequestId::new("z")), Some(RunOutcome::Unknown)));
     }
 }
 
 /// Guards against a run that is left out when all is written anew, whatever its token: it would run again after a crash.
 #[test]
 fn all_that_is_known_is_told() {
-    let mut keys = Keys::new(10_000);
-    run(&mut keys, 1, Some(End::Failed));
+    let mut keys = IdempotencyTable::new(10_000);
+    run(&mut keys, 1, Some(RunOutcome::Failed));
     keys.began(&Arc::from(""), 0, &RequestId::new("r"), 1_009_000, at(0));
     let told: Vec<_> = keys.all_known(Time(0)).into_iter().map(|known| known.token).collect();
     assert_eq!(told, [Arc::from(""), Arc::from("t1")]);
@@ -81,11 +85,11 @@
 /// Guards against a sweep that looks at everything: a million keys, of which few are due, cost it no more looks.
 #[test]
 fn a_sweep_is_bounded() {
-    let mut keys = Keys::new(10_000);
+    let mut keys = IdempotencyTable::new(10_000);
     for n in 0..100_000 {
-        run(&mut keys, n, Some(End::Failed));
+        run(&mut keys, n, Some(RunOutcome::Failed));
     }
-    let late = after(Time(9_000 * MS), Span(READ_LATE.0 + crate::wheel::TICK.0));
+    let late = time_after(Time(9_000 * MS), Span(READ_LATE.0 + crate::timer_wheel::TICK.0));
     let mut sweeps = 1;
     while keys.sweep(late) {
         sweeps += 1;
