--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -1,34 +1,34 @@
 //! What the reducer is told and what it asks for, in terms of no protocol.
 
-use crate::admin::{AdminAnswer, AdminCall, CallId};
-pub use crate::answer::{Answer, Misuse, UNKNOWN};
-use crate::configuration::{ConfigurationSave, ConfigurationWritten};
-use crate::ledger::{Batch, Recovered};
-use crate::pool::Buffer;
-use crate::records::{End, Print};
+use crate::admin::{AdminRequest, AdminRequestId, AdminResponse};
+use crate::buffer_pool::Buffer;
+use crate::configuration::{ConfigurationSave, ConfigurationSaveResult};
+use crate::idempotency_log::{RecordBatch, RecoveredRuns};
+use crate::keyed_run::{Fingerprint, RunOutcome};
 use crate::reload::Reload;
+pub use crate::response::{RequestError, Response, UNKNOWN_OUTCOME_TEXT};
 use crate::slots::Handle;
-use gradepin_admission::{ClassDefinition, Customer, Outcome, RequestId, Span, Time};
-use gradepin_cluster::authentication::{DropReason, Keys};
+use gradepin_admission::{ClassDefinition, Outcome, RequestId, Span, Tenant, Time};
+use gradepin_cluster::authentication::{AuthenticationKeys, DropReason};
 use gradepin_cluster::cluster::Envelope;
-use gradepin_coordination::council::{Durable, Found};
-use gradepin_coordination::messages::Turn;
-use gradepin_registry::membership::{Ask, Reply};
+use gradepin_coordination::consensus::{DurableRecord, VoterState};
+use gradepin_coordination::messages::StepAssignment;
+use gradepin_registry::membership::{RegistryReply, RegistryRequest};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 /// Names a client connection; never used again.
-pub type ConnId = u64;
+pub type ConnectionId = u64;
 
 /// Names a call to the ledger; never used again. A request may make several, and its id may come again.
-pub type CallNumber = u64;
+pub type UpstreamCallId = u64;
 
 /// Names a request on its connection.
-pub type SeqId = i32;
+pub type SequenceId = i32;
 
 /// A request as its client proxy sent it.
 #[derive(Debug)]
-pub struct Call {
+pub struct ClientRequest {
     /// Its id, new with every try.
     pub id: RequestId,
     /// Its class.
@@ -72,22 +72,22 @@
 #[derive(Debug)]
 pub enum Input {
     /// A client connection was accepted.
-    Opened(ConnId),
+    Opened(ConnectionId),
     /// Nothing more comes from it: its peer has shut its half, or sent what is no message. All that came before was
     /// passed on, and is owed its answers.
-    Ended(ConnId),
+    Ended(ConnectionId),
     /// It has not said a whole message in its time. It is closed once it is owed nothing, unless one comes before that.
-    Late(ConnId),
+    Late(ConnectionId),
     /// It is over, or can't be used any more.
-    Closed(ConnId),
+    Closed(ConnectionId),
     /// A request.
-    Call(ConnId, SeqId, Box<Call>),
+    Call(ConnectionId, SequenceId, Box<ClientRequest>),
     /// A message that asks for an answer but can't be taken: how it is wrong, and a text for its sender.
-    Invalid(ConnId, SeqId, Misuse, String),
+    Invalid(ConnectionId, SequenceId, RequestError, String),
     /// Nobody waits for a request any more.
-    Cancel(ConnId, SeqId),
+    Cancel(ConnectionId, SequenceId),
     /// A health check.
-    Health(ConnId, SeqId),
+    Health(ConnectionId, SequenceId),
     /// The processor greets on a new link: the link's number, whether it began cold, and how long ago.
     LinkUp {
         /// Number of the link, from 1.
@@ -129,7 +129,7 @@
         /// For which request.
         id: RequestId,
         /// Which call.
-        number: CallNumber,
+        number: UpstreamCallId,
         /// How it ended.
         outcome: Outcome,
         /// The reply's body, on `Delivered`.
@@ -138,11 +138,11 @@
     /// The gauges in the order of the settings, asked for under this number; no number where one is not told.
     Used(u64, Vec<f64>),
     /// Whose the run of a keyed request is, where two processes of an upgrade share them.
-    Claimed(RequestId, Claim),
+    Claimed(RequestId, RunClaim),
     /// A run was not begun.
     Rejected(RequestId),
     /// Nothing more is read from a connection for so long, as it sends too much of what is turned away.
-    Paced(ConnId, Span),
+    Paced(ConnectionId, Span),
     /// The notice to leave.
     Terminate,
     /// The fronts accept no more connections; all they accepted before were told.
@@ -152,15 +152,15 @@
     /// An operator takes it back in, if its drain has not begun.
     TakeIn,
     /// What became of a question to a registry.
-    Registry(u64, Reply),
+    Registry(u64, RegistryReply),
     /// The configuration was read again, and compared with the classes and tenants in force.
     Reload(Box<Reload>),
     /// The configuration was read again and can't be used, for this reason; what is in force stays.
     ReloadRefused(String),
     /// An operator's call at the door, owed an answer under its id.
-    Admin(CallId, AdminCall),
+    Admin(AdminRequestId, AdminRequest),
     /// The store was opened, and this is what it held.
-    Recovered(Box<Recovered>),
+    Recovered(Box<RecoveredRuns>),
     /// The folder in which the two processes of an upgrade claim keyed runs can be used from now on; this salt keys the
     /// prints of both.
     RunsShared(u64),
@@ -173,13 +173,13 @@
     /// Datagrams at the fleet's address were dropped, so many for each reason.
     EnvelopesDropped(Vec<(DropReason, u64)>),
     /// The fleet's keys, read again.
-    FleetKeys(Keys),
+    FleetKeys(AuthenticationKeys),
     /// What was written in the council's folder up to this number is durable.
     CouncilWritten(u64),
     /// It couldn't be, and why; the folder was read anew and holds this.
-    CouncilFailed(Box<Found>, String),
+    CouncilFailed(Box<VoterState>, String),
     /// What became of a configuration that was to be written.
-    ConfigurationWritten(ConfigurationWritten),
+    ConfigurationWritten(ConfigurationSaveResult),
     /// The digest of the settings in force, if they changed, and those that are staged.
     SettingsAre(Option<String>, Vec<String>),
     /// A step of this release could not be taken here, and why.
@@ -188,11 +188,11 @@
 
 /// Whose the run of a token is, of two processes that share them.
 #[derive(Debug, Clone)]
-pub enum Claim {
+pub enum RunClaim {
     /// This process's: it may begin.
     Ours,
     /// The other one's, which ended so.
-    Ended(End),
+    Ended(RunOutcome),
     /// It can't be told: it must not begin.
     Unsure,
 }
@@ -203,29 +203,29 @@
     /// Make a configuration durable, where there is a folder for it.
     SaveConfiguration(Box<ConfigurationSave>),
     /// Send an answer, with the free value if one is set.
-    Answer(ConnId, SeqId, Answer, Option<f64>),
+    Answer(ConnectionId, SequenceId, Response, Option<f64>),
     /// Tell a connection that no more requests should come on it.
-    Draining(ConnId),
+    Draining(ConnectionId),
     /// Close a connection once all is written; [`Input::Closed`] follows when its peer has ended it too.
-    Close(ConnId),
+    Close(ConnectionId),
     /// Close a connection if nothing is under way on it: no more than so many of its messages were passed on, and
     /// nothing waits unread.
-    CloseResting(ConnId, u64),
+    CloseResting(ConnectionId, u64),
     /// The same for one that is late; half a message doesn't hold it.
-    CloseLate(ConnId, u64),
+    CloseLate(ConnectionId, u64),
     /// Run a request: on which link, its id, its class and its body.
     Begin(u64, RequestId, Arc<ClassDefinition>, Arc<Buffer>),
     /// Call the ledger for a request: its id, the number of the call, the body, how long to wait for the reply, and the time after which it must
     /// not leave here any more, if there is one.
-    Call(RequestId, CallNumber, Arc<Buffer>, Span, Option<Time>),
+    Call(RequestId, UpstreamCallId, Arc<Buffer>, Span, Option<Time>),
     /// Give a run on a link the reply to its call.
     Reply(u64, RequestId, Arc<Buffer>),
     /// Stop a run on a link.
     Interrupt(u64, RequestId),
     /// Say whose the run of a keyed request is: its id, token and print, and how long to wait for another process's end.
-    Claim(RequestId, Arc<str>, Print, Span),
+    Claim(RequestId, Arc<str>, Fingerprint, Span),
     /// A claimed run has its end, or with none never began: its token and print.
-    ClaimEnded(Arc<str>, Print, Option<End>),
+    ClaimEnded(Arc<str>, Fingerprint, Option<RunOutcome>),
     /// Ask on a link for the gauges, under a number.
     Usage(u64, u64),
     /// Give a link up and make a new one.
@@ -239,9 +239,9 @@
     /// Report to the control plane whether this server takes work.
     Report(bool),
     /// Put a question to a registry.
-    Registry(Ask),
+    Registry(RegistryRequest),
     /// Write records to the store, under this number.
-    Persist(u64, Batch),
+    Persist(u64, RecordBatch),
     /// Have the processor tell all the notices again that it keeps.
     Retell,
     /// The names that requests may use have changed so, in this order.
@@ -258,13 +258,13 @@
     /// Accept no more connections: the listener is the successor's now.
     StopAccepting,
     /// Answer an operator's call.
-    Admin(CallId, AdminAnswer),
+    Admin(AdminRequestId, AdminResponse),
     /// Send a datagram to another server.
     Peer(SocketAddr, Vec<u8>),
     /// Write records into the council's folder: of which generation of it, under which number.
-    Council(u64, u64, Vec<Durable>),
+    Council(u64, u64, Vec<DurableRecord>),
     /// Change to another program or other settings, if that is still before the time.
-    Change(Box<Turn>, Time),
+    Change(Box<StepAssignment>, Time),
     /// Write a line to the log.
     Log(slog::Level, String),
     /// End the process.
@@ -281,18 +281,18 @@
     /// Nothing refers to it any more: its name is unknown.
     ClassGone(Arc<ClassDefinition>),
     /// A tenant is in force.
-    Tenant(Handle, Arc<Customer>),
+    Tenant(Handle, Arc<Tenant>),
     /// A tenant was removed; requests may still name it.
-    TenantRemoved(Arc<Customer>),
+    TenantRemoved(Arc<Tenant>),
     /// Its slot is another's: its name is unknown.
-    TenantGone(Arc<Customer>),
+    TenantGone(Arc<Tenant>),
 }
 
 /// No processor ends and starts again in less. Tells a restart from a greeting that was on its way for a moment.
-pub const LEAST_RESTART: Span = Span(50_000_000);
+pub const MIN_PROCESSOR_RESTART: Span = Span(50_000_000);
 
 /// What a host may have to wait for.
-pub fn sooner(a: Option<Time>, b: Option<Time>) -> Option<Time> {
+pub fn earliest(a: Option<Time>, b: Option<Time>) -> Option<Time> {
     match (a, b) {
         (Some(a), Some(b)) => Some(a.min(b)),
         (a, b) => a.or(b),
--- a/crates/core/src/claims.rs
+++ b/crates/core/src/pending_claims.rs
@@ -10,12 +10,12 @@
 
 /// The claims of one server. Bounded: an entry for a request that is open.
 #[derive(Debug, Default)]
-pub struct Claims {
+pub struct PendingClaims {
     shared: bool,
     waiting: BTreeSet<RequestId>,
 }
 
-impl Claims {
+impl PendingClaims {
     /// For a process that shares its keyed runs.
     pub fn shared() -> Self {
         Self { shared: true, waiting: BTreeSet::new() }
--- a/crates/core/src/known_processor.rs
+++ b/crates/core/src/processor_identity.rs
@@ -10,22 +10,22 @@
 //! for another only where its greeting is read later than it had been up. Where a greeting leaves both open it counts as
 //! another's: runs are failed then, where otherwise all results would be dropped.
 
-use crate::messages::LEAST_RESTART;
-use gradepin_admission::{Span, Time, after, before};
+use crate::messages::MIN_PROCESSOR_RESTART;
+use gradepin_admission::{Span, Time, time_after, time_before};
 
 /// How far the clocks of two processes of a machine may be apart, and still tell one start from another.
 const CLOCKS_APART: Span = Span(1_000_000_000);
 
 /// What is known of the processor across links.
 #[derive(Debug, Default)]
-pub struct KnownProcessor {
+pub struct ProcessorIdentity {
     /// When it last told anything, as far as that was read.
     heard: Option<Time>,
     /// When it had started at the latest.
     started_by: Option<Time>,
 }
 
-impl KnownProcessor {
+impl ProcessorIdentity {
     /// It told something, which is read now.
     pub fn told(&mut self, now: Time) {
         self.heard = Some(now);
@@ -35,11 +35,13 @@
     pub fn greets(&mut self, connecting: Time, now: Time, age: Span) -> bool {
         // The last word may have been read long after it was written, with the start of another between the two: that alone
         // would not tell it.
-        let since_heard = self.heard.is_some_and(|heard| before(now, age) > after(heard, LEAST_RESTART));
-        let since_started =
-            self.started_by.is_some_and(|started| before(connecting, age) > after(started, CLOCKS_APART));
+        let since_heard =
+            self.heard.is_some_and(|heard| time_before(now, age) > time_after(heard, MIN_PROCESSOR_RESTART));
+        let since_started = self
+            .started_by
+            .is_some_and(|started| time_before(connecting, age) > time_after(started, CLOCKS_APART));
         let another = since_heard || since_started;
-        let started_by = before(now, age);
+        let started_by = time_before(now, age);
         let known = self.started_by.filter(|_| !another);
         self.started_by = Some(known.map_or(started_by, |known| known.min(started_by)));
         self.heard = Some(now);
--- a/crates/core/src/known_processor/tests.rs
+++ b/crates/core/src/processor_identity/tests.rs
@@ -11,8 +11,8 @@
 }
 
 /// One that started at 100 s, greeted at 110 s and last told something at 115 s.
-fn known() -> KnownProcessor {
-    let mut known = KnownProcessor::default();
+fn known() -> ProcessorIdentity {
+    let mut known = ProcessorIdentity::default();
     assert!(!known.greets(at(110_000), at(110_003), for_ms(10_000)), "there was none before");
     known.told(at(115_000));
     known
--- a/crates/core/src/reducer/agreed.rs
+++ b/crates/core/src/reducer/agreed.rs
@@ -5,15 +5,15 @@
 //! SIGTERM means what it always did: a server that the platform stops is out without a permit.
 
 use super::{MS, Reducer};
-use crate::admin::{FleetAnswer, FleetCall};
+use crate::admin::{AgreementRequest, AgreementResponse};
 use crate::messages::Effect;
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
 use gradepin_cluster::counters::CellId;
-use gradepin_coordination::council::Found;
-use gradepin_coordination::messages::Report;
-use gradepin_coordination::release::Kind;
-use gradepin_coordination::rollback::Total;
-use gradepin_coordination::server_agent::{Effect as Asked, ServerAgent};
+use gradepin_coordination::consensus::VoterState;
+use gradepin_coordination::messages::ServerReport;
+use gradepin_coordination::rollback::ServiceTotal;
+use gradepin_coordination::rollout::ReleaseKind;
+use gradepin_coordination::server_agent::{AgentEffect as Asked, ServerAgent};
 use slog::Level;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -32,7 +32,7 @@
     settings: String,
     staged: Vec<String>,
     failed: Option<(u64, String)>,
-    totals: BTreeMap<CellId, Total>,
+    totals: BTreeMap<CellId, ServiceTotal>,
     ready: bool,
     next_look: Time,
     /// Grows with each failure of the council's folder: writes of before are nobody's.
@@ -73,7 +73,7 @@
     }
 
     /// It couldn't be; the folder was read anew.
-    pub(super) fn council_failed(&mut self, found: Found, why: &str) {
+    pub(super) fn council_failed(&mut self, found: VoterState, why: &str) {
         self.agreed.generation += 1;
         if let Some(part) = &mut self.agreed.part {
             part.failed(self.moment.now, found);
@@ -139,8 +139,8 @@
         let ready = self.ready().is_ok();
         let agreed = &mut self.agreed;
         if now >= agreed.next_look || ready != agreed.ready {
-            (agreed.next_look, agreed.ready) = (after(now, LOOK), ready);
-            let report = Report {
+            (agreed.next_look, agreed.ready) = (time_after(now, LOOK), ready);
+            let report = ServerReport {
                 zone: agreed.zone.clone(),
                 ready,
                 program: agreed.program.clone(),
@@ -148,7 +148,7 @@
                 staged: agreed.staged.clone(),
                 failed: agreed.failed.clone(),
                 totals: agreed.totals.iter().map(|(cell, total)| (cell.0, *total)).collect(),
-                ..Report::default()
+                ..ServerReport::default()
             };
             if let Some(part) = &mut agreed.part {
                 part.tells(now, report);
@@ -189,7 +189,7 @@
                     }
                     return;
                 }
-                let what = if kind == Kind::Program { "program" } else { "settings" };
+                let what = if kind == ReleaseKind::Program { "program" } else { "settings" };
                 self.log(Level::Info, format!("changing to {what} {version} by permit {}", turn.epoch));
                 self.effects.push(Effect::Change(Box::new(turn), until));
             }
@@ -201,32 +201,34 @@
     }
 
     /// An operator's call about the fleet's agreements.
-    pub(super) fn agreed_call(&mut self, call: FleetCall) -> FleetAnswer {
+    pub(super) fn agreed_call(&mut self, call: AgreementRequest) -> AgreementResponse {
         let now = self.moment.now;
-        let Some(part) = &mut self.agreed.part else { return FleetAnswer::Off };
+        let Some(part) = &mut self.agreed.part else { return AgreementResponse::Off };
         match call {
-            FleetCall::Status => FleetAnswer::Status(Box::new(part.status(now))),
-            FleetCall::Order(order) => {
+            AgreementRequest::Status => AgreementResponse::Status(Box::new(part.status(now))),
+            AgreementRequest::Order(order) => {
                 self.agreed.tickets += 1;
                 let ticket = self.agreed.tickets;
                 match part.order(now, ticket, *order) {
-                    Ok(()) => FleetAnswer::Ticket(ticket),
-                    Err(why) => FleetAnswer::Said(Err(why)),
+                    Ok(()) => AgreementResponse::Ticket(ticket),
+                    Err(why) => AgreementResponse::Said(Err(why)),
                 }
             }
-            FleetCall::Became(ticket) => FleetAnswer::Became(part.became(ticket)),
-            FleetCall::Found => FleetAnswer::Said(part.found(now).map_err(|why| why.to_string())),
-            FleetCall::Wanted(name) => {
-                FleetAnswer::Wanted(part.record().and_then(|record| record.program_for(&name)))
+            AgreementRequest::Became(ticket) => AgreementResponse::Became(part.became(ticket)),
+            AgreementRequest::Found => {
+                AgreementResponse::Said(part.found(now).map_err(|why| why.to_string()))
             }
-            FleetCall::Leave => {
+            AgreementRequest::Wanted(name) => {
+                AgreementResponse::Wanted(part.record().and_then(|record| record.program_for(&name)))
+            }
+            AgreementRequest::Leave => {
                 self.asks_to_leave();
-                FleetAnswer::Said(Ok("asking for a permit".into()))
+                AgreementResponse::Said(Ok("asking for a permit".into()))
             }
-            FleetCall::Stay => {
+            AgreementRequest::Stay => {
                 self.asks_to_stay();
                 self.take_in();
-                FleetAnswer::Said(Ok("staying".into()))
+                AgreementResponse::Said(Ok("staying".into()))
             }
         }
     }
--- a/crates/core/src/reducer/calls.rs
+++ b/crates/core/src/reducer/calls.rs
@@ -3,8 +3,8 @@
 //! body and the time it went out; how many are out at once is the module's to say.
 
 use super::{MS, Reducer};
-use crate::messages::{CallNumber, Effect};
-use crate::pool::Buffer;
+use crate::buffer_pool::Buffer;
+use crate::messages::{Effect, UpstreamCallId};
 use gradepin_admission::{Event, Outcome, RequestId, Span, Time};
 use slog::Level;
 use std::sync::Arc;
@@ -38,7 +38,12 @@
     }
 
     /// A call leaves, with so much time for its reply; past a time it must not leave any more. Its number.
-    pub(super) fn make_call(&mut self, id: &RequestId, timeout: Span, leaves: Option<Time>) -> CallNumber {
+    pub(super) fn make_call(
+        &mut self,
+        id: &RequestId,
+        timeout: Span,
+        leaves: Option<Time>,
+    ) -> UpstreamCallId {
         let now = self.moment.now;
         self.calls += 1;
         let number = self.calls;
@@ -57,7 +62,7 @@
     pub(super) fn called(
         &mut self,
         id: &RequestId,
-        number: CallNumber,
+        number: UpstreamCallId,
         outcome: Outcome,
         reply: Option<Buffer>,
     ) {
@@ -71,7 +76,7 @@
     pub(super) fn call_ended(
         &mut self,
         id: &RequestId,
-        number: Option<CallNumber>,
+        number: Option<UpstreamCallId>,
         outcome: Outcome,
         reply: Option<Buffer>,
     ) {
--- a/crates/core/src/reducer/cells.rs
+++ b/crates/core/src/reducer/cells.rs
@@ -4,7 +4,7 @@
 use crate::classes::Classes;
 use crate::slots::Handle;
 use crate::tenants::Tenants;
-use gradepin_admission::{Time, after};
+use gradepin_admission::{Time, time_after};
 use gradepin_cluster::counters::{CellId, MAX_CELLS, WINDOW};
 use std::collections::{BTreeMap, HashMap};
 
@@ -41,7 +41,7 @@
     }
 
     fn forget(&mut self, now: Time) {
-        self.0.retain(|_, seen| after(*seen, WINDOW) > now);
+        self.0.retain(|_, seen| time_after(*seen, WINDOW) > now);
     }
 
     fn slots(&self) -> impl Iterator<Item = usize> {
--- a/crates/core/src/reducer/claims.rs
+++ b/crates/core/src/reducer/claims.rs
@@ -2,8 +2,8 @@
 //! process answers the tries here too. To the module it runs meanwhile, as it does anywhere on this server.
 
 use super::Reducer;
-use crate::keys::End;
-use crate::messages::{Claim, Effect};
+use crate::idempotency_table::RunOutcome;
+use crate::messages::{Effect, RunClaim};
 use gradepin_admission::{Event, Outcome, RequestId, Span};
 use std::sync::Arc;
 
@@ -17,19 +17,19 @@
     }
 
     /// It is told whose the run is.
-    pub(super) fn claimed(&mut self, id: &RequestId, claim: Claim) {
+    pub(super) fn claimed(&mut self, id: &RequestId, claim: RunClaim) {
         if !self.claims.told(id) {
             return;
         }
         match claim {
-            Claim::Ours => self.begin(id),
-            Claim::Ended(end) => self.ran_elsewhere(id, end),
-            Claim::Unsure => self.never_ran(id),
+            RunClaim::Ours => self.begin(id),
+            RunClaim::Ended(end) => self.ran_elsewhere(id, end),
+            RunClaim::Unsure => self.never_ran(id),
         }
     }
 
     /// The other process ran it: its end answers this try and all that wait for it.
-    fn ran_elsewhere(&mut self, id: &RequestId, end: End) {
+    fn ran_elsewhere(&mut self, id: &RequestId, end: RunOutcome) {
         let Some(open) = self.requests.running(id) else { return };
         let token = open.token.clone();
         self.answer_end(id, end.clone());
@@ -43,7 +43,7 @@
     }
 
     /// A keyed run has its end, or with none never began: the other process is to know.
-    pub(super) fn claim_ended(&mut self, token: &Arc<str>, end: Option<End>) {
+    pub(super) fn claim_ended(&mut self, token: &Arc<str>, end: Option<RunOutcome>) {
         if self.claims.is_on() {
             let print = self.keys.known(token, self.moment.now).map_or(0, |known| known.print);
             self.effects.push(Effect::ClaimEnded(Arc::clone(token), print, end));
--- a/crates/core/src/reducer/configuration.rs
+++ b/crates/core/src/reducer/configuration.rs
@@ -9,12 +9,12 @@
 
 use super::{MS, Reducer};
 use crate::configuration::{
-    CONFIGURATION_TAG, ConfigurationFigures, ConfigurationSave, ConfigurationStart, ConfigurationWritten,
+    CONFIGURATION_TAG, ConfigurationMetrics, ConfigurationSave, ConfigurationSaveResult, ConfigurationStart,
 };
-use crate::messages::{Effect, sooner};
-use gradepin_admission::{Span, Time, after, secs};
+use crate::messages::{Effect, earliest};
+use gradepin_admission::{Span, Time, span_seconds, time_after};
 use gradepin_config::admin::Source;
-use gradepin_config::dissemination::{Dissemination, Effect as Spread, Member};
+use gradepin_config::dissemination::{Dissemination, DisseminationEffect as Spread, Member};
 use gradepin_config::{Commit, Configuration, Name, Revision, Snapshot, Transaction};
 use gradepin_coordination::server_agent::ConfigurationEffect;
 use slog::Level;
@@ -133,9 +133,12 @@
     }
 
     /// The figures, where the service is on.
-    pub(super) fn figures(&self, now: Time) -> Option<ConfigurationFigures> {
+    pub(super) fn figures(&self, now: Time) -> Option<ConfigurationMetrics> {
         let service = self.0.as_ref()?;
-        Some(ConfigurationFigures { revision: service.in_force.revision().0, age_s: secs(service.age(now)) })
+        Some(ConfigurationMetrics {
+            revision: service.in_force.revision().0,
+            age_s: span_seconds(service.age(now)),
+        })
     }
 }
 
@@ -205,10 +208,10 @@
     }
 
     /// What became of a state that was to be written.
-    pub(super) fn configuration_written(&mut self, written: ConfigurationWritten) {
+    pub(super) fn configuration_written(&mut self, written: ConfigurationSaveResult) {
         let revision = match written {
-            ConfigurationWritten::Durable(revision) => revision,
-            ConfigurationWritten::Failed(why) => {
+            ConfigurationSaveResult::Durable(revision) => revision,
+            ConfigurationSaveResult::Failed(why) => {
                 let text = format!("the configuration could not be written, it is tried again: {why}");
                 return self.log(Level::Error, text);
             }
@@ -299,7 +302,7 @@
             Err(why) => {
                 let text = why.to_string();
                 service.steps.clear();
-                service.stuck = Some((text.clone(), after(now, RETRY)));
+                service.stuck = Some((text.clone(), time_after(now, RETRY)));
                 self.log(Level::Error, format!("a committed change can't be applied here: {text}"));
             }
         }
@@ -311,7 +314,7 @@
         let Some(view) = self.fleet.view(now) else { return };
         let record = self.agreed.part.as_ref().and_then(|part| part.record());
         let Some(service) = &mut self.committed.0 else { return };
-        service.next_look = after(now, LOOK);
+        service.next_look = time_after(now, LOOK);
         let votes = |name: &Name| match record {
             Some(record) => record.voters.values().any(|voter| voter == name),
             None => service.start.voters.contains(name),
@@ -339,12 +342,12 @@
     fn look_at_age(&mut self) {
         let now = self.moment.now;
         let Some(service) = &mut self.committed.0 else { return };
-        service.next_look = after(now, LOOK);
+        service.next_look = time_after(now, LOOK);
         let stale = service.is_stale(now);
         if std::mem::replace(&mut service.told_stale, stale) == stale {
             return;
         }
-        let (revision, age) = (service.in_force.revision(), secs(service.age(now)));
+        let (revision, age) = (service.in_force.revision(), span_seconds(service.age(now)));
         if stale {
             let text =
                 format!("revision {revision} was not confirmed for {age:.0} s: stale, serving goes on");
@@ -356,7 +359,7 @@
 
     /// When the service is due.
     pub(super) fn configuration_wake_at(&self, other: Option<Time>) -> Option<Time> {
-        sooner(other, self.committed.wake_at(self.moment.now))
+        earliest(other, self.committed.wake_at(self.moment.now))
     }
 }
 
--- a/crates/core/src/reducer/configuration/tests.rs
+++ b/crates/core/src/reducer/configuration/tests.rs
@@ -4,14 +4,14 @@
 mod common;
 
 use super::*;
-use crate::admin::{AdminAnswer, AdminCall};
+use crate::admin::{AdminRequest, AdminResponse};
 use crate::config::Config;
-use crate::configuration::{ConfigurationAnswer, ConfigurationCall};
+use crate::configuration::{ConfigurationAdminRequest, ConfigurationAdminResponse};
 use crate::messages::Input;
-use crate::moment::Moment;
 use crate::registration::Registration;
-use gradepin_admission::{ClassDefinition, Customer};
-use gradepin_config::admin::{Refusal, StatusReply};
+use crate::timestamp::Timestamp;
+use gradepin_admission::{ClassDefinition, Tenant};
+use gradepin_config::admin::{AdminError, StatusReply};
 use gradepin_config::change::Change;
 use gradepin_config::dissemination::DisseminationSettings;
 use serde_json::json;
@@ -62,25 +62,25 @@
 }
 
 fn put_tenant(n: usize) -> Change {
-    Change::PutTenant(Arc::new(Customer { name: format!("t{n}"), quota_rps: 1.0, portion: 0.0 }))
+    Change::PutTenant(Arc::new(Tenant { name: format!("t{n}"), quota_rps: 1.0, portion: 0.0 }))
 }
 
 fn step(reducer: &mut Reducer, now: Time) -> Vec<Effect> {
     let mut effects = Vec::new();
-    reducer.step(Moment { now, ..Moment::default() }, [], &mut effects);
+    reducer.step(Timestamp { now, ..Timestamp::default() }, [], &mut effects);
     effects
 }
 
 fn status(reducer: &mut Reducer, now: Time) -> StatusReply {
     let mut effects = Vec::new();
-    let call = AdminCall::Configuration(ConfigurationCall::Status);
-    reducer.step(Moment { now, ..Moment::default() }, [Input::Admin(1, call)], &mut effects);
+    let call = AdminRequest::Configuration(ConfigurationAdminRequest::Status);
+    reducer.step(Timestamp { now, ..Timestamp::default() }, [Input::Admin(1, call)], &mut effects);
     let answer = effects.into_iter().find_map(|effect| match effect {
-        Effect::Admin(1, AdminAnswer::Configuration(answer)) => Some(*answer),
+        Effect::Admin(1, AdminResponse::Configuration(answer)) => Some(*answer),
         _ => None,
     });
     match answer {
-        Some(ConfigurationAnswer::Status(status)) => *status,
+        Some(ConfigurationAdminResponse::Status(status)) => *status,
         other => panic!("expected a status, got {other:?}"),
     }
 }
@@ -143,8 +143,8 @@
         .apply_transaction(&Transaction { changes: vec![Change::PutClass(class.expect("made"))] })
         .expect("put");
     assert_eq!(status(&mut reducer, Time(3)).revision, before, "not before its time");
-    step(&mut reducer, after(Time(3), RETRY));
-    let told = status(&mut reducer, after(Time(4), RETRY));
+    step(&mut reducer, time_after(Time(3), RETRY));
+    let told = status(&mut reducer, time_after(Time(4), RETRY));
     assert_eq!((told.revision, told.cannot_apply), (state.revision(), None));
 }
 
@@ -167,8 +167,8 @@
     let config = config();
     let settings = Arc::new(config.settings.clone());
     let mut reducer = Reducer::new(&config, settings, Registration::default()).expect("a server");
-    let answer = reducer.configuration_call(ConfigurationCall::Status);
-    assert_eq!(answer, ConfigurationAnswer::Refused(Refusal::Off));
+    let answer = reducer.configuration_call(ConfigurationAdminRequest::Status);
+    assert_eq!(answer, ConfigurationAdminResponse::Refused(AdminError::Off));
     assert!(!reducer.configuration_message(&"n2".into(), &[3, 1]), "a consensus message");
     assert!(reducer.configuration_message(&"n2".into(), &[CONFIGURATION_TAG, 1]), "and none");
 }
--- a/crates/core/src/reducer/configuration_calls.rs
+++ b/crates/core/src/reducer/configuration_calls.rs
@@ -1,13 +1,13 @@
 //! Operators' calls about the configuration: changes that are handed in here, and how it stands.
 
 use super::{MS, Reducer};
-use crate::configuration::{ConfigurationAnswer, ConfigurationCall};
-use gradepin_admission::{Time, secs};
-use gradepin_config::admin::{ApplyReply, ApplyRequest, Refusal, StatusReply};
-use gradepin_config::configuration::Refused;
+use crate::configuration::{ConfigurationAdminRequest, ConfigurationAdminResponse};
+use gradepin_admission::{Time, span_seconds};
+use gradepin_config::admin::{AdminError, ApplyReply, ApplyRequest, StatusReply};
+use gradepin_config::configuration::CommitRejected;
 use gradepin_config::{Invalid, Name, Proposal, Revision};
-use gradepin_coordination::configuration_log::{ConfigurationRequest, ProposalRefused};
-use gradepin_coordination::proposal_client::Answered;
+use gradepin_coordination::configuration_log::{ConfigurationRejected, ConfigurationRequest};
+use gradepin_coordination::proposal_client::ProposalResponse;
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -27,7 +27,7 @@
     asked_at_ms: u64,
     since: Time,
     /// What it came to, once it has.
-    end: Option<Result<Revision, Refusal>>,
+    end: Option<Result<Revision, AdminError>>,
     repeated: bool,
 }
 
@@ -40,7 +40,7 @@
 
 impl Requests {
     /// What a request came to.
-    pub(super) fn answered(&mut self, now: Time, answered: Answered) {
+    pub(super) fn answered(&mut self, now: Time, answered: ProposalResponse) {
         if let Some(known) = self.known.iter_mut().find(|known| known.ticket == answered.ticket) {
             known.since = now;
             known.end = Some(answered.answer.map_err(refusal));
@@ -58,7 +58,7 @@
         proposal: Proposal,
         seen: Revision,
         asked_at_ms: u64,
-    ) -> Result<(u64, ConfigurationRequest), Refusal> {
+    ) -> Result<(u64, ConfigurationRequest), AdminError> {
         let before = self.known.iter().position(|known| known.request_id == proposal.request_id);
         let before = before.and_then(|place| self.known.remove(place));
         let repeated =
@@ -68,7 +68,7 @@
         if self.known.len() >= MOST_REQUESTS {
             let young = |known: &Known| now.0.saturating_sub(known.since.0) < LEAST_KEPT;
             if self.known.front().is_some_and(young) {
-                return Err(Refusal::TooBusy { retry_ms: BUSY_MS });
+                return Err(AdminError::TooBusy { retry_ms: BUSY_MS });
             }
             self.known.pop_front();
         }
@@ -93,42 +93,49 @@
 }
 
 /// What a caller is told of a refused proposal.
-fn refusal(why: ProposalRefused) -> Refusal {
+fn refusal(why: ConfigurationRejected) -> AdminError {
     match why {
-        ProposalRefused::Moved { expected, in_force } => Refusal::Stale { expected, in_force },
-        ProposalRefused::Invalid(invalid) => Refusal::Invalid(invalid),
-        ProposalRefused::TooLong { limit, came } => {
+        ConfigurationRejected::Moved { expected, in_force } => AdminError::Stale { expected, in_force },
+        ConfigurationRejected::Invalid(invalid) => AdminError::Invalid(invalid),
+        ConfigurationRejected::TooLong { limit, came } => {
             let expected = format!("at most {limit} bytes");
-            Refusal::Invalid(Invalid::new("transaction", expected, format!("{came} bytes")))
+            AdminError::Invalid(Invalid::new("transaction", expected, format!("{came} bytes")))
         }
-        ProposalRefused::Busy | ProposalRefused::Behind { .. } => Refusal::TooBusy { retry_ms: BUSY_MS },
-        ProposalRefused::NoLeader | ProposalRefused::NoVoter | ProposalRefused::Unconfirmed => {
-            Refusal::NoLeader { reason: why.to_string() }
+        ConfigurationRejected::Busy | ConfigurationRejected::Behind { .. } => {
+            AdminError::TooBusy { retry_ms: BUSY_MS }
         }
-        ProposalRefused::Forgotten { .. } => Refusal::BadCall { reason: why.to_string() },
-        ProposalRefused::Off => Refusal::Off,
+        ConfigurationRejected::NoLeader
+        | ConfigurationRejected::NoVoter
+        | ConfigurationRejected::Unconfirmed => AdminError::NoLeader { reason: why.to_string() },
+        ConfigurationRejected::Forgotten { .. } => AdminError::BadCall { reason: why.to_string() },
+        ConfigurationRejected::Off => AdminError::Off,
     }
 }
 
 impl Reducer {
     /// An operator's call about the configuration.
-    pub(super) fn configuration_call(&mut self, call: ConfigurationCall) -> ConfigurationAnswer {
+    pub(super) fn configuration_call(
+        &mut self,
+        call: ConfigurationAdminRequest,
+    ) -> ConfigurationAdminResponse {
         if self.committed.0.is_none() {
-            return ConfigurationAnswer::Refused(Refusal::Off);
+            return ConfigurationAdminResponse::Refused(AdminError::Off);
         }
         let answer = match call {
-            ConfigurationCall::Status => return self.configuration_status(),
-            ConfigurationCall::Became(request_id) => self.request_became(request_id),
-            ConfigurationCall::Apply(request) if request.dry_run => self.check_request(&request.proposal),
-            ConfigurationCall::Apply(request) => self.propose(*request),
+            ConfigurationAdminRequest::Status => return self.configuration_status(),
+            ConfigurationAdminRequest::Became(request_id) => self.request_became(request_id),
+            ConfigurationAdminRequest::Apply(request) if request.dry_run => {
+                self.check_request(&request.proposal)
+            }
+            ConfigurationAdminRequest::Apply(request) => self.propose(*request),
         };
-        answer.map_or_else(ConfigurationAnswer::Refused, ConfigurationAnswer::Apply)
+        answer.map_or_else(ConfigurationAdminResponse::Refused, ConfigurationAdminResponse::Apply)
     }
 
-    fn request_became(&self, request_id: Name) -> Result<ApplyReply, Refusal> {
-        let service = self.committed.0.as_ref().ok_or(Refusal::Off)?;
+    fn request_became(&self, request_id: Name) -> Result<ApplyReply, AdminError> {
+        let service = self.committed.0.as_ref().ok_or(AdminError::Off)?;
         match service.requests.find(&request_id) {
-            None => Err(Refusal::UnknownRequest { request_id }),
+            None => Err(AdminError::UnknownRequest { request_id }),
             Some(known) => match &known.end {
                 None => Ok(ApplyReply::Pending { request_id }),
                 Some(Ok(revision)) => {
@@ -139,20 +146,20 @@
         }
     }
 
-    fn check_request(&self, proposal: &Proposal) -> Result<ApplyReply, Refusal> {
-        let service = self.committed.0.as_ref().ok_or(Refusal::Off)?;
+    fn check_request(&self, proposal: &Proposal) -> Result<ApplyReply, AdminError> {
+        let service = self.committed.0.as_ref().ok_or(AdminError::Off)?;
         service.in_force.check(proposal).map_err(|refused| match refused {
-            Refused::Moved { expected, in_force } => Refusal::Stale { expected, in_force },
-            Refused::Invalid(invalid) => Refusal::Invalid(invalid),
+            CommitRejected::Moved { expected, in_force } => AdminError::Stale { expected, in_force },
+            CommitRejected::Invalid(invalid) => AdminError::Invalid(invalid),
         })?;
         let changes = u32::try_from(proposal.transaction.changes.len()).unwrap_or(u32::MAX);
         Ok(ApplyReply::Valid { against: service.in_force.revision(), changes })
     }
 
-    fn propose(&mut self, request: ApplyRequest) -> Result<ApplyReply, Refusal> {
+    fn propose(&mut self, request: ApplyRequest) -> Result<ApplyReply, AdminError> {
         let (now, unix_ms) = (self.moment.now, self.moment.unix_ms);
-        let service = self.committed.0.as_mut().ok_or(Refusal::Off)?;
-        let part = self.agreed.part.as_mut().ok_or(Refusal::Off)?;
+        let service = self.committed.0.as_mut().ok_or(AdminError::Off)?;
+        let part = self.agreed.part.as_mut().ok_or(AdminError::Off)?;
         let request_id = Arc::clone(&request.proposal.request_id);
         let seen = service.spread.state().revision();
         let (ticket, request) = service.requests.take(now, request.proposal, seen, unix_ms)?;
@@ -163,9 +170,11 @@
         Ok(ApplyReply::Pending { request_id })
     }
 
-    fn configuration_status(&self) -> ConfigurationAnswer {
+    fn configuration_status(&self) -> ConfigurationAdminResponse {
         let now = self.moment.now;
-        let Some(service) = &self.committed.0 else { return ConfigurationAnswer::Refused(Refusal::Off) };
+        let Some(service) = &self.committed.0 else {
+            return ConfigurationAdminResponse::Refused(AdminError::Off);
+        };
         let spread = service.spread.status();
         let cannot_apply = service.stuck.as_ref().map(|(why, _)| why.clone());
         let refused = spread.cannot_apply.map(|revision| format!("revision {revision} is not valid here"));
@@ -176,12 +185,12 @@
             digest: service.in_force.digest().to_string(),
             newest,
             leader: self.agreed.part.as_ref().and_then(|part| part.status(now).leader),
-            age_s: Some(secs(service.age(now))),
+            age_s: Some(span_seconds(service.age(now))),
             stale: service.is_stale(now),
             source: service.source,
             cannot_apply: cannot_apply.or(refused),
             ..StatusReply::default()
         };
-        ConfigurationAnswer::Status(Box::new(status))
+        ConfigurationAdminResponse::Status(Box::new(status))
     }
 }
--- a/crates/core/src/reducer/connections.rs
+++ b/crates/core/src/reducer/connections.rs
@@ -2,10 +2,10 @@
 //! Not here: sockets, which are the fronts', and the requests themselves, of which a connection knows ids alone.
 
 use super::{MS, Reducer};
-use crate::messages::{ConnId, Effect, SeqId};
+use crate::messages::{ConnectionId, Effect, SequenceId};
 use crate::resting::Resting;
-use crate::wheel::{Due, Wheel};
-use gradepin_admission::{RequestId, Span, Time, after};
+use crate::timer_wheel::{DueEntry, TimerWheel};
+use gradepin_admission::{RequestId, Span, Time, time_after};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Connections looked at in one sweep, and how long one of them is not looked at again at the most: the module may
@@ -21,7 +21,7 @@
 
 #[derive(Debug, Default)]
 pub(super) struct Connection {
-    pub(super) open: HashMap<SeqId, RequestId>,
+    pub(super) open: HashMap<SequenceId, RequestId>,
     pub(super) opened: Time,
     pub(super) last: Time,
     /// Whether a whole message ever came.
@@ -45,20 +45,20 @@
 impl Connection {
     /// Whether it is being closed, as far as is known.
     fn closes(&self, now: Time) -> bool {
-        self.closing.is_some_and(|since| now < after(since, CLOSE_PATIENCE))
+        self.closing.is_some_and(|since| now < time_after(since, CLOSE_PATIENCE))
     }
 }
 
 /// All client connections.
 #[derive(Debug)]
 pub(super) struct Connections {
-    table: BTreeMap<ConnId, Connection>,
+    table: BTreeMap<ConnectionId, Connection>,
     /// Connections from which on newcomers take the places of resting ones, and from which on they have spare places.
     room: usize,
     most: usize,
     /// Those with nothing open, and when to look at which whether it is idle.
     resting: Resting,
-    looks: Wheel<ConnId>,
+    looks: TimerWheel<ConnectionId>,
     /// How long one may be idle, as the module says; none before it says so.
     idle: Option<Span>,
 }
@@ -66,7 +66,7 @@
 impl Connections {
     /// For so many connections at the most.
     pub(super) fn new(most: usize) -> Self {
-        let (table, resting, looks) = (BTreeMap::new(), Resting::default(), Wheel::default());
+        let (table, resting, looks) = (BTreeMap::new(), Resting::default(), TimerWheel::default());
         Self { table, room: most - most / 8, most, resting, looks, idle: None }
     }
 
@@ -74,23 +74,23 @@
         self.table.len()
     }
 
-    pub(super) fn ids(&self) -> Vec<ConnId> {
+    pub(super) fn ids(&self) -> Vec<ConnectionId> {
         self.table.keys().copied().collect()
     }
 
-    pub(super) fn get_mut(&mut self, conn: ConnId) -> Option<&mut Connection> {
+    pub(super) fn get_mut(&mut self, conn: ConnectionId) -> Option<&mut Connection> {
         self.table.get_mut(&conn)
     }
 
     /// One more was accepted.
-    fn opened(&mut self, conn: ConnId, now: Time) {
+    fn opened(&mut self, conn: ConnectionId, now: Time) {
         self.table.insert(conn, Connection { opened: now, last: now, ..Connection::default() });
         self.resting.rests(conn, now, false);
-        self.looks.insert(after(now, LOOK_AGAIN), conn);
+        self.looks.insert(time_after(now, LOOK_AGAIN), conn);
     }
 
     /// A whole message was taken in from it.
-    pub(super) fn took(&mut self, conn: ConnId) {
+    pub(super) fn took(&mut self, conn: ConnectionId) {
         if let Some(connection) = self.table.get_mut(&conn) {
             connection.taken += 1;
             connection.late = false;
@@ -98,7 +98,7 @@
     }
 
     /// Nothing more is read from it until then.
-    pub(super) fn paced(&mut self, conn: ConnId, until: Time) {
+    pub(super) fn paced(&mut self, conn: ConnectionId, until: Time) {
         if let Some(connection) = self.table.get_mut(&conn) {
             connection.paced = Some(until);
         }
@@ -110,7 +110,7 @@
     }
 
     /// It has said something now.
-    pub(super) fn touch(&mut self, conn: ConnId, now: Time) -> Option<&mut Connection> {
+    pub(super) fn touch(&mut self, conn: ConnectionId, now: Time) -> Option<&mut Connection> {
         let connection = self.table.get_mut(&conn)?;
         connection.last = now;
         connection.spoke = true;
@@ -118,14 +118,14 @@
     }
 
     /// It has said something, or was answered, and may rest from now on.
-    pub(super) fn rest(&mut self, conn: ConnId, now: Time) {
+    pub(super) fn rest(&mut self, conn: ConnectionId, now: Time) {
         if self.touch(conn, now).is_some_and(|connection| connection.open.is_empty()) {
             self.resting.rests(conn, now, true);
         }
     }
 
     /// A request of it is answered.
-    pub(super) fn answered(&mut self, conn: ConnId, seq: SeqId, now: Time) {
+    pub(super) fn answered(&mut self, conn: ConnectionId, seq: SequenceId, now: Time) {
         if let Some(connection) = self.table.get_mut(&conn) {
             connection.open.remove(&seq);
         }
@@ -133,7 +133,7 @@
     }
 
     /// Nothing more is taken from it.
-    pub(super) fn refuse(&mut self, conn: ConnId) {
+    pub(super) fn refuse(&mut self, conn: ConnectionId) {
         if let Some(connection) = self.table.get_mut(&conn) {
             connection.refused = true;
         }
@@ -143,7 +143,7 @@
     /// and one that never said anything counts as if for twice as long. It may have sent what was not read yet, so
     /// it is closed only where that is not so, and one that has only just come or spoken stays. Guards against silent
     /// connections that keep all others, health checks too, out of a full table.
-    fn makes_room(&mut self, now: Time) -> Option<ConnId> {
+    fn makes_room(&mut self, now: Time) -> Option<ConnectionId> {
         if self.table.len() < self.room {
             return None;
         }
@@ -152,7 +152,7 @@
             |conn, since, spoke| rests(connections, conn, since, spoke),
             |conn| connections.get(&conn).is_some_and(|c| c.closes(now)),
         );
-        let rested = |found: Option<(Time, ConnId)>, times| {
+        let rested = |found: Option<(Time, ConnectionId)>, times| {
             found.map_or((0, 0), |(since, conn)| ((now.0 - since.0) * times, conn))
         };
         let (longest, conn) = rested(spoke, 1).max(rested(silent, 2));
@@ -160,7 +160,7 @@
     }
 
     /// Those with nothing open of which this holds: when each was asked to drain, and when it last spoke.
-    pub(super) fn rested(&self, now: Time, wanted: impl Fn(Option<Time>, Time) -> bool) -> Vec<ConnId> {
+    pub(super) fn rested(&self, now: Time, wanted: impl Fn(Option<Time>, Time) -> bool) -> Vec<ConnectionId> {
         let rested = self.table.iter().filter(|(_, c)| c.open.is_empty() && !c.closes(now));
         rested.filter(|(_, c)| wanted(c.draining, c.last)).map(|(conn, _)| *conn).collect()
     }
@@ -174,7 +174,7 @@
 
 impl Reducer {
     /// A connection was accepted, and may take the place of another.
-    pub(super) fn opened(&mut self, conn: ConnId) {
+    pub(super) fn opened(&mut self, conn: ConnectionId) {
         if let Some(rested) = self.conns.makes_room(self.moment.now) {
             self.close_resting(rested);
         }
@@ -189,7 +189,7 @@
         }
     }
 
-    pub(super) fn closed(&mut self, conn: ConnId) {
+    pub(super) fn closed(&mut self, conn: ConnectionId) {
         if let Some(connection) = self.conns.table.remove(&conn) {
             for id in connection.open.into_values().collect::<BTreeSet<_>>() {
                 self.gone(&id);
@@ -199,7 +199,7 @@
 
     /// Nothing more comes from a connection: it is closed once what is open on it is answered. Until then it is asked
     /// to drain, which costs a peer that reads nothing, and makes one that is gone altogether answer with a reset.
-    pub(super) fn input_ended(&mut self, conn: ConnId) {
+    pub(super) fn input_ended(&mut self, conn: ConnectionId) {
         let Some(connection) = self.conns.table.get_mut(&conn) else { return };
         connection.ended = true;
         if !connection.open.is_empty() {
@@ -209,7 +209,7 @@
     }
 
     /// A connection said no whole message in its time: it is closed once it is owed nothing, unless one comes yet.
-    pub(super) fn late(&mut self, conn: ConnId) {
+    pub(super) fn late(&mut self, conn: ConnectionId) {
         if let Some(connection) = self.conns.table.get_mut(&conn) {
             connection.late = true;
             self.close_if_over(conn);
@@ -217,7 +217,7 @@
     }
 
     /// Closes a connection from which nothing more is to come, once it is owed nothing.
-    pub(super) fn close_if_over(&mut self, conn: ConnId) {
+    pub(super) fn close_if_over(&mut self, conn: ConnectionId) {
         match self.conns.table.get(&conn) {
             Some(connection) if !connection.open.is_empty() => {}
             Some(connection) if connection.ended => self.effects.push(Effect::Close(conn)),
@@ -230,14 +230,14 @@
         }
     }
 
-    pub(super) fn ask_to_drain(&mut self, conn: ConnId) {
+    pub(super) fn ask_to_drain(&mut self, conn: ConnectionId) {
         if let Some(connection) = self.conns.table.get_mut(&conn).filter(|c| c.draining.is_none()) {
             connection.draining = Some(self.moment.now);
             self.effects.push(Effect::Draining(conn));
         }
     }
 
-    pub(super) fn close_resting(&mut self, conn: ConnId) {
+    pub(super) fn close_resting(&mut self, conn: ConnectionId) {
         if let Some(connection) = self.conns.table.get_mut(&conn) {
             connection.closing = Some(self.moment.now);
             self.effects.push(Effect::CloseResting(conn, connection.taken));
@@ -251,19 +251,19 @@
         let idle = self.conns.idle.map(|idle| if idle.0 == 0 { self.settings.specifics.idle } else { idle });
         loop {
             let conn = match self.conns.looks.next_due(now, &mut budget) {
-                Due::Entry(conn) => conn,
-                Due::None => return false,
-                Due::Later => return true,
+                DueEntry::Entry(conn) => conn,
+                DueEntry::None => return false,
+                DueEntry::Later => return true,
             };
             let Some(connection) = self.conns.table.get(&conn) else { continue };
-            let rested = idle.map(|idle| after(connection.last, idle));
-            let again = connection.draining.map(|since| after(since, DRAIN_PATIENCE)).or(rested);
-            let again = again.filter(|at| *at > now).unwrap_or(after(now, LOOK_AGAIN));
-            self.conns.looks.insert(again.min(after(now, LOOK_AGAIN)), conn);
+            let rested = idle.map(|idle| time_after(connection.last, idle));
+            let again = connection.draining.map(|since| time_after(since, DRAIN_PATIENCE)).or(rested);
+            let again = again.filter(|at| *at > now).unwrap_or(time_after(now, LOOK_AGAIN));
+            self.conns.looks.insert(again.min(time_after(now, LOOK_AGAIN)), conn);
             let quiet = connection.open.is_empty() && rested.is_some_and(|at| at <= now);
             match connection.draining {
                 None if quiet => self.ask_to_drain(conn),
-                Some(since) if quiet && after(since, DRAIN_PATIENCE) <= now && !self.drain.is_told() => {
+                Some(since) if quiet && time_after(since, DRAIN_PATIENCE) <= now && !self.drain.is_told() => {
                     self.close_resting(conn)
                 }
                 _ => {}
@@ -273,6 +273,11 @@
 }
 
 /// Whether a connection has nothing open, and said its last word then.
-fn rests(connections: &BTreeMap<ConnId, Connection>, conn: ConnId, since: Time, spoke: bool) -> bool {
+fn rests(
+    connections: &BTreeMap<ConnectionId, Connection>,
+    conn: ConnectionId,
+    since: Time,
+    spoke: bool,
+) -> bool {
     connections.get(&conn).is_some_and(|c| c.open.is_empty() && c.last == since && c.spoke == spoke)
 }
--- a/crates/core/src/reducer/drain.rs
+++ b/crates/core/src/reducer/drain.rs
@@ -2,9 +2,9 @@
 //! Not here: what a drain does to held requests, which is the module's.
 
 use super::{MS, Reducer};
-use crate::handover::{Handover, Left};
-use crate::messages::{Effect, sooner};
-use gradepin_admission::{Event, Span, Time, after, before};
+use crate::handover::{Handover, RemainingWork};
+use crate::messages::{Effect, earliest};
+use gradepin_admission::{Event, Span, Time, time_after, time_before};
 use slog::Level;
 
 /// How much sooner than told the module is to be done when the process will be stopped: the notice and the
@@ -41,7 +41,7 @@
     /// When it is due though nothing comes in.
     pub(super) fn wake_at(&self) -> Option<Time> {
         // Until the end is told; a hand-over's last moment is past after it.
-        sooner(self.exit_at, self.exit_at.and(self.handover.wake_at()))
+        earliest(self.exit_at, self.exit_at.and(self.handover.wake_at()))
     }
 
     /// When the notice came; now, if it didn't.
@@ -56,7 +56,7 @@
             return;
         }
         self.drain.told = Some(self.moment.now);
-        self.drain.exit_at = Some(after(after(self.moment.now, self.drain.stop), STOP_OVERDUE));
+        self.drain.exit_at = Some(time_after(time_after(self.moment.now, self.drain.stop), STOP_OVERDUE));
         if self.drain.handover.begin(self.moment.now, self.drain.stop) {
             self.effects.push(Effect::StopAccepting);
             self.log(Level::Info, "handing over: the process after this one accepts from now on".into());
@@ -90,20 +90,20 @@
     /// Tells the module how long it has, a margin less than is left until the stop.
     pub(super) fn tell_leaving(&mut self) {
         let spent = Span(STOP_OVERDUE.0 + STOP_MARGIN.0);
-        let end = self.drain.exit_at.map_or(self.moment.now, |exit| before(exit, spent));
+        let end = self.drain.exit_at.map_or(self.moment.now, |exit| time_before(exit, spent));
         self.events.push(Event::Sigterm(Span(end.0.saturating_sub(self.moment.now.0))));
     }
 
     /// What keeps a process that hands over or closes down: requests owed an answer, and connections. Those that rest after
     /// they were asked to drain are closed where nothing of them is unread.
-    pub(super) fn left(&mut self) -> Left {
+    pub(super) fn left(&mut self) -> RemainingWork {
         let now = self.moment.now;
         let handover = &self.drain.handover;
         let rested = self.conns.rested(now, |draining, last| handover.closes(now, draining, last));
         for conn in rested {
             self.close_resting(conn);
         }
-        Left { open: self.requests.owed(), connections: self.conns.len() }
+        RemainingWork { open: self.requests.owed(), connections: self.conns.len() }
     }
 
     /// Ends the process when its time is up, or all is handed over. It closes down first: a request that came in the
@@ -112,7 +112,7 @@
         let now = self.moment.now;
         let due = self.drain.exit_at.is_some_and(|at| now >= at);
         if due && self.drain.handover.close_down(now, CLOSE_DOWN) {
-            self.drain.exit_at = Some(after(now, CLOSE_DOWN));
+            self.drain.exit_at = Some(time_after(now, CLOSE_DOWN));
             self.effects.push(Effect::StopAccepting);
             return;
         }
--- a/crates/core/src/reducer/fleet.rs
+++ b/crates/core/src/reducer/fleet.rs
@@ -7,11 +7,11 @@
 use super::cells::Cells;
 use super::{MS, Reducer};
 use crate::classes::Classes;
-use crate::messages::{CallNumber, Effect, sooner};
-use gradepin_admission::{Below, Outcome, RequestId, Settings, Span, Time, after};
-use gradepin_cluster::authentication::{DropReason, Keys};
+use crate::messages::{Effect, UpstreamCallId, earliest};
+use gradepin_admission::{Outcome, RequestId, Settings, Span, Time, UpstreamKind, time_after};
+use gradepin_cluster::authentication::{AuthenticationKeys, DropReason};
 use gradepin_cluster::cluster::{
-    CallDecision, Cluster, Effect as ClusterEffect, Envelope, FleetView, Severity, Status,
+    CallDecision, Cluster, ClusterEffect, ClusterStatus, Envelope, FleetView, Severity,
 };
 use gradepin_cluster::counters::CellId;
 use gradepin_cluster::leases::Slot;
@@ -41,7 +41,7 @@
     cluster: Option<Box<Cluster>>,
     waiting: VecDeque<Waiting>,
     /// Requests whose calls hold a slot, and since when.
-    slots: HashMap<CallNumber, Time>,
+    slots: HashMap<UpstreamCallId, Time>,
     /// Runs that asked for a call which the module has not made yet.
     asking: HashSet<RequestId>,
     /// What a run of each class takes, as seen here.
@@ -78,7 +78,7 @@
         let cluster = self.cluster.as_ref()?;
         let waits = self.waiting.iter().map(|waiting| waiting.until).min();
         let slot = cluster.slot_at(now).filter(|_| !self.waiting.is_empty());
-        sooner(Some(cluster.wake_at(now)), sooner(waits, slot))
+        earliest(Some(cluster.wake_at(now)), earliest(waits, slot))
     }
 
     /// The fleet as it is seen from here, where there is a cluster.
@@ -87,7 +87,7 @@
     }
 
     /// The figures, where there is a cluster.
-    pub(super) fn status(&self, now: Time) -> Option<Box<Status>> {
+    pub(super) fn status(&self, now: Time) -> Option<Box<ClusterStatus>> {
         self.cluster.as_ref().map(|cluster| Box::new(cluster.status(now)))
     }
 }
@@ -148,7 +148,7 @@
     }
 
     /// The fleet's keys were read again.
-    pub(super) fn fleet_keys(&mut self, keys: Keys) {
+    pub(super) fn fleet_keys(&mut self, keys: AuthenticationKeys) {
         if let Some(cluster) = &mut self.fleet.cluster {
             cluster.set_keys(keys);
             self.log(Level::Info, "the fleet's keys were read again".into());
@@ -193,7 +193,7 @@
 
     /// The module makes a call: it goes once it has a slot.
     pub(super) fn call_waits(&mut self, id: &RequestId, timeout: Span) {
-        let until = after(self.moment.now, timeout);
+        let until = time_after(self.moment.now, timeout);
         self.fleet.waiting.push_back(Waiting { id: id.clone(), timeout, until });
         self.calls_out();
     }
@@ -259,7 +259,7 @@
 
     /// A call has ended; its slot, if it had one, is free. What it took counts from the slot: the ledger has no part in the
     /// wait for one.
-    pub(super) fn fleet_called(&mut self, number: CallNumber, outcome: Outcome) {
+    pub(super) fn fleet_called(&mut self, number: UpstreamCallId, outcome: Outcome) {
         if let Some(since) = self.fleet.slots.remove(&number)
             && let Some(cluster) = &mut self.fleet.cluster
         {
@@ -304,7 +304,7 @@
             self.tell_limit();
         }
         if now >= self.fleet.next_quotas {
-            self.fleet.next_quotas = after(now, QUOTAS);
+            self.fleet.next_quotas = time_after(now, QUOTAS);
             self.tell_quotas();
         }
     }
@@ -321,7 +321,7 @@
         settings.specifics.calls_out = limit;
         controller.set_rest(settings);
         self.fleet.limit = Some(limit);
-        self.fleet.next_limit = after(now, LIMITS);
+        self.fleet.next_limit = time_after(now, LIMITS);
     }
 
     /// Tells the quotas that moved; of tenants no longer seen, the one that they are set.
@@ -391,5 +391,5 @@
 /// module, which leases don't move.
 pub fn lent_share(settings: &Settings) -> Option<f64> {
     let specifics = &settings.specifics;
-    (specifics.below == Below::Shared && specifics.calls_out >= 1.0).then_some(specifics.calls_out)
+    (specifics.below == UpstreamKind::Shared && specifics.calls_out >= 1.0).then_some(specifics.calls_out)
 }
--- a/crates/core/src/reducer/housekeeping.rs
+++ b/crates/core/src/reducer/housekeeping.rs
@@ -3,7 +3,7 @@
 use super::link::GAUGES_WAIT;
 use super::{MS, Reducer};
 use crate::messages::Effect;
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
 use std::collections::BTreeSet;
 
 /// Between reports to the control plane, which forgets a server after 3 s.
@@ -56,7 +56,7 @@
     /// When its first timer fires, where a question for the gauges is open since then.
     pub(super) fn timer_at(&self, now: Time, asked: Option<Time>) -> Option<Time> {
         self.timers.first().map(|&due| match asked {
-            Some(since) if due <= now => after(since, GAUGES_WAIT),
+            Some(since) if due <= now => time_after(since, GAUGES_WAIT),
             _ => due,
         })
     }
@@ -71,7 +71,7 @@
         let due = now >= self.next_report;
         if due {
             self.changes = self.changes.saturating_sub(1);
-            self.next_report = after(now, if self.changes > 0 { REPORT_AGAIN } else { REPORT_EVERY });
+            self.next_report = time_after(now, if self.changes > 0 { REPORT_AGAIN } else { REPORT_EVERY });
         }
         due
     }
@@ -92,14 +92,14 @@
         if now >= self.duties.next_sweep {
             // What is left of a sweep has its turn with the next step, which comes at once.
             let more = self.settle_classes() | self.keys.sweep(now) | self.close_idle();
-            self.duties.next_sweep = if more { now } else { after(now, SWEEP_EVERY) };
+            self.duties.next_sweep = if more { now } else { time_after(now, SWEEP_EVERY) };
             self.conns.tidy();
         }
         self.keep();
         if self.registration.drain_is_due(now) {
             self.terminate();
         }
-        let grace = after(self.drain.since(now), self.settings.rules.drain_grace);
+        let grace = time_after(self.drain.since(now), self.settings.rules.drain_grace);
         let answered = self.drain.is_told() && self.requests.is_empty() && now > grace;
         self.registration.step(self.moment, answered, &mut self.effects);
         self.end();
--- a/crates/core/src/reducer/keeping.rs
+++ b/crates/core/src/reducer/keeping.rs
@@ -1,12 +1,12 @@
 //! What outlives this process: the store's part in a step, and what an earlier life left behind.
-//! Not here: which records are written when ([`crate::ledger`]) and the keyed runs themselves ([`crate::keys`]).
+//! Not here: which records are written when ([`crate::idempotency_log`]) and the keyed runs themselves ([`crate::idempotency_table`]).
 
 use super::Reducer;
-use crate::keys::End;
-use crate::ledger::{Recovered, Standing};
+use crate::buffer_pool::BufferPool;
+use crate::idempotency_log::{RecoveredRuns, StoreHealth};
+use crate::idempotency_table::RunOutcome;
 use crate::messages::Effect;
-use crate::pool::Pool;
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
 use slog::Level;
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub(super) struct Past {
     /// Buffers for what the store held.
-    pub(super) pool: Arc<Pool>,
+    pub(super) pool: Arc<BufferPool>,
     /// Of the prints: of this life, or of the store that outlives it.
     pub(super) salt: u64,
     /// When the first step was, and until when the ends of runs of an earlier life may still be told.
@@ -26,12 +26,19 @@
     /// Whether the processor is no older than this process.
     young: bool,
     /// How it was with the store when that was last told.
-    standing: Standing,
+    standing: StoreHealth,
 }
 
 impl Past {
     pub(super) fn new(salt: u64) -> Self {
-        Self { pool: Pool::new(0), salt, began: None, hope: None, young: false, standing: Standing::Off }
+        Self {
+            pool: BufferPool::new(0),
+            salt,
+            began: None,
+            hope: None,
+            young: false,
+            standing: StoreHealth::Off,
+        }
     }
 
     /// A step is taken.
@@ -41,7 +48,7 @@
 
     /// The processor started then: with this process or after it, nothing of an earlier life runs there.
     pub(super) fn processor_up(&mut self, now: Time, since: Time, margin: Span) {
-        self.young = self.began.is_some_and(|began| after(since, margin) >= began);
+        self.young = self.began.is_some_and(|began| time_after(since, margin) >= began);
         if self.young {
             self.hope = self.hope.map(|_| now);
         }
@@ -60,7 +67,7 @@
 
 impl Reducer {
     /// Takes over what an earlier life knew.
-    pub(super) fn recovered(&mut self, recovered: Recovered) {
+    pub(super) fn recovered(&mut self, recovered: RecoveredRuns) {
         let now = self.moment.now;
         self.past.salt = recovered.salt;
         self.ledger.recovered(now, &recovered);
@@ -73,7 +80,7 @@
             } else {
                 self.classes.iter().map(|(_, class)| class.profile.deadline.0).max()
             };
-            self.past.hope = Some(after(now, Span(longest.unwrap_or(0).saturating_mul(HOPE_MULTIPLE))));
+            self.past.hope = Some(time_after(now, Span(longest.unwrap_or(0).saturating_mul(HOPE_MULTIPLE))));
             if self.link.heard != Time::default() {
                 // What it told so far was about runs that weren't known yet.
                 self.effects.push(Effect::Retell);
@@ -99,7 +106,7 @@
         }
         if self.past.hope.take_if(|until| *until <= now).is_some() {
             for waiter in self.keys.give_up() {
-                self.joined(&waiter, End::Unknown);
+                self.joined(&waiter, RunOutcome::Unknown);
             }
         }
         let keys = &self.keys;
--- a/crates/core/src/reducer/link.rs
+++ b/crates/core/src/reducer/link.rs
@@ -2,9 +2,11 @@
 //! Not here: the connection itself, which is the shell's, and what the ends of runs mean ([`super::runs`]).
 
 use super::{MS, Reducer};
-use crate::messages::{Effect, LEAST_RESTART, RunEnd};
-use crate::pool::Buffer;
-use gradepin_admission::{Controller, Event, Gauges, RequestId, Settings, Span, Time, after, before};
+use crate::buffer_pool::Buffer;
+use crate::messages::{Effect, MIN_PROCESSOR_RESTART, RunEnd};
+use gradepin_admission::{
+    Controller, Event, Gauges, RequestId, Settings, Span, Time, time_after, time_before,
+};
 use slog::Level;
 use std::sync::Arc;
 
@@ -76,13 +78,13 @@
 impl Reducer {
     pub(super) fn link_up(&mut self, number: u64, cold: bool, age: Span) {
         let now = self.moment.now;
-        self.registration.processor_up(before(now, age), cold);
+        self.registration.processor_up(time_before(now, age), cold);
         let first = self.controller.is_none();
         if first {
             // Warmth counts from the start of the processor, which may be long after this process's.
             let mut settings = Settings::clone(&self.settings);
             settings.specifics.just_started = cold;
-            let mut controller = Controller::new(settings, self.seed, before(now, age));
+            let mut controller = Controller::new(settings, self.seed, time_before(now, age));
             for (slot, class) in self.classes.iter() {
                 controller.put_class(slot, Arc::clone(class));
             }
@@ -99,12 +101,12 @@
             self.log(Level::Info, format!("the processor is up, {}", if cold { "cold" } else { "warm" }));
         }
         // It started with this process or after it: nothing of an earlier life runs there.
-        self.past.processor_up(now, before(now, age), LEAST_RESTART);
+        self.past.processor_up(now, time_before(now, age), MIN_PROCESSOR_RESTART);
         if std::mem::take(&mut self.link.is_another)
             && let Some(controller) = self.controller.as_mut().filter(|_| !first)
         {
             // Guards against runs for a warm processor on one that begins cold: those make it fall over.
-            controller.cores_started(cold, before(now, age));
+            controller.cores_started(cold, time_before(now, age));
         }
         self.link.heard = now;
         self.link.number = Some(number);
@@ -183,8 +185,8 @@
             match (self.link.number, self.link.open_since) {
                 (None, _) => {}
                 (Some(link), None) => return self.ask(link),
-                (Some(_), Some(since)) if now < after(since, GAUGES_WAIT) => return,
-                (Some(link), Some(since)) if now >= after(since, LINK_PATIENCE) => {
+                (Some(_), Some(since)) if now < time_after(since, GAUGES_WAIT) => return,
+                (Some(link), Some(since)) if now >= time_after(since, LINK_PATIENCE) => {
                     self.log(Level::Warning, "the processor doesn't answer; renewing the link".into());
                     self.effects.push(Effect::Renew(link));
                     self.link.open_since = Some(now);
--- a/crates/core/src/reducer/mod.rs
+++ b/crates/core/src/reducer/mod.rs
@@ -21,26 +21,28 @@
 mod runs;
 mod settings;
 
-use crate::admin::Door;
-use crate::claims::Claims;
+use crate::admin::OperatorDrain;
+use crate::buffer_pool::BufferPool;
 use crate::classes::Classes;
 use crate::config::{Config, ConfigError};
 use crate::handover::Handover;
-use crate::keys::{End, Keys};
-use crate::ledger::Ledger;
-use crate::messages::{Answer, CallNumber, Effect, Input, sooner};
-use crate::moment::Moment;
-use crate::pool::Pool;
+use crate::idempotency_log::IdempotencyLog;
+use crate::idempotency_table::{IdempotencyTable, RunOutcome};
+use crate::messages::{Effect, Input, Response, UpstreamCallId, earliest};
+use crate::pending_claims::PendingClaims;
 use crate::registration::Registration;
-use crate::tally::Tally;
+use crate::request_metrics::RequestMetrics;
 use crate::tenants::Tenants;
+use crate::timestamp::Timestamp;
 use agreed::Agreed;
 use configuration::Committed;
 use connections::Connections;
 use drain::Drain;
 use fleet::Fleet;
 pub use fleet::{cell_names, lent_share};
-use gradepin_admission::{Action, ClassDefinition, Controller, Customer, Event, Settings, Span, Time, after};
+use gradepin_admission::{
+    Action, ClassDefinition, Controller, Event, Settings, Span, Tenant, Time, time_after,
+};
 use housekeeping::Duties;
 use keeping::Past;
 use link::Link;
@@ -60,13 +62,13 @@
     config: Config,
     seed: u64,
     controller: Option<Controller>,
-    moment: Moment,
+    moment: Timestamp,
     requests: Requests,
     conns: Connections,
-    keys: Keys,
-    ledger: Ledger,
+    keys: IdempotencyTable,
+    ledger: IdempotencyLog,
     /// Where the process after this one in an upgrade shares what runs.
-    claims: Claims,
+    claims: PendingClaims,
     past: Past,
     link: Link,
     drain: Drain,
@@ -85,10 +87,10 @@
     tenants: Tenants,
     changes: Changes,
     /// Calls to the ledger made so far.
-    calls: CallNumber,
+    calls: UpstreamCallId,
     /// The drain that operators order at their door, and the figures they scrape.
-    door: Door,
-    tally: Tally,
+    door: OperatorDrain,
+    tally: RequestMetrics,
     /// For the module's next turn.
     events: Vec<Event>,
     actions: Vec<Action>,
@@ -111,7 +113,7 @@
     pub fn with_definitions(
         config: &Config,
         classes: Vec<Arc<ClassDefinition>>,
-        tenants: Vec<Arc<Customer>>,
+        tenants: Vec<Arc<Tenant>>,
         registration: Registration,
     ) -> Result<Self, ConfigError> {
         let settings = config.settings.clone();
@@ -122,12 +124,12 @@
             config: config.clone(),
             settings: Arc::new(settings),
             controller: None,
-            moment: Moment::default(),
+            moment: Timestamp::default(),
             requests: Requests::new(config),
             conns: Connections::new(config.connections()),
-            keys: Keys::new(config.memory(RESULTS_PART)),
-            ledger: Ledger::off(),
-            claims: Claims::default(),
+            keys: IdempotencyTable::new(config.memory(RESULTS_PART)),
+            ledger: IdempotencyLog::off(),
+            claims: PendingClaims::default(),
             past: Past::new(config.seed()?),
             link: Link::default(),
             drain: Drain::new(Span(config.stop_ms.saturating_mul(MS))),
@@ -142,8 +144,8 @@
             tenants: Tenants::new(tenants),
             changes: Changes::starting(window),
             calls: 0,
-            door: Door::default(),
-            tally: Tally::default(),
+            door: OperatorDrain::default(),
+            tally: RequestMetrics::default(),
             events: Vec::new(),
             actions: Vec::new(),
             effects: Vec::new(),
@@ -160,13 +162,13 @@
     /// told later ([`Input::RunsShared`]) where they can't be shared yet. Not beside a store, which has one owner and a salt
     /// of its own.
     pub fn sharing_runs(mut self, salt: Option<u64>) -> Self {
-        self.claims = Claims::shared();
+        self.claims = PendingClaims::shared();
         self.past.salt = salt.unwrap_or(self.past.salt);
         self
     }
 
     /// With a store that is being opened, whose records go by this ledger.
-    pub fn with_store(mut self, ledger: Ledger, pool: Arc<Pool>) -> Self {
+    pub fn with_store(mut self, ledger: IdempotencyLog, pool: Arc<BufferPool>) -> Self {
         (self.ledger, self.past.pool) = (ledger, pool);
         self
     }
@@ -174,7 +176,7 @@
     /// Takes in all inputs, lets the module decide once, and appends what is to be done.
     pub fn step(
         &mut self,
-        moment: Moment,
+        moment: Timestamp,
         inputs: impl IntoIterator<Item = Input>,
         effects: &mut Vec<Effect>,
     ) {
@@ -199,11 +201,13 @@
             return Some(self.moment.now);
         }
         let timer = self.duties.timer_at(self.moment.now, self.link.open_since);
-        let own =
-            sooner(sooner(timer, self.drain.wake_at()), sooner(self.ledger.wake_at(), self.past.hope()));
-        let own = sooner(sooner(own, self.fleet.wake_at(self.moment.now)), self.agreed.wake_at());
+        let own = earliest(
+            earliest(timer, self.drain.wake_at()),
+            earliest(self.ledger.wake_at(), self.past.hope()),
+        );
+        let own = earliest(earliest(own, self.fleet.wake_at(self.moment.now)), self.agreed.wake_at());
         let own = self.configuration_wake_at(own);
-        sooner(sooner(own, self.registration.wake_at(self.moment.now)), Some(self.duties.wake_at()))
+        earliest(earliest(own, self.registration.wake_at(self.moment.now)), Some(self.duties.wake_at()))
     }
 
     fn log(&mut self, level: Level, text: String) {
@@ -234,7 +238,7 @@
             Input::Health(conn, seq) => {
                 self.conns.rest(conn, self.moment.now);
                 let good = self.active && self.door.failed_since().is_none();
-                let health = Answer::Health(good, self.ledger.standing(self.moment.now).word());
+                let health = Response::Health(good, self.ledger.standing(self.moment.now).word());
                 self.effects.push(Effect::Answer(conn, seq, health, self.hint));
                 self.close_if_over(conn);
             }
@@ -267,7 +271,7 @@
                 self.used(tag, &values);
             }
             Input::Rejected(id) => self.rejected(&id),
-            Input::Paced(conn, pause) => self.conns.paced(conn, after(self.moment.now, pause)),
+            Input::Paced(conn, pause) => self.conns.paced(conn, time_after(self.moment.now, pause)),
             Input::Terminate => self.terminate(),
             Input::NotAccepting => self.drain.handover.stopped(),
             Input::TakeOut => {
@@ -328,14 +332,14 @@
         match action {
             Action::Process(id) => self.process(&id),
             Action::Refuse { id, come_back, last } => {
-                self.finish(&id, Answer::Refused { backoff: come_back, last })
+                self.finish(&id, Response::Refused { backoff: come_back, last })
             }
             Action::Error(id) => {
                 let late = self.is_late(&id);
-                self.finish(&id, Answer::Failed { late });
+                self.finish(&id, Response::Failed { late });
             }
             Action::Remember { id, hold_for } => {
-                let until = after(self.moment.now, hold_for);
+                let until = time_after(self.moment.now, hold_for);
                 if let Some((token, print)) = self.requests.get(&id).and_then(Open::key) {
                     self.keys.remember(token, print, &id, until);
                 }
@@ -349,7 +353,7 @@
                 let Some(open) = self.requests.get_mut(&id) else { return };
                 open.state = State::Joined(self.moment.now);
                 let token = open.token.clone();
-                let end = token.map_or(Some(End::Failed), |token| self.keys.join(&token, &id));
+                let end = token.map_or(Some(RunOutcome::Failed), |token| self.keys.join(&token, &id));
                 if let Some(end) = end {
                     self.joined(&id, end);
                 }
--- a/crates/core/src/reducer/requests.rs
+++ b/crates/core/src/reducer/requests.rs
@@ -3,10 +3,12 @@
 //! Not here: runs ([`super::runs`]) and the connections that the requests came on ([`super::connections`]).
 
 use super::{MS, Reducer};
+use crate::buffer_pool::Buffer;
 use crate::config::Config;
-use crate::keys::{End, Print};
-use crate::messages::{Answer, Call, CallNumber, ConnId, Effect, Misuse, SeqId};
-use crate::pool::Buffer;
+use crate::idempotency_table::{Fingerprint, RunOutcome};
+use crate::messages::{
+    ClientRequest, ConnectionId, Effect, RequestError, Response, SequenceId, UpstreamCallId,
+};
 use gradepin_admission::{Event, Outcome, Request, RequestId, Span, Time};
 use siphasher::sip::SipHasher13;
 use slog::Level;
@@ -38,8 +40,8 @@
 /// A request that is open or runs.
 #[derive(Debug)]
 pub(super) struct Open {
-    pub(super) conn: ConnId,
-    pub(super) seq: SeqId,
+    pub(super) conn: ConnectionId,
+    pub(super) seq: SequenceId,
     pub(super) class: usize,
     pub(super) tenant: Option<usize>,
     pub(super) t0: u64,
@@ -47,7 +49,7 @@
     pub(super) due_ms: u64,
     pub(super) token: Option<Arc<str>>,
     /// Of its body and class, if it has a token.
-    pub(super) print: Print,
+    pub(super) print: Fingerprint,
     pub(super) state: State,
     /// Whether its caller still waits for an answer.
     pub(super) owed: bool,
@@ -59,12 +61,12 @@
     /// The call its run waits for, since when that call is to be made or out, and its number once it is out.
     pub(super) call: Option<Arc<Buffer>>,
     pub(super) call_since: Option<Time>,
-    pub(super) call_number: Option<CallNumber>,
+    pub(super) call_number: Option<UpstreamCallId>,
 }
 
 impl Open {
     /// Its token and the print that goes with it.
-    pub(super) fn key(&self) -> Option<(&Arc<str>, Print)> {
+    pub(super) fn key(&self) -> Option<(&Arc<str>, Fingerprint)> {
         self.token.as_ref().map(|token| (token, self.print))
     }
 }
@@ -144,7 +146,7 @@
 impl Reducer {
     /// Whether a message that is owed an answer came under the number of an open request. Two answers under one number
     /// could not be told apart: the first keeps its own, and nothing more is taken.
-    pub(super) fn came_twice(&mut self, conn: ConnId, seq: SeqId) -> bool {
+    pub(super) fn came_twice(&mut self, conn: ConnectionId, seq: SequenceId) -> bool {
         let connection = self.conns.touch(conn, self.moment.now);
         if !connection.is_some_and(|connection| connection.open.contains_key(&seq)) {
             return false;
@@ -155,19 +157,19 @@
         true
     }
 
-    pub(super) fn call(&mut self, conn: ConnId, seq: SeqId, mut call: Call) {
+    pub(super) fn call(&mut self, conn: ConnectionId, seq: SequenceId, mut call: ClientRequest) {
         let Some(connection) = self.conns.touch(conn, self.moment.now) else { return };
         let (opened, paced, open) = (connection.opened, connection.paced, connection.open.len());
         let refused = connection.refused;
         let Some(class) = self.classes.resolve(call.class) else {
             // Its slot was freed since it was read, and may be another's.
             let why = "unknown method: the class was dropped".into();
-            return self.invalid(conn, seq, None, Misuse::NotFound, why);
+            return self.invalid(conn, seq, None, RequestError::NotFound, why);
         };
         if !self.classes.takes(class, self.moment.now) {
             let name = &self.classes.profile(class).name;
             let why = format!("unknown method \"{name}\": the class was dropped");
-            return self.invalid(conn, seq, Some(class), Misuse::NotFound, why);
+            return self.invalid(conn, seq, Some(class), RequestError::NotFound, why);
         }
         // One whose slot is another's by now is of no tenant's share.
         let tenant = call.tenant.and_then(|tenant| self.tenants.resolve(tenant));
@@ -176,17 +178,17 @@
             // against more bodies than the memory holds, on many connections.
             return self.turn_away(conn, seq, class, Span(0));
         }
-        if self.classes.profile(class).effect != gradepin_admission::Effect::ByKey {
+        if self.classes.profile(class).effect != gradepin_admission::Idempotency::ByKey {
             // Where no class is keyed by it, a token means nothing.
             call.token = None;
         }
         let deadline = self.classes.profile(class).deadline;
         if call.budget > BUDGET_MULTIPLE * deadline.0.div_ceil(MS) {
-            return self.invalid(conn, seq, Some(class), Misuse::Request, "budget out of range".into());
+            return self.invalid(conn, seq, Some(class), RequestError::Request, "budget out of range".into());
         }
         if self.requests.open.contains_key(&call.id) {
             let why = format!("the rid {} is open already", call.id.0);
-            return self.invalid(conn, seq, Some(class), Misuse::Conflict, why);
+            return self.invalid(conn, seq, Some(class), RequestError::Conflict, why);
         }
         if !call.retry {
             // Whatever becomes of it: what is turned away before the module hears of it came too.
@@ -227,7 +229,7 @@
         if earlier.as_ref().is_some_and(|(_, first)| *first != print) {
             // Guards against a stranger who learnt a token: its request would be served another's result.
             let why = "the token came before with another body or class".into();
-            return self.invalid(conn, seq, Some(class), Misuse::Conflict, why);
+            return self.invalid(conn, seq, Some(class), RequestError::Conflict, why);
         }
         let earlier = earlier.map(|(id, _)| id);
         // A repeat of what is there is answered from it, and costs the fleet nothing.
@@ -293,16 +295,16 @@
     }
 
     /// Turns away what the module never hears of.
-    pub(super) fn turn_away(&mut self, conn: ConnId, seq: SeqId, class: usize, backoff: Span) {
+    pub(super) fn turn_away(&mut self, conn: ConnectionId, seq: SequenceId, class: usize, backoff: Span) {
         self.conns.rest(conn, self.moment.now);
-        let answer = Answer::Refused { backoff, last: false };
+        let answer = Response::Refused { backoff, last: false };
         self.tally.answered(&self.classes.profile(class).name, &answer);
         self.effects.push(Effect::Answer(conn, seq, answer, self.hint));
         self.close_if_over(conn);
     }
 
     /// Keyed, so that nobody can choose two bodies with one print; and by name, which a store outlives.
-    fn print(&self, class: usize, body: &[u8]) -> Print {
+    fn print(&self, class: usize, body: &[u8]) -> Fingerprint {
         let mut hasher = SipHasher13::new_with_keys(self.past.salt, !self.past.salt);
         let name = self.classes.profile(class).name.as_bytes();
         hasher.write_usize(name.len());
@@ -311,7 +313,7 @@
         hasher.finish()
     }
 
-    pub(super) fn earlier(&self, token: &str, t0: u64) -> Option<(RequestId, Print)> {
+    pub(super) fn earlier(&self, token: &str, t0: u64) -> Option<(RequestId, Fingerprint)> {
         let held = |id: &RequestId| {
             self.requests.open.get(id).is_some_and(|open| open.state == State::Held && open.owed)
         };
@@ -324,15 +326,15 @@
     /// Answers what can't be taken; counted where its class is known, since peers count it under that.
     pub(super) fn invalid(
         &mut self,
-        conn: ConnId,
-        seq: SeqId,
+        conn: ConnectionId,
+        seq: SequenceId,
         class: Option<usize>,
-        misuse: Misuse,
+        misuse: RequestError,
         why: String,
     ) {
         self.conns.rest(conn, self.moment.now);
         self.log(Level::Warning, format!("a request on connection {conn} made no sense: {why}"));
-        let answer = Answer::Invalid(misuse, why);
+        let answer = Response::Invalid(misuse, why);
         if let Some(class) = class {
             self.tally.answered(&self.classes.profile(class).name, &answer);
         }
@@ -340,7 +342,7 @@
         self.close_if_over(conn);
     }
 
-    pub(super) fn cancel(&mut self, conn: ConnId, seq: SeqId) {
+    pub(super) fn cancel(&mut self, conn: ConnectionId, seq: SequenceId) {
         // Otherwise the cancel has crossed the answer.
         let open =
             self.conns.touch(conn, self.moment.now).and_then(|connection| connection.open.remove(&seq));
@@ -364,18 +366,18 @@
     }
 
     /// A final answer of the module's own; a run goes on in the books until its notice.
-    pub(super) fn finish(&mut self, id: &RequestId, answer: Answer) {
+    pub(super) fn finish(&mut self, id: &RequestId, answer: Response) {
         self.answer(id, answer);
         if self.requests.open.get(id).is_some_and(|open| open.state != State::Running) {
             self.forget(id);
         }
     }
 
-    pub(super) fn answer_end(&mut self, id: &RequestId, end: End) {
+    pub(super) fn answer_end(&mut self, id: &RequestId, end: RunOutcome) {
         let answer = match end {
-            End::Served(result) => Answer::Served(result),
-            End::Failed => Answer::Failed { late: self.is_late(id) },
-            End::Unknown => Answer::Unknown,
+            RunOutcome::Served(result) => Response::Served(result),
+            RunOutcome::Failed => Response::Failed { late: self.is_late(id) },
+            RunOutcome::Unknown => Response::Unknown,
         };
         self.answer(id, answer);
     }
@@ -386,24 +388,25 @@
     }
 
     /// A repeat is answered from the run of another try.
-    pub(super) fn joined(&mut self, id: &RequestId, end: End) {
+    pub(super) fn joined(&mut self, id: &RequestId, end: RunOutcome) {
         let Some(Open { state: State::Joined(since), owed: true, .. }) = self.requests.open.get(id) else {
             return;
         };
         let took = Span(self.moment.now.0.saturating_sub(since.0));
-        let outcome = if matches!(end, End::Served(_)) { Outcome::Delivered } else { Outcome::AppError };
+        let outcome =
+            if matches!(end, RunOutcome::Served(_)) { Outcome::Delivered } else { Outcome::AppError };
         self.answer_end(id, end);
         self.forget(id);
         self.events.push(Event::Completed { id: id.clone(), outcome, took });
     }
 
     /// Sends the one final answer, if it is still owed.
-    pub(super) fn answer(&mut self, id: &RequestId, answer: Answer) {
+    pub(super) fn answer(&mut self, id: &RequestId, answer: Response) {
         let Some(open) = self.requests.open.get_mut(id).filter(|open| open.owed) else { return };
         open.owed = false;
         let (conn, seq) = (open.conn, open.seq);
         let (tenant, class, first) = (open.tenant, open.class, open.first);
-        if first && matches!(answer, Answer::Served(_)) {
+        if first && matches!(answer, Response::Served(_)) {
             self.agreed_count(tenant, class, 0, 1);
         }
         let Some(open) = self.requests.open.get(id) else { return };
--- a/crates/core/src/reducer/runs.rs
+++ b/crates/core/src/reducer/runs.rs
@@ -4,9 +4,9 @@
 
 use super::requests::State;
 use super::{MS, Reducer};
-use crate::keys::End;
-use crate::messages::{Answer, Effect, RunEnd};
-use crate::pool::Buffer;
+use crate::buffer_pool::Buffer;
+use crate::idempotency_table::RunOutcome;
+use crate::messages::{Effect, Response, RunEnd};
 use gradepin_admission::{Event, Outcome, RequestId, Span};
 use slog::Level;
 use std::sync::Arc;
@@ -72,27 +72,27 @@
     pub(super) fn learned(&mut self, id: &RequestId, end: RunEnd, result: &Buffer) {
         let Some(token) = self.keys.learned(id) else { return };
         let end = match end {
-            RunEnd::Ok => Some(End::Served(Arc::new(result.exact()))),
-            RunEnd::Error | RunEnd::Stopped => Some(End::Failed),
+            RunEnd::Ok => Some(RunOutcome::Served(Arc::new(result.exact()))),
+            RunEnd::Error | RunEnd::Stopped => Some(RunOutcome::Failed),
             RunEnd::Moot => None,
         };
         self.settle(&token, id, end);
     }
 
     /// A keyed run has its end, or with none never was: it is kept and written, and its repeats are answered.
-    pub(super) fn settle(&mut self, token: &Arc<str>, id: &RequestId, end: Option<End>) {
+    pub(super) fn settle(&mut self, token: &Arc<str>, id: &RequestId, end: Option<RunOutcome>) {
         let replaced = self.keys.is_replaced(token, id);
         let waiters = self.keys.ended(token, id, end.clone());
         if !replaced {
             self.told_end(token, id, end.clone());
         }
         for waiter in waiters {
-            self.joined(&waiter, end.clone().unwrap_or(End::Failed));
+            self.joined(&waiter, end.clone().unwrap_or(RunOutcome::Failed));
         }
     }
 
     /// The last run of a token has its end: the other process of an upgrade and the store are to know.
-    fn told_end(&mut self, token: &Arc<str>, id: &RequestId, end: Option<End>) {
+    fn told_end(&mut self, token: &Arc<str>, id: &RequestId, end: Option<RunOutcome>) {
         let void = end.is_none();
         self.claim_ended(token, end);
         if void {
@@ -113,7 +113,7 @@
             self.claim_ended(token, None);
         }
         for id in std::iter::once(id.clone()).chain(waiters) {
-            self.answer(&id, Answer::Refused { backoff: self.store_advice(), last: false });
+            self.answer(&id, Response::Refused { backoff: self.store_advice(), last: false });
             self.forget(&id);
             self.events.push(Event::Completed { id, outcome: Outcome::Unused, took: Span(0) });
         }
@@ -132,13 +132,13 @@
             // Kept for repeats in no more room than it needs.
             (RunEnd::Ok, Some(result)) => {
                 let kept = if token.is_some() { Arc::new(result.exact()) } else { result };
-                (Outcome::Delivered, Some(End::Served(kept)))
+                (Outcome::Delivered, Some(RunOutcome::Served(kept)))
             }
             (RunEnd::Moot, _) => (Outcome::Unused, None),
-            (RunEnd::Stopped, _) => (Outcome::Revoked, Some(End::Failed)),
-            (RunEnd::Ok | RunEnd::Error, _) => (Outcome::AppError, Some(End::Failed)),
+            (RunEnd::Stopped, _) => (Outcome::Revoked, Some(RunOutcome::Failed)),
+            (RunEnd::Ok | RunEnd::Error, _) => (Outcome::AppError, Some(RunOutcome::Failed)),
         };
-        let answer = kept.clone().unwrap_or(End::Failed);
+        let answer = kept.clone().unwrap_or(RunOutcome::Failed);
         if outcome != Outcome::Revoked {
             self.answer_end(id, answer.clone());
         }
--- a/crates/core/src/reducer/settings.rs
+++ b/crates/core/src/reducer/settings.rs
@@ -7,7 +7,7 @@
 use crate::classes::{Put, Settled};
 use crate::messages::{Effect, NameChange};
 use crate::reload::Reload;
-use gradepin_admission::{Below, ClassDefinition, Customer, Settings, Span};
+use gradepin_admission::{ClassDefinition, Settings, Span, Tenant, UpstreamKind};
 use gradepin_config::change::{Change, MAX_CLASSES, MAX_TENANTS, Name, Rule, Transaction};
 use slog::Level;
 use std::collections::HashMap;
@@ -251,7 +251,7 @@
         }
     }
 
-    fn put_tenant(&mut self, tenant: &Arc<Customer>, applied: &mut Applied) {
+    fn put_tenant(&mut self, tenant: &Arc<Tenant>, applied: &mut Applied) {
         let placed = self.tenants.put(Arc::clone(tenant));
         if placed.put == Put::Same {
             return;
@@ -359,7 +359,7 @@
     fn reloaded(&mut self, reload: Reload, applied: &Applied) {
         let mut config = reload.config;
         self.tally.reloaded(true);
-        let called = self.settings.specifics.below == Below::Shared;
+        let called = self.settings.specifics.below == UpstreamKind::Shared;
         let mut rest = std::mem::take(&mut config.settings);
         if self.changes.committed {
             rest.rules = self.settings.rules.clone();
@@ -378,7 +378,7 @@
         if config.control != self.config.control {
             self.effects.push(Effect::Control(config.control));
         }
-        let calls = self.settings.specifics.below == Below::Shared;
+        let calls = self.settings.specifics.below == UpstreamKind::Shared;
         let moved = |ledger: &SocketAddr| Some(*ledger) != self.config.ledger || (calls && !called);
         if let Some(ledger) = config.ledger.filter(moved) {
             // Calls out to the old address end there; new ones go to the new.
--- a/crates/core/src/registration.rs
+++ b/crates/core/src/registration.rs
@@ -2,9 +2,9 @@
 //! questions become effects. Also the planned leave, where callers' views may still hold the server for a while.
 
 use crate::messages::Effect;
-use crate::moment::Moment;
-use gradepin_admission::{Span, Time, after};
-use gradepin_registry::membership::{Membership, Reply};
+use crate::timestamp::Timestamp;
+use gradepin_admission::{Span, Time, time_after};
+use gradepin_registry::membership::{Membership, RegistryReply};
 use slog::Level;
 
 /// How long the link to the processor may be down before the processor counts as gone.
@@ -72,7 +72,7 @@
         if let Some(membership) = &mut self.membership {
             membership.leave(now);
         }
-        self.drains = Some(after(now, self.hold));
+        self.drains = Some(time_after(now, self.hold));
         true
     }
 
@@ -96,16 +96,16 @@
     }
 
     /// What became of a question.
-    pub fn reply(&mut self, now: Time, ticket: u64, reply: Reply) {
+    pub fn reply(&mut self, now: Time, ticket: u64, reply: RegistryReply) {
         if let Some(membership) = &mut self.membership {
             membership.reply(now, ticket, reply);
         }
     }
 
     /// Asks what is due. `answered` says that all is answered and nothing more will run.
-    pub fn step(&mut self, moment: Moment, answered: bool, effects: &mut Vec<Effect>) {
+    pub fn step(&mut self, moment: Timestamp, answered: bool, effects: &mut Vec<Effect>) {
         let Some(membership) = &mut self.membership else { return };
-        if self.silent_since.take_if(|since| after(*since, SILENCE) <= moment.now).is_some() {
+        if self.silent_since.take_if(|since| time_after(*since, SILENCE) <= moment.now).is_some() {
             membership.processor(None);
         }
         if answered {
@@ -120,7 +120,8 @@
     /// When something is due though nothing comes in.
     pub fn wake_at(&self, now: Time) -> Option<Time> {
         let membership = self.membership.as_ref().map(|membership| membership.wake_at(now));
-        let silence = self.silent_since.filter(|_| membership.is_some()).map(|since| after(since, SILENCE));
+        let silence =
+            self.silent_since.filter(|_| membership.is_some()).map(|since| time_after(since, SILENCE));
         [membership, silence, self.drains].into_iter().flatten().min()
     }
 }
--- a/crates/core/src/answer.rs
+++ b/crates/core/src/response.rs
@@ -1,12 +1,12 @@
 //! What a request is answered, in terms of no protocol. Fronts write it out, the figures count it.
 
-use crate::pool::Buffer;
+use crate::buffer_pool::Buffer;
 use gradepin_admission::Span;
 use std::sync::Arc;
 
 /// How a message is wrong; each front has its own words for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Misuse {
+pub enum RequestError {
     /// It makes no sense.
     Request,
     /// It asks for something that there isn't.
@@ -25,7 +25,7 @@
 
 /// A final answer.
 #[derive(Debug, Clone)]
-pub enum Answer {
+pub enum Response {
     /// The result of a run.
     Served(Arc<Buffer>),
     /// Turned away; it never ran.
@@ -43,11 +43,11 @@
     /// It was begun before a crash, and what became of it can't be learned: it must not run again.
     Unknown,
     /// The message can't be taken: how it is wrong, and a text for its sender.
-    Invalid(Misuse, String),
+    Invalid(RequestError, String),
     /// To a health check: whether all is well, and how it is with the store, if there is one.
     Health(bool, Option<&'static str>),
 }
 
 /// What is said of a run whose outcome is unknown.
-pub const UNKNOWN: &str =
+pub const UNKNOWN_OUTCOME_TEXT: &str =
     "outcome unknown: it was begun before a crash of this server and must not run again";
--- a/crates/core/src/resting.rs
+++ b/crates/core/src/resting.rs
@@ -4,7 +4,7 @@
 //! and is dropped when it comes to the front. Stale ones are swept out when they outnumber the connections, so the
 //! memory stays within twice the places, and each message pays for a constant part of it.
 
-use crate::messages::ConnId;
+use crate::messages::ConnectionId;
 use gradepin_admission::Time;
 use std::collections::VecDeque;
 
@@ -14,13 +14,13 @@
 /// Connections at rest, those that once spoke and those that never did, each in the order of their last word.
 #[derive(Debug, Default)]
 pub struct Resting {
-    spoke: VecDeque<(Time, ConnId)>,
-    silent: VecDeque<(Time, ConnId)>,
+    spoke: VecDeque<(Time, ConnectionId)>,
+    silent: VecDeque<(Time, ConnectionId)>,
 }
 
 impl Resting {
     /// A connection rests since then. Times must not go back.
-    pub fn rests(&mut self, conn: ConnId, since: Time, spoke: bool) {
+    pub fn rests(&mut self, conn: ConnectionId, since: Time, spoke: bool) {
         if spoke { &mut self.spoke } else { &mut self.silent }.push_back((since, conn));
     }
 
@@ -28,9 +28,9 @@
     /// still rests since a time; `skip` leaves one out for now.
     pub fn longest(
         &mut self,
-        holds: impl Fn(ConnId, Time, bool) -> bool,
-        skip: impl Fn(ConnId) -> bool,
-    ) -> [Option<(Time, ConnId)>; 2] {
+        holds: impl Fn(ConnectionId, Time, bool) -> bool,
+        skip: impl Fn(ConnectionId) -> bool,
+    ) -> [Option<(Time, ConnectionId)>; 2] {
         [(&mut self.spoke, true), (&mut self.silent, false)].map(|(queue, spoke)| {
             while queue.front().is_some_and(|&(since, conn)| !holds(conn, since, spoke)) {
                 queue.pop_front();
@@ -40,7 +40,7 @@
     }
 
     /// Sweeps stale entries out once they outnumber so many connections.
-    pub fn tidy(&mut self, connections: usize, holds: impl Fn(ConnId, Time, bool) -> bool) {
+    pub fn tidy(&mut self, connections: usize, holds: impl Fn(ConnectionId, Time, bool) -> bool) {
         for (queue, spoke) in [(&mut self.spoke, true), (&mut self.silent, false)] {
             if queue.len() > 2 * connections + FEW {
                 queue.retain(|&(since, conn)| holds(conn, since, spoke));
@@ -65,7 +65,7 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut resting = Resting::default();
         // Since when each rests, and whether it spoke.
-        let mut conns = BTreeMap::<ConnId, (Option<Time>, bool)>::new();
+        let mut conns = BTreeMap::<ConnectionId, (Option<Time>, bool)>::new();
         for n in 0..50_000_u64 {
             let (now, conn) = (Time(n), rng.next_u64() % 40);
             match rng.next_u64() % 5 {
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -5,14 +5,14 @@
 //! resolves to nothing, so what is on its way can't be taken for another name's. Every operation costs the same
 //! however many slots there are; the table of names is split, since a map that grows moves all it holds.
 
-use gradepin_admission::{ClassDefinition, Customer};
+use gradepin_admission::{ClassDefinition, Tenant};
 use std::borrow::Borrow;
 use std::collections::HashMap;
 use std::hash::{BuildHasher, Hash, Hasher, RandomState};
 use std::sync::Arc;
 
 /// Parts of the table of names. With 131,072 names one of them moves some 2,000 when it grows.
-pub const PARTS: usize = 64;
+pub const CHUNK_COUNT: usize = 64;
 
 /// A slot and the generation of what is in it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
@@ -47,7 +47,7 @@
     }
 }
 
-impl Named for Customer {
+impl Named for Tenant {
     fn name(&self) -> &str {
         &self.name
     }
@@ -96,14 +96,14 @@
 
 impl<D: Named, S> Default for Slots<D, S> {
     fn default() -> Self {
-        let parts = (0..PARTS).map(|_| HashMap::new()).collect();
+        let parts = (0..CHUNK_COUNT).map(|_| HashMap::new()).collect();
         Self { entries: Vec::new(), free: Vec::new(), parts, hash: RandomState::new() }
     }
 }
 
 impl<D: Named, S> Slots<D, S> {
     fn part(&self, name: &str) -> usize {
-        self.hash.hash_one(name) as usize % PARTS
+        self.hash.hash_one(name) as usize % CHUNK_COUNT
     }
 
     /// Slots that were ever filled.
--- a/crates/core/src/tenants.rs
+++ b/crates/core/src/tenants.rs
@@ -9,13 +9,13 @@
 
 use crate::classes::Put;
 use crate::slots::{Handle, Slots};
-use gradepin_admission::Customer;
+use gradepin_admission::Tenant;
 use gradepin_config::change::MAX_TENANTS;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// Slots at the most: besides all tenants in force, as many that are removed and that open requests are of.
-pub const MOST_SLOTS: usize = 2 * MAX_TENANTS;
+pub const MAX_TENANT_SLOTS: usize = 2 * MAX_TENANTS;
 /// Removed tenants looked at for one that gives its slot up.
 const LOOKS: usize = 64;
 
@@ -27,14 +27,14 @@
     /// What became of it.
     pub put: Put,
     /// Whose slot it took.
-    pub gone: Option<Arc<Customer>>,
+    pub gone: Option<Arc<Tenant>>,
 }
 
 /// The tenants in force, and those removed whose slots are not used again.
 #[derive(Debug, Default)]
 pub struct Tenants {
     /// With the number of its removal, where it is removed.
-    slots: Slots<Customer, Option<u64>>,
+    slots: Slots<Tenant, Option<u64>>,
     in_force: usize,
     /// Slots of removed ones by the numbers of their removals, the longest ago first.
     removed: BTreeMap<u64, usize>,
@@ -43,7 +43,7 @@
 
 impl Tenants {
     /// The tenants that the process starts with, in slots by their order.
-    pub fn new(tenants: impl IntoIterator<Item = Arc<Customer>>) -> Self {
+    pub fn new(tenants: impl IntoIterator<Item = Arc<Tenant>>) -> Self {
         let mut all = Self::default();
         for tenant in tenants {
             all.put(tenant);
@@ -58,7 +58,7 @@
 
     /// How many names more would find a slot now, whatever open requests are of.
     pub fn room(&self) -> usize {
-        MOST_SLOTS - (self.slots.len() - self.slots.free())
+        MAX_TENANT_SLOTS - (self.slots.len() - self.slots.free())
     }
 
     /// Whether a tenant of this name is in force.
@@ -87,7 +87,7 @@
     }
 
     /// The tenant in force in a slot.
-    pub fn get(&self, slot: usize) -> Option<&Arc<Customer>> {
+    pub fn get(&self, slot: usize) -> Option<&Arc<Tenant>> {
         self.slots.get(slot).filter(|(_, removed)| removed.is_none()).map(|(tenant, _)| tenant)
     }
 
@@ -97,12 +97,12 @@
     }
 
     /// The tenants in force.
-    pub fn iter(&self) -> impl Iterator<Item = (usize, &Arc<Customer>)> {
+    pub fn iter(&self) -> impl Iterator<Item = (usize, &Arc<Tenant>)> {
         self.slots.iter().filter(|(.., removed)| removed.is_none()).map(|(slot, tenant, _)| (slot, tenant))
     }
 
     /// Adds a tenant, or replaces the one of this name.
-    pub fn put(&mut self, tenant: Arc<Customer>) -> Placed {
+    pub fn put(&mut self, tenant: Arc<Tenant>) -> Placed {
         let Some(slot) = self.slots.find(&tenant.name) else {
             let gone = self.make_room();
             self.in_force += 1;
@@ -137,7 +137,7 @@
     }
 
     /// Frees the slot of the tenant removed longest ago that nothing refers to, where a new name would find none.
-    fn make_room(&mut self) -> Option<Arc<Customer>> {
+    fn make_room(&mut self) -> Option<Arc<Tenant>> {
         if self.slots.free() > 0 || self.slots.len() < MAX_TENANTS {
             return None;
         }
--- a/crates/core/src/tenants/tests.rs
+++ b/crates/core/src/tenants/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn tenant(name: &str, quota_rps: f64) -> Arc<Customer> {
-    Arc::new(Customer { name: name.to_string(), quota_rps, portion: 0.0 })
+fn tenant(name: &str, quota_rps: f64) -> Arc<Tenant> {
+    Arc::new(Tenant { name: name.to_string(), quota_rps, portion: 0.0 })
 }
 
 /// Guards the slots of open requests across changes: a tenant keeps its slot, one that is removed stays known while there
@@ -37,5 +37,5 @@
     tenants.release(0);
     tenants.remove("t9");
     assert_eq!(tenants.put(tenant("last", 1.0)).slot, 0);
-    assert_eq!(tenants.room(), MOST_SLOTS - MAX_TENANTS - 1);
+    assert_eq!(tenants.room(), MAX_TENANT_SLOTS - MAX_TENANTS - 1);
 }
--- a/crates/core/src/wheel.rs
+++ b/crates/core/src/timer_wheel.rs
@@ -14,7 +14,7 @@
 
 /// Entries by the time at which they are due.
 #[derive(Debug)]
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     slots: Vec<Vec<(u64, T)>>,
     /// The tick up to which all that was due is out; entries of its own slot may remain.
     tick: u64,
@@ -23,7 +23,7 @@
     count: usize,
 }
 
-impl<T> Default for Wheel<T> {
+impl<T> Default for TimerWheel<T> {
     fn default() -> Self {
         Self { slots: (0..SLOTS).map(|_| Vec::new()).collect(), tick: 0, place: 0, count: 0 }
     }
@@ -31,7 +31,7 @@
 
 /// What a look for due entries came to.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Due<T> {
+pub enum DueEntry<T> {
     /// This one is due.
     Entry(T),
     /// Nothing more is due now.
@@ -40,7 +40,7 @@
     Later,
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     /// Entries in it.
     pub fn len(&self) -> usize {
         self.count
@@ -59,27 +59,27 @@
     }
 
     /// The next due entry. Each look at an entry or a slot takes one from `budget`, which bounds the pause; with
-    /// [`Due::Later`] the next look goes on where this one stopped.
-    pub fn next_due(&mut self, now: Time, budget: &mut usize) -> Due<T> {
+    /// [`DueEntry::Later`] the next look goes on where this one stopped.
+    pub fn next_due(&mut self, now: Time, budget: &mut usize) -> DueEntry<T> {
         let last = now.0 / TICK.0;
         if self.count == 0 {
             // Nothing to look through: a server that was idle for long must not walk through all its ticks.
             (self.tick, self.place) = (self.tick.max(last), 0);
-            return Due::None;
+            return DueEntry::None;
         }
         loop {
             if self.tick > last {
-                return Due::None;
+                return DueEntry::None;
             }
             if *budget == 0 {
-                return Due::Later;
+                return DueEntry::Later;
             }
             *budget -= 1;
             let slot = &mut self.slots[(self.tick % SLOTS as u64) as usize];
             match slot.get(self.place) {
                 Some((tick, _)) if *tick <= self.tick => {
                     self.count -= 1;
-                    return Due::Entry(slot.swap_remove(self.place).1);
+                    return DueEntry::Entry(slot.swap_remove(self.place).1);
                 }
                 // Due in a later turn.
                 Some(_) => self.place += 1,
@@ -102,13 +102,13 @@
     use rand_pcg::rand_core::{Rng, SeedableRng};
     use std::collections::BTreeSet;
 
-    fn all(wheel: &mut Wheel<u64>, now: Time) -> Vec<u64> {
+    fn all(wheel: &mut TimerWheel<u64>, now: Time) -> Vec<u64> {
         let mut out = Vec::new();
         loop {
             match wheel.next_due(now, &mut 7) {
-                Due::Entry(entry) => out.push(entry),
-                Due::Later => {}
-                Due::None => return out,
+                DueEntry::Entry(entry) => out.push(entry),
+                DueEntry::Later => {}
+                DueEntry::None => return out,
             }
         }
     }
@@ -120,7 +120,7 @@
         let seed = std::env::var("SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(5);
         println!("SEED={seed}");
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let (mut wheel, mut plain) = (Wheel::default(), BTreeSet::new());
+        let (mut wheel, mut plain) = (TimerWheel::default(), BTreeSet::new());
         let mut now = 0_u64;
         for n in 0..20_000_u64 {
             for _ in 0..rng.next_u64() % 4 {
@@ -148,10 +148,10 @@
     /// Guards against a pause that grows with what is due at once.
     #[test]
     fn a_look_is_bounded_by_its_budget() {
-        let mut wheel = Wheel::default();
+        let mut wheel = TimerWheel::default();
         (0..100_000_u64).for_each(|n| wheel.insert(Time(1), n));
         let (mut budget, mut came) = (256, 0);
-        while let Due::Entry(_) = wheel.next_due(Time(u64::MAX / 2), &mut budget) {
+        while let DueEntry::Entry(_) = wheel.next_due(Time(u64::MAX / 2), &mut budget) {
             came += 1;
         }
         assert!(budget == 0 && came <= 256 && wheel.len() == 100_000 - came);
--- a/crates/core/src/moment.rs
+++ b/crates/core/src/timestamp.rs
@@ -4,7 +4,7 @@
 
 /// One reading of both clocks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Moment {
+pub struct Timestamp {
     /// The monotonic clock, which the module and all timers go by.
     pub now: Time,
     /// The Unix clock in milliseconds, which the stamps of requests go by.
--- a/crates/core/tests/again.rs
+++ b/crates/core/tests/again.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use gradepin_admission::{RequestId, Span};
-use gradepin_core::messages::{Answer, Call, Claim, Effect, Input};
-use gradepin_core::pool::Pool;
+use gradepin_core::buffer_pool::BufferPool;
+use gradepin_core::messages::{ClientRequest, Effect, Input, Response, RunClaim};
 use std::sync::Arc;
 use support::step;
 
@@ -12,7 +12,7 @@
 const KEYED: usize = 1;
 
 fn keyed(conn: u64, seq: i32, rid: u64, token: &str, ms: u64, retry: bool) -> Input {
-    let call = Call {
+    let call = ClientRequest {
         id: RequestId::new(&format!("{rid:016x}")),
         class: KEYED.into(),
         tenant: None,
@@ -24,7 +24,7 @@
         precedence: 0.5,
         token: Some(Arc::from(token)),
         has_key: false,
-        body: Pool::new(0).exact(b"body").expect("fits"),
+        body: BufferPool::new(0).exact(b"body").expect("fits"),
     };
     Input::Call(conn, seq, Box::new(call))
 }
@@ -45,7 +45,7 @@
     step(&mut reducer, 9_010, vec![keyed(2, 1, 2, "t", 9_010, true)]);
     let again = vec![
         Input::Cancel(2, 1),
-        Input::Claimed(RequestId::new(&format!("{:016x}", 1)), Claim::Unsure),
+        Input::Claimed(RequestId::new(&format!("{:016x}", 1)), RunClaim::Unsure),
         keyed(2, 2, 2, "u", 9_020, false),
     ];
     let mut effects = step(&mut reducer, 9_020, again);
@@ -55,9 +55,9 @@
     effects.extend(step(
         &mut reducer,
         9_030,
-        vec![Input::Claimed(RequestId::new(&format!("{:016x}", 2)), Claim::Unsure)],
+        vec![Input::Claimed(RequestId::new(&format!("{:016x}", 2)), RunClaim::Unsure)],
     ));
     let answers =
-        effects.iter().filter(|effect| matches!(effect, Effect::Answer(2, 2, Answer::Refused { .. }, _)));
+        effects.iter().filter(|effect| matches!(effect, Effect::Answer(2, 2, Response::Refused { .. }, _)));
     assert_eq!(answers.count(), 1, "{effects:?}");
 }
--- a/crates/core/tests/apply.rs
+++ b/crates/core/tests/apply.rs
@@ -4,18 +4,18 @@
 #[path = "../../admission/tests/common/mod.rs"]
 mod common;
 
-use gradepin_admission::{ClassDefinition, Customer, Profile, RequestId, Span, Time};
+use gradepin_admission::{ClassDefinition, ClassProfile, RequestId, Span, Tenant, Time};
 use gradepin_config::change::{Change, Name, Transaction};
-use gradepin_core::admin::{AdminAnswer, AdminCall};
-use gradepin_core::answer::Answer;
+use gradepin_core::admin::{AdminRequest, AdminResponse};
+use gradepin_core::buffer_pool::BufferPool;
 use gradepin_core::config::Config;
-use gradepin_core::messages::{Call, Effect, Input, NameChange, RunEnd};
-use gradepin_core::moment::Moment;
-use gradepin_core::pool::Pool;
+use gradepin_core::messages::{ClientRequest, Effect, Input, NameChange, RunEnd};
 use gradepin_core::reducer::{ApplyError, Reducer};
 use gradepin_core::registration::Registration;
+use gradepin_core::request_metrics::ResponseCounts;
+use gradepin_core::response::Response;
 use gradepin_core::slots::Handle;
-use gradepin_core::tally::Counts;
+use gradepin_core::timestamp::Timestamp;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use serde_json::json;
@@ -50,7 +50,7 @@
 
 struct World {
     reducer: Reducer,
-    pool: Arc<Pool>,
+    pool: Arc<BufferPool>,
     ms: u64,
     inputs: Vec<Input>,
     /// Names that requests may use, as effects say, with what holds there as defined.
@@ -62,14 +62,14 @@
     ran: Vec<Ran>,
     /// When each name was last defined as keyed.
     keyed: HashMap<String, u64>,
-    counts: BTreeMap<String, Counts>,
+    counts: BTreeMap<String, ResponseCounts>,
     notice: u64,
-    stats: Option<Vec<(Arc<str>, Counts)>>,
+    stats: Option<Vec<(Arc<str>, ResponseCounts)>>,
     seed: u64,
 }
 
 fn definition(name: &str, effect: &str, window_ms: u64) -> Arc<ClassDefinition> {
-    let profile: Profile = serde_json::from_value(json!({"name": name, "promise": 1000 * MS,
+    let profile: ClassProfile = serde_json::from_value(json!({"name": name, "promise": 1000 * MS,
         "deadline": 4000 * MS, "effect": effect, "window": window_ms * MS, "worth": 1.0}))
     .expect("a class");
     Arc::new(ClassDefinition { profile, calls: true, skip_worth: 0.0 })
@@ -95,7 +95,7 @@
         let names = known.map(|(slot, class)| (class.profile.name.clone(), (slot.into(), class)));
         let mut world = Self {
             reducer: reducer(),
-            pool: Pool::new(64),
+            pool: BufferPool::new(64),
             ms: 10_000,
             inputs: vec![Input::LinkUp { link: 1, cold: false, age: Span(60_000 * MS) }, Input::Opened(1)],
             names: names.collect(),
@@ -116,7 +116,7 @@
 
     fn settle(&mut self) {
         for _ in 0..10_000 {
-            let moment = Moment { now: Time(self.ms * MS), unix_ms: self.ms };
+            let moment = Timestamp { now: Time(self.ms * MS), unix_ms: self.ms };
             let mut effects = Vec::new();
             self.reducer.step(moment, std::mem::take(&mut self.inputs), &mut effects);
             effects.into_iter().for_each(|effect| self.effect(effect));
@@ -150,7 +150,7 @@
                         .iter()
                         .find(|ran| ran.name == one.name && ran.token == token && one.t0 < ran.closes);
                     assert!(twice.is_none(), "seed {seed}: {} {token} ran twice at {}", one.name, self.ms);
-                    if one.keyed && class.profile.effect == gradepin_admission::Effect::ByKey {
+                    if one.keyed && class.profile.effect == gradepin_admission::Idempotency::ByKey {
                         let closes = one.t0 + class.profile.window.0 / MS;
                         let (name, slot) = (one.name.clone(), one.slot);
                         self.ran.push(Ran { name, token, slot, closes });
@@ -159,22 +159,22 @@
             }
             Effect::Answer(_, seq, answer, _) => self.answered(seq, &answer),
             Effect::Names { changes, .. } => changes.into_iter().for_each(|change| self.name(change)),
-            Effect::Admin(_, AdminAnswer::Stats(stats)) => self.stats = Some(stats.classes),
+            Effect::Admin(_, AdminResponse::Stats(stats)) => self.stats = Some(stats.classes),
             _ => {}
         }
     }
 
-    fn answered(&mut self, seq: i32, answer: &Answer) {
+    fn answered(&mut self, seq: i32, answer: &Response) {
         let id = self.of_seq[&seq].clone();
         let one = self.tries.get_mut(&id).expect("a try");
         assert!(!std::mem::replace(&mut one.answered, true), "seed {}: two answers", self.seed);
-        if matches!(answer, Answer::Invalid(_, why) if why.starts_with("unknown method:")) {
+        if matches!(answer, Response::Invalid(_, why) if why.starts_with("unknown method:")) {
             return; // Its slot was freed: nobody knows what class that was.
         }
         let counts = self.counts.entry(one.name.clone()).or_default();
         match answer {
-            Answer::Served(_) => counts.fulfilled += 1,
-            Answer::Refused { .. } => counts.throttled += 1,
+            Response::Served(_) => counts.fulfilled += 1,
+            Response::Refused { .. } => counts.throttled += 1,
             _ => counts.faulted += 1,
         }
     }
@@ -203,7 +203,7 @@
         let seq = self.of_seq.len() as i32 + 1;
         let id = RequestId::new(&format!("{seq:016x}"));
         let body = token.as_deref().unwrap_or("body");
-        let call = Call {
+        let call = ClientRequest {
             id: id.clone(),
             class: handle,
             tenant: Some(0.into()),
@@ -244,7 +244,7 @@
                 let (name, handle, keyed) = match (stale, self.names.get(name)) {
                     (Some((name, handle)), _) => (name, handle, false),
                     (None, Some((handle, class))) => {
-                        let keyed = class.profile.effect == gradepin_admission::Effect::ByKey;
+                        let keyed = class.profile.effect == gradepin_admission::Idempotency::ByKey;
                         (name.to_string(), *handle, keyed)
                     }
                     (None, None) => return,
@@ -282,7 +282,7 @@
 
     fn is_keyed(&self, name: &str) -> bool {
         let class = self.names.get(name).map(|(_, class)| class);
-        class.is_some_and(|class| class.profile.effect == gradepin_admission::Effect::ByKey)
+        class.is_some_and(|class| class.profile.effect == gradepin_admission::Idempotency::ByKey)
     }
 
     /// A name that was defined as keyed until now.
@@ -310,10 +310,11 @@
         }
         world.advance(6_000);
         assert!(world.tries.values().all(|one| one.answered), "seed {seed}: an answer is owed");
-        world.inputs.push(Input::Admin(1, AdminCall::Stats));
+        world.inputs.push(Input::Admin(1, AdminRequest::Stats));
         world.settle();
         let counted = world.stats.take().expect("figures").into_iter();
-        let counted: BTreeMap<String, Counts> = counted.map(|(name, n)| (name.to_string(), n)).collect();
+        let counted: BTreeMap<String, ResponseCounts> =
+            counted.map(|(name, n)| (name.to_string(), n)).collect();
         assert_eq!(counted, world.counts, "seed {seed}");
         reused += world.stale.len();
     }
@@ -342,7 +343,7 @@
     world.call("claim", claim, Some(token));
     world.settle();
     assert!(world.running.is_empty(), "answered from the run");
-    assert_eq!(world.counts["claim"], Counts { fulfilled: 2, throttled: 0, faulted: 0 });
+    assert_eq!(world.counts["claim"], ResponseCounts { fulfilled: 2, throttled: 0, faulted: 0 });
     // Past all windows it is what it was put back as, and once dropped its slot is free for another name.
     world.advance(20_000);
     let remove = Change::RemoveClass(Name::from("claim"));
@@ -360,7 +361,7 @@
 /// Guards against half a transaction: whatever is wrong with its last change, nothing of it is in force.
 #[test]
 fn a_transaction_that_can_not_be_applied_changes_nothing() {
-    let tenant = |name: &str| Arc::new(Customer { name: name.into(), quota_rps: 1.0, portion: 0.0 });
+    let tenant = |name: &str| Arc::new(Tenant { name: name.into(), quota_rps: 1.0, portion: 0.0 });
     type IsWhy = fn(&ApplyError) -> bool;
     let bad: [(Change, IsWhy); 6] = [
         (Change::RemoveClass("none".into()), |e| matches!(e, ApplyError::UnknownClass(_))),
--- a/crates/core/tests/room.rs
+++ b/crates/core/tests/room.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use gradepin_admission::{RequestId, Span};
-use gradepin_core::messages::{Call, Effect, Input, Misuse};
-use gradepin_core::pool::Pool;
+use gradepin_core::buffer_pool::BufferPool;
+use gradepin_core::messages::{ClientRequest, Effect, Input, RequestError};
 use support::{MS, reducer, step};
 
 /// Of 128 descriptors 96 may be connections; from seven eighths of those on one gives way.
@@ -16,7 +16,7 @@
 fn whatever_it_said_last_the_longest_rested_gives_way() {
     let last_words: [fn(u64) -> Input; 3] = [
         |conn| Input::Cancel(conn, 7),
-        |conn| Input::Invalid(conn, 7, Misuse::Request, "nonsense".into()),
+        |conn| Input::Invalid(conn, 7, RequestError::Request, "nonsense".into()),
         |conn| Input::Health(conn, 7),
     ];
     for word in last_words {
@@ -43,7 +43,7 @@
     // How often health goes bad while a connection's requests of a second ago are read, paced or not.
     let bad = |paced: bool| {
         let mut reducer = reducer();
-        let pool = Pool::new(4);
+        let pool = BufferPool::new(4);
         step(
             &mut reducer,
             9_000,
@@ -54,7 +54,7 @@
         }
         let mut effects = Vec::new();
         for n in 0..12 {
-            let call = Call {
+            let call = ClientRequest {
                 id: RequestId::new(&format!("{n:016x}")),
                 class: 0.into(),
                 tenant: None,
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -6,12 +6,12 @@
 
 use gradepin_admission::{RequestId, Span, Time};
 use gradepin_config::change::{Change, Rule, Transaction};
+use gradepin_core::buffer_pool::BufferPool;
 use gradepin_core::config::Config;
-use gradepin_core::messages::{Call, Effect, Input, RunEnd};
-use gradepin_core::moment::Moment;
-use gradepin_core::pool::Pool;
+use gradepin_core::messages::{ClientRequest, Effect, Input, RunEnd};
 use gradepin_core::reducer::Reducer;
 use gradepin_core::registration::Registration;
+use gradepin_core::timestamp::Timestamp;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use serde_json::json;
@@ -53,7 +53,7 @@
 struct Server {
     set: Cold,
     reducer: Reducer,
-    pool: Arc<Pool>,
+    pool: Arc<BufferPool>,
     now_ms: u64,
     /// The processor's start, and whether that was cold.
     started_ms: u64,
@@ -86,7 +86,7 @@
         let mut server = Self {
             set,
             reducer,
-            pool: Pool::new(64),
+            pool: BufferPool::new(64),
             now_ms: 100_000,
             started_ms: 0,
             cold: false,
@@ -145,7 +145,7 @@
     fn step(&mut self, mut inputs: Vec<Input>) {
         while !inputs.is_empty() || self.reducer.wake_at().is_some_and(|at| at.0 <= self.now_ms * MS) {
             let mut effects = Vec::new();
-            let moment = Moment { now: Time(self.now_ms * MS), unix_ms: self.now_ms };
+            let moment = Timestamp { now: Time(self.now_ms * MS), unix_ms: self.now_ms };
             self.reducer.step(moment, inputs.drain(..), &mut effects);
             for effect in effects {
                 match effect {
@@ -176,7 +176,7 @@
                 inputs.push(Input::Complete { notice, id, end: RunEnd::Ok, took, result });
             }
             self.sent += 1;
-            let call = Call {
+            let call = ClientRequest {
                 id: RequestId::new(&format!("{:016x}", self.sent)),
                 class: 0.into(),
                 tenant: None,
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -6,9 +6,9 @@
 use gradepin_admission::Time;
 use gradepin_core::config::Config;
 use gradepin_core::messages::{Effect, Input};
-use gradepin_core::moment::Moment;
 use gradepin_core::reducer::Reducer;
 use gradepin_core::registration::Registration;
+use gradepin_core::timestamp::Timestamp;
 use serde_json::json;
 use std::sync::Arc;
 
@@ -30,6 +30,6 @@
 /// One step at so many milliseconds, by both clocks.
 pub fn step(reducer: &mut Reducer, ms: u64, inputs: Vec<Input>) -> Vec<Effect> {
     let mut effects = Vec::new();
-    reducer.step(Moment { now: Time(ms * MS), unix_ms: ms }, inputs, &mut effects);
+    reducer.step(Timestamp { now: Time(ms * MS), unix_ms: ms }, inputs, &mut effects);
     effects
 }
--- a/crates/gradepin/src/config/client.rs
+++ b/crates/gradepin/src/config/client.rs
@@ -3,7 +3,7 @@
 
 use super::ConfigError;
 use crate::admin_client::{self, ClientError, Response};
-use gradepin_config::admin::{ApplyReply, Refusal, query};
+use gradepin_config::admin::{AdminError, ApplyReply, query};
 use gradepin_config::change::Name;
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
     /// It is final.
     Reply(ApplyReply),
     /// It is final: nothing was changed.
-    Refused(Refusal),
+    Refused(AdminError),
     /// Another try may do better.
     Again { after: Duration, may_be_committed: bool, why: String },
 }
@@ -121,18 +121,18 @@
         return Outcome::Refused(refusal);
     }
     let after = match &refusal {
-        Refusal::TooBusy { retry_ms } => Duration::from_millis(*retry_ms).min(MAX_RETRY),
+        AdminError::TooBusy { retry_ms } => Duration::from_millis(*retry_ms).min(MAX_RETRY),
         _ => NEXT,
     };
     Outcome::Again { after, may_be_committed: pending, why: refusal.to_string() }
 }
 
 /// The refusal of a response that is none of the taken ones. The endpoint itself answers in plain text where the server is late.
-fn refusal(response: &Response) -> Refusal {
+fn refusal(response: &Response) -> AdminError {
     let text = response.body.trim();
     serde_json::from_str(text).unwrap_or_else(|_| match response.status {
-        408 | 503 => Refusal::NoLeader { reason: text.to_string() },
-        status => Refusal::BadCall { reason: format!("status {status}: {text}") },
+        408 | 503 => AdminError::NoLeader { reason: text.to_string() },
+        status => AdminError::BadCall { reason: format!("status {status}: {text}") },
     })
 }
 
--- a/crates/gradepin/src/config/mod.rs
+++ b/crates/gradepin/src/config/mod.rs
@@ -9,7 +9,7 @@
 use client::ConfigClient;
 use gradepin_config::admin::query::{Diff, History, Page, Show};
 use gradepin_config::admin::{
-    ApplyReply, ApplyRequest, DiffReply, HistoryReply, MAX_PAGE, Refusal, RollbackRequest, ShowReply,
+    AdminError, ApplyReply, ApplyRequest, DiffReply, HistoryReply, MAX_PAGE, RollbackRequest, ShowReply,
     StatusReply,
 };
 use gradepin_config::change::{Name, Proposal, Revision};
@@ -142,7 +142,7 @@
 pub enum ConfigError {
     /// A server refused it. Nothing was changed.
     #[error("refused: {0}")]
-    Refused(#[from] Refusal),
+    Refused(#[from] AdminError),
     /// No server could be asked, or none could take it now. Nothing was changed.
     #[error("not taken: {0}")]
     NotTaken(String),
@@ -161,7 +161,7 @@
     /// it was committed, ask again with the same request id. (0 done, 2 a command line that makes no sense.)
     pub fn exit_status(&self) -> u8 {
         match self {
-            Self::Refused(Refusal::Stale { .. }) => 3,
+            Self::Refused(AdminError::Stale { .. }) => 3,
             Self::Refused(refusal) if refusal.is_transient() => 4,
             Self::Refused(_) | Self::Unusable(_) => 1,
             Self::NotTaken(_) => 4,
--- a/crates/gradepin/src/config/render.rs
+++ b/crates/gradepin/src/config/render.rs
@@ -1,6 +1,6 @@
 //! Replies of the configuration's admin endpoints as text for a terminal.
 
-use gradepin_admission::secs;
+use gradepin_admission::span_seconds;
 use gradepin_config::admin::{
     CommitLine, DiffReply, Entry, HistoryReply, Lagging, RevisionSpread, ShowReply, Source, StatusReply,
 };
@@ -104,11 +104,11 @@
 
 fn rule(rule: &Rule) -> String {
     match rule {
-        Rule::AnswerSlack(span) => format!("answer_slack {} s", secs(*span)),
-        Rule::Cold(span) => format!("cold {} s", secs(*span)),
+        Rule::AnswerSlack(span) => format!("answer_slack {} s", span_seconds(*span)),
+        Rule::Cold(span) => format!("cold {} s", span_seconds(*span)),
         Rule::ColdShare(share) => format!("cold_share {share}"),
-        Rule::DrainGrace(span) => format!("drain_grace {} s", secs(*span)),
-        Rule::Fall(span) => format!("fall {} s", secs(*span)),
+        Rule::DrainGrace(span) => format!("drain_grace {} s", span_seconds(*span)),
+        Rule::Fall(span) => format!("fall {} s", span_seconds(*span)),
         Rule::TipMultiple(multiple) => format!("tip_multiple {multiple}"),
         Rule::OverShareWorth(part) => format!("over_share_worth {part}"),
     }
--- a/crates/gradepin/src/fleet.rs
+++ b/crates/gradepin/src/fleet.rs
@@ -2,9 +2,9 @@
 
 use crate::admin_client;
 use clap::{Args, Subcommand};
-use gradepin_coordination::messages::Order;
-use gradepin_coordination::record::{Name, Target};
-use gradepin_coordination::release::{Kind, Plan, ReleaseOrder, Wave};
+use gradepin_coordination::messages::OperatorCommand;
+use gradepin_coordination::replicated_state::{Name, Target};
+use gradepin_coordination::rollout::{Batch, ReleaseKind, RolloutCommand, RolloutPlan};
 use gradepin_node::settings::kdl_text;
 use kdl::{KdlDocument, KdlNode};
 use serde_json::Value;
@@ -209,20 +209,22 @@
         FleetCommand::Leave { at } => admin_client::call(at.door, "POST", "/fleet/leave", "")?.taken()?,
         FleetCommand::Stay { at } => admin_client::call(at.door, "POST", "/fleet/stay", "")?.taken()?,
         FleetCommand::Out { at, what } => {
-            admin_client::order(at.door, &Order::Out { target: what.target()?, by: at.by() })?
+            admin_client::order(at.door, &OperatorCommand::Out { target: what.target()?, by: at.by() })?
         }
         FleetCommand::In { at, what } => {
-            admin_client::order(at.door, &Order::In { target: what.target()?, by: at.by() })?
+            admin_client::order(at.door, &OperatorCommand::In { target: what.target()?, by: at.by() })?
         }
         FleetCommand::Free { at, epoch, why } => {
-            admin_client::order(at.door, &Order::Free { epoch, by: at.by(), why })?
-        }
-        FleetCommand::Strike { at, name, why } => {
-            admin_client::order(at.door, &Order::Strike { name: Arc::from(name), by: at.by(), why })?
-        }
-        FleetCommand::Voter { at, name, out } => {
-            admin_client::order(at.door, &Order::Voter { name: Arc::from(name), puts_in: !out, by: at.by() })?
+            admin_client::order(at.door, &OperatorCommand::Free { epoch, by: at.by(), why })?
         }
+        FleetCommand::Strike { at, name, why } => admin_client::order(
+            at.door,
+            &OperatorCommand::Strike { name: Arc::from(name), by: at.by(), why },
+        )?,
+        FleetCommand::Voter { at, name, out } => admin_client::order(
+            at.door,
+            &OperatorCommand::Voter { name: Arc::from(name), puts_in: !out, by: at.by() },
+        )?,
     };
     println!("{text}");
     Ok(true)
@@ -235,24 +237,30 @@
         ReleaseCommand::Stage { door, file } => {
             admin_client::call(door, "POST", "/fleet/stage", &read(&file)?)?.taken()?
         }
-        ReleaseCommand::Start { at, file } => {
-            admin_client::order(at.door, &Order::Start { plan: Box::new(plan(&file)?), by: at.by() })?
-        }
+        ReleaseCommand::Start { at, file } => admin_client::order(
+            at.door,
+            &OperatorCommand::Start { plan: Box::new(plan(&file)?), by: at.by() },
+        )?,
         ReleaseCommand::Status { door, json } => {
             let status = status(door)?;
             if json { status["release"].to_string() } else { table(&status) }
         }
-        ReleaseCommand::Halt { at, name, why } => {
-            admin_client::order(at.door, &Order::Release(ReleaseOrder::Halt { name, by: at.by(), why }))?
-        }
+        ReleaseCommand::Halt { at, name, why } => admin_client::order(
+            at.door,
+            &OperatorCommand::Release(RolloutCommand::Halt { name, by: at.by(), why }),
+        )?,
         ReleaseCommand::Resume { at, name } => {
             let status = status(at.door)?;
             let halts = status["release"]["halts"].as_u64().ok_or("there is no release")? as u32;
-            admin_client::order(at.door, &Order::Release(ReleaseOrder::Resume { name, halts, by: at.by() }))?
-        }
-        ReleaseCommand::Back { at, name, why } => {
-            admin_client::order(at.door, &Order::Release(ReleaseOrder::Back { name, by: at.by(), why }))?
+            admin_client::order(
+                at.door,
+                &OperatorCommand::Release(RolloutCommand::Resume { name, halts, by: at.by() }),
+            )?
         }
+        ReleaseCommand::Back { at, name, why } => admin_client::order(
+            at.door,
+            &OperatorCommand::Release(RolloutCommand::Back { name, by: at.by(), why }),
+        )?,
     };
     println!("{text}");
     Ok(true)
@@ -263,7 +271,7 @@
 }
 
 /// Reads a plan.
-fn plan(path: &Path) -> Result<Plan> {
+fn plan(path: &Path) -> Result<RolloutPlan> {
     let plan = parse(&read(path)?).map_err(|why| format!("{}: {why}", path.display()))?;
     plan.check().map_err(|why| format!("{}: {why}", path.display()))?;
     Ok(plan)
@@ -271,16 +279,16 @@
 
 /// Reads the text of a plan: a node `release` with a name, and in it `program` or `settings` with the version, a `wave` for each
 /// wave, and what else differs from the usual.
-fn parse(text: &str) -> Result<Plan> {
+fn parse(text: &str) -> Result<RolloutPlan> {
     let document = kdl_text::document(text)
         .map_err(|problems| problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))?;
     let [node] = document.nodes() else { return Err("expected one release".into()) };
     if node.name().value() != "release" {
         return Err(format!("expected a release, got {}", node.name().value()).into());
     }
-    let mut plan = Plan {
+    let mut plan = RolloutPlan {
         name: word(node)?,
-        kind: Kind::Program,
+        kind: ReleaseKind::Program,
         version: String::new(),
         waves: Vec::new(),
         zone_by_zone: false,
@@ -295,7 +303,7 @@
                 if !plan.version.is_empty() {
                     return Err("expected one program or one settings".into());
                 }
-                plan.kind = if kind == "program" { Kind::Program } else { Kind::Settings };
+                plan.kind = if kind == "program" { ReleaseKind::Program } else { ReleaseKind::Settings };
                 plan.version = word(node)?;
             }
             "wave" => {
@@ -303,7 +311,7 @@
                     None => 10_000,
                     Some(value) => whole(value.as_integer(), "pause-ms")?,
                 };
-                plan.waves.push(Wave { share: number(node)?, pause_ms });
+                plan.waves.push(Batch { share: number(node)?, pause_ms });
             }
             "zone-by-zone" => plan.zone_by_zone = truth(node)?,
             "goes-back" => plan.goes_back = truth(node)?,
@@ -341,8 +349,8 @@
     Ok(value.ok_or_else(|| format!("expected {} to be #true or #false", node.name().value()))?)
 }
 
-fn told(plan: &Plan) -> String {
-    let what = if plan.kind == Kind::Program { "program" } else { "settings" };
+fn told(plan: &RolloutPlan) -> String {
+    let what = if plan.kind == ReleaseKind::Program { "program" } else { "settings" };
     let mut text = format!("{}: {what} {}", plan.name, plan.version);
     for (n, wave) in plan.waves.iter().enumerate() {
         let upto = if wave.share > 0.0 {
@@ -455,7 +463,7 @@
     fn a_plan_is_read_and_one_that_makes_no_sense_says_why() {
         let text = include_str!("../../../deploy/release.kdl");
         let plan = parse(text).unwrap();
-        assert_eq!((plan.check(), plan.kind, plan.waves.len()), (Ok(()), Kind::Program, 3));
+        assert_eq!((plan.check(), plan.kind, plan.waves.len()), (Ok(()), ReleaseKind::Program, 3));
         assert!(told(&plan).contains("wave 0: one server"));
         for (text, expected) in [
             ("", "expected one release"),
--- a/crates/gradepin/src/main.rs
+++ b/crates/gradepin/src/main.rs
@@ -9,11 +9,11 @@
 use config::{ConfigCommand, ConfigError};
 use fleet::{FleetCommand, ReleaseCommand};
 use gradepin_core::config::Config;
-use gradepin_node::fronts::scgi::routes::Routes;
-use gradepin_node::handed::Handed;
+use gradepin_node::frontend::scgi::routes::Routes;
+use gradepin_node::inherited_listener::InheritedListener;
 use gradepin_node::log::{self, LogFormat};
 use gradepin_node::settings::cluster::keys;
-use gradepin_node::settings::{Live, Own};
+use gradepin_node::settings::{ActiveSettings, OperatorSettings};
 use gradepin_node::{config as configuration, serve};
 use rustix::process::{Pid, Signal, kill_process};
 use std::error::Error;
@@ -101,14 +101,14 @@
 }
 
 impl Files {
-    fn load(self) -> Result<(Config, Own, serve::Files), Box<dyn Error>> {
+    fn load(self) -> Result<(Config, OperatorSettings, serve::Files), Box<dyn Error>> {
         let path = self.config.or_else(|| std::env::var_os("GW_CONFIG").map(PathBuf::from));
         let path = path.ok_or("no configuration: give --config FILE or set GW_CONFIG")?;
-        let own = self.settings.as_deref().map(Own::load).transpose()?.unwrap_or_default();
+        let own = self.settings.as_deref().map(OperatorSettings::load).transpose()?.unwrap_or_default();
         let config = configuration::load(&path)?;
         if let Some(scgi) = &own.scgi {
             // As `serve` would: a route to a class that isn't there ends the start.
-            let names = Live::new(&config.settings);
+            let names = ActiveSettings::new(&config.settings);
             Routes::new(scgi, names.clone(), |class| names.class(class).is_some())?;
         }
         Ok((config, own, serve::Files { config: path, own: self.settings, version: self.program_version }))
@@ -125,7 +125,7 @@
                 Format::Text => LogFormat::Text,
                 Format::Json => LogFormat::Json,
             };
-            let handed = Handed::from_env()?;
+            let handed = InheritedListener::from_env()?;
             let log = log::root(&config.name, format);
             serve::serve(config, own, files, handed, signals, &log)?;
             Ok(true)
--- a/crates/gradepin/src/store.rs
+++ b/crates/gradepin/src/store.rs
@@ -1,11 +1,11 @@
 //! `gradepin store`: looks into a folder without a server, says what it holds and what is damaged.
 
 use gradepin_admission::{RequestId, Span};
-use gradepin_core::keys::READ_LATE;
-use gradepin_core::ledger::{Past, PastEnd, Record};
-use gradepin_core::pool::Pool;
+use gradepin_core::buffer_pool::BufferPool;
+use gradepin_core::idempotency_log::{LogRecord, SavedOutcome, SavedRun};
+use gradepin_core::idempotency_table::READ_LATE;
 use gradepin_store::disk::{Disk, Folder};
-use gradepin_store::frame::{self, Frames, Stored};
+use gradepin_store::frame::{self, Frames, StoredRecord};
 use gradepin_store::log::{self, Limits, Log, Stamp};
 use std::error::Error;
 use std::path::{Path, PathBuf};
@@ -69,13 +69,14 @@
             seen.records
         );
     }
-    let of = |test: fn(&PastEnd) -> bool| found.recovered.past.iter().filter(|past| test(&past.end)).count();
+    let of =
+        |test: fn(&SavedOutcome) -> bool| found.recovered.past.iter().filter(|past| test(&past.end)).count();
     println!(
         "{} runs may still be asked for: {} with a result, {} failed, {} with an unknown outcome",
         found.recovered.past.len(),
-        of(|end| matches!(end, PastEnd::Served(_))),
-        of(|end| *end == PastEnd::Failed),
-        of(|end| *end == PastEnd::None)
+        of(|end| matches!(end, SavedOutcome::Served(_))),
+        of(|end| *end == SavedOutcome::Failed),
+        of(|end| *end == SavedOutcome::None)
     );
     Ok(whole)
 }
@@ -119,19 +120,19 @@
     Ok(whole)
 }
 
-fn line(record: &Stored<'_>) -> String {
+fn line(record: &StoredRecord<'_>) -> String {
     match record {
-        Stored::Intent { token, print, id, left_ms } => {
+        StoredRecord::Intent { token, print, id, left_ms } => {
             format!("intent  {token:?} {id} print {print:016x} for {left_ms} ms")
         }
-        Stored::Served { token, print, id, left_ms, result } => {
+        StoredRecord::Served { token, print, id, left_ms, result } => {
             format!("served  {token:?} {id} print {print:016x} for {left_ms} ms, {} bytes", result.len())
         }
-        Stored::Failed { token, print, id, left_ms } => {
+        StoredRecord::Failed { token, print, id, left_ms } => {
             format!("failed  {token:?} {id} print {print:016x} for {left_ms} ms")
         }
-        Stored::Void { token, id } => format!("void    {token:?} {id}"),
-        Stored::Anew => "all that was known is written anew up to here".to_string(),
+        StoredRecord::Void { token, id } => format!("void    {token:?} {id}"),
+        StoredRecord::Anew => "all that was known is written anew up to here".to_string(),
     }
 }
 
@@ -144,7 +145,7 @@
         return Ok(true);
     }
     let count = found.recovered.past.len();
-    let records: Vec<Record> = found.recovered.past.into_iter().map(record).collect();
+    let records: Vec<LogRecord> = found.recovered.past.into_iter().map(record).collect();
     log.write_anew(Stamp::default(), &records)?;
     let damaged = found.segments.iter().any(|seen| seen.damage.is_some());
     println!("{count} runs written anew: {before} bytes before, {} after", log.bytes());
@@ -155,16 +156,16 @@
     Ok(!damaged)
 }
 
-fn record(past: Past) -> Record {
-    let Past { token, print, id, left, end } = past;
+fn record(past: SavedRun) -> LogRecord {
+    let SavedRun { token, print, id, left, end } = past;
     let (token, id) = (Arc::from(token), RequestId::new(&id));
     match end {
-        PastEnd::None => Record::Intent { token, print, id, left },
-        PastEnd::Failed => Record::Known { token, print, id, left, result: None },
-        PastEnd::Served(result) => {
+        SavedOutcome::None => LogRecord::Intent { token, print, id, left },
+        SavedOutcome::Failed => LogRecord::Known { token, print, id, left, result: None },
+        SavedOutcome::Served(result) => {
             // What a store holds was once in a buffer.
-            let result = Pool::new(0).exact(&result).map(Arc::new);
-            Record::Known { token, print, id, left, result }
+            let result = BufferPool::new(0).exact(&result).map(Arc::new);
+            LogRecord::Known { token, print, id, left, result }
         }
     }
 }
--- a/crates/gradepin/tests/customers/world.rs
+++ b/crates/gradepin/tests/customers/world.rs
@@ -1,16 +1,16 @@
 //! One server's reducer with stand-ins for its clients and its processor, in virtual time. What each request must see holds
 //! here in one place: one answer by its due time, and its own body under its own class at the processor.
 
-use gradepin_admission::{Effect as Kind, Outcome, RequestId, Span, Time};
-use gradepin_core::answer::Answer;
+use gradepin_admission::{Idempotency as Kind, Outcome, RequestId, Span, Time};
+use gradepin_core::buffer_pool::BufferPool;
 use gradepin_core::config::Config;
-use gradepin_core::messages::{Call, CallNumber, Effect, Input, RunEnd};
-use gradepin_core::moment::Moment;
-use gradepin_core::pool::Pool;
+use gradepin_core::messages::{ClientRequest, Effect, Input, RunEnd, UpstreamCallId};
 use gradepin_core::reducer::Reducer;
 use gradepin_core::registration::Registration;
-use gradepin_node::fronts::thrift::codec;
-use gradepin_node::settings::Live;
+use gradepin_core::response::Response;
+use gradepin_core::timestamp::Timestamp;
+use gradepin_node::frontend::thrift::codec;
+use gradepin_node::settings::ActiveSettings;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use serde_json::Value;
@@ -53,10 +53,10 @@
 
 pub struct World {
     reducer: Reducer,
-    names: Live,
+    names: ActiveSettings,
     classes: Vec<String>,
     tenants: Vec<String>,
-    pool: Arc<Pool>,
+    pool: Arc<BufferPool>,
     now: u64,
     rng: Pcg64Mcg,
     inputs: Vec<Input>,
@@ -67,7 +67,7 @@
     next_seq: i32,
     running: Vec<RequestId>,
     ran: Vec<Ran>,
-    calls: Vec<(RequestId, CallNumber)>,
+    calls: Vec<(RequestId, UpstreamCallId)>,
     notice: u64,
     link: u64,
     mute: bool,
@@ -107,11 +107,11 @@
     fn new(config: Config, seed: u64) -> Self {
         let settings = Arc::new(config.settings.clone());
         let mut world = Self {
-            names: Live::new(&settings),
+            names: ActiveSettings::new(&settings),
             classes: Vec::new(),
             tenants: Vec::new(),
             reducer: Reducer::new(&config, settings, Registration::default()).expect("a valid configuration"),
-            pool: Pool::new(64),
+            pool: BufferPool::new(64),
             now: 1_000_000 * MS,
             rng: Pcg64Mcg::seed_from_u64(seed),
             inputs: Vec::new(),
@@ -159,7 +159,7 @@
         let second = self.now / (1_000 * MS);
         self.second = if self.second.0 == second { (second, self.second.1 + 1) } else { (second, 0) };
         assert!(self.second.1 < STEPS_A_SECOND, "the reducer hardly rests");
-        let moment = Moment { now: Time(self.now), unix_ms: self.unix_ms() };
+        let moment = Timestamp { now: Time(self.now), unix_ms: self.unix_ms() };
         let mut effects = Vec::new();
         self.reducer.step(moment, inputs, &mut effects);
         effects.into_iter().for_each(|effect| self.effect(effect));
@@ -203,18 +203,18 @@
                     "an answer that doesn't fit"
                 );
                 let Some(id) = self.of_seq.get(&(conn, seq)) else {
-                    assert!(matches!(answer, Answer::Health(..)), "an answer to what nobody sent");
+                    assert!(matches!(answer, Response::Health(..)), "an answer to what nobody sent");
                     return;
                 };
                 let sent = self.sent.get_mut(id).expect("sent");
                 assert!(!std::mem::replace(&mut sent.answered, true), "two answers to {}", id.0);
                 sent.owed = false;
                 assert!(
-                    !(sent.running && matches!(answer, Answer::Refused { .. })),
+                    !(sent.running && matches!(answer, Response::Refused { .. })),
                     "{} runs and was refused",
                     id.0
                 );
-                if let Answer::Served(result) = &answer {
+                if let Response::Served(result) = &answer {
                     self.counts[1] += 1;
                     assert_eq!(&result[..], &sent.body[..], "{} was served another's result", id.0);
                 }
@@ -241,7 +241,7 @@
         }
     }
 
-    fn begun(&mut self, id: &RequestId, profile: &gradepin_admission::Profile, body: &[u8]) {
+    fn begun(&mut self, id: &RequestId, profile: &gradepin_admission::ClassProfile, body: &[u8]) {
         let sent = self.sent.get_mut(id).expect("a begin of what was sent");
         assert_eq!(profile.name, sent.class, "{} began under another class", id.0);
         assert_eq!(body, &sent.body[..], "{} began with another body", id.0);
@@ -383,7 +383,7 @@
         let (retry, has_key) = (self.below(3) == 0, self.below(2) == 0);
         let size_kb = [0.001, 1.0, 20.0, 1_999.0][self.below(4) as usize];
         let precedence = self.below(1_000) as f64 / 1_000.0;
-        let call = Call {
+        let call = ClientRequest {
             id: id.clone(),
             class,
             tenant,
--- a/crates/gradepin/tests/scenario/mod.rs
+++ b/crates/gradepin/tests/scenario/mod.rs
@@ -46,7 +46,7 @@
 pub mod thrift;
 pub mod virtually;
 
-use gradepin_core::admin::AdminCall;
+use gradepin_core::admin::AdminRequest;
 use serde_json::{Value, json};
 
 /// Where a scenario is played.
@@ -62,7 +62,7 @@
     /// The configuration is read again, with what became of it: moved or broken.
     fn reload(&mut self, how: &str);
     /// A call at the operators' door.
-    fn admin(&mut self, call: AdminCall);
+    fn admin(&mut self, call: AdminRequest);
     /// How a call to the ledger ended: `RID 200 REPLY`, `RID untouched|500|504|refused|broken`.
     fn ledger(&mut self, line: &str) {
         panic!("this stage has no ledger: {line}");
@@ -188,12 +188,12 @@
 /// Calls made by `until` before it gives up: some seconds on sockets.
 const UNTIL_TRIES: usize = 500;
 
-fn admin_call(word: &str, at: &str) -> AdminCall {
+fn admin_call(word: &str, at: &str) -> AdminRequest {
     match word {
-        "health" => AdminCall::Health,
-        "stats" => AdminCall::Stats,
-        "fail" => AdminCall::Fail,
-        "ok" => AdminCall::Ok,
+        "health" => AdminRequest::Health,
+        "stats" => AdminRequest::Stats,
+        "fail" => AdminRequest::Fail,
+        "ok" => AdminRequest::Ok,
         _ => panic!("{at}: no call at the door"),
     }
 }
--- a/crates/gradepin/tests/scenario/sockets.rs
+++ b/crates/gradepin/tests/scenario/sockets.rs
@@ -2,7 +2,7 @@
 //! plane. Waits here are upper bounds; nothing passes or fails by how long anything takes.
 
 use super::{Stage, begins, changed, config, thrift};
-use gradepin_core::admin::AdminCall;
+use gradepin_core::admin::AdminRequest;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream, UdpSocket};
@@ -405,15 +405,15 @@
         self.signal("HUP");
     }
 
-    fn admin(&mut self, call: AdminCall) {
+    fn admin(&mut self, call: AdminRequest) {
         let request = match call {
-            AdminCall::Health => "GET /healthcheck",
-            AdminCall::Stats => "GET /stats",
-            AdminCall::Fleet => "GET /fleet",
-            AdminCall::Agreed(_) => "GET /fleet/status",
-            AdminCall::Configuration(_) => "GET /config/status",
-            AdminCall::Fail => "POST /healthcheck/fail",
-            AdminCall::Ok => "POST /healthcheck/ok",
+            AdminRequest::Health => "GET /healthcheck",
+            AdminRequest::Stats => "GET /stats",
+            AdminRequest::Fleet => "GET /fleet",
+            AdminRequest::Agreed(_) => "GET /fleet/status",
+            AdminRequest::Configuration(_) => "GET /config/status",
+            AdminRequest::Fail => "POST /healthcheck/fail",
+            AdminRequest::Ok => "POST /healthcheck/ok",
         };
         let start = Instant::now();
         let mut socket = loop {
--- a/crates/gradepin/tests/scenario/virtually.rs
+++ b/crates/gradepin/tests/scenario/virtually.rs
@@ -2,23 +2,23 @@
 
 use super::{Stage, begins, changed, config, thrift};
 use gradepin_admission::{Outcome, RequestId, Settings, Span, Time};
-use gradepin_cluster::authentication::{Header, Keys};
+use gradepin_cluster::authentication::{AuthenticationKeys, Header};
 use gradepin_cluster::cluster::{Cluster, ClusterSettings, Envelope, MessageKind};
 use gradepin_cluster::leases::LeaseSettings;
 use gradepin_cluster::members::FailureDetection;
 use gradepin_cluster::peer::{Incarnation, Peer};
-use gradepin_core::admin::AdminCall;
+use gradepin_core::admin::AdminRequest;
+use gradepin_core::buffer_pool::BufferPool;
 use gradepin_core::config::Config;
-use gradepin_core::keys::End;
-use gradepin_core::known_processor::KnownProcessor;
-use gradepin_core::messages::{CallNumber, Claim, ConnId, Effect, Input, NameChange, RunEnd};
-use gradepin_core::moment::Moment;
-use gradepin_core::pool::Pool;
+use gradepin_core::idempotency_table::RunOutcome;
+use gradepin_core::messages::{ConnectionId, Effect, Input, NameChange, RunClaim, RunEnd, UpstreamCallId};
+use gradepin_core::processor_identity::ProcessorIdentity;
 use gradepin_core::reducer::{Reducer, lent_share};
 use gradepin_core::registration::Registration;
+use gradepin_core::timestamp::Timestamp;
 use gradepin_node::admin;
-use gradepin_node::fronts::thrift::codec;
-use gradepin_node::settings::Live;
+use gradepin_node::frontend::thrift::codec;
+use gradepin_node::settings::ActiveSettings;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -29,10 +29,10 @@
     config: serde_json::Value,
     reducer: Reducer,
     settings: Settings,
-    names: Live,
+    names: ActiveSettings,
     /// Classes by their slots, in force or not, and the number of the last change of names.
     classes: BTreeMap<usize, String>,
-    pool: Arc<Pool>,
+    pool: Arc<BufferPool>,
     ms: u64,
     /// How far the Unix clock was set since the start.
     unix_off_ms: i64,
@@ -44,12 +44,12 @@
     /// Whether inputs wait for others to come with them.
     held: bool,
     link: u64,
-    known: KnownProcessor,
+    known: ProcessorIdentity,
     /// When the server began to make the link that the processor greets on next; now, if none has ended.
     connecting: Option<Time>,
     calls: u64,
     /// Calls to the ledger that are out, in the order in which they left.
-    calls_out: Vec<(RequestId, CallNumber)>,
+    calls_out: Vec<(RequestId, UpstreamCallId)>,
     /// Whether a file that can be used was told and is not in force yet.
     reloading: bool,
 }
@@ -97,7 +97,7 @@
         let settings = ClusterSettings {
             own,
             seeds: vec![address],
-            keys: Keys::of([9; 32]),
+            keys: AuthenticationKeys::of([9; 32]),
             failure_detection: FailureDetection::default(),
             max_bytes_per_second: 32_000,
             servers: 2,
@@ -116,7 +116,7 @@
 
     /// Another server, of whom nothing else is known, asks the one that lends for so many thousandths of a slot.
     pub fn asked_to_lend(&mut self, number: u8, amount: u16) {
-        let keys = Keys::of([9; 32]);
+        let keys = AuthenticationKeys::of([9; 32]);
         let (to, sent_us) = (Incarnation(5), self.ms * 1_000);
         let header =
             Header { name: "n2", incarnation: Incarnation(6), to, number: u64::from(number), sent_us };
@@ -144,10 +144,10 @@
             config: text,
             reducer: Reducer::new(&config, Arc::new(settings.clone()), registration)
                 .expect("a whole configuration"),
-            names: Live::new(&settings),
+            names: ActiveSettings::new(&settings),
             classes,
             settings,
-            pool: Pool::new(8),
+            pool: BufferPool::new(8),
             ms: 1_000_000,
             unix_off_ms: 9_000_000,
             conns: Vec::new(),
@@ -156,7 +156,7 @@
             muted: false,
             held: false,
             link: 0,
-            known: KnownProcessor::default(),
+            known: ProcessorIdentity::default(),
             connecting: None,
             calls: 0,
             calls_out: Vec::new(),
@@ -177,13 +177,13 @@
         self.settle();
     }
 
-    fn conn(&mut self, name: &str) -> ConnId {
+    fn conn(&mut self, name: &str) -> ConnectionId {
         let place = self.conns.iter().position(|known| known == name).unwrap_or_else(|| {
             self.conns.push(name.to_string());
-            self.waiting.push(Input::Opened(self.conns.len() as ConnId - 1));
+            self.waiting.push(Input::Opened(self.conns.len() as ConnectionId - 1));
             self.conns.len() - 1
         });
-        place as ConnId
+        place as ConnectionId
     }
 
     /// Steps until nothing more happens at this moment.
@@ -192,8 +192,10 @@
             return;
         }
         for _ in 0..1000 {
-            let moment =
-                Moment { now: Time(self.ms * MS), unix_ms: self.ms.saturating_add_signed(self.unix_off_ms) };
+            let moment = Timestamp {
+                now: Time(self.ms * MS),
+                unix_ms: self.ms.saturating_add_signed(self.unix_off_ms),
+            };
             let mut effects = Vec::new();
             self.reducer.step(moment, std::mem::take(&mut self.waiting), &mut effects);
             for effect in effects {
@@ -207,7 +209,7 @@
     }
 
     fn carry_out(&mut self, effect: Effect) {
-        let name = |conn: ConnId| self.conns[conn as usize].clone();
+        let name = |conn: ConnectionId| self.conns[conn as usize].clone();
         let event = match effect {
             Effect::Answer(conn, seq, answer, hint) => {
                 let frame = codec::encode(seq, &answer, hint, &self.pool).expect("an answer that fits");
@@ -243,8 +245,8 @@
             }
             Effect::ClaimEnded(token, _, end) => {
                 let end = match end {
-                    Some(End::Served(_)) => "served",
-                    Some(End::Failed | End::Unknown) => "failed",
+                    Some(RunOutcome::Served(_)) => "served",
+                    Some(RunOutcome::Failed | RunOutcome::Unknown) => "failed",
                     None => "void",
                 };
                 format!("claim-ended {token} {end}")
@@ -397,7 +399,7 @@
         self.settle();
     }
 
-    fn admin(&mut self, call: AdminCall) {
+    fn admin(&mut self, call: AdminRequest) {
         self.calls += 1;
         self.waiting.push(Input::Admin(self.calls, call));
         self.settle();
@@ -430,10 +432,10 @@
         let [rid, whose, ref result @ ..] = words[..] else { panic!("no claim: {line}") };
         let result = || self.pool.copy(result.join(" ").as_bytes()).expect("fits");
         let claim = match whose {
-            "ours" => Claim::Ours,
-            "unsure" => Claim::Unsure,
-            "failed" => Claim::Ended(End::Failed),
-            "served" => Claim::Ended(End::Served(Arc::new(result()))),
+            "ours" => RunClaim::Ours,
+            "unsure" => RunClaim::Unsure,
+            "failed" => RunClaim::Ended(RunOutcome::Failed),
+            "served" => RunClaim::Ended(RunOutcome::Served(Arc::new(result()))),
             _ => panic!("no claim: {line}"),
         };
         let id = RequestId::new(&format!("{:016x}", rid.parse::<u64>().expect("a number")));
--- a/crates/model/src/agreed/days.rs
+++ b/crates/model/src/agreed/days.rs
@@ -2,8 +2,8 @@
 
 use super::{Fleet, SOUND, limits, plan};
 use gradepin_admission::Time;
-use gradepin_coordination::record::Limits;
-use gradepin_coordination::release::{Kind, State, Wave};
+use gradepin_coordination::replicated_state::Limits;
+use gradepin_coordination::rollout::{Batch, ReleaseKind, RolloutState};
 
 const MS: u64 = 1_000_000;
 
@@ -36,7 +36,7 @@
     /// Where the promise was broken.
     pub broken: Option<String>,
     /// Where the release stands at the end.
-    pub state: State,
+    pub state: RolloutState,
     /// How long it took, in seconds.
     pub took_s: f64,
     /// Servers that had the new version at the most.
@@ -51,9 +51,9 @@
     let mut fleet = Fleet::new(day.servers, day.voters, most.clone(), day.seed);
     let version = if day.worse_by > 0.0 { "v-slight" } else { "v2" };
     fleet.slight = SOUND - day.worse_by;
-    let mut plan = plan(version, Kind::Program);
+    let mut plan = plan(version, ReleaseKind::Program);
     let waves = [(0.0, day.looks_ms), (0.1, day.looks_ms), (1.0, 0)];
-    plan.waves = waves.map(|(share, pause_ms)| Wave { share, pause_ms }).into();
+    plan.waves = waves.map(|(share, pause_ms)| Batch { share, pause_ms }).into();
     let begin = fleet.now;
     let started = fleet.release(plan);
     // A zone without power for some seconds, and a cut of some servers, one after the other, in the middle of it.
@@ -64,7 +64,7 @@
     let cut_for = 3_000 + fleet.draw(15_000);
     let (mut ready, mut looks, mut had) = (0.0, 0.0, 0);
     let mut done = [false; 4];
-    let over = |fleet: &Fleet| matches!(fleet.state(), State::Done | State::Undone(_));
+    let over = |fleet: &Fleet| matches!(fleet.state(), RolloutState::Done | RolloutState::Undone(_));
     while started.is_ok() && !over(&fleet) && fleet.now.0 - begin.0 < day.patience_s * 1_000 * MS {
         fleet.run(500);
         let at_ms = (fleet.now.0 - begin.0) / MS;
--- a/crates/model/src/agreed/mod.rs
+++ b/crates/model/src/agreed/mod.rs
@@ -8,14 +8,14 @@
 
 pub use days::{Day, Outcome, play};
 
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
+use gradepin_coordination::consensus::{DurableRecord, VoterState};
 use gradepin_coordination::controller::ControllerSettings;
-use gradepin_coordination::council::{Durable, Found};
-use gradepin_coordination::messages::{Order, Report};
-use gradepin_coordination::record::{Limits, Name};
-use gradepin_coordination::release::{Kind, Plan, ReleaseOrder, State, Wave};
-use gradepin_coordination::rollback::{Cell, Total};
-use gradepin_coordination::server_agent::{AgentSettings, Became, Effect, ServerAgent};
+use gradepin_coordination::messages::{OperatorCommand, ServerReport};
+use gradepin_coordination::replicated_state::{Limits, Name};
+use gradepin_coordination::rollback::{Cell, ServiceTotal};
+use gradepin_coordination::rollout::{Batch, ReleaseKind, RolloutCommand, RolloutPlan, RolloutState};
+use gradepin_coordination::server_agent::{AgentEffect, AgentSettings, CommandStatus, ServerAgent};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -58,10 +58,10 @@
     pub settings: String,
     staged: Vec<String>,
     failed: Option<(u64, String)>,
-    totals: BTreeMap<Cell, Total>,
+    totals: BTreeMap<Cell, ServiceTotal>,
     next: Option<(Time, Next)>,
-    durable: Vec<Durable>,
-    pending: VecDeque<(Time, u64, Vec<Durable>)>,
+    durable: Vec<DurableRecord>,
+    pending: VecDeque<(Time, u64, Vec<DurableRecord>)>,
     /// Whether its process is stopped.
     pub stopped: bool,
     told: Option<(Time, bool)>,
@@ -120,9 +120,9 @@
 }
 
 /// A plan of one server first, then two shares.
-pub fn plan(version: &str, kind: Kind) -> Plan {
-    let waves = [(0.0, 2_000), (0.4, 2_000), (1.0, 0)].map(|(share, pause_ms)| Wave { share, pause_ms });
-    Plan {
+pub fn plan(version: &str, kind: ReleaseKind) -> RolloutPlan {
+    let waves = [(0.0, 2_000), (0.4, 2_000), (1.0, 0)].map(|(share, pause_ms)| Batch { share, pause_ms });
+    RolloutPlan {
         name: format!("to {version}"),
         kind,
         version: version.into(),
@@ -196,7 +196,7 @@
         let server = &mut self.servers[n];
         server.pending.clear();
         let folder =
-            (n < self.voters).then(|| Found { id: 1_000 + n as u64, records: server.durable.clone() });
+            (n < self.voters).then(|| VoterState { id: 1_000 + n as u64, records: server.durable.clone() });
         let set = AgentSettings {
             name: Arc::clone(&server.name),
             life,
@@ -212,7 +212,7 @@
         server.totals.clear();
         // One that crashes at its start is never ready, and ends again.
         if server.program == "v-crash" {
-            server.next = Some((after(now, Span(400 * MS)), Next::Ends { version: None }));
+            server.next = Some((time_after(now, Span(400 * MS)), Next::Ends { version: None }));
         } else {
             (server.ready, server.out) = (true, None);
         }
@@ -268,9 +268,9 @@
 
     /// Lets time pass.
     pub fn run(&mut self, ms: u64) {
-        let until = after(self.now, Span(ms * MS));
+        let until = time_after(self.now, Span(ms * MS));
         while self.now < until {
-            self.now = after(self.now, TURN);
+            self.now = time_after(self.now, TURN);
             let due: Vec<_> = self.net.extract_if(.., |(at, ..)| *at <= self.now).collect();
             for (_, from, to, life, bytes) in due {
                 let name = Arc::clone(&self.servers[from].name);
@@ -279,7 +279,7 @@
                 }
             }
             if self.now >= self.next_count {
-                self.next_count = after(self.now, COUNTS);
+                self.next_count = time_after(self.now, COUNTS);
                 self.count();
             }
             for n in 0..self.servers.len() {
@@ -321,7 +321,7 @@
                 self.kill(n);
                 let version = version.unwrap_or_else(|| self.wanted(n));
                 self.servers[n].out = out.or(Some((now, false)));
-                self.servers[n].next = Some((after(now, STARTS), Next::Starts { version }));
+                self.servers[n].next = Some((time_after(now, STARTS), Next::Starts { version }));
             }
             Next::Starts { version } => {
                 // What was wanted may have changed while it was down.
@@ -337,7 +337,7 @@
         let server = &mut self.servers[n];
         let Some(part) = server.part.as_mut().filter(|_| !server.stopped) else { return };
         while let Some((_, number, records)) = server.pending.pop_front_if(|(at, ..)| *at <= now) {
-            if matches!(records.first(), Some(Durable::Snapshot { .. })) {
+            if matches!(records.first(), Some(DurableRecord::Snapshot { .. })) {
                 server.durable = records;
             } else {
                 server.durable.extend(records);
@@ -347,10 +347,11 @@
         for (from, life, bytes) in std::mem::take(&mut server.inbox) {
             part.word(now, &from, life, &bytes);
         }
-        let due = server.told.is_none_or(|(at, ready)| now >= after(at, COUNTS) || ready != server.ready);
+        let due =
+            server.told.is_none_or(|(at, ready)| now >= time_after(at, COUNTS) || ready != server.ready);
         if due {
             server.told = Some((now, server.ready));
-            let report = Report {
+            let report = ServerReport {
                 zone: format!("z{}", n % 3),
                 ready: server.ready,
                 program: server.program.clone(),
@@ -358,7 +359,7 @@
                 staged: server.staged.clone(),
                 failed: server.failed.clone(),
                 totals: server.totals.iter().map(|(cell, total)| (*cell, *total)).collect(),
-                ..Report::default()
+                ..ServerReport::default()
             };
             part.tells(now, report);
         }
@@ -367,27 +368,27 @@
         let life = server.life;
         for effect in effects {
             match effect {
-                Effect::Send(to, bytes) => self.send(n, &to, life, bytes),
-                Effect::Write(number, records) => {
-                    self.servers[n].pending.push_back((after(now, Span(4 * MS)), number, records));
+                AgentEffect::Send(to, bytes) => self.send(n, &to, life, bytes),
+                AgentEffect::Write(number, records) => {
+                    self.servers[n].pending.push_back((time_after(now, Span(4 * MS)), number, records));
                 }
-                Effect::MayLeave(_, until) if now < until => self.leaves(n, None),
-                Effect::MayLeave(..) => self.servers[n].part.as_mut().unwrap().leave(now),
-                Effect::MayChange(turn, until) if now < until => match turn.kind {
-                    Kind::Program => self.leaves(n, Some(turn.version)),
-                    Kind::Settings if turn.version == "s-broken" => {
+                AgentEffect::MayLeave(_, until) if now < until => self.leaves(n, None),
+                AgentEffect::MayLeave(..) => self.servers[n].part.as_mut().unwrap().leave(now),
+                AgentEffect::MayChange(turn, until) if now < until => match turn.kind {
+                    ReleaseKind::Program => self.leaves(n, Some(turn.version)),
+                    ReleaseKind::Settings if turn.version == "s-broken" => {
                         self.servers[n].failed = Some((turn.release, "it can't be read".into()));
                         self.servers[n].told = None;
                     }
-                    Kind::Settings => {
+                    ReleaseKind::Settings => {
                         self.servers[n].settings = turn.version;
                         self.servers[n].told = None;
                     }
                 },
-                Effect::MayChange(..) => self.servers[n].part.as_mut().unwrap().missed(),
-                Effect::Refused(why) => self.notes.push(format!("n{n}: refused: {why}")),
-                Effect::Configuration(_) => {}
-                Effect::Note(_, text) => self.notes.push(format!("n{n}: {text}")),
+                AgentEffect::MayChange(..) => self.servers[n].part.as_mut().unwrap().missed(),
+                AgentEffect::Refused(why) => self.notes.push(format!("n{n}: refused: {why}")),
+                AgentEffect::Configuration(_) => {}
+                AgentEffect::Note(_, text) => self.notes.push(format!("n{n}: {text}")),
             }
         }
     }
@@ -398,14 +399,14 @@
         let version = version.or_else(|| Some(self.servers[n].program.clone()));
         self.servers[n].ready = false;
         self.servers[n].out = Some((now, true));
-        self.servers[n].next = Some((after(now, DRAINS), Next::Ends { version }));
+        self.servers[n].next = Some((time_after(now, DRAINS), Next::Ends { version }));
         let roster = self.record().roster.clone();
         let of = |agreed: bool| {
             let of = |(n, server): (usize, &Server)| {
                 let (since, by) = server.out?;
                 // What happened a moment ago is not known to have happened, and who was struck is no server of the fleet.
                 let counts = roster.contains_key(&server.name) && by == agreed;
-                (counts && (by || now >= after(since, Span(4_000 * MS)))).then_some(n)
+                (counts && (by || now >= time_after(since, Span(4_000 * MS)))).then_some(n)
             };
             self.servers.iter().enumerate().filter_map(of).collect()
         };
@@ -417,18 +418,20 @@
         let Some(to) = self.servers.iter().position(|server| server.name == *to) else { return };
         let late = 1 + self.draw(10);
         if self.unit() >= self.loss && !self.cut.contains(&(from, to)) {
-            self.net.push((after(self.now, Span(late * MS)), from, to, life, bytes));
+            self.net.push((time_after(self.now, Span(late * MS)), from, to, life, bytes));
         }
     }
 
     /// Gives an order at a server and waits for what becomes of it.
-    pub fn order(&mut self, n: usize, order: Order) -> Result<String, String> {
+    pub fn order(&mut self, n: usize, order: OperatorCommand) -> Result<String, String> {
         self.ticket += 1;
         let (now, ticket) = (self.now, self.ticket);
         self.servers[n].part.as_mut().expect("it runs").order(now, ticket, order)?;
         for _ in 0..1_000 {
             self.run(10);
-            if let Became::Over(answer) = self.servers[n].part.as_ref().expect("it runs").became(ticket) {
+            if let CommandStatus::Over(answer) =
+                self.servers[n].part.as_ref().expect("it runs").became(ticket)
+            {
                 return answer;
             }
         }
@@ -442,30 +445,30 @@
     }
 
     /// Starts a release, ordered at n4.
-    pub fn release(&mut self, plan: Plan) -> Result<String, String> {
-        self.order(4, Order::Start { plan: Box::new(plan), by: Arc::from("kaisa") })
+    pub fn release(&mut self, plan: RolloutPlan) -> Result<String, String> {
+        self.order(4, OperatorCommand::Start { plan: Box::new(plan), by: Arc::from("kaisa") })
     }
 
     /// An order to halt.
-    pub fn halt(&self, name: &str) -> Order {
+    pub fn halt(&self, name: &str) -> OperatorCommand {
         let (by, why) = (Arc::from("kaisa"), "by hand".into());
-        Order::Release(ReleaseOrder::Halt { name: name.into(), by, why })
+        OperatorCommand::Release(RolloutCommand::Halt { name: name.into(), by, why })
     }
 
     /// An order to go back.
-    pub fn back(&self, name: &str) -> Order {
+    pub fn back(&self, name: &str) -> OperatorCommand {
         let (by, why) = (Arc::from("kaisa"), "by hand".into());
-        Order::Release(ReleaseOrder::Back { name: name.into(), by, why })
+        OperatorCommand::Release(RolloutCommand::Back { name: name.into(), by, why })
     }
 
     /// The newest record that anybody who runs has.
-    pub fn record(&self) -> &gradepin_coordination::record::Record {
+    pub fn record(&self) -> &gradepin_coordination::replicated_state::ReplicatedState {
         let records = self.servers.iter().filter_map(|server| server.part.as_ref()?.record());
         records.max_by_key(|record| record.index).expect("somebody has one")
     }
 
     /// Where the release stands.
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> RolloutState {
         self.record().release.as_ref().expect("a release").state.clone()
     }
 
--- a/crates/model/src/config/tamper.rs
+++ b/crates/model/src/config/tamper.rs
@@ -2,7 +2,7 @@
 
 use crate::streams::{chance, one_of};
 use gradepin_config::change::{Change, Commit};
-use gradepin_config::dissemination::{Message, Record};
+use gradepin_config::dissemination::{CommitRecord, Message};
 use gradepin_config::{Configuration, Digest, Snapshot};
 use rand_pcg::Pcg64Mcg;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
     Digest(digest.0 ^ 1 << 77)
 }
 
-fn record(record: &mut Record, rng: &mut Pcg64Mcg) {
+fn record(record: &mut CommitRecord, rng: &mut Pcg64Mcg) {
     let commit: &mut Commit = Arc::make_mut(&mut record.commit);
     match one_of(rng, 3) {
         0 => commit.author = Arc::from("somebody else"),
@@ -22,7 +22,7 @@
         _ => {
             // A checksum over the wrong content, as of a server whose memory is bad.
             commit.transaction.changes = vec![Change::RemoveClass(Arc::from("class-0"))];
-            *record = Record::new(Arc::clone(&record.commit), record.digest);
+            *record = CommitRecord::new(Arc::clone(&record.commit), record.digest);
         }
     }
 }
--- a/crates/model/src/config/truth.rs
+++ b/crates/model/src/config/truth.rs
@@ -1,6 +1,6 @@
 //! The committed log, and the check that a server's state is a prefix of it.
 
-use gradepin_admission::{Customer, Effect, Profile, span};
+use gradepin_admission::{ClassProfile, Idempotency, Tenant, span_from_seconds};
 use gradepin_config::change::{Change, ClassDefinition, Commit, Revision, Transaction};
 use gradepin_config::{Configuration, Snapshot, Version};
 use std::sync::Arc;
@@ -19,13 +19,13 @@
 
 /// A class of this name.
 pub fn class(name: &str, worth: f64) -> Change {
-    let profile = Profile {
+    let profile = ClassProfile {
         name: name.to_string(),
-        promise: span(1.0),
-        deadline: span(4.0),
-        effect: Effect::Repeatable,
+        promise: span_from_seconds(1.0),
+        deadline: span_from_seconds(4.0),
+        effect: Idempotency::Repeatable,
         late_value: 0.3,
-        window: span(0.0),
+        window: span_from_seconds(0.0),
         worth,
         aim_stretch: 0.0,
     };
@@ -34,7 +34,7 @@
 
 /// A tenant of this name.
 pub fn tenant(name: &str, quota_rps: f64) -> Change {
-    Change::PutTenant(Arc::new(Customer { name: name.to_string(), quota_rps, portion: 0.001 }))
+    Change::PutTenant(Arc::new(Tenant { name: name.to_string(), quota_rps, portion: 0.001 }))
 }
 
 impl Truth {
--- a/crates/model/src/config/world.rs
+++ b/crates/model/src/config/world.rs
@@ -10,7 +10,7 @@
 use crate::streams::{Streams, chance, one_of, within};
 use gradepin_admission::Time;
 use gradepin_config::change::{Name, Revision};
-use gradepin_config::dissemination::{Dissemination, Effect, Member};
+use gradepin_config::dissemination::{Dissemination, DisseminationEffect, Member};
 use gradepin_config::{Configuration, Version};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::Rng;
@@ -406,21 +406,21 @@
         }
     }
 
-    fn effect(&mut self, n: usize, effect: Effect) {
+    fn effect(&mut self, n: usize, effect: DisseminationEffect) {
         let before = self.servers[n].in_force;
         match effect {
-            Effect::Send { to, bytes } => self.send(n, &to, bytes),
-            Effect::Apply(commit) => {
+            DisseminationEffect::Send { to, bytes } => self.send(n, &to, bytes),
+            DisseminationEffect::Apply(commit) => {
                 let breach = self.truth.breach_of_commit(before, &commit);
                 self.breach(n, breach);
                 self.came_into_force(n, commit.revision);
             }
-            Effect::Install(snapshot) => {
+            DisseminationEffect::Install(snapshot) => {
                 let breach = self.truth.breach_of_snapshot(before, &snapshot);
                 self.breach(n, breach);
                 self.came_into_force(n, snapshot.version().revision);
             }
-            Effect::Note { text, .. } => self.note(&text),
+            DisseminationEffect::Note { text, .. } => self.note(&text),
         }
     }
 
--- a/crates/model/src/peers/world.rs
+++ b/crates/model/src/peers/world.rs
@@ -3,9 +3,9 @@
 use super::{Break, Outcome, Sharing, Spec, Trouble, What};
 use crate::queue::{At, Heap, Queue, nanos};
 use crate::streams::{Streams, unit, within};
-use gradepin_admission::{Outcome as Ended, Span, Time, secs, span};
-use gradepin_cluster::authentication::Keys;
-use gradepin_cluster::cluster::{CallDecision, Cluster, ClusterSettings, Effect, Envelope};
+use gradepin_admission::{Outcome as Ended, Span, Time, span_from_seconds, span_seconds};
+use gradepin_cluster::authentication::AuthenticationKeys;
+use gradepin_cluster::cluster::{CallDecision, Cluster, ClusterEffect, ClusterSettings, Envelope};
 use gradepin_cluster::counters::CellId;
 use gradepin_cluster::leases::{LeaseSettings, Slot};
 use gradepin_cluster::members::{FailureDetection, KnownMember};
@@ -122,7 +122,7 @@
     queue: Heap<Event>,
     servers: Vec<Server>,
     names: Vec<Arc<str>>,
-    keys: Keys,
+    keys: AuthenticationKeys,
     net: Pcg64Mcg,
     work: Pcg64Mcg,
     calls: HashMap<u64, Call>,
@@ -166,7 +166,7 @@
         queue: Heap::default(),
         servers: servers.collect(),
         names: (0..spec.servers).map(|n| Arc::from(format!("n{n}"))).collect(),
-        keys: Keys::of([7; 32]),
+        keys: AuthenticationKeys::of([7; 32]),
         net: streams.of("peer net", 0),
         work: streams.of("peer work", 0),
         calls: HashMap::new(),
@@ -352,7 +352,7 @@
             self.told(n, call, how);
         }
         for effect in effects {
-            if let Effect::Send { to, datagram: data } = effect {
+            if let ClusterEffect::Send { to, datagram: data } = effect {
                 self.send(n, to, data);
             }
         }
@@ -475,7 +475,12 @@
         server.asked[office].push_back(self.now);
         let local = server.local(self.now);
         let Some(cluster) = &mut server.cluster else { return };
-        cluster.arrived(local, CellId::of(OFFICES[office].0, "c"), false, span(self.spec.call_s));
+        cluster.arrived(
+            local,
+            CellId::of(OFFICES[office].0, "c"),
+            false,
+            span_from_seconds(self.spec.call_s),
+        );
         server.waiting.push_back(self.now);
         if self.spec.sharing == Sharing::AllKnowing {
             self.pool.push_back((n, self.now));
@@ -577,7 +582,7 @@
                 self.calls.remove(&id);
                 return self.told_of(n, id, Ended::Shed, Span(0));
             }
-            limit = secs(max_call) / self.servers[n].rate;
+            limit = span_seconds(max_call) / self.servers[n].rate;
         }
         let closed = self.troubles().any(|t| matches!(&t.what, What::NoLedger(some) if some.contains(&n)));
         if closed {
@@ -612,7 +617,7 @@
         }
         let n = call.server;
         if gone.is_none() && call.awaited && self.servers[n].life == call.life && call.good {
-            let took = span((self.now - call.made) as f64 / 1e9);
+            let took = span_from_seconds((self.now - call.made) as f64 / 1e9);
             self.told_of(n, id, Ended::Delivered, took);
         }
         if self.spec.sharing == Sharing::AllKnowing {
@@ -632,7 +637,7 @@
             return;
         }
         call.awaited = false;
-        let took = span((self.now - call.made) as f64 / 1e9);
+        let took = span_from_seconds((self.now - call.made) as f64 / 1e9);
         self.queue.push(self.now + nanos(LINGER_S), Event::Gone(id));
         self.told_of(n, id, Ended::Expired, took);
     }
@@ -646,7 +651,7 @@
         let server = self.calls.get(&id).map(|call| call.server);
         self.done(id, Some(()));
         if let (true, Some(n)) = (awaited, server) {
-            self.told_of(n, id, Ended::Expired, span(OWN_LIMIT_S));
+            self.told_of(n, id, Ended::Expired, span_from_seconds(OWN_LIMIT_S));
         }
     }
 
@@ -662,7 +667,7 @@
     }
 
     fn told(&mut self, n: usize, _id: u64, how: Ended) {
-        self.tell(n, how, span(self.spec.call_s));
+        self.tell(n, how, span_from_seconds(self.spec.call_s));
     }
 
     fn tell(&mut self, n: usize, how: Ended, took: Span) {
--- a/crates/model/src/policies/codel.rs
+++ b/crates/model/src/policies/codel.rs
@@ -3,7 +3,7 @@
 
 use super::shell::{Ask, Load, Policy};
 use super::shortest_aim;
-use gradepin_admission::{Settings, Span, Time, after};
+use gradepin_admission::{Settings, Span, Time, time_after};
 
 /// The target as a part of the shortest aim, and the interval.
 const TARGET: f64 = 0.05;
@@ -38,7 +38,7 @@
 
 impl Policy for Codel {
     fn takes(&mut self, now: Time, _ask: &Ask, load: Load) -> bool {
-        self.stands = load.waiting > 0 && after(self.empty_at, self.interval) < now;
+        self.stands = load.waiting > 0 && time_after(self.empty_at, self.interval) < now;
         load.waiting < self.line
     }
 
@@ -52,7 +52,7 @@
 
     fn drops(&mut self, now: Time, ask: &Ask) -> bool {
         let most = if self.stands { self.target } else { self.interval };
-        after(ask.read, most) < now || ask.due <= now
+        time_after(ask.read, most) < now || ask.due <= now
     }
 
     fn idle(&mut self, now: Time) {
--- a/crates/model/src/policies/dagor.rs
+++ b/crates/model/src/policies/dagor.rs
@@ -4,7 +4,7 @@
 
 use super::shell::{Ask, Load, Policy};
 use super::shortest_aim;
-use gradepin_admission::{Settings, Span, Time, after};
+use gradepin_admission::{Settings, Span, Time, time_after};
 
 /// As in the paper: the window, the parts by which what is let in shrinks and grows.
 const WINDOW: Span = Span(1_000_000_000);
@@ -70,7 +70,7 @@
         }
         self.came = [0; LEVELS];
         (self.taken, self.waited, self.begun) = (0, 0, 0);
-        self.ends = after(now, WINDOW);
+        self.ends = time_after(now, WINDOW);
     }
 }
 
--- a/crates/model/src/policies/mod.rs
+++ b/crates/model/src/policies/mod.rs
@@ -11,28 +11,28 @@
 
 use crate::day::{Day, What};
 use gradepin_admission::{
-    Advert, Below, Callers, Customer, Effect as Repeat, Goal, Limits as Site, Prices, Profile, Rules,
-    Settings, Span, Specifics, StopMode, Time, WorthBy,
+    Callers, CapacitySignal, ClassProfile, Goal, Idempotency as Repeat, Limits as Site, Prices, Rules,
+    Settings, Span, Specifics, StopMode, Tenant, Time, UpstreamKind, WeightBasis,
 };
 use gradepin_core::config::{Config, Limits};
 use gradepin_core::messages::{Effect, Input};
-use gradepin_core::moment::Moment;
 use gradepin_core::reducer::Reducer;
 use gradepin_core::registration::Registration;
+use gradepin_core::timestamp::Timestamp;
 use shell::{Shell, ShellSpec};
 use std::sync::Arc;
 
 /// A server, as a world drives it.
 pub trait Node: Send {
     /// Takes in all inputs and appends what is to be done.
-    fn step(&mut self, moment: Moment, inputs: &mut Vec<Input>, effects: &mut Vec<Effect>);
+    fn step(&mut self, moment: Timestamp, inputs: &mut Vec<Input>, effects: &mut Vec<Effect>);
 
     /// When it must be stepped again though nothing came in.
     fn wake_at(&self) -> Option<Time>;
 }
 
 impl Node for Reducer {
-    fn step(&mut self, moment: Moment, inputs: &mut Vec<Input>, effects: &mut Vec<Effect>) {
+    fn step(&mut self, moment: Timestamp, inputs: &mut Vec<Input>, effects: &mut Vec<Effect>) {
         Reducer::step(self, moment, inputs.drain(..), effects);
     }
 
@@ -178,7 +178,7 @@
         profiles: terms
             .classes
             .iter()
-            .map(|class| Profile {
+            .map(|class| ClassProfile {
                 name: class.name.clone(),
                 promise: ms(class.aim_ms),
                 deadline: ms(class.deadline_ms),
@@ -192,7 +192,7 @@
         customers: terms
             .offices
             .iter()
-            .map(|office| Customer {
+            .map(|office| Tenant {
                 name: office.name.clone(),
                 quota_rps: office.share * terms.capacity,
                 portion: office.share,
@@ -202,7 +202,7 @@
         goal: Goal { whole: 0.4, worst_class: 0.2, worst_tenant: 0.1, worst_window: 0.3 },
         limits: Site { max_retry_after: ms(1_000), retry_after: true },
         prices: Prices { late_fail: 0.083, waste: 0.08, ..Prices::default() },
-        worth_by: WorthBy::Request,
+        worth_by: WeightBasis::Request,
         over_share_worth: terms.beyond,
         rules: Rules {
             answer_slack: ms(100),
@@ -213,8 +213,8 @@
             tip_multiple: 8.0,
         },
         specifics: Specifics {
-            advert: Advert::Threshold,
-            below: Below::Off,
+            advert: CapacitySignal::Threshold,
+            below: UpstreamKind::Off,
             calls_by_class: vec![false; terms.classes.len()],
             class_skip_worth: vec![0.0; terms.classes.len()],
             clients_total: day.proxies.len() as u32,
--- a/crates/model/src/policies/shell.rs
+++ b/crates/model/src/policies/shell.rs
@@ -2,11 +2,13 @@
 //! all. What is let in, how many run and in what order is its [`Policy`]'s.
 
 use super::Node;
-use gradepin_admission::{RequestId, Settings, Span, Time, after, before};
-use gradepin_core::messages::{Answer, Call, ConnId, Effect, Input, RunEnd, SeqId, sooner};
-use gradepin_core::moment::Moment;
-use gradepin_core::pool::Buffer;
+use gradepin_admission::{RequestId, Settings, Span, Time, time_after, time_before};
+use gradepin_core::buffer_pool::Buffer;
+use gradepin_core::messages::{
+    ClientRequest, ConnectionId, Effect, Input, Response, RunEnd, SequenceId, earliest,
+};
 use gradepin_core::registration::Registration;
+use gradepin_core::timestamp::Timestamp;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 
@@ -104,8 +106,8 @@
 
 #[derive(Debug)]
 struct Open {
-    conn: ConnId,
-    seq: SeqId,
+    conn: ConnectionId,
+    seq: SequenceId,
     class: usize,
     kb: f64,
     ask: Ask,
@@ -128,8 +130,8 @@
     spec: ShellSpec,
     policy: P,
     open: HashMap<RequestId, Open>,
-    names: HashMap<(ConnId, SeqId), RequestId>,
-    conns: BTreeMap<ConnId, BTreeSet<SeqId>>,
+    names: HashMap<(ConnectionId, SequenceId), RequestId>,
+    conns: BTreeMap<ConnectionId, BTreeSet<SequenceId>>,
     line: VecDeque<RequestId>,
     dues: BTreeSet<(Time, RequestId)>,
     keys: HashMap<Arc<str>, Key>,
@@ -180,11 +182,11 @@
         }
     }
 
-    fn refusal(&self) -> Answer {
-        Answer::Refused { backoff: self.spec.advice, last: false }
+    fn refusal(&self) -> Response {
+        Response::Refused { backoff: self.spec.advice, last: false }
     }
 
-    fn answer(&mut self, id: &RequestId, answer: Answer, effects: &mut Vec<Effect>) {
+    fn answer(&mut self, id: &RequestId, answer: Response, effects: &mut Vec<Effect>) {
         let level = self.policy.level();
         let Some(open) = self.open.get_mut(id).filter(|open| open.owed) else { return };
         open.owed = false;
@@ -200,11 +202,19 @@
         }
     }
 
-    fn call(&mut self, moment: Moment, conn: ConnId, seq: SeqId, call: Call, effects: &mut Vec<Effect>) {
+    fn call(
+        &mut self,
+        moment: Timestamp,
+        conn: ConnectionId,
+        seq: SequenceId,
+        call: ClientRequest,
+        effects: &mut Vec<Effect>,
+    ) {
         let now = moment.now;
         let waited = Span(moment.unix_ms.saturating_sub(call.t0).saturating_mul(MS));
-        let came = before(now, waited);
-        let ask = Ask { rank: call.precedence, came, read: now, due: after(came, Span(call.budget * MS)) };
+        let came = time_before(now, waited);
+        let ask =
+            Ask { rank: call.precedence, came, read: now, due: time_after(came, Span(call.budget * MS)) };
         let id = call.id.clone();
         let open = Open {
             conn,
@@ -225,12 +235,12 @@
         match call.token.as_ref().and_then(|token| self.keys.get_mut(token)) {
             Some(Key::Under(_, waiters)) => return waiters.push(id),
             Some(Key::Ran(result, until)) if came < *until => {
-                let answer = result.clone().map_or(Answer::Failed { late: false }, Answer::Served);
+                let answer = result.clone().map_or(Response::Failed { late: false }, Response::Served);
                 return self.answer(&id, answer, effects);
             }
             _ => {}
         }
-        let late = self.notice.is_some_and(|notice| came > after(notice, self.spec.grace));
+        let late = self.notice.is_some_and(|notice| came > time_after(notice, self.spec.grace));
         let full = self.kb > FILL[0] * self.spec.memory_kb;
         if self.link.is_none() || late || full || !self.policy.takes(now, &ask, self.load()) {
             return self.answer(&id, self.refusal(), effects);
@@ -242,7 +252,7 @@
     }
 
     /// A request that never ran, and all that waited for it, get this answer.
-    fn never_ran(&mut self, id: &RequestId, answer: Answer, effects: &mut Vec<Effect>) {
+    fn never_ran(&mut self, id: &RequestId, answer: Response, effects: &mut Vec<Effect>) {
         let token = self.open.get(id).and_then(|open| open.token.clone());
         self.answer(id, answer.clone(), effects);
         self.forget(id);
@@ -257,7 +267,7 @@
         }
     }
 
-    fn gone(&mut self, conn: ConnId, seq: SeqId, effects: &mut Vec<Effect>) {
+    fn gone(&mut self, conn: ConnectionId, seq: SequenceId, effects: &mut Vec<Effect>) {
         let Some(id) = self.names.remove(&(conn, seq)) else { return };
         if let Some(seqs) = self.conns.get_mut(&conn) {
             seqs.remove(&seq);
@@ -298,13 +308,13 @@
         self.running = self.running.saturating_sub(1);
         let (class, came, token) = (open.class, open.ask.came, open.token.clone());
         let result = (end == RunEnd::Ok).then(|| Arc::new(result));
-        let answer = result.clone().map_or(Answer::Failed { late: false }, Answer::Served);
+        let answer = result.clone().map_or(Response::Failed { late: false }, Response::Served);
         self.answer(id, answer.clone(), effects);
         self.forget(id);
         self.policy.ended(self.now, took, self.load());
         let Some(token) = token else { return };
         let window = self.spec.windows.get(class).copied().flatten().unwrap_or_default();
-        let until = after(after(came, window), KEEP);
+        let until = time_after(time_after(came, window), KEEP);
         let kept = self.keys.insert(Arc::clone(&token), Key::Ran(result, until));
         self.runs_out.push_back((until, token));
         if let Some(Key::Under(_, waiters)) = kept {
@@ -359,9 +369,9 @@
             self.line.retain(|other| *other != id);
             let began = self.open.get(&id).is_some_and(|open| open.began.is_some());
             if began {
-                self.answer(&id, Answer::Failed { late: true }, effects);
+                self.answer(&id, Response::Failed { late: true }, effects);
             } else {
-                self.never_ran(&id, Answer::Failed { late: true }, effects);
+                self.never_ran(&id, Response::Failed { late: true }, effects);
             }
             self.dues.remove(&(due, id));
         }
@@ -369,7 +379,7 @@
 }
 
 impl<P: Policy> Node for Shell<P> {
-    fn step(&mut self, moment: Moment, inputs: &mut Vec<Input>, effects: &mut Vec<Effect>) {
+    fn step(&mut self, moment: Timestamp, inputs: &mut Vec<Input>, effects: &mut Vec<Effect>) {
         self.now = moment.now;
         for input in inputs.drain(..) {
             match input {
@@ -387,12 +397,12 @@
                 Input::Call(conn, seq, call) => self.call(moment, conn, seq, *call, effects),
                 Input::Cancel(conn, seq) => self.gone(conn, seq, effects),
                 Input::Health(conn, seq) => {
-                    let good = Answer::Health(self.link.is_some() && self.notice.is_none(), None);
+                    let good = Response::Health(self.link.is_some() && self.notice.is_none(), None);
                     effects.push(Effect::Answer(conn, seq, good, self.policy.level()));
                 }
                 Input::Registry(ticket, reply) => self.registration.reply(self.now, ticket, reply),
                 Input::LinkUp { link, cold, age } => {
-                    self.registration.processor_up(before(self.now, age), cold);
+                    self.registration.processor_up(time_before(self.now, age), cold);
                     self.registration.health(self.now, true);
                     self.link = Some(link);
                     self.next_report = self.now;
@@ -403,11 +413,11 @@
                 }
                 Input::Rejected(id) => {
                     self.running = self.running.saturating_sub(1);
-                    self.never_ran(&id, Answer::Failed { late: false }, effects);
+                    self.never_ran(&id, Response::Failed { late: false }, effects);
                 }
                 Input::Terminate if self.notice.is_none() => {
                     self.notice = Some(self.now);
-                    self.last_call = Some(before(after(self.now, self.spec.stop), STOP_MARGIN));
+                    self.last_call = Some(time_before(time_after(self.now, self.spec.stop), STOP_MARGIN));
                     self.next_report = self.now;
                     self.registration.leave(self.now);
                     effects.extend(self.conns.keys().map(|conn| Effect::Draining(*conn)));
@@ -425,7 +435,7 @@
         }
         self.begin(effects);
         if self.link.is_some() && self.now >= self.next_report {
-            self.next_report = after(self.now, REPORT_EVERY);
+            self.next_report = time_after(self.now, REPORT_EVERY);
             effects.push(Effect::Report(self.notice.is_none()));
         }
         let answered = self.last_call.is_some() && self.open.is_empty();
@@ -435,7 +445,7 @@
     fn wake_at(&self) -> Option<Time> {
         let due = self.dues.first().map(|(due, _)| *due);
         let last = self.last_call.filter(|_| !self.dues.is_empty());
-        let told = sooner(self.link.map(|_| self.next_report), self.registration.wake_at(self.now));
-        sooner(sooner(due, last), told)
+        let told = earliest(self.link.map(|_| self.next_report), self.registration.wake_at(self.now));
+        earliest(earliest(due, last), told)
     }
 }
--- a/crates/model/src/queue.rs
+++ b/crates/model/src/queue.rs
@@ -4,7 +4,7 @@
 //! Whatever the queue, events come out by time, and those of one time in the order in which they went in: a day must not
 //! depend on which of them is used.
 
-use gradepin_admission::span;
+use gradepin_admission::span_from_seconds;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap};
 
@@ -13,7 +13,7 @@
 
 /// Nanoseconds of so many seconds.
 pub fn nanos(seconds: f64) -> At {
-    span(seconds).0
+    span_from_seconds(seconds).0
 }
 
 /// A queue of events.
@@ -191,8 +191,9 @@
             self.count -= 1;
             front.push(entry);
         }
-        let span = front.last().map_or(0, |last| last.at) - front.first().map_or(0, |first| first.at);
-        let gap = span / (front.len().max(2) as u64 - 1);
+        let span_from_seconds =
+            front.last().map_or(0, |last| last.at) - front.first().map_or(0, |first| first.at);
+        let gap = span_from_seconds / (front.len().max(2) as u64 - 1);
         self.count += front.len();
         let buckets = self.count.next_power_of_two().max(FEWEST);
         let old = std::mem::replace(&mut self.buckets, empty(buckets));
--- a/crates/model/src/roster/mod.rs
+++ b/crates/model/src/roster/mod.rs
@@ -4,8 +4,8 @@
 pub mod registry;
 
 use crate::queue::At;
-use gradepin_admission::{Time, span};
-use gradepin_registry::instance::{Instance, Lease, Port, Status};
+use gradepin_admission::{Time, span_from_seconds};
+use gradepin_registry::instance::{Instance, InstanceStatus, Lease, Port};
 use gradepin_registry::membership::MembershipSettings;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -58,7 +58,7 @@
         app: APP.into(),
         host: address.ip().to_string(),
         ip: Some(address.ip()),
-        status: Status::Starting,
+        status: InstanceStatus::Starting,
         port: Port { number: PORT, enabled: true },
         vip: VIP.into(),
         lease: Lease {
@@ -76,14 +76,14 @@
     MembershipSettings {
         instance,
         urls: 1,
-        heartbeat: span(heartbeat_s),
-        timeout: span(1.0),
-        tell_every: span(1.0),
-        steady: span(0.5),
+        heartbeat: span_from_seconds(heartbeat_s),
+        timeout: span_from_seconds(1.0),
+        tell_every: span_from_seconds(1.0),
+        steady: span_from_seconds(0.5),
         ready_share: 0.5,
         cold_share: 0.21,
-        cold: span(18.0),
-        prefer_every: span(60.0),
+        cold: span_from_seconds(18.0),
+        prefer_every: span_from_seconds(60.0),
         cancel: true,
     }
 }
