--- a/crates/model/src/roster/registry.rs
+++ b/crates/model/src/roster/registry.rs
@@ -1,7 +1,7 @@
 //! What a registry holds and by which rules it changes, without I/O and without a clock: leases, overrides, eviction
 //! and self-preservation, the queue of changes, the cache of answers. From the public description of Eureka 1.x.
 
-use gradepin_registry::instance::{ActionType, Applications, Instance, Status, hash_code};
+use gradepin_registry::instance::{ActionType, Applications, Instance, InstanceStatus, hash_code};
 use std::collections::{BTreeMap, VecDeque};
 
 /// How a registry behaves; all times in milliseconds.
@@ -45,9 +45,9 @@
     /// A removal.
     Cancel(String, String),
     /// An override.
-    Override(String, String, Status, u64),
+    Override(String, String, InstanceStatus, u64),
     /// An override removed, and the state then.
-    ClearOverride(String, String, Status, u64),
+    ClearOverride(String, String, InstanceStatus, u64),
 }
 
 #[derive(Debug)]
@@ -64,7 +64,7 @@
 pub struct Registry {
     set: RegistrySettings,
     leases: BTreeMap<(String, String), Lease>,
-    overrides: BTreeMap<(String, String), Status>,
+    overrides: BTreeMap<(String, String), InstanceStatus>,
     changes: VecDeque<(u64, Instance)>,
     full: Cached,
     delta: Cached,
@@ -109,15 +109,17 @@
 
     /// The state that callers see: what an instance says of itself if it is down or starting, else the override, else
     /// what its lease shows if that is up or out of service, else what it says.
-    fn status(&self, key: &Key, says: Status, replicated: bool) -> Status {
-        if !matches!(says, Status::Up | Status::OutOfService) {
+    fn status(&self, key: &Key, says: InstanceStatus, replicated: bool) -> InstanceStatus {
+        if !matches!(says, InstanceStatus::Up | InstanceStatus::OutOfService) {
             return says;
         }
         if let Some(&status) = self.overrides.get(key) {
             return status;
         }
         let shows = self.leases.get(key).map(|lease| lease.instance.status).filter(|_| !replicated);
-        shows.filter(|status| matches!(status, Status::Up | Status::OutOfService)).unwrap_or(says)
+        shows
+            .filter(|status| matches!(status, InstanceStatus::Up | InstanceStatus::OutOfService))
+            .unwrap_or(says)
     }
 
     /// Registers, or replaces a record that is no newer.
@@ -127,13 +129,13 @@
         {
             instance = lease.instance.clone();
         }
-        if instance.overridden != Status::Unknown && !self.overrides.contains_key(&key) {
+        if instance.overridden != InstanceStatus::Unknown && !self.overrides.contains_key(&key) {
             self.overrides.insert(key.clone(), instance.overridden);
         }
         instance.status = self.status(&key, instance.status, replicated);
         instance.overridden = self.overrides.get(&key).copied().unwrap_or_default();
         (instance.lease.registered_ms, instance.lease.renewed_ms) = (now_ms, now_ms);
-        if instance.status == Status::Up && instance.lease.up_ms == 0 {
+        if instance.status == InstanceStatus::Up && instance.lease.up_ms == 0 {
             instance.lease.up_ms = now_ms;
         }
         self.leases.insert(key.clone(), Lease { instance, renewed_ms: now_ms });
@@ -145,7 +147,7 @@
         let key = key(app, id);
         let Some(lease) = self.leases.get_mut(&key) else { return Outcome::NotFound };
         // A record older than the instance's own is of no use: it is to register again.
-        if lease.instance.status == Status::Unknown
+        if lease.instance.status == InstanceStatus::Unknown
             || dirty_ms.is_some_and(|dirty| dirty > lease.instance.dirty_ms)
         {
             return Outcome::NotFound;
@@ -176,7 +178,7 @@
         &mut self,
         app: &str,
         id: &str,
-        status: Status,
+        status: InstanceStatus,
         dirty_ms: u64,
         now_ms: u64,
     ) -> Outcome {
@@ -198,7 +200,7 @@
         &mut self,
         app: &str,
         id: &str,
-        status: Status,
+        status: InstanceStatus,
         dirty_ms: u64,
         now_ms: u64,
     ) -> Outcome {
@@ -206,7 +208,7 @@
         let Some(lease) = self.leases.get_mut(&key) else { return Outcome::NotFound };
         lease.renewed_ms = now_ms;
         if self.overrides.remove(&key).is_some() {
-            lease.instance.overridden = Status::Unknown;
+            lease.instance.overridden = InstanceStatus::Unknown;
             lease.instance.status = status;
             lease.instance.dirty_ms = lease.instance.dirty_ms.max(dirty_ms);
             self.changed(now_ms, &key, ActionType::Modified);
@@ -317,7 +319,7 @@
 mod tests {
     use super::*;
 
-    fn one(id: &str, status: Status, dirty_ms: u64) -> Instance {
+    fn one(id: &str, status: InstanceStatus, dirty_ms: u64) -> Instance {
         Instance { id: id.into(), app: "TILES".into(), status, dirty_ms, ..Instance::default() }
     }
 
@@ -325,35 +327,35 @@
         let set = RegistrySettings { cache_ms: 0, evict_every_ms: 1_000, ..RegistrySettings::default() };
         let mut registry = Registry::new(set, 0);
         for n in 0..n {
-            registry.register(one(&format!("n{n}"), Status::Up, 1), false, 0);
+            registry.register(one(&format!("n{n}"), InstanceStatus::Up, 1), false, 0);
         }
         registry
     }
 
-    fn shows(registry: &Registry, id: &str) -> Option<Status> {
+    fn shows(registry: &Registry, id: &str) -> Option<InstanceStatus> {
         registry.instance("tiles", id).map(|i| i.status)
     }
 
     #[test]
     fn an_override_outlives_a_registration_and_its_removal_brings_the_state_told() {
         let mut r = of(1);
-        assert_eq!(r.override_status("tiles", "n0", Status::OutOfService, 2, 2), Outcome::Done);
-        r.register(one("n0", Status::Up, 3), false, 3);
-        assert_eq!(shows(&r, "n0"), Some(Status::OutOfService));
-        r.register(one("n0", Status::Starting, 4), false, 4);
-        assert_eq!(shows(&r, "n0"), Some(Status::Starting), "what isn't up is shown as it says");
-        r.clear_override("tiles", "n0", Status::Up, 5, 5);
-        assert_eq!(shows(&r, "n0"), Some(Status::Up));
-        r.register(one("n0", Status::OutOfService, 6), false, 6);
-        assert_eq!(shows(&r, "n0"), Some(Status::Up), "a lease that is up is trusted more");
+        assert_eq!(r.override_status("tiles", "n0", InstanceStatus::OutOfService, 2, 2), Outcome::Done);
+        r.register(one("n0", InstanceStatus::Up, 3), false, 3);
+        assert_eq!(shows(&r, "n0"), Some(InstanceStatus::OutOfService));
+        r.register(one("n0", InstanceStatus::Starting, 4), false, 4);
+        assert_eq!(shows(&r, "n0"), Some(InstanceStatus::Starting), "what isn't up is shown as it says");
+        r.clear_override("tiles", "n0", InstanceStatus::Up, 5, 5);
+        assert_eq!(shows(&r, "n0"), Some(InstanceStatus::Up));
+        r.register(one("n0", InstanceStatus::OutOfService, 6), false, 6);
+        assert_eq!(shows(&r, "n0"), Some(InstanceStatus::Up), "a lease that is up is trusted more");
     }
 
     #[test]
     fn an_older_record_doesnt_replace_a_newer_one_and_a_newer_one_must_register() {
         let mut r = of(0);
-        r.register(one("n0", Status::Down, 9), false, 1);
-        r.register(one("n0", Status::Up, 8), false, 2);
-        assert_eq!(shows(&r, "n0"), Some(Status::Down));
+        r.register(one("n0", InstanceStatus::Down, 9), false, 1);
+        r.register(one("n0", InstanceStatus::Up, 8), false, 2);
+        assert_eq!(shows(&r, "n0"), Some(InstanceStatus::Down));
         assert_eq!(r.renew("tiles", "n0", Some(8), 3), Outcome::Done);
         assert_eq!(r.renew("tiles", "n0", Some(10), 3), Outcome::NotFound);
         assert_eq!(r.renew("tiles", "n1", None, 3), Outcome::NotFound);
@@ -382,7 +384,7 @@
     #[test]
     fn a_delta_tells_each_changed_instance_once_with_the_code_of_all() {
         let mut r = of(2);
-        r.override_status("tiles", "n0", Status::OutOfService, 2, 10);
+        r.override_status("tiles", "n0", InstanceStatus::OutOfService, 2, 10);
         r.cancel("tiles", "n1", 20);
         let delta = r.delta(30).clone();
         assert_eq!(delta.hash_code, "OUT_OF_SERVICE_1_");
--- a/crates/model/src/world/machines.rs
+++ b/crates/model/src/world/machines.rs
@@ -9,9 +9,9 @@
 use crate::queue::{At, Queue, nanos};
 use crate::roster;
 use gradepin_admission::{RequestId, Span};
-use gradepin_core::messages::{Answer, Call, Effect, Input, RunEnd};
-use gradepin_core::moment::Moment;
+use gradepin_core::messages::{ClientRequest, Effect, Input, Response, RunEnd};
 use gradepin_core::registration::Registration;
+use gradepin_core::timestamp::Timestamp;
 use gradepin_registry::membership::Membership;
 use rand_pcg::rand_core::Rng;
 use std::cmp::Reverse;
@@ -218,7 +218,7 @@
         let class = request.class as usize;
         let window = self.day.classes[class].class.window_ms;
         let came_ms = one.came / MS;
-        let call = Call {
+        let call = ClientRequest {
             id: RequestId::new(&format!("{id:016x}")),
             class: class.into(),
             tenant: Some((request.office as usize).into()),
@@ -379,7 +379,7 @@
             let Some(node) = &mut machine.node else { return };
             machine.cores.advance(self.now);
             let now = roster::time(self.now);
-            let moment = Moment { now, unix_ms: EPOCH_MS + self.now / MS };
+            let moment = Timestamp { now, unix_ms: EPOCH_MS + self.now / MS };
             let mut effects = std::mem::take(&mut self.effects);
             node.step(moment, &mut machine.inputs, &mut effects);
             for effect in effects.drain(..) {
@@ -469,18 +469,18 @@
         }
     }
 
-    fn answers(&mut self, number: usize, conn: u64, id: TryId, answer: Answer, level: Option<f64>) {
+    fn answers(&mut self, number: usize, conn: u64, id: TryId, answer: Response, level: Option<f64>) {
         let got = match answer {
-            Answer::Served(_) => Got::Served(level),
-            Answer::Refused { backoff, last } => {
+            Response::Served(_) => Got::Served(level),
+            Response::Refused { backoff, last } => {
                 self.watch.now.refused += 1;
                 Got::Refused { away: backoff.0, last, level }
             }
-            Answer::Failed { .. } | Answer::Unknown | Answer::Invalid(..) => {
+            Response::Failed { .. } | Response::Unknown | Response::Invalid(..) => {
                 self.watch.now.failed += 1;
                 Got::Failed(level)
             }
-            Answer::Health(..) => return,
+            Response::Health(..) => return,
         };
         self.rules.answered(u64::from(id), self.now / MS, matches!(got, Got::Refused { .. }));
         let one = &mut self.tries[id as usize];
--- a/crates/model/src/world/mod.rs
+++ b/crates/model/src/world/mod.rs
@@ -23,8 +23,8 @@
 use crate::roster::registry::{Registry, RegistrySettings};
 use crate::streams::Streams;
 use callers::{Conn, Request, Try};
+use gradepin_core::buffer_pool::BufferPool;
 use gradepin_core::messages::Effect;
-use gradepin_core::pool::Pool;
 use gradepin_core::registration::Registration;
 use gradepin_registry::view::View;
 use machines::Machine;
@@ -113,13 +113,13 @@
     RegistryAsked {
         machine: usize,
         life: u32,
-        ask: Box<gradepin_registry::membership::Ask>,
+        ask: Box<gradepin_registry::membership::RegistryRequest>,
     },
     RegistryReplied {
         machine: usize,
         life: u32,
         ticket: u64,
-        reply: Box<gradepin_registry::membership::Reply>,
+        reply: Box<gradepin_registry::membership::RegistryReply>,
     },
     Fetches(usize),
     Fetched {
@@ -177,7 +177,7 @@
     service: Service,
     rules: Rules,
     watch: watch::Watch,
-    pool: Arc<Pool>,
+    pool: Arc<BufferPool>,
     effects: Vec<Effect>,
     /// Random numbers of each office, proxy and machine.
     offices: Vec<Pcg64Mcg>,
@@ -246,7 +246,7 @@
             service: Service::new(day.terms())?,
             rules: Rules::new(Figures::default()),
             watch: watch::Watch::new(&day),
-            pool: Pool::new(64),
+            pool: BufferPool::new(64),
             effects: Vec::new(),
             offices: rngs("office", day.offices.len()),
             proxy_rngs: rngs("wire", proxies.len()),
--- a/crates/model/src/world/roster.rs
+++ b/crates/model/src/world/roster.rs
@@ -6,9 +6,9 @@
 use crate::roster::registry::Outcome;
 use crate::roster::{self, APP, VIP};
 use crate::streams::within;
-use gradepin_admission::span;
-use gradepin_registry::instance::{Applications, Status};
-use gradepin_registry::membership::{Ask, Op, Reply};
+use gradepin_admission::span_from_seconds;
+use gradepin_registry::instance::{Applications, InstanceStatus};
+use gradepin_registry::membership::{RegistryOperation, RegistryReply, RegistryRequest};
 use gradepin_registry::view::{Fetch, View, ViewSettings};
 use rand_pcg::rand_core::Rng;
 
@@ -33,10 +33,10 @@
         };
         for (machine, spec) in self.day.machines.iter().enumerate().filter(|(_, spec)| !spec.spare) {
             let mut instance = roster::instance(machine, spec.zone, heartbeat_s, lease_s);
-            instance.status = Status::Up;
+            instance.status = InstanceStatus::Up;
             self.registry.register(instance, false, EPOCH_MS);
         }
-        let set = ViewSettings { refresh: span(refresh_s), ..ViewSettings::default() };
+        let set = ViewSettings { refresh: span_from_seconds(refresh_s), ..ViewSettings::default() };
         for proxy in 0..self.proxies.len() {
             let seed = self.proxy_rngs[proxy].next_u64();
             let mut view = View::new(set.clone(), seed, roster::time(0));
@@ -129,7 +129,7 @@
         Some(self.net.arrives(there, REGISTRY_ZONE, zone, rng) - self.now)
     }
 
-    pub(super) fn asks_registry(&mut self, machine: usize, ask: Ask) {
+    pub(super) fn asks_registry(&mut self, machine: usize, ask: RegistryRequest) {
         let zone = self.day.machines[machine].zone;
         let life = self.machines[machine].life;
         match self.exchange(zone, Some(machine), 0) {
@@ -138,7 +138,7 @@
                 self.queue.push(self.now + took / 2, Event::RegistryAsked { machine, life, ask });
             }
             None => {
-                let (ticket, reply) = (ask.ticket, Box::new(Reply::Failed("no answer".into())));
+                let (ticket, reply) = (ask.ticket, Box::new(RegistryReply::Failed("no answer".into())));
                 let at = self.now + ask.timeout.0;
                 self.queue.push(at, Event::RegistryReplied { machine, life, ticket, reply });
             }
@@ -146,30 +146,34 @@
     }
 
     /// The registry does what it is asked, whatever became of who asked.
-    pub(super) fn registry_asked(&mut self, machine: usize, life: u32, ask: Ask) {
+    pub(super) fn registry_asked(&mut self, machine: usize, life: u32, ask: RegistryRequest) {
         let (now_ms, id) = (self.unix(), format!("n{machine}"));
         self.registry.evict(now_ms);
         let done = |outcome| match outcome {
-            Outcome::Done => Reply::Done,
-            Outcome::NotFound => Reply::NotFound,
+            Outcome::Done => RegistryReply::Done,
+            Outcome::NotFound => RegistryReply::NotFound,
         };
         let reply = match ask.op {
-            Op::Register(instance) => {
+            RegistryOperation::Register(instance) => {
                 self.registry.register(*instance, false, now_ms);
-                Reply::Done
+                RegistryReply::Done
             }
-            Op::Heartbeat { dirty_ms, .. } => done(self.registry.renew(APP, &id, Some(dirty_ms), now_ms)),
-            Op::Override { status, dirty_ms } => {
+            RegistryOperation::Heartbeat { dirty_ms, .. } => {
+                done(self.registry.renew(APP, &id, Some(dirty_ms), now_ms))
+            }
+            RegistryOperation::Override { status, dirty_ms } => {
                 done(self.registry.override_status(APP, &id, status, dirty_ms, now_ms))
             }
-            Op::ClearOverride { status, dirty_ms } => {
+            RegistryOperation::ClearOverride { status, dirty_ms } => {
                 done(self.registry.clear_override(APP, &id, status, dirty_ms, now_ms))
             }
-            Op::Look => {
+            RegistryOperation::Look => {
                 let found = self.registry.instance(APP, &id);
-                found.map_or(Reply::NotFound, |instance| Reply::Record(Box::new(instance.clone())))
+                found.map_or(RegistryReply::NotFound, |instance| {
+                    RegistryReply::Record(Box::new(instance.clone()))
+                })
             }
-            Op::Cancel => done(self.registry.cancel(APP, &id, now_ms)),
+            RegistryOperation::Cancel => done(self.registry.cancel(APP, &id, now_ms)),
         };
         let zone = self.day.machines[machine].zone;
         let at = self.net.arrives(self.now, REGISTRY_ZONE, zone, &mut self.machine_rngs[machine]);
@@ -177,7 +181,7 @@
         self.queue.push(at, Event::RegistryReplied { machine, life, ticket, reply });
     }
 
-    pub(super) fn registry_replied(&mut self, machine: usize, life: u32, ticket: u64, reply: Reply) {
+    pub(super) fn registry_replied(&mut self, machine: usize, life: u32, ticket: u64, reply: RegistryReply) {
         let here = &mut self.machines[machine];
         if here.up && here.life == life {
             here.inputs.push(gradepin_core::messages::Input::Registry(ticket, reply));
--- a/crates/model/tests/agreed.rs
+++ b/crates/model/tests/agreed.rs
@@ -1,8 +1,8 @@
 //! Drains and releases of a fleet in virtual time: permits under faults, waves, the halt, the way back.
 
-use gradepin_coordination::messages::Order;
-use gradepin_coordination::record::Target;
-use gradepin_coordination::release::{Kind, ReleaseOrder, State, Step};
+use gradepin_coordination::messages::OperatorCommand;
+use gradepin_coordination::replicated_state::Target;
+use gradepin_coordination::rollout::{ReleaseKind, RolloutCommand, RolloutState, ServerProgress};
 use gradepin_model::agreed::{Day, Fleet, SOUND, limits, plan, play};
 use std::sync::Arc;
 
@@ -91,7 +91,8 @@
         let holder = Target::Server(Arc::from("n5"));
         if let Some(epoch) = fleet.record().permit_of(&holder).map(|(epoch, _)| epoch) {
             assert!(fleet.began.is_empty(), "seed {seed}: the place is kept");
-            let free = Order::Free { epoch, by: Arc::from("kaisa"), why: "its board is dead".into() };
+            let free =
+                OperatorCommand::Free { epoch, by: Arc::from("kaisa"), why: "its board is dead".into() };
             fleet.order(4, free).expect("it is freed");
             assert!(fleet.began.is_empty(), "seed {seed}: it counts until the holder's time is over");
         }
@@ -110,7 +111,7 @@
 fn a_zone_that_loses_power_stops_grants_and_fails_no_release() {
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 4);
-    fleet.release(plan("v2", Kind::Program)).expect("it starts");
+    fleet.release(plan("v2", ReleaseKind::Program)).expect("it starts");
     assert!(fleet.until(40_000, |fleet| fleet.began.len() >= 2));
     let zone: Vec<usize> = (0..9).filter(|n| n % 3 == 1).collect();
     for &n in &zone {
@@ -121,12 +122,16 @@
     let began = fleet.began.len();
     fleet.run(20_000);
     assert_eq!(fleet.began.len(), began, "three are out, two may be");
-    assert_eq!(fleet.state(), State::Runs, "{:?}", fleet.notes);
+    assert_eq!(fleet.state(), RolloutState::Runs, "{:?}", fleet.notes);
     for &n in &zone {
         fleet.servers[n].dark = false;
         fleet.revive(n);
     }
-    assert!(fleet.until(200_000, |fleet| fleet.state() == State::Done), "{:?}", fleet.record().release);
+    assert!(
+        fleet.until(200_000, |fleet| fleet.state() == RolloutState::Done),
+        "{:?}",
+        fleet.record().release
+    );
     assert!(all_have(&fleet, "v2"));
     fleet.promise(&most).unwrap();
 }
@@ -137,13 +142,17 @@
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 5);
     let begin = fleet.now;
-    fleet.release(plan("v2", Kind::Program)).expect("it starts");
+    fleet.release(plan("v2", ReleaseKind::Program)).expect("it starts");
     // Said twice it is one; another has to wait.
-    assert!(fleet.release(plan("v2", Kind::Program)).is_ok());
-    assert!(fleet.release(plan("v3", Kind::Program)).unwrap_err().contains("to v2 is running"));
+    assert!(fleet.release(plan("v2", ReleaseKind::Program)).is_ok());
+    assert!(fleet.release(plan("v3", ReleaseKind::Program)).unwrap_err().contains("to v2 is running"));
     fleet.run(6_000);
     assert!(fleet.servers.iter().filter(|server| server.program == "v2").count() <= 1, "one first");
-    assert!(fleet.until(120_000, |fleet| fleet.state() == State::Done), "{:?}", fleet.record().release);
+    assert!(
+        fleet.until(120_000, |fleet| fleet.state() == RolloutState::Done),
+        "{:?}",
+        fleet.record().release
+    );
     assert!(all_have(&fleet, "v2") && fleet.began.len() == 9);
     fleet.promise(&most).unwrap();
     let took = (fleet.now.0 - begin.0) as f64 / 1e9;
@@ -161,17 +170,18 @@
     {
         let most = limits(2, 1);
         let mut fleet = Fleet::new(9, 3, most.clone(), 6);
-        let mut plan = plan(version, Kind::Program);
+        let mut plan = plan(version, ReleaseKind::Program);
         if version == "v-slight" {
             // Long looks: a slight fall takes some thousand tries.
             plan.waves.iter_mut().for_each(|wave| wave.pause_ms = 60_000);
         }
         fleet.release(plan).expect("it starts");
-        let goes = |fleet: &Fleet| matches!(fleet.state(), State::GoesBack(_) | State::Undone(_));
+        let goes =
+            |fleet: &Fleet| matches!(fleet.state(), RolloutState::GoesBack(_) | RolloutState::Undone(_));
         assert!(fleet.until(within_ms, goes), "{version}: {:?} {:?}", fleet.state(), fleet.notes);
         let had = fleet.servers.iter().filter(|server| server.program == version).count();
         assert!(had <= most_had, "{version}: {had} had it");
-        let undone = |fleet: &Fleet| matches!(fleet.state(), State::Undone(_));
+        let undone = |fleet: &Fleet| matches!(fleet.state(), RolloutState::Undone(_));
         assert!(fleet.until(120_000, undone), "{version}: {:?} {:?}", fleet.record().release, fleet.notes);
         assert!(fleet.until(10_000, |fleet| all_have(fleet, "v1")), "{version}");
         fleet.promise(&most).unwrap();
@@ -190,22 +200,22 @@
     fleet.servers[8].dark = true;
     fleet.kill(8);
     fleet.run(5_000);
-    fleet.release(plan("v2", Kind::Program)).expect("it starts");
+    fleet.release(plan("v2", ReleaseKind::Program)).expect("it starts");
     fleet.run(7_000);
     fleet.sound = 0.6;
     fleet.run(15_000);
-    assert_eq!(fleet.state(), State::Runs, "{:?}", fleet.notes);
+    assert_eq!(fleet.state(), RolloutState::Runs, "{:?}", fleet.notes);
     // It would fit now, and is held.
     fleet.servers[8].dark = false;
     fleet.revive(8);
     fleet.run(20_000);
-    assert!(fleet.began.is_empty() && fleet.state() == State::Runs, "{:?}", fleet.notes);
+    assert!(fleet.began.is_empty() && fleet.state() == RolloutState::Runs, "{:?}", fleet.notes);
     let held = fleet.notes.iter().filter(|note| note.contains("no server has the version")).count();
     assert_eq!(held, 1, "said once: {:?}", fleet.notes);
     fleet.sound = SOUND;
     assert!(fleet.until(20_000, |fleet| !fleet.began.is_empty()), "{:?}", fleet.notes);
     fleet.sound = 0.6;
-    let goes = |fleet: &Fleet| matches!(fleet.state(), State::GoesBack(_) | State::Undone(_));
+    let goes = |fleet: &Fleet| matches!(fleet.state(), RolloutState::GoesBack(_) | RolloutState::Undone(_));
     assert!(fleet.until(20_000, goes), "{:?} {:?}", fleet.state(), fleet.notes);
     fleet.promise(&most).unwrap();
 }
@@ -216,19 +226,27 @@
 fn settings_are_staged_checked_and_taken_back() {
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 7);
-    let missing = fleet.release(plan("s-nowhere", Kind::Settings)).unwrap_err();
+    let missing = fleet.release(plan("s-nowhere", ReleaseKind::Settings)).unwrap_err();
     assert!(missing.contains("aren't staged on n0"), "{missing}");
-    fleet.release(plan("s2", Kind::Settings)).expect("it starts");
-    assert!(fleet.until(60_000, |fleet| fleet.state() == State::Done), "{:?}", fleet.record().release);
+    fleet.release(plan("s2", ReleaseKind::Settings)).expect("it starts");
+    assert!(fleet.until(60_000, |fleet| fleet.state() == RolloutState::Done), "{:?}", fleet.record().release);
     assert!(fleet.servers.iter().all(|server| server.settings == "s2") && fleet.began.is_empty());
     // Valid, and starves saves: seen, halted, taken back.
-    fleet.release(plan("s-bad", Kind::Settings)).expect("it starts");
-    assert!(fleet.until(60_000, |fleet| matches!(fleet.state(), State::Undone(_))), "{:?}", fleet.state());
+    fleet.release(plan("s-bad", ReleaseKind::Settings)).expect("it starts");
+    assert!(
+        fleet.until(60_000, |fleet| matches!(fleet.state(), RolloutState::Undone(_))),
+        "{:?}",
+        fleet.state()
+    );
     assert!(fleet.servers.iter().all(|server| server.settings == "s2"));
     // One that no server can take.
-    fleet.release(plan("s-broken", Kind::Settings)).expect("it starts");
-    assert!(fleet.until(60_000, |fleet| matches!(fleet.state(), State::Undone(_))), "{:?}", fleet.state());
-    let State::Undone(why) = fleet.state() else { panic!("undone") };
+    fleet.release(plan("s-broken", ReleaseKind::Settings)).expect("it starts");
+    assert!(
+        fleet.until(60_000, |fleet| matches!(fleet.state(), RolloutState::Undone(_))),
+        "{:?}",
+        fleet.state()
+    );
+    let RolloutState::Undone(why) = fleet.state() else { panic!("undone") };
     assert_eq!(why, "n0: it can't be read");
 }
 
@@ -237,7 +255,7 @@
 fn a_halt_needs_no_majority_and_a_resume_names_its_halt() {
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 8);
-    fleet.release(plan("v2", Kind::Program)).expect("it starts");
+    fleet.release(plan("v2", ReleaseKind::Program)).expect("it starts");
     let half = |fleet: &Fleet| fleet.servers.iter().filter(|server| server.program == "v2").count() >= 4;
     assert!(fleet.until(60_000, half));
     fleet.order(6, fleet.halt("to v2")).expect("it is halted");
@@ -245,8 +263,13 @@
     let began = fleet.began.len();
     fleet.run(20_000);
     assert_eq!(fleet.began.len(), began, "it stands still");
-    let resume =
-        |halts| Order::Release(ReleaseOrder::Resume { name: "to v2".into(), halts, by: Arc::from("kaisa") });
+    let resume = |halts| {
+        OperatorCommand::Release(RolloutCommand::Resume {
+            name: "to v2".into(),
+            halts,
+            by: Arc::from("kaisa"),
+        })
+    };
     assert!(fleet.order(6, resume(0)).is_err(), "it names another halt");
     fleet.order(6, resume(1)).expect("it goes on");
     fleet.run(1_000);
@@ -271,7 +294,7 @@
 fn back_by_hand_in_the_middle_of_a_wave() {
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 9);
-    fleet.release(plan("v2", Kind::Program)).expect("it starts");
+    fleet.release(plan("v2", ReleaseKind::Program)).expect("it starts");
     let some = |fleet: &Fleet| fleet.servers.iter().filter(|server| server.program == "v2").count() >= 3;
     assert!(fleet.until(60_000, some));
     // The one with the minority can't have anything agreed; the other one can.
@@ -284,14 +307,14 @@
     fleet.order(6, back).expect("it goes back");
     fleet.cut.clear();
     assert!(
-        fleet.until(120_000, |fleet| matches!(fleet.state(), State::Undone(_))),
+        fleet.until(120_000, |fleet| matches!(fleet.state(), RolloutState::Undone(_))),
         "{:?}",
         fleet.record().release
     );
     assert!(fleet.until(10_000, |fleet| all_have(fleet, "v1")));
-    let steps: Vec<&Step> =
+    let steps: Vec<&ServerProgress> =
         fleet.record().release.as_ref().unwrap().servers.values().map(|s| &s.step).collect();
-    assert!(steps.iter().all(|step| matches!(step, Step::Waits | Step::Back)));
+    assert!(steps.iter().all(|step| matches!(step, ServerProgress::Waits | ServerProgress::Back)));
     fleet.promise(&most).unwrap();
 }
 
@@ -300,7 +323,7 @@
 fn a_release_outlives_its_council() {
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 10);
-    fleet.release(plan("v2", Kind::Program)).expect("it starts");
+    fleet.release(plan("v2", ReleaseKind::Program)).expect("it starts");
     assert!(fleet.until(60_000, |fleet| fleet.began.len() >= 2));
     for n in 0..3 {
         fleet.kill(n);
@@ -313,7 +336,9 @@
     fleet.run(15_000);
     // The one that never comes back is struck from the roster, and its place is free.
     let by = Arc::from("kaisa");
-    fleet.order(5, Order::Strike { name: Arc::from("n1"), by, why: "burnt".into() }).expect("it is struck");
+    fleet
+        .order(5, OperatorCommand::Strike { name: Arc::from("n1"), by, why: "burnt".into() })
+        .expect("it is struck");
     let rest = |fleet: &Fleet| {
         fleet.servers.iter().enumerate().all(|(n, server)| n == 1 || server.ready && server.program == "v2")
     };
@@ -331,7 +356,7 @@
         let most = limits(2, 1);
         let mut fleet = Fleet::new(9, 3, most.clone(), seed);
         fleet.loss = fleet.draw(15) as f64 / 100.0;
-        let _ = fleet.release(plan("v2", Kind::Program));
+        let _ = fleet.release(plan("v2", ReleaseKind::Program));
         for _ in 0..20 {
             let n = fleet.draw(9) as usize;
             match fleet.draw(7) {
@@ -362,18 +387,22 @@
         // A release that was halted or went back for the faults is put through by hand.
         for _ in 0..4 {
             if fleet.record().release.is_none() {
-                let _ = fleet.release(plan("v2", Kind::Program));
+                let _ = fleet.release(plan("v2", ReleaseKind::Program));
             }
             let halts = fleet.record().release.as_ref().map_or(0, |release| release.halts);
-            if matches!(fleet.record().release.as_ref().map(|r| &r.state), Some(State::Halted(_))) {
+            if matches!(fleet.record().release.as_ref().map(|r| &r.state), Some(RolloutState::Halted(_))) {
                 let by = Arc::from("kaisa");
-                let resume = ReleaseOrder::Resume { name: "to v2".into(), halts, by };
-                let _ = fleet.order(5, Order::Release(resume));
+                let resume = RolloutCommand::Resume { name: "to v2".into(), halts, by };
+                let _ = fleet.order(5, OperatorCommand::Release(resume));
             }
             fleet.run(40_000);
         }
         let state = fleet.state();
-        assert!(matches!(state, State::Done | State::Undone(_)), "seed {seed}: {state:?} {:?}", fleet.notes);
+        assert!(
+            matches!(state, RolloutState::Done | RolloutState::Undone(_)),
+            "seed {seed}: {state:?} {:?}",
+            fleet.notes
+        );
         assert!(
             fleet.until(30_000, |fleet| fleet.record().permits.is_empty()),
             "seed {seed}: {:?}",
@@ -399,5 +428,5 @@
     };
     let outcome = play(&day);
     assert_eq!(outcome.broken, None);
-    assert_eq!(outcome.state, State::Done, "{outcome:?}");
+    assert_eq!(outcome.state, RolloutState::Done, "{outcome:?}");
 }
--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)]
 
 use gradepin_admission::{RequestId, Span, Time};
-use gradepin_core::messages::{Answer, Effect, Input};
-use gradepin_core::moment::Moment;
+use gradepin_core::messages::{Effect, Input, Response};
+use gradepin_core::timestamp::Timestamp;
 use gradepin_model::day::{Day, Ranges, Trouble, What};
 use gradepin_model::policies::{Kind, Node, Start, Starts};
 use gradepin_model::world::{Maker, Order, Outcome, World};
@@ -112,12 +112,12 @@
     }
 
     fn refuse(conn: u64, seq: i32) -> Effect {
-        Effect::Answer(conn, seq, Answer::Refused { backoff: Span(0), last: false }, None)
+        Effect::Answer(conn, seq, Response::Refused { backoff: Span(0), last: false }, None)
     }
 }
 
 impl Node for Careless {
-    fn step(&mut self, moment: Moment, inputs: &mut Vec<Input>, effects: &mut Vec<Effect>) {
+    fn step(&mut self, moment: Timestamp, inputs: &mut Vec<Input>, effects: &mut Vec<Effect>) {
         for input in inputs.drain(..) {
             match input {
                 Input::Call(conn, seq, call) => {
@@ -150,7 +150,7 @@
                     if odd && self.fault == Fault::Forgets {
                         continue;
                     }
-                    let answer = Answer::Served(std::sync::Arc::new(result));
+                    let answer = Response::Served(std::sync::Arc::new(result));
                     if odd && self.fault == Fault::Repeats {
                         effects.push(Effect::Answer(conn, seq, answer.clone(), None));
                     }
--- a/crates/model/tests/slow_start.rs
+++ b/crates/model/tests/slow_start.rs
@@ -5,9 +5,9 @@
 
 use common::{Fault, careless, seed, trouble};
 use gradepin_admission::{RequestId, Time};
-use gradepin_core::messages::{Answer, Effect, Input};
-use gradepin_core::moment::Moment;
+use gradepin_core::messages::{Effect, Input, Response};
 use gradepin_core::registration::Registration;
+use gradepin_core::timestamp::Timestamp;
 use gradepin_model::account::rules::{Breach, Figures, Rules, SlowStart};
 use gradepin_model::account::slow_start::{budget, survived};
 use gradepin_model::day::{Day, What};
@@ -128,7 +128,7 @@
                     seen.foreign.push(format!("begun: {id:?} {} {:?}", class.profile.name, &body[..]));
                 }
             }
-            Effect::Answer(conn, seq, Answer::Served(result), _) => {
+            Effect::Answer(conn, seq, Response::Served(result), _) => {
                 // A result is made of the body here, so that whose it is can be told.
                 seen.served += 1;
                 if self.asked.get(&(*conn, *seq)).is_none_or(|body| body[..] != result[..]) {
@@ -141,7 +141,7 @@
 }
 
 impl Node for Watched {
-    fn step(&mut self, moment: Moment, inputs: &mut Vec<Input>, effects: &mut Vec<Effect>) {
+    fn step(&mut self, moment: Timestamp, inputs: &mut Vec<Input>, effects: &mut Vec<Effect>) {
         const CLASSES: [&str; 4] = ["sheet-view", "deep-zoom", "label-read", "label-save"];
         for input in inputs.iter() {
             if let Input::Call(conn, seq, call) = input {
--- a/crates/node/src/admin/agreements.rs
+++ b/crates/node/src/admin/agreements.rs
@@ -10,53 +10,59 @@
 //! ```
 
 use super::http::Response;
-use gradepin_coordination::record::{Limits, Purpose, Stage, Target};
-use gradepin_coordination::release::{Release, Step};
-use gradepin_coordination::server_agent::{Became, Status};
-use gradepin_core::admin::FleetAnswer;
+use gradepin_coordination::replicated_state::{Limits, PermitStage, Purpose, Target};
+use gradepin_coordination::rollout::{Rollout, ServerProgress};
+use gradepin_coordination::server_agent::{AgentStatus, CommandStatus};
+use gradepin_core::admin::AgreementResponse;
 use serde_json::{Value, json};
 
 /// The response to a call about the fleet's agreements.
-pub fn response(answer: &FleetAnswer) -> Response {
+pub fn response(answer: &AgreementResponse) -> Response {
     let said = |said: &Result<String, String>| match said {
         Ok(text) => Response::text(200, format!("{text}\n")),
         Err(why) => Response::text(409, format!("{why}\n")),
     };
     match answer {
-        FleetAnswer::Off => Response::text(404, "this server takes no part in what a fleet agrees on\n"),
-        FleetAnswer::Status(status) => {
+        AgreementResponse::Off => {
+            Response::text(404, "this server takes no part in what a fleet agrees on\n")
+        }
+        AgreementResponse::Status(status) => {
             let mut response = Response::text(200, format!("{}\n", value(status)));
             response.content_type = "application/json";
             response
         }
-        FleetAnswer::Ticket(ticket) => Response::text(202, format!("{ticket}\n")),
-        FleetAnswer::Became(Became::Pending) => Response::text(202, "under way\n"),
-        FleetAnswer::Became(Became::Unknown) => {
+        AgreementResponse::Ticket(ticket) => Response::text(202, format!("{ticket}\n")),
+        AgreementResponse::Became(CommandStatus::Pending) => Response::text(202, "under way\n"),
+        AgreementResponse::Became(CommandStatus::Unknown) => {
             Response::text(404, "no order of this ticket is known here\n")
         }
-        FleetAnswer::Became(Became::Over(answer)) | FleetAnswer::Said(answer) => said(answer),
-        FleetAnswer::Wanted(Some(version)) => Response::text(200, format!("{version}\n")),
-        FleetAnswer::Wanted(None) => Response::text(404, "no release says which version it shall have\n"),
+        AgreementResponse::Became(CommandStatus::Over(answer)) | AgreementResponse::Said(answer) => {
+            said(answer)
+        }
+        AgreementResponse::Wanted(Some(version)) => Response::text(200, format!("{version}\n")),
+        AgreementResponse::Wanted(None) => {
+            Response::text(404, "no release says which version it shall have\n")
+        }
     }
 }
 
-fn stage(stage: &Stage) -> &'static str {
+fn stage(stage: &PermitStage) -> &'static str {
     match stage {
-        Stage::Reserved => "reserved",
-        Stage::Begun => "begun",
-        Stage::Freed => "freed",
+        PermitStage::Reserved => "reserved",
+        PermitStage::Begun => "begun",
+        PermitStage::Freed => "freed",
     }
 }
 
-fn step(step: &Step) -> String {
+fn step(step: &ServerProgress) -> String {
     match step {
-        Step::Waits => "waits".into(),
-        Step::Changes => "changes".into(),
-        Step::New => "new".into(),
-        Step::Failed(why) => format!("failed: {why}"),
-        Step::GoesBack => "goes back".into(),
-        Step::Back => "back".into(),
-        Step::Stuck(why) => format!("can't go back: {why}"),
+        ServerProgress::Waits => "waits".into(),
+        ServerProgress::Changes => "changes".into(),
+        ServerProgress::New => "new".into(),
+        ServerProgress::Failed(why) => format!("failed: {why}"),
+        ServerProgress::GoesBack => "goes back".into(),
+        ServerProgress::Back => "back".into(),
+        ServerProgress::Stuck(why) => format!("can't go back: {why}"),
     }
 }
 
@@ -64,7 +70,7 @@
     json!({"fleet": limits.fleet, "zone": limits.zone, "zones": limits.zones, "services": limits.services})
 }
 
-fn release(release: &Release) -> Value {
+fn release(release: &Rollout) -> Value {
     json!({
         "name": release.plan.name, "number": release.number, "version": release.plan.version, "by": &*release.by,
         "state": release.state.to_string(), "open": release.is_open(), "wave": release.wave,
@@ -72,7 +78,7 @@
     })
 }
 
-fn value(status: &Status) -> Value {
+fn value(status: &AgentStatus) -> Value {
     let mut value = json!({
         "leader": status.leader.as_deref(), "voter": status.voter, "lost": status.lost, "unsure": status.unsure,
     });
--- a/crates/node/src/admin/configuration.rs
+++ b/crates/node/src/admin/configuration.rs
@@ -1,22 +1,22 @@
 //! The committed configuration at the door: calls and responses as JSON, with the types of [`gradepin_config::admin`].
 
 use super::http::Response;
-use gradepin_config::admin::{ApplyReply, Refusal};
-use gradepin_core::configuration::ConfigurationAnswer;
+use gradepin_config::admin::{AdminError, ApplyReply};
+use gradepin_core::configuration::ConfigurationAdminResponse;
 use serde::Serialize;
 
 /// The response to a call about the configuration.
-pub fn response(answer: &ConfigurationAnswer) -> Response {
+pub fn response(answer: &ConfigurationAdminResponse) -> Response {
     match answer {
-        ConfigurationAnswer::Apply(reply @ ApplyReply::Pending { .. }) => json(202, reply),
-        ConfigurationAnswer::Apply(reply) => json(200, reply),
-        ConfigurationAnswer::Status(status) => json(200, status),
-        ConfigurationAnswer::Refused(refusal) => refused(refusal),
+        ConfigurationAdminResponse::Apply(reply @ ApplyReply::Pending { .. }) => json(202, reply),
+        ConfigurationAdminResponse::Apply(reply) => json(200, reply),
+        ConfigurationAdminResponse::Status(status) => json(200, status),
+        ConfigurationAdminResponse::Refused(refusal) => refused(refusal),
     }
 }
 
 /// The response to a call that changed nothing.
-pub fn refused(refusal: &Refusal) -> Response {
+pub fn refused(refusal: &AdminError) -> Response {
     json(refusal.status(), refusal)
 }
 
--- a/crates/node/src/admin/exposition.rs
+++ b/crates/node/src/admin/exposition.rs
@@ -29,9 +29,9 @@
 //! | `server_config_revision` | gauge | | the revision in force |
 //! | `server_config_age_seconds` | gauge | | since it was last confirmed as the newest one |
 
-use gradepin_cluster::cluster::Status;
-use gradepin_core::configuration::ConfigurationFigures;
-use gradepin_core::tally::Stats;
+use gradepin_cluster::cluster::ClusterStatus;
+use gradepin_core::configuration::ConfigurationMetrics;
+use gradepin_core::request_metrics::MetricsSnapshot;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -45,7 +45,7 @@
 type Labels = Vec<(&'static str, String)>;
 
 /// The text of a scrape.
-pub fn text(stats: &Stats) -> String {
+pub fn text(stats: &MetricsSnapshot) -> String {
     let mut registry = Registry::with_prefix("server");
     let operations = Family::<Labels, Counter>::default();
     for (class, counts) in &stats.classes {
@@ -85,7 +85,7 @@
 }
 
 /// How the committed configuration stands here.
-fn configuration_figures(registry: &mut Registry, figures: &ConfigurationFigures) {
+fn configuration_figures(registry: &mut Registry, figures: &ConfigurationMetrics) {
     let revision = Gauge::<i64>::default();
     revision.set(i64::try_from(figures.revision).unwrap_or(i64::MAX));
     registry.register("config_revision", "The revision of the configuration in force", revision);
@@ -95,7 +95,7 @@
 }
 
 /// What this server knows of the others and shares with them.
-fn fleet_figures(registry: &mut Registry, fleet: &Status) {
+fn fleet_figures(registry: &mut Registry, fleet: &ClusterStatus) {
     let gauge = |value: f64| {
         let gauge = Gauge::<f64, AtomicU64>::default();
         gauge.set(value);
@@ -149,14 +149,17 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use gradepin_core::tally::Counts;
+    use gradepin_core::request_metrics::ResponseCounts;
     use std::sync::Arc;
 
     /// Guards the names and labels that peers read: one line for each figure, with its value.
     #[test]
     fn figures_have_the_names_and_labels_that_are_read() {
-        let stats = Stats {
-            classes: vec![(Arc::from("sheet-view"), Counts { fulfilled: 812, throttled: 3, faulted: 1 })],
+        let stats = MetricsSnapshot {
+            classes: vec![(
+                Arc::from("sheet-view"),
+                ResponseCounts { fulfilled: 812, throttled: 3, faulted: 1 },
+            )],
             relayed: 815,
             open: 14,
             cfg_accepted: 2,
--- a/crates/node/src/admin/http.rs
+++ b/crates/node/src/admin/http.rs
@@ -2,9 +2,9 @@
 //! bytes of a response. Reads and writes nothing itself.
 
 use super::configuration;
-use gradepin_config::admin::{Refusal, query};
-use gradepin_core::admin::{AdminCall, FleetCall};
-use gradepin_core::configuration::ConfigurationCall;
+use gradepin_config::admin::{AdminError, query};
+use gradepin_core::admin::{AdminRequest, AgreementRequest};
+use gradepin_core::configuration::ConfigurationAdminRequest;
 
 /// Bytes of a request head at the most; more is a malformed request.
 pub const HEAD_MOST: usize = 8 * 1024;
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Called {
     /// The head says all.
-    Plain(AdminCall),
+    Plain(AdminRequest),
     /// An order for the fleet's council, as JSON.
     Order,
     /// A change of the committed configuration, as JSON.
@@ -142,20 +142,20 @@
     let bad =
         |what: &str| Response::text(400, format!("expected {what}, as in {path}?{what}, got '{query}'\n"));
     let plain = |call| Ok(Called::Plain(call));
-    let agreed = |call| plain(AdminCall::Agreed(call));
+    let agreed = |call| plain(AdminRequest::Agreed(call));
     let (called, allow) = match path {
-        "/healthcheck" => (plain(AdminCall::Health), "GET, HEAD"),
-        "/stats" => (plain(AdminCall::Stats), "GET, HEAD"),
-        "/fleet" => (plain(AdminCall::Fleet), "GET, HEAD"),
-        "/healthcheck/fail" => (plain(AdminCall::Fail), "POST"),
-        "/healthcheck/ok" => (plain(AdminCall::Ok), "POST"),
-        "/fleet/status" => (agreed(FleetCall::Status), "GET, HEAD"),
+        "/healthcheck" => (plain(AdminRequest::Health), "GET, HEAD"),
+        "/stats" => (plain(AdminRequest::Stats), "GET, HEAD"),
+        "/fleet" => (plain(AdminRequest::Fleet), "GET, HEAD"),
+        "/healthcheck/fail" => (plain(AdminRequest::Fail), "POST"),
+        "/healthcheck/ok" => (plain(AdminRequest::Ok), "POST"),
+        "/fleet/status" => (agreed(AgreementRequest::Status), "GET, HEAD"),
         "/fleet/order" if method == "GET" => {
             let ticket = value(query, "ticket").and_then(|text| text.parse().ok());
             (
                 ticket
                     .ok_or_else(|| bad("ticket=1"))
-                    .map(|of| Called::Plain(AdminCall::Agreed(FleetCall::Became(of)))),
+                    .map(|of| Called::Plain(AdminRequest::Agreed(AgreementRequest::Became(of)))),
                 "GET, POST",
             )
         }
@@ -163,21 +163,23 @@
         "/fleet/stage" => (Ok(Called::Stage), "POST"),
         "/config/apply" if method == "GET" => {
             let bad =
-                |e: query::BadQuery| configuration::refused(&Refusal::BadCall { reason: e.to_string() });
+                |e: query::BadQuery| configuration::refused(&AdminError::BadCall { reason: e.to_string() });
             let id = query::request_id(query).map_err(bad);
-            let call = |id| Called::Plain(AdminCall::Configuration(ConfigurationCall::Became(id)));
+            let call = |id| Called::Plain(AdminRequest::Configuration(ConfigurationAdminRequest::Became(id)));
             (id.map(call), "GET, POST")
         }
         "/config/apply" => (Ok(Called::ConfigurationApply), "GET, POST"),
-        "/config/status" => (plain(AdminCall::Configuration(ConfigurationCall::Status)), "GET, HEAD"),
-        "/fleet/found" => (agreed(FleetCall::Found), "POST"),
-        "/fleet/leave" => (agreed(FleetCall::Leave), "POST"),
-        "/fleet/stay" => (agreed(FleetCall::Stay), "POST"),
+        "/config/status" => {
+            (plain(AdminRequest::Configuration(ConfigurationAdminRequest::Status)), "GET, HEAD")
+        }
+        "/fleet/found" => (agreed(AgreementRequest::Found), "POST"),
+        "/fleet/leave" => (agreed(AgreementRequest::Leave), "POST"),
+        "/fleet/stay" => (agreed(AgreementRequest::Stay), "POST"),
         "/fleet/wanted" => {
             let name = value(query, "name").map(String::from);
             (
                 name.ok_or_else(|| bad("name=n3"))
-                    .map(|of| Called::Plain(AdminCall::Agreed(FleetCall::Wanted(of)))),
+                    .map(|of| Called::Plain(AdminRequest::Agreed(AgreementRequest::Wanted(of)))),
                 "GET, HEAD",
             )
         }
@@ -213,10 +215,10 @@
         let whole =
             head(b"POST /healthcheck/fail HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nok").unwrap();
         let whole = whole.unwrap();
-        assert_eq!((whole.call, whole.body, whole.len), (Ok(Called::Plain(AdminCall::Fail)), 2, 63));
+        assert_eq!((whole.call, whole.body, whole.len), (Ok(Called::Plain(AdminRequest::Fail)), 2, 63));
         let call = |bytes: &[u8]| head(bytes).unwrap().unwrap().call;
-        assert_eq!(call(b"GET /stats?x=1 HTTP/1.1\r\n\r\n"), Ok(Called::Plain(AdminCall::Stats)));
-        let became = Called::Plain(AdminCall::Agreed(FleetCall::Became(7)));
+        assert_eq!(call(b"GET /stats?x=1 HTTP/1.1\r\n\r\n"), Ok(Called::Plain(AdminRequest::Stats)));
+        let became = Called::Plain(AdminRequest::Agreed(AgreementRequest::Became(7)));
         assert_eq!(call(b"GET /fleet/order?ticket=7 HTTP/1.1\r\n\r\n"), Ok(became));
         assert_eq!(call(b"POST /fleet/order HTTP/1.1\r\n\r\n"), Ok(Called::Order));
         assert_eq!(status(b"GET /fleet/order?ticket=x HTTP/1.1\r\n\r\n"), 400);
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -12,11 +12,11 @@
 mod fleet;
 pub mod http;
 
-use crate::change::Stage;
+use crate::staging::StagingArea;
 use crossbeam_channel::{Receiver, Sender, bounded};
-use gradepin_config::admin::Refusal;
-use gradepin_core::admin::{AdminAnswer, AdminCall, CallId, FleetCall};
-use gradepin_core::configuration::ConfigurationCall;
+use gradepin_config::admin::AdminError;
+use gradepin_core::admin::{AdminRequest, AdminRequestId, AdminResponse, AgreementRequest};
+use gradepin_core::configuration::ConfigurationAdminRequest;
 use gradepin_core::messages::Input;
 use http::{BODY_MOST, Called, Head, Response};
 use slog::{Logger, info, warn};
@@ -51,16 +51,16 @@
 struct Shared {
     inputs: Sender<Input>,
     /// Calls that wait for the reducer, by id.
-    waiting: Mutex<HashMap<CallId, Sender<AdminAnswer>>>,
+    waiting: Mutex<HashMap<AdminRequestId, Sender<AdminResponse>>>,
     callers: Mutex<Vec<Caller>>,
     next: AtomicU64,
     /// Where settings are staged, if they are.
-    stage: Option<Arc<Stage>>,
+    stage: Option<Arc<StagingArea>>,
     log: Logger,
 }
 
 impl Shared {
-    fn waiting(&self) -> MutexGuard<'_, HashMap<CallId, Sender<AdminAnswer>>> {
+    fn waiting(&self) -> MutexGuard<'_, HashMap<AdminRequestId, Sender<AdminResponse>>> {
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -80,7 +80,7 @@
     pub fn start(
         listener: TcpListener,
         inputs: Sender<Input>,
-        stage: Option<Arc<Stage>>,
+        stage: Option<Arc<StagingArea>>,
         log: Logger,
     ) -> io::Result<Self> {
         let address = listener.local_addr()?;
@@ -105,7 +105,7 @@
     }
 
     /// The reducer's answer to a call; one that was given up on meanwhile is dropped.
-    pub fn answer(&self, id: CallId, answer: AdminAnswer) {
+    pub fn answer(&self, id: AdminRequestId, answer: AdminResponse) {
         if let Some(reply) = self.shared.waiting().remove(&id) {
             let _ = reply.try_send(answer);
         }
@@ -166,12 +166,14 @@
     let response = match head.call {
         Ok(Called::Plain(call)) => ask(shared, call),
         Ok(Called::Order) => match serde_json::from_slice(&body) {
-            Ok(order) => ask(shared, AdminCall::Agreed(FleetCall::Order(Box::new(order)))),
+            Ok(order) => ask(shared, AdminRequest::Agreed(AgreementRequest::Order(Box::new(order)))),
             Err(e) => Response::text(400, format!("expected an order as JSON: {e}\n")),
         },
         Ok(Called::ConfigurationApply) => match serde_json::from_slice(&body) {
-            Ok(request) => ask(shared, AdminCall::Configuration(ConfigurationCall::Apply(Box::new(request)))),
-            Err(e) => configuration::refused(&Refusal::BadCall { reason: e.to_string() }),
+            Ok(request) => {
+                ask(shared, AdminRequest::Configuration(ConfigurationAdminRequest::Apply(Box::new(request))))
+            }
+            Err(e) => configuration::refused(&AdminError::BadCall { reason: e.to_string() }),
         },
         Ok(Called::Stage) => stage(shared, &body),
         Err(response) => response,
@@ -242,9 +244,9 @@
 }
 
 /// Puts the call to the reducer and makes a response of its answer.
-fn ask(shared: &Shared, call: AdminCall) -> Response {
+fn ask(shared: &Shared, call: AdminRequest) -> Response {
     let id = shared.next.fetch_add(1, Ordering::Relaxed);
-    let (reply, answer): (Sender<AdminAnswer>, Receiver<AdminAnswer>) = bounded(1);
+    let (reply, answer): (Sender<AdminResponse>, Receiver<AdminResponse>) = bounded(1);
     shared.waiting().insert(id, reply);
     let until = Instant::now() + REDUCER_PATIENCE;
     let told = call.clone();
@@ -258,25 +260,25 @@
 }
 
 /// The response that an answer of the reducer makes.
-pub fn response(answer: AdminAnswer) -> Response {
+pub fn response(answer: AdminResponse) -> Response {
     match answer {
-        AdminAnswer::Health(Ok(())) => Response::text(200, "ready\n"),
-        AdminAnswer::Health(Err(why)) => Response::text(503, format!("not ready: {}\n", why.word())),
-        AdminAnswer::Stats(stats) => {
+        AdminResponse::Health(Ok(())) => Response::text(200, "ready\n"),
+        AdminResponse::Health(Err(why)) => Response::text(503, format!("not ready: {}\n", why.word())),
+        AdminResponse::Stats(stats) => {
             let mut response = Response::text(200, exposition::text(&stats));
             response.content_type = exposition::CONTENT_TYPE;
             response
         }
-        AdminAnswer::Fleet(Some(view)) => {
+        AdminResponse::Fleet(Some(view)) => {
             let mut response = Response::text(200, fleet::text(&view));
             response.content_type = "application/json";
             response
         }
-        AdminAnswer::Configuration(answer) => configuration::response(&answer),
-        AdminAnswer::Agreed(answer) => agreements::response(&answer),
-        AdminAnswer::Fleet(None) => Response::text(404, "this server takes no part in a fleet\n"),
-        AdminAnswer::Done { failed: true, .. } => Response::text(200, "draining\n"),
-        AdminAnswer::Done { failed: false, .. } => Response::text(200, "serving\n"),
+        AdminResponse::Configuration(answer) => configuration::response(&answer),
+        AdminResponse::Agreed(answer) => agreements::response(&answer),
+        AdminResponse::Fleet(None) => Response::text(404, "this server takes no part in a fleet\n"),
+        AdminResponse::Done { failed: true, .. } => Response::text(200, "draining\n"),
+        AdminResponse::Done { failed: false, .. } => Response::text(200, "serving\n"),
     }
 }
 
--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -21,9 +21,9 @@
 use folder::Files;
 pub use folder::Place;
 use gradepin_admission::{RequestId, Span};
-use gradepin_core::keys::{End, Print};
-use gradepin_core::messages::{Claim, Input};
-use gradepin_core::pool::Pool;
+use gradepin_core::buffer_pool::BufferPool;
+use gradepin_core::idempotency_table::{Fingerprint, RunOutcome};
+use gradepin_core::messages::{Input, RunClaim};
 use slog::{Logger, warn};
 use std::io;
 use std::sync::Arc;
@@ -39,8 +39,8 @@
 const OPEN_AGAIN: Duration = Duration::from_millis(500);
 
 enum Job {
-    Claim { id: RequestId, token: Arc<str>, print: Print, until: Instant },
-    Ended { token: Arc<str>, print: Print, end: Option<End> },
+    Claim { id: RequestId, token: Arc<str>, print: Fingerprint, until: Instant },
+    Ended { token: Arc<str>, print: Fingerprint, end: Option<RunOutcome> },
     Window(Duration),
 }
 
@@ -59,7 +59,7 @@
         place: Place,
         window: Span,
         inputs: Sender<Input>,
-        pool: Arc<Pool>,
+        pool: Arc<BufferPool>,
         log: Logger,
     ) -> io::Result<Self> {
         let window = Duration::from_nanos(window.0);
@@ -90,13 +90,13 @@
     }
 
     /// Says whose the run of a token is, by an input; waits for so long for the end of another process's.
-    pub fn claim(&self, id: RequestId, token: Arc<str>, print: Print, patience: Span) {
+    pub fn claim(&self, id: RequestId, token: Arc<str>, print: Fingerprint, patience: Span) {
         let until = Instant::now() + Duration::from_nanos(patience.0);
         let _ = self.jobs.send(Job::Claim { id, token, print, until });
     }
 
     /// A run that was claimed here has its end, or with none never began.
-    pub fn ended(&self, token: Arc<str>, print: Print, end: Option<End>) {
+    pub fn ended(&self, token: Arc<str>, print: Fingerprint, end: Option<RunOutcome>) {
         let _ = self.jobs.send(Job::Ended { token, print, end });
     }
 
@@ -117,7 +117,7 @@
 struct Waiting {
     id: RequestId,
     token: Arc<str>,
-    print: Print,
+    print: Fingerprint,
     until: Instant,
 }
 
@@ -125,14 +125,14 @@
 fn opened(
     place: &Place,
     mut window: Duration,
-    pool: &Arc<Pool>,
+    pool: &Arc<BufferPool>,
     queue: &Receiver<Job>,
     inputs: &Sender<Input>,
 ) -> Option<Files> {
     let mut next = Instant::now() + OPEN_AGAIN;
     loop {
         match queue.recv_deadline(next) {
-            Ok(Job::Claim { id, .. }) => inputs.send(Input::Claimed(id, Claim::Unsure)).ok()?,
+            Ok(Job::Claim { id, .. }) => inputs.send(Input::Claimed(id, RunClaim::Unsure)).ok()?,
             // Nothing was claimed here that could end.
             Ok(Job::Ended { .. }) => {}
             Ok(Job::Window(new)) => window = new,
@@ -167,10 +167,10 @@
             let claim = match files.claim(&wait.token, wait.print) {
                 Ok(Some(claim)) => claim,
                 Ok(None) if Instant::now() < wait.until => return false,
-                Ok(None) => Claim::Ended(End::Failed),
+                Ok(None) => RunClaim::Ended(RunOutcome::Failed),
                 Err(why) => {
                     failed("claim", &why);
-                    Claim::Unsure
+                    RunClaim::Unsure
                 }
             };
             // Where nobody listens any more, the queue has ended too.
--- a/crates/node/src/claims/folder.rs
+++ b/crates/node/src/claims/folder.rs
@@ -1,8 +1,8 @@
 //! The folder of claims: files made, read and removed. Which file means what stands in [`super`].
 
-use gradepin_core::keys::{End, Print, READ_LATE};
-use gradepin_core::messages::Claim;
-use gradepin_core::pool::{Pool, SIZE};
+use gradepin_core::buffer_pool::{BUFFER_BYTES, BufferPool};
+use gradepin_core::idempotency_table::{Fingerprint, READ_LATE, RunOutcome};
+use gradepin_core::messages::RunClaim;
 use siphasher::sip128::{Hasher128, SipHasher13};
 use std::collections::{HashMap, VecDeque};
 use std::fs::{self, File, OpenOptions, Permissions};
@@ -65,11 +65,11 @@
     results: VecDeque<(String, usize)>,
     pub(super) bytes: usize,
     pub(super) most_bytes: usize,
-    pool: Arc<Pool>,
+    pool: Arc<BufferPool>,
 }
 
 impl Files {
-    pub(super) fn open(place: &Place, window: Duration, pool: Arc<Pool>) -> io::Result<Self> {
+    pub(super) fn open(place: &Place, window: Duration, pool: Arc<BufferPool>) -> io::Result<Self> {
         let Place { folder, seed, memory } = place.clone();
         fs::create_dir_all(&folder)?;
         let salt = salt(&folder, seed)?;
@@ -103,7 +103,7 @@
     }
 
     /// Whose the run of a token is; none while another process's goes on.
-    pub(super) fn claim(&mut self, token: &str, print: Print) -> io::Result<Option<Claim>> {
+    pub(super) fn claim(&mut self, token: &str, print: Fingerprint) -> io::Result<Option<RunClaim>> {
         let name = self.name(token);
         let path = self.folder.join(&name);
         if self.own.contains_key(&name) {
@@ -117,7 +117,7 @@
         match made {
             Ok(_) => {
                 self.own.insert(name, SystemTime::now());
-                return Ok(Some(Claim::Ours));
+                return Ok(Some(RunClaim::Ours));
             }
             Err(why) if why.kind() == ErrorKind::AlreadyExists => {}
             Err(why) => return Err(why),
@@ -131,12 +131,14 @@
         };
         let ended = meta.permissions().mode() & 0o777 == ENDED_MODE;
         let Some((theirs, result)) = bytes.split_first_chunk() else {
-            return Ok(ended.then_some(Claim::Ended(End::Failed)));
+            return Ok(ended.then_some(RunClaim::Ended(RunOutcome::Failed)));
         };
         // Guards against a stranger who learnt a token: its request would be served another's result.
-        let same = Print::from_le_bytes(*theirs) == print && result.len() <= SIZE;
+        let same = Fingerprint::from_le_bytes(*theirs) == print && result.len() <= BUFFER_BYTES;
         let result = same.then(|| self.pool.exact(result)).flatten();
-        Ok(Some(Claim::Ended(result.map_or(End::Failed, |result| End::Served(Arc::new(result))))))
+        Ok(Some(RunClaim::Ended(
+            result.map_or(RunOutcome::Failed, |result| RunOutcome::Served(Arc::new(result))),
+        )))
     }
 
     fn forget(&mut self, name: &str) -> io::Result<()> {
@@ -147,7 +149,12 @@
         }
     }
 
-    pub(super) fn ended(&mut self, token: &str, print: Print, end: Option<End>) -> io::Result<()> {
+    pub(super) fn ended(
+        &mut self,
+        token: &str,
+        print: Fingerprint,
+        end: Option<RunOutcome>,
+    ) -> io::Result<()> {
         let name = self.name(token);
         if !self.own.contains_key(&name) {
             // The other process's, which tells its end itself.
@@ -155,7 +162,7 @@
         }
         match end {
             None => self.forget(&name),
-            Some(End::Served(result)) => {
+            Some(RunOutcome::Served(result)) => {
                 // Whole or not at all: the name always stands, with one meaning or the next.
                 let (path, draft) =
                     (self.folder.join(&name), self.folder.join(format!("draft.{}", self.alive)));
@@ -168,7 +175,7 @@
                 file.write_all(&print.to_le_bytes())?;
                 file.write_all(&result)?;
                 fs::rename(draft, path)?;
-                let bytes = (result.len() + size_of::<Print>()).next_multiple_of(PAGE);
+                let bytes = (result.len() + size_of::<Fingerprint>()).next_multiple_of(PAGE);
                 self.bytes += bytes;
                 self.results.push_back((name, bytes));
                 while self.bytes > self.most_bytes {
@@ -180,7 +187,7 @@
                 }
                 Ok(())
             }
-            Some(End::Failed | End::Unknown) => without_result(&self.folder.join(name)),
+            Some(RunOutcome::Failed | RunOutcome::Unknown) => without_result(&self.folder.join(name)),
         }
     }
 
--- a/crates/node/src/claims/tests.rs
+++ b/crates/node/src/claims/tests.rs
@@ -1,7 +1,7 @@
 use super::folder::{CLAIMS_PART, FILE_BYTES};
 use super::*;
 use crossbeam_channel::bounded;
-use gradepin_core::keys::READ_LATE;
+use gradepin_core::idempotency_table::READ_LATE;
 use slog::{Discard, o};
 use std::fs;
 use std::path::PathBuf;
@@ -25,7 +25,7 @@
     }
 
     fn process(&self, seed: u64, memory: usize) -> Files {
-        Files::open(&self.place(seed, memory), WINDOW, Pool::new(4)).expect("a folder")
+        Files::open(&self.place(seed, memory), WINDOW, BufferPool::new(4)).expect("a folder")
     }
 }
 
@@ -35,15 +35,15 @@
     }
 }
 
-fn served(text: &str) -> Option<End> {
-    Some(End::Served(Arc::new(Pool::new(1).exact(text.as_bytes()).expect("it fits"))))
+fn served(text: &str) -> Option<RunOutcome> {
+    Some(RunOutcome::Served(Arc::new(BufferPool::new(1).exact(text.as_bytes()).expect("it fits"))))
 }
 
-fn told(files: &mut Files, token: &str, print: Print) -> String {
+fn told(files: &mut Files, token: &str, print: Fingerprint) -> String {
     match files.claim(token, print).expect("a claim") {
         None => "goes on".into(),
-        Some(Claim::Ours) => "ours".into(),
-        Some(Claim::Ended(End::Served(result))) => String::from_utf8_lossy(&result).into_owned(),
+        Some(RunClaim::Ours) => "ours".into(),
+        Some(RunClaim::Ended(RunOutcome::Served(result))) => String::from_utf8_lossy(&result).into_owned(),
         Some(claim) => format!("{claim:?}"),
     }
 }
@@ -64,7 +64,7 @@
     assert_eq!((told(&mut old, "u", 7), told(&mut new, "u", 7)), ("ours".into(), "goes on".into()));
     old.ended("u", 7, None).expect("given back");
     assert_eq!((told(&mut new, "u", 7), told(&mut old, "u", 7)), ("ours".into(), "goes on".into()));
-    new.ended("u", 7, Some(End::Failed)).expect("written");
+    new.ended("u", 7, Some(RunOutcome::Failed)).expect("written");
     assert_eq!(told(&mut old, "u", 7), "Ended(Failed)");
 }
 
@@ -112,8 +112,8 @@
     let folder = Folder::new();
     let (inputs, queue) = bounded(1);
     let log = Logger::root(Discard, o!());
-    let claims =
-        Claims::start(folder.place(1, MEMORY), Span(1_000), inputs, Pool::new(4), log).expect("it starts");
+    let claims = Claims::start(folder.place(1, MEMORY), Span(1_000), inputs, BufferPool::new(4), log)
+        .expect("it starts");
     for n in 0..8 {
         claims.claim(RequestId::new(&n.to_string()), format!("t{n}").into(), 7, Span(1_000));
     }
@@ -134,17 +134,17 @@
     fs::write(&folder.0, "a file in its place").expect("a file");
     let (inputs, told) = bounded(8);
     let log = Logger::root(Discard, o!());
-    let claims =
-        Claims::start(folder.place(1, MEMORY), Span(1_000), inputs, Pool::new(4), log).expect("it starts");
+    let claims = Claims::start(folder.place(1, MEMORY), Span(1_000), inputs, BufferPool::new(4), log)
+        .expect("it starts");
     assert_eq!(claims.salt(), None);
     let asked = |n: u64| {
         claims.claim(RequestId::new(&n.to_string()), "t".into(), 7, Span(1_000));
         told.recv_timeout(PATIENCE).expect("an answer")
     };
-    assert!(matches!(asked(1), Input::Claimed(_, Claim::Unsure)));
+    assert!(matches!(asked(1), Input::Claimed(_, RunClaim::Unsure)));
     fs::remove_file(&folder.0).expect("it goes");
     assert!(matches!(told.recv_timeout(PATIENCE), Ok(Input::RunsShared(1))));
-    assert!(matches!(asked(2), Input::Claimed(_, Claim::Ours)));
+    assert!(matches!(asked(2), Input::Claimed(_, RunClaim::Ours)));
 }
 
 /// Guards against a server whose keyed requests are all refused in an upgrade, or claimed outside of the folder, because of
@@ -156,7 +156,7 @@
     let mut folders: Vec<PathBuf> = Vec::new();
     for name in names {
         let place = Place::new(&shared.0, name, 1, MEMORY);
-        let mut files = Files::open(&place, WINDOW, Pool::new(4)).expect(name);
+        let mut files = Files::open(&place, WINDOW, BufferPool::new(4)).expect(name);
         assert_eq!(told(&mut files, "t", 7), "ours", "{name}");
         assert_eq!(place.folder.parent(), Some(shared.0.as_path()), "{name}");
         assert!(!folders.contains(&place.folder), "{name}");
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,7 +1,7 @@
 //! The system's clocks, read in one place.
 
 use gradepin_admission::Time;
-use gradepin_core::moment::Moment;
+use gradepin_core::timestamp::Timestamp;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// What the clock shows at its start.
@@ -23,10 +23,10 @@
     }
 
     /// Reads both clocks.
-    pub fn read(&self) -> Moment {
+    pub fn read(&self) -> Timestamp {
         let nanos = u64::try_from(self.0.elapsed().as_nanos()).unwrap_or(u64::MAX);
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Moment {
+        Timestamp {
             now: Time(ORIGIN.saturating_add(nanos)),
             unix_ms: u64::try_from(unix.as_millis()).unwrap_or(u64::MAX),
         }
--- a/crates/node/src/configuration_writer.rs
+++ b/crates/node/src/configuration_writer.rs
@@ -4,7 +4,7 @@
 //! one snapshot. A failure is told once for each reason and tried again: serving does not depend on it.
 
 use gradepin_config::{Commit, Snapshot};
-use gradepin_core::configuration::ConfigurationWritten;
+use gradepin_core::configuration::ConfigurationSaveResult;
 use gradepin_store::configuration::{ConfigurationStore, ConfigurationStoreError};
 use std::collections::VecDeque;
 use std::io;
@@ -51,7 +51,7 @@
     pub fn start(
         store: ConfigurationStore,
         retry: Duration,
-        told: impl FnMut(ConfigurationWritten) + Send + 'static,
+        told: impl FnMut(ConfigurationSaveResult) + Send + 'static,
     ) -> io::Result<Self> {
         let shared = Arc::new(Shared::default());
         let ours = Arc::clone(&shared);
@@ -92,7 +92,7 @@
     shared: &Shared,
     mut store: ConfigurationStore,
     retry: Duration,
-    mut told: impl FnMut(ConfigurationWritten),
+    mut told: impl FnMut(ConfigurationSaveResult),
 ) {
     let mut last_failure = String::new();
     loop {
@@ -106,12 +106,12 @@
         match write(&mut store, &state, &commits) {
             Ok(()) => {
                 last_failure.clear();
-                told(ConfigurationWritten::Durable(state.version().revision));
+                told(ConfigurationSaveResult::Durable(state.version().revision));
             }
             Err(error) => {
                 let reason = error.reason();
                 if reason != last_failure {
-                    told(ConfigurationWritten::Failed(error.to_string()));
+                    told(ConfigurationSaveResult::Failed(error.to_string()));
                     last_failure = reason;
                 }
                 if !put_back(shared, state, retry) {
--- a/crates/node/src/configuration_writer/tests.rs
+++ b/crates/node/src/configuration_writer/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crossbeam_channel::{Receiver, unbounded};
-use gradepin_admission::{Customer, Effect, Profile, Settings, Span};
+use gradepin_admission::{ClassProfile, Idempotency, Settings, Span, Tenant};
 use gradepin_config::{Change, Configuration, Revision, Transaction};
 use gradepin_store::sim::{Fault, SimDisk};
 
@@ -10,11 +10,11 @@
 const PATIENCE: Duration = Duration::from_secs(60);
 
 fn base() -> Configuration {
-    let class = Profile {
+    let class = ClassProfile {
         name: "c".into(),
         promise: Span(1),
         deadline: Span(2),
-        effect: Effect::Repeatable,
+        effect: Idempotency::Repeatable,
         late_value: 0.0,
         window: Span(0),
         worth: 1.0,
@@ -26,7 +26,7 @@
 
 fn next(state: &mut Configuration) -> Arc<Commit> {
     let revision = state.revision().next();
-    let tenant = Customer { name: format!("t{revision}"), quota_rps: 1.0, portion: 0.0 };
+    let tenant = Tenant { name: format!("t{revision}"), quota_rps: 1.0, portion: 0.0 };
     let commit = Commit {
         revision,
         author: "ada".into(),
@@ -39,7 +39,7 @@
     Arc::new(commit)
 }
 
-fn start(disk: &SimDisk) -> (ConfigurationWriter, Receiver<ConfigurationWritten>) {
+fn start(disk: &SimDisk) -> (ConfigurationWriter, Receiver<ConfigurationSaveResult>) {
     let (sender, told) = unbounded();
     let (store, _) = ConfigurationStore::open(Box::new(disk.clone())).expect("a folder");
     let retry = Duration::from_millis(1);
@@ -50,9 +50,9 @@
 }
 
 /// Waits until a revision is told as durable.
-fn until(told: &Receiver<ConfigurationWritten>, revision: Revision) -> Vec<ConfigurationWritten> {
+fn until(told: &Receiver<ConfigurationSaveResult>, revision: Revision) -> Vec<ConfigurationSaveResult> {
     let mut all = Vec::new();
-    while all.last() != Some(&ConfigurationWritten::Durable(revision)) {
+    while all.last() != Some(&ConfigurationSaveResult::Durable(revision)) {
         all.push(told.recv_timeout(PATIENCE).expect("a word from the writer"));
     }
     all
@@ -94,7 +94,7 @@
     let commit = next(&mut state);
     writer.hand_in(Snapshot::of(&state), Some(commit));
     let why = told.recv_timeout(PATIENCE).expect("a word from the writer");
-    assert!(matches!(why, ConfigurationWritten::Failed(_)), "{why:?}");
+    assert!(matches!(why, ConfigurationSaveResult::Failed(_)), "{why:?}");
     assert_eq!(found(&disk).map(|found| found.revision()), Some(Revision(0)), "the state before");
     disk.fail(Fault::None);
     let all = until(&told, Revision(1));
--- a/crates/node/src/fleet_start.rs
+++ b/crates/node/src/fleet_start.rs
@@ -3,12 +3,12 @@
 use crate::clock::Clock;
 use crate::serve::StartError;
 use crate::settings::{CouncilSettings, FleetSettings};
-use gradepin_cluster::authentication::Keys;
+use gradepin_cluster::authentication::AuthenticationKeys;
 use gradepin_cluster::cluster::ClusterSettings;
 use gradepin_cluster::peer::{Incarnation, MAX_NAME_BYTES, Peer};
+use gradepin_coordination::consensus::VoterState;
 use gradepin_coordination::controller::ControllerSettings;
-use gradepin_coordination::council::Found;
-use gradepin_coordination::record::Limits;
+use gradepin_coordination::replicated_state::Limits;
 use gradepin_coordination::server_agent::AgentSettings;
 use gradepin_core::config::Config;
 use gradepin_core::reducer::lent_share;
@@ -21,7 +21,7 @@
     set: &CouncilSettings,
     names: BTreeMap<u32, String>,
     own: Peer,
-    folder: Option<Found>,
+    folder: Option<VoterState>,
     seed: u64,
 ) -> AgentSettings {
     let any = u32::MAX;
@@ -55,7 +55,7 @@
 pub fn fleet_settings(
     set: &FleetSettings,
     config: &Config,
-    keys: Keys,
+    keys: AuthenticationKeys,
     clock: Clock,
     seed: u64,
 ) -> Result<ClusterSettings, StartError> {
--- a/crates/node/src/fronts/conn.rs
+++ b/crates/node/src/frontend/conn.rs
@@ -5,8 +5,8 @@
 //! Nothing here blocks: what the socket doesn't take waits, bounded by what the reader lets in, until the reader is
 //! told that there is room.
 
-use super::Front;
-use gradepin_core::pool::Buffer;
+use super::Protocol;
+use gradepin_core::buffer_pool::Buffer;
 use rustix::io::Errno;
 use rustix::net::{RecvFlags, SendFlags, Shutdown, recv, send, shutdown};
 use std::collections::VecDeque;
@@ -144,7 +144,7 @@
 /// A connection, as its reader and the main thread have it. It counts as long as either does.
 pub(super) struct Conn {
     pub(super) socket: OwnedFd,
-    pub(super) front: Arc<dyn Front>,
+    pub(super) front: Arc<dyn Protocol>,
     life: Mutex<Life>,
     /// What the answers so far say of the peer; the reader takes it.
     pub(super) spent: AtomicUsize,
@@ -153,7 +153,7 @@
 
 impl Conn {
     /// One that was accepted; it takes a place among those counted there.
-    pub(super) fn new(socket: OwnedFd, front: Arc<dyn Front>, count: &Arc<AtomicUsize>) -> Self {
+    pub(super) fn new(socket: OwnedFd, front: Arc<dyn Protocol>, count: &Arc<AtomicUsize>) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         let life = Life {
             stage: Stage::Open,
--- a/crates/node/src/fronts/conn/tests.rs
+++ b/crates/node/src/frontend/conn/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use crate::fronts::thrift::Thrift;
-use crate::settings::Live;
-use gradepin_core::pool::Pool;
+use crate::frontend::thrift::Thrift;
+use crate::settings::ActiveSettings;
+use gradepin_core::buffer_pool::BufferPool;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
@@ -9,7 +9,7 @@
 fn pair() -> (Conn, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    let front = Arc::new(Thrift::new(Live::new(&Default::default())));
+    let front = Arc::new(Thrift::new(ActiveSettings::new(&Default::default())));
     (Conn::new(listener.accept().unwrap().0.into(), front, &Arc::default()), peer)
 }
 
@@ -86,7 +86,7 @@
 #[test]
 fn frames_keep_their_order_through_a_full_socket_and_a_close_waits_for_them() {
     let (conn, mut peer) = pair();
-    let (pool, count) = (Pool::new(4), 4_000_u32);
+    let (pool, count) = (BufferPool::new(4), 4_000_u32);
     for n in 0..count {
         let mut frame = pool.take();
         assert!(frame.extend(&n.to_be_bytes()) && frame.extend(&[7; 4_000]));
@@ -115,7 +115,7 @@
 fn an_answer_just_written_survives_bytes_that_come_behind_the_close() {
     let (conn, mut peer) = pair();
     conn.rest();
-    conn.send(Pool::new(1).copy(b"answer").unwrap());
+    conn.send(BufferPool::new(1).copy(b"answer").unwrap());
     conn.close_resting(0);
     peer.write_all(b"half a li").unwrap();
     arrived(&conn);
@@ -134,7 +134,7 @@
     let (conn, _peer) = pair();
     let start = Instant::now();
     assert!(!conn.is_overdue(start + WRITE_PATIENCE * 9), "it rests");
-    let pool = Pool::new(4);
+    let pool = BufferPool::new(4);
     while conn.unread() == 0 {
         let mut frame = pool.take();
         assert!(frame.extend(&[7; 4_000]));
--- a/crates/node/src/fronts/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -1,12 +1,12 @@
 //! The fronts: whatever protocol clients speak, one thread accepts and reads all connections, and the main thread writes.
 //!
-//! What a protocol is stands in a folder of its own: a [`Front`] makes messages of bytes and bytes of answers. All else is
+//! What a protocol is stands in a folder of its own: a [`Protocol`] makes messages of bytes and bytes of answers. All else is
 //! here, once: descriptors, buffers, pace, turns, closing for room, drains. A connection of any front has its turn like
 //! all others, and each front but the first has at most half of the places.
 //!
 //! A connection is one shared socket, so it takes one descriptor and no thread. A thread for each was tried: 480 of them
 //! cost a process that is stopped and continued for its share of the core more than all its requests. Nothing here
-//! blocks the caller of [`Fronts`]: a frame that a socket doesn't take at once waits until the reader is told of room
+//! blocks the caller of [`Frontend`]: a frame that a socket doesn't take at once waits until the reader is told of room
 //! (`conn.rs`), and what waits is bounded, since nothing is read while its peer leaves answers unread.
 
 mod conn;
@@ -18,8 +18,8 @@
 
 use conn::Conn;
 use crossbeam_channel::Sender;
-use gradepin_core::messages::{Answer, Call, ConnId, Input, Misuse, SeqId};
-use gradepin_core::pool::{Buffer, Pool};
+use gradepin_core::buffer_pool::{Buffer, BufferPool};
+use gradepin_core::messages::{ClientRequest, ConnectionId, Input, RequestError, Response, SequenceId};
 use pace::Worth;
 use reader::Reader;
 use rustix::net::sockopt::set_socket_reuseaddr;
@@ -54,13 +54,13 @@
 #[derive(Debug)]
 pub enum Cut {
     /// A request.
-    Call(SeqId, Box<Call>),
+    Call(SequenceId, Box<ClientRequest>),
     /// A health check.
-    Health(SeqId),
+    Health(SequenceId),
     /// Nobody waits for the answer to this one any more.
-    Cancel(SeqId),
+    Cancel(SequenceId),
     /// A message that can't be taken; it is owed an answer that says so.
-    Invalid(SeqId, Misuse, String),
+    Invalid(SequenceId, RequestError, String),
     /// A message of no meaning here.
     Nonsense,
     /// Bytes of a message that is not whole yet.
@@ -70,7 +70,7 @@
 /// Cuts the messages of one connection.
 pub trait Cutter: Send {
     /// The first message in these bytes, and how many of them it used; none if more must come first.
-    fn cut(&mut self, bytes: &[u8], pool: &Arc<Pool>) -> Result<Option<(usize, Cut)>, Malformed>;
+    fn cut(&mut self, bytes: &[u8], pool: &Arc<BufferPool>) -> Result<Option<(usize, Cut)>, Malformed>;
 
     /// Whether bytes were used of a message that is not whole.
     fn begun(&self) -> bool;
@@ -88,7 +88,7 @@
 }
 
 /// What a protocol is: bytes to messages and answers to bytes. It reads and writes nothing itself.
-pub trait Front: Send + Sync {
+pub trait Protocol: Send + Sync {
     /// For a new connection.
     fn cutter(&self) -> Box<dyn Cutter>;
 
@@ -98,18 +98,18 @@
     /// An answer with the free value, and whether the server is leaving; none if it doesn't fit into a buffer.
     fn encode(
         &self,
-        seq: SeqId,
-        answer: &Answer,
+        seq: SequenceId,
+        answer: &Response,
         hint: Option<f64>,
         leaving: bool,
-        pool: &Arc<Pool>,
+        pool: &Arc<BufferPool>,
     ) -> Option<Buffer>;
 
     /// The message that asks for no more requests, if the protocol has one; else idle connections are closed.
-    fn draining(&self, pool: &Arc<Pool>) -> Option<Buffer>;
+    fn draining(&self, pool: &Arc<BufferPool>) -> Option<Buffer>;
 
     /// What a peer is told whose bytes are no message, before its connection is closed; none if only the close tells.
-    fn malformed(&self, why: &str, pool: &Arc<Pool>) -> Option<Buffer>;
+    fn malformed(&self, why: &str, pool: &Arc<BufferPool>) -> Option<Buffer>;
 
     /// Whether a connection carries one request and ends with its answer.
     fn once(&self) -> bool;
@@ -185,7 +185,7 @@
     }
 }
 
-type Handles = Arc<Mutex<HashMap<ConnId, Arc<Conn>>>>;
+type Handles = Arc<Mutex<HashMap<ConnectionId, Arc<Conn>>>>;
 
 /// What the reader has from the rest of the server.
 struct Shared {
@@ -193,31 +193,31 @@
     /// Whether connections are still accepted; never again once not.
     accepting: Arc<AtomicBool>,
     inputs: Sender<Input>,
-    pool: Arc<Pool>,
+    pool: Arc<BufferPool>,
     log: Logger,
 }
 
 impl Shared {
-    fn handles(&self) -> MutexGuard<'_, HashMap<ConnId, Arc<Conn>>> {
+    fn handles(&self) -> MutexGuard<'_, HashMap<ConnectionId, Arc<Conn>>> {
         self.handles.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// The connections of all fronts, as the reducer's effects see them.
-pub struct Fronts {
+pub struct Frontend {
     handles: Handles,
-    pool: Arc<Pool>,
+    pool: Arc<BufferPool>,
     leaving: AtomicBool,
     accepting: Arc<AtomicBool>,
 }
 
-impl Fronts {
+impl Frontend {
     /// From now on sends what comes in on these listeners as inputs; at most so many connections stand at a time.
     pub fn listen(
-        fronts: Vec<(Arc<dyn Front>, Listener)>,
+        fronts: Vec<(Arc<dyn Protocol>, Listener)>,
         most: usize,
         inputs: Sender<Input>,
-        pool: Arc<Pool>,
+        pool: Arc<BufferPool>,
         log: Logger,
     ) -> io::Result<Self> {
         let (handles, accepting) = (Handles::default(), Arc::new(AtomicBool::new(true)));
@@ -240,16 +240,16 @@
         self.accepting.store(false, Ordering::SeqCst);
     }
 
-    fn handle(&self, conn: ConnId) -> Option<Arc<Conn>> {
+    fn handle(&self, conn: ConnectionId) -> Option<Arc<Conn>> {
         self.handles.lock().unwrap_or_else(PoisonError::into_inner).get(&conn).cloned()
     }
 
     /// Sends an answer; a connection that is owed one which can't be made ends.
-    pub fn answer(&self, conn: ConnId, seq: SeqId, answer: &Answer, hint: Option<f64>) {
+    pub fn answer(&self, conn: ConnectionId, seq: SequenceId, answer: &Response, hint: Option<f64>) {
         let Some(conn) = self.handle(conn) else { return };
         let leaving = self.leaving.load(Ordering::Relaxed);
         let encode = |answer| conn.front.encode(seq, answer, hint, leaving, &self.pool);
-        let frame = encode(answer).or_else(|| encode(&Answer::Failed { late: false }));
+        let frame = encode(answer).or_else(|| encode(&Response::Failed { late: false }));
         conn.spent.fetch_add(Worth::of(answer).cost(), Ordering::Relaxed);
         let once = frame.is_none() || conn.front.once();
         frame.into_iter().for_each(|frame| conn.send(frame));
@@ -259,7 +259,7 @@
     }
 
     /// Asks for no more requests. Where the protocol has no word for it, a connection that said nothing is closed.
-    pub fn draining(&self, conn: ConnId) {
+    pub fn draining(&self, conn: ConnectionId) {
         self.leaving.store(true, Ordering::Relaxed);
         let Some(conn) = self.handle(conn) else { return };
         match conn.front.draining(&self.pool) {
@@ -270,21 +270,21 @@
 
     /// Closes a connection on which nothing is under way; its reader then reports the end. Guards against a request
     /// that is in the socket or in the queue while the reducer knows nothing open: its answer would be lost.
-    pub fn close_resting(&self, conn: ConnId, taken: u64) {
+    pub fn close_resting(&self, conn: ConnectionId, taken: u64) {
         if let Some(conn) = self.handle(conn) {
             conn.close_resting(taken);
         }
     }
 
     /// Closes a connection that said no whole message in its time, on the same terms; half a message doesn't hold it.
-    pub fn close_late(&self, conn: ConnId, taken: u64) {
+    pub fn close_late(&self, conn: ConnectionId, taken: u64) {
         if let Some(conn) = self.handle(conn) {
             conn.close_late(taken);
         }
     }
 
     /// Closes a connection once all is written; its reader reports the end when the peer has ended its half too.
-    pub fn close(&self, conn: ConnId) {
+    pub fn close(&self, conn: ConnectionId) {
         if let Some(conn) = self.handle(conn) {
             conn.close();
         }
--- a/crates/node/src/fronts/pace.rs
+++ b/crates/node/src/frontend/pace.rs
@@ -1,6 +1,6 @@
 //! How fast one connection may send.
 
-use gradepin_core::messages::Answer;
+use gradepin_core::messages::Response;
 use std::time::{Duration, Instant};
 
 /// Points that a connection may spend a second, and at once. A request that is served costs one for its reading
@@ -21,11 +21,11 @@
 
 impl Worth {
     /// What an answer says of its request.
-    pub fn of(answer: &Answer) -> Self {
+    pub fn of(answer: &Response) -> Self {
         match answer {
-            Answer::Served(_) | Answer::Health(..) => Self::Served,
-            Answer::Refused { .. } | Answer::Failed { .. } | Answer::Unknown => Self::Lost,
-            Answer::Invalid(..) => Self::Nonsense,
+            Response::Served(_) | Response::Health(..) => Self::Served,
+            Response::Refused { .. } | Response::Failed { .. } | Response::Unknown => Self::Lost,
+            Response::Invalid(..) => Self::Nonsense,
         }
     }
 
--- a/crates/node/src/fronts/reader.rs
+++ b/crates/node/src/frontend/reader.rs
@@ -3,10 +3,10 @@
 
 use super::pace::Pace;
 use super::reading::{Intake, Reading, Turn};
-use super::{Conn, Front, Listener, MOST_UNREAD, Shared};
+use super::{Conn, Listener, MOST_UNREAD, Protocol, Shared};
 use gradepin_admission::Span;
-use gradepin_core::config::SPARE_PLACES;
-use gradepin_core::messages::{ConnId, Input};
+use gradepin_core::config::RESERVED_CONNECTIONS;
+use gradepin_core::messages::{ConnectionId, Input};
 use rustix::event::{Timespec, epoll};
 use rustix::io::Errno;
 use slog::{info, warn};
@@ -40,7 +40,7 @@
 struct Door {
     /// None once accepting has stopped.
     listener: Option<Listener>,
-    front: Arc<dyn Front>,
+    front: Arc<dyn Protocol>,
     /// Connections that it may have, and has.
     most: usize,
     count: Arc<AtomicUsize>,
@@ -54,28 +54,28 @@
     epoll: OwnedFd,
     doors: Vec<Door>,
     most: usize,
-    next: ConnId,
+    next: ConnectionId,
     shared: Shared,
-    readings: HashMap<ConnId, Reading>,
-    turns: VecDeque<ConnId>,
+    readings: HashMap<ConnectionId, Reading>,
+    turns: VecDeque<ConnectionId>,
     /// Connections that have no turn until a time.
-    paused: HashMap<ConnId, Instant>,
+    paused: HashMap<ConnectionId, Instant>,
     next_look: Instant,
 }
 
 impl Reader {
-    pub fn new(fronts: Vec<(Arc<dyn Front>, Listener)>, most: usize, shared: Shared) -> io::Result<Self> {
+    pub fn new(fronts: Vec<(Arc<dyn Protocol>, Listener)>, most: usize, shared: Shared) -> io::Result<Self> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
         let mut doors = Vec::new();
         for (front, listener) in fronts {
             listener.set_nonblocking()?;
-            watch(&epoll, &listener, doors.len() as ConnId)?;
+            watch(&epoll, &listener, doors.len() as ConnectionId)?;
             let part = if doors.is_empty() { 1 } else { BESIDE_PART };
             let (most, count) = (most / part, Arc::default());
             let listener = Some(listener);
             doors.push(Door { listener, front, most, count, accepts: true, pauses: None });
         }
-        let next = doors.len() as ConnId;
+        let next = doors.len() as ConnectionId;
         let (readings, turns, paused) = (HashMap::new(), VecDeque::new(), HashMap::new());
         Ok(Self { epoll, doors, most, next, shared, readings, turns, paused, next_look: Instant::now() })
     }
@@ -132,7 +132,7 @@
     }
 
     /// There is something to read on a connection, or room to write, or it has ended.
-    fn wake(&mut self, conn: ConnId, flags: epoll::EventFlags) {
+    fn wake(&mut self, conn: ConnectionId, flags: epoll::EventFlags) {
         let Some(reading) = self.readings.get_mut(&conn) else { return };
         let gone = flags.intersects(epoll::EventFlags::HUP | epoll::EventFlags::ERR);
         reading.gone |= gone;
@@ -151,7 +151,7 @@
     }
 
     /// Writes what waits on a connection, which is read on once little waits.
-    fn write_on(&mut self, conn: ConnId) {
+    fn write_on(&mut self, conn: ConnectionId) {
         let Some(reading) = self.readings.get_mut(&conn) else { return };
         let waits = reading.socket.flush();
         if reading.held && waits < MOST_UNREAD {
@@ -213,7 +213,7 @@
                 return false;
             }
             // Health checks come to the first front.
-            let (full, spare) = (all >= self.most, if place == 0 { SPARE_PLACES } else { 0 });
+            let (full, spare) = (all >= self.most, if place == 0 { RESERVED_CONNECTIONS } else { 0 });
             let most = door.most + spare;
             if (full && all >= self.most + spare) || door.count.load(Ordering::Relaxed) >= most {
                 // Whoever may wait comes before a peer that only has yet to end its half.
@@ -250,7 +250,7 @@
         true
     }
 
-    fn open(&mut self, conn: ConnId, place: usize, stream: OwnedFd, spare: bool) -> io::Result<()> {
+    fn open(&mut self, conn: ConnectionId, place: usize, stream: OwnedFd, spare: bool) -> io::Result<()> {
         watch(&self.epoll, &stream, conn)?;
         let door = &self.doors[place];
         let (cutter, patience) = (door.front.cutter(), door.front.patience());
@@ -281,7 +281,7 @@
     }
 
     /// One turn of a connection; says whether the server still listens.
-    fn turn(&mut self, conn: ConnId) -> bool {
+    fn turn(&mut self, conn: ConnectionId) -> bool {
         let Some(reading) = self.readings.get_mut(&conn) else { return true };
         match reading.turn(conn, &self.shared).unwrap_or_else(|e| Turn::Gone(Some(e))) {
             Turn::Rest => reading.ready = false,
@@ -304,7 +304,7 @@
 
     /// Nothing more of a connection is passed on. The reducer hears of it behind all that was, and closes the
     /// connection once what is owed on it is answered.
-    fn ended(&mut self, conn: ConnId, wrong: Option<String>) -> bool {
+    fn ended(&mut self, conn: ConnectionId, wrong: Option<String>) -> bool {
         let Some(reading) = self.readings.get_mut(&conn) else { return true };
         (reading.until, reading.buffer) = (None, None);
         reading.intake = if wrong.is_some() { Intake::Discarded } else { Intake::Ended };
@@ -319,7 +319,7 @@
 
     /// A connection said no whole message in its time. What comes yet is read on: it is closed in an instant in which
     /// nothing is unread, so that no request is read and thrown away.
-    fn late(&mut self, conn: ConnId) {
+    fn late(&mut self, conn: ConnectionId) {
         let Some(reading) = self.readings.get_mut(&conn) else { return };
         if !reading.socket.is_drained() {
             // It came after the last look at the sockets, and is read next.
@@ -335,7 +335,7 @@
     }
 
     /// A connection is over.
-    fn gone(&mut self, conn: ConnId, reason: Option<io::Error>) -> bool {
+    fn gone(&mut self, conn: ConnectionId, reason: Option<io::Error>) -> bool {
         if let Some(reason) = reason {
             info!(self.shared.log, "closing a client's connection"; "conn" => conn, "reason" => %reason);
         }
@@ -399,14 +399,15 @@
 
     /// Ends the connection that has lingered longest, if one does.
     fn end_lingering(&mut self) -> bool {
-        let since = |(&conn, reading): (&ConnId, &Reading)| Some((reading.socket.lingers_since()?, conn));
+        let since =
+            |(&conn, reading): (&ConnectionId, &Reading)| Some((reading.socket.lingers_since()?, conn));
         let Some((_, conn)) = self.readings.iter().filter_map(since).min() else { return false };
         self.gone(conn, None)
     }
 }
 
 /// Has a socket told of whenever something more comes, or there is room again to write.
-fn watch(epoll: &OwnedFd, socket: impl std::os::fd::AsFd, number: ConnId) -> io::Result<()> {
+fn watch(epoll: &OwnedFd, socket: impl std::os::fd::AsFd, number: ConnectionId) -> io::Result<()> {
     use epoll::EventFlags;
     let flags = EventFlags::IN | EventFlags::OUT | EventFlags::RDHUP | EventFlags::ET;
     Ok(epoll::add(epoll, socket, epoll::EventData::new_u64(number), flags)?)
--- a/crates/node/src/fronts/reader/tests.rs
+++ b/crates/node/src/frontend/reader/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::fronts::thrift::Thrift;
-use crate::settings::Live;
+use crate::frontend::thrift::Thrift;
+use crate::settings::ActiveSettings;
 use crossbeam_channel::{Receiver, unbounded};
-use gradepin_core::pool::Pool;
+use gradepin_core::buffer_pool::BufferPool;
 use rustix::net::{SendFlags, send};
 use slog::Logger;
 use std::io::{Read, Write};
@@ -15,13 +15,13 @@
     let address = listener.local_addr().unwrap();
     let listener = if shared { Listener::Shared(listener) } else { Listener::Tcp(listener) };
     let (inputs, came) = unbounded();
-    let front: Arc<dyn Front> = Arc::new(Thrift::new(Live::new(&Default::default())));
+    let front: Arc<dyn Protocol> = Arc::new(Thrift::new(ActiveSettings::new(&Default::default())));
     let log = Logger::root(slog::Discard, slog::o!());
     let shared = Shared {
         handles: Arc::default(),
         accepting: Arc::new(AtomicBool::new(true)),
         inputs,
-        pool: Pool::new(4),
+        pool: BufferPool::new(4),
         log,
     };
     (Reader::new(vec![(front, listener)], most, shared).unwrap(), address, came)
@@ -51,10 +51,10 @@
 fn past_its_places_it_accepts_the_spare_ones_and_a_lingering_peer_gives_way() {
     let (mut reader, address, came) = reader(4, false);
     let _peers: Vec<TcpStream> =
-        (0..4 + SPARE_PLACES + 3).map(|_| TcpStream::connect(address).unwrap()).collect();
+        (0..4 + RESERVED_CONNECTIONS + 3).map(|_| TcpStream::connect(address).unwrap()).collect();
     reader.accept();
-    assert_eq!(came.try_iter().count(), 4 + SPARE_PLACES);
-    let conn = |n: ConnId| Arc::clone(&reader.readings[&n].socket);
+    assert_eq!(came.try_iter().count(), 4 + RESERVED_CONNECTIONS);
+    let conn = |n: ConnectionId| Arc::clone(&reader.readings[&n].socket);
     conn(2).close();
     let lingering = conn(2);
     assert!(lingering.lingers_since().is_some());
--- a/crates/node/src/fronts/reading.rs
+++ b/crates/node/src/frontend/reading.rs
@@ -4,8 +4,8 @@
 use super::conn::Stage;
 use super::pace::{Pace, Worth};
 use super::{Conn, Cut, Cutter, MOST_UNREAD, Patience, Shared};
-use gradepin_core::messages::{ConnId, Input};
-use gradepin_core::pool::Buffer;
+use gradepin_core::buffer_pool::Buffer;
+use gradepin_core::messages::{ConnectionId, Input};
 use rustix::io::Errno;
 use rustix::net::{RecvFlags, recv};
 use std::io;
@@ -74,7 +74,7 @@
 
 impl Reading {
     /// Passes on the frames that are here, reads a little, and passes on what came.
-    pub(super) fn turn(&mut self, conn: ConnId, shared: &Shared) -> io::Result<Turn> {
+    pub(super) fn turn(&mut self, conn: ConnectionId, shared: &Shared) -> io::Result<Turn> {
         match self.socket.turn() {
             Stage::Dead => return Ok(Turn::Gone(None)),
             Stage::Open if self.intake == Intake::Open => {}
@@ -156,7 +156,7 @@
     }
 
     /// Passes on the whole messages of a buffer; a turn that ends with them, if one does.
-    fn pass_on(&mut self, conn: ConnId, buffer: &mut Buffer, shared: &Shared) -> Option<Turn> {
+    fn pass_on(&mut self, conn: ConnectionId, buffer: &mut Buffer, shared: &Shared) -> Option<Turn> {
         let (mut used, mut whole, mut ends) = (0, false, None);
         while ends.is_none() && used < buffer.len() {
             if self.socket.unread() >= MOST_UNREAD {
--- a/crates/node/src/fronts/scgi/codec.rs
+++ b/crates/node/src/frontend/scgi/codec.rs
@@ -235,7 +235,7 @@
 
 /// What a server answered, as a client reads it: the status, the headers in lower case and the body.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Response {
+pub struct ScgiResponse {
     /// The status.
     pub status: u16,
     /// Names in lower case, and values.
@@ -244,7 +244,7 @@
     pub body: Vec<u8>,
 }
 
-impl Response {
+impl ScgiResponse {
     /// Reads a whole answer: everything up to the end of the connection. None if it is cut short or no answer.
     pub fn read(bytes: &[u8]) -> Option<Self> {
         let end = bytes.windows(4).position(|four| four == b"\r\n\r\n")?;
--- a/crates/node/src/fronts/scgi/mod.rs
+++ b/crates/node/src/frontend/scgi/mod.rs
@@ -3,10 +3,10 @@
 pub mod codec;
 pub mod routes;
 
-use super::{Cut, Cutter, Front, Malformed, Patience};
+use super::{Cut, Cutter, Malformed, Patience, Protocol};
 use codec::{Bad, Decoder};
-use gradepin_core::messages::{Answer, Misuse, SeqId, UNKNOWN};
-use gradepin_core::pool::{Buffer, Pool};
+use gradepin_core::buffer_pool::{Buffer, BufferPool};
+use gradepin_core::messages::{RequestError, Response, SequenceId, UNKNOWN_OUTCOME_TEXT};
 use routes::{Routed, Routes};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -17,7 +17,7 @@
 /// From there to the last byte of the request.
 const WHOLE_PATIENCE: Duration = Duration::from_secs(5);
 /// The one request of a connection.
-const SEQ: SeqId = 1;
+const SEQ: SequenceId = 1;
 
 /// The front.
 pub struct Scgi {
@@ -55,7 +55,7 @@
     }
 }
 
-impl Front for Scgi {
+impl Protocol for Scgi {
     fn cutter(&self) -> Box<dyn Cutter> {
         let routes = Arc::clone(&self.routes.lock().unwrap_or_else(PoisonError::into_inner));
         let decoder = Decoder::new(routes.wanted());
@@ -68,20 +68,20 @@
 
     fn encode(
         &self,
-        _: SeqId,
-        answer: &Answer,
+        _: SequenceId,
+        answer: &Response,
         hint: Option<f64>,
         leaving: bool,
-        pool: &Arc<Pool>,
+        pool: &Arc<BufferPool>,
     ) -> Option<Buffer> {
         encode(answer, hint, leaving, pool)
     }
 
-    fn draining(&self, _: &Arc<Pool>) -> Option<Buffer> {
+    fn draining(&self, _: &Arc<BufferPool>) -> Option<Buffer> {
         None
     }
 
-    fn malformed(&self, _: &str, _: &Arc<Pool>) -> Option<Buffer> {
+    fn malformed(&self, _: &str, _: &Arc<BufferPool>) -> Option<Buffer> {
         // A head that is none: whatever is behind the front server would take a response for another's.
         None
     }
@@ -99,17 +99,17 @@
     done: bool,
 }
 
-fn misuse(bad: Bad) -> Misuse {
+fn misuse(bad: Bad) -> RequestError {
     match bad {
-        Bad::HeadTooLong => Misuse::HeadTooLarge,
-        Bad::NoContentLength => Misuse::NoLength,
-        Bad::BodyTooLong => Misuse::TooLarge,
-        Bad::Length | Bad::Head | Bad::ContentLength | Bad::Twice | Bad::Version => Misuse::Request,
+        Bad::HeadTooLong => RequestError::HeadTooLarge,
+        Bad::NoContentLength => RequestError::NoLength,
+        Bad::BodyTooLong => RequestError::TooLarge,
+        Bad::Length | Bad::Head | Bad::ContentLength | Bad::Twice | Bad::Version => RequestError::Request,
     }
 }
 
 impl Cutter for Requests {
-    fn cut(&mut self, bytes: &[u8], pool: &Arc<Pool>) -> Result<Option<(usize, Cut)>, Malformed> {
+    fn cut(&mut self, bytes: &[u8], pool: &Arc<BufferPool>) -> Result<Option<(usize, Cut)>, Malformed> {
         if self.done {
             return Ok(Some((bytes.len(), Cut::Nothing)));
         }
@@ -138,15 +138,15 @@
 }
 
 /// The bytes of an answer; none if it doesn't fit into a buffer.
-pub fn encode(answer: &Answer, hint: Option<f64>, leaving: bool, pool: &Arc<Pool>) -> Option<Buffer> {
+pub fn encode(answer: &Response, hint: Option<f64>, leaving: bool, pool: &Arc<BufferPool>) -> Option<Buffer> {
     let mut more = Vec::new();
     let (status, reason, body): (u16, &str, &[u8]) = match answer {
-        Answer::Served(result) => (200, "OK", result),
-        Answer::Health(good, store) => {
+        Response::Served(result) => (200, "OK", result),
+        Response::Health(good, store) => {
             more.extend(store.map(|word| format!("X-Gradepin-Store: {word}")));
             if *good { (200, "OK", b"good\n") } else { (503, "Service Unavailable", b"bad\n") }
         }
-        Answer::Refused { backoff, last } => {
+        Response::Refused { backoff, last } => {
             if backoff.0 > 0 {
                 // Whole seconds for those that know the standard header, and what was meant.
                 more.push(format!("Retry-After: {}", backoff.0.div_ceil(1_000_000_000)));
@@ -157,18 +157,18 @@
             }
             (503, "Service Unavailable", b"refused: it never ran\n")
         }
-        Answer::Unknown => (502, "Bad Gateway", UNKNOWN.as_bytes()),
-        Answer::Failed { late: false } => (502, "Bad Gateway", b"failed\n"),
-        Answer::Failed { late: true } => (504, "Gateway Timeout", b"too late\n"),
-        Answer::Invalid(misuse, why) => {
+        Response::Unknown => (502, "Bad Gateway", UNKNOWN_OUTCOME_TEXT.as_bytes()),
+        Response::Failed { late: false } => (502, "Bad Gateway", b"failed\n"),
+        Response::Failed { late: true } => (504, "Gateway Timeout", b"too late\n"),
+        Response::Invalid(misuse, why) => {
             let (status, reason) = match misuse {
-                Misuse::Request => (400, "Bad Request"),
-                Misuse::NotFound => (404, "Not Found"),
-                Misuse::NotAllowed => (405, "Method Not Allowed"),
-                Misuse::Conflict => (409, "Conflict"),
-                Misuse::NoLength => (411, "Length Required"),
-                Misuse::TooLarge => (413, "Content Too Large"),
-                Misuse::HeadTooLarge => (431, "Request Header Fields Too Large"),
+                RequestError::Request => (400, "Bad Request"),
+                RequestError::NotFound => (404, "Not Found"),
+                RequestError::NotAllowed => (405, "Method Not Allowed"),
+                RequestError::Conflict => (409, "Conflict"),
+                RequestError::NoLength => (411, "Length Required"),
+                RequestError::TooLarge => (413, "Content Too Large"),
+                RequestError::HeadTooLarge => (431, "Request Header Fields Too Large"),
             };
             (status, reason, why.as_bytes())
         }
@@ -177,7 +177,7 @@
     if leaving {
         more.push("Connection: close".into());
     }
-    let kind = if matches!(answer, Answer::Served(_)) { "application/octet-stream" } else { "text/plain" };
+    let kind = if matches!(answer, Response::Served(_)) { "application/octet-stream" } else { "text/plain" };
     let mut head =
         format!("Status: {status} {reason}\r\nContent-Type: {kind}\r\nContent-Length: {}\r\n", body.len());
     for line in more {
--- a/crates/node/src/fronts/scgi/routes.rs
+++ b/crates/node/src/frontend/scgi/routes.rs
@@ -2,10 +2,10 @@
 //! the settings alone; no I/O.
 
 use super::codec::Request;
-use crate::settings::{Headers, Live, ScgiSettings};
-use gradepin_admission::{Effect, RequestId};
-use gradepin_core::messages::{Call, Misuse};
-use gradepin_core::pool::Pool;
+use crate::settings::{ActiveSettings, Headers, ScgiSettings};
+use gradepin_admission::{Idempotency, RequestId};
+use gradepin_core::buffer_pool::BufferPool;
+use gradepin_core::messages::{ClientRequest, RequestError};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -32,7 +32,7 @@
 }
 
 /// A request that can't be taken: how it is wrong, and a text for the one who sent it.
-pub type Refusal = (Misuse, String);
+pub type Refusal = (RequestError, String);
 
 /// Where a path leads.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub enum Routed {
     /// A request.
-    Call(Box<Call>),
+    Call(Box<ClientRequest>),
     /// A health check.
     Health,
 }
@@ -58,12 +58,16 @@
     headers: Headers,
     memory_kb: f64,
     rank: f64,
-    names: Live,
+    names: ActiveSettings,
 }
 
 impl Routes {
     /// Builds and checks them; `is_class` says whether the configuration they go with has a class of a name.
-    pub fn new(set: &ScgiSettings, names: Live, is_class: impl Fn(&str) -> bool) -> Result<Self, BadRoute> {
+    pub fn new(
+        set: &ScgiSettings,
+        names: ActiveSettings,
+        is_class: impl Fn(&str) -> bool,
+    ) -> Result<Self, BadRoute> {
         let mut routers = BTreeMap::<String, matchit::Router<Target>>::new();
         let mut insert = |method: &str, path: &str, target| {
             let router = routers.entry(method.to_string()).or_default();
@@ -95,11 +99,11 @@
     fn target(&self, request: &Request) -> Result<Target, Refusal> {
         let text = |name: &str| request.header(name).and_then(|value| std::str::from_utf8(value).ok());
         let method =
-            text("REQUEST_METHOD").ok_or((Misuse::Request, "expected REQUEST_METHOD".to_string()))?;
+            text("REQUEST_METHOD").ok_or((RequestError::Request, "expected REQUEST_METHOD".to_string()))?;
         // Web servers tell the path under several names; the first that is there counts, without its query.
         let names = ["DOCUMENT_URI", "PATH_INFO", "REQUEST_URI"];
         let path = names.iter().filter_map(|name| text(name)).find(|path| !path.is_empty());
-        let path = path.ok_or((Misuse::Request, "expected a path as DOCUMENT_URI".to_string()))?;
+        let path = path.ok_or((RequestError::Request, "expected a path as DOCUMENT_URI".to_string()))?;
         let path = path.split('?').next().unwrap_or(path);
         let at = |router: &matchit::Router<Target>| router.at(path).ok().map(|found| found.value.clone());
         if let Some(target) = self.routers.get(method).and_then(at) {
@@ -112,9 +116,9 @@
             .map(|(method, _)| method.as_str())
             .collect();
         if others.is_empty() {
-            return Err((Misuse::NotFound, "no route has this path".into()));
+            return Err((RequestError::NotFound, "no route has this path".into()));
         }
-        Err((Misuse::NotAllowed, format!("this path takes {}", others.join(", "))))
+        Err((RequestError::NotAllowed, format!("this path takes {}", others.join(", "))))
     }
 
     /// What a request is; `now_ms` is when it was read, and `id` its id where it brings none.
@@ -123,13 +127,13 @@
         request: &Request,
         now_ms: u64,
         id: u64,
-        pool: &Arc<Pool>,
+        pool: &Arc<BufferPool>,
     ) -> Result<Routed, Refusal> {
         let class = match self.target(request)? {
             Target::Health => return Ok(Routed::Health),
             Target::Class(class) => class,
         };
-        let bad = |why: &str| (Misuse::Request, why.to_string());
+        let bad = |why: &str| (RequestError::Request, why.to_string());
         // A value that is no text, or holds what could end a line, is nobody's honest header.
         let text = |name: &str| match request.header(name) {
             None | Some(b"") => Ok(None),
@@ -141,7 +145,7 @@
             }
         };
         let Some((class, definition)) = self.names.class(&class) else {
-            return Err((Misuse::NotFound, "the class of this route is not in force".into()));
+            return Err((RequestError::NotFound, "the class of this route is not in force".into()));
         };
         let profile = &definition.profile;
         let h = &self.headers;
@@ -168,7 +172,7 @@
             Some(id) if id.len() == 16 && id.bytes().all(|b| b.is_ascii_hexdigit()) => id.to_string(),
             Some(_) => return Err(bad(&format!("expected 16 hex digits as {}", h.id))),
         };
-        let keyed = profile.effect == Effect::ByKey;
+        let keyed = profile.effect == Idempotency::ByKey;
         // The draft of the Idempotency-Key header has it as a quoted string; bare ones are common.
         let token = text(&h.token)?
             .map(|token| token.strip_prefix('"').and_then(|t| t.strip_suffix('"')).unwrap_or(token));
@@ -176,7 +180,7 @@
         if keyed && token.is_none() {
             return Err(bad(&format!("expected a token of 1 to {MOST_TOKEN} bytes as {}", h.token)));
         }
-        Ok(Routed::Call(Box::new(Call {
+        Ok(Routed::Call(Box::new(ClientRequest {
             id: RequestId::new(&id),
             class,
             tenant,
@@ -188,7 +192,9 @@
             precedence: number(&h.rank, self.rank, 0.0..1.0)?,
             token: token.map(Arc::from),
             has_key: false,
-            body: pool.exact(&request.body).ok_or((Misuse::TooLarge, "a body over its limit".to_string()))?,
+            body: pool
+                .exact(&request.body)
+                .ok_or((RequestError::TooLarge, "a body over its limit".to_string()))?,
         })))
     }
 }
--- a/crates/node/src/fronts/scgi/routes/tests.rs
+++ b/crates/node/src/frontend/scgi/routes/tests.rs
@@ -20,7 +20,7 @@
         ..ScgiSettings::default()
     };
     let settings: gradepin_admission::Settings = settings.expect("settings");
-    Routes::new(&set, Live::new(&settings), |class| settings.class(class).is_some())
+    Routes::new(&set, ActiveSettings::new(&settings), |class| settings.class(class).is_some())
 }
 
 fn some() -> Routes {
@@ -29,7 +29,7 @@
 
 fn asked(headers: &[(&str, &str)]) -> Result<Routed, Refusal> {
     let headers = headers.iter().map(|(name, value)| (name.to_string(), value.as_bytes().to_vec())).collect();
-    some().route(&Request { headers, body: b"in".to_vec() }, 17, 255, &Pool::new(1))
+    some().route(&Request { headers, body: b"in".to_vec() }, 17, 255, &BufferPool::new(1))
 }
 
 #[test]
@@ -39,13 +39,13 @@
     assert_eq!((call.class.slot(), call.budget, call.t0, &*call.id.0), (0, 4000, 17, "00000000000000ff"));
     assert!(matches!(of("GET", "/health"), Ok(Routed::Health)));
     for (method, path, misuse) in [
-        ("GET", "/nothing", Misuse::NotFound),
-        ("DELETE", "/sheets/9", Misuse::NotAllowed),
-        ("PUT", "/labels/1", Misuse::Request),
+        ("GET", "/nothing", RequestError::NotFound),
+        ("DELETE", "/sheets/9", RequestError::NotAllowed),
+        ("PUT", "/labels/1", RequestError::Request),
     ] {
         assert_eq!(of(method, path).unwrap_err().0, misuse, "{method} {path}");
     }
-    assert_eq!(asked(&[("DOCUMENT_URI", "/sheets/9")]).unwrap_err().0, Misuse::Request);
+    assert_eq!(asked(&[("DOCUMENT_URI", "/sheets/9")]).unwrap_err().0, RequestError::Request);
 }
 
 #[test]
@@ -71,7 +71,7 @@
         ("HTTP_X_REQUEST_ID", "forged\r\nbegin"),
         ("HTTP_X_REQUEST_ID", "123"),
     ] {
-        assert_eq!(with(name, value).unwrap_err().0, Misuse::Request, "{name} {value}");
+        assert_eq!(with(name, value).unwrap_err().0, RequestError::Request, "{name} {value}");
     }
 }
 
--- a/crates/node/src/fronts/scgi/tests.rs
+++ b/crates/node/src/frontend/scgi/tests.rs
@@ -1,14 +1,15 @@
-use super::codec::Response;
+use super::codec::ScgiResponse;
 use super::*;
 use gradepin_admission::Span;
 
-fn told(answer: &Answer, leaving: bool) -> Response {
-    Response::read(&encode(answer, Some(0.5), leaving, &Pool::new(1)).expect("it fits")).expect("an answer")
+fn told(answer: &Response, leaving: bool) -> ScgiResponse {
+    ScgiResponse::read(&encode(answer, Some(0.5), leaving, &BufferPool::new(1)).expect("it fits"))
+        .expect("an answer")
 }
 
 #[test]
 fn answers_carry_the_advice_rounded_up_and_exactly() {
-    let refused = told(&Answer::Refused { backoff: Span(1_200_000_001), last: true }, true);
+    let refused = told(&Response::Refused { backoff: Span(1_200_000_001), last: true }, true);
     assert_eq!(refused.status, 503);
     for (name, value) in [
         ("retry-after", "2"),
@@ -19,20 +20,20 @@
     ] {
         assert_eq!(refused.header(name), Some(value), "{name}");
     }
-    let plain = told(&Answer::Refused { backoff: Span(0), last: false }, false);
+    let plain = told(&Response::Refused { backoff: Span(0), last: false }, false);
     assert_eq!((plain.header("retry-after"), plain.header("x-gradepin-final")), (None, None));
 }
 
 #[test]
 fn results_are_unchanged_and_the_largest_fits() {
     let result: Vec<u8> = (0..4096).map(|n| (n % 256) as u8).collect();
-    let buffer = Pool::new(1).exact(&result).expect("fits");
-    let served = told(&Answer::Served(Arc::new(buffer)), true);
+    let buffer = BufferPool::new(1).exact(&result).expect("fits");
+    let served = told(&Response::Served(Arc::new(buffer)), true);
     assert_eq!((served.status, served.body), (200, result));
     let status = |answer| told(&answer, false).status;
-    assert_eq!([false, true].map(|late| status(Answer::Failed { late })), [502, 504]);
-    assert_eq!([true, false].map(|good| status(Answer::Health(good, None))), [200, 503]);
-    assert_eq!(status(Answer::Unknown), 502);
+    assert_eq!([false, true].map(|late| status(Response::Failed { late })), [502, 504]);
+    assert_eq!([true, false].map(|good| status(Response::Health(good, None))), [200, 503]);
+    assert_eq!(status(Response::Unknown), 502);
 }
 
 #[test]
--- a/crates/node/src/fronts/thrift/codec.rs
+++ b/crates/node/src/frontend/thrift/codec.rs
@@ -1,9 +1,9 @@
 //! Thrift's framed transport and strict binary protocol: bytes to messages and answers to bytes.
 
-use crate::settings::Live;
-use gradepin_admission::{Effect, RequestId};
-use gradepin_core::messages::{Answer, Call, Misuse, SeqId, UNKNOWN};
-use gradepin_core::pool::{Buffer, Pool, SIZE};
+use crate::settings::ActiveSettings;
+use gradepin_admission::{Idempotency, RequestId};
+use gradepin_core::buffer_pool::{BUFFER_BYTES, Buffer, BufferPool};
+use gradepin_core::messages::{ClientRequest, RequestError, Response, SequenceId, UNKNOWN_OUTCOME_TEXT};
 use std::sync::Arc;
 
 const VERSION: u32 = 0x8001_0000;
@@ -32,28 +32,28 @@
 #[derive(Debug)]
 pub enum Message {
     /// A request.
-    Call(SeqId, Box<Call>),
+    Call(SequenceId, Box<ClientRequest>),
     /// A health check.
-    Health(SeqId),
+    Health(SequenceId),
     /// Nobody waits for the answer to this one any more.
-    Cancel(SeqId),
+    Cancel(SequenceId),
     /// A well-formed message that makes no sense here, and why; it is owed an exception.
-    Invalid(SeqId, Misuse, String),
+    Invalid(SequenceId, RequestError, String),
     /// A oneway message of no meaning here.
     Unknown,
 }
 
-pub use crate::fronts::Malformed;
+pub use crate::frontend::Malformed;
 
 /// The length of the first frame with its prefix, or none while the prefix isn't whole.
 pub fn frame(bytes: &[u8]) -> Result<Option<usize>, Malformed> {
     let Some(prefix) = bytes.first_chunk::<4>() else { return Ok(None) };
     let len = usize::try_from(u32::from_be_bytes(*prefix)).unwrap_or(usize::MAX);
-    if len > SIZE - 4 { Err(Malformed("a frame over the size limit")) } else { Ok(Some(len + 4)) }
+    if len > BUFFER_BYTES - 4 { Err(Malformed("a frame over the size limit")) } else { Ok(Some(len + 4)) }
 }
 
 /// Reads the message in a frame, its length prefix taken off.
-pub fn decode(frame: &[u8], names: &Live, pool: &Arc<Pool>) -> Result<Message, Malformed> {
+pub fn decode(frame: &[u8], names: &ActiveSettings, pool: &Arc<BufferPool>) -> Result<Message, Malformed> {
     let mut r = Reader(frame);
     let head = r.u32()?;
     if head & 0xffff_0000 != VERSION {
@@ -89,7 +89,7 @@
         }
         (name, CALL) => {
             r.each_field(|_, _, _| Ok(false))?;
-            Message::Invalid(seq, Misuse::NotFound, unknown(&String::from_utf8_lossy(name)))
+            Message::Invalid(seq, RequestError::NotFound, unknown(&String::from_utf8_lossy(name)))
         }
         (_, ONEWAY) => {
             r.each_field(|_, _, _| Ok(false))?;
@@ -153,10 +153,16 @@
         Ok(())
     }
 
-    fn call(&self, body: &[u8], names: &Live, pool: &Arc<Pool>) -> Result<Call, (Misuse, String)> {
-        let bad = |why: &str| (Misuse::Request, why.to_string());
+    fn call(
+        &self,
+        body: &[u8],
+        names: &ActiveSettings,
+        pool: &Arc<BufferPool>,
+    ) -> Result<ClientRequest, (RequestError, String)> {
+        let bad = |why: &str| (RequestError::Request, why.to_string());
         let method = self.method.ok_or(bad("no method"))?;
-        let (class, definition) = names.class(method).ok_or_else(|| (Misuse::NotFound, unknown(method)))?;
+        let (class, definition) =
+            names.class(method).ok_or_else(|| (RequestError::NotFound, unknown(method)))?;
         let tenant = match self.acct {
             Some(name) => {
                 let tenant = names.tenant(name);
@@ -175,15 +181,15 @@
         if !(0.0..1.0).contains(&precedence) {
             return Err(bad("prio out of range"));
         }
-        let keyed = definition.profile.effect == Effect::ByKey;
+        let keyed = definition.profile.effect == Idempotency::ByKey;
         let deadline_ms = definition.profile.deadline.0 / MS;
         if keyed && token.is_none() {
             return Err(bad("no token of 1 to 64 bytes in a keyed class"));
         }
         if body.len() > MOST_BODY {
-            return Err((Misuse::TooLarge, "a body over 2 KiB".into()));
+            return Err((RequestError::TooLarge, "a body over 2 KiB".into()));
         }
-        Ok(Call {
+        Ok(ClientRequest {
             id: RequestId::new(id.ok_or(bad("no rid of 16 hex digits"))?),
             class,
             tenant,
@@ -201,9 +207,9 @@
     }
 }
 
-fn number<T: std::str::FromStr>(name: &str, text: Option<&str>) -> Result<T, (Misuse, String)> {
+fn number<T: std::str::FromStr>(name: &str, text: Option<&str>) -> Result<T, (RequestError, String)> {
     let number = text.and_then(|text| text.parse().ok());
-    number.ok_or_else(|| (Misuse::Request, format!("no number as {name}")))
+    number.ok_or_else(|| (RequestError::Request, format!("no number as {name}")))
 }
 
 /// Takes values off the front of a frame.
@@ -290,7 +296,7 @@
 }
 
 impl Writer {
-    fn message(pool: &Arc<Pool>, kind: u8, name: &str, seq: SeqId) -> Self {
+    fn message(pool: &Arc<BufferPool>, kind: u8, name: &str, seq: SequenceId) -> Self {
         let mut w = Self { buffer: pool.take(), whole: true };
         w.put(&[0; 4]);
         w.put(&(VERSION | u32::from(kind)).to_be_bytes());
@@ -335,22 +341,27 @@
 }
 
 /// The frame of an answer; none if it doesn't fit into a buffer.
-pub fn encode(seq: SeqId, answer: &Answer, hint: Option<f64>, pool: &Arc<Pool>) -> Option<Buffer> {
+pub fn encode(
+    seq: SequenceId,
+    answer: &Response,
+    hint: Option<f64>,
+    pool: &Arc<BufferPool>,
+) -> Option<Buffer> {
     let mut fields: Vec<(&str, String)> = hint.map(|value| ("hint", value.to_string())).into_iter().collect();
     let reply = |name| Writer::message(pool, REPLY, name, seq);
     match answer {
-        Answer::Served(result) => {
+        Response::Served(result) => {
             let mut w = reply("call");
             w.answer(result, &fields, true);
             w.end()
         }
-        Answer::Health(good, store) => {
+        Response::Health(good, store) => {
             fields.extend(store.map(|word| ("store", word.to_string())));
             let mut w = reply("health");
             w.answer(b"", &fields, *good);
             w.end()
         }
-        Answer::Refused { backoff, last } => {
+        Response::Refused { backoff, last } => {
             if backoff.0 > 0 {
                 fields.push(("backoff", backoff.0.div_ceil(1_000_000).to_string()));
             }
@@ -359,17 +370,17 @@
             }
             thrown(reply("call"), 1, &fields)
         }
-        Answer::Failed { .. } => thrown(reply("call"), 2, &fields),
-        Answer::Unknown => {
-            fields.push(("why", UNKNOWN.to_string()));
+        Response::Failed { .. } => thrown(reply("call"), 2, &fields),
+        Response::Unknown => {
+            fields.push(("why", UNKNOWN_OUTCOME_TEXT.to_string()));
             thrown(reply("call"), 2, &fields)
         }
-        Answer::Invalid(misuse, why) => {
+        Response::Invalid(misuse, why) => {
             let mut w = Writer::message(pool, EXCEPTION, "call", seq);
             w.field(STRING, 1);
             w.string(why.as_bytes());
             w.field(I32, 2);
-            let kind = if *misuse == Misuse::NotFound { UNKNOWN_METHOD } else { PROTOCOL_ERROR };
+            let kind = if *misuse == RequestError::NotFound { UNKNOWN_METHOD } else { PROTOCOL_ERROR };
             w.put(&kind.to_be_bytes());
             w.end()
         }
@@ -385,7 +396,7 @@
 }
 
 /// The oneway message that asks for no more requests on a connection.
-pub fn draining(pool: &Arc<Pool>) -> Option<Buffer> {
+pub fn draining(pool: &Arc<BufferPool>) -> Option<Buffer> {
     Writer::message(pool, ONEWAY, "draining", 0).end()
 }
 
--- a/crates/node/src/fronts/thrift/codec/tests.rs
+++ b/crates/node/src/frontend/thrift/codec/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::fronts::STACK;
+use crate::frontend::STACK;
 use gradepin_admission::Settings;
 use proptest::prelude::*;
 use std::thread;
@@ -26,12 +26,12 @@
     [&[STRING, 0, 2][..], &string(bytes)].concat()
 }
 
-fn names() -> Live {
+fn names() -> ActiveSettings {
     let read = serde_json::json!({"name": "read", "promise": 1, "deadline": 1_000_000_000_u64, "effect": "repeatable",
                                   "worth": 1.0});
     let profiles = serde_json::json!([read]);
     let settings = Settings { profiles: serde_json::from_value(profiles).unwrap(), ..Settings::default() };
-    Live::new(&settings)
+    ActiveSettings::new(&settings)
 }
 
 const USUAL: [(&str, &[u8]); 6] = [
@@ -44,8 +44,8 @@
 ];
 
 /// The id and the body of a call, if these bytes are one that can be taken.
-fn called(bytes: &[u8]) -> Option<(SeqId, String, Vec<u8>)> {
-    match decode(bytes, &names(), &Pool::new(1)) {
+fn called(bytes: &[u8]) -> Option<(SequenceId, String, Vec<u8>)> {
+    match decode(bytes, &names(), &BufferPool::new(1)) {
         Ok(Message::Call(seq, call)) => Some((seq, call.id.0.to_string(), call.body.to_vec())),
         _ => None,
     }
@@ -76,7 +76,7 @@
         for depth in 0..700 {
             let extra = [&[kind, 0, 9][..], &nested(kind, depth)].concat();
             let bytes = message(CALL, "call", 7, &[&extra[..], &map(&USUAL), &body(b"in")].concat());
-            cases.extend((bytes.len() <= SIZE).then_some((kind, depth, bytes)));
+            cases.extend((bytes.len() <= BUFFER_BYTES).then_some((kind, depth, bytes)));
         }
     }
     as_the_reader(move || {
@@ -111,9 +111,9 @@
     let long = decode(
         &message(CALL, "call", 1, &[&fields[..], &body(&[7; MOST_BODY + 1])].concat()),
         &names(),
-        &Pool::new(1),
+        &BufferPool::new(1),
     );
-    assert!(matches!(long, Ok(Message::Invalid(1, Misuse::TooLarge, _))), "{long:?}");
+    assert!(matches!(long, Ok(Message::Invalid(1, RequestError::TooLarge, _))), "{long:?}");
 }
 
 /// Guards against a length taken at its word: each that a message holds, negative, far over and one too many.
@@ -129,10 +129,10 @@
             }
         }
     }
-    for len in [0_u32, 1, SIZE as u32 - 4] {
+    for len in [0_u32, 1, BUFFER_BYTES as u32 - 4] {
         assert_eq!(frame(&len.to_be_bytes()), Ok(Some(len as usize + 4)));
     }
-    for len in [SIZE as u32 - 3, i32::MAX as u32, u32::MAX, 1 << 31] {
+    for len in [BUFFER_BYTES as u32 - 3, i32::MAX as u32, u32::MAX, 1 << 31] {
         assert!(frame(&len.to_be_bytes()).is_err(), "{len}");
     }
 }
@@ -148,9 +148,9 @@
         sent in prop::collection::vec(any::<u8>(), 0..200),
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 0..3_u8), 0..6),
     ) {
-        let _ = decode(&noise, &names(), &Pool::new(1));
+        let _ = decode(&noise, &names(), &BufferPool::new(1));
         let headed = message(CALL, "call", 1, &noise);
-        let _ = decode(&headed, &names(), &Pool::new(1));
+        let _ = decode(&headed, &names(), &BufferPool::new(1));
         let usual = message(CALL, "call", 1, &[&map(&USUAL)[..], &body(&sent)].concat());
         prop_assert_eq!(called(&usual).map(|(.., body)| body), Some(sent));
         let mut bytes = usual;
--- a/crates/node/src/fronts/thrift/mod.rs
+++ b/crates/node/src/frontend/thrift/mod.rs
@@ -2,11 +2,11 @@
 
 pub mod codec;
 
-use super::{Cut, Cutter, Front, Malformed, Patience};
-use crate::settings::Live;
+use super::{Cut, Cutter, Malformed, Patience, Protocol};
+use crate::settings::ActiveSettings;
 use codec::Message;
-use gradepin_core::messages::{Answer, Misuse, SeqId};
-use gradepin_core::pool::{Buffer, Pool};
+use gradepin_core::buffer_pool::{Buffer, BufferPool};
+use gradepin_core::messages::{RequestError, Response, SequenceId};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -17,17 +17,17 @@
 
 /// The front.
 pub struct Thrift {
-    names: Live,
+    names: ActiveSettings,
 }
 
 impl Thrift {
     /// For the classes and tenants in force.
-    pub fn new(names: Live) -> Self {
+    pub fn new(names: ActiveSettings) -> Self {
         Self { names }
     }
 }
 
-impl Front for Thrift {
+impl Protocol for Thrift {
     fn cutter(&self) -> Box<dyn Cutter> {
         Box::new(Frames(self.names.clone()))
     }
@@ -38,22 +38,22 @@
 
     fn encode(
         &self,
-        seq: SeqId,
-        answer: &Answer,
+        seq: SequenceId,
+        answer: &Response,
         hint: Option<f64>,
         _: bool,
-        pool: &Arc<Pool>,
+        pool: &Arc<BufferPool>,
     ) -> Option<Buffer> {
         codec::encode(seq, answer, hint, pool)
     }
 
-    fn draining(&self, pool: &Arc<Pool>) -> Option<Buffer> {
+    fn draining(&self, pool: &Arc<BufferPool>) -> Option<Buffer> {
         codec::draining(pool)
     }
 
-    fn malformed(&self, why: &str, pool: &Arc<Pool>) -> Option<Buffer> {
+    fn malformed(&self, why: &str, pool: &Arc<BufferPool>) -> Option<Buffer> {
         // Number 0 is no request's: clients count from 1, and what is open keeps its one answer.
-        codec::encode(0, &Answer::Invalid(Misuse::Request, why.into()), None, pool)
+        codec::encode(0, &Response::Invalid(RequestError::Request, why.into()), None, pool)
     }
 
     fn once(&self) -> bool {
@@ -62,10 +62,10 @@
 }
 
 /// Whole frames; what is not whole stays in the reader's buffer.
-struct Frames(Live);
+struct Frames(ActiveSettings);
 
 impl Cutter for Frames {
-    fn cut(&mut self, bytes: &[u8], pool: &Arc<Pool>) -> Result<Option<(usize, Cut)>, Malformed> {
+    fn cut(&mut self, bytes: &[u8], pool: &Arc<BufferPool>) -> Result<Option<(usize, Cut)>, Malformed> {
         let Some(len) = codec::frame(bytes)? else { return Ok(None) };
         let Some(frame) = bytes.get(4..len) else { return Ok(None) };
         let cut = match codec::decode(frame, &self.0, pool)? {
--- a/crates/node/src/handed.rs
+++ b/crates/node/src/inherited_listener.rs
@@ -19,7 +19,7 @@
 
 /// Why an inherited descriptor can't serve as the clients' listener.
 #[derive(Debug, thiserror::Error)]
-pub enum HandedError {
+pub enum InheritedListenerError {
     /// The variable holds no descriptor number.
     #[error("expected ${ACCEPT_FD} to be a descriptor number of 0 or more, got '{0}'")]
     Number(String),
@@ -46,7 +46,7 @@
 
 /// What the platform handed this process.
 #[derive(Debug, Clone, Default)]
-pub struct Handed {
+pub struct InheritedListener {
     /// The clients' listening socket, where it is inherited.
     pub accept_fd: Option<i32>,
     /// Where operators call, if the environment says.
@@ -55,9 +55,9 @@
     pub shared_folder: Option<PathBuf>,
 }
 
-impl Handed {
+impl InheritedListener {
     /// As the environment tells.
-    pub fn from_env() -> Result<Self, HandedError> {
+    pub fn from_env() -> Result<Self, InheritedListenerError> {
         let value = std::env::var(ACCEPT_FD).ok();
         let admin = std::env::var(ADMIN_ADDR).ok();
         let accept_fd = accept_fd(value.as_deref())?;
@@ -69,22 +69,22 @@
 }
 
 /// The address in the variable, if it is set and not empty.
-pub fn admin_addr(value: Option<&str>) -> Result<Option<SocketAddr>, HandedError> {
+pub fn admin_addr(value: Option<&str>) -> Result<Option<SocketAddr>, InheritedListenerError> {
     let Some(value) = value.filter(|value| !value.trim().is_empty()) else { return Ok(None) };
-    value.trim().parse().map(Some).map_err(|_| HandedError::Address(value.into()))
+    value.trim().parse().map(Some).map_err(|_| InheritedListenerError::Address(value.into()))
 }
 
 /// The number in the variable, if it is set.
-pub fn accept_fd(value: Option<&str>) -> Result<Option<i32>, HandedError> {
+pub fn accept_fd(value: Option<&str>) -> Result<Option<i32>, InheritedListenerError> {
     let Some(value) = value else { return Ok(None) };
     let number = value.trim().parse::<i32>().ok().filter(|fd| *fd >= 0);
-    number.map(Some).ok_or_else(|| HandedError::Number(value.into()))
+    number.map(Some).ok_or_else(|| InheritedListenerError::Number(value.into()))
 }
 
 /// The listening socket behind an inherited descriptor number. The descriptor is duplicated by way of the process's
 /// own pidfd, which std and rustix allow without unsafe code; the original stays open beside it and is never read.
-pub fn listener(fd: i32) -> Result<TcpListener, HandedError> {
-    let missing = |why: rustix::io::Errno| HandedError::Missing { fd, why: why.into() };
+pub fn listener(fd: i32) -> Result<TcpListener, InheritedListenerError> {
+    let missing = |why: rustix::io::Errno| InheritedListenerError::Missing { fd, why: why.into() };
     let own = pidfd_open(getpid(), PidfdFlags::empty()).map_err(missing)?;
     let socket: OwnedFd = pidfd_getfd(&own, fd, PidfdGetfdFlags::empty()).map_err(missing)?;
     check(fd, &socket)?;
@@ -93,8 +93,8 @@
 
 /// Guards against a descriptor that is a file, a pipe, a connected socket or a Unix one: accepting on it would fail
 /// at the first client, long after the start, or take connections of another kind.
-fn check(fd: i32, socket: &OwnedFd) -> Result<(), HandedError> {
-    let kind = |what| HandedError::Kind { fd, what };
+fn check(fd: i32, socket: &OwnedFd) -> Result<(), InheritedListenerError> {
+    let kind = |what| InheritedListenerError::Kind { fd, what };
     let domain = socket_domain(socket).map_err(|_| kind("no socket"))?;
     if domain != AddressFamily::INET && domain != AddressFamily::INET6 {
         return Err(kind("a socket of another family than IPv4 or IPv6"));
@@ -148,6 +148,6 @@
         let file = std::fs::File::open("/dev/null").unwrap();
         let error = listener(file.as_raw_fd()).unwrap_err().to_string();
         assert!(error.contains("no socket"), "{error}");
-        assert!(matches!(listener(100_000), Err(HandedError::Missing { fd: 100_000, .. })));
+        assert!(matches!(listener(100_000), Err(InheritedListenerError::Missing { fd: 100_000, .. })));
     }
 }
--- a/crates/node/src/outgoing.rs
+++ b/crates/node/src/outgoing.rs
@@ -4,7 +4,7 @@
 //! first doesn't take a frame whole, and ends when nothing waits. Where none can be started the link ends, and what was
 //! on its way is settled on the next one. Clients' connections have no such thread: see `fronts/conn.rs`.
 
-use gradepin_core::pool::Buffer;
+use gradepin_core::buffer_pool::Buffer;
 use rustix::io::Errno;
 use rustix::net::{SendFlags, Shutdown, send, shutdown};
 use std::collections::VecDeque;
--- a/crates/node/src/outgoing/tests.rs
+++ b/crates/node/src/outgoing/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use gradepin_core::pool::Pool;
+use gradepin_core::buffer_pool::BufferPool;
 use std::io::Read;
 use std::net::{TcpListener, TcpStream};
 
@@ -10,7 +10,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let out = Arc::new(Outgoing::new(listener.accept().unwrap().0.into()));
-    let (pool, count) = (Pool::new(4), 4_000_u32);
+    let (pool, count) = (BufferPool::new(4), 4_000_u32);
     for n in 0..count {
         let mut frame = pool.take();
         assert!(frame.extend(&n.to_be_bytes()) && frame.extend(&[7; 4_000]));
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peer_datagrams.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::Clock;
 use crossbeam_channel::{Sender, TrySendError};
-use gradepin_cluster::authentication::{DropReason, Keys, MAX_DATAGRAM_BYTES};
+use gradepin_cluster::authentication::{AuthenticationKeys, DropReason, MAX_DATAGRAM_BYTES};
 use gradepin_cluster::cluster::Envelope;
 use gradepin_cluster::rate_limit::RateLimiter;
 use gradepin_core::messages::Input;
@@ -23,15 +23,15 @@
 
 /// The fleet's socket.
 #[derive(Debug)]
-pub struct Peers {
+pub struct PeerDatagrams {
     socket: UdpSocket,
     log: Logger,
 }
 
 /// Keys that the socket's thread goes by; a reload changes them.
-pub type SharedKeys = Arc<RwLock<Keys>>;
+pub type SharedKeys = Arc<RwLock<AuthenticationKeys>>;
 
-impl Peers {
+impl PeerDatagrams {
     /// Reads the socket, and hands in what has a good tag. The queue of `inputs` is the fleet's own: what finds no room there is
     /// dropped, so that no flood of datagrams holds back anything else.
     pub fn start(
@@ -57,7 +57,7 @@
     }
 }
 
-fn receive(socket: &UdpSocket, keys: &RwLock<Keys>, inputs: &Sender<Input>, clock: Clock) {
+fn receive(socket: &UdpSocket, keys: &RwLock<AuthenticationKeys>, inputs: &Sender<Input>, clock: Clock) {
     // One byte more than a datagram may have, so that a longer one isn't taken for a whole one.
     let mut buffer = [0_u8; MAX_DATAGRAM_BYTES + 1];
     let mut limiter = RateLimiter::default();
--- a/crates/node/src/held.rs
+++ b/crates/node/src/predecessor_wait.rs
@@ -2,7 +2,7 @@
 //! out, is tried again for a while. All addresses are taken so, the operators' and the fleet's too: a process gives them up
 //! in an order of its own, some of them, and its folders, only with its end.
 
-use crate::fronts::Listener;
+use crate::frontend::Listener;
 use crate::serve::StartError;
 use crate::signals::Signals;
 use gradepin_store::disk::{Folder, FolderError};
@@ -19,13 +19,13 @@
 const AGAIN: Duration = Duration::from_millis(50);
 
 /// Takes what a start needs, all within the same patience.
-pub struct Held<'s> {
+pub struct PredecessorWait<'s> {
     start: Instant,
     signals: &'s Signals,
     log: &'s Logger,
 }
 
-impl<'s> Held<'s> {
+impl<'s> PredecessorWait<'s> {
     /// From now on.
     pub fn new(signals: &'s Signals, log: &'s Logger) -> Self {
         Self { start: Instant::now(), signals, log }
--- a/crates/node/src/processor.rs
+++ b/crates/node/src/processor.rs
@@ -5,9 +5,9 @@
 use crate::outgoing::Outgoing;
 use crossbeam_channel::{Receiver, Sender, bounded};
 use gradepin_admission::{RequestId, Span, Time};
-use gradepin_core::known_processor::KnownProcessor;
+use gradepin_core::buffer_pool::{BUFFER_BYTES, Buffer, BufferPool};
 use gradepin_core::messages::Input;
-use gradepin_core::pool::{Buffer, Pool, SIZE};
+use gradepin_core::processor_identity::ProcessorIdentity;
 use lines::{Line, Lines};
 use rustix::io::Errno;
 use slog::{Logger, info, warn};
@@ -33,7 +33,7 @@
     last_notice: u64,
     /// The last one that was read before all were to be told again; none while they are not.
     before_retelling: u64,
-    known: KnownProcessor,
+    known: ProcessorIdentity,
     /// Times are counted from here, and from [`ORIGIN`].
     began: Instant,
 }
@@ -43,7 +43,7 @@
 
 impl Progress {
     fn new() -> Self {
-        let (known, began) = (KnownProcessor::default(), Instant::now());
+        let (known, began) = (ProcessorIdentity::default(), Instant::now());
         Self { last_notice: 0, before_retelling: 0, known, began }
     }
 
@@ -104,16 +104,16 @@
     ///
     /// What is longer than a buffer takes several, which leave one behind the other. Guards against a link that is ended
     /// over such a command: it would be sent again on each link after that, and end all of them.
-    fn command(&mut self, pool: &Arc<Pool>, parts: &[&[u8]]) {
+    fn command(&mut self, pool: &Arc<BufferPool>, parts: &[&[u8]]) {
         let len: usize = parts.iter().map(|part| part.len()).sum();
-        if self.batch.as_ref().is_some_and(|batch| batch.len() + len > SIZE) {
+        if self.batch.as_ref().is_some_and(|batch| batch.len() + len > BUFFER_BYTES) {
             self.flush();
         }
         for part in parts {
             let mut left = *part;
             while !left.is_empty() {
                 let batch = self.batch.get_or_insert_with(|| pool.take());
-                let (now, later) = left.split_at(left.len().min(SIZE - batch.len()));
+                let (now, later) = left.split_at(left.len().min(BUFFER_BYTES - batch.len()));
                 batch.extend(now);
                 left = later;
                 if !left.is_empty() {
@@ -139,7 +139,7 @@
 /// The link to the processor, as the reducer's effects see it.
 pub struct Processor {
     target: Arc<Mutex<Target>>,
-    pool: Arc<Pool>,
+    pool: Arc<BufferPool>,
     /// Ends a pause before the next try to connect.
     hurry: Sender<()>,
     /// Set where the next link is to begin with the first notice that is kept.
@@ -151,7 +151,7 @@
     pub fn connect(
         address: SocketAddr,
         inputs: Sender<Input>,
-        pool: Arc<Pool>,
+        pool: Arc<BufferPool>,
         log: Logger,
     ) -> io::Result<Self> {
         let target = Arc::new(Mutex::new(Target { address, link: None }));
@@ -237,7 +237,7 @@
     retell: &AtomicBool,
     hurries: &Receiver<()>,
     inputs: &Sender<Input>,
-    pool: &Arc<Pool>,
+    pool: &Arc<BufferPool>,
     log: &Logger,
 ) {
     let mut progress = Progress::new();
@@ -294,7 +294,7 @@
 }
 
 /// Says hello.
-fn start(socket: TcpStream, last_notice: u64, pool: &Arc<Pool>) -> io::Result<Arc<Outgoing>> {
+fn start(socket: TcpStream, last_notice: u64, pool: &Arc<BufferPool>) -> io::Result<Arc<Outgoing>> {
     socket.set_nodelay(true)?;
     socket.set_write_timeout(Some(WRITE_PATIENCE))?;
     let out = Arc::new(Outgoing::new(socket.into()));
@@ -315,7 +315,7 @@
     out: &Outgoing,
     progress: &mut Progress,
     inputs: &Sender<Input>,
-    pool: &Arc<Pool>,
+    pool: &Arc<BufferPool>,
 ) -> io::Result<()> {
     let mut lines = Lines::new(pool);
     loop {
--- a/crates/node/src/processor/lines.rs
+++ b/crates/node/src/processor/lines.rs
@@ -1,9 +1,9 @@
 //! Lines of the processor, cut out of the bytes that a link brings. Owns what came and was not taken yet: one buffer,
 //! whatever comes. No line with a meaning is longer than that; a remark may be, and is passed over as it comes.
 
-use gradepin_admission::{RequestId, Span, span};
+use gradepin_admission::{RequestId, Span, span_from_seconds};
+use gradepin_core::buffer_pool::{Buffer, BufferPool};
 use gradepin_core::messages::RunEnd;
-use gradepin_core::pool::{Buffer, Pool};
 use std::io;
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 
 /// What came on a link and was not taken yet.
 pub struct Lines {
-    pool: Arc<Pool>,
+    pool: Arc<BufferPool>,
     buffer: Buffer,
     /// Bytes at the front of the buffer that were taken.
     taken: usize,
@@ -23,7 +23,7 @@
 
 impl Lines {
     /// Those of a new link.
-    pub fn new(pool: &Arc<Pool>) -> Self {
+    pub fn new(pool: &Arc<BufferPool>) -> Self {
         Self { pool: Arc::clone(pool), buffer: pool.take(), taken: 0, remark: None }
     }
 
@@ -97,7 +97,7 @@
 }
 
 /// The first line with the bytes that follow it, and the length of it all; none while it isn't whole.
-fn parse(bytes: &[u8], pool: &Arc<Pool>) -> io::Result<Option<(usize, Line)>> {
+fn parse(bytes: &[u8], pool: &Arc<BufferPool>) -> io::Result<Option<(usize, Line)>> {
     let Some(end) = line_end(bytes) else { return Ok(None) };
     let line = &bytes[..end];
     if line.starts_with(REMARK) {
@@ -109,7 +109,7 @@
     let number = |text: &str| text.parse::<u64>().map_err(|_| bad(line));
     // Times come with a decimal point as well as without: a reader of whole numbers lost every notice.
     let millis = |text: &str| match text.parse::<f64>() {
-        Ok(ms) if ms >= 0.0 && ms.is_finite() => Ok(span(ms / 1e3)),
+        Ok(ms) if ms >= 0.0 && ms.is_finite() => Ok(span_from_seconds(ms / 1e3)),
         _ => Err(bad(line)),
     };
     let mut whole = end + 2;
--- a/crates/node/src/processor/lines/tests.rs
+++ b/crates/node/src/processor/lines/tests.rs
@@ -2,7 +2,7 @@
 
 /// All lines of these bytes, which come in pieces of so many.
 fn lines(bytes: &[u8], piece: usize) -> io::Result<Vec<Line>> {
-    let (mut lines, mut all) = (Lines::new(&Pool::new(1)), Vec::new());
+    let (mut lines, mut all) = (Lines::new(&BufferPool::new(1)), Vec::new());
     let mut left = bytes;
     while !left.is_empty() {
         let space = lines.space()?;
@@ -20,9 +20,9 @@
 /// Guards against a link that falls again and again over the text of a remark.
 #[test]
 fn a_remark_may_hold_anything() {
-    let parsed = parse(b"remark 7 \xff\xfe 12\r\nused 1 0.5\r\n", &Pool::new(1)).expect("a remark");
+    let parsed = parse(b"remark 7 \xff\xfe 12\r\nused 1 0.5\r\n", &BufferPool::new(1)).expect("a remark");
     assert!(matches!(parsed, Some((16, Line::Remark(7)))), "{parsed:?}");
-    assert!(parse(b"remark x \r\n", &Pool::new(1)).is_err());
+    assert!(parse(b"remark x \r\n", &BufferPool::new(1)).is_err());
 }
 
 /// Guards against a remark of any length, in pieces of any size, that ends the link or takes the line behind it along.
--- a/crates/node/src/processor/tests.rs
+++ b/crates/node/src/processor/tests.rs
@@ -29,7 +29,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (inputs, _came) = bounded(64);
     let log = Logger::root(slog::Discard, slog::o!());
-    let (address, pool) = (listener.local_addr().unwrap(), Pool::new(8));
+    let (address, pool) = (listener.local_addr().unwrap(), BufferPool::new(8));
     let processor = Processor::connect(address, inputs, pool, log).unwrap();
     let mut first = accepted(&listener);
     // The link can be used once it stands here too; a command for it before that would be dropped.
@@ -44,7 +44,7 @@
         expected.extend_from_slice(format!("begin {} {class} {}\r\n", id.0, body.len()).as_bytes());
         expected.extend_from_slice(&[&body[..], b"\r\n"].concat());
         if n % 5 == 0 {
-            let reply = vec![b'r'; n * 13 % (SIZE + 1)];
+            let reply = vec![b'r'; n * 13 % (BUFFER_BYTES + 1)];
             processor.answer(1, &id, &reply);
             expected.extend_from_slice(format!("answer {} {}\r\n", id.0, reply.len()).as_bytes());
             expected.extend_from_slice(&[&reply[..], b"\r\n"].concat());
--- a/crates/node/src/registry.rs
+++ b/crates/node/src/registry.rs
@@ -7,7 +7,7 @@
 use gradepin_admission::Span;
 use gradepin_core::messages::Input;
 use gradepin_registry::instance::Applications;
-use gradepin_registry::membership::{Ask, Lane, Op, Reply};
+use gradepin_registry::membership::{RegistryOperation, RegistryReply, RegistryRequest, RequestLane};
 use gradepin_registry::view::Fetch;
 use gradepin_registry::wire::{self, Format};
 use slog::{Logger, warn};
@@ -137,42 +137,48 @@
     }
 
     /// Puts one question of a server's own registration.
-    pub fn ask(&self, app: &str, id: &str, op: &Op, timeout: Duration) -> Reply {
+    pub fn ask(&self, app: &str, id: &str, op: &RegistryOperation, timeout: Duration) -> RegistryReply {
         self.exchange(app, id, op, timeout).unwrap_or_else(|error| match error {
-            ExchangeError::Status(404) => Reply::NotFound,
-            ExchangeError::Status(status) if status < 500 => Reply::Rejected(status),
-            other => Reply::Failed(other.to_string().chars().take(200).collect()),
+            ExchangeError::Status(404) => RegistryReply::NotFound,
+            ExchangeError::Status(status) if status < 500 => RegistryReply::Rejected(status),
+            other => RegistryReply::Failed(other.to_string().chars().take(200).collect()),
         })
     }
 
-    fn exchange(&self, app: &str, id: &str, op: &Op, timeout: Duration) -> Result<Reply, ExchangeError> {
+    fn exchange(
+        &self,
+        app: &str,
+        id: &str,
+        op: &RegistryOperation,
+        timeout: Duration,
+    ) -> Result<RegistryReply, ExchangeError> {
         let (apps, agent) = (format!("{}/apps/{}", self.url, escape(app)), &self.agent);
         let own = format!("{apps}/{}", escape(id));
         let status_url = |status: &dyn std::fmt::Display, dirty: &u64| {
             format!("{own}/status?value={status}&lastDirtyTimestamp={dirty}")
         };
         let response = match op {
-            Op::Register(instance) => {
+            RegistryOperation::Register(instance) => {
                 let request = self.prepared(agent.post(apps), timeout);
                 let request = request.header("Content-Type", self.format.media_type());
                 request.send(&wire::write_instance(instance, self.format)[..])?
             }
-            Op::Heartbeat { status, dirty_ms } => {
+            RegistryOperation::Heartbeat { status, dirty_ms } => {
                 let url = format!("{own}?status={status}&lastDirtyTimestamp={dirty_ms}");
                 self.prepared(agent.put(url), timeout).send_empty()?
             }
-            Op::Override { status, dirty_ms } => {
+            RegistryOperation::Override { status, dirty_ms } => {
                 self.prepared(agent.put(status_url(status, dirty_ms)), timeout).send_empty()?
             }
-            Op::ClearOverride { status, dirty_ms } => {
+            RegistryOperation::ClearOverride { status, dirty_ms } => {
                 self.prepared(agent.delete(status_url(status, dirty_ms)), timeout).call()?
             }
-            Op::Look => {
+            RegistryOperation::Look => {
                 let response = self.prepared(agent.get(own), timeout).call()?;
                 let bytes = self.read(response, MOST_RECORD)?;
-                return Ok(Reply::Record(Box::new(wire::read_instance(&bytes, self.format)?)));
+                return Ok(RegistryReply::Record(Box::new(wire::read_instance(&bytes, self.format)?)));
             }
-            Op::Cancel => self.prepared(agent.delete(own), timeout).call()?,
+            RegistryOperation::Cancel => self.prepared(agent.delete(own), timeout).call()?,
         };
         let status = response.status().as_u16();
         if !(200..300).contains(&status) {
@@ -181,22 +187,22 @@
         // What is left of the answer says nothing, but keeps the connection from use; it is bounded like any other.
         let mut response = response;
         response.body_mut().with_config().limit(MOST_RECORD).read_to_vec()?;
-        Ok(Reply::Done)
+        Ok(RegistryReply::Done)
     }
 }
 
 /// The registry, as the reducer's effects see it.
 pub struct Registry {
-    routine: Sender<Ask>,
-    urgent: Sender<Ask>,
+    routine: Sender<RegistryRequest>,
+    urgent: Sender<RegistryRequest>,
     log: Logger,
 }
 
 impl Registry {
     /// Carries questions from now on, and sends what comes of them as inputs.
     pub fn start(set: &RegistrySettings, id: &str, inputs: &Sender<Input>, log: &Logger) -> io::Result<Self> {
-        let lane = |name: &str| -> io::Result<Sender<Ask>> {
-            let (asks, queue) = bounded::<Ask>(QUEUE);
+        let lane = |name: &str| -> io::Result<Sender<RegistryRequest>> {
+            let (asks, queue) = bounded::<RegistryRequest>(QUEUE);
             let clients: Vec<Client> = set.urls.iter().map(|url| Client::new(url, set.format)).collect();
             let (app, id, inputs) = (set.app.clone(), id.to_string(), inputs.clone());
             let carry = move || {
@@ -215,8 +221,8 @@
     }
 
     /// Takes a question; it never blocks. One that finds its queue full counts as lost, and is asked again.
-    pub fn ask(&self, ask: Ask) {
-        let lane = if ask.lane == Lane::Urgent { &self.urgent } else { &self.routine };
+    pub fn ask(&self, ask: RegistryRequest) {
+        let lane = if ask.lane == RequestLane::Urgent { &self.urgent } else { &self.routine };
         if lane.try_send(ask).is_err() {
             warn!(self.log, "a question to the registry found no room");
         }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -3,14 +3,14 @@
 //! compared once the reducer has said of the one before that all of it, or nothing, is in force.
 
 use crate::config;
-use crate::fronts::scgi::Scgi;
-use crate::fronts::scgi::routes::Routes;
-use crate::peers::SharedKeys;
+use crate::frontend::scgi::Scgi;
+use crate::frontend::scgi::routes::Routes;
+use crate::peer_datagrams::SharedKeys;
 use crate::serve::Files;
 use crate::settings::cluster;
-use crate::settings::{Live, Own};
+use crate::settings::{ActiveSettings, OperatorSettings};
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
-use gradepin_cluster::authentication::Keys;
+use gradepin_cluster::authentication::AuthenticationKeys;
 use gradepin_core::config::Config;
 use gradepin_core::messages::Input;
 use std::collections::HashSet;
@@ -36,10 +36,10 @@
 
 /// Asks for reloads.
 #[derive(Clone)]
-pub struct Reloads(Sender<Job>);
+pub struct ConfigReloader(Sender<Job>);
 
 /// What a reload needs beside the file.
-pub struct Parties {
+pub struct ReloadTargets {
     /// Where the files are.
     pub files: Files,
     /// The front whose routes are read again.
@@ -47,14 +47,14 @@
     /// The fleet's keys, which are read again.
     pub keys: Option<SharedKeys>,
     /// What is in force.
-    pub live: Live,
+    pub live: ActiveSettings,
     /// To the reducer.
     pub inputs: Sender<Input>,
 }
 
-impl Reloads {
+impl ConfigReloader {
     /// Starts the thread; `done` is told by each [`gradepin_core::messages::Effect::Reloaded`].
-    pub fn start(parties: Parties, done: Receiver<()>) -> std::io::Result<Self> {
+    pub fn start(parties: ReloadTargets, done: Receiver<()>) -> std::io::Result<Self> {
         let (jobs, waiting) = bounded(WAITING);
         let run = move || {
             let mut open = false;
@@ -87,7 +87,7 @@
     }
 }
 
-impl Parties {
+impl ReloadTargets {
     fn inputs_of(&self, job: Job) -> Vec<Input> {
         match job {
             Job::Staged(config, then) => {
@@ -109,9 +109,9 @@
     }
 
     /// Reads both files again. Both are checked before either is used: a bad one changes nothing.
-    fn read(&self) -> Result<(Config, Option<Keys>), Box<dyn Error>> {
+    fn read(&self) -> Result<(Config, Option<AuthenticationKeys>), Box<dyn Error>> {
         let config = config::load(&self.files.config)?;
-        let own = self.files.own.as_deref().map(Own::load).transpose()?.unwrap_or_default();
+        let own = self.files.own.as_deref().map(OperatorSettings::load).transpose()?.unwrap_or_default();
         let fleet = own.cluster.as_ref().filter(|_| self.keys.is_some());
         let keys = fleet.map(|set| cluster::keys(&set.key_file)).transpose()?;
         // Listeners take a restart; without the block the routes stay.
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -1,40 +1,40 @@
 //! Joins the parts: the one thread that owns the reducer, and carries out what it asks for.
 
 use crate::admin::Admin;
-use crate::change::Stage;
 use crate::claims::{Claims, Place};
 use crate::clock::Clock;
 use crate::configuration_service::{self, ConfigurationService, ConfigurationStartError};
 use crate::control::Control;
-use crate::council::CouncilFolder;
 use crate::descriptors;
 pub use crate::fleet_start::fleet_settings;
 use crate::fleet_start::part_settings;
-use crate::fronts::scgi::Scgi;
-use crate::fronts::scgi::routes::{BadRoute, Routes};
-use crate::fronts::thrift::Thrift;
-use crate::fronts::{Front, Fronts, Listener};
-use crate::handed::{self, Handed, HandedError};
-use crate::held::Held;
-use crate::peers::{Peers, SharedKeys};
+use crate::frontend::scgi::Scgi;
+use crate::frontend::scgi::routes::{BadRoute, Routes};
+use crate::frontend::thrift::Thrift;
+use crate::frontend::{Frontend, Listener, Protocol};
+use crate::inherited_listener::{self, InheritedListener, InheritedListenerError};
+use crate::peer_datagrams::{PeerDatagrams, SharedKeys};
+use crate::predecessor_wait::PredecessorWait;
 use crate::processor::Processor;
 use crate::registry::Registry;
-use crate::reload::{Parties, Reloads};
+use crate::reload::{ConfigReloader, ReloadTargets};
 use crate::settings::cluster::{self, KeysError};
-use crate::settings::{Live, Own};
-use crate::shared_ledger::SharedLedger;
+use crate::settings::{ActiveSettings, OperatorSettings};
 use crate::signals::Signals;
+use crate::staging::StagingArea;
 use crate::store::{self, Store};
+use crate::upstream_client::UpstreamClient;
+use crate::voter_storage::VoterStorage;
 use crossbeam_channel::{Sender, bounded, never, select};
-use gradepin_admission::{Below, Outcome, Settings, Span};
-use gradepin_cluster::authentication::Keys;
+use gradepin_admission::{Outcome, Settings, Span, UpstreamKind};
+use gradepin_cluster::authentication::AuthenticationKeys;
 use gradepin_cluster::cluster::Cluster;
 use gradepin_cluster::peer::MAX_NAME_BYTES;
 use gradepin_coordination::server_agent::ServerAgent;
+use gradepin_core::buffer_pool::{BUFFER_BYTES, BufferPool};
 use gradepin_core::config::{Config, ConfigError};
-use gradepin_core::ledger::Ledger;
+use gradepin_core::idempotency_log::IdempotencyLog;
 use gradepin_core::messages::{Effect, Input};
-use gradepin_core::pool::{Pool, SIZE};
 use gradepin_core::reducer::{Reducer, cell_names};
 use gradepin_core::registration::Registration;
 use gradepin_registry::membership::Membership;
@@ -87,7 +87,7 @@
     Configuration(#[from] ConfigurationStartError),
     /// What was handed over can't be used.
     #[error(transparent)]
-    Handed(#[from] HandedError),
+    Handed(#[from] InheritedListenerError),
     /// The system denies something.
     #[error("{what}: {why}")]
     System {
@@ -129,9 +129,9 @@
 /// Serves until the process is told to leave and its time is up.
 pub fn serve(
     mut config: Config,
-    own: Own,
+    own: OperatorSettings,
     files: Files,
-    handed: Handed,
+    handed: InheritedListener,
     signals: Signals,
     log: &Logger,
 ) -> Result<(), StartError> {
@@ -151,7 +151,7 @@
     let councils = own.council.as_ref().filter(|_| handed.accept_fd.is_none() && own.cluster.is_some());
     let councils = councils.and_then(|set| set.folder.as_deref());
     let configurations = service_set.and_then(|set| set.folder.as_deref());
-    if !Held::new(&signals, log).folders_are_free(councils.into_iter().chain(configurations)) {
+    if !PredecessorWait::new(&signals, log).folders_are_free(councils.into_iter().chain(configurations)) {
         return Ok(());
     }
     let service = service_set
@@ -164,7 +164,7 @@
     let (rest, classes, tenants) = std::mem::take(&mut config.settings).split();
     config.settings = rest;
     let settings = Arc::new(config.settings.clone());
-    let live = Live::of(&classes, &tenants);
+    let live = ActiveSettings::of(&classes, &tenants);
     let clock = Clock::start();
     let seed = config.seed()?;
     let membership = own.registry.as_ref().map(|set| set.membership(&config));
@@ -175,9 +175,9 @@
     if handed.accept_fd.is_some() {
         reducer = reducer.sharing_listener();
     }
-    let pool = Pool::new(POOL.min(config.memory(POOL_PART) / SIZE));
+    let pool = BufferPool::new(POOL.min(config.memory(POOL_PART) / BUFFER_BYTES));
     if let Some(set) = &own.store {
-        reducer = reducer.with_store(Ledger::opening(set.patience), Arc::clone(&pool));
+        reducer = reducer.with_store(IdempotencyLog::opening(set.patience), Arc::clone(&pool));
     }
     let (inputs, queue) = bounded(QUEUE);
     let (urgently, urgent) = bounded(URGENT);
@@ -195,7 +195,7 @@
     }
     // Before the clients' addresses, which the process before this one gives up first: whoever connects there is served at
     // once.
-    let held = Held::new(&signals, log);
+    let held = PredecessorWait::new(&signals, log);
     let door = match config.admin_addr {
         Some(address) => {
             match held.taken(&format!("the operators' door on {address}"), || TcpListener::bind(address))? {
@@ -220,10 +220,10 @@
         None => None,
     };
     let mut control = Control::new(&config.name, config.listen, config.control).map_err(failed("control"))?;
-    let thrift: Arc<dyn Front> = Arc::new(Thrift::new(live.clone()));
+    let thrift: Arc<dyn Protocol> = Arc::new(Thrift::new(live.clone()));
     let listener = match handed.accept_fd {
         // The platform holds it, and the process before this one may still accept on it.
-        Some(fd) => Listener::Shared(handed::listener(fd)?),
+        Some(fd) => Listener::Shared(inherited_listener::listener(fd)?),
         None => match held.tcp(config.listen)? {
             Some(listener) => listener,
             None => return Ok(()),
@@ -237,25 +237,25 @@
     if let (Some(front), Some(set)) = (&scgi, &own.scgi) {
         for &address in &set.listen {
             let Some(listener) = held.tcp(address)? else { return Ok(()) };
-            listeners.push((Arc::clone(front) as Arc<dyn Front>, listener));
+            listeners.push((Arc::clone(front) as Arc<dyn Protocol>, listener));
         }
         for path in &set.unix {
             let what = format!("listening on {}", path.display());
             let Some(listener) = held.taken(&what, || Listener::unix(path))? else { return Ok(()) };
-            listeners.push((Arc::clone(front) as Arc<dyn Front>, listener));
+            listeners.push((Arc::clone(front) as Arc<dyn Protocol>, listener));
         }
     }
     let (letters_in, letters) = bounded(LETTERS);
     let agrees = own.council.as_ref().filter(|_| fleet.is_some());
     let stage = agrees.and_then(|set| set.stage.clone().map(|folder| (folder, set.replace.clone())));
     let stage = stage.map(|(folder, replace)| {
-        Stage::new(folder, files.config.clone(), replace, config.name.clone()).map(Arc::new)
+        StagingArea::new(folder, files.config.clone(), replace, config.name.clone()).map(Arc::new)
     });
     let stage = stage.transpose().map_err(failed("the folder of staged settings"))?;
     let council = agrees.and_then(|set| set.folder.clone()).map(|folder| {
         // The system's own randomness: an identity never comes again.
         let fresh = RandomState::new().build_hasher().finish() | 1;
-        CouncilFolder::start(folder, fresh, urgently.clone())
+        VoterStorage::start(folder, fresh, urgently.clone())
     });
     let council = council.transpose().map_err(failed("the council's folder"))?;
     if let Some(set) = agrees.filter(|set| set.folder.is_none())
@@ -287,7 +287,7 @@
                     reducer = reducer.with_configuration(start, clock.read().now);
                 }
             }
-            let peers = Peers::start(socket, Arc::clone(keys), letters_in, clock, log.clone());
+            let peers = PeerDatagrams::start(socket, Arc::clone(keys), letters_in, clock, log.clone());
             Some(peers.map_err(failed("the fleet's thread"))?)
         }
         _ => None,
@@ -296,8 +296,8 @@
     let writer = writer.map_err(failed("the writer of the configuration"))?.flatten();
     let letters = if peers.is_some() { letters } else { never() };
     let (reloaded, is_reloaded) = bounded(1);
-    let parties = Parties { files, scgi, keys, live: live.clone(), inputs: urgently.clone() };
-    let reloads = Reloads::start(parties, is_reloaded).map_err(failed("reloads"))?;
+    let parties = ReloadTargets { files, scgi, keys, live: live.clone(), inputs: urgently.clone() };
+    let reloads = ConfigReloader::start(parties, is_reloaded).map_err(failed("reloads"))?;
     watch_signals(signals, reloads.clone(), urgently.clone()).map_err(failed("signals"))?;
     let (mut arrived, mut effects): (Vec<Input>, Vec<Effect>) = (Vec::new(), Vec::new());
     let store = own.store.as_ref().zip(store_limits).map(|(set, limits)| {
@@ -310,15 +310,15 @@
     }
     let admin = door.map(|door| Admin::start(door, urgently.clone(), stage.clone(), log.clone()));
     let admin = admin.transpose().map_err(failed("the operators' door"))?;
-    let fronts = Fronts::listen(listeners, config.connections(), inputs, Arc::clone(&pool), log.clone());
+    let fronts = Frontend::listen(listeners, config.connections(), inputs, Arc::clone(&pool), log.clone());
     let fronts = fronts.map_err(failed("reading"))?;
     let registry = own.registry.as_ref().map(|set| Registry::start(set, &id, &urgently, log));
     let registry = registry.transpose().map_err(failed("registry"))?;
     let (calls_end, buffers) = (urgently.clone(), Arc::clone(&pool));
     let calls_to = |address, most| {
-        SharedLedger::start(address, most, calls_end.clone(), Arc::clone(&buffers), log.clone())
+        UpstreamClient::start(address, most, calls_end.clone(), Arc::clone(&buffers), log.clone())
     };
-    let ledger = config.ledger.filter(|_| settings.specifics.below == Below::Shared);
+    let ledger = config.ledger.filter(|_| settings.specifics.below == UpstreamKind::Shared);
     let ledger = ledger.map(|address| calls_to(address, config.calls()).map_err(failed("ledger")));
     let mut ledger = ledger.transpose()?;
     let changes = urgently.clone();
@@ -464,7 +464,11 @@
 
 /// SIGTERM becomes the notice to leave, SIGUSR1 an operator's order to go out of service and then leave, SIGUSR2 the
 /// order to come back from that. SIGHUP has the configuration read again.
-fn watch_signals(mut signals: Signals, reloads: Reloads, inputs: Sender<Input>) -> std::io::Result<()> {
+fn watch_signals(
+    mut signals: Signals,
+    reloads: ConfigReloader,
+    inputs: Sender<Input>,
+) -> std::io::Result<()> {
     let watch = move || {
         while let Ok(came) = signals.wait() {
             for signal in came {
@@ -486,6 +490,6 @@
     thread::Builder::new().name("signals".into()).stack_size(SIGNAL_STACK).spawn(watch).map(drop)
 }
 
-fn read(keys: &SharedKeys) -> Keys {
+fn read(keys: &SharedKeys) -> AuthenticationKeys {
     keys.read().unwrap_or_else(PoisonError::into_inner).clone()
 }
--- a/crates/node/src/settings/live.rs
+++ b/crates/node/src/settings/active.rs
@@ -3,12 +3,12 @@
 //! long; definitions are shared with the reducer. A handle read before its slot was used again resolves to nothing there
 //! ([`gradepin_core::slots`]), so a front may act on a name a moment too late.
 
-use gradepin_admission::{ClassDefinition, Customer, Settings};
+use gradepin_admission::{ClassDefinition, Settings, Tenant};
 use gradepin_config::change::Change;
 use gradepin_core::config::Config;
 use gradepin_core::messages::NameChange;
 use gradepin_core::reload::Reload;
-use gradepin_core::slots::{ByName, Handle, Named, PARTS};
+use gradepin_core::slots::{ByName, CHUNK_COUNT, Handle, Named};
 use std::collections::{HashMap, HashSet};
 use std::hash::{BuildHasher, RandomState};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -31,11 +31,11 @@
 
 impl<D: Named + PartialEq> Names<D> {
     fn new() -> Self {
-        Self { parts: (0..PARTS).map(|_| RwLock::default()).collect(), hash: RandomState::new() }
+        Self { parts: (0..CHUNK_COUNT).map(|_| RwLock::default()).collect(), hash: RandomState::new() }
     }
 
     fn part(&self, name: &str) -> &RwLock<HashMap<ByName<D>, Known>> {
-        &self.parts[self.hash.hash_one(name) as usize % PARTS]
+        &self.parts[self.hash.hash_one(name) as usize % CHUNK_COUNT]
     }
 
     fn get(&self, name: &str) -> Option<(Known, Arc<D>)> {
@@ -91,16 +91,16 @@
 
 /// A shared handle on the names that requests may use.
 #[derive(Debug, Clone)]
-pub struct Live(Arc<Shared>);
+pub struct ActiveSettings(Arc<Shared>);
 
 #[derive(Debug)]
 struct Shared {
     classes: Names<ClassDefinition>,
-    tenants: Names<Customer>,
+    tenants: Names<Tenant>,
     edition: AtomicU64,
 }
 
-impl Live {
+impl ActiveSettings {
     /// With the classes and tenants of the start, in slots by their order.
     pub fn new(settings: &Settings) -> Self {
         let (_, classes, tenants) = settings.clone().split();
@@ -108,7 +108,7 @@
     }
 
     /// With these, in slots by their order.
-    pub fn of(classes: &[Arc<ClassDefinition>], tenants: &[Arc<Customer>]) -> Self {
+    pub fn of(classes: &[Arc<ClassDefinition>], tenants: &[Arc<Tenant>]) -> Self {
         let shared = Shared { classes: Names::new(), tenants: Names::new(), edition: AtomicU64::new(0) };
         for (slot, class) in classes.iter().enumerate() {
             shared.classes.put(slot.into(), Arc::clone(class));
--- a/crates/node/src/settings/live/tests.rs
+++ b/crates/node/src/settings/active/tests.rs
@@ -28,7 +28,7 @@
 /// Guards a reload against what it need not change, what it must remove, and names that are removed already.
 #[test]
 fn a_file_arrives_as_its_difference() {
-    let live = Live::new(&config(&[("view", 4), ("save", 4)], &[("a", 1.0), ("b", 1.0)]).settings);
+    let live = ActiveSettings::new(&config(&[("view", 4), ("save", 4)], &[("a", 1.0), ("b", 1.0)]).settings);
     let new = config(&[("view", 4), ("save", 9), ("tag", 1)], &[("b", 2.0), ("c", 1.0)]);
     let reload = live.compare(new.clone());
     assert_eq!(told(&reload.changes), ["-@a", "+save", "+tag", "+@b", "+@c"]);
@@ -38,7 +38,7 @@
     live.publish(
         5,
         vec![
-            NameChange::TenantRemoved(Arc::new(Customer { name: "a".into(), quota_rps: 1.0, portion: 0.0 })),
+            NameChange::TenantRemoved(Arc::new(Tenant { name: "a".into(), quota_rps: 1.0, portion: 0.0 })),
             NameChange::Tenant(1.into(), Arc::clone(&tenants[0])),
         ],
     );
--- a/crates/node/src/settings/cluster.rs
+++ b/crates/node/src/settings/cluster.rs
@@ -2,7 +2,7 @@
 
 use super::reader::{Block, OldName};
 use gradepin_admission::Span;
-use gradepin_cluster::authentication::{BadKeys, Keys};
+use gradepin_cluster::authentication::{AuthenticationKeys, InvalidKeys};
 use gradepin_cluster::leases::LeaseSettings;
 use gradepin_cluster::members::FailureDetection;
 use gradepin_cluster::peer::MAX_NAME_BYTES;
@@ -75,14 +75,14 @@
         /// The file.
         path: PathBuf,
         /// What is wrong.
-        why: BadKeys,
+        why: InvalidKeys,
     },
 }
 
 /// Reads the fleet's keys.
-pub fn keys(path: &Path) -> Result<Keys, KeysError> {
+pub fn keys(path: &Path) -> Result<AuthenticationKeys, KeysError> {
     let text = std::fs::read_to_string(path).map_err(|why| KeysError::Read { path: path.into(), why })?;
-    Keys::parse(&text).map_err(|why| KeysError::Bad { path: path.into(), why })
+    AuthenticationKeys::parse(&text).map_err(|why| KeysError::Bad { path: path.into(), why })
 }
 
 /// Reads the block; none if something that has no default is missing, and then that is a problem.
--- a/crates/node/src/settings/cluster/tests.rs
+++ b/crates/node/src/settings/cluster/tests.rs
@@ -1,6 +1,6 @@
 //! Names of an earlier version, which are taken for one more.
 
-use super::super::Own;
+use super::super::OperatorSettings;
 
 const REQUIRED: &str = "listen \"127.0.0.1:7\"\nseed \"127.0.0.1:7\"\nkey-file \"k\"\n";
 
@@ -17,10 +17,10 @@
     let new = "probe-period-ms 2000\nprobe-timeout-ms 500\nsuspicion-timeout-ms 5000\nmax-bytes-per-second 16000\n\
                retry-ratio 0.5\nprobes-per-second 3\nleases {\nduration-ms 1500\nmax-call-ms 1000\nmax-clock-drift 0.02\n\
                lendable-share 0.5\ndrill-ignore-expiry #true\n}";
-    let of_old = Own::parse(&cluster(old)).expect("old names are taken");
-    let of_new = Own::parse(&cluster(new)).expect("new names are taken");
+    let of_old = OperatorSettings::parse(&cluster(old)).expect("old names are taken");
+    let of_new = OperatorSettings::parse(&cluster(new)).expect("new names are taken");
     assert_eq!(of_old.cluster, of_new.cluster);
-    let default = Own::parse(&cluster("leases {\n}")).expect("nothing is needed").cluster;
+    let default = OperatorSettings::parse(&cluster("leases {\n}")).expect("nothing is needed").cluster;
     assert_ne!(of_new.cluster, default, "all of it is read");
     assert_eq!(of_new.warnings, []);
     let warnings: Vec<String> = of_old.warnings.iter().map(ToString::to_string).collect();
@@ -37,7 +37,7 @@
 #[test]
 fn an_old_name_beside_its_new_one_is_a_problem() {
     let both = "probe-period-ms 2000\nprobe-ms 1000";
-    let problems = Own::parse(&cluster(both)).expect_err("it says two things");
+    let problems = OperatorSettings::parse(&cluster(both)).expect_err("it says two things");
     let first = problems[0].to_string();
     assert_eq!(
         first,
@@ -48,6 +48,7 @@
 /// Guards against an old name that holds where it never did.
 #[test]
 fn old_names_hold_in_their_own_block_alone() {
-    let problems = Own::parse(&cluster("leases {\nprobe-ms 1000\n}")).expect_err("it is unknown there");
+    let problems =
+        OperatorSettings::parse(&cluster("leases {\nprobe-ms 1000\n}")).expect_err("it is unknown there");
     assert_eq!(problems[0].to_string(), "line 6, column 1: an unknown node 'probe-ms'");
 }
--- a/crates/node/src/settings/configuration/tests.rs
+++ b/crates/node/src/settings/configuration/tests.rs
@@ -1,7 +1,7 @@
 //! The `config` block, right and wrong.
 
 use super::*;
-use crate::settings::Own;
+use crate::settings::OperatorSettings;
 
 fn file(config: &str) -> String {
     format!(
@@ -12,22 +12,23 @@
 }
 
 fn problems(text: &str) -> Vec<String> {
-    Own::parse(text).map_or_else(|all| all.iter().map(ToString::to_string).collect(), |_| Vec::new())
+    OperatorSettings::parse(text)
+        .map_or_else(|all| all.iter().map(ToString::to_string).collect(), |_| Vec::new())
 }
 
 #[test]
 fn a_block_is_read_and_an_empty_one_has_defaults() {
-    let own = Own::parse(&file("")).expect("defaults");
+    let own = OperatorSettings::parse(&file("")).expect("defaults");
     let set = own.configuration.expect("a block");
     assert_eq!((set.folder.as_ref(), set.stale_after, set.history), (None, STALE_AFTER, 1_024));
     assert_eq!(set.region("a"), "a");
     let text = "folder \"/d/config\"\nstale-after-ms 5000\nhistory 64\nbytes-per-second 8000\n\
                 region \"north\" { zone \"a\"; zone \"b\"; }\nregion \"south\" { zone \"c\"; }";
-    let own = Own::parse(&file(text)).expect("a whole block");
+    let own = OperatorSettings::parse(&file(text)).expect("a whole block");
     let set = own.configuration.expect("a block");
     assert_eq!((set.stale_after, set.history, set.bytes_per_second), (Span(5_000 * MS), 64, 8_000));
     assert_eq!((set.region("a"), set.region("b"), set.region("c")), ("north", "north", "south"));
-    assert_eq!(Own::parse("").map(|own| own.configuration), Ok(None));
+    assert_eq!(OperatorSettings::parse("").map(|own| own.configuration), Ok(None));
 }
 
 #[test]
--- a/crates/node/src/settings/council.rs
+++ b/crates/node/src/settings/council.rs
@@ -2,7 +2,7 @@
 
 use super::reader::Block;
 use gradepin_admission::Span;
-use gradepin_coordination::record::{Limits, Name};
+use gradepin_coordination::replicated_state::{Limits, Name};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::sync::Arc;
--- a/crates/node/src/settings/mod.rs
+++ b/crates/node/src/settings/mod.rs
@@ -3,20 +3,20 @@
 //! A file is checked as a whole: every unknown node, value out of range and contradiction is told with its line and
 //! column, and a file with any of them is not used.
 
+mod active;
 pub mod cluster;
 mod configuration;
 mod council;
 pub mod kdl_text;
-mod live;
 mod reader;
 mod scgi;
 mod store;
 pub mod transaction;
 
+pub use active::ActiveSettings;
 pub use cluster::FleetSettings;
 pub use configuration::ConfigurationSettings;
 pub use council::CouncilSettings;
-pub use live::Live;
 pub use scgi::{Headers, Route, ScgiSettings};
 pub use store::StoreSettings;
 
@@ -66,7 +66,7 @@
 
 /// Our own settings.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Own {
+pub struct OperatorSettings {
     /// How long a planned leave waits for callers before the drain begins.
     pub leave_hold: Span,
     /// The registry, where there is one.
@@ -158,7 +158,7 @@
     }
 }
 
-impl Own {
+impl OperatorSettings {
     /// Reads and checks a file.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let text =
@@ -193,7 +193,7 @@
     }
 }
 
-impl Own {
+impl OperatorSettings {
     /// Whether the configuration service fits what stands beside it.
     fn check_configuration(&self, root: &Block<'_>) {
         let Some(configuration) = &self.configuration else { return };
@@ -337,13 +337,14 @@
     use super::*;
 
     fn problems(text: &str) -> Vec<String> {
-        Own::parse(text).map_or_else(|all| all.iter().map(ToString::to_string).collect(), |_| Vec::new())
+        OperatorSettings::parse(text)
+            .map_or_else(|all| all.iter().map(ToString::to_string).collect(), |_| Vec::new())
     }
 
     #[test]
     fn a_whole_file_is_read_and_an_empty_one_switches_nothing_on() {
-        assert_eq!(Own::parse(""), Ok(Own::default()));
-        let own = Own::parse(
+        assert_eq!(OperatorSettings::parse(""), Ok(OperatorSettings::default()));
+        let own = OperatorSettings::parse(
             r#"
             leave { hold-ms 3000; }
             registry {
@@ -372,16 +373,16 @@
     /// Guards against an example that the program it is shipped with doesn't take.
     #[test]
     fn the_example_is_read() {
-        let own = Own::parse(include_str!("../../../../deploy/registry.kdl")).unwrap();
+        let own = OperatorSettings::parse(include_str!("../../../../deploy/registry.kdl")).unwrap();
         assert_eq!(own.registry.map(|set| set.urls.len()), Some(2));
-        let own = Own::parse(include_str!("../../../../deploy/scgi.kdl")).unwrap();
+        let own = OperatorSettings::parse(include_str!("../../../../deploy/scgi.kdl")).unwrap();
         assert_eq!(own.scgi.map(|set| set.routes.len()), Some(4));
-        let own = Own::parse(include_str!("../../../../deploy/store.kdl")).unwrap();
+        let own = OperatorSettings::parse(include_str!("../../../../deploy/store.kdl")).unwrap();
         assert_eq!(own.store.map(|set| set.patience), Some(Span(250 * MS)));
-        let own = Own::parse(include_str!("../../../../deploy/council.kdl")).unwrap();
+        let own = OperatorSettings::parse(include_str!("../../../../deploy/council.kdl")).unwrap();
         let council = own.council.unwrap();
         assert_eq!((council.voters.len(), council.limits.fleet, council.limits.services.len()), (3, 2, 1));
-        let own = Own::parse(include_str!("../../../../deploy/cluster.kdl")).unwrap();
+        let own = OperatorSettings::parse(include_str!("../../../../deploy/cluster.kdl")).unwrap();
         assert_eq!(own.cluster.and_then(|set| set.leases).map(|set| set.duration), Some(Span(2_000 * MS)));
     }
 
--- a/crates/node/src/settings/store.rs
+++ b/crates/node/src/settings/store.rs
@@ -1,7 +1,7 @@
 //! Settings of the store.
 
 use super::reader::Block;
-use gradepin_admission::{Effect, Span};
+use gradepin_admission::{Idempotency, Span};
 use gradepin_core::config::Config;
 use gradepin_store::log::Limits;
 use std::path::PathBuf;
@@ -50,7 +50,7 @@
 impl StoreSettings {
     /// The bounds of the log of a server with this configuration.
     pub fn limits(&self, config: &Config) -> Limits {
-        let keyed = config.settings.profiles.iter().filter(|profile| profile.effect == Effect::ByKey);
+        let keyed = config.settings.profiles.iter().filter(|profile| profile.effect == Idempotency::ByKey);
         Limits {
             segment_bytes: self.segment_bytes,
             most_bytes: self.most_bytes,
--- a/crates/node/src/settings/transaction.rs
+++ b/crates/node/src/settings/transaction.rs
@@ -5,7 +5,7 @@
 
 use super::Problem;
 use super::reader::{Block, Problems, Repeated};
-use gradepin_admission::{Effect, Span};
+use gradepin_admission::{Idempotency, Span};
 use gradepin_config::document::{ClassEntry, Document, RuleEntries, TenantEntry};
 use gradepin_config::{Name, Transaction};
 use std::ops::RangeInclusive;
@@ -93,9 +93,9 @@
     let mut block = node.block();
     node.end_properties();
     let effect = match block.choice("effect", &EFFECTS) {
-        Some(0) => Some(Effect::Repeatable),
-        Some(1) => Some(Effect::ByKey),
-        Some(_) => Some(Effect::Once),
+        Some(0) => Some(Idempotency::Repeatable),
+        Some(1) => Some(Idempotency::ByKey),
+        Some(_) => Some(Idempotency::Once),
         None => None,
     };
     let effect = required(&block, "effect", effect);
--- a/crates/node/src/change.rs
+++ b/crates/node/src/staging.rs
@@ -5,11 +5,11 @@
 
 use crate::clock::Clock;
 use crate::config;
-use crate::reload::Reloads;
+use crate::reload::ConfigReloader;
 use crossbeam_channel::Sender;
 use gradepin_admission::Time;
-use gradepin_coordination::messages::Turn;
-use gradepin_coordination::release::Kind;
+use gradepin_coordination::messages::StepAssignment;
+use gradepin_coordination::rollout::ReleaseKind;
 use gradepin_core::config::Config;
 use gradepin_core::messages::Input;
 use std::fs;
@@ -28,7 +28,7 @@
 
 /// Where settings are staged, and how a program is replaced.
 #[derive(Debug, Clone)]
-pub struct Stage {
+pub struct StagingArea {
     folder: PathBuf,
     config: PathBuf,
     /// The operators' command: it is given the version and this server's name.
@@ -41,7 +41,7 @@
     blake3::hash(text.as_bytes()).to_hex()[..16].to_string()
 }
 
-impl Stage {
+impl StagingArea {
     /// In this folder, made if it isn't there; the settings in force are kept in it.
     pub fn new(folder: PathBuf, config: PathBuf, replace: Option<PathBuf>, name: String) -> io::Result<Self> {
         fs::create_dir_all(&folder)?;
@@ -112,11 +112,11 @@
     /// Takes a step in a thread of its own, since a command takes its time.
     pub fn change(
         self: &Arc<Self>,
-        turn: Turn,
+        turn: StepAssignment,
         until: Time,
         clock: Clock,
         inputs: Sender<Input>,
-        reloads: Reloads,
+        reloads: ConfigReloader,
     ) -> io::Result<()> {
         let stage = Arc::clone(self);
         let run = move || {
@@ -125,8 +125,8 @@
                 Err("it came too late to begin".to_string())
             } else {
                 match turn.kind {
-                    Kind::Program => stage.program(&turn.version),
-                    Kind::Settings => stage.settings(&turn.version, &reloads),
+                    ReleaseKind::Program => stage.program(&turn.version),
+                    ReleaseKind::Settings => stage.settings(&turn.version, &reloads),
                 }
             };
             if let Err(why) = done {
@@ -148,7 +148,7 @@
         Err(format!("{} ended with {}: {said}", command.display(), output.status))
     }
 
-    fn settings(&self, version: &str, reloads: &Reloads) -> Result<(), String> {
+    fn settings(&self, version: &str, reloads: &ConfigReloader) -> Result<(), String> {
         let text = fs::read_to_string(self.path(version))
             .map_err(|e| format!("settings {version} aren't staged: {e}"))?;
         if digest(&text) != version {
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::Clock;
 use crossbeam_channel::{Receiver, Sender, unbounded};
-use gradepin_core::ledger::{Batch, Record};
+use gradepin_core::idempotency_log::{LogRecord, RecordBatch};
 use gradepin_core::messages::Input;
 use gradepin_store::disk::{Disk, Folder};
 use gradepin_store::log::{Limits, Log, Stamp};
@@ -24,7 +24,7 @@
 /// The store, as the reducer's effects see it.
 pub struct Store {
     // Without a bound of its own: the ledger sends nothing more while batches are late.
-    jobs: Sender<(u64, Batch)>,
+    jobs: Sender<(u64, RecordBatch)>,
 }
 
 /// How a disk is had, again and again until it can be.
@@ -58,7 +58,7 @@
     }
 
     /// Queues a batch.
-    pub fn persist(&self, number: u64, batch: Batch) {
+    pub fn persist(&self, number: u64, batch: RecordBatch) {
         // Where the thread has ended, so has the server.
         let _ = self.jobs.send((number, batch));
     }
@@ -89,7 +89,7 @@
 
 fn write(
     store: &mut Log,
-    queue: &Receiver<(u64, Batch)>,
+    queue: &Receiver<(u64, RecordBatch)>,
     clock: Clock,
     inputs: &Sender<Input>,
     log: &Logger,
@@ -108,13 +108,13 @@
             Err(_) => return,
         };
         // All that waits shares a sync; what comes behind an order to write all anew is written after it.
-        let (mut last, mut records): (u64, Vec<Record>) = (0, Vec::new());
+        let (mut last, mut records): (u64, Vec<LogRecord>) = (0, Vec::new());
         let mut anew = None;
         for (number, batch) in first.into_iter().chain(queue.try_iter().take(GROUP)) {
             last = number;
             match batch {
-                Batch::Add(more) => records.extend(more),
-                Batch::Anew(all) => {
+                RecordBatch::Add(more) => records.extend(more),
+                RecordBatch::Anew(all) => {
                     records.clear();
                     anew = Some(all);
                 }
@@ -152,13 +152,13 @@
     use super::*;
     use crossbeam_channel::bounded;
     use gradepin_admission::{RequestId, Span};
-    use gradepin_core::ledger::Recovered;
+    use gradepin_core::idempotency_log::RecoveredRuns;
     use gradepin_store::sim::{Fault, SimDisk};
     use slog::{Discard, o};
 
-    fn batch(n: u64) -> Batch {
+    fn batch(n: u64) -> RecordBatch {
         let (token, id) = (format!("t{n}").into(), RequestId::new(&format!("{n:016x}")));
-        Batch::Add(vec![Record::Intent { token, print: 1, id, left: Span(9_000_000_000) }])
+        RecordBatch::Add(vec![LogRecord::Intent { token, print: 1, id, left: Span(9_000_000_000) }])
     }
 
     /// Guards against a sync for each request, against a caller that waits for a disk, and against a word that comes
@@ -180,7 +180,7 @@
         let log = Logger::root(Discard, o!());
         let store = Store::start(open, limits, 7, Clock::start(), inputs, log).expect("a thread");
         let first = told.recv_timeout(PATIENCE).expect("it opens");
-        assert!(matches!(first, Input::Recovered(found) if matches!(*found, Recovered { salt: 7, .. })));
+        assert!(matches!(first, Input::Recovered(found) if matches!(*found, RecoveredRuns { salt: 7, .. })));
         disk.fail(Fault::SyncHangs);
         (1..=500).for_each(|n| store.persist(n, batch(n)));
         assert!(
@@ -205,7 +205,7 @@
         disk.fail(Fault::None);
         store.persist(502, batch(502));
         assert!(matches!(told.recv_timeout(PATIENCE), Ok(Input::Unpersisted(502, _))));
-        store.persist(503, Batch::Anew(Vec::new()));
+        store.persist(503, RecordBatch::Anew(Vec::new()));
         assert!(matches!(told.recv_timeout(PATIENCE), Ok(Input::Persisted(503))));
     }
 }
--- a/crates/node/src/shared_ledger.rs
+++ b/crates/node/src/upstream_client.rs
@@ -12,8 +12,8 @@
 
 use crossbeam_channel::{Receiver, Sender, bounded};
 use gradepin_admission::{Outcome, RequestId, Span};
-use gradepin_core::messages::{CallNumber, Input};
-use gradepin_core::pool::{Buffer, Pool, SIZE};
+use gradepin_core::buffer_pool::{BUFFER_BYTES, Buffer, BufferPool};
+use gradepin_core::messages::{Input, UpstreamCallId};
 use slog::{Logger, warn};
 use std::io;
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
 /// A call as the threads take it.
 struct Call {
     id: RequestId,
-    number: CallNumber,
+    number: UpstreamCallId,
     body: Arc<Vec<u8>>,
     limit: Duration,
     until: Instant,
@@ -44,7 +44,7 @@
 }
 
 /// The calls to the ledger that all servers share.
-pub struct SharedLedger {
+pub struct UpstreamClient {
     calls: Sender<Call>,
     url: Arc<RwLock<Arc<str>>>,
     log: Logger,
@@ -54,13 +54,13 @@
     Arc::from(format!("http://{address}/post"))
 }
 
-impl SharedLedger {
+impl UpstreamClient {
     /// Calls this address from now on, so many calls at a time with a thread each, and tells how each ended.
     pub fn start(
         address: SocketAddr,
         most: usize,
         inputs: Sender<Input>,
-        pool: Arc<Pool>,
+        pool: Arc<BufferPool>,
         log: Logger,
     ) -> io::Result<Self> {
         let config = Agent::config_builder()
@@ -92,7 +92,7 @@
     /// `leaves` is the time after which it must not leave here any more: a lease that it goes by is over then.
     pub fn call(
         &self,
-        (id, number): (RequestId, CallNumber),
+        (id, number): (RequestId, UpstreamCallId),
         body: &[u8],
         limit: Span,
         leaves: Option<Instant>,
@@ -113,7 +113,7 @@
     url: &RwLock<Arc<str>>,
     queue: &Receiver<Call>,
     inputs: &Sender<Input>,
-    pool: &Arc<Pool>,
+    pool: &Arc<BufferPool>,
 ) {
     for call in queue {
         let url = Arc::clone(&url.read().unwrap_or_else(PoisonError::into_inner));
@@ -135,7 +135,7 @@
     url: &str,
     call: &Call,
     left: Duration,
-    pool: &Arc<Pool>,
+    pool: &Arc<BufferPool>,
 ) -> (Outcome, Option<Buffer>) {
     let request = agent.post(url).config().timeout_global(Some(left)).build();
     let request = request
@@ -147,7 +147,7 @@
     };
     let untouched = response.headers().get("X-Untouched").is_some_and(|value| value.as_bytes() == b"1");
     match response.status().as_u16() {
-        200 => match response.body_mut().with_config().limit(SIZE as u64).read_to_vec() {
+        200 => match response.body_mut().with_config().limit(BUFFER_BYTES as u64).read_to_vec() {
             Ok(body) => match pool.copy(&body) {
                 Some(body) => (Outcome::Delivered, Some(body)),
                 None => (Outcome::AppError, None),
--- a/crates/node/src/shared_ledger/tests.rs
+++ b/crates/node/src/upstream_client/tests.rs
@@ -34,9 +34,9 @@
 
 fn outcome(address: SocketAddr, limit_ms: u64) -> (Outcome, Option<Vec<u8>>) {
     let (inputs, came) = bounded(4);
-    let pool = Pool::new(4);
+    let pool = BufferPool::new(4);
     let log = Logger::root(slog::Discard, slog::o!());
-    let ledger = SharedLedger::start(address, 4, inputs, pool, log).unwrap();
+    let ledger = UpstreamClient::start(address, 4, inputs, pool, log).unwrap();
     assert!(
         ledger
             .call((RequestId::new("00000000000000a1"), 1), b"form", Span(limit_ms * 1_000_000), None)
@@ -83,7 +83,11 @@
 /// Guards against a reply longer than a result may be, taken for a whole one or kept in memory as it comes.
 #[test]
 fn a_reply_that_is_too_long_never_reaches_the_run() {
-    let reply = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", SIZE * 4, "x".repeat(SIZE * 4));
+    let reply = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}",
+        BUFFER_BYTES * 4,
+        "x".repeat(BUFFER_BYTES * 4)
+    );
     let reply: &'static str = Box::leak(reply.into_boxed_str());
     assert_eq!(outcome(ledger(vec![Some(reply)]), 2_000), (Outcome::Dropped, None));
 }
@@ -97,7 +101,7 @@
     inputs.send(Input::LinkDown).unwrap();
     let log = Logger::root(slog::Discard, slog::o!());
     let address = silent.local_addr().unwrap();
-    let ledger = SharedLedger::start(address, 4, inputs, Pool::new(4), log).unwrap();
+    let ledger = UpstreamClient::start(address, 4, inputs, BufferPool::new(4), log).unwrap();
     let (told, tells) = bounded(1);
     thread::spawn(move || {
         let turned_away = (0..QUEUE + 4 + 1).filter_map(|n| {
@@ -134,7 +138,7 @@
     });
     let (inputs, came) = bounded(4);
     let log = Logger::root(slog::Discard, slog::o!());
-    let ledger = SharedLedger::start(address, 4, inputs, Pool::new(4), log).unwrap();
+    let ledger = UpstreamClient::start(address, 4, inputs, BufferPool::new(4), log).unwrap();
     for n in 0..2 {
         let id = RequestId::new(&format!("{n:016x}"));
         assert!(ledger.call((id, n), b"form", Span(10_000_000_000), None).is_ok());
@@ -207,7 +211,7 @@
     });
     let (inputs, came) = bounded(count);
     let log = Logger::root(slog::Discard, slog::o!());
-    let ledger = SharedLedger::start(address, 4, inputs, Pool::new(4), log).unwrap();
+    let ledger = UpstreamClient::start(address, 4, inputs, BufferPool::new(4), log).unwrap();
     let mut ends = vec![None; count];
     for n in 0..count {
         let id = RequestId::new(&format!("{n:016x}"));
--- a/crates/node/src/council.rs
+++ b/crates/node/src/voter_storage.rs
@@ -2,10 +2,10 @@
 //! nothing: what waits for a write, and what follows from a failure, is the council's.
 
 use crossbeam_channel::{Receiver, Sender, unbounded};
-use gradepin_coordination::council::{Durable, Found};
+use gradepin_coordination::consensus::{DurableRecord, VoterState};
 use gradepin_core::messages::Input;
-use gradepin_store::council::CouncilLog;
 use gradepin_store::disk::{Disk, Folder};
+use gradepin_store::voter_log::VoterLog;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::thread;
@@ -16,18 +16,18 @@
 const AGAIN: Duration = Duration::from_millis(500);
 
 /// The folder, as the reducer's effects see it.
-pub struct CouncilFolder {
-    jobs: Sender<(u64, u64, Vec<Durable>)>,
+pub struct VoterStorage {
+    jobs: Sender<(u64, u64, Vec<DurableRecord>)>,
 }
 
-fn open(path: &Path, fresh: u64) -> Result<(CouncilLog, Found), String> {
+fn open(path: &Path, fresh: u64) -> Result<(VoterLog, VoterState), String> {
     let folder = Folder::open(path).map_err(|e| e.to_string())?;
-    CouncilLog::open(Box::new(folder) as Box<dyn Disk>, fresh).map_err(|e| e.to_string())
+    VoterLog::open(Box::new(folder) as Box<dyn Disk>, fresh).map_err(|e| e.to_string())
 }
 
-impl CouncilFolder {
+impl VoterStorage {
     /// Opens it, makes it if it isn't there, and tells what it holds; `fresh` is the identity of a new one.
-    pub fn start(path: PathBuf, fresh: u64, inputs: Sender<Input>) -> io::Result<(Self, Found)> {
+    pub fn start(path: PathBuf, fresh: u64, inputs: Sender<Input>) -> io::Result<(Self, VoterState)> {
         let (log, found) = open(&path, fresh).map_err(io::Error::other)?;
         let (jobs, queue) = unbounded();
         let held = found.clone();
@@ -37,7 +37,7 @@
     }
 
     /// Queues records; a voter that waits for them sends no more meanwhile than a few.
-    pub fn write(&self, generation: u64, number: u64, records: Vec<Durable>) {
+    pub fn write(&self, generation: u64, number: u64, records: Vec<DurableRecord>) {
         // Where the thread has ended, so has the server.
         let _ = self.jobs.send((generation, number, records));
     }
@@ -45,9 +45,9 @@
 
 fn write(
     path: &Path,
-    log: CouncilLog,
-    mut found: Found,
-    queue: &Receiver<(u64, u64, Vec<Durable>)>,
+    log: VoterLog,
+    mut found: VoterState,
+    queue: &Receiver<(u64, u64, Vec<DurableRecord>)>,
     inputs: &Sender<Input>,
 ) {
     let (mut log, mut generation) = (Some(log), 0);
--- a/crates/node/tests/hold.rs
+++ b/crates/node/tests/hold.rs
@@ -3,14 +3,14 @@
 #[path = "../../admission/tests/common/mod.rs"]
 mod common;
 
-use gradepin_admission::{ClassDefinition, Customer, Span, Time};
+use gradepin_admission::{ClassDefinition, Span, Tenant, Time};
 use gradepin_config::change::{Change, Transaction};
 use gradepin_core::config::Config;
 use gradepin_core::messages::{Effect, Input};
-use gradepin_core::moment::Moment;
 use gradepin_core::reducer::Reducer;
 use gradepin_core::registration::Registration;
 use gradepin_core::reload::Reload;
+use gradepin_core::timestamp::Timestamp;
 use serde_json::json;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -24,14 +24,14 @@
     Arc::new(ClassDefinition { profile, calls: true, skip_worth: 0.0 })
 }
 
-fn tenant(n: usize, quota_rps: f64) -> Arc<Customer> {
-    Arc::new(Customer { name: format!("tenant-{n}"), quota_rps, portion: 0.0 })
+fn tenant(n: usize, quota_rps: f64) -> Arc<Tenant> {
+    Arc::new(Tenant { name: format!("tenant-{n}"), quota_rps, portion: 0.0 })
 }
 
 fn step(reducer: &mut Reducer, ms: u64, inputs: Vec<Input>) -> (Duration, Vec<Effect>) {
     let mut effects = Vec::new();
     let began = Instant::now();
-    reducer.step(Moment { now: Time(ms * MS), unix_ms: ms }, inputs, &mut effects);
+    reducer.step(Timestamp { now: Time(ms * MS), unix_ms: ms }, inputs, &mut effects);
     (began.elapsed(), effects)
 }
 
--- a/crates/node/tests/registry_answers.rs
+++ b/crates/node/tests/registry_answers.rs
@@ -3,8 +3,8 @@
 
 use gradepin_node::registry::Client;
 use gradepin_node::settings::ServiceUrl;
-use gradepin_registry::instance::Status;
-use gradepin_registry::membership::{Op, Reply};
+use gradepin_registry::instance::InstanceStatus;
+use gradepin_registry::membership::{RegistryOperation, RegistryReply};
 use gradepin_registry::wire::Format;
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -54,7 +54,7 @@
 }
 
 /// Asks in a thread of its own, with the stack that the daemon's has.
-fn ask(url: String, format: Format, op: Op) -> Receiver<Reply> {
+fn ask(url: String, format: Format, op: RegistryOperation) -> Receiver<RegistryReply> {
     let (replies, replied) = channel();
     let run = move || {
         let client = Client::new(&ServiceUrl { url, login: None }, format);
@@ -120,7 +120,11 @@
         for (n, answer) in answers.iter().enumerate() {
             for format in [Format::Json, Format::Xml] {
                 let url = registry(answer.clone());
-                for op in [Op::Look, Op::Heartbeat { status: Status::Up, dirty_ms: 1 }, Op::Cancel] {
+                for op in [
+                    RegistryOperation::Look,
+                    RegistryOperation::Heartbeat { status: InstanceStatus::Up, dirty_ms: 1 },
+                    RegistryOperation::Cancel,
+                ] {
                     let what = format!("answer {} to {op:?}, {format:?}", 8 * part + n);
                     waiting.push((what, ask(url.clone(), format, op)));
                 }
@@ -128,7 +132,7 @@
         }
         for (what, replied) in waiting {
             let reply = replied.recv_timeout(PATIENCE).unwrap_or_else(|why| panic!("{what}: {why}"));
-            assert!(!matches!(reply, Reply::Record(_)), "{what}: {reply:?}");
+            assert!(!matches!(reply, RegistryReply::Record(_)), "{what}: {reply:?}");
         }
     }
 }
--- a/crates/registry/src/instance.rs
+++ b/crates/registry/src/instance.rs
@@ -7,7 +7,7 @@
 
 /// The state of an instance, as callers go by it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub enum Status {
+pub enum InstanceStatus {
     /// Takes requests.
     Up,
     /// Its own checks fail.
@@ -21,7 +21,7 @@
     Unknown,
 }
 
-impl Status {
+impl InstanceStatus {
     /// The word on the wire.
     pub fn word(self) -> &'static str {
         match self {
@@ -34,16 +34,16 @@
     }
 }
 
-impl fmt::Display for Status {
+impl fmt::Display for InstanceStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.word())
     }
 }
 
-impl FromStr for Status {
+impl FromStr for InstanceStatus {
     type Err = std::convert::Infallible;
 
-    /// Any word is read, as Eureka's clients do: one that is not known counts as [`Status::Unknown`].
+    /// Any word is read, as Eureka's clients do: one that is not known counts as [`InstanceStatus::Unknown`].
     fn from_str(word: &str) -> Result<Self, Self::Err> {
         Ok(match word.trim().to_ascii_uppercase().as_str() {
             "UP" => Self::Up,
@@ -116,9 +116,9 @@
     /// Its address, where it is one.
     pub ip: Option<IpAddr>,
     /// Its state, with any override already applied by the registry.
-    pub status: Status,
-    /// The override in force; [`Status::Unknown`] if there is none.
-    pub overridden: Status,
+    pub status: InstanceStatus,
+    /// The override in force; [`InstanceStatus::Unknown`] if there is none.
+    pub overridden: InstanceStatus,
     /// Where it takes requests.
     pub port: Port,
     /// Where it takes encrypted ones.
@@ -150,8 +150,8 @@
             app: String::new(),
             host: String::new(),
             ip: None,
-            status: Status::Unknown,
-            overridden: Status::Unknown,
+            status: InstanceStatus::Unknown,
+            overridden: InstanceStatus::Unknown,
             port: Port::default(),
             secure_port: Port { number: 443, enabled: false },
             vip: String::new(),
@@ -187,7 +187,7 @@
 
 /// The reconciliation code of a set of states: each state's word and count, in the words' order, as in `DOWN_1_UP_2_`.
 /// A caller that applied all deltas has the registry's code.
-pub fn hash_code(statuses: impl IntoIterator<Item = Status>) -> String {
+pub fn hash_code(statuses: impl IntoIterator<Item = InstanceStatus>) -> String {
     let mut counts = BTreeMap::<&str, usize>::new();
     for status in statuses {
         *counts.entry(status.word()).or_default() += 1;
@@ -201,16 +201,27 @@
 
     #[test]
     fn the_code_counts_states_in_the_order_of_their_words() {
-        let code = hash_code([Status::Up, Status::Down, Status::Up, Status::OutOfService]);
+        let code = hash_code([
+            InstanceStatus::Up,
+            InstanceStatus::Down,
+            InstanceStatus::Up,
+            InstanceStatus::OutOfService,
+        ]);
         assert_eq!(code, "DOWN_1_OUT_OF_SERVICE_1_UP_2_");
         assert_eq!(hash_code([]), "");
     }
 
     #[test]
     fn words_come_back_as_the_states_they_stand_for() {
-        for status in [Status::Up, Status::Down, Status::Starting, Status::OutOfService, Status::Unknown] {
+        for status in [
+            InstanceStatus::Up,
+            InstanceStatus::Down,
+            InstanceStatus::Starting,
+            InstanceStatus::OutOfService,
+            InstanceStatus::Unknown,
+        ] {
             assert_eq!(status.word().parse(), Ok(status));
         }
-        assert_eq!("perhaps".parse(), Ok(Status::Unknown));
+        assert_eq!("perhaps".parse(), Ok(InstanceStatus::Unknown));
     }
 }
