--- a/crates/registry/src/membership.rs
+++ b/crates/registry/src/membership.rs
@@ -17,8 +17,8 @@
 //! - `UP` is told only once a cold server can meet the aims, and after its health was good for a while.
 
 use crate::backoff::Backoff;
-use crate::instance::{Instance, Status};
-use gradepin_admission::{Span, Time, after};
+use crate::instance::{Instance, InstanceStatus};
+use gradepin_admission::{Span, Time, time_after};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::SeedableRng;
 
@@ -73,27 +73,27 @@
 
 /// What a registry is asked.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Op {
+pub enum RegistryOperation {
     /// Register, or replace the record.
     Register(Box<Instance>),
     /// Renew the lease.
     Heartbeat {
         /// The state here.
-        status: Status,
+        status: InstanceStatus,
         /// The time of the last change here, in Unix milliseconds.
         dirty_ms: u64,
     },
     /// Set an override.
     Override {
         /// To this state.
-        status: Status,
+        status: InstanceStatus,
         /// As for a heartbeat.
         dirty_ms: u64,
     },
     /// Remove the override and take this state.
     ClearOverride {
         /// The state then.
-        status: Status,
+        status: InstanceStatus,
         /// As for a heartbeat.
         dirty_ms: u64,
     },
@@ -105,7 +105,7 @@
 
 /// Which worker of the shell carries a question.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Lane {
+pub enum RequestLane {
     /// Everything but leaving.
     Routine,
     /// Leaving, which waits for nothing.
@@ -114,25 +114,25 @@
 
 /// A question to put to a registry.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct RegistryRequest {
     /// Comes back with the reply.
     pub ticket: u64,
     /// Index of the service URL.
     pub url: usize,
     /// Who carries it.
-    pub lane: Lane,
+    pub lane: RequestLane,
     /// For the whole exchange.
     pub timeout: Span,
     /// What is asked.
-    pub op: Op,
+    pub op: RegistryOperation,
 }
 
 /// What became of a question.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Reply {
+pub enum RegistryReply {
     /// It was done.
     Done,
-    /// The own record, as asked by [`Op::Look`].
+    /// The own record, as asked by [`RegistryOperation::Look`].
     Record(Box<Instance>),
     /// The registry doesn't know this instance.
     NotFound,
@@ -161,7 +161,7 @@
 struct Open {
     ticket: u64,
     url: usize,
-    op: Op,
+    op: RegistryOperation,
     since: Time,
     /// Told to another registry than the one in use, for callers that ask there: what becomes of it changes nothing.
     beside: bool,
@@ -184,11 +184,11 @@
     // What is believed of the registry.
     registered: bool,
     /// The state there, as last seen or told.
-    told: Option<Status>,
+    told: Option<InstanceStatus>,
     /// Whether an override is there that this server set or inherited.
     overridden: bool,
     /// An override that somebody else set.
-    foreign: Option<Status>,
+    foreign: Option<InstanceStatus>,
     ever_up: bool,
     first_registered: Option<Time>,
     dirty_ms: u64,
@@ -301,24 +301,27 @@
     }
 
     /// The state that the registry should show.
-    pub fn wanted(&self, now: Time) -> Status {
+    pub fn wanted(&self, now: Time) -> InstanceStatus {
         if self.leaving != Leaving::No {
-            return Status::OutOfService;
+            return InstanceStatus::OutOfService;
         }
         match self.processor {
-            None if self.had_processor => Status::Down,
-            None => Status::Starting,
-            Some((since, cold)) if cold && now < self.ready_at(since) => Status::Starting,
-            Some(_) if !self.health => Status::Down,
+            None if self.had_processor => InstanceStatus::Down,
+            None => InstanceStatus::Starting,
+            Some((since, cold)) if cold && now < self.ready_at(since) => InstanceStatus::Starting,
+            Some(_) if !self.health => InstanceStatus::Down,
             // Guards against a state that flaps: good is believed late, bad at once.
-            Some(_) if now < after(self.health_since, self.set.steady) && self.told != Some(Status::Up) => {
+            Some(_)
+                if now < time_after(self.health_since, self.set.steady)
+                    && self.told != Some(InstanceStatus::Up) =>
+            {
                 if self.ever_up {
-                    Status::Down
+                    InstanceStatus::Down
                 } else {
-                    Status::Starting
+                    InstanceStatus::Starting
                 }
             }
-            Some(_) => Status::Up,
+            Some(_) => InstanceStatus::Up,
         }
     }
 
@@ -327,7 +330,7 @@
     fn ready_at(&self, since: Time) -> Time {
         let (least, ready) = (self.set.cold_share, self.set.ready_share);
         let part = if least < 1.0 { ((ready - least) / (1.0 - least)).clamp(0.0, 1.0) } else { 0.0 };
-        after(since, Span((self.set.cold.0 as f64 * part) as u64))
+        time_after(since, Span((self.set.cold.0 as f64 * part) as u64))
     }
 
     /// Whether the registry shows this server as out of service, as far as was seen.
@@ -336,7 +339,7 @@
     }
 
     /// The state last seen or told at the registry; none before any was.
-    pub fn shown(&self) -> Option<Status> {
+    pub fn shown(&self) -> Option<InstanceStatus> {
         self.told.filter(|_| self.registered)
     }
 
@@ -353,20 +356,20 @@
     // ---- questions
 
     /// The next question to put, if one is due. To be called again until there is none.
-    pub fn poll(&mut self, now: Time, unix_ms: u64) -> Option<Ask> {
+    pub fn poll(&mut self, now: Time, unix_ms: u64) -> Option<RegistryRequest> {
         if self.ended {
             return None;
         }
         self.give_up_overdue(now);
         self.urgent_op(now, unix_ms)
-            .map(|(url, beside, op)| (Lane::Urgent, url, beside, op))
-            .or_else(|| self.routine_op(now, unix_ms).map(|(url, op)| (Lane::Routine, url, false, op)))
+            .map(|(url, beside, op)| (RequestLane::Urgent, url, beside, op))
+            .or_else(|| self.routine_op(now, unix_ms).map(|(url, op)| (RequestLane::Routine, url, false, op)))
             .map(|(lane, url, beside, op)| {
                 self.tickets += 1;
                 self.calls += 1;
                 let open = Open { ticket: self.tickets, url, op: op.clone(), since: now, beside };
                 *self.lane(lane) = Some(open);
-                Ask { ticket: self.tickets, url, lane, timeout: self.timeout(lane), op }
+                RegistryRequest { ticket: self.tickets, url, lane, timeout: self.timeout(lane), op }
             })
     }
 
@@ -376,15 +379,15 @@
         if self.ended {
             return never;
         }
-        let overdue = |open: &Open, lane| after(open.since, Span(self.timeout(lane).0 + OVERDUE.0));
+        let overdue = |open: &Open, lane| time_after(open.since, Span(self.timeout(lane).0 + OVERDUE.0));
         let urgent = match (&self.urgent, self.leaving) {
-            (Some(open), _) => overdue(open, Lane::Urgent),
+            (Some(open), _) => overdue(open, RequestLane::Urgent),
             (None, Leaving::No) => never,
             (None, Leaving::Seen) if self.beside.is_empty() => never,
             (None, _) => self.next_urgent,
         };
         let routine = match &self.routine {
-            Some(open) => overdue(open, Lane::Routine),
+            Some(open) => overdue(open, RequestLane::Routine),
             None => self.next_try.max(self.next_routine(now)),
         };
         urgent.min(routine)
@@ -400,7 +403,7 @@
         }
         // States change by the clock too: a cold server becomes ready, good health steady.
         let ready = self.processor.filter(|(_, cold)| *cold).map(|(since, _)| self.ready_at(since));
-        let turns = [ready, Some(after(self.health_since, self.set.steady))];
+        let turns = [ready, Some(time_after(self.health_since, self.set.steady))];
         let turns = turns.into_iter().flatten().filter(|&at| at > now).min();
         let change = if self.change_wanted(now) { Some(self.next_change) } else { turns };
         self.next_heartbeat.min(change.unwrap_or(Time(u64::MAX)))
@@ -412,26 +415,27 @@
         self.registered && mine && self.told != Some(self.wanted(now))
     }
 
-    fn timeout(&self, lane: Lane) -> Span {
+    fn timeout(&self, lane: RequestLane) -> Span {
         match lane {
-            Lane::Routine => self.set.timeout,
-            Lane::Urgent => self.set.timeout.min(TIMEOUT_LEAVING),
+            RequestLane::Routine => self.set.timeout,
+            RequestLane::Urgent => self.set.timeout.min(TIMEOUT_LEAVING),
         }
     }
 
-    fn lane(&mut self, lane: Lane) -> &mut Option<Open> {
+    fn lane(&mut self, lane: RequestLane) -> &mut Option<Open> {
         match lane {
-            Lane::Routine => &mut self.routine,
-            Lane::Urgent => &mut self.urgent,
+            RequestLane::Routine => &mut self.routine,
+            RequestLane::Urgent => &mut self.urgent,
         }
     }
 
     fn give_up_overdue(&mut self, now: Time) {
-        for lane in [Lane::Routine, Lane::Urgent] {
+        for lane in [RequestLane::Routine, RequestLane::Urgent] {
             let overdue = Span(self.timeout(lane).0 + OVERDUE.0);
-            if let Some(open) = self.lane(lane).as_ref().filter(|open| after(open.since, overdue) <= now) {
+            if let Some(open) = self.lane(lane).as_ref().filter(|open| time_after(open.since, overdue) <= now)
+            {
                 let ticket = open.ticket;
-                self.reply(now, ticket, Reply::Failed("no answer in its time".into()));
+                self.reply(now, ticket, RegistryReply::Failed("no answer in its time".into()));
             }
         }
     }
@@ -441,15 +445,15 @@
         self.dirty_ms = unix_ms.max(self.dirty_ms.saturating_add(1));
     }
 
-    fn record(&mut self, status: Status, unix_ms: u64) -> Op {
+    fn record(&mut self, status: InstanceStatus, unix_ms: u64) -> RegistryOperation {
         self.changed(unix_ms);
         let mut instance = self.set.instance.clone();
         (instance.status, instance.dirty_ms, instance.updated_ms) = (status, self.dirty_ms, unix_ms);
-        Op::Register(Box::new(instance))
+        RegistryOperation::Register(Box::new(instance))
     }
 
     /// The service URL, whether it is only beside the one in use, and the question.
-    fn urgent_op(&mut self, now: Time, unix_ms: u64) -> Option<(usize, bool, Op)> {
+    fn urgent_op(&mut self, now: Time, unix_ms: u64) -> Option<(usize, bool, RegistryOperation)> {
         if self.urgent.is_some() || now < self.next_urgent {
             return None;
         }
@@ -459,26 +463,36 @@
             Leaving::No => None,
             Leaving::Tell => {
                 self.changed(unix_ms);
-                own(Op::Override { status: Status::OutOfService, dirty_ms: self.dirty_ms })
+                own(RegistryOperation::Override {
+                    status: InstanceStatus::OutOfService,
+                    dirty_ms: self.dirty_ms,
+                })
             }
             Leaving::Register => {
-                let op = self.record(Status::OutOfService, unix_ms);
+                let op = self.record(InstanceStatus::OutOfService, unix_ms);
                 own(op)
             }
-            Leaving::Look => own(Op::Look),
+            Leaving::Look => own(RegistryOperation::Look),
             Leaving::Seen => {
                 let other = std::iter::from_fn(|| self.beside.pop()).find(|other| *other != url)?;
-                Some((other, true, Op::Override { status: Status::OutOfService, dirty_ms: self.dirty_ms }))
+                Some((
+                    other,
+                    true,
+                    RegistryOperation::Override {
+                        status: InstanceStatus::OutOfService,
+                        dirty_ms: self.dirty_ms,
+                    },
+                ))
             }
         }
     }
 
-    fn routine_op(&mut self, now: Time, unix_ms: u64) -> Option<(usize, Op)> {
+    fn routine_op(&mut self, now: Time, unix_ms: u64) -> Option<(usize, RegistryOperation)> {
         if self.routine.is_some() || now < self.next_try {
             return None;
         }
         if std::mem::take(&mut self.cancel) {
-            return Some((self.url, Op::Cancel));
+            return Some((self.url, RegistryOperation::Cancel));
         }
         let wanted = self.wanted(now);
         if !self.registered {
@@ -486,39 +500,46 @@
             if now < self.next_register || self.leaving != Leaving::No {
                 return None;
             }
-            self.next_register = after(now, REGISTER_AGAIN);
+            self.next_register = time_after(now, REGISTER_AGAIN);
             return Some((self.url, self.record(wanted, unix_ms)));
         }
         if std::mem::take(&mut self.look) {
-            return Some((self.url, Op::Look));
+            return Some((self.url, RegistryOperation::Look));
         }
         if self.change_wanted(now) && now >= self.next_change {
-            self.next_change = after(now, self.set.tell_every);
-            if wanted == Status::Up && self.overridden {
+            self.next_change = time_after(now, self.set.tell_every);
+            if wanted == InstanceStatus::Up && self.overridden {
                 self.changed(unix_ms);
-                return Some((self.url, Op::ClearOverride { status: wanted, dirty_ms: self.dirty_ms }));
+                return Some((
+                    self.url,
+                    RegistryOperation::ClearOverride { status: wanted, dirty_ms: self.dirty_ms },
+                ));
             }
             // A registry trusts a lease that is out of service more than a registration that says up, but not more
             // than one that says starting: the way back leads over that.
-            let over = wanted == Status::Up && self.told == Some(Status::OutOfService);
-            return Some((self.url, self.record(if over { Status::Starting } else { wanted }, unix_ms)));
+            let over = wanted == InstanceStatus::Up && self.told == Some(InstanceStatus::OutOfService);
+            return Some((
+                self.url,
+                self.record(if over { InstanceStatus::Starting } else { wanted }, unix_ms),
+            ));
         }
         if now < self.next_heartbeat {
             return None;
         }
         // The preferred registry is tried with a heartbeat, which changes nothing where it fails.
         let url = if self.url > 0 && now >= self.next_prefer { 0 } else { self.url };
-        self.next_prefer = if url == self.url { self.next_prefer } else { after(now, self.set.prefer_every) };
-        Some((url, Op::Heartbeat { status: wanted, dirty_ms: self.dirty_ms }))
+        self.next_prefer =
+            if url == self.url { self.next_prefer } else { time_after(now, self.set.prefer_every) };
+        Some((url, RegistryOperation::Heartbeat { status: wanted, dirty_ms: self.dirty_ms }))
     }
 
     // ---- replies
 
     /// What became of a question. One that is not open, as when it comes twice or after its time, changes nothing.
-    pub fn reply(&mut self, now: Time, ticket: u64, reply: Reply) {
-        let lanes = [Lane::Routine, Lane::Urgent];
-        let is_open = |lane: &Lane| {
-            let open = if *lane == Lane::Routine { &self.routine } else { &self.urgent };
+    pub fn reply(&mut self, now: Time, ticket: u64, reply: RegistryReply) {
+        let lanes = [RequestLane::Routine, RequestLane::Urgent];
+        let is_open = |lane: &RequestLane| {
+            let open = if *lane == RequestLane::Routine { &self.routine } else { &self.urgent };
             open.as_ref().is_some_and(|open| open.ticket == ticket)
         };
         let Some(lane) = lanes.into_iter().find(is_open) else { return };
@@ -528,16 +549,16 @@
             return;
         }
         match (&reply, &open.op) {
-            (Reply::Failed(why), _) => return self.failed(now, lane, &open, why),
-            (Reply::Rejected(status), _) => {
+            (RegistryReply::Failed(why), _) => return self.failed(now, lane, &open, why),
+            (RegistryReply::Rejected(status), _) => {
                 return self.failed(now, lane, &open, &format!("answered with status {status}"));
             }
-            (Reply::Record(_), op) if *op != Op::Look => {
+            (RegistryReply::Record(_), op) if *op != RegistryOperation::Look => {
                 return self.failed(now, lane, &open, "answered what was not asked");
             }
             _ => {}
         }
-        if lane == Lane::Routine {
+        if lane == RequestLane::Routine {
             self.moved_to(open.url, now);
             self.backoff.reset();
             self.next_try = now;
@@ -546,20 +567,20 @@
             self.next_urgent = now;
         }
         match reply {
-            Reply::NotFound => self.forgotten(now, lane),
+            RegistryReply::NotFound => self.forgotten(now, lane),
             // Another registry is in use by now: what this one shows says nothing of that. A leave that goes on is told
             // there; one that was undone meanwhile stays undone.
-            Reply::Record(_) if open.url != self.url => {
+            RegistryReply::Record(_) if open.url != self.url => {
                 if self.leaving != Leaving::No {
                     self.leaving = Leaving::Tell;
                 }
             }
-            Reply::Record(record) => self.seen(now, lane, &record),
-            Reply::Done => self.done(now, lane, open.op),
-            Reply::Rejected(_) | Reply::Failed(_) => {}
+            RegistryReply::Record(record) => self.seen(now, lane, &record),
+            RegistryReply::Done => self.done(now, lane, open.op),
+            RegistryReply::Rejected(_) | RegistryReply::Failed(_) => {}
         }
         // Whatever was under way when the leave was told may have undone it.
-        if lane == Lane::Routine && matches!(self.leaving, Leaving::Look | Leaving::Seen) {
+        if lane == RequestLane::Routine && matches!(self.leaving, Leaving::Look | Leaving::Seen) {
             self.leaving = Leaving::Look;
         }
     }
@@ -569,33 +590,38 @@
             self.notes.push(format!("the registry at service URL {} is in use", url + 1));
             self.url = url;
             self.look = true;
-            self.next_prefer = after(now, self.set.prefer_every);
+            self.next_prefer = time_after(now, self.set.prefer_every);
         }
     }
 
-    fn failed(&mut self, now: Time, lane: Lane, open: &Open, why: &str) {
+    fn failed(&mut self, now: Time, lane: RequestLane, open: &Open, why: &str) {
         let mut rng = self.rng.clone();
         let wait = match lane {
-            Lane::Routine => self.backoff.failed(&mut rng),
-            Lane::Urgent => self.leave_backoff.failed(&mut rng),
+            RequestLane::Routine => self.backoff.failed(&mut rng),
+            RequestLane::Urgent => self.leave_backoff.failed(&mut rng),
         };
         self.rng = rng;
-        let next = after(now, wait);
+        let next = time_after(now, wait);
         match lane {
-            Lane::Urgent => {
+            RequestLane::Urgent => {
                 self.next_urgent = next;
                 if self.leaving == Leaving::Register {
                     self.leaving = Leaving::Tell;
                 }
             }
-            Lane::Routine if open.url != self.url => {
+            RequestLane::Routine if open.url != self.url => {
                 // The preferred one is still away; the one in use is asked as if nothing had been tried.
                 self.next_heartbeat = now;
                 return;
             }
-            Lane::Routine => {
+            RequestLane::Routine => {
                 self.next_try = next;
-                self.look |= matches!(open.op, Op::Look | Op::Register(_) | Op::ClearOverride { .. });
+                self.look |= matches!(
+                    open.op,
+                    RegistryOperation::Look
+                        | RegistryOperation::Register(_)
+                        | RegistryOperation::ClearOverride { .. }
+                );
             }
         }
         if self.backoff.failures() <= 1 {
@@ -603,84 +629,84 @@
         }
         if self.set.urls > 1 && open.url == self.url {
             self.url = (self.url + 1) % self.set.urls;
-            self.next_prefer = after(now, self.set.prefer_every);
+            self.next_prefer = time_after(now, self.set.prefer_every);
         }
     }
 
     /// The registry doesn't know this server: it restarted empty, evicted it, or a late cancel came.
-    fn forgotten(&mut self, now: Time, lane: Lane) {
+    fn forgotten(&mut self, now: Time, lane: RequestLane) {
         if self.registered {
             self.notes.push("the registry has forgotten this server".into());
         }
         self.registered = false;
         self.told = None;
         // A registry that forgot the lease may have forgotten the override, or not: it is looked at again.
-        if lane == Lane::Urgent || self.leaving != Leaving::No {
+        if lane == RequestLane::Urgent || self.leaving != Leaving::No {
             self.leaving = Leaving::Register;
             self.next_urgent = self.next_urgent.max(now);
         }
     }
 
-    fn done(&mut self, now: Time, lane: Lane, op: Op) {
+    fn done(&mut self, now: Time, lane: RequestLane, op: RegistryOperation) {
         match op {
-            Op::Register(instance) => {
+            RegistryOperation::Register(instance) => {
                 self.registered = true;
                 self.told = Some(instance.status);
                 self.first_registered.get_or_insert(now);
                 self.heartbeat_after(now);
                 self.note_state(instance.status);
-                if lane == Lane::Urgent {
+                if lane == RequestLane::Urgent {
                     self.leaving = Leaving::Tell;
                 } else {
                     self.look = true;
                 }
             }
-            Op::Heartbeat { .. } => {
+            RegistryOperation::Heartbeat { .. } => {
                 self.heartbeats += 1;
                 self.look |= self.heartbeats.is_multiple_of(LOOK_EVERY);
                 self.heartbeat_after(now);
             }
-            Op::Override { .. } => {
+            RegistryOperation::Override { .. } => {
                 self.registered = true;
                 self.overridden = true;
-                self.told = Some(Status::OutOfService);
-                self.note_state(Status::OutOfService);
-                if lane == Lane::Urgent && self.leaving != Leaving::No {
+                self.told = Some(InstanceStatus::OutOfService);
+                self.note_state(InstanceStatus::OutOfService);
+                if lane == RequestLane::Urgent && self.leaving != Leaving::No {
                     self.leaving = Leaving::Look;
                 }
             }
-            Op::ClearOverride { .. } => {
+            RegistryOperation::ClearOverride { .. } => {
                 self.overridden = false;
                 // The record itself still says what it did before.
                 self.told = None;
                 self.next_change = now;
             }
-            Op::Look => self.failed(
+            RegistryOperation::Look => self.failed(
                 now,
                 lane,
-                &Open { ticket: 0, url: self.url, op: Op::Look, since: now, beside: false },
+                &Open { ticket: 0, url: self.url, op: RegistryOperation::Look, since: now, beside: false },
                 "answered without the record",
             ),
-            Op::Cancel => {
+            RegistryOperation::Cancel => {
                 (self.registered, self.ended) = (false, true);
                 self.notes.push("the registration is removed".into());
             }
         }
     }
 
-    fn note_state(&mut self, status: Status) {
+    fn note_state(&mut self, status: InstanceStatus) {
         self.notes.push(format!("the registry is told {status}"));
-        self.ever_up |= status == Status::Up;
+        self.ever_up |= status == InstanceStatus::Up;
     }
 
     fn heartbeat_after(&mut self, now: Time) {
-        let young = self.first_registered.is_some_and(|first| now < after(first, YOUNG));
+        let young = self.first_registered.is_some_and(|first| now < time_after(first, YOUNG));
         let wait = if young { self.set.heartbeat.min(YOUNG_HEARTBEAT) } else { self.set.heartbeat };
-        self.next_heartbeat = after(now, wait);
+        self.next_heartbeat = time_after(now, wait);
     }
 
     /// The own record as the registry has it.
-    fn seen(&mut self, now: Time, lane: Lane, record: &Instance) {
+    fn seen(&mut self, now: Time, lane: RequestLane, record: &Instance) {
         self.told = Some(record.status);
         self.registered = true;
         if record.dirty_ms > self.dirty_ms {
@@ -688,9 +714,9 @@
             self.dirty_ms = record.dirty_ms;
             self.registered = false;
         }
-        let theirs = record.overridden != Status::Unknown && !self.overridden;
+        let theirs = record.overridden != InstanceStatus::Unknown && !self.overridden;
         let inherited =
-            !self.ever_up || self.first_registered.is_some_and(|first| now < after(first, INHERITED));
+            !self.ever_up || self.first_registered.is_some_and(|first| now < time_after(first, INHERITED));
         let foreign = self.foreign;
         self.foreign = None;
         if self.leaving == Leaving::No && theirs {
@@ -701,18 +727,18 @@
                 self.foreign = Some(record.overridden);
             }
         }
-        self.overridden &= record.overridden != Status::Unknown;
+        self.overridden &= record.overridden != InstanceStatus::Unknown;
         if foreign != self.foreign {
             let word = self.foreign.map_or("no state".into(), |status| status.to_string());
             self.notes.push(format!("somebody else set {word} at the registry"));
         }
-        if lane == Lane::Urgent && self.leaving != Leaving::No {
-            let there = record.status == Status::OutOfService;
+        if lane == RequestLane::Urgent && self.leaving != Leaving::No {
+            let there = record.status == InstanceStatus::OutOfService;
             self.leaving = if there { Leaving::Seen } else { Leaving::Tell };
             if there && self.routine.is_some() {
                 // Something is still under way that may undo it.
                 self.leaving = Leaving::Look;
-                self.next_urgent = after(now, RETRY_LEAVING);
+                self.next_urgent = time_after(now, RETRY_LEAVING);
             }
         }
     }
--- a/crates/registry/src/view.rs
+++ b/crates/registry/src/view.rs
@@ -6,8 +6,8 @@
 //! are kept once, and what a caller doesn't go by is not kept at all.
 
 use crate::backoff::Backoff;
-use crate::instance::{ActionType, Applications, Instance, Status, hash_code};
-use gradepin_admission::{Span, Time, after};
+use crate::instance::{ActionType, Applications, Instance, InstanceStatus, hash_code};
+use gradepin_admission::{Span, Time, time_after};
 use hashbrown::HashTable;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
@@ -85,7 +85,7 @@
     app: u32,
     vip: u32,
     zone: u32,
-    status: Status,
+    status: InstanceStatus,
     /// The registry no longer tells it, and that is not believed yet.
     doubted: bool,
 }
@@ -130,7 +130,7 @@
 
 impl Entry {
     fn good(&self) -> bool {
-        self.status == Status::Up && !self.doubted
+        self.status == InstanceStatus::Up && !self.doubted
     }
 }
 
@@ -279,7 +279,7 @@
         self.fetching = false;
         let Some(came) = came else {
             let mut rng = self.rng.clone();
-            self.next_fetch = after(now, self.backoff.failed(&mut rng));
+            self.next_fetch = time_after(now, self.backoff.failed(&mut rng));
             self.rng = rng;
             return;
         };
@@ -288,7 +288,7 @@
         // Of random length, so that callers that started together don't ask together.
         let spread = self.set.refresh.0 / 10;
         let spread = if spread == 0 { 0 } else { self.rng.next_u64() % spread };
-        self.next_fetch = after(now, Span(self.set.refresh.0 - spread));
+        self.next_fetch = time_after(now, Span(self.set.refresh.0 - spread));
         match fetch {
             Fetch::Full => self.full(now, came),
             Fetch::Delta => self.delta(now, came),
@@ -306,9 +306,10 @@
         let gone: Vec<u32> = (0..self.table.slots.len() as u32)
             .filter(|slot| self.table.entry(*slot).is_some() && !listed.contains(slot))
             .collect();
-        let was_up = |slot: &&u32| self.table.entry(**slot).is_some_and(|entry| entry.status == Status::Up);
+        let was_up =
+            |slot: &&u32| self.table.entry(**slot).is_some_and(|entry| entry.status == InstanceStatus::Up);
         let lost = gone.iter().filter(was_up).count();
-        let up = self.table.entries().filter(|entry| entry.status == Status::Up).count();
+        let up = self.table.entries().filter(|entry| entry.status == InstanceStatus::Up).count();
         // What a registry tells that has just restarted, or was cut off from its servers, is no news of the fleet.
         let sudden = lost > 0 && ((up - lost) as f64) < self.set.least_left * up as f64;
         // While it still tells more each time, its servers are coming back to it.
@@ -319,7 +320,7 @@
         };
         self.doubts = Some((since, told));
         let empty = came.instances.is_empty();
-        if sudden && (empty || now < after(since, self.set.doubt)) {
+        if sudden && (empty || now < time_after(since, self.set.doubt)) {
             for slot in gone {
                 self.table.change(slot, |entry| entry.doubted = true);
             }
@@ -393,7 +394,7 @@
     }
 
     /// The state of an instance.
-    pub fn status(&self, app: &str, id: &str) -> Option<Status> {
+    pub fn status(&self, app: &str, id: &str) -> Option<InstanceStatus> {
         let app = *self.table.words.places.get(app)?;
         self.table.entry(self.table.find(app, id)?).map(|entry| entry.status)
     }
@@ -410,8 +411,10 @@
         let found = near
             .and_then(|zone| table.any(vip, Some(zone), start, |e| e.good() && !avoided(e.address)))
             .or_else(|| table.any(vip, None, start, |e| e.good() && !avoided(e.address)))
-            .or_else(|| table.any(vip, None, start, |e| e.status == Status::Up && !avoided(e.address)))
-            .or_else(|| table.any(vip, None, start, |e| e.status == Status::Up));
+            .or_else(|| {
+                table.any(vip, None, start, |e| e.status == InstanceStatus::Up && !avoided(e.address))
+            })
+            .or_else(|| table.any(vip, None, start, |e| e.status == InstanceStatus::Up));
         let entry = table.entry(found?)?;
         Some(Picked { id: &entry.id, address: entry.address, near: Some(entry.zone) == own })
     }
@@ -420,7 +423,7 @@
     pub fn all_up(&self, vip: &str) -> Vec<SocketAddr> {
         let Some(&vip) = self.table.words.places.get(vip) else { return Vec::new() };
         let own = self.set.zone.as_ref().and_then(|zone| self.table.words.places.get(zone.as_str())).copied();
-        let up = self.table.entries().filter(|entry| entry.vip == vip && entry.status == Status::Up);
+        let up = self.table.entries().filter(|entry| entry.vip == vip && entry.status == InstanceStatus::Up);
         let mut all: Vec<&Entry> = up.collect();
         all.sort_by_key(|entry| (entry.doubted, Some(entry.zone) != own, entry.address));
         all.iter().map(|entry| entry.address).collect()
--- a/crates/registry/src/wire/json.rs
+++ b/crates/registry/src/wire/json.rs
@@ -2,7 +2,7 @@
 
 use super::tree::Node;
 use super::{MOST_DEPTH, WireError};
-use crate::instance::{Applications, Instance, Port, Status};
+use crate::instance::{Applications, Instance, InstanceStatus, Port};
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 
@@ -97,9 +97,9 @@
             out[name] = json!(url);
         }
     }
-    if i.overridden == Status::Unknown {
+    if i.overridden == InstanceStatus::Unknown {
         // Older clients know this spelling only.
-        out["overriddenstatus"] = json!(Status::Unknown.word());
+        out["overriddenstatus"] = json!(InstanceStatus::Unknown.word());
     }
     out
 }
--- a/crates/registry/src/wire/mod.rs
+++ b/crates/registry/src/wire/mod.rs
@@ -4,7 +4,7 @@
 mod tree;
 mod xml;
 
-use crate::instance::{ActionType, Applications, Instance, Lease, Port, Status};
+use crate::instance::{ActionType, Applications, Instance, InstanceStatus, Lease, Port};
 use std::collections::BTreeMap;
 use tree::Node;
 
@@ -109,7 +109,7 @@
     let app = app.ok_or(WireError::Meaning { expected: "an app", place: "instance", got: "none".into() })?;
     let status = |names: &[&str]| {
         let word = names.iter().find_map(|name| node.text_of(name)).unwrap_or_default();
-        word.parse::<Status>().unwrap_or_default()
+        word.parse::<InstanceStatus>().unwrap_or_default()
     };
     let port = |name: &'static str| -> Result<Option<Port>, WireError> {
         let Some(port) = node.child(name) else { return Ok(None) };
@@ -221,8 +221,8 @@
             app: "TILE-SERVER".into(),
             host: "n3".into(),
             ip: Some("127.0.0.3".parse().unwrap()),
-            status: Status::Up,
-            overridden: Status::OutOfService,
+            status: InstanceStatus::Up,
+            overridden: InstanceStatus::OutOfService,
             port: Port { number: 8443, enabled: true },
             vip: "tiles".into(),
             lease: Lease {
@@ -267,7 +267,7 @@
              {"@class":"java.util.Collections$EmptyMap"},"lastDirtyTimestamp":"17","actionType":"ADDED"}}}}"#;
         let all = read_applications(json, Format::Json).unwrap();
         let one = &all.instances[0];
-        assert_eq!((one.id.as_str(), one.app.as_str(), one.status), ("n1", "TILES", Status::Up));
+        assert_eq!((one.id.as_str(), one.app.as_str(), one.status), ("n1", "TILES", InstanceStatus::Up));
         assert_eq!((one.port.number, one.port.enabled, one.dirty_ms), (8080, true, 17));
         assert_eq!((one.lease.renewal_s, one.metadata.len()), (30, 0));
         let xml =
--- a/crates/registry/tests/odd_replies.rs
+++ b/crates/registry/tests/odd_replies.rs
@@ -1,9 +1,11 @@
 //! A server's registration against a registry that says anything at any time, and a clock that jumps: nothing ends the process,
 //! no question is put for ever at one moment, and what was undone here stays undone.
 
-use gradepin_admission::{Span, Time, after};
-use gradepin_registry::instance::{Instance, Status};
-use gradepin_registry::membership::{Ask, Lane, Membership, MembershipSettings, Op, Reply};
+use gradepin_admission::{Span, Time, time_after};
+use gradepin_registry::instance::{Instance, InstanceStatus};
+use gradepin_registry::membership::{
+    Membership, MembershipSettings, RegistryOperation, RegistryReply, RegistryRequest, RequestLane,
+};
 use gradepin_registry::wire::{self, Format};
 use proptest::prelude::*;
 use rand_pcg::Pcg64Mcg;
@@ -28,22 +30,27 @@
 }
 
 /// What the registry has of this server.
-fn record(status: Status, dirty_ms: u64) -> Reply {
-    Reply::Record(Box::new(Instance { id: "n1".into(), status, dirty_ms, ..Instance::default() }))
+fn record(status: InstanceStatus, dirty_ms: u64) -> RegistryReply {
+    RegistryReply::Record(Box::new(Instance { id: "n1".into(), status, dirty_ms, ..Instance::default() }))
 }
 
 /// Puts questions until one of this kind is put, and answers the others as done.
-fn asked(membership: &mut Membership, now: &mut Time, wanted: impl Fn(&Ask) -> bool) -> Ask {
+fn asked(
+    membership: &mut Membership,
+    now: &mut Time,
+    wanted: impl Fn(&RegistryRequest) -> bool,
+) -> RegistryRequest {
     for _ in 0..200 {
         while let Some(ask) = membership.poll(*now, now.0 / MS) {
             if wanted(&ask) {
                 return ask;
             }
             let shown = membership.shown().unwrap_or_default();
-            let reply = if ask.op == Op::Look { record(shown, 1) } else { Reply::Done };
+            let reply =
+                if ask.op == RegistryOperation::Look { record(shown, 1) } else { RegistryReply::Done };
             membership.reply(*now, ask.ticket, reply);
         }
-        *now = after(*now, Span(100 * MS));
+        *now = time_after(*now, Span(100 * MS));
     }
     panic!("it is never asked");
 }
@@ -54,12 +61,12 @@
     for dirty_ms in [u64::MAX - 1, u64::MAX] {
         let mut now = Time(1_000 * MS);
         let mut membership = Membership::new(settings(1), 5, now);
-        let look = asked(&mut membership, &mut now, |ask| ask.op == Op::Look);
-        membership.reply(now, look.ticket, record(Status::Starting, dirty_ms));
-        let again = asked(&mut membership, &mut now, |ask| matches!(ask.op, Op::Register(_)));
-        membership.reply(now, again.ticket, Reply::Done);
+        let look = asked(&mut membership, &mut now, |ask| ask.op == RegistryOperation::Look);
+        membership.reply(now, look.ticket, record(InstanceStatus::Starting, dirty_ms));
+        let again = asked(&mut membership, &mut now, |ask| matches!(ask.op, RegistryOperation::Register(_)));
+        membership.reply(now, again.ticket, RegistryReply::Done);
         membership.leave(now);
-        asked(&mut membership, &mut now, |ask| ask.lane == Lane::Urgent);
+        asked(&mut membership, &mut now, |ask| ask.lane == RequestLane::Urgent);
     }
 }
 
@@ -70,19 +77,21 @@
     let mut membership = Membership::new(settings(2), 5, now);
     membership.processor(Some((now, false)));
     membership.health(now, true);
-    asked(&mut membership, &mut now, |ask| matches!(ask.op, Op::Heartbeat { .. }));
+    asked(&mut membership, &mut now, |ask| matches!(ask.op, RegistryOperation::Heartbeat { .. }));
     membership.leave(now);
-    let look = asked(&mut membership, &mut now, |ask| ask.lane == Lane::Urgent && ask.op == Op::Look);
+    let look = asked(&mut membership, &mut now, |ask| {
+        ask.lane == RequestLane::Urgent && ask.op == RegistryOperation::Look
+    });
     membership.come_back();
-    now = after(now, Span(600 * MS));
+    now = time_after(now, Span(600 * MS));
     // The other lane's question runs out of its time meanwhile, so the second registry is in use.
     let routine = (1..look.ticket).rev().find(|ticket| {
-        membership.reply(now, *ticket, Reply::Failed("cut".into()));
+        membership.reply(now, *ticket, RegistryReply::Failed("cut".into()));
         membership.notes().iter().any(|note| note.contains("failed"))
     });
     assert!(routine.is_some(), "one was open");
-    membership.reply(now, look.ticket, record(Status::OutOfService, 1));
-    assert_eq!(membership.wanted(now), Status::Up, "an operator took it back in");
+    membership.reply(now, look.ticket, record(InstanceStatus::OutOfService, 1));
+    assert_eq!(membership.wanted(now), InstanceStatus::Up, "an operator took it back in");
 }
 
 /// 200,000 moments of drawn events and answers over 400 seeds.
@@ -93,7 +102,7 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut now = Time(1_000 * MS);
         let mut membership = Membership::new(settings(1 + (seed % 3) as usize), seed, now);
-        let mut open: Vec<Ask> = Vec::new();
+        let mut open: Vec<RegistryRequest> = Vec::new();
         for _ in 0..500 {
             let mut put = 0;
             while let Some(ask) = membership.poll(now, now.0 / MS) {
@@ -104,7 +113,13 @@
             assert!(membership.wake_at(now) > now, "a turn at {} again and again", now.0);
             let draw = rng.next_u64();
             let ticket = open.get(draw as usize % open.len().max(1)).map_or(draw % 99, |ask| ask.ticket);
-            let status = [Status::Up, Status::Down, Status::Starting, Status::OutOfService, Status::Unknown];
+            let status = [
+                InstanceStatus::Up,
+                InstanceStatus::Down,
+                InstanceStatus::Starting,
+                InstanceStatus::OutOfService,
+                InstanceStatus::Unknown,
+            ];
             let status = status[(draw >> 8) as usize % 5];
             let dirty_ms = [0, now.0 / MS, u64::MAX, u64::MAX - 1, 1][(draw >> 16) as usize % 5];
             match (draw >> 24) % 16 {
@@ -114,13 +129,13 @@
                 3 => membership.processor((!draw.is_multiple_of(3)).then_some((now, draw.is_multiple_of(5)))),
                 4 => membership.metadata("store", &draw.to_string()),
                 5 if draw.is_multiple_of(50) => membership.answered(),
-                6..9 => membership.reply(now, ticket, Reply::Done),
-                9 => membership.reply(now, ticket, Reply::NotFound),
-                10 => membership.reply(now, ticket, Reply::Rejected((draw >> 32) as u16)),
-                11 => membership.reply(now, ticket, Reply::Failed("odd".into())),
+                6..9 => membership.reply(now, ticket, RegistryReply::Done),
+                9 => membership.reply(now, ticket, RegistryReply::NotFound),
+                10 => membership.reply(now, ticket, RegistryReply::Rejected((draw >> 32) as u16)),
+                11 => membership.reply(now, ticket, RegistryReply::Failed("odd".into())),
                 12..14 => membership.reply(now, ticket, record(status, dirty_ms)),
-                14 => now = after(now, Span(rng.next_u64() % (4_000_000 * MS))),
-                _ => now = membership.wake_at(now).min(after(now, Span(5_000 * MS))),
+                14 => now = time_after(now, Span(rng.next_u64() % (4_000_000 * MS))),
+                _ => now = membership.wake_at(now).min(time_after(now, Span(5_000 * MS))),
             }
         }
     }
--- a/crates/registry/tests/view.rs
+++ b/crates/registry/tests/view.rs
@@ -1,7 +1,7 @@
 //! What a caller believes of a fleet, whatever its registry tells.
 
 use gradepin_admission::Time;
-use gradepin_registry::instance::{ActionType, Applications, Instance, Port, Status, hash_code};
+use gradepin_registry::instance::{ActionType, Applications, Instance, InstanceStatus, Port, hash_code};
 use gradepin_registry::view::{Fetch, View, ViewSettings};
 use proptest::prelude::*;
 
@@ -11,7 +11,7 @@
     Time(s * S)
 }
 
-fn instance(n: u16, zone: &str, status: Status) -> Instance {
+fn instance(n: u16, zone: &str, status: InstanceStatus) -> Instance {
     Instance {
         id: format!("n{n}"),
         app: "TILES".into(),
@@ -31,7 +31,7 @@
 }
 
 fn up(ids: std::ops::Range<u16>) -> Vec<Instance> {
-    ids.map(|n| instance(n, "tampere-1", Status::Up)).collect()
+    ids.map(|n| instance(n, "tampere-1", InstanceStatus::Up)).collect()
 }
 
 /// A view that has just fetched these in full.
@@ -48,7 +48,7 @@
     fetch
 }
 
-fn statuses(view: &View, ids: std::ops::Range<u16>) -> Vec<Option<Status>> {
+fn statuses(view: &View, ids: std::ops::Range<u16>) -> Vec<Option<InstanceStatus>> {
     ids.map(|n| view.status("TILES", &format!("n{n}"))).collect()
 }
 
@@ -58,7 +58,7 @@
     let mut delta = all(vec![Instance {
         action: ActionType::Modified,
         updated_ms: 2,
-        ..instance(1, "lahti-1", Status::Down)
+        ..instance(1, "lahti-1", InstanceStatus::Down)
     }]);
     delta.hash_code = "UP_9_".into();
     assert_eq!(next(&mut view, 30, Some(&delta)), Fetch::Delta);
@@ -73,15 +73,22 @@
     let changed =
         |updated_ms, status, action| Instance { action, updated_ms, ..instance(1, "lahti-1", status) };
     let mut delta = all(vec![
-        changed(3, Status::OutOfService, ActionType::Modified),
-        Instance { action: ActionType::Deleted, updated_ms: 3, ..instance(2, "tampere-1", Status::Up) },
+        changed(3, InstanceStatus::OutOfService, ActionType::Modified),
+        Instance {
+            action: ActionType::Deleted,
+            updated_ms: 3,
+            ..instance(2, "tampere-1", InstanceStatus::Up)
+        },
         // Of before, still in the registry's queue.
-        changed(2, Status::Down, ActionType::Modified),
+        changed(2, InstanceStatus::Down, ActionType::Modified),
     ]);
     delta.hash_code = "OUT_OF_SERVICE_1_UP_1_".into();
     for s in [30, 60] {
         assert_eq!(next(&mut view, s, Some(&delta)), Fetch::Delta);
-        assert_eq!(statuses(&view, 0..3), [Some(Status::Up), Some(Status::OutOfService), None]);
+        assert_eq!(
+            statuses(&view, 0..3),
+            [Some(InstanceStatus::Up), Some(InstanceStatus::OutOfService), None]
+        );
     }
     assert_eq!(view.mismatches(), 0);
     assert_eq!(view.pick("tiles", |_| false).unwrap().id, "n0");
@@ -92,8 +99,11 @@
     let near = ViewSettings { zone: Some("lahti-1".into()), ..ViewSettings::default() };
     let mut view = view(near, up(0..3));
     assert!(!view.pick("tiles", |_| false).unwrap().near, "none is there: any other will do");
-    let moved =
-        Instance { action: ActionType::Modified, updated_ms: 2, ..instance(1, "lahti-1", Status::Up) };
+    let moved = Instance {
+        action: ActionType::Modified,
+        updated_ms: 2,
+        ..instance(1, "lahti-1", InstanceStatus::Up)
+    };
     let delta = Applications { hash_code: "UP_3_".into(), ..all(vec![moved]) };
     next(&mut view, 30, Some(&delta));
     for _ in 0..50 {
@@ -107,7 +117,7 @@
 fn the_last_instance_of_a_zone_does_not_get_what_the_zone_took() {
     let near = ViewSettings { zone: Some("lahti-1".into()), ..ViewSettings::default() };
     let mut fleet = up(0..20);
-    fleet.push(instance(20, "lahti-1", Status::Up));
+    fleet.push(instance(20, "lahti-1", InstanceStatus::Up));
     let mut view = view(near, fleet);
     let near = (0..1000).filter(|_| view.pick("tiles", |_| false).unwrap().near).count();
     assert!(near < 120, "one of 21 gets {near} of 1000");
@@ -136,7 +146,8 @@
     assert!((0..50).all(|_| ["n3", "n4"].contains(&first(&mut view).as_str())));
     assert_eq!(view.all_up("tiles").len(), 10);
     let both = |a: std::net::SocketAddr| {
-        a.ip() == instance(3, "", Status::Up).ip.unwrap() || a.ip() == instance(4, "", Status::Up).ip.unwrap()
+        a.ip() == instance(3, "", InstanceStatus::Up).ip.unwrap()
+            || a.ip() == instance(4, "", InstanceStatus::Up).ip.unwrap()
     };
     assert!(view.pick("tiles", both).is_some_and(|picked| !["n3", "n4"].contains(&picked.id)));
 }
@@ -161,7 +172,13 @@
 
 #[test]
 fn what_is_not_up_is_never_chosen_and_what_is_avoided_comes_last() {
-    let states = [Status::Up, Status::Starting, Status::Down, Status::OutOfService, Status::Unknown];
+    let states = [
+        InstanceStatus::Up,
+        InstanceStatus::Starting,
+        InstanceStatus::Down,
+        InstanceStatus::OutOfService,
+        InstanceStatus::Unknown,
+    ];
     let fleet = states.iter().zip(0..).map(|(&status, n)| instance(n, "tampere-1", status)).collect();
     let mut view = view(ViewSettings::default(), fleet);
     for _ in 0..100 {
@@ -176,9 +193,9 @@
     #[test]
     fn a_view_follows_its_registry(changes in prop::collection::vec((0_u16..40, 0_usize..4, any::<bool>()), 1..60)) {
         let zones = ["tampere-1", "jyvaskyla-1", "lahti-1"];
-        let states = [Status::Up, Status::Down, Status::OutOfService];
+        let states = [InstanceStatus::Up, InstanceStatus::Down, InstanceStatus::OutOfService];
         let mut truth: std::collections::BTreeMap<u16, Instance> =
-            (0..20).map(|n| (n, instance(n, zones[n as usize % 3], Status::Up))).collect();
+            (0..20).map(|n| (n, instance(n, zones[n as usize % 3], InstanceStatus::Up))).collect();
         // Doubts have tests of their own.
         let set = ViewSettings { least_left: 0.0, ..ViewSettings::default() };
         let mut view = view(set, truth.values().cloned().collect());
--- a/crates/store/src/configuration.rs
+++ b/crates/store/src/configuration.rs
@@ -14,7 +14,7 @@
 //! what is missing comes from other servers.
 
 use crate::disk::{Disk, Segment};
-use crate::framing::{FRAME_HEAD, framed, next_frame, number_of, sealed, whole};
+use crate::framing::{FRAME_HEADER_BYTES, framed, next_frame, number_of, sealed, whole};
 use gradepin_config::{Commit, Configuration, Revision, Snapshot};
 use std::io;
 
@@ -114,7 +114,7 @@
     }
     let snapshot = next_frame(number, 0, rest)?;
     let mut state = Snapshot::decode(snapshot).ok()?.configuration().clone();
-    rest = &rest[FRAME_HEAD + snapshot.len()..];
+    rest = &rest[FRAME_HEADER_BYTES + snapshot.len()..];
     let mut commits = Vec::new();
     for place in 1.. {
         let Some(payload) = next_frame(number, place, rest) else { break };
@@ -124,7 +124,7 @@
             break;
         }
         commits.push(commit);
-        rest = &rest[FRAME_HEAD + payload.len()..];
+        rest = &rest[FRAME_HEADER_BYTES + payload.len()..];
     }
     Some((state, commits))
 }
@@ -220,7 +220,7 @@
         active.segment.sync().map_err(disk(&name))?;
         self.old.pop();
         active.place += 1;
-        active.commit_bytes += FRAME_HEAD + payload.len();
+        active.commit_bytes += FRAME_HEADER_BYTES + payload.len();
         self.active = Some(active);
         self.last = commit.revision;
         Ok(())
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -9,22 +9,22 @@
 //! The length has a check of its own: a flipped bit in it would else look like a torn tail, and what follows, which was
 //! durable, like nothing. The segment's number and the frame's place are in both, so that no frame counts elsewhere.
 
-use gradepin_core::ledger::Record;
+use gradepin_core::idempotency_log::LogRecord;
 use serde::{Deserialize, Serialize};
 
 /// The version of the form that this crate reads and writes.
 pub const VERSION: u16 = 1;
 const MAGIC: &[u8; 8] = b"gradepin";
 /// Bytes of a segment's head.
-pub const HEAD: usize = 8 + 2 + 8 + 8 + 8 + 4;
+pub const HEADER_BYTES: usize = 8 + 2 + 8 + 8 + 8 + 4;
 /// Bytes of a frame before its payload.
-pub const FRAME_HEAD: usize = 12;
+pub const FRAME_HEADER_BYTES: usize = 12;
 /// The longest payload. A step's records are split over frames where they are more.
-pub const MOST_PAYLOAD: usize = 4 << 20;
+pub const MAX_PAYLOAD_BYTES: usize = 4 << 20;
 
 /// What a segment says of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Head {
+pub struct SegmentHeader {
     /// Its number; segments are read in this order.
     pub number: u64,
     /// Starts of a server on this folder before, so that times of one life are told from those of another.
@@ -42,12 +42,12 @@
     pub unix_ms: u64,
     /// The records, in the order in which they happened.
     #[serde(borrow)]
-    pub records: Vec<Stored<'a>>,
+    pub records: Vec<StoredRecord<'a>>,
 }
 
 /// A record as it is stored. New kinds go to the end: their place is their number.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Stored<'a> {
+pub enum StoredRecord<'a> {
     /// A try may begin from now on.
     Intent {
         /// What all tries share.
@@ -94,7 +94,7 @@
     Anew,
 }
 
-impl Stored<'_> {
+impl StoredRecord<'_> {
     /// What is left of the window it tells of, in milliseconds.
     pub fn left_ms(&self) -> Option<u64> {
         match self {
@@ -107,20 +107,20 @@
 }
 
 /// A record in its stored form.
-pub fn stored(record: &Record) -> Stored<'_> {
+pub fn stored(record: &LogRecord) -> StoredRecord<'_> {
     const MS: u64 = 1_000_000;
     match record {
-        Record::Intent { token, print, id, left } => {
-            Stored::Intent { token, print: *print, id: &id.0, left_ms: left.0.div_ceil(MS) }
+        LogRecord::Intent { token, print, id, left } => {
+            StoredRecord::Intent { token, print: *print, id: &id.0, left_ms: left.0.div_ceil(MS) }
         }
-        Record::Known { token, print, id, left, result } => {
+        LogRecord::Known { token, print, id, left, result } => {
             let (print, id, left_ms) = (*print, &*id.0, left.0.div_ceil(MS));
             match result {
-                Some(result) => Stored::Served { token, print, id, left_ms, result },
-                None => Stored::Failed { token, print, id, left_ms },
+                Some(result) => StoredRecord::Served { token, print, id, left_ms, result },
+                None => StoredRecord::Failed { token, print, id, left_ms },
             }
         }
-        Record::Void { token, id } => Stored::Void { token, id: &id.0 },
+        LogRecord::Void { token, id } => StoredRecord::Void { token, id: &id.0 },
     }
 }
 
@@ -131,23 +131,23 @@
 }
 
 /// The bytes of a head.
-pub fn encode_head(head: Head) -> [u8; HEAD] {
-    let mut out = [0; HEAD];
+pub fn encode_head(head: SegmentHeader) -> [u8; HEADER_BYTES] {
+    let mut out = [0; HEADER_BYTES];
     out[..8].copy_from_slice(MAGIC);
     out[8..10].copy_from_slice(&VERSION.to_le_bytes());
     for (place, value) in [head.number, head.life, head.salt].into_iter().enumerate() {
         out[10 + 8 * place..18 + 8 * place].copy_from_slice(&value.to_le_bytes());
     }
-    let sum = crc(&[&out[..HEAD - 4]]);
-    out[HEAD - 4..].copy_from_slice(&sum.to_le_bytes());
+    let sum = crc(&[&out[..HEADER_BYTES - 4]]);
+    out[HEADER_BYTES - 4..].copy_from_slice(&sum.to_le_bytes());
     out
 }
 
 /// Why a segment's head can't be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum BadHead {
+pub enum HeaderError {
     /// Its writer was interrupted before anything in it counted.
-    #[error("expected a head of {HEAD} bytes, got {0}")]
+    #[error("expected a head of {HEADER_BYTES} bytes, got {0}")]
     Short(usize),
     /// It is no segment, or its first bytes are damaged.
     #[error("expected a segment of this store, got other bytes")]
@@ -169,39 +169,40 @@
 }
 
 /// Reads a head.
-pub fn decode_head(bytes: &[u8]) -> Result<Head, BadHead> {
-    let Some(head) = bytes.get(..HEAD) else { return Err(BadHead::Short(bytes.len())) };
+pub fn decode_head(bytes: &[u8]) -> Result<SegmentHeader, HeaderError> {
+    let Some(head) = bytes.get(..HEADER_BYTES) else { return Err(HeaderError::Short(bytes.len())) };
     if head.iter().all(|&byte| byte == 0) {
         // The length was durable before the bytes were.
-        return Err(BadHead::Short(0));
+        return Err(HeaderError::Short(0));
     }
     if &head[..8] != MAGIC {
-        return Err(BadHead::Foreign);
+        return Err(HeaderError::Foreign);
     }
-    let whole = u32_at(head, HEAD - 4) == crc(&[&head[..HEAD - 4]]);
+    let whole = u32_at(head, HEADER_BYTES - 4) == crc(&[&head[..HEADER_BYTES - 4]]);
     let version = u16::from_le_bytes([head[8], head[9]]);
     match (whole, version) {
         (true, VERSION) => {
-            Ok(Head { number: u64_at(head, 10), life: u64_at(head, 18), salt: u64_at(head, 26) })
+            Ok(SegmentHeader { number: u64_at(head, 10), life: u64_at(head, 18), salt: u64_at(head, 26) })
         }
         // Another version may check its head in another way: it is not called damaged.
-        (_, version) if version != VERSION => Err(BadHead::Version(version)),
-        _ => Err(BadHead::Damaged),
+        (_, version) if version != VERSION => Err(HeaderError::Version(version)),
+        _ => Err(HeaderError::Damaged),
     }
 }
 
 /// Appends a frame; an error only where a record is longer than any frame may be.
 pub fn encode(out: &mut Vec<u8>, number: u64, place: u32, batch: &Batch<'_>) -> Result<(), postcard::Error> {
     let start = out.len();
-    out.resize(start + FRAME_HEAD, 0);
+    out.resize(start + FRAME_HEADER_BYTES, 0);
     let taken = std::mem::take(out);
     *out = postcard::to_extend(batch, taken)?;
-    let len = out.len() - start - FRAME_HEAD;
-    if len > MOST_PAYLOAD {
+    let len = out.len() - start - FRAME_HEADER_BYTES;
+    if len > MAX_PAYLOAD_BYTES {
         return Err(postcard::Error::SerializeBufferFull);
     }
     let (number, place, length) = (number.to_le_bytes(), place.to_le_bytes(), (len as u32).to_le_bytes());
-    let checks = [crc(&[&number, &place, &length]), crc(&[&number, &place, &out[start + FRAME_HEAD..]])];
+    let checks =
+        [crc(&[&number, &place, &length]), crc(&[&number, &place, &out[start + FRAME_HEADER_BYTES..]])];
     out[start..start + 4].copy_from_slice(&length);
     out[start + 4..start + 8].copy_from_slice(&checks[0].to_le_bytes());
     out[start + 8..start + 12].copy_from_slice(&checks[1].to_le_bytes());
@@ -233,7 +234,7 @@
 impl<'a> Frames<'a> {
     /// Of a segment with this number.
     pub fn new(bytes: &'a [u8], number: u64) -> Self {
-        Self { bytes, at: HEAD, number, place: 0, tail: None }
+        Self { bytes, at: HEADER_BYTES, number, place: 0, tail: None }
     }
 
     /// What follows, once there are no more.
@@ -259,7 +260,7 @@
             return self.end(Tail::Clean);
         }
         // A length that was durable before the bytes were leaves zeros behind.
-        if rest.iter().all(|&byte| byte == 0) || rest.len() < FRAME_HEAD {
+        if rest.iter().all(|&byte| byte == 0) || rest.len() < FRAME_HEADER_BYTES {
             return self.end(Tail::Torn(at));
         }
         let (number, place) = (self.number.to_le_bytes(), self.place.to_le_bytes());
@@ -267,12 +268,14 @@
             return self.end(Tail::Damaged(at));
         }
         let len = u32_at(rest, 0) as usize;
-        let Some(payload) = rest.get(FRAME_HEAD..FRAME_HEAD + len) else { return self.end(Tail::Torn(at)) };
+        let Some(payload) = rest.get(FRAME_HEADER_BYTES..FRAME_HEADER_BYTES + len) else {
+            return self.end(Tail::Torn(at));
+        };
         if u32_at(rest, 8) != crc(&[&number, &place, payload]) {
             return self.end(Tail::Damaged(at));
         }
         let Ok(batch) = postcard::from_bytes(payload) else { return self.end(Tail::Damaged(at)) };
-        self.at += FRAME_HEAD + len;
+        self.at += FRAME_HEADER_BYTES + len;
         self.place += 1;
         Some(batch)
     }
@@ -283,13 +286,13 @@
     use super::*;
     use proptest::prelude::*;
 
-    const HEAD_OF: Head = Head { number: 7, life: 2, salt: 99 };
+    const HEAD_OF: SegmentHeader = SegmentHeader { number: 7, life: 2, salt: 99 };
 
     fn batch(n: u64) -> Batch<'static> {
         let records = vec![
-            Stored::Intent { token: "t", print: n, id: "00000000000000aa", left_ms: 12_075 },
-            Stored::Served { token: "t", print: n, id: "00000000000000aa", left_ms: 1, result: b"out" },
-            Stored::Void { token: "u", id: "00000000000000ab" },
+            StoredRecord::Intent { token: "t", print: n, id: "00000000000000aa", left_ms: 12_075 },
+            StoredRecord::Served { token: "t", print: n, id: "00000000000000aa", left_ms: 1, result: b"out" },
+            StoredRecord::Void { token: "u", id: "00000000000000ab" },
         ];
         Batch { mono_ms: n, unix_ms: 5, records }
     }
@@ -314,15 +317,15 @@
     #[test]
     fn a_segment_cut_anywhere_gives_its_whole_frames_and_a_torn_tail() {
         let (bytes, ends) = segment(3);
-        for cut in HEAD..=bytes.len() {
+        for cut in HEADER_BYTES..=bytes.len() {
             let whole = ends.iter().filter(|end| **end <= cut).count() - 1;
             let tail = if ends.contains(&cut) { Tail::Clean } else { Tail::Torn(ends[whole]) };
             assert_eq!(read(&bytes[..cut]), (whole, tail), "cut at {cut}");
         }
         let zeros = [&bytes[..], &[0; 700]].concat();
         assert_eq!(read(&zeros), (3, Tail::Torn(bytes.len())));
-        for short in 0..HEAD {
-            assert_eq!(decode_head(&bytes[..short]), Err(BadHead::Short(short)));
+        for short in 0..HEADER_BYTES {
+            assert_eq!(decode_head(&bytes[..short]), Err(HeaderError::Short(short)));
         }
     }
 
@@ -335,7 +338,7 @@
             for bit in 0..8 {
                 let mut flipped = bytes.clone();
                 flipped[place] ^= 1 << bit;
-                if place < HEAD {
+                if place < HEADER_BYTES {
                     assert!(decode_head(&flipped).is_err(), "bit {bit} of byte {place}");
                     continue;
                 }
@@ -354,8 +357,8 @@
     fn another_version_is_named() {
         let (mut bytes, _) = segment(1);
         bytes[8..10].copy_from_slice(&9_u16.to_le_bytes());
-        assert_eq!(decode_head(&bytes), Err(BadHead::Version(9)));
-        assert_eq!(decode_head(&[b'x'; HEAD]), Err(BadHead::Foreign));
+        assert_eq!(decode_head(&bytes), Err(HeaderError::Version(9)));
+        assert_eq!(decode_head(&[b'x'; HEADER_BYTES]), Err(HeaderError::Foreign));
         assert_eq!(decode_head(&segment(0).0), Ok(HEAD_OF));
     }
 
--- a/crates/store/src/framing.rs
+++ b/crates/store/src/framing.rs
@@ -1,7 +1,7 @@
 //! Frames of files that are written once from front to back: each carries checks that count at its place only.
 
 /// Before the payload: its length, a check of that, a check of the payload.
-pub const FRAME_HEAD: usize = 12;
+pub const FRAME_HEADER_BYTES: usize = 12;
 
 /// Bytes with their crc behind them.
 pub fn sealed(mut bytes: Vec<u8>) -> Vec<u8> {
@@ -36,7 +36,7 @@
 /// A frame at its place in the file of a number. Payloads are bounded by the caller, below 4 GB.
 pub fn framed(number: u64, place: u32, payload: &[u8]) -> Vec<u8> {
     let length = (payload.len() as u32).to_le_bytes();
-    let mut bytes = Vec::with_capacity(FRAME_HEAD + payload.len());
+    let mut bytes = Vec::with_capacity(FRAME_HEADER_BYTES + payload.len());
     bytes.extend(length);
     bytes.extend(placed(number, place, &length));
     bytes.extend(placed(number, place, payload));
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -6,19 +6,19 @@
 //! equally long.
 
 use crate::disk::{Disk, Segment};
-use crate::frame::{self, BadHead, Batch, HEAD, Head, MOST_PAYLOAD, Stored};
+use crate::frame::{self, Batch, HEADER_BYTES, HeaderError, MAX_PAYLOAD_BYTES, SegmentHeader, StoredRecord};
 use crate::framing;
-use crate::recovery::{Found, Reading};
+use crate::recovery::{Reading, RecoveredLog};
 use gradepin_admission::Span;
-use gradepin_core::keys::READ_LATE;
-use gradepin_core::ledger::Record;
+use gradepin_core::idempotency_log::LogRecord;
+use gradepin_core::idempotency_table::READ_LATE;
 use std::collections::VecDeque;
 use std::io;
 
 const MS: u64 = 1_000_000;
 const SUFFIX: &str = ".log";
 /// What a frame takes at the most beside its records.
-const FRAME_BESIDE: usize = frame::FRAME_HEAD + 32;
+const FRAME_BESIDE: usize = frame::FRAME_HEADER_BYTES + 32;
 /// And a record beside its texts and its result.
 const RECORD_BESIDE: usize = 48;
 
@@ -63,7 +63,7 @@
         /// Which file.
         name: String,
         /// How it is not one of ours.
-        why: BadHead,
+        why: HeaderError,
     },
 }
 
@@ -82,7 +82,7 @@
         bytes: u64,
     },
     /// A record is longer than any frame may be.
-    #[error("expected records of {MOST_PAYLOAD} bytes at the most")]
+    #[error("expected records of {MAX_PAYLOAD_BYTES} bytes at the most")]
     Long,
     /// An earlier write failed: what it left can't be relied on.
     #[error("an earlier write failed; all must be written anew first")]
@@ -142,11 +142,11 @@
         match frame::decode_head(&bytes) {
             Ok(head) if head.number == number => reading.segment(head, &bytes),
             Ok(_) => reading.lost(number, bytes.len() as u64, "its head names another segment"),
-            Err(why @ (BadHead::Version(_) | BadHead::Foreign)) => {
+            Err(why @ (HeaderError::Version(_) | HeaderError::Foreign)) => {
                 return Err(OpenError::Foreign { name, why });
             }
-            Err(BadHead::Short(_)) => reading.unborn(number, bytes.len() as u64),
-            Err(why @ BadHead::Damaged) => reading.lost(number, bytes.len() as u64, &why.to_string()),
+            Err(HeaderError::Short(_)) => reading.unborn(number, bytes.len() as u64),
+            Err(why @ HeaderError::Damaged) => reading.lost(number, bytes.len() as u64, &why.to_string()),
         }
     }
     reading.finish();
@@ -156,7 +156,11 @@
 impl Log {
     /// Opens a folder for a new life, whose clock begins now, and tells what earlier ones left. `salt` is the key of all
     /// prints if this is the first.
-    pub fn open(mut disk: Box<dyn Disk>, limits: Limits, salt: u64) -> Result<(Self, Found), OpenError> {
+    pub fn open(
+        mut disk: Box<dyn Disk>,
+        limits: Limits,
+        salt: u64,
+    ) -> Result<(Self, RecoveredLog), OpenError> {
         let reading = read(&mut *disk, &limits)?;
         let life = reading.last_life().map_or(0, |life| life.saturating_add(1));
         let salt = reading.salt().unwrap_or(salt);
@@ -192,7 +196,7 @@
     }
 
     /// Adds records, and returns when they are durable. However many, they take one sync.
-    pub fn add(&mut self, stamp: Stamp, records: &[Record]) -> Result<(), WriteError> {
+    pub fn add(&mut self, stamp: Stamp, records: &[LogRecord]) -> Result<(), WriteError> {
         if self.broken {
             return Err(WriteError::Broken);
         }
@@ -204,7 +208,7 @@
     fn try_add<'a>(
         &mut self,
         stamp: Stamp,
-        records: impl Iterator<Item = Stored<'a>>,
+        records: impl Iterator<Item = StoredRecord<'a>>,
     ) -> Result<(), WriteError> {
         if self.bytes() >= self.limits.most_bytes {
             return Err(WriteError::Full { most: self.limits.most_bytes, bytes: self.bytes() });
@@ -218,13 +222,13 @@
     }
 
     /// Puts all that is known into new segments and drops the ones before: the way back after a failure.
-    pub fn write_anew(&mut self, stamp: Stamp, records: &[Record]) -> Result<(), WriteError> {
+    pub fn write_anew(&mut self, stamp: Stamp, records: &[LogRecord]) -> Result<(), WriteError> {
         self.broken = true;
         self.seal();
         let first = self.next;
         self.begin()?;
         self.append(stamp, records.iter().map(frame::stored))?;
-        self.append(stamp, std::iter::once(Stored::Anew))?;
+        self.append(stamp, std::iter::once(StoredRecord::Anew))?;
         self.sync()?;
         self.broken = false;
         // From here on the earlier ones count no more; one that can't be removed is passed over by a reading.
@@ -249,13 +253,13 @@
         let number = self.next;
         self.next += 1;
         let mut segment = self.disk.create(&name_of(number))?;
-        let head = frame::encode_head(Head { number, life: self.life, salt: self.salt });
+        let head = frame::encode_head(SegmentHeader { number, life: self.life, salt: self.salt });
         if let Err(error) = segment.append(&head) {
             // Without a head it holds nothing, and it is tried again for as long as the disk fails.
             let _ = self.disk.remove(&name_of(number));
             return Err(error.into());
         }
-        self.active = Some(Active { number, segment, bytes: HEAD as u64, place: 0, over_ms: 0 });
+        self.active = Some(Active { number, segment, bytes: HEADER_BYTES as u64, place: 0, over_ms: 0 });
         Ok(())
     }
 
@@ -263,7 +267,7 @@
     fn append<'a>(
         &mut self,
         stamp: Stamp,
-        records: impl Iterator<Item = Stored<'a>>,
+        records: impl Iterator<Item = StoredRecord<'a>>,
     ) -> Result<(), WriteError> {
         let Some(active) = &mut self.active else { return Err(WriteError::Broken) };
         let mut batch = Batch { mono_ms: stamp.mono_ms, unix_ms: stamp.unix_ms, records: Vec::new() };
@@ -276,7 +280,7 @@
             active.over_ms = active.over_ms.max(over);
             size += size_of(&record);
             batch.records.push(record);
-            let whole = records.peek().is_none_or(|next| size + size_of(next) > MOST_PAYLOAD);
+            let whole = records.peek().is_none_or(|next| size + size_of(next) > MAX_PAYLOAD_BYTES);
             if whole {
                 frame::encode(&mut self.scratch, active.number, active.place, &batch)
                     .map_err(|_| WriteError::Long)?;
@@ -288,7 +292,7 @@
         active.segment.append(&self.scratch)?;
         active.bytes += self.scratch.len() as u64;
         // A burst must not hold its memory for good.
-        if self.scratch.capacity() > 2 * MOST_PAYLOAD {
+        if self.scratch.capacity() > 2 * MAX_PAYLOAD_BYTES {
             self.scratch = Vec::new();
         }
         Ok(())
@@ -320,13 +324,13 @@
     }
 }
 
-fn size_of(record: &Stored<'_>) -> usize {
+fn size_of(record: &StoredRecord<'_>) -> usize {
     RECORD_BESIDE
         + match record {
-            Stored::Intent { token, id, .. }
-            | Stored::Failed { token, id, .. }
-            | Stored::Void { token, id } => token.len() + id.len(),
-            Stored::Served { token, id, result, .. } => token.len() + id.len() + result.len(),
-            Stored::Anew => 0,
+            StoredRecord::Intent { token, id, .. }
+            | StoredRecord::Failed { token, id, .. }
+            | StoredRecord::Void { token, id } => token.len() + id.len(),
+            StoredRecord::Served { token, id, result, .. } => token.len() + id.len() + result.len(),
+            StoredRecord::Anew => 0,
         }
 }
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -4,10 +4,10 @@
 //! after it, and by what is known to have passed in each later one. The time between two lives, and the Unix clock,
 //! count for nothing: a window may so be longer than it was, and never shorter.
 
-use crate::frame::{Frames, Head, Stored, Tail};
+use crate::frame::{Frames, SegmentHeader, StoredRecord, Tail};
 use gradepin_admission::Span;
-use gradepin_core::keys::READ_LATE;
-use gradepin_core::ledger::{Past, PastEnd, Recovered};
+use gradepin_core::idempotency_log::{RecoveredRuns, SavedOutcome, SavedRun};
+use gradepin_core::idempotency_table::READ_LATE;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::ops::Bound;
 
@@ -15,7 +15,7 @@
 
 /// One segment as it was found.
 #[derive(Debug, Clone)]
-pub struct Seen {
+pub struct RecordedRun {
     /// Its number.
     pub number: u64,
     /// The life that wrote it; none where its head can't be read.
@@ -39,7 +39,7 @@
     anew: bool,
 }
 
-impl Seen {
+impl RecordedRun {
     /// One of which nothing was read yet.
     fn new(number: u64, life: Option<u64>, bytes: u64) -> Self {
         Self {
@@ -60,11 +60,11 @@
 
 /// What a folder holds for a new life.
 #[derive(Debug, Clone)]
-pub struct Found {
+pub struct RecoveredLog {
     /// For the ledger and the table of keys.
-    pub recovered: Recovered,
+    pub recovered: RecoveredRuns,
     /// The segments, in their order.
-    pub segments: Vec<Seen>,
+    pub segments: Vec<RecordedRun>,
 }
 
 #[derive(Debug)]
@@ -77,14 +77,14 @@
     segment: u64,
     /// In the order of the records: the later one counts, and the oldest results go first.
     order: u64,
-    end: PastEnd,
+    end: SavedOutcome,
 }
 
 /// A reading in progress.
 #[derive(Debug)]
 pub struct Reading {
     entries: HashMap<Box<str>, Entry>,
-    segments: Vec<Seen>,
+    segments: Vec<RecordedRun>,
     /// The last reading of each life's clock.
     clocks: BTreeMap<u64, u64>,
     salt: Option<u64>,
@@ -119,18 +119,19 @@
 
     /// One that can't be read at all.
     pub fn lost(&mut self, number: u64, bytes: u64, why: &str) {
-        self.segments.push(Seen { damage: Some(why.to_string()), ..Seen::new(number, None, bytes) });
+        self.segments
+            .push(RecordedRun { damage: Some(why.to_string()), ..RecordedRun::new(number, None, bytes) });
     }
 
     /// One whose head was never written whole.
     pub fn unborn(&mut self, number: u64, bytes: u64) {
-        self.segments.push(Seen { torn: Some(0), ..Seen::new(number, None, bytes) });
+        self.segments.push(RecordedRun { torn: Some(0), ..RecordedRun::new(number, None, bytes) });
     }
 
     /// Reads a segment; they come in the order of their numbers.
-    pub fn segment(&mut self, head: Head, bytes: &[u8]) {
+    pub fn segment(&mut self, head: SegmentHeader, bytes: &[u8]) {
         self.salt.get_or_insert(head.salt);
-        let mut seen = Seen::new(head.number, Some(head.life), bytes.len() as u64);
+        let mut seen = RecordedRun::new(head.number, Some(head.life), bytes.len() as u64);
         let mut frames = Frames::new(bytes, head.number);
         for batch in frames.by_ref() {
             seen.frames += 1;
@@ -139,7 +140,7 @@
             for record in &batch.records {
                 seen.longest_end_ms =
                     seen.longest_end_ms.max(batch.mono_ms.saturating_add(record.left_ms().unwrap_or(0)));
-                seen.anew |= *record == Stored::Anew;
+                seen.anew |= *record == StoredRecord::Anew;
                 self.record(head, batch.mono_ms, record);
             }
         }
@@ -158,7 +159,7 @@
     fn written_anew(&mut self, number: u64) {
         self.entries.retain(|_, entry| entry.segment == number);
         let results = self.entries.values().map(|entry| match &entry.end {
-            PastEnd::Served(result) => result.len(),
+            SavedOutcome::Served(result) => result.len(),
             _ => 0,
         });
         self.bytes = results.sum();
@@ -167,7 +168,7 @@
         }
     }
 
-    fn record(&mut self, head: Head, mono_ms: u64, record: &Stored<'_>) {
+    fn record(&mut self, head: SegmentHeader, mono_ms: u64, record: &StoredRecord<'_>) {
         self.order += 1;
         let (life, segment, order) = (head.life, head.number, self.order);
         let entry = |print, id: &str, left_ms, end| {
@@ -175,31 +176,34 @@
             Entry { print, id: id.into(), end_ms, life, segment, order, end }
         };
         match *record {
-            Stored::Intent { token, print, id, left_ms } => {
+            StoredRecord::Intent { token, print, id, left_ms } => {
                 // Written anew, an intent may stand behind the end of its own run; it then tells less.
-                if self.entries.get(token).is_some_and(|known| *known.id == *id && known.end != PastEnd::None)
+                if self
+                    .entries
+                    .get(token)
+                    .is_some_and(|known| *known.id == *id && known.end != SavedOutcome::None)
                 {
                     return;
                 }
-                self.put(token, entry(print, id, left_ms, PastEnd::None));
+                self.put(token, entry(print, id, left_ms, SavedOutcome::None));
             }
-            Stored::Served { token, print, id, left_ms, result } => {
-                self.put(token, entry(print, id, left_ms, PastEnd::Served(result.to_vec())));
+            StoredRecord::Served { token, print, id, left_ms, result } => {
+                self.put(token, entry(print, id, left_ms, SavedOutcome::Served(result.to_vec())));
             }
-            Stored::Failed { token, print, id, left_ms } => {
-                self.put(token, entry(print, id, left_ms, PastEnd::Failed));
+            StoredRecord::Failed { token, print, id, left_ms } => {
+                self.put(token, entry(print, id, left_ms, SavedOutcome::Failed));
             }
-            Stored::Void { token, id } => {
+            StoredRecord::Void { token, id } => {
                 if self.entries.get(token).is_some_and(|known| *known.id == *id) {
                     self.take(token);
                 }
             }
-            Stored::Anew => self.written_anew(segment),
+            StoredRecord::Anew => self.written_anew(segment),
         }
     }
 
     fn take(&mut self, token: &str) {
-        if let Some(Entry { end: PastEnd::Served(result), .. }) = self.entries.remove(token) {
+        if let Some(Entry { end: SavedOutcome::Served(result), .. }) = self.entries.remove(token) {
             self.bytes -= result.len();
         }
     }
@@ -211,7 +215,7 @@
             return;
         }
         self.take(token);
-        if let PastEnd::Served(result) = &entry.end {
+        if let SavedOutcome::Served(result) = &entry.end {
             self.bytes += result.len();
             self.results.push_back((entry.order, token.into()));
         }
@@ -219,7 +223,7 @@
         while self.bytes > self.most {
             let Some((order, oldest)) = self.results.pop_front() else { break };
             if let Some(known) = self.entries.get_mut(&oldest).filter(|known| known.order == order)
-                && let PastEnd::Served(result) = std::mem::replace(&mut known.end, PastEnd::Failed)
+                && let SavedOutcome::Served(result) = std::mem::replace(&mut known.end, SavedOutcome::Failed)
             {
                 self.bytes -= result.len();
                 self.dropped += 1;
@@ -249,7 +253,7 @@
     }
 
     /// The segments as they were found.
-    pub fn segments(&self) -> &[Seen] {
+    pub fn segments(&self) -> &[RecordedRun] {
         &self.segments
     }
 
@@ -264,7 +268,7 @@
     }
 
     /// What a new life needs to know, with windows of so much at the most.
-    pub fn found(self, window: Span, salt: u64) -> Found {
+    pub fn found(self, window: Span, salt: u64) -> RecoveredLog {
         let mut notes = Vec::new();
         let mut doubt = None;
         for seen in &self.segments {
@@ -296,11 +300,11 @@
         let past = self.entries.into_iter().filter_map(|(token, entry)| {
             let left = left(&clocks, entry.life, entry.end_ms)?;
             let (token, id) = (token.into_string(), entry.id.into_string());
-            Some(Past { token, print: entry.print, id, left, end: entry.end })
+            Some(SavedRun { token, print: entry.print, id, left, end: entry.end })
         });
-        let mut past: Vec<Past> = past.collect();
+        let mut past: Vec<SavedRun> = past.collect();
         past.sort_by(|a, b| a.token.cmp(&b.token));
-        Found { recovered: Recovered { past, salt, doubt, notes }, segments: self.segments }
+        RecoveredLog { recovered: RecoveredRuns { past, salt, doubt, notes }, segments: self.segments }
     }
 }
 
--- a/crates/store/src/council.rs
+++ b/crates/store/src/voter_log.rs
@@ -10,10 +10,10 @@
 //! A write that begins with a snapshot begins a new segment: all that counts from then on is in it, so the ones before go
 //! once it is durable. A segment counts if its first frame is whole; the one with the greatest number that counts is read, up to
 //! its first frame that is not whole. What comes after a frame that is damaged is not taken: a voter whose files end sooner
-//! than they did is found out by what it acknowledged (`gradepin_coordination::council`).
+//! than they did is found out by what it acknowledged (`gradepin_coordination::consensus`).
 
 use crate::disk::{Disk, Segment};
-use gradepin_coordination::council::{Durable, Found};
+use gradepin_coordination::consensus::{DurableRecord, VoterState};
 use std::io;
 
 const MAGIC: &[u8; 8] = b"gpcouncl";
@@ -27,7 +27,7 @@
 
 /// Why the files can't be used.
 #[derive(Debug, thiserror::Error)]
-pub enum CouncilError {
+pub enum VoterLogError {
     /// The disk fails.
     #[error("{name}: {why}")]
     Disk {
@@ -52,12 +52,12 @@
     Long,
 }
 
-fn disk(name: &str) -> impl FnOnce(io::Error) -> CouncilError + '_ {
-    move |why| CouncilError::Disk { name: name.to_string(), why }
+fn disk(name: &str) -> impl FnOnce(io::Error) -> VoterLogError + '_ {
+    move |why| VoterLogError::Disk { name: name.to_string(), why }
 }
 
 /// The council's files, open for writing.
-pub struct CouncilLog {
+pub struct VoterLog {
     disk: Box<dyn Disk>,
     id: u64,
     next: u64,
@@ -118,10 +118,10 @@
     sealed(bytes)
 }
 
-fn frame(number: u64, place: u32, records: &[Durable]) -> Result<Vec<u8>, CouncilError> {
-    let payload = postcard::to_stdvec(records).map_err(|_| CouncilError::Long)?;
+fn frame(number: u64, place: u32, records: &[DurableRecord]) -> Result<Vec<u8>, VoterLogError> {
+    let payload = postcard::to_stdvec(records).map_err(|_| VoterLogError::Long)?;
     if payload.len() > MOST_PAYLOAD {
-        return Err(CouncilError::Long);
+        return Err(VoterLogError::Long);
     }
     let length = (payload.len() as u32).to_le_bytes();
     let mut bytes = length.to_vec();
@@ -132,7 +132,7 @@
 }
 
 /// The whole frames of a segment, and whether it begins with a snapshot.
-fn frames(number: u64, mut bytes: &[u8]) -> Vec<Durable> {
+fn frames(number: u64, mut bytes: &[u8]) -> Vec<DurableRecord> {
     let mut records = Vec::new();
     for place in 0.. {
         let length = u32_at(bytes, 0);
@@ -143,16 +143,16 @@
         if placed(number, place, payload) != u32_at(bytes, 8) {
             break;
         }
-        let Ok(more) = postcard::from_bytes::<Vec<Durable>>(payload) else { break };
+        let Ok(more) = postcard::from_bytes::<Vec<DurableRecord>>(payload) else { break };
         records.extend(more);
         bytes = &bytes[FRAME_HEAD + payload.len()..];
     }
     records
 }
 
-impl CouncilLog {
+impl VoterLog {
     /// Opens the files and reads what they hold. `fresh` is the identity of a folder that is new.
-    pub fn open(mut files: Box<dyn Disk>, fresh: u64) -> Result<(Self, Found), CouncilError> {
+    pub fn open(mut files: Box<dyn Disk>, fresh: u64) -> Result<(Self, VoterState), VoterLogError> {
         let names = files.list().map_err(disk("the folder"))?;
         let mut numbers: Vec<u64> = names.iter().filter_map(|name| number_of(name)).collect();
         numbers.sort_unstable();
@@ -165,7 +165,7 @@
             None if numbers.is_empty() => {
                 begin(&mut *files, fresh, names.iter().any(|name| name == IDENTITY))?
             }
-            None => return Err(CouncilError::NoIdentity),
+            None => return Err(VoterLogError::NoIdentity),
         };
         let mut records = Vec::new();
         for &number in numbers.iter().rev() {
@@ -176,27 +176,27 @@
                 continue;
             }
             if bytes[..8] != *MAGIC || bytes[8..10] != VERSION.to_le_bytes() {
-                return Err(CouncilError::Foreign { name, what: "expected a segment of version 1" });
+                return Err(VoterLogError::Foreign { name, what: "expected a segment of version 1" });
             }
             if (u64_at(&bytes, 10), u64_at(&bytes, 18)) != (number, id) {
-                return Err(CouncilError::Foreign { name, what: "a segment of another folder" });
+                return Err(VoterLogError::Foreign { name, what: "a segment of another folder" });
             }
             records = frames(number, &bytes[HEAD..]);
-            if matches!(records.first(), Some(Durable::Snapshot { .. })) {
+            if matches!(records.first(), Some(DurableRecord::Snapshot { .. })) {
                 break;
             }
             records.clear();
         }
         let next = numbers.last().map_or(0, |last| last + 1);
         let log = Self { disk: files, id, next, active: None, old: numbers, broken: false };
-        Ok((log, Found { id, records }))
+        Ok((log, VoterState { id, records }))
     }
 
     /// Makes records durable. The first write of a life holds all that counts, as does each that begins with a snapshot: what
     /// an earlier life tore is never written behind. After an error nothing more is taken; the files are to be opened anew.
-    pub fn write(&mut self, found: &Found, records: &[Durable]) -> Result<(), CouncilError> {
+    pub fn write(&mut self, found: &VoterState, records: &[DurableRecord]) -> Result<(), VoterLogError> {
         if self.broken {
-            return Err(CouncilError::Disk {
+            return Err(VoterLogError::Disk {
                 name: "the folder".into(),
                 why: io::Error::other("an earlier write failed"),
             });
@@ -206,10 +206,10 @@
         result
     }
 
-    fn try_write(&mut self, found: &Found, records: &[Durable]) -> Result<(), CouncilError> {
-        let anew = matches!(records.first(), Some(Durable::Snapshot { .. }));
+    fn try_write(&mut self, found: &VoterState, records: &[DurableRecord]) -> Result<(), VoterLogError> {
+        let anew = matches!(records.first(), Some(DurableRecord::Snapshot { .. }));
         if !anew && self.active.is_none() {
-            let all: Vec<Durable> = found.records.iter().chain(records).cloned().collect();
+            let all: Vec<DurableRecord> = found.records.iter().chain(records).cloned().collect();
             return self.begin(&all);
         }
         if anew {
@@ -223,7 +223,7 @@
         active.segment.sync().map_err(disk(&name))
     }
 
-    fn begin(&mut self, records: &[Durable]) -> Result<(), CouncilError> {
+    fn begin(&mut self, records: &[DurableRecord]) -> Result<(), VoterLogError> {
         let number = self.next;
         self.next += 1;
         let segment = match self.write_segment(number, records) {
@@ -244,7 +244,11 @@
     }
 
     /// A new segment with these records, durable.
-    fn write_segment(&mut self, number: u64, records: &[Durable]) -> Result<Box<dyn Segment>, CouncilError> {
+    fn write_segment(
+        &mut self,
+        number: u64,
+        records: &[DurableRecord],
+    ) -> Result<Box<dyn Segment>, VoterLogError> {
         let name = name_of(number);
         let mut bytes = head(number, self.id);
         bytes.extend(frame(number, 0, records)?);
@@ -256,13 +260,13 @@
 }
 
 /// The identity that the folder was made with; none if it was torn while it was made.
-fn identity(files: &mut dyn Disk) -> Result<Option<u64>, CouncilError> {
+fn identity(files: &mut dyn Disk) -> Result<Option<u64>, VoterLogError> {
     let bytes = files.read(IDENTITY).map_err(disk(IDENTITY))?;
     if bytes.len() != 8 + 2 + 8 + 4 || !whole(&bytes) {
         return Ok(None);
     }
     if bytes[..8] != *MAGIC || bytes[8..10] != VERSION.to_le_bytes() {
-        return Err(CouncilError::Foreign {
+        return Err(VoterLogError::Foreign {
             name: IDENTITY.into(),
             what: "expected an identity of version 1",
         });
@@ -270,7 +274,7 @@
     Ok(Some(u64_at(&bytes, 10)))
 }
 
-fn begin(files: &mut dyn Disk, id: u64, torn: bool) -> Result<u64, CouncilError> {
+fn begin(files: &mut dyn Disk, id: u64, torn: bool) -> Result<u64, VoterLogError> {
     if torn {
         files.remove(IDENTITY).map_err(disk(IDENTITY))?;
     }
@@ -298,8 +302,8 @@
             Self(path)
         }
 
-        fn open(&self, fresh: u64) -> Result<(CouncilLog, Found), CouncilError> {
-            CouncilLog::open(Box::new(Folder::open(&self.0).unwrap()), fresh)
+        fn open(&self, fresh: u64) -> Result<(VoterLog, VoterState), VoterLogError> {
+            VoterLog::open(Box::new(Folder::open(&self.0).unwrap()), fresh)
         }
 
         fn segments(&self) -> Vec<PathBuf> {
@@ -317,13 +321,13 @@
         }
     }
 
-    fn snapshot(index: u64) -> Vec<Durable> {
-        let snapshot = Durable::Snapshot { index, term: 1, voters: vec![7], data: vec![9; 50] };
-        vec![snapshot, Durable::Term { term: 1, vote: 0, commit: index }]
+    fn snapshot(index: u64) -> Vec<DurableRecord> {
+        let snapshot = DurableRecord::Snapshot { index, term: 1, voters: vec![7], data: vec![9; 50] };
+        vec![snapshot, DurableRecord::Term { term: 1, vote: 0, commit: index }]
     }
 
-    fn entry(index: u64) -> Vec<Durable> {
-        vec![Durable::Entry { index, term: 1, changes: false, data: vec![index as u8; 20] }]
+    fn entry(index: u64) -> Vec<DurableRecord> {
+        vec![DurableRecord::Entry { index, term: 1, changes: false, data: vec![index as u8; 20] }]
     }
 
     /// Guards what was written against a life that ends anywhere: each prefix of the files gives a prefix of the writes, and
@@ -332,7 +336,7 @@
     fn a_torn_tail_gives_whole_writes_only() {
         let temp = Temp::new("torn");
         let (mut log, found) = temp.open(42).unwrap();
-        assert_eq!(found, Found { id: 42, records: Vec::new() });
+        assert_eq!(found, VoterState { id: 42, records: Vec::new() });
         log.write(&found, &snapshot(1)).unwrap();
         for index in 2..6 {
             log.write(&found, &entry(index)).unwrap();
@@ -345,7 +349,7 @@
             std::fs::write(&segment, &bytes[..cut]).unwrap();
             let (_, found) = temp.open(1).unwrap();
             assert_eq!(found.id, 42);
-            let whole: Vec<Durable> = snapshot(1).into_iter().chain((2..6).flat_map(entry)).collect();
+            let whole: Vec<DurableRecord> = snapshot(1).into_iter().chain((2..6).flat_map(entry)).collect();
             assert!(whole.starts_with(&found.records), "cut at {cut}");
             lengths.push(found.records.len());
         }
@@ -357,7 +361,7 @@
             bad[place] ^= 4;
             std::fs::write(&segment, &bad).unwrap();
             let (_, found) = temp.open(1).unwrap();
-            let whole: Vec<Durable> = snapshot(1).into_iter().chain((2..6).flat_map(entry)).collect();
+            let whole: Vec<DurableRecord> = snapshot(1).into_iter().chain((2..6).flat_map(entry)).collect();
             assert!(
                 whole.starts_with(&found.records) && found.records.len() < whole.len(),
                 "flipped at {place}"
@@ -383,7 +387,7 @@
         log.write(&found, &entry(4)).unwrap();
         drop(log);
         let (_, found) = temp.open(1).unwrap();
-        let all: Vec<Durable> = snapshot(1).into_iter().chain((2..5).flat_map(entry)).collect();
+        let all: Vec<DurableRecord> = snapshot(1).into_iter().chain((2..5).flat_map(entry)).collect();
         assert_eq!(found.records, all);
         assert_eq!(temp.segments().len(), 1, "the one before went");
     }
@@ -402,7 +406,7 @@
         let kept = std::fs::read(&temp.segments()[0]).unwrap();
         assert!(kept.len() < 4_000, "{} bytes", kept.len());
         let (mut log, found) = temp.open(1).unwrap();
-        assert!(matches!(found.records[0], Durable::Snapshot { index: 270, .. }));
+        assert!(matches!(found.records[0], DurableRecord::Snapshot { index: 270, .. }));
         log.write(&found, &snapshot(300)).unwrap();
         drop(log);
         let new = temp.segments().pop().unwrap();
@@ -410,7 +414,7 @@
         std::fs::write(temp.0.join(name_of(10)), kept).unwrap();
         std::fs::write(&new, &bytes[..bytes.len() - 1]).unwrap();
         let (_, found) = temp.open(1).unwrap();
-        assert!(found.records.is_empty() || matches!(found.records[0], Durable::Snapshot { .. }));
+        assert!(found.records.is_empty() || matches!(found.records[0], DurableRecord::Snapshot { .. }));
     }
 
     /// Guards against files that are another's: an identity without its segments' number, segments without an identity.
@@ -423,8 +427,8 @@
         }
         std::fs::copy(&a.segments()[0], b.0.join(name_of(9))).unwrap();
         let error = b.open(3).map(|(_, found)| found).unwrap_err();
-        assert!(matches!(error, CouncilError::Foreign { .. }), "{error}");
+        assert!(matches!(error, VoterLogError::Foreign { .. }), "{error}");
         std::fs::remove_file(a.0.join(IDENTITY)).unwrap();
-        assert!(matches!(a.open(3).map(drop), Err(CouncilError::NoIdentity)));
+        assert!(matches!(a.open(3).map(drop), Err(VoterLogError::NoIdentity)));
     }
 }
--- a/crates/store/tests/configuration.rs
+++ b/crates/store/tests/configuration.rs
@@ -1,7 +1,7 @@
 //! The last good configuration under kill -9, crashes of the machine and full disks at each write: a start uses a whole
 //! state that was in force, never one older than what was durable.
 
-use gradepin_admission::{Effect, Settings, Span};
+use gradepin_admission::{Idempotency, Settings, Span};
 use gradepin_config::document::{ClassEntry, TenantEntry};
 use gradepin_config::{Change, Commit, Configuration, Document, Revision, Snapshot, Transaction, Version};
 use gradepin_store::configuration::{ConfigurationStore, MAX_COMMIT_BYTES, Opened};
@@ -17,7 +17,7 @@
         name: name.into(),
         promise: Span(100_000_000),
         deadline: Span(200_000_000),
-        effect: Effect::Repeatable,
+        effect: Idempotency::Repeatable,
         worth: 1.0,
         late_value: 0.0,
         window: Span(0),
--- a/crates/store/tests/council.rs
+++ b/crates/store/tests/council.rs
@@ -1,35 +1,35 @@
 //! The council's folder on a disk that crashes, is killed, fills up or fails at any step: what a start finds is what was written up
 //! to a whole write, no less than what was durable, and the folder does not fill with what failed.
 
-use gradepin_coordination::council::{Durable, Found};
-use gradepin_store::council::{CouncilError, CouncilLog};
+use gradepin_coordination::consensus::{DurableRecord, VoterState};
 use gradepin_store::disk::Disk;
 use gradepin_store::sim::{Fault, Files, SimDisk};
+use gradepin_store::voter_log::{VoterLog, VoterLogError};
 
 const ID: u64 = 42;
 const SEEDS: std::ops::Range<u64> = 0..24;
 
-fn open(disk: &SimDisk) -> Result<(CouncilLog, Found), CouncilError> {
-    CouncilLog::open(Box::new(disk.clone()) as Box<dyn Disk>, ID)
+fn open(disk: &SimDisk) -> Result<(VoterLog, VoterState), VoterLogError> {
+    VoterLog::open(Box::new(disk.clone()) as Box<dyn Disk>, ID)
 }
 
 /// The records of a write: a snapshot now and then, else entries and a term.
-fn records(step: u64) -> Vec<Durable> {
+fn records(step: u64) -> Vec<DurableRecord> {
     let data = vec![step as u8; 700];
-    let term = Durable::Term { term: 1 + step, vote: 7, commit: step };
+    let term = DurableRecord::Term { term: 1 + step, vote: 7, commit: step };
     match step % 5 {
-        0 => vec![Durable::Snapshot { index: step, term: 1, voters: vec![7], data }, term],
-        _ => vec![Durable::Entry { index: step, term: 1, changes: false, data }, term],
+        0 => vec![DurableRecord::Snapshot { index: step, term: 1, voters: vec![7], data }, term],
+        _ => vec![DurableRecord::Entry { index: step, term: 1, changes: false, data }, term],
     }
 }
 
 /// All that counts after each write, from nothing on.
-fn states(steps: u64) -> Vec<Vec<Durable>> {
+fn states(steps: u64) -> Vec<Vec<DurableRecord>> {
     let mut states = vec![Vec::new()];
     for step in 0..steps {
         let records = records(step);
         let mut state = states.last().cloned().unwrap_or_default();
-        if matches!(records[0], Durable::Snapshot { .. }) {
+        if matches!(records[0], DurableRecord::Snapshot { .. }) {
             state.clear();
         }
         state.extend(records);
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -270,7 +270,7 @@
 #[test]
 fn a_recovery_keeps_its_results_within_their_bound() {
     use gradepin_admission::{RequestId, Span};
-    use gradepin_core::ledger::{PastEnd, Record};
+    use gradepin_core::idempotency_log::{LogRecord, SavedOutcome};
     use gradepin_store::log::{Limits, Log, Stamp};
     let disk = gradepin_store::sim::SimDisk::new(1);
     let window = Span(WINDOW_MS * world::MS);
@@ -282,10 +282,10 @@
         window,
     };
     let (mut log, _) = Log::open(Box::new(disk.clone()), limits, 7).expect("an empty folder");
-    let result = gradepin_core::pool::Pool::new(0).exact(&[7; 1_000]).map(std::sync::Arc::new);
+    let result = gradepin_core::buffer_pool::BufferPool::new(0).exact(&[7; 1_000]).map(std::sync::Arc::new);
     for group in 0..50 {
-        let records: Vec<Record> = (0..400)
-            .map(|n| Record::Known {
+        let records: Vec<LogRecord> = (0..400)
+            .map(|n| LogRecord::Known {
                 token: format!("{:06}", group * 400 + n).into(),
                 print: 1,
                 id: RequestId::new(&format!("{n:016x}")),
@@ -299,11 +299,11 @@
     let (_, found) = Log::open(Box::new(disk), limits, 7).expect("whole");
     let past = found.recovered.past;
     assert_eq!(past.len(), 20_000);
-    let kept: Vec<bool> = past.iter().map(|past| matches!(past.end, PastEnd::Served(_))).collect();
+    let kept: Vec<bool> = past.iter().map(|past| matches!(past.end, SavedOutcome::Served(_))).collect();
     assert_eq!(kept.iter().filter(|kept| **kept).count(), 100);
     assert!(kept[19_900..].iter().all(|kept| *kept), "the newest are kept");
     assert!(
-        past[..19_900].iter().all(|past| past.end == PastEnd::Failed),
+        past[..19_900].iter().all(|past| past.end == SavedOutcome::Failed),
         "the others are known to have ended"
     );
     assert_eq!(found.recovered.doubt, None);
--- a/crates/store/tests/full.rs
+++ b/crates/store/tests/full.rs
@@ -1,13 +1,13 @@
 //! The log of keyed runs on a disk that is full for long.
 
 use gradepin_admission::{RequestId, Span};
-use gradepin_core::ledger::Record;
+use gradepin_core::idempotency_log::LogRecord;
 use gradepin_store::log::{Limits, Log, Stamp};
 use gradepin_store::sim::{Fault, SimDisk};
 
-fn intent(n: u64) -> Record {
+fn intent(n: u64) -> LogRecord {
     let (token, id) = (format!("t{n}").into(), RequestId::new(&format!("{n:016x}")));
-    Record::Intent { token, print: 1, id, left: Span(9_000_000_000) }
+    LogRecord::Intent { token, print: 1, id, left: Span(9_000_000_000) }
 }
 
 /// Guards the folder against a file for each try to write all anew: tries go on for as long as the disk is full, and what they
--- a/crates/store/tests/names.rs
+++ b/crates/store/tests/names.rs
@@ -1,11 +1,11 @@
 //! Files in a store's folder that no writer made.
 
 use gradepin_admission::{RequestId, Span};
-use gradepin_core::ledger::Record;
+use gradepin_core::idempotency_log::LogRecord;
 use gradepin_store::configuration::{self, ConfigurationStore};
-use gradepin_store::council::{self, CouncilLog};
 use gradepin_store::disk::{Disk, Folder};
 use gradepin_store::log::{self, Limits, Log, Stamp};
+use gradepin_store::voter_log::{self, VoterLog};
 use std::path::PathBuf;
 
 /// A folder of the test's own, removed at its end.
@@ -47,14 +47,14 @@
         };
         let (mut log, _) = Log::open(folder.disk(), limits, 7).expect("it opens");
         let id = RequestId::new("00000000000000aa");
-        let intent = Record::Intent { token: "t".into(), print: 1, id, left: Span(9_000_000_000) };
+        let intent = LogRecord::Intent { token: "t".into(), print: 1, id, left: Span(9_000_000_000) };
         log.add(Stamp::default(), &[intent]).expect("it writes");
         drop(log);
         let (_, found) = Log::open(folder.disk(), limits, 8).expect("it opens again");
         assert_eq!(found.recovered.past.len(), 1);
 
-        let folder = Temp::new("council", &[council::name_of(number)]);
-        CouncilLog::open(folder.disk(), 5).map(drop).expect("it opens");
+        let folder = Temp::new("council", &[voter_log::name_of(number)]);
+        VoterLog::open(folder.disk(), 5).map(drop).expect("it opens");
 
         let folder = Temp::new("configuration", &[configuration::name_of(number)]);
         ConfigurationStore::open(folder.disk()).map(drop).expect("it opens");
--- a/crates/store/tests/world/mod.rs
+++ b/crates/store/tests/world/mod.rs
@@ -6,14 +6,14 @@
 mod common;
 
 use gradepin_admission::{RequestId, Span, Time};
+use gradepin_core::buffer_pool::BufferPool;
 use gradepin_core::config::Config;
-use gradepin_core::keys::READ_LATE;
-use gradepin_core::ledger::{Batch, Ledger};
-use gradepin_core::messages::{Answer, Call, Effect, Input, RunEnd};
-use gradepin_core::moment::Moment;
-use gradepin_core::pool::Pool;
+use gradepin_core::idempotency_log::{IdempotencyLog, RecordBatch};
+use gradepin_core::idempotency_table::READ_LATE;
+use gradepin_core::messages::{ClientRequest, Effect, Input, Response, RunEnd};
 use gradepin_core::reducer::Reducer;
 use gradepin_core::registration::Registration;
+use gradepin_core::timestamp::Timestamp;
 use gradepin_store::log::{Limits, Log, Stamp};
 use gradepin_store::sim::{Files, SimDisk};
 use rand_pcg::Pcg64Mcg;
@@ -79,11 +79,11 @@
 
 pub struct World {
     reducer: Reducer,
-    pool: Arc<Pool>,
+    pool: Arc<BufferPool>,
     log: Option<Log>,
     pub disk: SimDisk,
     pub mode: Disk,
-    queue: VecDeque<(u64, u64, Batch)>,
+    queue: VecDeque<(u64, u64, RecordBatch)>,
     pub truth: Truth,
     /// Real ms at which this life began, and what its Unix clock is ahead by.
     start_ms: u64,
@@ -118,10 +118,10 @@
             "seed": format!("{seed:016x}"), "stop_ms": 2000, "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "settings": settings});
         let config = Config::parse(&config.to_string()).expect("a whole configuration");
-        let pool = Pool::new(8);
+        let pool = BufferPool::new(8);
         let reducer =
             Reducer::new(&config, Arc::new(config.settings.clone()), Registration::default()).expect("whole");
-        let reducer = reducer.with_store(Ledger::opening(Span(PATIENCE_MS * MS)), Arc::clone(&pool));
+        let reducer = reducer.with_store(IdempotencyLog::opening(Span(PATIENCE_MS * MS)), Arc::clone(&pool));
         let mut world = Self {
             reducer,
             pool,
@@ -181,9 +181,9 @@
         self.truth.ms - self.start_ms
     }
 
-    fn moment(&self) -> Moment {
+    fn moment(&self) -> Timestamp {
         let unix = 1_700_000_000_000_i64 + self.truth.ms as i64 + self.skew_ms;
-        Moment { now: Time((1_000_000 + self.life_ms()) * MS), unix_ms: unix as u64 }
+        Timestamp { now: Time((1_000_000 + self.life_ms()) * MS), unix_ms: unix as u64 }
     }
 
     fn stamp(&self) -> Stamp {
@@ -236,7 +236,7 @@
     fn ask(&mut self, class: usize, body: &str, token: Option<Arc<str>>) -> i32 {
         self.seq += 1;
         let (seq, budget) = (self.seq, 4_000);
-        let call = Call {
+        let call = ClientRequest {
             id: RequestId::new(&format!("{:016x}", self.rng.next_u64())),
             class: class.into(),
             tenant: Some(0.into()),
@@ -326,10 +326,10 @@
         match effect {
             Effect::Answer(_, seq, answer, _) => {
                 let got = match answer {
-                    Answer::Served(result) => Got::Served(result.to_vec()),
-                    Answer::Refused { backoff, .. } => Got::Refused(backoff.0 / MS),
-                    Answer::Failed { .. } => Got::Failed,
-                    Answer::Unknown => Got::Unknown,
+                    Response::Served(result) => Got::Served(result.to_vec()),
+                    Response::Refused { backoff, .. } => Got::Refused(backoff.0 / MS),
+                    Response::Failed { .. } => Got::Failed,
+                    Response::Unknown => Got::Unknown,
                     _ => Got::Other,
                 };
                 let (body, due, answers) = self.asked.get_mut(&seq).expect("an answer to what was asked");
@@ -350,7 +350,7 @@
                 let body = String::from_utf8_lossy(&body).into_owned();
                 // Runs take from 20 ms to 1.3 s.
                 let takes = 20 + self.rng.next_u64() % 16 * (self.rng.next_u64() % 80);
-                if class.profile.effect == gradepin_admission::Effect::ByKey {
+                if class.profile.effect == gradepin_admission::Idempotency::ByKey {
                     let now = self.truth.ms;
                     let ran = self.truth.ran.entry(body.clone()).or_default();
                     // A run begun again on a new link is the same run.
@@ -393,13 +393,13 @@
         }
     }
 
-    fn persist(&mut self, number: u64, batch: &Batch) {
+    fn persist(&mut self, number: u64, batch: &RecordBatch) {
         self.see();
         let stamp = self.stamp();
         let Some(log) = &mut self.log else { return };
         let result = match batch {
-            Batch::Add(records) => log.add(stamp, records),
-            Batch::Anew(records) => log.write_anew(stamp, records),
+            RecordBatch::Add(records) => log.add(stamp, records),
+            RecordBatch::Anew(records) => log.write_anew(stamp, records),
         };
         self.see();
         self.inputs.push(match result {
--- a/crates/testkit/src/bench/council.rs
+++ b/crates/testkit/src/bench/council.rs
@@ -1,14 +1,14 @@
 //! What a permit costs: voters with files on a real disk in one process, no net between them. Time from a server's question until it may
 //! begin, syncs, and what the files keep.
 
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
+use gradepin_coordination::consensus::VoterState;
 use gradepin_coordination::controller::ControllerSettings;
-use gradepin_coordination::council::Found;
-use gradepin_coordination::messages::Report;
-use gradepin_coordination::record::{Limits, Name};
-use gradepin_coordination::server_agent::{AgentSettings, Effect, ServerAgent};
-use gradepin_store::council::CouncilLog;
+use gradepin_coordination::messages::ServerReport;
+use gradepin_coordination::replicated_state::{Limits, Name};
+use gradepin_coordination::server_agent::{AgentEffect, AgentSettings, ServerAgent};
 use gradepin_store::disk::Folder;
+use gradepin_store::voter_log::VoterLog;
 use hdrhistogram::Histogram;
 use std::collections::VecDeque;
 use std::io;
@@ -21,8 +21,8 @@
 struct Voter {
     name: Name,
     part: ServerAgent,
-    log: CouncilLog,
-    found: Found,
+    log: VoterLog,
+    found: VoterState,
 }
 
 struct World {
@@ -39,7 +39,7 @@
         let mut voters = Vec::new();
         for (n, name) in names.iter().enumerate() {
             let files = Folder::open(&folder.join(format!("{count}-{n}"))).map_err(io::Error::other)?;
-            let (log, found) = CouncilLog::open(Box::new(files), 100 + n as u64).map_err(io::Error::other)?;
+            let (log, found) = VoterLog::open(Box::new(files), 100 + n as u64).map_err(io::Error::other)?;
             let limits = Limits { fleet: 1, zone: 1, ..Limits::default() };
             let set = AgentSettings {
                 name: Arc::clone(name),
@@ -61,7 +61,7 @@
     }
 
     fn now(&self) -> Time {
-        after(Time(MS), Span(self.begin.elapsed().as_nanos() as u64))
+        time_after(Time(MS), Span(self.begin.elapsed().as_nanos() as u64))
     }
 
     /// One turn of all; whether anything happened.
@@ -74,23 +74,25 @@
         for n in 0..self.voters.len() {
             let now = self.now();
             let voter = &mut self.voters[n];
-            voter.part.tells(now, Report { zone: format!("z{n}"), ready: true, ..Report::default() });
+            voter
+                .part
+                .tells(now, ServerReport { zone: format!("z{n}"), ready: true, ..ServerReport::default() });
             let mut effects = Vec::new();
             voter.part.step(now, &mut effects);
             for effect in effects {
                 busy = true;
                 match effect {
-                    Effect::Send(to, bytes) => {
+                    AgentEffect::Send(to, bytes) => {
                         let to = self.voters.iter().position(|voter| voter.name == to);
                         self.net.extend(to.map(|to| (n, to, bytes)));
                     }
-                    Effect::Write(number, records) => {
+                    AgentEffect::Write(number, records) => {
                         let voter = &mut self.voters[n];
                         voter.log.write(&voter.found, &records).map_err(io::Error::other)?;
                         self.syncs += 1;
                         voter.part.written(number);
                     }
-                    Effect::MayLeave(..) => self.may = Some(n),
+                    AgentEffect::MayLeave(..) => self.may = Some(n),
                     _ => {}
                 }
             }
--- a/crates/testkit/src/bench/fronts.rs
+++ b/crates/testkit/src/bench/fronts.rs
@@ -4,7 +4,7 @@
 use super::{Met, closed_loop, spec};
 use crate::fleet::{self, Fleet, scgi_of};
 use crate::processor::{Processor, Spec};
-use gradepin_node::fronts::scgi::codec::{Response, encode};
+use gradepin_node::frontend::scgi::codec::{ScgiResponse, encode};
 use rustix::process::Pid;
 use rustix::thread::{CpuSet, sched_setaffinity};
 use std::io::{self, Read, Write};
@@ -161,7 +161,7 @@
         stream.write_all(&request)?;
         let mut bytes = Vec::new();
         stream.read_to_end(&mut bytes)?;
-        match Response::read(&bytes).map(|response| response.status) {
+        match ScgiResponse::read(&bytes).map(|response| response.status) {
             Some(200) => met.served += 1,
             Some(503) => met.refused += 1,
             _ => met.other += 1,
--- a/crates/testkit/src/bench/keys.rs
+++ b/crates/testkit/src/bench/keys.rs
@@ -1,8 +1,8 @@
 //! The table of keyed requests: the wheel beside a sweep over everything (as it was), and beside an ordered set.
 
 use gradepin_admission::{RequestId, Time};
-use gradepin_core::keys::{End, Keys, READ_LATE};
-use gradepin_core::moment::Moment;
+use gradepin_core::idempotency_table::{IdempotencyTable, READ_LATE, RunOutcome};
+use gradepin_core::timestamp::Timestamp;
 use std::collections::{BTreeSet, HashMap};
 use std::hint::black_box;
 use std::sync::Arc;
@@ -26,14 +26,14 @@
 }
 
 /// The table as it is.
-struct Wheel(Keys);
+struct Wheel(IdempotencyTable);
 
 impl Table for Wheel {
     fn put(&mut self, token: &Arc<str>, id: &RequestId, now_ms: u64) {
-        let moment = Moment { now: Time(now_ms * MS), unix_ms: now_ms };
+        let moment = Timestamp { now: Time(now_ms * MS), unix_ms: now_ms };
         self.0.remember(token, 7, id, Time((now_ms + WINDOW_MS) * MS));
         self.0.began(token, 7, id, now_ms + WINDOW_MS, moment);
-        self.0.ended(token, id, Some(End::Failed));
+        self.0.ended(token, id, Some(RunOutcome::Failed));
     }
 
     fn sweep(&mut self, now_ms: u64) -> bool {
@@ -151,7 +151,7 @@
     );
     for &keys in sizes {
         let tables: [(&str, Box<dyn Table>); 3] = [
-            ("wheel", Box::new(Wheel(Keys::new(0)))),
+            ("wheel", Box::new(Wheel(IdempotencyTable::new(0)))),
             ("sweep", Box::<Retain>::default()),
             ("BTreeSet", Box::<Ordered>::default()),
         ];
--- a/crates/testkit/src/bench/mod.rs
+++ b/crates/testkit/src/bench/mod.rs
@@ -10,8 +10,8 @@
 use flate2::Compression;
 use flate2::write::GzEncoder;
 use gradepin_admission::Time;
-use gradepin_registry::instance::{Applications, Instance, Port, Status, hash_code};
-use gradepin_registry::membership::{Membership, Op, Reply};
+use gradepin_registry::instance::{Applications, Instance, InstanceStatus, Port, hash_code};
+use gradepin_registry::membership::{Membership, RegistryOperation, RegistryReply};
 use gradepin_registry::view::{Fetch, View, ViewSettings};
 use gradepin_registry::wire::{self, Format};
 use hdrhistogram::Histogram;
@@ -42,7 +42,7 @@
         app: "TILE-SERVER".into(),
         host: format!("10.{}.{}.{}", n >> 16, (n >> 8) & 255, n & 255),
         ip: Some([10, (n >> 16) as u8, (n >> 8) as u8, n as u8].into()),
-        status: Status::Up,
+        status: InstanceStatus::Up,
         port: Port { number: 8443, enabled: true },
         vip: "tiles".into(),
         metadata: [("zone".to_string(), zones[n % 3].to_string())].into(),
@@ -77,17 +77,21 @@
         for (n, member) in members.iter_mut().enumerate() {
             while let Some(ask) = member.poll(now, ms) {
                 let (app, id) = ("TILE-SERVER", instance(n).id);
-                let done = |outcome| if outcome == Outcome::Done { Reply::Done } else { Reply::NotFound };
+                let done = |outcome| {
+                    if outcome == Outcome::Done { RegistryReply::Done } else { RegistryReply::NotFound }
+                };
                 let reply = match &ask.op {
-                    Op::Register(instance) => {
+                    RegistryOperation::Register(instance) => {
                         registry.register(Instance::clone(instance), false, ms);
-                        Reply::Done
+                        RegistryReply::Done
+                    }
+                    RegistryOperation::Heartbeat { dirty_ms, .. } => {
+                        done(registry.renew(app, &id, Some(*dirty_ms), ms))
                     }
-                    Op::Heartbeat { dirty_ms, .. } => done(registry.renew(app, &id, Some(*dirty_ms), ms)),
-                    Op::Look => registry
+                    RegistryOperation::Look => registry
                         .instance(app, &id)
-                        .map_or(Reply::NotFound, |i| Reply::Record(Box::new(i.clone()))),
-                    _ => Reply::Done,
+                        .map_or(RegistryReply::NotFound, |i| RegistryReply::Record(Box::new(i.clone()))),
+                    _ => RegistryReply::Done,
                 };
                 member.reply(now, ask.ticket, reply);
             }
@@ -162,7 +166,7 @@
     let mut turn = 0;
     let scan = nanos(200, || {
         turn += 1;
-        let up = map.values().filter(|i| i.status == Status::Up && i.zone() == Some("lahti-1"));
+        let up = map.values().filter(|i| i.status == InstanceStatus::Up && i.zone() == Some("lahti-1"));
         black_box(up.clone().nth(turn % 3_000));
     });
     let pick = nanos(100_000, || {
--- a/crates/testkit/src/bench/peers.rs
+++ b/crates/testkit/src/bench/peers.rs
@@ -4,7 +4,7 @@
 use super::{nanos, spec};
 use crate::fleet::{self, Fleet, FleetSpec, PeersSpec};
 use crate::load::{Fixed, Habit, Proxy};
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
 use gradepin_cluster::circuit_breaker::Observation;
 use gradepin_cluster::counters::{
     CellId, CounterCell, CounterRow, Counters, GossipedRow, MAX_CELLS, WorkCount,
@@ -111,8 +111,8 @@
     let start = Instant::now();
     let begin = now;
     let mut whole = None;
-    while whole.is_none() && now < after(begin, Span(60_000 * MS)) {
-        now = after(now, TURN);
+    while whole.is_none() && now < time_after(begin, Span(60_000 * MS)) {
+        now = time_after(now, TURN);
         turn(&mut all, now, count);
         if all.iter().all(|members| members.up_count() == count - 1) {
             whole = Some(Span(now.0 - begin.0));
@@ -122,8 +122,8 @@
     let quiet = now;
     let (bytes_before, datagrams_before) = turn(&mut all, now, count);
     let quiet_start = Instant::now();
-    while now < after(quiet, Span(10_000 * MS)) {
-        now = after(now, TURN);
+    while now < time_after(quiet, Span(10_000 * MS)) {
+        now = time_after(now, TURN);
         turn(&mut all, now, count);
     }
     let cpu_us = quiet_start.elapsed().as_secs_f64() * 1e6 / 10.0 / count as f64;
@@ -131,8 +131,8 @@
     let each = |sum: usize| sum as f64 / 10.0 / count as f64;
     let died = now;
     let mut known = None;
-    while known.is_none() && now < after(died, Span(60_000 * MS)) {
-        now = after(now, TURN);
+    while known.is_none() && now < time_after(died, Span(60_000 * MS)) {
+        now = time_after(now, TURN);
         turn(&mut all, now, dead);
         if all[..dead].iter().all(|members| members.up_count() == count - 2) {
             known = Some(Span(now.0 - died.0));
--- a/crates/testkit/src/bench/store.rs
+++ b/crates/testkit/src/bench/store.rs
@@ -5,8 +5,8 @@
 //! moment in the schedule until it is durable.
 
 use gradepin_admission::{RequestId, Span};
-use gradepin_core::ledger::Record;
-use gradepin_core::pool::Pool;
+use gradepin_core::buffer_pool::BufferPool;
+use gradepin_core::idempotency_log::LogRecord;
 use gradepin_store::disk::Folder;
 use gradepin_store::log::{Limits, Log, Stamp};
 use hdrhistogram::Histogram;
@@ -38,7 +38,7 @@
 /// The segmented log.
 struct Segments {
     log: Log,
-    result: Arc<gradepin_core::pool::Buffer>,
+    result: Arc<gradepin_core::buffer_pool::Buffer>,
 }
 
 impl Segments {
@@ -52,7 +52,8 @@
             window: Span(0),
         };
         let (log, _) = Log::open(Box::new(disk), limits, 1).map_err(io::Error::other)?;
-        let result = Pool::new(0).exact(&vec![7; RESULT]).ok_or_else(|| io::Error::other("a long result"))?;
+        let result =
+            BufferPool::new(0).exact(&vec![7; RESULT]).ok_or_else(|| io::Error::other("a long result"))?;
         Ok(Self { log, result: Arc::new(result) })
     }
 }
@@ -62,20 +63,20 @@
         // Late readers are granted 30 s beyond a window, which this must not wait for: they are taken off the clock.
         let mono_ms = now.as_millis() as u64;
         let left = Span(LIFE.as_nanos() as u64);
-        let records: Vec<Record> = group
+        let records: Vec<LogRecord> = group
             .iter()
             .map(|one| {
                 let (token, id) = (Arc::clone(&one.token), RequestId(Arc::clone(&one.token)));
                 match one.end {
                     true => {
-                        Record::Known { token, print: 7, id, left, result: Some(Arc::clone(&self.result)) }
+                        LogRecord::Known { token, print: 7, id, left, result: Some(Arc::clone(&self.result)) }
                     }
-                    false => Record::Intent { token, print: 7, id, left },
+                    false => LogRecord::Intent { token, print: 7, id, left },
                 }
             })
             .collect();
         self.log.add(Stamp { mono_ms, unix_ms: 0 }, &records).map_err(io::Error::other)?;
-        self.log.expire(mono_ms + gradepin_core::keys::READ_LATE.0 / MS)
+        self.log.expire(mono_ms + gradepin_core::idempotency_table::READ_LATE.0 / MS)
     }
 }
 
@@ -260,18 +261,19 @@
         window: Span(0),
     };
     let (mut log, _) = Log::open(Box::new(disk), limits, 1).map_err(io::Error::other)?;
-    let bytes = Pool::new(0).exact(&vec![7; result]).ok_or_else(|| io::Error::other("a long result"))?;
+    let bytes =
+        BufferPool::new(0).exact(&vec![7; result]).ok_or_else(|| io::Error::other("a long result"))?;
     let (bytes, left) = (Arc::new(bytes), Span(60_000 * MS));
     for chunk in (0..records).collect::<Vec<_>>().chunks(2_000) {
-        let group: Vec<Record> = chunk
+        let group: Vec<LogRecord> = chunk
             .iter()
             .map(|n| {
                 let token: Arc<str> =
                     Arc::from(format!("{:032x}", (*n as u128).wrapping_mul(0x9e37_79b9_7f4a_7c15)));
                 let id = RequestId::new(&format!("{n:016x}"));
                 match n % 2 {
-                    0 => Record::Known { token, print: 7, id, left, result: Some(Arc::clone(&bytes)) },
-                    _ => Record::Intent { token, print: 7, id, left },
+                    0 => LogRecord::Known { token, print: 7, id, left, result: Some(Arc::clone(&bytes)) },
+                    _ => LogRecord::Intent { token, print: 7, id, left },
                 }
             })
             .collect();
--- a/crates/testkit/src/commands/ask.rs
+++ b/crates/testkit/src/commands/ask.rs
@@ -3,8 +3,8 @@
 use clap::{Args, Subcommand};
 use gradepin_node::registry::Client;
 use gradepin_node::settings::ServiceUrl;
-use gradepin_registry::instance::{Applications, Instance, Status};
-use gradepin_registry::membership::{Op, Reply};
+use gradepin_registry::instance::{Applications, Instance, InstanceStatus};
+use gradepin_registry::membership::{RegistryOperation, RegistryReply};
 use gradepin_registry::view::Fetch;
 use gradepin_registry::wire::Format;
 use std::error::Error;
@@ -73,18 +73,22 @@
             client.metadata(&app, &id, &key, &value, TIMEOUT)?;
             return Ok(true);
         }
-        Question::Instance { app, id } => (app, id, Op::Look),
-        Question::Out { app, id } => (app, id, Op::Override { status: Status::OutOfService, dirty_ms: 0 }),
-        Question::In { app, id } => (app, id, Op::ClearOverride { status: Status::Up, dirty_ms: 0 }),
-        Question::Cancel { app, id } => (app, id, Op::Cancel),
+        Question::Instance { app, id } => (app, id, RegistryOperation::Look),
+        Question::Out { app, id } => {
+            (app, id, RegistryOperation::Override { status: InstanceStatus::OutOfService, dirty_ms: 0 })
+        }
+        Question::In { app, id } => {
+            (app, id, RegistryOperation::ClearOverride { status: InstanceStatus::Up, dirty_ms: 0 })
+        }
+        Question::Cancel { app, id } => (app, id, RegistryOperation::Cancel),
     };
     let reply = client.ask(&app, &id, &op, TIMEOUT);
     match &reply {
-        Reply::Done => println!("done"),
-        Reply::Record(instance) => line(instance),
-        Reply::NotFound => println!("no {id} in {app}"),
-        Reply::Rejected(status) => println!("answered with status {status}"),
-        Reply::Failed(why) => println!("failed: {why}"),
+        RegistryReply::Done => println!("done"),
+        RegistryReply::Record(instance) => line(instance),
+        RegistryReply::NotFound => println!("no {id} in {app}"),
+        RegistryReply::Rejected(status) => println!("answered with status {status}"),
+        RegistryReply::Failed(why) => println!("failed: {why}"),
     }
-    Ok(matches!(reply, Reply::Done | Reply::Record(_)))
+    Ok(matches!(reply, RegistryReply::Done | RegistryReply::Record(_)))
 }
--- a/crates/testkit/src/drill/registry.rs
+++ b/crates/testkit/src/drill/registry.rs
@@ -11,7 +11,7 @@
 use crate::watch::Watcher;
 use gradepin_admission::Span;
 use gradepin_node::settings::ServiceUrl;
-use gradepin_registry::instance::Status;
+use gradepin_registry::instance::InstanceStatus;
 use gradepin_registry::view::ViewSettings;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
@@ -138,7 +138,7 @@
     let all: Vec<SocketAddr> = fleet.nodes.iter().map(|node| node.address).collect();
     if with {
         wait(Duration::from_secs(20), || {
-            fleet.nodes.iter().all(|node| shows(&registries, &node.name) == Some(Status::Up))
+            fleet.nodes.iter().all(|node| shows(&registries, &node.name) == Some(InstanceStatus::Up))
         });
     }
     for n in 0..2 {
@@ -179,7 +179,7 @@
                 late = None;
                 faulty.fail(fault.clone());
             }
-            if out_after.is_none() && shows(&registries, &node.name) == Some(Status::OutOfService) {
+            if out_after.is_none() && shows(&registries, &node.name) == Some(InstanceStatus::OutOfService) {
                 out_after = Some(at.elapsed().as_millis() as u64);
             }
             thread::sleep(Duration::from_millis(2));
@@ -194,7 +194,7 @@
         let name = node.name.clone();
         let up = || {
             if with {
-                shows(&registries, &name) == Some(Status::Up)
+                shows(&registries, &name) == Some(InstanceStatus::Up)
             } else {
                 fleet.control.roster().ready(Instant::now(), Duration::ZERO).contains(&name)
             }
@@ -215,10 +215,10 @@
 }
 
 /// The state at the first registry that shows one; both are looked at, as callers may ask either.
-fn shows(registries: &[Server; 2], id: &str) -> Option<Status> {
+fn shows(registries: &[Server; 2], id: &str) -> Option<InstanceStatus> {
     let of = |registry: &Server| registry.instance("TILE-SERVER", id).map(|i| i.status);
     let states = registries.iter().filter_map(of);
-    states.clone().find(|status| *status == Status::OutOfService).or_else(|| states.clone().next())
+    states.clone().find(|status| *status == InstanceStatus::OutOfService).or_else(|| states.clone().next())
 }
 
 fn wait(patience: Duration, done: impl Fn() -> bool) -> bool {
--- a/crates/testkit/src/drill/release/mod.rs
+++ b/crates/testkit/src/drill/release/mod.rs
@@ -19,8 +19,8 @@
 use crate::rig::relay::Net;
 use crate::rig::supervisor::{NO_SAVES, Supervisor};
 use faults::Faults;
-use gradepin_cluster::authentication::Keys;
-use gradepin_coordination::release::{Kind, Plan, Wave};
+use gradepin_cluster::authentication::AuthenticationKeys;
+use gradepin_coordination::rollout::{Batch, ReleaseKind, RolloutPlan};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::SeedableRng;
 use session::Session;
@@ -80,12 +80,12 @@
 }
 
 /// A plan of one server first, then shares. After the first server of what is bad it is looked for as long as it may take to see.
-fn plan(version: &str) -> Plan {
+fn plan(version: &str) -> RolloutPlan {
     let looks = if version == NO_SAVES { SEEN.as_millis() as u64 } else { 3_000 };
-    let waves = [(0.0, looks), (0.5, 1_000), (1.0, 0)].map(|(share, pause_ms)| Wave { share, pause_ms });
-    Plan {
+    let waves = [(0.0, looks), (0.5, 1_000), (1.0, 0)].map(|(share, pause_ms)| Batch { share, pause_ms });
+    RolloutPlan {
         name: format!("to {version}"),
-        kind: Kind::Program,
+        kind: ReleaseKind::Program,
         version: version.into(),
         waves: waves.into(),
         zone_by_zone: false,
@@ -136,7 +136,7 @@
     let lag = LagMonitor::start()?;
     let listen: Vec<SocketAddr> = (0..drill.servers).map(|_| fleet::peer_address()).collect();
     let history = Arc::<History>::default();
-    let keys = Keys::parse(fleet::KEY).map_err(io::Error::other)?;
+    let keys = AuthenticationKeys::parse(fleet::KEY).map_err(io::Error::other)?;
     let net = Net::start(&listen, drill.seed, &keys, &history)?;
     let ledger = Ledger::start(drill.servers, Duration::from_millis(20), drill.seed, &history)?;
     let fleet = Fleet::start(&spec(drill, folder, listen, &net, &ledger))?;
--- a/crates/testkit/src/drill/release/session.rs
+++ b/crates/testkit/src/drill/release/session.rs
@@ -9,8 +9,8 @@
 use crate::rig::play::{ask, call};
 use crate::rig::relay::Net;
 use crate::rig::supervisor::Supervisor;
-use gradepin_coordination::messages::Order;
-use gradepin_coordination::release::ReleaseOrder;
+use gradepin_coordination::messages::OperatorCommand;
+use gradepin_coordination::rollout::RolloutCommand;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::Rng;
 use serde_json::Value;
@@ -86,7 +86,7 @@
     }
 
     /// Gives an order at some door until one takes it, and waits for what came of it.
-    fn order(&mut self, order: &Order) -> io::Result<Result<String, String>> {
+    fn order(&mut self, order: &OperatorCommand) -> io::Result<Result<String, String>> {
         let text = serde_json::to_string(order).map_err(io::Error::other)?;
         let mut last = Err("no door took it".to_string());
         for n in (0..self.drill.servers).cycle().take(2 * self.drill.servers) {
@@ -115,7 +115,7 @@
         self.starts += 1;
         let mut plan = plan(version);
         plan.name = format!("{}: to {version}", self.starts);
-        self.order(&Order::Start { plan: Box::new(plan), by: Arc::from("the drill") })
+        self.order(&OperatorCommand::Start { plan: Box::new(plan), by: Arc::from("the drill") })
     }
 
     /// Sees a release through to its end; one that stood still for a fault is resumed, one that went back is started again.
@@ -135,7 +135,7 @@
                 let by = Arc::from("the drill");
                 let halts = status["release"]["halts"].as_u64().unwrap_or(0) as u32;
                 println!("  {state}; resumed");
-                let _ = self.order(&Order::Release(ReleaseOrder::Resume { name, halts, by }))?;
+                let _ = self.order(&OperatorCommand::Release(RolloutCommand::Resume { name, halts, by }))?;
             } else if state.starts_with("undone") || !is_it {
                 println!("  {state}; started again");
                 let _ = self.start(&version)?;
--- a/crates/testkit/src/explore/permits.rs
+++ b/crates/testkit/src/explore/permits.rs
@@ -8,8 +8,8 @@
 //! Time passes in eras: a right to begin that was asked for in one is over in the next, by the holder's clock; a permit that was freed in
 //! one counts until the next, by the leader's. That is what the lengths in the daemon are chosen for.
 
-use gradepin_coordination::record::{
-    Command, Ends, Limits, Name, Outcome, Permit, Purpose, Record, Stage, Target,
+use gradepin_coordination::replicated_state::{
+    Command, CommandOutcome, Limits, Name, Permit, PermitEnd, PermitStage, Purpose, ReplicatedState, Target,
 };
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
@@ -57,7 +57,7 @@
 
 /// A record that is told apart by what it holds.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Agreed(Record);
+pub struct Agreed(ReplicatedState);
 
 impl Hash for Agreed {
     fn hash<H: Hasher>(&self, state: &mut H) {
@@ -68,11 +68,11 @@
     }
 }
 
-fn stage(stage: &Stage) -> u8 {
+fn stage(stage: &PermitStage) -> u8 {
     match stage {
-        Stage::Reserved => 0,
-        Stage::Begun => 1,
-        Stage::Freed => 2,
+        PermitStage::Reserved => 0,
+        PermitStage::Begun => 1,
+        PermitStage::Freed => 2,
     }
 }
 
@@ -184,7 +184,7 @@
         let there = (0..self.servers).find(|n| name(*n) == *of).map(|n| state.servers[n]);
         let there = matches!(there, Some(Server::In | Server::Wants | Server::Asks(..)));
         let over = state.since.get(&epoch).is_some_and(|since| state.era > *since);
-        there && over && permit.stage == Stage::Begun
+        there && over && permit.stage == PermitStage::Begun
     }
 
     fn agree(&self, state: &mut State, proposal: &Proposal, answers: bool) {
@@ -195,14 +195,14 @@
                 let (target, holder) = (Target::Server(name(*n)), name(*n));
                 let purpose = Purpose::Drain;
                 let outcome = record.apply(index, Command::Reserve { target, holder, life: 1, purpose });
-                if let (Outcome::Permit(epoch, _), true) = (outcome, answers) {
+                if let (CommandOutcome::Permit(epoch, _), true) = (outcome, answers) {
                     state.net.insert(Word::Kept(*n, epoch));
                 }
             }
             Proposal::Begin(n, epoch, era) => {
                 let outcome =
                     record.apply(index, Command::Begin { epoch: *epoch, holder: name(*n), life: 1 });
-                if let Outcome::Permit(epoch, Stage::Begun) = outcome {
+                if let CommandOutcome::Permit(epoch, PermitStage::Begun) = outcome {
                     state.since.insert(epoch, state.era);
                     // Looked at once more by who answers.
                     if answers && (self.without == Without::TheSecondLook || self.fits(state, *n)) {
@@ -214,7 +214,7 @@
                 }
             }
             Proposal::End(epoch, begins) => {
-                let by = Ends::Steady(if self.without == Without::TheEndsLook {
+                let by = PermitEnd::Steady(if self.without == Without::TheEndsLook {
                     record.permits.get(epoch).map_or(0, |permit| permit.begins)
                 } else {
                     *begins
@@ -223,7 +223,7 @@
             }
             Proposal::Free(epoch) => {
                 let (by, why) = (Arc::from("kaisa"), String::new());
-                if record.apply(index, Command::Free { epoch: *epoch, by, why }) == Outcome::Done {
+                if record.apply(index, Command::Free { epoch: *epoch, by, why }) == CommandOutcome::Done {
                     state.since.insert(*epoch, state.era);
                 }
                 // What operators did doesn't tell states apart.
@@ -250,7 +250,7 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let mut record = Record::default();
+        let mut record = ReplicatedState::default();
         for n in 0..self.servers {
             record.apply(0, Command::Enrol { name: name(n), zone: name(0) });
         }
@@ -290,14 +290,14 @@
             }
         }
         for (epoch, permit) in &state.record.0.permits {
-            if state.frees < self.frees && permit.stage != Stage::Freed {
+            if state.frees < self.frees && permit.stage != PermitStage::Freed {
                 actions.push(Action::Free(*epoch));
             }
             if self.may_end(state, *epoch, permit) {
                 actions.push(Action::End(*epoch));
             }
             let over = state.since.get(epoch).is_some_and(|since| state.era > *since);
-            if permit.stage == Stage::Freed && (over || self.without == Without::Time) {
+            if permit.stage == PermitStage::Freed && (over || self.without == Without::Time) {
                 actions.push(Action::Gone(*epoch));
             }
         }
--- a/crates/testkit/src/load/proxy/connections.rs
+++ b/crates/testkit/src/load/proxy/connections.rs
@@ -3,7 +3,7 @@
 use super::{CONNECT, Event, Open, State, WINDOW};
 use crate::fleet::scgi_of;
 use crate::thrift::{self, Answer, Message};
-use gradepin_node::fronts::scgi::codec::Response;
+use gradepin_node::frontend::scgi::codec::ScgiResponse;
 use std::collections::HashMap;
 use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
@@ -67,7 +67,7 @@
         let read = move || {
             let mut bytes = Vec::new();
             let _ = reads.read_to_end(&mut bytes);
-            if let Some(answer) = Response::read(&bytes).map(answer_of) {
+            if let Some(answer) = ScgiResponse::read(&bytes).map(answer_of) {
                 let _ = events.send(Event::Frame(id, Message::Answer(1, answer)));
             }
             let _ = events.send(Event::Ended(id));
@@ -80,7 +80,7 @@
 }
 
 /// An answer over SCGI in the words of the other front.
-fn answer_of(response: Response) -> Answer {
+fn answer_of(response: ScgiResponse) -> Answer {
     let number = |name: &str| response.header(name).and_then(|text| text.parse::<f64>().ok());
     match response.status {
         200 => Answer::Served(response.body, HashMap::new()),
--- a/crates/testkit/src/load/proxy/tries.rs
+++ b/crates/testkit/src/load/proxy/tries.rs
@@ -4,7 +4,7 @@
 use crate::load::{End, Repeats, Try};
 use crate::registry::server::unix_ms;
 use crate::thrift;
-use gradepin_node::fronts::scgi::codec as scgi;
+use gradepin_node::frontend::scgi::codec as scgi;
 use rand_pcg::rand_core::Rng;
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr};
--- a/crates/testkit/src/model/agreed.rs
+++ b/crates/testkit/src/model/agreed.rs
@@ -1,7 +1,7 @@
 //! `gradepin-testkit model releases`: seeds of releases over a large fleet in virtual time.
 
 use clap::Args;
-use gradepin_coordination::release::State;
+use gradepin_coordination::rollout::RolloutState;
 use gradepin_model::agreed::{Day, Outcome, play};
 use rayon::prelude::*;
 use std::time::Instant;
@@ -59,7 +59,8 @@
     let outcomes: Vec<(u64, Outcome)> = seeds.par_iter().map(|&seed| (seed, play(&day(seed)))).collect();
     let broken: Vec<(u64, &String)> =
         outcomes.iter().filter_map(|(seed, outcome)| Some((*seed, outcome.broken.as_ref()?))).collect();
-    let count = |holds: &dyn Fn(&State) -> bool| outcomes.iter().filter(|(_, o)| holds(&o.state)).count();
+    let count =
+        |holds: &dyn Fn(&RolloutState) -> bool| outcomes.iter().filter(|(_, o)| holds(&o.state)).count();
     let mut took: Vec<f64> = outcomes.iter().map(|(_, outcome)| outcome.took_s).collect();
     took.sort_by(f64::total_cmp);
     let at = |part: f64| took[((took.len() as f64 * part) as usize).min(took.len() - 1)];
@@ -80,10 +81,10 @@
     broken.iter().take(5).for_each(|(seed, why)| println!("    seed {seed}: {why}"));
     println!(
         "  done {}, undone {}, halted {}, else {}; {:.1} s in the middle, {:.1} s at the most; {:.3} of the servers ready in the mean",
-        count(&|state| *state == State::Done),
-        count(&|state| matches!(state, State::Undone(_))),
-        count(&|state| matches!(state, State::Halted(_))),
-        count(&|state| matches!(state, State::Runs | State::GoesBack(_))),
+        count(&|state| *state == RolloutState::Done),
+        count(&|state| matches!(state, RolloutState::Undone(_))),
+        count(&|state| matches!(state, RolloutState::Halted(_))),
+        count(&|state| matches!(state, RolloutState::Runs | RolloutState::GoesBack(_))),
         at(0.5),
         at(1.0),
         mean(&|outcome| outcome.ready)
--- a/crates/testkit/src/registry/server.rs
+++ b/crates/testkit/src/registry/server.rs
@@ -4,7 +4,7 @@
 use super::state::{Outcome, Registry, RegistrySettings, Replicated};
 use base64::Engine;
 use crossbeam_channel::{Receiver, Sender, unbounded};
-use gradepin_registry::instance::{Instance, Status};
+use gradepin_registry::instance::{Instance, InstanceStatus};
 use gradepin_registry::wire::{self, Format};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -483,8 +483,8 @@
             Some(Replicated::Cancel(app.to_string(), id.to_string())),
         ),
         ("PUT", ["apps", app, id, "status"]) => {
-            let status = request.query("value").unwrap_or("").parse::<Status>().unwrap_or_default();
-            if status == Status::Unknown {
+            let status = request.query("value").unwrap_or("").parse::<InstanceStatus>().unwrap_or_default();
+            if status == InstanceStatus::Unknown {
                 return (400, b"expected a state as value".to_vec());
             }
             let dirty = request.dirty_ms().unwrap_or(0);
@@ -492,7 +492,7 @@
             (status_of(outcome), Some(Replicated::Override(app.to_string(), id.to_string(), status, dirty)))
         }
         ("DELETE", ["apps", app, id, "status"]) => {
-            let status = request.query("value").unwrap_or("").parse::<Status>().unwrap_or_default();
+            let status = request.query("value").unwrap_or("").parse::<InstanceStatus>().unwrap_or_default();
             let dirty = request.dirty_ms().unwrap_or(0);
             let outcome = registry.clear_override(app, id, status, dirty, now);
             (
--- a/crates/testkit/src/rig/play.rs
+++ b/crates/testkit/src/rig/play.rs
@@ -8,7 +8,7 @@
 use crate::load::{Books, End, Fixed, Habit, Proxy, classes};
 use crate::processor::Spec;
 use crate::registry::server::unix_ms;
-use gradepin_cluster::authentication::Keys;
+use gradepin_cluster::authentication::AuthenticationKeys;
 use serde_json::Value;
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
@@ -96,7 +96,7 @@
 /// Plays it; `stop` ends it early, and no process is left behind either way.
 pub fn play(plan: &Plan, folder: &Path, history: &Arc<History>, stop: &AtomicBool) -> io::Result<Played> {
     let listen: Vec<SocketAddr> = (0..plan.servers).map(|_| fleet::peer_address()).collect();
-    let keys = Keys::parse(fleet::KEY).map_err(io::Error::other)?;
+    let keys = AuthenticationKeys::parse(fleet::KEY).map_err(io::Error::other)?;
     let net = Net::start(&listen, plan.seed, &keys, history)?;
     let ledger = Ledger::start(plan.servers, CALL, plan.seed, history)?;
     let peers = PeersSpec {
--- a/crates/testkit/src/rig/relay.rs
+++ b/crates/testkit/src/rig/relay.rs
@@ -2,7 +2,7 @@
 //! knows both ends of what passes, and the net can treat any pair as it likes.
 
 use super::history::{History, What};
-use gradepin_cluster::authentication::Keys;
+use gradepin_cluster::authentication::AuthenticationKeys;
 use gradepin_cluster::cluster::Envelope;
 use gradepin_cluster::leases::LeaseMessage;
 use rand_pcg::Pcg64Mcg;
@@ -42,7 +42,12 @@
 
 impl Net {
     /// Relays to servers that listen there; words about leases that pass go into the history.
-    pub fn start(listen: &[SocketAddr], seed: u64, keys: &Keys, history: &Arc<History>) -> io::Result<Self> {
+    pub fn start(
+        listen: &[SocketAddr],
+        seed: u64,
+        keys: &AuthenticationKeys,
+        history: &Arc<History>,
+    ) -> io::Result<Self> {
         let servers = listen.len();
         let ways = Ways { cut: vec![vec![false; servers]; servers], slow_ms: 0, lost: 0, doubled: 0 };
         let (ways, ends) = (Arc::new(Mutex::new(ways)), Arc::<AtomicBool>::default());
@@ -113,7 +118,7 @@
     rng: Pcg64Mcg,
     held: BinaryHeap<Reverse<(Instant, u64, Vec<u8>)>>,
     number: u64,
-    keys: Keys,
+    keys: AuthenticationKeys,
     history: Arc<History>,
 }
 
--- a/crates/testkit/src/scale/fleet/host.rs
+++ b/crates/testkit/src/scale/fleet/host.rs
@@ -6,9 +6,9 @@
 use super::server::{HollowServer, Surroundings, thread_cpu_ns};
 use clap::Args;
 use crossbeam_channel::{Receiver, unbounded};
-use gradepin_admission::{Span, Time, after};
+use gradepin_admission::{Span, Time, time_after};
 use gradepin_node::config;
-use gradepin_node::settings::{Own, cluster};
+use gradepin_node::settings::{OperatorSettings, cluster};
 use hdrhistogram::Histogram;
 use rustix::event::{Timespec, epoll};
 use rustix::io::Errno;
@@ -54,7 +54,8 @@
     let fleet = match &plan.settings {
         None => None,
         Some(path) => {
-            let set = Own::load(path)?.cluster.ok_or_else(|| HostError::NoCluster(path.clone()))?;
+            let set =
+                OperatorSettings::load(path)?.cluster.ok_or_else(|| HostError::NoCluster(path.clone()))?;
             let keys = cluster::keys(&set.key_file)?;
             Some((set, keys))
         }
@@ -206,7 +207,7 @@
             self.dues.push(Reverse((self.servers[number].due(), number)));
         }
         let pause = self.plan.look_ms * MS / self.servers.len() as u64;
-        self.next_look = after(self.next_look, Span(pause)).max(now);
+        self.next_look = time_after(self.next_look, Span(pause)).max(now);
         self.beside_ns += thread_cpu_ns().saturating_sub(begun);
     }
 
@@ -245,7 +246,7 @@
         if number.is_some() {
             self.late.reset();
         }
-        self.next_report = after(moment.now, REPORT);
+        self.next_report = time_after(moment.now, REPORT);
         self.beside_ns += thread_cpu_ns().saturating_sub(begun);
         Ok(())
     }
--- a/crates/testkit/src/scale/fleet/requests.rs
+++ b/crates/testkit/src/scale/fleet/requests.rs
@@ -2,10 +2,10 @@
 //! answered after a drawn time, and no work is done.
 
 use crate::load;
-use gradepin_admission::{RequestId, Settings, Span, Time, after};
-use gradepin_core::messages::{Call, ConnId, Effect, Input, RunEnd};
-use gradepin_core::moment::Moment;
-use gradepin_core::pool::Pool;
+use gradepin_admission::{RequestId, Settings, Span, Time, time_after};
+use gradepin_core::buffer_pool::BufferPool;
+use gradepin_core::messages::{ClientRequest, ConnectionId, Effect, Input, RunEnd};
+use gradepin_core::timestamp::Timestamp;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -31,8 +31,8 @@
     runs: BinaryHeap<Reverse<(Time, RequestId)>>,
     notices: u64,
     /// The connection that requests come on, while there is one.
-    conn: Option<ConnId>,
-    last_conn: ConnId,
+    conn: Option<ConnectionId>,
+    last_conn: ConnectionId,
     last_seq: i32,
     last_request: u64,
     name: u64,
@@ -72,9 +72,9 @@
     /// Appends what came by now, and says how many requests that are.
     pub fn due(
         &mut self,
-        moment: Moment,
+        moment: Timestamp,
         settings: &Settings,
-        pool: &Arc<Pool>,
+        pool: &Arc<BufferPool>,
         inputs: &mut Vec<Input>,
     ) -> u64 {
         while self.runs.peek().is_some_and(|Reverse((at, _))| *at <= moment.now) {
@@ -99,7 +99,7 @@
         match effect {
             Effect::Begin(_, id, ..) => {
                 let takes = self.exponential(self.mean_run_s).min(MOST_OF_MEAN * self.mean_run_s);
-                self.runs.push(Reverse((after(now, gradepin_admission::span(takes)), id)));
+                self.runs.push(Reverse((time_after(now, gradepin_admission::span_from_seconds(takes)), id)));
             }
             Effect::Usage(_, tag) => {
                 let gauges = vec![CORE_USE, self.runs.len() as f64, HEAP_SHARE, 0.0];
@@ -113,19 +113,25 @@
         }
     }
 
-    fn arrive(&mut self, moment: Moment, settings: &Settings, pool: &Arc<Pool>, inputs: &mut Vec<Input>) {
+    fn arrive(
+        &mut self,
+        moment: Timestamp,
+        settings: &Settings,
+        pool: &Arc<BufferPool>,
+        inputs: &mut Vec<Input>,
+    ) {
         let conn = self.connection(inputs);
         self.last_seq += 1;
         self.last_request += 1;
         let class = self.class(settings);
         let (keyed, deadline) = {
             let profile = &settings.profiles[class];
-            (profile.effect == gradepin_admission::Effect::ByKey, profile.deadline)
+            (profile.effect == gradepin_admission::Idempotency::ByKey, profile.deadline)
         };
         let tenants = settings.customers.len();
         let number = self.name << 40 | self.last_request;
         let Some(body) = pool.exact(number.to_string().as_bytes()) else { return };
-        let call = Call {
+        let call = ClientRequest {
             id: RequestId::new(&format!("{:016x}", self.rng.next_u64())),
             class: class.into(),
             tenant: (tenants > 0).then(|| (self.last_request as usize % tenants).into()),
@@ -142,7 +148,7 @@
         inputs.push(Input::Call(conn, self.last_seq, Box::new(call)));
     }
 
-    fn connection(&mut self, inputs: &mut Vec<Input>) -> ConnId {
+    fn connection(&mut self, inputs: &mut Vec<Input>) -> ConnectionId {
         if let Some(conn) = self.conn {
             return conn;
         }
@@ -164,7 +170,7 @@
 
     fn arrival_after(&mut self, at: Time) -> Option<Time> {
         let pause = (self.rate > 0.0).then(|| self.exponential(1.0 / self.rate))?;
-        Some(after(at, gradepin_admission::span(pause)))
+        Some(time_after(at, gradepin_admission::span_from_seconds(pause)))
     }
 
     fn exponential(&mut self, mean: f64) -> f64 {
--- a/crates/testkit/src/scale/fleet/requests/tests.rs
+++ b/crates/testkit/src/scale/fleet/requests/tests.rs
@@ -12,8 +12,8 @@
         "specifics": {"n_cores": 2, "memory_kb": 4096.0, "run_factor": 4.0}}
 }"#;
 
-fn moment(ms: u64) -> Moment {
-    Moment { now: Time(1_000_000_000_000 + ms * 1_000_000), unix_ms: ms }
+fn moment(ms: u64) -> Timestamp {
+    Timestamp { now: Time(1_000_000_000_000 + ms * 1_000_000), unix_ms: ms }
 }
 
 /// Guards the load: arrivals come at the rate that is set, whatever the host's own turns are, with a token where the class is
@@ -21,7 +21,7 @@
 #[test]
 fn requests_come_at_their_rate_and_runs_end_once() {
     let settings = Config::parse(SETTINGS).unwrap().settings;
-    let pool = Pool::new(8);
+    let pool = BufferPool::new(8);
     let (_, classes, _) = settings.clone().split();
     let mut requests = Requests::new(3, 11, 200.0, 20.0, moment(0).now);
     let (mut inputs, mut arrived, mut ended) = (Vec::new(), 0, 0);
@@ -53,7 +53,7 @@
 #[test]
 fn a_closed_connection_is_made_anew() {
     let settings = Config::parse(SETTINGS).unwrap().settings;
-    let pool = Pool::new(8);
+    let pool = BufferPool::new(8);
     let mut requests = Requests::new(1, 5, 100.0, 5.0, moment(0).now);
     let mut inputs = Vec::new();
     requests.due(moment(500), &settings, &pool, &mut inputs);
--- a/crates/testkit/src/scale/fleet/server.rs
+++ b/crates/testkit/src/scale/fleet/server.rs
@@ -9,17 +9,17 @@
 use super::messages::{HostPlan, KindFigures, ServerFigures};
 use super::requests::Requests;
 use super::spend::{Spend, TICK_MS};
-use gradepin_admission::{Settings, Span, Time, after};
-use gradepin_cluster::authentication::{DropReason, Keys, MAX_DATAGRAM_BYTES};
+use gradepin_admission::{Settings, Span, Time, time_after};
+use gradepin_cluster::authentication::{AuthenticationKeys, DropReason, MAX_DATAGRAM_BYTES};
 use gradepin_cluster::cluster::{Cluster, Envelope, MessageKind};
 use gradepin_cluster::rate_limit::RateLimiter;
-use gradepin_core::admin::{AdminAnswer, AdminCall};
-use gradepin_core::answer::Answer;
+use gradepin_core::admin::{AdminRequest, AdminResponse};
+use gradepin_core::buffer_pool::BufferPool;
 use gradepin_core::config::Config;
 use gradepin_core::messages::{Effect, Input};
-use gradepin_core::pool::Pool;
 use gradepin_core::reducer::Reducer;
 use gradepin_core::registration::Registration;
+use gradepin_core::response::Response;
 use gradepin_node::clock::Clock;
 use gradepin_node::serve::fleet_settings;
 use gradepin_node::settings::FleetSettings;
@@ -42,13 +42,13 @@
     /// The host's clock.
     pub clock: Clock,
     /// Buffers of bodies and results.
-    pub pool: Arc<Pool>,
+    pub pool: Arc<BufferPool>,
     /// What servers are told.
     pub config: Config,
     /// The same, shared.
     pub settings: Arc<Settings>,
     /// The fleet's keys and settings, where the servers talk.
-    pub fleet: Option<(FleetSettings, Keys)>,
+    pub fleet: Option<(FleetSettings, AuthenticationKeys)>,
     /// Regions by address.
     pub regions: Regions,
     /// The cut in force.
@@ -63,11 +63,11 @@
 
 impl Surroundings {
     /// For a host with this plan.
-    pub fn new(plan: &HostPlan, config: Config, fleet: Option<(FleetSettings, Keys)>) -> Self {
+    pub fn new(plan: &HostPlan, config: Config, fleet: Option<(FleetSettings, AuthenticationKeys)>) -> Self {
         let settings = Arc::new(config.settings.clone());
         Self {
             clock: Clock::start(),
-            pool: Pool::new(256),
+            pool: BufferPool::new(256),
             config,
             settings,
             fleet,
@@ -195,7 +195,7 @@
             return now;
         }
         let wakes = [self.reducer.wake_at(), self.requests.wake_at(), self.next_spend];
-        wakes.into_iter().flatten().min().unwrap_or(after(now, IDLE))
+        wakes.into_iter().flatten().min().unwrap_or(time_after(now, IDLE))
     }
 
     fn receive(&mut self, around: &mut Surroundings) -> io::Result<()> {
@@ -245,8 +245,8 @@
         for effect in effects.drain(..) {
             match effect {
                 Effect::Peer(to, datagram) => self.send(around, to, &datagram),
-                Effect::Answer(_, _, Answer::Served(_), _) => self.figures.served += 1,
-                Effect::Admin(_, AdminAnswer::Stats(stats)) => {
+                Effect::Answer(_, _, Response::Served(_), _) => self.figures.served += 1,
+                Effect::Admin(_, AdminResponse::Stats(stats)) => {
                     if let Some(status) = stats.fleet {
                         self.figures.up = status.up as u64;
                         self.figures.heard = status.reporting as u64;
@@ -276,7 +276,7 @@
     fn spend(&mut self, around: &mut Surroundings, begun: u64) {
         let now = around.clock.read().now;
         let Some(at) = self.next_spend.filter(|at| *at <= now) else { return };
-        self.next_spend = Some(after(at, Span(TICK_MS * 1_000_000)));
+        self.next_spend = Some(time_after(at, Span(TICK_MS * 1_000_000)));
         let bytes = self.spend.bytes_a_tick();
         if let Some(to) = self.spend_to.filter(|_| bytes > 0) {
             self.send(around, to, &vec![0; bytes]);
@@ -291,7 +291,7 @@
     pub fn look(&mut self, around: &mut Surroundings) {
         let moment = around.clock.read();
         self.looks += 1;
-        let asked = Input::Admin(self.looks, AdminCall::Stats);
+        let asked = Input::Admin(self.looks, AdminRequest::Stats);
         self.reducer.step(moment, [asked], &mut self.effects);
         self.carry_out(moment.now, around);
         self.due = self.next_due(moment.now);
--- a/crates/testkit/tests/configuration.rs
+++ b/crates/testkit/tests/configuration.rs
@@ -1,7 +1,7 @@
 //! Real daemons whose classes, tenants and rules come from committed revisions, on loopback sockets. Waits are upper bounds;
 //! nothing passes or fails by how fast the machine is.
 
-use gradepin_cluster::authentication::Keys;
+use gradepin_cluster::authentication::AuthenticationKeys;
 use gradepin_testkit::fleet::{self, CouncilSpec, Fleet, FleetSpec, PeersSpec};
 use gradepin_testkit::load::classes;
 use gradepin_testkit::processor::Spec;
@@ -41,7 +41,8 @@
         let folder = fleet::folder(name).unwrap();
         let listen: Vec<_> = (0..SERVERS).map(|_| fleet::peer_address()).collect();
         let history = Arc::<History>::default();
-        let net = Net::start(&listen, SEED, &Keys::parse(fleet::KEY).unwrap(), &history).unwrap();
+        let net =
+            Net::start(&listen, SEED, &AuthenticationKeys::parse(fleet::KEY).unwrap(), &history).unwrap();
         let ledger = Ledger::start(SERVERS, Duration::from_millis(20), SEED, &history).unwrap();
         let mut work: Vec<_> =
             classes().into_iter().map(|class| (class.name, Duration::from_millis(20))).collect();
--- a/crates/testkit/tests/membership.rs
+++ b/crates/testkit/tests/membership.rs
@@ -2,8 +2,10 @@
 //! doubles and reorders. What is compared is what the registry shows in the end with what is true at the server.
 
 use gradepin_admission::{Span, Time};
-use gradepin_registry::instance::{Instance, Status};
-use gradepin_registry::membership::{Ask, Lane, Membership, MembershipSettings, Op, Reply};
+use gradepin_registry::instance::{Instance, InstanceStatus};
+use gradepin_registry::membership::{
+    Membership, MembershipSettings, RegistryOperation, RegistryReply, RegistryRequest, RequestLane,
+};
 use gradepin_testkit::registry::member;
 use gradepin_testkit::registry::state::{Outcome, Registry, RegistrySettings};
 use rand_pcg::Pcg64Mcg;
@@ -40,10 +42,10 @@
     membership: Membership,
     registries: Vec<Registry>,
     ways: Vec<Way>,
-    replies: Vec<(u64, u64, Reply)>,
+    replies: Vec<(u64, u64, RegistryReply)>,
     /// What a slow registry will do, and when.
-    slowly: Vec<(u64, u64, usize, Op)>,
-    asked: Vec<(u64, Lane, Op)>,
+    slowly: Vec<(u64, u64, usize, RegistryOperation)>,
+    asked: Vec<(u64, RequestLane, RegistryOperation)>,
 }
 
 impl World {
@@ -71,7 +73,7 @@
         let mut world = Self::new(urls);
         world.ready();
         world.run(5_000);
-        assert_eq!(world.shows(0), Some(Status::Up));
+        assert_eq!(world.shows(0), Some(InstanceStatus::Up));
         world
     }
 
@@ -84,19 +86,19 @@
         Time(self.ms * MS)
     }
 
-    fn shows(&self, url: usize) -> Option<Status> {
+    fn shows(&self, url: usize) -> Option<InstanceStatus> {
         self.registries[url].instance(APP, ID).map(|i| i.status)
     }
 
-    fn carry(&mut self, ask: Ask) {
+    fn carry(&mut self, ask: RegistryRequest) {
         self.asked.push((self.ms, ask.lane, ask.op.clone()));
         let way = self.ways[ask.url];
         let timeout = ask.timeout.0 / MS;
-        let late = |why: &str| (self.ms + timeout, ask.ticket, Reply::Failed(why.into()));
+        let late = |why: &str| (self.ms + timeout, ask.ticket, RegistryReply::Failed(why.into()));
         let reply = match way {
-            Way::Refuses => (self.ms + 1, ask.ticket, Reply::Failed("refused".into())),
+            Way::Refuses => (self.ms + 1, ask.ticket, RegistryReply::Failed("refused".into())),
             Way::Hangs => late("hangs"),
-            Way::Status(status) => (self.ms + 1, ask.ticket, Reply::Rejected(status)),
+            Way::Status(status) => (self.ms + 1, ask.ticket, RegistryReply::Rejected(status)),
             Way::Deaf => {
                 apply(&mut self.registries[ask.url], &ask.op, self.ms);
                 late("lost")
@@ -145,32 +147,34 @@
         }
     }
 
-    fn count(&self, is: impl Fn(&Op) -> bool) -> usize {
+    fn count(&self, is: impl Fn(&RegistryOperation) -> bool) -> usize {
         self.asked.iter().filter(|(_, _, op)| is(op)).count()
     }
 }
 
-fn apply(registry: &mut Registry, op: &Op, ms: u64) -> Reply {
-    let done = |outcome| if outcome == Outcome::Done { Reply::Done } else { Reply::NotFound };
+fn apply(registry: &mut Registry, op: &RegistryOperation, ms: u64) -> RegistryReply {
+    let done = |outcome| if outcome == Outcome::Done { RegistryReply::Done } else { RegistryReply::NotFound };
     match op {
-        Op::Register(instance) => {
+        RegistryOperation::Register(instance) => {
             registry.register(Instance::clone(instance), false, ms);
-            Reply::Done
+            RegistryReply::Done
         }
-        Op::Heartbeat { dirty_ms, .. } => done(registry.renew(APP, ID, Some(*dirty_ms), ms)),
-        Op::Override { status, dirty_ms } => done(registry.override_status(APP, ID, *status, *dirty_ms, ms)),
-        Op::ClearOverride { status, dirty_ms } => {
-            done(registry.clear_override(APP, ID, *status, *dirty_ms, ms))
+        RegistryOperation::Heartbeat { dirty_ms, .. } => done(registry.renew(APP, ID, Some(*dirty_ms), ms)),
+        RegistryOperation::Override { status, dirty_ms } => {
+            done(registry.override_status(APP, ID, *status, *dirty_ms, ms))
         }
-        Op::Look => {
-            registry.instance(APP, ID).map_or(Reply::NotFound, |i| Reply::Record(Box::new(i.clone())))
+        RegistryOperation::ClearOverride { status, dirty_ms } => {
+            done(registry.clear_override(APP, ID, *status, *dirty_ms, ms))
         }
-        Op::Cancel => done(registry.cancel(APP, ID, ms)),
+        RegistryOperation::Look => registry
+            .instance(APP, ID)
+            .map_or(RegistryReply::NotFound, |i| RegistryReply::Record(Box::new(i.clone()))),
+        RegistryOperation::Cancel => done(registry.cancel(APP, ID, ms)),
     }
 }
 
-fn is_register(op: &Op) -> bool {
-    matches!(op, Op::Register(_))
+fn is_register(op: &RegistryOperation) -> bool {
+    matches!(op, RegistryOperation::Register(_))
 }
 
 /// Hard case 1: guards against a server that gives up, or waits longer each time without a bound.
@@ -184,7 +188,7 @@
         assert!(world.asked.len() < 200, "{away:?}: {} questions in 5 minutes", world.asked.len());
         world.ways[0] = Way::Well;
         world.run(10_000 + 2_500);
-        assert_eq!(world.shows(0), Some(Status::Up), "{away:?}");
+        assert_eq!(world.shows(0), Some(InstanceStatus::Up), "{away:?}");
     }
 }
 
@@ -200,7 +204,7 @@
         world.membership.leave(world.now());
         world.run(1_500);
         let seen = [world.shows(0), world.shows(1)];
-        assert!(seen.contains(&Some(Status::OutOfService)), "{way:?}: {seen:?}");
+        assert!(seen.contains(&Some(InstanceStatus::OutOfService)), "{way:?}: {seen:?}");
     }
 }
 
@@ -211,7 +215,7 @@
     let mut old = World::up(1);
     old.membership.leave(old.now());
     old.run(1_000);
-    assert_eq!(old.shows(0), Some(Status::OutOfService));
+    assert_eq!(old.shows(0), Some(InstanceStatus::OutOfService));
     let (registry, mut new) = (old.registries.remove(0), World::with(settings(1), old.ms));
     new.registries = vec![registry];
     let began = new.ms;
@@ -223,19 +227,23 @@
         match new.ms - began {
             // The predecessor's late heartbeat, override and cancel.
             3_000 => drop(new.registries[0].renew(APP, ID, Some(1), new.ms)),
-            4_000 => drop(new.registries[0].override_status(APP, ID, Status::OutOfService, 1, new.ms)),
-            12_000 => drop(new.registries[0].override_status(APP, ID, Status::OutOfService, 1, new.ms)),
+            4_000 => {
+                drop(new.registries[0].override_status(APP, ID, InstanceStatus::OutOfService, 1, new.ms))
+            }
+            12_000 => {
+                drop(new.registries[0].override_status(APP, ID, InstanceStatus::OutOfService, 1, new.ms))
+            }
             20_000 => drop(new.registries[0].cancel(APP, ID, new.ms)),
             _ => {}
         }
-        if new.shows(0) == Some(Status::Up) {
+        if new.shows(0) == Some(InstanceStatus::Up) {
             up_at.get_or_insert(new.ms - began);
         }
     }
     // (0.6 - 0.21) / 0.79 of 18 s.
     let up_at = up_at.expect("it comes up");
     assert!((8_886..11_000).contains(&up_at), "up after {up_at} ms");
-    assert_eq!(new.shows(0), Some(Status::Up), "its predecessor's words don't take it out");
+    assert_eq!(new.shows(0), Some(InstanceStatus::Up), "its predecessor's words don't take it out");
 }
 
 /// Beside it: an operator who takes a server out at the registry, long after its start, is obeyed.
@@ -243,12 +251,12 @@
 fn an_override_that_somebody_sets_later_is_left() {
     let mut world = World::up(1);
     world.run(60_000);
-    world.registries[0].override_status(APP, ID, Status::OutOfService, 1, world.ms);
+    world.registries[0].override_status(APP, ID, InstanceStatus::OutOfService, 1, world.ms);
     world.run(120_000);
-    assert_eq!(world.shows(0), Some(Status::OutOfService));
-    world.registries[0].clear_override(APP, ID, Status::Up, 1, world.ms);
+    assert_eq!(world.shows(0), Some(InstanceStatus::OutOfService));
+    world.registries[0].clear_override(APP, ID, InstanceStatus::Up, 1, world.ms);
     world.run(60_000);
-    assert_eq!(world.shows(0), Some(Status::Up));
+    assert_eq!(world.shows(0), Some(InstanceStatus::Up));
 }
 
 /// Hard case 4: guards against a registration after a 404 that brings a server back which is out of service.
@@ -264,9 +272,9 @@
             world.registries[0] = Registry::new(RegistrySettings::default(), world.ms);
             for _ in 0..1_300 {
                 world.run(10);
-                assert!(!leaves || world.shows(0) != Some(Status::Up), "up for a moment");
+                assert!(!leaves || world.shows(0) != Some(InstanceStatus::Up), "up for a moment");
             }
-            let expected = if leaves { Status::OutOfService } else { Status::Up };
+            let expected = if leaves { InstanceStatus::OutOfService } else { InstanceStatus::Up };
             assert_eq!(world.shows(0), Some(expected));
         }
     }
@@ -286,7 +294,7 @@
         world.run(6_000);
         assert_eq!(
             world.shows(0),
-            Some(Status::OutOfService),
+            Some(InstanceStatus::OutOfService),
             "left after {before} ms, answers {delay} ms late"
         );
         assert!(world.membership.left());
@@ -307,7 +315,7 @@
         world.ways[0] = Way::Well;
         world.membership.leave(world.now());
         world.run(patience);
-        assert_eq!(world.shows(0), Some(Status::OutOfService), "{:?}", world.asked);
+        assert_eq!(world.shows(0), Some(InstanceStatus::OutOfService), "{:?}", world.asked);
     }
 }
 
@@ -317,15 +325,15 @@
     let mut world = World::up(1);
     let registered = world.count(is_register);
     for ticket in 0..world.asked.len() as u64 + 5 {
-        world.membership.reply(world.now(), ticket, Reply::NotFound);
-        world.membership.reply(world.now(), ticket, Reply::Failed("late".into()));
+        world.membership.reply(world.now(), ticket, RegistryReply::NotFound);
+        world.membership.reply(world.now(), ticket, RegistryReply::Failed("late".into()));
     }
     world.run(500);
     assert_eq!(world.count(is_register), registered, "nothing is told anew");
     // And one is open: only its own answer counts.
     world.ways[0] = Way::Slow(1_500);
     world.run(2_500);
-    world.membership.reply(world.now(), 1, Reply::NotFound);
+    world.membership.reply(world.now(), 1, RegistryReply::NotFound);
     world.run(3_000);
     assert_eq!(world.count(is_register), registered);
 }
@@ -336,15 +344,15 @@
     let mut world = World::up(2);
     world.ways[0] = Way::Refuses;
     world.run(30_000);
-    assert_eq!(world.shows(1), Some(Status::Up), "the next one is told meanwhile");
+    assert_eq!(world.shows(1), Some(InstanceStatus::Up), "the next one is told meanwhile");
     world.registries[0] = Registry::new(RegistrySettings::default(), world.ms);
     world.ways[0] = Way::Well;
     world.run(35_000);
-    assert_eq!(world.shows(0), Some(Status::Up));
+    assert_eq!(world.shows(0), Some(InstanceStatus::Up));
     // They disagree: the other one evicts what it no longer hears of, and is not asked.
     let asked = world.asked.len();
     world.run(60_000);
-    assert!(world.asked.len() > asked && world.shows(0) == Some(Status::Up));
+    assert!(world.asked.len() > asked && world.shows(0) == Some(InstanceStatus::Up));
 }
 
 /// Beside it: guards against callers of the other registry that never learn of a leave, since the two are cut apart. Seen
@@ -359,7 +367,11 @@
     world.ways[1] = Way::Hangs;
     world.membership.leave(world.now());
     world.run(1_000);
-    assert_eq!([0, 2].map(|n| world.shows(n)), [Some(Status::OutOfService); 2], "whoever hears it is told");
+    assert_eq!(
+        [0, 2].map(|n| world.shows(n)),
+        [Some(InstanceStatus::OutOfService); 2],
+        "whoever hears it is told"
+    );
     let asked = world.asked.len();
     world.run(5_000);
     assert!(world.asked.len() < asked + 8, "once each: {:?}", world.asked);
@@ -381,7 +393,7 @@
         assert!(told <= 31, "{told} registrations in 30 s");
         world.membership.health(world.now(), last);
         world.run(3_000);
-        let expected = if last { Status::Up } else { Status::Down };
+        let expected = if last { InstanceStatus::Up } else { InstanceStatus::Down };
         assert_eq!(world.shows(0), Some(expected));
     }
 }
@@ -391,10 +403,10 @@
     let mut world = World::up(1);
     world.membership.processor(None);
     world.run(2_000);
-    assert_eq!(world.shows(0), Some(Status::Down));
+    assert_eq!(world.shows(0), Some(InstanceStatus::Down));
     world.ready();
     world.run(3_000);
-    assert_eq!(world.shows(0), Some(Status::Up));
+    assert_eq!(world.shows(0), Some(InstanceStatus::Up));
 }
 
 #[test]
@@ -402,10 +414,10 @@
     let mut world = World::up(1);
     world.membership.leave(world.now());
     world.run(1_000);
-    assert_eq!(world.shows(0), Some(Status::OutOfService));
+    assert_eq!(world.shows(0), Some(InstanceStatus::OutOfService));
     world.membership.come_back();
     world.run(5_000);
-    assert_eq!(world.shows(0), Some(Status::Up));
+    assert_eq!(world.shows(0), Some(InstanceStatus::Up));
 }
 
 #[test]
@@ -417,7 +429,7 @@
     world.run(1_000);
     world.membership.answered();
     world.run(30_000);
-    assert_eq!((world.shows(0), world.count(|op| *op == Op::Cancel)), (None, 1));
+    assert_eq!((world.shows(0), world.count(|op| *op == RegistryOperation::Cancel)), (None, 1));
 }
 
 /// Any course of what is true here and of what the registry does: once all is well for a while, the registry shows what
@@ -456,7 +468,7 @@
                 6 => {
                     // An old answer, or one that nobody asked for.
                     let ticket = draw(50);
-                    world.membership.reply(world.now(), ticket, Reply::NotFound);
+                    world.membership.reply(world.now(), ticket, RegistryReply::NotFound);
                 }
                 n => {
                     let ways = [
@@ -478,7 +490,7 @@
         world.run(60_000);
         let wanted = world.membership.wanted(world.now());
         assert_eq!(world.shows(0), Some(wanted), "seed {seed}: {:#?}", world.membership);
-        assert_eq!(leaves, wanted == Status::OutOfService, "seed {seed}");
+        assert_eq!(leaves, wanted == InstanceStatus::OutOfService, "seed {seed}");
         let seconds = (world.ms - start) / 1_000;
         assert!(
             world.asked.len() as u64 <= 12 * seconds,
--- a/crates/testkit/tests/scgi.rs
+++ b/crates/testkit/tests/scgi.rs
@@ -1,7 +1,7 @@
 //! The SCGI front of the real daemon, beside Thrift, on loopback sockets. Waits are upper bounds; nothing passes or fails by
 //! how long anything takes.
 
-use gradepin_node::fronts::scgi::codec::{Response, encode};
+use gradepin_node::frontend::scgi::codec::{ScgiResponse, encode};
 use gradepin_testkit::fleet::{self, Fleet, FleetSpec, scgi_of};
 use gradepin_testkit::load::classes;
 use gradepin_testkit::processor::Spec;
@@ -55,7 +55,7 @@
     }
 
     /// Sends bytes and reads what comes until the end.
-    fn raw(&self, bytes: &[u8]) -> Option<Response> {
+    fn raw(&self, bytes: &[u8]) -> Option<ScgiResponse> {
         let mut stream = self.tcp();
         stream.write_all(bytes).expect("it takes bytes");
         end(stream)
@@ -118,10 +118,10 @@
     }
 }
 
-fn end(mut stream: impl Read) -> Option<Response> {
+fn end(mut stream: impl Read) -> Option<ScgiResponse> {
     let mut bytes = Vec::new();
     let _ = stream.read_to_end(&mut bytes);
-    Response::read(&bytes)
+    ScgiResponse::read(&bytes)
 }
 
 /// Hard case 1: guards against a second run where one try comes over Thrift and one over SCGI.
--- a/crates/testkit/tests/shared.rs
+++ b/crates/testkit/tests/shared.rs
@@ -1,7 +1,7 @@
 //! Real daemons that talk to each other, with relays between them, on loopback sockets. Waits are upper bounds; nothing
 //! passes or fails by how fast the machine is.
 
-use gradepin_cluster::authentication::Keys;
+use gradepin_cluster::authentication::AuthenticationKeys;
 use gradepin_testkit::drill::shared::{Drill, run};
 use gradepin_testkit::drill::{Verdict, release};
 use gradepin_testkit::fleet::{self, Fleet, FleetSpec, PeersSpec};
@@ -41,7 +41,7 @@
     let folder = fleet::folder("shared-flood").unwrap();
     let listen: Vec<_> = (0..3).map(|_| fleet::peer_address()).collect();
     let history = Arc::<History>::default();
-    let net = Net::start(&listen, 1, &Keys::parse(fleet::KEY).unwrap(), &history).unwrap();
+    let net = Net::start(&listen, 1, &AuthenticationKeys::parse(fleet::KEY).unwrap(), &history).unwrap();
     let ledger = Ledger::start(3, Duration::from_millis(20), 1, &history).unwrap();
     let spec = FleetSpec {
         daemon: fleet::daemon().expect("the daemon is built with the workspace's tests"),
--- a/crates/testkit/tests/sockets.rs
+++ b/crates/testkit/tests/sockets.rs
@@ -3,8 +3,8 @@
 
 use gradepin_node::registry::Client;
 use gradepin_node::settings::ServiceUrl;
-use gradepin_registry::instance::{Instance, Status};
-use gradepin_registry::membership::{Op, Reply};
+use gradepin_registry::instance::{Instance, InstanceStatus};
+use gradepin_registry::membership::{RegistryOperation, RegistryReply};
 use gradepin_registry::view::Fetch;
 use gradepin_registry::wire::Format;
 use gradepin_testkit::fleet::{self, Fleet, FleetSpec};
@@ -39,7 +39,7 @@
     }
 }
 
-fn shows(registry: &Server, expected: Option<Status>) -> bool {
+fn shows(registry: &Server, expected: Option<InstanceStatus>) -> bool {
     let start = Instant::now();
     while start.elapsed() < PATIENCE {
         if registry.instance("TILE-SERVER", "n0").map(|i| i.status) == expected {
@@ -69,7 +69,7 @@
     assert!(books.tries.iter().any(|t| t.end == End::Served && t.genuine), "{:?}", books.tries);
     assert_eq!(registry.instance("TILE-SERVER", "n0"), None);
     registry.fail(Fault::None);
-    assert!(shows(&registry, Some(Status::Up)), "{}", registry.summary());
+    assert!(shows(&registry, Some(InstanceStatus::Up)), "{}", registry.summary());
     let told = registry.instance("tile-server", "n0").expect("it is registered");
     assert_eq!(
         (told.zone(), told.metadata["rack"].as_str(), told.vip.as_str()),
@@ -78,7 +78,7 @@
     assert_eq!(SocketAddr::new(told.ip.expect("an address"), told.port.number), fleet.nodes[0].address);
     // Hard case 4 on the wire.
     registry.fail(Fault::RestartEmpty);
-    assert!(shows(&registry, Some(Status::Up)));
+    assert!(shows(&registry, Some(InstanceStatus::Up)));
     drop(fleet);
     fleet::remove(&spec.folder);
 }
@@ -90,7 +90,7 @@
         let registry = registry(None);
         let spec = spec(&format!("drain-{}", fault.to_string().replace(' ', "-")), registry.url(), "");
         let mut fleet = Fleet::start(&spec).expect("a fleet");
-        assert!(shows(&registry, Some(Status::Up)));
+        assert!(shows(&registry, Some(InstanceStatus::Up)));
         let habit = Habit::thrift(100.0, 1, false);
         let proxy = Proxy::start(1, 5, habit, Box::new(Fixed { all: vec![fleet.nodes[0].address], turn: 0 }));
         thread::sleep(Duration::from_millis(300));
@@ -102,7 +102,7 @@
             books.tries.iter().filter(|t| matches!(t.end, End::Lost | End::TimedOut)).collect();
         assert!(books.tries.len() > 10 && unanswered.is_empty(), "{fault}: {unanswered:?}");
         registry.fail(Fault::None);
-        assert!(shows(&registry, Some(Status::OutOfService)), "{fault}: {}", registry.summary());
+        assert!(shows(&registry, Some(InstanceStatus::OutOfService)), "{fault}: {}", registry.summary());
         fleet.nodes[0].kill();
         fleet::remove(&spec.folder);
     }
@@ -115,10 +115,10 @@
         let registry = registry(None);
         let client = Client::new(&ServiceUrl { url: registry.url(), login: None }, format);
         let (app, id) = ("TILES", "n 1/ä:8443");
-        let ask = |op: Op| client.ask(app, id, &op, PATIENCE);
-        let (up, out) = (Status::Up, Status::OutOfService);
-        assert_eq!(ask(Op::Look), Reply::NotFound);
-        assert_eq!(ask(Op::Heartbeat { status: up, dirty_ms: 1 }), Reply::NotFound);
+        let ask = |op: RegistryOperation| client.ask(app, id, &op, PATIENCE);
+        let (up, out) = (InstanceStatus::Up, InstanceStatus::OutOfService);
+        assert_eq!(ask(RegistryOperation::Look), RegistryReply::NotFound);
+        assert_eq!(ask(RegistryOperation::Heartbeat { status: up, dirty_ms: 1 }), RegistryReply::NotFound);
         let known = Instance {
             id: id.into(),
             app: app.into(),
@@ -126,12 +126,15 @@
             status: up,
             ..Instance::default()
         };
-        assert_eq!(ask(Op::Register(Box::new(Instance { dirty_ms: 5, ..known }))), Reply::Done);
-        assert_eq!(ask(Op::Heartbeat { status: up, dirty_ms: 5 }), Reply::Done);
-        assert_eq!(ask(Op::Override { status: out, dirty_ms: 6 }), Reply::Done);
-        let Reply::Record(record) = ask(Op::Look) else { panic!("no record") };
+        assert_eq!(
+            ask(RegistryOperation::Register(Box::new(Instance { dirty_ms: 5, ..known }))),
+            RegistryReply::Done
+        );
+        assert_eq!(ask(RegistryOperation::Heartbeat { status: up, dirty_ms: 5 }), RegistryReply::Done);
+        assert_eq!(ask(RegistryOperation::Override { status: out, dirty_ms: 6 }), RegistryReply::Done);
+        let RegistryReply::Record(record) = ask(RegistryOperation::Look) else { panic!("no record") };
         assert_eq!((record.id.as_str(), record.status, record.overridden), (id, out, out));
-        assert_eq!(ask(Op::ClearOverride { status: up, dirty_ms: 7 }), Reply::Done);
+        assert_eq!(ask(RegistryOperation::ClearOverride { status: up, dirty_ms: 7 }), RegistryReply::Done);
         client.metadata(app, id, "zone", "lahti 1", PATIENCE).expect("metadata");
         let fetches = [
             client.fetch(Fetch::Full, PATIENCE),
@@ -145,7 +148,7 @@
             assert_eq!(came.instances[0].zone(), Some("lahti 1"));
         }
         assert!(client.application("NOTHING", PATIENCE).is_err());
-        assert_eq!(ask(Op::Cancel), Reply::Done);
-        assert_eq!(ask(Op::Cancel), Reply::NotFound);
+        assert_eq!(ask(RegistryOperation::Cancel), RegistryReply::Done);
+        assert_eq!(ask(RegistryOperation::Cancel), RegistryReply::NotFound);
     }
 }
