--- a/crates/admission/src/choice.rs
+++ b/crates/admission/src/choice.rs
@@ -115,7 +115,7 @@
 
 impl Class {
     fn fresh(definition: Arc<ClassDefinition>) -> Self {
-        let first = span_seconds(definition.profile.promise) * FIRST_RUN;
+        let first = span_seconds(definition.profile.latency_objective) * FIRST_RUN;
         let start = Class { core_s: first, lat_s: first, first_s: first, per_work: 1.0, ..Class::default() };
         let counts = if definition.profile.name.is_empty() { 0.0 } else { UNASKED };
         Class { definition, counts, ..start }
@@ -214,7 +214,7 @@
             set,
             ..Self::default()
         };
-        new.cores_started(new.set.specifics.just_started, now);
+        new.cores_started(new.set.specifics.cold_start, now);
         classes.into_iter().enumerate().for_each(|(slot, class)| new.put_class(slot, class));
         tenants.iter().enumerate().for_each(|(slot, tenant)| new.put_tenant(slot, tenant.quota_rps, true));
         new
@@ -224,7 +224,7 @@
     /// host gives no slot away that an open request is in.
     pub fn put_class(&mut self, slot: usize, definition: Arc<ClassDefinition>) {
         self.classes.resize_with(self.classes.len().max(slot + 1), Class::default);
-        self.shortest_aim = self.shortest_aim.min(span_seconds(definition.profile.promise));
+        self.shortest_aim = self.shortest_aim.min(span_seconds(definition.profile.latency_objective));
         self.aims_changed = true;
         let class = &mut self.classes[slot];
         if class.definition.profile.name == definition.profile.name {
@@ -244,16 +244,16 @@
 
     /// The cores started then, cold or not: with the worker, or again beside one that goes on.
     pub fn cores_started(&mut self, cold: bool, at: Time) {
-        (self.set.specifics.just_started, self.born) = (cold, at);
+        (self.set.specifics.cold_start, self.born) = (cold, at);
         // Until its answers reach callers, a cold worker gets all that they think a warm one takes.
-        self.accept = if cold { self.set.rules.cold_share } else { 1.0 };
+        self.accept = if cold { self.set.rules.cold_capacity } else { 1.0 };
     }
 
     /// All settings but classes and tenants.
     pub fn set_rest(&mut self, mut rest: Settings) {
         rest.specifics.n_cores = rest.specifics.n_cores.max(1);
         // Whether it began cold was learnt at its start, not told by the file.
-        rest.specifics.just_started = self.set.specifics.just_started;
+        rest.specifics.cold_start = self.set.specifics.cold_start;
         // Calls are spaced by their share: one that was nothing for a moment would silence them for days.
         let same = rest.specifics.calls_out == self.set.specifics.calls_out;
         self.next_call = if same { self.next_call } else { Time(0) };
@@ -261,7 +261,7 @@
         // Booked anew, or what ends takes off another figure than was put on, and the rest stays for good.
         let (told, gone) = (&self.set.specifics, time_after(self.now, self.set.specifics.linger));
         let tries: f64 = self.tries.values().map(|t| t.booked(&self.set)).sum();
-        self.kb = tries + self.keys.len() as f64 * told.kb_per_key;
+        self.kb = tries + self.keys.len() as f64 * told.idempotency_key_kb;
         self.lingering.iter_mut().for_each(|until| *until = gone.min(*until));
         self.call_log.iter_mut().for_each(|call| call.0 = time_after(gone, told.share_span).min(call.0));
     }
@@ -278,7 +278,7 @@
         self.forget_keys();
         self.see_crowd();
         for event in events {
-            let moves = matches!(event, Event::Completed { .. } | Event::ReadyToCall(_));
+            let moves = matches!(event, Event::Completed { .. } | Event::UpstreamCallNeeded(_));
             // A free place is no progress while reading alone fills the cores and what it brings is lost.
             let free = self.on_core < self.set.specifics.n_cores as usize && !self.swamped;
             if moves || free {
@@ -287,10 +287,10 @@
             match event {
                 Event::Arrived(request) => self.arrive(request, out),
                 Event::Completed { id, outcome, took } => self.completed(id, *outcome, *took, out),
-                Event::Left(id) => self.left(id, out),
-                Event::ReadyToCall(id) => self.ready(id),
-                Event::CallResult { id, outcome, took } => self.call_result(id, *outcome, *took, out),
-                Event::Sigterm(wait) => self.drain(*wait, out),
+                Event::CallerGone(id) => self.left(id, out),
+                Event::UpstreamCallNeeded(id) => self.ready(id),
+                Event::UpstreamCallEnded { id, outcome, took } => self.call_result(id, *outcome, *took, out),
+                Event::ShutdownNotice(wait) => self.drain(*wait, out),
                 Event::Timer(gauges) => self.gauges = Some(*gauges),
             }
         }
@@ -316,14 +316,15 @@
         let told = r.expires_in.map(|wait| time_after(self.now, wait));
         let due = told.unwrap_or(time_after(arrived, profile.deadline));
         let due = self.leaving.map_or(due, |(_, stop)| due.min(stop)).max(self.now);
-        let stretch = r.work.map_or(0.0, |w| span_seconds(w) * profile.aim_stretch);
-        let promise =
-            Span(profile.promise.0.saturating_add(span_from_seconds(stretch).0).min(profile.deadline.0));
+        let stretch = r.work.map_or(0.0, |w| span_seconds(w) * profile.objective_stretch);
+        let latency_objective = Span(
+            profile.latency_objective.0.saturating_add(span_from_seconds(stretch).0).min(profile.deadline.0),
+        );
         let patience = seconds_until(arrived, told.unwrap_or(due)) / span_seconds(profile.deadline);
         let age = span_from_seconds(span_seconds(profile.deadline) * self.age(r, patience));
-        let aim = time_before(time_after(arrived, promise), age).min(due);
+        let aim = time_before(time_after(arrived, latency_objective), age).min(due);
         self.arrivals += 1.0;
-        let unread = span_seconds(r.queued_for).min(span_seconds(profile.promise)) - self.unread_s;
+        let unread = span_seconds(r.queued_for).min(span_seconds(profile.latency_objective)) - self.unread_s;
         self.unread_s += if unread > 0.0 { 0.4 } else { 0.1 } * unread;
         if r.retry {
             self.retries += 1.0;
@@ -364,7 +365,7 @@
         let seen: f64 = self.patiences.iter().map(|(_, seen)| seen).sum();
         let near = |part: f64| (part - patience).abs() < PATIENCE_SPREAD;
         let habit = self.patiences.iter().any(|&(part, times)| near(part) && times > PATIENCE_SEEN[0] * seen);
-        let old = (r.retry || !self.set.callers.marks_retry) && self.set.tier == 0;
+        let old = (r.retry || !self.set.callers.marks_retries) && self.set.tier == 0;
         let again: f64 = self.patiences.iter().map(|(_, seen)| (seen - 1.0).max(0.0)).sum();
         let told = old && again > PATIENCE_SEEN[1] * (self.arrivals - self.retries) && r.expires_in.is_some();
         if told && !habit { (1.0 - patience).max(0.0) } else { 0.0 }
@@ -393,7 +394,7 @@
         let earlier = r.earlier.as_ref().filter(|_| known == known_held);
         // Read after, but arrived before its elder: it may fall into the window of an older run.
         let swapped = known_held.is_some_and(|k| self.tries[&k].arrived > self.tries[&seq].arrived);
-        if earlier.is_some() && effect != Idempotency::Repeatable && (known_held.is_none() || swapped) {
+        if earlier.is_some() && effect != Idempotency::Idempotent && (known_held.is_none() || swapped) {
             // Repeats of what ran, or runs, are answered from it: a second run would be a second effect.
             return if fits && !swapped { self.join(seq, out) } else { self.give_up(seq, out) };
         }
@@ -411,7 +412,7 @@
             self.refused_now = if lost { told } else { self.refused_now };
             return;
         }
-        let share = self.set.specifics.fresh_for.0 > 0 && effect == Idempotency::Repeatable && !r.write;
+        let share = self.set.specifics.fresh_for.0 > 0 && effect == Idempotency::Idempotent && !r.write;
         if earlier.is_some() && share {
             let aim = self.tries[&seq].aim;
             let first = r.earlier.as_ref().and_then(|id| self.seqs.get(id));
@@ -421,15 +422,15 @@
             }
             return self.join(seq, out);
         }
-        let keep = effect == Idempotency::ByKey || (share && r.has_key);
-        let room = if keep { self.set.specifics.kb_per_key } else { 0.0 };
+        let keep = effect == Idempotency::Keyed || (share && r.has_key);
+        let room = if keep { self.set.specifics.idempotency_key_kb } else { 0.0 };
         if !self.make_room(seq, room, out) {
             return self.refuse(seq, out);
         }
         if keep {
             self.remember(seq, out);
         }
-        if let (Some(first), Idempotency::ByKey) = (known_held.filter(|k| held(self, k)), effect) {
+        if let (Some(first), Idempotency::Keyed) = (known_held.filter(|k| held(self, k)), effect) {
             // The repeat takes the entry over; its elder never ran, and its caller has given it up.
             let elder = self.tries[&first].id.clone();
             self.drop_key(&elder);
@@ -442,22 +443,22 @@
         let t = &self.tries[&seq];
         let profile = &self.classes[t.class].definition.profile;
         let until = match profile.effect {
-            Idempotency::ByKey => time_after(time_after(t.arrived, profile.window), self.set.granularity),
+            Idempotency::Keyed => time_after(time_after(t.arrived, profile.window), self.set.granularity),
             _ => time_after(t.aim.max(self.now), self.set.specifics.fresh_for),
         };
         let until = until.max(time_after(self.now, self.set.granularity));
         let id = t.id.clone();
         self.drop_key(&id);
-        self.kb += self.set.specifics.kb_per_key;
+        self.kb += self.set.specifics.idempotency_key_kb;
         self.keys.insert(id.clone(), until);
         self.key_ends.insert((until, id.clone()));
-        out.push(Action::Remember { id, hold_for: Span(until.0 - self.now.0) });
+        out.push(Action::RetainIdempotencyKey { id, retain_for: Span(until.0 - self.now.0) });
     }
 
     fn drop_key(&mut self, id: &RequestId) -> bool {
         let Some(until) = self.keys.remove(id) else { return false };
         self.key_ends.remove(&(until, id.clone()));
-        self.kb -= self.set.specifics.kb_per_key;
+        self.kb -= self.set.specifics.idempotency_key_kb;
         true
     }
 
@@ -472,7 +473,7 @@
         self.held.retain(|&s| s != seq);
         if let Some(t) = self.tries.get_mut(&seq) {
             t.state = State::Joined;
-            out.push(Action::Join(t.id.clone()));
+            out.push(Action::JoinRun(t.id.clone()));
         }
     }
 
@@ -500,7 +501,7 @@
     /// Many arrivals were turned away elsewhere: the fleet is full, not this worker alone. Where no retry is
     /// marked, what this worker turns away itself stands in, and more of it must be.
     fn crowded(&self) -> bool {
-        let marked = self.set.callers.marks_retry;
+        let marked = self.set.callers.marks_retries;
         let (seen, bound) = if marked { (self.retries, CROWDED[0]) } else { (self.refusals, CROWDED[1]) };
         seen > bound * self.arrivals.max(5.0)
     }
@@ -518,11 +519,11 @@
         let gap = f64::from(self.set.specifics.clients_total) * MEMORY_OF_COUNTS_S / self.arrivals.max(1.0);
         let wait = self.unit() * (self.wait_s() + 4.0 * self.unread_s).min(gap);
         let wait = if away { most } else { span_from_seconds(wait).min(most) };
-        let come_back = if self.set.limits.retry_after { wait } else { Span(0) };
+        let retry_after = if self.set.limits.retry_after { wait } else { Span(0) };
         if self.drop_key(&t.id) {
-            out.push(Action::ReleaseKey(t.id.clone()));
+            out.push(Action::ReleaseIdempotencyKey(t.id.clone()));
         }
-        out.push(Action::Refuse { id: t.id, come_back, last });
+        out.push(Action::Reject { id: t.id, retry_after, last });
     }
 
     /// Takes a try out of all books.
@@ -560,14 +561,14 @@
     /// Ends, with an error, what may not be said never to have run.
     fn give_up(&mut self, seq: u64, out: &mut Vec<Action>) {
         if let Some(t) = self.remove(seq) {
-            out.push(Action::Error(t.id));
+            out.push(Action::Fail(t.id));
         }
     }
 
     /// Answers a running request with an error; it stays in the books until its run ends.
     fn fail(&mut self, seq: u64, out: &mut Vec<Action>) {
         if let Some(t) = self.tries.get(&seq).filter(|t| !t.answered) {
-            out.push(Action::Error(t.id.clone()));
+            out.push(Action::Fail(t.id.clone()));
             self.abandon(seq, out);
         }
     }
@@ -579,9 +580,9 @@
         self.at_gate.retain(|&s| s != seq);
         self.dues.remove(&(t.due, seq));
         let safe =
-            self.classes[t.class].definition.profile.effect == Idempotency::Repeatable && t.serves <= 1.0;
+            self.classes[t.class].definition.profile.effect == Idempotency::Idempotent && t.serves <= 1.0;
         if safe && self.set.specifics.stop_mode != StopMode::Off && t.state == State::Running {
-            out.push(Action::Suspend(t.id.clone()));
+            out.push(Action::StopRun(t.id.clone()));
         }
     }
 
@@ -592,7 +593,7 @@
         }
         let held = self.remove(seq).is_some_and(|t| t.state == State::Held);
         if held && self.drop_key(id) {
-            out.push(Action::ReleaseKey(id.clone()));
+            out.push(Action::ReleaseIdempotencyKey(id.clone()));
         }
     }
 
@@ -602,10 +603,10 @@
             return;
         }
         let Some(t) = self.remove(seq) else { return };
-        if outcome == Outcome::Revoked && !t.answered {
-            out.push(Action::Error(t.id.clone()));
+        if outcome == Outcome::Stopped && !t.answered {
+            out.push(Action::Fail(t.id.clone()));
         }
-        if outcome != Outcome::Delivered || t.state == State::Joined {
+        if outcome != Outcome::Success || t.state == State::Joined {
             return;
         }
         let class = &mut self.classes[t.class];
@@ -621,8 +622,8 @@
 
     // ---- calls
 
-    fn skip_worth(&self, class: usize) -> f64 {
-        self.classes[class].definition.skip_worth
+    fn skip_weight(&self, class: usize) -> f64 {
+        self.classes[class].definition.skip_weight
     }
 
     fn ready(&mut self, id: &RequestId) {
@@ -639,10 +640,10 @@
     fn call_result(&mut self, id: &RequestId, outcome: Outcome, took: Span, out: &mut Vec<Action>) {
         let Some(&seq) = self.seqs.get(id) else { return };
         let Some(State::Calling(since)) = self.tries.get(&seq).map(|t| t.state) else { return };
-        self.call_over(since, matches!(outcome, Outcome::Expired | Outcome::Dropped));
+        self.call_over(since, matches!(outcome, Outcome::TimedOut | Outcome::Aborted));
         let Some(t) = self.tries.get_mut(&seq) else { return };
         t.call_s += seconds_until(since, self.now).max(0.0);
-        if outcome == Outcome::Delivered {
+        if outcome == Outcome::Success {
             t.state = State::Running;
             t.call_fails = 0;
             self.at_calls -= 1;
@@ -660,10 +661,10 @@
             return;
         }
         let class = t.class;
-        let never_ran = matches!(outcome, Outcome::Shed | Outcome::DialFailed);
-        if never_ran || self.classes[class].definition.profile.effect == Idempotency::Repeatable {
+        let never_ran = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed);
+        if never_ran || self.classes[class].definition.profile.effect == Idempotency::Idempotent {
             self.at_gate.push(seq);
-        } else if self.skip_worth(class) > 0.0 {
+        } else if self.skip_weight(class) > 0.0 {
             self.degrade(seq, out);
         } else {
             self.fail(seq, out);
@@ -716,7 +717,7 @@
         t.state = State::Running;
         self.at_calls -= 1;
         self.on_core += 1;
-        out.push(Action::Degrade(t.id.clone()));
+        out.push(Action::SkipUpstreamCall(t.id.clone()));
     }
 
     /// Makes the calls that may be made, best worth first; goes on without where waiting would cost the aim.
@@ -733,7 +734,7 @@
             let State::Gate(since, not_before) = t.state else { continue };
             let class = &self.classes[t.class];
             let aim_left = seconds_until(self.now, t.aim) - class.core_s * 0.5;
-            let skip = self.skip_worth(t.class) > 0.0;
+            let skip = self.skip_weight(t.class) > 0.0;
             let turn = 1.0 + place as f64 / self.call_limit;
             let (waited, down) = (seconds_until(since, self.now), self.call_failing >= 3 && t.call_fails > 0);
             if skip
@@ -769,7 +770,7 @@
                 continue;
             }
             let mut timeout = seconds_until(self.now, t.due).max(span_seconds(self.set.granularity));
-            if self.classes[t.class].definition.profile.effect == Idempotency::Repeatable
+            if self.classes[t.class].definition.profile.effect == Idempotency::Idempotent
                 && self.calls_seen > 10
             {
                 // A call may be lost on its way: what is safe to repeat doesn't wait for it to the end.
@@ -788,7 +789,7 @@
             let Some(t) = self.tries.get_mut(&seq) else { continue };
             t.call_s += waited;
             t.state = State::Calling(self.now);
-            out.push(Action::AskBelow { id: t.id.clone(), timeout: span_from_seconds(timeout) });
+            out.push(Action::CallUpstream { id: t.id.clone(), timeout: span_from_seconds(timeout) });
         }
     }
 
@@ -807,7 +808,7 @@
     fn gate_s(&self, class: usize) -> f64 {
         let (told, now) = (&self.set.specifics, self.now);
         let calls = self.classes[class].definition.calls && told.calls_out < 1.0;
-        if !calls || self.skip_worth(class) > 0.0 || told.below != UpstreamKind::Shared {
+        if !calls || self.skip_weight(class) > 0.0 || told.below != UpstreamKind::Shared {
             return 0.0;
         }
         let waited =
@@ -827,8 +828,8 @@
             (_, due) if due >= wait => profile.late_value,
             _ => 0.0,
         };
-        let cost = if self.set.worth_by == WeightBasis::Work { 1.0 } else { cost.max(1e-4) };
-        part * t.serves * profile.worth * self.tenant_factor(t.tenant) / cost
+        let cost = if self.set.weight_basis == WeightBasis::Work { 1.0 } else { cost.max(1e-4) };
+        part * t.serves * profile.priority_weight * self.tenant_factor(t.tenant) / cost
     }
 
     /// What a tenant sends over its local share is worth little, and nothing marks it: the mean counts.
@@ -839,7 +840,7 @@
             return 1.0;
         }
         let inside = mine / asked;
-        inside + (1.0 - inside) * self.set.over_share_worth
+        inside + (1.0 - inside) * self.set.over_quota_weight
     }
 
     /// Seconds that all held work would take.
@@ -865,11 +866,11 @@
             let starts_in = ahead / self.limit.max(1.0);
             // A first try may wait a mean run of its class, or as much of its aim as costs nothing,
             // while another box has time for it; a retry more.
-            let first = self.set.callers.marks_retry && !t.retry && !self.crowded();
+            let first = self.set.callers.marks_retries && !t.retry && !self.crowded();
             let bound = target * TRIM_SLACK;
             let bound = if first { bound.min(class.core_s.max(FIRST_WAIT * target)) } else { bound };
             // On a warm server a guess turns nobody away before a run took longer than it.
-            let guess = class.seen == 0.0 && !self.set.specifics.just_started;
+            let guess = class.seen == 0.0 && !self.set.specifics.cold_start;
             let starts_in =
                 if guess && seconds_until(self.progress, self.now) < cost { 0.0 } else { starts_in };
             if self.stalled || hopeless || (target >= 0.0 && starts_in > bound) {
@@ -888,7 +889,7 @@
             }
             let held = self.held.iter().map(|&s| (self.density(s), s));
             let best = held.max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
-            let Some((_, seq)) = best.filter(|&(worth, _)| worth > 0.0) else { break };
+            let Some((_, seq)) = best.filter(|&(priority_weight, _)| priority_weight > 0.0) else { break };
             let extra = self.tries[&seq].kb * (self.set.specifics.run_factor - 1.0);
             let room = self.set.specifics.memory_kb * MEMORY_FILL - self.kb - self.kb_unseen;
             if extra > room {
@@ -899,7 +900,7 @@
             self.on_core += 1;
             if let Some(t) = self.tries.get_mut(&seq) {
                 t.state = State::Running;
-                out.push(Action::Process(t.id.clone()));
+                out.push(Action::Run(t.id.clone()));
             }
         }
     }
@@ -908,9 +909,10 @@
     fn see_crowd(&mut self) {
         let rules = &self.set.rules;
         let warm = (seconds_until(self.born, self.now) / span_seconds(rules.cold).max(1e-9)).clamp(0.0, 1.0);
-        let warm = if self.set.specifics.just_started { warm } else { 1.0 };
-        let share = rules.cold_share + (1.0 - rules.cold_share) * warm;
-        let survived = f64::from(self.set.specifics.n_cores) * (1.0 + (rules.tip_multiple - 1.0) * share);
+        let warm = if self.set.specifics.cold_start { warm } else { 1.0 };
+        let share = rules.cold_capacity + (1.0 - rules.cold_capacity) * warm;
+        let survived =
+            f64::from(self.set.specifics.n_cores) * (1.0 + (rules.max_concurrency_per_core - 1.0) * share);
         self.crowd = (survived * CROWD_FILL).max(1.0);
     }
 
@@ -918,7 +920,8 @@
         self.next_period = time_after(self.now, PERIOD);
         let gauges = self.gauges.take().unwrap_or_default();
         if std::mem::take(&mut self.aims_changed) {
-            let aims = self.classes.iter().map(|class| span_seconds(class.definition.profile.promise));
+            let aims =
+                self.classes.iter().map(|class| span_seconds(class.definition.profile.latency_objective));
             self.shortest_aim = aims.fold(f64::INFINITY, f64::min);
         }
         self.law(&gauges, out);
@@ -958,13 +961,13 @@
     /// The design's law: past the danger zone, Output per cent of the arrivals are refused before being held.
     fn law(&mut self, gauges: &Gauges, out: &mut Vec<Action>) {
         let own = self.kb / self.set.specifics.memory_kb;
-        let utilization = gauges.heap_share.unwrap_or(own);
+        let utilization = gauges.memory_utilization.unwrap_or(own);
         let unseen = ((utilization - own) * self.set.specifics.memory_kb).max(0.0);
         self.kb_unseen = if unseen > self.kb_unseen { unseen } else { self.kb_unseen * 0.9 };
         self.output += LAW_WEIGHT * (throttling(utilization) - self.output);
         let throttle = if utilization > DANGER_ZONE { self.output } else { 0.0 };
         if throttle > 0.0 && self.throttle == 0.0 {
-            out.push(Action::Emit(format!("danger zone: utilization {utilization:.2}")));
+            out.push(Action::Log(format!("danger zone: utilization {utilization:.2}")));
         }
         self.throttle = throttle;
     }
@@ -972,9 +975,9 @@
     /// The running limit grows while cores idle and work is held, and shrinks while the cores are crowded.
     fn adapt_limit(&mut self, gauges: &Gauges) {
         let cores = f64::from(self.set.specifics.n_cores);
-        let now = gauges.on_cores.unwrap_or(self.on_core as f64);
+        let now = gauges.runnable.unwrap_or(self.on_core as f64);
         self.busy += 0.3 * (now - self.busy);
-        let used = gauges.core_use.unwrap_or(now / cores);
+        let used = gauges.cpu_utilization.unwrap_or(now / cores);
         if used < CORES_BUSY && now < cores * CROWD_AIM && !self.held.is_empty() {
             self.limit += 0.5;
         } else if self.busy > cores * CROWD_AIM {
@@ -991,16 +994,16 @@
     /// of readings and new connections, they keep them: callers that find no place cost nothing here.
     fn shape_connections(&mut self, gauges: &Gauges, out: &mut Vec<Action>) {
         let cores = f64::from(self.set.specifics.n_cores);
-        let beside = gauges.on_cores.map_or(0.0, |now| now - self.on_core as f64);
+        let beside = gauges.runnable.map_or(0.0, |now| now - self.on_core as f64);
         self.intake += 0.1 * (beside - self.intake);
-        let idle = gauges.core_use.is_some_and(|used| used < IDLE_USE);
+        let idle = gauges.cpu_utilization.is_some_and(|used| used < IDLE_USE);
         self.swamped = !idle && beside >= cores && self.held.is_empty();
         let swamped = !idle && self.refused_now && self.intake > INTAKE_CROWD * cores;
         let step = IDLE_STEP * (f64::from(u8::from(swamped)) - f64::from(u8::from(idle)));
         self.idle_part = (self.idle_part * (1.0 + step)).clamp(IDLE_LEAST, 1.0);
         if (self.idle_part - self.idle_told).abs() > IDLE_STEP * self.idle_told {
             self.idle_told = self.idle_part;
-            out.push(Action::IdleLimit(span_from_seconds(
+            out.push(Action::SetIdleTimeout(span_from_seconds(
                 span_seconds(self.set.specifics.idle) * self.idle_part,
             )));
         }
@@ -1013,8 +1016,8 @@
 
     /// Tells callers early what this worker has room for.
     fn advise(&mut self, mean: f64, out: &mut Vec<Action>) {
-        let promise = self.shortest_aim;
-        let fill = self.wait_s() / (HOLD_AIM * promise);
+        let latency_objective = self.shortest_aim;
+        let fill = self.wait_s() / (HOLD_AIM * latency_objective);
         if self.refused_now || fill > 1.0 {
             self.accept = (self.accept * 0.95).max(0.05);
         } else if fill < 0.5 {
@@ -1024,10 +1027,10 @@
         // Requests waiting unread starve the runs, then answers come too late for callers to hear any advice:
         // say less early, and call checkers off. Catches whatever swamps the reading; resets as it drains.
         self.unread_s *= 0.98;
-        let unread = self.unread_s / promise;
+        let unread = self.unread_s / latency_objective;
         // Where the list follows health, many boxes late at once would empty it: there only a stall counts.
         let late = unread > if self.unwell { UNREAD_WELL } else { UNREAD_UNWELL };
-        let unwell = self.stalled || (late && !self.set.specifics.list_follows);
+        let unwell = self.stalled || (late && !self.set.specifics.endpoint_list_follows_health);
         if unwell != self.unwell && self.leaving.is_none() {
             self.unwell = unwell;
             out.push(Action::ReportHealth { shallow: true, active: !unwell });
@@ -1035,16 +1038,16 @@
         // Reading itself takes a while: up to the part at which all is well, nothing waits for the runs.
         let read = (1.0 - (unread - UNREAD_WELL) / (UNREAD_UNWELL - UNREAD_WELL)).clamp(0.05, 1.0);
         let open = if self.leaving.is_some() || self.stalled { 0.0 } else { read };
-        let room = open * self.limit * (1.0 + WINDOW_AIM * promise / mean.max(1e-3));
+        let room = open * self.limit * (1.0 + WINDOW_AIM * latency_objective / mean.max(1e-3));
         let value = match self.set.specifics.advert {
             CapacitySignal::Off => return,
-            CapacitySignal::Window => room / f64::from(self.set.specifics.clients_total.max(1)),
-            CapacitySignal::ShareOf => open * self.accept,
-            CapacitySignal::Threshold => 1.0 - open * self.accept,
+            CapacitySignal::ConcurrencyWindow => room / f64::from(self.set.specifics.clients_total.max(1)),
+            CapacitySignal::AcceptanceProbability => open * self.accept,
+            CapacitySignal::PrecedenceThreshold => 1.0 - open * self.accept,
         };
         if (value - self.signalled).abs() > 0.1 * self.signalled.abs() {
             self.signalled = value;
-            out.push(Action::Signal((value * 1e6).round() / 1e6));
+            out.push(Action::AdvertiseCapacity((value * 1e6).round() / 1e6));
         }
     }
 
@@ -1057,7 +1060,7 @@
         let stop = time_before(time_after(self.now, wait), margin);
         self.leaving = Some((last, stop));
         out.push(Action::ReportHealth { shallow: true, active: false });
-        out.push(Action::Emit(format!("draining, stop in {:.1} s", span_seconds(wait))));
+        out.push(Action::Log(format!("draining, stop in {:.1} s", span_seconds(wait))));
         let later: Vec<(Time, u64)> = self.dues.iter().copied().filter(|&(due, _)| due > stop).collect();
         for (due, seq) in later {
             self.dues.remove(&(due, seq));
@@ -1074,7 +1077,7 @@
         let due = due.max(time_after(self.now, Span(1)));
         if self.armed.is_none_or(|armed| armed <= self.now || due < armed) {
             self.armed = Some(due);
-            out.push(Action::Remind(due));
+            out.push(Action::SetTimer(due));
         }
     }
 }
--- a/crates/admission/src/interface.rs
+++ b/crates/admission/src/interface.rs
@@ -74,10 +74,12 @@
     #[serde(default)]
     pub prices: Prices,
     #[serde(default)]
-    pub worth_by: WeightBasis,
+    #[serde(rename = "worth_by")]
+    pub weight_basis: WeightBasis,
     /// Worth of a request over its tenant's share, as a part of its class's worth.
     #[serde(default = "whole")]
-    pub over_share_worth: f64,
+    #[serde(rename = "over_share_worth")]
+    pub over_quota_weight: f64,
     pub rules: Rules,
     pub specifics: Specifics,
 }
@@ -105,15 +107,15 @@
         positive("specifics.n_cores", f64::from(self.specifics.n_cores))?;
         positive("specifics.memory_kb", self.specifics.memory_kb)?;
         positive("specifics.run_factor", self.specifics.run_factor)?;
-        positive("rules.tip_multiple", self.rules.tip_multiple)?;
+        positive("rules.tip_multiple", self.rules.max_concurrency_per_core)?;
         // Past 1 the module would say less than nothing to callers.
-        let (name, value) = ("rules.cold_share", self.rules.cold_share);
+        let (name, value) = ("rules.cold_share", self.rules.cold_capacity);
         if !(0.0..=1.0).contains(&value) {
             return Err(AdmissionSettingsError { name, range: "from 0 to 1", value });
         }
         for profile in &self.profiles {
             positive("profiles[].deadline", profile.deadline.0 as f64)?;
-            positive("profiles[].promise", profile.promise.0 as f64)?;
+            positive("profiles[].promise", profile.latency_objective.0 as f64)?;
         }
         Ok(())
     }
@@ -137,25 +139,26 @@
     /// Whether its runs call the shared dependency; `specifics.calls_by_class` of the configuration file.
     pub calls: bool,
     /// Worth kept when the call is left out, as a part; `specifics.class_skip_worth` of the configuration file.
-    pub skip_worth: f64,
+    #[serde(rename = "skip_worth")]
+    pub skip_weight: f64,
 }
 
 impl Default for ClassDefinition {
     /// The class of a free slot, which no request is in.
     fn default() -> Self {
         let (name, none, never) = (String::new(), Span(0), Span(u64::MAX));
-        let (effect, worth) = (Idempotency::Once, 0.0);
+        let (effect, priority_weight) = (Idempotency::NonIdempotent, 0.0);
         let profile = ClassProfile {
             name,
-            promise: never,
+            latency_objective: never,
             deadline: never,
             effect,
             late_value: 0.0,
             window: none,
-            worth,
-            aim_stretch: 0.0,
+            priority_weight,
+            objective_stretch: 0.0,
         };
-        Self { profile, calls: true, skip_worth: 0.0 }
+        Self { profile, calls: true, skip_weight: 0.0 }
     }
 }
 
@@ -163,13 +166,13 @@
     /// The rest, the classes and the tenants: what the settings of a class are told by its place for is in its definition.
     pub fn split(mut self) -> (Self, Vec<Arc<ClassDefinition>>, Vec<Arc<Tenant>>) {
         let calls = std::mem::take(&mut self.specifics.calls_by_class);
-        let worths = std::mem::take(&mut self.specifics.class_skip_worth);
+        let worths = std::mem::take(&mut self.specifics.class_skip_weights);
         let define = |(place, profile): (usize, ClassProfile)| {
             let calls = calls.get(place).copied().unwrap_or(true);
             Arc::new(ClassDefinition {
                 profile,
                 calls,
-                skip_worth: worths.get(place).copied().unwrap_or(0.0),
+                skip_weight: worths.get(place).copied().unwrap_or(0.0),
             })
         };
         let classes = std::mem::take(&mut self.profiles).into_iter().enumerate().map(define).collect();
@@ -191,7 +194,8 @@
 pub struct ClassProfile {
     pub name: String,
     /// An answer within this long of the first try earns the full worth.
-    pub promise: Span,
+    #[serde(rename = "promise")]
+    pub latency_objective: Span,
     /// How long a client waits for all tries together.
     pub deadline: Span,
     pub effect: Idempotency,
@@ -200,10 +204,12 @@
     /// For keyed classes: how long after its arrival a request can come again.
     #[serde(default)]
     pub window: Span,
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub priority_weight: f64,
     /// The aim grows by this many times the request's own work.
     #[serde(default)]
-    pub aim_stretch: f64,
+    #[serde(rename = "aim_stretch")]
+    pub objective_stretch: f64,
 }
 
 /// Whether a request may run again.
@@ -211,11 +217,14 @@
 #[serde(rename_all = "snake_case")]
 pub enum Idempotency {
     /// Safe to repeat.
-    Repeatable,
+    #[serde(rename = "repeatable")]
+    Idempotent,
     /// Runs once a worker for each key within the window.
-    ByKey,
+    #[serde(rename = "by_key")]
+    Keyed,
     /// Unsafe: runs once.
-    Once,
+    #[serde(rename = "once")]
+    NonIdempotent,
 }
 
 /// A tenant.
@@ -235,7 +244,8 @@
 pub struct Callers {
     /// Further tries are marked.
     #[serde(default)]
-    pub marks_retry: bool,
+    #[serde(rename = "marks_retry")]
+    pub marks_retries: bool,
 }
 
 /// Weights of the parts of the result.
@@ -259,9 +269,9 @@
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// The longest `come_back` that is honoured.
+    /// The longest `retry_after` that is honoured.
     pub max_retry_after: Span,
-    /// `come_back` is passed on.
+    /// `retry_after` is passed on.
     pub retry_after: bool,
 }
 
@@ -299,12 +309,14 @@
     pub cold: Span,
     /// And begins at no less than this share of its speed.
     #[serde(default = "whole")]
-    pub cold_share: f64,
+    #[serde(rename = "cold_share")]
+    pub cold_capacity: f64,
     pub drain_grace: Span,
     /// Span over which the crowd is averaged.
     pub fall: Span,
     /// Requests a core that a warm worker survives.
-    pub tip_multiple: f64,
+    #[serde(rename = "tip_multiple")]
+    pub max_concurrency_per_core: f64,
 }
 
 /// What lies below a worker.
@@ -330,7 +342,8 @@
     /// Stopping throws the work away.
     Abort,
     /// Stopping pauses it.
-    Suspend,
+    #[serde(rename = "suspend")]
+    Pause,
 }
 
 /// What callers do with the signal.
@@ -338,11 +351,14 @@
 #[serde(rename_all = "snake_case")]
 pub enum CapacitySignal {
     /// They send nothing of a lower precedence.
-    Threshold,
+    #[serde(rename = "threshold")]
+    PrecedenceThreshold,
     /// Each has at most this many requests out here.
-    Window,
+    #[serde(rename = "window")]
+    ConcurrencyWindow,
     /// The chance that one coming here doesn't pass by.
-    ShareOf,
+    #[serde(rename = "share_of")]
+    AcceptanceProbability,
     /// There is no signal.
     #[default]
     Off,
@@ -362,7 +378,8 @@
     #[serde(default)]
     pub calls_out: f64,
     #[serde(default)]
-    pub class_skip_worth: Vec<f64>,
+    #[serde(rename = "class_skip_worth")]
+    pub class_skip_weights: Vec<f64>,
     #[serde(default, deserialize_with = "whole_number")]
     pub clients_total: u32,
     /// How long a read's answer may serve others.
@@ -378,19 +395,23 @@
     #[serde(default)]
     pub idle: Span,
     #[serde(default)]
-    pub just_started: bool,
+    #[serde(rename = "just_started")]
+    pub cold_start: bool,
     #[serde(default)]
-    pub kb_per_key: f64,
+    #[serde(rename = "kb_per_key")]
+    pub idempotency_key_kb: f64,
     /// How long an abandoned call stays in the dependency's hands.
     #[serde(default)]
     pub linger: Span,
     #[serde(default)]
-    pub list_follows: bool,
+    #[serde(rename = "list_follows")]
+    pub endpoint_list_follows_health: bool,
     pub memory_kb: f64,
     #[serde(deserialize_with = "whole_number")]
     pub n_cores: u32,
     #[serde(default)]
-    pub passes_deadline: bool,
+    #[serde(rename = "passes_deadline")]
+    pub propagates_deadline: bool,
     #[serde(default = "whole")]
     pub run_factor: f64,
     /// Window over which calls in hand are averaged.
@@ -399,7 +420,8 @@
     #[serde(default)]
     pub stop_mode: StopMode,
     #[serde(default)]
-    pub tells_gone: bool,
+    #[serde(rename = "tells_gone")]
+    pub reports_disconnects: bool,
 }
 
 /// A request that was read and is now held.
@@ -437,32 +459,32 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// It succeeded.
-    Delivered,
+    Success,
     /// It failed and may have had its effect.
-    AppError,
+    Failure,
     /// The call was bounced without a look.
-    Shed,
+    Rejected,
     /// The call was abandoned.
-    Expired,
+    TimedOut,
     /// What lies below was unreachable.
-    DialFailed,
+    ConnectFailed,
     /// The call was broken off.
-    Dropped,
+    Aborted,
     /// The run was stopped.
-    Revoked,
+    Stopped,
     /// Nothing started.
-    Unused,
+    NotStarted,
 }
 
 /// The worker's gauges; absent ones are `None`.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Gauges {
     /// Share of the cores busy in the last half second.
-    pub core_use: Option<f64>,
+    pub cpu_utilization: Option<f64>,
     /// All that needs a core now.
-    pub on_cores: Option<f64>,
+    pub runnable: Option<f64>,
     /// Share of the memory in use.
-    pub heap_share: Option<f64>,
+    pub memory_utilization: Option<f64>,
     /// Open connections.
     pub links: Option<f64>,
 }
@@ -472,9 +494,9 @@
     pub fn set(&mut self, name: &str, value: f64) {
         let value = Some(value).filter(|value| value.is_finite());
         match name {
-            "core_use" => self.core_use = value,
-            "on_cores" => self.on_cores = value,
-            "heap_share" => self.heap_share = value,
+            "core_use" => self.cpu_utilization = value,
+            "on_cores" => self.runnable = value,
+            "heap_share" => self.memory_utilization = value,
             "links" => self.links = value,
             _ => {}
         }
@@ -496,11 +518,11 @@
         took: Span,
     },
     /// The caller has gone.
-    Left(RequestId),
+    CallerGone(RequestId),
     /// A running request needs a call.
-    ReadyToCall(RequestId),
+    UpstreamCallNeeded(RequestId),
     /// A call is over.
-    CallResult {
+    UpstreamCallEnded {
         /// Which request.
         id: RequestId,
         /// How it ended.
@@ -509,8 +531,8 @@
         took: Span,
     },
     /// Notice to leave: the process is stopped this long from now.
-    Sigterm(Span),
-    /// A timer set with [`Action::Remind`].
+    ShutdownNotice(Span),
+    /// A timer set with [`Action::SetTimer`].
     Timer(Gauges),
 }
 
@@ -518,40 +540,40 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Run a held request, or take up a paused one.
-    Process(RequestId),
+    Run(RequestId),
     /// Stop a running request.
-    Suspend(RequestId),
+    StopRun(RequestId),
     /// Final answer: turned away, never ran.
-    Refuse {
+    Reject {
         /// Which request.
         id: RequestId,
         /// How long the caller should stay away.
-        come_back: Span,
+        retry_after: Span,
         /// Whether the caller should not try elsewhere.
         last: bool,
     },
     /// Final answer: failed, no promises.
-    Error(RequestId),
+    Fail(RequestId),
     /// Make the call a request waits for.
-    AskBelow {
+    CallUpstream {
         /// Which request.
         id: RequestId,
         /// Give the call up after this.
         timeout: Span,
     },
     /// Go on without the call.
-    Degrade(RequestId),
+    SkipUpstreamCall(RequestId),
     /// Enter a request in the table of keys.
-    Remember {
+    RetainIdempotencyKey {
         /// Which request.
         id: RequestId,
         /// How long the entry lasts.
-        hold_for: Span,
+        retain_for: Span,
     },
     /// Take its entry out.
-    ReleaseKey(RequestId),
+    ReleaseIdempotencyKey(RequestId),
     /// Serve a held request from the one it repeats.
-    Join(RequestId),
+    JoinRun(RequestId),
     /// Set the answer to health checks.
     ReportHealth {
         /// Answer from store.
@@ -560,11 +582,11 @@
         active: bool,
     },
     /// Set the free value sent with every answer.
-    Signal(f64),
+    AdvertiseCapacity(f64),
     /// Close connections idle for this long.
-    IdleLimit(Span),
+    SetIdleTimeout(Span),
     /// Ask for a [`Event::Timer`] at this time.
-    Remind(Time),
+    SetTimer(Time),
     /// A line for the log.
-    Emit(String),
+    Log(String),
 }
--- a/crates/admission/tests/cold_fleet.rs
+++ b/crates/admission/tests/cold_fleet.rs
@@ -49,10 +49,10 @@
                 let over = *until <= now;
                 if over {
                     let took = Span((until - since) * MS);
-                    events.push(Event::CallResult { id: id(name), outcome: *outcome, took });
-                    if *outcome == Outcome::Delivered {
-                        events.push(Event::Completed { id: id(name), outcome: Outcome::Delivered, took });
-                    } else if *outcome == Outcome::Expired {
+                    events.push(Event::UpstreamCallEnded { id: id(name), outcome: *outcome, took });
+                    if *outcome == Outcome::Success {
+                        events.push(Event::Completed { id: id(name), outcome: Outcome::Success, took });
+                    } else if *outcome == Outcome::TimedOut {
                         lingering.push(until + LINGER_MS);
                     }
                 }
@@ -64,16 +64,17 @@
                 events.push(Event::Arrived(read(&format!("r{tries}"))));
             }
             let mut actions = at(worker, now, events);
-            let ready = processed(&actions).into_iter().map(|name| Event::ReadyToCall(id(name))).collect();
+            let ready =
+                processed(&actions).into_iter().map(|name| Event::UpstreamCallNeeded(id(name))).collect();
             actions.extend(at(worker, now + 1, ready));
             for action in actions {
-                let Action::AskBelow { id, timeout } = action else { continue };
+                let Action::CallUpstream { id, timeout } = action else { continue };
                 let (takes, limit) = (takes_ms(now.saturating_sub(back), slower), timeout.0 / MS);
                 let (until, outcome) = match () {
                     // Refused at once.
-                    _ if now < back => (now + 1, Outcome::DialFailed),
-                    _ if takes > limit => (now + limit, Outcome::Expired),
-                    _ => (now + takes, Outcome::Delivered),
+                    _ if now < back => (now + 1, Outcome::ConnectFailed),
+                    _ if takes > limit => (now + limit, Outcome::TimedOut),
+                    _ => (now + takes, Outcome::Success),
                 };
                 out[n].push((id.0.to_string(), now, until, outcome));
             }
--- a/crates/admission/tests/cold_start.rs
+++ b/crates/admission/tests/cold_start.rs
@@ -59,7 +59,7 @@
             let waits = now < at + WAIT_MS;
             if !waits {
                 fates.timed_out += 1;
-                events.push(Event::Left(id(&n.to_string())));
+                events.push(Event::CallerGone(id(&n.to_string())));
             }
             waits
         });
@@ -105,7 +105,7 @@
             *work -= each;
             if *work <= 0.0 {
                 let took = Span((now - *since) * MS);
-                events.push(Event::Completed { id: id(&n.to_string()), outcome: Outcome::Delivered, took });
+                events.push(Event::Completed { id: id(&n.to_string()), outcome: Outcome::Success, took });
                 if sent.remove(n).is_some() {
                     fates.served += 1;
                     heard[(n % CALLERS) as usize] = (now, level);
@@ -115,26 +115,26 @@
         });
         if now >= timer {
             let gauges = Gauges {
-                core_use: Some(busy),
-                on_cores: Some(on as f64),
-                heap_share: Some(0.1),
+                cpu_utilization: Some(busy),
+                runnable: Some(on as f64),
+                memory_utilization: Some(0.1),
                 links: Some(9.0),
             };
             events.push(Event::Timer(gauges));
         }
         for action in at(&mut module, now, events) {
             match action {
-                Action::Process(id) => {
+                Action::Run(id) => {
                     running.insert(id.0.parse().expect("a number"), (RUN_MS, now));
                 }
-                Action::Refuse { id, .. } => {
+                Action::Reject { id, .. } => {
                     let n: u64 = id.0.parse().expect("a number");
                     fates.elsewhere += sent.remove(&n).map_or(0, |_| 1);
                     heard[(n % CALLERS) as usize] = (now, level);
                 }
                 Action::ReportHealth { active, .. } => health.push_back((now, active)),
-                Action::Signal(value) => level = value,
-                Action::Remind(when) => timer = when.0 / MS,
+                Action::AdvertiseCapacity(value) => level = value,
+                Action::SetTimer(when) => timer = when.0 / MS,
                 _ => {}
             }
         }
--- a/crates/admission/tests/common/customers.rs
+++ b/crates/admission/tests/common/customers.rs
@@ -117,12 +117,12 @@
     let times = (time(1), time(1), option::of(time(0)));
     let effect = select(vec!["repeatable", "by_key", "once"]);
     let class = (times, effect, positive(), option::of(share()), option::of(figure())).prop_map(
-        |((promise, deadline, window), effect, worth, late, stretch)| {
+        |((latency_objective, deadline, window), effect, priority_weight, late, stretch)| {
             let mut class = Map::new();
-            class.insert("promise".into(), promise);
+            class.insert("promise".into(), latency_objective);
             class.insert("deadline".into(), deadline);
             class.insert("effect".into(), json!(effect));
-            class.insert("worth".into(), real(worth));
+            class.insert("worth".into(), real(priority_weight));
             window.into_iter().for_each(|window| drop(class.insert("window".into(), window)));
             late.into_iter().for_each(|late| drop(class.insert("late_value".into(), real(late))));
             stretch.into_iter().for_each(|by| drop(class.insert("aim_stretch".into(), real(by))));
--- a/crates/admission/tests/common/mod.rs
+++ b/crates/admission/tests/common/mod.rs
@@ -52,8 +52,12 @@
 }
 
 pub fn timer(heap: f64) -> Event {
-    let gauges =
-        Gauges { core_use: Some(0.5), on_cores: Some(2.0), heap_share: Some(heap), links: Some(9.0) };
+    let gauges = Gauges {
+        cpu_utilization: Some(0.5),
+        runnable: Some(2.0),
+        memory_utilization: Some(heap),
+        links: Some(9.0),
+    };
     Event::Timer(gauges)
 }
 
@@ -69,10 +73,10 @@
 }
 
 pub fn processed(out: &[Action]) -> Vec<&str> {
-    let named = out.iter().filter_map(|a| if let Action::Process(id) = a { Some(&*id.0) } else { None });
+    let named = out.iter().filter_map(|a| if let Action::Run(id) = a { Some(&*id.0) } else { None });
     named.collect()
 }
 
 pub fn refused(out: &[Action]) -> Vec<&str> {
-    out.iter().filter_map(|a| if let Action::Refuse { id, .. } = a { Some(&*id.0) } else { None }).collect()
+    out.iter().filter_map(|a| if let Action::Reject { id, .. } = a { Some(&*id.0) } else { None }).collect()
 }
--- a/crates/admission/tests/customers.rs
+++ b/crates/admission/tests/customers.rs
@@ -61,33 +61,33 @@
                 let id = self.pick(|t| t.running || t.joined)?;
                 let t = self.tries.get_mut(&id)?;
                 let ends = if t.joined {
-                    [Outcome::Delivered, Outcome::AppError]
+                    [Outcome::Success, Outcome::Failure]
                 } else {
-                    [Outcome::Delivered, Outcome::Revoked]
+                    [Outcome::Success, Outcome::Stopped]
                 };
                 (t.running, t.joined, t.calling) = (false, false, false);
                 let outcome = ends[self.below(2) as usize];
                 let t = self.tries.get_mut(&id)?;
-                t.answered |= outcome != Outcome::Revoked;
+                t.answered |= outcome != Outcome::Stopped;
                 Event::Completed { id, outcome, took }
             }
             7 => {
                 let id = self.pick(|t| !t.gone)?;
                 self.tries.get_mut(&id)?.gone = true;
-                Event::Left(id)
+                Event::CallerGone(id)
             }
-            8 => Event::ReadyToCall(self.pick(|t| t.running && !t.calling)?),
+            8 => Event::UpstreamCallNeeded(self.pick(|t| t.running && !t.calling)?),
             _ => {
                 let id = self.pick(|t| t.calling)?;
                 self.tries.get_mut(&id)?.calling = false;
                 let ends = [
-                    Outcome::Delivered,
-                    Outcome::Shed,
-                    Outcome::Expired,
-                    Outcome::DialFailed,
-                    Outcome::Dropped,
+                    Outcome::Success,
+                    Outcome::Rejected,
+                    Outcome::TimedOut,
+                    Outcome::ConnectFailed,
+                    Outcome::Aborted,
                 ];
-                Event::CallResult { id, outcome: ends[self.below(5) as usize], took }
+                Event::UpstreamCallEnded { id, outcome: ends[self.below(5) as usize], took }
             }
         })
     }
@@ -149,38 +149,46 @@
 
     fn action(&mut self, action: Action) -> Result<(), TestCaseError> {
         match action {
-            Action::Remind(at) => {
+            Action::SetTimer(at) => {
                 prop_assert!(at > self.now, "a timer of the past");
                 self.remind = Some(self.remind.map_or(at, |known| known.min(at)));
             }
-            Action::Signal(value) => {
+            Action::AdvertiseCapacity(value) => {
                 prop_assert!(value.is_finite() && value >= 0.0, "a signal of {value}");
             }
-            Action::Process(id) => {
+            Action::Run(id) => {
                 let t = self.tries.get_mut(&id).expect("known");
                 prop_assert!(!t.answered && !t.running, "{} is run after its answer, or twice", id.0);
                 (t.ran, t.running) = (true, true);
             }
-            Action::Refuse { id, .. } => {
+            Action::Reject { id, .. } => {
                 let t = self.tries.get_mut(&id).expect("known");
                 prop_assert!(!t.ran && !t.joined, "{} ran and was refused", id.0);
                 prop_assert!(!std::mem::replace(&mut t.answered, true), "two answers to {}", id.0);
             }
-            Action::Error(id) => {
+            Action::Fail(id) => {
                 let t = self.tries.get_mut(&id).expect("known");
                 prop_assert!(!std::mem::replace(&mut t.answered, true), "two answers to {}", id.0);
                 t.joined = false;
             }
-            Action::Join(id) => self.tries.get_mut(&id).expect("known").joined = true,
-            Action::AskBelow { id, .. } => self.tries.get_mut(&id).expect("known").calling = true,
-            Action::Degrade(id) => {
-                prop_assert!(self.set.specifics.class_skip_worth.iter().any(|worth| *worth > 0.0));
+            Action::JoinRun(id) => self.tries.get_mut(&id).expect("known").joined = true,
+            Action::CallUpstream { id, .. } => self.tries.get_mut(&id).expect("known").calling = true,
+            Action::SkipUpstreamCall(id) => {
+                prop_assert!(
+                    self.set
+                        .specifics
+                        .class_skip_weights
+                        .iter()
+                        .any(|priority_weight| *priority_weight > 0.0)
+                );
                 self.tries.get_mut(&id).expect("known").calling = false;
             }
-            Action::ReleaseKey(id) | Action::Remember { id, .. } | Action::Suspend(id) => {
+            Action::ReleaseIdempotencyKey(id)
+            | Action::RetainIdempotencyKey { id, .. }
+            | Action::StopRun(id) => {
                 prop_assert!(self.tries.contains_key(&id));
             }
-            Action::ReportHealth { .. } | Action::IdleLimit(_) | Action::Emit(_) => {}
+            Action::ReportHealth { .. } | Action::SetIdleTimeout(_) | Action::Log(_) => {}
         }
         Ok(())
     }
@@ -222,8 +230,8 @@
         let mut profiles = self.set.profiles.clone();
         profiles.extend(set.profiles.iter().cloned());
         rest.customers = set.customers.clone();
-        rest.specifics.class_skip_worth =
-            [&self.set, set].map(|s| s.specifics.class_skip_worth.clone()).concat();
+        rest.specifics.class_skip_weights =
+            [&self.set, set].map(|s| s.specifics.class_skip_weights.clone()).concat();
         rest.profiles = profiles;
         self.set = rest;
     }
@@ -253,7 +261,7 @@
         }
         if last > 1 {
             let wait = Span([0, 3_000 * MS, u64::MAX][world.below(3) as usize]);
-            world.turn(&[Event::Sigterm(wait)])?;
+            world.turn(&[Event::ShutdownNotice(wait)])?;
             world.play(50)?;
             let end = Time(world.now.0.saturating_add(wait.0.min(5_000 * MS)));
             world.until(end)?;
--- a/crates/admission/tests/module.rs
+++ b/crates/admission/tests/module.rs
@@ -32,7 +32,7 @@
         let name = format!("r{n}");
         let out = arrive(&mut c, 4000 + n * 5, vec![read(&name)]);
         count += refused(&out).len();
-        at(&mut c, 4001 + n * 5, vec![timer(heap), done(&name, Outcome::Delivered)]);
+        at(&mut c, 4001 + n * 5, vec![timer(heap), done(&name, Outcome::Success)]);
     }
     count
 }
@@ -55,7 +55,7 @@
         answers.extend(at(&mut c, ms, vec![]));
     }
     assert_eq!(refused(&answers).len(), 2, "held ones never ran");
-    let errors = answers.iter().filter(|a| matches!(a, Action::Error(_))).count();
+    let errors = answers.iter().filter(|a| matches!(a, Action::Fail(_))).count();
     assert_eq!(errors, 4, "running ones are answered at their due time too");
 }
 
@@ -64,7 +64,7 @@
     let mut c = started(base());
     arrive(&mut c, 1, (0..4).map(|n| read(&format!("r{n}"))).collect());
     arrive(&mut c, 2, vec![read("low"), claim("high", None)]);
-    let out = at(&mut c, 101, vec![done("r0", Outcome::Delivered)]);
+    let out = at(&mut c, 101, vec![done("r0", Outcome::Success)]);
     assert_eq!(processed(&out), ["high"]);
 }
 
@@ -77,9 +77,9 @@
 }
 
 /// Health after requests that were read 900 ms late, and after a silence.
-fn health_by_waits(list_follows: bool) -> (Option<bool>, Option<bool>) {
+fn health_by_waits(endpoint_list_follows_health: bool) -> (Option<bool>, Option<bool>) {
     let mut set = base();
-    set["specifics"]["list_follows"] = json!(list_follows);
+    set["specifics"]["list_follows"] = json!(endpoint_list_follows_health);
     let mut c = started(set);
     let health = |out: &[Action]| {
         out.iter()
@@ -92,7 +92,7 @@
         let out = at(&mut c, 10 + n * 20, vec![Event::Arrived(waited), timer(0.1)]);
         last = health(&out).or(last);
         for name in processed(&out) {
-            last = health(&at(&mut c, 15 + n * 20, vec![done(name, Outcome::Delivered)])).or(last);
+            last = health(&at(&mut c, 15 + n * 20, vec![done(name, Outcome::Success)])).or(last);
         }
     }
     let late = last;
@@ -121,7 +121,7 @@
         at(
             &mut c,
             n * 10 + 5,
-            vec![Event::Completed { id: id(&name), outcome: Outcome::Delivered, took: Span(30_000 * MS) }],
+            vec![Event::Completed { id: id(&name), outcome: Outcome::Success, took: Span(30_000 * MS) }],
         );
     }
     assert_eq!(processed(&arrive(&mut c, 200, vec![read("soon")])).len(), 0, "nothing can be won now");
@@ -147,7 +147,7 @@
     }));
     let out = arrive(&mut c, 1, requests);
     let (run, gone) = (processed(&out).len(), refused(&out).len());
-    let keys = out.iter().filter(|a| matches!(a, Action::Remember { .. })).count();
+    let keys = out.iter().filter(|a| matches!(a, Action::RetainIdempotencyKey { .. })).count();
     let need = (20 - gone - run) as f64 * 20.0 + run as f64 * 80.0 + keys as f64 * 10.0;
     assert!(need <= 200.0, "needs {need} of 200 kB");
     assert!(run > 0);
@@ -163,7 +163,7 @@
     arrive(&mut c, 2, vec![claim("a", None)]);
     let big = Request { size_kb: 150.0, ..claim("b", Some("a")) };
     let out = arrive(&mut c, 3, vec![big]);
-    assert!(!out.contains(&Action::Join(id("b"))), "{out:?}");
+    assert!(!out.contains(&Action::JoinRun(id("b"))), "{out:?}");
     assert!(processed(&out).len() <= 1);
 }
 
@@ -174,7 +174,7 @@
     for n in 0..20_u64 {
         let name = format!("r{n}");
         arrive(&mut c, n * 200, vec![Request { work: Some(Span(100 * MS)), ..read(&name) }]);
-        at(&mut c, n * 200 + 100, vec![done(&name, Outcome::Delivered)]);
+        at(&mut c, n * 200 + 100, vec![done(&name, Outcome::Success)]);
     }
     let heavy = Request { work: Some(Span(1500 * MS)), ..read("heavy") };
     assert_eq!(processed(&arrive(&mut c, 5000, vec![heavy])), ["heavy"]);
@@ -199,12 +199,12 @@
     arrive(&mut c, 2, vec![claim("a", None)]);
     let out = arrive(&mut c, 3, vec![claim("b", Some("a"))]);
     assert_eq!(refused(&out), ["a"]);
-    assert!(!out.contains(&Action::ReleaseKey(id("a"))), "the entry is the repeat's now");
+    assert!(!out.contains(&Action::ReleaseIdempotencyKey(id("a"))), "the entry is the repeat's now");
     // First try running, then over, then failed: the repeat joins it.
-    assert!(arrive(&mut c, 4, vec![claim("c", Some("x0"))]).contains(&Action::Join(id("c"))));
-    at(&mut c, 50, vec![done("x1", Outcome::Delivered), done("x2", Outcome::AppError)]);
+    assert!(arrive(&mut c, 4, vec![claim("c", Some("x0"))]).contains(&Action::JoinRun(id("c"))));
+    at(&mut c, 50, vec![done("x1", Outcome::Success), done("x2", Outcome::Failure)]);
     let out = arrive(&mut c, 60, vec![claim("d", Some("x1")), claim("e", Some("x2"))]);
-    assert!(out.contains(&Action::Join(id("d"))) && out.contains(&Action::Join(id("e"))));
+    assert!(out.contains(&Action::JoinRun(id("d"))) && out.contains(&Action::JoinRun(id("e"))));
     assert!(processed(&out).is_empty() && refused(&out).is_empty());
 }
 
@@ -213,9 +213,9 @@
     let mut c = started(base());
     let late = Request { queued_for: Span(500 * MS), ..claim("a", None) };
     let out = arrive(&mut c, 1000, vec![late]);
-    let kept = out
-        .iter()
-        .find_map(|a| if let Action::Remember { hold_for, .. } = a { Some(hold_for.0) } else { None });
+    let kept = out.iter().find_map(|a| {
+        if let Action::RetainIdempotencyKey { retain_for, .. } = a { Some(retain_for.0) } else { None }
+    });
     assert!(kept.is_some_and(|ns| (8500 * MS..8600 * MS).contains(&ns)), "kept {kept:?}");
 }
 
@@ -223,7 +223,7 @@
 fn drain_runs_what_came_within_the_grace_and_answers_all_before_the_stop() {
     let mut c = started(base());
     arrive(&mut c, 1, vec![read("old")]);
-    let out = at(&mut c, 10, vec![Event::Sigterm(Span(3000 * MS))]);
+    let out = at(&mut c, 10, vec![Event::ShutdownNotice(Span(3000 * MS))]);
     assert!(out.contains(&Action::ReportHealth { shallow: true, active: false }));
     assert_eq!(processed(&arrive(&mut c, 1010, vec![read("in")])), ["in"]);
     let out = arrive(&mut c, 1011, vec![read("out")]);
@@ -235,21 +235,27 @@
         "it had arrived within the grace"
     );
     let out = at(&mut c, 3000, vec![]);
-    assert_eq!(out.iter().filter(|a| matches!(a, Action::Error(_))).count(), 3);
+    assert_eq!(out.iter().filter(|a| matches!(a, Action::Fail(_))).count(), 3);
 }
 
 #[test]
 fn a_failed_call_is_repeated_only_where_that_is_safe() {
-    for (outcome, again) in [(Outcome::Shed, true), (Outcome::DialFailed, true), (Outcome::Dropped, false)] {
+    for (outcome, again) in
+        [(Outcome::Rejected, true), (Outcome::ConnectFailed, true), (Outcome::Aborted, false)]
+    {
         let mut c = started(base());
         arrive(&mut c, 1, vec![claim("a", None)]);
-        let out = at(&mut c, 5, vec![Event::ReadyToCall(id("a"))]);
-        assert!(out.iter().any(|a| matches!(a, Action::AskBelow { .. })));
-        let mut out = at(&mut c, 10, vec![Event::CallResult { id: id("a"), outcome, took: Span(5 * MS) }]);
+        let out = at(&mut c, 5, vec![Event::UpstreamCallNeeded(id("a"))]);
+        assert!(out.iter().any(|a| matches!(a, Action::CallUpstream { .. })));
+        let mut out =
+            at(&mut c, 10, vec![Event::UpstreamCallEnded { id: id("a"), outcome, took: Span(5 * MS) }]);
         out.extend(at(&mut c, 500, vec![]));
-        assert_eq!(out.iter().any(|a| matches!(a, Action::AskBelow { .. })), again);
-        assert_eq!(out.contains(&Action::Error(id("a"))), !again);
-        assert!(!out.contains(&Action::Degrade(id("a"))), "its class earns nothing without the call");
+        assert_eq!(out.iter().any(|a| matches!(a, Action::CallUpstream { .. })), again);
+        assert_eq!(out.contains(&Action::Fail(id("a"))), !again);
+        assert!(
+            !out.contains(&Action::SkipUpstreamCall(id("a"))),
+            "its class earns nothing without the call"
+        );
     }
 }
 
@@ -263,11 +269,15 @@
     for n in 0..100_u64 {
         let (name, ms) = (format!("a{n}"), 10 + n * 50);
         arrive(&mut c, ms, vec![claim(&name, None)]);
-        let out = at(&mut c, ms + 5, vec![Event::ReadyToCall(id(&name))]);
-        asked += out.iter().filter(|a| matches!(a, Action::AskBelow { .. })).count();
+        let out = at(&mut c, ms + 5, vec![Event::UpstreamCallNeeded(id(&name))]);
+        asked += out.iter().filter(|a| matches!(a, Action::CallUpstream { .. })).count();
         let took = Span(5 * MS);
-        at(&mut c, ms + 10, vec![Event::CallResult { id: id(&name), outcome: Outcome::Delivered, took }]);
-        at(&mut c, ms + 20, vec![done(&name, Outcome::Delivered)]);
+        at(
+            &mut c,
+            ms + 10,
+            vec![Event::UpstreamCallEnded { id: id(&name), outcome: Outcome::Success, took }],
+        );
+        at(&mut c, ms + 20, vec![done(&name, Outcome::Success)]);
     }
     assert!(asked > 95, "asked {asked} of 100");
 }
@@ -283,16 +293,16 @@
         let mut events = Vec::new();
         if let Some((name, _)) = back.take_if(|(_, due)| *due <= ms) {
             let (id, took) = (id(&name), Span(took * MS));
-            events.push(Event::CallResult { id: id.clone(), outcome: Outcome::Delivered, took });
-            events.push(Event::Completed { id, outcome: Outcome::Delivered, took });
+            events.push(Event::UpstreamCallEnded { id: id.clone(), outcome: Outcome::Success, took });
+            events.push(Event::Completed { id, outcome: Outcome::Success, took });
         }
         if n % 20 == 0 {
             events.push(Event::Arrived(claim(&name, None)));
         }
         let out = at(&mut c, ms, events);
-        let ready = processed(&out).into_iter().map(|name| Event::ReadyToCall(id(name))).collect();
+        let ready = processed(&out).into_iter().map(|name| Event::UpstreamCallNeeded(id(name))).collect();
         for action in out.iter().chain(&at(&mut c, ms + 1, ready)) {
-            if let Action::AskBelow { id, .. } = action {
+            if let Action::CallUpstream { id, .. } = action {
                 made.push(ms);
                 back = Some((id.0.to_string(), ms + took));
             }
@@ -322,7 +332,7 @@
     let mut c = started(set);
     let at_gate: Vec<String> = (0..4).map(|n| format!("gate{n}")).collect();
     arrive(&mut c, 10, at_gate.iter().map(|name| claim(name, None)).collect());
-    at(&mut c, 11, at_gate.iter().map(|name| Event::ReadyToCall(id(name))).collect());
+    at(&mut c, 11, at_gate.iter().map(|name| Event::UpstreamCallNeeded(id(name))).collect());
     let out = arrive(&mut c, 950, vec![claim("late", None), read("plain")]);
     assert_eq!((processed(&out), refused(&out)), (vec!["plain"], vec!["late"]));
 }
@@ -334,9 +344,9 @@
     for n in 0..40_u64 {
         let name = format!("a{n}");
         out.extend(arrive(&mut c, 1 + n * 2, vec![claim(&name, None)]));
-        out.extend(at(&mut c, 2 + n * 2, vec![Event::ReadyToCall(id(&name))]));
+        out.extend(at(&mut c, 2 + n * 2, vec![Event::UpstreamCallNeeded(id(&name))]));
     }
-    let asked = out.iter().filter(|a| matches!(a, Action::AskBelow { .. })).count();
+    let asked = out.iter().filter(|a| matches!(a, Action::CallUpstream { .. })).count();
     assert!((1..=4).contains(&asked), "asked {asked}");
 }
 
@@ -351,13 +361,13 @@
         for n in 0..30_u64 {
             let name = format!("a{n}");
             arrive(&mut c, 10 + n * 10, vec![claim(&name, None)]);
-            let out = at(&mut c, 15 + n * 10, vec![Event::ReadyToCall(id(&name))]);
-            asked += out.iter().filter(|a| matches!(a, Action::AskBelow { .. })).count();
+            let out = at(&mut c, 15 + n * 10, vec![Event::UpstreamCallNeeded(id(&name))]);
+            asked += out.iter().filter(|a| matches!(a, Action::CallUpstream { .. })).count();
             if n < 20 {
                 // The bound opens as calls come back fast; then the dependency hangs.
                 let took = Span(5 * MS);
-                let back = Event::CallResult { id: id(&name), outcome: Outcome::Delivered, took };
-                at(&mut c, 19 + n * 10, vec![back, done(&name, Outcome::Delivered)]);
+                let back = Event::UpstreamCallEnded { id: id(&name), outcome: Outcome::Success, took };
+                at(&mut c, 19 + n * 10, vec![back, done(&name, Outcome::Success)]);
                 asked = 0;
             }
         }
@@ -369,13 +379,13 @@
 fn unknown_and_answered_requests_change_nothing() {
     let mut c = started(base());
     let ghost = vec![
-        done("ghost", Outcome::Delivered),
-        Event::Left(id("ghost")),
-        Event::ReadyToCall(id("ghost")),
-        Event::CallResult { id: id("ghost"), outcome: Outcome::Expired, took: Span(1) },
+        done("ghost", Outcome::Success),
+        Event::CallerGone(id("ghost")),
+        Event::UpstreamCallNeeded(id("ghost")),
+        Event::UpstreamCallEnded { id: id("ghost"), outcome: Outcome::TimedOut, took: Span(1) },
     ];
     let out = at(&mut c, 1, ghost);
-    assert!(out.iter().all(|a| matches!(a, Action::Remind(_))), "{out:?}");
+    assert!(out.iter().all(|a| matches!(a, Action::SetTimer(_))), "{out:?}");
     let out = arrive(&mut c, 2, vec![Request { class: 99, ..read("odd") }]);
     assert!(processed(&out).is_empty());
 }
@@ -385,10 +395,10 @@
     let mut c = started(base());
     arrive(&mut c, 1, (0..6).map(|n| read(&format!("r{n}"))).collect());
     let out = at(&mut c, 600_000, vec![]);
-    let answers = out.iter().filter(|a| matches!(a, Action::Error(_) | Action::Refuse { .. })).count();
+    let answers = out.iter().filter(|a| matches!(a, Action::Fail(_) | Action::Reject { .. })).count();
     assert_eq!(answers, 6);
-    assert!(out.iter().any(|a| matches!(a, Action::Remind(t) if *t > Time(600_000 * MS))));
-    at(&mut c, 600_001, (0..4).map(|n| done(&format!("r{n}"), Outcome::Revoked)).collect());
+    assert!(out.iter().any(|a| matches!(a, Action::SetTimer(t) if *t > Time(600_000 * MS))));
+    at(&mut c, 600_001, (0..4).map(|n| done(&format!("r{n}"), Outcome::Stopped)).collect());
     assert_eq!(processed(&arrive(&mut c, 600_100, vec![read("new")])), ["new"]);
 }
 
@@ -413,14 +423,18 @@
     for n in 0..200_u64 {
         let (name, ms) = (format!("a{n}"), 10 + n * 50);
         arrive(&mut c, ms, vec![claim(&name, None)]);
-        at(&mut c, ms + 1, vec![Event::ReadyToCall(id(&name))]);
+        at(&mut c, ms + 1, vec![Event::UpstreamCallNeeded(id(&name))]);
         let took = Span(if n % 10 == 0 { 2 } else { 25 } * MS);
-        at(&mut c, ms + 26, vec![Event::CallResult { id: id(&name), outcome: Outcome::Delivered, took }]);
-        at(&mut c, ms + 30, vec![done(&name, Outcome::Delivered)]);
+        at(
+            &mut c,
+            ms + 26,
+            vec![Event::UpstreamCallEnded { id: id(&name), outcome: Outcome::Success, took }],
+        );
+        at(&mut c, ms + 30, vec![done(&name, Outcome::Success)]);
     }
     arrive(&mut c, 20_000, (0..4).map(|n| claim(&format!("b{n}"), None)).collect());
-    let out = at(&mut c, 20_005, (0..4).map(|n| Event::ReadyToCall(id(&format!("b{n}")))).collect());
-    let asked = out.iter().filter(|a| matches!(a, Action::AskBelow { .. })).count();
+    let out = at(&mut c, 20_005, (0..4).map(|n| Event::UpstreamCallNeeded(id(&format!("b{n}")))).collect());
+    let asked = out.iter().filter(|a| matches!(a, Action::CallUpstream { .. })).count();
     assert_eq!(asked, 4, "the whole share is open while calls take their usual time");
 }
 
@@ -430,11 +444,11 @@
     let mut c = started(base());
     let ask = |c: &mut gradepin_admission::Controller, ms: u64, name: &str, took: u64| {
         arrive(c, ms, vec![read(name)]);
-        let out = at(c, ms + 1, vec![Event::ReadyToCall(id(name))]);
+        let out = at(c, ms + 1, vec![Event::UpstreamCallNeeded(id(name))]);
         let took = Span(took * MS);
-        at(c, ms + 2, vec![Event::CallResult { id: id(name), outcome: Outcome::Delivered, took }]);
-        at(c, ms + 3, vec![done(name, Outcome::Delivered)]);
-        out.iter().any(|a| matches!(a, Action::AskBelow { .. }))
+        at(c, ms + 2, vec![Event::UpstreamCallEnded { id: id(name), outcome: Outcome::Success, took }]);
+        at(c, ms + 3, vec![done(name, Outcome::Success)]);
+        out.iter().any(|a| matches!(a, Action::CallUpstream { .. }))
     };
     for n in 0..20_u64 {
         ask(&mut c, 10 + n * 10, &format!("fast{n}"), 20);
@@ -453,19 +467,20 @@
 fn a_lost_call_that_is_safe_to_repeat_is_not_waited_for_to_the_end() {
     let mut c = started(base());
     let timeout = |out: &[Action]| {
-        out.iter().find_map(|a| if let Action::AskBelow { timeout, .. } = a { Some(timeout.0) } else { None })
+        out.iter()
+            .find_map(|a| if let Action::CallUpstream { timeout, .. } = a { Some(timeout.0) } else { None })
     };
     for n in 0..20_u64 {
         let (name, ms) = (format!("r{n}"), 10 + n * 10);
         arrive(&mut c, ms, vec![read(&name)]);
-        at(&mut c, ms + 1, vec![Event::ReadyToCall(id(&name))]);
+        at(&mut c, ms + 1, vec![Event::UpstreamCallNeeded(id(&name))]);
         let took = Span(20 * MS);
-        at(&mut c, ms + 2, vec![Event::CallResult { id: id(&name), outcome: Outcome::Delivered, took }]);
-        at(&mut c, ms + 3, vec![done(&name, Outcome::Delivered)]);
+        at(&mut c, ms + 2, vec![Event::UpstreamCallEnded { id: id(&name), outcome: Outcome::Success, took }]);
+        at(&mut c, ms + 3, vec![done(&name, Outcome::Success)]);
     }
     arrive(&mut c, 500, vec![read("safe"), claim("keyed", None)]);
-    let safe = timeout(&at(&mut c, 501, vec![Event::ReadyToCall(id("safe"))]));
-    let keyed = timeout(&at(&mut c, 502, vec![Event::ReadyToCall(id("keyed"))]));
+    let safe = timeout(&at(&mut c, 501, vec![Event::UpstreamCallNeeded(id("safe"))]));
+    let keyed = timeout(&at(&mut c, 502, vec![Event::UpstreamCallNeeded(id("keyed"))]));
     assert!(safe.is_some_and(|ns| ns <= 250 * MS), "{safe:?}");
     assert!(
         keyed.is_some_and(|ns| ns > 3900 * MS),
@@ -481,8 +496,8 @@
     arrive(&mut c, 1000, vec![claim("young", None)]);
     let old = Request { queued_for: Span(800 * MS), ..claim("old", Some("young")) };
     let out = arrive(&mut c, 1005, vec![old]);
-    assert!(out.contains(&Action::Error(id("old"))) && refused(&out).is_empty(), "{out:?}");
-    assert_eq!(processed(&at(&mut c, 1100, vec![done("x0", Outcome::Delivered)])), ["young"]);
+    assert!(out.contains(&Action::Fail(id("old"))) && refused(&out).is_empty(), "{out:?}");
+    assert_eq!(processed(&at(&mut c, 1100, vec![done("x0", Outcome::Success)])), ["young"]);
 }
 
 /// A retry with a part of the deadline to wait; the second habit of the two callers waits less than the first.
@@ -494,7 +509,7 @@
         let name = format!("r{n}-{ms}");
         let first = Request { expires_in: Some(Span(ms * MS)), ..read(&name) };
         arrive(&mut c, 1 + n * 400, vec![first]);
-        at(&mut c, 100 + n * 400, vec![timer(0.1), done(&name, Outcome::Delivered)]);
+        at(&mut c, 100 + n * 400, vec![timer(0.1), done(&name, Outcome::Success)]);
     }
     let retry = Request { expires_in: Some(Span(retry_ms * MS)), retry: marks, ..claim("again", None) };
     arrive(&mut c, 9000, vec![retry])
@@ -533,7 +548,7 @@
             vec![Request { expires_in: Some(odd), ..claim(&name, None) }],
         ))
         .len();
-        at(&mut c, 100 + n * 200, vec![timer(0.1), done(&name, Outcome::Delivered)]);
+        at(&mut c, 100 + n * 200, vec![timer(0.1), done(&name, Outcome::Success)]);
     }
     assert!(runs > 35, "{runs} of 40");
 }
@@ -547,11 +562,11 @@
     let (mut last, mut runs) = (false, Vec::new());
     for n in 0..100_u64 {
         let arrived = (0..8).map(|m| Event::Arrived(read(&format!("r{n}-{m}"))));
-        let ends = runs.drain(..).map(|name: String| done(&name, Outcome::Delivered));
+        let ends = runs.drain(..).map(|name: String| done(&name, Outcome::Success));
         let out = at(&mut c, 10 + n * 100, ends.chain(arrived).chain([timer(0.1)]).collect());
         runs.extend(processed(&out).into_iter().map(String::from));
         for action in &out {
-            if let Action::Refuse { last: l, .. } = action {
+            if let Action::Reject { last: l, .. } = action {
                 last = *l;
             }
         }
@@ -571,7 +586,7 @@
     // Found at full size: 900 callers filled every table with connections that none came back to.
     let mut c = gradepin_admission::Controller::new(settings(base()), 11, Time(0));
     let out = at(&mut c, 0, vec![]);
-    assert!(out.iter().any(|a| matches!(a, Action::IdleLimit(limit) if *limit < Span(15000 * MS))));
+    assert!(out.iter().any(|a| matches!(a, Action::SetIdleTimeout(limit) if *limit < Span(15000 * MS))));
 }
 
 #[test]
@@ -580,15 +595,15 @@
     let mut c = started(base());
     let gauges = |used: f64, on: f64| {
         Event::Timer(Gauges {
-            core_use: Some(used),
-            on_cores: Some(on),
-            heap_share: Some(0.1),
+            cpu_utilization: Some(used),
+            runnable: Some(on),
+            memory_utilization: Some(0.1),
             links: Some(9.0),
         })
     };
     let last = |out: &[Action]| {
         out.iter()
-            .filter_map(|a| if let Action::IdleLimit(limit) = a { Some(*limit) } else { None })
+            .filter_map(|a| if let Action::SetIdleTimeout(limit) = a { Some(*limit) } else { None })
             .next_back()
     };
     let mut told = Vec::new();
@@ -619,15 +634,15 @@
         if n % 8 == 0 {
             events.extend(runs.pop_front().map(|name: String| Event::Completed {
                 id: id(&name),
-                outcome: Outcome::Delivered,
+                outcome: Outcome::Success,
                 took: Span(600 * MS),
             }));
         }
         let out = at(&mut c, 10 + n * 25, events);
         runs.extend(processed(&out).iter().map(ToString::to_string));
         for action in out {
-            if let Action::Refuse { come_back, .. } = action {
-                longest = longest.max(if n > 300 { come_back.0 / MS } else { 0 });
+            if let Action::Reject { retry_after, .. } = action {
+                longest = longest.max(if n > 300 { retry_after.0 / MS } else { 0 });
             }
         }
     }
@@ -661,7 +676,7 @@
     for n in 0..20_u64 {
         let name = format!("r{n}");
         arrive(&mut c, 10 + n * 10, vec![read(&name)]);
-        at(&mut c, 15 + n * 10, vec![done(&name, Outcome::Delivered)]);
+        at(&mut c, 15 + n * 10, vec![done(&name, Outcome::Success)]);
     }
     let retry = |n: u64| Request { retry: true, ..read(&format!("t{n}")) };
     let mut out = arrive(&mut c, 301, (0..34).map(retry).collect());
@@ -686,8 +701,8 @@
     arrive(&mut c, 3, vec![Request { has_key: true, ..read("shared") }]);
     let twin = Request { has_key: true, earlier: Some(id("shared")), ..read("twin") };
     let out = arrive(&mut c, 4, vec![twin]);
-    assert!(out.contains(&Action::Join(id("twin"))));
-    let out = at(&mut c, 101, vec![done("r0", Outcome::Delivered)]);
+    assert!(out.contains(&Action::JoinRun(id("twin"))));
+    let out = at(&mut c, 101, vec![done("r0", Outcome::Success)]);
     assert_eq!(processed(&out), ["shared"]);
 }
 
@@ -700,7 +715,7 @@
             let twin = Request { has_key: true, earlier: Some(id("first")), ..read("twin") };
             arrive(&mut c, 2, vec![twin]);
         }
-        at(&mut c, 10, vec![Event::Left(id("first"))]).contains(&Action::Suspend(id("first")))
+        at(&mut c, 10, vec![Event::CallerGone(id("first"))]).contains(&Action::StopRun(id("first")))
     };
     assert!(stopped(false));
     assert!(!stopped(true));
@@ -718,7 +733,7 @@
         let waited = Request { queued_for: Span(600 * MS), ..read(&format!("r{n}")) };
         let events = if n == 0 { vec![] } else { vec![Event::Arrived(waited), timer(0.1)] };
         for action in at(&mut c, n * 20, events) {
-            if let Action::Signal(amount) = action {
+            if let Action::AdvertiseCapacity(amount) = action {
                 said.push(amount);
             }
         }
@@ -733,7 +748,7 @@
     for n in 0..8_u64 {
         arrive(&mut c, n * 100, vec![read(&format!("r{n}"))]);
         if n < 4 {
-            at(&mut c, n * 100 + 90, vec![timer(0.1), done(&format!("r{n}"), Outcome::Delivered)]);
+            at(&mut c, n * 100 + 90, vec![timer(0.1), done(&format!("r{n}"), Outcome::Success)]);
         }
     }
     for ms in (800..2000).step_by(100) {
@@ -741,8 +756,8 @@
     }
     let retry = Request { retry: true, ..read("hung") };
     let out = arrive(&mut c, 2001, vec![retry]);
-    assert!(out.iter().any(|a| matches!(a, Action::Refuse { last: false, .. })), "{out:?}");
-    let moved = (4..8).map(|n| done(&format!("r{n}"), Outcome::Delivered)).collect();
+    assert!(out.iter().any(|a| matches!(a, Action::Reject { last: false, .. })), "{out:?}");
+    let moved = (4..8).map(|n| done(&format!("r{n}"), Outcome::Success)).collect();
     at(&mut c, 2050, moved);
     at(&mut c, 2200, vec![timer(0.1)]);
     assert_eq!(processed(&arrive(&mut c, 2210, vec![read("later")])), ["later"], "it comes back by itself");
@@ -756,7 +771,7 @@
         |s| s.specifics.n_cores = 0,
         |s| s.specifics.calls_out = 0.0,
         |s| s.specifics.calls_out = f64::NAN,
-        |s| s.rules.tip_multiple = f64::NAN,
+        |s| s.rules.max_concurrency_per_core = f64::NAN,
     ];
     for (which, spoil) in spoil.iter().enumerate() {
         let mut settings = settings(base());
@@ -767,8 +782,8 @@
             let out = at(&mut c, n * 50, vec![Event::Arrived(read(&format!("r{n}"))), timer(0.1)]);
             for name in processed(&out) {
                 started += 1;
-                at(&mut c, n * 50 + 20, vec![Event::ReadyToCall(id(name))]);
-                at(&mut c, n * 50 + 40, vec![done(name, Outcome::Delivered)]);
+                at(&mut c, n * 50 + 20, vec![Event::UpstreamCallNeeded(id(name))]);
+                at(&mut c, n * 50 + 40, vec![done(name, Outcome::Success)]);
             }
         }
         assert!(started > 20, "setting {which}: {started} started");
@@ -801,10 +816,10 @@
             let name = format!("r{n}");
             let request = Request { queued_for: Span(wait * MS), ..read(&name) };
             let mut out = arrive(&mut c, 1000 + 100 * n, vec![request]);
-            let ends = Event::Completed { id: id(&name), outcome: Outcome::Delivered, took: Span(40 * MS) };
+            let ends = Event::Completed { id: id(&name), outcome: Outcome::Success, took: Span(40 * MS) };
             out.extend(at(&mut c, 1050 + 100 * n, vec![ends, timer(0.1)]));
             for action in &out {
-                if let Action::Signal(value) = action {
+                if let Action::AdvertiseCapacity(value) = action {
                     level = *value;
                 }
             }
@@ -827,7 +842,7 @@
         // Its caller waits less than a run takes: it is turned away at once.
         let late = Request { retry, expires_in: Some(Span(100 * MS)), ..read("late") };
         assert_eq!(refused(&arrive(&mut c, 1001, vec![late])), ["late"]);
-        at(&mut c, 1102, vec![timer(0.1)]).iter().any(|a| matches!(a, Action::Signal(_)))
+        at(&mut c, 1102, vec![timer(0.1)]).iter().any(|a| matches!(a, Action::AdvertiseCapacity(_)))
     };
     assert!(!level(false));
     assert!(level(true), "a refused retry has nowhere else to go");
@@ -842,9 +857,9 @@
     let mut c = started(value);
     let full = |on: f64| {
         Event::Timer(Gauges {
-            core_use: Some(1.0),
-            on_cores: Some(on),
-            heap_share: Some(0.1),
+            cpu_utilization: Some(1.0),
+            runnable: Some(on),
+            memory_utilization: Some(0.1),
             links: Some(9.0),
         })
     };
@@ -878,7 +893,7 @@
         value["specifics"]["just_started"] = json!(cold);
         let mut c = gradepin_admission::Controller::new(settings(value), 11, Time(0));
         let out = at(&mut c, 0, vec![]);
-        out.iter().find_map(|a| if let Action::Signal(level) = a { Some(*level) } else { None })
+        out.iter().find_map(|a| if let Action::AdvertiseCapacity(level) = a { Some(*level) } else { None })
     };
     assert!(first(true).is_some_and(|level| level > 0.7), "{:?}", first(true));
     assert_eq!(first(false), Some(0.0));
@@ -897,7 +912,7 @@
     while next < asked {
         let mut events: Vec<Event> = Vec::new();
         for name in running.drain(..) {
-            events.push(Event::Completed { id: id(&name), outcome: Outcome::Delivered, took: Span(MS) });
+            events.push(Event::Completed { id: id(&name), outcome: Outcome::Success, took: Span(MS) });
             due += 1;
         }
         for _ in 0..due {
@@ -906,8 +921,8 @@
         }
         if ms % 100 == 0 {
             events.push(Event::Timer(Gauges {
-                core_use: Some(0.2),
-                on_cores: Some(1.0),
+                cpu_utilization: Some(0.2),
+                runnable: Some(1.0),
                 ..Gauges::default()
             }));
         }
@@ -933,23 +948,25 @@
 fn a_try_lost_before_it_came_raises_no_level_while_cores_are_free() {
     // Guards against incident r3e27a7: retries that had timed out on a swamped server came to the others, whose
     // cores were 14% busy, and each raised their level until callers kept half of all requests to themselves.
-    let course = |on_cores: f64| {
+    let course = |runnable: f64| {
         let mut value = base();
         value["specifics"]["advert"] = json!("threshold");
         value["profiles"][0]["late_value"] = json!(0.0);
         let mut c = started(value);
         let (mut level, mut turned_away) = (0.0, 0);
         for n in 0..60 {
-            let gauges = Gauges { core_use: Some(0.2), on_cores: Some(on_cores), ..Gauges::default() };
+            let gauges = Gauges { cpu_utilization: Some(0.2), runnable: Some(runnable), ..Gauges::default() };
             let first = read(&format!("f{n}"));
             let ends =
-                Event::Completed { id: first.id.clone(), outcome: Outcome::Delivered, took: Span(40 * MS) };
+                Event::Completed { id: first.id.clone(), outcome: Outcome::Success, took: Span(40 * MS) };
             let mut out = at(&mut c, 100 * n, vec![Event::Arrived(first), Event::Timer(gauges)]);
             // Three quarters of its caller's patience went elsewhere.
             let lost = Request { retry: true, expires_in: Some(Span(1000 * MS)), ..read(&format!("r{n}")) };
             out.extend(at(&mut c, 100 * n + 50, vec![ends, Event::Arrived(lost)]));
             turned_away += refused(&out).len();
-            level = out.iter().fold(level, |level, a| if let Action::Signal(v) = a { *v } else { level });
+            level = out
+                .iter()
+                .fold(level, |level, a| if let Action::AdvertiseCapacity(v) = a { *v } else { level });
         }
         assert!(turned_away > 40, "{turned_away}");
         level
@@ -972,7 +989,7 @@
             let taken = arrive(&mut c, n, vec![claim(&format!("k{n}"), None)]);
             assert_eq!(refused(&taken), Vec::<&str>::new(), "claim {n}");
             let end =
-                Event::Completed { id: id(&format!("k{n}")), outcome: Outcome::Delivered, took: Span(MS) };
+                Event::Completed { id: id(&format!("k{n}")), outcome: Outcome::Success, took: Span(MS) };
             at(&mut c, n, vec![end]);
         }
         arrive(&mut c, 40, vec![read("runs")]);
@@ -980,11 +997,7 @@
         value["specifics"]["run_factor"] = json!(run_factor);
         value["profiles"] = json!([]);
         c.set_rest(settings(value));
-        at(
-            &mut c,
-            50,
-            vec![Event::Completed { id: id("runs"), outcome: Outcome::Delivered, took: Span(MS) }],
-        );
+        at(&mut c, 50, vec![Event::Completed { id: id("runs"), outcome: Outcome::Success, took: Span(MS) }]);
         // All windows are past: the whole memory is free, and no more than that.
         for n in 0..40 {
             at(&mut c, 4_000 + 100 * n, vec![timer(0.0)]);
@@ -1009,11 +1022,12 @@
     let mut c = started(value.clone());
     // The first calls of a fleet are spread over a part of the aim.
     arrive(&mut c, 1_000, vec![read("first")]);
-    at(&mut c, 1_010, vec![Event::ReadyToCall(id("first"))]);
+    at(&mut c, 1_010, vec![Event::UpstreamCallNeeded(id("first"))]);
     let called = (0..50).any(|n| asked(&at(&mut c, 1_020 + 20 * n, vec![]), "first"));
     assert!(called, "no first call");
-    let expired = Event::CallResult { id: id("first"), outcome: Outcome::Expired, took: Span(500 * MS) };
-    at(&mut c, 4_100, vec![expired, done("first", Outcome::AppError)]);
+    let expired =
+        Event::UpstreamCallEnded { id: id("first"), outcome: Outcome::TimedOut, took: Span(500 * MS) };
+    at(&mut c, 4_100, vec![expired, done("first", Outcome::Failure)]);
     value["specifics"]["linger"] = json!(200 * MS);
     value["specifics"]["share_span"] = json!(5_000 * MS);
     value["profiles"] = json!([]);
@@ -1022,9 +1036,9 @@
     let asks = |c: &mut _, n: u64| {
         let (name, ms) = (format!("r{n}"), 5_000 + 1_000 * n);
         arrive(c, ms, vec![read(&name)]);
-        at(c, ms + 1, vec![Event::ReadyToCall(id(&name))]);
+        at(c, ms + 1, vec![Event::UpstreamCallNeeded(id(&name))]);
         let called = (0..40).any(|step| asked(&at(c, ms + 2 + 20 * step, vec![timer(0.0)]), &name));
-        at(c, ms + 900, vec![done(&name, Outcome::AppError)]);
+        at(c, ms + 900, vec![done(&name, Outcome::Failure)]);
         called
     };
     assert!((0..60).any(|n| asks(&mut c, n)), "no call in a minute");
@@ -1032,7 +1046,7 @@
 
 /// Whether a call is made for a request.
 fn asked(out: &[Action], name: &str) -> bool {
-    out.iter().any(|action| matches!(action, Action::AskBelow { id, .. } if *id.0 == *name))
+    out.iter().any(|action| matches!(action, Action::CallUpstream { id, .. } if *id.0 == *name))
 }
 
 /// Guards the time that an aim may stretch to: figures as long as the settings allow.
@@ -1068,5 +1082,6 @@
 fn first_signal(set: Settings) -> Option<f64> {
     let mut out = Vec::new();
     Controller::new(set, 11, Time(0)).handle(Time(0), &[], &mut out);
-    out.iter().find_map(|action| if let Action::Signal(value) = action { Some(*value) } else { None })
+    out.iter()
+        .find_map(|action| if let Action::AdvertiseCapacity(value) = action { Some(*value) } else { None })
 }
--- a/crates/admission/tests/shares.rs
+++ b/crates/admission/tests/shares.rs
@@ -46,8 +46,8 @@
             let mut events = Vec::new();
             for (name, since, _, outcome) in self.out.extract_if(.., |call| call.2 <= self.now_ms) {
                 let took = Span((self.now_ms - since) * MS);
-                events.push(Event::CallResult { id: id(&name), outcome, took });
-                if outcome == Outcome::Delivered {
+                events.push(Event::UpstreamCallEnded { id: id(&name), outcome, took });
+                if outcome == Outcome::Success {
                     events.push(Event::Completed { id: id(&name), outcome, took });
                 }
             }
@@ -59,13 +59,13 @@
                 let actions = at(&mut self.module, self.now_ms, std::mem::take(&mut events));
                 for action in actions {
                     match action {
-                        Action::Process(id) => events.push(Event::ReadyToCall(id)),
+                        Action::Run(id) => events.push(Event::UpstreamCallNeeded(id)),
                         // What is answered at its call ends there.
-                        Action::Error(id) => {
+                        Action::Fail(id) => {
                             self.out.retain(|(name, ..)| *name != *id.0);
-                            events.push(Event::Completed { id, outcome: Outcome::Revoked, took: Span(0) });
+                            events.push(Event::Completed { id, outcome: Outcome::Stopped, took: Span(0) });
                         }
-                        Action::AskBelow { id, timeout } => self.called(&id.0, timeout.0 / MS, takes_ms),
+                        Action::CallUpstream { id, timeout } => self.called(&id.0, timeout.0 / MS, takes_ms),
                         _ => {}
                     }
                 }
@@ -77,7 +77,7 @@
         // 0 stands for the deadline of the class.
         let timeout_ms = if timeout_ms == 0 { 4_000 } else { timeout_ms };
         let late = takes_ms > timeout_ms;
-        let outcome = if late { Outcome::Expired } else { Outcome::Delivered };
+        let outcome = if late { Outcome::TimedOut } else { Outcome::Success };
         // It is told at the step that follows.
         let until =
             (self.now_ms + takes_ms.min(timeout_ms)).next_multiple_of(STEP_MS).max(self.now_ms + STEP_MS);
--- a/crates/admission/tests/stream.rs
+++ b/crates/admission/tests/stream.rs
@@ -49,7 +49,7 @@
         let factor = self.set["specifics"]["run_factor"].as_f64().expect("number");
         assert!(factor >= 1.0);
         match action {
-            Action::Process(id) => {
+            Action::Run(id) => {
                 let t = self.seen.get(id).expect("known");
                 assert_eq!(t.at, At::Held, "only what is held is started: {id:?}");
                 if let Some((last, _)) = self.stop_from {
@@ -63,11 +63,11 @@
                 }
                 self.seen.get_mut(id).expect("known").at = At::Running;
             }
-            Action::Refuse { id, .. } => {
+            Action::Reject { id, .. } => {
                 let t = self.seen.remove(id).expect("refused once, and known");
                 assert_eq!(t.at, At::Held, "a refusal promises that it never ran");
             }
-            Action::Error(id) => {
+            Action::Fail(id) => {
                 let t = self.seen.get_mut(id).expect("known");
                 assert!(!t.answered, "one answer each");
                 t.answered = true;
@@ -75,39 +75,42 @@
                     self.seen.remove(id);
                 }
             }
-            Action::Join(id) => {
+            Action::JoinRun(id) => {
                 let t = self.seen.get_mut(id).expect("known");
                 assert!(t.at == At::Held && t.earlier, "join needs an earlier try");
                 t.at = At::Joined;
             }
-            Action::Remember { id, hold_for } => {
+            Action::RetainIdempotencyKey { id, retain_for } => {
                 let key = self.seen.get(id).expect("known").key;
                 // The entry moves; one that has ended still counts for what reached the machine before.
                 self.kept.retain(|_, &mut (k, until)| k != key || until <= now);
-                self.kept.insert(id.clone(), (key, now + hold_for.0));
+                self.kept.insert(id.clone(), (key, now + retain_for.0));
             }
-            Action::ReleaseKey(id) => {
+            Action::ReleaseIdempotencyKey(id) => {
                 self.kept.remove(id);
             }
-            Action::AskBelow { id, timeout } => {
+            Action::CallUpstream { id, timeout } => {
                 let t = self.seen.get_mut(id).expect("known");
                 assert!(t.at == At::Gate && t.may_call && timeout.0 > 0, "calls are not blindly repeated");
                 t.at = At::Calling;
             }
-            Action::Degrade(id) => {
+            Action::SkipUpstreamCall(id) => {
                 let t = self.seen.get_mut(id).expect("known");
                 assert_eq!((t.at, t.class), (At::Gate, 0), "the other class earns nothing without its call");
                 t.at = At::Running;
             }
-            Action::Suspend(id) => {
+            Action::StopRun(id) => {
                 assert_ne!(self.set["specifics"]["stop_mode"], "off", "a fault where it is off");
                 assert!(self.seen.get(id).is_some_and(|t| t.answered), "only unwanted work is stopped");
             }
-            Action::Signal(value) => {
+            Action::AdvertiseCapacity(value) => {
                 assert_ne!(self.set["specifics"]["advert"], "off", "a fault where it is off");
                 assert!(*value >= 0.0 && value.is_finite());
             }
-            Action::Remind(_) | Action::ReportHealth { .. } | Action::IdleLimit(_) | Action::Emit(_) => {}
+            Action::SetTimer(_)
+            | Action::ReportHealth { .. }
+            | Action::SetIdleTimeout(_)
+            | Action::Log(_) => {}
         }
     }
 
@@ -209,34 +212,39 @@
             match t.at {
                 At::Running if roll < 3 && !t.answered => {
                     (t.at, t.may_call) = (At::Gate, true);
-                    events.push(Event::ReadyToCall(id));
+                    events.push(Event::UpstreamCallNeeded(id));
                 }
                 At::Running | At::Joined if roll < 8 && !fresh => {
-                    let outcome = if roll == 4 { Outcome::AppError } else { Outcome::Delivered };
+                    let outcome = if roll == 4 { Outcome::Failure } else { Outcome::Success };
                     s.seen.remove(&id);
                     events.push(Event::Completed { id, outcome, took: Span(200 * MS) });
                 }
                 At::Gate | At::Calling if t.answered => {
                     s.seen.remove(&id);
-                    events.push(Event::Completed { id, outcome: Outcome::Revoked, took: Span(300 * MS) });
+                    events.push(Event::Completed { id, outcome: Outcome::Stopped, took: Span(300 * MS) });
                 }
                 At::Calling if roll < 15 => {
-                    let all = [Outcome::Delivered, Outcome::Shed, Outcome::Expired, Outcome::AppError];
+                    let all = [Outcome::Success, Outcome::Rejected, Outcome::TimedOut, Outcome::Failure];
                     let outcome = all[(dice.next_u64() % 4) as usize];
-                    t.at = if outcome == Outcome::Delivered { At::Running } else { At::Gate };
-                    t.may_call = outcome == Outcome::Shed || safe;
-                    events.push(Event::CallResult { id, outcome, took: Span(40 * MS) });
+                    t.at = if outcome == Outcome::Success { At::Running } else { At::Gate };
+                    t.may_call = outcome == Outcome::Rejected || safe;
+                    events.push(Event::UpstreamCallEnded { id, outcome, took: Span(40 * MS) });
                 }
                 _ => {}
             }
         }
         if step % 20 == 0 {
-            let on_cores = set["specifics"]["n_cores"].as_f64().map(|cores| cores / 2.0);
-            let half = Gauges { core_use: Some(0.5), on_cores, heap_share: Some(0.3), links: Some(9.0) };
+            let runnable = set["specifics"]["n_cores"].as_f64().map(|cores| cores / 2.0);
+            let half = Gauges {
+                cpu_utilization: Some(0.5),
+                runnable,
+                memory_utilization: Some(0.3),
+                links: Some(9.0),
+            };
             events.push(Event::Timer(half));
         }
         if drain && step == 3000 {
-            events.push(Event::Sigterm(Span(3000 * MS)));
+            events.push(Event::ShutdownNotice(Span(3000 * MS)));
             s.stop_from = Some((now + 1000 * MS, now + 3000 * MS));
         }
         let mut out = Vec::new();
@@ -250,7 +258,7 @@
         }
         all.extend(out);
     }
-    assert!(all.iter().filter(|a| matches!(a, Action::Process(_))).count() > 100, "it does work");
+    assert!(all.iter().filter(|a| matches!(a, Action::Run(_))).count() > 100, "it does work");
     all
 }
 
--- a/crates/cluster/src/circuit_breaker.rs
+++ b/crates/cluster/src/circuit_breaker.rs
@@ -106,11 +106,11 @@
     /// A call ended here.
     pub fn called(&mut self, now: Time, outcome: Outcome, took: Span, random: f64) {
         // Turned away without a look: the upstream is there, and full.
-        if outcome == Outcome::Shed {
+        if outcome == Outcome::Rejected {
             return;
         }
         self.window.add(now, outcome, took);
-        let went_well = outcome == Outcome::Delivered;
+        let went_well = outcome == Outcome::Success;
         match &mut self.state {
             State::HalfOpen { succeeded, .. } if went_well => *succeeded = succeeded.saturating_add(1),
             State::HalfOpen { .. } => self.relapse(now, random),
--- a/crates/cluster/src/circuit_breaker/observation.rs
+++ b/crates/cluster/src/circuit_breaker/observation.rs
@@ -35,8 +35,8 @@
 
     fn of(outcome: Outcome) -> Self {
         match outcome {
-            Outcome::Delivered => Self { succeeded: 1, ..Self::default() },
-            Outcome::Expired => Self { timed_out: 1, ..Self::default() },
+            Outcome::Success => Self { succeeded: 1, ..Self::default() },
+            Outcome::TimedOut => Self { timed_out: 1, ..Self::default() },
             _ => Self { failed: 1, ..Self::default() },
         }
     }
--- a/crates/cluster/src/circuit_breaker/tests.rs
+++ b/crates/cluster/src/circuit_breaker/tests.rs
@@ -8,7 +8,7 @@
 
 fn fail(circuit_breaker: &mut CircuitBreaker, from: u64, times: u64) {
     for n in 0..times {
-        circuit_breaker.called(ms(from + 50 * n), Outcome::DialFailed, Span(MS), 0.5);
+        circuit_breaker.called(ms(from + 50 * n), Outcome::ConnectFailed, Span(MS), 0.5);
     }
 }
 
@@ -34,7 +34,7 @@
         ill.observed_by_others(ms(at), PeerObservations { answered: 7, dead: 0 }, 0.5);
         if ill.call(ms(at), 0.5) != Admission::Rejected {
             calls += 1;
-            ill.called(ms(at), Outcome::DialFailed, Span(MS), 0.5);
+            ill.called(ms(at), Outcome::ConnectFailed, Span(MS), 0.5);
         }
     }
     assert!((5..30).contains(&calls), "{calls} calls in 40 s");
@@ -51,7 +51,7 @@
         ill.observed_by_others(ms(at), PeerObservations { answered: 250, dead: 1 }, 0.5);
         if ill.call(ms(at), 0.5) != Admission::Rejected {
             calls.push(at);
-            ill.called(ms(at), Outcome::DialFailed, Span(MS), 0.5);
+            ill.called(ms(at), Outcome::ConnectFailed, Span(MS), 0.5);
         }
     }
     assert!((8..25).contains(&calls.len()), "{} calls in 200 s: {calls:?}", calls.len());
@@ -59,7 +59,7 @@
     let back = (201_500..230_000).step_by(100).find(|at| {
         ill.observed_by_others(ms(*at), PeerObservations { answered: 250, dead: 0 }, 0.5);
         if ill.call(ms(*at), 0.5) == Admission::Call {
-            ill.called(ms(*at), Outcome::Delivered, Span(50 * MS), 0.5);
+            ill.called(ms(*at), Outcome::Success, Span(50 * MS), 0.5);
         }
         ill.is_closed()
     });
@@ -72,7 +72,7 @@
     let (mut works, mut idle) = (circuit_breaker(), circuit_breaker());
     let others = PeerObservations { answered: 0, dead: 7 };
     for n in 0..40 {
-        works.called(ms(1_000 + 100 * n), Outcome::Delivered, Span(80 * MS), 0.5);
+        works.called(ms(1_000 + 100 * n), Outcome::Success, Span(80 * MS), 0.5);
         works.observed_by_others(ms(1_000 + 100 * n), others, 0.5);
         assert_eq!(works.call(ms(1_000 + 100 * n), 0.5), Admission::Call);
     }
@@ -91,13 +91,13 @@
 fn one_that_answers_slowly_is_not_dead() {
     let mut circuit_breaker = circuit_breaker();
     for n in 0..100 {
-        let outcome = if n % 8 == 0 { Outcome::Delivered } else { Outcome::Expired };
+        let outcome = if n % 8 == 0 { Outcome::Success } else { Outcome::TimedOut };
         circuit_breaker.called(ms(1_000 + 100 * n), outcome, Span(900 * MS), 0.5);
         assert_eq!(circuit_breaker.call(ms(1_000 + 100 * n), 0.5), Admission::Call, "{n}");
     }
     assert_eq!(circuit_breaker.observation(ms(11_000)).mean_ms, 900);
     let mut full = self::circuit_breaker();
-    (0..50).for_each(|n| full.called(ms(n), Outcome::Shed, Span(MS), 0.5));
+    (0..50).for_each(|n| full.called(ms(n), Outcome::Rejected, Span(MS), 0.5));
     assert!(full.is_closed(), "one that turns calls away is there");
 }
 
@@ -111,7 +111,8 @@
         (seed >> 33) as f64 / (1_u64 << 31) as f64
     };
     for circuit_breaker in &mut fleet {
-        (0..5).for_each(|n| circuit_breaker.called(ms(1_000 + n), Outcome::DialFailed, Span(MS), random()));
+        (0..5)
+            .for_each(|n| circuit_breaker.called(ms(1_000 + n), Outcome::ConnectFailed, Span(MS), random()));
     }
     let mut probes = Vec::new();
     for at in (1_100..61_100).step_by(20) {
@@ -119,7 +120,7 @@
             circuit_breaker.observed_by_others(ms(at), PeerObservations { answered: 0, dead: 7 }, random());
             if circuit_breaker.call(ms(at), random()) != Admission::Rejected {
                 probes.push(at);
-                circuit_breaker.called(ms(at), Outcome::DialFailed, Span(MS), random());
+                circuit_breaker.called(ms(at), Outcome::ConnectFailed, Span(MS), random());
             }
         }
     }
@@ -133,14 +134,14 @@
     while circuit_breaker.call(ms(at), 0.5) == Admission::Rejected {
         at += 20;
     }
-    circuit_breaker.called(ms(at), Outcome::Delivered, Span(50 * MS), 0.5);
+    circuit_breaker.called(ms(at), Outcome::Success, Span(50 * MS), 0.5);
     let mut made = Vec::new();
     for _ in 0..4 {
         let mut part = 0;
         for n in 0..40 {
             if circuit_breaker.call(ms(at + 12 * n), 0.5) == Admission::Call {
                 part += 1;
-                circuit_breaker.called(ms(at + 12 * n), Outcome::Delivered, Span(50 * MS), 0.5);
+                circuit_breaker.called(ms(at + 12 * n), Outcome::Success, Span(50 * MS), 0.5);
             }
         }
         made.push(part);
--- a/crates/cluster/src/cluster/upstream.rs
+++ b/crates/cluster/src/cluster/upstream.rs
@@ -55,7 +55,7 @@
 
     /// A call that was made has ended.
     pub fn called(&mut self, now: Time, outcome: Outcome, took: Span) {
-        let given_up = matches!(outcome, Outcome::Expired | Outcome::Dropped);
+        let given_up = matches!(outcome, Outcome::TimedOut | Outcome::Aborted);
         self.leases.called(now, given_up);
         if self.leases.has_queued_requests() {
             self.next_lease_step = self.next_lease_step.min(now);
--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -259,7 +259,7 @@
         self.rules().for_each(|rule| rule.write(&mut settings));
         settings.profiles = self.classes().map(|class| class.profile.clone()).collect();
         settings.specifics.calls_by_class = self.classes().map(|class| class.calls).collect();
-        settings.specifics.class_skip_worth = self.classes().map(|class| class.skip_worth).collect();
+        settings.specifics.class_skip_weights = self.classes().map(|class| class.skip_weight).collect();
         settings.customers = self.tenants().map(|tenant| Tenant::clone(tenant)).collect();
         settings
     }
@@ -272,6 +272,6 @@
         profile: profile.clone(),
         // The decision module takes a class that the list is too short for as one that calls.
         calls: specifics.calls_by_class.get(place).copied().unwrap_or(true),
-        skip_worth: specifics.class_skip_worth.get(place).copied().unwrap_or(0.0),
+        skip_weight: specifics.class_skip_weights.get(place).copied().unwrap_or(0.0),
     })
 }
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -35,22 +35,26 @@
 #[allow(missing_docs)]
 pub struct ClassEntry {
     pub name: String,
-    pub promise: Span,
+    #[serde(rename = "promise")]
+    pub latency_objective: Span,
     pub deadline: Span,
     pub effect: Idempotency,
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub priority_weight: f64,
     #[serde(default)]
     pub late_value: f64,
     #[serde(default)]
     pub window: Span,
     #[serde(default)]
-    pub aim_stretch: f64,
+    #[serde(rename = "aim_stretch")]
+    pub objective_stretch: f64,
     /// As `specifics.calls_by_class` of the configuration file has it for this class.
     #[serde(default = "yes")]
     pub calls: bool,
     /// As `specifics.class_skip_worth` of the configuration file has it for this class.
     #[serde(default)]
-    pub skip_worth: f64,
+    #[serde(rename = "skip_worth")]
+    pub skip_weight: f64,
 }
 
 /// A tenant.
@@ -75,15 +79,18 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cold: Option<Span>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub cold_share: Option<f64>,
+    #[serde(rename = "cold_share")]
+    pub cold_capacity: Option<f64>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub drain_grace: Option<Span>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fall: Option<Span>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub tip_multiple: Option<f64>,
+    #[serde(rename = "tip_multiple")]
+    pub max_concurrency_per_core: Option<f64>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub over_share_worth: Option<f64>,
+    #[serde(rename = "over_share_worth")]
+    pub over_quota_weight: Option<f64>,
 }
 
 fn yes() -> bool {
@@ -100,11 +107,11 @@
         let all = [
             self.answer_slack.map(Rule::AnswerSlack),
             self.cold.map(Rule::Cold),
-            self.cold_share.map(Rule::ColdShare),
+            self.cold_capacity.map(Rule::ColdShare),
             self.drain_grace.map(Rule::DrainGrace),
             self.fall.map(Rule::Fall),
-            self.tip_multiple.map(Rule::TipMultiple),
-            self.over_share_worth.map(Rule::OverShareWorth),
+            self.max_concurrency_per_core.map(Rule::TipMultiple),
+            self.over_quota_weight.map(Rule::OverShareWorth),
         ];
         all.into_iter().flatten()
     }
@@ -113,11 +120,11 @@
         match rule {
             Rule::AnswerSlack(span) => self.answer_slack = Some(span),
             Rule::Cold(span) => self.cold = Some(span),
-            Rule::ColdShare(share) => self.cold_share = Some(share),
+            Rule::ColdShare(share) => self.cold_capacity = Some(share),
             Rule::DrainGrace(span) => self.drain_grace = Some(span),
             Rule::Fall(span) => self.fall = Some(span),
-            Rule::TipMultiple(multiple) => self.tip_multiple = Some(multiple),
-            Rule::OverShareWorth(part) => self.over_share_worth = Some(part),
+            Rule::TipMultiple(multiple) => self.max_concurrency_per_core = Some(multiple),
+            Rule::OverShareWorth(part) => self.over_quota_weight = Some(part),
         }
     }
 }
@@ -126,15 +133,15 @@
     fn from(entry: ClassEntry) -> Self {
         let profile = ClassProfile {
             name: entry.name,
-            promise: entry.promise,
+            latency_objective: entry.latency_objective,
             deadline: entry.deadline,
             effect: entry.effect,
             late_value: entry.late_value,
             window: entry.window,
-            worth: entry.worth,
-            aim_stretch: entry.aim_stretch,
+            priority_weight: entry.priority_weight,
+            objective_stretch: entry.objective_stretch,
         };
-        Self { profile, calls: entry.calls, skip_worth: entry.skip_worth }
+        Self { profile, calls: entry.calls, skip_weight: entry.skip_weight }
     }
 }
 
@@ -143,15 +150,15 @@
         let profile = class.profile.clone();
         Self {
             name: profile.name,
-            promise: profile.promise,
+            latency_objective: profile.latency_objective,
             deadline: profile.deadline,
             effect: profile.effect,
-            worth: profile.worth,
+            priority_weight: profile.priority_weight,
             late_value: profile.late_value,
             window: profile.window,
-            aim_stretch: profile.aim_stretch,
+            objective_stretch: profile.objective_stretch,
             calls: class.calls,
-            skip_worth: class.skip_worth,
+            skip_weight: class.skip_weight,
         }
     }
 }
--- a/crates/config/src/rules.rs
+++ b/crates/config/src/rules.rs
@@ -45,11 +45,11 @@
         match *self {
             Self::AnswerSlack(span) => settings.rules.answer_slack = span,
             Self::Cold(span) => settings.rules.cold = span,
-            Self::ColdShare(share) => settings.rules.cold_share = share,
+            Self::ColdShare(share) => settings.rules.cold_capacity = share,
             Self::DrainGrace(span) => settings.rules.drain_grace = span,
             Self::Fall(span) => settings.rules.fall = span,
-            Self::TipMultiple(multiple) => settings.rules.tip_multiple = multiple,
-            Self::OverShareWorth(part) => settings.over_share_worth = part,
+            Self::TipMultiple(multiple) => settings.rules.max_concurrency_per_core = multiple,
+            Self::OverShareWorth(part) => settings.over_quota_weight = part,
         }
     }
 }
@@ -61,11 +61,11 @@
         let all = [
             Rule::AnswerSlack(rules.answer_slack),
             Rule::Cold(rules.cold),
-            Rule::ColdShare(rules.cold_share),
+            Rule::ColdShare(rules.cold_capacity),
             Rule::DrainGrace(rules.drain_grace),
             Rule::Fall(rules.fall),
-            Rule::TipMultiple(rules.tip_multiple),
-            Rule::OverShareWorth(settings.over_share_worth),
+            Rule::TipMultiple(rules.max_concurrency_per_core),
+            Rule::OverShareWorth(settings.over_quota_weight),
         ];
         Self { set: all.map(Some) }
     }
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -69,10 +69,10 @@
 /// Whether a class may stand in a state, whatever way it came: named by one word, as a line to the processor needs it, with
 /// times above 0 and figures that are numbers. A start file is held to the same, a change to more.
 pub(crate) fn may_hold_class(class: &ClassDefinition) -> bool {
-    let ClassDefinition { profile, skip_worth, .. } = class;
-    let figures = [profile.late_value, profile.worth, profile.aim_stretch, *skip_worth];
+    let ClassDefinition { profile, skip_weight, .. } = class;
+    let figures = [profile.late_value, profile.priority_weight, profile.objective_stretch, *skip_weight];
     is_word(&profile.name)
-        && profile.promise.0 > 0
+        && profile.latency_objective.0 > 0
         && profile.deadline.0 > 0
         && figures.into_iter().all(f64::is_finite)
 }
@@ -200,17 +200,17 @@
         return Err(Invalid::new(path, "a name without spaces", format!("'{}'", shown(&profile.name))));
     }
     let at = |field: &str| format!("{path}.{field}");
-    span(&at("promise"), profile.promise, Span(1))?;
+    span(&at("promise"), profile.latency_objective, Span(1))?;
     span(&at("deadline"), profile.deadline, Span(1))?;
-    if profile.deadline < profile.promise {
-        let expected = format!("at least the promise of {} ns", profile.promise.0);
+    if profile.deadline < profile.latency_objective {
+        let expected = format!("at least the promise of {} ns", profile.latency_objective.0);
         return Err(Invalid::new(at("deadline"), expected, format!("{} ns", profile.deadline.0)));
     }
     span(&at("window"), profile.window, Span(0))?;
     number(&at("late_value"), profile.late_value, 0.0..=1.0)?;
-    number(&at("worth"), profile.worth, 0.0..=MAX_WORTH)?;
-    number(&at("aim_stretch"), profile.aim_stretch, 0.0..=MAX_MULTIPLE)?;
-    number(&at("skip_worth"), class.skip_worth, 0.0..=1.0)
+    number(&at("worth"), profile.priority_weight, 0.0..=MAX_WORTH)?;
+    number(&at("aim_stretch"), profile.objective_stretch, 0.0..=MAX_MULTIPLE)?;
+    number(&at("skip_worth"), class.skip_weight, 0.0..=1.0)
 }
 
 fn tenant(path: &str, tenant: &Tenant) -> Checked {
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -11,15 +11,15 @@
 pub fn class(name: &str, promise_ms: u64) -> ClassDefinition {
     let profile = ClassProfile {
         name: name.into(),
-        promise: Span(promise_ms * MS),
+        latency_objective: Span(promise_ms * MS),
         deadline: Span(2 * promise_ms * MS),
-        effect: Idempotency::Repeatable,
+        effect: Idempotency::Idempotent,
         late_value: 0.0,
         window: Span(0),
-        worth: 1.0,
-        aim_stretch: 0.0,
+        priority_weight: 1.0,
+        objective_stretch: 0.0,
     };
-    ClassDefinition { profile, calls: true, skip_worth: 0.0 }
+    ClassDefinition { profile, calls: true, skip_weight: 0.0 }
 }
 
 pub fn tenant(name: &str, portion: f64) -> Tenant {
@@ -39,13 +39,13 @@
     let mut settings = Settings {
         profiles: classes.iter().map(|class| class.profile.clone()).collect(),
         customers: tenants.to_vec(),
-        over_share_worth: 1.0,
+        over_quota_weight: 1.0,
         ..Settings::default()
     };
-    settings.rules.tip_multiple = 4.0;
-    settings.rules.cold_share = 1.0;
+    settings.rules.max_concurrency_per_core = 4.0;
+    settings.rules.cold_capacity = 1.0;
     settings.specifics.calls_by_class = classes.iter().map(|class| class.calls).collect();
-    settings.specifics.class_skip_worth = classes.iter().map(|class| class.skip_worth).collect();
+    settings.specifics.class_skip_weights = classes.iter().map(|class| class.skip_weight).collect();
     settings
 }
 
@@ -74,7 +74,7 @@
 /// A change that is valid by itself, or nearly always.
 pub fn change() -> impl Strategy<Value = Change> {
     prop_oneof![
-        4 => (name(), 0..40u64).prop_map(|(name, promise)| put_class(class(&name, promise))),
+        4 => (name(), 0..40u64).prop_map(|(name, latency_objective)| put_class(class(&name, latency_objective))),
         2 => name().prop_map(|name| Change::RemoveClass(name.into())),
         4 => (name(), 0..40u8).prop_map(|(name, part)| put_tenant(tenant(&name, f64::from(part) / 30.0))),
         2 => name().prop_map(|name| Change::RemoveTenant(name.into())),
@@ -93,7 +93,8 @@
     let classes = prop::collection::btree_map(name(), 1..40u64, 1..10);
     let tenants = prop::collection::btree_map(name(), 0..10u8, 0..10);
     (classes, tenants, 1..9u64).prop_map(|(classes, tenants, cold)| {
-        let classes: Vec<_> = classes.iter().map(|(name, promise)| class(name, *promise)).collect();
+        let classes: Vec<_> =
+            classes.iter().map(|(name, latency_objective)| class(name, *latency_objective)).collect();
         let tenants: Vec<_> =
             tenants.iter().map(|(name, part)| tenant(name, f64::from(*part) / 10.0)).collect();
         let mut settings = settings(&classes, &tenants);
--- a/crates/config/tests/parts.rs
+++ b/crates/config/tests/parts.rs
@@ -126,21 +126,21 @@
         with(|class| class.profile.name = "a\nbegin 0000000000000001 c 0".into()),
         with(|class| class.profile.name = "\u{7f}".into()),
         with(|class| class.profile.name = String::new()),
-        with(|class| class.profile.promise = Span(0)),
+        with(|class| class.profile.latency_objective = Span(0)),
         with(|class| class.profile.deadline = Span(0)),
-        with(|class| class.profile.worth = f64::NAN),
+        with(|class| class.profile.priority_weight = f64::NAN),
         with(|class| class.profile.late_value = f64::INFINITY),
-        with(|class| class.profile.aim_stretch = f64::NEG_INFINITY),
-        with(|class| class.skip_worth = f64::NAN),
+        with(|class| class.profile.objective_stretch = f64::NEG_INFINITY),
+        with(|class| class.skip_weight = f64::NAN),
     ];
     let mut other = settings(std::slice::from_ref(&good), &[tenant("t", f64::NAN)]);
     bad.push(other.clone());
     other.customers = vec![Tenant { quota_rps: f64::INFINITY, ..tenant("t", 0.5) }];
     bad.push(other.clone());
     other.customers = Vec::new();
-    other.rules.cold_share = f64::NAN;
+    other.rules.cold_capacity = f64::NAN;
     bad.push(other.clone());
-    (other.rules.cold_share, other.rules.tip_multiple) = (0.5, f64::INFINITY);
+    (other.rules.cold_capacity, other.rules.max_concurrency_per_core) = (0.5, f64::INFINITY);
     bad.push(other);
     for settings in bad {
         let snapshot =
--- a/crates/coordination/src/consensus.rs
+++ b/crates/coordination/src/consensus.rs
@@ -123,7 +123,7 @@
     /// [`ConsensusVoter::configuration_durable`]; the log is not compacted before.
     MakeDurable(Revision),
     /// Tell it in the log; whether it is bad.
-    Note(bool, String),
+    Log(bool, String),
 }
 
 /// What an entry says.
@@ -139,19 +139,19 @@
 pub enum ProposalError {
     /// Another voter leads.
     #[error("another voter leads")]
-    Elsewhere(VoterId),
+    NotLeader(VoterId),
     /// Nobody leads, as far as is known here.
     #[error("the council has no leader that is heard here")]
-    Leaderless,
+    NoLeader,
     /// No council was founded, or this server is no voter of it.
     #[error("this server is no voter of the council")]
-    NoVoter,
+    NotVoter,
     /// Too much waits to be agreed on, or a change of the council isn't through yet.
     #[error("too much waits to be agreed on")]
     Busy,
     /// The command is longer than an entry may be.
     #[error("expected a command of at most {MOST_COMMAND} bytes")]
-    Long,
+    TooLong,
 }
 
 /// What a voter founds the council with: the same on each.
@@ -260,7 +260,7 @@
         // A disk without an identity is nobody's: the library takes no such member, and what is founded is kept.
         let has_nobody = voters.contains_key(&raft::INVALID_ID);
         if self.node.is_some() || has_nobody || !voters.contains_key(&self.id) {
-            return Err(ProposalError::NoVoter);
+            return Err(ProposalError::NotVoter);
         }
         let records = founding(voters);
         self.read(records.clone());
@@ -323,7 +323,7 @@
     }
 
     fn lose(&mut self, why: String) {
-        self.effects.push(VoterEffect::Note(true, format!("out of the council until it is replaced: {why}")));
+        self.effects.push(VoterEffect::Log(true, format!("out of the council until it is replaced: {why}")));
         (self.node, self.lost) = (None, Some(why));
         self.held.clear();
     }
@@ -337,7 +337,7 @@
         self.content = content;
         self.content.restart(self.record.configuration.version());
         self.effects
-            .splice(0..0, effects.into_iter().filter(|effect| matches!(effect, VoterEffect::Note(..))));
+            .splice(0..0, effects.into_iter().filter(|effect| matches!(effect, VoterEffect::Log(..))));
         if let Some(why) = lost {
             (self.node, self.lost) = (None, Some(why));
         }
@@ -393,7 +393,7 @@
         let by = self.id;
         let data = postcard::to_stdvec(&Proposal { by, number, command }).unwrap_or_default();
         if data.len() > MOST_COMMAND {
-            return Err(ProposalError::Long);
+            return Err(ProposalError::TooLong);
         }
         self.leading()?.propose(Vec::new(), data).map_err(|_| ProposalError::Busy)
     }
@@ -414,11 +414,11 @@
     }
 
     fn leading(&mut self) -> Result<&mut RawNode<Log>, ProposalError> {
-        let node = self.node.as_mut().ok_or(ProposalError::NoVoter)?;
+        let node = self.node.as_mut().ok_or(ProposalError::NotVoter)?;
         match (node.raft.state, node.raft.leader_id) {
             (StateRole::Leader, _) => Ok(node),
-            (_, 0) => Err(ProposalError::Leaderless),
-            (_, leader) => Err(ProposalError::Elsewhere(leader)),
+            (_, 0) => Err(ProposalError::NoLeader),
+            (_, leader) => Err(ProposalError::NotLeader(leader)),
         }
     }
 
@@ -733,7 +733,7 @@
                     let name = self.record.voters.remove(&id).unwrap_or_else(|| Arc::from("?"));
                     format!("{name} is no voter of the council any more")
                 };
-                self.effects.push(VoterEffect::Note(false, text));
+                self.effects.push(VoterEffect::Log(false, text));
             }
         }
     }
--- a/crates/coordination/src/consensus/configuration.rs
+++ b/crates/coordination/src/consensus/configuration.rs
@@ -31,9 +31,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProposalRejected {
     /// Another voter leads, or nobody that is heard here.
-    Elsewhere(Option<VoterId>),
+    NotLeader(Option<VoterId>),
     /// It is refused.
-    Refused(ConfigurationRejected),
+    Rejected(ConfigurationRejected),
 }
 
 /// What a leader has proposed on top of the content, in its term.
@@ -164,23 +164,23 @@
         }
         let term = self.leads_and_is_current()?;
         if self.content.ahead.as_ref().is_none_or(|ahead| ahead.term != term) {
-            self.content.ahead = Some(self.start_ahead(term).map_err(ProposalRejected::Refused)?);
+            self.content.ahead = Some(self.start_ahead(term).map_err(ProposalRejected::Rejected)?);
         }
         if let Some(revision) = self.content.ahead.as_ref().and_then(|ahead| ahead.proposed.get(id)) {
             return Ok(ProposalAccepted::Proposed(*revision));
         }
-        self.validate_and_propose(request).map_err(ProposalRejected::Refused)
+        self.validate_and_propose(request).map_err(ProposalRejected::Rejected)
     }
 
     /// The term, if this voter leads and has applied an entry of it: only then does it know all that was committed before.
     fn leads_and_is_current(&self) -> Result<u64, ProposalRejected> {
-        let Some(node) = &self.node else { return Err(ProposalRejected::Elsewhere(None)) };
+        let Some(node) = &self.node else { return Err(ProposalRejected::NotLeader(None)) };
         if node.raft.state != StateRole::Leader {
-            return Err(ProposalRejected::Elsewhere(Some(node.raft.leader_id).filter(|id| *id != 0)));
+            return Err(ProposalRejected::NotLeader(Some(node.raft.leader_id).filter(|id| *id != 0)));
         }
         let term = node.raft.term;
         let applied = node.raft.raft_log.term(self.record.index).unwrap_or(0);
-        if applied == term { Ok(term) } else { Err(ProposalRejected::Elsewhere(None)) }
+        if applied == term { Ok(term) } else { Err(ProposalRejected::NotLeader(None)) }
     }
 
     fn start_ahead(&self, term: u64) -> Result<Ahead, ConfigurationRejected> {
@@ -228,7 +228,7 @@
     /// An entry was applied and gave a new revision.
     pub(super) fn configuration_committed(&mut self, entry: &ConfigurationEntry) {
         if let Some(why) = self.content.committed(entry) {
-            self.effects.push(VoterEffect::Note(true, why));
+            self.effects.push(VoterEffect::Log(true, why));
         }
         if let Some(ahead) = &mut self.content.ahead {
             ahead.proposed.remove(&entry.commit.request_id);
--- a/crates/coordination/src/controller.rs
+++ b/crates/coordination/src/controller.rs
@@ -219,8 +219,10 @@
         });
         for (name, report) in unknown.take(MAX_ENROLLED) {
             let (name, zone) = (Arc::clone(name), Arc::from(report.zone.as_str()));
-            commands
-                .push(KeyedCommand { key: format!("enrol {name}"), command: Command::Enrol { name, zone } });
+            commands.push(KeyedCommand {
+                key: format!("enrol {name}"),
+                command: Command::AddServer { name, zone },
+            });
         }
         self.propose_all(now, council, commands);
     }
--- a/crates/coordination/src/controller/orders.rs
+++ b/crates/coordination/src/controller/orders.rs
@@ -13,7 +13,7 @@
 impl Controller {
     /// An operator orders something; what it came to is told by [`ControllerEffect::OrderReply`] with the ticket.
     pub fn order(&mut self, now: Time, council: &mut ConsensusVoter, ticket: u64, order: OperatorCommand) {
-        if let OperatorCommand::Release(RolloutCommand::Halt { name, .. }) = &order {
+        if let OperatorCommand::Rollout(RolloutCommand::Halt { name, .. }) = &order {
             // It takes effect here before anybody agrees.
             self.halt(council.record(), name);
         }
@@ -38,24 +38,24 @@
         order: OperatorCommand,
     ) -> Result<(), String> {
         let command = match order {
-            OperatorCommand::Out { target, by } => self.take_out(now, council, target, by)?,
-            OperatorCommand::In { target, by } => put_in(council, &target, &by)?,
-            OperatorCommand::Free { epoch, by, why } => Command::Free { epoch, by, why },
-            OperatorCommand::Strike { name, by, why } => {
+            OperatorCommand::GrantPermit { target, by } => self.take_out(now, council, target, by)?,
+            OperatorCommand::EndPermit { target, by } => put_in(council, &target, &by)?,
+            OperatorCommand::ReleasePermit { epoch, by, why } => Command::ReleasePermit { epoch, by, why },
+            OperatorCommand::RemoveServer { name, by, why } => {
                 if self.servers.get_fresh(now, &name).is_some() {
                     return Err(format!("{name} is there"));
                 }
                 self.servers.remove(&name);
-                Command::Strike { name, by, why }
+                Command::RemoveServer { name, by, why }
             }
-            OperatorCommand::Voter { name, puts_in, by } => {
+            OperatorCommand::ChangeVoter { name, puts_in, by } => {
                 let text = self.change_voters(council, &name, puts_in)?;
                 self.effects.push(ControllerEffect::Log(false, format!("{by}: {text}")));
                 self.order_reply(ticket, OperatorCommandReply::Done(Ok(text)));
                 return Ok(());
             }
-            OperatorCommand::Start { plan, by } => self.start_release(now, council, plan, by)?,
-            OperatorCommand::Release(order) => Command::Release(order),
+            OperatorCommand::StartRollout { plan, by } => self.start_release(now, council, plan, by)?,
+            OperatorCommand::Rollout(order) => Command::Release(order),
         };
         let proposed = self.proposals.propose(now, council, command, Waiter::Operator(ticket));
         proposed.map(drop).map_err(|why| why.to_string())
@@ -136,5 +136,5 @@
     if permit.holder != *by {
         return Err(format!("the permit of {target} is {}'s", permit.holder));
     }
-    Ok(Command::End { epoch, by: PermitEnd::Word(permit.life) })
+    Ok(Command::End { epoch, by: PermitEnd::HolderCancelled(permit.life) })
 }
--- a/crates/coordination/src/controller/permits.rs
+++ b/crates/coordination/src/controller/permits.rs
@@ -132,9 +132,9 @@
         || has_wanted_version(context, permit, holder)
         || now >= time_after(observed.since, right_to_begin(context));
     let stable = |name: &Name, span: Span| context.servers.is_stable(now, name, span);
-    let by = PermitEnd::Steady(permit.begins);
+    let by = PermitEnd::Stable(permit.begins);
     match (&permit.stage, &permit.target) {
-        (PermitStage::Freed, _) if right_is_over => Some(Command::Gone { epoch }),
+        (PermitStage::Released, _) if right_is_over => Some(Command::PermitExpired { epoch }),
         (PermitStage::Begun, Target::Server(name))
             if right_is_over && stable(name, context.settings.stabilization) =>
         {
--- a/crates/coordination/src/controller/requests.rs
+++ b/crates/coordination/src/controller/requests.rs
@@ -32,11 +32,11 @@
         let waiter = Waiter::Server { name: Arc::clone(from), number, begins };
         if let Err(why) = self.proposals.propose(now, council, command, waiter) {
             let leader = match why {
-                ProposalError::Elsewhere(id) => council.record().voters.get(&id).cloned(),
+                ProposalError::NotLeader(id) => council.record().voters.get(&id).cloned(),
                 ProposalError::Busy
-                | ProposalError::Leaderless
-                | ProposalError::NoVoter
-                | ProposalError::Long => None,
+                | ProposalError::NoLeader
+                | ProposalError::NotVoter
+                | ProposalError::TooLong => None,
             };
             self.reply(from, number, PermitReply::Redirect(leader));
         }
@@ -74,7 +74,7 @@
                 if !is_its {
                     return Err(PermitReply::Ended);
                 }
-                Ok((Command::End { epoch, by: PermitEnd::Word(incarnation) }, None))
+                Ok((Command::End { epoch, by: PermitEnd::HolderCancelled(incarnation) }, None))
             }
         }
     }
@@ -120,7 +120,7 @@
                 let result = match outcome {
                     CommandOutcome::Done => Ok("done".to_string()),
                     CommandOutcome::Permit(epoch, _) => Ok(format!("permit {epoch}")),
-                    CommandOutcome::Refused(why) => Err(why.to_string()),
+                    CommandOutcome::Denied(why) => Err(why.to_string()),
                     CommandOutcome::Revision(revision) => Ok(format!("revision {revision}")),
                     CommandOutcome::NotCommitted(why) => Err(why.to_string()),
                 };
@@ -129,7 +129,7 @@
             }
             Waiter::Server { name, number, begins } => {
                 let reply = match (outcome, begins) {
-                    (CommandOutcome::Refused(why), _) => PermitReply::Wait(why),
+                    (CommandOutcome::Denied(why), _) => PermitReply::Wait(why),
                     (CommandOutcome::Permit(epoch, _), Some(target)) => {
                         self.reply_to_begin(now, at, record, epoch, &target)
                     }
@@ -156,7 +156,7 @@
         let is_late = now.0.saturating_sub(proposed_at.0) > AGREED_WITHIN.0;
         match self.may_begin(now, record, epoch, target) {
             Ok(()) if !is_late => PermitReply::Begin(epoch),
-            Ok(()) => PermitReply::Wait(DenialReason::Sense("it took too long to agree; ask again".into())),
+            Ok(()) => PermitReply::Wait(DenialReason::Invalid("it took too long to agree; ask again".into())),
             Err(why) => PermitReply::Wait(why),
         }
     }
--- a/crates/coordination/src/controller/rollout_controller.rs
+++ b/crates/coordination/src/controller/rollout_controller.rs
@@ -50,7 +50,7 @@
     fn stop(&mut self, release: &Rollout, why: String) {
         let name = release.plan.name.clone();
         let by: Name = Arc::from(AUTOMATIC);
-        let rolls_back = release.plan.goes_back && release.state == RolloutState::Runs;
+        let rolls_back = release.plan.goes_back && release.state == RolloutState::Running;
         self.effects.push(ControllerEffect::Log(true, format!("release {name} stops: {why}")));
         let order = if rolls_back {
             RolloutCommand::Back { name, by, why }
@@ -161,7 +161,7 @@
         if matches!(release.state, RolloutState::Halted(_)) || self.is_halted(context.record) {
             return out;
         }
-        let forward = release.state == RolloutState::Runs;
+        let forward = release.state == RolloutState::Running;
         if self.forward != Some(forward) {
             // What was seen of the way forward says nothing of the way back.
             permits.restart_all(context.now);
@@ -220,8 +220,8 @@
     /// and there is nothing to roll back.
     pub(super) fn fall_from_outside(&self, servers: &ServerTable, release: &Rollout) -> Option<FleetFall> {
         let plan = &release.plan;
-        let has_begun = release.servers.values().any(|server| server.step != ServerProgress::Waits);
-        if self.watched != Some(release.number) || release.state != RolloutState::Runs || has_begun {
+        let has_begun = release.servers.values().any(|server| server.step != ServerProgress::Pending);
+        if self.watched != Some(release.number) || release.state != RolloutState::Running || has_begun {
             return None;
         }
         if servers.reports().any(|(_, report)| *report.version(plan.kind) == plan.version) {
@@ -249,10 +249,10 @@
     /// Ends the release where all are there, or begins the next batch where this one has been whole for its pause.
     fn step_batch(&mut self, now: Time, release: &Rollout, out: &mut RolloutStep) {
         let number = release.number;
-        let forward = release.state == RolloutState::Runs;
+        let forward = release.state == RolloutState::Running;
         let is_done = |server: &RolloutServer| match server.step {
-            ServerProgress::New => forward,
-            ServerProgress::Waits | ServerProgress::Back => !forward,
+            ServerProgress::Updated => forward,
+            ServerProgress::Pending | ServerProgress::RolledBack => !forward,
             _ => false,
         };
         if release.servers.values().all(is_done) {
@@ -288,7 +288,7 @@
 ) -> Progress {
     let Some(server) = release.servers.get(name) else { return Progress::GoesOn };
     let (now, plan) = (context.now, &release.plan);
-    let forward = release.state == RolloutState::Runs;
+    let forward = release.state == RolloutState::Running;
     let wanted = if forward { &plan.version } else { &server.before };
     let heard = context.servers.get_fresh(now, name);
     let has_wanted = heard.is_some_and(|heard| heard.report.version(plan.kind) == wanted);
@@ -296,7 +296,7 @@
         out.server_stepped(
             release.number,
             name,
-            if forward { ServerProgress::New } else { ServerProgress::Back },
+            if forward { ServerProgress::Updated } else { ServerProgress::RolledBack },
         );
         return Progress::GoesOn;
     }
@@ -315,7 +315,7 @@
             return Progress::GoesOn;
         }
         let text = format!("{name}: {why}");
-        let step = if forward { ServerProgress::Failed(why) } else { ServerProgress::Stuck(why) };
+        let step = if forward { ServerProgress::Failed(why) } else { ServerProgress::RollbackFailed(why) };
         out.server_stepped(release.number, name, step);
         out.stop(release, text);
         return Progress::Stops;
--- a/crates/coordination/src/messages.rs
+++ b/crates/coordination/src/messages.rs
@@ -83,21 +83,21 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum OperatorCommand {
     /// A permit for a zone or a member of a service.
-    Out {
+    GrantPermit {
         /// What.
         target: Target,
         /// Who.
         by: Name,
     },
     /// Such a permit is over.
-    In {
+    EndPermit {
         /// What.
         target: Target,
         /// Who.
         by: Name,
     },
     /// A permit's holder won't come back.
-    Free {
+    ReleasePermit {
         /// The permit.
         epoch: u64,
         /// Who.
@@ -106,7 +106,7 @@
         why: String,
     },
     /// A server won't come back.
-    Strike {
+    RemoveServer {
         /// Which.
         name: Name,
         /// Who.
@@ -115,7 +115,7 @@
         why: String,
     },
     /// A server becomes a voter, by what it reports of its folder; or one that was is none any more.
-    Voter {
+    ChangeVoter {
         /// Which.
         name: Name,
         /// In, or out.
@@ -124,14 +124,14 @@
         by: Name,
     },
     /// A release begins.
-    Start {
+    StartRollout {
         /// What and how.
         plan: Box<RolloutPlan>,
         /// Who.
         by: Name,
     },
     /// Something about the release that is there.
-    Release(RolloutCommand),
+    Rollout(RolloutCommand),
 }
 
 /// What an order came to.
--- a/crates/coordination/src/messages/tests.rs
+++ b/crates/coordination/src/messages/tests.rs
@@ -42,19 +42,22 @@
 fn orders_and_turns_keep_their_bytes() {
     let by: Name = Arc::from("k");
     let target = Target::Zone(Arc::from("z"));
-    assert_eq!(hex(&OperatorCommand::Out { target: target.clone(), by: by.clone() }), "0001017a016b");
-    assert_eq!(hex(&OperatorCommand::In { target, by: by.clone() }), "0101017a016b");
-    assert_eq!(hex(&OperatorCommand::Free { epoch: 7, by: by.clone(), why: "x".into() }), "0207016b0178");
+    assert_eq!(hex(&OperatorCommand::GrantPermit { target: target.clone(), by: by.clone() }), "0001017a016b");
+    assert_eq!(hex(&OperatorCommand::EndPermit { target, by: by.clone() }), "0101017a016b");
     assert_eq!(
-        hex(&OperatorCommand::Strike { name: Arc::from("n1"), by: by.clone(), why: "x".into() }),
+        hex(&OperatorCommand::ReleasePermit { epoch: 7, by: by.clone(), why: "x".into() }),
+        "0207016b0178"
+    );
+    assert_eq!(
+        hex(&OperatorCommand::RemoveServer { name: Arc::from("n1"), by: by.clone(), why: "x".into() }),
         "03026e31016b0178"
     );
     assert_eq!(
-        hex(&OperatorCommand::Voter { name: Arc::from("n1"), puts_in: true, by: by.clone() }),
+        hex(&OperatorCommand::ChangeVoter { name: Arc::from("n1"), puts_in: true, by: by.clone() }),
         "04026e3101016b"
     );
     let halt = RolloutCommand::Halt { name: "r".into(), by, why: "x".into() };
-    assert_eq!(hex(&OperatorCommand::Release(halt)), "06010172016b0178");
+    assert_eq!(hex(&OperatorCommand::Rollout(halt)), "06010172016b0178");
     assert_eq!(hex(&OperatorCommandReply::Redirect(None)), "0000");
     assert_eq!(hex(&OperatorCommandReply::Done(Ok("done".into()))), "010004646f6e65");
     assert_eq!(hex(&OperatorCommandReply::Done(Err("no".into()))), "0101026e6f");
--- a/crates/coordination/src/proposal_client.rs
+++ b/crates/coordination/src/proposal_client.rs
@@ -27,11 +27,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum VoterReply {
     /// This voter leads; nobody, if none is known.
-    Elsewhere(Option<Name>),
+    NotLeader(Option<Name>),
     /// It is proposed; what it came to follows.
     Proposed,
     /// What it came to.
-    Over(ProposalResult),
+    Finished(ProposalResult),
 }
 
 /// An answer to whoever handed a request in.
@@ -118,12 +118,12 @@
     ) -> Option<ProposalResponse> {
         let waiting = self.waiting.get_mut(&ticket)?;
         match answer {
-            VoterReply::Over(answer) => {
+            VoterReply::Finished(answer) => {
                 self.waiting.remove(&ticket);
                 return Some(ProposalResponse { ticket, answer });
             }
             VoterReply::Proposed => waiting.otherwise = ConfigurationRejected::Unconfirmed,
-            VoterReply::Elsewhere(leader) => {
+            VoterReply::NotLeader(leader) => {
                 // Once a leader took it, that nobody leads now doesn't say that it won't be committed.
                 if waiting.otherwise == ConfigurationRejected::NoVoter {
                     waiting.otherwise = ConfigurationRejected::NoLeader;
--- a/crates/coordination/src/replicated_state.rs
+++ b/crates/coordination/src/replicated_state.rs
@@ -86,7 +86,7 @@
     /// The holder was told to begin, or may have been.
     Begun,
     /// An operator freed it; it counts until the holder's right to begin is over.
-    Freed,
+    Released,
 }
 
 /// A permit. Its epoch is the index of the entry that reserved it, so it never comes again.
@@ -177,7 +177,7 @@
     Stale(u64),
     /// Another has the permit.
     #[error("permit {epoch} is {holder}'s")]
-    Other {
+    OtherHolder {
         /// Which permit.
         epoch: u64,
         /// Whose it is.
@@ -188,7 +188,7 @@
     Release(String),
     /// What was told can't be.
     #[error("{0}")]
-    Sense(String),
+    Invalid(String),
 }
 
 /// What the council agrees on.
@@ -197,14 +197,14 @@
     /// The limits from here on.
     Limits(Limits),
     /// A server belongs to the fleet.
-    Enrol {
+    AddServer {
         /// Its name.
         name: Name,
         /// Its zone.
         zone: Name,
     },
     /// It doesn't any more, by an operator's word.
-    Strike {
+    RemoveServer {
         /// Which.
         name: Name,
         /// Who said so.
@@ -240,7 +240,7 @@
         by: PermitEnd,
     },
     /// An operator frees it.
-    Free {
+    ReleasePermit {
         /// The permit.
         epoch: u64,
         /// Who.
@@ -249,7 +249,7 @@
         why: String,
     },
     /// A freed permit's holder has no right to begin left.
-    Gone {
+    PermitExpired {
         /// The permit.
         epoch: u64,
     },
@@ -264,9 +264,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitEnd {
     /// A leader saw its target steady after so many beginnings.
-    Steady(u32),
+    Stable(u32),
     /// Its holder's word, in this life.
-    Word(u64),
+    HolderCancelled(u64),
 }
 
 /// What a command came to.
@@ -277,7 +277,7 @@
     /// The permit with this epoch is there, and in this stage.
     Permit(u64, PermitStage),
     /// It is not done.
-    Refused(DenialReason),
+    Denied(DenialReason),
     /// A change of the configuration has this revision.
     Revision(Revision),
     /// A change of the configuration is not committed.
@@ -325,26 +325,26 @@
         self.index = index;
         match command {
             Command::Limits(limits) => self.limits = limits,
-            Command::Enrol { name, zone } => {
+            Command::AddServer { name, zone } => {
                 let known = self.roster.contains_key(&name);
                 if name.len() > MAX_TEXT_BYTES
                     || zone.len() > MAX_TEXT_BYTES
                     || (!known && self.roster.len() >= MAX_SERVERS)
                 {
-                    return CommandOutcome::Refused(DenialReason::Sense(format!(
+                    return CommandOutcome::Denied(DenialReason::Invalid(format!(
                         "expected {MAX_SERVERS} servers at the most"
                     )));
                 }
                 self.roster.insert(name, Member { zone });
             }
-            Command::Strike { name, by, why } => {
+            Command::RemoveServer { name, by, why } => {
                 if self.roster.remove(&name).is_none() {
-                    return CommandOutcome::Refused(DenialReason::Unknown(name.to_string()));
+                    return CommandOutcome::Denied(DenialReason::Unknown(name.to_string()));
                 }
                 // Its holder may have been told to begin just now: what it had counts for as long as that is worth anything.
                 let target = Target::Server(Arc::clone(&name));
                 let its = self.permits.values_mut().filter(|permit| permit.target == target);
-                its.for_each(|permit| permit.stage = PermitStage::Freed);
+                its.for_each(|permit| permit.stage = PermitStage::Released);
                 if let Some(release) = &mut self.release {
                     release.servers.remove(&name);
                 }
@@ -356,29 +356,29 @@
             Command::Begin { epoch, holder, life } => return self.begin(epoch, &holder, life),
             Command::End { epoch, by } => {
                 let Some(permit) = self.permits.get(&epoch) else {
-                    return CommandOutcome::Refused(DenialReason::Stale(epoch));
+                    return CommandOutcome::Denied(DenialReason::Stale(epoch));
                 };
                 let is_it = match by {
-                    PermitEnd::Steady(begins) => permit.begins == begins,
-                    PermitEnd::Word(life) => permit.life == life,
+                    PermitEnd::Stable(begins) => permit.begins == begins,
+                    PermitEnd::HolderCancelled(life) => permit.life == life,
                 };
                 if !is_it {
-                    return CommandOutcome::Refused(DenialReason::Sense(format!(
+                    return CommandOutcome::Denied(DenialReason::Invalid(format!(
                         "permit {epoch} was asked for again meanwhile"
                     )));
                 }
                 self.permits.remove(&epoch);
             }
-            Command::Free { epoch, by, why } => {
+            Command::ReleasePermit { epoch, by, why } => {
                 let Some(permit) = self.permits.get_mut(&epoch) else {
-                    return CommandOutcome::Refused(DenialReason::Stale(epoch));
+                    return CommandOutcome::Denied(DenialReason::Stale(epoch));
                 };
-                permit.stage = PermitStage::Freed;
+                permit.stage = PermitStage::Released;
                 let what = format!("permit {epoch} of {} for {} freed", permit.holder, permit.target);
                 self.act(index, by, what, why);
             }
-            Command::Gone { epoch } => {
-                if self.permits.get(&epoch).is_some_and(|permit| permit.stage == PermitStage::Freed) {
+            Command::PermitExpired { epoch } => {
+                if self.permits.get(&epoch).is_some_and(|permit| permit.stage == PermitStage::Released) {
                     self.permits.remove(&epoch);
                 }
             }
@@ -414,9 +414,12 @@
         if let Some((&epoch, permit)) = known {
             // Asked again, here or elsewhere: the same permit, unless it is another's or was taken away.
             return if permit.holder != holder {
-                CommandOutcome::Refused(DenialReason::Other { epoch, holder: Arc::clone(&permit.holder) })
-            } else if permit.stage == PermitStage::Freed {
-                CommandOutcome::Refused(DenialReason::Stale(epoch))
+                CommandOutcome::Denied(DenialReason::OtherHolder {
+                    epoch,
+                    holder: Arc::clone(&permit.holder),
+                })
+            } else if permit.stage == PermitStage::Released {
+                CommandOutcome::Denied(DenialReason::Stale(epoch))
             } else {
                 permit.life = permit.life.max(life);
                 CommandOutcome::Permit(epoch, permit.stage.clone())
@@ -425,11 +428,11 @@
         if let Purpose::Release(number) = purpose
             && let Err(why) = self.release_goes_on(number)
         {
-            return CommandOutcome::Refused(why);
+            return CommandOutcome::Denied(why);
         }
         // Whatever the leader thought that proposed it: among permits it has to fit here.
         if let Err(why) = self.fits(&target, &BTreeSet::new()) {
-            return CommandOutcome::Refused(why);
+            return CommandOutcome::Denied(why);
         }
         self.permits
             .insert(index, Permit { target, holder, purpose, stage: PermitStage::Reserved, begins: 0, life });
@@ -438,12 +441,12 @@
 
     fn begin(&mut self, epoch: u64, holder: &Name, life: u64) -> CommandOutcome {
         let purpose = match self.permits.get(&epoch) {
-            None => return CommandOutcome::Refused(DenialReason::Stale(epoch)),
-            Some(permit) if permit.stage == PermitStage::Freed => {
-                return CommandOutcome::Refused(DenialReason::Stale(epoch));
+            None => return CommandOutcome::Denied(DenialReason::Stale(epoch)),
+            Some(permit) if permit.stage == PermitStage::Released => {
+                return CommandOutcome::Denied(DenialReason::Stale(epoch));
             }
             Some(permit) if permit.holder != *holder => {
-                return CommandOutcome::Refused(DenialReason::Other {
+                return CommandOutcome::Denied(DenialReason::OtherHolder {
                     epoch,
                     holder: Arc::clone(&permit.holder),
                 });
@@ -453,7 +456,7 @@
         if let Purpose::Release(number) = purpose
             && let Err(why) = self.release_goes_on(number)
         {
-            return CommandOutcome::Refused(why);
+            return CommandOutcome::Denied(why);
         }
         if let Some(permit) = self.permits.get_mut(&epoch) {
             permit.stage = PermitStage::Begun;
@@ -577,8 +580,8 @@
             && let Some(server) = release.servers.get_mut(name)
         {
             server.step = match server.step {
-                ServerProgress::Waits | ServerProgress::Changes => ServerProgress::Changes,
-                _ => ServerProgress::GoesBack,
+                ServerProgress::Pending | ServerProgress::Updating => ServerProgress::Updating,
+                _ => ServerProgress::RollingBack,
             };
         }
     }
@@ -603,7 +606,7 @@
         record.apply(1, Command::Limits(Limits { fleet: 2, zone: 1, zones: 0, services }));
         for n in 0..9 {
             let zone = name(&format!("z{}", n % 3));
-            record.apply(2 + n, Command::Enrol { name: name(&format!("n{n}")), zone });
+            record.apply(2 + n, Command::AddServer { name: name(&format!("n{n}")), zone });
         }
         record
     }
@@ -618,29 +621,29 @@
     fn no_more_is_out_than_may_be() {
         let mut record = record();
         assert_eq!(reserve(&mut record, 20, server("n0")), CommandOutcome::Permit(20, PermitStage::Reserved));
-        let CommandOutcome::Refused(why) = reserve(&mut record, 21, server("n3")) else {
+        let CommandOutcome::Denied(why) = reserve(&mut record, 21, server("n3")) else {
             panic!("two of one zone")
         };
         assert_eq!(why.to_string(), "2 servers of zone z0 would be out, 1 may be: n0");
         assert_eq!(reserve(&mut record, 22, server("n1")), CommandOutcome::Permit(22, PermitStage::Reserved));
-        let CommandOutcome::Refused(why) = reserve(&mut record, 23, server("n2")) else {
+        let CommandOutcome::Denied(why) = reserve(&mut record, 23, server("n2")) else {
             panic!("three of the fleet")
         };
         assert_eq!(why.to_string(), "3 servers of the fleet would be out, 2 may be: n0, n1");
         assert!(matches!(
             reserve(&mut record, 24, server("stranger")),
-            CommandOutcome::Refused(DenialReason::Unknown(_))
+            CommandOutcome::Denied(DenialReason::Unknown(_))
         ));
         assert!(matches!(
             reserve(&mut record, 24, Target::Zone(name("z2"))),
-            CommandOutcome::Refused(DenialReason::Fleet { .. })
+            CommandOutcome::Denied(DenialReason::Fleet { .. })
         ));
         let replica = |n: &str| Target::Service { group: name("ledger"), member: name(n) };
         assert_eq!(reserve(&mut record, 25, replica("a")), CommandOutcome::Permit(25, PermitStage::Reserved));
         assert_eq!(reserve(&mut record, 26, replica("b")), CommandOutcome::Permit(26, PermitStage::Reserved));
         assert!(matches!(
             reserve(&mut record, 27, replica("c")),
-            CommandOutcome::Refused(DenialReason::Service { .. })
+            CommandOutcome::Denied(DenialReason::Service { .. })
         ));
         let limits = record.limits.clone();
         assert!(record.holds(&limits) && !record.holds(&Limits { fleet: 1, ..limits }));
@@ -678,7 +681,7 @@
         };
         assert!(matches!(
             begin(&mut record, 22, 20, &name("x")),
-            CommandOutcome::Refused(DenialReason::Other { .. })
+            CommandOutcome::Denied(DenialReason::OtherHolder { .. })
         ));
         assert_eq!(begin(&mut record, 23, 20, &holder), CommandOutcome::Permit(20, PermitStage::Begun));
         assert_eq!(
@@ -686,16 +689,19 @@
             CommandOutcome::Permit(20, PermitStage::Begun),
             "told twice, begun once"
         );
-        record.apply(25, Command::Free { epoch: 20, by: name("kaisa"), why: "its board is dead".into() });
-        assert_eq!(begin(&mut record, 26, 20, &holder), CommandOutcome::Refused(DenialReason::Stale(20)));
-        assert_eq!(reserve(&mut record, 27, server("n0")), CommandOutcome::Refused(DenialReason::Stale(20)));
+        record.apply(
+            25,
+            Command::ReleasePermit { epoch: 20, by: name("kaisa"), why: "its board is dead".into() },
+        );
+        assert_eq!(begin(&mut record, 26, 20, &holder), CommandOutcome::Denied(DenialReason::Stale(20)));
+        assert_eq!(reserve(&mut record, 27, server("n0")), CommandOutcome::Denied(DenialReason::Stale(20)));
         assert!(
             matches!(record.fits(&server("n3"), &BTreeSet::new()), Err(DenialReason::Zone { .. })),
             "it counts still"
         );
-        record.apply(28, Command::Gone { epoch: 20 });
+        record.apply(28, Command::PermitExpired { epoch: 20 });
         assert!(record.fits(&server("n3"), &BTreeSet::new()).is_ok());
-        assert_eq!(begin(&mut record, 29, 20, &holder), CommandOutcome::Refused(DenialReason::Stale(20)));
+        assert_eq!(begin(&mut record, 29, 20, &holder), CommandOutcome::Denied(DenialReason::Stale(20)));
         let act = record.acts.back().unwrap();
         assert_eq!((act.index, &*act.by, &*act.why), (25, "kaisa", "its board is dead"));
         assert_eq!(reserve(&mut record, 30, server("n0")), CommandOutcome::Permit(30, PermitStage::Reserved));
@@ -713,19 +719,19 @@
         record.apply(22, begin(1));
         let end = |by| Command::End { epoch: 20, by };
         assert!(
-            matches!(record.apply(23, end(PermitEnd::Steady(1))), CommandOutcome::Refused(_)),
+            matches!(record.apply(23, end(PermitEnd::Stable(1))), CommandOutcome::Denied(_)),
             "it was told once more"
         );
         record.apply(24, begin(2));
         assert!(
-            matches!(record.apply(25, end(PermitEnd::Word(1))), CommandOutcome::Refused(_)),
+            matches!(record.apply(25, end(PermitEnd::HolderCancelled(1))), CommandOutcome::Denied(_)),
             "another life has it"
         );
         assert!(matches!(record.fits(&server("n3"), &BTreeSet::new()), Err(DenialReason::Zone { .. })));
-        assert_eq!(record.apply(26, end(PermitEnd::Steady(3))), CommandOutcome::Done);
+        assert_eq!(record.apply(26, end(PermitEnd::Stable(3))), CommandOutcome::Done);
         assert!(matches!(
-            record.apply(27, end(PermitEnd::Word(2))),
-            CommandOutcome::Refused(DenialReason::Stale(20))
+            record.apply(27, end(PermitEnd::HolderCancelled(2))),
+            CommandOutcome::Denied(DenialReason::Stale(20))
         ));
     }
 
@@ -735,12 +741,12 @@
         let mut record = record();
         for n in 0..500 {
             let why = "x".repeat(1_000);
-            record.apply(100 + n, Command::Strike { name: name("n0"), by: name("kaisa"), why });
-            record.apply(100 + n, Command::Enrol { name: name("n0"), zone: name("z0") });
+            record.apply(100 + n, Command::RemoveServer { name: name("n0"), by: name("kaisa"), why });
+            record.apply(100 + n, Command::AddServer { name: name("n0"), zone: name("z0") });
         }
         assert!(record.acts.len() == MOST_ACTS && record.acts[0].why.len() == MAX_TEXT_BYTES);
         for n in 0..MAX_SERVERS as u64 + 10 {
-            record.apply(1_000 + n, Command::Enrol { name: name(&format!("m{n}")), zone: name("z0") });
+            record.apply(1_000 + n, Command::AddServer { name: name(&format!("m{n}")), zone: name("z0") });
         }
         assert_eq!(record.roster.len(), MAX_SERVERS);
     }
--- a/crates/coordination/src/rollout.rs
+++ b/crates/coordination/src/rollout.rs
@@ -111,19 +111,19 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerProgress {
     /// Not yet its turn.
-    Waits,
+    Pending,
     /// It began to change.
-    Changes,
+    Updating,
     /// It has the new version, and is steady.
-    New,
+    Updated,
     /// It couldn't take it, and why.
     Failed(String),
     /// It began to change back.
-    GoesBack,
+    RollingBack,
     /// It has what it had before, and is steady.
-    Back,
+    RolledBack,
     /// It couldn't go back, and why.
-    Stuck(String),
+    RollbackFailed(String),
 }
 
 /// A server of a release.
@@ -141,25 +141,25 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutState {
     /// It goes forward.
-    Runs,
+    Running,
     /// It stands still, and why.
     Halted(String),
     /// It goes back, and why.
-    GoesBack(String),
+    RollingBack(String),
     /// All have the new version.
     Done,
     /// All have what they had before.
-    Undone(String),
+    RolledBack(String),
 }
 
 impl fmt::Display for RolloutState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Runs => write!(f, "running"),
+            Self::Running => write!(f, "running"),
             Self::Halted(why) => write!(f, "halted: {why}"),
-            Self::GoesBack(why) => write!(f, "going back: {why}"),
+            Self::RollingBack(why) => write!(f, "going back: {why}"),
             Self::Done => write!(f, "done"),
-            Self::Undone(why) => write!(f, "undone: {why}"),
+            Self::RolledBack(why) => write!(f, "undone: {why}"),
         }
     }
 }
@@ -186,25 +186,27 @@
 impl Rollout {
     /// Whether it is neither over nor undone.
     pub fn is_open(&self) -> bool {
-        matches!(self.state, RolloutState::Runs | RolloutState::Halted(_) | RolloutState::GoesBack(_))
+        matches!(self.state, RolloutState::Running | RolloutState::Halted(_) | RolloutState::RollingBack(_))
     }
 
     /// Servers whose turn it is: of the wave forward, and all that have or began something new when it goes back, the
     /// latest first.
     pub fn turns(&self) -> Vec<&Name> {
         match self.state {
-            RolloutState::Runs => {
+            RolloutState::Running => {
                 let due = |server: &RolloutServer| {
                     server.wave <= self.wave
-                        && matches!(server.step, ServerProgress::Waits | ServerProgress::Changes)
+                        && matches!(server.step, ServerProgress::Pending | ServerProgress::Updating)
                 };
                 self.servers.iter().filter(|(_, server)| due(server)).map(|(name, _)| name).collect()
             }
-            RolloutState::GoesBack(_) => {
+            RolloutState::RollingBack(_) => {
                 let due = |server: &RolloutServer| {
                     !matches!(
                         server.step,
-                        ServerProgress::Waits | ServerProgress::Back | ServerProgress::Stuck(_)
+                        ServerProgress::Pending
+                            | ServerProgress::RolledBack
+                            | ServerProgress::RollbackFailed(_)
                     )
                 };
                 let mut all: Vec<(&Name, &RolloutServer)> =
@@ -219,8 +221,8 @@
     /// The version that a server shall have as things stand.
     pub fn wanted(&self, server: &RolloutServer) -> String {
         match self.state {
-            RolloutState::GoesBack(_) | RolloutState::Undone(_) => server.before.clone(),
-            _ if matches!(server.step, ServerProgress::Waits) => server.before.clone(),
+            RolloutState::RollingBack(_) | RolloutState::RolledBack(_) => server.before.clone(),
+            _ if matches!(server.step, ServerProgress::Pending) => server.before.clone(),
             _ => self.plan.version.clone(),
         }
     }
@@ -228,7 +230,7 @@
     /// Whether all of the wave stand where they should.
     pub fn wave_is_whole(&self) -> bool {
         let of = |server: &&RolloutServer| server.wave <= self.wave;
-        self.servers.values().filter(of).all(|server| server.step == ServerProgress::New)
+        self.servers.values().filter(of).all(|server| server.step == ServerProgress::Updated)
     }
 }
 
@@ -295,7 +297,7 @@
 }
 
 fn refused(text: impl Into<String>) -> CommandOutcome {
-    CommandOutcome::Refused(DenialReason::Sense(text.into()))
+    CommandOutcome::Denied(DenialReason::Invalid(text.into()))
 }
 
 impl ReplicatedState {
@@ -305,7 +307,9 @@
             Some(release) if release.number != number => {
                 Err(DenialReason::Release("another one by now".into()))
             }
-            Some(release) if matches!(release.state, RolloutState::Runs | RolloutState::GoesBack(_)) => {
+            Some(release)
+                if matches!(release.state, RolloutState::Running | RolloutState::RollingBack(_)) =>
+            {
                 Ok(())
             }
             Some(release) => Err(DenialReason::Release(release.state.to_string())),
@@ -334,10 +338,10 @@
             RolloutCommand::Halt { name, by, why } => {
                 let release = self.named(&name)?;
                 match &release.state {
-                    RolloutState::Runs => {}
+                    RolloutState::Running => {}
                     RolloutState::Halted(_) => return Ok(CommandOutcome::Done),
                     // A way back is halted too: then nothing moves until somebody says which way.
-                    RolloutState::GoesBack(_) => {}
+                    RolloutState::RollingBack(_) => {}
                     over => return Err(refused(format!("the release is {over}"))),
                 }
                 release.halts += 1;
@@ -357,41 +361,43 @@
                     if matches!(
                         server.step,
                         ServerProgress::Failed(_)
-                            | ServerProgress::GoesBack
-                            | ServerProgress::Back
-                            | ServerProgress::Stuck(_)
+                            | ServerProgress::RollingBack
+                            | ServerProgress::RolledBack
+                            | ServerProgress::RollbackFailed(_)
                     ) {
-                        server.step = ServerProgress::Waits;
+                        server.step = ServerProgress::Pending;
                     }
                 }
-                release.state = RolloutState::Runs;
+                release.state = RolloutState::Running;
                 self.act(index, by, format!("release {name} resumed"), String::new());
             }
             RolloutCommand::Back { name, by, why } => {
                 let release = self.named(&name)?;
                 match &release.state {
-                    RolloutState::GoesBack(_) | RolloutState::Undone(_) => return Ok(CommandOutcome::Done),
+                    RolloutState::RollingBack(_) | RolloutState::RolledBack(_) => {
+                        return Ok(CommandOutcome::Done);
+                    }
                     _ => {}
                 }
                 for server in release.servers.values_mut() {
-                    if let ServerProgress::Stuck(_) = server.step {
+                    if let ServerProgress::RollbackFailed(_) = server.step {
                         server.step = ServerProgress::Failed("tried again".into());
                     }
                 }
-                release.state = RolloutState::GoesBack(why.clone());
+                release.state = RolloutState::RollingBack(why.clone());
                 self.act(index, by, format!("release {name} goes back"), why);
             }
             RolloutCommand::Stepped { number, server, step } => {
                 let release = self.release.as_mut().filter(|release| release.number == number);
                 let release = release.ok_or_else(|| refused("another release by now"))?;
-                let back = matches!(release.state, RolloutState::GoesBack(_));
+                let back = matches!(release.state, RolloutState::RollingBack(_));
                 let Some(server) = release.servers.get_mut(&server) else {
                     return Err(refused(format!("{server} takes no part")));
                 };
                 // What was seen before the way turned says nothing of the way that it goes now.
                 let fits = match step {
-                    ServerProgress::New | ServerProgress::Failed(_) => !back,
-                    ServerProgress::Back | ServerProgress::Stuck(_) => back,
+                    ServerProgress::Updated | ServerProgress::Failed(_) => !back,
+                    ServerProgress::RolledBack | ServerProgress::RollbackFailed(_) => back,
                     _ => true,
                 };
                 if !fits {
@@ -402,7 +408,9 @@
             RolloutCommand::Wave { number, wave } => {
                 let release = self.release.as_mut().filter(|release| release.number == number);
                 let release = release.ok_or_else(|| refused("another release by now"))?;
-                if release.state != RolloutState::Runs || wave != release.wave + 1 || !release.wave_is_whole()
+                if release.state != RolloutState::Running
+                    || wave != release.wave + 1
+                    || !release.wave_is_whole()
                 {
                     return Err(refused("not the time for the next wave"));
                 }
@@ -415,13 +423,15 @@
                     release.servers.values().all(|server| holds(&server.step))
                 };
                 match &release.state {
-                    RolloutState::Runs if all(|step| *step == ServerProgress::New) => {
+                    RolloutState::Running if all(|step| *step == ServerProgress::Updated) => {
                         release.state = RolloutState::Done
                     }
-                    RolloutState::GoesBack(why)
-                        if all(|step| matches!(step, ServerProgress::Waits | ServerProgress::Back)) =>
+                    RolloutState::RollingBack(why)
+                        if all(|step| {
+                            matches!(step, ServerProgress::Pending | ServerProgress::RolledBack)
+                        }) =>
                     {
-                        release.state = RolloutState::Undone(why.clone());
+                        release.state = RolloutState::RolledBack(why.clone());
                     }
                     _ => return Err(refused("not all are there yet")),
                 }
@@ -441,7 +451,7 @@
             && (release.is_open() || release.plan.name == plan.name)
         {
             // Said twice it is one, also where the second word of it comes after its end; another has to wait.
-            return if release.plan == plan && !matches!(release.state, RolloutState::Undone(_)) {
+            return if release.plan == plan && !matches!(release.state, RolloutState::RolledBack(_)) {
                 CommandOutcome::Done
             } else if release.is_open() {
                 refused(format!("release {} is {}", release.plan.name, release.state))
@@ -476,14 +486,14 @@
             let until = ((share * order.len() as f64).floor() as usize).max(upto + 1).min(order.len());
             for name in &order[upto..until] {
                 let before = before.get(*name).cloned().unwrap_or_default();
-                let server = RolloutServer { wave: wave as u32, before, step: ServerProgress::Waits };
+                let server = RolloutServer { wave: wave as u32, before, step: ServerProgress::Pending };
                 servers.insert(Arc::clone(name), server);
             }
             upto = until;
         }
         self.act(index, Arc::clone(&by), format!("release {} started", plan.name), String::new());
         let release =
-            Rollout { number: index, plan, by, state: RolloutState::Runs, wave: 0, halts: 0, servers };
+            Rollout { number: index, plan, by, state: RolloutState::Running, wave: 0, halts: 0, servers };
         self.release = Some(release);
         CommandOutcome::Done
     }
--- a/crates/coordination/src/rollout/tests.rs
+++ b/crates/coordination/src/rollout/tests.rs
@@ -28,7 +28,7 @@
     for n in 0..9 {
         record.apply(
             2 + n,
-            Command::Enrol { name: name(&format!("n{n}")), zone: name(&format!("z{}", n % 3)) },
+            Command::AddServer { name: name(&format!("n{n}")), zone: name(&format!("z{}", n % 3)) },
         );
     }
     record
@@ -71,23 +71,23 @@
 fn orders_that_cross_do_what_one_of_them_wanted() {
     let mut record = record();
     let back = |of: &str| RolloutCommand::Back { name: of.into(), by: name("liisa"), why: "no".into() };
-    assert!(matches!(order(&mut record, 19, back("to v2")), CommandOutcome::Refused(_)));
+    assert!(matches!(order(&mut record, 19, back("to v2")), CommandOutcome::Denied(_)));
     assert_eq!(start(&mut record, 20, plan("v2")), CommandOutcome::Done);
     let before = record.release.clone();
     assert_eq!(start(&mut record, 21, plan("v2")), CommandOutcome::Done);
     assert_eq!(record.release, before);
-    assert!(matches!(start(&mut record, 22, plan("v3")), CommandOutcome::Refused(_)));
-    assert!(matches!(order(&mut record, 23, back("to v3")), CommandOutcome::Refused(_)));
+    assert!(matches!(start(&mut record, 22, plan("v3")), CommandOutcome::Denied(_)));
+    assert!(matches!(order(&mut record, 23, back("to v3")), CommandOutcome::Denied(_)));
     assert_eq!(halt(&mut record, 24), CommandOutcome::Done);
     assert_eq!(halt(&mut record, 25), CommandOutcome::Done, "halted already");
     let resume = |halts| RolloutCommand::Resume { name: "to v2".into(), halts, by: name("kaisa") };
     assert_eq!(order(&mut record, 26, resume(1)), CommandOutcome::Done);
     assert_eq!(halt(&mut record, 27), CommandOutcome::Done);
     // A resume that was meant for the first halt comes after the second.
-    assert!(matches!(order(&mut record, 28, resume(1)), CommandOutcome::Refused(_)));
+    assert!(matches!(order(&mut record, 28, resume(1)), CommandOutcome::Denied(_)));
     assert!(matches!(record.release.as_ref().unwrap().state, RolloutState::Halted(_)));
     assert_eq!(order(&mut record, 29, back("to v2")), CommandOutcome::Done);
-    assert!(matches!(order(&mut record, 30, resume(2)), CommandOutcome::Refused(_)), "it goes back by now");
+    assert!(matches!(order(&mut record, 30, resume(2)), CommandOutcome::Denied(_)), "it goes back by now");
 }
 
 /// Guards the waves: none begins before the last one is whole, and what was seen of the way forward counts for
@@ -97,30 +97,30 @@
     let mut record = record();
     start(&mut record, 20, plan("v2"));
     let wave = |wave| RolloutCommand::Wave { number: 20, wave };
-    assert!(matches!(order(&mut record, 21, wave(1)), CommandOutcome::Refused(_)));
-    stepped(&mut record, 22, "n0", ServerProgress::New);
-    assert!(matches!(order(&mut record, 23, wave(2)), CommandOutcome::Refused(_)), "one is left out");
+    assert!(matches!(order(&mut record, 21, wave(1)), CommandOutcome::Denied(_)));
+    stepped(&mut record, 22, "n0", ServerProgress::Updated);
+    assert!(matches!(order(&mut record, 23, wave(2)), CommandOutcome::Denied(_)), "one is left out");
     assert_eq!(order(&mut record, 24, wave(1)), CommandOutcome::Done);
-    stepped(&mut record, 25, "n2", ServerProgress::New);
+    stepped(&mut record, 25, "n2", ServerProgress::Updated);
     stepped(&mut record, 26, "n1", ServerProgress::Failed("it doesn't start".into()));
-    stepped(&mut record, 27, "n3", ServerProgress::Changes);
+    stepped(&mut record, 27, "n3", ServerProgress::Updating);
     let (by, why) = (name("the council"), "n1 failed".to_string());
     order(&mut record, 28, RolloutCommand::Back { name: "to v2".into(), by, why });
     let release = record.release.as_ref().unwrap();
     assert_eq!(release.turns(), ["n1", "n2", "n3", "n0"].map(name).iter().collect::<Vec<_>>());
     assert_eq!(release.wanted(&release.servers["n2"]), "v1");
-    assert!(matches!(stepped(&mut record, 29, "n3", ServerProgress::New), CommandOutcome::Refused(_)));
+    assert!(matches!(stepped(&mut record, 29, "n3", ServerProgress::Updated), CommandOutcome::Denied(_)));
     let over = RolloutCommand::Over { number: 20 };
     for (at, server) in ["n0", "n1", "n2"].into_iter().enumerate() {
-        stepped(&mut record, 30 + at as u64, server, ServerProgress::Back);
-        assert!(matches!(order(&mut record, 40, over.clone()), CommandOutcome::Refused(_)));
+        stepped(&mut record, 30 + at as u64, server, ServerProgress::RolledBack);
+        assert!(matches!(order(&mut record, 40, over.clone()), CommandOutcome::Denied(_)));
     }
-    stepped(&mut record, 41, "n3", ServerProgress::Back);
+    stepped(&mut record, 41, "n3", ServerProgress::RolledBack);
     assert_eq!(order(&mut record, 42, over), CommandOutcome::Done);
-    assert!(matches!(record.release.as_ref().unwrap().state, RolloutState::Undone(_)));
+    assert!(matches!(record.release.as_ref().unwrap().state, RolloutState::RolledBack(_)));
     let again = start(&mut record, 43, plan("v2"));
     assert!(
-        matches!(&again, CommandOutcome::Refused(why) if why.to_string().ends_with("another name")),
+        matches!(&again, CommandOutcome::Denied(why) if why.to_string().ends_with("another name")),
         "{again:?}"
     );
     assert_eq!(start(&mut record, 44, plan("v3")), CommandOutcome::Done, "the next one may begin");
@@ -139,9 +139,9 @@
     };
     assert!(matches!(record.apply(21, reserve("n0")), CommandOutcome::Permit(21, _)));
     halt(&mut record, 22);
-    assert!(matches!(record.apply(23, reserve("n1")), CommandOutcome::Refused(DenialReason::Release(_))));
+    assert!(matches!(record.apply(23, reserve("n1")), CommandOutcome::Denied(DenialReason::Release(_))));
     let begin = Command::Begin { epoch: 21, holder: name("n0"), life: 1 };
-    assert!(matches!(record.apply(24, begin), CommandOutcome::Refused(DenialReason::Release(_))));
+    assert!(matches!(record.apply(24, begin), CommandOutcome::Denied(DenialReason::Release(_))));
     // A drain by hand has nothing to do with it, and draws on the same permits.
     let drain = |server: &str| Command::Reserve {
         target: Target::Server(name(server)),
@@ -150,7 +150,7 @@
         purpose: Purpose::Drain,
     };
     assert!(matches!(record.apply(25, drain("n1")), CommandOutcome::Permit(25, _)));
-    assert!(matches!(record.apply(26, drain("n2")), CommandOutcome::Refused(DenialReason::Fleet { .. })));
+    assert!(matches!(record.apply(26, drain("n2")), CommandOutcome::Denied(DenialReason::Fleet { .. })));
 }
 
 #[test]
@@ -167,6 +167,6 @@
         let mut plan = plan("v2");
         change(&mut plan);
         assert_eq!(plan.check(), Err(expected.to_string()));
-        assert!(matches!(start(&mut record(), 20, plan), CommandOutcome::Refused(_)));
+        assert!(matches!(start(&mut record(), 20, plan), CommandOutcome::Denied(_)));
     }
 }
--- a/crates/coordination/src/server_agent.rs
+++ b/crates/coordination/src/server_agent.rs
@@ -5,8 +5,7 @@
     ConfigurationRejected, ConfigurationRequest, ConfigurationSettings, ReplicatedConfiguration,
 };
 use crate::consensus::{
-    ConsensusVoter, DurableRecord, ProposalAccepted, ProposalRejected, VoterEffect as Voted, VoterId,
-    VoterState,
+    ConsensusVoter, DurableRecord, ProposalAccepted, ProposalRejected, VoterEffect, VoterId, VoterState,
 };
 use crate::controller::{Controller, ControllerEffect, ControllerSettings};
 use crate::founding::{self, Founding, FoundingError, FoundingStep, ReportedVoter};
@@ -98,15 +97,15 @@
     /// Make these durable in the council's folder, then say [`ServerAgent::written`].
     Write(u64, Vec<DurableRecord>),
     /// This server may leave by this permit, if that is still before the time.
-    MayLeave(u64, Time),
+    PermitGranted(u64, Time),
     /// The leave that was asked for is refused, and why.
-    Refused(String),
+    PermitDenied(String),
     /// This server may change by this turn, if that is still before the time.
-    MayChange(StepAssignment, Time),
+    StepGranted(StepAssignment, Time),
     /// About the configuration.
     Configuration(ConfigurationEffect),
     /// Tell it in the log; whether it is bad.
-    Note(bool, String),
+    Log(bool, String),
 }
 
 /// What is to be done about the configuration.
@@ -127,7 +126,7 @@
     /// It is under way.
     Pending,
     /// This.
-    Over(Result<String, String>),
+    Finished(Result<String, String>),
     /// Nothing is known of it here.
     Unknown,
 }
@@ -267,7 +266,7 @@
         if self.orders.len() >= MOST_ORDERS {
             return Err("too many orders are under way".into());
         }
-        if let OperatorCommand::Release(crate::rollout::RolloutCommand::Halt { name, .. }) = &order {
+        if let OperatorCommand::Rollout(crate::rollout::RolloutCommand::Halt { name, .. }) = &order {
             // Wherever it is said: here, and with all voters that hear it, no further step is taken from now on.
             self.halt(name);
             let name = name.clone();
@@ -300,7 +299,7 @@
             return CommandStatus::Pending;
         }
         let answer = self.answers.iter().rev().find(|(of, _)| *of == ticket);
-        answer.map_or(CommandStatus::Unknown, |(_, answer)| CommandStatus::Over(answer.clone()))
+        answer.map_or(CommandStatus::Unknown, |(_, answer)| CommandStatus::Finished(answer.clone()))
     }
 
     fn over(&mut self, ticket: u64, answer: Result<String, String>) {
@@ -329,11 +328,11 @@
     fn founded(&mut self, voters: &BTreeMap<VoterId, Name>) {
         let Some(council) = self.council.as_mut().filter(|council| !council.is_founded()) else { return };
         if let Err(why) = self.founding.accepts(voters) {
-            return self.effects.push(AgentEffect::Note(true, format!("not founded: {why}")));
+            return self.effects.push(AgentEffect::Log(true, format!("not founded: {why}")));
         }
         if council.found(voters).is_ok() {
             self.effects
-                .push(AgentEffect::Note(false, "a council is founded, and this server is a voter".into()));
+                .push(AgentEffect::Log(false, "a council is founded, and this server is a voter".into()));
         }
     }
 
@@ -343,7 +342,7 @@
         let founded =
             |name: &Name| self.controller.report(now, name).is_some_and(|(report, _)| report.founded);
         let step = self.founding.step(now, &own, founded);
-        self.effects.extend(step.note().map(|text| AgentEffect::Note(true, text)));
+        self.effects.extend(step.note().map(|text| AgentEffect::Log(true, text)));
         if let FoundingStep::Send(voters) = step {
             let found = Message::Found(voters.clone());
             voters.values().filter(|voter| **voter != own).for_each(|voter| self.send(voter, &found));
@@ -418,21 +417,21 @@
         match self.permit_client.receive(now, number, reply) {
             ClientEvent::Nothing if refuses => {
                 self.permit_client.stop();
-                self.effects.push(AgentEffect::Refused(why));
+                self.effects.push(AgentEffect::PermitDenied(why));
             }
             ClientEvent::Nothing => {}
             ClientEvent::MayBegin { epoch, until } => match self.turn.take() {
                 Some(turn) if turn.epoch == epoch => {
                     self.taken = Some(epoch);
-                    self.effects.push(AgentEffect::MayChange(turn, until));
+                    self.effects.push(AgentEffect::StepGranted(turn, until));
                 }
-                _ => self.effects.push(AgentEffect::MayLeave(epoch, until)),
+                _ => self.effects.push(AgentEffect::PermitGranted(epoch, until)),
             },
             ClientEvent::Stale(epoch) => {
                 if self.turn.take().is_none() {
                     // The place was given away meanwhile: it has to be asked for anew.
                     let text = format!("permit {epoch} is over or was freed; another is asked for");
-                    self.effects.push(AgentEffect::Note(true, text));
+                    self.effects.push(AgentEffect::Log(true, text));
                     self.permit_client.request(now, PermitAction::Reserve);
                 }
             }
@@ -562,26 +561,26 @@
         let id = council.id();
         for effect in voted {
             match effect {
-                Voted::Send(to, bytes) => {
+                VoterEffect::Send(to, bytes) => {
                     let name = self.voter_name(to);
                     if let Some(name) = name {
                         self.send(&name, &Message::Voter { from: id, to, bytes });
                     }
                 }
-                Voted::Write(number, records) => self.effects.push(AgentEffect::Write(number, records)),
-                Voted::Applied { by, number, outcome, .. } if by == id => {
+                VoterEffect::Write(number, records) => self.effects.push(AgentEffect::Write(number, records)),
+                VoterEffect::Applied { by, number, outcome, .. } if by == id => {
                     if let Some(council) = &self.council {
                         self.controller.applied(now, council.record(), number, outcome);
                     }
                 }
-                Voted::Applied { .. } => {}
-                Voted::Committed(commit) => self.committed(now, commit),
-                Voted::MakeDurable(revision) => {
+                VoterEffect::Applied { .. } => {}
+                VoterEffect::Committed(commit) => self.committed(now, commit),
+                VoterEffect::MakeDurable(revision) => {
                     let effect = ConfigurationEffect::MakeDurable(revision);
                     self.effects.push(AgentEffect::Configuration(effect));
                 }
-                Voted::Note(bad, text) => {
-                    self.effects.push(AgentEffect::Note(bad, format!("council: {text}")))
+                VoterEffect::Log(bad, text) => {
+                    self.effects.push(AgentEffect::Log(bad, format!("council: {text}")))
                 }
             }
         }
@@ -623,7 +622,7 @@
                     }
                 }
                 ControllerEffect::Log(bad, text) => {
-                    self.effects.push(AgentEffect::Note(bad, format!("council: {text}")))
+                    self.effects.push(AgentEffect::Log(bad, format!("council: {text}")))
                 }
             }
         }
@@ -752,19 +751,19 @@
     /// A request came to this voter, its own or another server's.
     fn requested(&mut self, now: Time, from: &Name, ticket: u64, request: &ConfigurationRequest) {
         let answer = match (&mut self.council, self.configuration) {
-            (None, _) => VoterReply::Elsewhere(None),
-            (Some(_), None) => VoterReply::Over(Err(ConfigurationRejected::Off)),
+            (None, _) => VoterReply::NotLeader(None),
+            (Some(_), None) => VoterReply::Finished(Err(ConfigurationRejected::Off)),
             (Some(council), Some(_)) => match council.request(request) {
-                Ok(ProposalAccepted::Committed(revision)) => VoterReply::Over(Ok(revision)),
+                Ok(ProposalAccepted::Committed(revision)) => VoterReply::Finished(Ok(revision)),
                 Ok(ProposalAccepted::Proposed(_)) => {
                     let request_id = request.proposal.request_id.clone();
                     self.waiters.wait(Waiter { request_id, server: Arc::clone(from), ticket, since: now });
                     VoterReply::Proposed
                 }
-                Err(ProposalRejected::Refused(why)) => VoterReply::Over(Err(why)),
-                Err(ProposalRejected::Elsewhere(leader)) => {
+                Err(ProposalRejected::Rejected(why)) => VoterReply::Finished(Err(why)),
+                Err(ProposalRejected::NotLeader(leader)) => {
                     let voters = &council.record().voters;
-                    VoterReply::Elsewhere(leader.and_then(|leader| voters.get(&leader).cloned()))
+                    VoterReply::NotLeader(leader.and_then(|leader| voters.get(&leader).cloned()))
                 }
             },
         };
@@ -791,7 +790,7 @@
 
     fn committed(&mut self, now: Time, commit: Arc<Commit>) {
         for waiter in self.waiters.committed(&commit.request_id) {
-            self.tell_request(now, &waiter.server, waiter.ticket, VoterReply::Over(Ok(commit.revision)));
+            self.tell_request(now, &waiter.server, waiter.ticket, VoterReply::Finished(Ok(commit.revision)));
         }
         self.effects.push(AgentEffect::Configuration(ConfigurationEffect::Committed(commit)));
     }
--- a/crates/coordination/tests/common/base.rs
+++ b/crates/coordination/tests/common/base.rs
@@ -7,14 +7,14 @@
     let second = Span(1_000_000_000);
     let profile = ClassProfile {
         name: "read".into(),
-        promise: second,
+        latency_objective: second,
         deadline: second,
-        effect: Idempotency::Repeatable,
+        effect: Idempotency::Idempotent,
         late_value: 0.0,
         window: Span(0),
-        worth: 1.0,
-        aim_stretch: 0.0,
+        priority_weight: 1.0,
+        objective_stretch: 0.0,
     };
-    let settings = Settings { profiles: vec![profile], over_share_worth: 1.0, ..Settings::default() };
+    let settings = Settings { profiles: vec![profile], over_quota_weight: 1.0, ..Settings::default() };
     Configuration::from_settings(&settings).expect("valid")
 }
--- a/crates/coordination/tests/common/fleet.rs
+++ b/crates/coordination/tests/common/fleet.rs
@@ -109,7 +109,7 @@
                 }
                 AgentEffect::Configuration(effect) => self.told.push((n, self.now, effect)),
                 AgentEffect::Write(number, _) => self.parts[n].written(number),
-                AgentEffect::MayChange(turn, _) => self.programs[n] = turn.version,
+                AgentEffect::StepGranted(turn, _) => self.programs[n] = turn.version,
                 _ => {}
             }
         }
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -193,7 +193,7 @@
                 }
                 VoterEffect::Committed(commit) => self.voters[n].commits.push(commit),
                 VoterEffect::MakeDurable(revision) => self.voters[n].asked_durable = Some(revision),
-                VoterEffect::Note(_, text) => self.notes.push(format!("{}: {text}", name(n))),
+                VoterEffect::Log(_, text) => self.notes.push(format!("{}: {text}", name(n))),
             }
         }
     }
@@ -301,5 +301,5 @@
 }
 
 pub fn enrol(n: usize) -> Command {
-    Command::Enrol { name: name(n), zone: name(n % 3) }
+    Command::AddServer { name: name(n), zone: name(n % 3) }
 }
--- a/crates/coordination/tests/configuration.rs
+++ b/crates/coordination/tests/configuration.rs
@@ -34,7 +34,7 @@
 
 fn refused(result: Result<ProposalAccepted, ProposalRejected>) -> ConfigurationRejected {
     match result {
-        Err(ProposalRejected::Refused(why)) => why,
+        Err(ProposalRejected::Rejected(why)) => why,
         other => panic!("expected a refusal, got {other:?}"),
     }
 }
@@ -109,7 +109,7 @@
                 Ok(ProposalAccepted::Proposed(revision) | ProposalAccepted::Committed(revision)) => {
                     last = revision.0
                 }
-                Err(ProposalRejected::Refused(ConfigurationRejected::Moved { in_force, .. })) => {
+                Err(ProposalRejected::Rejected(ConfigurationRejected::Moved { in_force, .. })) => {
                     last = in_force.0
                 }
                 Err(_) => world.run(50),
@@ -175,7 +175,7 @@
         taken += usize::from(result.is_ok());
         result.err()
     });
-    assert_eq!(busy, Some(ProposalRejected::Refused(ConfigurationRejected::Busy)), "after {taken}");
+    assert_eq!(busy, Some(ProposalRejected::Rejected(ConfigurationRejected::Busy)), "after {taken}");
     assert!(taken < 10, "{taken}");
 }
 
@@ -322,5 +322,5 @@
     assert_eq!(replicated_snapshot::decode(&bytes[..bytes.len() - 1]), None::<ReplicatedState>);
     // An enrolment and a release order keep their places among the commands.
     let enrolment = [&[1, 2][..], b"n0", &[1], b"z"].concat();
-    assert!(matches!(postcard::from_bytes(&enrolment), Ok(Command::Enrol { .. })));
+    assert!(matches!(postcard::from_bytes(&enrolment), Ok(Command::AddServer { .. })));
 }
--- a/crates/coordination/tests/council.rs
+++ b/crates/coordination/tests/council.rs
@@ -241,7 +241,7 @@
             assert_eq!(*told, first);
         }
         assert!(
-            matches!(agree(&mut world, &reserve(1)), CommandOutcome::Refused(_)),
+            matches!(agree(&mut world, &reserve(1)), CommandOutcome::Denied(_)),
             "seed {seed}: two permits"
         );
         let now = world.leader().unwrap();
--- a/crates/coordination/tests/odd_agents.rs
+++ b/crates/coordination/tests/odd_agents.rs
@@ -83,10 +83,10 @@
     let by: Name = "ada".into();
     let target = Target::Zone(Arc::from("z1"));
     let orders = [
-        OperatorCommand::Out { target, by: by.clone() },
-        OperatorCommand::Start { plan: Box::new(plan), by: by.clone() },
-        OperatorCommand::Strike { name: name(9), by: by.clone(), why: "gone".into() },
-        OperatorCommand::Voter { name: name(4), puts_in: true, by },
+        OperatorCommand::GrantPermit { target, by: by.clone() },
+        OperatorCommand::StartRollout { plan: Box::new(plan), by: by.clone() },
+        OperatorCommand::RemoveServer { name: name(9), by: by.clone(), why: "gone".into() },
+        OperatorCommand::ChangeVoter { name: name(4), puts_in: true, by },
     ];
     for (ticket, order) in orders.into_iter().enumerate() {
         fleet.parts[ticket % 5].order(fleet.now, ticket as u64, order).expect("there is room");
--- a/crates/coordination/tests/odd_orders.rs
+++ b/crates/coordination/tests/odd_orders.rs
@@ -47,14 +47,16 @@
         fleet.run(SECOND);
         fleet.found(0).expect("all are heard");
         fleet.run(Span(8 * SECOND.0));
-        let start =
-            OperatorCommand::Start { plan: Box::new(plan(pause_ms, ready_ms, steady_ms)), by: "ada".into() };
+        let start = OperatorCommand::StartRollout {
+            plan: Box::new(plan(pause_ms, ready_ms, steady_ms)),
+            by: "ada".into(),
+        };
         let now = fleet.now;
         fleet.parts[1].order(now, 1, start).expect("there is room");
         fleet.run(Span(20 * SECOND.0));
         assert_eq!(
             fleet.parts[1].became(1),
-            CommandStatus::Over(Ok("done".into())),
+            CommandStatus::Finished(Ok("done".into())),
             "{pause_ms} {ready_ms} {steady_ms}"
         );
         let changed = fleet.programs.iter().filter(|program| *program == "v2").count();
@@ -73,13 +75,13 @@
     world.run(500);
     let strike = |bytes: usize| {
         let why = "x".repeat(bytes);
-        Command::Strike { name: name(7), by: Arc::from("ada"), why }
+        Command::RemoveServer { name: name(7), by: Arc::from("ada"), why }
     };
     let leader = world.leader().expect("it leads");
     for bytes in [200_000, 260_000, 1 << 20] {
         assert_eq!(
             world.council(leader).propose(900, strike(bytes)),
-            Err(ProposalError::Long),
+            Err(ProposalError::TooLong),
             "{bytes} bytes"
         );
     }
--- a/crates/coordination/tests/odd_words.rs
+++ b/crates/coordination/tests/odd_words.rs
@@ -155,7 +155,7 @@
         assert!(council.lost().is_some() && !council.is_founded());
         let mut effects = Vec::new();
         council.step(world.now, &mut effects);
-        assert!(effects.iter().any(|effect| matches!(effect, VoterEffect::Note(true, _))), "{effects:?}");
+        assert!(effects.iter().any(|effect| matches!(effect, VoterEffect::Log(true, _))), "{effects:?}");
         assert!(!effects.iter().any(|effect| matches!(effect, VoterEffect::Write(..))), "{effects:?}");
     }
 }
