--- a/crates/core/src/admin.rs
+++ b/crates/core/src/admin.rs
@@ -24,11 +24,11 @@
     /// The fleet as this server sees it.
     Fleet,
     /// Send clients away: health says no until the drain ends.
-    Fail,
+    StartDrain,
     /// The drain ends: back to work.
-    Ok,
+    EndDrain,
     /// About what the fleet agrees on.
-    Agreed(AgreementRequest),
+    Agreement(AgreementRequest),
     /// About the committed configuration.
     Configuration(ConfigurationAdminRequest),
 }
@@ -39,13 +39,13 @@
     /// How they stand, as far as is known here.
     Status,
     /// Have the council agree on something.
-    Order(Box<OperatorCommand>),
+    Command(Box<OperatorCommand>),
     /// What became of an order of this ticket.
-    Became(u64),
+    CommandStatus(u64),
     /// Found the council.
-    Found,
+    FoundGroup,
     /// Which program a server shall have, for who starts its process.
-    Wanted(String),
+    TargetVersion(String),
     /// This server asks for a permit and leaves by it.
     Leave,
     /// It stays.
@@ -62,11 +62,11 @@
     /// The order is under way, under this ticket.
     Ticket(u64),
     /// What became of it.
-    Became(CommandStatus),
+    CommandStatus(CommandStatus),
     /// Done, or not, and why.
-    Said(Result<String, String>),
+    Completed(Result<String, String>),
     /// The version, if a release has one for it.
-    Wanted(Option<String>),
+    TargetVersion(Option<String>),
 }
 
 /// What a call is answered.
@@ -77,13 +77,13 @@
     /// The figures as of now.
     Stats(Box<MetricsSnapshot>),
     /// About what the fleet agrees on.
-    Agreed(AgreementResponse),
+    Agreement(AgreementResponse),
     /// About the committed configuration.
     Configuration(Box<ConfigurationAdminResponse>),
     /// The fleet as it is seen from here; none where servers don't talk to each other.
     Fleet(Option<Box<FleetView>>),
     /// The order is in force, and whether it changed anything.
-    Done {
+    DrainState {
         /// Whether the process is drained by hand from now on.
         failed: bool,
         /// Whether it was not so before.
@@ -95,23 +95,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotReadyReason {
     /// It was told to leave.
-    Leaving,
+    ShuttingDown,
     /// An operator drains it.
-    Drained,
+    OperatorDrain,
     /// Its processor has not greeted yet: nothing could run.
     NoProcessor,
     /// The decision module says it is unwell, or an operator took it out of service.
-    Unwell,
+    Unhealthy,
 }
 
 impl NotReadyReason {
     /// In a word, for the response and the log.
     pub fn word(self) -> &'static str {
         match self {
-            Self::Leaving => "leaving",
-            Self::Drained => "drained",
+            Self::ShuttingDown => "leaving",
+            Self::OperatorDrain => "drained",
             Self::NoProcessor => "no processor",
-            Self::Unwell => "unwell",
+            Self::Unhealthy => "unwell",
         }
     }
 }
@@ -137,15 +137,15 @@
     /// Takes a call that changes something, and says what it is answered; the others are the reducer's to answer.
     pub fn order(&mut self, now: Time, call: &AdminRequest) -> Option<AdminResponse> {
         let changed = match call {
-            AdminRequest::Fail => self.failed_since.replace(self.failed_since.unwrap_or(now)).is_none(),
-            AdminRequest::Ok => self.failed_since.take().is_some(),
+            AdminRequest::StartDrain => self.failed_since.replace(self.failed_since.unwrap_or(now)).is_none(),
+            AdminRequest::EndDrain => self.failed_since.take().is_some(),
             AdminRequest::Health
             | AdminRequest::Stats
             | AdminRequest::Fleet
-            | AdminRequest::Agreed(_)
+            | AdminRequest::Agreement(_)
             | AdminRequest::Configuration(_) => return None,
         };
-        Some(AdminResponse::Done { failed: self.failed_since.is_some(), changed })
+        Some(AdminResponse::DrainState { failed: self.failed_since.is_some(), changed })
     }
 
     /// Whether an operator drains the process, and since when.
@@ -156,13 +156,13 @@
     /// Whether the process is ready: it answers as it serves, and says no at once after a drain was ordered.
     pub fn ready(&self, standing: ReadinessInputs) -> Result<(), NotReadyReason> {
         if standing.leaving {
-            Err(NotReadyReason::Leaving)
+            Err(NotReadyReason::ShuttingDown)
         } else if self.failed_since.is_some() {
-            Err(NotReadyReason::Drained)
+            Err(NotReadyReason::OperatorDrain)
         } else if !standing.processor {
             Err(NotReadyReason::NoProcessor)
         } else if !standing.well {
-            Err(NotReadyReason::Unwell)
+            Err(NotReadyReason::Unhealthy)
         } else {
             Ok(())
         }
@@ -180,23 +180,23 @@
     fn a_drain_says_no_at_once_and_its_end_says_yes_at_once() {
         let mut door = OperatorDrain::default();
         assert_eq!(door.ready(UP), Ok(()));
-        let failed = door.order(Time(5), &AdminRequest::Fail);
-        assert_eq!(failed, Some(AdminResponse::Done { failed: true, changed: true }));
-        assert_eq!(door.ready(UP), Err(NotReadyReason::Drained));
+        let failed = door.order(Time(5), &AdminRequest::StartDrain);
+        assert_eq!(failed, Some(AdminResponse::DrainState { failed: true, changed: true }));
+        assert_eq!(door.ready(UP), Err(NotReadyReason::OperatorDrain));
         // A second call changes nothing, and the drain counts from the first.
         assert_eq!(
-            door.order(Time(9), &AdminRequest::Fail),
-            Some(AdminResponse::Done { failed: true, changed: false })
+            door.order(Time(9), &AdminRequest::StartDrain),
+            Some(AdminResponse::DrainState { failed: true, changed: false })
         );
         assert_eq!(door.failed_since(), Some(Time(5)));
         assert_eq!(
-            door.order(Time(12), &AdminRequest::Ok),
-            Some(AdminResponse::Done { failed: false, changed: true })
+            door.order(Time(12), &AdminRequest::EndDrain),
+            Some(AdminResponse::DrainState { failed: false, changed: true })
         );
         assert_eq!(door.ready(UP), Ok(()));
         assert_eq!(
-            door.order(Time(13), &AdminRequest::Ok),
-            Some(AdminResponse::Done { failed: false, changed: false })
+            door.order(Time(13), &AdminRequest::EndDrain),
+            Some(AdminResponse::DrainState { failed: false, changed: false })
         );
     }
 
@@ -205,8 +205,8 @@
     fn readiness_follows_what_the_process_can_do() {
         let mut door = OperatorDrain::default();
         assert_eq!(door.ready(ReadinessInputs::default()), Err(NotReadyReason::NoProcessor));
-        assert_eq!(door.ready(ReadinessInputs { well: false, ..UP }), Err(NotReadyReason::Unwell));
-        assert_eq!(door.ready(ReadinessInputs { leaving: true, ..UP }), Err(NotReadyReason::Leaving));
+        assert_eq!(door.ready(ReadinessInputs { well: false, ..UP }), Err(NotReadyReason::Unhealthy));
+        assert_eq!(door.ready(ReadinessInputs { leaving: true, ..UP }), Err(NotReadyReason::ShuttingDown));
         assert_eq!(door.order(Time(1), &AdminRequest::Health), None);
     }
 }
--- a/crates/core/src/classes.rs
+++ b/crates/core/src/classes.rs
@@ -195,7 +195,7 @@
         let Some(old) = self.slots.replace(slot, Arc::clone(&definition)) else { return (slot, Put::Same) };
         self.forget_window(old.profile.window);
         let Some(standing) = self.slots.state_mut(slot) else { return (slot, Put::Same) };
-        if old.profile.effect == Idempotency::ByKey {
+        if old.profile.effect == Idempotency::Keyed {
             standing.new_tokens = time_after(now, DROP_GRACE);
             let (before, window) = standing.keyed.filter(|(until, _)| *until > now).unwrap_or_default();
             // What begins under a new token until then goes by the longest window, not by the last.
@@ -205,10 +205,10 @@
         let back = standing.dropped.take().is_some();
         standing.still = None;
         if let Some((until, window)) = standing.keyed
-            && definition.profile.effect != Idempotency::ByKey
+            && definition.profile.effect != Idempotency::Keyed
         {
             let mut still = ClassDefinition::clone(&definition);
-            (still.profile.effect, still.profile.window) = (Idempotency::ByKey, window);
+            (still.profile.effect, still.profile.window) = (Idempotency::Keyed, window);
             standing.still = Some(Arc::new(still));
             self.due.insert((until, slot));
         }
@@ -231,7 +231,7 @@
     fn free_at(&self, slot: usize) -> Option<Time> {
         let (definition, standing) = self.slots.get(slot)?;
         let grace = time_after(standing.dropped?, DROP_GRACE);
-        let keyed = definition.profile.effect == Idempotency::ByKey;
+        let keyed = definition.profile.effect == Idempotency::Keyed;
         let window = if keyed { time_after(grace, definition.profile.window) } else { grace };
         Some(standing.keyed.map_or(window, |(until, _)| until.max(window)))
     }
--- a/crates/core/src/classes/tests.rs
+++ b/crates/core/src/classes/tests.rs
@@ -8,7 +8,7 @@
 }
 
 fn plain(name: &str, deadline: u64) -> Arc<ClassDefinition> {
-    class(name, Idempotency::Repeatable, 0, deadline)
+    class(name, Idempotency::Idempotent, 0, deadline)
 }
 
 fn names(classes: &Classes) -> Vec<(&str, u64)> {
@@ -41,7 +41,7 @@
 /// Guards against a slot that is given away while something refers to it, and one that is never used again.
 #[test]
 fn a_slot_is_free_once_its_grace_its_windows_and_its_requests_are_over() {
-    let mut classes = Classes::new([plain("view", 4), class("save", Idempotency::ByKey, 700, 4)]);
+    let mut classes = Classes::new([plain("view", 4), class("save", Idempotency::Keyed, 700, 4)]);
     for slot in 0..2 {
         classes.acquire(slot);
     }
@@ -85,32 +85,34 @@
 /// Guards the window of a run under a token across changes that make its class keyed no more, and keyed again.
 #[test]
 fn a_class_stays_keyed_for_the_module_until_its_last_window_is_past() {
-    let of = |effect| class("save", effect, if effect == Idempotency::ByKey { 700 } else { 0 }, 4);
+    let of = |effect| class("save", effect, if effect == Idempotency::Keyed { 700 } else { 0 }, 4);
     let holds = |classes: &Classes| (classes.profile(0).effect, classes.profile(0).window);
-    let mut classes = Classes::new([of(Idempotency::ByKey)]);
-    classes.put(Time(100), of(Idempotency::Once));
-    assert_eq!(classes.defined(0).profile.effect, Idempotency::Once);
-    assert_eq!(holds(&classes), (Idempotency::ByKey, Span(700)));
+    let mut classes = Classes::new([of(Idempotency::Keyed)]);
+    classes.put(Time(100), of(Idempotency::NonIdempotent));
+    assert_eq!(classes.defined(0).profile.effect, Idempotency::NonIdempotent);
+    assert_eq!(holds(&classes), (Idempotency::Keyed, Span(700)));
     // Other changes meanwhile don't lengthen it, nor cut it short.
-    classes.put(Time(200), of(Idempotency::Repeatable));
+    classes.put(Time(200), of(Idempotency::Idempotent));
     let until = grace(800, 0);
     assert!(classes.settle(Time(until.0 - 1), 9).is_empty());
-    assert_eq!(holds(&classes), (Idempotency::ByKey, Span(700)));
+    assert_eq!(holds(&classes), (Idempotency::Keyed, Span(700)));
     assert_eq!(classes.settle(until, 9), [Settled::Unkeyed(0)]);
     assert!(classes.settle(until, 9).is_empty());
-    assert_eq!(holds(&classes), (Idempotency::Repeatable, Span(0)));
-    for (at, effect) in [(300, Idempotency::ByKey), (400, Idempotency::Once), (500, Idempotency::ByKey)] {
+    assert_eq!(holds(&classes), (Idempotency::Idempotent, Span(0)));
+    for (at, effect) in
+        [(300, Idempotency::Keyed), (400, Idempotency::NonIdempotent), (500, Idempotency::Keyed)]
+    {
         classes.put(time_after(until, Span(at)), of(effect));
     }
     assert!(classes.settle(Time(u64::MAX), 9).is_empty());
-    assert_eq!(holds(&classes), (Idempotency::ByKey, Span(700)));
+    assert_eq!(holds(&classes), (Idempotency::Keyed, Span(700)));
 }
 
 /// Guards a run begun under a long window against a change to a short one and then to none: the long one counts.
 #[test]
 fn the_longest_window_of_what_a_class_was_counts() {
-    let mut classes = Classes::new([class("save", Idempotency::ByKey, 9_000, 4)]);
-    classes.put(Time(100), class("save", Idempotency::ByKey, 10, 4));
+    let mut classes = Classes::new([class("save", Idempotency::Keyed, 9_000, 4)]);
+    classes.put(Time(100), class("save", Idempotency::Keyed, 10, 4));
     assert_eq!(classes.longest_window(), Span(10));
     classes.put(Time(200), plain("save", 4));
     assert!(classes.settle(Time(grace(9_200, 0).0 - 1), 9).is_empty());
--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration.rs
@@ -57,7 +57,7 @@
     /// A change, or the check of one.
     Apply(Box<ApplyRequest>),
     /// What became of the request of this id.
-    Became(Name),
+    RequestStatus(Name),
     /// How the configuration stands here.
     Status,
 }
@@ -70,7 +70,7 @@
     /// How it stands.
     Status(Box<StatusReply>),
     /// Nothing was changed.
-    Refused(AdminError),
+    Rejected(AdminError),
 }
 
 /// The figures of a scrape.
--- a/crates/core/src/idempotency_log.rs
+++ b/crates/core/src/idempotency_log.rs
@@ -86,7 +86,7 @@
     /// It is.
     Good,
     /// Something in it can't be read: until its time is over, any token may have run.
-    Doubtful,
+    Incomplete,
     /// It can't.
     Down,
 }
@@ -98,7 +98,7 @@
             Self::Off => None,
             Self::Opening => Some("opening"),
             Self::Good => Some("good"),
-            Self::Doubtful => Some("doubtful"),
+            Self::Incomplete => Some("doubtful"),
             Self::Down => Some("down"),
         }
     }
@@ -122,9 +122,9 @@
 #[derive(Debug)]
 pub enum RecordBatch {
     /// To be added.
-    Add(Vec<LogRecord>),
+    Append(Vec<LogRecord>),
     /// All that is known, to be written anew; what was before counts no more once this is durable.
-    Anew(Vec<LogRecord>),
+    Rewrite(Vec<LogRecord>),
 }
 
 /// The ledger of one server.
@@ -180,7 +180,7 @@
         match &self.state {
             State::Off => StoreHealth::Off,
             State::Opening => StoreHealth::Opening,
-            State::Good if self.doubtful_until.is_some_and(|until| until > now) => StoreHealth::Doubtful,
+            State::Good if self.doubtful_until.is_some_and(|until| until > now) => StoreHealth::Incomplete,
             State::Good => StoreHealth::Good,
             State::Down { .. } => StoreHealth::Down,
         }
@@ -314,11 +314,11 @@
         all: impl FnOnce() -> Vec<KeyedRun>,
     ) -> Option<(u64, RecordBatch)> {
         let batch = match &mut self.state {
-            State::Good if !self.batch.is_empty() => RecordBatch::Add(std::mem::take(&mut self.batch)),
+            State::Good if !self.batch.is_empty() => RecordBatch::Append(std::mem::take(&mut self.batch)),
             // One at a time: behind a sync that never returns a second one would only wait too.
             State::Down { next, under_way: under_way @ None, .. } if *next <= moment.now => {
                 *under_way = Some(self.last + 1);
-                RecordBatch::Anew(all().into_iter().filter_map(anew).collect())
+                RecordBatch::Rewrite(all().into_iter().filter_map(anew).collect())
             }
             _ => return None,
         };
@@ -392,9 +392,13 @@
     fn a_try_begins_when_its_own_batch_is_durable() {
         let mut ledger = good();
         assert!(ledger.intent(Time(1), known(1)));
-        assert!(matches!(take(&mut ledger, 1), Some((1, RecordBatch::Add(records))) if records.len() == 1));
+        assert!(
+            matches!(take(&mut ledger, 1), Some((1, RecordBatch::Append(records))) if records.len() == 1)
+        );
         assert!(ledger.intent(Time(2), known(2)) && ledger.intent(Time(2), known(3)));
-        assert!(matches!(take(&mut ledger, 2), Some((2, RecordBatch::Add(records))) if records.len() == 2));
+        assert!(
+            matches!(take(&mut ledger, 2), Some((2, RecordBatch::Append(records))) if records.len() == 2)
+        );
         assert!(take(&mut ledger, 3).is_none());
         assert_eq!(ledger.persisted(Time(0), 1), [known(1).id]);
         assert_eq!(ledger.persisted(Time(0), 2), [known(2).id, known(3).id]);
@@ -417,7 +421,7 @@
         );
         assert!(take(&mut ledger, 900).is_none(), "not at once");
         let anew = |ledger: &mut IdempotencyLog, ms| match ledger.take(at(ms), || vec![known(7)]) {
-            Some((number, RecordBatch::Anew(records))) => (number, records.len()),
+            Some((number, RecordBatch::Rewrite(records))) => (number, records.len()),
             other => panic!("{other:?}"),
         };
         let (number, count) = anew(&mut ledger, 1_010);
--- a/crates/core/src/idempotency_table.rs
+++ b/crates/core/src/idempotency_table.rs
@@ -197,7 +197,7 @@
                 None => RunOutcome::Failed,
             }),
             SavedOutcome::Failed => Some(RunOutcome::Failed),
-            SavedOutcome::None => None,
+            SavedOutcome::Unknown => None,
         };
         match end {
             Some(end) => drop(self.ended(&token, &id, Some(end))),
--- a/crates/core/src/idempotency_table/tests.rs
+++ b/crates/core/src/idempotency_table/tests.rs
@@ -63,7 +63,7 @@
         let (mut keys, pool) = (IdempotencyTable::new(10_000), BufferPool::new(0));
         let moment = Timestamp { now: Time(77 * MS), unix_ms };
         keys.restore(past(1, SavedOutcome::Served(b"out".to_vec())), moment, &pool);
-        keys.restore(past(2, SavedOutcome::None), moment, &pool);
+        keys.restore(past(2, SavedOutcome::Unknown), moment, &pool);
         assert!(keys.ran("t1", unix_ms + 7_999) && !keys.ran("t1", unix_ms + 8_000));
         assert!(matches!(keys.join("t1", &RequestId::new("x")), Some(RunOutcome::Served(_))));
         assert!(keys.join("t2", &RequestId::new("y")).is_none(), "the processor may still tell");
--- a/crates/core/src/keyed_run.rs
+++ b/crates/core/src/keyed_run.rs
@@ -56,5 +56,5 @@
     /// Without one, or it is not kept.
     Failed,
     /// Nothing tells: it may never have begun, may run still, or has ended.
-    None,
+    Unknown,
 }
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -61,33 +61,33 @@
     /// With a result.
     Ok,
     /// It failed.
-    Error,
+    Failed,
     /// It was stopped.
     Stopped,
     /// Nothing was started.
-    Moot,
+    NotStarted,
 }
 
 /// What came in.
 #[derive(Debug)]
 pub enum Input {
     /// A client connection was accepted.
-    Opened(ConnectionId),
+    ConnectionOpened(ConnectionId),
     /// Nothing more comes from it: its peer has shut its half, or sent what is no message. All that came before was
     /// passed on, and is owed its answers.
-    Ended(ConnectionId),
+    ConnectionHalfClosed(ConnectionId),
     /// It has not said a whole message in its time. It is closed once it is owed nothing, unless one comes before that.
-    Late(ConnectionId),
+    ConnectionLate(ConnectionId),
     /// It is over, or can't be used any more.
-    Closed(ConnectionId),
+    ConnectionClosed(ConnectionId),
     /// A request.
-    Call(ConnectionId, SequenceId, Box<ClientRequest>),
+    Request(ConnectionId, SequenceId, Box<ClientRequest>),
     /// A message that asks for an answer but can't be taken: how it is wrong, and a text for its sender.
-    Invalid(ConnectionId, SequenceId, RequestError, String),
+    InvalidRequest(ConnectionId, SequenceId, RequestError, String),
     /// Nobody waits for a request any more.
     Cancel(ConnectionId, SequenceId),
     /// A health check.
-    Health(ConnectionId, SequenceId),
+    HealthCheck(ConnectionId, SequenceId),
     /// The processor greets on a new link: the link's number, whether it began cold, and how long ago.
     LinkUp {
         /// Number of the link, from 1.
@@ -103,7 +103,7 @@
     /// again. Its [`Input::LinkUp`] follows, on this link or on a later one.
     ProcessorRestarted,
     /// A run is over: the number of the notice, the request, its end, the time it took and the result.
-    Complete {
+    RunCompleted {
         /// Number of the notice.
         notice: u64,
         /// Which request.
@@ -116,7 +116,7 @@
         result: Buffer,
     },
     /// A run waits for a call to the ledger, with this body: the number of the notice, the request and the body.
-    Ask {
+    UpstreamCallRequested {
         /// Number of the notice.
         notice: u64,
         /// Which request.
@@ -125,7 +125,7 @@
         body: Buffer,
     },
     /// A call to the ledger ended: how, and with its reply where it went well.
-    Called {
+    UpstreamCallEnded {
         /// For which request.
         id: RequestId,
         /// Which call.
@@ -136,54 +136,54 @@
         reply: Option<Buffer>,
     },
     /// The gauges in the order of the settings, asked for under this number; no number where one is not told.
-    Used(u64, Vec<f64>),
+    GaugesRead(u64, Vec<f64>),
     /// Whose the run of a keyed request is, where two processes of an upgrade share them.
-    Claimed(RequestId, RunClaim),
+    RunClaimed(RequestId, RunClaim),
     /// A run was not begun.
-    Rejected(RequestId),
+    RunNotStarted(RequestId),
     /// Nothing more is read from a connection for so long, as it sends too much of what is turned away.
-    Paced(ConnectionId, Span),
+    ConnectionThrottled(ConnectionId, Span),
     /// The notice to leave.
-    Terminate,
+    ShutdownNotice,
     /// The fronts accept no more connections; all they accepted before were told.
-    NotAccepting,
+    StoppedAccepting,
     /// An operator takes the server out: told to those who list it, and drained once that may be known.
-    TakeOut,
+    TakeOutOfService,
     /// An operator takes it back in, if its drain has not begun.
-    TakeIn,
+    ReturnToService,
     /// What became of a question to a registry.
-    Registry(u64, RegistryReply),
+    RegistryReply(u64, RegistryReply),
     /// The configuration was read again, and compared with the classes and tenants in force.
     Reload(Box<Reload>),
     /// The configuration was read again and can't be used, for this reason; what is in force stays.
-    ReloadRefused(String),
+    ReloadRejected(String),
     /// An operator's call at the door, owed an answer under its id.
-    Admin(AdminRequestId, AdminRequest),
+    AdminRequest(AdminRequestId, AdminRequest),
     /// The store was opened, and this is what it held.
-    Recovered(Box<RecoveredRuns>),
+    StoreRecovered(Box<RecoveredRuns>),
     /// The folder in which the two processes of an upgrade claim keyed runs can be used from now on; this salt keys the
     /// prints of both.
     RunsShared(u64),
     /// All batches for the store up to this one are durable.
-    Persisted(u64),
+    StorePersisted(u64),
     /// What was written up to this batch can't be relied on, and why. With no batch: the store can't be opened.
-    Unpersisted(u64, String),
+    StoreFailed(u64, String),
     /// A tagged datagram of another server.
-    Envelope(Box<Envelope>),
+    PeerDatagram(Box<Envelope>),
     /// Datagrams at the fleet's address were dropped, so many for each reason.
-    EnvelopesDropped(Vec<(DropReason, u64)>),
+    PeerDatagramsDropped(Vec<(DropReason, u64)>),
     /// The fleet's keys, read again.
-    FleetKeys(AuthenticationKeys),
+    AuthenticationKeysReloaded(AuthenticationKeys),
     /// What was written in the council's folder up to this number is durable.
-    CouncilWritten(u64),
+    VoterStateWritten(u64),
     /// It couldn't be, and why; the folder was read anew and holds this.
-    CouncilFailed(Box<VoterState>, String),
+    VoterStateFailed(Box<VoterState>, String),
     /// What became of a configuration that was to be written.
     ConfigurationWritten(ConfigurationSaveResult),
     /// The digest of the settings in force, if they changed, and those that are staged.
-    SettingsAre(Option<String>, Vec<String>),
+    StagedSettingsChanged(Option<String>, Vec<String>),
     /// A step of this release could not be taken here, and why.
-    ChangeFailed(u64, String),
+    RolloutStepFailed(u64, String),
 }
 
 /// Whose the run of a token is, of two processes that share them.
@@ -194,7 +194,7 @@
     /// The other one's, which ended so.
     Ended(RunOutcome),
     /// It can't be told: it must not begin.
-    Unsure,
+    Unknown,
 }
 
 /// What is to be done.
@@ -203,68 +203,68 @@
     /// Make a configuration durable, where there is a folder for it.
     SaveConfiguration(Box<ConfigurationSave>),
     /// Send an answer, with the free value if one is set.
-    Answer(ConnectionId, SequenceId, Response, Option<f64>),
+    Respond(ConnectionId, SequenceId, Response, Option<f64>),
     /// Tell a connection that no more requests should come on it.
-    Draining(ConnectionId),
-    /// Close a connection once all is written; [`Input::Closed`] follows when its peer has ended it too.
-    Close(ConnectionId),
+    RequestDrain(ConnectionId),
+    /// Close a connection once all is written; [`Input::ConnectionClosed`] follows when its peer has ended it too.
+    CloseConnection(ConnectionId),
     /// Close a connection if nothing is under way on it: no more than so many of its messages were passed on, and
     /// nothing waits unread.
-    CloseResting(ConnectionId, u64),
+    CloseIdleConnection(ConnectionId, u64),
     /// The same for one that is late; half a message doesn't hold it.
-    CloseLate(ConnectionId, u64),
+    CloseLateConnection(ConnectionId, u64),
     /// Run a request: on which link, its id, its class and its body.
-    Begin(u64, RequestId, Arc<ClassDefinition>, Arc<Buffer>),
+    StartRun(u64, RequestId, Arc<ClassDefinition>, Arc<Buffer>),
     /// Call the ledger for a request: its id, the number of the call, the body, how long to wait for the reply, and the time after which it must
     /// not leave here any more, if there is one.
-    Call(RequestId, UpstreamCallId, Arc<Buffer>, Span, Option<Time>),
+    CallUpstream(RequestId, UpstreamCallId, Arc<Buffer>, Span, Option<Time>),
     /// Give a run on a link the reply to its call.
-    Reply(u64, RequestId, Arc<Buffer>),
+    DeliverUpstreamReply(u64, RequestId, Arc<Buffer>),
     /// Stop a run on a link.
-    Interrupt(u64, RequestId),
+    StopRun(u64, RequestId),
     /// Say whose the run of a keyed request is: its id, token and print, and how long to wait for another process's end.
-    Claim(RequestId, Arc<str>, Fingerprint, Span),
+    ClaimRun(RequestId, Arc<str>, Fingerprint, Span),
     /// A claimed run has its end, or with none never began: its token and print.
-    ClaimEnded(Arc<str>, Fingerprint, Option<RunOutcome>),
+    ReleaseClaim(Arc<str>, Fingerprint, Option<RunOutcome>),
     /// Ask on a link for the gauges, under a number.
-    Usage(u64, u64),
+    ReadGauges(u64, u64),
     /// Give a link up and make a new one.
-    Renew(u64),
+    ReconnectProcessor(u64),
     /// Keep the link to this address from now on, and make a new one at once.
-    Processor(SocketAddr),
+    SetProcessorAddress(SocketAddr),
     /// Report to this address from now on.
-    Control(SocketAddr),
+    SetControlAddress(SocketAddr),
     /// Call the shared ledger at this address from now on.
-    Ledger(SocketAddr),
+    SetUpstreamAddress(SocketAddr),
     /// Report to the control plane whether this server takes work.
-    Report(bool),
+    ReportReadiness(bool),
     /// Put a question to a registry.
-    Registry(RegistryRequest),
+    AskRegistry(RegistryRequest),
     /// Write records to the store, under this number.
-    Persist(u64, RecordBatch),
+    PersistRecords(u64, RecordBatch),
     /// Have the processor tell all the notices again that it keeps.
-    Retell,
+    ReplayNotices,
     /// The names that requests may use have changed so, in this order.
-    Names {
+    UpdateNames {
         /// The number of the last change of what is in force that these are of.
         edition: u64,
         /// The changes.
         changes: Vec<NameChange>,
     },
     /// The longest in which a keyed request may come again is this from now on.
-    LongestWindow(Span),
+    SetLongestWindow(Span),
     /// A reload is over: all of its file is in force, or nothing of it.
-    Reloaded,
+    ReloadFinished,
     /// Accept no more connections: the listener is the successor's now.
     StopAccepting,
     /// Answer an operator's call.
-    Admin(AdminRequestId, AdminResponse),
+    AnswerAdmin(AdminRequestId, AdminResponse),
     /// Send a datagram to another server.
-    Peer(SocketAddr, Vec<u8>),
+    SendPeerDatagram(SocketAddr, Vec<u8>),
     /// Write records into the council's folder: of which generation of it, under which number.
-    Council(u64, u64, Vec<DurableRecord>),
+    WriteVoterState(u64, u64, Vec<DurableRecord>),
     /// Change to another program or other settings, if that is still before the time.
-    Change(Box<StepAssignment>, Time),
+    StartRolloutStep(Box<StepAssignment>, Time),
     /// Write a line to the log.
     Log(slog::Level, String),
     /// End the process.
@@ -277,15 +277,15 @@
     /// A class is in force, as it was defined.
     Class(Handle, Arc<ClassDefinition>),
     /// A class was removed; requests that name it are still sent on, to be turned away by what is in force.
-    ClassDropped(Arc<ClassDefinition>),
+    ClassRemoved(Arc<ClassDefinition>),
     /// Nothing refers to it any more: its name is unknown.
-    ClassGone(Arc<ClassDefinition>),
+    ClassForgotten(Arc<ClassDefinition>),
     /// A tenant is in force.
     Tenant(Handle, Arc<Tenant>),
     /// A tenant was removed; requests may still name it.
     TenantRemoved(Arc<Tenant>),
     /// Its slot is another's: its name is unknown.
-    TenantGone(Arc<Tenant>),
+    TenantForgotten(Arc<Tenant>),
 }
 
 /// No processor ends and starts again in less. Tells a restart from a greeting that was on its way for a moment.
--- a/crates/core/src/reducer/agreed.rs
+++ b/crates/core/src/reducer/agreed.rs
@@ -13,7 +13,7 @@
 use gradepin_coordination::messages::ServerReport;
 use gradepin_coordination::rollback::ServiceTotal;
 use gradepin_coordination::rollout::ReleaseKind;
-use gradepin_coordination::server_agent::{AgentEffect as Asked, ServerAgent};
+use gradepin_coordination::server_agent::{AgentEffect, ServerAgent};
 use slog::Level;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -163,14 +163,14 @@
         }
     }
 
-    fn agreed_effect(&mut self, effect: Asked) {
+    fn agreed_effect(&mut self, effect: AgentEffect) {
         let now = self.moment.now;
         match effect {
-            Asked::Send(to, word) => self.fleet_post(&to, &word),
-            Asked::Write(number, records) => {
-                self.effects.push(Effect::Council(self.agreed.generation, number, records));
+            AgentEffect::Send(to, word) => self.fleet_post(&to, &word),
+            AgentEffect::Write(number, records) => {
+                self.effects.push(Effect::WriteVoterState(self.agreed.generation, number, records));
             }
-            Asked::MayLeave(epoch, until) => {
+            AgentEffect::PermitGranted(epoch, until) => {
                 if now < until {
                     self.log(Level::Info, format!("leaving by permit {epoch}"));
                     self.take_out();
@@ -179,8 +179,8 @@
                     self.asks_to_leave();
                 }
             }
-            Asked::Refused(why) => self.log(Level::Warning, format!("not leaving: {why}")),
-            Asked::MayChange(turn, until) => {
+            AgentEffect::PermitDenied(why) => self.log(Level::Warning, format!("not leaving: {why}")),
+            AgentEffect::StepGranted(turn, until) => {
                 let (kind, version) = (turn.kind, turn.version.clone());
                 if now >= until {
                     self.log(Level::Warning, format!("the turn for {version} came too late to begin"));
@@ -191,10 +191,10 @@
                 }
                 let what = if kind == ReleaseKind::Program { "program" } else { "settings" };
                 self.log(Level::Info, format!("changing to {what} {version} by permit {}", turn.epoch));
-                self.effects.push(Effect::Change(Box::new(turn), until));
+                self.effects.push(Effect::StartRolloutStep(Box::new(turn), until));
             }
-            Asked::Configuration(effect) => self.configuration_agreed(effect),
-            Asked::Note(bad, text) => {
+            AgentEffect::Configuration(effect) => self.configuration_agreed(effect),
+            AgentEffect::Log(bad, text) => {
                 self.log(if bad { Level::Warning } else { Level::Info }, text);
             }
         }
@@ -206,29 +206,29 @@
         let Some(part) = &mut self.agreed.part else { return AgreementResponse::Off };
         match call {
             AgreementRequest::Status => AgreementResponse::Status(Box::new(part.status(now))),
-            AgreementRequest::Order(order) => {
+            AgreementRequest::Command(order) => {
                 self.agreed.tickets += 1;
                 let ticket = self.agreed.tickets;
                 match part.order(now, ticket, *order) {
                     Ok(()) => AgreementResponse::Ticket(ticket),
-                    Err(why) => AgreementResponse::Said(Err(why)),
+                    Err(why) => AgreementResponse::Completed(Err(why)),
                 }
             }
-            AgreementRequest::Became(ticket) => AgreementResponse::Became(part.became(ticket)),
-            AgreementRequest::Found => {
-                AgreementResponse::Said(part.found(now).map_err(|why| why.to_string()))
+            AgreementRequest::CommandStatus(ticket) => AgreementResponse::CommandStatus(part.became(ticket)),
+            AgreementRequest::FoundGroup => {
+                AgreementResponse::Completed(part.found(now).map_err(|why| why.to_string()))
             }
-            AgreementRequest::Wanted(name) => {
-                AgreementResponse::Wanted(part.record().and_then(|record| record.program_for(&name)))
+            AgreementRequest::TargetVersion(name) => {
+                AgreementResponse::TargetVersion(part.record().and_then(|record| record.program_for(&name)))
             }
             AgreementRequest::Leave => {
                 self.asks_to_leave();
-                AgreementResponse::Said(Ok("asking for a permit".into()))
+                AgreementResponse::Completed(Ok("asking for a permit".into()))
             }
             AgreementRequest::Stay => {
                 self.asks_to_stay();
                 self.take_in();
-                AgreementResponse::Said(Ok("staying".into()))
+                AgreementResponse::Completed(Ok("staying".into()))
             }
         }
     }
--- a/crates/core/src/reducer/calls.rs
+++ b/crates/core/src/reducer/calls.rs
@@ -18,7 +18,7 @@
         open.call = Some(Arc::new(body));
         (open.call_since, open.call_number) = (None, None);
         self.fleet_asks(id, true);
-        self.events.push(Event::ReadyToCall(id.clone()));
+        self.events.push(Event::UpstreamCallNeeded(id.clone()));
     }
 
     /// The module makes the call a run waits for.
@@ -53,7 +53,7 @@
             open.call.clone()
         });
         if let Some(body) = body {
-            self.effects.push(Effect::Call(id.clone(), number, body, timeout, leaves));
+            self.effects.push(Effect::CallUpstream(id.clone(), number, body, timeout, leaves));
         }
         number
     }
@@ -85,19 +85,19 @@
         let Some(since) = open.call_since.take() else { return };
         open.call_number = None;
         let took = Span(now.0.saturating_sub(since.0));
-        if outcome != Outcome::Delivered {
+        if outcome != Outcome::Success {
             let text =
                 format!("a call to the ledger for {} ended {outcome:?} after {} ms", id.0, took.0 / MS);
             self.effects.push(Effect::Log(Level::Warning, text));
         }
-        if let (Outcome::Delivered, Some(reply)) = (outcome, reply) {
+        if let (Outcome::Success, Some(reply)) = (outcome, reply) {
             open.call = None;
             self.reply(id.clone(), Arc::new(reply));
         } else {
             // It waits for its call still, until the module makes it again or gives the request up.
             self.fleet_asks(id, true);
         }
-        self.events.push(Event::CallResult { id: id.clone(), outcome, took });
+        self.events.push(Event::UpstreamCallEnded { id: id.clone(), outcome, took });
     }
 
     /// Gives a run the reply to its call, now or once the link stands and is settled; what a fallen link may have lost
@@ -105,7 +105,7 @@
     /// made twice, or keyed requests failed, because a link fell beside them.
     pub(super) fn reply(&mut self, id: RequestId, reply: Arc<Buffer>) {
         if let Some(link) = self.link.settled() {
-            self.effects.push(Effect::Reply(link, id.clone(), Arc::clone(&reply)));
+            self.effects.push(Effect::DeliverUpstreamReply(link, id.clone(), Arc::clone(&reply)));
         }
         self.link.replies.push((id, reply, self.link.asked));
     }
@@ -113,7 +113,7 @@
     /// Stops a run where there is a link; a run that ends so is told as stopped.
     pub(super) fn interrupt(&mut self, id: &RequestId) {
         if let (Some(_), Some(link)) = (self.requests.get(id), self.link.number) {
-            self.effects.push(Effect::Interrupt(link, id.clone()));
+            self.effects.push(Effect::StopRun(link, id.clone()));
         }
     }
 }
--- a/crates/core/src/reducer/claims.rs
+++ b/crates/core/src/reducer/claims.rs
@@ -13,7 +13,7 @@
         let Some(open) = self.requests.get(id) else { return };
         let Some((token, print)) = open.key() else { return };
         let patience = self.claims.asked(id, self.classes.profile(open.class).deadline);
-        self.effects.push(Effect::Claim(id.clone(), Arc::clone(token), print, patience));
+        self.effects.push(Effect::ClaimRun(id.clone(), Arc::clone(token), print, patience));
     }
 
     /// It is told whose the run is.
@@ -24,7 +24,7 @@
         match claim {
             RunClaim::Ours => self.begin(id),
             RunClaim::Ended(end) => self.ran_elsewhere(id, end),
-            RunClaim::Unsure => self.never_ran(id),
+            RunClaim::Unknown => self.never_ran(id),
         }
     }
 
@@ -35,7 +35,7 @@
         self.answer_end(id, end.clone());
         self.forget(id);
         // Nothing was started here, and nothing is to be learnt of how long it took.
-        self.events.push(Event::Completed { id: id.clone(), outcome: Outcome::Unused, took: Span(0) });
+        self.events.push(Event::Completed { id: id.clone(), outcome: Outcome::NotStarted, took: Span(0) });
         let waiters = token.map(|token| self.keys.ended(&token, id, Some(end.clone()))).unwrap_or_default();
         for waiter in waiters {
             self.joined(&waiter, end.clone());
@@ -46,7 +46,7 @@
     pub(super) fn claim_ended(&mut self, token: &Arc<str>, end: Option<RunOutcome>) {
         if self.claims.is_on() {
             let print = self.keys.known(token, self.moment.now).map_or(0, |known| known.print);
-            self.effects.push(Effect::ClaimEnded(Arc::clone(token), print, end));
+            self.effects.push(Effect::ReleaseClaim(Arc::clone(token), print, end));
         }
     }
 }
--- a/crates/core/src/reducer/configuration.rs
+++ b/crates/core/src/reducer/configuration.rs
@@ -14,7 +14,7 @@
 use crate::messages::{Effect, earliest};
 use gradepin_admission::{Span, Time, span_seconds, time_after};
 use gradepin_config::admin::Source;
-use gradepin_config::dissemination::{Dissemination, DisseminationEffect as Spread, Member};
+use gradepin_config::dissemination::{Dissemination, DisseminationEffect, Member};
 use gradepin_config::{Commit, Configuration, Name, Revision, Snapshot, Transaction};
 use gradepin_coordination::server_agent::ConfigurationEffect;
 use slog::Level;
@@ -242,17 +242,17 @@
         self.next_revision();
     }
 
-    fn spread_effect(&mut self, effect: Spread) {
+    fn spread_effect(&mut self, effect: DisseminationEffect) {
         match effect {
-            Spread::Send { to, bytes } => {
+            DisseminationEffect::Send { to, bytes } => {
                 let mut content = Vec::with_capacity(1 + bytes.len());
                 content.push(CONFIGURATION_TAG);
                 content.extend_from_slice(&bytes);
                 self.fleet_post(&to, &content);
             }
-            Spread::Apply(commit) => self.take_commit(commit),
-            Spread::Install(snapshot) => self.take_state(snapshot),
-            Spread::Note { bad, text } => {
+            DisseminationEffect::Apply(commit) => self.take_commit(commit),
+            DisseminationEffect::Install(snapshot) => self.take_state(snapshot),
+            DisseminationEffect::Note { bad, text } => {
                 let level = if bad { Level::Warning } else { Level::Info };
                 self.log(level, format!("configuration: {text}"));
             }
--- a/crates/core/src/reducer/configuration/tests.rs
+++ b/crates/core/src/reducer/configuration/tests.rs
@@ -74,9 +74,9 @@
 fn status(reducer: &mut Reducer, now: Time) -> StatusReply {
     let mut effects = Vec::new();
     let call = AdminRequest::Configuration(ConfigurationAdminRequest::Status);
-    reducer.step(Timestamp { now, ..Timestamp::default() }, [Input::Admin(1, call)], &mut effects);
+    reducer.step(Timestamp { now, ..Timestamp::default() }, [Input::AdminRequest(1, call)], &mut effects);
     let answer = effects.into_iter().find_map(|effect| match effect {
-        Effect::Admin(1, AdminResponse::Configuration(answer)) => Some(*answer),
+        Effect::AnswerAdmin(1, AdminResponse::Configuration(answer)) => Some(*answer),
         _ => None,
     });
     match answer {
@@ -121,7 +121,7 @@
     let ghost = |base: &Configuration| {
         let mut profile = base.class("read").expect("there").profile.clone();
         profile.name = "ghost".into();
-        Arc::new(ClassDefinition { profile, calls: false, skip_worth: 0.0 })
+        Arc::new(ClassDefinition { profile, calls: false, skip_weight: 0.0 })
     };
     let mut class = None;
     let mut reducer = server(|base| {
@@ -168,7 +168,7 @@
     let settings = Arc::new(config.settings.clone());
     let mut reducer = Reducer::new(&config, settings, Registration::default()).expect("a server");
     let answer = reducer.configuration_call(ConfigurationAdminRequest::Status);
-    assert_eq!(answer, ConfigurationAdminResponse::Refused(AdminError::Off));
+    assert_eq!(answer, ConfigurationAdminResponse::Rejected(AdminError::Off));
     assert!(!reducer.configuration_message(&"n2".into(), &[3, 1]), "a consensus message");
     assert!(reducer.configuration_message(&"n2".into(), &[CONFIGURATION_TAG, 1]), "and none");
 }
--- a/crates/core/src/reducer/configuration_calls.rs
+++ b/crates/core/src/reducer/configuration_calls.rs
@@ -119,17 +119,17 @@
         call: ConfigurationAdminRequest,
     ) -> ConfigurationAdminResponse {
         if self.committed.0.is_none() {
-            return ConfigurationAdminResponse::Refused(AdminError::Off);
+            return ConfigurationAdminResponse::Rejected(AdminError::Off);
         }
         let answer = match call {
             ConfigurationAdminRequest::Status => return self.configuration_status(),
-            ConfigurationAdminRequest::Became(request_id) => self.request_became(request_id),
+            ConfigurationAdminRequest::RequestStatus(request_id) => self.request_became(request_id),
             ConfigurationAdminRequest::Apply(request) if request.dry_run => {
                 self.check_request(&request.proposal)
             }
             ConfigurationAdminRequest::Apply(request) => self.propose(*request),
         };
-        answer.map_or_else(ConfigurationAdminResponse::Refused, ConfigurationAdminResponse::Apply)
+        answer.map_or_else(ConfigurationAdminResponse::Rejected, ConfigurationAdminResponse::Apply)
     }
 
     fn request_became(&self, request_id: Name) -> Result<ApplyReply, AdminError> {
@@ -173,7 +173,7 @@
     fn configuration_status(&self) -> ConfigurationAdminResponse {
         let now = self.moment.now;
         let Some(service) = &self.committed.0 else {
-            return ConfigurationAdminResponse::Refused(AdminError::Off);
+            return ConfigurationAdminResponse::Rejected(AdminError::Off);
         };
         let spread = service.spread.status();
         let cannot_apply = service.stuck.as_ref().map(|(why, _)| why.clone());
--- a/crates/core/src/reducer/connections.rs
+++ b/crates/core/src/reducer/connections.rs
@@ -220,9 +220,9 @@
     pub(super) fn close_if_over(&mut self, conn: ConnectionId) {
         match self.conns.table.get(&conn) {
             Some(connection) if !connection.open.is_empty() => {}
-            Some(connection) if connection.ended => self.effects.push(Effect::Close(conn)),
+            Some(connection) if connection.ended => self.effects.push(Effect::CloseConnection(conn)),
             Some(connection) if connection.late => {
-                self.effects.push(Effect::CloseLate(conn, connection.taken));
+                self.effects.push(Effect::CloseLateConnection(conn, connection.taken));
             }
             // What is on its way from it yet is answered first.
             Some(connection) if connection.refused => self.close_resting(conn),
@@ -233,14 +233,14 @@
     pub(super) fn ask_to_drain(&mut self, conn: ConnectionId) {
         if let Some(connection) = self.conns.table.get_mut(&conn).filter(|c| c.draining.is_none()) {
             connection.draining = Some(self.moment.now);
-            self.effects.push(Effect::Draining(conn));
+            self.effects.push(Effect::RequestDrain(conn));
         }
     }
 
     pub(super) fn close_resting(&mut self, conn: ConnectionId) {
         if let Some(connection) = self.conns.table.get_mut(&conn) {
             connection.closing = Some(self.moment.now);
-            self.effects.push(Effect::CloseResting(conn, connection.taken));
+            self.effects.push(Effect::CloseIdleConnection(conn, connection.taken));
         }
     }
 
--- a/crates/core/src/reducer/drain.rs
+++ b/crates/core/src/reducer/drain.rs
@@ -91,7 +91,7 @@
     pub(super) fn tell_leaving(&mut self) {
         let spent = Span(STOP_OVERDUE.0 + STOP_MARGIN.0);
         let end = self.drain.exit_at.map_or(self.moment.now, |exit| time_before(exit, spent));
-        self.events.push(Event::Sigterm(Span(end.0.saturating_sub(self.moment.now.0))));
+        self.events.push(Event::ShutdownNotice(Span(end.0.saturating_sub(self.moment.now.0))));
     }
 
     /// What keeps a process that hands over or closes down: requests owed an answer, and connections. Those that rest after
--- a/crates/core/src/reducer/fleet.rs
+++ b/crates/core/src/reducer/fleet.rs
@@ -62,7 +62,7 @@
 
     fn estimate(&self, classes: &Classes, class: usize) -> Span {
         let seen = self.estimates.get(class).copied().filter(|span| span.0 > 0);
-        seen.unwrap_or(Span(classes.profile(class).promise.0 / FIRST_ESTIMATE))
+        seen.unwrap_or(Span(classes.profile(class).latency_objective.0 / FIRST_ESTIMATE))
     }
 
     fn ended(&mut self, class: usize, took: Span) {
@@ -220,7 +220,7 @@
                     let number = self.make_call(&id, left, leaves);
                     self.fleet.slots.insert(number, now);
                 }
-                CallDecision::Rejected if still => self.call_ended(&id, None, Outcome::Shed, None),
+                CallDecision::Rejected if still => self.call_ended(&id, None, Outcome::Rejected, None),
                 CallDecision::Rejected | CallDecision::Wait => {}
             }
         }
@@ -241,7 +241,7 @@
         });
         for id in overdue {
             if self.requests.get(&id).is_some_and(|open| open.call.is_some()) {
-                self.call_ended(&id, None, Outcome::Shed, None);
+                self.call_ended(&id, None, Outcome::Rejected, None);
             }
         }
     }
@@ -281,7 +281,9 @@
         }
         for effect in asked {
             match effect {
-                ClusterEffect::Send { to, datagram } => self.effects.push(Effect::Peer(to, datagram)),
+                ClusterEffect::Send { to, datagram } => {
+                    self.effects.push(Effect::SendPeerDatagram(to, datagram))
+                }
                 ClusterEffect::Post { from, incarnation, content } => {
                     if !self.configuration_message(&from, &content) {
                         self.agreed_word(&from, incarnation.0, &content);
@@ -381,7 +383,7 @@
         cluster.step(self.moment.now, &mut asked);
         for effect in asked {
             if let ClusterEffect::Send { to, datagram } = effect {
-                self.effects.push(Effect::Peer(to, datagram));
+                self.effects.push(Effect::SendPeerDatagram(to, datagram));
             }
         }
     }
--- a/crates/core/src/reducer/keeping.rs
+++ b/crates/core/src/reducer/keeping.rs
@@ -83,7 +83,7 @@
             self.past.hope = Some(time_after(now, Span(longest.unwrap_or(0).saturating_mul(HOPE_MULTIPLE))));
             if self.link.heard != Time::default() {
                 // What it told so far was about runs that weren't known yet.
-                self.effects.push(Effect::Retell);
+                self.effects.push(Effect::ReplayNotices);
             }
         }
     }
@@ -111,7 +111,7 @@
         }
         let keys = &self.keys;
         if let Some((number, batch)) = self.ledger.take(self.moment, || keys.all_known(now)) {
-            self.effects.push(Effect::Persist(number, batch));
+            self.effects.push(Effect::PersistRecords(number, batch));
         }
         for (bad, note) in self.ledger.notes() {
             self.log(if bad { Level::Error } else { Level::Info }, note);
--- a/crates/core/src/reducer/link.rs
+++ b/crates/core/src/reducer/link.rs
@@ -83,7 +83,7 @@
         if first {
             // Warmth counts from the start of the processor, which may be long after this process's.
             let mut settings = Settings::clone(&self.settings);
-            settings.specifics.just_started = cold;
+            settings.specifics.cold_start = cold;
             let mut controller = Controller::new(settings, self.seed, time_before(now, age));
             for (slot, class) in self.classes.iter() {
                 controller.put_class(slot, Arc::clone(class));
@@ -127,7 +127,7 @@
         self.link.last_notice = 0;
         self.link.is_another = true;
         for id in self.requests.all_running() {
-            self.ended(&id, RunEnd::Error, Span(0), None);
+            self.ended(&id, RunEnd::Failed, Span(0), None);
         }
     }
 
@@ -135,7 +135,7 @@
     pub(super) fn ask(&mut self, link: u64) {
         self.link.asked += 1;
         self.link.open_since = Some(self.moment.now);
-        self.effects.push(Effect::Usage(link, self.link.asked));
+        self.effects.push(Effect::ReadGauges(link, self.link.asked));
     }
 
     pub(super) fn used(&mut self, tag: u64, values: &[f64]) {
@@ -160,14 +160,14 @@
         self.link.replies.retain(|(.., asked)| *asked >= tag);
         // Guards against an answer from before the retelling: the end of an earlier life's run may still be told.
         if self.link.retold.is_some_and(|retold| retold <= tag) {
-            self.count_runs(gauges.on_cores);
+            self.count_runs(gauges.runnable);
         }
     }
 
     /// Where no more runs than were begun here are on the cores, none of an earlier life is, and its end was told before or
     /// never will be. Guards against repeats that wait in life after life for a run that never reached the processor.
-    pub(super) fn count_runs(&mut self, on_cores: Option<f64>) {
-        let (Some(_), Some(on)) = (self.past.hope(), on_cores) else { return };
+    pub(super) fn count_runs(&mut self, runnable: Option<f64>) {
+        let (Some(_), Some(on)) = (self.past.hope(), runnable) else { return };
         let running = self.requests.count_running();
         // Those still without an intent, and those begun after the question, aren't among them.
         let own = running.saturating_sub(self.ledger.waiting() + self.link.unproven.len());
@@ -188,7 +188,7 @@
                 (Some(_), Some(since)) if now < time_after(since, GAUGES_WAIT) => return,
                 (Some(link), Some(since)) if now >= time_after(since, LINK_PATIENCE) => {
                     self.log(Level::Warning, "the processor doesn't answer; renewing the link".into());
-                    self.effects.push(Effect::Renew(link));
+                    self.effects.push(Effect::ReconnectProcessor(link));
                     self.link.open_since = Some(now);
                 }
                 _ => {}
--- a/crates/core/src/reducer/mod.rs
+++ b/crates/core/src/reducer/mod.rs
@@ -215,31 +215,33 @@
     }
 
     fn input(&mut self, input: Input) {
-        if let Input::Call(conn, ..)
-        | Input::Invalid(conn, ..)
+        if let Input::Request(conn, ..)
+        | Input::InvalidRequest(conn, ..)
         | Input::Cancel(conn, _)
-        | Input::Health(conn, _) = &input
+        | Input::HealthCheck(conn, _) = &input
         {
             self.conns.took(*conn);
         }
-        if let Input::Call(conn, seq, _) | Input::Invalid(conn, seq, ..) | Input::Health(conn, seq) = &input
+        if let Input::Request(conn, seq, _)
+        | Input::InvalidRequest(conn, seq, ..)
+        | Input::HealthCheck(conn, seq) = &input
             && self.came_twice(*conn, *seq)
         {
             return;
         }
         match input {
-            Input::Opened(conn) => self.opened(conn),
-            Input::Ended(conn) => self.input_ended(conn),
-            Input::Late(conn) => self.late(conn),
-            Input::Closed(conn) => self.closed(conn),
-            Input::Call(conn, seq, call) => self.call(conn, seq, *call),
-            Input::Invalid(conn, seq, misuse, why) => self.invalid(conn, seq, None, misuse, why),
+            Input::ConnectionOpened(conn) => self.opened(conn),
+            Input::ConnectionHalfClosed(conn) => self.input_ended(conn),
+            Input::ConnectionLate(conn) => self.late(conn),
+            Input::ConnectionClosed(conn) => self.closed(conn),
+            Input::Request(conn, seq, call) => self.call(conn, seq, *call),
+            Input::InvalidRequest(conn, seq, misuse, why) => self.invalid(conn, seq, None, misuse, why),
             Input::Cancel(conn, seq) => self.cancel(conn, seq),
-            Input::Health(conn, seq) => {
+            Input::HealthCheck(conn, seq) => {
                 self.conns.rest(conn, self.moment.now);
                 let good = self.active && self.door.failed_since().is_none();
                 let health = Response::Health(good, self.ledger.standing(self.moment.now).word());
-                self.effects.push(Effect::Answer(conn, seq, health, self.hint));
+                self.effects.push(Effect::Respond(conn, seq, health, self.hint));
                 self.close_if_over(conn);
             }
             Input::LinkUp { link, cold, age } => self.link_up(link, cold, age),
@@ -248,62 +250,66 @@
                 self.link.down();
             }
             Input::ProcessorRestarted => self.restarted(),
-            Input::Complete { notice, id, end, took, result } => {
+            Input::RunCompleted { notice, id, end, took, result } => {
                 if self.link.notice(notice, self.moment.now) {
                     self.complete(&id, end, took, result);
                 } else if self.keys.hopes() {
                     self.learned(&id, end, &result);
                 }
             }
-            Input::Ask { notice, id, body } => {
+            Input::UpstreamCallRequested { notice, id, body } => {
                 if self.link.notice(notice, self.moment.now) {
                     self.asks(&id, body);
                 }
             }
-            Input::Called { id, number, outcome, reply } => self.called(&id, number, outcome, reply),
-            Input::Claimed(id, claim) => self.claimed(&id, claim),
+            Input::UpstreamCallEnded { id, number, outcome, reply } => {
+                self.called(&id, number, outcome, reply)
+            }
+            Input::RunClaimed(id, claim) => self.claimed(&id, claim),
             Input::RunsShared(salt) => {
                 self.past.salt = salt;
                 self.log(Level::Info, "keyed runs are shared from now on".into());
             }
-            Input::Used(tag, values) => {
+            Input::GaugesRead(tag, values) => {
                 self.link.heard = self.moment.now;
                 self.used(tag, &values);
             }
-            Input::Rejected(id) => self.rejected(&id),
-            Input::Paced(conn, pause) => self.conns.paced(conn, time_after(self.moment.now, pause)),
-            Input::Terminate => self.terminate(),
-            Input::NotAccepting => self.drain.handover.stopped(),
-            Input::TakeOut => {
+            Input::RunNotStarted(id) => self.rejected(&id),
+            Input::ConnectionThrottled(conn, pause) => {
+                self.conns.paced(conn, time_after(self.moment.now, pause))
+            }
+            Input::ShutdownNotice => self.terminate(),
+            Input::StoppedAccepting => self.drain.handover.stopped(),
+            Input::TakeOutOfService => {
                 if !self.asks_to_leave() {
                     self.take_out();
                 }
             }
-            Input::TakeIn => {
+            Input::ReturnToService => {
                 self.asks_to_stay();
                 self.take_in();
             }
-            Input::CouncilWritten(number) => self.council_written(number),
-            Input::CouncilFailed(found, why) => self.council_failed(*found, &why),
+            Input::VoterStateWritten(number) => self.council_written(number),
+            Input::VoterStateFailed(found, why) => self.council_failed(*found, &why),
             Input::ConfigurationWritten(written) => self.configuration_written(written),
-            Input::SettingsAre(settings, staged) => self.settings_are(settings, staged),
-            Input::ChangeFailed(release, why) => self.change_failed(release, why),
-            Input::Registry(ticket, reply) => self.registration.reply(self.moment.now, ticket, reply),
+            Input::StagedSettingsChanged(settings, staged) => self.settings_are(settings, staged),
+            Input::RolloutStepFailed(release, why) => self.change_failed(release, why),
+            Input::RegistryReply(ticket, reply) => self.registration.reply(self.moment.now, ticket, reply),
             Input::Reload(config) => self.reload(config),
-            Input::ReloadRefused(why) => self.reload_refused(&why),
-            Input::Admin(id, call) => self.admin(id, call),
-            Input::Recovered(recovered) => self.recovered(*recovered),
-            Input::Persisted(upto) => {
+            Input::ReloadRejected(why) => self.reload_refused(&why),
+            Input::AdminRequest(id, call) => self.admin(id, call),
+            Input::StoreRecovered(recovered) => self.recovered(*recovered),
+            Input::StorePersisted(upto) => {
                 for id in self.ledger.persisted(self.moment.now, upto) {
                     if self.requests.running(&id).is_some() {
                         self.begin(&id);
                     }
                 }
             }
-            Input::Envelope(envelope) => self.envelope_received(&envelope),
-            Input::EnvelopesDropped(dropped) => self.envelopes_dropped(&dropped),
-            Input::FleetKeys(keys) => self.fleet_keys(keys),
-            Input::Unpersisted(upto, why) => {
+            Input::PeerDatagram(envelope) => self.envelope_received(&envelope),
+            Input::PeerDatagramsDropped(dropped) => self.envelopes_dropped(&dropped),
+            Input::AuthenticationKeysReloaded(keys) => self.fleet_keys(keys),
+            Input::StoreFailed(upto, why) => {
                 for id in self.ledger.failed(self.moment.now, upto, &why) {
                     self.never_ran(&id);
                 }
@@ -330,26 +336,26 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Process(id) => self.process(&id),
-            Action::Refuse { id, come_back, last } => {
-                self.finish(&id, Response::Refused { backoff: come_back, last })
+            Action::Run(id) => self.process(&id),
+            Action::Reject { id, retry_after, last } => {
+                self.finish(&id, Response::Rejected { backoff: retry_after, last })
             }
-            Action::Error(id) => {
+            Action::Fail(id) => {
                 let late = self.is_late(&id);
                 self.finish(&id, Response::Failed { late });
             }
-            Action::Remember { id, hold_for } => {
-                let until = time_after(self.moment.now, hold_for);
+            Action::RetainIdempotencyKey { id, retain_for } => {
+                let until = time_after(self.moment.now, retain_for);
                 if let Some((token, print)) = self.requests.get(&id).and_then(Open::key) {
                     self.keys.remember(token, print, &id, until);
                 }
             }
-            Action::ReleaseKey(id) => {
+            Action::ReleaseIdempotencyKey(id) => {
                 if let Some(token) = self.requests.get(&id).and_then(|open| open.token.as_ref()) {
                     self.keys.release(token, &id);
                 }
             }
-            Action::Join(id) => {
+            Action::JoinRun(id) => {
                 let Some(open) = self.requests.get_mut(&id) else { return };
                 open.state = State::Joined(self.moment.now);
                 let token = open.token.clone();
@@ -366,13 +372,13 @@
                     self.log(Level::Info, format!("health is {}", if active { "good" } else { "bad" }));
                 }
             }
-            Action::Signal(value) => self.hint = Some(value),
-            Action::IdleLimit(span) => self.conns.idle_limit(span),
-            Action::Remind(time) => self.duties.remind(time),
-            Action::Emit(text) => self.log(Level::Info, text),
-            Action::AskBelow { id, timeout } => self.ask_below(&id, timeout),
-            Action::Suspend(id) => self.interrupt(&id),
-            Action::Degrade(_) => {
+            Action::AdvertiseCapacity(value) => self.hint = Some(value),
+            Action::SetIdleTimeout(span) => self.conns.idle_limit(span),
+            Action::SetTimer(time) => self.duties.remind(time),
+            Action::Log(text) => self.log(Level::Info, text),
+            Action::CallUpstream { id, timeout } => self.ask_below(&id, timeout),
+            Action::StopRun(id) => self.interrupt(&id),
+            Action::SkipUpstreamCall(_) => {
                 self.log(
                     Level::Error,
                     "the module asked to go on without a call, which the processor can't".into(),
--- a/crates/core/src/reducer/operators.rs
+++ b/crates/core/src/reducer/operators.rs
@@ -10,17 +10,17 @@
 impl Reducer {
     /// An operator's call; each is answered in this step.
     pub(super) fn admin(&mut self, id: AdminRequestId, call: AdminRequest) {
-        if let AdminRequest::Agreed(call) = call {
-            let answer = AdminResponse::Agreed(self.agreed_call(call));
-            return self.effects.push(Effect::Admin(id, answer));
+        if let AdminRequest::Agreement(call) = call {
+            let answer = AdminResponse::Agreement(self.agreed_call(call));
+            return self.effects.push(Effect::AnswerAdmin(id, answer));
         }
         if let AdminRequest::Configuration(call) = call {
             let answer = AdminResponse::Configuration(Box::new(self.configuration_call(call)));
-            return self.effects.push(Effect::Admin(id, answer));
+            return self.effects.push(Effect::AnswerAdmin(id, answer));
         }
         let answer = match self.door.order(self.moment.now, &call) {
             Some(done) => {
-                if let AdminResponse::Done { failed, changed: true } = done {
+                if let AdminResponse::DrainState { failed, changed: true } = done {
                     // The control plane and health checks hear of it at once.
                     self.changed();
                     let text = if failed { "drained at the operators' call" } else { "back to work" };
@@ -41,7 +41,7 @@
                 }))
             }
         };
-        self.effects.push(Effect::Admin(id, answer));
+        self.effects.push(Effect::AnswerAdmin(id, answer));
     }
 
     /// Whether this process is ready to serve, and if not, why.
--- a/crates/core/src/reducer/requests.rs
+++ b/crates/core/src/reducer/requests.rs
@@ -178,13 +178,19 @@
             // against more bodies than the memory holds, on many connections.
             return self.turn_away(conn, seq, class, Span(0));
         }
-        if self.classes.profile(class).effect != gradepin_admission::Idempotency::ByKey {
+        if self.classes.profile(class).effect != gradepin_admission::Idempotency::Keyed {
             // Where no class is keyed by it, a token means nothing.
             call.token = None;
         }
         let deadline = self.classes.profile(class).deadline;
         if call.budget > BUDGET_MULTIPLE * deadline.0.div_ceil(MS) {
-            return self.invalid(conn, seq, Some(class), RequestError::Request, "budget out of range".into());
+            return self.invalid(
+                conn,
+                seq,
+                Some(class),
+                RequestError::Malformed,
+                "budget out of range".into(),
+            );
         }
         if self.requests.open.contains_key(&call.id) {
             let why = format!("the rid {} is open already", call.id.0);
@@ -297,9 +303,9 @@
     /// Turns away what the module never hears of.
     pub(super) fn turn_away(&mut self, conn: ConnectionId, seq: SequenceId, class: usize, backoff: Span) {
         self.conns.rest(conn, self.moment.now);
-        let answer = Response::Refused { backoff, last: false };
+        let answer = Response::Rejected { backoff, last: false };
         self.tally.answered(&self.classes.profile(class).name, &answer);
-        self.effects.push(Effect::Answer(conn, seq, answer, self.hint));
+        self.effects.push(Effect::Respond(conn, seq, answer, self.hint));
         self.close_if_over(conn);
     }
 
@@ -338,7 +344,7 @@
         if let Some(class) = class {
             self.tally.answered(&self.classes.profile(class).name, &answer);
         }
-        self.effects.push(Effect::Answer(conn, seq, answer, self.hint));
+        self.effects.push(Effect::Respond(conn, seq, answer, self.hint));
         self.close_if_over(conn);
     }
 
@@ -362,7 +368,7 @@
             // The module may still release its key: it is taken out after that.
             self.requests.left.push(id.clone());
         }
-        self.events.push(Event::Left(id.clone()));
+        self.events.push(Event::CallerGone(id.clone()));
     }
 
     /// A final answer of the module's own; a run goes on in the books until its notice.
@@ -377,7 +383,7 @@
         let answer = match end {
             RunOutcome::Served(result) => Response::Served(result),
             RunOutcome::Failed => Response::Failed { late: self.is_late(id) },
-            RunOutcome::Unknown => Response::Unknown,
+            RunOutcome::Unknown => Response::OutcomeUnknown,
         };
         self.answer(id, answer);
     }
@@ -393,8 +399,7 @@
             return;
         };
         let took = Span(self.moment.now.0.saturating_sub(since.0));
-        let outcome =
-            if matches!(end, RunOutcome::Served(_)) { Outcome::Delivered } else { Outcome::AppError };
+        let outcome = if matches!(end, RunOutcome::Served(_)) { Outcome::Success } else { Outcome::Failure };
         self.answer_end(id, end);
         self.forget(id);
         self.events.push(Event::Completed { id: id.clone(), outcome, took });
@@ -412,7 +417,7 @@
         let Some(open) = self.requests.open.get(id) else { return };
         self.tally.answered(&self.classes.profile(open.class).name, &answer);
         self.conns.answered(conn, seq, self.moment.now);
-        self.effects.push(Effect::Answer(conn, seq, answer, self.hint));
+        self.effects.push(Effect::Respond(conn, seq, answer, self.hint));
         self.close_if_over(conn);
     }
 }
--- a/crates/core/src/reducer/runs.rs
+++ b/crates/core/src/reducer/runs.rs
@@ -14,7 +14,7 @@
 impl Reducer {
     pub(super) fn process(&mut self, id: &RequestId) {
         let Some(open) = self.requests.get_mut(id).filter(|open| open.state == State::Held) else {
-            let (id, outcome) = (id.clone(), Outcome::Unused);
+            let (id, outcome) = (id.clone(), Outcome::NotStarted);
             return self.events.push(Event::Completed { id, outcome, took: Span(0) });
         };
         open.state = State::Running;
@@ -44,7 +44,7 @@
         if let Some(link) = self.link.settled() {
             self.tally.relayed();
             let class = Arc::clone(self.classes.get(open.class));
-            self.effects.push(Effect::Begin(link, id.clone(), class, Arc::clone(&open.body)));
+            self.effects.push(Effect::StartRun(link, id.clone(), class, Arc::clone(&open.body)));
             if let Some(open) = self.requests.get_mut(id) {
                 open.begins = open.begins.saturating_add(1);
             }
@@ -56,7 +56,7 @@
     pub(super) fn rejected(&mut self, id: &RequestId) {
         self.log(Level::Error, format!("the processor rejected the run of {}", id.0));
         let once = self.requests.running(id).is_some_and(|open| open.begins == 1);
-        let end = if once && self.link.is_unproven(id) { RunEnd::Moot } else { RunEnd::Error };
+        let end = if once && self.link.is_unproven(id) { RunEnd::NotStarted } else { RunEnd::Failed };
         self.ended(id, end, Span(0), None);
     }
 
@@ -73,8 +73,8 @@
         let Some(token) = self.keys.learned(id) else { return };
         let end = match end {
             RunEnd::Ok => Some(RunOutcome::Served(Arc::new(result.exact()))),
-            RunEnd::Error | RunEnd::Stopped => Some(RunOutcome::Failed),
-            RunEnd::Moot => None,
+            RunEnd::Failed | RunEnd::Stopped => Some(RunOutcome::Failed),
+            RunEnd::NotStarted => None,
         };
         self.settle(&token, id, end);
     }
@@ -113,9 +113,9 @@
             self.claim_ended(token, None);
         }
         for id in std::iter::once(id.clone()).chain(waiters) {
-            self.answer(&id, Response::Refused { backoff: self.store_advice(), last: false });
+            self.answer(&id, Response::Rejected { backoff: self.store_advice(), last: false });
             self.forget(&id);
-            self.events.push(Event::Completed { id, outcome: Outcome::Unused, took: Span(0) });
+            self.events.push(Event::Completed { id, outcome: Outcome::NotStarted, took: Span(0) });
         }
     }
 
@@ -132,20 +132,20 @@
             // Kept for repeats in no more room than it needs.
             (RunEnd::Ok, Some(result)) => {
                 let kept = if token.is_some() { Arc::new(result.exact()) } else { result };
-                (Outcome::Delivered, Some(RunOutcome::Served(kept)))
+                (Outcome::Success, Some(RunOutcome::Served(kept)))
             }
-            (RunEnd::Moot, _) => (Outcome::Unused, None),
-            (RunEnd::Stopped, _) => (Outcome::Revoked, Some(RunOutcome::Failed)),
-            (RunEnd::Ok | RunEnd::Error, _) => (Outcome::AppError, Some(RunOutcome::Failed)),
+            (RunEnd::NotStarted, _) => (Outcome::NotStarted, None),
+            (RunEnd::Stopped, _) => (Outcome::Stopped, Some(RunOutcome::Failed)),
+            (RunEnd::Ok | RunEnd::Failed, _) => (Outcome::Failure, Some(RunOutcome::Failed)),
         };
         let answer = kept.clone().unwrap_or(RunOutcome::Failed);
-        if outcome != Outcome::Revoked {
+        if outcome != Outcome::Stopped {
             self.answer_end(id, answer.clone());
         }
         self.events.push(Event::Completed { id: id.clone(), outcome, took });
         match self.requests.get_mut(id) {
             // The module answers it. Guards against one that stays in the books for good, as if its run were to end yet.
-            Some(open) if outcome == Outcome::Revoked && open.owed => open.state = State::Stopped,
+            Some(open) if outcome == Outcome::Stopped && open.owed => open.state = State::Stopped,
             _ => self.forget(id),
         }
         if let Some(token) = token {
--- a/crates/core/src/reducer/settings.rs
+++ b/crates/core/src/reducer/settings.rs
@@ -172,7 +172,8 @@
             match change {
                 Change::PutClass(class) => {
                     let profile = &class.profile;
-                    if profile.name.is_empty() || profile.promise.0 == 0 || profile.deadline.0 == 0 {
+                    if profile.name.is_empty() || profile.latency_objective.0 == 0 || profile.deadline.0 == 0
+                    {
                         return Err(ApplyError::BadClass(Name::from(profile.name.as_str())));
                     }
                     classes.put(&profile.name, self.classes.knows(&profile.name), || {
@@ -222,7 +223,7 @@
             Change::RemoveClass(name) => {
                 if let Some(slot) = self.classes.remove(self.moment.now, name) {
                     applied.dropped.add(name);
-                    let dropped = NameChange::ClassDropped(Arc::clone(self.classes.defined(slot)));
+                    let dropped = NameChange::ClassRemoved(Arc::clone(self.classes.defined(slot)));
                     self.changes.names.push(dropped);
                 }
             }
@@ -257,7 +258,7 @@
             return;
         }
         applied.tenants += 1;
-        self.changes.names.extend(placed.gone.map(NameChange::TenantGone));
+        self.changes.names.extend(placed.gone.map(NameChange::TenantForgotten));
         let handle = self.tenants.handle(placed.slot);
         self.changes.names.push(NameChange::Tenant(handle, Arc::clone(tenant)));
         self.tell_tenant(placed.slot, tenant.quota_rps, placed.put == Put::Added);
@@ -293,11 +294,11 @@
     fn tell_names(&mut self) {
         let changes = std::mem::take(&mut self.changes.names);
         if !changes.is_empty() {
-            self.effects.push(Effect::Names { edition: self.changes.edition, changes });
+            self.effects.push(Effect::UpdateNames { edition: self.changes.edition, changes });
         }
         let window = self.classes.longest_window();
         if window != std::mem::replace(&mut self.changes.window, window) {
-            self.effects.push(Effect::LongestWindow(window));
+            self.effects.push(Effect::SetLongestWindow(window));
         }
     }
 
@@ -312,7 +313,7 @@
     pub(super) fn reload_refused(&mut self, why: &str) {
         self.tally.reloaded(false);
         self.log(Level::Error, format!("the configuration was turned down, all stays as it was: {why}"));
-        self.effects.push(Effect::Reloaded);
+        self.effects.push(Effect::ReloadFinished);
     }
 
     /// Takes over what may change while serving; where the classes and tenants can't be taken, nothing of the file is.
@@ -363,7 +364,7 @@
         let mut rest = std::mem::take(&mut config.settings);
         if self.changes.committed {
             rest.rules = self.settings.rules.clone();
-            rest.over_share_worth = self.settings.over_share_worth;
+            rest.over_quota_weight = self.settings.over_quota_weight;
             let text = "classes, tenants and rules hold as committed; the file's are not used";
             self.log(Level::Info, text.into());
         }
@@ -373,16 +374,16 @@
             self.log(Level::Warning, "a new name or address to listen on takes a restart".into());
         }
         if config.processor != self.config.processor {
-            self.effects.push(Effect::Processor(config.processor));
+            self.effects.push(Effect::SetProcessorAddress(config.processor));
         }
         if config.control != self.config.control {
-            self.effects.push(Effect::Control(config.control));
+            self.effects.push(Effect::SetControlAddress(config.control));
         }
         let calls = self.settings.specifics.below == UpstreamKind::Shared;
         let moved = |ledger: &SocketAddr| Some(*ledger) != self.config.ledger || (calls && !called);
         if let Some(ledger) = config.ledger.filter(moved) {
             // Calls out to the old address end there; new ones go to the new.
-            self.effects.push(Effect::Ledger(ledger));
+            self.effects.push(Effect::SetUpstreamAddress(ledger));
             self.config.ledger = Some(ledger);
         }
         // The new control plane is to hear of this server at once, whether or not it knows the old one's list.
@@ -391,7 +392,7 @@
         let (processor, control) = (config.processor, config.control);
         self.log(Level::Info, format!("reloaded: the processor is at {processor}, control at {control}"));
         (self.config.processor, self.config.control) = (processor, control);
-        self.effects.push(Effect::Reloaded);
+        self.effects.push(Effect::ReloadFinished);
     }
 
     /// Frees the slots of dropped classes that nothing refers to, and has classes that were keyed be so no more once their
@@ -405,7 +406,7 @@
             match settled {
                 Settled::Freed(slot, class) => {
                     self.fleet_class_gone(slot);
-                    self.changes.names.push(NameChange::ClassGone(class));
+                    self.changes.names.push(NameChange::ClassForgotten(class));
                     self.tell_class(slot);
                 }
                 Settled::Unkeyed(slot) => self.tell_class(slot),
@@ -452,10 +453,10 @@
     match rule {
         Rule::AnswerSlack(span) => rules.answer_slack = span,
         Rule::Cold(span) => rules.cold = span,
-        Rule::ColdShare(share) => rules.cold_share = share,
+        Rule::ColdShare(share) => rules.cold_capacity = share,
         Rule::DrainGrace(span) => rules.drain_grace = span,
         Rule::Fall(span) => rules.fall = span,
-        Rule::TipMultiple(multiple) => rules.tip_multiple = multiple,
-        Rule::OverShareWorth(worth) => settings.over_share_worth = worth,
+        Rule::TipMultiple(multiple) => rules.max_concurrency_per_core = multiple,
+        Rule::OverShareWorth(priority_weight) => settings.over_quota_weight = priority_weight,
     }
 }
--- a/crates/core/src/registration.rs
+++ b/crates/core/src/registration.rs
@@ -80,7 +80,7 @@
     pub fn take_in(&mut self) -> bool {
         let out = self.drains.take().is_some();
         if let Some(membership) = self.membership.as_mut().filter(|_| out) {
-            membership.come_back();
+            membership.retry_after();
         }
         out
     }
@@ -112,7 +112,7 @@
             membership.answered();
         }
         for _ in 0..MOST_ASKS {
-            effects.extend(membership.poll(moment.now, moment.unix_ms).map(Effect::Registry));
+            effects.extend(membership.poll(moment.now, moment.unix_ms).map(Effect::AskRegistry));
         }
         effects.extend(membership.notes().into_iter().map(|note| Effect::Log(Level::Info, note)));
     }
--- a/crates/core/src/reload.rs
+++ b/crates/core/src/reload.rs
@@ -15,6 +15,6 @@
     pub new_classes: usize,
     /// See `new_classes`.
     pub new_tenants: usize,
-    /// The number of changes of names ([`crate::messages::Effect::Names`]) after which it was compared.
+    /// The number of changes of names ([`crate::messages::Effect::UpdateNames`]) after which it was compared.
     pub compared_at: u64,
 }
--- a/crates/core/src/request_metrics.rs
+++ b/crates/core/src/request_metrics.rs
@@ -61,8 +61,8 @@
         let counts = self.counts(class);
         match answer {
             Response::Served(_) => counts.fulfilled += 1,
-            Response::Refused { .. } => counts.throttled += 1,
-            Response::Failed { .. } | Response::Unknown | Response::Invalid(..) => counts.faulted += 1,
+            Response::Rejected { .. } => counts.throttled += 1,
+            Response::Failed { .. } | Response::OutcomeUnknown | Response::Invalid(..) => counts.faulted += 1,
             Response::Health(..) => {}
         }
     }
@@ -118,11 +118,11 @@
     #[test]
     fn answers_count_by_class_and_kind() {
         let mut tally = RequestMetrics::default();
-        let refused = Response::Refused { backoff: Span(0), last: false };
+        let refused = Response::Rejected { backoff: Span(0), last: false };
         tally.answered("read", &served());
         tally.answered("read", &refused);
         tally.answered("write", &Response::Failed { late: true });
-        tally.answered("write", &Response::Unknown);
+        tally.answered("write", &Response::OutcomeUnknown);
         tally.answered("write", &Response::Health(true, None));
         tally.relayed();
         tally.reloaded(true);
--- a/crates/core/src/response.rs
+++ b/crates/core/src/response.rs
@@ -8,19 +8,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestError {
     /// It makes no sense.
-    Request,
+    Malformed,
     /// It asks for something that there isn't.
     NotFound,
     /// There is, but not in this way.
-    NotAllowed,
+    MethodNotAllowed,
     /// Another request has its token or its id.
     Conflict,
     /// Its length is not told.
-    NoLength,
+    LengthRequired,
     /// Its body is too long.
-    TooLarge,
+    BodyTooLarge,
     /// What stands before its body is too long.
-    HeadTooLarge,
+    HeaderTooLarge,
 }
 
 /// A final answer.
@@ -29,7 +29,7 @@
     /// The result of a run.
     Served(Arc<Buffer>),
     /// Turned away; it never ran.
-    Refused {
+    Rejected {
         /// How long to stay away.
         backoff: Span,
         /// Whether to ask that no other server be tried.
@@ -41,7 +41,7 @@
         late: bool,
     },
     /// It was begun before a crash, and what became of it can't be learned: it must not run again.
-    Unknown,
+    OutcomeUnknown,
     /// The message can't be taken: how it is wrong, and a text for its sender.
     Invalid(RequestError, String),
     /// To a health check: whether all is well, and how it is with the store, if there is one.
--- a/crates/core/tests/again.rs
+++ b/crates/core/tests/again.rs
@@ -26,7 +26,7 @@
         has_key: false,
         body: BufferPool::new(0).exact(b"body").expect("fits"),
     };
-    Input::Call(conn, seq, Box::new(call))
+    Input::Request(conn, seq, Box::new(call))
 }
 
 /// Guards against a request that nobody answers: its id was that of a repeat that left in the same batch, and it was
@@ -37,27 +37,27 @@
     let mut reducer = support::reducer().sharing_runs(Some(7));
     let begun = vec![
         Input::LinkUp { link: 1, cold: false, age: Span(0) },
-        Input::Opened(1),
-        Input::Opened(2),
+        Input::ConnectionOpened(1),
+        Input::ConnectionOpened(2),
         keyed(1, 1, 1, "t", 9_000, false),
     ];
     step(&mut reducer, 9_000, begun);
     step(&mut reducer, 9_010, vec![keyed(2, 1, 2, "t", 9_010, true)]);
     let again = vec![
         Input::Cancel(2, 1),
-        Input::Claimed(RequestId::new(&format!("{:016x}", 1)), RunClaim::Unsure),
+        Input::RunClaimed(RequestId::new(&format!("{:016x}", 1)), RunClaim::Unknown),
         keyed(2, 2, 2, "u", 9_020, false),
     ];
     let mut effects = step(&mut reducer, 9_020, again);
     let claimed =
-        effects.iter().any(|effect| matches!(effect, Effect::Claim(_, token, ..) if &**token == "u"));
+        effects.iter().any(|effect| matches!(effect, Effect::ClaimRun(_, token, ..) if &**token == "u"));
     assert!(claimed, "it is to run: {effects:?}");
     effects.extend(step(
         &mut reducer,
         9_030,
-        vec![Input::Claimed(RequestId::new(&format!("{:016x}", 2)), RunClaim::Unsure)],
+        vec![Input::RunClaimed(RequestId::new(&format!("{:016x}", 2)), RunClaim::Unknown)],
     ));
     let answers =
-        effects.iter().filter(|effect| matches!(effect, Effect::Answer(2, 2, Response::Refused { .. }, _)));
+        effects.iter().filter(|effect| matches!(effect, Effect::Respond(2, 2, Response::Rejected { .. }, _)));
     assert_eq!(answers.count(), 1, "{effects:?}");
 }
--- a/crates/core/tests/apply.rs
+++ b/crates/core/tests/apply.rs
@@ -72,7 +72,7 @@
     let profile: ClassProfile = serde_json::from_value(json!({"name": name, "promise": 1000 * MS,
         "deadline": 4000 * MS, "effect": effect, "window": window_ms * MS, "worth": 1.0}))
     .expect("a class");
-    Arc::new(ClassDefinition { profile, calls: true, skip_worth: 0.0 })
+    Arc::new(ClassDefinition { profile, calls: true, skip_weight: 0.0 })
 }
 
 fn reducer() -> Reducer {
@@ -97,7 +97,10 @@
             reducer: reducer(),
             pool: BufferPool::new(64),
             ms: 10_000,
-            inputs: vec![Input::LinkUp { link: 1, cold: false, age: Span(60_000 * MS) }, Input::Opened(1)],
+            inputs: vec![
+                Input::LinkUp { link: 1, cold: false, age: Span(60_000 * MS) },
+                Input::ConnectionOpened(1),
+            ],
             names: names.collect(),
             stale: Vec::new(),
             tries: BTreeMap::new(),
@@ -138,8 +141,8 @@
     fn effect(&mut self, effect: Effect) {
         let seed = self.seed;
         match effect {
-            Effect::Usage(_, tag) => self.inputs.push(Input::Used(tag, vec![0.5, 1.0, 0.1, 9.0])),
-            Effect::Begin(_, id, class, _) => {
+            Effect::ReadGauges(_, tag) => self.inputs.push(Input::GaugesRead(tag, vec![0.5, 1.0, 0.1, 9.0])),
+            Effect::StartRun(_, id, class, _) => {
                 let one = self.tries.get_mut(&id).expect("a try");
                 assert_eq!(class.profile.name, one.name, "seed {seed}: begun as another class");
                 assert!(!std::mem::replace(&mut one.runs, true), "seed {seed}: {} begun twice", id.0);
@@ -150,16 +153,16 @@
                         .iter()
                         .find(|ran| ran.name == one.name && ran.token == token && one.t0 < ran.closes);
                     assert!(twice.is_none(), "seed {seed}: {} {token} ran twice at {}", one.name, self.ms);
-                    if one.keyed && class.profile.effect == gradepin_admission::Idempotency::ByKey {
+                    if one.keyed && class.profile.effect == gradepin_admission::Idempotency::Keyed {
                         let closes = one.t0 + class.profile.window.0 / MS;
                         let (name, slot) = (one.name.clone(), one.slot);
                         self.ran.push(Ran { name, token, slot, closes });
                     }
                 }
             }
-            Effect::Answer(_, seq, answer, _) => self.answered(seq, &answer),
-            Effect::Names { changes, .. } => changes.into_iter().for_each(|change| self.name(change)),
-            Effect::Admin(_, AdminResponse::Stats(stats)) => self.stats = Some(stats.classes),
+            Effect::Respond(_, seq, answer, _) => self.answered(seq, &answer),
+            Effect::UpdateNames { changes, .. } => changes.into_iter().for_each(|change| self.name(change)),
+            Effect::AnswerAdmin(_, AdminResponse::Stats(stats)) => self.stats = Some(stats.classes),
             _ => {}
         }
     }
@@ -174,7 +177,7 @@
         let counts = self.counts.entry(one.name.clone()).or_default();
         match answer {
             Response::Served(_) => counts.fulfilled += 1,
-            Response::Refused { .. } => counts.throttled += 1,
+            Response::Rejected { .. } => counts.throttled += 1,
             _ => counts.faulted += 1,
         }
     }
@@ -191,7 +194,7 @@
                 assert!(taken.is_none(), "seed {}: {name} took a slot inside a window", self.seed);
                 self.names.insert(name.clone(), (handle, class));
             }
-            NameChange::ClassGone(class) => {
+            NameChange::ClassForgotten(class) => {
                 let gone = self.names.remove(&class.profile.name).expect("a known name");
                 self.stale.push((class.profile.name.clone(), gone.0));
             }
@@ -222,7 +225,7 @@
         let one = Try { name, token, keyed, t0, slot, answered: false, runs: false };
         self.tries.insert(id.clone(), one);
         self.of_seq.insert(seq, id);
-        self.inputs.push(Input::Call(1, seq, Box::new(call)));
+        self.inputs.push(Input::Request(1, seq, Box::new(call)));
     }
 
     fn complete(&mut self, place: usize) {
@@ -231,7 +234,7 @@
         let (end, took) = (RunEnd::Ok, Span(20 * MS));
         let result = self.pool.copy(b"out").expect("fits");
         self.tries.get_mut(&id).expect("a try").runs = false;
-        self.inputs.push(Input::Complete { notice: self.notice, id, end, took, result });
+        self.inputs.push(Input::RunCompleted { notice: self.notice, id, end, took, result });
     }
 
     /// One of the things that may happen, at random.
@@ -244,7 +247,7 @@
                 let (name, handle, keyed) = match (stale, self.names.get(name)) {
                     (Some((name, handle)), _) => (name, handle, false),
                     (None, Some((handle, class))) => {
-                        let keyed = class.profile.effect == gradepin_admission::Idempotency::ByKey;
+                        let keyed = class.profile.effect == gradepin_admission::Idempotency::Keyed;
                         (name.to_string(), *handle, keyed)
                     }
                     (None, None) => return,
@@ -282,7 +285,7 @@
 
     fn is_keyed(&self, name: &str) -> bool {
         let class = self.names.get(name).map(|(_, class)| class);
-        class.is_some_and(|class| class.profile.effect == gradepin_admission::Idempotency::ByKey)
+        class.is_some_and(|class| class.profile.effect == gradepin_admission::Idempotency::Keyed)
     }
 
     /// A name that was defined as keyed until now.
@@ -310,7 +313,7 @@
         }
         world.advance(6_000);
         assert!(world.tries.values().all(|one| one.answered), "seed {seed}: an answer is owed");
-        world.inputs.push(Input::Admin(1, AdminRequest::Stats));
+        world.inputs.push(Input::AdminRequest(1, AdminRequest::Stats));
         world.settle();
         let counted = world.stats.take().expect("figures").into_iter();
         let counted: BTreeMap<String, ResponseCounts> =
--- a/crates/core/tests/room.rs
+++ b/crates/core/tests/room.rs
@@ -16,20 +16,28 @@
 fn whatever_it_said_last_the_longest_rested_gives_way() {
     let last_words: [fn(u64) -> Input; 3] = [
         |conn| Input::Cancel(conn, 7),
-        |conn| Input::Invalid(conn, 7, RequestError::Request, "nonsense".into()),
-        |conn| Input::Health(conn, 7),
+        |conn| Input::InvalidRequest(conn, 7, RequestError::Malformed, "nonsense".into()),
+        |conn| Input::HealthCheck(conn, 7),
     ];
     for word in last_words {
         let mut reducer = reducer();
-        step(&mut reducer, 1_000, vec![Input::Opened(1), word(1)]);
+        step(&mut reducer, 1_000, vec![Input::ConnectionOpened(1), word(1)]);
         for conn in 2..=ROOM {
-            step(&mut reducer, 1_000 + conn, vec![Input::Opened(conn), Input::Health(conn, 1)]);
+            step(
+                &mut reducer,
+                1_000 + conn,
+                vec![Input::ConnectionOpened(conn), Input::HealthCheck(conn, 1)],
+            );
         }
-        let effects = step(&mut reducer, 2_000, vec![Input::Opened(ROOM + 1)]);
+        let effects = step(&mut reducer, 2_000, vec![Input::ConnectionOpened(ROOM + 1)]);
         let closed: Vec<_> = effects
             .iter()
             .filter_map(|effect| {
-                if let Effect::CloseResting(conn, taken) = effect { Some((*conn, *taken)) } else { None }
+                if let Effect::CloseIdleConnection(conn, taken) = effect {
+                    Some((*conn, *taken))
+                } else {
+                    None
+                }
             })
             .collect();
         assert_eq!(closed, [(1, 1)]);
@@ -47,10 +55,10 @@
         step(
             &mut reducer,
             9_000,
-            vec![Input::LinkUp { link: 1, cold: false, age: Span(0) }, Input::Opened(1)],
+            vec![Input::LinkUp { link: 1, cold: false, age: Span(0) }, Input::ConnectionOpened(1)],
         );
         if paced {
-            step(&mut reducer, 9_010, vec![Input::Paced(1, Span(1_190 * MS))]);
+            step(&mut reducer, 9_010, vec![Input::ConnectionThrottled(1, Span(1_190 * MS))]);
         }
         let mut effects = Vec::new();
         for n in 0..12 {
@@ -71,7 +79,7 @@
             effects.extend(step(
                 &mut reducer,
                 10_200 + n,
-                vec![Input::Call(1, n as i32 + 1, Box::new(call))],
+                vec![Input::Request(1, n as i32 + 1, Box::new(call))],
             ));
         }
         for ms in (10_210..10_600).step_by(10) {
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -97,7 +97,7 @@
             most: 0,
             excess: 0.0,
         };
-        server.step(vec![Input::Opened(1)]);
+        server.step(vec![Input::ConnectionOpened(1)]);
         server
     }
 
@@ -150,12 +150,12 @@
             for effect in effects {
                 match effect {
                     // For a request that runs already nothing happens.
-                    Effect::Begin(link, id, ..) if link == self.link && !self.runs(&id) => {
+                    Effect::StartRun(link, id, ..) if link == self.link && !self.runs(&id) => {
                         self.runs.push_back((self.now_ms, id));
                         self.most = self.most.max(self.runs.len());
                         self.excess = self.excess.max(self.runs.len() as f64 - self.survives());
                     }
-                    Effect::Usage(_, tag) => inputs.push(Input::Used(tag, vec![0.5, 1.0])),
+                    Effect::ReadGauges(_, tag) => inputs.push(Input::GaugesRead(tag, vec![0.5, 1.0])),
                     _ => {}
                 }
             }
@@ -173,7 +173,7 @@
                 self.notices += 1;
                 let (notice, took) = (self.notices, Span((self.now_ms - since) * MS));
                 let result = self.pool.copy(b"out").expect("it fits");
-                inputs.push(Input::Complete { notice, id, end: RunEnd::Ok, took, result });
+                inputs.push(Input::RunCompleted { notice, id, end: RunEnd::Ok, took, result });
             }
             self.sent += 1;
             let call = ClientRequest {
@@ -190,7 +190,7 @@
                 has_key: false,
                 body: self.pool.copy(b"in").expect("it fits"),
             };
-            inputs.push(Input::Call(1, self.sent as i32, Box::new(call)));
+            inputs.push(Input::Request(1, self.sent as i32, Box::new(call)));
             self.step(inputs);
         }
     }
--- a/crates/gradepin/src/fleet.rs
+++ b/crates/gradepin/src/fleet.rs
@@ -208,22 +208,23 @@
         FleetCommand::Found { at } => admin_client::call(at.door, "POST", "/fleet/found", "")?.taken()?,
         FleetCommand::Leave { at } => admin_client::call(at.door, "POST", "/fleet/leave", "")?.taken()?,
         FleetCommand::Stay { at } => admin_client::call(at.door, "POST", "/fleet/stay", "")?.taken()?,
-        FleetCommand::Out { at, what } => {
-            admin_client::order(at.door, &OperatorCommand::Out { target: what.target()?, by: at.by() })?
-        }
+        FleetCommand::Out { at, what } => admin_client::order(
+            at.door,
+            &OperatorCommand::GrantPermit { target: what.target()?, by: at.by() },
+        )?,
         FleetCommand::In { at, what } => {
-            admin_client::order(at.door, &OperatorCommand::In { target: what.target()?, by: at.by() })?
+            admin_client::order(at.door, &OperatorCommand::EndPermit { target: what.target()?, by: at.by() })?
         }
         FleetCommand::Free { at, epoch, why } => {
-            admin_client::order(at.door, &OperatorCommand::Free { epoch, by: at.by(), why })?
+            admin_client::order(at.door, &OperatorCommand::ReleasePermit { epoch, by: at.by(), why })?
         }
         FleetCommand::Strike { at, name, why } => admin_client::order(
             at.door,
-            &OperatorCommand::Strike { name: Arc::from(name), by: at.by(), why },
+            &OperatorCommand::RemoveServer { name: Arc::from(name), by: at.by(), why },
         )?,
         FleetCommand::Voter { at, name, out } => admin_client::order(
             at.door,
-            &OperatorCommand::Voter { name: Arc::from(name), puts_in: !out, by: at.by() },
+            &OperatorCommand::ChangeVoter { name: Arc::from(name), puts_in: !out, by: at.by() },
         )?,
     };
     println!("{text}");
@@ -239,7 +240,7 @@
         }
         ReleaseCommand::Start { at, file } => admin_client::order(
             at.door,
-            &OperatorCommand::Start { plan: Box::new(plan(&file)?), by: at.by() },
+            &OperatorCommand::StartRollout { plan: Box::new(plan(&file)?), by: at.by() },
         )?,
         ReleaseCommand::Status { door, json } => {
             let status = status(door)?;
@@ -247,19 +248,19 @@
         }
         ReleaseCommand::Halt { at, name, why } => admin_client::order(
             at.door,
-            &OperatorCommand::Release(RolloutCommand::Halt { name, by: at.by(), why }),
+            &OperatorCommand::Rollout(RolloutCommand::Halt { name, by: at.by(), why }),
         )?,
         ReleaseCommand::Resume { at, name } => {
             let status = status(at.door)?;
             let halts = status["release"]["halts"].as_u64().ok_or("there is no release")? as u32;
             admin_client::order(
                 at.door,
-                &OperatorCommand::Release(RolloutCommand::Resume { name, halts, by: at.by() }),
+                &OperatorCommand::Rollout(RolloutCommand::Resume { name, halts, by: at.by() }),
             )?
         }
         ReleaseCommand::Back { at, name, why } => admin_client::order(
             at.door,
-            &OperatorCommand::Release(RolloutCommand::Back { name, by: at.by(), why }),
+            &OperatorCommand::Rollout(RolloutCommand::Back { name, by: at.by(), why }),
         )?,
     };
     println!("{text}");
--- a/crates/gradepin/src/store.rs
+++ b/crates/gradepin/src/store.rs
@@ -76,7 +76,7 @@
         found.recovered.past.len(),
         of(|end| matches!(end, SavedOutcome::Served(_))),
         of(|end| *end == SavedOutcome::Failed),
-        of(|end| *end == SavedOutcome::None)
+        of(|end| *end == SavedOutcome::Unknown)
     );
     Ok(whole)
 }
@@ -160,7 +160,7 @@
     let SavedRun { token, print, id, left, end } = past;
     let (token, id) = (Arc::from(token), RequestId::new(&id));
     match end {
-        SavedOutcome::None => LogRecord::Intent { token, print, id, left },
+        SavedOutcome::Unknown => LogRecord::Intent { token, print, id, left },
         SavedOutcome::Failed => LogRecord::Known { token, print, id, left, result: None },
         SavedOutcome::Served(result) => {
             // What a store holds was once in a buffer.
--- a/crates/gradepin/tests/customers/world.rs
+++ b/crates/gradepin/tests/customers/world.rs
@@ -1,7 +1,7 @@
 //! One server's reducer with stand-ins for its clients and its processor, in virtual time. What each request must see holds
 //! here in one place: one answer by its due time, and its own body under its own class at the processor.
 
-use gradepin_admission::{Idempotency as Kind, Outcome, RequestId, Span, Time};
+use gradepin_admission::{Idempotency, Outcome, RequestId, Span, Time};
 use gradepin_core::buffer_pool::BufferPool;
 use gradepin_core::config::Config;
 use gradepin_core::messages::{ClientRequest, Effect, Input, RunEnd, UpstreamCallId};
@@ -196,7 +196,7 @@
 
     fn effect(&mut self, effect: Effect) {
         match effect {
-            Effect::Answer(conn, seq, answer, hint) => {
+            Effect::Respond(conn, seq, answer, hint) => {
                 assert!(hint.is_none_or(|hint| hint.is_finite() && hint >= 0.0), "a hint of {hint:?}");
                 assert!(
                     codec::encode(seq, &answer, hint, &self.pool).is_some(),
@@ -210,7 +210,7 @@
                 assert!(!std::mem::replace(&mut sent.answered, true), "two answers to {}", id.0);
                 sent.owed = false;
                 assert!(
-                    !(sent.running && matches!(answer, Response::Refused { .. })),
+                    !(sent.running && matches!(answer, Response::Rejected { .. })),
                     "{} runs and was refused",
                     id.0
                 );
@@ -219,22 +219,24 @@
                     assert_eq!(&result[..], &sent.body[..], "{} was served another's result", id.0);
                 }
             }
-            Effect::Begin(_, id, class, body) => self.begun(&id, &class.profile, &body),
-            Effect::Usage(_, tag) if !self.mute => {
+            Effect::StartRun(_, id, class, body) => self.begun(&id, &class.profile, &body),
+            Effect::ReadGauges(_, tag) if !self.mute => {
                 let odd = [0.5, f64::NAN, f64::INFINITY, -1.0, 1e308, 0.0, 1.0, 3.0];
                 let values = (0..self.below(7)).map(|_| odd[self.below(8) as usize]).collect();
-                self.inputs.push(Input::Used(tag, values));
+                self.inputs.push(Input::GaugesRead(tag, values));
             }
-            Effect::Call(id, number, ..) => self.calls.push((id, number)),
-            Effect::Names { edition, changes } => self.names.publish(edition, changes),
-            Effect::Reloaded => self.reloading = false,
-            Effect::CloseResting(conn, _) | Effect::Close(conn) if self.open.remove(&conn) => {
+            Effect::CallUpstream(id, number, ..) => self.calls.push((id, number)),
+            Effect::UpdateNames { edition, changes } => self.names.publish(edition, changes),
+            Effect::ReloadFinished => self.reloading = false,
+            Effect::CloseIdleConnection(conn, _) | Effect::CloseConnection(conn)
+                if self.open.remove(&conn) =>
+            {
                 let owed = self.sent.iter().find(|(_, sent)| sent.owed && sent.conn == conn);
                 assert!(owed.is_none(), "a connection was closed that an answer is owed on");
-                self.inputs.push(Input::Closed(conn));
+                self.inputs.push(Input::ConnectionClosed(conn));
                 self.gone(conn);
             }
-            Effect::StopAccepting => self.inputs.push(Input::NotAccepting),
+            Effect::StopAccepting => self.inputs.push(Input::StoppedAccepting),
             Effect::Exit => self.left = true,
             Effect::Log(_, text) => assert!(!text.contains("turned down"), "{text}"),
             _ => {}
@@ -247,7 +249,7 @@
         assert_eq!(body, &sent.body[..], "{} began with another body", id.0);
         assert!(!std::mem::replace(&mut sent.running, true), "{} began twice", id.0);
         let (t0, class) = (sent.t0, sent.class.clone());
-        if let Some(token) = sent.token.clone().filter(|_| profile.effect == Kind::ByKey) {
+        if let Some(token) = sent.token.clone().filter(|_| profile.effect == Idempotency::Keyed) {
             // One that runs already may be begun again, on a new link.
             let same = |ran: &&Ran| ran.id != *id && ran.token == token && ran.class == class;
             let again = self.ran.iter().filter(same).find(|ran| t0.abs_diff(ran.t0) < ran.window_ms);
@@ -315,7 +317,7 @@
                 1 if !self.open.is_empty() => {
                     let conn = self.pick_conn();
                     self.open.remove(&conn);
-                    self.inputs.push(Input::Closed(conn));
+                    self.inputs.push(Input::ConnectionClosed(conn));
                     self.gone(conn);
                 }
                 2 if self.link > 0 => {
@@ -328,7 +330,7 @@
             _ => {
                 let conn = self.pick_conn();
                 self.next_seq += 1;
-                self.inputs.push(Input::Health(conn, self.next_seq));
+                self.inputs.push(Input::HealthCheck(conn, self.next_seq));
             }
         }
     }
@@ -356,7 +358,7 @@
             None => {
                 self.next_conn += 1;
                 self.open.insert(self.next_conn);
-                self.inputs.push(Input::Opened(self.next_conn));
+                self.inputs.push(Input::ConnectionOpened(self.next_conn));
                 self.next_conn
             }
         }
@@ -369,7 +371,7 @@
         let profile = &definition.profile;
         let tenant = self.below(self.tenants.len() as u64 + 1) as usize;
         let tenant = self.tenants.get(tenant).and_then(|tenant| self.names.tenant(tenant));
-        let keyed = profile.effect == Kind::ByKey;
+        let keyed = profile.effect == Idempotency::Keyed;
         let token = keyed.then(|| Arc::<str>::from(format!("{}-{}", self.below(5), place)));
         let longest = (profile.deadline.0 / MS).min(3_000);
         let budget = self.below(longest + 1);
@@ -412,7 +414,7 @@
         };
         self.sent.insert(id.clone(), sent);
         self.of_seq.insert((conn, seq), id);
-        self.inputs.push(Input::Call(conn, seq, Box::new(call)));
+        self.inputs.push(Input::Request(conn, seq, Box::new(call)));
     }
 
     fn complete(&mut self) {
@@ -427,26 +429,27 @@
     fn end(&mut self, id: RequestId) {
         self.notice += 1;
         let end =
-            [RunEnd::Ok, RunEnd::Ok, RunEnd::Ok, RunEnd::Error, RunEnd::Stopped][self.below(5) as usize];
+            [RunEnd::Ok, RunEnd::Ok, RunEnd::Ok, RunEnd::Failed, RunEnd::Stopped][self.below(5) as usize];
         let took = Span([0, 1, 20 * MS, 900 * MS, u64::MAX][self.below(5) as usize]);
         let result = self.pool.copy(&self.sent[&id].body).expect("fits");
-        self.inputs.push(Input::Complete { notice: self.notice, id, end, took, result });
+        self.inputs.push(Input::RunCompleted { notice: self.notice, id, end, took, result });
     }
 
     fn asks(&mut self) {
         if let Some(id) = self.running.first().cloned() {
             self.notice += 1;
             let body = self.pool.copy(b"entry").expect("fits");
-            self.inputs.push(Input::Ask { notice: self.notice, id, body });
+            self.inputs.push(Input::UpstreamCallRequested { notice: self.notice, id, body });
         }
     }
 
     fn call_ends(&mut self) {
         let Some((id, number)) = self.calls.pop() else { return };
-        let ends = [Outcome::Delivered, Outcome::Shed, Outcome::Expired, Outcome::AppError, Outcome::Dropped];
+        let ends =
+            [Outcome::Success, Outcome::Rejected, Outcome::TimedOut, Outcome::Failure, Outcome::Aborted];
         let outcome = ends[self.below(5) as usize];
-        let reply = (outcome == Outcome::Delivered).then(|| self.pool.copy(b"reply").expect("fits"));
-        self.inputs.push(Input::Called { id, number, outcome, reply });
+        let reply = (outcome == Outcome::Success).then(|| self.pool.copy(b"reply").expect("fits"));
+        self.inputs.push(Input::UpstreamCallEnded { id, number, outcome, reply });
     }
 
     fn cancel(&mut self) {
@@ -458,7 +461,7 @@
     }
 
     fn drain(&mut self) {
-        self.inputs.push(Input::Terminate);
+        self.inputs.push(Input::ShutdownNotice);
         self.traffic(300);
         assert!(!self.reloading, "a reload never ended");
         self.advance(self.now + 6_000 * MS);
--- a/crates/gradepin/tests/forms.rs
+++ b/crates/gradepin/tests/forms.rs
@@ -10,8 +10,8 @@
 
 fn forms(config: &mut Value) {
     config["ledger"] = json!("127.0.0.1:4");
-    let class = |name: &str, promise: u64, deadline: u64, effect: &str, worth: f64| {
-        json!({"name": name, "promise": promise * MS, "deadline": deadline * MS, "effect": effect, "worth": worth,
+    let class = |name: &str, latency_objective: u64, deadline: u64, effect: &str, priority_weight: f64| {
+        json!({"name": name, "promise": latency_objective * MS, "deadline": deadline * MS, "effect": effect, "worth": priority_weight,
                "late_value": 0.0, "window": 37_398 * MS})
     };
     let settings = &mut config["settings"];
--- a/crates/gradepin/tests/node.rs
+++ b/crates/gradepin/tests/node.rs
@@ -340,7 +340,7 @@
         expect renew");
 }
 
-/// Guards against a site whose callers don't tell how long they wait (`passes_deadline` off): the field is absent there, and
+/// Guards against a site whose callers don't tell how long they wait (`propagates_deadline` off): the field is absent there, and
 /// every request was turned down as one that makes no sense. The deadline of its class, 4 s here, counts then.
 #[test]
 fn a_request_without_a_budget_is_due_at_the_deadline_of_its_class() {
@@ -652,7 +652,7 @@
         tell_every: Span(1_000 * MS),
         steady: Span(0),
         ready_share: 0.6,
-        cold_share: 0.25,
+        cold_capacity: 0.25,
         cold: Span(10_000 * MS),
         prefer_every: Span(60_000 * MS),
         cancel: true,
--- a/crates/gradepin/tests/scenario/mod.rs
+++ b/crates/gradepin/tests/scenario/mod.rs
@@ -192,8 +192,8 @@
     match word {
         "health" => AdminRequest::Health,
         "stats" => AdminRequest::Stats,
-        "fail" => AdminRequest::Fail,
-        "ok" => AdminRequest::Ok,
+        "fail" => AdminRequest::StartDrain,
+        "ok" => AdminRequest::EndDrain,
         _ => panic!("{at}: no call at the door"),
     }
 }
--- a/crates/gradepin/tests/scenario/sockets.rs
+++ b/crates/gradepin/tests/scenario/sockets.rs
@@ -410,10 +410,10 @@
             AdminRequest::Health => "GET /healthcheck",
             AdminRequest::Stats => "GET /stats",
             AdminRequest::Fleet => "GET /fleet",
-            AdminRequest::Agreed(_) => "GET /fleet/status",
+            AdminRequest::Agreement(_) => "GET /fleet/status",
             AdminRequest::Configuration(_) => "GET /config/status",
-            AdminRequest::Fail => "POST /healthcheck/fail",
-            AdminRequest::Ok => "POST /healthcheck/ok",
+            AdminRequest::StartDrain => "POST /healthcheck/fail",
+            AdminRequest::EndDrain => "POST /healthcheck/ok",
         };
         let start = Instant::now();
         let mut socket = loop {
--- a/crates/gradepin/tests/scenario/virtually.rs
+++ b/crates/gradepin/tests/scenario/virtually.rs
@@ -125,7 +125,7 @@
         let body = [MessageKind::Lease.byte(), 0, number, 0, low, high];
         let envelope = Envelope::open(&keys, &keys.authenticate(&header, &body)).expect("it has the key");
         assert!(envelope.lease_message().is_some(), "{envelope:?}");
-        self.waiting.push(Input::Envelope(Box::new(envelope)));
+        self.waiting.push(Input::PeerDatagram(Box::new(envelope)));
         self.settle();
     }
 
@@ -180,7 +180,7 @@
     fn conn(&mut self, name: &str) -> ConnectionId {
         let place = self.conns.iter().position(|known| known == name).unwrap_or_else(|| {
             self.conns.push(name.to_string());
-            self.waiting.push(Input::Opened(self.conns.len() as ConnectionId - 1));
+            self.waiting.push(Input::ConnectionOpened(self.conns.len() as ConnectionId - 1));
             self.conns.len() - 1
         });
         place as ConnectionId
@@ -211,39 +211,41 @@
     fn carry_out(&mut self, effect: Effect) {
         let name = |conn: ConnectionId| self.conns[conn as usize].clone();
         let event = match effect {
-            Effect::Answer(conn, seq, answer, hint) => {
+            Effect::Respond(conn, seq, answer, hint) => {
                 let frame = codec::encode(seq, &answer, hint, &self.pool).expect("an answer that fits");
                 format!("{} {}", name(conn), thrift::event(&frame[4..]))
             }
-            Effect::Draining(conn) => format!("{} draining", name(conn)),
+            Effect::RequestDrain(conn) => format!("{} draining", name(conn)),
             Effect::StopAccepting => {
                 // As the reader does, behind what it accepted.
-                self.waiting.push(Input::NotAccepting);
+                self.waiting.push(Input::StoppedAccepting);
                 "stop accepting".to_string()
             }
-            Effect::CloseResting(conn, _) | Effect::CloseLate(conn, _) | Effect::Close(conn) => {
+            Effect::CloseIdleConnection(conn, _)
+            | Effect::CloseLateConnection(conn, _)
+            | Effect::CloseConnection(conn) => {
                 // Its peer ends it too, as peers do.
-                self.waiting.push(Input::Closed(conn));
+                self.waiting.push(Input::ConnectionClosed(conn));
                 format!("{} closed", name(conn))
             }
-            Effect::Begin(_, id, class, body) => {
+            Effect::StartRun(_, id, class, body) => {
                 let id = u64::from_str_radix(&id.0, 16).expect("hex");
                 let class = &class.profile.name;
                 format!("processor begin {id} {class} {}", String::from_utf8_lossy(&body))
             }
-            Effect::Call(id, number, body, limit, _) => {
+            Effect::CallUpstream(id, number, body, limit, _) => {
                 self.calls_out.push((id.clone(), number));
                 let id = u64::from_str_radix(&id.0, 16).expect("hex");
                 format!("ledger call {id} {} {}", String::from_utf8_lossy(&body), limit.0 / MS)
             }
-            Effect::Reply(_, id, reply) => {
+            Effect::DeliverUpstreamReply(_, id, reply) => {
                 let id = u64::from_str_radix(&id.0, 16).expect("hex");
                 format!("processor answer {id} {}", String::from_utf8_lossy(&reply))
             }
-            Effect::Claim(id, token, ..) => {
+            Effect::ClaimRun(id, token, ..) => {
                 format!("claim {} {token}", u64::from_str_radix(&id.0, 16).expect("hex"))
             }
-            Effect::ClaimEnded(token, _, end) => {
+            Effect::ReleaseClaim(token, _, end) => {
                 let end = match end {
                     Some(RunOutcome::Served(_)) => "served",
                     Some(RunOutcome::Failed | RunOutcome::Unknown) => "failed",
@@ -251,35 +253,35 @@
                 };
                 format!("claim-ended {token} {end}")
             }
-            Effect::Interrupt(_, id) => {
+            Effect::StopRun(_, id) => {
                 format!("processor interrupt {}", u64::from_str_radix(&id.0, 16).expect("hex"))
             }
-            Effect::Usage(_, tag) => {
+            Effect::ReadGauges(_, tag) => {
                 if !self.muted {
                     self.known.told(Time(self.ms * MS));
-                    self.waiting.push(Input::Used(tag, vec![0.5, 2.0, 0.1, 9.0]));
+                    self.waiting.push(Input::GaugesRead(tag, vec![0.5, 2.0, 0.1, 9.0]));
                 }
                 return;
             }
-            Effect::Report(ready) => format!("control {}", if ready { "Ready" } else { "NotReady" }),
-            Effect::Renew(_) => "renew".to_string(),
-            Effect::Processor(address) => format!("link to {address}"),
-            Effect::Control(address) => format!("reports to {address}"),
-            Effect::Ledger(address) => format!("calls to {address}"),
-            Effect::Registry(ask) => {
+            Effect::ReportReadiness(ready) => format!("control {}", if ready { "Ready" } else { "NotReady" }),
+            Effect::ReconnectProcessor(_) => "renew".to_string(),
+            Effect::SetProcessorAddress(address) => format!("link to {address}"),
+            Effect::SetControlAddress(address) => format!("reports to {address}"),
+            Effect::SetUpstreamAddress(address) => format!("calls to {address}"),
+            Effect::AskRegistry(ask) => {
                 let text = format!("{:?}", ask.op);
                 format!("registry {}", text.split(['(', ' ']).next().unwrap_or_default())
             }
-            Effect::Persist(number, _) => format!("store {number}"),
-            Effect::Retell => "retell".to_string(),
+            Effect::PersistRecords(number, _) => format!("store {number}"),
+            Effect::ReplayNotices => "retell".to_string(),
             Effect::Exit => "exit".to_string(),
-            Effect::Names { edition, changes } => {
+            Effect::UpdateNames { edition, changes } => {
                 for change in &changes {
                     match change {
                         NameChange::Class(handle, class) => {
                             self.classes.insert(handle.slot(), class.profile.name.clone());
                         }
-                        NameChange::ClassGone(class) => {
+                        NameChange::ClassForgotten(class) => {
                             self.classes.retain(|_, name| *name != class.profile.name);
                         }
                         _ => {}
@@ -288,13 +290,13 @@
                 self.names.publish(edition, changes);
                 return;
             }
-            Effect::LongestWindow(_) | Effect::SaveConfiguration(_) => return,
-            Effect::Reloaded => {
+            Effect::SetLongestWindow(_) | Effect::SaveConfiguration(_) => return,
+            Effect::ReloadFinished => {
                 let names: Vec<&str> = self.classes.values().map(String::as_str).collect();
                 let reloaded = format!("settings {}", names.join(" "));
                 if std::mem::take(&mut self.reloading) { reloaded } else { return }
             }
-            Effect::Admin(_, answer) => {
+            Effect::AnswerAdmin(_, answer) => {
                 let response = admin::response(answer);
                 let lines = response.body.lines().filter(|line| !line.starts_with('#'));
                 let status = response.status;
@@ -302,8 +304,8 @@
                 return;
             }
             Effect::Log(_, text) if text.starts_with("a call to the ledger ") => format!("log {text}"),
-            Effect::Log(..) | Effect::Peer(..) | Effect::Council(..) => return,
-            Effect::Change(turn, _) => format!("change {}", turn.version),
+            Effect::Log(..) | Effect::SendPeerDatagram(..) | Effect::WriteVoterState(..) => return,
+            Effect::StartRolloutStep(turn, _) => format!("change {}", turn.version),
         };
         self.events.push(event);
     }
@@ -313,10 +315,10 @@
     fn client(&mut self, conn: &str, bytes: &[u8], more: bool) {
         let conn = self.conn(conn);
         let input = match codec::decode(&bytes[4..], &self.names, &self.pool).expect("well-formed") {
-            codec::Message::Call(seq, call) => Input::Call(conn, seq, call),
-            codec::Message::Health(seq) => Input::Health(conn, seq),
+            codec::Message::Call(seq, call) => Input::Request(conn, seq, call),
+            codec::Message::Health(seq) => Input::HealthCheck(conn, seq),
             codec::Message::Cancel(seq) => Input::Cancel(conn, seq),
-            codec::Message::Invalid(seq, misuse, why) => Input::Invalid(conn, seq, misuse, why),
+            codec::Message::Invalid(seq, misuse, why) => Input::InvalidRequest(conn, seq, misuse, why),
             codec::Message::Unknown => return,
         };
         self.waiting.push(input);
@@ -338,20 +340,20 @@
                 }
                 Input::LinkUp { link: self.link, cold: state == "COLD", age }
             }
-            ["complete", n, rid, end, ref result @ ..] => Input::Complete {
+            ["complete", n, rid, end, ref result @ ..] => Input::RunCompleted {
                 notice: n.parse().expect("a number"),
                 id: id(rid),
                 end: match end {
                     "OK" => RunEnd::Ok,
-                    "ERROR" => RunEnd::Error,
+                    "ERROR" => RunEnd::Failed,
                     "STOPPED" => RunEnd::Stopped,
-                    _ => RunEnd::Moot,
+                    _ => RunEnd::NotStarted,
                 },
                 took: Span(20 * MS),
                 result: self.pool.copy(result.join(" ").as_bytes()).expect("fits"),
             },
-            ["reject", rid] => Input::Rejected(id(rid)),
-            ["ask", n, rid, ref body @ ..] => Input::Ask {
+            ["reject", rid] => Input::RunNotStarted(id(rid)),
+            ["ask", n, rid, ref body @ ..] => Input::UpstreamCallRequested {
                 notice: n.parse().expect("a number"),
                 id: id(rid),
                 body: self.pool.copy(body.join(" ").as_bytes()).expect("fits"),
@@ -366,12 +368,12 @@
     }
 
     fn terminate(&mut self) {
-        self.waiting.push(Input::Terminate);
+        self.waiting.push(Input::ShutdownNotice);
         self.settle();
     }
 
     fn order(&mut self, out: bool) {
-        self.waiting.push(if out { Input::TakeOut } else { Input::TakeIn });
+        self.waiting.push(if out { Input::TakeOutOfService } else { Input::ReturnToService });
         self.settle();
     }
 
@@ -394,14 +396,14 @@
                 self.reloading = true;
                 Input::Reload(Box::new(self.names.compare(config)))
             }
-            Err(why) => Input::ReloadRefused(why.to_string()),
+            Err(why) => Input::ReloadRejected(why.to_string()),
         });
         self.settle();
     }
 
     fn admin(&mut self, call: AdminRequest) {
         self.calls += 1;
-        self.waiting.push(Input::Admin(self.calls, call));
+        self.waiting.push(Input::AdminRequest(self.calls, call));
         self.settle();
     }
 
@@ -409,21 +411,21 @@
         let words: Vec<&str> = line.split(' ').collect();
         let [rid, how, ref reply @ ..] = words[..] else { panic!("no reply of the ledger: {line}") };
         let outcome = match how {
-            "200" => Outcome::Delivered,
-            "untouched" => Outcome::Shed,
-            "500" => Outcome::AppError,
-            "504" => Outcome::Expired,
-            "refused" => Outcome::DialFailed,
-            "broken" => Outcome::Dropped,
+            "200" => Outcome::Success,
+            "untouched" => Outcome::Rejected,
+            "500" => Outcome::Failure,
+            "504" => Outcome::TimedOut,
+            "refused" => Outcome::ConnectFailed,
+            "broken" => Outcome::Aborted,
             _ => panic!("no reply of the ledger: {line}"),
         };
-        let reply = (outcome == Outcome::Delivered)
-            .then(|| self.pool.copy(reply.join(" ").as_bytes()).expect("fits"));
+        let reply =
+            (outcome == Outcome::Success).then(|| self.pool.copy(reply.join(" ").as_bytes()).expect("fits"));
         let id = RequestId::new(&format!("{:016x}", rid.parse::<u64>().expect("a number")));
         // The call for it that left first; one that none left for is told of all the same.
         let out = self.calls_out.iter().position(|(known, _)| *known == id);
         let number = out.map_or(0, |place| self.calls_out.remove(place).1);
-        self.waiting.push(Input::Called { id, number, outcome, reply });
+        self.waiting.push(Input::UpstreamCallEnded { id, number, outcome, reply });
         self.settle();
     }
 
@@ -433,13 +435,13 @@
         let result = || self.pool.copy(result.join(" ").as_bytes()).expect("fits");
         let claim = match whose {
             "ours" => RunClaim::Ours,
-            "unsure" => RunClaim::Unsure,
+            "unsure" => RunClaim::Unknown,
             "failed" => RunClaim::Ended(RunOutcome::Failed),
             "served" => RunClaim::Ended(RunOutcome::Served(Arc::new(result()))),
             _ => panic!("no claim: {line}"),
         };
         let id = RequestId::new(&format!("{:016x}", rid.parse::<u64>().expect("a number")));
-        self.waiting.push(Input::Claimed(id, claim));
+        self.waiting.push(Input::RunClaimed(id, claim));
         self.settle();
     }
 
@@ -449,7 +451,8 @@
     }
 
     fn close(&mut self, peer: &str) {
-        let input = if peer == "processor" { Input::LinkDown } else { Input::Closed(self.conn(peer)) };
+        let input =
+            if peer == "processor" { Input::LinkDown } else { Input::ConnectionClosed(self.conn(peer)) };
         if peer == "processor" {
             self.connecting = Some(Time(self.ms * MS));
         } else {
@@ -461,13 +464,13 @@
 
     fn late(&mut self, conn: &str) {
         let conn = self.conn(conn);
-        self.waiting.push(Input::Late(conn));
+        self.waiting.push(Input::ConnectionLate(conn));
         self.settle();
     }
 
     fn half_close(&mut self, conn: &str) {
         let conn = self.conn(conn);
-        self.waiting.push(Input::Ended(conn));
+        self.waiting.push(Input::ConnectionHalfClosed(conn));
         self.settle();
     }
 
--- a/crates/model/src/account/mod.rs
+++ b/crates/model/src/account/mod.rs
@@ -19,7 +19,8 @@
     /// As `label-save`.
     pub name: String,
     /// Of a request that is answered within its aim.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub priority_weight: f64,
     /// The part of it that an answer after the aim earns, while the caller waits.
     pub late: f64,
     /// From the first try on.
@@ -86,9 +87,9 @@
     /// Those of the brief, for a fleet that can serve so many first tries a second. Times are whole; a model at another scale
     /// divides them.
     pub fn brief(capacity: f64) -> Self {
-        let class = |name: &str, worth, late, aim_ms, deadline_ms, window_ms| Class {
+        let class = |name: &str, priority_weight, late, aim_ms, deadline_ms, window_ms| Class {
             name: name.to_string(),
-            worth,
+            priority_weight,
             late,
             aim_ms,
             deadline_ms,
@@ -135,7 +136,11 @@
         range("a worth beyond the share from 0 to 1", self.beyond, (0.0..=1.0).contains(&self.beyond))?;
         range("a window above 0", self.window_ms as f64, self.window_ms > 0)?;
         for class in &self.classes {
-            range("a worth above 0", class.worth, class.worth > 0.0 && class.worth.is_finite())?;
+            range(
+                "a worth above 0",
+                class.priority_weight,
+                class.priority_weight > 0.0 && class.priority_weight.is_finite(),
+            )?;
             range("a late part from 0 to 1", class.late, (0.0..=1.0).contains(&class.late))?;
             range(
                 "a deadline of the aim or more",
--- a/crates/model/src/account/service.rs
+++ b/crates/model/src/account/service.rs
@@ -63,9 +63,9 @@
         if self.asked > 0.0 { self.earned / self.asked } else { 1.0 }
     }
 
-    fn add(&mut self, worth: f64, earned: f64) {
+    fn add(&mut self, priority_weight: f64, earned: f64) {
         self.count += 1;
-        self.asked += worth;
+        self.asked += priority_weight;
         self.earned += earned;
     }
 }
@@ -188,16 +188,16 @@
     }
 
     /// What a request is worth, and what of it was earned.
-    fn worth(&self, request: Request) -> (f64, f64) {
+    fn priority_weight(&self, request: Request) -> (f64, f64) {
         let asked = &self.asked[request];
         let class = &self.terms.classes[asked.class];
-        let worth = class.worth * if asked.within { 1.0 } else { self.terms.beyond };
+        let priority_weight = class.priority_weight * if asked.within { 1.0 } else { self.terms.beyond };
         let earned = match self.place(request) {
-            Place::InTime => worth,
-            Place::Late => worth * class.late,
+            Place::InTime => priority_weight,
+            Place::Late => priority_weight * class.late,
             Place::Open | Place::GivenUp => 0.0,
         };
-        (worth, earned)
+        (priority_weight, earned)
     }
 
     /// By the second of the first try: each class's sum, and each office's, within its share and beyond it.
@@ -206,10 +206,10 @@
         let mut classes = vec![vec![Sum::default(); self.terms.classes.len()]; last + 1];
         let mut offices = vec![vec![Sum::default(); self.terms.offices.len()]; last + 1];
         for (request, asked) in self.asked.iter().enumerate() {
-            let (worth, earned) = self.worth(request);
+            let (priority_weight, earned) = self.priority_weight(request);
             let second = (asked.at / STEP_MS) as usize;
-            classes[second][asked.class].add(worth, earned);
-            offices[second][asked.office].add(worth, earned);
+            classes[second][asked.class].add(priority_weight, earned);
+            offices[second][asked.office].add(priority_weight, earned);
         }
         (classes, offices)
     }
@@ -224,7 +224,7 @@
         let mut steps = BTreeMap::<Ms, Sum>::new();
         let (mut places, mut late) = ([0; 4], 0_u64);
         for (request, asked) in self.asked.iter().enumerate() {
-            let (worth, earned) = self.worth(request);
+            let (priority_weight, earned) = self.priority_weight(request);
             let place = self.place(request);
             places[match place {
                 Place::Open => 0,
@@ -233,11 +233,11 @@
                 Place::GivenUp => 3,
             }] += 1;
             late += u64::from(place == Place::Late);
-            whole.add(worth, earned);
-            classes[asked.class].add(worth, earned);
+            whole.add(priority_weight, earned);
+            classes[asked.class].add(priority_weight, earned);
             let line = if asked.within { &mut offices } else { &mut beyond };
-            line[asked.office].add(worth, earned);
-            steps.entry(asked.at / STEP_MS).or_default().add(worth, earned);
+            line[asked.office].add(priority_weight, earned);
+            steps.entry(asked.at / STEP_MS).or_default().add(priority_weight, earned);
         }
         let worst = worst_window(&steps, terms.window_ms.div_ceil(STEP_MS)).unwrap_or((0, whole));
         let prices = [
--- a/crates/model/src/account/slow_start.rs
+++ b/crates/model/src/account/slow_start.rs
@@ -15,8 +15,8 @@
 }
 
 /// Runs that a server survives on its cores in the mean, at a share of its full speed: rule 4 of the wire page.
-pub fn survived(cores: f64, tip_multiple: f64, share: f64) -> f64 {
-    (1.0 + (tip_multiple - 1.0) * share) * cores
+pub fn survived(cores: f64, max_concurrency_per_core: f64, share: f64) -> f64 {
+    (1.0 + (max_concurrency_per_core - 1.0) * share) * cores
 }
 
 #[derive(Debug, Clone, Copy)]
--- a/crates/model/src/agreed/days.rs
+++ b/crates/model/src/agreed/days.rs
@@ -64,7 +64,7 @@
     let cut_for = 3_000 + fleet.draw(15_000);
     let (mut ready, mut looks, mut had) = (0.0, 0.0, 0);
     let mut done = [false; 4];
-    let over = |fleet: &Fleet| matches!(fleet.state(), RolloutState::Done | RolloutState::Undone(_));
+    let over = |fleet: &Fleet| matches!(fleet.state(), RolloutState::Done | RolloutState::RolledBack(_));
     while started.is_ok() && !over(&fleet) && fleet.now.0 - begin.0 < day.patience_s * 1_000 * MS {
         fleet.run(500);
         let at_ms = (fleet.now.0 - begin.0) / MS;
@@ -91,7 +91,7 @@
 }
 
 fn broken(fleet: &Fleet, most: &Limits) -> Option<String> {
-    fleet.promise(most).err()
+    fleet.latency_objective(most).err()
 }
 
 fn trouble(fleet: &mut Fleet, which: usize, zone: usize, day: &Day) {
--- a/crates/model/src/agreed/mod.rs
+++ b/crates/model/src/agreed/mod.rs
@@ -2,7 +2,7 @@
 //! supervisor that starts them with the version that the fleet wants, and a net between them. Load is not modelled: a ready
 //! server counts what came and what it served, at a rate and a share that its version has.
 //!
-//! [`Fleet::promise`] holds the promise against what those saw who see the truth.
+//! [`Fleet::latency_objective`] holds the promise against what those saw who see the truth.
 
 mod days;
 
@@ -372,9 +372,9 @@
                 AgentEffect::Write(number, records) => {
                     self.servers[n].pending.push_back((time_after(now, Span(4 * MS)), number, records));
                 }
-                AgentEffect::MayLeave(_, until) if now < until => self.leaves(n, None),
-                AgentEffect::MayLeave(..) => self.servers[n].part.as_mut().unwrap().leave(now),
-                AgentEffect::MayChange(turn, until) if now < until => match turn.kind {
+                AgentEffect::PermitGranted(_, until) if now < until => self.leaves(n, None),
+                AgentEffect::PermitGranted(..) => self.servers[n].part.as_mut().unwrap().leave(now),
+                AgentEffect::StepGranted(turn, until) if now < until => match turn.kind {
                     ReleaseKind::Program => self.leaves(n, Some(turn.version)),
                     ReleaseKind::Settings if turn.version == "s-broken" => {
                         self.servers[n].failed = Some((turn.release, "it can't be read".into()));
@@ -385,10 +385,10 @@
                         self.servers[n].told = None;
                     }
                 },
-                AgentEffect::MayChange(..) => self.servers[n].part.as_mut().unwrap().missed(),
-                AgentEffect::Refused(why) => self.notes.push(format!("n{n}: refused: {why}")),
+                AgentEffect::StepGranted(..) => self.servers[n].part.as_mut().unwrap().missed(),
+                AgentEffect::PermitDenied(why) => self.notes.push(format!("n{n}: refused: {why}")),
                 AgentEffect::Configuration(_) => {}
-                AgentEffect::Note(_, text) => self.notes.push(format!("n{n}: {text}")),
+                AgentEffect::Log(_, text) => self.notes.push(format!("n{n}: {text}")),
             }
         }
     }
@@ -429,7 +429,7 @@
         self.servers[n].part.as_mut().expect("it runs").order(now, ticket, order)?;
         for _ in 0..1_000 {
             self.run(10);
-            if let CommandStatus::Over(answer) =
+            if let CommandStatus::Finished(answer) =
                 self.servers[n].part.as_ref().expect("it runs").became(ticket)
             {
                 return answer;
@@ -446,19 +446,19 @@
 
     /// Starts a release, ordered at n4.
     pub fn release(&mut self, plan: RolloutPlan) -> Result<String, String> {
-        self.order(4, OperatorCommand::Start { plan: Box::new(plan), by: Arc::from("kaisa") })
+        self.order(4, OperatorCommand::StartRollout { plan: Box::new(plan), by: Arc::from("kaisa") })
     }
 
     /// An order to halt.
     pub fn halt(&self, name: &str) -> OperatorCommand {
         let (by, why) = (Arc::from("kaisa"), "by hand".into());
-        OperatorCommand::Release(RolloutCommand::Halt { name: name.into(), by, why })
+        OperatorCommand::Rollout(RolloutCommand::Halt { name: name.into(), by, why })
     }
 
     /// An order to go back.
     pub fn back(&self, name: &str) -> OperatorCommand {
         let (by, why) = (Arc::from("kaisa"), "by hand".into());
-        OperatorCommand::Release(RolloutCommand::Back { name: name.into(), by, why })
+        OperatorCommand::Rollout(RolloutCommand::Back { name: name.into(), by, why })
     }
 
     /// The newest record that anybody who runs has.
@@ -492,7 +492,7 @@
 
     /// The promise, by those who see the truth: at each moment at which somebody began to be out, those out by agreement and
     /// those known to be out otherwise were no more than the limits allow.
-    pub fn promise(&self, limits: &Limits) -> Result<(), String> {
+    pub fn latency_objective(&self, limits: &Limits) -> Result<(), String> {
         for Began { at, who, agreed, unplanned } in &self.began {
             let all: BTreeSet<usize> = agreed.iter().chain(unplanned).copied().collect();
             let zone = all.iter().filter(|n| *n % 3 == who % 3).count();
--- a/crates/model/src/config/truth.rs
+++ b/crates/model/src/config/truth.rs
@@ -18,18 +18,18 @@
 }
 
 /// A class of this name.
-pub fn class(name: &str, worth: f64) -> Change {
+pub fn class(name: &str, priority_weight: f64) -> Change {
     let profile = ClassProfile {
         name: name.to_string(),
-        promise: span_from_seconds(1.0),
+        latency_objective: span_from_seconds(1.0),
         deadline: span_from_seconds(4.0),
-        effect: Idempotency::Repeatable,
+        effect: Idempotency::Idempotent,
         late_value: 0.3,
         window: span_from_seconds(0.0),
-        worth,
-        aim_stretch: 0.0,
+        priority_weight,
+        objective_stretch: 0.0,
     };
-    Change::PutClass(Arc::new(ClassDefinition { profile, calls: false, skip_worth: 0.0 }))
+    Change::PutClass(Arc::new(ClassDefinition { profile, calls: false, skip_weight: 0.0 }))
 }
 
 /// A tenant of this name.
--- a/crates/model/src/peers/world.rs
+++ b/crates/model/src/peers/world.rs
@@ -580,7 +580,7 @@
         if let Some(Slot::Borrowed { until, max_call }) = call.slot {
             if local >= until {
                 self.calls.remove(&id);
-                return self.told_of(n, id, Ended::Shed, Span(0));
+                return self.told_of(n, id, Ended::Rejected, Span(0));
             }
             limit = span_seconds(max_call) / self.servers[n].rate;
         }
@@ -588,7 +588,7 @@
         if closed {
             self.calls.remove(&id);
             self.out.refused += 1;
-            return self.told_of(n, id, Ended::DialFailed, Span(0));
+            return self.told_of(n, id, Ended::ConnectFailed, Span(0));
         }
         let slower = self.troubles().map(|t| if let What::SlowLedger(times) = t.what { times } else { 1.0 });
         let slower = slower.fold(1.0, f64::max);
@@ -618,7 +618,7 @@
         let n = call.server;
         if gone.is_none() && call.awaited && self.servers[n].life == call.life && call.good {
             let took = span_from_seconds((self.now - call.made) as f64 / 1e9);
-            self.told_of(n, id, Ended::Delivered, took);
+            self.told_of(n, id, Ended::Success, took);
         }
         if self.spec.sharing == Sharing::AllKnowing {
             self.pour();
@@ -639,7 +639,7 @@
         call.awaited = false;
         let took = span_from_seconds((self.now - call.made) as f64 / 1e9);
         self.queue.push(self.now + nanos(LINGER_S), Event::Gone(id));
-        self.told_of(n, id, Ended::Expired, took);
+        self.told_of(n, id, Ended::TimedOut, took);
     }
 
     fn gone(&mut self, id: u64) {
@@ -651,13 +651,13 @@
         let server = self.calls.get(&id).map(|call| call.server);
         self.done(id, Some(()));
         if let (true, Some(n)) = (awaited, server) {
-            self.told_of(n, id, Ended::Expired, span_from_seconds(OWN_LIMIT_S));
+            self.told_of(n, id, Ended::TimedOut, span_from_seconds(OWN_LIMIT_S));
         }
     }
 
     /// The server's process is told, now or when it goes on.
     fn told_of(&mut self, n: usize, id: u64, how: Ended, took: Span) {
-        self.out.served += usize::from(how == Ended::Delivered && self.counts_now());
+        self.out.served += usize::from(how == Ended::Success && self.counts_now());
         if self.servers[n].stopped {
             self.servers[n].ended.push((id, how));
             return;
--- a/crates/model/src/policies/mod.rs
+++ b/crates/model/src/policies/mod.rs
@@ -11,8 +11,8 @@
 
 use crate::day::{Day, What};
 use gradepin_admission::{
-    Callers, CapacitySignal, ClassProfile, Goal, Idempotency as Repeat, Limits as Site, Prices, Rules,
-    Settings, Span, Specifics, StopMode, Tenant, Time, UpstreamKind, WeightBasis,
+    Callers, CapacitySignal, ClassProfile, Goal, Idempotency, Limits as Site, Prices, Rules, Settings, Span,
+    Specifics, StopMode, Tenant, Time, UpstreamKind, WeightBasis,
 };
 use gradepin_core::config::{Config, Limits};
 use gradepin_core::messages::{Effect, Input};
@@ -142,7 +142,7 @@
 
 /// The shortest aim of all classes, in nanoseconds: what plain policies take their waits from.
 fn shortest_aim(settings: &Settings) -> f64 {
-    settings.profiles.iter().map(|profile| profile.promise.0).min().unwrap_or(0) as f64
+    settings.profiles.iter().map(|profile| profile.latency_objective.0).min().unwrap_or(0) as f64
 }
 
 fn config(settings: &Settings, start: Start, stop_ms: u64) -> Config {
@@ -180,13 +180,13 @@
             .iter()
             .map(|class| ClassProfile {
                 name: class.name.clone(),
-                promise: ms(class.aim_ms),
+                latency_objective: ms(class.aim_ms),
                 deadline: ms(class.deadline_ms),
-                effect: if class.window_ms.is_some() { Repeat::ByKey } else { Repeat::Repeatable },
+                effect: if class.window_ms.is_some() { Idempotency::Keyed } else { Idempotency::Idempotent },
                 late_value: class.late,
                 window: ms(class.window_ms.unwrap_or(0)),
-                worth: class.worth,
-                aim_stretch: 0.0,
+                priority_weight: class.priority_weight,
+                objective_stretch: 0.0,
             })
             .collect(),
         customers: terms
@@ -198,38 +198,38 @@
                 portion: office.share,
             })
             .collect(),
-        callers: Callers { marks_retry: true },
+        callers: Callers { marks_retries: true },
         goal: Goal { whole: 0.4, worst_class: 0.2, worst_tenant: 0.1, worst_window: 0.3 },
         limits: Site { max_retry_after: ms(1_000), retry_after: true },
         prices: Prices { late_fail: 0.083, waste: 0.08, ..Prices::default() },
-        worth_by: WeightBasis::Request,
-        over_share_worth: terms.beyond,
+        weight_basis: WeightBasis::Request,
+        over_quota_weight: terms.beyond,
         rules: Rules {
             answer_slack: ms(100),
             cold: ms(18_000),
-            cold_share: 0.21,
+            cold_capacity: 0.21,
             drain_grace: ms(1_800),
             fall: ms(1_500),
-            tip_multiple: 8.0,
+            max_concurrency_per_core: 8.0,
         },
         specifics: Specifics {
-            advert: CapacitySignal::Threshold,
+            advert: CapacitySignal::PrecedenceThreshold,
             below: UpstreamKind::Off,
             calls_by_class: vec![false; terms.classes.len()],
-            class_skip_worth: vec![0.0; terms.classes.len()],
+            class_skip_weights: vec![0.0; terms.classes.len()],
             clients_total: day.proxies.len() as u32,
             gauges: ["core_use", "on_cores", "heap_share", "links"].map(str::to_string).to_vec(),
             heeded: ms(1_000),
             idle: ms(15_000),
-            kb_per_key: day.key_kb,
-            list_follows: true,
+            idempotency_key_kb: day.key_kb,
+            endpoint_list_follows_health: true,
             memory_kb: 1.0,
             n_cores: 1,
-            passes_deadline: true,
+            propagates_deadline: true,
             run_factor: day.run_factor,
             share_span: ms(5_000),
             stop_mode: StopMode::Off,
-            tells_gone: true,
+            reports_disconnects: true,
             ..Specifics::default()
         },
     }
--- a/crates/model/src/policies/shell.rs
+++ b/crates/model/src/policies/shell.rs
@@ -99,7 +99,7 @@
             grace: settings.rules.drain_grace,
             memory_kb: settings.specifics.memory_kb,
             run_factor: settings.specifics.run_factor,
-            key_kb: settings.specifics.kb_per_key,
+            key_kb: settings.specifics.idempotency_key_kb,
         }
     }
 }
@@ -183,7 +183,7 @@
     }
 
     fn refusal(&self) -> Response {
-        Response::Refused { backoff: self.spec.advice, last: false }
+        Response::Rejected { backoff: self.spec.advice, last: false }
     }
 
     fn answer(&mut self, id: &RequestId, answer: Response, effects: &mut Vec<Effect>) {
@@ -196,7 +196,7 @@
         if let Some(seqs) = self.conns.get_mut(&conn) {
             seqs.remove(&seq);
         }
-        effects.push(Effect::Answer(conn, seq, answer, level));
+        effects.push(Effect::Respond(conn, seq, answer, level));
         if began.is_none() {
             self.forget(id);
         }
@@ -354,7 +354,7 @@
             let (ask, body) = (open.ask, Arc::clone(&open.body));
             self.running += 1;
             self.policy.began(self.now, &ask);
-            effects.push(Effect::Begin(link, id, Arc::default(), body));
+            effects.push(Effect::StartRun(link, id, Arc::default(), body));
         }
         if self.line.is_empty() {
             self.policy.idle(self.now);
@@ -383,24 +383,24 @@
         self.now = moment.now;
         for input in inputs.drain(..) {
             match input {
-                Input::Opened(conn) => {
+                Input::ConnectionOpened(conn) => {
                     self.conns.entry(conn).or_default();
                     if self.notice.is_some() {
-                        effects.push(Effect::Draining(conn));
+                        effects.push(Effect::RequestDrain(conn));
                     }
                 }
-                Input::Closed(conn) => {
+                Input::ConnectionClosed(conn) => {
                     for seq in self.conns.remove(&conn).unwrap_or_default() {
                         self.gone(conn, seq, effects);
                     }
                 }
-                Input::Call(conn, seq, call) => self.call(moment, conn, seq, *call, effects),
+                Input::Request(conn, seq, call) => self.call(moment, conn, seq, *call, effects),
                 Input::Cancel(conn, seq) => self.gone(conn, seq, effects),
-                Input::Health(conn, seq) => {
+                Input::HealthCheck(conn, seq) => {
                     let good = Response::Health(self.link.is_some() && self.notice.is_none(), None);
-                    effects.push(Effect::Answer(conn, seq, good, self.policy.level()));
+                    effects.push(Effect::Respond(conn, seq, good, self.policy.level()));
                 }
-                Input::Registry(ticket, reply) => self.registration.reply(self.now, ticket, reply),
+                Input::RegistryReply(ticket, reply) => self.registration.reply(self.now, ticket, reply),
                 Input::LinkUp { link, cold, age } => {
                     self.registration.processor_up(time_before(self.now, age), cold);
                     self.registration.health(self.now, true);
@@ -408,19 +408,19 @@
                     self.next_report = self.now;
                 }
                 Input::LinkDown => self.link = None,
-                Input::Complete { id, end, took, result, .. } => {
+                Input::RunCompleted { id, end, took, result, .. } => {
                     self.complete(&id, end, took, result, effects)
                 }
-                Input::Rejected(id) => {
+                Input::RunNotStarted(id) => {
                     self.running = self.running.saturating_sub(1);
                     self.never_ran(&id, Response::Failed { late: false }, effects);
                 }
-                Input::Terminate if self.notice.is_none() => {
+                Input::ShutdownNotice if self.notice.is_none() => {
                     self.notice = Some(self.now);
                     self.last_call = Some(time_before(time_after(self.now, self.spec.stop), STOP_MARGIN));
                     self.next_report = self.now;
                     self.registration.leave(self.now);
-                    effects.extend(self.conns.keys().map(|conn| Effect::Draining(*conn)));
+                    effects.extend(self.conns.keys().map(|conn| Effect::RequestDrain(*conn)));
                 }
                 _ => {}
             }
@@ -436,7 +436,7 @@
         self.begin(effects);
         if self.link.is_some() && self.now >= self.next_report {
             self.next_report = time_after(self.now, REPORT_EVERY);
-            effects.push(Effect::Report(self.notice.is_none()));
+            effects.push(Effect::ReportReadiness(self.notice.is_none()));
         }
         let answered = self.last_call.is_some() && self.open.is_empty();
         self.registration.step(moment, answered, effects);
--- a/crates/model/src/processor.rs
+++ b/crates/model/src/processor.rs
@@ -268,12 +268,12 @@
     }
 
     /// All that needs a core now.
-    pub fn on_cores(&self) -> f64 {
+    pub fn runnable(&self) -> f64 {
         self.on() as f64
     }
 
     /// Part of the cores that was busy in the last half second.
-    pub fn core_use(&self) -> f64 {
+    pub fn cpu_utilization(&self) -> f64 {
         let from = self.now.saturating_sub(GAUGE).max(self.spec.started);
         let Some(&(first_at, first)) = self.course.front() else { return 0.0 };
         // Between two entries it rose evenly.
@@ -391,10 +391,10 @@
         let mut cores = cores(false);
         cores.run(1, 0.25);
         play(&mut cores);
-        assert!((cores.core_use() - 0.5).abs() < 0.01, "{}", cores.core_use());
+        assert!((cores.cpu_utilization() - 0.5).abs() < 0.01, "{}", cores.cpu_utilization());
         cores.advance(500 * MS);
-        assert!((cores.core_use() - 0.25).abs() < 0.01, "{}", cores.core_use());
+        assert!((cores.cpu_utilization() - 0.25).abs() < 0.01, "{}", cores.cpu_utilization());
         cores.advance(1_000 * MS);
-        assert!(cores.core_use() < 0.01, "{}", cores.core_use());
+        assert!(cores.cpu_utilization() < 0.01, "{}", cores.cpu_utilization());
     }
 }
--- a/crates/model/src/roster/mod.rs
+++ b/crates/model/src/roster/mod.rs
@@ -81,7 +81,7 @@
         tell_every: span_from_seconds(1.0),
         steady: span_from_seconds(0.5),
         ready_share: 0.5,
-        cold_share: 0.21,
+        cold_capacity: 0.21,
         cold: span_from_seconds(18.0),
         prefer_every: span_from_seconds(60.0),
         cancel: true,
--- a/crates/model/src/world/callers.rs
+++ b/crates/model/src/world/callers.rs
@@ -472,12 +472,11 @@
         class += 1;
     }
     // What is worth less, and of those worth the same what comes first, ranks below.
-    let worth = day.classes[class].class.worth;
-    let below = day
-        .classes
-        .iter()
-        .enumerate()
-        .filter(|(other, spec)| spec.class.worth < worth || spec.class.worth == worth && *other < class);
+    let priority_weight = day.classes[class].class.priority_weight;
+    let below = day.classes.iter().enumerate().filter(|(other, spec)| {
+        spec.class.priority_weight < priority_weight
+            || spec.class.priority_weight == priority_weight && *other < class
+    });
     (class, below.map(|(_, spec)| spec.share).sum())
 }
 
--- a/crates/model/src/world/machines.rs
+++ b/crates/model/src/world/machines.rs
@@ -197,7 +197,7 @@
         if !std::mem::replace(&mut self.conns[conn as usize].accepted, true) {
             let machine = &mut self.machines[number];
             machine.conns.insert(conn);
-            machine.inputs.push(Input::Opened(conn));
+            machine.inputs.push(Input::ConnectionOpened(conn));
             self.settle(number);
         }
         self.plan_cores(number);
@@ -238,7 +238,7 @@
         // One that was read only after its time is answered at once.
         let due = (came_ms + call.budget).max(self.now / MS);
         self.rules.read(machine.ident, u64::from(id), came_ms, due, key);
-        machine.inputs.push(Input::Call(conn, id as i32, Box::new(call)));
+        machine.inputs.push(Input::Request(conn, id as i32, Box::new(call)));
         machine.held_kb += size_kb;
         self.tell(id, |story, now| story.read = Some(now));
         if told_left {
@@ -295,7 +295,7 @@
         let (number, life) = (way.machine as usize, way.life);
         let machine = &mut self.machines[number];
         if machine.up && machine.life == life && machine.conns.remove(&conn) {
-            machine.inputs.push(Input::Closed(conn));
+            machine.inputs.push(Input::ConnectionClosed(conn));
             self.conns[conn as usize].closed = true;
             // Nobody waits for what was still open on it: a caller that gave up without a word.
             let tries = &self.tries;
@@ -350,7 +350,7 @@
         machine.notices += 1;
         let id_text = RequestId::new(&format!("{id:016x}"));
         let (notice, end) = (machine.notices, RunEnd::Ok);
-        machine.inputs.push(Input::Complete { notice, id: id_text, end, took, result });
+        machine.inputs.push(Input::RunCompleted { notice, id: id_text, end, took, result });
         if done {
             // Whoever asked has the answer already, or waits no more.
             self.service.wasted(run_work(work_s, self.read_s) * 1e3);
@@ -428,39 +428,39 @@
 
     fn effect(&mut self, number: usize, effect: Effect) {
         match effect {
-            Effect::Answer(conn, seq, answer, level) => {
+            Effect::Respond(conn, seq, answer, level) => {
                 self.answers(number, conn, seq as TryId, answer, level)
             }
-            Effect::Begin(_, id, _, _) => {
+            Effect::StartRun(_, id, _, _) => {
                 if let Ok(id) = u32::from_str_radix(&id.0, 16) {
                     self.begins(number, id);
                 }
             }
-            Effect::Usage(_, tag) => {
+            Effect::ReadGauges(_, tag) => {
                 let machine = &mut self.machines[number];
                 let heap = machine.memory_kb() / self.day.machines[number].memory_kb.max(1.0);
                 let links = machine.conns.len() as f64;
-                let gauges = vec![machine.cores.core_use(), machine.cores.on_cores(), heap, links];
-                machine.inputs.push(Input::Used(tag, gauges));
+                let gauges = vec![machine.cores.cpu_utilization(), machine.cores.runnable(), heap, links];
+                machine.inputs.push(Input::GaugesRead(tag, gauges));
             }
-            Effect::Draining(conn) => self.downward(conn, Event::Draining(conn)),
-            Effect::CloseResting(conn, taken) => {
+            Effect::RequestDrain(conn) => self.downward(conn, Event::Draining(conn)),
+            Effect::CloseIdleConnection(conn, taken) => {
                 // Only what the server has taken in was sent: nothing is under way on it.
                 let way = &self.conns[conn as usize];
                 if way.sent == taken && self.machines[number].conns.remove(&conn) {
-                    self.machines[number].inputs.push(Input::Closed(conn));
+                    self.machines[number].inputs.push(Input::ConnectionClosed(conn));
                     self.downward(conn, Event::ClosedDown(conn));
                 }
             }
-            Effect::Renew(_) => {
+            Effect::ReconnectProcessor(_) => {
                 let machine = &mut self.machines[number];
                 machine.links += 1;
                 let age = Span(self.now - machine.cores.started());
                 let link = machine.links;
                 machine.inputs.extend([Input::LinkDown, Input::LinkUp { link, cold: false, age }]);
             }
-            Effect::Report(ready) => self.reported(number, ready),
-            Effect::Registry(ask) => self.asks_registry(number, ask),
+            Effect::ReportReadiness(ready) => self.reported(number, ready),
+            Effect::AskRegistry(ask) => self.asks_registry(number, ask),
             Effect::Exit => {
                 self.stop(number, false);
                 self.start(number, true);
@@ -472,11 +472,11 @@
     fn answers(&mut self, number: usize, conn: u64, id: TryId, answer: Response, level: Option<f64>) {
         let got = match answer {
             Response::Served(_) => Got::Served(level),
-            Response::Refused { backoff, last } => {
+            Response::Rejected { backoff, last } => {
                 self.watch.now.refused += 1;
                 Got::Refused { away: backoff.0, last, level }
             }
-            Response::Failed { .. } | Response::Unknown | Response::Invalid(..) => {
+            Response::Failed { .. } | Response::OutcomeUnknown | Response::Invalid(..) => {
                 self.watch.now.failed += 1;
                 Got::Failed(level)
             }
--- a/crates/model/src/world/roster.rs
+++ b/crates/model/src/world/roster.rs
@@ -167,7 +167,7 @@
             RegistryOperation::ClearOverride { status, dirty_ms } => {
                 done(self.registry.clear_override(APP, &id, status, dirty_ms, now_ms))
             }
-            RegistryOperation::Look => {
+            RegistryOperation::FetchOwnRecord => {
                 let found = self.registry.instance(APP, &id);
                 found.map_or(RegistryReply::NotFound, |instance| {
                     RegistryReply::Record(Box::new(instance.clone()))
@@ -184,7 +184,7 @@
     pub(super) fn registry_replied(&mut self, machine: usize, life: u32, ticket: u64, reply: RegistryReply) {
         let here = &mut self.machines[machine];
         if here.up && here.life == life {
-            here.inputs.push(gradepin_core::messages::Input::Registry(ticket, reply));
+            here.inputs.push(gradepin_core::messages::Input::RegistryReply(ticket, reply));
             self.settle(machine);
         }
     }
--- a/crates/model/src/world/troubles.rs
+++ b/crates/model/src/world/troubles.rs
@@ -51,7 +51,7 @@
         if !here.up {
             return;
         }
-        here.inputs.push(Input::Terminate);
+        here.inputs.push(Input::ShutdownNotice);
         let (ident, life) = (here.ident, here.life);
         self.rules.told_to_leave(ident, self.now / MS);
         self.queue.push(self.now + drain, Event::Stops(machine, life));
--- a/crates/model/tests/agreed.rs
+++ b/crates/model/tests/agreed.rs
@@ -17,7 +17,7 @@
     let mut fleet = Fleet::new(9, 3, most.clone(), 1);
     (0..9).for_each(|n| fleet.leave(n));
     assert!(fleet.until(120_000, |fleet| fleet.began.len() == 9), "{:?}", fleet.notes);
-    fleet.promise(&most).unwrap();
+    fleet.latency_objective(&most).unwrap();
     assert!(fleet.until(20_000, |fleet| fleet.record().permits.is_empty()));
     let waited = fleet.began.last().unwrap().at.0 - fleet.began[0].at.0;
     assert!(waited > 5_000_000_000, "they went at once");
@@ -42,7 +42,7 @@
             }
         }
         assert!(fleet.until(120_000, |fleet| fleet.began.len() >= 4), "seed {seed}: {:?}", fleet.notes);
-        fleet.promise(&most).unwrap();
+        fleet.latency_objective(&most).unwrap();
     }
 }
 
@@ -68,7 +68,7 @@
     assert_eq!(fleet.began.len(), 1);
     fleet.cut.clear();
     assert!(fleet.until(20_000, |fleet| fleet.began.len() == 2));
-    fleet.promise(&most).unwrap();
+    fleet.latency_objective(&most).unwrap();
 }
 
 /// Hard case 3: a holder is stopped before it leaves and goes on a minute later, its slot freed by an operator meanwhile and
@@ -91,8 +91,11 @@
         let holder = Target::Server(Arc::from("n5"));
         if let Some(epoch) = fleet.record().permit_of(&holder).map(|(epoch, _)| epoch) {
             assert!(fleet.began.is_empty(), "seed {seed}: the place is kept");
-            let free =
-                OperatorCommand::Free { epoch, by: Arc::from("kaisa"), why: "its board is dead".into() };
+            let free = OperatorCommand::ReleasePermit {
+                epoch,
+                by: Arc::from("kaisa"),
+                why: "its board is dead".into(),
+            };
             fleet.order(4, free).expect("it is freed");
             assert!(fleet.began.is_empty(), "seed {seed}: it counts until the holder's time is over");
         }
@@ -101,7 +104,7 @@
         assert!(fleet.began.is_empty(), "seed {seed}: {:?}", fleet.began);
         fleet.servers[5].stopped = false;
         assert!(fleet.until(60_000, |fleet| fleet.began.len() == 2), "seed {seed}: {:?}", fleet.notes);
-        fleet.promise(&most).unwrap();
+        fleet.latency_objective(&most).unwrap();
     }
 }
 
@@ -122,7 +125,7 @@
     let began = fleet.began.len();
     fleet.run(20_000);
     assert_eq!(fleet.began.len(), began, "three are out, two may be");
-    assert_eq!(fleet.state(), RolloutState::Runs, "{:?}", fleet.notes);
+    assert_eq!(fleet.state(), RolloutState::Running, "{:?}", fleet.notes);
     for &n in &zone {
         fleet.servers[n].dark = false;
         fleet.revive(n);
@@ -133,7 +136,7 @@
         fleet.record().release
     );
     assert!(all_have(&fleet, "v2"));
-    fleet.promise(&most).unwrap();
+    fleet.latency_objective(&most).unwrap();
 }
 
 /// A sound release goes through, one first, then shares, and takes no more time than its parts.
@@ -154,7 +157,7 @@
         fleet.record().release
     );
     assert!(all_have(&fleet, "v2") && fleet.began.len() == 9);
-    fleet.promise(&most).unwrap();
+    fleet.latency_objective(&most).unwrap();
     let took = (fleet.now.0 - begin.0) as f64 / 1e9;
     // A step: drain, start, steady as the plan and the permit say, and some looks. One first, then two at a time.
     let step = 0.8 + 1.2 + 1.0 + 0.8;
@@ -176,15 +179,16 @@
             plan.waves.iter_mut().for_each(|wave| wave.pause_ms = 60_000);
         }
         fleet.release(plan).expect("it starts");
-        let goes =
-            |fleet: &Fleet| matches!(fleet.state(), RolloutState::GoesBack(_) | RolloutState::Undone(_));
+        let goes = |fleet: &Fleet| {
+            matches!(fleet.state(), RolloutState::RollingBack(_) | RolloutState::RolledBack(_))
+        };
         assert!(fleet.until(within_ms, goes), "{version}: {:?} {:?}", fleet.state(), fleet.notes);
         let had = fleet.servers.iter().filter(|server| server.program == version).count();
         assert!(had <= most_had, "{version}: {had} had it");
-        let undone = |fleet: &Fleet| matches!(fleet.state(), RolloutState::Undone(_));
+        let undone = |fleet: &Fleet| matches!(fleet.state(), RolloutState::RolledBack(_));
         assert!(fleet.until(120_000, undone), "{version}: {:?} {:?}", fleet.record().release, fleet.notes);
         assert!(fleet.until(10_000, |fleet| all_have(fleet, "v1")), "{version}");
-        fleet.promise(&most).unwrap();
+        fleet.latency_objective(&most).unwrap();
     }
 }
 
@@ -204,20 +208,21 @@
     fleet.run(7_000);
     fleet.sound = 0.6;
     fleet.run(15_000);
-    assert_eq!(fleet.state(), RolloutState::Runs, "{:?}", fleet.notes);
+    assert_eq!(fleet.state(), RolloutState::Running, "{:?}", fleet.notes);
     // It would fit now, and is held.
     fleet.servers[8].dark = false;
     fleet.revive(8);
     fleet.run(20_000);
-    assert!(fleet.began.is_empty() && fleet.state() == RolloutState::Runs, "{:?}", fleet.notes);
+    assert!(fleet.began.is_empty() && fleet.state() == RolloutState::Running, "{:?}", fleet.notes);
     let held = fleet.notes.iter().filter(|note| note.contains("no server has the version")).count();
     assert_eq!(held, 1, "said once: {:?}", fleet.notes);
     fleet.sound = SOUND;
     assert!(fleet.until(20_000, |fleet| !fleet.began.is_empty()), "{:?}", fleet.notes);
     fleet.sound = 0.6;
-    let goes = |fleet: &Fleet| matches!(fleet.state(), RolloutState::GoesBack(_) | RolloutState::Undone(_));
+    let goes =
+        |fleet: &Fleet| matches!(fleet.state(), RolloutState::RollingBack(_) | RolloutState::RolledBack(_));
     assert!(fleet.until(20_000, goes), "{:?} {:?}", fleet.state(), fleet.notes);
-    fleet.promise(&most).unwrap();
+    fleet.latency_objective(&most).unwrap();
 }
 
 /// Hard case 6, the other side: a sound version while a trouble of another cause is on, the same for old and new, isn't blamed;
@@ -234,7 +239,7 @@
     // Valid, and starves saves: seen, halted, taken back.
     fleet.release(plan("s-bad", ReleaseKind::Settings)).expect("it starts");
     assert!(
-        fleet.until(60_000, |fleet| matches!(fleet.state(), RolloutState::Undone(_))),
+        fleet.until(60_000, |fleet| matches!(fleet.state(), RolloutState::RolledBack(_))),
         "{:?}",
         fleet.state()
     );
@@ -242,11 +247,11 @@
     // One that no server can take.
     fleet.release(plan("s-broken", ReleaseKind::Settings)).expect("it starts");
     assert!(
-        fleet.until(60_000, |fleet| matches!(fleet.state(), RolloutState::Undone(_))),
+        fleet.until(60_000, |fleet| matches!(fleet.state(), RolloutState::RolledBack(_))),
         "{:?}",
         fleet.state()
     );
-    let RolloutState::Undone(why) = fleet.state() else { panic!("undone") };
+    let RolloutState::RolledBack(why) = fleet.state() else { panic!("undone") };
     assert_eq!(why, "n0: it can't be read");
 }
 
@@ -264,7 +269,7 @@
     fleet.run(20_000);
     assert_eq!(fleet.began.len(), began, "it stands still");
     let resume = |halts| {
-        OperatorCommand::Release(RolloutCommand::Resume {
+        OperatorCommand::Rollout(RolloutCommand::Resume {
             name: "to v2".into(),
             halts,
             by: Arc::from("kaisa"),
@@ -286,7 +291,7 @@
     assert!(of_leader.is_empty());
     fleet.cut.clear();
     fleet.run(3_000);
-    fleet.promise(&most).unwrap();
+    fleet.latency_objective(&most).unwrap();
 }
 
 /// Hard case 8: `back` and `halt` from both ends of a cut, and a back by hand in the middle of a wave.
@@ -307,15 +312,15 @@
     fleet.order(6, back).expect("it goes back");
     fleet.cut.clear();
     assert!(
-        fleet.until(120_000, |fleet| matches!(fleet.state(), RolloutState::Undone(_))),
+        fleet.until(120_000, |fleet| matches!(fleet.state(), RolloutState::RolledBack(_))),
         "{:?}",
         fleet.record().release
     );
     assert!(fleet.until(10_000, |fleet| all_have(fleet, "v1")));
     let steps: Vec<&ServerProgress> =
         fleet.record().release.as_ref().unwrap().servers.values().map(|s| &s.step).collect();
-    assert!(steps.iter().all(|step| matches!(step, ServerProgress::Waits | ServerProgress::Back)));
-    fleet.promise(&most).unwrap();
+    assert!(steps.iter().all(|step| matches!(step, ServerProgress::Pending | ServerProgress::RolledBack)));
+    fleet.latency_objective(&most).unwrap();
 }
 
 /// Hard case 9: the whole council is killed in the middle of a release and comes back, one of three never: the release goes on.
@@ -337,13 +342,13 @@
     // The one that never comes back is struck from the roster, and its place is free.
     let by = Arc::from("kaisa");
     fleet
-        .order(5, OperatorCommand::Strike { name: Arc::from("n1"), by, why: "burnt".into() })
+        .order(5, OperatorCommand::RemoveServer { name: Arc::from("n1"), by, why: "burnt".into() })
         .expect("it is struck");
     let rest = |fleet: &Fleet| {
         fleet.servers.iter().enumerate().all(|(n, server)| n == 1 || server.ready && server.program == "v2")
     };
     assert!(fleet.until(200_000, rest), "{:?} {:?}", fleet.record().release, fleet.notes);
-    fleet.promise(&most).unwrap();
+    fleet.latency_objective(&most).unwrap();
 }
 
 /// Drawn faults while all want out and a release goes: kills, stops, cuts, loss. The promise by those who see the truth, and
@@ -382,7 +387,7 @@
             fleet.servers[n].stopped = false;
             fleet.revive(n);
         }
-        fleet.promise(&most).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
+        fleet.latency_objective(&most).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
         fleet.run(20_000);
         // A release that was halted or went back for the faults is put through by hand.
         for _ in 0..4 {
@@ -393,13 +398,13 @@
             if matches!(fleet.record().release.as_ref().map(|r| &r.state), Some(RolloutState::Halted(_))) {
                 let by = Arc::from("kaisa");
                 let resume = RolloutCommand::Resume { name: "to v2".into(), halts, by };
-                let _ = fleet.order(5, OperatorCommand::Release(resume));
+                let _ = fleet.order(5, OperatorCommand::Rollout(resume));
             }
             fleet.run(40_000);
         }
         let state = fleet.state();
         assert!(
-            matches!(state, RolloutState::Done | RolloutState::Undone(_)),
+            matches!(state, RolloutState::Done | RolloutState::RolledBack(_)),
             "seed {seed}: {state:?} {:?}",
             fleet.notes
         );
@@ -408,7 +413,7 @@
             "seed {seed}: {:?}",
             fleet.record()
         );
-        fleet.promise(&most).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
+        fleet.latency_objective(&most).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
     }
 }
 
--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -112,7 +112,7 @@
     }
 
     fn refuse(conn: u64, seq: i32) -> Effect {
-        Effect::Answer(conn, seq, Response::Refused { backoff: Span(0), last: false }, None)
+        Effect::Respond(conn, seq, Response::Rejected { backoff: Span(0), last: false }, None)
     }
 }
 
@@ -120,7 +120,7 @@
     fn step(&mut self, moment: Timestamp, inputs: &mut Vec<Input>, effects: &mut Vec<Effect>) {
         for input in inputs.drain(..) {
             match input {
-                Input::Call(conn, seq, call) => {
+                Input::Request(conn, seq, call) => {
                     let token = call.token.as_deref().unwrap_or("").to_string();
                     let again = !token.is_empty() && self.ran.contains_key(&token);
                     if again && self.fault == Fault::TurnsAway {
@@ -135,14 +135,14 @@
                     self.running += 1;
                     self.ran.insert(token, call.id.clone());
                     self.open.insert(call.id.clone(), (conn, seq));
-                    effects.push(Effect::Begin(
+                    effects.push(Effect::StartRun(
                         1,
                         call.id,
                         std::sync::Arc::default(),
                         std::sync::Arc::new(call.body),
                     ));
                 }
-                Input::Complete { id, result, .. } => {
+                Input::RunCompleted { id, result, .. } => {
                     self.running -= 1;
                     let Some((conn, seq)) = self.open.remove(&id) else { continue };
                     self.count += 1;
@@ -152,9 +152,9 @@
                     }
                     let answer = Response::Served(std::sync::Arc::new(result));
                     if odd && self.fault == Fault::Repeats {
-                        effects.push(Effect::Answer(conn, seq, answer.clone(), None));
+                        effects.push(Effect::Respond(conn, seq, answer.clone(), None));
                     }
-                    effects.push(Effect::Answer(conn, seq, answer, None));
+                    effects.push(Effect::Respond(conn, seq, answer, None));
                 }
                 Input::Cancel(conn, seq) => self.open.retain(|_, open| *open != (conn, seq)),
                 _ => {}
@@ -162,7 +162,7 @@
         }
         if moment.now >= self.next_report {
             self.next_report = Time(moment.now.0 + 400_000_000);
-            effects.push(Effect::Report(true));
+            effects.push(Effect::ReportReadiness(true));
         }
     }
 
--- a/crates/model/tests/days.rs
+++ b/crates/model/tests/days.rs
@@ -29,8 +29,8 @@
             assert!(audits > 100, "{audits}");
             assert_eq!((outcome.report.places[0], places), (0, outcome.total.asked), "{kind:?} {habit}");
             assert_eq!(outcome.report.whole.count, outcome.total.asked);
-            let worth: f64 = outcome.report.classes.iter().map(|sum| sum.asked).sum();
-            assert!((worth - outcome.report.whole.asked).abs() < 1e-6);
+            let priority_weight: f64 = outcome.report.classes.iter().map(|sum| sum.asked).sum();
+            assert!((priority_weight - outcome.report.whole.asked).abs() < 1e-6);
             assert_eq!(outcome.restless, []);
         }
     }
--- a/crates/model/tests/slow_start_calls.rs
+++ b/crates/model/tests/slow_start_calls.rs
@@ -151,15 +151,15 @@
             for action in actions {
                 match action {
                     // Its work is nothing: each run asks for its call at once.
-                    Action::Process(id) => events.push(Event::ReadyToCall(id)),
-                    Action::AskBelow { id, timeout } => {
+                    Action::Run(id) => events.push(Event::UpstreamCallNeeded(id)),
+                    Action::CallUpstream { id, timeout } => {
                         self.call(server, now, id.0.to_string(), timeout.0 / MS)
                     }
                     // What is answered at its call ends there.
-                    Action::Error(id) => {
-                        events.push(Event::Completed { id, outcome: Outcome::Revoked, took: Span(0) });
+                    Action::Fail(id) => {
+                        events.push(Event::Completed { id, outcome: Outcome::Stopped, took: Span(0) });
                     }
-                    Action::Remind(at) => self.queue.push(at.0.max(now + 1), Happens::Wakes(server)),
+                    Action::SetTimer(at) => self.queue.push(at.0.max(now + 1), Happens::Wakes(server)),
                     _ => {}
                 }
             }
@@ -171,13 +171,13 @@
 
     fn call(&mut self, server: usize, now: u64, name: String, limit_ms: u64) {
         let Some(takes_ms) = self.takes_ms(now / MS) else {
-            let outcome = Outcome::DialFailed;
+            let outcome = Outcome::ConnectFailed;
             return self.queue.push(now + MS, Happens::Returns { server, name, made: now, outcome });
         };
         // 0 stands for the class's own deadline.
         let limit_ms = if limit_ms == 0 { 4_000 } else { limit_ms };
         let late = takes_ms > limit_ms;
-        let outcome = if late { Outcome::Expired } else { Outcome::Delivered };
+        let outcome = if late { Outcome::TimedOut } else { Outcome::Success };
         let back = now + takes_ms.min(limit_ms) * MS;
         self.hold(now, 1);
         self.queue.push(if late { back + LINGER_MS * MS } else { back }, Happens::Done);
@@ -204,8 +204,8 @@
                 Happens::Wakes(server) => self.tell(server, now, vec![module::timer(0.1)]),
                 Happens::Returns { server, name, made, outcome } => {
                     let took = Span(now - made);
-                    let mut events = vec![Event::CallResult { id: id(&name), outcome, took }];
-                    if outcome == Outcome::Delivered {
+                    let mut events = vec![Event::UpstreamCallEnded { id: id(&name), outcome, took }];
+                    if outcome == Outcome::Success {
                         self.delivered += 1;
                         events.push(Event::Completed { id: id(&name), outcome, took });
                     }
--- a/crates/node/src/admin/agreements.rs
+++ b/crates/node/src/admin/agreements.rs
@@ -32,15 +32,14 @@
             response
         }
         AgreementResponse::Ticket(ticket) => Response::text(202, format!("{ticket}\n")),
-        AgreementResponse::Became(CommandStatus::Pending) => Response::text(202, "under way\n"),
-        AgreementResponse::Became(CommandStatus::Unknown) => {
+        AgreementResponse::CommandStatus(CommandStatus::Pending) => Response::text(202, "under way\n"),
+        AgreementResponse::CommandStatus(CommandStatus::Unknown) => {
             Response::text(404, "no order of this ticket is known here\n")
         }
-        AgreementResponse::Became(CommandStatus::Over(answer)) | AgreementResponse::Said(answer) => {
-            said(answer)
-        }
-        AgreementResponse::Wanted(Some(version)) => Response::text(200, format!("{version}\n")),
-        AgreementResponse::Wanted(None) => {
+        AgreementResponse::CommandStatus(CommandStatus::Finished(answer))
+        | AgreementResponse::Completed(answer) => said(answer),
+        AgreementResponse::TargetVersion(Some(version)) => Response::text(200, format!("{version}\n")),
+        AgreementResponse::TargetVersion(None) => {
             Response::text(404, "no release says which version it shall have\n")
         }
     }
@@ -50,19 +49,19 @@
     match stage {
         PermitStage::Reserved => "reserved",
         PermitStage::Begun => "begun",
-        PermitStage::Freed => "freed",
+        PermitStage::Released => "freed",
     }
 }
 
 fn step(step: &ServerProgress) -> String {
     match step {
-        ServerProgress::Waits => "waits".into(),
-        ServerProgress::Changes => "changes".into(),
-        ServerProgress::New => "new".into(),
+        ServerProgress::Pending => "waits".into(),
+        ServerProgress::Updating => "changes".into(),
+        ServerProgress::Updated => "new".into(),
         ServerProgress::Failed(why) => format!("failed: {why}"),
-        ServerProgress::GoesBack => "goes back".into(),
-        ServerProgress::Back => "back".into(),
-        ServerProgress::Stuck(why) => format!("can't go back: {why}"),
+        ServerProgress::RollingBack => "goes back".into(),
+        ServerProgress::RolledBack => "back".into(),
+        ServerProgress::RollbackFailed(why) => format!("can't go back: {why}"),
     }
 }
 
--- a/crates/node/src/admin/configuration.rs
+++ b/crates/node/src/admin/configuration.rs
@@ -11,7 +11,7 @@
         ConfigurationAdminResponse::Apply(reply @ ApplyReply::Pending { .. }) => json(202, reply),
         ConfigurationAdminResponse::Apply(reply) => json(200, reply),
         ConfigurationAdminResponse::Status(status) => json(200, status),
-        ConfigurationAdminResponse::Refused(refusal) => refused(refusal),
+        ConfigurationAdminResponse::Rejected(refusal) => refused(refusal),
     }
 }
 
--- a/crates/node/src/admin/http.rs
+++ b/crates/node/src/admin/http.rs
@@ -142,20 +142,20 @@
     let bad =
         |what: &str| Response::text(400, format!("expected {what}, as in {path}?{what}, got '{query}'\n"));
     let plain = |call| Ok(Called::Plain(call));
-    let agreed = |call| plain(AdminRequest::Agreed(call));
+    let agreed = |call| plain(AdminRequest::Agreement(call));
     let (called, allow) = match path {
         "/healthcheck" => (plain(AdminRequest::Health), "GET, HEAD"),
         "/stats" => (plain(AdminRequest::Stats), "GET, HEAD"),
         "/fleet" => (plain(AdminRequest::Fleet), "GET, HEAD"),
-        "/healthcheck/fail" => (plain(AdminRequest::Fail), "POST"),
-        "/healthcheck/ok" => (plain(AdminRequest::Ok), "POST"),
+        "/healthcheck/fail" => (plain(AdminRequest::StartDrain), "POST"),
+        "/healthcheck/ok" => (plain(AdminRequest::EndDrain), "POST"),
         "/fleet/status" => (agreed(AgreementRequest::Status), "GET, HEAD"),
         "/fleet/order" if method == "GET" => {
             let ticket = value(query, "ticket").and_then(|text| text.parse().ok());
             (
                 ticket
                     .ok_or_else(|| bad("ticket=1"))
-                    .map(|of| Called::Plain(AdminRequest::Agreed(AgreementRequest::Became(of)))),
+                    .map(|of| Called::Plain(AdminRequest::Agreement(AgreementRequest::CommandStatus(of)))),
                 "GET, POST",
             )
         }
@@ -165,21 +165,22 @@
             let bad =
                 |e: query::BadQuery| configuration::refused(&AdminError::BadCall { reason: e.to_string() });
             let id = query::request_id(query).map_err(bad);
-            let call = |id| Called::Plain(AdminRequest::Configuration(ConfigurationAdminRequest::Became(id)));
+            let call =
+                |id| Called::Plain(AdminRequest::Configuration(ConfigurationAdminRequest::RequestStatus(id)));
             (id.map(call), "GET, POST")
         }
         "/config/apply" => (Ok(Called::ConfigurationApply), "GET, POST"),
         "/config/status" => {
             (plain(AdminRequest::Configuration(ConfigurationAdminRequest::Status)), "GET, HEAD")
         }
-        "/fleet/found" => (agreed(AgreementRequest::Found), "POST"),
+        "/fleet/found" => (agreed(AgreementRequest::FoundGroup), "POST"),
         "/fleet/leave" => (agreed(AgreementRequest::Leave), "POST"),
         "/fleet/stay" => (agreed(AgreementRequest::Stay), "POST"),
         "/fleet/wanted" => {
             let name = value(query, "name").map(String::from);
             (
                 name.ok_or_else(|| bad("name=n3"))
-                    .map(|of| Called::Plain(AdminRequest::Agreed(AgreementRequest::Wanted(of)))),
+                    .map(|of| Called::Plain(AdminRequest::Agreement(AgreementRequest::TargetVersion(of)))),
                 "GET, HEAD",
             )
         }
@@ -215,10 +216,10 @@
         let whole =
             head(b"POST /healthcheck/fail HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nok").unwrap();
         let whole = whole.unwrap();
-        assert_eq!((whole.call, whole.body, whole.len), (Ok(Called::Plain(AdminRequest::Fail)), 2, 63));
+        assert_eq!((whole.call, whole.body, whole.len), (Ok(Called::Plain(AdminRequest::StartDrain)), 2, 63));
         let call = |bytes: &[u8]| head(bytes).unwrap().unwrap().call;
         assert_eq!(call(b"GET /stats?x=1 HTTP/1.1\r\n\r\n"), Ok(Called::Plain(AdminRequest::Stats)));
-        let became = Called::Plain(AdminRequest::Agreed(AgreementRequest::Became(7)));
+        let became = Called::Plain(AdminRequest::Agreement(AgreementRequest::CommandStatus(7)));
         assert_eq!(call(b"GET /fleet/order?ticket=7 HTTP/1.1\r\n\r\n"), Ok(became));
         assert_eq!(call(b"POST /fleet/order HTTP/1.1\r\n\r\n"), Ok(Called::Order));
         assert_eq!(status(b"GET /fleet/order?ticket=x HTTP/1.1\r\n\r\n"), 400);
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -166,7 +166,7 @@
     let response = match head.call {
         Ok(Called::Plain(call)) => ask(shared, call),
         Ok(Called::Order) => match serde_json::from_slice(&body) {
-            Ok(order) => ask(shared, AdminRequest::Agreed(AgreementRequest::Order(Box::new(order)))),
+            Ok(order) => ask(shared, AdminRequest::Agreement(AgreementRequest::Command(Box::new(order)))),
             Err(e) => Response::text(400, format!("expected an order as JSON: {e}\n")),
         },
         Ok(Called::ConfigurationApply) => match serde_json::from_slice(&body) {
@@ -214,7 +214,9 @@
     };
     match std::str::from_utf8(body).map_err(|e| e.to_string()).and_then(|text| stage.put(text)) {
         Ok(digest) => {
-            let told = shared.inputs.send_timeout(Input::SettingsAre(None, stage.staged()), REDUCER_PATIENCE);
+            let told = shared
+                .inputs
+                .send_timeout(Input::StagedSettingsChanged(None, stage.staged()), REDUCER_PATIENCE);
             if told.is_err() {
                 return Response::text(503, "the server did not take it in time; try again\n");
             }
@@ -250,7 +252,7 @@
     shared.waiting().insert(id, reply);
     let until = Instant::now() + REDUCER_PATIENCE;
     let told = call.clone();
-    let sent = shared.inputs.send_deadline(Input::Admin(id, call), until).is_ok();
+    let sent = shared.inputs.send_deadline(Input::AdminRequest(id, call), until).is_ok();
     let answer = if sent { answer.recv_deadline(until).ok() } else { None };
     shared.waiting().remove(&id);
     answer.map(response).unwrap_or_else(|| {
@@ -275,10 +277,10 @@
             response
         }
         AdminResponse::Configuration(answer) => configuration::response(&answer),
-        AdminResponse::Agreed(answer) => agreements::response(&answer),
+        AdminResponse::Agreement(answer) => agreements::response(&answer),
         AdminResponse::Fleet(None) => Response::text(404, "this server takes no part in a fleet\n"),
-        AdminResponse::Done { failed: true, .. } => Response::text(200, "draining\n"),
-        AdminResponse::Done { failed: false, .. } => Response::text(200, "serving\n"),
+        AdminResponse::DrainState { failed: true, .. } => Response::text(200, "draining\n"),
+        AdminResponse::DrainState { failed: false, .. } => Response::text(200, "serving\n"),
     }
 }
 
--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -132,7 +132,7 @@
     let mut next = Instant::now() + OPEN_AGAIN;
     loop {
         match queue.recv_deadline(next) {
-            Ok(Job::Claim { id, .. }) => inputs.send(Input::Claimed(id, RunClaim::Unsure)).ok()?,
+            Ok(Job::Claim { id, .. }) => inputs.send(Input::RunClaimed(id, RunClaim::Unknown)).ok()?,
             // Nothing was claimed here that could end.
             Ok(Job::Ended { .. }) => {}
             Ok(Job::Window(new)) => window = new,
@@ -170,11 +170,11 @@
                 Ok(None) => RunClaim::Ended(RunOutcome::Failed),
                 Err(why) => {
                     failed("claim", &why);
-                    RunClaim::Unsure
+                    RunClaim::Unknown
                 }
             };
             // Where nobody listens any more, the queue has ended too.
-            let _ = inputs.send(Input::Claimed(wait.id.clone(), claim));
+            let _ = inputs.send(Input::RunClaimed(wait.id.clone(), claim));
             true
         };
         for job in first.into_iter().chain(queue.try_iter()) {
--- a/crates/node/src/configuration_writer/tests.rs
+++ b/crates/node/src/configuration_writer/tests.rs
@@ -12,13 +12,13 @@
 fn base() -> Configuration {
     let class = ClassProfile {
         name: "c".into(),
-        promise: Span(1),
+        latency_objective: Span(1),
         deadline: Span(2),
-        effect: Idempotency::Repeatable,
+        effect: Idempotency::Idempotent,
         late_value: 0.0,
         window: Span(0),
-        worth: 1.0,
-        aim_stretch: 0.0,
+        priority_weight: 1.0,
+        objective_stretch: 0.0,
     };
     let settings = Settings { profiles: vec![class], ..Settings::default() };
     Configuration::from_settings(&settings).expect("a valid base")
--- a/crates/node/src/frontend/pace.rs
+++ b/crates/node/src/frontend/pace.rs
@@ -24,7 +24,7 @@
     pub fn of(answer: &Response) -> Self {
         match answer {
             Response::Served(_) | Response::Health(..) => Self::Served,
-            Response::Refused { .. } | Response::Failed { .. } | Response::Unknown => Self::Lost,
+            Response::Rejected { .. } | Response::Failed { .. } | Response::OutcomeUnknown => Self::Lost,
             Response::Invalid(..) => Self::Nonsense,
         }
     }
@@ -79,8 +79,9 @@
     /// Guards against nonsense at full speed, and against a pace that holds back a busy client proxy.
     #[test]
     fn nonsense_is_slowed_down_and_use_is_not() {
-        let (nonsense, lost, served) =
-            [Worth::Nonsense, Worth::Lost, Worth::Served].map(|worth| through(1 + worth.cost())).into();
+        let (nonsense, lost, served) = [Worth::Nonsense, Worth::Lost, Worth::Served]
+            .map(|priority_weight| through(1 + priority_weight.cost()))
+            .into();
         assert!(nonsense < 50 && lost < 250 && served > 900, "{nonsense} {lost} {served}");
     }
 }
--- a/crates/node/src/frontend/reader.rs
+++ b/crates/node/src/frontend/reader.rs
@@ -156,7 +156,7 @@
         let waits = reading.socket.flush();
         if reading.held && waits < MOST_UNREAD {
             // What it sent meanwhile waited for its own peer, not for this server.
-            let _ = self.shared.inputs.send(Input::Paced(conn, Span(0)));
+            let _ = self.shared.inputs.send(Input::ConnectionThrottled(conn, Span(0)));
             reading.held = false;
             self.turns.push_back(conn);
         }
@@ -197,7 +197,7 @@
             }
         }
         // Behind every connection accepted so far, in the same queue.
-        let _ = self.shared.inputs.send(Input::NotAccepting);
+        let _ = self.shared.inputs.send(Input::StoppedAccepting);
     }
 
     /// Whether there may be more.
@@ -256,7 +256,7 @@
         let (cutter, patience) = (door.front.cutter(), door.front.patience());
         let socket = Arc::new(Conn::new(stream, Arc::clone(&door.front), &door.count));
         self.shared.handles().insert(conn, Arc::clone(&socket));
-        let _ = self.shared.inputs.send(Input::Opened(conn));
+        let _ = self.shared.inputs.send(Input::ConnectionOpened(conn));
         let now = Instant::now();
         let first = if spare { SPARE_PATIENCE } else { patience.first };
         let (until, pace) = (Some(now + first), Pace::new(now));
@@ -290,7 +290,7 @@
             Turn::Pause(pause) => {
                 self.paused.insert(conn, Instant::now() + pause);
                 let pause = Span(u64::try_from(pause.as_nanos()).unwrap_or(u64::MAX));
-                return self.shared.inputs.send(Input::Paced(conn, pause)).is_ok();
+                return self.shared.inputs.send(Input::ConnectionThrottled(conn, pause)).is_ok();
             }
             Turn::Ended(wrong) => {
                 // Another turn reads what is left, or the end.
@@ -314,7 +314,7 @@
             let told = reading.begun.then(|| reading.socket.front.malformed(&wrong, &self.shared.pool));
             told.flatten().into_iter().for_each(|frame| reading.socket.send(frame));
         }
-        self.shared.inputs.send(Input::Ended(conn)).is_ok()
+        self.shared.inputs.send(Input::ConnectionHalfClosed(conn)).is_ok()
     }
 
     /// A connection said no whole message in its time. What comes yet is read on: it is closed in an instant in which
@@ -331,7 +331,7 @@
         // One that began no message is told nothing either.
         let told = reading.in_message().then(|| reading.socket.front.malformed(TOO_LATE, &self.shared.pool));
         told.flatten().into_iter().for_each(|frame| reading.socket.send(frame));
-        let _ = self.shared.inputs.send(Input::Late(conn));
+        let _ = self.shared.inputs.send(Input::ConnectionLate(conn));
     }
 
     /// A connection is over.
@@ -346,7 +346,7 @@
             reading.socket.end();
             self.shared.handles().remove(&conn);
         }
-        self.shared.inputs.send(Input::Closed(conn)).is_ok()
+        self.shared.inputs.send(Input::ConnectionClosed(conn)).is_ok()
     }
 
     /// Looks for newcomers, tries denied writes again, ends what takes nothing of its answers and what doesn't end its
--- a/crates/node/src/frontend/reader/tests.rs
+++ b/crates/node/src/frontend/reader/tests.rs
@@ -37,9 +37,9 @@
         reader.shared.accepting.store(false, Ordering::SeqCst);
         reader.accept();
         let inputs: Vec<Input> = came.try_iter().collect();
-        let opened = inputs.iter().filter(|input| matches!(input, Input::Opened(_))).count();
+        let opened = inputs.iter().filter(|input| matches!(input, Input::ConnectionOpened(_))).count();
         assert_eq!(opened, if shared { 0 } else { 40 });
-        assert!(matches!(inputs.last(), Some(Input::NotAccepting)), "{inputs:?}");
+        assert!(matches!(inputs.last(), Some(Input::StoppedAccepting)), "{inputs:?}");
         assert!(TcpStream::connect(address).is_err(), "nobody listens any more");
         reader.accept();
         assert!(came.is_empty(), "it is told once");
@@ -61,7 +61,7 @@
     drop(lingering);
     reader.accept();
     let inputs: Vec<Input> = came.try_iter().collect();
-    assert!(matches!(inputs[..], [Input::Closed(2), Input::Opened(_)]), "{inputs:?}");
+    assert!(matches!(inputs[..], [Input::ConnectionClosed(2), Input::ConnectionOpened(_)]), "{inputs:?}");
 }
 
 /// A health check as a client proxy frames it.
@@ -112,7 +112,7 @@
 
 fn health_checks(came: &Receiver<Input>) -> Vec<i32> {
     came.try_iter()
-        .filter_map(|input| if let Input::Health(_, seq) = input { Some(seq) } else { None })
+        .filter_map(|input| if let Input::HealthCheck(_, seq) = input { Some(seq) } else { None })
         .collect()
 }
 
@@ -181,5 +181,5 @@
     reader.doors[0].accepts = false;
     reader.tick(Instant::now());
     reader.accept();
-    assert!(matches!(came.try_recv(), Ok(Input::Opened(_))));
+    assert!(matches!(came.try_recv(), Ok(Input::ConnectionOpened(_))));
 }
--- a/crates/node/src/frontend/reading.rs
+++ b/crates/node/src/frontend/reading.rs
@@ -170,9 +170,9 @@
             used += len;
             let mut spent = 1;
             let input = match cut {
-                Cut::Call(seq, call) => Some(Input::Call(conn, seq, call)),
-                Cut::Health(seq) => Some(Input::Health(conn, seq)),
-                Cut::Invalid(seq, misuse, why) => Some(Input::Invalid(conn, seq, misuse, why)),
+                Cut::Call(seq, call) => Some(Input::Request(conn, seq, call)),
+                Cut::Health(seq) => Some(Input::HealthCheck(conn, seq)),
+                Cut::Invalid(seq, misuse, why) => Some(Input::InvalidRequest(conn, seq, misuse, why)),
                 Cut::Cancel(seq) => Some(Input::Cancel(conn, seq)),
                 Cut::Nothing => continue,
                 Cut::Nonsense => {
--- a/crates/node/src/frontend/scgi/mod.rs
+++ b/crates/node/src/frontend/scgi/mod.rs
@@ -101,10 +101,10 @@
 
 fn misuse(bad: Bad) -> RequestError {
     match bad {
-        Bad::HeadTooLong => RequestError::HeadTooLarge,
-        Bad::NoContentLength => RequestError::NoLength,
-        Bad::BodyTooLong => RequestError::TooLarge,
-        Bad::Length | Bad::Head | Bad::ContentLength | Bad::Twice | Bad::Version => RequestError::Request,
+        Bad::HeadTooLong => RequestError::HeaderTooLarge,
+        Bad::NoContentLength => RequestError::LengthRequired,
+        Bad::BodyTooLong => RequestError::BodyTooLarge,
+        Bad::Length | Bad::Head | Bad::ContentLength | Bad::Twice | Bad::Version => RequestError::Malformed,
     }
 }
 
@@ -146,7 +146,7 @@
             more.extend(store.map(|word| format!("X-Gradepin-Store: {word}")));
             if *good { (200, "OK", b"good\n") } else { (503, "Service Unavailable", b"bad\n") }
         }
-        Response::Refused { backoff, last } => {
+        Response::Rejected { backoff, last } => {
             if backoff.0 > 0 {
                 // Whole seconds for those that know the standard header, and what was meant.
                 more.push(format!("Retry-After: {}", backoff.0.div_ceil(1_000_000_000)));
@@ -157,18 +157,18 @@
             }
             (503, "Service Unavailable", b"refused: it never ran\n")
         }
-        Response::Unknown => (502, "Bad Gateway", UNKNOWN_OUTCOME_TEXT.as_bytes()),
+        Response::OutcomeUnknown => (502, "Bad Gateway", UNKNOWN_OUTCOME_TEXT.as_bytes()),
         Response::Failed { late: false } => (502, "Bad Gateway", b"failed\n"),
         Response::Failed { late: true } => (504, "Gateway Timeout", b"too late\n"),
         Response::Invalid(misuse, why) => {
             let (status, reason) = match misuse {
-                RequestError::Request => (400, "Bad Request"),
+                RequestError::Malformed => (400, "Bad Request"),
                 RequestError::NotFound => (404, "Not Found"),
-                RequestError::NotAllowed => (405, "Method Not Allowed"),
+                RequestError::MethodNotAllowed => (405, "Method Not Allowed"),
                 RequestError::Conflict => (409, "Conflict"),
-                RequestError::NoLength => (411, "Length Required"),
-                RequestError::TooLarge => (413, "Content Too Large"),
-                RequestError::HeadTooLarge => (431, "Request Header Fields Too Large"),
+                RequestError::LengthRequired => (411, "Length Required"),
+                RequestError::BodyTooLarge => (413, "Content Too Large"),
+                RequestError::HeaderTooLarge => (431, "Request Header Fields Too Large"),
             };
             (status, reason, why.as_bytes())
         }
--- a/crates/node/src/frontend/scgi/routes.rs
+++ b/crates/node/src/frontend/scgi/routes.rs
@@ -99,11 +99,11 @@
     fn target(&self, request: &Request) -> Result<Target, Refusal> {
         let text = |name: &str| request.header(name).and_then(|value| std::str::from_utf8(value).ok());
         let method =
-            text("REQUEST_METHOD").ok_or((RequestError::Request, "expected REQUEST_METHOD".to_string()))?;
+            text("REQUEST_METHOD").ok_or((RequestError::Malformed, "expected REQUEST_METHOD".to_string()))?;
         // Web servers tell the path under several names; the first that is there counts, without its query.
         let names = ["DOCUMENT_URI", "PATH_INFO", "REQUEST_URI"];
         let path = names.iter().filter_map(|name| text(name)).find(|path| !path.is_empty());
-        let path = path.ok_or((RequestError::Request, "expected a path as DOCUMENT_URI".to_string()))?;
+        let path = path.ok_or((RequestError::Malformed, "expected a path as DOCUMENT_URI".to_string()))?;
         let path = path.split('?').next().unwrap_or(path);
         let at = |router: &matchit::Router<Target>| router.at(path).ok().map(|found| found.value.clone());
         if let Some(target) = self.routers.get(method).and_then(at) {
@@ -118,7 +118,7 @@
         if others.is_empty() {
             return Err((RequestError::NotFound, "no route has this path".into()));
         }
-        Err((RequestError::NotAllowed, format!("this path takes {}", others.join(", "))))
+        Err((RequestError::MethodNotAllowed, format!("this path takes {}", others.join(", "))))
     }
 
     /// What a request is; `now_ms` is when it was read, and `id` its id where it brings none.
@@ -133,7 +133,7 @@
             Target::Health => return Ok(Routed::Health),
             Target::Class(class) => class,
         };
-        let bad = |why: &str| (RequestError::Request, why.to_string());
+        let bad = |why: &str| (RequestError::Malformed, why.to_string());
         // A value that is no text, or holds what could end a line, is nobody's honest header.
         let text = |name: &str| match request.header(name) {
             None | Some(b"") => Ok(None),
@@ -172,7 +172,7 @@
             Some(id) if id.len() == 16 && id.bytes().all(|b| b.is_ascii_hexdigit()) => id.to_string(),
             Some(_) => return Err(bad(&format!("expected 16 hex digits as {}", h.id))),
         };
-        let keyed = profile.effect == Idempotency::ByKey;
+        let keyed = profile.effect == Idempotency::Keyed;
         // The draft of the Idempotency-Key header has it as a quoted string; bare ones are common.
         let token = text(&h.token)?
             .map(|token| token.strip_prefix('"').and_then(|t| t.strip_suffix('"')).unwrap_or(token));
@@ -194,7 +194,7 @@
             has_key: false,
             body: pool
                 .exact(&request.body)
-                .ok_or((RequestError::TooLarge, "a body over its limit".to_string()))?,
+                .ok_or((RequestError::BodyTooLarge, "a body over its limit".to_string()))?,
         })))
     }
 }
