--- a/crates/node/src/frontend/scgi/routes/tests.rs
+++ b/crates/node/src/frontend/scgi/routes/tests.rs
@@ -40,12 +40,12 @@
     assert!(matches!(of("GET", "/health"), Ok(Routed::Health)));
     for (method, path, misuse) in [
         ("GET", "/nothing", RequestError::NotFound),
-        ("DELETE", "/sheets/9", RequestError::NotAllowed),
-        ("PUT", "/labels/1", RequestError::Request),
+        ("DELETE", "/sheets/9", RequestError::MethodNotAllowed),
+        ("PUT", "/labels/1", RequestError::Malformed),
     ] {
         assert_eq!(of(method, path).unwrap_err().0, misuse, "{method} {path}");
     }
-    assert_eq!(asked(&[("DOCUMENT_URI", "/sheets/9")]).unwrap_err().0, RequestError::Request);
+    assert_eq!(asked(&[("DOCUMENT_URI", "/sheets/9")]).unwrap_err().0, RequestError::Malformed);
 }
 
 #[test]
@@ -71,7 +71,7 @@
         ("HTTP_X_REQUEST_ID", "forged\r\nbegin"),
         ("HTTP_X_REQUEST_ID", "123"),
     ] {
-        assert_eq!(with(name, value).unwrap_err().0, RequestError::Request, "{name} {value}");
+        assert_eq!(with(name, value).unwrap_err().0, RequestError::Malformed, "{name} {value}");
     }
 }
 
--- a/crates/node/src/frontend/scgi/tests.rs
+++ b/crates/node/src/frontend/scgi/tests.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn answers_carry_the_advice_rounded_up_and_exactly() {
-    let refused = told(&Response::Refused { backoff: Span(1_200_000_001), last: true }, true);
+    let refused = told(&Response::Rejected { backoff: Span(1_200_000_001), last: true }, true);
     assert_eq!(refused.status, 503);
     for (name, value) in [
         ("retry-after", "2"),
@@ -20,7 +20,7 @@
     ] {
         assert_eq!(refused.header(name), Some(value), "{name}");
     }
-    let plain = told(&Response::Refused { backoff: Span(0), last: false }, false);
+    let plain = told(&Response::Rejected { backoff: Span(0), last: false }, false);
     assert_eq!((plain.header("retry-after"), plain.header("x-gradepin-final")), (None, None));
 }
 
@@ -33,7 +33,7 @@
     let status = |answer| told(&answer, false).status;
     assert_eq!([false, true].map(|late| status(Response::Failed { late })), [502, 504]);
     assert_eq!([true, false].map(|good| status(Response::Health(good, None))), [200, 503]);
-    assert_eq!(status(Response::Unknown), 502);
+    assert_eq!(status(Response::OutcomeUnknown), 502);
 }
 
 #[test]
--- a/crates/node/src/frontend/thrift/codec.rs
+++ b/crates/node/src/frontend/thrift/codec.rs
@@ -159,7 +159,7 @@
         names: &ActiveSettings,
         pool: &Arc<BufferPool>,
     ) -> Result<ClientRequest, (RequestError, String)> {
-        let bad = |why: &str| (RequestError::Request, why.to_string());
+        let bad = |why: &str| (RequestError::Malformed, why.to_string());
         let method = self.method.ok_or(bad("no method"))?;
         let (class, definition) =
             names.class(method).ok_or_else(|| (RequestError::NotFound, unknown(method)))?;
@@ -181,13 +181,13 @@
         if !(0.0..1.0).contains(&precedence) {
             return Err(bad("prio out of range"));
         }
-        let keyed = definition.profile.effect == Idempotency::ByKey;
+        let keyed = definition.profile.effect == Idempotency::Keyed;
         let deadline_ms = definition.profile.deadline.0 / MS;
         if keyed && token.is_none() {
             return Err(bad("no token of 1 to 64 bytes in a keyed class"));
         }
         if body.len() > MOST_BODY {
-            return Err((RequestError::TooLarge, "a body over 2 KiB".into()));
+            return Err((RequestError::BodyTooLarge, "a body over 2 KiB".into()));
         }
         Ok(ClientRequest {
             id: RequestId::new(id.ok_or(bad("no rid of 16 hex digits"))?),
@@ -209,7 +209,7 @@
 
 fn number<T: std::str::FromStr>(name: &str, text: Option<&str>) -> Result<T, (RequestError, String)> {
     let number = text.and_then(|text| text.parse().ok());
-    number.ok_or_else(|| (RequestError::Request, format!("no number as {name}")))
+    number.ok_or_else(|| (RequestError::Malformed, format!("no number as {name}")))
 }
 
 /// Takes values off the front of a frame.
@@ -361,7 +361,7 @@
             w.answer(b"", &fields, *good);
             w.end()
         }
-        Response::Refused { backoff, last } => {
+        Response::Rejected { backoff, last } => {
             if backoff.0 > 0 {
                 fields.push(("backoff", backoff.0.div_ceil(1_000_000).to_string()));
             }
@@ -371,7 +371,7 @@
             thrown(reply("call"), 1, &fields)
         }
         Response::Failed { .. } => thrown(reply("call"), 2, &fields),
-        Response::Unknown => {
+        Response::OutcomeUnknown => {
             fields.push(("why", UNKNOWN_OUTCOME_TEXT.to_string()));
             thrown(reply("call"), 2, &fields)
         }
--- a/crates/node/src/frontend/thrift/codec/tests.rs
+++ b/crates/node/src/frontend/thrift/codec/tests.rs
@@ -113,7 +113,7 @@
         &names(),
         &BufferPool::new(1),
     );
-    assert!(matches!(long, Ok(Message::Invalid(1, RequestError::TooLarge, _))), "{long:?}");
+    assert!(matches!(long, Ok(Message::Invalid(1, RequestError::BodyTooLarge, _))), "{long:?}");
 }
 
 /// Guards against a length taken at its word: each that a message holds, negative, far over and one too many.
--- a/crates/node/src/peer_datagrams.rs
+++ b/crates/node/src/peer_datagrams.rs
@@ -78,7 +78,7 @@
             }
         };
         let result = match envelope {
-            Some(Ok(envelope)) => match inputs.try_send(Input::Envelope(Box::new(envelope))) {
+            Some(Ok(envelope)) => match inputs.try_send(Input::PeerDatagram(Box::new(envelope))) {
                 Ok(()) => Ok(()),
                 Err(TrySendError::Full(_)) => Err(DropReason::RateLimited),
                 Err(TrySendError::Disconnected(_)) => return,
@@ -91,7 +91,7 @@
         }
         if !dropped.is_empty() && told.elapsed() >= TELL {
             let figures: Vec<(DropReason, u64)> = dropped.iter().map(|(why, times)| (*why, *times)).collect();
-            if inputs.try_send(Input::EnvelopesDropped(figures)).is_ok() {
+            if inputs.try_send(Input::PeerDatagramsDropped(figures)).is_ok() {
                 dropped.clear();
                 told = Instant::now();
             }
--- a/crates/node/src/processor.rs
+++ b/crates/node/src/processor.rs
@@ -333,14 +333,14 @@
                 }
                 Line::Complete(notice, id, end, took, result) => {
                     progress.read(notice);
-                    Input::Complete { notice, id, end, took, result }
+                    Input::RunCompleted { notice, id, end, took, result }
                 }
                 Line::Ask(notice, id, body) => {
                     progress.read(notice);
-                    Input::Ask { notice, id, body }
+                    Input::UpstreamCallRequested { notice, id, body }
                 }
-                Line::Used(tag, values) => Input::Used(tag, values),
-                Line::Reject(id) => Input::Rejected(id),
+                Line::Used(tag, values) => Input::GaugesRead(tag, values),
+                Line::Reject(id) => Input::RunNotStarted(id),
                 Line::Remark(notice) => {
                     progress.read(notice);
                     continue;
--- a/crates/node/src/processor/lines.rs
+++ b/crates/node/src/processor/lines.rs
@@ -132,9 +132,9 @@
         ["complete", n, id, ended, ms, len] => {
             let ended = match ended {
                 "OK" => RunEnd::Ok,
-                "ERROR" => RunEnd::Error,
+                "ERROR" => RunEnd::Failed,
                 "STOPPED" => RunEnd::Stopped,
-                "MOOT" => RunEnd::Moot,
+                "MOOT" => RunEnd::NotStarted,
                 _ => return Err(bad(line)),
             };
             let (n, took) = (number(n)?, millis(ms)?);
--- a/crates/node/src/registry.rs
+++ b/crates/node/src/registry.rs
@@ -173,7 +173,7 @@
             RegistryOperation::ClearOverride { status, dirty_ms } => {
                 self.prepared(agent.delete(status_url(status, dirty_ms)), timeout).call()?
             }
-            RegistryOperation::Look => {
+            RegistryOperation::FetchOwnRecord => {
                 let response = self.prepared(agent.get(own), timeout).call()?;
                 let bytes = self.read(response, MOST_RECORD)?;
                 return Ok(RegistryReply::Record(Box::new(wire::read_instance(&bytes, self.format)?)));
@@ -209,7 +209,7 @@
                 for ask in queue {
                     let Some(client) = clients.get(ask.url) else { continue };
                     let reply = client.ask(&app, &id, &ask.op, millis(ask.timeout));
-                    if inputs.send(Input::Registry(ask.ticket, reply)).is_err() {
+                    if inputs.send(Input::RegistryReply(ask.ticket, reply)).is_err() {
                         return;
                     }
                 }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -53,7 +53,7 @@
 }
 
 impl ConfigReloader {
-    /// Starts the thread; `done` is told by each [`gradepin_core::messages::Effect::Reloaded`].
+    /// Starts the thread; `done` is told by each [`gradepin_core::messages::Effect::ReloadFinished`].
     pub fn start(parties: ReloadTargets, done: Receiver<()>) -> std::io::Result<Self> {
         let (jobs, waiting) = bounded(WAITING);
         let run = move || {
@@ -63,7 +63,7 @@
                     let _ = done.recv_timeout(PATIENCE);
                 }
                 for input in parties.inputs_of(job) {
-                    open = matches!(input, Input::Reload(_) | Input::ReloadRefused(_)) || open;
+                    open = matches!(input, Input::Reload(_) | Input::ReloadRejected(_)) || open;
                     if parties.inputs.send(input).is_err() {
                         return;
                     }
@@ -98,12 +98,12 @@
                     let mut inputs = Vec::new();
                     if let (Some(shared), Some(new)) = (&self.keys, keys) {
                         new.clone_into(&mut shared.write().unwrap_or_else(PoisonError::into_inner));
-                        inputs.push(Input::FleetKeys(new));
+                        inputs.push(Input::AuthenticationKeysReloaded(new));
                     }
                     inputs.push(Input::Reload(Box::new(self.live.compare(config))));
                     inputs
                 }
-                Err(why) => vec![Input::ReloadRefused(why.to_string())],
+                Err(why) => vec![Input::ReloadRejected(why.to_string())],
             },
         }
     }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -323,7 +323,7 @@
     let mut ledger = ledger.transpose()?;
     let changes = urgently.clone();
     if let Some(stage) = &stage {
-        arrived.push(Input::SettingsAre(None, stage.staged()));
+        arrived.push(Input::StagedSettingsChanged(None, stage.staged()));
     }
     let processor = Processor::connect(config.processor, urgently, pool, log.clone());
     let processor = processor.map_err(failed("processor"))?;
@@ -333,27 +333,32 @@
         reducer.step(clock.read(), arrived.drain(..), &mut effects);
         for effect in effects.drain(..) {
             match effect {
-                Effect::Answer(conn, seq, answer, hint) => fronts.answer(conn, seq, &answer, hint),
-                Effect::Draining(conn) => fronts.draining(conn),
+                Effect::Respond(conn, seq, answer, hint) => fronts.answer(conn, seq, &answer, hint),
+                Effect::RequestDrain(conn) => fronts.draining(conn),
                 Effect::StopAccepting => fronts.stop_accepting(),
-                Effect::Close(conn) => fronts.close(conn),
-                Effect::CloseResting(conn, taken) => fronts.close_resting(conn, taken),
-                Effect::CloseLate(conn, taken) => fronts.close_late(conn, taken),
-                Effect::Begin(link, id, class, body) => {
+                Effect::CloseConnection(conn) => fronts.close(conn),
+                Effect::CloseIdleConnection(conn, taken) => fronts.close_resting(conn, taken),
+                Effect::CloseLateConnection(conn, taken) => fronts.close_late(conn, taken),
+                Effect::StartRun(link, id, class, body) => {
                     processor.begin(link, &id, &class.profile.name, &body);
                 }
-                Effect::Usage(link, tag) => processor.usage(link, tag),
-                Effect::Call(id, number, body, limit, leaves) => {
+                Effect::ReadGauges(link, tag) => processor.usage(link, tag),
+                Effect::CallUpstream(id, number, body, limit, leaves) => {
                     let leaves = leaves.map(|at| clock.instant(at));
                     let ended = match &ledger {
                         Some(ledger) => ledger.call((id, number), &body, limit, leaves).err(),
                         // Nobody would tell its end, and the run would wait for that until its caller gives up.
-                        None => Some(Input::Called { id, number, outcome: Outcome::DialFailed, reply: None }),
+                        None => Some(Input::UpstreamCallEnded {
+                            id,
+                            number,
+                            outcome: Outcome::ConnectFailed,
+                            reply: None,
+                        }),
                     };
                     // In its own queue: this thread must not wait for itself.
                     arrived.extend(ended);
                 }
-                Effect::Peer(to, datagram) => {
+                Effect::SendPeerDatagram(to, datagram) => {
                     if let Some(peers) = &peers {
                         peers.send(to, &datagram);
                     }
@@ -363,12 +368,12 @@
                         writer.hand_in(save.state, save.commit);
                     }
                 }
-                Effect::Council(generation, number, records) => {
+                Effect::WriteVoterState(generation, number, records) => {
                     if let Some((folder, _)) = &council {
                         folder.write(generation, number, records);
                     }
                 }
-                Effect::Change(turn, until) => {
+                Effect::StartRolloutStep(turn, until) => {
                     let release = turn.release;
                     let changed = match &stage {
                         Some(stage) => stage
@@ -377,54 +382,54 @@
                         None => Err("the settings name no stage".to_string()),
                     };
                     // In its own queue: this thread must not wait for itself.
-                    arrived.extend(changed.err().map(|why| Input::ChangeFailed(release, why)));
+                    arrived.extend(changed.err().map(|why| Input::RolloutStepFailed(release, why)));
                 }
-                Effect::Reply(link, id, reply) => processor.answer(link, &id, &reply),
-                Effect::Interrupt(link, id) => processor.interrupt(link, &id),
-                Effect::Renew(link) => processor.renew(link),
-                Effect::Processor(address) => processor.retarget(address),
-                Effect::Control(address) => control.retarget(address),
-                Effect::Ledger(address) => match &ledger {
+                Effect::DeliverUpstreamReply(link, id, reply) => processor.answer(link, &id, &reply),
+                Effect::StopRun(link, id) => processor.interrupt(link, &id),
+                Effect::ReconnectProcessor(link) => processor.renew(link),
+                Effect::SetProcessorAddress(address) => processor.retarget(address),
+                Effect::SetControlAddress(address) => control.retarget(address),
+                Effect::SetUpstreamAddress(address) => match &ledger {
                     Some(ledger) => ledger.retarget(address),
                     None => match calls_to(address, LATE_CALLS) {
                         Ok(started) => ledger = Some(started),
                         Err(e) => error!(log, "no calls can be made to the ledger"; "error" => %e),
                     },
                 },
-                Effect::Report(ready) => {
+                Effect::ReportReadiness(ready) => {
                     if let Err(e) = control.report(ready) {
                         info!(log, "a report could not be sent"; "error" => %e);
                     }
                 }
-                Effect::Registry(ask) => {
+                Effect::AskRegistry(ask) => {
                     if let Some(registry) = &registry {
                         registry.ask(ask);
                     }
                 }
-                Effect::Persist(number, batch) => {
+                Effect::PersistRecords(number, batch) => {
                     if let Some(store) = &store {
                         store.persist(number, batch);
                     }
                 }
-                Effect::Retell => processor.retell(),
-                Effect::Claim(id, token, print, patience) => {
+                Effect::ReplayNotices => processor.retell(),
+                Effect::ClaimRun(id, token, print, patience) => {
                     if let Some(claims) = &claims {
                         claims.claim(id, token, print, patience);
                     }
                 }
-                Effect::ClaimEnded(token, print, end) => {
+                Effect::ReleaseClaim(token, print, end) => {
                     if let Some(claims) = &claims {
                         claims.ended(token, print, end);
                     }
                 }
-                Effect::Names { edition, changes } => live.publish(edition, changes),
-                Effect::LongestWindow(window) => {
+                Effect::UpdateNames { edition, changes } => live.publish(edition, changes),
+                Effect::SetLongestWindow(window) => {
                     if let Some(claims) = &claims {
                         claims.window(window);
                     }
                 }
-                Effect::Reloaded => drop(reloaded.try_send(())),
-                Effect::Admin(id, answer) => {
+                Effect::ReloadFinished => drop(reloaded.try_send(())),
+                Effect::AnswerAdmin(id, answer) => {
                     if let Some(admin) = &admin {
                         admin.answer(id, answer);
                     }
@@ -477,9 +482,9 @@
                         reloads.files();
                         continue;
                     }
-                    SIGUSR1 => Input::TakeOut,
-                    SIGUSR2 => Input::TakeIn,
-                    _ => Input::Terminate,
+                    SIGUSR1 => Input::TakeOutOfService,
+                    SIGUSR2 => Input::ReturnToService,
+                    _ => Input::ShutdownNotice,
                 };
                 if inputs.send(input).is_err() {
                     return;
--- a/crates/node/src/settings/active.rs
+++ b/crates/node/src/settings/active.rs
@@ -134,11 +134,11 @@
         for change in changes {
             match change {
                 NameChange::Class(handle, class) => self.0.classes.put(handle, class),
-                NameChange::ClassDropped(class) => self.0.classes.removed(class.name()),
-                NameChange::ClassGone(class) => self.0.classes.gone(class.name()),
+                NameChange::ClassRemoved(class) => self.0.classes.removed(class.name()),
+                NameChange::ClassForgotten(class) => self.0.classes.gone(class.name()),
                 NameChange::Tenant(handle, tenant) => self.0.tenants.put(handle, tenant),
                 NameChange::TenantRemoved(tenant) => self.0.tenants.removed(tenant.name()),
-                NameChange::TenantGone(tenant) => self.0.tenants.gone(tenant.name()),
+                NameChange::TenantForgotten(tenant) => self.0.tenants.gone(tenant.name()),
             }
         }
         self.0.edition.store(edition, Ordering::Release);
--- a/crates/node/src/settings/mod.rs
+++ b/crates/node/src/settings/mod.rs
@@ -324,7 +324,7 @@
             tell_every: self.tell_every,
             steady: self.steady,
             ready_share: self.ready_share,
-            cold_share: rules.cold_share,
+            cold_capacity: rules.cold_capacity,
             cold: rules.cold,
             prefer_every: self.prefer_every,
             cancel: self.cancel,
--- a/crates/node/src/settings/store.rs
+++ b/crates/node/src/settings/store.rs
@@ -50,7 +50,7 @@
 impl StoreSettings {
     /// The bounds of the log of a server with this configuration.
     pub fn limits(&self, config: &Config) -> Limits {
-        let keyed = config.settings.profiles.iter().filter(|profile| profile.effect == Idempotency::ByKey);
+        let keyed = config.settings.profiles.iter().filter(|profile| profile.effect == Idempotency::Keyed);
         Limits {
             segment_bytes: self.segment_bytes,
             most_bytes: self.most_bytes,
--- a/crates/node/src/settings/transaction.rs
+++ b/crates/node/src/settings/transaction.rs
@@ -93,35 +93,35 @@
     let mut block = node.block();
     node.end_properties();
     let effect = match block.choice("effect", &EFFECTS) {
-        Some(0) => Some(Idempotency::Repeatable),
-        Some(1) => Some(Idempotency::ByKey),
-        Some(_) => Some(Idempotency::Once),
+        Some(0) => Some(Idempotency::Idempotent),
+        Some(1) => Some(Idempotency::Keyed),
+        Some(_) => Some(Idempotency::NonIdempotent),
         None => None,
     };
     let effect = required(&block, "effect", effect);
-    let promise = block.time("promise");
-    let promise = required(&block, "promise", promise);
+    let latency_objective = block.time("promise");
+    let latency_objective = required(&block, "promise", latency_objective);
     let deadline = block.time("deadline");
     let deadline = required(&block, "deadline", deadline);
-    let worth = block.number("worth", ANY);
-    let worth = required(&block, "worth", worth);
+    let priority_weight = block.number("worth", ANY);
+    let priority_weight = required(&block, "worth", priority_weight);
     let late_value = block.number("late_value", ANY).unwrap_or(0.0);
     let window = block.time("window").unwrap_or(Span(0));
-    let aim_stretch = block.number("aim_stretch", ANY).unwrap_or(0.0);
+    let objective_stretch = block.number("aim_stretch", ANY).unwrap_or(0.0);
     let calls = block.truth("calls").unwrap_or(true);
-    let skip_worth = block.number("skip_worth", ANY).unwrap_or(0.0);
+    let skip_weight = block.number("skip_worth", ANY).unwrap_or(0.0);
     block.end();
     Some(ClassEntry {
         name,
-        promise: promise?,
+        latency_objective: latency_objective?,
         deadline: deadline?,
         effect: effect?,
-        worth: worth?,
+        priority_weight: priority_weight?,
         late_value,
         window,
-        aim_stretch,
+        objective_stretch,
         calls,
-        skip_worth,
+        skip_weight,
     })
 }
 
@@ -138,11 +138,11 @@
     let rules = RuleEntries {
         answer_slack: block.time("answer_slack"),
         cold: block.time("cold"),
-        cold_share: block.number("cold_share", ANY),
+        cold_capacity: block.number("cold_share", ANY),
         drain_grace: block.time("drain_grace"),
         fall: block.time("fall"),
-        tip_multiple: block.number("tip_multiple", ANY),
-        over_share_worth: block.number("over_share_worth", ANY),
+        max_concurrency_per_core: block.number("tip_multiple", ANY),
+        over_quota_weight: block.number("over_share_worth", ANY),
     };
     block.end();
     rules
--- a/crates/node/src/settings/transaction/tests.rs
+++ b/crates/node/src/settings/transaction/tests.rs
@@ -40,8 +40,8 @@
     assert_eq!(transaction.changes.len(), 9);
     assert_eq!(transaction.changes[0], Change::PutRule(Rule::ColdShare(0.5)));
     let Change::PutClass(class) = &transaction.changes[3] else { panic!("{transaction:?}") };
-    assert_eq!((class.profile.window, class.profile.effect), (Span(12_000_000_000), Idempotency::ByKey));
-    assert!(!class.calls && class.skip_worth == 0.0);
+    assert_eq!((class.profile.window, class.profile.effect), (Span(12_000_000_000), Idempotency::Keyed));
+    assert!(!class.calls && class.skip_weight == 0.0);
     let written = serde_json::to_string(&Document::from(&transaction)).expect("a document");
     assert_eq!(parse(&written, Form::Json), Ok(transaction));
 }
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -74,12 +74,12 @@
             Ok((log, mut found)) => {
                 let ms = start.elapsed().as_millis();
                 found.recovered.notes.push(format!("the store was read in {ms} ms: {} bytes", log.bytes()));
-                let recovered = Input::Recovered(Box::new(found.recovered));
+                let recovered = Input::StoreRecovered(Box::new(found.recovered));
                 return inputs.send(recovered).ok().map(|()| log);
             }
             Err(why) if why == told => {}
             Err(why) => {
-                inputs.send(Input::Unpersisted(0, why.clone())).ok()?;
+                inputs.send(Input::StoreFailed(0, why.clone())).ok()?;
                 told = why;
             }
         }
@@ -113,8 +113,8 @@
         for (number, batch) in first.into_iter().chain(queue.try_iter().take(GROUP)) {
             last = number;
             match batch {
-                RecordBatch::Add(more) => records.extend(more),
-                RecordBatch::Anew(all) => {
+                RecordBatch::Append(more) => records.extend(more),
+                RecordBatch::Rewrite(all) => {
                     records.clear();
                     anew = Some(all);
                 }
@@ -129,8 +129,8 @@
                 result = store.add(stamp(), &records);
             }
             let input = match result {
-                Ok(()) => Input::Persisted(last),
-                Err(e) => Input::Unpersisted(last, e.to_string()),
+                Ok(()) => Input::StorePersisted(last),
+                Err(e) => Input::StoreFailed(last, e.to_string()),
             };
             if inputs.send(input).is_err() {
                 return;
@@ -158,7 +158,7 @@
 
     fn batch(n: u64) -> RecordBatch {
         let (token, id) = (format!("t{n}").into(), RequestId::new(&format!("{n:016x}")));
-        RecordBatch::Add(vec![LogRecord::Intent { token, print: 1, id, left: Span(9_000_000_000) }])
+        RecordBatch::Append(vec![LogRecord::Intent { token, print: 1, id, left: Span(9_000_000_000) }])
     }
 
     /// Guards against a sync for each request, against a caller that waits for a disk, and against a word that comes
@@ -180,7 +180,9 @@
         let log = Logger::root(Discard, o!());
         let store = Store::start(open, limits, 7, Clock::start(), inputs, log).expect("a thread");
         let first = told.recv_timeout(PATIENCE).expect("it opens");
-        assert!(matches!(first, Input::Recovered(found) if matches!(*found, RecoveredRuns { salt: 7, .. })));
+        assert!(
+            matches!(first, Input::StoreRecovered(found) if matches!(*found, RecoveredRuns { salt: 7, .. }))
+        );
         disk.fail(Fault::SyncHangs);
         (1..=500).for_each(|n| store.persist(n, batch(n)));
         assert!(
@@ -191,7 +193,7 @@
         let mut last = 0;
         while last < 500 {
             match told.recv_timeout(PATIENCE).expect("it goes on") {
-                Input::Persisted(upto) => last = upto,
+                Input::StorePersisted(upto) => last = upto,
                 other => panic!("{other:?}"),
             }
         }
@@ -200,12 +202,12 @@
         disk.fail(Fault::SyncFails);
         store.persist(501, batch(501));
         assert!(
-            matches!(told.recv_timeout(PATIENCE), Ok(Input::Unpersisted(501, why)) if why.contains("input/output"))
+            matches!(told.recv_timeout(PATIENCE), Ok(Input::StoreFailed(501, why)) if why.contains("input/output"))
         );
         disk.fail(Fault::None);
         store.persist(502, batch(502));
-        assert!(matches!(told.recv_timeout(PATIENCE), Ok(Input::Unpersisted(502, _))));
-        store.persist(503, RecordBatch::Anew(Vec::new()));
-        assert!(matches!(told.recv_timeout(PATIENCE), Ok(Input::Persisted(503))));
+        assert!(matches!(told.recv_timeout(PATIENCE), Ok(Input::StoreFailed(502, _))));
+        store.persist(503, RecordBatch::Rewrite(Vec::new()));
+        assert!(matches!(told.recv_timeout(PATIENCE), Ok(Input::StorePersisted(503))));
     }
 }
--- a/crates/node/src/upstream_client.rs
+++ b/crates/node/src/upstream_client.rs
@@ -103,7 +103,7 @@
         self.calls.try_send(call).map_err(|unsent| {
             warn!(self.log, "a call to the ledger found no room; it is turned away unmade");
             let Call { id, number, .. } = unsent.into_inner();
-            Input::Called { id, number, outcome: Outcome::Shed, reply: None }
+            Input::UpstreamCallEnded { id, number, outcome: Outcome::Rejected, reply: None }
         })
     }
 }
@@ -119,12 +119,15 @@
         let url = Arc::clone(&url.read().unwrap_or_else(PoisonError::into_inner));
         let (outcome, reply) = match call.until.checked_duration_since(Instant::now()) {
             // Its time ran out while it waited here: it never left.
-            None => (Outcome::Shed, None),
+            None => (Outcome::Rejected, None),
             // The last look at the clock: this thread may have been stopped since the call was decided.
-            Some(_) if call.leaves.is_some_and(|leaves| Instant::now() >= leaves) => (Outcome::Shed, None),
+            Some(_) if call.leaves.is_some_and(|leaves| Instant::now() >= leaves) => {
+                (Outcome::Rejected, None)
+            }
             Some(left) => exchange(agent, &url, &call, left, pool),
         };
-        if inputs.send(Input::Called { id: call.id, number: call.number, outcome, reply }).is_err() {
+        if inputs.send(Input::UpstreamCallEnded { id: call.id, number: call.number, outcome, reply }).is_err()
+        {
             return;
         }
     }
@@ -149,25 +152,25 @@
     match response.status().as_u16() {
         200 => match response.body_mut().with_config().limit(BUFFER_BYTES as u64).read_to_vec() {
             Ok(body) => match pool.copy(&body) {
-                Some(body) => (Outcome::Delivered, Some(body)),
-                None => (Outcome::AppError, None),
+                Some(body) => (Outcome::Success, Some(body)),
+                None => (Outcome::Failure, None),
             },
             Err(error) => (failed(&error), None),
         },
-        503 | 409 if untouched => (Outcome::Shed, None),
-        504 => (Outcome::Expired, None),
-        _ => (Outcome::AppError, None),
+        503 | 409 if untouched => (Outcome::Rejected, None),
+        504 => (Outcome::TimedOut, None),
+        _ => (Outcome::Failure, None),
     }
 }
 
 /// What an error of the exchange says of the call.
 fn failed(error: &ureq::Error) -> Outcome {
     match error {
-        ureq::Error::Timeout(ureq::Timeout::Connect | ureq::Timeout::Resolve) => Outcome::DialFailed,
-        ureq::Error::Timeout(_) => Outcome::Expired,
-        ureq::Error::ConnectionFailed | ureq::Error::HostNotFound => Outcome::DialFailed,
-        ureq::Error::Io(io) if io.kind() == io::ErrorKind::ConnectionRefused => Outcome::DialFailed,
-        _ => Outcome::Dropped,
+        ureq::Error::Timeout(ureq::Timeout::Connect | ureq::Timeout::Resolve) => Outcome::ConnectFailed,
+        ureq::Error::Timeout(_) => Outcome::TimedOut,
+        ureq::Error::ConnectionFailed | ureq::Error::HostNotFound => Outcome::ConnectFailed,
+        ureq::Error::Io(io) if io.kind() == io::ErrorKind::ConnectionRefused => Outcome::ConnectFailed,
+        _ => Outcome::Aborted,
     }
 }
 
--- a/crates/node/src/upstream_client/tests.rs
+++ b/crates/node/src/upstream_client/tests.rs
@@ -43,7 +43,7 @@
             .is_ok()
     );
     match came.recv_timeout(Duration::from_secs(10)).unwrap() {
-        Input::Called { outcome, reply, .. } => (outcome, reply.map(|reply| reply.to_vec())),
+        Input::UpstreamCallEnded { outcome, reply, .. } => (outcome, reply.map(|reply| reply.to_vec())),
         _ => panic!("another input"),
     }
 }
@@ -53,31 +53,31 @@
 #[test]
 fn replies_of_the_ledger_say_what_became_of_a_call() {
     let replies = [
-        ("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", Outcome::Delivered),
-        ("HTTP/1.1 503 Busy\r\nX-Untouched: 1\r\nContent-Length: 0\r\n\r\n", Outcome::Shed),
-        ("HTTP/1.1 409 Conflict\r\nX-Untouched: 1\r\nContent-Length: 0\r\n\r\n", Outcome::Shed),
-        ("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", Outcome::AppError),
-        ("HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n", Outcome::AppError),
-        ("HTTP/1.1 504 Late\r\nContent-Length: 0\r\n\r\n", Outcome::Expired),
+        ("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", Outcome::Success),
+        ("HTTP/1.1 503 Busy\r\nX-Untouched: 1\r\nContent-Length: 0\r\n\r\n", Outcome::Rejected),
+        ("HTTP/1.1 409 Conflict\r\nX-Untouched: 1\r\nContent-Length: 0\r\n\r\n", Outcome::Rejected),
+        ("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", Outcome::Failure),
+        ("HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n", Outcome::Failure),
+        ("HTTP/1.1 504 Late\r\nContent-Length: 0\r\n\r\n", Outcome::TimedOut),
         // It breaks off: in the head, in the body, before a byte. It is longer than a reply may be, or none at all. Each
         // may have had its effect, and none of it goes to the run.
-        ("HTTP/1.1 200 OK\r\nContent-Le", Outcome::Dropped),
-        ("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhalf", Outcome::Dropped),
-        ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", Outcome::Dropped),
-        ("", Outcome::Dropped),
-        ("nonsense\r\n\r\n", Outcome::Dropped),
+        ("HTTP/1.1 200 OK\r\nContent-Le", Outcome::Aborted),
+        ("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhalf", Outcome::Aborted),
+        ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", Outcome::Aborted),
+        ("", Outcome::Aborted),
+        ("nonsense\r\n\r\n", Outcome::Aborted),
     ];
     for (reply, expected) in replies {
         let (outcome, body) = outcome(ledger(vec![Some(reply)]), 2_000);
         assert_eq!(outcome, expected, "{reply}");
-        assert_eq!(body.is_some(), expected == Outcome::Delivered, "{reply}");
+        assert_eq!(body.is_some(), expected == Outcome::Success, "{reply}");
     }
     assert_eq!(outcome(ledger(vec![Some(replies[0].0)]), 2_000).1.as_deref(), Some(&b"ok"[..]));
     // No reply within the limit: the call is given up, and may have had its effect.
-    assert_eq!(outcome(ledger(vec![None]), 200).0, Outcome::Expired);
+    assert_eq!(outcome(ledger(vec![None]), 200).0, Outcome::TimedOut);
     // Nobody listens: it never ran.
     let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    assert_eq!(outcome(gone, 2_000).0, Outcome::DialFailed);
+    assert_eq!(outcome(gone, 2_000).0, Outcome::ConnectFailed);
 }
 
 /// Guards against a reply longer than a result may be, taken for a whole one or kept in memory as it comes.
@@ -89,7 +89,7 @@
         "x".repeat(BUFFER_BYTES * 4)
     );
     let reply: &'static str = Box::leak(reply.into_boxed_str());
-    assert_eq!(outcome(ledger(vec![Some(reply)]), 2_000), (Outcome::Dropped, None));
+    assert_eq!(outcome(ledger(vec![Some(reply)]), 2_000), (Outcome::Aborted, None));
 }
 
 /// Guards against a deadlock: the thread that makes calls is the one that empties the inputs, so a call that finds no
@@ -112,7 +112,9 @@
     });
     let turned_away = tells.recv_timeout(Duration::from_secs(20)).expect("no call waits for the inputs");
     assert!(!turned_away.is_empty());
-    let shed = |input: &Input| matches!(input, Input::Called { outcome: Outcome::Shed, reply: None, .. });
+    let shed = |input: &Input| {
+        matches!(input, Input::UpstreamCallEnded { outcome: Outcome::Rejected, reply: None, .. })
+    };
     assert!(turned_away.iter().all(shed));
 }
 
@@ -143,7 +145,7 @@
         let id = RequestId::new(&format!("{n:016x}"));
         assert!(ledger.call((id, n), b"form", Span(10_000_000_000), None).is_ok());
         let came = came.recv_timeout(Duration::from_secs(10)).unwrap();
-        assert!(matches!(came, Input::Called { outcome: Outcome::Delivered, .. }), "call {n}");
+        assert!(matches!(came, Input::UpstreamCallEnded { outcome: Outcome::Success, .. }), "call {n}");
         closes.recv_timeout(Duration::from_secs(10)).unwrap();
     }
 }
@@ -217,7 +219,7 @@
         let id = RequestId::new(&format!("{n:016x}"));
         // In time, however slow the machine: no verdict here hangs on how long a call takes.
         assert!(ledger.call((id, n as u64), b"form", Span(60_000_000_000), None).is_ok(), "seed {seed}, {n}");
-        let Input::Called { number, outcome, reply, .. } =
+        let Input::UpstreamCallEnded { number, outcome, reply, .. } =
             came.recv_timeout(Duration::from_secs(30)).unwrap_or_else(|_| {
                 panic!(
                     "seed {seed}: call {n} never ends, answered with {:?}",
@@ -228,16 +230,16 @@
             panic!("another input");
         };
         assert_eq!(number, n as u64, "seed {seed}");
-        assert_eq!(reply.is_some(), outcome == Outcome::Delivered, "seed {seed}, {n}");
+        assert_eq!(reply.is_some(), outcome == Outcome::Success, "seed {seed}, {n}");
         let end = (outcome, reply.map(|reply| reply.to_vec()));
         assert!(ends[n].replace(end).is_none(), "seed {seed}: call {n} ended twice");
     }
     assert!(came.try_recv().is_err(), "a call ended twice");
     for (n, end) in ends.iter().flatten().enumerate() {
         if n < cuts {
-            assert_eq!(*end, (Outcome::Dropped, None), "cut at byte {n}");
+            assert_eq!(*end, (Outcome::Aborted, None), "cut at byte {n}");
         } else if n >= count - 8 {
-            assert_eq!(*end, (Outcome::Delivered, Some(b"hello\r\n\r\nyou".to_vec())), "a thread is gone");
+            assert_eq!(*end, (Outcome::Success, Some(b"hello\r\n\r\nyou".to_vec())), "a thread is gone");
         }
     }
 }
--- a/crates/node/tests/hold.rs
+++ b/crates/node/tests/hold.rs
@@ -17,11 +17,11 @@
 
 const MS: u64 = 1_000_000;
 
-fn class(n: usize, worth: f64) -> Arc<ClassDefinition> {
+fn class(n: usize, priority_weight: f64) -> Arc<ClassDefinition> {
     let profile = json!({"name": format!("class-{n}"), "promise": 1000 * MS, "deadline": 4000 * MS,
-        "effect": "repeatable", "worth": worth});
+        "effect": "repeatable", "worth": priority_weight});
     let profile = serde_json::from_value(profile).expect("a class");
-    Arc::new(ClassDefinition { profile, calls: true, skip_worth: 0.0 })
+    Arc::new(ClassDefinition { profile, calls: true, skip_weight: 0.0 })
 }
 
 fn tenant(n: usize, quota_rps: f64) -> Arc<Tenant> {
@@ -69,11 +69,11 @@
             Reload { config: config.clone(), changes, new_classes: 0, new_tenants: 0, compared_at: 3 };
         let (mut longest, effects) = step(&mut reducer, 9_080, vec![Input::Reload(Box::new(reload))]);
         let (mut whole, mut pieces) = (longest, 1);
-        let mut over = effects.iter().any(|effect| matches!(effect, Effect::Reloaded));
+        let mut over = effects.iter().any(|effect| matches!(effect, Effect::ReloadFinished));
         while !over {
             let (took, effects) = step(&mut reducer, 9_081, Vec::new());
             (longest, whole, pieces) = (longest.max(took), whole + took, pieces + 1);
-            over = effects.iter().any(|effect| matches!(effect, Effect::Reloaded));
+            over = effects.iter().any(|effect| matches!(effect, Effect::ReloadFinished));
         }
         println!(
             "{classes} classes, {tenants} tenants: a tenant {one:?}, a class {put_class:?}, 100 changes \
--- a/crates/node/tests/registry_answers.rs
+++ b/crates/node/tests/registry_answers.rs
@@ -121,7 +121,7 @@
             for format in [Format::Json, Format::Xml] {
                 let url = registry(answer.clone());
                 for op in [
-                    RegistryOperation::Look,
+                    RegistryOperation::FetchOwnRecord,
                     RegistryOperation::Heartbeat { status: InstanceStatus::Up, dirty_ms: 1 },
                     RegistryOperation::Cancel,
                 ] {
--- a/crates/registry/src/membership.rs
+++ b/crates/registry/src/membership.rs
@@ -61,8 +61,8 @@
     /// The share of full speed from which on a cold server can meet the aims.
     pub ready_share: f64,
     /// The speed that a cold server begins with at the least, and the time after which it is warm at the latest.
-    pub cold_share: f64,
-    /// See `cold_share`.
+    pub cold_capacity: f64,
+    /// See `cold_capacity`.
     pub cold: Span,
     /// Between tries to come back to a service URL of higher preference.
     pub prefer_every: Span,
@@ -98,7 +98,7 @@
         dirty_ms: u64,
     },
     /// Tell the own record.
-    Look,
+    FetchOwnRecord,
     /// Remove the registration.
     Cancel,
 }
@@ -132,7 +132,7 @@
 pub enum RegistryReply {
     /// It was done.
     Done,
-    /// The own record, as asked by [`RegistryOperation::Look`].
+    /// The own record, as asked by [`RegistryOperation::FetchOwnRecord`].
     Record(Box<Instance>),
     /// The registry doesn't know this instance.
     NotFound,
@@ -290,7 +290,7 @@
     }
 
     /// An operator takes the server back in.
-    pub fn come_back(&mut self) {
+    pub fn retry_after(&mut self) {
         self.leaving = Leaving::No;
         self.beside.clear();
     }
@@ -328,7 +328,7 @@
     /// When a processor that began cold at that time reaches the ready share at the latest: it warms no more slowly
     /// than evenly.
     fn ready_at(&self, since: Time) -> Time {
-        let (least, ready) = (self.set.cold_share, self.set.ready_share);
+        let (least, ready) = (self.set.cold_capacity, self.set.ready_share);
         let part = if least < 1.0 { ((ready - least) / (1.0 - least)).clamp(0.0, 1.0) } else { 0.0 };
         time_after(since, Span((self.set.cold.0 as f64 * part) as u64))
     }
@@ -472,7 +472,7 @@
                 let op = self.record(InstanceStatus::OutOfService, unix_ms);
                 own(op)
             }
-            Leaving::Look => own(RegistryOperation::Look),
+            Leaving::Look => own(RegistryOperation::FetchOwnRecord),
             Leaving::Seen => {
                 let other = std::iter::from_fn(|| self.beside.pop()).find(|other| *other != url)?;
                 Some((
@@ -504,7 +504,7 @@
             return Some((self.url, self.record(wanted, unix_ms)));
         }
         if std::mem::take(&mut self.look) {
-            return Some((self.url, RegistryOperation::Look));
+            return Some((self.url, RegistryOperation::FetchOwnRecord));
         }
         if self.change_wanted(now) && now >= self.next_change {
             self.next_change = time_after(now, self.set.tell_every);
@@ -553,7 +553,7 @@
             (RegistryReply::Rejected(status), _) => {
                 return self.failed(now, lane, &open, &format!("answered with status {status}"));
             }
-            (RegistryReply::Record(_), op) if *op != RegistryOperation::Look => {
+            (RegistryReply::Record(_), op) if *op != RegistryOperation::FetchOwnRecord => {
                 return self.failed(now, lane, &open, "answered what was not asked");
             }
             _ => {}
@@ -618,7 +618,7 @@
                 self.next_try = next;
                 self.look |= matches!(
                     open.op,
-                    RegistryOperation::Look
+                    RegistryOperation::FetchOwnRecord
                         | RegistryOperation::Register(_)
                         | RegistryOperation::ClearOverride { .. }
                 );
@@ -681,10 +681,16 @@
                 self.told = None;
                 self.next_change = now;
             }
-            RegistryOperation::Look => self.failed(
+            RegistryOperation::FetchOwnRecord => self.failed(
                 now,
                 lane,
-                &Open { ticket: 0, url: self.url, op: RegistryOperation::Look, since: now, beside: false },
+                &Open {
+                    ticket: 0,
+                    url: self.url,
+                    op: RegistryOperation::FetchOwnRecord,
+                    since: now,
+                    beside: false,
+                },
                 "answered without the record",
             ),
             RegistryOperation::Cancel => {
--- a/crates/registry/tests/odd_replies.rs
+++ b/crates/registry/tests/odd_replies.rs
@@ -22,7 +22,7 @@
         tell_every: Span(1_000 * MS),
         steady: Span(500 * MS),
         ready_share: 0.6,
-        cold_share: 0.2,
+        cold_capacity: 0.2,
         cold: Span(8_000 * MS),
         prefer_every: Span(30_000 * MS),
         cancel: true,
@@ -46,8 +46,11 @@
                 return ask;
             }
             let shown = membership.shown().unwrap_or_default();
-            let reply =
-                if ask.op == RegistryOperation::Look { record(shown, 1) } else { RegistryReply::Done };
+            let reply = if ask.op == RegistryOperation::FetchOwnRecord {
+                record(shown, 1)
+            } else {
+                RegistryReply::Done
+            };
             membership.reply(*now, ask.ticket, reply);
         }
         *now = time_after(*now, Span(100 * MS));
@@ -61,7 +64,7 @@
     for dirty_ms in [u64::MAX - 1, u64::MAX] {
         let mut now = Time(1_000 * MS);
         let mut membership = Membership::new(settings(1), 5, now);
-        let look = asked(&mut membership, &mut now, |ask| ask.op == RegistryOperation::Look);
+        let look = asked(&mut membership, &mut now, |ask| ask.op == RegistryOperation::FetchOwnRecord);
         membership.reply(now, look.ticket, record(InstanceStatus::Starting, dirty_ms));
         let again = asked(&mut membership, &mut now, |ask| matches!(ask.op, RegistryOperation::Register(_)));
         membership.reply(now, again.ticket, RegistryReply::Done);
@@ -80,9 +83,9 @@
     asked(&mut membership, &mut now, |ask| matches!(ask.op, RegistryOperation::Heartbeat { .. }));
     membership.leave(now);
     let look = asked(&mut membership, &mut now, |ask| {
-        ask.lane == RequestLane::Urgent && ask.op == RegistryOperation::Look
+        ask.lane == RequestLane::Urgent && ask.op == RegistryOperation::FetchOwnRecord
     });
-    membership.come_back();
+    membership.retry_after();
     now = time_after(now, Span(600 * MS));
     // The other lane's question runs out of its time meanwhile, so the second registry is in use.
     let routine = (1..look.ticket).rev().find(|ticket| {
@@ -124,7 +127,7 @@
             let dirty_ms = [0, now.0 / MS, u64::MAX, u64::MAX - 1, 1][(draw >> 16) as usize % 5];
             match (draw >> 24) % 16 {
                 0 => membership.leave(now),
-                1 => membership.come_back(),
+                1 => membership.retry_after(),
                 2 => membership.health(now, draw.is_multiple_of(2)),
                 3 => membership.processor((!draw.is_multiple_of(3)).then_some((now, draw.is_multiple_of(5)))),
                 4 => membership.metadata("store", &draw.to_string()),
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -35,15 +35,15 @@
     let mut parts = Parts { op, parts: rest.split(' ') };
     Ok(Some(match op {
         "req" => Event::Arrived(request(&mut parts, settings)?),
-        "left" => Event::Left(parts.id()?),
+        "left" => Event::CallerGone(parts.id()?),
         "completed" => {
             Event::Completed { id: parts.id()?, outcome: parts.outcome()?, took: parts.span("took")? }
         }
-        "ready_to_call" => Event::ReadyToCall(parts.id()?),
+        "ready_to_call" => Event::UpstreamCallNeeded(parts.id()?),
         "call_result" => {
-            Event::CallResult { id: parts.id()?, outcome: parts.outcome()?, took: parts.span("took")? }
+            Event::UpstreamCallEnded { id: parts.id()?, outcome: parts.outcome()?, took: parts.span("took")? }
         }
-        "sigterm" => Event::Sigterm(parts.span("expires_in")?),
+        "sigterm" => Event::ShutdownNotice(parts.span("expires_in")?),
         "deadline_hit" => {
             parts.some("cookie")?;
             Event::Timer(gauges(parts.next())?)
@@ -125,14 +125,14 @@
     }
     fn outcome(&mut self) -> Result<Outcome, String> {
         Ok(match self.some("outcome")? {
-            "delivered" => Outcome::Delivered,
-            "app_error" => Outcome::AppError,
-            "shed" => Outcome::Shed,
-            "expired" => Outcome::Expired,
-            "dial_failed" => Outcome::DialFailed,
-            "dropped" => Outcome::Dropped,
-            "revoked" => Outcome::Revoked,
-            "unused" => Outcome::Unused,
+            "delivered" => Outcome::Success,
+            "app_error" => Outcome::Failure,
+            "shed" => Outcome::Rejected,
+            "expired" => Outcome::TimedOut,
+            "dial_failed" => Outcome::ConnectFailed,
+            "dropped" => Outcome::Aborted,
+            "revoked" => Outcome::Stopped,
+            "unused" => Outcome::NotStarted,
             other => return Err(format!("expected in '{}' an outcome, got '{other}'", self.op)),
         })
     }
@@ -141,26 +141,28 @@
 /// Appends one action's line. Writing to a string can't fail, so the results are dropped.
 pub fn write_action(out: &mut String, name: &str, action: &Action) {
     let _ = match action {
-        Action::Process(id) => writeln!(out, "process {name} {}", id.0),
-        Action::Suspend(id) => writeln!(out, "suspend {name} {}", id.0),
-        Action::Refuse { id, come_back, last } => {
-            writeln!(out, "refuse {name} {} {} {}", id.0, come_back.0, u8::from(*last))
+        Action::Run(id) => writeln!(out, "process {name} {}", id.0),
+        Action::StopRun(id) => writeln!(out, "suspend {name} {}", id.0),
+        Action::Reject { id, retry_after, last } => {
+            writeln!(out, "refuse {name} {} {} {}", id.0, retry_after.0, u8::from(*last))
         }
-        Action::Error(id) => writeln!(out, "error {name} {}", id.0),
-        Action::AskBelow { id, timeout } => writeln!(out, "ask_below {name} {} {}", id.0, timeout.0),
-        Action::Degrade(id) => writeln!(out, "degrade {name} {}", id.0),
-        Action::Remember { id, hold_for } => writeln!(out, "remember {name} {} {}", id.0, hold_for.0),
-        Action::ReleaseKey(id) => writeln!(out, "release_key {name} {}", id.0),
-        Action::Join(id) => writeln!(out, "join {name} {}", id.0),
+        Action::Fail(id) => writeln!(out, "error {name} {}", id.0),
+        Action::CallUpstream { id, timeout } => writeln!(out, "ask_below {name} {} {}", id.0, timeout.0),
+        Action::SkipUpstreamCall(id) => writeln!(out, "degrade {name} {}", id.0),
+        Action::RetainIdempotencyKey { id, retain_for } => {
+            writeln!(out, "remember {name} {} {}", id.0, retain_for.0)
+        }
+        Action::ReleaseIdempotencyKey(id) => writeln!(out, "release_key {name} {}", id.0),
+        Action::JoinRun(id) => writeln!(out, "join {name} {}", id.0),
         Action::ReportHealth { shallow, active } => {
             writeln!(out, "report_health {name} {} {}", u8::from(*shallow), u8::from(*active))
         }
-        Action::Signal(amount) => writeln!(out, "signal {name} {amount}"),
-        Action::IdleLimit(span) => {
+        Action::AdvertiseCapacity(amount) => writeln!(out, "signal {name} {amount}"),
+        Action::SetIdleTimeout(span) => {
             let told = if *span < SHORTEST_IDLE { Span(0) } else { *span };
             writeln!(out, "idle_limit {name} {}", told.0)
         }
-        Action::Remind(time) => writeln!(out, "remind {name} {} t", time.0),
-        Action::Emit(text) => writeln!(out, "emit {name} {text}"),
+        Action::SetTimer(time) => writeln!(out, "remind {name} {} t", time.0),
+        Action::Log(text) => writeln!(out, "emit {name} {text}"),
     };
 }
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -181,11 +181,11 @@
                 if self
                     .entries
                     .get(token)
-                    .is_some_and(|known| *known.id == *id && known.end != SavedOutcome::None)
+                    .is_some_and(|known| *known.id == *id && known.end != SavedOutcome::Unknown)
                 {
                     return;
                 }
-                self.put(token, entry(print, id, left_ms, SavedOutcome::None));
+                self.put(token, entry(print, id, left_ms, SavedOutcome::Unknown));
             }
             StoredRecord::Served { token, print, id, left_ms, result } => {
                 self.put(token, entry(print, id, left_ms, SavedOutcome::Served(result.to_vec())));
--- a/crates/store/tests/configuration.rs
+++ b/crates/store/tests/configuration.rs
@@ -15,15 +15,15 @@
 fn class(name: &str) -> ClassEntry {
     ClassEntry {
         name: name.into(),
-        promise: Span(100_000_000),
+        latency_objective: Span(100_000_000),
         deadline: Span(200_000_000),
-        effect: Idempotency::Repeatable,
-        worth: 1.0,
+        effect: Idempotency::Idempotent,
+        priority_weight: 1.0,
         late_value: 0.0,
         window: Span(0),
-        aim_stretch: 0.0,
+        objective_stretch: 0.0,
         calls: true,
-        skip_worth: 0.0,
+        skip_weight: 0.0,
     }
 }
 
@@ -41,7 +41,7 @@
     let document = Document { classes: vec![class(&format!("c{}", revision % 5))], ..Document::default() };
     let mut transaction = Transaction::from(document);
     let Change::PutClass(put) = &mut transaction.changes[0] else { panic!("a class") };
-    std::sync::Arc::make_mut(put).profile.worth = revision as f64;
+    std::sync::Arc::make_mut(put).profile.priority_weight = revision as f64;
     Commit {
         revision: Revision(revision),
         author: "ada".into(),
--- a/crates/store/tests/world/mod.rs
+++ b/crates/store/tests/world/mod.rs
@@ -133,7 +133,7 @@
             truth,
             skew_ms,
             seq: 0,
-            inputs: vec![Input::Opened(CONN)],
+            inputs: vec![Input::ConnectionOpened(CONN)],
             asked: BTreeMap::new(),
             exited: false,
             logged: Vec::new(),
@@ -168,7 +168,7 @@
     fn notice(&mut self, notice: u64, id: String, body: &str) {
         let result = self.pool.copy(format!("result of {body}").as_bytes()).expect("it fits");
         let (id, took) = (RequestId::new(&id), Span(20 * MS));
-        self.inputs.push(Input::Complete { notice, id, end: RunEnd::Ok, took, result });
+        self.inputs.push(Input::RunCompleted { notice, id, end: RunEnd::Ok, took, result });
     }
 
     /// Keeps the files and the truth at each boundary of the disk from now on.
@@ -203,9 +203,9 @@
         match Log::open(Box::new(self.disk.clone()), limits, salt) {
             Ok((log, found)) => {
                 self.log = Some(log);
-                self.recovered = Some(Input::Recovered(Box::new(found.recovered)));
+                self.recovered = Some(Input::StoreRecovered(Box::new(found.recovered)));
             }
-            Err(why) => self.inputs.push(Input::Unpersisted(0, why.to_string())),
+            Err(why) => self.inputs.push(Input::StoreFailed(0, why.to_string())),
         }
     }
 
@@ -251,13 +251,13 @@
             body: self.pool.copy(body.as_bytes()).expect("it fits"),
         };
         self.asked.insert(seq, (body.to_string(), self.truth.ms + budget, Vec::new()));
-        self.inputs.push(Input::Call(CONN, seq, Box::new(call)));
+        self.inputs.push(Input::Request(CONN, seq, Box::new(call)));
         self.settle();
         seq
     }
 
     pub fn terminate(&mut self) {
-        self.inputs.push(Input::Terminate);
+        self.inputs.push(Input::ShutdownNotice);
         self.settle();
     }
 
@@ -324,12 +324,12 @@
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Answer(_, seq, answer, _) => {
+            Effect::Respond(_, seq, answer, _) => {
                 let got = match answer {
                     Response::Served(result) => Got::Served(result.to_vec()),
-                    Response::Refused { backoff, .. } => Got::Refused(backoff.0 / MS),
+                    Response::Rejected { backoff, .. } => Got::Refused(backoff.0 / MS),
                     Response::Failed { .. } => Got::Failed,
-                    Response::Unknown => Got::Unknown,
+                    Response::OutcomeUnknown => Got::Unknown,
                     _ => Got::Other,
                 };
                 let (body, due, answers) = self.asked.get_mut(&seq).expect("an answer to what was asked");
@@ -346,11 +346,11 @@
                 }
                 answers.push(got);
             }
-            Effect::Begin(_, id, class, body) => {
+            Effect::StartRun(_, id, class, body) => {
                 let body = String::from_utf8_lossy(&body).into_owned();
                 // Runs take from 20 ms to 1.3 s.
                 let takes = 20 + self.rng.next_u64() % 16 * (self.rng.next_u64() % 80);
-                if class.profile.effect == gradepin_admission::Idempotency::ByKey {
+                if class.profile.effect == gradepin_admission::Idempotency::Keyed {
                     let now = self.truth.ms;
                     let ran = self.truth.ran.entry(body.clone()).or_default();
                     // A run begun again on a new link is the same run.
@@ -368,12 +368,12 @@
                 }
                 self.truth.running.push((self.truth.ms + takes, id.0.to_string(), body));
             }
-            Effect::Usage(_, tag) => {
+            Effect::ReadGauges(_, tag) => {
                 let on = self.truth.running.len() as f64;
                 let to = if self.gauges_wait { &mut self.gauges } else { &mut self.inputs };
-                to.push(Input::Used(tag, vec![0.5, on, 0.1, 9.0]));
+                to.push(Input::GaugesRead(tag, vec![0.5, on, 0.1, 9.0]));
             }
-            Effect::Persist(number, batch) => match self.mode {
+            Effect::PersistRecords(number, batch) => match self.mode {
                 Disk::Prompt => self.persist(number, &batch),
                 Disk::Held => self.queue.push_back((u64::MAX, number, batch)),
                 Disk::Slow(ms) => {
@@ -383,7 +383,7 @@
                     self.queue.push_back((at, number, batch));
                 }
             },
-            Effect::Retell => {
+            Effect::ReplayNotices => {
                 self.inputs.push(Input::LinkDown);
                 self.link_up(true);
             }
@@ -398,13 +398,13 @@
         let stamp = self.stamp();
         let Some(log) = &mut self.log else { return };
         let result = match batch {
-            RecordBatch::Add(records) => log.add(stamp, records),
-            RecordBatch::Anew(records) => log.write_anew(stamp, records),
+            RecordBatch::Append(records) => log.add(stamp, records),
+            RecordBatch::Rewrite(records) => log.write_anew(stamp, records),
         };
         self.see();
         self.inputs.push(match result {
-            Ok(()) => Input::Persisted(number),
-            Err(why) => Input::Unpersisted(number, why.to_string()),
+            Ok(()) => Input::StorePersisted(number),
+            Err(why) => Input::StoreFailed(number, why.to_string()),
         });
     }
 
--- a/crates/testkit/src/bench/council.rs
+++ b/crates/testkit/src/bench/council.rs
@@ -92,7 +92,7 @@
                         self.syncs += 1;
                         voter.part.written(number);
                     }
-                    AgentEffect::MayLeave(..) => self.may = Some(n),
+                    AgentEffect::PermitGranted(..) => self.may = Some(n),
                     _ => {}
                 }
             }
--- a/crates/testkit/src/bench/mod.rs
+++ b/crates/testkit/src/bench/mod.rs
@@ -88,7 +88,7 @@
                     RegistryOperation::Heartbeat { dirty_ms, .. } => {
                         done(registry.renew(app, &id, Some(*dirty_ms), ms))
                     }
-                    RegistryOperation::Look => registry
+                    RegistryOperation::FetchOwnRecord => registry
                         .instance(app, &id)
                         .map_or(RegistryReply::NotFound, |i| RegistryReply::Record(Box::new(i.clone()))),
                     _ => RegistryReply::Done,
--- a/crates/testkit/src/commands/ask.rs
+++ b/crates/testkit/src/commands/ask.rs
@@ -73,7 +73,7 @@
             client.metadata(&app, &id, &key, &value, TIMEOUT)?;
             return Ok(true);
         }
-        Question::Instance { app, id } => (app, id, RegistryOperation::Look),
+        Question::Instance { app, id } => (app, id, RegistryOperation::FetchOwnRecord),
         Question::Out { app, id } => {
             (app, id, RegistryOperation::Override { status: InstanceStatus::OutOfService, dirty_ms: 0 })
         }
--- a/crates/testkit/src/commands/fleet.rs
+++ b/crates/testkit/src/commands/fleet.rs
@@ -65,11 +65,11 @@
 
 fn start(args: &FleetArgs, folder: &Path) -> io::Result<Fleet> {
     let work = classes().into_iter().map(|class| (class.name, Duration::from_millis(60))).collect();
-    let cold_share = if args.cold { 0.21 } else { 1.0 };
+    let cold_capacity = if args.cold { 0.21 } else { 1.0 };
     Fleet::start(&FleetSpec {
         daemon: daemon(args.daemon.clone())?,
         servers: args.servers,
-        processor: Spec { classes: work, seed: args.seed, cold_share, ..Spec::default() },
+        processor: Spec { classes: work, seed: args.seed, cold_capacity, ..Spec::default() },
         callers: args.proxies,
         scgi: args.scgi,
         folder: folder.to_path_buf(),
--- a/crates/testkit/src/commands/processor.rs
+++ b/crates/testkit/src/commands/processor.rs
@@ -21,8 +21,8 @@
     #[arg(long, default_value_t = 1.0)]
     pub speed: f64,
     /// Share of the speed that it begins with
-    #[arg(long, default_value_t = 1.0)]
-    pub cold_share: f64,
+    #[arg(long = "cold-share", default_value_t = 1.0)]
+    pub cold_capacity: f64,
     /// Seconds until it is warm
     #[arg(long, default_value_t = 18.0)]
     pub warms_in_s: f64,
@@ -50,10 +50,10 @@
 
 /// Runs one until a signal, with a line a second.
 pub fn run(args: ProcessorArgs) -> Result<bool, Box<dyn Error>> {
-    let ProcessorArgs { listen, cores, speed, cold_share, warms_in_s, work_ms, seed, slow } = args;
+    let ProcessorArgs { listen, cores, speed, cold_capacity, warms_in_s, work_ms, seed, slow } = args;
     let classes = vec![("any".to_string(), Duration::from_millis(work_ms))];
     let warms_in = Duration::from_secs_f64(warms_in_s.max(0.0));
-    let spec = Spec { cores, speed, cold_share, warms_in, classes, seed, ..Spec::default() };
+    let spec = Spec { cores, speed, cold_capacity, warms_in, classes, seed, ..Spec::default() };
     let processor = Processor::start(listen, spec)?;
     println!("a processor of {cores} cores at {}", processor.address());
     each_second(|second| {
--- a/crates/testkit/src/drill/faults/settings.rs
+++ b/crates/testkit/src/drill/faults/settings.rs
@@ -41,9 +41,9 @@
     class != READ
 }
 
-fn class(name: &str, effect: &str, worth: f64) -> Value {
+fn class(name: &str, effect: &str, priority_weight: f64) -> Value {
     json!({"name": name, "promise": 1_000 * MS, "deadline": DEADLINE_MS * MS, "effect": effect, "late_value": 0.2,
-           "window": 9_000 * MS, "worth": worth})
+           "window": 9_000 * MS, "worth": priority_weight})
 }
 
 /// The settings of the site.
--- a/crates/testkit/src/drill/scgi.rs
+++ b/crates/testkit/src/drill/scgi.rs
@@ -69,9 +69,10 @@
         let (mut got, mut asked) = (0.0, 0.0);
         for one in runs.iter().flat_map(|run| &run.books).flat_map(|books| &books.requests) {
             if scgi.is_none_or(|scgi| scgi == one.scgi) {
-                let ((worth, late), aim) = (WORTH[one.class], classes()[one.class].aim.as_millis() as u64);
-                asked += worth;
-                got += worth * one.took_ms.map_or(0.0, |took| if took <= aim { 1.0 } else { late });
+                let ((priority_weight, late), aim) =
+                    (WORTH[one.class], classes()[one.class].aim.as_millis() as u64);
+                asked += priority_weight;
+                got += priority_weight * one.took_ms.map_or(0.0, |took| if took <= aim { 1.0 } else { late });
             }
         }
         100.0 * got / f64::max(asked, 1e-9)
--- a/crates/testkit/src/explore/permits.rs
+++ b/crates/testkit/src/explore/permits.rs
@@ -72,7 +72,7 @@
     match stage {
         PermitStage::Reserved => 0,
         PermitStage::Begun => 1,
-        PermitStage::Freed => 2,
+        PermitStage::Released => 2,
     }
 }
 
@@ -214,7 +214,7 @@
                 }
             }
             Proposal::End(epoch, begins) => {
-                let by = PermitEnd::Steady(if self.without == Without::TheEndsLook {
+                let by = PermitEnd::Stable(if self.without == Without::TheEndsLook {
                     record.permits.get(epoch).map_or(0, |permit| permit.begins)
                 } else {
                     *begins
@@ -223,13 +223,15 @@
             }
             Proposal::Free(epoch) => {
                 let (by, why) = (Arc::from("kaisa"), String::new());
-                if record.apply(index, Command::Free { epoch: *epoch, by, why }) == CommandOutcome::Done {
+                if record.apply(index, Command::ReleasePermit { epoch: *epoch, by, why })
+                    == CommandOutcome::Done
+                {
                     state.since.insert(*epoch, state.era);
                 }
                 // What operators did doesn't tell states apart.
                 record.acts.clear();
             }
-            Proposal::Gone(epoch) => drop(record.apply(index, Command::Gone { epoch: *epoch })),
+            Proposal::Gone(epoch) => drop(record.apply(index, Command::PermitExpired { epoch: *epoch })),
         }
     }
 
@@ -252,7 +254,7 @@
     fn init_states(&self) -> Vec<State> {
         let mut record = ReplicatedState::default();
         for n in 0..self.servers {
-            record.apply(0, Command::Enrol { name: name(n), zone: name(0) });
+            record.apply(0, Command::AddServer { name: name(n), zone: name(0) });
         }
         record.apply(0, Command::Limits(Limits { fleet: 1, zone: 1, ..Limits::default() }));
         vec![State {
@@ -290,14 +292,14 @@
             }
         }
         for (epoch, permit) in &state.record.0.permits {
-            if state.frees < self.frees && permit.stage != PermitStage::Freed {
+            if state.frees < self.frees && permit.stage != PermitStage::Released {
                 actions.push(Action::Free(*epoch));
             }
             if self.may_end(state, *epoch, permit) {
                 actions.push(Action::End(*epoch));
             }
             let over = state.since.get(epoch).is_some_and(|since| state.era > *since);
-            if permit.stage == PermitStage::Freed && (over || self.without == Without::Time) {
+            if permit.stage == PermitStage::Released && (over || self.without == Without::Time) {
                 actions.push(Action::Gone(*epoch));
             }
         }
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -241,9 +241,9 @@
 /// The settings of the brief's deployment; at a scale of 1 its times are those of [`crate::load::classes`].
 pub fn settings(spec: &FleetSpec) -> Value {
     const MS: u64 = 1_000_000;
-    let profile = |name: &str, aim: u64, deadline: u64, worth: f64, effect: &str, late: f64| {
+    let profile = |name: &str, aim: u64, deadline: u64, priority_weight: f64, effect: &str, late: f64| {
         json!({"name": name, "promise": aim * spec.scale * MS, "deadline": deadline * spec.scale * MS, "effect": effect, "late_value": late,
-               "window": 8_000 * MS, "worth": worth})
+               "window": 8_000 * MS, "worth": priority_weight})
     };
     let tenant =
         |name: &str, portion: f64| json!({"name": name, "portion": portion, "quota_rps": 400.0 * portion});
--- a/crates/testkit/src/model/agreed.rs
+++ b/crates/testkit/src/model/agreed.rs
@@ -82,9 +82,9 @@
     println!(
         "  done {}, undone {}, halted {}, else {}; {:.1} s in the middle, {:.1} s at the most; {:.3} of the servers ready in the mean",
         count(&|state| *state == RolloutState::Done),
-        count(&|state| matches!(state, RolloutState::Undone(_))),
+        count(&|state| matches!(state, RolloutState::RolledBack(_))),
         count(&|state| matches!(state, RolloutState::Halted(_))),
-        count(&|state| matches!(state, RolloutState::Runs | RolloutState::GoesBack(_))),
+        count(&|state| matches!(state, RolloutState::Running | RolloutState::RollingBack(_))),
         at(0.5),
         at(1.0),
         mean(&|outcome| outcome.ready)
--- a/crates/testkit/src/processor.rs
+++ b/crates/testkit/src/processor.rs
@@ -29,7 +29,7 @@
     /// Their speed; 1 is the yardstick.
     pub speed: f64,
     /// The share of its speed that it begins with; 1 is a warm start.
-    pub cold_share: f64,
+    pub cold_capacity: f64,
     /// How long until it is warm.
     pub warms_in: Duration,
     /// Runs a core past which less is done in total.
@@ -53,7 +53,7 @@
         Self {
             cores: 6,
             speed: 1.0,
-            cold_share: 1.0,
+            cold_capacity: 1.0,
             warms_in: Duration::from_secs(18),
             thrash_at: 1.35,
             thrash: 0.7,
@@ -102,7 +102,7 @@
     last_notice: u64,
     link: Option<(u64, TcpStream)>,
     links: u64,
-    core_use: f64,
+    cpu_utilization: f64,
     stepped: Instant,
 }
 
@@ -171,9 +171,9 @@
     }
 
     /// It dies and comes back cold or warm at once: what ran is lost, notices begin at 1.
-    pub fn restart(&self, cold_share: f64) {
+    pub fn restart(&self, cold_capacity: f64) {
         let mut state = self.shared.state();
-        state.spec.cold_share = cold_share;
+        state.spec.cold_capacity = cold_capacity;
         state.started = Instant::now();
         state.runs.clear();
         state.calling.clear();
@@ -219,7 +219,7 @@
             last_notice: 0,
             link: None,
             links: 0,
-            core_use: 0.0,
+            cpu_utilization: 0.0,
             stepped: now,
         }
     }
@@ -227,7 +227,7 @@
     /// Its share of full speed now.
     fn warmth(&self, now: Instant) -> f64 {
         let part = (now - self.started).as_secs_f64() / self.spec.warms_in.as_secs_f64().max(1e-9);
-        self.spec.cold_share + (1.0 - self.spec.cold_share) * part.min(1.0)
+        self.spec.cold_capacity + (1.0 - self.spec.cold_capacity) * part.min(1.0)
     }
 
     /// Lets the cores work until now.
@@ -250,7 +250,7 @@
             }
         }
         let used = if can > 0.0 { (done / can).min(1.0) } else { 0.0 };
-        self.core_use += (passed / 0.5).min(1.0) * (used - self.core_use);
+        self.cpu_utilization += (passed / 0.5).min(1.0) * (used - self.cpu_utilization);
         for id in over {
             let Some(mut run) = self.runs.remove(&id) else { continue };
             if let Some(rest) = run.call.take() {
@@ -333,7 +333,7 @@
                 if let Some((_, old)) = state.link.replace((number, writes.take()?)) {
                     let _ = old.shutdown(Shutdown::Both);
                 }
-                let (now, cold) = (Instant::now(), state.spec.cold_share < 1.0);
+                let (now, cold) = (Instant::now(), state.spec.cold_capacity < 1.0);
                 let ms = (now - state.started).as_secs_f64() * 1e3;
                 let greeting = format!("hi {} {ms:.3}\r\n", if cold { "COLD" } else { "WARM" });
                 state.send(greeting.as_bytes());
@@ -346,7 +346,7 @@
                 state.step();
                 let on = state.runs.len() as f64;
                 let heap = on * state.spec.run_kb / state.spec.memory_kb;
-                let text = format!("used {tag} {:.3} {on} {heap:.4} 0\r\n", state.core_use);
+                let text = format!("used {tag} {:.3} {on} {heap:.4} 0\r\n", state.cpu_utilization);
                 state.send(text.as_bytes());
             }
             ["begin", id, class, length] => {
@@ -458,7 +458,7 @@
 
     #[test]
     fn a_cold_start_warms_and_a_crowd_gets_less_done() {
-        let cold = Spec { cold_share: 0.21, warms_in: Duration::from_secs(10), ..Spec::default() };
+        let cold = Spec { cold_capacity: 0.21, warms_in: Duration::from_secs(10), ..Spec::default() };
         let now = Instant::now();
         let state = State::new(cold, now);
         assert!((state.warmth(now) - 0.21).abs() < 1e-9);
--- a/crates/testkit/src/registry/mod.rs
+++ b/crates/testkit/src/registry/mod.rs
@@ -20,7 +20,7 @@
         tell_every: ms(1_000),
         steady: ms(1_000),
         ready_share: 0.6,
-        cold_share: 0.21,
+        cold_capacity: 0.21,
         cold: ms(18_000),
         prefer_every: ms(60_000),
         cancel: false,
--- a/crates/testkit/src/scale/fleet/requests.rs
+++ b/crates/testkit/src/scale/fleet/requests.rs
@@ -82,7 +82,7 @@
             self.notices += 1;
             let Some(result) = pool.copy(b"tile") else { break };
             let took = Span((self.mean_run_s * 1e9) as u64);
-            inputs.push(Input::Complete { notice: self.notices, id, end: RunEnd::Ok, took, result });
+            inputs.push(Input::RunCompleted { notice: self.notices, id, end: RunEnd::Ok, took, result });
         }
         let mut arrived = 0;
         while self.next_arrival.is_some_and(|at| at <= moment.now) {
@@ -97,17 +97,19 @@
     /// Takes an effect that is the processor's or a connection's, and appends what comes of it at once.
     pub fn take(&mut self, now: Time, effect: Effect, inputs: &mut Vec<Input>) {
         match effect {
-            Effect::Begin(_, id, ..) => {
+            Effect::StartRun(_, id, ..) => {
                 let takes = self.exponential(self.mean_run_s).min(MOST_OF_MEAN * self.mean_run_s);
                 self.runs.push(Reverse((time_after(now, gradepin_admission::span_from_seconds(takes)), id)));
             }
-            Effect::Usage(_, tag) => {
+            Effect::ReadGauges(_, tag) => {
                 let gauges = vec![CORE_USE, self.runs.len() as f64, HEAP_SHARE, 0.0];
-                inputs.push(Input::Used(tag, gauges));
+                inputs.push(Input::GaugesRead(tag, gauges));
             }
-            Effect::Close(conn) | Effect::CloseResting(conn, _) | Effect::CloseLate(conn, _) => {
+            Effect::CloseConnection(conn)
+            | Effect::CloseIdleConnection(conn, _)
+            | Effect::CloseLateConnection(conn, _) => {
                 self.conn.take_if(|open| *open == conn);
-                inputs.push(Input::Closed(conn));
+                inputs.push(Input::ConnectionClosed(conn));
             }
             _ => {}
         }
@@ -126,7 +128,7 @@
         let class = self.class(settings);
         let (keyed, deadline) = {
             let profile = &settings.profiles[class];
-            (profile.effect == gradepin_admission::Idempotency::ByKey, profile.deadline)
+            (profile.effect == gradepin_admission::Idempotency::Keyed, profile.deadline)
         };
         let tenants = settings.customers.len();
         let number = self.name << 40 | self.last_request;
@@ -145,7 +147,7 @@
             has_key: false,
             body,
         };
-        inputs.push(Input::Call(conn, self.last_seq, Box::new(call)));
+        inputs.push(Input::Request(conn, self.last_seq, Box::new(call)));
     }
 
     fn connection(&mut self, inputs: &mut Vec<Input>) -> ConnectionId {
@@ -153,7 +155,7 @@
             return conn;
         }
         self.last_conn += 1;
-        inputs.push(Input::Opened(self.last_conn));
+        inputs.push(Input::ConnectionOpened(self.last_conn));
         self.conn = Some(self.last_conn);
         self.last_conn
     }
--- a/crates/testkit/src/scale/fleet/requests/tests.rs
+++ b/crates/testkit/src/scale/fleet/requests/tests.rs
@@ -30,14 +30,14 @@
         arrived += requests.due(moment(ms), &settings, &pool, &mut inputs);
         for input in std::mem::take(&mut inputs) {
             match input {
-                Input::Call(_, _, call) => {
+                Input::Request(_, _, call) => {
                     assert_eq!(call.token.is_some(), call.class.slot() == 0, "keyed classes have a token");
                     let body = Arc::new(call.body);
                     let class = Arc::clone(&classes[call.class.slot()]);
-                    let begin = Effect::Begin(LINK, call.id, class, body);
+                    let begin = Effect::StartRun(LINK, call.id, class, body);
                     requests.take(moment(ms).now, begin, &mut inputs);
                 }
-                Input::Complete { notice, .. } => {
+                Input::RunCompleted { notice, .. } => {
                     ended += 1;
                     assert_eq!(notice, ended, "notices are numbered without a gap");
                 }
@@ -57,11 +57,11 @@
     let mut requests = Requests::new(1, 5, 100.0, 5.0, moment(0).now);
     let mut inputs = Vec::new();
     requests.due(moment(500), &settings, &pool, &mut inputs);
-    assert!(matches!(inputs[0], Input::Opened(1)));
+    assert!(matches!(inputs[0], Input::ConnectionOpened(1)));
     inputs.clear();
-    requests.take(moment(500).now, Effect::CloseResting(1, 9), &mut inputs);
-    assert!(matches!(inputs[..], [Input::Closed(1)]));
+    requests.take(moment(500).now, Effect::CloseIdleConnection(1, 9), &mut inputs);
+    assert!(matches!(inputs[..], [Input::ConnectionClosed(1)]));
     inputs.clear();
     requests.due(moment(1_000), &settings, &pool, &mut inputs);
-    assert!(matches!(inputs[0], Input::Opened(2)));
+    assert!(matches!(inputs[0], Input::ConnectionOpened(2)));
 }
--- a/crates/testkit/src/scale/fleet/server.rs
+++ b/crates/testkit/src/scale/fleet/server.rs
@@ -217,7 +217,7 @@
         }
         if !self.dropped.is_empty() {
             let dropped: Vec<(DropReason, u64)> = std::mem::take(&mut self.dropped).into_iter().collect();
-            self.inputs.push(Input::EnvelopesDropped(dropped));
+            self.inputs.push(Input::PeerDatagramsDropped(dropped));
         }
         Ok(())
     }
@@ -234,7 +234,7 @@
                 let kind =
                     around.kinds.entry((around.reals.contains(&from), kind_word(&envelope))).or_default();
                 *kind = (kind.0 + 1, kind.1 + datagram.len() as u64);
-                self.inputs.push(Input::Envelope(Box::new(envelope)));
+                self.inputs.push(Input::PeerDatagram(Box::new(envelope)));
             }
             Err(why) => *self.dropped.entry(why).or_default() += 1,
         }
@@ -244,9 +244,9 @@
         let mut effects = std::mem::take(&mut self.effects);
         for effect in effects.drain(..) {
             match effect {
-                Effect::Peer(to, datagram) => self.send(around, to, &datagram),
-                Effect::Answer(_, _, Response::Served(_), _) => self.figures.served += 1,
-                Effect::Admin(_, AdminResponse::Stats(stats)) => {
+                Effect::SendPeerDatagram(to, datagram) => self.send(around, to, &datagram),
+                Effect::Respond(_, _, Response::Served(_), _) => self.figures.served += 1,
+                Effect::AnswerAdmin(_, AdminResponse::Stats(stats)) => {
                     if let Some(status) = stats.fleet {
                         self.figures.up = status.up as u64;
                         self.figures.heard = status.reporting as u64;
@@ -291,7 +291,7 @@
     pub fn look(&mut self, around: &mut Surroundings) {
         let moment = around.clock.read();
         self.looks += 1;
-        let asked = Input::Admin(self.looks, AdminRequest::Stats);
+        let asked = Input::AdminRequest(self.looks, AdminRequest::Stats);
         self.reducer.step(moment, [asked], &mut self.effects);
         self.carry_out(moment.now, around);
         self.due = self.next_due(moment.now);
--- a/crates/testkit/tests/membership.rs
+++ b/crates/testkit/tests/membership.rs
@@ -166,7 +166,7 @@
         RegistryOperation::ClearOverride { status, dirty_ms } => {
             done(registry.clear_override(APP, ID, *status, *dirty_ms, ms))
         }
-        RegistryOperation::Look => registry
+        RegistryOperation::FetchOwnRecord => registry
             .instance(APP, ID)
             .map_or(RegistryReply::NotFound, |i| RegistryReply::Record(Box::new(i.clone()))),
         RegistryOperation::Cancel => done(registry.cancel(APP, ID, ms)),
@@ -310,7 +310,7 @@
         world.membership.leave(world.now());
         world.run(2_000);
         world.ways[0] = Way::Slow(slow);
-        world.membership.come_back();
+        world.membership.retry_after();
         world.run(50);
         world.ways[0] = Way::Well;
         world.membership.leave(world.now());
@@ -415,7 +415,7 @@
     world.membership.leave(world.now());
     world.run(1_000);
     assert_eq!(world.shows(0), Some(InstanceStatus::OutOfService));
-    world.membership.come_back();
+    world.membership.retry_after();
     world.run(5_000);
     assert_eq!(world.shows(0), Some(InstanceStatus::Up));
 }
--- a/crates/testkit/tests/sockets.rs
+++ b/crates/testkit/tests/sockets.rs
@@ -117,7 +117,7 @@
         let (app, id) = ("TILES", "n 1/ä:8443");
         let ask = |op: RegistryOperation| client.ask(app, id, &op, PATIENCE);
         let (up, out) = (InstanceStatus::Up, InstanceStatus::OutOfService);
-        assert_eq!(ask(RegistryOperation::Look), RegistryReply::NotFound);
+        assert_eq!(ask(RegistryOperation::FetchOwnRecord), RegistryReply::NotFound);
         assert_eq!(ask(RegistryOperation::Heartbeat { status: up, dirty_ms: 1 }), RegistryReply::NotFound);
         let known = Instance {
             id: id.into(),
@@ -132,7 +132,9 @@
         );
         assert_eq!(ask(RegistryOperation::Heartbeat { status: up, dirty_ms: 5 }), RegistryReply::Done);
         assert_eq!(ask(RegistryOperation::Override { status: out, dirty_ms: 6 }), RegistryReply::Done);
-        let RegistryReply::Record(record) = ask(RegistryOperation::Look) else { panic!("no record") };
+        let RegistryReply::Record(record) = ask(RegistryOperation::FetchOwnRecord) else {
+            panic!("no record")
+        };
         assert_eq!((record.id.as_str(), record.status, record.overridden), (id, out, out));
         assert_eq!(ask(RegistryOperation::ClearOverride { status: up, dirty_ms: 7 }), RegistryReply::Done);
         client.metadata(app, id, "zone", "lahti 1", PATIENCE).expect("metadata");
