--- /dev/null
+++ b/crates/node/tests/golden_edges/answers.rs
@@ -0,0 +1,269 @@
+//! Answers of both fronts, what they make of a request with all that it may tell, and what they say of one that can't be taken.
+
+use super::{assert_golden, line};
+use gradepin_core::messages::{Answer, Misuse};
+use gradepin_core::pool::Pool;
+use gradepin_decisions::{Settings, Span};
+use gradepin_node::fronts::scgi::Scgi;
+use gradepin_node::fronts::scgi::codec::encode;
+use gradepin_node::fronts::scgi::routes::Routes;
+use gradepin_node::fronts::thrift::Thrift;
+use gradepin_node::fronts::{Cut, Front};
+use gradepin_node::settings::{Live, Own};
+use std::sync::Arc;
+
+const SCGI_BLOCK: &str = r#"scgi {
+    listen "127.0.0.1:9001"
+    route "/sheets/{id}" method="GET" class="view"
+    route "/labels/{id}" method="PUT" class="save"
+    health "/health"
+    headers {
+        tenant "HTTP_X_A"; caller "HTTP_X_B"; wait-ms "HTTP_X_C"; retry "HTTP_X_D"
+        rank "HTTP_X_E"; memory-kb "HTTP_X_F"; id "HTTP_X_G"; token "HTTP_X_H"
+    }
+    memory-kb 17.5
+    rank 0.375
+}"#;
+
+fn names() -> Live {
+    let settings = serde_json::json!({
+        "granularity": 1, "customers": [{"name": "acme", "portion": 1.0, "quota_rps": 1.0}],
+        "profiles": [{"name": "view", "promise": 1, "deadline": 4_000_000_000_u64, "effect": "repeatable", "worth": 1.0},
+                     {"name": "save", "promise": 1, "deadline": 5_000_000_000_u64, "effect": "by_key", "worth": 1.0}],
+        "rules": {"fall": 1, "tip_multiple": 4.0, "drain_grace": 1},
+        "specifics": {"n_cores": 1, "memory_kb": 1.0, "run_factor": 1.0}
+    });
+    Live::new(&serde_json::from_value::<Settings>(settings).expect("settings"))
+}
+
+fn thrift() -> impl Front {
+    Thrift::new(names())
+}
+
+fn scgi() -> impl Front {
+    let set = Own::parse(SCGI_BLOCK).expect("settings").scgi.expect("a block");
+    Scgi::new(Routes::new(&set, names(), |_| true).expect("routes"), 7)
+}
+
+/// Each kind of answer, by its name in the golden files.
+fn answers() -> Vec<(&'static str, Answer)> {
+    let served =
+        |bytes: &[u8]| Answer::Served(Arc::new(Pool::new(1).exact(bytes).expect("it fits in a buffer")));
+    let refused = |backoff, last| Answer::Refused { backoff: Span(backoff), last };
+    let invalid = |misuse| Answer::Invalid(misuse, "why not".into());
+    vec![
+        ("served", served(b"tile \x00\xff\r\n")),
+        ("served empty", served(b"")),
+        ("rejected", refused(0, false)),
+        ("rejected, stay away", refused(1_200_000_001, false)),
+        ("rejected, stay away and try no other", refused(250_000_000, true)),
+        ("rejected, try no other", refused(0, true)),
+        ("failed", Answer::Failed { late: false }),
+        ("failed late", Answer::Failed { late: true }),
+        ("unknown outcome", Answer::Unknown),
+        ("invalid request", invalid(Misuse::Request)),
+        ("invalid not found", invalid(Misuse::NotFound)),
+        ("invalid not allowed", invalid(Misuse::NotAllowed)),
+        ("invalid conflict", invalid(Misuse::Conflict)),
+        ("invalid no length", invalid(Misuse::NoLength)),
+        ("invalid too large", invalid(Misuse::TooLarge)),
+        ("invalid head too large", invalid(Misuse::HeadTooLarge)),
+        ("health good", Answer::Health(true, None)),
+        ("health bad", Answer::Health(false, None)),
+        ("health good with a store", Answer::Health(true, Some("good"))),
+        ("health bad with a store", Answer::Health(false, Some("failed"))),
+    ]
+}
+
+/// All answers, without and with the free value and the notice to leave.
+fn encoded(front: &impl Front) -> String {
+    let pool = Pool::new(1);
+    let mut text = String::new();
+    for (label, answer) in answers() {
+        for (more, hint, leaving) in
+            [("", None, false), (", hint", Some(0.625), false), (", leaving", Some(3.0), true)]
+        {
+            let bytes = front.encode(-2, &answer, hint, leaving, &pool).expect("it fits in a buffer");
+            text += &line(&format!("{label}{more}"), &bytes);
+        }
+    }
+    for (label, bytes) in
+        [("draining", front.draining(&pool)), ("malformed", front.malformed("no message", &pool))]
+    {
+        text += &bytes.map_or(format!("{label} says nothing\n"), |bytes| line(label, &bytes));
+    }
+    text
+}
+
+/// What a front makes of the first message in these bytes; one that can't be taken is answered.
+fn taken(front: &impl Front, bytes: &[u8]) -> String {
+    let pool = Pool::new(1);
+    match front.cutter().cut(bytes, &pool) {
+        Ok(Some((_, Cut::Call(seq, call)))) => {
+            // A front that isn't told when a request came takes the time at which it was read.
+            let t0 = if call.t0 == 17 { "17" } else { "now" };
+            let times = format!("t0 {t0}, budget {}, retry {}", call.budget, call.retry);
+            let sizes = format!("size {}, rank {}, key {}", call.size_kb, call.precedence, call.has_key);
+            format!(
+                "{seq}: id {}, class {}, tenant {:?}, caller {}, {times}, {sizes}, token {:?}, body {}",
+                call.id.0,
+                call.class.slot(),
+                call.tenant.map(|tenant| tenant.slot()),
+                call.caller,
+                call.token.as_deref(),
+                call.body.escape_ascii()
+            )
+        }
+        Ok(Some((_, Cut::Health(seq)))) => format!("{seq}: health"),
+        Ok(Some((_, Cut::Cancel(seq)))) => format!("{seq}: cancel"),
+        Ok(Some((_, Cut::Invalid(seq, misuse, why)))) => {
+            let answer = front.encode(seq, &Answer::Invalid(misuse, why), None, false, &pool);
+            answer.expect("it fits in a buffer").escape_ascii().to_string()
+        }
+        Ok(Some((_, Cut::Nonsense))) => "skipped".to_string(),
+        Ok(Some((_, Cut::Nothing)) | None) => "not whole".to_string(),
+        Err(why) => format!("malformed: {}", why.0),
+    }
+}
+
+fn string(text: &[u8]) -> Vec<u8> {
+    [&(text.len() as u32).to_be_bytes()[..], text].concat()
+}
+
+/// A Thrift frame of this kind; all its arguments stand in one piece.
+fn frame(kind: u8, name: &str, arguments: &[u8]) -> Vec<u8> {
+    let message =
+        [&[0x80, 1, 0, kind][..], &string(name.as_bytes()), &[0, 0, 0, 9], arguments, &[0]].concat();
+    string(&message)
+}
+
+/// A Thrift call with all that a client may tell, some of it told otherwise or left out.
+fn call(changes: &[(&str, Option<&str>)], body: &[u8]) -> Vec<u8> {
+    let mut fields = vec![
+        ("method", "save"),
+        ("rid", "00000000000000ab"),
+        ("t0", "17"),
+        ("peer", "23"),
+        ("acct", "acme"),
+        ("budget", "480"),
+        ("again", "1"),
+        ("mem", "24.5"),
+        ("prio", "0.625"),
+        ("token", "k1"),
+        ("obj", "sheet"),
+    ];
+    for (name, value) in changes {
+        fields.retain(|(known, _)| known != name);
+        fields.extend(value.map(|value| (*name, value)));
+    }
+    let count = (fields.len() as u32).to_be_bytes();
+    let pairs: Vec<u8> = fields
+        .iter()
+        .flat_map(|(name, value)| [string(name.as_bytes()), string(value.as_bytes())].concat())
+        .collect();
+    let arguments = [&[13, 0, 1, 11, 11][..], &count, &pairs, &[11, 0, 2], &string(body)].concat();
+    frame(1, "call", &arguments)
+}
+
+/// An SCGI request with all that a client may tell, some of it told otherwise or left out.
+fn request(changes: &[(&str, Option<&str>)], body: &[u8]) -> Vec<u8> {
+    let mut headers = vec![
+        ("REQUEST_METHOD", "PUT"),
+        ("DOCUMENT_URI", "/labels/1?x=2"),
+        ("HTTP_X_A", "acme"),
+        ("HTTP_X_B", "23"),
+        ("HTTP_X_C", "480"),
+        ("HTTP_X_D", "1"),
+        ("HTTP_X_E", "0.625"),
+        ("HTTP_X_F", "24.5"),
+        ("HTTP_X_G", "00000000000000ab"),
+        ("HTTP_X_H", "\"k1\""),
+    ];
+    for (name, value) in changes {
+        headers.retain(|(known, _)| known != name);
+        headers.extend(value.map(|value| (*name, value)));
+    }
+    encode(&headers, body)
+}
+
+#[test]
+fn thrift_answers_match_golden_bytes() {
+    assert_golden("thrift_answers.txt", encoded(&thrift()).as_bytes());
+}
+
+#[test]
+fn scgi_answers_match_golden_bytes() {
+    assert_golden("scgi_answers.txt", encoded(&scgi()).as_bytes());
+}
+
+/// Each request to a front, and what becomes of it.
+fn told<const N: usize>(front: &impl Front, cases: [(&str, Vec<u8>); N]) -> String {
+    cases.iter().map(|(label, bytes)| format!("{label}: {}\n", taken(front, bytes))).collect()
+}
+
+#[test]
+fn thrift_requests_and_what_is_wrong_with_them_match_golden_text() {
+    let with = |name: &'static str, value: &'static str| call(&[(name, Some(value))], b"in");
+    let without = |name: &'static str| call(&[(name, None)], b"in");
+    let least = ["peer", "acct", "budget", "again", "prio", "token", "obj"].map(|name| (name, None));
+    let cases = [
+        ("all is told", call(&[], b"in \x00\xff")),
+        ("the least is told", call(&[&least[..], &[("method", Some("view"))]].concat(), b"")),
+        ("health", frame(1, "health", b"")),
+        ("cancel", frame(4, "cancel", &[8, 0, 1, 0, 0, 0, 5])),
+        ("oneway of no meaning", frame(4, "hello", b"")),
+        ("no such message", frame(1, "hello\n", b"")),
+        ("not whole", call(&[], b"in")[..50].to_vec()),
+        ("a reply", frame(2, "call", b"")),
+        ("no method", without("method")),
+        ("unknown method", with("method", "draw\n")),
+        ("unknown tenant", with("acct", "nobody")),
+        ("no id", without("rid")),
+        ("odd id", with("rid", "begin")),
+        ("no t0", without("t0")),
+        ("no memory", without("mem")),
+        ("too much memory", with("mem", "2000")),
+        ("odd rank", with("prio", "1")),
+        ("odd caller", with("peer", "x")),
+        ("odd budget", with("budget", "-1")),
+        ("no token in a keyed class", without("token")),
+        ("body too long", call(&[], &[b'x'; 2049])),
+    ];
+    assert_golden("thrift_requests.txt", told(&thrift(), cases).as_bytes());
+}
+
+#[test]
+fn scgi_requests_and_what_is_wrong_with_them_match_golden_text() {
+    let with = |name: &'static str, value: &'static str| request(&[(name, Some(value))], b"in");
+    let without = |name: &'static str| request(&[(name, None)], b"in");
+    let least = ["HTTP_X_A", "HTTP_X_B", "HTTP_X_C", "HTTP_X_D", "HTTP_X_E", "HTTP_X_F", "HTTP_X_H"]
+        .map(|name| (name, None));
+    let view = [("REQUEST_METHOD", Some("GET")), ("DOCUMENT_URI", Some("/sheets/9"))];
+    let cases = [
+        ("all is told", request(&[], b"in \x00\xff")),
+        ("the least is told", request(&[&least[..], &view[..]].concat(), b"")),
+        ("health", request(&[view[0], ("DOCUMENT_URI", Some("/health"))], b"")),
+        ("not whole", request(&[], b"in")[..50].to_vec()),
+        ("no netstring", b"GET / HTTP/1.1\r\n\r\n".to_vec()),
+        ("head too long", b"16385:".to_vec()),
+        ("no headers", b"3:abc,".to_vec()),
+        ("no length", b"7:SCGI\x001\x00,".to_vec()),
+        ("odd length", b"17:CONTENT_LENGTH\x00x\x00,".to_vec()),
+        ("no version", b"17:CONTENT_LENGTH\x000\x00,".to_vec()),
+        ("a header twice", b"34:CONTENT_LENGTH\x000\x00CONTENT_LENGTH\x000\x00,".to_vec()),
+        ("body too long", request(&[], &[b'x'; 2049])),
+        ("no method", without("REQUEST_METHOD")),
+        ("no path", without("DOCUMENT_URI")),
+        ("no such path", with("DOCUMENT_URI", "/nothing")),
+        ("another method", with("REQUEST_METHOD", "DELETE")),
+        ("unknown tenant", with("HTTP_X_A", "nobody")),
+        ("odd caller", with("HTTP_X_B", "x")),
+        ("odd wait", with("HTTP_X_C", "-1")),
+        ("odd rank", with("HTTP_X_E", "1.0")),
+        ("odd memory", with("HTTP_X_F", "1e9")),
+        ("odd id", with("HTTP_X_G", "123")),
+        ("control bytes", with("HTTP_X_G", "forged\r\nbegin")),
+        ("no token in a keyed class", without("HTTP_X_H")),
+    ];
+    assert_golden("scgi_requests.txt", told(&scgi(), cases).as_bytes());
+}
