--- /dev/null
+++ b/crates/core/tests/every_key.rs
@@ -0,0 +1,106 @@
+//! A configuration with every key that the server reads, each with a value of its own: a key that is lost or renamed shows here.
+
+use gradepin_core::config::Config;
+use gradepin_decisions::{Advert, Below, Effect, StopMode, WorthBy};
+
+const CONFIG: &str = include_str!("golden/config.json");
+
+/// The configuration with one text of it replaced.
+fn with(old: &str, new: &str) -> Config {
+    assert!(CONFIG.contains(old), "{old}");
+    Config::parse(&CONFIG.replace(old, new)).expect("a configuration")
+}
+
+#[test]
+fn every_key_of_the_process_is_read() {
+    let config = Config::parse(CONFIG).expect("a configuration");
+    assert_eq!(config.name, "n7");
+    assert_eq!(config.listen.to_string(), "10.0.0.1:8443");
+    assert_eq!(config.processor.to_string(), "10.0.0.2:9300");
+    assert_eq!(config.control.to_string(), "10.0.0.3:7946");
+    assert_eq!(config.ledger.expect("an address").to_string(), "10.0.0.4:5432");
+    assert_eq!(config.admin_addr.expect("an address").to_string(), "10.0.0.5:18445");
+    assert_eq!(config.seed, "00000000000000fe");
+    assert_eq!(config.stop_ms, 3201);
+    assert_eq!(config.limits.sockets, 513);
+    assert_eq!(config.limits.memory_mb, 97);
+    assert!(!config.lends, "that is no key of this file");
+}
+
+#[test]
+fn every_key_of_the_module_is_read() {
+    let s = Config::parse(CONFIG).expect("a configuration").settings;
+    assert_eq!((s.granularity.0, s.servers, s.tier, s.over_share_worth), (101, 12, 3, 0.125));
+    assert!(s.callers.marks_retry);
+    assert_eq!((s.goal.whole, s.goal.worst_class), (0.5, 0.25));
+    assert_eq!((s.goal.worst_tenant, s.goal.worst_window), (0.15, 0.1));
+    assert_eq!((s.limits.max_retry_after.0, s.limits.retry_after), (102, true));
+    assert_eq!((s.prices.connection, s.prices.handshake, s.prices.late_fail), (1.25, 1.5, 1.75));
+    assert_eq!((s.prices.origin, s.prices.waste), (2.25, 2.5));
+    assert_eq!((s.rules.answer_slack.0, s.rules.cold.0, s.rules.cold_share), (103, 104, 0.375));
+    assert_eq!((s.rules.drain_grace.0, s.rules.fall.0, s.rules.tip_multiple), (105, 106, 4.5));
+    assert_eq!(s.worth_by, WorthBy::Work);
+    let names: Vec<&str> = s.profiles.iter().map(|profile| profile.name.as_str()).collect();
+    assert_eq!(names, ["view", "save", "post"]);
+    let effects: Vec<Effect> = s.profiles.iter().map(|profile| profile.effect).collect();
+    assert_eq!(effects, [Effect::Repeatable, Effect::ByKey, Effect::Once]);
+    let save = &s.profiles[1];
+    assert_eq!((save.promise.0, save.deadline.0, save.window.0), (107, 108, 109));
+    assert_eq!((save.late_value, save.worth, save.aim_stretch), (0.2, 4.25, 1.125));
+    let tenant = &s.customers[0];
+    assert_eq!((tenant.name.as_str(), tenant.quota_rps, tenant.portion), ("acme", 66.5, 0.42));
+}
+
+#[test]
+fn every_key_of_the_site_is_read() {
+    let s = Config::parse(CONFIG).expect("a configuration").settings.specifics;
+    assert_eq!((s.advert, s.below, s.stop_mode), (Advert::Threshold, Below::Shared, StopMode::Abort));
+    assert_eq!((s.calls_by_class, s.class_skip_worth), (vec![true, false, true], vec![0.5, 0.0, 0.75]));
+    assert_eq!((s.calls_out, s.clients_total, s.fresh_for.0, s.heeded.0), (4.75, 13, 110, 111));
+    assert_eq!(s.gauges, ["core_use", "on_cores", "heap_share", "links"]);
+    assert_eq!((s.idle.0, s.kb_per_key, s.linger.0, s.share_span.0), (112, 10.5, 113, 114));
+    assert_eq!((s.memory_kb, s.n_cores, s.run_factor), (4000.5, 6, 8.5));
+    assert!(s.full_checks && s.just_started && s.list_follows && s.passes_deadline && s.tells_gone);
+}
+
+#[test]
+fn every_word_of_a_choice_is_read() {
+    for (word, advert) in [("window", Advert::Window), ("share_of", Advert::ShareOf), ("off", Advert::Off)] {
+        let new = format!("\"advert\": \"{word}\"");
+        assert_eq!(with("\"advert\": \"threshold\"", &new).settings.specifics.advert, advert);
+    }
+    for (word, below) in [("tier", Below::Tier), ("off", Below::Off)] {
+        let new = format!("\"below\": \"{word}\"");
+        assert_eq!(with("\"below\": \"shared\"", &new).settings.specifics.below, below);
+    }
+    for (word, mode) in [("suspend", StopMode::Suspend), ("off", StopMode::Off)] {
+        let new = format!("\"stop_mode\": \"{word}\"");
+        assert_eq!(with("\"stop_mode\": \"abort\"", &new).settings.specifics.stop_mode, mode);
+    }
+    let by_request = with("\"worth_by\": \"work\"", "\"worth_by\": \"request\"");
+    assert_eq!(by_request.settings.worth_by, WorthBy::Request);
+}
+
+/// Each flag alone is false, so that none stands in for another.
+#[test]
+fn every_flag_is_read_from_its_own_key() {
+    let flags = |config: Config| {
+        let (s, of) = (config.settings.specifics, config.settings.limits.retry_after);
+        let marks = config.settings.callers.marks_retry;
+        [s.full_checks, s.just_started, s.list_follows, s.passes_deadline, s.tells_gone, of, marks]
+    };
+    let keys = [
+        "full_checks",
+        "just_started",
+        "list_follows",
+        "passes_deadline",
+        "tells_gone",
+        "retry_after",
+        "marks_retry",
+    ];
+    for (place, key) in keys.iter().enumerate() {
+        let found = flags(with(&format!("\"{key}\": true"), &format!("\"{key}\": false")));
+        let expected: Vec<bool> = (0..keys.len()).map(|other| other != place).collect();
+        assert_eq!(found.to_vec(), expected, "{key}");
+    }
+}
--- a/crates/node/tests/golden_edges/answers.rs
+++ b/crates/node/tests/golden_edges/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of both fronts, what they make of a request with all that it may tell, and what they say of one that can't be taken.
+//! The bytes of every kind of answer at both fronts, how requests are decoded, and the answers to invalid ones.
 
 use super::{assert_golden, line};
 use gradepin_core::messages::{Answer, Misuse};
@@ -55,9 +55,9 @@
         ("served", served(b"tile \x00\xff\r\n")),
         ("served empty", served(b"")),
         ("rejected", refused(0, false)),
-        ("rejected, stay away", refused(1_200_000_001, false)),
-        ("rejected, stay away and try no other", refused(250_000_000, true)),
-        ("rejected, try no other", refused(0, true)),
+        ("rejected with retry-after", refused(1_200_000_001, false)),
+        ("rejected with retry-after, final", refused(250_000_000, true)),
+        ("rejected, final", refused(0, true)),
         ("failed", Answer::Failed { late: false }),
         ("failed late", Answer::Failed { late: true }),
         ("unknown outcome", Answer::Unknown),
@@ -75,13 +75,13 @@
     ]
 }
 
-/// All answers, without and with the free value and the notice to leave.
+/// All answers, without and with the free value, and while the server drains.
 fn encoded(front: &impl Front) -> String {
     let pool = Pool::new(1);
     let mut text = String::new();
     for (label, answer) in answers() {
         for (more, hint, leaving) in
-            [("", None, false), (", hint", Some(0.625), false), (", leaving", Some(3.0), true)]
+            [("", None, false), (", hint", Some(0.625), false), (", draining", Some(3.0), true)]
         {
             let bytes = front.encode(-2, &answer, hint, leaving, &pool).expect("it fits in a buffer");
             text += &line(&format!("{label}{more}"), &bytes);
@@ -90,17 +90,17 @@
     for (label, bytes) in
         [("draining", front.draining(&pool)), ("malformed", front.malformed("no message", &pool))]
     {
-        text += &bytes.map_or(format!("{label} says nothing\n"), |bytes| line(label, &bytes));
+        text += &bytes.map_or(format!("{label} is empty\n"), |bytes| line(label, &bytes));
     }
     text
 }
 
-/// What a front makes of the first message in these bytes; one that can't be taken is answered.
-fn taken(front: &impl Front, bytes: &[u8]) -> String {
+/// How a front decodes the first message in these bytes; for an invalid one, the bytes of its answer.
+fn decoded(front: &impl Front, bytes: &[u8]) -> String {
     let pool = Pool::new(1);
     match front.cutter().cut(bytes, &pool) {
         Ok(Some((_, Cut::Call(seq, call)))) => {
-            // A front that isn't told when a request came takes the time at which it was read.
+            // SCGI requests carry no arrival time: it is the time at which they were read.
             let t0 = if call.t0 == 17 { "17" } else { "now" };
             let times = format!("t0 {t0}, budget {}, retry {}", call.budget, call.retry);
             let sizes = format!("size {}, rank {}, key {}", call.size_kb, call.precedence, call.has_key);
@@ -121,7 +121,7 @@
             answer.expect("it fits in a buffer").escape_ascii().to_string()
         }
         Ok(Some((_, Cut::Nonsense))) => "skipped".to_string(),
-        Ok(Some((_, Cut::Nothing)) | None) => "not whole".to_string(),
+        Ok(Some((_, Cut::Nothing)) | None) => "incomplete".to_string(),
         Err(why) => format!("malformed: {}", why.0),
     }
 }
@@ -130,14 +130,14 @@
     [&(text.len() as u32).to_be_bytes()[..], text].concat()
 }
 
-/// A Thrift frame of this kind; all its arguments stand in one piece.
+/// A Thrift frame of this message type, with the number 9.
 fn frame(kind: u8, name: &str, arguments: &[u8]) -> Vec<u8> {
     let message =
         [&[0x80, 1, 0, kind][..], &string(name.as_bytes()), &[0, 0, 0, 9], arguments, &[0]].concat();
     string(&message)
 }
 
-/// A Thrift call with all that a client may tell, some of it told otherwise or left out.
+/// A Thrift call with every field, some of them changed or left out.
 fn call(changes: &[(&str, Option<&str>)], body: &[u8]) -> Vec<u8> {
     let mut fields = vec![
         ("method", "save"),
@@ -165,7 +165,7 @@
     frame(1, "call", &arguments)
 }
 
-/// An SCGI request with all that a client may tell, some of it told otherwise or left out.
+/// An SCGI request with every header, some of them changed or left out.
 fn request(changes: &[(&str, Option<&str>)], body: &[u8]) -> Vec<u8> {
     let mut headers = vec![
         ("REQUEST_METHOD", "PUT"),
@@ -196,24 +196,24 @@
     assert_golden("scgi_answers.txt", encoded(&scgi()).as_bytes());
 }
 
-/// Each request to a front, and what becomes of it.
-fn told<const N: usize>(front: &impl Front, cases: [(&str, Vec<u8>); N]) -> String {
-    cases.iter().map(|(label, bytes)| format!("{label}: {}\n", taken(front, bytes))).collect()
+/// Each request to a front, and how it is decoded.
+fn outcomes<const N: usize>(front: &impl Front, cases: [(&str, Vec<u8>); N]) -> String {
+    cases.iter().map(|(label, bytes)| format!("{label}: {}\n", decoded(front, bytes))).collect()
 }
 
 #[test]
-fn thrift_requests_and_what_is_wrong_with_them_match_golden_text() {
+fn thrift_requests_and_answers_to_invalid_ones_match_golden_bytes() {
     let with = |name: &'static str, value: &'static str| call(&[(name, Some(value))], b"in");
     let without = |name: &'static str| call(&[(name, None)], b"in");
     let least = ["peer", "acct", "budget", "again", "prio", "token", "obj"].map(|name| (name, None));
     let cases = [
-        ("all is told", call(&[], b"in \x00\xff")),
-        ("the least is told", call(&[&least[..], &[("method", Some("view"))]].concat(), b"")),
+        ("every field", call(&[], b"in \x00\xff")),
+        ("required fields alone", call(&[&least[..], &[("method", Some("view"))]].concat(), b"")),
         ("health", frame(1, "health", b"")),
         ("cancel", frame(4, "cancel", &[8, 0, 1, 0, 0, 0, 5])),
-        ("oneway of no meaning", frame(4, "hello", b"")),
+        ("unknown oneway message", frame(4, "hello", b"")),
         ("no such message", frame(1, "hello\n", b"")),
-        ("not whole", call(&[], b"in")[..50].to_vec()),
+        ("incomplete", call(&[], b"in")[..50].to_vec()),
         ("a reply", frame(2, "call", b"")),
         ("no method", without("method")),
         ("unknown method", with("method", "draw\n")),
@@ -229,21 +229,21 @@
         ("no token in a keyed class", without("token")),
         ("body too long", call(&[], &[b'x'; 2049])),
     ];
-    assert_golden("thrift_requests.txt", told(&thrift(), cases).as_bytes());
+    assert_golden("thrift_requests.txt", outcomes(&thrift(), cases).as_bytes());
 }
 
 #[test]
-fn scgi_requests_and_what_is_wrong_with_them_match_golden_text() {
+fn scgi_requests_and_answers_to_invalid_ones_match_golden_bytes() {
     let with = |name: &'static str, value: &'static str| request(&[(name, Some(value))], b"in");
     let without = |name: &'static str| request(&[(name, None)], b"in");
     let least = ["HTTP_X_A", "HTTP_X_B", "HTTP_X_C", "HTTP_X_D", "HTTP_X_E", "HTTP_X_F", "HTTP_X_H"]
         .map(|name| (name, None));
     let view = [("REQUEST_METHOD", Some("GET")), ("DOCUMENT_URI", Some("/sheets/9"))];
     let cases = [
-        ("all is told", request(&[], b"in \x00\xff")),
-        ("the least is told", request(&[&least[..], &view[..]].concat(), b"")),
+        ("every field", request(&[], b"in \x00\xff")),
+        ("required fields alone", request(&[&least[..], &view[..]].concat(), b"")),
         ("health", request(&[view[0], ("DOCUMENT_URI", Some("/health"))], b"")),
-        ("not whole", request(&[], b"in")[..50].to_vec()),
+        ("incomplete", request(&[], b"in")[..50].to_vec()),
         ("no netstring", b"GET / HTTP/1.1\r\n\r\n".to_vec()),
         ("head too long", b"16385:".to_vec()),
         ("no headers", b"3:abc,".to_vec()),
@@ -265,5 +265,5 @@
         ("control bytes", with("HTTP_X_G", "forged\r\nbegin")),
         ("no token in a keyed class", without("HTTP_X_H")),
     ];
-    assert_golden("scgi_requests.txt", told(&scgi(), cases).as_bytes());
+    assert_golden("scgi_requests.txt", outcomes(&scgi(), cases).as_bytes());
 }
--- a/crates/node/tests/golden_edges/main.rs
+++ b/crates/node/tests/golden_edges/main.rs
@@ -1,11 +1,11 @@
-//! What leaves a server at its edges, byte for byte: each test compares with a file in `tests/golden`. Such a file changes only where a
-//! protocol or a text on a wire is meant to change.
+//! What leaves a server at its edges, byte for byte: each test compares with a file in `tests/golden`. Such a file changes
+//! only where a protocol, or a text that it carries, is meant to change.
 
 mod answers;
 
 use std::path::Path;
 
-/// Compares with a file of `tests/golden`; where they differ, both are printed with all that is no printable ASCII escaped.
+/// Compares with a file of `tests/golden`; if they differ, both are printed, with bytes that are no printable ASCII escaped.
 fn assert_golden(name: &str, bytes: &[u8]) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
     let golden = std::fs::read(&path).unwrap_or_else(|e| panic!("{name}: {e}"));
@@ -16,7 +16,7 @@
     assert!(golden == bytes, "{name}\n--- expected\n{}\n--- found\n{}", lines(&golden), lines(bytes));
 }
 
-/// A line of a golden file: what it is of, and the bytes in an escaped form that is another one for other bytes.
+/// A line of a golden file: a label and the bytes, escaped so that different bytes give different lines.
 fn line(label: &str, bytes: &[u8]) -> String {
     format!("{label}: {}\n", bytes.escape_ascii())
 }
