--- a/crates/node/tests/golden_edges/main.rs
+++ b/crates/node/tests/golden_edges/main.rs
@@ -2,6 +2,7 @@
 //! only where a protocol, or a text that it carries, is meant to change.
 
 mod answers;
+mod settings;
 
 use std::path::Path;
 
