--- /dev/null
+++ b/crates/node/tests/golden_edges/admin.rs
@@ -0,0 +1,380 @@
+//! Every answer of the admin endpoints with a value in each field, the calls that paths name, and the JSON bodies that are taken.
+
+use super::{assert_golden, line};
+use gradepin_cluster::authentication::DropReason;
+use gradepin_cluster::cluster::{FleetView, MemberView, Status};
+use gradepin_cluster::peer::Incarnation;
+use gradepin_config::admin::{
+    ApplyReply, ApplyRequest, Lagging, Refusal, RevisionSpread, Source, StatusReply,
+};
+use gradepin_config::change::Revision;
+use gradepin_config::validation::Invalid;
+use gradepin_core::admin::{AdminAnswer, AdminCall, FleetAnswer, FleetCall, NotReady};
+use gradepin_core::configuration::{ConfigurationAnswer, ConfigurationCall, ConfigurationFigures};
+use gradepin_core::tally::{Counts, Stats};
+use gradepin_node::admin::http::{Called, Response, head, route};
+use gradepin_node::admin::response;
+use gradepin_releases::messages::Order;
+use gradepin_releases::permit_client::WaitingRequest;
+use gradepin_releases::record::{Act, Limits, Member, Permit, Purpose, Record, Stage, Target};
+use gradepin_releases::release::{Kind, Plan, Release, Server, State, Step, Wave};
+use gradepin_releases::server_agent::{self, Became};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use std::sync::Arc;
+
+fn name(text: &str) -> Arc<str> {
+    Arc::from(text)
+}
+
+fn fleet() -> Status {
+    let reasons = [
+        DropReason::Form,
+        DropReason::Tag,
+        DropReason::Replay,
+        DropReason::Late,
+        DropReason::EarlierIncarnation,
+        DropReason::OtherIncarnation,
+        DropReason::Content,
+        DropReason::RateLimited,
+    ];
+    Status {
+        up: 1,
+        down: 2,
+        reporting: 3,
+        oldest_report_s: 4.5,
+        retained_slots: 5.5,
+        lent_slots: 6.5,
+        borrowed_slots: 7.5,
+        taken_slots: 8,
+        waiting_runs: 9,
+        circuit_closed: true,
+        bytes_sent: 10,
+        sent: 11,
+        received: 12,
+        dropped: reasons.into_iter().zip(21..).collect(),
+        suppressed: 13,
+    }
+}
+
+fn stats() -> Stats {
+    let counts = |n| Counts { fulfilled: n, throttled: n + 1, faulted: n + 2 };
+    Stats {
+        classes: vec![(name("save"), counts(31)), (name("view"), counts(34))],
+        relayed: 37,
+        open: 38,
+        cfg_accepted: 39,
+        cfg_invalid: 40,
+        fleet: Some(Box::new(fleet())),
+        configuration: Some(ConfigurationFigures { revision: 41, age_s: 42.5 }),
+    }
+}
+
+fn view() -> FleetView {
+    let member = |of: &str, up| MemberView {
+        name: name(of),
+        zone: name("z1"),
+        incarnation: Incarnation(0x1f),
+        up,
+        for_ms: 51,
+    };
+    FleetView {
+        name: name("n0"),
+        incarnation: Incarnation(0x2f),
+        members: vec![member("n1", true), member("n2", false)],
+        status: fleet(),
+    }
+}
+
+fn release(state: State) -> Release {
+    let wave = |share, pause_ms| Wave { share, pause_ms };
+    let plan = Plan {
+        name: "tiles 0.3".into(),
+        kind: Kind::Program,
+        version: "0.3.0".into(),
+        waves: vec![wave(0.25, 1), wave(1.0, 2)],
+        zone_by_zone: true,
+        ready_ms: 3,
+        steady_ms: 4,
+        worse: 0.5,
+        goes_back: true,
+    };
+    let steps = [
+        Step::Waits,
+        Step::Changes,
+        Step::New,
+        Step::Failed("full".into()),
+        Step::GoesBack,
+        Step::Back,
+        Step::Stuck("lost".into()),
+    ];
+    let server = |step| Server { wave: 1, before: "0.2.0".into(), step };
+    let servers = steps.into_iter().enumerate().map(|(n, step)| (name(&format!("n{n}")), server(step)));
+    Release { number: 61, plan, by: name("kaisa"), state, wave: 1, halts: 2, servers: servers.collect() }
+}
+
+fn record(state: State) -> Record {
+    let permit = |target, purpose, stage| Permit {
+        target,
+        holder: name("holder"),
+        purpose,
+        stage,
+        begins: 1,
+        life: 2,
+    };
+    let service = Target::Service { group: name("ledger"), member: name("l2") };
+    let permits = [
+        (71, permit(Target::Server(name("n1")), Purpose::Drain, Stage::Reserved)),
+        (72, permit(Target::Zone(name("z2")), Purpose::Release(61), Stage::Begun)),
+        (73, permit(service, Purpose::Drain, Stage::Freed)),
+    ];
+    let act = |index| Act { index, by: name("kaisa"), what: format!("act {index}"), why: "need".into() };
+    let roster = (0..8).map(|n| (name(&format!("n{n}")), Member { zone: name("z1") }));
+    Record {
+        index: 81,
+        voters: [(91, name("n0")), (92, name("n1"))].into(),
+        limits: Limits { fleet: 5, zone: 3, zones: 2, services: [(name("ledger"), 4)].into() },
+        roster: roster.collect(),
+        permits: permits.into(),
+        acts: (1..=9).map(act).collect(),
+        release: Some(release(state)),
+        ..Record::default()
+    }
+}
+
+fn agreements(record: Option<(Record, f64)>, voter: bool) -> AdminAnswer {
+    let full = record.is_some();
+    AdminAnswer::Agreed(FleetAnswer::Status(Box::new(server_agent::Status {
+        record,
+        leader: full.then(|| name("n1")),
+        voter,
+        lost: full.then(|| "disk".to_string()),
+        unsure: full,
+        waits: full.then(|| WaitingRequest { for_s: 1.5, why: "one is out".into() }),
+        unheard: vec![name("n2")],
+        versions: [(name("n1"), ("0.2.0".to_string(), "9f".to_string()))].into(),
+    })))
+}
+
+fn configuration_status(source: Source) -> StatusReply {
+    let lagging = Lagging {
+        server: name("n7"),
+        zone: name("z1"),
+        revision: Some(Revision(40)),
+        since_s: 61.5,
+        reachable: true,
+        cannot_apply: Some("no room".into()),
+    };
+    let spread = RevisionSpread {
+        revision: Revision(42),
+        proposed_at_ms: 1,
+        servers: 2,
+        of_servers: 3,
+        zones: 4,
+        of_zones: 5,
+        p50_ms: Some(6),
+        p99_ms: Some(7),
+    };
+    StatusReply {
+        server: Some(name("n1")),
+        revision: Revision(42),
+        digest: "9f".into(),
+        newest: Revision(43),
+        leader: Some(name("n2")),
+        age_s: Some(0.5),
+        stale: true,
+        source,
+        cannot_apply: Some("no room".into()),
+        revisions: vec![spread],
+        lagging: vec![lagging],
+        lagging_servers: 8,
+    }
+}
+
+fn refusals() -> Vec<Refusal> {
+    let (revision, id) = (Revision(42), name("r-1"));
+    vec![
+        Refusal::Stale { expected: Revision(41), in_force: revision },
+        Refusal::Invalid(Invalid::new("changes[3]", "one change", "none")),
+        Refusal::RequestIdReused { request_id: id.clone(), revision },
+        Refusal::NoLeader { reason: "none heard".into() },
+        Refusal::TooBusy { retry_ms: 500 },
+        Refusal::UnknownRevision { revision, oldest: Revision(1), newest: Revision(41) },
+        Refusal::ServersFail { servers: 3, most: 2, revision },
+        Refusal::UnknownEntry { kind: "class".into(), name: name("save"), revision },
+        Refusal::UnknownRequest { request_id: id },
+        Refusal::BadCall { reason: "no id".into() },
+        Refusal::Off,
+    ]
+}
+
+/// Each answer and its response as bytes.
+fn responses(answers: impl IntoIterator<Item = (&'static str, AdminAnswer)>) -> String {
+    answers.into_iter().map(|(label, answer)| line(label, &response(answer).bytes(false))).collect()
+}
+
+#[test]
+fn health_and_orders_match_golden_bytes() {
+    let health = |why| AdminAnswer::Health(Err(why));
+    let done = |failed, changed| AdminAnswer::Done { failed, changed };
+    let answers = [
+        ("ready", AdminAnswer::Health(Ok(()))),
+        ("leaving", health(NotReady::Leaving)),
+        ("drained", health(NotReady::Drained)),
+        ("no processor", health(NotReady::NoProcessor)),
+        ("unwell", health(NotReady::Unwell)),
+        ("drain begun", done(true, true)),
+        ("drain as before", done(true, false)),
+        ("drain ended", done(false, true)),
+        ("no drain as before", done(false, false)),
+    ];
+    let mut text = responses(answers);
+    text += &line("head alone", &response(AdminAnswer::Health(Ok(()))).bytes(true));
+    assert_golden("admin_health.txt", text.as_bytes());
+}
+
+/// The text with samples that differ in their labels alone in one order: the library writes them in any.
+fn with_sorted_labels(text: &str) -> String {
+    let lines: Vec<&str> = text.split_inclusive('\n').collect();
+    let family = |line: &str| line.split_once('{').map(|(name, _)| name.to_string());
+    let mut sorted = String::new();
+    for samples in lines.chunk_by(|a, b| family(a).is_some() && family(a) == family(b)) {
+        let mut samples = samples.to_vec();
+        samples.sort_unstable();
+        sorted.extend(samples);
+    }
+    sorted
+}
+
+#[test]
+fn metrics_match_golden_bytes() {
+    let alone = Stats { fleet: None, configuration: None, ..stats() };
+    let closed = Status { circuit_closed: false, ..fleet() };
+    let open = Stats { fleet: Some(Box::new(closed)), ..stats() };
+    let text = |stats| {
+        let bytes = response(AdminAnswer::Stats(Box::new(stats))).bytes(false);
+        with_sorted_labels(&String::from_utf8(bytes).expect("UTF-8"))
+    };
+    let texts = [stats(), open, alone, Stats::default()].map(text);
+    assert_golden("admin_stats.txt", texts.concat().as_bytes());
+}
+
+#[test]
+fn fleet_views_match_golden_bytes() {
+    let text = responses([
+        ("fleet", AdminAnswer::Fleet(Some(Box::new(view())))),
+        ("no fleet", AdminAnswer::Fleet(None)),
+    ]);
+    assert_golden("admin_fleet.txt", text.as_bytes());
+}
+
+#[test]
+fn agreements_match_golden_bytes() {
+    let why = || "late".to_string();
+    let said = |said| AdminAnswer::Agreed(FleetAnswer::Said(said));
+    let became = |became| AdminAnswer::Agreed(FleetAnswer::Became(became));
+    let wanted = |version| AdminAnswer::Agreed(FleetAnswer::Wanted(version));
+    let text = responses([
+        ("off", AdminAnswer::Agreed(FleetAnswer::Off)),
+        ("unknown status", agreements(None, false)),
+        ("voter's status, running", agreements(Some((record(State::Runs), 0.5)), true)),
+        ("status, halted", agreements(Some((record(State::Halted(why())), f64::INFINITY)), false)),
+        ("status, going back", agreements(Some((record(State::GoesBack(why())), 0.25)), false)),
+        ("status, done", agreements(Some((record(State::Done), 0.25)), false)),
+        ("status, undone", agreements(Some((record(State::Undone(why())), 0.25)), false)),
+        ("ticket", AdminAnswer::Agreed(FleetAnswer::Ticket(7))),
+        ("pending", became(Became::Pending)),
+        ("unknown ticket", became(Became::Unknown)),
+        ("order done", became(Became::Over(Ok("done".into())))),
+        ("order failed", became(Became::Over(Err("not now".into())))),
+        ("said", said(Ok("done".into()))),
+        ("said not", said(Err("not now".into()))),
+        ("wanted", wanted(Some("0.3.0".into()))),
+        ("nothing wanted", wanted(None)),
+    ]);
+    assert_golden("admin_agreements.txt", text.as_bytes());
+}
+
+#[test]
+fn configuration_answers_match_golden_bytes() {
+    let answer = |answer| AdminAnswer::Configuration(Box::new(answer));
+    let apply = |reply| answer(ConfigurationAnswer::Apply(reply));
+    let status = |status| answer(ConfigurationAnswer::Status(Box::new(status)));
+    let mut text = responses([
+        ("pending", apply(ApplyReply::Pending { request_id: name("r-1") })),
+        ("committed", apply(ApplyReply::Committed { revision: Revision(42), repeated: true })),
+        ("valid", apply(ApplyReply::Valid { against: Revision(41), changes: 3 })),
+        ("status of the fleet", status(configuration_status(Source::Fleet))),
+        ("status of a snapshot", status(configuration_status(Source::Snapshot))),
+        ("status of a start file", status(configuration_status(Source::StartFile))),
+        ("empty status", status(StatusReply::default())),
+    ]);
+    text += &responses(
+        refusals().into_iter().map(|refusal| ("refused", answer(ConfigurationAnswer::Refused(refusal)))),
+    );
+    assert_golden("admin_configuration.txt", text.as_bytes());
+}
+
+/// Guards each path, and the answers to requests that name no call.
+#[test]
+fn paths_name_calls_or_match_golden_bytes() {
+    let (plain, agreed) = (Called::Plain, |call| Called::Plain(AdminCall::Agreed(call)));
+    let configuration = |call| Called::Plain(AdminCall::Configuration(call));
+    let calls = [
+        ("GET", "/healthcheck", "", plain(AdminCall::Health)),
+        ("HEAD", "/stats", "", plain(AdminCall::Stats)),
+        ("GET", "/fleet", "", plain(AdminCall::Fleet)),
+        ("POST", "/healthcheck/fail", "", plain(AdminCall::Fail)),
+        ("POST", "/healthcheck/ok", "", plain(AdminCall::Ok)),
+        ("GET", "/fleet/status", "", agreed(FleetCall::Status)),
+        ("GET", "/fleet/order", "ticket=7", agreed(FleetCall::Became(7))),
+        ("POST", "/fleet/order", "", Called::Order),
+        ("POST", "/fleet/stage", "", Called::Stage),
+        ("POST", "/fleet/found", "", agreed(FleetCall::Found)),
+        ("POST", "/fleet/leave", "", agreed(FleetCall::Leave)),
+        ("POST", "/fleet/stay", "", agreed(FleetCall::Stay)),
+        ("GET", "/fleet/wanted", "name=n3", agreed(FleetCall::Wanted("n3".into()))),
+        ("GET", "/config/apply", "request-id=r-1", configuration(ConfigurationCall::Became(name("r-1")))),
+        ("POST", "/config/apply", "", Called::ConfigurationApply),
+        ("GET", "/config/status", "", configuration(ConfigurationCall::Status)),
+    ];
+    for (method, path, query, call) in calls {
+        assert_eq!(route(method, path, query), Ok(call), "{method} {path}?{query}");
+    }
+    let requests: [(&str, &[u8]); 12] = [
+        ("no such path", b"GET /nothing HTTP/1.1\r\n\r\n"),
+        ("another method", b"DELETE /stats HTTP/1.1\r\n\r\n"),
+        ("post alone", b"GET /healthcheck/fail HTTP/1.1\r\n\r\n"),
+        ("get or post", b"PUT /fleet/order HTTP/1.1\r\n\r\n"),
+        ("odd ticket", b"GET /fleet/order?ticket=x HTTP/1.1\r\n\r\n"),
+        ("no name", b"GET /fleet/wanted HTTP/1.1\r\n\r\n"),
+        ("no request id", b"GET /config/apply?x=1 HTTP/1.1\r\n\r\n"),
+        ("no HTTP", b"\x00\x01\r\n\r\n"),
+        ("chunked", b"POST /stats HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"),
+        ("odd length", b"POST /stats HTTP/1.1\r\nContent-Length: x\r\n\r\n"),
+        ("body too long", b"POST /stats HTTP/1.1\r\nContent-Length: 262145\r\n\r\n"),
+        ("head too long", &[b'a'; 8192]),
+    ];
+    let refused =
+        |bytes: &[u8]| head(bytes).and_then(|head| head.expect("a whole head").call).expect_err("no call");
+    let mut text: String =
+        requests.iter().map(|(label, bytes)| line(label, &refused(bytes).bytes(false))).collect();
+    for status in [200, 202, 400, 404, 405, 408, 409, 410, 413, 422, 429, 503, 599] {
+        text += &line("status", &Response::text(status, "").bytes(false));
+    }
+    assert_golden("admin_refused_requests.txt", text.as_bytes());
+}
+
+/// Guards bodies whose every line is read and written as it was.
+fn assert_same_json<T: Serialize + DeserializeOwned>(lines: &str) {
+    for line in lines.lines() {
+        let body: T = serde_json::from_str(line).unwrap_or_else(|e| panic!("{e}: {line}"));
+        assert_eq!(serde_json::to_string(&body).expect("JSON"), line);
+    }
+}
+
+#[test]
+fn request_bodies_are_read_by_their_golden_names() {
+    assert_same_json::<Order>(include_str!("../golden/admin_requests.jsonl"));
+    assert_same_json::<ApplyRequest>(include_str!("../golden/config_apply_requests.jsonl"));
+}
--- a/crates/node/tests/golden_edges/main.rs
+++ b/crates/node/tests/golden_edges/main.rs
@@ -1,6 +1,7 @@
 //! What leaves a server at its edges, byte for byte: each test compares with a file in `tests/golden`. Such a file changes
 //! only where a protocol, or a text that it carries, is meant to change.
 
+mod admin;
 mod answers;
 mod settings;
 
