--- a/crates/node/tests/golden_edges/main.rs
+++ b/crates/node/tests/golden_edges/main.rs
@@ -3,7 +3,10 @@
 
 mod admin;
 mod answers;
+mod outgoing_calls;
+mod processor;
 mod settings;
+mod shared_folder;
 
 use std::path::Path;
 
--- /dev/null
+++ b/crates/node/tests/golden_edges/outgoing_calls.rs
@@ -0,0 +1,56 @@
+//! Requests to the shared dependency and load reports to the control plane, byte for byte.
+
+use super::assert_golden;
+use crossbeam_channel::bounded;
+use gradepin_core::messages::Input;
+use gradepin_core::pool::Pool;
+use gradepin_decisions::{RequestId, Span};
+use gradepin_node::control::Control;
+use gradepin_node::shared_ledger::SharedLedger;
+use slog::{Discard, Logger, o};
+use std::io::{Read, Write};
+use std::net::{TcpListener, UdpSocket};
+use std::time::Duration;
+
+const PATIENCE: Duration = Duration::from_secs(20);
+
+#[test]
+fn calls_to_the_shared_dependency_match_golden_bytes() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let (address, log) = (listener.local_addr().expect("an address"), Logger::root(Discard, o!()));
+    let (inputs, received) = bounded(4);
+    let dependency = SharedLedger::start(address, 1, inputs, Pool::new(4), log).expect("it starts");
+    let id = RequestId::new("00000000000000a1");
+    let limit = Span(20_001_999_999);
+    dependency.call((id, 7), b"form \x00\xff", limit, None).map_err(drop).expect("room for a call");
+    let (mut socket, _) = listener.accept().expect("a connection");
+    socket.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+    let mut request = Vec::new();
+    while !request.ends_with(b"form \x00\xff") {
+        let mut byte = [0];
+        socket.read_exact(&mut byte).expect("a whole request");
+        request.push(byte[0]);
+    }
+    socket.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").expect("written");
+    let called = received.recv_timeout(PATIENCE).expect("the end of the call");
+    assert!(matches!(called, Input::Called { number: 7, .. }));
+    // The port is another one in each run, the version one in each release.
+    let (address, agent) = (address.to_string(), format!("gradepin/{}", env!("CARGO_PKG_VERSION")));
+    let text = request.escape_ascii().to_string();
+    let text = text.replace(&address, "ADDRESS").replace(&agent, "gradepin/VERSION");
+    assert_golden("shared_dependency_call.txt", format!("{text}\n").as_bytes());
+}
+
+#[test]
+fn load_reports_match_golden_bytes() {
+    let plane = UdpSocket::bind("127.0.0.1:0").expect("a port");
+    plane.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+    let (listen, to) = ("127.0.0.1:0".parse().expect("an address"), plane.local_addr().expect("an address"));
+    let control = Control::new("n7", listen, to).expect("a socket");
+    for (ready, expected) in [(true, "lease n7 Ready"), (false, "lease n7 NotReady")] {
+        control.report(ready).expect("it leaves");
+        let mut datagram = [0; 64];
+        let length = plane.recv(&mut datagram).expect("a report");
+        assert_eq!(datagram[..length].escape_ascii().to_string(), expected);
+    }
+}
--- /dev/null
+++ b/crates/node/tests/golden_edges/shared_folder.rs
@@ -0,0 +1,99 @@
+//! The shared folder of an upgrade: names, modes and bytes of its files, which another version of the program reads.
+
+use super::{assert_golden, line};
+use crossbeam_channel::{Receiver, bounded};
+use gradepin_core::keys::End;
+use gradepin_core::messages::{Claim, Input};
+use gradepin_core::pool::Pool;
+use gradepin_decisions::{RequestId, Span};
+use gradepin_node::claims::{Claims, Place};
+use slog::{Discard, Logger, o};
+use std::fs;
+use std::os::unix::fs::PermissionsExt;
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+use std::time::Duration;
+
+const PATIENCE: Duration = Duration::from_secs(20);
+const WINDOW: Span = Span(3_600_000_000_000);
+const PRINT: u64 = 0x0102_0304_0506_0708;
+
+/// A folder of the test's own, removed at its end.
+struct Folder(PathBuf);
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = fs::remove_dir_all(&self.0);
+    }
+}
+
+/// A process that shares the folder, and what it is told.
+fn process(shared: &Path, seed: u64) -> (Claims, Receiver<Input>) {
+    let (inputs, received) = bounded(64);
+    let place = Place::new(shared, "n1", seed, 64 << 20);
+    let claims = Claims::start(place, WINDOW, inputs, Pool::new(4), Logger::root(Discard, o!()));
+    (claims.expect("it starts"), received)
+}
+
+fn claimed((claims, received): &(Claims, Receiver<Input>), token: &str, print: u64) -> String {
+    claims.claim(RequestId::new("r"), token.into(), print, Span(0));
+    match received.recv_timeout(PATIENCE).expect("an answer") {
+        Input::Claimed(_, Claim::Ours) => "ours".to_string(),
+        Input::Claimed(_, Claim::Ended(End::Served(result))) => format!("served {}", result.escape_ascii()),
+        Input::Claimed(_, Claim::Ended(End::Failed)) => "failed".to_string(),
+        _ => "another answer".to_string(),
+    }
+}
+
+/// Every file below a folder, with its mode and bytes, in the order of names.
+fn files(folder: &Path, below: &str) -> String {
+    let entries = fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry").path());
+    let mut paths: Vec<PathBuf> = entries.collect();
+    paths.sort();
+    let mut text = String::new();
+    for path in paths {
+        let name = format!("{below}{}", path.file_name().expect("a name").to_string_lossy());
+        if path.is_dir() {
+            text += &files(&path, &format!("{name}/"));
+            continue;
+        }
+        // Only the claims' modes mean something; the others go by the user's mask.
+        let mode = path.metadata().expect("a file").permissions().mode() & 0o777;
+        let mode = if name.contains("alive.") || name.ends_with("salt") { 0 } else { mode };
+        text += &line(&format!("{name} {mode:o}"), &fs::read(&path).expect("a file"));
+    }
+    text
+}
+
+#[test]
+fn shared_folder_matches_golden_names_and_bytes() {
+    let folder = Folder(std::env::temp_dir().join(format!("gradepin-golden-folder-{}", std::process::id())));
+    let mut text = String::new();
+    let mut note = |title: &str, lines: &str| text += &format!("-- {title}\n{lines}");
+    let old = process(&folder.0, 0x1122_3344_5566_7788);
+    for token in ["runs", "served", "failed", "unknown", "none"] {
+        assert_eq!(claimed(&old, token, PRINT), "ours", "{token}");
+    }
+    note("claimed", &files(&folder.0, ""));
+    let result = Arc::new(Pool::new(1).exact(b"tile \x00\xff").expect("it fits in a buffer"));
+    old.0.ended("served".into(), PRINT, Some(End::Served(result)));
+    old.0.ended("failed".into(), PRINT, Some(End::Failed));
+    old.0.ended("unknown".into(), PRINT, Some(End::Unknown));
+    old.0.ended("none".into(), PRINT, None);
+    // Jobs are done in their order, so the ends are written before this claim.
+    assert_eq!(claimed(&old, "last", PRINT), "ours");
+    note("ended", &files(&folder.0, ""));
+    let new = process(&folder.0, 0x99);
+    let outcomes: String =
+        [("served", PRINT), ("served", 9), ("failed", PRINT), ("unknown", PRINT), ("none", PRINT)]
+            .iter()
+            .map(|(token, print)| format!("{token} {print:x}: {}\n", claimed(&new, token, *print)))
+            .collect();
+    note("claimed by the next process", &outcomes);
+    note("its files too", &files(&folder.0, ""));
+    for (claims, received) in [old, new] {
+        claims.close(received);
+    }
+    assert!(!files(&folder.0, "").contains("alive."), "a process leaves no file that says it lives");
+    assert_golden("shared_folder.txt", text.as_bytes());
+}
