--- a/crates/coordination/src/replicated_state.rs
+++ b/crates/coordination/src/replicated_state.rs
@@ -86,6 +86,7 @@
     /// The holder was told to begin, or may have been.
     Begun,
     /// An operator freed it; it counts until the holder's right to begin is over.
+    #[serde(rename = "Freed")]
     Released,
 }
 
@@ -177,6 +178,7 @@
     Stale(u64),
     /// Another has the permit.
     #[error("permit {epoch} is {holder}'s")]
+    #[serde(rename = "Other")]
     OtherHolder {
         /// Which permit.
         epoch: u64,
@@ -188,6 +190,7 @@
     Release(String),
     /// What was told can't be.
     #[error("{0}")]
+    #[serde(rename = "Sense")]
     Invalid(String),
 }
 
@@ -197,6 +200,7 @@
     /// The limits from here on.
     Limits(Limits),
     /// A server belongs to the fleet.
+    #[serde(rename = "Enrol")]
     AddServer {
         /// Its name.
         name: Name,
@@ -204,6 +208,7 @@
         zone: Name,
     },
     /// It doesn't any more, by an operator's word.
+    #[serde(rename = "Strike")]
     RemoveServer {
         /// Which.
         name: Name,
@@ -240,6 +245,7 @@
         by: PermitEnd,
     },
     /// An operator frees it.
+    #[serde(rename = "Free")]
     ReleasePermit {
         /// The permit.
         epoch: u64,
@@ -249,6 +255,7 @@
         why: String,
     },
     /// A freed permit's holder has no right to begin left.
+    #[serde(rename = "Gone")]
     PermitExpired {
         /// The permit.
         epoch: u64,
@@ -264,8 +271,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitEnd {
     /// A leader saw its target steady after so many beginnings.
+    #[serde(rename = "Steady")]
     Stable(u32),
     /// Its holder's word, in this life.
+    #[serde(rename = "Word")]
     HolderCancelled(u64),
 }
 
--- a/crates/coordination/src/rollout.rs
+++ b/crates/coordination/src/rollout.rs
@@ -111,18 +111,24 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerProgress {
     /// Not yet its turn.
+    #[serde(rename = "Waits")]
     Pending,
     /// It began to change.
+    #[serde(rename = "Changes")]
     Updating,
     /// It has the new version, and is steady.
+    #[serde(rename = "New")]
     Updated,
     /// It couldn't take it, and why.
     Failed(String),
     /// It began to change back.
+    #[serde(rename = "GoesBack")]
     RollingBack,
     /// It has what it had before, and is steady.
+    #[serde(rename = "Back")]
     RolledBack,
     /// It couldn't go back, and why.
+    #[serde(rename = "Stuck")]
     RollbackFailed(String),
 }
 
@@ -141,14 +147,17 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutState {
     /// It goes forward.
+    #[serde(rename = "Runs")]
     Running,
     /// It stands still, and why.
     Halted(String),
     /// It goes back, and why.
+    #[serde(rename = "GoesBack")]
     RollingBack(String),
     /// All have the new version.
     Done,
     /// All have what they had before.
+    #[serde(rename = "Undone")]
     RolledBack(String),
 }
 
