--- a/crates/releases/src/council.rs
+++ b/crates/releases/src/council.rs
@@ -759,3 +759,6 @@
         data: entry.get_data().to_vec(),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/releases/src/lib.rs
+++ b/crates/releases/src/lib.rs
@@ -28,3 +28,7 @@
 pub mod replicated_snapshot;
 pub mod rollback;
 pub mod server_agent;
+
+// Tests beside private items share their values with those in `tests/`, which name this crate.
+#[cfg(test)]
+extern crate self as gradepin_releases;
--- a/crates/releases/src/server_agent.rs
+++ b/crates/releases/src/server_agent.rs
@@ -812,3 +812,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
