--- a/crates/releases/src/lib.rs
+++ b/crates/releases/src/lib.rs
@@ -29,6 +29,9 @@
 pub mod rollback;
 pub mod server_agent;
 
-// Tests beside private items share their values with those in `tests/`, which name this crate.
+// Tests beside private items share files and values with those in `tests/`, which name this crate.
 #[cfg(test)]
 extern crate self as gradepin_releases;
+#[cfg(test)]
+#[path = "../tests/golden/mod.rs"]
+mod golden;
--- a/crates/releases/src/server_agent/tests.rs
+++ b/crates/releases/src/server_agent/tests.rs
@@ -1,11 +1,7 @@
 //! The bytes of posts between servers, as files of an earlier version have them.
 
 use super::*;
-
-#[path = "../../tests/golden/mod.rs"]
-mod golden;
-#[path = "../../tests/golden/values.rs"]
-mod values;
+use crate::golden::{assert_golden_values, golden_file, values};
 
 #[test]
 fn encodes_every_message_as_golden_bytes() {
@@ -25,5 +21,5 @@
         ("configuration request", Message::ConfigurationRequest(300, Box::new(values::request()))),
         ("configuration reply", Message::ConfigurationReply(300, values::voter_answers().remove(0).1)),
     ];
-    golden::assert_golden_values("messages.txt", &messages);
+    assert_golden_values(golden_file!("messages.txt"), &messages);
 }
--- a/crates/releases/tests/golden/mod.rs
+++ b/crates/releases/tests/golden/mod.rs
@@ -2,14 +2,24 @@
 //! bytes in hex. Other servers and later processes read these bytes, so a rename or a move changes none of them.
 #![allow(dead_code)]
 
+pub mod values;
+
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use std::path::Path;
 
-fn read(name: &str) -> String {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
-    std::fs::read_to_string(&path).unwrap_or_else(|why| panic!("{}: {why}", path.display()))
+/// A golden file: its name and its text.
+#[derive(Clone, Copy)]
+pub struct GoldenFile(pub &'static str, pub &'static str);
+
+macro_rules! golden_file {
+    ($name:literal) => {
+        $crate::golden::GoldenFile(
+            $name,
+            include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/", $name)),
+        )
+    };
 }
+pub(crate) use golden_file;
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -21,17 +31,17 @@
 }
 
 /// The cases of a file: labels and bytes.
-pub fn golden(name: &str) -> Vec<(String, Vec<u8>)> {
+pub fn cases(file: GoldenFile) -> Vec<(String, Vec<u8>)> {
     let split = |line: &str| {
         let (label, bytes) = line.split_once(" = ").expect("a label and bytes");
         (label.to_string(), unhex(bytes))
     };
-    read(name).lines().map(split).collect()
+    file.1.lines().map(split).collect()
 }
 
 /// The file has these lines and no others.
-pub fn assert_golden_text(name: &str, text: &str) {
-    let expected = read(name);
+pub fn assert_golden_text(file: GoldenFile, text: &str) {
+    let GoldenFile(name, expected) = file;
     let (ours, theirs): (Vec<&str>, Vec<&str>) = (text.lines().collect(), expected.lines().collect());
     for at in 0..ours.len().max(theirs.len()) {
         let (got, expected) = (ours.get(at), theirs.get(at));
@@ -47,17 +57,18 @@
 }
 
 /// The file has these cases, in this order, and no others.
-pub fn assert_golden(name: &str, cases: &[(&str, Vec<u8>)]) {
+pub fn assert_golden(file: GoldenFile, cases: &[(&str, Vec<u8>)]) {
     let lines = cases.iter().map(|(label, bytes)| format!("{label} = {}\n", hex(bytes)));
-    assert_golden_text(name, &lines.collect::<String>());
+    assert_golden_text(file, &lines.collect::<String>());
 }
 
 /// Each value is encoded as the file says, and what the file says is read and encoded again as it was.
-pub fn assert_golden_values<T: Serialize + DeserializeOwned>(name: &str, values: &[(&str, T)]) {
+pub fn assert_golden_values<T: Serialize + DeserializeOwned>(file: GoldenFile, values: &[(&str, T)]) {
     let encode = |value: &T| postcard::to_stdvec(value).expect("it is encoded");
     let cases: Vec<_> = values.iter().map(|(label, value)| (*label, encode(value))).collect();
-    assert_golden(name, &cases);
-    for (label, bytes) in golden(name) {
+    assert_golden(file, &cases);
+    let name = file.0;
+    for (label, bytes) in self::cases(file) {
         let value: T = postcard::from_bytes(&bytes).unwrap_or_else(|why| panic!("{name}, {label}: {why}"));
         assert_eq!(hex(&encode(&value)), hex(&bytes), "{name}, {label}: read and encoded again");
     }
--- a/crates/releases/tests/golden/values.rs
+++ b/crates/releases/tests/golden/values.rs
@@ -1,6 +1,4 @@
 //! A value of each kind, every field with another content, so that two that change places are seen.
-#![allow(dead_code)]
-
 use gradepin_config::change::{Change, ClassDefinition, Commit, Proposal, Revision, Rule, Transaction};
 use gradepin_config::digest::{Digest, Version};
 use gradepin_config::validation::Invalid;
@@ -142,7 +140,7 @@
 }
 
 pub fn release_orders() -> Vec<(&'static str, ReleaseOrder)> {
-    let (r, by, why) = || -> (String, Name, String) { ("r-1".into(), name("kaisa"), "late".into()) }();
+    let (r, by, why) = ("r-1".to_string(), name("kaisa"), "late".to_string());
     let before = vec![(name("n1"), "v1".to_string()), (name("n2"), "v0".to_string())];
     let stepped = Step::Failed("no".into());
     vec![
--- a/crates/releases/tests/golden_bytes.rs
+++ b/crates/releases/tests/golden_bytes.rs
@@ -2,71 +2,69 @@
 //! what another version wrote, and writes what it can read.
 
 mod golden;
-#[path = "golden/values.rs"]
-mod values;
 
-use golden::{assert_golden, assert_golden_text, assert_golden_values, golden};
+use golden::values::{self, name};
+use golden::{assert_golden, assert_golden_text, assert_golden_values, cases, golden_file};
 use gradepin_decisions::Time;
 use gradepin_releases::council::{Council, Durable, Effect, Found, founding};
 use gradepin_releases::messages::{Order, PermitReply};
 use gradepin_releases::record::Command;
 use gradepin_releases::release::ReleaseOrder;
 use gradepin_releases::replicated_snapshot;
-use values::name;
 
 #[test]
 fn encodes_every_log_command_as_golden_bytes() {
-    assert_golden_values("commands.txt", &values::commands());
+    assert_golden_values(golden_file!("commands.txt"), &values::commands());
     let orders = values::release_orders().into_iter().map(|(label, order)| (label, Command::Release(order)));
-    assert_golden_values("release-commands.txt", &orders.collect::<Vec<_>>());
+    assert_golden_values(golden_file!("release-commands.txt"), &orders.collect::<Vec<_>>());
 }
 
 #[test]
 fn encodes_every_durable_record_as_golden_bytes() {
-    assert_golden_values("durable-records.txt", &values::durables());
+    assert_golden_values(golden_file!("durable-records.txt"), &values::durables());
 }
 
 #[test]
 fn encodes_the_parts_of_a_record_as_golden_bytes() {
-    assert_golden_values("steps.txt", &values::steps());
-    assert_golden_values("states.txt", &values::states());
-    assert_golden_values("targets.txt", &values::targets());
-    assert_golden_values("reasons.txt", &values::reasons());
+    assert_golden_values(golden_file!("steps.txt"), &values::steps());
+    assert_golden_values(golden_file!("states.txt"), &values::states());
+    assert_golden_values(golden_file!("targets.txt"), &values::targets());
+    assert_golden_values(golden_file!("reasons.txt"), &values::reasons());
     let releases = values::states().into_iter().map(|(label, state)| (label, values::release(state)));
-    assert_golden_values("releases.txt", &releases.collect::<Vec<_>>());
+    assert_golden_values(golden_file!("releases.txt"), &releases.collect::<Vec<_>>());
 }
 
 #[test]
 fn encodes_a_snapshot_of_a_full_record_as_golden_bytes_and_reads_it() {
     let record = values::record();
     assert_eq!(record.configuration.history().count(), 2);
-    assert_golden("snapshot.txt", &[("snapshot", replicated_snapshot::encode(&record))]);
-    let stored = golden("snapshot.txt").remove(0).1;
+    assert_golden(golden_file!("snapshot.txt"), &[("snapshot", replicated_snapshot::encode(&record))]);
+    let stored = cases(golden_file!("snapshot.txt")).remove(0).1;
     assert_eq!(replicated_snapshot::decode(&stored), Some(record));
 }
 
 #[test]
 fn encodes_the_founding_as_golden_bytes() {
     let records = founding(&[(7, name("n1")), (1 << 40, name("n2"))].into());
-    assert_golden_values("founding.txt", &[("founding", records)]);
+    assert_golden_values(golden_file!("founding.txt"), &[("founding", records)]);
 }
 
 #[test]
 fn encodes_answers_about_the_configuration_as_golden_bytes() {
-    assert_golden_values("proposal-refusals.txt", &values::refusals());
-    assert_golden_values("voter-answers.txt", &values::voter_answers());
-    assert_golden_values("configuration-request.txt", &[("request", values::request())]);
+    assert_golden_values(golden_file!("proposal-refusals.txt"), &values::refusals());
+    assert_golden_values(golden_file!("voter-answers.txt"), &values::voter_answers());
+    assert_golden_values(golden_file!("configuration-request.txt"), &[("request", values::request())]);
 }
 
 #[test]
 fn encodes_orders_and_reasons_to_wait_as_golden_bytes() {
-    assert_golden_values("orders.txt", &values::orders());
+    assert_golden_values(golden_file!("orders.txt"), &values::orders());
     let orders = values::release_orders().into_iter();
     let orders = orders.map(|(label, order)| (label, Order::Release(order)));
-    assert_golden_values("release-orders.txt", &orders.collect::<Vec<_>>());
+    assert_golden_values(golden_file!("release-orders.txt"), &orders.collect::<Vec<_>>());
     let waits = values::reasons().into_iter().map(|(label, why)| (label, PermitReply::Wait(why)));
-    assert_golden_values("waits.txt", &waits.collect::<Vec<_>>());
-    assert_golden_values("turn.txt", &[("turn", values::turn())]);
+    assert_golden_values(golden_file!("waits.txt"), &waits.collect::<Vec<_>>());
+    assert_golden_values(golden_file!("turn.txt"), &[("turn", values::turn())]);
 }
 
 /// Operators' orders go to the admin endpoint as JSON.
@@ -86,7 +84,7 @@
         (label, Order::Release(order))
     }));
     let text: String = orders.iter().map(|(_, order)| json(order) + "\n").collect();
-    assert_golden_text("orders.jsonl", &text);
+    assert_golden_text(golden_file!("orders.jsonl"), &text);
     for ((label, order), line) in orders.iter().zip(text.lines()) {
         assert_eq!(serde_json::from_str::<Order>(line).ok().as_ref(), Some(order), "{label}");
     }
@@ -152,11 +150,11 @@
     }
     let labels: Vec<String> = (0..voter.disk.len()).map(|at| format!("record {at}")).collect();
     let records = labels.iter().map(String::as_str).zip(voter.disk.iter().cloned());
-    assert_golden_values("log.txt", &records.collect::<Vec<_>>());
+    assert_golden_values(golden_file!("log.txt"), &records.collect::<Vec<_>>());
     let state = replicated_snapshot::encode(voter.council.record());
-    assert_golden("log-state.txt", &[("state", state.clone())]);
+    assert_golden(golden_file!("log-state.txt"), &[("state", state.clone())]);
 
-    let stored = golden("log.txt").into_iter();
+    let stored = cases(golden_file!("log.txt")).into_iter();
     let stored = stored.map(|(_, bytes)| postcard::from_bytes(&bytes).expect("a record"));
     let mut again = Voter::start(stored.collect());
     let index = voter.council.record().index;
