--- /dev/null
+++ b/crates/store/tests/golden_files.rs
@@ -0,0 +1,224 @@
+//! The files that outlive a process, as an earlier version wrote them: they are written in the same bytes, and read.
+
+mod golden;
+
+use golden::MemoryFolder;
+use gradepin_config::{
+    Change, ClassDefinition, Commit, Configuration, Revision, Rule, Snapshot, Transaction,
+};
+use gradepin_core::ledger::{PastEnd, Record};
+use gradepin_core::pool::Pool;
+use gradepin_decisions::{Customer, Effect, Profile, RequestId, Settings, Span};
+use gradepin_releases::council::{Durable, Found};
+use gradepin_store::configuration::ConfigurationStore;
+use gradepin_store::council::CouncilLog;
+use gradepin_store::log::{Limits, Log, Stamp};
+use std::sync::Arc;
+
+const ID: u64 = 0x0102_0304_0506_0708;
+const MS: u64 = 1_000_000;
+
+fn snapshot() -> Durable {
+    Durable::Snapshot { index: 300, term: 4, voters: vec![ID, 7], data: vec![9, 8] }
+}
+
+fn term(commit: u64) -> Durable {
+    Durable::Term { term: 5, vote: ID, commit }
+}
+
+fn entry(index: u64, changes: bool) -> Durable {
+    Durable::Entry { index, term: 5, changes, data: vec![1, 2, index as u8] }
+}
+
+fn open_council(folder: &MemoryFolder, fresh: u64) -> (CouncilLog, Found) {
+    CouncilLog::open(Box::new(folder.clone()), fresh).expect("a folder")
+}
+
+#[test]
+fn writes_the_files_of_a_voter_as_golden_bytes() {
+    let folder = MemoryFolder::default();
+    let (mut log, found) = open_council(&folder, ID);
+    log.write(&found, &[snapshot(), term(300)]).expect("written");
+    log.write(&found, &[entry(301, false), term(301)]).expect("written");
+    log.write(&found, &[entry(302, true)]).expect("written");
+    folder.assert_golden("council.txt");
+}
+
+#[test]
+fn reads_the_golden_files_of_a_voter_and_writes_them_anew() {
+    let folder = MemoryFolder::golden("council.txt");
+    let (mut log, found) = open_council(&folder, 1);
+    let records = vec![snapshot(), term(300), entry(301, false), term(301), entry(302, true)];
+    assert_eq!(found, Found { id: ID, records });
+    log.write(&found, &[term(302)]).expect("written");
+    folder.assert_golden("council-anew.txt");
+}
+
+fn limits() -> Limits {
+    Limits {
+        segment_bytes: 1 << 20,
+        most_bytes: 1 << 24,
+        most_results: 1 << 20,
+        most_records: 1_000,
+        window: Span(60_000 * MS),
+    }
+}
+
+fn id(text: &str) -> RequestId {
+    RequestId(Arc::from(text))
+}
+
+fn intent(token: &str, print: u64) -> Record {
+    Record::Intent { token: token.into(), print, id: id(&format!("{token}-1")), left: Span(12_075 * MS + 1) }
+}
+
+fn known(token: &str, print: u64, result: Option<&[u8]>) -> Record {
+    let result = result.map(|bytes| Arc::new(Pool::new(1).exact(bytes).expect("short")));
+    let (id, left) = (id(&format!("{token}-1")), Span(11_000 * MS));
+    Record::Known { token: token.into(), print, id, left, result }
+}
+
+/// Every kind of record, in two frames; a try that ended, one that failed, one that never ran and one of which nothing tells.
+fn write_runs(log: &mut Log) {
+    let runs = ["served", "failed", "void", "open"].into_iter().zip(300..);
+    let intents: Vec<Record> = runs.map(|(token, print)| intent(token, print)).collect();
+    log.add(Stamp { mono_ms: 1_000, unix_ms: 1_700_000_000_000 }, &intents).expect("written");
+    let ends = [
+        known("served", 300, Some(b"result")),
+        known("failed", 301, None),
+        Record::Void { token: "void".into(), id: id("void-1") },
+    ];
+    log.add(Stamp { mono_ms: 2_000, unix_ms: 1_700_000_001_000 }, &ends).expect("written");
+}
+
+fn open_runs(folder: &MemoryFolder) -> (Log, gradepin_store::recovery::Found) {
+    Log::open(Box::new(folder.clone()), limits(), ID).expect("a folder")
+}
+
+#[test]
+fn writes_the_segment_of_keyed_runs_as_golden_bytes() {
+    let folder = MemoryFolder::default();
+    write_runs(&mut open_runs(&folder).0);
+    folder.assert_golden("runs.txt");
+}
+
+#[test]
+fn recovers_keyed_runs_from_a_golden_segment() {
+    let (_, found) = open_runs(&MemoryFolder::golden("runs.txt"));
+    let recovered = found.recovered;
+    assert_eq!((recovered.salt, recovered.doubt, recovered.notes), (ID, None, Vec::<String>::new()));
+    let past = recovered
+        .past
+        .iter()
+        .map(|past| (past.token.as_str(), past.print, past.id.as_str(), past.left.0 / MS, past.end.clone()));
+    let expected = [
+        ("failed", 301, "failed-1", 11_000, PastEnd::Failed),
+        ("open", 303, "open-1", 11_076, PastEnd::None),
+        ("served", 300, "served-1", 11_000, PastEnd::Served(b"result".to_vec())),
+    ];
+    assert_eq!(past.collect::<Vec<_>>(), expected);
+    let seen = &found.segments[0];
+    let figures = (seen.number, seen.life, seen.frames, seen.records, seen.torn, seen.left);
+    assert_eq!((found.segments.len(), figures), (1, (0, Some(0), 2, 7, None, Some(Span(11_076 * MS)))));
+}
+
+/// The next life writes a segment of its own; all written anew takes the place of both.
+#[test]
+fn writes_the_segments_of_a_later_life_as_golden_bytes() {
+    let folder = MemoryFolder::golden("runs.txt");
+    let mut log = open_runs(&folder).0;
+    log.add(Stamp { mono_ms: 10, unix_ms: 1_700_000_002_000 }, &[intent("later", 304)]).expect("written");
+    folder.assert_golden("runs-later.txt");
+    let all = [known("served", 300, Some(b"result")), intent("later", 304)];
+    log.write_anew(Stamp { mono_ms: 20, unix_ms: 1_700_000_003_000 }, &all).expect("written");
+    folder.assert_golden("runs-anew.txt");
+    let (_, found) = open_runs(&MemoryFolder::golden("runs-anew.txt"));
+    let tokens = found.recovered.past.iter().map(|past| past.token.as_str());
+    assert_eq!(tokens.collect::<Vec<_>>(), ["later", "served"]);
+}
+
+fn class(name: &str, effect: Effect) -> ClassDefinition {
+    let profile = Profile {
+        name: name.into(),
+        promise: Span(100 * MS),
+        deadline: Span(200 * MS),
+        effect,
+        late_value: 0.25,
+        window: if effect == Effect::ByKey { Span(300 * MS) } else { Span(0) },
+        worth: 1.5,
+        aim_stretch: 0.75,
+    };
+    ClassDefinition { profile, calls: true, skip_worth: 0.125 }
+}
+
+fn base() -> Configuration {
+    let tenant = |name: &str| Customer { name: name.into(), quota_rps: 10.5, portion: 0.25 };
+    let settings = Settings {
+        profiles: ["old", "c0"].map(|name| class(name, Effect::Repeatable).profile).into(),
+        customers: ["gone", "acme"].map(tenant).into(),
+        ..Settings::default()
+    };
+    Configuration::from_settings(&settings).expect("a valid base")
+}
+
+/// Commits with every kind of change, of rule and of effect.
+fn commits() -> [Commit; 2] {
+    let put = |name, effect| Change::PutClass(Arc::new(class(name, effect)));
+    let tenant = Customer { name: "osm".into(), quota_rps: 20.5, portion: 0.5 };
+    let entries = vec![
+        put("c1", Effect::Repeatable),
+        put("c2", Effect::ByKey),
+        put("c3", Effect::Once),
+        Change::RemoveClass("old".into()),
+        Change::PutTenant(Arc::new(tenant)),
+        Change::RemoveTenant("gone".into()),
+    ];
+    let rules = [
+        Rule::AnswerSlack(Span(5 * MS)),
+        Rule::Cold(Span(2_000 * MS)),
+        Rule::ColdShare(0.5),
+        Rule::DrainGrace(Span(700 * MS)),
+        Rule::Fall(Span(900 * MS)),
+        Rule::TipMultiple(4.5),
+        Rule::OverShareWorth(0.0625),
+    ];
+    let commit = |revision: u64, changes| Commit {
+        revision: Revision(revision),
+        author: "ada".into(),
+        reason: "more".into(),
+        request_id: format!("r{revision}").into(),
+        proposed_at_ms: 1_700_000_000_000 + revision,
+        transaction: Transaction { changes },
+    };
+    [commit(1, entries), commit(2, rules.map(Change::PutRule).into())]
+}
+
+fn open_configuration(folder: &MemoryFolder) -> (ConfigurationStore, gradepin_store::configuration::Opened) {
+    ConfigurationStore::open(Box::new(folder.clone())).expect("a folder")
+}
+
+fn state_after_commits() -> Configuration {
+    let mut state = base();
+    commits().iter().for_each(|commit| state.apply(commit).expect("valid"));
+    state
+}
+
+#[test]
+fn writes_the_configuration_as_golden_bytes() {
+    let folder = MemoryFolder::default();
+    let mut store = open_configuration(&folder).0;
+    store.save(&Snapshot::of(&base())).expect("written");
+    commits().iter().for_each(|commit| store.append(commit).expect("written"));
+    folder.assert_golden("configuration.txt");
+    store.save(&Snapshot::of(&state_after_commits())).expect("written");
+    folder.assert_golden("configuration-anew.txt");
+}
+
+#[test]
+fn reads_the_golden_configuration_with_its_commits() {
+    let opened = open_configuration(&MemoryFolder::golden("configuration.txt")).1;
+    assert_eq!((opened.commits, opened.passed_over.len()), (commits().to_vec(), 0));
+    assert_eq!(opened.state.map(|state| state.version()), Some(state_after_commits().version()));
+    let opened = open_configuration(&MemoryFolder::golden("configuration-anew.txt")).1;
+    assert_eq!(opened.state.map(|state| state.version()), Some(state_after_commits().version()));
+}
