--- a/crates/gradepin/src/fleet.rs
+++ b/crates/gradepin/src/fleet.rs
@@ -469,3 +469,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod golden_tests;
--- a/crates/node/src/admin/agreements.rs
+++ b/crates/node/src/admin/agreements.rs
@@ -108,3 +108,6 @@
         .collect();
     value
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/node/src/admin/agreements/tests.rs
@@ -0,0 +1,102 @@
+//! The JSON of `GET /fleet/status`, as a file of an earlier version has it: `gradepin fleet` of another version
+//! and the operators' scripts read it.
+
+use super::*;
+use gradepin_releases::permit_client::WaitingRequest;
+use gradepin_releases::record::{Act, Member, Name, Permit, Record};
+use gradepin_releases::release::{Kind, Plan, Server, State, Wave};
+use std::sync::Arc;
+
+fn name(text: &str) -> Name {
+    Arc::from(text)
+}
+
+fn steps() -> Vec<Step> {
+    vec![
+        Step::Waits,
+        Step::Changes,
+        Step::New,
+        Step::Failed("f".into()),
+        Step::GoesBack,
+        Step::Back,
+        Step::Stuck("s".into()),
+    ]
+}
+
+fn record(state: State) -> Record {
+    let permit = |target, purpose, stage| Permit {
+        target,
+        holder: name("n1"),
+        purpose,
+        stage,
+        begins: 1,
+        life: 70_000,
+    };
+    let service = Target::Service { group: name("ledger"), member: name("m1") };
+    let plan = Plan {
+        name: "r-1".into(),
+        kind: Kind::Program,
+        version: "v2".into(),
+        waves: vec![Wave { share: 1.0, pause_ms: 1_000 }],
+        zone_by_zone: true,
+        ready_ms: 30_000,
+        steady_ms: 5_000,
+        worse: 0.125,
+        goes_back: true,
+    };
+    let server =
+        |(at, step): (usize, Step)| (name(&format!("n{at}")), Server { wave: 0, before: "v1".into(), step });
+    let servers = steps().into_iter().enumerate().map(server).collect();
+    let by = name("kaisa");
+    let release = Release { number: 300, plan, by: by.clone(), state, wave: 0, halts: 2, servers };
+    let member = |at: usize| (name(&format!("n{at}")), Member { zone: name("z1") });
+    Record {
+        index: 313,
+        voters: [(7, name("n0")), (8, name("n1"))].into(),
+        limits: Limits { fleet: 3, zone: 2, zones: 1, services: [(name("ledger"), 4)].into() },
+        roster: (0..8).map(member).collect(),
+        permits: [
+            (3, permit(Target::Server(name("n1")), Purpose::Drain, Stage::Reserved)),
+            (4, permit(Target::Zone(name("z1")), Purpose::Release(300), Stage::Begun)),
+            (5, permit(service, Purpose::Drain, Stage::Freed)),
+        ]
+        .into(),
+        acts: [Act { index: 9, by, what: "what".into(), why: "why".into() }].into(),
+        release: Some(release),
+        ..Record::default()
+    }
+}
+
+fn status(record: Option<(Record, f64)>, voter: bool) -> Status {
+    Status {
+        record,
+        leader: Some(name("n0")),
+        voter,
+        lost: Some("lost".into()),
+        unsure: true,
+        waits: Some(WaitingRequest { for_s: 1.5, why: "w".into() }),
+        unheard: vec![name("n2")],
+        versions: [(name("n0"), ("v1".to_string(), "s1".to_string()))].into(),
+    }
+}
+
+#[test]
+fn shows_the_fleet_as_golden_json() {
+    let states = [
+        State::Runs,
+        State::Halted("h".into()),
+        State::GoesBack("g".into()),
+        State::Done,
+        State::Undone("u".into()),
+    ];
+    let mut shown: Vec<Value> =
+        states.into_iter().map(|state| value(&status(Some((record(state), 0.25)), true))).collect();
+    shown.push(value(&status(Some((record(State::Done), f64::INFINITY)), false)));
+    shown.push(value(&Status::default()));
+    let text: String = shown.iter().map(|value| format!("{value}\n")).collect();
+    let golden = include_str!("../../../tests/golden/fleet-status.jsonl");
+    for (got, expected) in text.lines().zip(golden.lines()) {
+        assert_eq!(got, expected, "got, expected");
+    }
+    assert_eq!(text, golden);
+}
