--- a/crates/coordination/src/consensus.rs
+++ b/crates/coordination/src/consensus.rs
@@ -767,3 +767,6 @@
         data: entry.get_data().to_vec(),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/coordination/src/server_agent.rs
+++ b/crates/coordination/src/server_agent.rs
@@ -826,3 +826,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
