--- a/crates/cluster/src/authentication.rs
+++ b/crates/cluster/src/authentication.rs
@@ -1,6 +1,6 @@
-//! Authentication of datagrams: the header says who sends it, to which incarnation of whom, its number and when it left by
-//! the sender's clock; a tag by a key that the whole fleet has covers it all. What lacks the tag is dropped before anything
-//! else of it is looked at.
+//! Authentication of datagrams: the header names the sender, the receiver and its incarnation, the sequence number and
+//! the send time by the sender's clock. A tag made with a key that all servers of the fleet share covers header and content.
+//! A datagram without a valid tag is dropped before anything else of it is read.
 //!
 //! The tag is BLAKE3 in its keyed mode, cut to 16 bytes. It says that the sender has the key, and no more: nothing is
 //! hidden, and nothing is agreed on. Whether a datagram is a replay or too old is [`crate::replay_window`]'s to say.
@@ -23,28 +23,28 @@
 /// Why a datagram is dropped. Each kind is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum DropReason {
-    /// It can't be an envelope.
+    /// Its length or version is not that of an envelope.
     #[error("expected a datagram of 52 to 1400 bytes, version 1")]
-    Form,
-    /// Its tag is by no key of ours.
+    MalformedEnvelope,
+    /// Its tag was made with none of the keys in force.
     #[error("expected a tag by one of the keys in force")]
-    Tag,
-    /// It was taken before.
+    WrongTag,
+    /// A datagram with this number was accepted before.
     #[error("a datagram that came before")]
     Replay,
-    /// It was under way for too long, or waited here unread.
+    /// It took longer than [`crate::replay_window::MAX_DELAY`], on the network or unread here.
     #[error("a datagram that was under way for too long")]
-    Late,
+    Delayed,
     /// A later incarnation of its sender is known.
     #[error("a datagram of an earlier incarnation of its sender")]
     EarlierIncarnation,
     /// It is for another incarnation of this server, or for another server.
     #[error("a datagram for another incarnation")]
     OtherIncarnation,
-    /// What it carries makes no sense.
+    /// Its content can't be decoded.
     #[error("a datagram whose content can't be read")]
-    Content,
-    /// More came than are taken in a second.
+    MalformedContent,
+    /// The rate limit for received datagrams was exceeded.
     #[error("more datagrams than are taken in a second")]
     RateLimited,
 }
@@ -53,13 +53,13 @@
     /// The reason as a label of metrics.
     pub fn label(self) -> &'static str {
         match self {
-            Self::Form => "form",
-            Self::Tag => "tag",
+            Self::MalformedEnvelope => "form",
+            Self::WrongTag => "tag",
             Self::Replay => "replay",
-            Self::Late => "late",
+            Self::Delayed => "late",
             Self::EarlierIncarnation => "earlier-life",
             Self::OtherIncarnation => "other-life",
-            Self::Content => "content",
+            Self::MalformedContent => "content",
             Self::RateLimited => "flood",
         }
     }
@@ -127,23 +127,24 @@
     /// The envelope and what it holds, if its tag is by one of the keys.
     pub fn verify<'d>(&self, datagram: &'d [u8]) -> Result<(Header<'d>, &'d [u8]), DropReason> {
         if datagram.len() > MAX_DATAGRAM_BYTES || datagram.first() != Some(&VERSION) {
-            return Err(DropReason::Form);
+            return Err(DropReason::MalformedEnvelope);
         }
-        let (tagged, found) = datagram.split_last_chunk::<TAG_BYTES>().ok_or(DropReason::Form)?;
-        // By a comparison whose time doesn't tell how much of the tag was right.
+        let (tagged, found) =
+            datagram.split_last_chunk::<TAG_BYTES>().ok_or(DropReason::MalformedEnvelope)?;
+        // Constant-time comparison: its duration must not reveal how many bytes of the tag were right.
         let good = |key: &[u8; 32]| {
             let tag = tag(key, tagged);
             tag.iter().zip(found).fold(0, |differ, (a, b)| differ | (a ^ b)) == 0
         };
         if !self.keys.iter().any(good) {
-            return Err(DropReason::Tag);
+            return Err(DropReason::WrongTag);
         }
-        let (&length, rest) = tagged[1..].split_first().ok_or(DropReason::Form)?;
-        let (name, rest) = rest.split_at_checked(usize::from(length)).ok_or(DropReason::Form)?;
-        let name = std::str::from_utf8(name).map_err(|_| DropReason::Form)?;
-        let (numbers, body) = rest.split_first_chunk::<32>().ok_or(DropReason::Form)?;
+        let (&length, rest) = tagged[1..].split_first().ok_or(DropReason::MalformedEnvelope)?;
+        let (name, rest) = rest.split_at_checked(usize::from(length)).ok_or(DropReason::MalformedEnvelope)?;
+        let name = std::str::from_utf8(name).map_err(|_| DropReason::MalformedEnvelope)?;
+        let (numbers, body) = rest.split_first_chunk::<32>().ok_or(DropReason::MalformedEnvelope)?;
         if name.is_empty() || name.len() > MAX_NAME_BYTES {
-            return Err(DropReason::Form);
+            return Err(DropReason::MalformedEnvelope);
         }
         let number = |n: usize| numbers[n * 8..].first_chunk().map_or(0, |bytes| u64::from_be_bytes(*bytes));
         let header = Header {
@@ -168,7 +169,7 @@
     pub to: Incarnation,
     /// Counts the datagrams of an incarnation.
     pub number: u64,
-    /// When it left, in microseconds since the sender's incarnation began, by a clock that nobody sets.
+    /// Send time in microseconds since the sender's incarnation started, by its monotonic clock.
     pub sent_us: u64,
 }
 
--- a/crates/cluster/src/authentication/tests.rs
+++ b/crates/cluster/src/authentication/tests.rs
@@ -15,12 +15,12 @@
         let mut changed = datagram.clone();
         changed[place] ^= 1;
         let dropped = keys.verify(&changed).unwrap_err();
-        assert!(matches!(dropped, DropReason::Tag | DropReason::Form), "{place}");
+        assert!(matches!(dropped, DropReason::WrongTag | DropReason::MalformedEnvelope), "{place}");
     }
     for length in 0..datagram.len() {
         assert!(keys.verify(&datagram[..length]).is_err());
     }
-    assert_eq!(AuthenticationKeys::of([6; 32]).verify(&datagram), Err(DropReason::Tag));
+    assert_eq!(AuthenticationKeys::of([6; 32]).verify(&datagram), Err(DropReason::WrongTag));
 }
 
 /// Guards the change of a key under load: both are taken while the file has both, and one alone after that.
@@ -32,7 +32,7 @@
     let after = AuthenticationKeys::parse(&new).unwrap();
     assert!(during.verify(&before.authenticate(&header("a"), b"")).is_ok());
     assert!(after.verify(&during.authenticate(&header("a"), b"")).is_ok(), "the first one tags");
-    assert_eq!(after.verify(&before.authenticate(&header("a"), b"")), Err(DropReason::Tag));
+    assert_eq!(after.verify(&before.authenticate(&header("a"), b"")), Err(DropReason::WrongTag));
     assert_eq!(AuthenticationKeys::parse(""), Err(InvalidKeys::Number(0)));
     assert_eq!(AuthenticationKeys::parse(&format!("{old}\nno key")), Err(InvalidKeys::Line(2)));
     assert_eq!(AuthenticationKeys::parse(&format!("{old}\n{old}\n{new}")), Err(InvalidKeys::Number(3)));
--- a/crates/cluster/src/circuit_breaker.rs
+++ b/crates/cluster/src/circuit_breaker.rs
@@ -1,8 +1,9 @@
 //! A circuit breaker for the shared upstream, fed by this server's own calls and by what other servers observed.
 //!
-//! The own observation comes first. What others saw opens the circuit here only if several of them saw the upstream dead
-//! lately, none saw it answer, and nothing is known here; so one server whose own network is broken convinces nobody, and
-//! one for which the upstream works goes on. An open circuit is probed at a rate that is the fleet's, and closes in steps.
+//! Observations of this server come first. Those of others open the circuit here only if several of them recently found the
+//! upstream dead, none got a response, and this server has no observation of its own. So a server whose own network is
+//! broken doesn't open the circuit of others, and a server that reaches the upstream keeps calling it. An open circuit is
+//! probed at a rate that the fleet shares, and closes in steps.
 //!
 //! As in Nygard's "Release It!": closed means that calls go through, open that they are rejected, half open that a part of
 //! them goes through. What was seen is counted in [`observation`].
@@ -13,7 +14,7 @@
 
 use crate::MS;
 use gradepin_admission::{Outcome, Span, Time, span_from_seconds, time_after};
-use observation::{FRESH_FOR, ObservationWindow};
+use observation::{MAX_OBSERVATION_AGE, ObservationWindow};
 
 /// Other servers that must have seen the upstream dead before the circuit opens without an own observation.
 const MIN_OBSERVERS: usize = 3;
@@ -198,7 +199,8 @@
             State::Open { since, .. } => {
                 // Not at once: what others saw may be from before. Where only the way from here is broken, the circuit opens
                 // again with the first call, and what others see closes it ever later.
-                let old_enough = now >= self.ignore_others_until && now >= time_after(since, FRESH_FOR);
+                let old_enough =
+                    now >= self.ignore_others_until && now >= time_after(since, MAX_OBSERVATION_AGE);
                 if self.others.answered > 0 && old_enough {
                     let why = format!("it answers {} other servers", self.others.answered);
                     self.half_open(now, &why);
--- a/crates/cluster/src/circuit_breaker/observation.rs
+++ b/crates/cluster/src/circuit_breaker/observation.rs
@@ -1,4 +1,5 @@
-//! What servers saw of the shared upstream: counts over a sliding window here, and the sum of what others tell.
+//! Observations of the shared upstream: the counts of this server over a sliding window, and the sum of those that others
+//! gossip.
 
 use crate::MS;
 use gradepin_admission::{Outcome, Span, Time, time_after};
@@ -10,7 +11,7 @@
 /// The window moves in steps of this.
 const STEP: Span = Span(250 * MS);
 /// Observations of others count for so long.
-pub(super) const FRESH_FOR: Span = Span(3_000 * MS);
+pub(super) const MAX_OBSERVATION_AGE: Span = Span(3_000 * MS);
 /// Calls without one that went well before the upstream counts as dead.
 const MIN_FAILURES: u16 = 4;
 
@@ -60,7 +61,7 @@
 impl PeerObservations {
     /// One more server's observation, of this age.
     pub fn add(&mut self, observation: &Observation, age: Span) {
-        if age > FRESH_FOR {
+        if age > MAX_OBSERVATION_AGE {
             return;
         }
         if observation.succeeded > 0 {
--- a/crates/cluster/src/cluster.rs
+++ b/crates/cluster/src/cluster.rs
@@ -1,9 +1,8 @@
-//! All parts of one server's cluster together, as its reducer holds them: datagrams in, datagrams out, and what the server
-//! may do.
+//! The cluster as the reducer of one server holds it: datagrams in, datagrams out, and what the server may do.
 //!
-//! Owns the order in which the parts have their turn, the bound on bytes a second, and what datagrams carry. Decides
-//! nothing that a part decides. Datagrams in are in `receive`, datagrams out in `send`, calls to the shared upstream in
-//! `upstream`, quotas and the budget of retries in `quota`, what operators see in `status`.
+//! Owns the order in which its components run, the bound on bytes per second and the content of datagrams; every decision
+//! is made by a component. Received datagrams are handled in `receive`, sent ones in `send`, calls to the shared upstream in
+//! `upstream`, quotas and the retry budget in `quota`, the operators' view in `status`.
 
 mod envelope;
 mod message;
@@ -37,23 +36,23 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Between two turns: rows are gossiped, leases looked after.
+/// Interval at which rows are gossiped and leases maintained.
 const TICK: Span = Span(100 * MS);
-/// Between two writes of the own row at the most; a change of what it would lend is written sooner.
+/// Maximum interval between two writes of the own row; a change of the spare slots is written at once.
 const WRITE_INTERVAL: Span = Span(1_000 * MS);
-/// Sets the stream of random numbers here apart from the members' of the same seed.
+/// Separates these random numbers from those of the membership, which has the same seed.
 const RNG_STREAM: u64 = 0x636c_7573;
 
-/// How much a line of the log matters.
+/// The severity of a log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Severity {
-    /// As it should be.
+    /// Normal operation.
     Info,
     /// An operator may have to act.
     Warning,
 }
 
-/// What is to be done.
+/// What the shell is to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClusterEffect {
     /// Send a datagram.
@@ -79,7 +78,7 @@
 /// One server's part of the fleet.
 pub struct Cluster {
     settings: ClusterSettings,
-    began: Time,
+    started_at: Time,
     members: Members,
     replay_window: ReplayWindow,
     counters: Counters,
@@ -94,7 +93,7 @@
     /// The spare slots in the own row, in thousandths.
     published_spare: u32,
     budget: SendBudget,
-    /// When servers were last told that they are mistaken about an incarnation.
+    /// When each server was last sent a notice that it knows an outdated incarnation.
     notified: BTreeMap<Arc<str>, Time>,
     reassembly: Reassembly,
     /// The number of the last post.
@@ -110,7 +109,7 @@
         let name = Arc::clone(&own.name);
         let share = settings.share.unwrap_or(0.0);
         Self {
-            began: now,
+            started_at: now,
             members: Members::new(own, seeds, &settings.failure_detection, settings.seed, now),
             replay_window: ReplayWindow::default(),
             counters: Counters::new(name),
@@ -199,7 +198,7 @@
         self.gossip(now);
     }
 
-    /// Writes the own row where it is time, or where the whole slots that are spare have changed.
+    /// Writes this server's row when it is due, or when the number of complete spare slots has changed.
     fn write_own_row(&mut self, now: Time) {
         let spare = if self.settings.share.is_some() { self.leases.spare(now) } else { 0 };
         let has_moved = spare / SLOT != self.published_spare / SLOT;
@@ -223,7 +222,7 @@
         self.members.wake_at(now).min(self.next_tick).min(self.next_lease_step)
     }
 
-    /// This server leaves for good: the others are told.
+    /// Announces to the other members that this server leaves the cluster.
     pub fn leave(&mut self, now: Time) {
         self.members.leave(now);
     }
--- a/crates/cluster/src/cluster/envelope.rs
+++ b/crates/cluster/src/cluster/envelope.rs
@@ -37,6 +37,7 @@
         self.message().map(|(kind, _)| kind)
     }
 
+    /// The header, borrowed.
     pub(super) fn header(&self) -> Header<'_> {
         Header {
             name: &self.name,
@@ -47,6 +48,7 @@
         }
     }
 
+    /// Whether it carries no content.
     pub(super) fn is_empty(&self) -> bool {
         self.content.is_empty()
     }
--- a/crates/cluster/src/cluster/message.rs
+++ b/crates/cluster/src/cluster/message.rs
@@ -29,8 +29,8 @@
         self as u8
     }
 
-    /// In a word, for figures.
-    pub fn word(self) -> &'static str {
+    /// The kind as a label of metrics.
+    pub fn label(self) -> &'static str {
         match self {
             Self::Membership => "membership",
             Self::Rows => "rows",
--- a/crates/cluster/src/cluster/quota.rs
+++ b/crates/cluster/src/cluster/quota.rs
@@ -1,4 +1,4 @@
-//! What the counts of the fleet are for: a tenant's quota as it comes to for this server, and the budget of retries.
+//! Uses of the fleet's counters: the part of a tenant's quota that this server may use, and the retry budget.
 
 use super::Cluster;
 use crate::MS;
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 impl Cluster {
-    /// A request came: of which cell, whether it is a retry, and what it is estimated to take.
+    /// Counts a received request in its cell, with its estimated core time and whether it is a retry.
     pub fn arrived(&mut self, now: Time, cell: CellId, is_retry: bool, estimate: Span) {
         let work = WorkCount {
             requested_ms: (estimate.0 / MS) as u32,
@@ -18,19 +18,20 @@
         self.counters.count(now, cell, work);
     }
 
-    /// A request was served, with so much core time.
+    /// Counts a served request with the core time that it took.
     pub fn served(&mut self, now: Time, cell: CellId, took: Span) {
         let served_ms = (took.0 / MS) as u32;
         self.counters.count(now, cell, WorkCount { served_ms, ..WorkCount::default() });
     }
 
-    /// What was requested and served in these cells over the fleet.
+    /// The work requested and served in these cells over the fleet.
     pub fn read(&self, now: Time, wanted: impl Fn(CellId) -> bool) -> Reading {
         self.counters.read(now, wanted)
     }
 
-    /// What a tenant's quota for the fleet comes to for this server, whose module holds what it sees itself against an
-    /// even part of the quota: as much more or less as it sees more or less than an even part. Alone, the quota as set.
+    /// A tenant's fleet-wide quota, scaled for this server. The admission module compares its own demand with an even
+    /// part of the quota, so the quota grows or shrinks as this server sees more or less than an even part of the
+    /// demand. Without peers, the configured quota.
     pub fn quota(&self, now: Time, quota: f64, wanted: impl Fn(CellId) -> bool) -> f64 {
         let reading = self.counters.read(now, &wanted);
         let own = self.counters.local(&wanted);
@@ -42,8 +43,9 @@
         quota * part * reading.servers.min(self.settings.servers) as f64
     }
 
-    /// The part of its fleet-wide quota that each key may use here, by what was requested here and by all servers heard;
-    /// `key_of` tells whose a cell is. One pass over the counters, however many keys there are.
+    /// The fraction of its fleet-wide quota that each key may use on this server: the work requested here over the work
+    /// requested at all servers whose counters are known. `key_of` maps a cell to its key. One pass over the counters,
+    /// whatever the number of keys.
     pub fn quota_parts<K: Ord + Copy>(
         &self,
         now: Time,
@@ -60,16 +62,16 @@
         local.into_iter().filter(|(_, own)| own.requested_ms > 0).map(part).collect()
     }
 
-    /// Whether a retry is within the fleet's budget of them: all while they are few, else at random the part that the
-    /// budget has room for. Alone, by what came here alone.
+    /// Whether a retry is within the fleet's retry budget: always while retries are few, otherwise a random part that the
+    /// budget allows. Without peers, by the requests of this server alone.
     pub fn admits_retry(&mut self, now: Time) -> bool {
         let Some(ratio) = self.settings.retry_ratio else { return true };
         let fleet = self.counters.read(now, |_| true).sum;
         let own = self.counters.local(|_| true);
         let counted = if own.retries > fleet.retries { own } else { fleet };
         // Some are always taken: of few requests a rate says nothing.
-        let room = ratio * f64::from(counted.first_attempts) + ratio * span_seconds(WINDOW);
+        let allowed_retries = ratio * f64::from(counted.first_attempts) + ratio * span_seconds(WINDOW);
         let retries = f64::from(counted.retries);
-        retries <= room || self.random() * retries < room
+        retries <= allowed_retries || self.random() * retries < allowed_retries
     }
 }
--- a/crates/cluster/src/cluster/receive.rs
+++ b/crates/cluster/src/cluster/receive.rs
@@ -1,4 +1,4 @@
-//! Datagrams that come in: whether they are taken, and which part they are passed to.
+//! Received datagrams: whether each is accepted, and which component handles it.
 
 use super::envelope::Envelope;
 use super::message::MessageKind;
@@ -11,18 +11,18 @@
 use gradepin_admission::{Span, Time, time_after};
 use std::sync::Arc;
 
-/// Between two notices to a server that is known in a greater incarnation.
+/// Minimum interval between two notices to one server of which a greater incarnation is known.
 const NOTICE_INTERVAL: Span = Span(500 * MS);
-/// A datagram to nobody in particular, as to a seed.
+/// The incarnation in datagrams that are addressed to any process at an address, such as a seed.
 const ANY_INCARNATION: Incarnation = Incarnation(0);
 
 impl Cluster {
-    /// Datagrams were dropped before they came here.
+    /// Counts datagrams that the shell dropped before they were handed in.
     pub fn dropped(&mut self, why: DropReason, times: u64) {
         *self.status.dropped.entry(why).or_default() += times;
     }
 
-    /// A datagram with a good tag came.
+    /// Takes a datagram whose tag was verified.
     pub fn receive(&mut self, now: Time, envelope: &Envelope) {
         match self.take(now, envelope) {
             Ok(()) => self.status.received += 1,
@@ -37,13 +37,15 @@
         }
         // The window goes on before the content is looked at; an unknown kind is dropped after it.
         if envelope.is_empty() {
-            return Err(DropReason::Content);
+            return Err(DropReason::MalformedContent);
         }
         let delay = self.check_replay(now, envelope)?;
         self.check_receiver(now, envelope)?;
-        let (kind, content) = envelope.message().ok_or(DropReason::Content)?;
+        let (kind, content) = envelope.message().ok_or(DropReason::MalformedContent)?;
         match kind {
-            MessageKind::Membership => self.members.receive(now, content).map_err(|_| DropReason::Content),
+            MessageKind::Membership => {
+                self.members.receive(now, content).map_err(|_| DropReason::MalformedContent)
+            }
             MessageKind::Rows => self.receive_rows(now, content, delay),
             MessageKind::Lease => self.receive_lease(now, envelope, content),
             MessageKind::KnownIncarnation => Ok(()),
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Drops replays, and tells a sender that is known in a greater incarnation of it.
+    /// Drops replays, and notifies a sender of which a greater incarnation is known.
     fn check_replay(&mut self, now: Time, envelope: &Envelope) -> Result<Span, DropReason> {
         let checked = self.replay_window.check(now, &envelope.header());
         if checked == Err(DropReason::EarlierIncarnation) {
@@ -60,7 +62,7 @@
         checked
     }
 
-    /// Drops what is for another incarnation of this server.
+    /// Drops a datagram for another incarnation of this server.
     fn check_receiver(&mut self, now: Time, envelope: &Envelope) -> Result<(), DropReason> {
         let own = self.members.own().incarnation;
         let kind = envelope.message().map(|(kind, _)| kind);
@@ -70,7 +72,7 @@
             self.members.raise_incarnation(now, to);
             return Err(DropReason::OtherIncarnation);
         }
-        // To nobody in particular only announcements come, which say nothing that counts.
+        // Datagrams to any incarnation are announcements only; they change no counters or leases.
         let is_membership = kind == Some(MessageKind::Membership);
         if to == own || (to == ANY_INCARNATION && is_membership) {
             return Ok(());
@@ -87,7 +89,7 @@
     fn receive_rows(&mut self, now: Time, mut content: &[u8], delay: Span) -> Result<(), DropReason> {
         while !content.is_empty() {
             let taken = postcard::take_from_bytes::<GossipedRow>(content);
-            let (row, rest) = taken.map_err(|_| DropReason::Content)?;
+            let (row, rest) = taken.map_err(|_| DropReason::MalformedContent)?;
             self.counters.merge(now, row, delay);
             content = rest;
         }
@@ -95,7 +97,8 @@
     }
 
     fn receive_lease(&mut self, now: Time, envelope: &Envelope, content: &[u8]) -> Result<(), DropReason> {
-        let message: LeaseMessage = postcard::from_bytes(content).map_err(|_| DropReason::Content)?;
+        let message: LeaseMessage =
+            postcard::from_bytes(content).map_err(|_| DropReason::MalformedContent)?;
         let from: Arc<str> = Arc::from(envelope.name.as_str());
         if let Some(reply) = self.leases.receive(now, &from, envelope.incarnation, message) {
             self.send_lease(now, &from, reply);
@@ -114,19 +117,18 @@
         Ok(())
     }
 
-    /// Tells a server whose incarnation is less than one that was known that it is so; its wall clock was set back, most
-    /// likely.
+    /// Notifies a server that a greater incarnation of it is known; most likely its wall clock was set back.
     fn notify_of_incarnation(&mut self, now: Time, name: &str) {
         let Some(known) = self.members.find(name) else { return };
         let mut peer = known.peer.clone();
-        let last_heard = self.replay_window.incarnation(name).unwrap_or_default();
-        peer.incarnation = last_heard.max(peer.incarnation);
+        let last_seen = self.replay_window.incarnation(name).unwrap_or_default();
+        peer.incarnation = last_seen.max(peer.incarnation);
         if self.may_notify(now, name) {
             self.send(now, &peer, MessageKind::KnownIncarnation, &[]);
         }
     }
 
-    /// Whether a server may be told now that it is mistaken about an incarnation: not with each of its datagrams.
+    /// Whether a notice of a greater incarnation may be sent now: at most one per server and [`NOTICE_INTERVAL`].
     fn may_notify(&mut self, now: Time, name: &str) -> bool {
         self.notified.retain(|_, at| now < time_after(*at, NOTICE_INTERVAL));
         let may = !self.notified.contains_key(name);
--- a/crates/cluster/src/cluster/send.rs
+++ b/crates/cluster/src/cluster/send.rs
@@ -1,4 +1,4 @@
-//! Datagrams that go out: the bound on bytes a second, and what is gossiped to whom.
+//! Sent datagrams: the bound on bytes per second, and which rows are gossiped to which member.
 
 use super::message::MessageKind;
 use super::{Cluster, ClusterEffect};
@@ -12,16 +12,16 @@
 use rand_pcg::rand_core::Rng;
 use std::sync::Arc;
 
-/// What a datagram may carry after the byte of its kind.
+/// Maximum content of a datagram after the byte of its kind.
 const MAX_CONTENT_BYTES: usize = MAX_DATAGRAM_BYTES - MAX_OVERHEAD_BYTES - 1;
-/// Rows of others that are passed on are no older than this: what is about to be forgotten helps nobody.
+/// Maximum age of a gossiped row of another server; an older one would expire soon after it arrives.
 const MAX_GOSSIP_AGE: Span = Span(6_000 * MS);
 /// The longest encoded message about a lease.
 const MAX_LEASE_BYTES: usize = 32;
-/// A rate under so many datagrams a second leaves nothing in reserve for what can't wait.
+/// Rates below this many datagrams per second are too low for a reserve.
 const MIN_DATAGRAMS_FOR_RESERVE: f64 = 4.0;
 
-/// A token bucket of bytes: one second's worth at the most.
+/// A token bucket of bytes that holds at most what one second refills.
 #[derive(Debug)]
 pub(super) struct SendBudget {
     rate: f64,
@@ -30,6 +30,7 @@
 }
 
 impl SendBudget {
+    /// A full bucket that refills at this rate.
     pub(super) fn new(bytes_per_second: u32, now: Time) -> Self {
         let rate = f64::from(bytes_per_second);
         Self { rate, available: rate, at: now }
@@ -41,8 +42,8 @@
         self.at = now;
     }
 
-    /// Whether so many bytes may be sent that can wait: half of a second's worth is left for what can't, as answers to
-    /// probes and messages about leases.
+    /// Whether this many bytes of deferrable messages may be sent. Half of the bucket stays reserved for messages that
+    /// can't wait, such as replies to probes and lease messages.
     fn allows_deferrable(&mut self, now: Time, bytes: usize) -> bool {
         self.refill(now);
         let bytes = bytes as f64;
@@ -86,7 +87,7 @@
 }
 
 impl Cluster {
-    /// Gossips rows to one member: the own one, and others' as they fit, drawn anew each time.
+    /// Gossips rows to one member: the own row, and a random selection of others as far as they fit.
     pub(super) fn gossip(&mut self, now: Time) {
         let up = self.members.up_count();
         if up == 0 || !self.budget.allows_deferrable(now, MAX_DATAGRAM_BYTES) {
@@ -114,8 +115,8 @@
         self.send(now, &peer, MessageKind::Rows, &content.content);
     }
 
-    /// Sends a message to another server, by name, in as many datagrams as it takes, each of which may be lost. The
-    /// receiver's cluster gives it out as [`ClusterEffect::Post`]; its content is not the cluster's to know.
+    /// Sends a message to another server by name, in as many datagrams as needed, each of which may be lost. The receiver's
+    /// cluster passes it on as [`ClusterEffect::Post`]; the content is opaque here.
     pub fn post(&mut self, now: Time, to: &str, content: &[u8]) {
         let Some(peer) = self.members.find(to).map(|known| known.peer.clone()) else { return };
         self.posts = self.posts.wrapping_add(1);
@@ -124,6 +125,7 @@
         }
     }
 
+    /// Sends a message about a lease to a member.
     pub(super) fn send_lease(&mut self, now: Time, to: &str, message: LeaseMessage) {
         let Some(peer) = self.members.find(to).map(|known| known.peer.clone()) else { return };
         let mut buffer = [0_u8; MAX_LEASE_BYTES];
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Sends a datagram, if the budget has room for it.
+    /// Sends a datagram, if the send budget allows it.
     pub(super) fn send(&mut self, now: Time, peer: &Peer, kind: MessageKind, content: &[u8]) {
         if !self.budget.allows(now, MAX_OVERHEAD_BYTES + 1 + content.len()) {
             self.status.suppressed += 1;
@@ -145,7 +147,7 @@
             incarnation: own.incarnation,
             to: peer.incarnation,
             number: self.number,
-            sent_us: (now.0 - self.began.0) / 1_000,
+            sent_us: (now.0 - self.started_at.0) / 1_000,
         };
         let mut body = Vec::with_capacity(1 + content.len());
         body.push(kind.byte());
--- a/crates/cluster/src/cluster/settings.rs
+++ b/crates/cluster/src/cluster/settings.rs
@@ -1,4 +1,4 @@
-//! What an operator sets of the cluster, and what the server knows of itself.
+//! The operators' settings of the cluster, and the identity of this server.
 
 use crate::authentication::AuthenticationKeys;
 use crate::leases::LeaseSettings;
@@ -9,15 +9,15 @@
 /// The settings of one server's part of the fleet.
 #[derive(Debug, Clone)]
 pub struct ClusterSettings {
-    /// This server, in the incarnation that begins.
+    /// This server, in its current incarnation.
     pub own: Peer,
-    /// Where others may be found.
+    /// Addresses at which other members may be found.
     pub seeds: Vec<SocketAddr>,
-    /// Keys of the fleet.
+    /// The authentication keys of the fleet.
     pub keys: AuthenticationKeys,
-    /// How quickly the fleet notices a failure.
+    /// Timeouts of the failure detector.
     pub failure_detection: FailureDetection,
-    /// Bytes sent in a second at the most, over any length of time but for one second's worth.
+    /// Maximum bytes sent per second, averaged over any period, with bursts of at most one second's bytes.
     pub max_bytes_per_second: u32,
     /// Servers that share the quotas and the upstream.
     pub servers: usize,
@@ -25,10 +25,10 @@
     pub share: Option<f64>,
     /// How slots are lent.
     pub leases: LeaseSettings,
-    /// Probes a second of the whole fleet to an upstream that looks dead.
+    /// Probes per second, of the fleet together, to an upstream that seems dead.
     pub probes_per_second: f64,
     /// Retries for each first attempt that the fleet takes; none: no budget.
     pub retry_ratio: Option<f64>,
-    /// For all that is drawn at random.
+    /// Seed of all random choices.
     pub seed: u64,
 }
--- a/crates/cluster/src/cluster/status.rs
+++ b/crates/cluster/src/cluster/status.rs
@@ -1,4 +1,4 @@
-//! The fleet as one server sees it, and its figures, for operators.
+//! The operators' view of the fleet from one server, and its metrics.
 
 use super::Cluster;
 use crate::MS;
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What the figures show.
+/// Metrics of the cluster.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ClusterStatus {
     /// Other servers that are believed to be up.
--- a/crates/cluster/src/cluster/upstream.rs
+++ b/crates/cluster/src/cluster/upstream.rs
@@ -8,26 +8,26 @@
 use rand_pcg::rand_core::Rng;
 use std::sync::Arc;
 
-/// Between two steps of the leases while runs wait for a slot.
+/// Interval at which leases are maintained while runs wait for a slot.
 const SHORT_TICK: Span = Span(20 * MS);
-/// What a lender says of its spare slots counts for so long.
+/// Maximum age of a lender's advertised spare slots.
 const OFFER_VALID_FOR: Span = Span(3_000 * MS);
-/// Lenders that are considered in one step.
+/// Maximum number of lenders considered in one step.
 const MAX_LENDERS: usize = 12;
 
 /// Whether a call to the shared upstream may be made now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallDecision {
-    /// It may, with this slot, which is taken.
+    /// It may, with this slot, which is now in use.
     Proceed(Slot),
-    /// Not now: all slots are taken.
+    /// Not now: all slots are in use.
     Wait,
-    /// Not: the upstream looks dead.
+    /// It must not: the circuit is open.
     Rejected,
 }
 
 impl Cluster {
-    /// So many runs wait for a call to the upstream.
+    /// Sets the number of runs that wait for a call to the upstream.
     pub fn set_waiting(&mut self, now: Time, waiting: usize) {
         self.leases.set_waiting(now, waiting as u32);
         if self.leases.is_short(now) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A call that was made has ended.
+    /// Releases the slot of a call that ended, and records its outcome.
     pub fn called(&mut self, now: Time, outcome: Outcome, took: Span) {
         let given_up = matches!(outcome, Outcome::TimedOut | Outcome::Aborted);
         self.leases.called(now, given_up);
@@ -69,12 +69,12 @@
         self.settings.share.map(|_| f64::from(self.leases.limit(now)) / f64::from(SLOT))
     }
 
-    /// When a slot may come free by time alone.
+    /// When a slot may become free without a further event.
     pub fn slot_at(&self, now: Time) -> Option<Time> {
         self.leases.wake_at(now)
     }
 
-    /// Leases that end, are missing, or are recalled.
+    /// Expires, requests and recalls leases.
     pub(super) fn step_leases(&mut self, now: Time) {
         self.next_lease_step = time_after(now, TICK);
         if self.settings.share.is_none() {
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Members that would lend, in an order drawn anew each time: those first that said that they have whole slots. What
-    /// they said may be out of date either way, so the others follow.
+    /// Members that may lend, shuffled for each call: first those that advertised complete spare slots. Advertisements may
+    /// be out of date either way, so the other members follow.
     fn lenders(&mut self, now: Time) -> Vec<LenderOffer> {
         let own = Arc::clone(&self.members.own().name);
         let recent = |stored: &&crate::counters::StoredRow| {
--- a/crates/cluster/src/counters.rs
+++ b/crates/cluster/src/counters.rs
@@ -1,10 +1,10 @@
 //! Work requested and served, by tenant and class, counted over the fleet without counting anything twice.
 //!
-//! Each server writes one row of its own and nobody else's; a row is gossiped as it is, with its version and its age. Rows
+//! Each server writes only its own row; a row is gossiped unchanged, with its version and its age. Rows
 //! are merged by the later incarnation, then the later version, then the greater age: that is a join (a state-based CRDT),
 //! so it makes no difference how often, in which order and by whom a row comes. A row counts while it is young, so nothing
-//! of the dead counts for long, and a reader learns how many servers its figure is of, how old each part is and which zones
-//! were heard.
+//! of a dead server counts for long, and a reader learns how many servers a figure covers, how old each part is and which
+//! zones it includes.
 
 mod local;
 mod row;
@@ -107,7 +107,7 @@
         self.join(now, StoredRow { row: gossiped.row, at })
     }
 
-    /// The join itself: the greater of what is stored and what came.
+    /// Joins a received row with the stored one: the greater of the two stays.
     fn join(&mut self, now: Time, received: StoredRow) -> bool {
         let too_old = received.age(now) > MAX_AGE;
         if received.row.name == self.name || too_old || received.row.cells.len() > MAX_CELLS {
@@ -115,7 +115,7 @@
         }
         if let Some(stored) = self.rows.get_mut(&received.row.name) {
             let is_news = received.row.order() > stored.row.order();
-            if received.rank() > stored.rank() {
+            if received.is_newer_than(stored) {
                 *stored = received;
             }
             return is_news;
@@ -123,11 +123,11 @@
         if self.rows.len() >= MAX_ROWS {
             self.forget(now);
         }
-        let has_room = self.rows.len() < MAX_ROWS;
-        if has_room {
+        let has_capacity = self.rows.len() < MAX_ROWS;
+        if has_capacity {
             self.rows.insert(Arc::clone(&received.row.name), received);
         }
-        has_room
+        has_capacity
     }
 
     /// Forgets what is too old to count.
@@ -173,7 +173,7 @@
         reading
     }
 
-    /// What the cells of each key come to over the fleet; `key_of` tells whose a cell is.
+    /// Sums the cells of each key over the fleet; `key_of` maps a cell to its key.
     pub fn sums<K: Ord>(&self, now: Time, key_of: impl Fn(CellId) -> Option<K>) -> FleetSums<K> {
         let mut fleet = FleetSums { servers: 0, sums: BTreeMap::new() };
         for stored in self.rows.values().filter(|stored| stored.age(now) <= MAX_AGE) {
--- a/crates/cluster/src/counters/local.rs
+++ b/crates/cluster/src/counters/local.rs
@@ -34,8 +34,8 @@
     }
 
     fn expire(&mut self, now: Time) {
-        while let Some(gone) = self.steps.pop_front_if(|step| time_after(step.since, WINDOW) <= now) {
-            self.sum.subtract(&gone.work);
+        while let Some(expired) = self.steps.pop_front_if(|step| time_after(step.since, WINDOW) <= now) {
+            self.sum.subtract(&expired.work);
         }
     }
 }
@@ -49,8 +49,8 @@
 impl LocalCounters {
     /// Counts into a cell, or into the one of the rest where there is no room for another.
     pub(super) fn count(&mut self, now: Time, cell: CellId, work: WorkCount) {
-        let has_room = self.cells.contains_key(&cell) || self.cells.len() < MAX_CELLS - 1;
-        let cell = if has_room { cell } else { OVERFLOW };
+        let has_capacity = self.cells.contains_key(&cell) || self.cells.len() < MAX_CELLS - 1;
+        let cell = if has_capacity { cell } else { OVERFLOW };
         self.cells.entry(cell).or_default().add(now, work);
     }
 
@@ -68,7 +68,7 @@
         sum
     }
 
-    /// The sum of the cells of each key; `key_of` tells whose a cell is.
+    /// Sums the cells of each key on this server; `key_of` maps a cell to its key.
     pub(super) fn sums<K: Ord>(&self, key_of: impl Fn(CellId) -> Option<K>) -> BTreeMap<K, WorkCount> {
         let mut sums = BTreeMap::<K, WorkCount>::new();
         for (id, count) in &self.cells {
--- a/crates/cluster/src/counters/row.rs
+++ b/crates/cluster/src/counters/row.rs
@@ -4,7 +4,7 @@
 use crate::peer::Incarnation;
 use gradepin_admission::{Span, Time};
 use serde::{Deserialize, Serialize};
-use std::cmp::Reverse;
+use std::cmp::Ordering;
 use std::sync::Arc;
 
 /// Names a tenant's part of a class: a hash of both names, since the order of a settings file may differ from server to
@@ -39,6 +39,7 @@
 }
 
 impl WorkCount {
+    /// Adds another count, saturating.
     pub(super) fn add(&mut self, other: &Self) {
         self.requested_ms = self.requested_ms.saturating_add(other.requested_ms);
         self.served_ms = self.served_ms.saturating_add(other.served_ms);
@@ -46,6 +47,7 @@
         self.retries = self.retries.saturating_add(other.retries);
     }
 
+    /// Subtracts another count, down to 0.
     pub(super) fn subtract(&mut self, other: &Self) {
         self.requested_ms = self.requested_ms.saturating_sub(other.requested_ms);
         self.served_ms = self.served_ms.saturating_sub(other.served_ms);
@@ -108,8 +110,12 @@
 }
 
 impl StoredRow {
-    pub(super) fn rank(&self) -> (Incarnation, u32, Reverse<Time>) {
-        (self.row.incarnation, self.row.version, Reverse(self.at))
+    /// Whether this row replaces another of the same server: it has the later incarnation, then the later version, then the
+    /// greater age.
+    pub(super) fn is_newer_than(&self, other: &Self) -> bool {
+        let order = self.row.incarnation.cmp(&other.row.incarnation);
+        let order = order.then(self.row.version.cmp(&other.row.version));
+        order.then(other.at.cmp(&self.at)) == Ordering::Greater
     }
 
     /// How old it is.
--- a/crates/cluster/src/fragments.rs
+++ b/crates/cluster/src/fragments.rs
@@ -28,7 +28,7 @@
 const MAX_PARTIAL_BYTES: usize = 4 << 20;
 /// Messages that are incomplete here in all: each is looked at with every fragment that comes.
 const MAX_PARTIAL_MESSAGES: usize = 2_048;
-/// What isn't whole by then won't be.
+/// Time after which a message that lacks fragments is dropped.
 const REASSEMBLY_TIMEOUT: Span = Span(3_000 * MS);
 
 /// Splits a message; none if it is too long.
@@ -83,7 +83,7 @@
         self.parts.values().map(Vec::len).sum()
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.parts.len() == self.count
     }
 }
@@ -106,7 +106,7 @@
 }
 
 impl Reassembly {
-    /// A fragment came; the message, if it is whole now.
+    /// Takes a received fragment; returns the message if it is complete now.
     pub fn take(
         &mut self,
         now: Time,
@@ -114,7 +114,7 @@
         incarnation: Incarnation,
         datagram: &[u8],
     ) -> Result<Option<Vec<u8>>, DropReason> {
-        let fragment = Fragment::parse(datagram).ok_or(DropReason::Content)?;
+        let fragment = Fragment::parse(datagram).ok_or(DropReason::MalformedContent)?;
         if fragment.count == 1 {
             return Ok(Some(fragment.bytes.to_vec()));
         }
@@ -146,26 +146,26 @@
         self.messages += 1;
     }
 
-    /// Adds a fragment to a message that began; the message, if it is whole now.
+    /// Adds a fragment to a partial message; returns the message if it is complete now.
     fn add(&mut self, key: &SenderKey, fragment: &Fragment<'_>) -> Result<Option<Vec<u8>>, DropReason> {
         let Some(partials) = self.partial.get_mut(key) else { return Ok(None) };
         let at = partials.iter().position(|partial| partial.number == fragment.number);
         let Some(at) = at else { return Ok(None) };
         let partial = &mut partials[at];
         if partial.count != fragment.count {
-            return Err(DropReason::Content);
+            return Err(DropReason::MalformedContent);
         }
         if let Entry::Vacant(place) = partial.parts.entry(fragment.index) {
             place.insert(fragment.bytes.to_vec());
             self.bytes += fragment.bytes.len();
         }
-        if !partial.is_whole() {
+        if !partial.is_complete() {
             return Ok(None);
         }
-        let whole = partials.remove(at);
-        self.bytes -= whole.bytes();
+        let complete = partials.remove(at);
+        self.bytes -= complete.bytes();
         self.messages -= 1;
-        Ok(Some(whole.parts.into_values().flatten().collect()))
+        Ok(Some(complete.parts.into_values().flatten().collect()))
     }
 
     fn forget(&mut self, now: Time) {
--- a/crates/cluster/src/fragments/tests.rs
+++ b/crates/cluster/src/fragments/tests.rs
@@ -43,7 +43,10 @@
     );
     assert!(fragments.partial.len() == 1 && fragments.bytes == FRAGMENT_BYTES);
     for bad in [&[][..], &[0, 0, 0, 1, 5, 5, 1], &[0, 0, 0, 1, 0, 0]] {
-        assert_eq!(fragments.take(Time(9_000 * MS), "x", Incarnation(1), bad), Err(DropReason::Content));
+        assert_eq!(
+            fragments.take(Time(9_000 * MS), "x", Incarnation(1), bad),
+            Err(DropReason::MalformedContent)
+        );
     }
 }
 
--- a/crates/cluster/src/leases.rs
+++ b/crates/cluster/src/leases.rs
@@ -2,11 +2,11 @@
 //!
 //! Each server has a share of its own, of which it lends at the most a part. What is lent counts as spent with the lender
 //! until the borrower can't use it any more, by whichever clock is slower; the borrower counts from when it sent its
-//! request. So at every moment each slot is with one server at the most, whatever is lost, late, doubled, stopped or
-//! killed, and a server that hears nothing has its own share less what it lent.
+//! request. So at every moment each slot is used by at most one server, whatever messages are lost, delayed or duplicated and
+//! whatever processes are paused or killed. A server that receives nothing has its own share less what it lent.
 //!
-//! Amounts are in thousandths of a slot; a call takes a whole one. The lender's rules are in `lender`, the borrower's in
-//! `borrower`, what they say to each other in `message`. Not here: which calls are made (the admission module's), and who
+//! Amounts are in thousandths of a slot; a call takes a complete one. The lender's rules are in `lender`, the borrower's in
+//! `borrower`, their messages in `message`. Not here: which calls are made (the admission module's), and who
 //! is a member.
 
 mod borrower;
@@ -25,7 +25,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// A whole slot.
+/// One slot, in thousandths.
 pub const SLOT: u32 = 1_000;
 /// What is borrowed is kept while the mean demand over about this time wants it.
 const DEMAND_OVER: Span = Span(500 * MS);
@@ -234,13 +234,13 @@
         None
     }
 
-    /// When something ends by itself.
+    /// When the next lease or hold expires.
     pub fn wake_at(&self, now: Time) -> Option<Time> {
-        let ends = self.borrowed.iter().map(|lease| lease.until);
+        let expiries = self.borrowed.iter().map(|lease| lease.until);
         let back = self.lent.values().map(|lease| lease.until).filter(|_| self.waiting > 0);
         let starts = [self.restart_hold_until, self.calls_from].into_iter();
         let held = starts.chain(self.lingering.iter().copied());
-        ends.chain(back).chain(held).filter(|at| *at > now).min()
+        expiries.chain(back).chain(held).filter(|at| *at > now).min()
     }
 }
 
--- a/crates/cluster/src/leases/borrower.rs
+++ b/crates/cluster/src/leases/borrower.rs
@@ -30,7 +30,7 @@
     round: u32,
     pub amount: u32,
     pub until: Time,
-    /// The lender wants it back, or nobody needs it: no new call goes by it.
+    /// Recalled by the lender or no longer needed: no new call uses it.
     pub ending: bool,
 }
 
@@ -51,7 +51,7 @@
         self.round == 0
     }
 
-    fn waits(&self, now: Time) -> bool {
+    fn is_pending(&self, now: Time) -> bool {
         let timeout = if self.is_first() { REQUEST_TIMEOUT } else { EXTENSION_TIMEOUT };
         now < time_after(self.sent_at, timeout)
     }
@@ -84,16 +84,16 @@
         self.borrowed.iter_mut().filter(|lease| now >= lease.until).for_each(|lease| lease.ending = true);
     }
 
-    /// Requests that nobody answered are dropped, and their lenders left alone for a while.
+    /// Drops requests without a reply, and backs off from their lenders.
     pub(super) fn expire_pending(&mut self, now: Time) {
         self.backoff.retain(|_, until| now < *until);
         let mut silent = Vec::new();
         self.pending.retain(|request| {
-            let waits = request.waits(now);
-            if !waits && request.is_first() {
+            let is_pending = request.is_pending(now);
+            if !is_pending && request.is_first() {
                 silent.push(Arc::clone(&request.lender));
             }
-            waits
+            is_pending
         });
         silent.into_iter().for_each(|name| self.back_off(now, name, SILENT_BACKOFF));
     }
@@ -133,9 +133,9 @@
     pub(super) fn request_extensions(&mut self, now: Time, out: &mut Vec<OutgoingLeaseMessage>) {
         let half = Span(self.settings.duration.0 / 2);
         for lease in self.borrowed.iter_mut().filter(|lease| !lease.ending) {
-            let waits = self.pending.iter().any(|request| request.number == lease.number)
+            let must_wait = self.pending.iter().any(|request| request.number == lease.number)
                 || self.backoff.contains_key(&lease.lender);
-            if now >= lease.until || time_after(now, half) < lease.until || waits {
+            if now >= lease.until || time_after(now, half) < lease.until || must_wait {
                 continue;
             }
             lease.round += 1;
@@ -155,8 +155,8 @@
         out: &mut Vec<OutgoingLeaseMessage>,
     ) {
         // A server that lends and needs is to recall, not to borrow.
-        let waits = self.short_since.is_some_and(|since| now >= time_after(since, BORROW_AFTER));
-        if !waits || !self.lent.is_empty() || now < self.calls_from {
+        let is_short = self.short_since.is_some_and(|since| now >= time_after(since, BORROW_AFTER));
+        if !is_short || !self.lent.is_empty() || now < self.calls_from {
             return;
         }
         let coming = self.first_requests() as u32 * SLOT;
@@ -167,7 +167,7 @@
             if missing == 0 || new >= MAX_PENDING || self.borrowed.len() + new >= MAX_BORROWED {
                 return;
             }
-            if !self.may_ask(offer) {
+            if !self.may_request(offer) {
                 continue;
             }
             // Whole slots where there are any; parts of one add up with those of the own share.
@@ -189,7 +189,7 @@
         self.pending.iter().filter(|request| request.is_first()).count()
     }
 
-    fn may_ask(&self, offer: &LenderOffer) -> bool {
+    fn may_request(&self, offer: &LenderOffer) -> bool {
         let known = self.pending.iter().any(|request| request.lender == offer.name)
             || self.borrowed.iter().any(|lease| lease.lender == offer.name);
         offer.spare > 0 && !known && !self.backoff.contains_key(&offer.name)
--- a/crates/cluster/src/leases/lender.rs
+++ b/crates/cluster/src/leases/lender.rs
@@ -49,8 +49,8 @@
 pub(super) type RequestQueue = VecDeque<LeaseRequest>;
 
 impl LeaseTable {
-    /// The part of the own share that may be lent at the most: whole slots where there are any, and one always stays, so
-    /// that a server which holds back what it may have lent can still call.
+    /// The maximum of its own share that this server may lend: complete slots where there are any, less one, so that a
+    /// server which holds back what it may have lent before a restart can still call.
     pub(super) fn lendable(&self) -> u32 {
         let part = (u64::from(self.own_share) * u64::from(self.settings.lendable_permille) / 1_000) as u32;
         let part = part.min(self.own_share.saturating_sub(SLOT));
@@ -157,7 +157,7 @@
         let duration_ms = self.settings.duration_ms();
         while let Some(request) = self.requests.front() {
             let amount = request.amount.min(self.spare(now));
-            // Parts of a slot are lent to those that want no whole one: else one call would wait for many lenders.
+            // A fraction of a slot is lent only to those that want less than one: otherwise one call would need many lenders.
             let amount = if request.amount >= SLOT { amount / SLOT * SLOT } else { amount };
             if amount == 0 || self.lent.len() >= MAX_LENT {
                 return;
--- a/crates/cluster/src/leases/message.rs
+++ b/crates/cluster/src/leases/message.rs
@@ -1,21 +1,46 @@
-//! What servers say to each other about leases. The order of the variants and of their fields is the wire format.
+//! Messages between lender and borrower. The order of the variants and of their fields is the wire format.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// One message about a lease; `number` is the borrower's, and `round` grows with each extension.
+/// A message about a lease. Amounts are in thousandths of a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseMessage {
-    /// Lend me so much, or extend the lease of this number.
-    Request { number: u64, round: u32, amount: u32 },
-    /// Granted: so much, from when the request was sent and for so long.
-    Grant { number: u64, round: u32, amount: u32, duration_ms: u32 },
-    /// Not granted.
-    Refuse { number: u64 },
-    /// The lender needs it back.
-    Recall { number: u64 },
-    /// The borrower no longer uses it, and won't.
-    Return { number: u64 },
+    /// Asks the lender for a lease, or for the extension of one.
+    Request {
+        /// The borrower's number of the lease.
+        number: u64,
+        /// 0 for a new lease, greater with each extension.
+        round: u32,
+        /// The amount asked for.
+        amount: u32,
+    },
+    /// The lender grants a lease or an extension.
+    Grant {
+        /// The borrower's number of the lease.
+        number: u64,
+        /// The round of the request.
+        round: u32,
+        /// The amount granted.
+        amount: u32,
+        /// The duration of the lease, counted from the time at which the request was sent.
+        duration_ms: u32,
+    },
+    /// The lender rejects a request.
+    Refuse {
+        /// The borrower's number of the lease.
+        number: u64,
+    },
+    /// The lender needs the slots back.
+    Recall {
+        /// The borrower's number of the lease.
+        number: u64,
+    },
+    /// The borrower has stopped using the lease.
+    Return {
+        /// The borrower's number of the lease.
+        number: u64,
+    },
 }
 
 /// A message and the server that it is for.
@@ -23,15 +48,15 @@
 pub struct OutgoingLeaseMessage {
     /// The receiver's name.
     pub to: Arc<str>,
-    /// What is said.
+    /// The message.
     pub message: LeaseMessage,
 }
 
-/// A member that may lend, and how much it said that it would.
+/// A member that may lend, with the spare amount that it advertised.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LenderOffer {
     /// Its name.
     pub name: Arc<str>,
-    /// In thousandths of a slot.
+    /// The spare amount, in thousandths of a slot.
     pub spare: u32,
 }
--- a/crates/cluster/src/leases/settings.rs
+++ b/crates/cluster/src/leases/settings.rs
@@ -42,10 +42,10 @@
             return self.duration;
         }
         let parts = [self.duration, self.max_call, self.upstream_linger];
-        let whole: u128 = parts.into_iter().map(|part| u128::from(part.0)).sum();
+        let total: u128 = parts.into_iter().map(|part| u128::from(part.0)).sum();
         let fast = 1_000_000 + self.max_drift_ppm;
         let slow = 1_000_000 - self.max_drift_ppm.min(999_999);
-        nanos((whole * u128::from(fast)).div_ceil(u128::from(slow)))
+        nanos((total * u128::from(fast)).div_ceil(u128::from(slow)))
     }
 
     /// How long an abandoned call holds its slot here, by a clock that may be fast.
@@ -60,7 +60,7 @@
     }
 }
 
-/// A span; one that doesn't fit is as good as endless. The platform's file may tell of an upstream that goes on for any time.
+/// A span, capped at the longest that fits: the platform's file may name an upstream linger of any length.
 fn nanos(nanos: u128) -> Span {
     Span(u64::try_from(nanos).unwrap_or(u64::MAX))
 }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -9,9 +9,10 @@
 //! - [`fragments`]: messages that are longer than a datagram.
 //! - [`cluster`]: the parts together, as the reducer holds them.
 //!
-//! The invariant that all of it keeps: a server that hears nothing is never more generous than its own share allows, and
+//! The invariant that all of it keeps: a server that receives nothing never uses more than its own share, and
 //! the sum over the fleet never passes the bound. The argument is in `docs/design/cluster.md`, and terms are in
 //! `docs/GLOSSARY.md`.
+#![warn(missing_docs)]
 
 pub mod authentication;
 pub mod circuit_breaker;
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/members.rs
@@ -1,9 +1,9 @@
-//! Which servers are up: SWIM with suspicion and incarnations (Das, Gupta and Motivala, 2002), by the library `foca`, told
-//! the time that this process was awake.
+//! Membership and failure detection: SWIM with suspicion and incarnations (Das, Gupta and Motivala, 2002), by the library
+//! `foca`. Its time is the time in which this process was running.
 //!
-//! What is added to the library here: its timers, a clock that leaves out the time in which this process was stopped or
-//! starved, names beside addresses, and the ways back together of parts that each believe the other dead. Not here:
-//! envelopes and their order ([`crate::authentication`], [`crate::replay_window`]).
+//! Added to the library here: its timers, a clock that leaves out the time in which this process was stopped or starved,
+//! names beside addresses, and announcements by which two halves of a fleet that each consider the other dead find each
+//! other again. Not here: envelopes and replays ([`crate::authentication`], [`crate::replay_window`]).
 
 mod awake_clock;
 mod library;
@@ -23,12 +23,12 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Between announcements to seeds while nobody is known, at the least.
+/// Minimum time between announcements to seeds while no member is known.
 const ANNOUNCE_INTERVAL: Span = Span(500 * MS);
 /// Between announcements to one seed that isn't a member otherwise: two parts that forgot each other find back by it.
 const SEED_INTERVAL: Span = Span(5_000 * MS);
 /// Names of the past that are kept for their last incarnation.
-const MAX_PAST: usize = 4_096;
+const MAX_DOWN_MEMBERS: usize = 4_096;
 
 /// What is known of a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -71,7 +71,7 @@
 }
 
 impl Members {
-    /// This server, before it has heard of anybody.
+    /// A server that knows no other member yet.
     pub fn new(
         own: Peer,
         seeds: Vec<SocketAddr>,
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Something came that was meant for an earlier incarnation of this server: its sender is told of the one that began,
-    /// rather than left to find the earlier one dead.
+    /// Answers a message to an earlier incarnation of this server with the current one, so that its sender need not
+    /// first suspect the earlier one.
     pub fn announce_to_sender(&mut self, now: Time, data: &[u8]) {
         if let Ok(header) = PostcardCodec.decode_header(data) {
             let _ = self.foca.announce(header.src, &mut self.requests);
@@ -138,7 +138,7 @@
         self.take_requests(now);
     }
 
-    /// Does what is due. Datagrams that have come are to be told before.
+    /// Runs the timers that are due. Received datagrams are to be handed in first.
     pub fn step(&mut self, now: Time) {
         if let Some(paused) = self.clock.resume(now) {
             self.changes.push(MembershipChange::Paused(paused));
@@ -206,7 +206,7 @@
         self.foca.num_members()
     }
 
-    /// Whether a member is up and nobody suspects it.
+    /// The member, if it is up and not suspected.
     pub fn healthy(&self, name: &str) -> Option<&Peer> {
         let found = self.foca.iter_members().find(|member| &*member.id().name == name)?;
         (found.state() == State::Alive).then_some(found.id())
@@ -222,7 +222,7 @@
         self.known.get(name)
     }
 
-    /// This server leaves for good: the others are told, and need not suspect it first.
+    /// Announces that this server leaves, so that others need not suspect it first.
     pub fn leave(&mut self, now: Time) {
         let _ = self.foca.leave_cluster(&mut self.requests);
         self.take_requests(now);
@@ -264,9 +264,9 @@
             // Of an incarnation at another address: the later one is there.
             return;
         }
-        if !self.known.contains_key(&peer.name) && self.known.len() >= MAX_PAST {
-            let gone = self.known.values().filter(|known| !known.up).min_by_key(|known| known.since);
-            let Some(name) = gone.map(|known| Arc::clone(&known.peer.name)) else { return };
+        if !self.known.contains_key(&peer.name) && self.known.len() >= MAX_DOWN_MEMBERS {
+            let oldest_down = self.known.values().filter(|known| !known.up).min_by_key(|known| known.since);
+            let Some(name) = oldest_down.map(|known| Arc::clone(&known.peer.name)) else { return };
             self.known.remove(&name);
         }
         self.known.insert(Arc::clone(&peer.name), KnownMember { peer: peer.clone(), up, since: now });
--- a/crates/cluster/src/members/awake_clock.rs
+++ b/crates/cluster/src/members/awake_clock.rs
@@ -22,15 +22,16 @@
 }
 
 impl AwakeClock {
+    /// A clock that starts now.
     pub(super) fn new(now: Time) -> Self {
         Self { paused: 0, expected_at: now }
     }
 
     /// The process runs now; how long it was paused, if for long.
     pub(super) fn resume(&mut self, now: Time) -> Option<Span> {
-        let late = now.0.saturating_sub(time_after(self.expected_at, MAX_LATENESS).0);
-        self.paused += late;
-        (late >= REPORTED_PAUSE.0).then_some(Span(late))
+        let lateness = now.0.saturating_sub(time_after(self.expected_at, MAX_LATENESS).0);
+        self.paused += lateness;
+        (lateness >= REPORTED_PAUSE.0).then_some(Span(lateness))
     }
 
     /// It asks to run again then.
--- a/crates/cluster/src/members/library.rs
+++ b/crates/cluster/src/members/library.rs
@@ -13,20 +13,24 @@
 /// Between announcements to down members, in case they are back.
 const ANNOUNCE_TO_DOWN_INTERVAL: Duration = Duration::from_millis(2_000);
 /// Down members announced to at a time.
-const DOWN_PER_ANNOUNCE: NonZeroUsize = NonZeroUsize::new(2).unwrap();
+const DOWN_PER_ANNOUNCE: NonZeroUsize = nonzero(2);
 /// Between two rounds of gossip.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(200);
 /// Members gossiped to in a round.
-const GOSSIP_FANOUT: NonZeroUsize = NonZeroUsize::new(3).unwrap();
+const GOSSIP_FANOUT: NonZeroUsize = nonzero(3);
 /// Between feeds, by which one member sends all that it knows.
 const FEED_INTERVAL: Duration = Duration::from_secs(15);
 /// Members asked to probe when one doesn't answer.
-const INDIRECT_PROBES: NonZeroUsize = NonZeroUsize::new(3).unwrap();
+const INDIRECT_PROBES: NonZeroUsize = nonzero(3);
 /// Times that an update is passed on.
-const MAX_TRANSMISSIONS: NonZeroU8 = NonZeroU8::new(10).unwrap();
+const MAX_TRANSMISSIONS: NonZeroU8 = NonZeroU8::MIN.saturating_add(9);
 /// What a datagram may carry after the byte of its kind.
-const MAX_PACKET_BYTES: NonZeroUsize =
-    NonZeroUsize::new(MAX_DATAGRAM_BYTES - MAX_OVERHEAD_BYTES - 1).unwrap();
+const MAX_PACKET_BYTES: NonZeroUsize = nonzero(MAX_DATAGRAM_BYTES - MAX_OVERHEAD_BYTES - 1);
+
+/// A count of at least 1.
+const fn nonzero(count: usize) -> NonZeroUsize {
+    NonZeroUsize::MIN.saturating_add(count.saturating_sub(1))
+}
 
 /// The library's settings.
 pub(super) fn config(set: &FailureDetection) -> foca::Config {
--- a/crates/cluster/src/peer.rs
+++ b/crates/cluster/src/peer.rs
@@ -9,7 +9,7 @@
 pub const MAX_NAME_BYTES: usize = 48;
 
 /// One incarnation of a process. A later one of the same name is greater, whatever its machine's wall clock
-/// says: a process that hears of a greater one of its own name raises its own past it.
+/// says: a process that receives a greater one of its own name raises its own past it.
 ///
 /// The upper 48 bits begin as the Unix time in ms at the start, the lower 16 as random ones, so that no incarnation
 /// comes again though nothing was kept on a disk.
--- a/crates/cluster/src/replay_window.rs
+++ b/crates/cluster/src/replay_window.rs
@@ -15,7 +15,7 @@
 
 /// What is later than a quick datagram by more than this is dropped.
 pub const MAX_DELAY: Span = Span(3_000 * MS);
-/// Numbers behind the highest that are told apart; what is older counts as a replay.
+/// Numbers behind the highest that are tracked; an older one counts as a replay.
 const WINDOW_NUMBERS: u64 = 1_024;
 /// Words of the bitmap.
 const WINDOW_WORDS: usize = (WINDOW_NUMBERS / 64) as usize;
@@ -29,11 +29,11 @@
 /// Senders remembered; with more, the one that was silent for longest goes.
 const MAX_SENDERS: usize = 8_192;
 
-/// A span in which every datagram of a sender is too late.
+/// A period in which every datagram of a sender arrived too late.
 #[derive(Debug, Clone, Copy)]
-struct LateSpan {
+struct DelayedPeriod {
     since: Time,
-    least_offset_us: i64,
+    min_offset_us: i64,
 }
 
 /// One sender's numbers and clock.
@@ -49,11 +49,11 @@
     next_baseline_us: i64,
     /// When the span that runs began.
     since: Time,
-    /// Set while all is too late.
-    late: Option<LateSpan>,
+    /// Set while all datagrams of the sender arrive too late.
+    delayed: Option<DelayedPeriod>,
 }
 
-/// The senders that were heard.
+/// The sequence numbers and clock offsets of all known senders, at most [`MAX_SENDERS`].
 #[derive(Debug, Default)]
 pub struct ReplayWindow {
     senders: HashMap<Arc<str>, Sender>,
@@ -63,7 +63,7 @@
     /// Whether a datagram is taken, and how much later it came than a quick one would have.
     pub fn check(&mut self, now: Time, header: &Header<'_>) -> Result<Span, DropReason> {
         if header.sent_us > MAX_SENT_US {
-            return Err(DropReason::Content);
+            return Err(DropReason::MalformedContent);
         }
         let offset_us = (now.0 / 1_000) as i64 - header.sent_us as i64;
         let new_sender = || Sender {
@@ -74,10 +74,10 @@
             baseline_us: offset_us,
             next_baseline_us: offset_us,
             since: now,
-            late: None,
+            delayed: None,
         };
         if !self.senders.contains_key(header.name) {
-            self.make_room();
+            self.evict_oldest();
             self.senders.insert(Arc::from(header.name), new_sender());
         }
         let Some(sender) = self.senders.get_mut(header.name) else {
@@ -94,14 +94,14 @@
         }
         let delay = sender.delay(now, offset_us);
         if delay > MAX_DELAY {
-            return Err(DropReason::Late);
+            return Err(DropReason::Delayed);
         }
         sender.take(header.number);
         sender.last_received = now;
         Ok(delay)
     }
 
-    /// The incarnation in which a server was heard last.
+    /// The last known incarnation of a server.
     pub fn incarnation(&self, name: &str) -> Option<Incarnation> {
         self.senders.get(name).map(|sender| sender.incarnation)
     }
@@ -111,12 +111,12 @@
         self.senders.len()
     }
 
-    /// Whether nobody was heard yet.
+    /// Whether no sender is known yet.
     pub fn is_empty(&self) -> bool {
         self.senders.is_empty()
     }
 
-    fn make_room(&mut self) {
+    fn evict_oldest(&mut self) {
         if self.senders.len() >= MAX_SENDERS {
             let oldest =
                 self.senders.iter().min_by_key(|(name, sender)| (sender.last_received, Arc::clone(name)));
@@ -138,7 +138,7 @@
 
     fn take(&mut self, number: u64) {
         if number > self.highest {
-            // What lies between wasn't seen; past a whole window nothing of the old bits counts.
+            // The numbers in between were not seen; past the length of the window all old bits are cleared.
             let from = self.highest.max(number.saturating_sub(WINDOW_NUMBERS)) + 1;
             for between in from..=number {
                 self.seen[(between % WINDOW_NUMBERS / 64) as usize] &= !(1 << (between % 64));
@@ -157,19 +157,19 @@
         self.baseline_us = self.baseline_us.min(offset_us);
         let delay = self.delay_beyond_baseline(offset_us);
         if delay <= MAX_DELAY {
-            self.late = None;
+            self.delayed = None;
             return delay;
         }
-        // Without this, what is late would be the base of the next span.
+        // Otherwise the delayed datagrams would become the baseline of the next period.
         self.next_baseline_us = self.next_baseline_us.min(self.baseline_us);
-        let mut late = self.late.unwrap_or(LateSpan { since: now, least_offset_us: offset_us });
-        late.least_offset_us = late.least_offset_us.min(offset_us);
-        self.late = Some(late);
-        if now < time_after(late.since, REBASE_AFTER) {
+        let mut delayed = self.delayed.unwrap_or(DelayedPeriod { since: now, min_offset_us: offset_us });
+        delayed.min_offset_us = delayed.min_offset_us.min(offset_us);
+        self.delayed = Some(delayed);
+        if now < time_after(delayed.since, REBASE_AFTER) {
             return delay;
         }
-        self.late = None;
-        self.rebase(now, late.least_offset_us, offset_us);
+        self.delayed = None;
+        self.rebase(now, delayed.min_offset_us, offset_us);
         self.delay_beyond_baseline(offset_us)
     }
 
--- a/crates/cluster/src/replay_window/tests.rs
+++ b/crates/cluster/src/replay_window/tests.rs
@@ -40,7 +40,7 @@
         assert_eq!(window.check(ms(10_000 + 100 * n), &header(1, n + 1, 500_000 + 100 * n)), Ok(Span(0)));
     }
     assert_eq!(window.check(ms(15_400), &header(1, 60, 505_000)), Ok(Span(400 * MS)));
-    assert_eq!(window.check(ms(20_000), &header(1, 61, 505_000)), Err(DropReason::Late));
+    assert_eq!(window.check(ms(20_000), &header(1, 61, 505_000)), Err(DropReason::Delayed));
     assert_eq!(window.check(ms(20_000), &header(1, 62, 510_000)), Ok(Span(0)), "the next one is quick again");
 }
 
--- a/crates/cluster/tests/datagrams.rs
+++ b/crates/cluster/tests/datagrams.rs
@@ -41,7 +41,7 @@
             mutated += 1;
         }
         let opened = Envelope::open(&keys, &datagram);
-        assert!(matches!(opened, Err(DropReason::Tag | DropReason::Form)), "{n}");
+        assert!(matches!(opened, Err(DropReason::WrongTag | DropReason::MalformedEnvelope)), "{n}");
     }
     assert_eq!(mutated, 50_000);
     assert_eq!(two.servers[0].view(two.now).members, before.members);
@@ -64,7 +64,7 @@
     let status = two.servers[0].status(two.now);
     assert_eq!(status.received, before.received, "none was taken again");
     let replays = status.dropped.get(&DropReason::Replay).copied().unwrap_or(0);
-    let late = status.dropped.get(&DropReason::Late).copied().unwrap_or(0);
+    let late = status.dropped.get(&DropReason::Delayed).copied().unwrap_or(0);
     let other = status.dropped.get(&DropReason::OtherIncarnation).copied().unwrap_or(0);
     assert_eq!(replays + late + other, 2 * to_first.len() as u64, "{:?}", status.dropped);
 }
--- a/crates/node/tests/golden_edges/admin.rs
+++ b/crates/node/tests/golden_edges/admin.rs
@@ -37,13 +37,13 @@
 
 fn fleet() -> ClusterStatus {
     let reasons = [
-        DropReason::Form,
-        DropReason::Tag,
+        DropReason::MalformedEnvelope,
+        DropReason::WrongTag,
         DropReason::Replay,
-        DropReason::Late,
+        DropReason::Delayed,
         DropReason::EarlierIncarnation,
         DropReason::OtherIncarnation,
-        DropReason::Content,
+        DropReason::MalformedContent,
         DropReason::RateLimited,
     ];
     ClusterStatus {
