--- a/crates/testkit/src/scale/fleet/server.rs
+++ b/crates/testkit/src/scale/fleet/server.rs
@@ -303,7 +303,7 @@
 
 /// The kind of a datagram's content, in a word.
 fn kind_word(envelope: &Envelope) -> &'static str {
-    envelope.kind().map_or("unknown", MessageKind::word)
+    envelope.kind().map_or("unknown", MessageKind::label)
 }
 
 /// The number in a hollow server's name.
