--- a/crates/testkit/tests/membership.rs
+++ b/crates/testkit/tests/membership.rs
@@ -228,10 +228,10 @@
             // The predecessor's late heartbeat, override and cancel.
             3_000 => drop(new.registries[0].renew(APP, ID, Some(1), new.ms)),
             4_000 => {
-                drop(new.registries[0].override_status(APP, ID, InstanceStatus::OutOfService, 1, new.ms))
+                let _ = new.registries[0].override_status(APP, ID, InstanceStatus::OutOfService, 1, new.ms);
             }
             12_000 => {
-                drop(new.registries[0].override_status(APP, ID, InstanceStatus::OutOfService, 1, new.ms))
+                let _ = new.registries[0].override_status(APP, ID, InstanceStatus::OutOfService, 1, new.ms);
             }
             20_000 => drop(new.registries[0].cancel(APP, ID, new.ms)),
             _ => {}
