--- a/crates/admission/src/class_definition.rs
+++ b/crates/admission/src/class_definition.rs
@@ -67,9 +67,12 @@
 #[serde(rename_all = "snake_case")]
 pub enum Idempotency {
     /// Idempotent: may run any number of times.
+    #[serde(rename = "repeatable")]
     Idempotent,
     /// Idempotent by its key: runs once on a server within the window.
+    #[serde(rename = "by_key")]
     Keyed,
     /// Not idempotent: runs once.
+    #[serde(rename = "once")]
     NonIdempotent,
 }
--- a/crates/admission/src/specifics.rs
+++ b/crates/admission/src/specifics.rs
@@ -27,6 +27,7 @@
     /// Stopping throws the work away.
     Abort,
     /// Stopping pauses it.
+    #[serde(rename = "suspend")]
     Pause,
 }
 
@@ -35,10 +36,13 @@
 #[serde(rename_all = "snake_case")]
 pub enum CapacitySignal {
     /// They send nothing of a lower precedence.
+    #[serde(rename = "threshold")]
     PrecedenceThreshold,
     /// Each has at most so many requests open here; of a fraction, one by chance.
+    #[serde(rename = "window")]
     ConcurrencyWindow,
     /// The probability with which a caller that comes to this server sends its request here.
+    #[serde(rename = "share_of")]
     AcceptanceProbability,
     /// There is no signal.
     #[default]
--- a/crates/coordination/src/messages.rs
+++ b/crates/coordination/src/messages.rs
@@ -83,6 +83,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum OperatorCommand {
     /// A permit for a zone or a member of a service.
+    #[serde(rename = "Out")]
     GrantPermit {
         /// What.
         target: Target,
@@ -90,6 +91,7 @@
         by: Name,
     },
     /// Such a permit is over.
+    #[serde(rename = "In")]
     EndPermit {
         /// What.
         target: Target,
@@ -97,6 +99,7 @@
         by: Name,
     },
     /// A permit's holder won't come back.
+    #[serde(rename = "Free")]
     ReleasePermit {
         /// The permit.
         epoch: u64,
@@ -106,6 +109,7 @@
         why: String,
     },
     /// A server won't come back.
+    #[serde(rename = "Strike")]
     RemoveServer {
         /// Which.
         name: Name,
@@ -115,6 +119,7 @@
         why: String,
     },
     /// A server becomes a voter, by what it reports of its folder; or one that was is none any more.
+    #[serde(rename = "Voter")]
     ChangeVoter {
         /// Which.
         name: Name,
@@ -124,6 +129,7 @@
         by: Name,
     },
     /// A release begins.
+    #[serde(rename = "Start")]
     StartRollout {
         /// What and how.
         plan: Box<RolloutPlan>,
@@ -131,6 +137,7 @@
         by: Name,
     },
     /// Something about the release that is there.
+    #[serde(rename = "Release")]
     Rollout(RolloutCommand),
 }
 
--- a/crates/coordination/src/server_agent.rs
+++ b/crates/coordination/src/server_agent.rs
@@ -5,8 +5,7 @@
     ConfigurationRejected, ConfigurationRequest, ConfigurationSettings, ReplicatedConfiguration,
 };
 use crate::consensus::{
-    ConsensusVoter, DurableRecord, ProposalAccepted, ProposalRejected, VoterEffect as Voted, VoterId,
-    VoterState,
+    ConsensusVoter, DurableRecord, ProposalAccepted, ProposalRejected, VoterEffect, VoterId, VoterState,
 };
 use crate::controller::{Controller, ControllerEffect, ControllerSettings};
 use crate::founding::{self, Founding, FoundingError, FoundingStep, ReportedVoter};
@@ -562,25 +561,25 @@
         let id = council.id();
         for effect in voted {
             match effect {
-                Voted::Send(to, bytes) => {
+                VoterEffect::Send(to, bytes) => {
                     let name = self.voter_name(to);
                     if let Some(name) = name {
                         self.send(&name, &Message::Voter { from: id, to, bytes });
                     }
                 }
-                Voted::Write(number, records) => self.effects.push(AgentEffect::Write(number, records)),
-                Voted::Applied { by, number, outcome, .. } if by == id => {
+                VoterEffect::Write(number, records) => self.effects.push(AgentEffect::Write(number, records)),
+                VoterEffect::Applied { by, number, outcome, .. } if by == id => {
                     if let Some(council) = &self.council {
                         self.controller.applied(now, council.record(), number, outcome);
                     }
                 }
-                Voted::Applied { .. } => {}
-                Voted::Committed(commit) => self.committed(now, commit),
-                Voted::MakeDurable(revision) => {
+                VoterEffect::Applied { .. } => {}
+                VoterEffect::Committed(commit) => self.committed(now, commit),
+                VoterEffect::MakeDurable(revision) => {
                     let effect = ConfigurationEffect::MakeDurable(revision);
                     self.effects.push(AgentEffect::Configuration(effect));
                 }
-                Voted::Note(bad, text) => {
+                VoterEffect::Log(bad, text) => {
                     self.effects.push(AgentEffect::Log(bad, format!("council: {text}")))
                 }
             }
@@ -827,3 +826,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/admin.rs
+++ b/crates/core/src/admin.rs
@@ -4,12 +4,12 @@
 //! Owns no socket and speaks no HTTP: the shell makes calls of requests and responses of answers, and it answers on
 //! its own where the reducer is late.
 
-use crate::configuration::{ConfigurationAdminResponse, ConfigurationAdminRequest};
+use crate::configuration::{ConfigurationAdminRequest, ConfigurationAdminResponse};
 use crate::request_metrics::MetricsSnapshot;
-use gradepin_cluster::cluster::FleetView;
 use gradepin_admission::Time;
+use gradepin_cluster::cluster::FleetView;
 use gradepin_coordination::messages::OperatorCommand;
-use gradepin_coordination::server_agent::{CommandStatus, AgentStatus as Agreements};
+use gradepin_coordination::server_agent::{AgentStatus as Agreements, CommandStatus};
 
 /// Names a call of the door until it is answered; never used again.
 pub type AdminRequestId = u64;
--- a/crates/core/src/classes.rs
+++ b/crates/core/src/classes.rs
@@ -14,8 +14,8 @@
 //! classes there are. Not here: which changes are valid, and what the module makes of the figures.
 
 use crate::slots::{Handle, Slots};
+use gradepin_admission::{ClassDefinition, ClassProfile, Idempotency, Settings, Span, Time, time_after};
 use gradepin_config::change::MAX_CLASSES;
-use gradepin_admission::{ClassDefinition, Idempotency, ClassProfile, Settings, Span, Time, time_after};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -40,7 +40,9 @@
         name: String,
     },
     /// A name leaves no room for the longest body in a message of a client proxy.
-    #[error("expected names of at most {MAX_CLASS_NAME_BYTES} bytes in settings.{what}, got {came} in '{start}..'")]
+    #[error(
+        "expected names of at most {MAX_CLASS_NAME_BYTES} bytes in settings.{what}, got {came} in '{start}..'"
+    )]
     TooLong {
         /// Of classes or tenants.
         what: &'static str,
--- a/crates/core/src/classes/tests.rs
+++ b/crates/core/src/classes/tests.rs
@@ -99,7 +99,9 @@
     assert_eq!(classes.settle(until, 9), [Settled::Unkeyed(0)]);
     assert!(classes.settle(until, 9).is_empty());
     assert_eq!(holds(&classes), (Idempotency::Idempotent, Span(0)));
-    for (at, effect) in [(300, Idempotency::Keyed), (400, Idempotency::NonIdempotent), (500, Idempotency::Keyed)] {
+    for (at, effect) in
+        [(300, Idempotency::Keyed), (400, Idempotency::NonIdempotent), (500, Idempotency::Keyed)]
+    {
         classes.put(time_after(until, Span(at)), of(effect));
     }
     assert!(classes.settle(Time(u64::MAX), 9).is_empty());
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -5,7 +5,7 @@
 
 use crate::classes::{self, NamesError};
 use gradepin_admission::numbers::whole_part;
-use gradepin_admission::{AdmissionSettingsError, UpstreamKind, Settings};
+use gradepin_admission::{AdmissionSettingsError, Settings, UpstreamKind};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
--- a/crates/core/src/handover/tests.rs
+++ b/crates/core/src/handover/tests.rs
@@ -13,7 +13,10 @@
     // Its time is up all the same: it closes down once, and leaves in time whatever stands.
     let mut over = Handover::default();
     assert!(over.close_down(Time(5 * S), Span(S)) && !over.close_down(Time(5 * S), Span(S)));
-    assert!(!over.may_leave(Time(5 * S), RemainingWork { open: 0, connections: 0 }), "accepting may not have stopped");
+    assert!(
+        !over.may_leave(Time(5 * S), RemainingWork { open: 0, connections: 0 }),
+        "accepting may not have stopped"
+    );
     assert!(!over.may_leave(Time(6 * S - 1), RemainingWork { open: 1, connections: 1 }));
     assert!(over.may_leave(Time(6 * S), RemainingWork { open: 1, connections: 1 }));
     over.stopped();
@@ -24,7 +27,10 @@
     assert!(shared.begin(Time(S), Span(3 * S)));
     assert!(!shared.begin(Time(2 * S), Span(3 * S)), "a second SIGTERM begins nothing");
     assert!(!shared.reports());
-    assert!(!shared.may_leave(Time(S), RemainingWork { open: 0, connections: 0 }), "accepting may not have stopped");
+    assert!(
+        !shared.may_leave(Time(S), RemainingWork { open: 0, connections: 0 }),
+        "accepting may not have stopped"
+    );
     shared.stopped();
     assert!(!shared.may_leave(Time(S), RemainingWork { open: 1, connections: 0 }));
     assert!(!shared.may_leave(Time(S), RemainingWork { open: 0, connections: 2 }));
--- a/crates/core/src/idempotency_log.rs
+++ b/crates/core/src/idempotency_log.rs
@@ -6,10 +6,10 @@
 //! no earlier run answers are refused with a time to come back; all others are served. The way back is always the same: all that
 //! is known is written anew, and counts once that is durable.
 
-use crate::timestamp::Timestamp;
 use crate::buffer_pool::Buffer;
-use crate::keyed_run::{RunOutcome, KeyedRun};
-pub use crate::keyed_run::{SavedRun, SavedOutcome};
+use crate::keyed_run::{KeyedRun, RunOutcome};
+pub use crate::keyed_run::{SavedOutcome, SavedRun};
+use crate::timestamp::Timestamp;
 use gradepin_admission::{RequestId, Span, Time, time_after};
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -308,7 +308,11 @@
     }
 
     /// What leaves with this step, with its number. `all` is asked for when all must be written anew.
-    pub fn take(&mut self, moment: Timestamp, all: impl FnOnce() -> Vec<KeyedRun>) -> Option<(u64, RecordBatch)> {
+    pub fn take(
+        &mut self,
+        moment: Timestamp,
+        all: impl FnOnce() -> Vec<KeyedRun>,
+    ) -> Option<(u64, RecordBatch)> {
         let batch = match &mut self.state {
             State::Good if !self.batch.is_empty() => RecordBatch::Append(std::mem::take(&mut self.batch)),
             // One at a time: behind a sync that never returns a second one would only wait too.
@@ -388,9 +392,13 @@
     fn a_try_begins_when_its_own_batch_is_durable() {
         let mut ledger = good();
         assert!(ledger.intent(Time(1), known(1)));
-        assert!(matches!(take(&mut ledger, 1), Some((1, RecordBatch::Append(records))) if records.len() == 1));
+        assert!(
+            matches!(take(&mut ledger, 1), Some((1, RecordBatch::Append(records))) if records.len() == 1)
+        );
         assert!(ledger.intent(Time(2), known(2)) && ledger.intent(Time(2), known(3)));
-        assert!(matches!(take(&mut ledger, 2), Some((2, RecordBatch::Append(records))) if records.len() == 2));
+        assert!(
+            matches!(take(&mut ledger, 2), Some((2, RecordBatch::Append(records))) if records.len() == 2)
+        );
         assert!(take(&mut ledger, 3).is_none());
         assert_eq!(ledger.persisted(Time(0), 1), [known(1).id]);
         assert_eq!(ledger.persisted(Time(0), 2), [known(2).id, known(3).id]);
@@ -457,7 +465,8 @@
     fn while_in_doubt_nothing_new_of_a_key_runs() {
         let mut ledger = IdempotencyLog::opening(Span(250 * MS));
         assert_eq!(ledger.refuses(Time(0)), Some(SOON));
-        ledger.recovered(Time(0), &RecoveredRuns { doubt: Some(Span(8_000 * MS)), ..RecoveredRuns::default() });
+        ledger
+            .recovered(Time(0), &RecoveredRuns { doubt: Some(Span(8_000 * MS)), ..RecoveredRuns::default() });
         assert_eq!(ledger.refuses(Time(1_000 * MS)), Some(Span(7_000 * MS)));
         assert!(!ledger.intent(Time(1_000 * MS), known(1)));
         assert!(ledger.intent(Time(8_000 * MS), known(1)));
--- a/crates/core/src/idempotency_table.rs
+++ b/crates/core/src/idempotency_table.rs
@@ -3,10 +3,10 @@
 //! What no try can ask for any more is found by a [`TimerWheel`], a bounded part at a time, so that no pause grows with the
 //! number of keys. The table is split for the same reason: a map that grows moves all it holds.
 
-use crate::timestamp::Timestamp;
-pub use crate::keyed_run::{RunOutcome, KeyedRun, Fingerprint};
-use crate::keyed_run::{SavedRun, SavedOutcome};
+pub use crate::keyed_run::{Fingerprint, KeyedRun, RunOutcome};
+use crate::keyed_run::{SavedOutcome, SavedRun};
 use crate::timer_wheel::{DueEntry, TimerWheel};
+use crate::timestamp::Timestamp;
 use gradepin_admission::{RequestId, Span, Time, time_after};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -157,7 +157,14 @@
     }
 
     /// A try was begun; its window ends then, in Unix milliseconds.
-    pub fn began(&mut self, token: &Arc<str>, print: Fingerprint, id: &RequestId, closes_ms: u64, moment: Timestamp) {
+    pub fn began(
+        &mut self,
+        token: &Arc<str>,
+        print: Fingerprint,
+        id: &RequestId,
+        closes_ms: u64,
+        moment: Timestamp,
+    ) {
         let left = Span(closes_ms.saturating_sub(moment.unix_ms).saturating_mul(MS));
         let closes = time_after(moment.now, left);
         let run = Run { id: id.clone(), closes_ms, closes, end: None, waiters: Vec::new(), kept: None };
@@ -276,7 +283,10 @@
     /// Nobody will tell any more: returns the tries that waited, and the runs.
     pub fn give_up(&mut self) -> Vec<RequestId> {
         let unknown = std::mem::take(&mut self.unknown);
-        unknown.into_iter().flat_map(|(id, token)| self.ended(&token, &id, Some(RunOutcome::Unknown))).collect()
+        unknown
+            .into_iter()
+            .flat_map(|(id, token)| self.ended(&token, &id, Some(RunOutcome::Unknown)))
+            .collect()
     }
 
     /// What is known of a try's run, for the store.
--- a/crates/core/src/idempotency_table/tests.rs
+++ b/crates/core/src/idempotency_table/tests.rs
@@ -36,7 +36,11 @@
 fn results_take_no_more_than_they_may() {
     let mut keys = IdempotencyTable::new(2 * (1000 + BESIDE));
     for n in 1..=3 {
-        run(&mut keys, n, BufferPool::new(0).exact(&[7; 1000]).map(|result| RunOutcome::Served(Arc::new(result))));
+        run(
+            &mut keys,
+            n,
+            BufferPool::new(0).exact(&[7; 1000]).map(|result| RunOutcome::Served(Arc::new(result))),
+        );
     }
     assert!(keys.bytes <= keys.most);
     let mut join = |n: usize| keys.join(&format!("t{n}"), &RequestId::new("again"));
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,24 +5,24 @@
 //! durable, and when. Shells of threads and sockets carry that out.
 
 pub mod admin;
-pub mod response;
-pub mod pending_claims;
+pub mod buffer_pool;
 pub mod classes;
 pub mod config;
 pub mod configuration;
 pub mod handover;
-pub mod idempotency_table;
-pub mod processor_identity;
 pub mod idempotency_log;
-pub mod messages;
-pub mod timestamp;
-pub mod buffer_pool;
+pub mod idempotency_table;
 pub mod keyed_run;
+pub mod messages;
+pub mod pending_claims;
+pub mod processor_identity;
 pub mod reducer;
 pub mod registration;
 pub mod reload;
+pub mod request_metrics;
+pub mod response;
 mod resting;
 pub mod slots;
-pub mod request_metrics;
 pub mod tenants;
 pub mod timer_wheel;
+pub mod timestamp;
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -1,19 +1,19 @@
 //! What the reducer is told and what it asks for, in terms of no protocol.
 
-use crate::admin::{AdminResponse, AdminRequest, AdminRequestId};
-pub use crate::response::{Response, RequestError, UNKNOWN_OUTCOME_TEXT};
+use crate::admin::{AdminRequest, AdminRequestId, AdminResponse};
+use crate::buffer_pool::Buffer;
 use crate::configuration::{ConfigurationSave, ConfigurationSaveResult};
 use crate::idempotency_log::{RecordBatch, RecoveredRuns};
-use crate::buffer_pool::Buffer;
-use crate::keyed_run::{RunOutcome, Fingerprint};
+use crate::keyed_run::{Fingerprint, RunOutcome};
 use crate::reload::Reload;
+pub use crate::response::{RequestError, Response, UNKNOWN_OUTCOME_TEXT};
 use crate::slots::Handle;
-use gradepin_cluster::authentication::{DropReason, AuthenticationKeys};
+use gradepin_admission::{ClassDefinition, Outcome, RequestId, Span, Tenant, Time};
+use gradepin_cluster::authentication::{AuthenticationKeys, DropReason};
 use gradepin_cluster::cluster::Envelope;
-use gradepin_admission::{ClassDefinition, Tenant, Outcome, RequestId, Span, Time};
-use gradepin_registry::membership::{RegistryRequest, RegistryReply};
 use gradepin_coordination::consensus::{DurableRecord, VoterState};
 use gradepin_coordination::messages::StepAssignment;
+use gradepin_registry::membership::{RegistryReply, RegistryRequest};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
--- a/crates/core/src/processor_identity.rs
+++ b/crates/core/src/processor_identity.rs
@@ -35,9 +35,11 @@
     pub fn greets(&mut self, connecting: Time, now: Time, age: Span) -> bool {
         // The last word may have been read long after it was written, with the start of another between the two: that alone
         // would not tell it.
-        let since_heard = self.heard.is_some_and(|heard| time_before(now, age) > time_after(heard, MIN_PROCESSOR_RESTART));
-        let since_started =
-            self.started_by.is_some_and(|started| time_before(connecting, age) > time_after(started, CLOCKS_APART));
+        let since_heard =
+            self.heard.is_some_and(|heard| time_before(now, age) > time_after(heard, MIN_PROCESSOR_RESTART));
+        let since_started = self
+            .started_by
+            .is_some_and(|started| time_before(connecting, age) > time_after(started, CLOCKS_APART));
         let another = since_heard || since_started;
         let started_by = time_before(now, age);
         let known = self.started_by.filter(|_| !another);
--- a/crates/core/src/reducer/agreed.rs
+++ b/crates/core/src/reducer/agreed.rs
@@ -5,15 +5,15 @@
 //! SIGTERM means what it always did: a server that the platform stops is out without a permit.
 
 use super::{MS, Reducer};
-use crate::admin::{AgreementResponse, AgreementRequest};
+use crate::admin::{AgreementRequest, AgreementResponse};
 use crate::messages::Effect;
-use gradepin_cluster::counters::CellId;
 use gradepin_admission::{Span, Time, time_after};
+use gradepin_cluster::counters::CellId;
 use gradepin_coordination::consensus::VoterState;
 use gradepin_coordination::messages::ServerReport;
-use gradepin_coordination::rollout::ReleaseKind;
 use gradepin_coordination::rollback::ServiceTotal;
-use gradepin_coordination::server_agent::{AgentEffect as Asked, ServerAgent};
+use gradepin_coordination::rollout::ReleaseKind;
+use gradepin_coordination::server_agent::{AgentEffect, ServerAgent};
 use slog::Level;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -163,14 +163,14 @@
         }
     }
 
-    fn agreed_effect(&mut self, effect: Asked) {
+    fn agreed_effect(&mut self, effect: AgentEffect) {
         let now = self.moment.now;
         match effect {
-            Asked::Send(to, word) => self.fleet_post(&to, &word),
-            Asked::Write(number, records) => {
+            AgentEffect::Send(to, word) => self.fleet_post(&to, &word),
+            AgentEffect::Write(number, records) => {
                 self.effects.push(Effect::WriteVoterState(self.agreed.generation, number, records));
             }
-            Asked::MayLeave(epoch, until) => {
+            AgentEffect::PermitGranted(epoch, until) => {
                 if now < until {
                     self.log(Level::Info, format!("leaving by permit {epoch}"));
                     self.take_out();
@@ -179,8 +179,8 @@
                     self.asks_to_leave();
                 }
             }
-            Asked::Refused(why) => self.log(Level::Warning, format!("not leaving: {why}")),
-            Asked::MayChange(turn, until) => {
+            AgentEffect::PermitDenied(why) => self.log(Level::Warning, format!("not leaving: {why}")),
+            AgentEffect::StepGranted(turn, until) => {
                 let (kind, version) = (turn.kind, turn.version.clone());
                 if now >= until {
                     self.log(Level::Warning, format!("the turn for {version} came too late to begin"));
@@ -193,8 +193,8 @@
                 self.log(Level::Info, format!("changing to {what} {version} by permit {}", turn.epoch));
                 self.effects.push(Effect::StartRolloutStep(Box::new(turn), until));
             }
-            Asked::Configuration(effect) => self.configuration_agreed(effect),
-            Asked::Note(bad, text) => {
+            AgentEffect::Configuration(effect) => self.configuration_agreed(effect),
+            AgentEffect::Log(bad, text) => {
                 self.log(if bad { Level::Warning } else { Level::Info }, text);
             }
         }
@@ -215,7 +215,9 @@
                 }
             }
             AgreementRequest::CommandStatus(ticket) => AgreementResponse::CommandStatus(part.became(ticket)),
-            AgreementRequest::FoundGroup => AgreementResponse::Completed(part.found(now).map_err(|why| why.to_string())),
+            AgreementRequest::FoundGroup => {
+                AgreementResponse::Completed(part.found(now).map_err(|why| why.to_string()))
+            }
             AgreementRequest::TargetVersion(name) => {
                 AgreementResponse::TargetVersion(part.record().and_then(|record| record.program_for(&name)))
             }
--- a/crates/core/src/reducer/calls.rs
+++ b/crates/core/src/reducer/calls.rs
@@ -3,8 +3,8 @@
 //! body and the time it went out; how many are out at once is the module's to say.
 
 use super::{MS, Reducer};
-use crate::messages::{UpstreamCallId, Effect};
 use crate::buffer_pool::Buffer;
+use crate::messages::{Effect, UpstreamCallId};
 use gradepin_admission::{Event, Outcome, RequestId, Span, Time};
 use slog::Level;
 use std::sync::Arc;
@@ -38,7 +38,12 @@
     }
 
     /// A call leaves, with so much time for its reply; past a time it must not leave any more. Its number.
-    pub(super) fn make_call(&mut self, id: &RequestId, timeout: Span, leaves: Option<Time>) -> UpstreamCallId {
+    pub(super) fn make_call(
+        &mut self,
+        id: &RequestId,
+        timeout: Span,
+        leaves: Option<Time>,
+    ) -> UpstreamCallId {
         let now = self.moment.now;
         self.calls += 1;
         let number = self.calls;
--- a/crates/core/src/reducer/claims.rs
+++ b/crates/core/src/reducer/claims.rs
@@ -3,7 +3,7 @@
 
 use super::Reducer;
 use crate::idempotency_table::RunOutcome;
-use crate::messages::{RunClaim, Effect};
+use crate::messages::{Effect, RunClaim};
 use gradepin_admission::{Event, Outcome, RequestId, Span};
 use std::sync::Arc;
 
--- a/crates/core/src/reducer/configuration.rs
+++ b/crates/core/src/reducer/configuration.rs
@@ -9,13 +9,13 @@
 
 use super::{MS, Reducer};
 use crate::configuration::{
-    CONFIGURATION_TAG, ConfigurationMetrics, ConfigurationSave, ConfigurationStart, ConfigurationSaveResult,
+    CONFIGURATION_TAG, ConfigurationMetrics, ConfigurationSave, ConfigurationSaveResult, ConfigurationStart,
 };
 use crate::messages::{Effect, earliest};
+use gradepin_admission::{Span, Time, span_seconds, time_after};
 use gradepin_config::admin::Source;
-use gradepin_config::dissemination::{Dissemination, DisseminationEffect as Spread, Member};
+use gradepin_config::dissemination::{Dissemination, DisseminationEffect, Member};
 use gradepin_config::{Commit, Configuration, Name, Revision, Snapshot, Transaction};
-use gradepin_admission::{Span, Time, time_after, span_seconds};
 use gradepin_coordination::server_agent::ConfigurationEffect;
 use slog::Level;
 use std::collections::{BTreeMap, VecDeque};
@@ -135,7 +135,10 @@
     /// The figures, where the service is on.
     pub(super) fn figures(&self, now: Time) -> Option<ConfigurationMetrics> {
         let service = self.0.as_ref()?;
-        Some(ConfigurationMetrics { revision: service.in_force.revision().0, age_s: span_seconds(service.age(now)) })
+        Some(ConfigurationMetrics {
+            revision: service.in_force.revision().0,
+            age_s: span_seconds(service.age(now)),
+        })
     }
 }
 
@@ -239,17 +242,17 @@
         self.next_revision();
     }
 
-    fn spread_effect(&mut self, effect: Spread) {
+    fn spread_effect(&mut self, effect: DisseminationEffect) {
         match effect {
-            Spread::Send { to, bytes } => {
+            DisseminationEffect::Send { to, bytes } => {
                 let mut content = Vec::with_capacity(1 + bytes.len());
                 content.push(CONFIGURATION_TAG);
                 content.extend_from_slice(&bytes);
                 self.fleet_post(&to, &content);
             }
-            Spread::Apply(commit) => self.take_commit(commit),
-            Spread::Install(snapshot) => self.take_state(snapshot),
-            Spread::Note { bad, text } => {
+            DisseminationEffect::Apply(commit) => self.take_commit(commit),
+            DisseminationEffect::Install(snapshot) => self.take_state(snapshot),
+            DisseminationEffect::Note { bad, text } => {
                 let level = if bad { Level::Warning } else { Level::Info };
                 self.log(level, format!("configuration: {text}"));
             }
--- a/crates/core/src/reducer/configuration/tests.rs
+++ b/crates/core/src/reducer/configuration/tests.rs
@@ -1,19 +1,19 @@
 //! Committed changes and whole states on their way into force, without a network: what dissemination says is handed in.
 
-#[path = "../../../../decisions/tests/common/mod.rs"]
+#[path = "../../../../admission/tests/common/mod.rs"]
 mod common;
 
 use super::*;
-use crate::admin::{AdminResponse, AdminRequest};
+use crate::admin::{AdminRequest, AdminResponse};
 use crate::config::Config;
-use crate::configuration::{ConfigurationAdminResponse, ConfigurationAdminRequest};
+use crate::configuration::{ConfigurationAdminRequest, ConfigurationAdminResponse};
 use crate::messages::Input;
-use crate::timestamp::Timestamp;
 use crate::registration::Registration;
+use crate::timestamp::Timestamp;
+use gradepin_admission::{ClassDefinition, Tenant};
 use gradepin_config::admin::{AdminError, StatusReply};
 use gradepin_config::change::Change;
 use gradepin_config::dissemination::DisseminationSettings;
-use gradepin_admission::{ClassDefinition, Tenant};
 use serde_json::json;
 
 /// More than one transaction holds.
--- a/crates/core/src/reducer/configuration_calls.rs
+++ b/crates/core/src/reducer/configuration_calls.rs
@@ -1,12 +1,12 @@
 //! Operators' calls about the configuration: changes that are handed in here, and how it stands.
 
 use super::{MS, Reducer};
-use crate::configuration::{ConfigurationAdminResponse, ConfigurationAdminRequest};
-use gradepin_config::admin::{ApplyReply, ApplyRequest, AdminError, StatusReply};
+use crate::configuration::{ConfigurationAdminRequest, ConfigurationAdminResponse};
+use gradepin_admission::{Time, span_seconds};
+use gradepin_config::admin::{AdminError, ApplyReply, ApplyRequest, StatusReply};
 use gradepin_config::configuration::CommitRejected;
 use gradepin_config::{Invalid, Name, Proposal, Revision};
-use gradepin_admission::{Time, span_seconds};
-use gradepin_coordination::configuration_log::{ConfigurationRequest, ConfigurationRejected};
+use gradepin_coordination::configuration_log::{ConfigurationRejected, ConfigurationRequest};
 use gradepin_coordination::proposal_client::ProposalResponse;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -101,10 +101,12 @@
             let expected = format!("at most {limit} bytes");
             AdminError::Invalid(Invalid::new("transaction", expected, format!("{came} bytes")))
         }
-        ConfigurationRejected::Busy | ConfigurationRejected::Behind { .. } => AdminError::TooBusy { retry_ms: BUSY_MS },
-        ConfigurationRejected::NoLeader | ConfigurationRejected::NoVoter | ConfigurationRejected::Unconfirmed => {
-            AdminError::NoLeader { reason: why.to_string() }
+        ConfigurationRejected::Busy | ConfigurationRejected::Behind { .. } => {
+            AdminError::TooBusy { retry_ms: BUSY_MS }
         }
+        ConfigurationRejected::NoLeader
+        | ConfigurationRejected::NoVoter
+        | ConfigurationRejected::Unconfirmed => AdminError::NoLeader { reason: why.to_string() },
         ConfigurationRejected::Forgotten { .. } => AdminError::BadCall { reason: why.to_string() },
         ConfigurationRejected::Off => AdminError::Off,
     }
@@ -112,14 +114,19 @@
 
 impl Reducer {
     /// An operator's call about the configuration.
-    pub(super) fn configuration_call(&mut self, call: ConfigurationAdminRequest) -> ConfigurationAdminResponse {
+    pub(super) fn configuration_call(
+        &mut self,
+        call: ConfigurationAdminRequest,
+    ) -> ConfigurationAdminResponse {
         if self.committed.0.is_none() {
             return ConfigurationAdminResponse::Rejected(AdminError::Off);
         }
         let answer = match call {
             ConfigurationAdminRequest::Status => return self.configuration_status(),
             ConfigurationAdminRequest::RequestStatus(request_id) => self.request_became(request_id),
-            ConfigurationAdminRequest::Apply(request) if request.dry_run => self.check_request(&request.proposal),
+            ConfigurationAdminRequest::Apply(request) if request.dry_run => {
+                self.check_request(&request.proposal)
+            }
             ConfigurationAdminRequest::Apply(request) => self.propose(*request),
         };
         answer.map_or_else(ConfigurationAdminResponse::Rejected, ConfigurationAdminResponse::Apply)
@@ -165,7 +172,9 @@
 
     fn configuration_status(&self) -> ConfigurationAdminResponse {
         let now = self.moment.now;
-        let Some(service) = &self.committed.0 else { return ConfigurationAdminResponse::Rejected(AdminError::Off) };
+        let Some(service) = &self.committed.0 else {
+            return ConfigurationAdminResponse::Rejected(AdminError::Off);
+        };
         let spread = service.spread.status();
         let cannot_apply = service.stuck.as_ref().map(|(why, _)| why.clone());
         let refused = spread.cannot_apply.map(|revision| format!("revision {revision} is not valid here"));
--- a/crates/core/src/reducer/connections.rs
+++ b/crates/core/src/reducer/connections.rs
@@ -273,6 +273,11 @@
 }
 
 /// Whether a connection has nothing open, and said its last word then.
-fn rests(connections: &BTreeMap<ConnectionId, Connection>, conn: ConnectionId, since: Time, spoke: bool) -> bool {
+fn rests(
+    connections: &BTreeMap<ConnectionId, Connection>,
+    conn: ConnectionId,
+    since: Time,
+    spoke: bool,
+) -> bool {
     connections.get(&conn).is_some_and(|c| c.open.is_empty() && c.last == since && c.spoke == spoke)
 }
--- a/crates/core/src/reducer/fleet.rs
+++ b/crates/core/src/reducer/fleet.rs
@@ -7,14 +7,14 @@
 use super::cells::Cells;
 use super::{MS, Reducer};
 use crate::classes::Classes;
-use crate::messages::{UpstreamCallId, Effect, earliest};
-use gradepin_cluster::authentication::{DropReason, AuthenticationKeys};
+use crate::messages::{Effect, UpstreamCallId, earliest};
+use gradepin_admission::{Outcome, RequestId, Settings, Span, Time, UpstreamKind, time_after};
+use gradepin_cluster::authentication::{AuthenticationKeys, DropReason};
 use gradepin_cluster::cluster::{
-    CallDecision, Cluster, ClusterEffect as ClusterEffect, Envelope, FleetView, Severity, ClusterStatus,
+    CallDecision, Cluster, ClusterEffect, ClusterStatus, Envelope, FleetView, Severity,
 };
 use gradepin_cluster::counters::CellId;
 use gradepin_cluster::leases::Slot;
-use gradepin_admission::{UpstreamKind, Outcome, RequestId, Settings, Span, Time, time_after};
 use slog::Level;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
@@ -281,7 +281,9 @@
         }
         for effect in asked {
             match effect {
-                ClusterEffect::Send { to, datagram } => self.effects.push(Effect::SendPeerDatagram(to, datagram)),
+                ClusterEffect::Send { to, datagram } => {
+                    self.effects.push(Effect::SendPeerDatagram(to, datagram))
+                }
                 ClusterEffect::Post { from, incarnation, content } => {
                     if !self.configuration_message(&from, &content) {
                         self.agreed_word(&from, incarnation.0, &content);
--- a/crates/core/src/reducer/keeping.rs
+++ b/crates/core/src/reducer/keeping.rs
@@ -2,10 +2,10 @@
 //! Not here: which records are written when ([`crate::idempotency_log`]) and the keyed runs themselves ([`crate::idempotency_table`]).
 
 use super::Reducer;
-use crate::idempotency_table::RunOutcome;
+use crate::buffer_pool::BufferPool;
 use crate::idempotency_log::{RecoveredRuns, StoreHealth};
+use crate::idempotency_table::RunOutcome;
 use crate::messages::Effect;
-use crate::buffer_pool::BufferPool;
 use gradepin_admission::{Span, Time, time_after};
 use slog::Level;
 use std::sync::Arc;
@@ -31,7 +31,14 @@
 
 impl Past {
     pub(super) fn new(salt: u64) -> Self {
-        Self { pool: BufferPool::new(0), salt, began: None, hope: None, young: false, standing: StoreHealth::Off }
+        Self {
+            pool: BufferPool::new(0),
+            salt,
+            began: None,
+            hope: None,
+            young: false,
+            standing: StoreHealth::Off,
+        }
     }
 
     /// A step is taken.
--- a/crates/core/src/reducer/link.rs
+++ b/crates/core/src/reducer/link.rs
@@ -2,9 +2,11 @@
 //! Not here: the connection itself, which is the shell's, and what the ends of runs mean ([`super::runs`]).
 
 use super::{MS, Reducer};
-use crate::messages::{Effect, MIN_PROCESSOR_RESTART, RunEnd};
 use crate::buffer_pool::Buffer;
-use gradepin_admission::{Controller, Event, Gauges, RequestId, Settings, Span, Time, time_after, time_before};
+use crate::messages::{Effect, MIN_PROCESSOR_RESTART, RunEnd};
+use gradepin_admission::{
+    Controller, Event, Gauges, RequestId, Settings, Span, Time, time_after, time_before,
+};
 use slog::Level;
 use std::sync::Arc;
 
--- a/crates/core/src/reducer/mod.rs
+++ b/crates/core/src/reducer/mod.rs
@@ -22,25 +22,27 @@
 mod settings;
 
 use crate::admin::OperatorDrain;
-use crate::pending_claims::PendingClaims;
+use crate::buffer_pool::BufferPool;
 use crate::classes::Classes;
 use crate::config::{Config, ConfigError};
 use crate::handover::Handover;
-use crate::idempotency_table::{RunOutcome, IdempotencyTable};
 use crate::idempotency_log::IdempotencyLog;
-use crate::messages::{Response, UpstreamCallId, Effect, Input, earliest};
-use crate::timestamp::Timestamp;
-use crate::buffer_pool::BufferPool;
+use crate::idempotency_table::{IdempotencyTable, RunOutcome};
+use crate::messages::{Effect, Input, Response, UpstreamCallId, earliest};
+use crate::pending_claims::PendingClaims;
 use crate::registration::Registration;
 use crate::request_metrics::RequestMetrics;
 use crate::tenants::Tenants;
+use crate::timestamp::Timestamp;
 use agreed::Agreed;
 use configuration::Committed;
 use connections::Connections;
 use drain::Drain;
 use fleet::Fleet;
 pub use fleet::{cell_names, lent_share};
-use gradepin_admission::{Action, ClassDefinition, Controller, Tenant, Event, Settings, Span, Time, time_after};
+use gradepin_admission::{
+    Action, ClassDefinition, Controller, Event, Settings, Span, Tenant, Time, time_after,
+};
 use housekeeping::Duties;
 use keeping::Past;
 use link::Link;
@@ -199,8 +201,10 @@
             return Some(self.moment.now);
         }
         let timer = self.duties.timer_at(self.moment.now, self.link.open_since);
-        let own =
-            earliest(earliest(timer, self.drain.wake_at()), earliest(self.ledger.wake_at(), self.past.hope()));
+        let own = earliest(
+            earliest(timer, self.drain.wake_at()),
+            earliest(self.ledger.wake_at(), self.past.hope()),
+        );
         let own = earliest(earliest(own, self.fleet.wake_at(self.moment.now)), self.agreed.wake_at());
         let own = self.configuration_wake_at(own);
         earliest(earliest(own, self.registration.wake_at(self.moment.now)), Some(self.duties.wake_at()))
@@ -218,7 +222,9 @@
         {
             self.conns.took(*conn);
         }
-        if let Input::Request(conn, seq, _) | Input::InvalidRequest(conn, seq, ..) | Input::HealthCheck(conn, seq) = &input
+        if let Input::Request(conn, seq, _)
+        | Input::InvalidRequest(conn, seq, ..)
+        | Input::HealthCheck(conn, seq) = &input
             && self.came_twice(*conn, *seq)
         {
             return;
@@ -256,7 +262,9 @@
                     self.asks(&id, body);
                 }
             }
-            Input::UpstreamCallEnded { id, number, outcome, reply } => self.called(&id, number, outcome, reply),
+            Input::UpstreamCallEnded { id, number, outcome, reply } => {
+                self.called(&id, number, outcome, reply)
+            }
             Input::RunClaimed(id, claim) => self.claimed(&id, claim),
             Input::RunsShared(salt) => {
                 self.past.salt = salt;
@@ -267,7 +275,9 @@
                 self.used(tag, &values);
             }
             Input::RunNotStarted(id) => self.rejected(&id),
-            Input::ConnectionThrottled(conn, pause) => self.conns.paced(conn, time_after(self.moment.now, pause)),
+            Input::ConnectionThrottled(conn, pause) => {
+                self.conns.paced(conn, time_after(self.moment.now, pause))
+            }
             Input::ShutdownNotice => self.terminate(),
             Input::StoppedAccepting => self.drain.handover.stopped(),
             Input::TakeOutOfService => {
--- a/crates/core/src/reducer/operators.rs
+++ b/crates/core/src/reducer/operators.rs
@@ -2,7 +2,7 @@
 //! reducer owns, with the readiness and the drain of [`crate::admin`] and the figures of [`crate::request_metrics`].
 
 use super::Reducer;
-use crate::admin::{AdminResponse, AdminRequest, AdminRequestId, NotReadyReason, ReadinessInputs};
+use crate::admin::{AdminRequest, AdminRequestId, AdminResponse, NotReadyReason, ReadinessInputs};
 use crate::messages::Effect;
 use crate::request_metrics::MetricsSnapshot;
 use slog::Level;
@@ -34,7 +34,11 @@
                 let open = self.requests.owed();
                 let fleet = self.fleet.status(self.moment.now);
                 let configuration = self.committed.figures(self.moment.now);
-                AdminResponse::Stats(Box::new(MetricsSnapshot { fleet, configuration, ..self.tally.stats(open as u64) }))
+                AdminResponse::Stats(Box::new(MetricsSnapshot {
+                    fleet,
+                    configuration,
+                    ..self.tally.stats(open as u64)
+                }))
             }
         };
         self.effects.push(Effect::AnswerAdmin(id, answer));
--- a/crates/core/src/reducer/requests.rs
+++ b/crates/core/src/reducer/requests.rs
@@ -3,10 +3,12 @@
 //! Not here: runs ([`super::runs`]) and the connections that the requests came on ([`super::connections`]).
 
 use super::{MS, Reducer};
-use crate::config::Config;
-use crate::idempotency_table::{RunOutcome, Fingerprint};
-use crate::messages::{Response, ClientRequest, UpstreamCallId, ConnectionId, Effect, RequestError, SequenceId};
 use crate::buffer_pool::Buffer;
+use crate::config::Config;
+use crate::idempotency_table::{Fingerprint, RunOutcome};
+use crate::messages::{
+    ClientRequest, ConnectionId, Effect, RequestError, Response, SequenceId, UpstreamCallId,
+};
 use gradepin_admission::{Event, Outcome, Request, RequestId, Span, Time};
 use siphasher::sip::SipHasher13;
 use slog::Level;
@@ -182,7 +184,13 @@
         }
         let deadline = self.classes.profile(class).deadline;
         if call.budget > BUDGET_MULTIPLE * deadline.0.div_ceil(MS) {
-            return self.invalid(conn, seq, Some(class), RequestError::Malformed, "budget out of range".into());
+            return self.invalid(
+                conn,
+                seq,
+                Some(class),
+                RequestError::Malformed,
+                "budget out of range".into(),
+            );
         }
         if self.requests.open.contains_key(&call.id) {
             let why = format!("the rid {} is open already", call.id.0);
--- a/crates/core/src/reducer/runs.rs
+++ b/crates/core/src/reducer/runs.rs
@@ -4,9 +4,9 @@
 
 use super::requests::State;
 use super::{MS, Reducer};
-use crate::idempotency_table::RunOutcome;
-use crate::messages::{Response, Effect, RunEnd};
 use crate::buffer_pool::Buffer;
+use crate::idempotency_table::RunOutcome;
+use crate::messages::{Effect, Response, RunEnd};
 use gradepin_admission::{Event, Outcome, RequestId, Span};
 use slog::Level;
 use std::sync::Arc;
--- a/crates/core/src/reducer/settings.rs
+++ b/crates/core/src/reducer/settings.rs
@@ -7,8 +7,8 @@
 use crate::classes::{Put, Settled};
 use crate::messages::{Effect, NameChange};
 use crate::reload::Reload;
+use gradepin_admission::{ClassDefinition, Settings, Span, Tenant, UpstreamKind};
 use gradepin_config::change::{Change, MAX_CLASSES, MAX_TENANTS, Name, Rule, Transaction};
-use gradepin_admission::{UpstreamKind, ClassDefinition, Tenant, Settings, Span};
 use slog::Level;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -172,7 +172,8 @@
             match change {
                 Change::PutClass(class) => {
                     let profile = &class.profile;
-                    if profile.name.is_empty() || profile.latency_objective.0 == 0 || profile.deadline.0 == 0 {
+                    if profile.name.is_empty() || profile.latency_objective.0 == 0 || profile.deadline.0 == 0
+                    {
                         return Err(ApplyError::BadClass(Name::from(profile.name.as_str())));
                     }
                     classes.put(&profile.name, self.classes.knows(&profile.name), || {
--- a/crates/core/src/registration.rs
+++ b/crates/core/src/registration.rs
@@ -120,7 +120,8 @@
     /// When something is due though nothing comes in.
     pub fn wake_at(&self, now: Time) -> Option<Time> {
         let membership = self.membership.as_ref().map(|membership| membership.wake_at(now));
-        let silence = self.silent_since.filter(|_| membership.is_some()).map(|since| time_after(since, SILENCE));
+        let silence =
+            self.silent_since.filter(|_| membership.is_some()).map(|since| time_after(since, SILENCE));
         [membership, silence, self.drains].into_iter().flatten().min()
     }
 }
--- a/crates/core/src/request_metrics.rs
+++ b/crates/core/src/request_metrics.rs
@@ -4,8 +4,8 @@
 //! Counts are kept by the class's name, so that a class dropped at a reload keeps what it had and one that comes back
 //! goes on from there. Not here: how the figures are written out, which is the shell's.
 
-use crate::response::Response;
 use crate::configuration::ConfigurationMetrics;
+use crate::response::Response;
 use gradepin_cluster::cluster::ClusterStatus;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -95,8 +95,11 @@
     }
 
     fn counts(&mut self, class: &str) -> &mut ResponseCounts {
-        let name =
-            if self.classes.contains_key(class) || self.classes.len() < MAX_COUNTED_CLASSES { class } else { OTHER_CLASSES };
+        let name = if self.classes.contains_key(class) || self.classes.len() < MAX_COUNTED_CLASSES {
+            class
+        } else {
+            OTHER_CLASSES
+        };
         self.classes.entry(Arc::from(name)).or_default()
     }
 }
@@ -141,8 +144,11 @@
         }
         let stats = tally.stats(0);
         assert_eq!(stats.classes.len(), MAX_COUNTED_CLASSES + 1);
-        let other =
-            stats.classes.iter().find(|(name, _)| &**name == OTHER_CLASSES).map(|(_, counts)| counts.fulfilled);
+        let other = stats
+            .classes
+            .iter()
+            .find(|(name, _)| &**name == OTHER_CLASSES)
+            .map(|(_, counts)| counts.fulfilled);
         assert_eq!(other, Some(10));
     }
 }
--- a/crates/core/tests/again.rs
+++ b/crates/core/tests/again.rs
@@ -2,9 +2,9 @@
 
 mod support;
 
-use gradepin_core::messages::{Response, ClientRequest, RunClaim, Effect, Input};
-use gradepin_core::buffer_pool::BufferPool;
 use gradepin_admission::{RequestId, Span};
+use gradepin_core::buffer_pool::BufferPool;
+use gradepin_core::messages::{ClientRequest, Effect, Input, Response, RunClaim};
 use std::sync::Arc;
 use support::step;
 
--- a/crates/core/tests/apply.rs
+++ b/crates/core/tests/apply.rs
@@ -1,21 +1,21 @@
 //! Changes of classes and tenants while requests are open, runs are inside their windows and repeats are on their way,
 //! held against a model that knows names alone.
 
-#[path = "../../decisions/tests/common/mod.rs"]
+#[path = "../../admission/tests/common/mod.rs"]
 mod common;
 
+use gradepin_admission::{ClassDefinition, ClassProfile, RequestId, Span, Tenant, Time};
 use gradepin_config::change::{Change, Name, Transaction};
-use gradepin_core::admin::{AdminResponse, AdminRequest};
-use gradepin_core::response::Response;
+use gradepin_core::admin::{AdminRequest, AdminResponse};
+use gradepin_core::buffer_pool::BufferPool;
 use gradepin_core::config::Config;
 use gradepin_core::messages::{ClientRequest, Effect, Input, NameChange, RunEnd};
-use gradepin_core::timestamp::Timestamp;
-use gradepin_core::buffer_pool::BufferPool;
 use gradepin_core::reducer::{ApplyError, Reducer};
 use gradepin_core::registration::Registration;
-use gradepin_core::slots::Handle;
 use gradepin_core::request_metrics::ResponseCounts;
-use gradepin_admission::{ClassDefinition, Tenant, ClassProfile, RequestId, Span, Time};
+use gradepin_core::response::Response;
+use gradepin_core::slots::Handle;
+use gradepin_core::timestamp::Timestamp;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use serde_json::json;
@@ -97,7 +97,10 @@
             reducer: reducer(),
             pool: BufferPool::new(64),
             ms: 10_000,
-            inputs: vec![Input::LinkUp { link: 1, cold: false, age: Span(60_000 * MS) }, Input::ConnectionOpened(1)],
+            inputs: vec![
+                Input::LinkUp { link: 1, cold: false, age: Span(60_000 * MS) },
+                Input::ConnectionOpened(1),
+            ],
             names: names.collect(),
             stale: Vec::new(),
             tries: BTreeMap::new(),
@@ -313,7 +316,8 @@
         world.inputs.push(Input::AdminRequest(1, AdminRequest::Stats));
         world.settle();
         let counted = world.stats.take().expect("figures").into_iter();
-        let counted: BTreeMap<String, ResponseCounts> = counted.map(|(name, n)| (name.to_string(), n)).collect();
+        let counted: BTreeMap<String, ResponseCounts> =
+            counted.map(|(name, n)| (name.to_string(), n)).collect();
         assert_eq!(counted, world.counts, "seed {seed}");
         reused += world.stale.len();
     }
--- a/crates/core/tests/room.rs
+++ b/crates/core/tests/room.rs
@@ -2,9 +2,9 @@
 
 mod support;
 
-use gradepin_core::messages::{ClientRequest, Effect, Input, RequestError};
-use gradepin_core::buffer_pool::BufferPool;
 use gradepin_admission::{RequestId, Span};
+use gradepin_core::buffer_pool::BufferPool;
+use gradepin_core::messages::{ClientRequest, Effect, Input, RequestError};
 use support::{MS, reducer, step};
 
 /// Of 128 descriptors 96 may be connections; from seven eighths of those on one gives way.
@@ -23,13 +23,21 @@
         let mut reducer = reducer();
         step(&mut reducer, 1_000, vec![Input::ConnectionOpened(1), word(1)]);
         for conn in 2..=ROOM {
-            step(&mut reducer, 1_000 + conn, vec![Input::ConnectionOpened(conn), Input::HealthCheck(conn, 1)]);
+            step(
+                &mut reducer,
+                1_000 + conn,
+                vec![Input::ConnectionOpened(conn), Input::HealthCheck(conn, 1)],
+            );
         }
         let effects = step(&mut reducer, 2_000, vec![Input::ConnectionOpened(ROOM + 1)]);
         let closed: Vec<_> = effects
             .iter()
             .filter_map(|effect| {
-                if let Effect::CloseIdleConnection(conn, taken) = effect { Some((*conn, *taken)) } else { None }
+                if let Effect::CloseIdleConnection(conn, taken) = effect {
+                    Some((*conn, *taken))
+                } else {
+                    None
+                }
             })
             .collect();
         assert_eq!(closed, [(1, 1)]);
--- a/crates/gradepin/src/fleet.rs
+++ b/crates/gradepin/src/fleet.rs
@@ -478,3 +478,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod golden_tests;
--- a/crates/gradepin/tests/customers/world.rs
+++ b/crates/gradepin/tests/customers/world.rs
@@ -1,14 +1,14 @@
 //! One server's reducer with stand-ins for its clients and its processor, in virtual time. What each request must see holds
 //! here in one place: one answer by its due time, and its own body under its own class at the processor.
 
-use gradepin_core::response::Response;
-use gradepin_core::config::Config;
-use gradepin_core::messages::{ClientRequest, UpstreamCallId, Effect, Input, RunEnd};
-use gradepin_core::timestamp::Timestamp;
+use gradepin_admission::{Idempotency, Outcome, RequestId, Span, Time};
 use gradepin_core::buffer_pool::BufferPool;
+use gradepin_core::config::Config;
+use gradepin_core::messages::{ClientRequest, Effect, Input, RunEnd, UpstreamCallId};
 use gradepin_core::reducer::Reducer;
 use gradepin_core::registration::Registration;
-use gradepin_admission::{Idempotency as Kind, Outcome, RequestId, Span, Time};
+use gradepin_core::response::Response;
+use gradepin_core::timestamp::Timestamp;
 use gradepin_node::frontend::thrift::codec;
 use gradepin_node::settings::ActiveSettings;
 use rand_pcg::Pcg64Mcg;
@@ -228,7 +228,9 @@
             Effect::CallUpstream(id, number, ..) => self.calls.push((id, number)),
             Effect::UpdateNames { edition, changes } => self.names.publish(edition, changes),
             Effect::ReloadFinished => self.reloading = false,
-            Effect::CloseIdleConnection(conn, _) | Effect::CloseConnection(conn) if self.open.remove(&conn) => {
+            Effect::CloseIdleConnection(conn, _) | Effect::CloseConnection(conn)
+                if self.open.remove(&conn) =>
+            {
                 let owed = self.sent.iter().find(|(_, sent)| sent.owed && sent.conn == conn);
                 assert!(owed.is_none(), "a connection was closed that an answer is owed on");
                 self.inputs.push(Input::ConnectionClosed(conn));
@@ -247,7 +249,7 @@
         assert_eq!(body, &sent.body[..], "{} began with another body", id.0);
         assert!(!std::mem::replace(&mut sent.running, true), "{} began twice", id.0);
         let (t0, class) = (sent.t0, sent.class.clone());
-        if let Some(token) = sent.token.clone().filter(|_| profile.effect == Kind::ByKey) {
+        if let Some(token) = sent.token.clone().filter(|_| profile.effect == Idempotency::Keyed) {
             // One that runs already may be begun again, on a new link.
             let same = |ran: &&Ran| ran.id != *id && ran.token == token && ran.class == class;
             let again = self.ran.iter().filter(same).find(|ran| t0.abs_diff(ran.t0) < ran.window_ms);
@@ -369,7 +371,7 @@
         let profile = &definition.profile;
         let tenant = self.below(self.tenants.len() as u64 + 1) as usize;
         let tenant = self.tenants.get(tenant).and_then(|tenant| self.names.tenant(tenant));
-        let keyed = profile.effect == Kind::ByKey;
+        let keyed = profile.effect == Idempotency::Keyed;
         let token = keyed.then(|| Arc::<str>::from(format!("{}-{}", self.below(5), place)));
         let longest = (profile.deadline.0 / MS).min(3_000);
         let budget = self.below(longest + 1);
@@ -443,7 +445,8 @@
 
     fn call_ends(&mut self) {
         let Some((id, number)) = self.calls.pop() else { return };
-        let ends = [Outcome::Success, Outcome::Rejected, Outcome::TimedOut, Outcome::Failure, Outcome::Aborted];
+        let ends =
+            [Outcome::Success, Outcome::Rejected, Outcome::TimedOut, Outcome::Failure, Outcome::Aborted];
         let outcome = ends[self.below(5) as usize];
         let reply = (outcome == Outcome::Success).then(|| self.pool.copy(b"reply").expect("fits"));
         self.inputs.push(Input::UpstreamCallEnded { id, number, outcome, reply });
--- a/crates/gradepin/tests/scenario/virtually.rs
+++ b/crates/gradepin/tests/scenario/virtually.rs
@@ -1,21 +1,21 @@
 //! A stage with no sockets and no real time: the reducer alone, with the clients' codec before it.
 
 use super::{Stage, begins, changed, config, thrift};
-use gradepin_cluster::authentication::{Header, AuthenticationKeys};
+use gradepin_admission::{Outcome, RequestId, Settings, Span, Time};
+use gradepin_cluster::authentication::{AuthenticationKeys, Header};
 use gradepin_cluster::cluster::{Cluster, ClusterSettings, Envelope, MessageKind};
 use gradepin_cluster::leases::LeaseSettings;
 use gradepin_cluster::members::FailureDetection;
 use gradepin_cluster::peer::{Incarnation, Peer};
 use gradepin_core::admin::AdminRequest;
+use gradepin_core::buffer_pool::BufferPool;
 use gradepin_core::config::Config;
 use gradepin_core::idempotency_table::RunOutcome;
+use gradepin_core::messages::{ConnectionId, Effect, Input, NameChange, RunClaim, RunEnd, UpstreamCallId};
 use gradepin_core::processor_identity::ProcessorIdentity;
-use gradepin_core::messages::{UpstreamCallId, RunClaim, ConnectionId, Effect, Input, NameChange, RunEnd};
-use gradepin_core::timestamp::Timestamp;
-use gradepin_core::buffer_pool::BufferPool;
 use gradepin_core::reducer::{Reducer, lent_share};
 use gradepin_core::registration::Registration;
-use gradepin_admission::{Outcome, RequestId, Settings, Span, Time};
+use gradepin_core::timestamp::Timestamp;
 use gradepin_node::admin;
 use gradepin_node::frontend::thrift::codec;
 use gradepin_node::settings::ActiveSettings;
@@ -192,8 +192,10 @@
             return;
         }
         for _ in 0..1000 {
-            let moment =
-                Timestamp { now: Time(self.ms * MS), unix_ms: self.ms.saturating_add_signed(self.unix_off_ms) };
+            let moment = Timestamp {
+                now: Time(self.ms * MS),
+                unix_ms: self.ms.saturating_add_signed(self.unix_off_ms),
+            };
             let mut effects = Vec::new();
             self.reducer.step(moment, std::mem::take(&mut self.waiting), &mut effects);
             for effect in effects {
@@ -219,7 +221,9 @@
                 self.waiting.push(Input::StoppedAccepting);
                 "stop accepting".to_string()
             }
-            Effect::CloseIdleConnection(conn, _) | Effect::CloseLateConnection(conn, _) | Effect::CloseConnection(conn) => {
+            Effect::CloseIdleConnection(conn, _)
+            | Effect::CloseLateConnection(conn, _)
+            | Effect::CloseConnection(conn) => {
                 // Its peer ends it too, as peers do.
                 self.waiting.push(Input::ConnectionClosed(conn));
                 format!("{} closed", name(conn))
@@ -415,8 +419,8 @@
             "broken" => Outcome::Aborted,
             _ => panic!("no reply of the ledger: {line}"),
         };
-        let reply = (outcome == Outcome::Success)
-            .then(|| self.pool.copy(reply.join(" ").as_bytes()).expect("fits"));
+        let reply =
+            (outcome == Outcome::Success).then(|| self.pool.copy(reply.join(" ").as_bytes()).expect("fits"));
         let id = RequestId::new(&format!("{:016x}", rid.parse::<u64>().expect("a number")));
         // The call for it that left first; one that none left for is told of all the same.
         let out = self.calls_out.iter().position(|(known, _)| *known == id);
@@ -447,7 +451,8 @@
     }
 
     fn close(&mut self, peer: &str) {
-        let input = if peer == "processor" { Input::LinkDown } else { Input::ConnectionClosed(self.conn(peer)) };
+        let input =
+            if peer == "processor" { Input::LinkDown } else { Input::ConnectionClosed(self.conn(peer)) };
         if peer == "processor" {
             self.connecting = Some(Time(self.ms * MS));
         } else {
--- a/crates/model/src/policies/mod.rs
+++ b/crates/model/src/policies/mod.rs
@@ -11,8 +11,8 @@
 
 use crate::day::{Day, What};
 use gradepin_admission::{
-    Callers, CapacitySignal, ClassProfile, Goal, Idempotency as Repeat, Limits as Site, Prices, Rules,
-    Settings, Span, Specifics, StopMode, Tenant, Time, UpstreamKind, WeightBasis,
+    Callers, CapacitySignal, ClassProfile, Goal, Idempotency, Limits as Site, Prices, Rules, Settings, Span,
+    Specifics, StopMode, Tenant, Time, UpstreamKind, WeightBasis,
 };
 use gradepin_core::config::{Config, Limits};
 use gradepin_core::messages::{Effect, Input};
@@ -182,7 +182,7 @@
                 name: class.name.clone(),
                 latency_objective: ms(class.aim_ms),
                 deadline: ms(class.deadline_ms),
-                effect: if class.window_ms.is_some() { Repeat::ByKey } else { Repeat::Repeatable },
+                effect: if class.window_ms.is_some() { Idempotency::Keyed } else { Idempotency::Idempotent },
                 late_value: class.late,
                 window: ms(class.window_ms.unwrap_or(0)),
                 priority_weight: class.priority_weight,
--- a/crates/model/tests/slow_start_calls.rs
+++ b/crates/model/tests/slow_start_calls.rs
@@ -3,7 +3,7 @@
 //! that failed while it was down) or all begin with it.
 
 mod common;
-#[path = "../../decisions/tests/common/mod.rs"]
+#[path = "../../admission/tests/common/mod.rs"]
 mod module;
 
 use common::seed;
--- a/crates/node/src/admin/agreements.rs
+++ b/crates/node/src/admin/agreements.rs
@@ -113,3 +113,6 @@
         .collect();
     value
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/node/tests/hold.rs
+++ b/crates/node/tests/hold.rs
@@ -1,16 +1,16 @@
 //! How long one change holds the reducer at the target size. A measurement: nothing here fails by a time.
 
-#[path = "../../decisions/tests/common/mod.rs"]
+#[path = "../../admission/tests/common/mod.rs"]
 mod common;
 
+use gradepin_admission::{ClassDefinition, Span, Tenant, Time};
 use gradepin_config::change::{Change, Transaction};
 use gradepin_core::config::Config;
 use gradepin_core::messages::{Effect, Input};
-use gradepin_core::timestamp::Timestamp;
 use gradepin_core::reducer::Reducer;
 use gradepin_core::registration::Registration;
 use gradepin_core::reload::Reload;
-use gradepin_admission::{ClassDefinition, Tenant, Span, Time};
+use gradepin_core::timestamp::Timestamp;
 use serde_json::json;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/crates/simulator-adapter/tests/customers.rs
+++ b/crates/simulator-adapter/tests/customers.rs
@@ -1,7 +1,7 @@
 //! Drawn settings of other customers through the adapter's process: each instance starts with them, and says on the wire
 //! only what the wire has words for.
 
-#[path = "../../decisions/tests/common/customers.rs"]
+#[path = "../../admission/tests/common/customers.rs"]
 mod customers;
 
 use customers::{MS, settings, text};
--- a/crates/store/tests/world/mod.rs
+++ b/crates/store/tests/world/mod.rs
@@ -2,18 +2,18 @@
 //! and books of what ran and what was answered, by which the rules are checked across lives.
 #![allow(dead_code)]
 
-#[path = "../../../decisions/tests/common/mod.rs"]
+#[path = "../../../admission/tests/common/mod.rs"]
 mod common;
 
+use gradepin_admission::{RequestId, Span, Time};
+use gradepin_core::buffer_pool::BufferPool;
 use gradepin_core::config::Config;
+use gradepin_core::idempotency_log::{IdempotencyLog, RecordBatch};
 use gradepin_core::idempotency_table::READ_LATE;
-use gradepin_core::idempotency_log::{RecordBatch, IdempotencyLog};
-use gradepin_core::messages::{Response, ClientRequest, Effect, Input, RunEnd};
-use gradepin_core::timestamp::Timestamp;
-use gradepin_core::buffer_pool::BufferPool;
+use gradepin_core::messages::{ClientRequest, Effect, Input, Response, RunEnd};
 use gradepin_core::reducer::Reducer;
 use gradepin_core::registration::Registration;
-use gradepin_admission::{RequestId, Span, Time};
+use gradepin_core::timestamp::Timestamp;
 use gradepin_store::log::{Limits, Log, Stamp};
 use gradepin_store::sim::{Files, SimDisk};
 use rand_pcg::Pcg64Mcg;
--- /dev/null
+++ b/crates/testkit/src/cli.rs
@@ -0,0 +1,26 @@
+//! The command line of the test kit.
+
+use crate::commands::Command;
+use crate::drill::NotScored;
+use clap::Parser;
+use std::process::ExitCode;
+
+#[derive(Parser)]
+#[command(version, about = "Stand-ins, fleets and drills for gradepin, all on loopback addresses")]
+struct Cli {
+    #[command(subcommand)]
+    command: Command,
+}
+
+/// Carries out the command of this process: status 0 if all was kept, 1 if something was not, 2 for an error, or 3 if the
+/// machine was too late to judge by.
+pub fn main() -> ExitCode {
+    match Cli::parse().command.run() {
+        Ok(true) => ExitCode::SUCCESS,
+        Ok(false) => ExitCode::FAILURE,
+        Err(message) => {
+            eprintln!("gradepin-testkit: {message}");
+            ExitCode::from(if message.is::<NotScored>() { NotScored::EXIT_STATUS } else { 2 })
+        }
+    }
+}
--- a/crates/testkit/src/commands/load.rs
+++ b/crates/testkit/src/commands/load.rs
@@ -1,8 +1,8 @@
 //! `gradepin-testkit load`: open-loop load on servers that run already.
 
+use crate::load::{Habit, Repeats, Retry};
+use crate::measure::{self, Load};
 use clap::Args;
-use gradepin_testkit::load::{Habit, Repeats, Retry};
-use gradepin_testkit::measure::{self, Load};
 use std::error::Error;
 use std::net::SocketAddr;
 
--- a/crates/testkit/src/commands/processor.rs
+++ b/crates/testkit/src/commands/processor.rs
@@ -1,8 +1,8 @@
 //! `gradepin-testkit processor`: a stand-in processor.
 
 use super::shared::each_second;
+use crate::processor::{Processor, Spec};
 use clap::Args;
-use gradepin_testkit::processor::{Processor, Spec};
 use std::error::Error;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
     #[arg(long, default_value_t = 1.0)]
     pub speed: f64,
     /// Share of the speed that it begins with
-    #[arg(long, default_value_t = 1.0)]
+    #[arg(long = "cold-share", default_value_t = 1.0)]
     pub cold_capacity: f64,
     /// Seconds until it is warm
     #[arg(long, default_value_t = 18.0)]
