--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -31,7 +31,7 @@
 //!     size_kb: 16.0, ..Request::default()
 //! };
 //! controller.handle(Time(1_000_000), &[Event::Arrived(request)], &mut actions);
-//! assert!(actions.contains(&Action::Process(RequestId::new("r1"))));
+//! assert!(actions.contains(&Action::Run(RequestId::new("r1"))));
 //! ```
 #![warn(missing_docs)]
 
