--- a/crates/core/src/admin.rs
+++ b/crates/core/src/admin.rs
@@ -40,12 +40,18 @@
     Status,
     /// Have the council agree on something.
     Command(Box<OperatorCommand>),
-    /// What became of an order of this ticket.
-    CommandStatus(u64),
+    /// Status of a command.
+    CommandStatus {
+        /// Ticket of the command.
+        ticket: u64,
+    },
     /// Found the council.
     FoundGroup,
-    /// Which program a server shall have, for who starts its process.
-    TargetVersion(String),
+    /// Which version a server shall run, for whoever starts its process.
+    TargetVersion {
+        /// Name of the server.
+        server: String,
+    },
     /// This server asks for a permit and leaves by it.
     Leave,
     /// It stays.
@@ -84,8 +90,8 @@
     Fleet(Option<Box<FleetView>>),
     /// The order is in force, and whether it changed anything.
     DrainState {
-        /// Whether the process is drained by hand from now on.
-        failed: bool,
+        /// Whether an operator drains the process from now on.
+        draining: bool,
         /// Whether it was not so before.
         changed: bool,
     },
@@ -130,34 +136,36 @@
 /// The drain that operators order at the door, and since when.
 #[derive(Debug, Default)]
 pub struct OperatorDrain {
-    failed_since: Option<Time>,
+    draining_since: Option<Time>,
 }
 
 impl OperatorDrain {
     /// Takes a call that changes something, and says what it is answered; the others are the reducer's to answer.
     pub fn order(&mut self, now: Time, call: &AdminRequest) -> Option<AdminResponse> {
         let changed = match call {
-            AdminRequest::StartDrain => self.failed_since.replace(self.failed_since.unwrap_or(now)).is_none(),
-            AdminRequest::EndDrain => self.failed_since.take().is_some(),
+            AdminRequest::StartDrain => {
+                self.draining_since.replace(self.draining_since.unwrap_or(now)).is_none()
+            }
+            AdminRequest::EndDrain => self.draining_since.take().is_some(),
             AdminRequest::Health
             | AdminRequest::Stats
             | AdminRequest::Fleet
             | AdminRequest::Agreement(_)
             | AdminRequest::Configuration(_) => return None,
         };
-        Some(AdminResponse::DrainState { failed: self.failed_since.is_some(), changed })
+        Some(AdminResponse::DrainState { draining: self.draining_since.is_some(), changed })
     }
 
     /// Whether an operator drains the process, and since when.
-    pub fn failed_since(&self) -> Option<Time> {
-        self.failed_since
+    pub fn draining_since(&self) -> Option<Time> {
+        self.draining_since
     }
 
     /// Whether the process is ready: it answers as it serves, and says no at once after a drain was ordered.
     pub fn ready(&self, standing: ReadinessInputs) -> Result<(), NotReadyReason> {
         if standing.leaving {
             Err(NotReadyReason::ShuttingDown)
-        } else if self.failed_since.is_some() {
+        } else if self.draining_since.is_some() {
             Err(NotReadyReason::OperatorDrain)
         } else if !standing.processor {
             Err(NotReadyReason::NoProcessor)
@@ -181,22 +189,22 @@
         let mut door = OperatorDrain::default();
         assert_eq!(door.ready(UP), Ok(()));
         let failed = door.order(Time(5), &AdminRequest::StartDrain);
-        assert_eq!(failed, Some(AdminResponse::DrainState { failed: true, changed: true }));
+        assert_eq!(failed, Some(AdminResponse::DrainState { draining: true, changed: true }));
         assert_eq!(door.ready(UP), Err(NotReadyReason::OperatorDrain));
         // A second call changes nothing, and the drain counts from the first.
         assert_eq!(
             door.order(Time(9), &AdminRequest::StartDrain),
-            Some(AdminResponse::DrainState { failed: true, changed: false })
+            Some(AdminResponse::DrainState { draining: true, changed: false })
         );
-        assert_eq!(door.failed_since(), Some(Time(5)));
+        assert_eq!(door.draining_since(), Some(Time(5)));
         assert_eq!(
             door.order(Time(12), &AdminRequest::EndDrain),
-            Some(AdminResponse::DrainState { failed: false, changed: true })
+            Some(AdminResponse::DrainState { draining: false, changed: true })
         );
         assert_eq!(door.ready(UP), Ok(()));
         assert_eq!(
             door.order(Time(13), &AdminRequest::EndDrain),
-            Some(AdminResponse::DrainState { failed: false, changed: false })
+            Some(AdminResponse::DrainState { draining: false, changed: false })
         );
     }
 
--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration.rs
@@ -47,8 +47,11 @@
 pub enum ConfigurationSaveResult {
     /// The state of this revision is durable.
     Durable(Revision),
-    /// It couldn't be made so, and why; it is tried again.
-    Failed(String),
+    /// It couldn't be written; it is tried again.
+    Failed {
+        /// Error of the disk.
+        reason: String,
+    },
 }
 
 /// What an operator asks of the configuration service.
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -1,4 +1,4 @@
-//! What the reducer is told and what it asks for, in terms of no protocol.
+//! Inputs and effects of the reducer, independent of any protocol.
 
 use crate::admin::{AdminRequest, AdminRequestId, AdminResponse};
 use crate::buffer_pool::Buffer;
@@ -20,7 +20,7 @@
 /// Names a client connection; never used again.
 pub type ConnectionId = u64;
 
-/// Names a call to the ledger; never used again. A request may make several, and its id may come again.
+/// Names a call to the shared upstream; never used again. A request may make several calls, and its id may come again.
 pub type UpstreamCallId = u64;
 
 /// Names a request on its connection.
@@ -29,7 +29,7 @@
 /// A request as its client proxy sent it.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// Its id, new with every try.
+    /// Its id, new with every attempt.
     pub id: RequestId,
     /// Its class.
     pub class: Handle,
@@ -37,21 +37,21 @@
     pub tenant: Option<Handle>,
     /// Number of the client proxy.
     pub caller: u64,
-    /// When it came to the machine, in Unix milliseconds.
+    /// When it reached the machine, in Unix milliseconds.
     pub t0: u64,
     /// Milliseconds from `t0` that its caller waits.
     pub budget: u64,
-    /// A further try or a second copy.
+    /// Whether it is a retry or a hedged request.
     pub retry: bool,
-    /// Memory booked for it while it is held.
+    /// Memory that is reserved for it while it is queued, in kB.
     pub size_kb: f64,
-    /// Its rank.
+    /// Its precedence within its class.
     pub precedence: f64,
-    /// What all tries of a keyed request share.
+    /// Idempotency key that all attempts of the request share.
     pub token: Option<Arc<str>>,
     /// Whether it names a subject.
     pub has_key: bool,
-    /// Its body, as it came.
+    /// Its body, as it was sent.
     pub body: Buffer,
 }
 
@@ -68,230 +68,433 @@
     NotStarted,
 }
 
-/// What came in.
+/// An event that a shell hands to the reducer.
 #[derive(Debug)]
 pub enum Input {
     /// A client connection was accepted.
     ConnectionOpened(ConnectionId),
-    /// Nothing more comes from it: its peer has shut its half, or sent what is no message. All that came before was
-    /// passed on, and is owed its answers.
+    /// Nothing more is read from a connection: its peer has shut its half, or sent what is no message. All messages
+    /// before that were passed on and are answered yet.
     ConnectionHalfClosed(ConnectionId),
-    /// It has not said a whole message in its time. It is closed once it is owed nothing, unless one comes before that.
+    /// A connection sent no complete message in its time. It is closed once it is owed nothing, unless a message is
+    /// completed before that.
     ConnectionLate(ConnectionId),
-    /// It is over, or can't be used any more.
+    /// A connection has ended or is unusable.
     ConnectionClosed(ConnectionId),
-    /// A request.
-    Request(ConnectionId, SequenceId, Box<ClientRequest>),
-    /// A message that asks for an answer but can't be taken: how it is wrong, and a text for its sender.
-    InvalidRequest(ConnectionId, SequenceId, RequestError, String),
-    /// Nobody waits for a request any more.
-    Cancel(ConnectionId, SequenceId),
-    /// A health check.
-    HealthCheck(ConnectionId, SequenceId),
-    /// The processor greets on a new link: the link's number, whether it began cold, and how long ago.
+    /// A client request.
+    Request {
+        /// Connection that it came on.
+        connection: ConnectionId,
+        /// Number of the message on its connection.
+        sequence: SequenceId,
+        /// The decoded request.
+        request: Box<ClientRequest>,
+    },
+    /// A message that is owed a response but is no valid request.
+    InvalidRequest {
+        /// Connection that it came on.
+        connection: ConnectionId,
+        /// Number of the message on its connection.
+        sequence: SequenceId,
+        /// What is wrong with it.
+        error: RequestError,
+        /// Explanation for its sender.
+        text: String,
+    },
+    /// The caller no longer waits for a request.
+    Cancel {
+        /// Connection of the request.
+        connection: ConnectionId,
+        /// Number of the request on its connection.
+        sequence: SequenceId,
+    },
+    /// A client's health check.
+    HealthCheck {
+        /// Connection that it came on.
+        connection: ConnectionId,
+        /// Number of the message on its connection.
+        sequence: SequenceId,
+    },
+    /// The processor greeted on a new link.
     LinkUp {
         /// Number of the link, from 1.
         link: u64,
-        /// Whether the processor was cold when it started.
+        /// Whether the processor's cores were cold when it started.
         cold: bool,
         /// How long ago it started.
         age: Span,
     },
     /// The link has ended.
     LinkDown,
-    /// The processor that greets is another one than before: nothing of that one's runs any more, and notices begin at 1
-    /// again. Its [`Input::LinkUp`] follows, on this link or on a later one.
+    /// The processor that greets is another one than before: no run of the former one continues, and its notices are
+    /// numbered from 1 again. Its [`Input::LinkUp`] follows, on this link or on a later one.
     ProcessorRestarted,
-    /// A run is over: the number of the notice, the request, its end, the time it took and the result.
+    /// A run has ended.
     RunCompleted {
-        /// Number of the notice.
+        /// Number of the processor's notice, from 1 and without gaps.
         notice: u64,
-        /// Which request.
+        /// Request of the run.
         id: RequestId,
         /// How it ended.
         end: RunEnd,
-        /// How long it took.
+        /// How long it ran.
         took: Span,
-        /// What it made.
+        /// Its result; empty unless it ended with [`RunEnd::Ok`].
         result: Buffer,
     },
-    /// A run waits for a call to the ledger, with this body: the number of the notice, the request and the body.
+    /// A run waits for a call to the shared upstream.
     UpstreamCallRequested {
-        /// Number of the notice.
+        /// Number of the processor's notice, from 1 and without gaps.
         notice: u64,
-        /// Which request.
+        /// Request of the run.
         id: RequestId,
-        /// What the call is to carry.
+        /// Body of the call.
         body: Buffer,
     },
-    /// A call to the ledger ended: how, and with its reply where it went well.
+    /// A call to the shared upstream ended.
     UpstreamCallEnded {
-        /// For which request.
+        /// Request that the call was made for.
         id: RequestId,
         /// Which call.
-        number: UpstreamCallId,
+        call: UpstreamCallId,
         /// How it ended.
         outcome: Outcome,
-        /// The reply's body, on `Delivered`.
+        /// Body of the reply; none unless the outcome is [`Outcome::Success`].
         reply: Option<Buffer>,
     },
-    /// The gauges in the order of the settings, asked for under this number; no number where one is not told.
-    GaugesRead(u64, Vec<f64>),
-    /// Whose the run of a keyed request is, where two processes of an upgrade share them.
-    RunClaimed(RequestId, RunClaim),
-    /// A run was not begun.
+    /// The processor's gauges, in reply to [`Effect::ReadGauges`].
+    GaugesRead {
+        /// Number of the reading that they answer.
+        number: u64,
+        /// Values in the order of the settings; NaN for a gauge that the processor doesn't report.
+        values: Vec<f64>,
+    },
+    /// Reply to [`Effect::ClaimRun`].
+    RunClaimed {
+        /// Request whose run was claimed.
+        id: RequestId,
+        /// Which process owns the run.
+        claim: RunClaim,
+    },
+    /// The shell could not start a run.
     RunNotStarted(RequestId),
-    /// Nothing more is read from a connection for so long, as it sends too much of what is turned away.
-    ConnectionThrottled(ConnectionId, Span),
-    /// The notice to leave.
+    /// Reading from a connection is paused, as too many of its requests are rejected.
+    ConnectionThrottled {
+        /// The connection.
+        connection: ConnectionId,
+        /// How long nothing is read from it.
+        duration: Span,
+    },
+    /// SIGTERM: shut down gracefully.
     ShutdownNotice,
-    /// The fronts accept no more connections; all they accepted before were told.
+    /// The front ends accept no more connections; all that were accepted have been reported.
     StoppedAccepting,
-    /// An operator takes the server out: told to those who list it, and drained once that may be known.
+    /// An operator takes the server out of service: that is published first, and it drains once clients may know.
     TakeOutOfService,
-    /// An operator takes it back in, if its drain has not begun.
+    /// An operator returns the server to service; ignored once its drain has begun.
     ReturnToService,
-    /// What became of a question to a registry.
-    RegistryReply(u64, RegistryReply),
-    /// The configuration was read again, and compared with the classes and tenants in force.
+    /// Outcome of a registry request.
+    RegistryReply {
+        /// Ticket of the request.
+        ticket: u64,
+        /// Its outcome.
+        reply: RegistryReply,
+    },
+    /// The settings file was read again and compared with the classes and tenants in force.
     Reload(Box<Reload>),
-    /// The configuration was read again and can't be used, for this reason; what is in force stays.
-    ReloadRejected(String),
-    /// An operator's call at the door, owed an answer under its id.
-    AdminRequest(AdminRequestId, AdminRequest),
-    /// The store was opened, and this is what it held.
+    /// The settings file was read again and is invalid; the active settings stay.
+    ReloadRejected {
+        /// Why it is invalid.
+        reason: String,
+    },
+    /// An operator's request at the admin endpoint, answered by [`Effect::AnswerAdmin`].
+    AdminRequest {
+        /// Names the request in its response.
+        id: AdminRequestId,
+        /// What is asked.
+        request: AdminRequest,
+    },
+    /// The store was opened and read.
     StoreRecovered(Box<RecoveredRuns>),
-    /// The folder in which the two processes of an upgrade claim keyed runs can be used from now on; this salt keys the
-    /// prints of both.
-    RunsShared(u64),
+    /// The folder in which the two processes of an upgrade claim runs can be used from now on.
+    RunsShared {
+        /// Key of the body fingerprints of both processes.
+        salt: u64,
+    },
     /// All batches for the store up to this one are durable.
-    StorePersisted(u64),
-    /// What was written up to this batch can't be relied on, and why. With no batch: the store can't be opened.
-    StoreFailed(u64, String),
-    /// A tagged datagram of another server.
+    StorePersisted {
+        /// Number of the last durable batch.
+        number: u64,
+    },
+    /// Batches for the store up to this one may be lost.
+    StoreFailed {
+        /// Number of the last batch that failed; 0 if the store could not be opened.
+        number: u64,
+        /// Error of the disk.
+        reason: String,
+    },
+    /// An authenticated datagram of another server.
     PeerDatagram(Box<Envelope>),
-    /// Datagrams at the fleet's address were dropped, so many for each reason.
+    /// Count of peer datagrams that were dropped, by reason.
     PeerDatagramsDropped(Vec<(DropReason, u64)>),
-    /// The fleet's keys, read again.
+    /// The keys that authenticate peer datagrams were read again.
     AuthenticationKeysReloaded(AuthenticationKeys),
-    /// What was written in the council's folder up to this number is durable.
-    VoterStateWritten(u64),
-    /// It couldn't be, and why; the folder was read anew and holds this.
-    VoterStateFailed(Box<VoterState>, String),
-    /// What became of a configuration that was to be written.
+    /// Records of the voter state up to this number are durable.
+    VoterStateWritten {
+        /// Number of the last durable write.
+        number: u64,
+    },
+    /// Records of the voter state could not be written.
+    VoterStateFailed {
+        /// The voter state as it was read again from the folder.
+        recovered: Box<VoterState>,
+        /// Error of the disk.
+        reason: String,
+    },
+    /// Outcome of [`Effect::SaveConfiguration`].
     ConfigurationWritten(ConfigurationSaveResult),
-    /// The digest of the settings in force, if they changed, and those that are staged.
-    StagedSettingsChanged(Option<String>, Vec<String>),
-    /// A step of this release could not be taken here, and why.
-    RolloutStepFailed(u64, String),
+    /// The active or the staged settings changed.
+    StagedSettingsChanged {
+        /// Digest of the active settings; none if they are as before.
+        active: Option<String>,
+        /// Digests of the staged settings.
+        staged: Vec<String>,
+    },
+    /// A rollout step could not be taken on this server.
+    RolloutStepFailed {
+        /// Number of the release.
+        release: u64,
+        /// What failed.
+        reason: String,
+    },
 }
 
-/// Whose the run of a token is, of two processes that share them.
+/// Which of the two processes of an upgrade owns the run of an idempotency key.
 #[derive(Debug, Clone)]
 pub enum RunClaim {
-    /// This process's: it may begin.
+    /// This process: it may start the run.
     Ours,
-    /// The other one's, which ended so.
+    /// The other process, whose run ended so.
     Ended(RunOutcome),
-    /// It can't be told: it must not begin.
+    /// The owner can't be determined: the run must not start.
     Unknown,
 }
 
-/// What is to be done.
+/// What a shell carries out for the reducer. Effects of a step are carried out in their order.
 #[derive(Debug)]
 pub enum Effect {
     /// Make a configuration durable, where there is a folder for it.
     SaveConfiguration(Box<ConfigurationSave>),
-    /// Send an answer, with the free value if one is set.
-    Respond(ConnectionId, SequenceId, Response, Option<f64>),
-    /// Tell a connection that no more requests should come on it.
+    /// Send a response to a client.
+    Respond {
+        /// Connection of the request.
+        connection: ConnectionId,
+        /// Number of the request on its connection.
+        sequence: SequenceId,
+        /// The response.
+        response: Response,
+        /// Capacity hint for client proxies, if the admission module has set one.
+        capacity_hint: Option<f64>,
+    },
+    /// Ask the peer of a connection to send no more requests on it.
     RequestDrain(ConnectionId),
     /// Close a connection once all is written; [`Input::ConnectionClosed`] follows when its peer has ended it too.
     CloseConnection(ConnectionId),
-    /// Close a connection if nothing is under way on it: no more than so many of its messages were passed on, and
-    /// nothing waits unread.
-    CloseIdleConnection(ConnectionId, u64),
-    /// The same for one that is late; half a message doesn't hold it.
-    CloseLateConnection(ConnectionId, u64),
-    /// Run a request: on which link, its id, its class and its body.
-    StartRun(u64, RequestId, Arc<ClassDefinition>, Arc<Buffer>),
-    /// Call the ledger for a request: its id, the number of the call, the body, how long to wait for the reply, and the time after which it must
-    /// not leave here any more, if there is one.
-    CallUpstream(RequestId, UpstreamCallId, Arc<Buffer>, Span, Option<Time>),
-    /// Give a run on a link the reply to its call.
-    DeliverUpstreamReply(u64, RequestId, Arc<Buffer>),
-    /// Stop a run on a link.
-    StopRun(u64, RequestId),
-    /// Say whose the run of a keyed request is: its id, token and print, and how long to wait for another process's end.
-    ClaimRun(RequestId, Arc<str>, Fingerprint, Span),
-    /// A claimed run has its end, or with none never began: its token and print.
-    ReleaseClaim(Arc<str>, Fingerprint, Option<RunOutcome>),
-    /// Ask on a link for the gauges, under a number.
-    ReadGauges(u64, u64),
-    /// Give a link up and make a new one.
-    ReconnectProcessor(u64),
-    /// Keep the link to this address from now on, and make a new one at once.
+    /// Close a connection that is idle. Void if more of its messages were passed on, or if bytes wait unread.
+    CloseIdleConnection {
+        /// The connection.
+        connection: ConnectionId,
+        /// Count of its messages that the reducer has received.
+        messages_received: u64,
+    },
+    /// Close a late connection on the same terms; an incomplete message doesn't keep it open.
+    CloseLateConnection {
+        /// The connection.
+        connection: ConnectionId,
+        /// Count of its messages that the reducer has received.
+        messages_received: u64,
+    },
+    /// Start a run on the processor.
+    StartRun {
+        /// Number of the link.
+        link: u64,
+        /// Request of the run.
+        id: RequestId,
+        /// Its class.
+        class: Arc<ClassDefinition>,
+        /// Its body.
+        body: Arc<Buffer>,
+    },
+    /// Call the shared upstream for a run.
+    CallUpstream {
+        /// Request of the run.
+        id: RequestId,
+        /// Names the call in [`Input::UpstreamCallEnded`].
+        call: UpstreamCallId,
+        /// Body of the call.
+        body: Arc<Buffer>,
+        /// How long to wait for the reply.
+        timeout: Span,
+        /// The call must not be sent from this time on, as its borrowed slot expires.
+        leave_before: Option<Time>,
+    },
+    /// Give a run the reply to its upstream call.
+    DeliverUpstreamReply {
+        /// Number of the link.
+        link: u64,
+        /// Request of the run.
+        id: RequestId,
+        /// Body of the reply.
+        reply: Arc<Buffer>,
+    },
+    /// Stop a run.
+    StopRun {
+        /// Number of the link.
+        link: u64,
+        /// Request of the run.
+        id: RequestId,
+    },
+    /// Claim the run of an idempotency key, where two processes of an upgrade share them; answered by
+    /// [`Input::RunClaimed`].
+    ClaimRun {
+        /// Request of the run.
+        id: RequestId,
+        /// Its idempotency key.
+        key: Arc<str>,
+        /// Fingerprint of its body and class.
+        fingerprint: Fingerprint,
+        /// How long to wait for the outcome of the other process's run.
+        timeout: Span,
+    },
+    /// A claimed run ended, or never started.
+    ReleaseClaim {
+        /// Its idempotency key.
+        key: Arc<str>,
+        /// Fingerprint of its body and class.
+        fingerprint: Fingerprint,
+        /// Its outcome; none if it never started.
+        outcome: Option<RunOutcome>,
+    },
+    /// Read the processor's gauges; answered by [`Input::GaugesRead`].
+    ReadGauges {
+        /// Number of the link.
+        link: u64,
+        /// Names the reading.
+        number: u64,
+    },
+    /// Give up a link to the processor and connect again.
+    ReconnectProcessor {
+        /// Number of the link to give up.
+        link: u64,
+    },
+    /// The processor is at this address from now on: connect to it at once.
     SetProcessorAddress(SocketAddr),
-    /// Report to this address from now on.
+    /// Report to the control plane at this address from now on.
     SetControlAddress(SocketAddr),
-    /// Call the shared ledger at this address from now on.
+    /// Call the shared upstream at this address from now on.
     SetUpstreamAddress(SocketAddr),
-    /// Report to the control plane whether this server takes work.
-    ReportReadiness(bool),
-    /// Put a question to a registry.
+    /// Report to the control plane whether this server takes requests.
+    ReportReadiness {
+        /// Whether it does.
+        ready: bool,
+    },
+    /// Send a request to a registry; answered by [`Input::RegistryReply`].
     AskRegistry(RegistryRequest),
-    /// Write records to the store, under this number.
-    PersistRecords(u64, RecordBatch),
-    /// Have the processor tell all the notices again that it keeps.
+    /// Write records to the store; answered by [`Input::StorePersisted`] or [`Input::StoreFailed`].
+    PersistRecords {
+        /// Number of the batch, from 1 and without gaps.
+        number: u64,
+        /// The records.
+        batch: RecordBatch,
+    },
+    /// Have the processor repeat all notices that it keeps.
     ReplayNotices,
-    /// The names that requests may use have changed so, in this order.
+    /// The names that requests may use have changed; the changes apply in their order.
     UpdateNames {
-        /// The number of the last change of what is in force that these are of.
+        /// Number of the last change of the active settings that these are part of.
         edition: u64,
         /// The changes.
         changes: Vec<NameChange>,
     },
-    /// The longest in which a keyed request may come again is this from now on.
+    /// An idempotency key may be repeated for this long at the most, from now on.
     SetLongestWindow(Span),
-    /// A reload is over: all of its file is in force, or nothing of it.
+    /// A reload has ended: all of its file is in force, or nothing of it.
     ReloadFinished,
-    /// Accept no more connections: the listener is the successor's now.
+    /// Accept no more connections: the listener belongs to the successor process.
     StopAccepting,
-    /// Answer an operator's call.
-    AnswerAdmin(AdminRequestId, AdminResponse),
+    /// Answer an operator's request.
+    AnswerAdmin {
+        /// Names the request.
+        id: AdminRequestId,
+        /// The response.
+        response: AdminResponse,
+    },
     /// Send a datagram to another server.
-    SendPeerDatagram(SocketAddr, Vec<u8>),
-    /// Write records into the council's folder: of which generation of it, under which number.
-    WriteVoterState(u64, u64, Vec<DurableRecord>),
-    /// Change to another program or other settings, if that is still before the time.
-    StartRolloutStep(Box<StepAssignment>, Time),
+    SendPeerDatagram {
+        /// Its address.
+        to: SocketAddr,
+        /// Authenticated and ready to send.
+        datagram: Vec<u8>,
+    },
+    /// Write records of the voter state; answered by [`Input::VoterStateWritten`] or [`Input::VoterStateFailed`].
+    WriteVoterState {
+        /// Generation of the folder that they belong to.
+        generation: u64,
+        /// Number of the write.
+        number: u64,
+        /// The records.
+        records: Vec<DurableRecord>,
+    },
+    /// Change to another program or to other settings.
+    StartRolloutStep {
+        /// The step.
+        step: Box<StepAssignment>,
+        /// The step must not start from this time on.
+        start_before: Time,
+    },
     /// Write a line to the log.
-    Log(slog::Level, String),
+    Log {
+        /// Its level.
+        level: slog::Level,
+        /// The line.
+        text: String,
+    },
     /// End the process.
     Exit,
 }
 
-/// A change of the names that requests may use; what is in a slot is shared, not copied.
+/// A change of the names that requests may use. Definitions are shared with the reducer, not copied.
 #[derive(Debug, Clone)]
 pub enum NameChange {
-    /// A class is in force, as it was defined.
-    Class(Handle, Arc<ClassDefinition>),
-    /// A class was removed; requests that name it are still sent on, to be turned away by what is in force.
+    /// A class is in force.
+    Class {
+        /// Refers to it in requests.
+        handle: Handle,
+        /// Its definition.
+        class: Arc<ClassDefinition>,
+    },
+    /// A class was removed. Requests that name it are still passed on and rejected by the reducer.
     ClassRemoved(Arc<ClassDefinition>),
-    /// Nothing refers to it any more: its name is unknown.
+    /// Nothing refers to a removed class any more: its name is unknown.
     ClassForgotten(Arc<ClassDefinition>),
     /// A tenant is in force.
-    Tenant(Handle, Arc<Tenant>),
+    Tenant {
+        /// Refers to it in requests.
+        handle: Handle,
+        /// Its definition.
+        tenant: Arc<Tenant>,
+    },
     /// A tenant was removed; requests may still name it.
     TenantRemoved(Arc<Tenant>),
-    /// Its slot is another's: its name is unknown.
+    /// The slot of a removed tenant was reused: its name is unknown.
     TenantForgotten(Arc<Tenant>),
 }
 
-/// No processor ends and starts again in less. Tells a restart from a greeting that was on its way for a moment.
+/// No processor ends and starts again faster: a greeting with a later start than this is of a restarted processor, and not
+/// one that was delayed on its way.
 pub const MIN_PROCESSOR_RESTART: Span = Span(50_000_000);
 
-/// What a host may have to wait for.
+/// The earlier of two times, where either may be absent.
 pub fn earliest(a: Option<Time>, b: Option<Time>) -> Option<Time> {
     match (a, b) {
         (Some(a), Some(b)) => Some(a.min(b)),
--- a/crates/core/src/reducer/agreed.rs
+++ b/crates/core/src/reducer/agreed.rs
@@ -168,7 +168,11 @@
         match effect {
             AgentEffect::Send(to, word) => self.fleet_post(&to, &word),
             AgentEffect::Write(number, records) => {
-                self.effects.push(Effect::WriteVoterState(self.agreed.generation, number, records));
+                self.effects.push(Effect::WriteVoterState {
+                    generation: self.agreed.generation,
+                    number,
+                    records,
+                });
             }
             AgentEffect::PermitGranted(epoch, until) => {
                 if now < until {
@@ -191,7 +195,7 @@
                 }
                 let what = if kind == ReleaseKind::Program { "program" } else { "settings" };
                 self.log(Level::Info, format!("changing to {what} {version} by permit {}", turn.epoch));
-                self.effects.push(Effect::StartRolloutStep(Box::new(turn), until));
+                self.effects.push(Effect::StartRolloutStep { step: Box::new(turn), start_before: until });
             }
             AgentEffect::Configuration(effect) => self.configuration_agreed(effect),
             AgentEffect::Log(bad, text) => {
@@ -214,11 +218,13 @@
                     Err(why) => AgreementResponse::Completed(Err(why)),
                 }
             }
-            AgreementRequest::CommandStatus(ticket) => AgreementResponse::CommandStatus(part.became(ticket)),
+            AgreementRequest::CommandStatus { ticket } => {
+                AgreementResponse::CommandStatus(part.became(ticket))
+            }
             AgreementRequest::FoundGroup => {
                 AgreementResponse::Completed(part.found(now).map_err(|why| why.to_string()))
             }
-            AgreementRequest::TargetVersion(name) => {
+            AgreementRequest::TargetVersion { server: name } => {
                 AgreementResponse::TargetVersion(part.record().and_then(|record| record.program_for(&name)))
             }
             AgreementRequest::Leave => {
--- a/crates/core/src/reducer/calls.rs
+++ b/crates/core/src/reducer/calls.rs
@@ -53,7 +53,13 @@
             open.call.clone()
         });
         if let Some(body) = body {
-            self.effects.push(Effect::CallUpstream(id.clone(), number, body, timeout, leaves));
+            self.effects.push(Effect::CallUpstream {
+                id: id.clone(),
+                call: number,
+                body,
+                timeout,
+                leave_before: leaves,
+            });
         }
         number
     }
@@ -88,7 +94,7 @@
         if outcome != Outcome::Success {
             let text =
                 format!("a call to the ledger for {} ended {outcome:?} after {} ms", id.0, took.0 / MS);
-            self.effects.push(Effect::Log(Level::Warning, text));
+            self.effects.push(Effect::Log { level: Level::Warning, text });
         }
         if let (Outcome::Success, Some(reply)) = (outcome, reply) {
             open.call = None;
@@ -105,7 +111,11 @@
     /// made twice, or keyed requests failed, because a link fell beside them.
     pub(super) fn reply(&mut self, id: RequestId, reply: Arc<Buffer>) {
         if let Some(link) = self.link.settled() {
-            self.effects.push(Effect::DeliverUpstreamReply(link, id.clone(), Arc::clone(&reply)));
+            self.effects.push(Effect::DeliverUpstreamReply {
+                link,
+                id: id.clone(),
+                reply: Arc::clone(&reply),
+            });
         }
         self.link.replies.push((id, reply, self.link.asked));
     }
@@ -113,7 +123,7 @@
     /// Stops a run where there is a link; a run that ends so is told as stopped.
     pub(super) fn interrupt(&mut self, id: &RequestId) {
         if let (Some(_), Some(link)) = (self.requests.get(id), self.link.number) {
-            self.effects.push(Effect::StopRun(link, id.clone()));
+            self.effects.push(Effect::StopRun { link, id: id.clone() });
         }
     }
 }
--- a/crates/core/src/reducer/claims.rs
+++ b/crates/core/src/reducer/claims.rs
@@ -13,7 +13,12 @@
         let Some(open) = self.requests.get(id) else { return };
         let Some((token, print)) = open.key() else { return };
         let patience = self.claims.asked(id, self.classes.profile(open.class).deadline);
-        self.effects.push(Effect::ClaimRun(id.clone(), Arc::clone(token), print, patience));
+        self.effects.push(Effect::ClaimRun {
+            id: id.clone(),
+            key: Arc::clone(token),
+            fingerprint: print,
+            timeout: patience,
+        });
     }
 
     /// It is told whose the run is.
@@ -46,7 +51,11 @@
     pub(super) fn claim_ended(&mut self, token: &Arc<str>, end: Option<RunOutcome>) {
         if self.claims.is_on() {
             let print = self.keys.known(token, self.moment.now).map_or(0, |known| known.print);
-            self.effects.push(Effect::ReleaseClaim(Arc::clone(token), print, end));
+            self.effects.push(Effect::ReleaseClaim {
+                key: Arc::clone(token),
+                fingerprint: print,
+                outcome: end,
+            });
         }
     }
 }
--- a/crates/core/src/reducer/configuration.rs
+++ b/crates/core/src/reducer/configuration.rs
@@ -211,7 +211,7 @@
     pub(super) fn configuration_written(&mut self, written: ConfigurationSaveResult) {
         let revision = match written {
             ConfigurationSaveResult::Durable(revision) => revision,
-            ConfigurationSaveResult::Failed(why) => {
+            ConfigurationSaveResult::Failed { reason: why } => {
                 let text = format!("the configuration could not be written, it is tried again: {why}");
                 return self.log(Level::Error, text);
             }
--- a/crates/core/src/reducer/configuration/tests.rs
+++ b/crates/core/src/reducer/configuration/tests.rs
@@ -74,9 +74,13 @@
 fn status(reducer: &mut Reducer, now: Time) -> StatusReply {
     let mut effects = Vec::new();
     let call = AdminRequest::Configuration(ConfigurationAdminRequest::Status);
-    reducer.step(Timestamp { now, ..Timestamp::default() }, [Input::AdminRequest(1, call)], &mut effects);
+    reducer.step(
+        Timestamp { now, ..Timestamp::default() },
+        [Input::AdminRequest { id: 1, request: call }],
+        &mut effects,
+    );
     let answer = effects.into_iter().find_map(|effect| match effect {
-        Effect::AnswerAdmin(1, AdminResponse::Configuration(answer)) => Some(*answer),
+        Effect::AnswerAdmin { id: 1, response: AdminResponse::Configuration(answer) } => Some(*answer),
         _ => None,
     });
     match answer {
@@ -152,7 +156,7 @@
 fn a_state_that_nobody_confirms_is_told_as_stale_once_and_holds() {
     let mut reducer = server(|base| base);
     let told = |effects: Vec<Effect>| {
-        let stale = |effect: &&Effect| matches!(effect, Effect::Log(_, text) if text.contains("stale"));
+        let stale = |effect: &&Effect| matches!(effect, Effect::Log { text, .. } if text.contains("stale"));
         effects.iter().filter(stale).count()
     };
     assert_eq!(told(step(&mut reducer, Time(59_000 * MS))), 0);
--- a/crates/core/src/reducer/connections.rs
+++ b/crates/core/src/reducer/connections.rs
@@ -222,7 +222,10 @@
             Some(connection) if !connection.open.is_empty() => {}
             Some(connection) if connection.ended => self.effects.push(Effect::CloseConnection(conn)),
             Some(connection) if connection.late => {
-                self.effects.push(Effect::CloseLateConnection(conn, connection.taken));
+                self.effects.push(Effect::CloseLateConnection {
+                    connection: conn,
+                    messages_received: connection.taken,
+                });
             }
             // What is on its way from it yet is answered first.
             Some(connection) if connection.refused => self.close_resting(conn),
@@ -240,7 +243,8 @@
     pub(super) fn close_resting(&mut self, conn: ConnectionId) {
         if let Some(connection) = self.conns.table.get_mut(&conn) {
             connection.closing = Some(self.moment.now);
-            self.effects.push(Effect::CloseIdleConnection(conn, connection.taken));
+            self.effects
+                .push(Effect::CloseIdleConnection { connection: conn, messages_received: connection.taken });
         }
     }
 
--- a/crates/core/src/reducer/fleet.rs
+++ b/crates/core/src/reducer/fleet.rs
@@ -282,7 +282,7 @@
         for effect in asked {
             match effect {
                 ClusterEffect::Send { to, datagram } => {
-                    self.effects.push(Effect::SendPeerDatagram(to, datagram))
+                    self.effects.push(Effect::SendPeerDatagram { to, datagram })
                 }
                 ClusterEffect::Post { from, incarnation, content } => {
                     if !self.configuration_message(&from, &content) {
@@ -383,7 +383,7 @@
         cluster.step(self.moment.now, &mut asked);
         for effect in asked {
             if let ClusterEffect::Send { to, datagram } = effect {
-                self.effects.push(Effect::SendPeerDatagram(to, datagram));
+                self.effects.push(Effect::SendPeerDatagram { to, datagram });
             }
         }
     }
--- a/crates/core/src/reducer/housekeeping.rs
+++ b/crates/core/src/reducer/housekeeping.rs
@@ -86,8 +86,8 @@
     pub(super) fn housekeeping(&mut self) {
         let now = self.moment.now;
         if self.duties.report_due(now) && self.controller.is_some() && self.drain.handover.reports() {
-            let ready = self.active && !self.registration.is_out() && self.door.failed_since().is_none();
-            self.effects.push(Effect::ReportReadiness(ready));
+            let ready = self.active && !self.registration.is_out() && self.door.draining_since().is_none();
+            self.effects.push(Effect::ReportReadiness { ready });
         }
         if now >= self.duties.next_sweep {
             // What is left of a sweep has its turn with the next step, which comes at once.
--- a/crates/core/src/reducer/keeping.rs
+++ b/crates/core/src/reducer/keeping.rs
@@ -111,7 +111,7 @@
         }
         let keys = &self.keys;
         if let Some((number, batch)) = self.ledger.take(self.moment, || keys.all_known(now)) {
-            self.effects.push(Effect::PersistRecords(number, batch));
+            self.effects.push(Effect::PersistRecords { number, batch });
         }
         for (bad, note) in self.ledger.notes() {
             self.log(if bad { Level::Error } else { Level::Info }, note);
--- a/crates/core/src/reducer/link.rs
+++ b/crates/core/src/reducer/link.rs
@@ -135,7 +135,7 @@
     pub(super) fn ask(&mut self, link: u64) {
         self.link.asked += 1;
         self.link.open_since = Some(self.moment.now);
-        self.effects.push(Effect::ReadGauges(link, self.link.asked));
+        self.effects.push(Effect::ReadGauges { link, number: self.link.asked });
     }
 
     pub(super) fn used(&mut self, tag: u64, values: &[f64]) {
@@ -188,7 +188,7 @@
                 (Some(_), Some(since)) if now < time_after(since, GAUGES_WAIT) => return,
                 (Some(link), Some(since)) if now >= time_after(since, LINK_PATIENCE) => {
                     self.log(Level::Warning, "the processor doesn't answer; renewing the link".into());
-                    self.effects.push(Effect::ReconnectProcessor(link));
+                    self.effects.push(Effect::ReconnectProcessor { link });
                     self.link.open_since = Some(now);
                 }
                 _ => {}
--- a/crates/core/src/reducer/mod.rs
+++ b/crates/core/src/reducer/mod.rs
@@ -211,20 +211,20 @@
     }
 
     fn log(&mut self, level: Level, text: String) {
-        self.effects.push(Effect::Log(level, text));
+        self.effects.push(Effect::Log { level, text });
     }
 
     fn input(&mut self, input: Input) {
-        if let Input::Request(conn, ..)
-        | Input::InvalidRequest(conn, ..)
-        | Input::Cancel(conn, _)
-        | Input::HealthCheck(conn, _) = &input
+        if let Input::Request { connection: conn, .. }
+        | Input::InvalidRequest { connection: conn, .. }
+        | Input::Cancel { connection: conn, .. }
+        | Input::HealthCheck { connection: conn, .. } = &input
         {
             self.conns.took(*conn);
         }
-        if let Input::Request(conn, seq, _)
-        | Input::InvalidRequest(conn, seq, ..)
-        | Input::HealthCheck(conn, seq) = &input
+        if let Input::Request { connection: conn, sequence: seq, .. }
+        | Input::InvalidRequest { connection: conn, sequence: seq, .. }
+        | Input::HealthCheck { connection: conn, sequence: seq } = &input
             && self.came_twice(*conn, *seq)
         {
             return;
@@ -234,14 +234,22 @@
             Input::ConnectionHalfClosed(conn) => self.input_ended(conn),
             Input::ConnectionLate(conn) => self.late(conn),
             Input::ConnectionClosed(conn) => self.closed(conn),
-            Input::Request(conn, seq, call) => self.call(conn, seq, *call),
-            Input::InvalidRequest(conn, seq, misuse, why) => self.invalid(conn, seq, None, misuse, why),
-            Input::Cancel(conn, seq) => self.cancel(conn, seq),
-            Input::HealthCheck(conn, seq) => {
+            Input::Request { connection: conn, sequence: seq, request: call } => self.call(conn, seq, *call),
+            Input::InvalidRequest { connection: conn, sequence: seq, error: misuse, text: why } => {
+                self.invalid(conn, seq, None, misuse, why)
+            }
+            Input::Cancel { connection: conn, sequence: seq } => self.cancel(conn, seq),
+            Input::HealthCheck { connection: conn, sequence: seq } => {
                 self.conns.rest(conn, self.moment.now);
-                let good = self.active && self.door.failed_since().is_none();
-                let health = Response::Health(good, self.ledger.standing(self.moment.now).word());
-                self.effects.push(Effect::Respond(conn, seq, health, self.hint));
+                let good = self.active && self.door.draining_since().is_none();
+                let health =
+                    Response::Health { healthy: good, store: self.ledger.standing(self.moment.now).word() };
+                self.effects.push(Effect::Respond {
+                    connection: conn,
+                    sequence: seq,
+                    response: health,
+                    capacity_hint: self.hint,
+                });
                 self.close_if_over(conn);
             }
             Input::LinkUp { link, cold, age } => self.link_up(link, cold, age),
@@ -262,20 +270,20 @@
                     self.asks(&id, body);
                 }
             }
-            Input::UpstreamCallEnded { id, number, outcome, reply } => {
+            Input::UpstreamCallEnded { id, call: number, outcome, reply } => {
                 self.called(&id, number, outcome, reply)
             }
-            Input::RunClaimed(id, claim) => self.claimed(&id, claim),
-            Input::RunsShared(salt) => {
+            Input::RunClaimed { id, claim } => self.claimed(&id, claim),
+            Input::RunsShared { salt } => {
                 self.past.salt = salt;
                 self.log(Level::Info, "keyed runs are shared from now on".into());
             }
-            Input::GaugesRead(tag, values) => {
+            Input::GaugesRead { number: tag, values } => {
                 self.link.heard = self.moment.now;
                 self.used(tag, &values);
             }
             Input::RunNotStarted(id) => self.rejected(&id),
-            Input::ConnectionThrottled(conn, pause) => {
+            Input::ConnectionThrottled { connection: conn, duration: pause } => {
                 self.conns.paced(conn, time_after(self.moment.now, pause))
             }
             Input::ShutdownNotice => self.terminate(),
@@ -289,17 +297,17 @@
                 self.asks_to_stay();
                 self.take_in();
             }
-            Input::VoterStateWritten(number) => self.council_written(number),
-            Input::VoterStateFailed(found, why) => self.council_failed(*found, &why),
+            Input::VoterStateWritten { number } => self.council_written(number),
+            Input::VoterStateFailed { recovered: found, reason: why } => self.council_failed(*found, &why),
             Input::ConfigurationWritten(written) => self.configuration_written(written),
-            Input::StagedSettingsChanged(settings, staged) => self.settings_are(settings, staged),
-            Input::RolloutStepFailed(release, why) => self.change_failed(release, why),
-            Input::RegistryReply(ticket, reply) => self.registration.reply(self.moment.now, ticket, reply),
+            Input::StagedSettingsChanged { active: settings, staged } => self.settings_are(settings, staged),
+            Input::RolloutStepFailed { release, reason: why } => self.change_failed(release, why),
+            Input::RegistryReply { ticket, reply } => self.registration.reply(self.moment.now, ticket, reply),
             Input::Reload(config) => self.reload(config),
-            Input::ReloadRejected(why) => self.reload_refused(&why),
-            Input::AdminRequest(id, call) => self.admin(id, call),
+            Input::ReloadRejected { reason: why } => self.reload_refused(&why),
+            Input::AdminRequest { id, request: call } => self.admin(id, call),
             Input::StoreRecovered(recovered) => self.recovered(*recovered),
-            Input::StorePersisted(upto) => {
+            Input::StorePersisted { number: upto } => {
                 for id in self.ledger.persisted(self.moment.now, upto) {
                     if self.requests.running(&id).is_some() {
                         self.begin(&id);
@@ -309,7 +317,7 @@
             Input::PeerDatagram(envelope) => self.envelope_received(&envelope),
             Input::PeerDatagramsDropped(dropped) => self.envelopes_dropped(&dropped),
             Input::AuthenticationKeysReloaded(keys) => self.fleet_keys(keys),
-            Input::StoreFailed(upto, why) => {
+            Input::StoreFailed { number: upto, reason: why } => {
                 for id in self.ledger.failed(self.moment.now, upto, &why) {
                     self.never_ran(&id);
                 }
@@ -338,11 +346,11 @@
         match action {
             Action::Run(id) => self.process(&id),
             Action::Reject { id, retry_after, last } => {
-                self.finish(&id, Response::Rejected { backoff: retry_after, last })
+                self.finish(&id, Response::Rejected { retry_after: retry_after, no_failover: last })
             }
             Action::Fail(id) => {
                 let late = self.is_late(&id);
-                self.finish(&id, Response::Failed { late });
+                self.finish(&id, Response::Failed { timed_out: late });
             }
             Action::RetainIdempotencyKey { id, retain_for } => {
                 let until = time_after(self.moment.now, retain_for);
--- a/crates/core/src/reducer/operators.rs
+++ b/crates/core/src/reducer/operators.rs
@@ -12,18 +12,18 @@
     pub(super) fn admin(&mut self, id: AdminRequestId, call: AdminRequest) {
         if let AdminRequest::Agreement(call) = call {
             let answer = AdminResponse::Agreement(self.agreed_call(call));
-            return self.effects.push(Effect::AnswerAdmin(id, answer));
+            return self.effects.push(Effect::AnswerAdmin { id, response: answer });
         }
         if let AdminRequest::Configuration(call) = call {
             let answer = AdminResponse::Configuration(Box::new(self.configuration_call(call)));
-            return self.effects.push(Effect::AnswerAdmin(id, answer));
+            return self.effects.push(Effect::AnswerAdmin { id, response: answer });
         }
         let answer = match self.door.order(self.moment.now, &call) {
             Some(done) => {
-                if let AdminResponse::DrainState { failed, changed: true } = done {
+                if let AdminResponse::DrainState { draining, changed: true } = done {
                     // The control plane and health checks hear of it at once.
                     self.changed();
-                    let text = if failed { "drained at the operators' call" } else { "back to work" };
+                    let text = if draining { "drained at the operators' call" } else { "back to work" };
                     self.log(Level::Info, text.into());
                 }
                 done
@@ -41,7 +41,7 @@
                 }))
             }
         };
-        self.effects.push(Effect::AnswerAdmin(id, answer));
+        self.effects.push(Effect::AnswerAdmin { id, response: answer });
     }
 
     /// Whether this process is ready to serve, and if not, why.
--- a/crates/core/src/reducer/requests.rs
+++ b/crates/core/src/reducer/requests.rs
@@ -303,9 +303,14 @@
     /// Turns away what the module never hears of.
     pub(super) fn turn_away(&mut self, conn: ConnectionId, seq: SequenceId, class: usize, backoff: Span) {
         self.conns.rest(conn, self.moment.now);
-        let answer = Response::Rejected { backoff, last: false };
+        let answer = Response::Rejected { retry_after: backoff, no_failover: false };
         self.tally.answered(&self.classes.profile(class).name, &answer);
-        self.effects.push(Effect::Respond(conn, seq, answer, self.hint));
+        self.effects.push(Effect::Respond {
+            connection: conn,
+            sequence: seq,
+            response: answer,
+            capacity_hint: self.hint,
+        });
         self.close_if_over(conn);
     }
 
@@ -340,11 +345,16 @@
     ) {
         self.conns.rest(conn, self.moment.now);
         self.log(Level::Warning, format!("a request on connection {conn} made no sense: {why}"));
-        let answer = Response::Invalid(misuse, why);
+        let answer = Response::Invalid { error: misuse, text: why };
         if let Some(class) = class {
             self.tally.answered(&self.classes.profile(class).name, &answer);
         }
-        self.effects.push(Effect::Respond(conn, seq, answer, self.hint));
+        self.effects.push(Effect::Respond {
+            connection: conn,
+            sequence: seq,
+            response: answer,
+            capacity_hint: self.hint,
+        });
         self.close_if_over(conn);
     }
 
@@ -382,7 +392,7 @@
     pub(super) fn answer_end(&mut self, id: &RequestId, end: RunOutcome) {
         let answer = match end {
             RunOutcome::Served(result) => Response::Served(result),
-            RunOutcome::Failed => Response::Failed { late: self.is_late(id) },
+            RunOutcome::Failed => Response::Failed { timed_out: self.is_late(id) },
             RunOutcome::Unknown => Response::OutcomeUnknown,
         };
         self.answer(id, answer);
@@ -417,7 +427,12 @@
         let Some(open) = self.requests.open.get(id) else { return };
         self.tally.answered(&self.classes.profile(open.class).name, &answer);
         self.conns.answered(conn, seq, self.moment.now);
-        self.effects.push(Effect::Respond(conn, seq, answer, self.hint));
+        self.effects.push(Effect::Respond {
+            connection: conn,
+            sequence: seq,
+            response: answer,
+            capacity_hint: self.hint,
+        });
         self.close_if_over(conn);
     }
 }
--- a/crates/core/src/reducer/runs.rs
+++ b/crates/core/src/reducer/runs.rs
@@ -44,7 +44,7 @@
         if let Some(link) = self.link.settled() {
             self.tally.relayed();
             let class = Arc::clone(self.classes.get(open.class));
-            self.effects.push(Effect::StartRun(link, id.clone(), class, Arc::clone(&open.body)));
+            self.effects.push(Effect::StartRun { link, id: id.clone(), class, body: Arc::clone(&open.body) });
             if let Some(open) = self.requests.get_mut(id) {
                 open.begins = open.begins.saturating_add(1);
             }
@@ -113,7 +113,7 @@
             self.claim_ended(token, None);
         }
         for id in std::iter::once(id.clone()).chain(waiters) {
-            self.answer(&id, Response::Rejected { backoff: self.store_advice(), last: false });
+            self.answer(&id, Response::Rejected { retry_after: self.store_advice(), no_failover: false });
             self.forget(&id);
             self.events.push(Event::Completed { id, outcome: Outcome::NotStarted, took: Span(0) });
         }
--- a/crates/core/src/reducer/settings.rs
+++ b/crates/core/src/reducer/settings.rs
@@ -242,7 +242,9 @@
             Put::Back => applied.back.add(&class.profile.name),
         }
         self.tell_class(slot);
-        self.changes.names.push(NameChange::Class(self.classes.handle(slot), Arc::clone(class)));
+        self.changes
+            .names
+            .push(NameChange::Class { handle: self.classes.handle(slot), class: Arc::clone(class) });
     }
 
     /// The module goes by what holds for the class in a slot now.
@@ -260,7 +262,7 @@
         applied.tenants += 1;
         self.changes.names.extend(placed.gone.map(NameChange::TenantForgotten));
         let handle = self.tenants.handle(placed.slot);
-        self.changes.names.push(NameChange::Tenant(handle, Arc::clone(tenant)));
+        self.changes.names.push(NameChange::Tenant { handle, tenant: Arc::clone(tenant) });
         self.tell_tenant(placed.slot, tenant.quota_rps, placed.put == Put::Added);
     }
 
--- a/crates/core/src/registration.rs
+++ b/crates/core/src/registration.rs
@@ -114,7 +114,9 @@
         for _ in 0..MOST_ASKS {
             effects.extend(membership.poll(moment.now, moment.unix_ms).map(Effect::AskRegistry));
         }
-        effects.extend(membership.notes().into_iter().map(|note| Effect::Log(Level::Info, note)));
+        effects.extend(
+            membership.notes().into_iter().map(|note| Effect::Log { level: Level::Info, text: note }),
+        );
     }
 
     /// When something is due though nothing comes in.
--- a/crates/core/src/request_metrics.rs
+++ b/crates/core/src/request_metrics.rs
@@ -62,8 +62,10 @@
         match answer {
             Response::Served(_) => counts.fulfilled += 1,
             Response::Rejected { .. } => counts.throttled += 1,
-            Response::Failed { .. } | Response::OutcomeUnknown | Response::Invalid(..) => counts.faulted += 1,
-            Response::Health(..) => {}
+            Response::Failed { .. } | Response::OutcomeUnknown | Response::Invalid { .. } => {
+                counts.faulted += 1
+            }
+            Response::Health { .. } => {}
         }
     }
 
@@ -118,12 +120,12 @@
     #[test]
     fn answers_count_by_class_and_kind() {
         let mut tally = RequestMetrics::default();
-        let refused = Response::Rejected { backoff: Span(0), last: false };
+        let refused = Response::Rejected { retry_after: Span(0), no_failover: false };
         tally.answered("read", &served());
         tally.answered("read", &refused);
-        tally.answered("write", &Response::Failed { late: true });
+        tally.answered("write", &Response::Failed { timed_out: true });
         tally.answered("write", &Response::OutcomeUnknown);
-        tally.answered("write", &Response::Health(true, None));
+        tally.answered("write", &Response::Health { healthy: true, store: None });
         tally.relayed();
         tally.reloaded(true);
         tally.reloaded(false);
--- a/crates/core/src/response.rs
+++ b/crates/core/src/response.rs
@@ -1,53 +1,63 @@
-//! What a request is answered, in terms of no protocol. Fronts write it out, the figures count it.
+//! Responses to clients, independent of any protocol. Front ends encode them; [`crate::request_metrics`] counts them.
 
 use crate::buffer_pool::Buffer;
 use gradepin_admission::Span;
 use std::sync::Arc;
 
-/// How a message is wrong; each front has its own words for it.
+/// Why a message is no valid request; each front end has its own status for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestError {
-    /// It makes no sense.
+    /// It can't be decoded, or a value in it is invalid.
     Malformed,
-    /// It asks for something that there isn't.
+    /// It names something unknown.
     NotFound,
-    /// There is, but not in this way.
+    /// What it names doesn't take this method.
     MethodNotAllowed,
-    /// Another request has its token or its id.
+    /// Another request has its idempotency key or its id.
     Conflict,
-    /// Its length is not told.
+    /// It doesn't state the length of its body.
     LengthRequired,
     /// Its body is too long.
     BodyTooLarge,
-    /// What stands before its body is too long.
+    /// Its header is too long.
     HeaderTooLarge,
 }
 
-/// A final answer.
+/// The final response to a request.
 #[derive(Debug, Clone)]
 pub enum Response {
     /// The result of a run.
     Served(Arc<Buffer>),
-    /// Turned away; it never ran.
+    /// Rejected before it ran.
     Rejected {
-        /// How long to stay away.
-        backoff: Span,
-        /// Whether to ask that no other server be tried.
-        last: bool,
+        /// How long the client should wait before it sends requests again.
+        retry_after: Span,
+        /// Asks the client not to retry on another server.
+        no_failover: bool,
     },
-    /// Failed; and whether because nothing came of it by its due time.
+    /// Its run failed, or nothing came of it in time.
     Failed {
-        /// Whether its time was up.
-        late: bool,
+        /// Whether its deadline passed.
+        timed_out: bool,
     },
-    /// It was begun before a crash, and what became of it can't be learned: it must not run again.
+    /// Its run was started before a crash and the outcome is lost: it must not run again.
     OutcomeUnknown,
-    /// The message can't be taken: how it is wrong, and a text for its sender.
-    Invalid(RequestError, String),
-    /// To a health check: whether all is well, and how it is with the store, if there is one.
-    Health(bool, Option<&'static str>),
+    /// The message is no valid request.
+    Invalid {
+        /// What is wrong with it.
+        error: RequestError,
+        /// Explanation for its sender.
+        text: String,
+    },
+    /// To a health check.
+    Health {
+        /// Whether the server takes requests.
+        healthy: bool,
+        /// State of the store in a word; none without a store.
+        store: Option<&'static str>,
+    },
 }
 
-/// What is said of a run whose outcome is unknown.
+/// Text of [`Response::OutcomeUnknown`].
 pub const UNKNOWN_OUTCOME_TEXT: &str =
     "outcome unknown: it was begun before a crash of this server and must not run again";
--- a/crates/core/tests/again.rs
+++ b/crates/core/tests/again.rs
@@ -26,7 +26,7 @@
         has_key: false,
         body: BufferPool::new(0).exact(b"body").expect("fits"),
     };
-    Input::Request(conn, seq, Box::new(call))
+    Input::Request { connection: conn, sequence: seq, request: Box::new(call) }
 }
 
 /// Guards against a request that nobody answers: its id was that of a repeat that left in the same batch, and it was
@@ -44,20 +44,24 @@
     step(&mut reducer, 9_000, begun);
     step(&mut reducer, 9_010, vec![keyed(2, 1, 2, "t", 9_010, true)]);
     let again = vec![
-        Input::Cancel(2, 1),
-        Input::RunClaimed(RequestId::new(&format!("{:016x}", 1)), RunClaim::Unknown),
+        Input::Cancel { connection: 2, sequence: 1 },
+        Input::RunClaimed { id: RequestId::new(&format!("{:016x}", 1)), claim: RunClaim::Unknown },
         keyed(2, 2, 2, "u", 9_020, false),
     ];
     let mut effects = step(&mut reducer, 9_020, again);
     let claimed =
-        effects.iter().any(|effect| matches!(effect, Effect::ClaimRun(_, token, ..) if &**token == "u"));
+        effects.iter().any(|effect| matches!(effect, Effect::ClaimRun { key: token, .. } if &**token == "u"));
     assert!(claimed, "it is to run: {effects:?}");
     effects.extend(step(
         &mut reducer,
         9_030,
-        vec![Input::RunClaimed(RequestId::new(&format!("{:016x}", 2)), RunClaim::Unknown)],
+        vec![Input::RunClaimed { id: RequestId::new(&format!("{:016x}", 2)), claim: RunClaim::Unknown }],
     ));
-    let answers =
-        effects.iter().filter(|effect| matches!(effect, Effect::Respond(2, 2, Response::Rejected { .. }, _)));
+    let answers = effects.iter().filter(|effect| {
+        matches!(
+            effect,
+            Effect::Respond { connection: 2, sequence: 2, response: Response::Rejected { .. }, .. }
+        )
+    });
     assert_eq!(answers.count(), 1, "{effects:?}");
 }
--- a/crates/core/tests/apply.rs
+++ b/crates/core/tests/apply.rs
@@ -141,8 +141,10 @@
     fn effect(&mut self, effect: Effect) {
         let seed = self.seed;
         match effect {
-            Effect::ReadGauges(_, tag) => self.inputs.push(Input::GaugesRead(tag, vec![0.5, 1.0, 0.1, 9.0])),
-            Effect::StartRun(_, id, class, _) => {
+            Effect::ReadGauges { number: tag, .. } => {
+                self.inputs.push(Input::GaugesRead { number: tag, values: vec![0.5, 1.0, 0.1, 9.0] })
+            }
+            Effect::StartRun { id, class, .. } => {
                 let one = self.tries.get_mut(&id).expect("a try");
                 assert_eq!(class.profile.name, one.name, "seed {seed}: begun as another class");
                 assert!(!std::mem::replace(&mut one.runs, true), "seed {seed}: {} begun twice", id.0);
@@ -160,9 +162,11 @@
                     }
                 }
             }
-            Effect::Respond(_, seq, answer, _) => self.answered(seq, &answer),
+            Effect::Respond { sequence: seq, response: answer, .. } => self.answered(seq, &answer),
             Effect::UpdateNames { changes, .. } => changes.into_iter().for_each(|change| self.name(change)),
-            Effect::AnswerAdmin(_, AdminResponse::Stats(stats)) => self.stats = Some(stats.classes),
+            Effect::AnswerAdmin { response: AdminResponse::Stats(stats), .. } => {
+                self.stats = Some(stats.classes)
+            }
             _ => {}
         }
     }
@@ -171,7 +175,7 @@
         let id = self.of_seq[&seq].clone();
         let one = self.tries.get_mut(&id).expect("a try");
         assert!(!std::mem::replace(&mut one.answered, true), "seed {}: two answers", self.seed);
-        if matches!(answer, Response::Invalid(_, why) if why.starts_with("unknown method:")) {
+        if matches!(answer, Response::Invalid { text: why, .. } if why.starts_with("unknown method:")) {
             return; // Its slot was freed: nobody knows what class that was.
         }
         let counts = self.counts.entry(one.name.clone()).or_default();
@@ -184,7 +188,7 @@
 
     fn name(&mut self, change: NameChange) {
         match change {
-            NameChange::Class(handle, class) => {
+            NameChange::Class { handle, class } => {
                 let name = &class.profile.name;
                 let open = self.tries.values().filter(|one| !one.answered || one.runs);
                 let taken = open.filter(|one| one.slot == handle.slot()).find(|one| one.name != *name);
@@ -225,7 +229,7 @@
         let one = Try { name, token, keyed, t0, slot, answered: false, runs: false };
         self.tries.insert(id.clone(), one);
         self.of_seq.insert(seq, id);
-        self.inputs.push(Input::Request(1, seq, Box::new(call)));
+        self.inputs.push(Input::Request { connection: 1, sequence: seq, request: Box::new(call) });
     }
 
     fn complete(&mut self, place: usize) {
@@ -313,7 +317,7 @@
         }
         world.advance(6_000);
         assert!(world.tries.values().all(|one| one.answered), "seed {seed}: an answer is owed");
-        world.inputs.push(Input::AdminRequest(1, AdminRequest::Stats));
+        world.inputs.push(Input::AdminRequest { id: 1, request: AdminRequest::Stats });
         world.settle();
         let counted = world.stats.take().expect("figures").into_iter();
         let counted: BTreeMap<String, ResponseCounts> =
--- a/crates/core/tests/room.rs
+++ b/crates/core/tests/room.rs
@@ -15,9 +15,14 @@
 #[test]
 fn whatever_it_said_last_the_longest_rested_gives_way() {
     let last_words: [fn(u64) -> Input; 3] = [
-        |conn| Input::Cancel(conn, 7),
-        |conn| Input::InvalidRequest(conn, 7, RequestError::Malformed, "nonsense".into()),
-        |conn| Input::HealthCheck(conn, 7),
+        |conn| Input::Cancel { connection: conn, sequence: 7 },
+        |conn| Input::InvalidRequest {
+            connection: conn,
+            sequence: 7,
+            error: RequestError::Malformed,
+            text: "nonsense".into(),
+        },
+        |conn| Input::HealthCheck { connection: conn, sequence: 7 },
     ];
     for word in last_words {
         let mut reducer = reducer();
@@ -26,14 +31,14 @@
             step(
                 &mut reducer,
                 1_000 + conn,
-                vec![Input::ConnectionOpened(conn), Input::HealthCheck(conn, 1)],
+                vec![Input::ConnectionOpened(conn), Input::HealthCheck { connection: conn, sequence: 1 }],
             );
         }
         let effects = step(&mut reducer, 2_000, vec![Input::ConnectionOpened(ROOM + 1)]);
         let closed: Vec<_> = effects
             .iter()
             .filter_map(|effect| {
-                if let Effect::CloseIdleConnection(conn, taken) = effect {
+                if let Effect::CloseIdleConnection { connection: conn, messages_received: taken } = effect {
                     Some((*conn, *taken))
                 } else {
                     None
@@ -58,7 +63,11 @@
             vec![Input::LinkUp { link: 1, cold: false, age: Span(0) }, Input::ConnectionOpened(1)],
         );
         if paced {
-            step(&mut reducer, 9_010, vec![Input::ConnectionThrottled(1, Span(1_190 * MS))]);
+            step(
+                &mut reducer,
+                9_010,
+                vec![Input::ConnectionThrottled { connection: 1, duration: Span(1_190 * MS) }],
+            );
         }
         let mut effects = Vec::new();
         for n in 0..12 {
@@ -79,13 +88,13 @@
             effects.extend(step(
                 &mut reducer,
                 10_200 + n,
-                vec![Input::Request(1, n as i32 + 1, Box::new(call))],
+                vec![Input::Request { connection: 1, sequence: n as i32 + 1, request: Box::new(call) }],
             ));
         }
         for ms in (10_210..10_600).step_by(10) {
             effects.extend(step(&mut reducer, ms, Vec::new()));
         }
-        effects.iter().filter(|e| matches!(e, Effect::Log(_, text) if text == "health is bad")).count()
+        effects.iter().filter(|e| matches!(e, Effect::Log { text, .. } if text == "health is bad")).count()
     };
     assert_eq!((bad(false), bad(true)), (1, 0));
 }
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -150,12 +150,14 @@
             for effect in effects {
                 match effect {
                     // For a request that runs already nothing happens.
-                    Effect::StartRun(link, id, ..) if link == self.link && !self.runs(&id) => {
+                    Effect::StartRun { link, id, .. } if link == self.link && !self.runs(&id) => {
                         self.runs.push_back((self.now_ms, id));
                         self.most = self.most.max(self.runs.len());
                         self.excess = self.excess.max(self.runs.len() as f64 - self.survives());
                     }
-                    Effect::ReadGauges(_, tag) => inputs.push(Input::GaugesRead(tag, vec![0.5, 1.0])),
+                    Effect::ReadGauges { number: tag, .. } => {
+                        inputs.push(Input::GaugesRead { number: tag, values: vec![0.5, 1.0] })
+                    }
                     _ => {}
                 }
             }
@@ -190,7 +192,11 @@
                 has_key: false,
                 body: self.pool.copy(b"in").expect("it fits"),
             };
-            inputs.push(Input::Request(1, self.sent as i32, Box::new(call)));
+            inputs.push(Input::Request {
+                connection: 1,
+                sequence: self.sent as i32,
+                request: Box::new(call),
+            });
             self.step(inputs);
         }
     }
--- a/crates/gradepin/tests/customers/world.rs
+++ b/crates/gradepin/tests/customers/world.rs
@@ -196,14 +196,14 @@
 
     fn effect(&mut self, effect: Effect) {
         match effect {
-            Effect::Respond(conn, seq, answer, hint) => {
+            Effect::Respond { connection: conn, sequence: seq, response: answer, capacity_hint: hint } => {
                 assert!(hint.is_none_or(|hint| hint.is_finite() && hint >= 0.0), "a hint of {hint:?}");
                 assert!(
                     codec::encode(seq, &answer, hint, &self.pool).is_some(),
                     "an answer that doesn't fit"
                 );
                 let Some(id) = self.of_seq.get(&(conn, seq)) else {
-                    assert!(matches!(answer, Response::Health(..)), "an answer to what nobody sent");
+                    assert!(matches!(answer, Response::Health { .. }), "an answer to what nobody sent");
                     return;
                 };
                 let sent = self.sent.get_mut(id).expect("sent");
@@ -219,16 +219,16 @@
                     assert_eq!(&result[..], &sent.body[..], "{} was served another's result", id.0);
                 }
             }
-            Effect::StartRun(_, id, class, body) => self.begun(&id, &class.profile, &body),
-            Effect::ReadGauges(_, tag) if !self.mute => {
+            Effect::StartRun { id, class, body, .. } => self.begun(&id, &class.profile, &body),
+            Effect::ReadGauges { number: tag, .. } if !self.mute => {
                 let odd = [0.5, f64::NAN, f64::INFINITY, -1.0, 1e308, 0.0, 1.0, 3.0];
                 let values = (0..self.below(7)).map(|_| odd[self.below(8) as usize]).collect();
-                self.inputs.push(Input::GaugesRead(tag, values));
+                self.inputs.push(Input::GaugesRead { number: tag, values });
             }
-            Effect::CallUpstream(id, number, ..) => self.calls.push((id, number)),
+            Effect::CallUpstream { id, call: number, .. } => self.calls.push((id, number)),
             Effect::UpdateNames { edition, changes } => self.names.publish(edition, changes),
             Effect::ReloadFinished => self.reloading = false,
-            Effect::CloseIdleConnection(conn, _) | Effect::CloseConnection(conn)
+            Effect::CloseIdleConnection { connection: conn, .. } | Effect::CloseConnection(conn)
                 if self.open.remove(&conn) =>
             {
                 let owed = self.sent.iter().find(|(_, sent)| sent.owed && sent.conn == conn);
@@ -238,7 +238,7 @@
             }
             Effect::StopAccepting => self.inputs.push(Input::StoppedAccepting),
             Effect::Exit => self.left = true,
-            Effect::Log(_, text) => assert!(!text.contains("turned down"), "{text}"),
+            Effect::Log { text, .. } => assert!(!text.contains("turned down"), "{text}"),
             _ => {}
         }
     }
@@ -330,7 +330,7 @@
             _ => {
                 let conn = self.pick_conn();
                 self.next_seq += 1;
-                self.inputs.push(Input::HealthCheck(conn, self.next_seq));
+                self.inputs.push(Input::HealthCheck { connection: conn, sequence: self.next_seq });
             }
         }
     }
@@ -414,7 +414,7 @@
         };
         self.sent.insert(id.clone(), sent);
         self.of_seq.insert((conn, seq), id);
-        self.inputs.push(Input::Request(conn, seq, Box::new(call)));
+        self.inputs.push(Input::Request { connection: conn, sequence: seq, request: Box::new(call) });
     }
 
     fn complete(&mut self) {
@@ -449,14 +449,14 @@
             [Outcome::Success, Outcome::Rejected, Outcome::TimedOut, Outcome::Failure, Outcome::Aborted];
         let outcome = ends[self.below(5) as usize];
         let reply = (outcome == Outcome::Success).then(|| self.pool.copy(b"reply").expect("fits"));
-        self.inputs.push(Input::UpstreamCallEnded { id, number, outcome, reply });
+        self.inputs.push(Input::UpstreamCallEnded { id, call: number, outcome, reply });
     }
 
     fn cancel(&mut self) {
         let place = self.below(self.sent.len() as u64) as usize;
         if let Some(sent) = self.sent.values_mut().nth(place).filter(|sent| sent.owed) {
             sent.owed = false;
-            self.inputs.push(Input::Cancel(sent.conn, sent.seq));
+            self.inputs.push(Input::Cancel { connection: sent.conn, sequence: sent.seq });
         }
     }
 
--- a/crates/gradepin/tests/scenario/virtually.rs
+++ b/crates/gradepin/tests/scenario/virtually.rs
@@ -211,7 +211,7 @@
     fn carry_out(&mut self, effect: Effect) {
         let name = |conn: ConnectionId| self.conns[conn as usize].clone();
         let event = match effect {
-            Effect::Respond(conn, seq, answer, hint) => {
+            Effect::Respond { connection: conn, sequence: seq, response: answer, capacity_hint: hint } => {
                 let frame = codec::encode(seq, &answer, hint, &self.pool).expect("an answer that fits");
                 format!("{} {}", name(conn), thrift::event(&frame[4..]))
             }
@@ -221,31 +221,31 @@
                 self.waiting.push(Input::StoppedAccepting);
                 "stop accepting".to_string()
             }
-            Effect::CloseIdleConnection(conn, _)
-            | Effect::CloseLateConnection(conn, _)
+            Effect::CloseIdleConnection { connection: conn, .. }
+            | Effect::CloseLateConnection { connection: conn, .. }
             | Effect::CloseConnection(conn) => {
                 // Its peer ends it too, as peers do.
                 self.waiting.push(Input::ConnectionClosed(conn));
                 format!("{} closed", name(conn))
             }
-            Effect::StartRun(_, id, class, body) => {
+            Effect::StartRun { id, class, body, .. } => {
                 let id = u64::from_str_radix(&id.0, 16).expect("hex");
                 let class = &class.profile.name;
                 format!("processor begin {id} {class} {}", String::from_utf8_lossy(&body))
             }
-            Effect::CallUpstream(id, number, body, limit, _) => {
+            Effect::CallUpstream { id, call: number, body, timeout: limit, .. } => {
                 self.calls_out.push((id.clone(), number));
                 let id = u64::from_str_radix(&id.0, 16).expect("hex");
                 format!("ledger call {id} {} {}", String::from_utf8_lossy(&body), limit.0 / MS)
             }
-            Effect::DeliverUpstreamReply(_, id, reply) => {
+            Effect::DeliverUpstreamReply { id, reply, .. } => {
                 let id = u64::from_str_radix(&id.0, 16).expect("hex");
                 format!("processor answer {id} {}", String::from_utf8_lossy(&reply))
             }
-            Effect::ClaimRun(id, token, ..) => {
+            Effect::ClaimRun { id, key: token, .. } => {
                 format!("claim {} {token}", u64::from_str_radix(&id.0, 16).expect("hex"))
             }
-            Effect::ReleaseClaim(token, _, end) => {
+            Effect::ReleaseClaim { key: token, outcome: end, .. } => {
                 let end = match end {
                     Some(RunOutcome::Served(_)) => "served",
                     Some(RunOutcome::Failed | RunOutcome::Unknown) => "failed",
@@ -253,18 +253,20 @@
                 };
                 format!("claim-ended {token} {end}")
             }
-            Effect::StopRun(_, id) => {
+            Effect::StopRun { id, .. } => {
                 format!("processor interrupt {}", u64::from_str_radix(&id.0, 16).expect("hex"))
             }
-            Effect::ReadGauges(_, tag) => {
+            Effect::ReadGauges { number: tag, .. } => {
                 if !self.muted {
                     self.known.told(Time(self.ms * MS));
-                    self.waiting.push(Input::GaugesRead(tag, vec![0.5, 2.0, 0.1, 9.0]));
+                    self.waiting.push(Input::GaugesRead { number: tag, values: vec![0.5, 2.0, 0.1, 9.0] });
                 }
                 return;
             }
-            Effect::ReportReadiness(ready) => format!("control {}", if ready { "Ready" } else { "NotReady" }),
-            Effect::ReconnectProcessor(_) => "renew".to_string(),
+            Effect::ReportReadiness { ready } => {
+                format!("control {}", if ready { "Ready" } else { "NotReady" })
+            }
+            Effect::ReconnectProcessor { .. } => "renew".to_string(),
             Effect::SetProcessorAddress(address) => format!("link to {address}"),
             Effect::SetControlAddress(address) => format!("reports to {address}"),
             Effect::SetUpstreamAddress(address) => format!("calls to {address}"),
@@ -272,13 +274,13 @@
                 let text = format!("{:?}", ask.op);
                 format!("registry {}", text.split(['(', ' ']).next().unwrap_or_default())
             }
-            Effect::PersistRecords(number, _) => format!("store {number}"),
+            Effect::PersistRecords { number, .. } => format!("store {number}"),
             Effect::ReplayNotices => "retell".to_string(),
             Effect::Exit => "exit".to_string(),
             Effect::UpdateNames { edition, changes } => {
                 for change in &changes {
                     match change {
-                        NameChange::Class(handle, class) => {
+                        NameChange::Class { handle, class } => {
                             self.classes.insert(handle.slot(), class.profile.name.clone());
                         }
                         NameChange::ClassForgotten(class) => {
@@ -296,16 +298,16 @@
                 let reloaded = format!("settings {}", names.join(" "));
                 if std::mem::take(&mut self.reloading) { reloaded } else { return }
             }
-            Effect::AnswerAdmin(_, answer) => {
+            Effect::AnswerAdmin { response: answer, .. } => {
                 let response = admin::response(answer);
                 let lines = response.body.lines().filter(|line| !line.starts_with('#'));
                 let status = response.status;
                 self.events.extend(lines.map(|line| format!("admin {status} {line}")));
                 return;
             }
-            Effect::Log(_, text) if text.starts_with("a call to the ledger ") => format!("log {text}"),
-            Effect::Log(..) | Effect::SendPeerDatagram(..) | Effect::WriteVoterState(..) => return,
-            Effect::StartRolloutStep(turn, _) => format!("change {}", turn.version),
+            Effect::Log { text, .. } if text.starts_with("a call to the ledger ") => format!("log {text}"),
+            Effect::Log { .. } | Effect::SendPeerDatagram { .. } | Effect::WriteVoterState { .. } => return,
+            Effect::StartRolloutStep { step: turn, .. } => format!("change {}", turn.version),
         };
         self.events.push(event);
     }
@@ -315,10 +317,14 @@
     fn client(&mut self, conn: &str, bytes: &[u8], more: bool) {
         let conn = self.conn(conn);
         let input = match codec::decode(&bytes[4..], &self.names, &self.pool).expect("well-formed") {
-            codec::Message::Call(seq, call) => Input::Request(conn, seq, call),
-            codec::Message::Health(seq) => Input::HealthCheck(conn, seq),
-            codec::Message::Cancel(seq) => Input::Cancel(conn, seq),
-            codec::Message::Invalid(seq, misuse, why) => Input::InvalidRequest(conn, seq, misuse, why),
+            codec::Message::Call(seq, call) => {
+                Input::Request { connection: conn, sequence: seq, request: call }
+            }
+            codec::Message::Health(seq) => Input::HealthCheck { connection: conn, sequence: seq },
+            codec::Message::Cancel(seq) => Input::Cancel { connection: conn, sequence: seq },
+            codec::Message::Invalid(seq, misuse, why) => {
+                Input::InvalidRequest { connection: conn, sequence: seq, error: misuse, text: why }
+            }
             codec::Message::Unknown => return,
         };
         self.waiting.push(input);
@@ -396,14 +402,14 @@
                 self.reloading = true;
                 Input::Reload(Box::new(self.names.compare(config)))
             }
-            Err(why) => Input::ReloadRejected(why.to_string()),
+            Err(why) => Input::ReloadRejected { reason: why.to_string() },
         });
         self.settle();
     }
 
     fn admin(&mut self, call: AdminRequest) {
         self.calls += 1;
-        self.waiting.push(Input::AdminRequest(self.calls, call));
+        self.waiting.push(Input::AdminRequest { id: self.calls, request: call });
         self.settle();
     }
 
@@ -425,7 +431,7 @@
         // The call for it that left first; one that none left for is told of all the same.
         let out = self.calls_out.iter().position(|(known, _)| *known == id);
         let number = out.map_or(0, |place| self.calls_out.remove(place).1);
-        self.waiting.push(Input::UpstreamCallEnded { id, number, outcome, reply });
+        self.waiting.push(Input::UpstreamCallEnded { id, call: number, outcome, reply });
         self.settle();
     }
 
@@ -441,7 +447,7 @@
             _ => panic!("no claim: {line}"),
         };
         let id = RequestId::new(&format!("{:016x}", rid.parse::<u64>().expect("a number")));
-        self.waiting.push(Input::RunClaimed(id, claim));
+        self.waiting.push(Input::RunClaimed { id, claim });
         self.settle();
     }
 
--- a/crates/model/src/policies/shell.rs
+++ b/crates/model/src/policies/shell.rs
@@ -183,7 +183,7 @@
     }
 
     fn refusal(&self) -> Response {
-        Response::Rejected { backoff: self.spec.advice, last: false }
+        Response::Rejected { retry_after: self.spec.advice, no_failover: false }
     }
 
     fn answer(&mut self, id: &RequestId, answer: Response, effects: &mut Vec<Effect>) {
@@ -196,7 +196,12 @@
         if let Some(seqs) = self.conns.get_mut(&conn) {
             seqs.remove(&seq);
         }
-        effects.push(Effect::Respond(conn, seq, answer, level));
+        effects.push(Effect::Respond {
+            connection: conn,
+            sequence: seq,
+            response: answer,
+            capacity_hint: level,
+        });
         if began.is_none() {
             self.forget(id);
         }
@@ -235,7 +240,7 @@
         match call.token.as_ref().and_then(|token| self.keys.get_mut(token)) {
             Some(Key::Under(_, waiters)) => return waiters.push(id),
             Some(Key::Ran(result, until)) if came < *until => {
-                let answer = result.clone().map_or(Response::Failed { late: false }, Response::Served);
+                let answer = result.clone().map_or(Response::Failed { timed_out: false }, Response::Served);
                 return self.answer(&id, answer, effects);
             }
             _ => {}
@@ -308,7 +313,7 @@
         self.running = self.running.saturating_sub(1);
         let (class, came, token) = (open.class, open.ask.came, open.token.clone());
         let result = (end == RunEnd::Ok).then(|| Arc::new(result));
-        let answer = result.clone().map_or(Response::Failed { late: false }, Response::Served);
+        let answer = result.clone().map_or(Response::Failed { timed_out: false }, Response::Served);
         self.answer(id, answer.clone(), effects);
         self.forget(id);
         self.policy.ended(self.now, took, self.load());
@@ -354,7 +359,7 @@
             let (ask, body) = (open.ask, Arc::clone(&open.body));
             self.running += 1;
             self.policy.began(self.now, &ask);
-            effects.push(Effect::StartRun(link, id, Arc::default(), body));
+            effects.push(Effect::StartRun { link, id, class: Arc::default(), body });
         }
         if self.line.is_empty() {
             self.policy.idle(self.now);
@@ -369,9 +374,9 @@
             self.line.retain(|other| *other != id);
             let began = self.open.get(&id).is_some_and(|open| open.began.is_some());
             if began {
-                self.answer(&id, Response::Failed { late: true }, effects);
+                self.answer(&id, Response::Failed { timed_out: true }, effects);
             } else {
-                self.never_ran(&id, Response::Failed { late: true }, effects);
+                self.never_ran(&id, Response::Failed { timed_out: true }, effects);
             }
             self.dues.remove(&(due, id));
         }
@@ -394,13 +399,23 @@
                         self.gone(conn, seq, effects);
                     }
                 }
-                Input::Request(conn, seq, call) => self.call(moment, conn, seq, *call, effects),
-                Input::Cancel(conn, seq) => self.gone(conn, seq, effects),
-                Input::HealthCheck(conn, seq) => {
-                    let good = Response::Health(self.link.is_some() && self.notice.is_none(), None);
-                    effects.push(Effect::Respond(conn, seq, good, self.policy.level()));
+                Input::Request { connection: conn, sequence: seq, request: call } => {
+                    self.call(moment, conn, seq, *call, effects)
                 }
-                Input::RegistryReply(ticket, reply) => self.registration.reply(self.now, ticket, reply),
+                Input::Cancel { connection: conn, sequence: seq } => self.gone(conn, seq, effects),
+                Input::HealthCheck { connection: conn, sequence: seq } => {
+                    let good = Response::Health {
+                        healthy: self.link.is_some() && self.notice.is_none(),
+                        store: None,
+                    };
+                    effects.push(Effect::Respond {
+                        connection: conn,
+                        sequence: seq,
+                        response: good,
+                        capacity_hint: self.policy.level(),
+                    });
+                }
+                Input::RegistryReply { ticket, reply } => self.registration.reply(self.now, ticket, reply),
                 Input::LinkUp { link, cold, age } => {
                     self.registration.processor_up(time_before(self.now, age), cold);
                     self.registration.health(self.now, true);
@@ -413,7 +428,7 @@
                 }
                 Input::RunNotStarted(id) => {
                     self.running = self.running.saturating_sub(1);
-                    self.never_ran(&id, Response::Failed { late: false }, effects);
+                    self.never_ran(&id, Response::Failed { timed_out: false }, effects);
                 }
                 Input::ShutdownNotice if self.notice.is_none() => {
                     self.notice = Some(self.now);
@@ -436,7 +451,7 @@
         self.begin(effects);
         if self.link.is_some() && self.now >= self.next_report {
             self.next_report = time_after(self.now, REPORT_EVERY);
-            effects.push(Effect::ReportReadiness(self.notice.is_none()));
+            effects.push(Effect::ReportReadiness { ready: self.notice.is_none() });
         }
         let answered = self.last_call.is_some() && self.open.is_empty();
         self.registration.step(moment, answered, effects);
--- a/crates/model/src/world/machines.rs
+++ b/crates/model/src/world/machines.rs
@@ -238,7 +238,11 @@
         // One that was read only after its time is answered at once.
         let due = (came_ms + call.budget).max(self.now / MS);
         self.rules.read(machine.ident, u64::from(id), came_ms, due, key);
-        machine.inputs.push(Input::Request(conn, id as i32, Box::new(call)));
+        machine.inputs.push(Input::Request {
+            connection: conn,
+            sequence: id as i32,
+            request: Box::new(call),
+        });
         machine.held_kb += size_kb;
         self.tell(id, |story, now| story.read = Some(now));
         if told_left {
@@ -270,7 +274,7 @@
 
     fn hears_cancel(&mut self, number: usize, id: TryId) {
         let one = &self.tries[id as usize];
-        self.machines[number].inputs.push(Input::Cancel(one.conn, id as i32));
+        self.machines[number].inputs.push(Input::Cancel { connection: one.conn, sequence: id as i32 });
         if one.place == Place::Held {
             self.leaves(number, id);
         }
@@ -428,23 +432,23 @@
 
     fn effect(&mut self, number: usize, effect: Effect) {
         match effect {
-            Effect::Respond(conn, seq, answer, level) => {
+            Effect::Respond { connection: conn, sequence: seq, response: answer, capacity_hint: level } => {
                 self.answers(number, conn, seq as TryId, answer, level)
             }
-            Effect::StartRun(_, id, _, _) => {
+            Effect::StartRun { id, .. } => {
                 if let Ok(id) = u32::from_str_radix(&id.0, 16) {
                     self.begins(number, id);
                 }
             }
-            Effect::ReadGauges(_, tag) => {
+            Effect::ReadGauges { number: tag, .. } => {
                 let machine = &mut self.machines[number];
                 let heap = machine.memory_kb() / self.day.machines[number].memory_kb.max(1.0);
                 let links = machine.conns.len() as f64;
                 let gauges = vec![machine.cores.cpu_utilization(), machine.cores.runnable(), heap, links];
-                machine.inputs.push(Input::GaugesRead(tag, gauges));
+                machine.inputs.push(Input::GaugesRead { number: tag, values: gauges });
             }
             Effect::RequestDrain(conn) => self.downward(conn, Event::Draining(conn)),
-            Effect::CloseIdleConnection(conn, taken) => {
+            Effect::CloseIdleConnection { connection: conn, messages_received: taken } => {
                 // Only what the server has taken in was sent: nothing is under way on it.
                 let way = &self.conns[conn as usize];
                 if way.sent == taken && self.machines[number].conns.remove(&conn) {
@@ -452,14 +456,14 @@
                     self.downward(conn, Event::ClosedDown(conn));
                 }
             }
-            Effect::ReconnectProcessor(_) => {
+            Effect::ReconnectProcessor { .. } => {
                 let machine = &mut self.machines[number];
                 machine.links += 1;
                 let age = Span(self.now - machine.cores.started());
                 let link = machine.links;
                 machine.inputs.extend([Input::LinkDown, Input::LinkUp { link, cold: false, age }]);
             }
-            Effect::ReportReadiness(ready) => self.reported(number, ready),
+            Effect::ReportReadiness { ready } => self.reported(number, ready),
             Effect::AskRegistry(ask) => self.asks_registry(number, ask),
             Effect::Exit => {
                 self.stop(number, false);
@@ -472,15 +476,15 @@
     fn answers(&mut self, number: usize, conn: u64, id: TryId, answer: Response, level: Option<f64>) {
         let got = match answer {
             Response::Served(_) => Got::Served(level),
-            Response::Rejected { backoff, last } => {
+            Response::Rejected { retry_after: backoff, no_failover: last } => {
                 self.watch.now.refused += 1;
                 Got::Refused { away: backoff.0, last, level }
             }
-            Response::Failed { .. } | Response::OutcomeUnknown | Response::Invalid(..) => {
+            Response::Failed { .. } | Response::OutcomeUnknown | Response::Invalid { .. } => {
                 self.watch.now.failed += 1;
                 Got::Failed(level)
             }
-            Response::Health(..) => return,
+            Response::Health { .. } => return,
         };
         self.rules.answered(u64::from(id), self.now / MS, matches!(got, Got::Refused { .. }));
         let one = &mut self.tries[id as usize];
--- a/crates/model/src/world/roster.rs
+++ b/crates/model/src/world/roster.rs
@@ -184,7 +184,7 @@
     pub(super) fn registry_replied(&mut self, machine: usize, life: u32, ticket: u64, reply: RegistryReply) {
         let here = &mut self.machines[machine];
         if here.up && here.life == life {
-            here.inputs.push(gradepin_core::messages::Input::RegistryReply(ticket, reply));
+            here.inputs.push(gradepin_core::messages::Input::RegistryReply { ticket, reply });
             self.settle(machine);
         }
     }
--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -112,7 +112,12 @@
     }
 
     fn refuse(conn: u64, seq: i32) -> Effect {
-        Effect::Respond(conn, seq, Response::Rejected { backoff: Span(0), last: false }, None)
+        Effect::Respond {
+            connection: conn,
+            sequence: seq,
+            response: Response::Rejected { retry_after: Span(0), no_failover: false },
+            capacity_hint: None,
+        }
     }
 }
 
@@ -120,7 +125,7 @@
     fn step(&mut self, moment: Timestamp, inputs: &mut Vec<Input>, effects: &mut Vec<Effect>) {
         for input in inputs.drain(..) {
             match input {
-                Input::Request(conn, seq, call) => {
+                Input::Request { connection: conn, sequence: seq, request: call } => {
                     let token = call.token.as_deref().unwrap_or("").to_string();
                     let again = !token.is_empty() && self.ran.contains_key(&token);
                     if again && self.fault == Fault::TurnsAway {
@@ -135,12 +140,12 @@
                     self.running += 1;
                     self.ran.insert(token, call.id.clone());
                     self.open.insert(call.id.clone(), (conn, seq));
-                    effects.push(Effect::StartRun(
-                        1,
-                        call.id,
-                        std::sync::Arc::default(),
-                        std::sync::Arc::new(call.body),
-                    ));
+                    effects.push(Effect::StartRun {
+                        link: 1,
+                        id: call.id,
+                        class: std::sync::Arc::default(),
+                        body: std::sync::Arc::new(call.body),
+                    });
                 }
                 Input::RunCompleted { id, result, .. } => {
                     self.running -= 1;
@@ -152,17 +157,29 @@
                     }
                     let answer = Response::Served(std::sync::Arc::new(result));
                     if odd && self.fault == Fault::Repeats {
-                        effects.push(Effect::Respond(conn, seq, answer.clone(), None));
+                        effects.push(Effect::Respond {
+                            connection: conn,
+                            sequence: seq,
+                            response: answer.clone(),
+                            capacity_hint: None,
+                        });
                     }
-                    effects.push(Effect::Respond(conn, seq, answer, None));
+                    effects.push(Effect::Respond {
+                        connection: conn,
+                        sequence: seq,
+                        response: answer,
+                        capacity_hint: None,
+                    });
+                }
+                Input::Cancel { connection: conn, sequence: seq } => {
+                    self.open.retain(|_, open| *open != (conn, seq))
                 }
-                Input::Cancel(conn, seq) => self.open.retain(|_, open| *open != (conn, seq)),
                 _ => {}
             }
         }
         if moment.now >= self.next_report {
             self.next_report = Time(moment.now.0 + 400_000_000);
-            effects.push(Effect::ReportReadiness(true));
+            effects.push(Effect::ReportReadiness { ready: true });
         }
     }
 
--- a/crates/model/tests/slow_start.rs
+++ b/crates/model/tests/slow_start.rs
@@ -119,7 +119,7 @@
     fn look(&self, effect: &Effect, classes: &[&str]) {
         let mut seen = self.seen.lock().expect("no panic before");
         match effect {
-            Effect::StartRun(_, id, class, body) => {
+            Effect::StartRun { id, class, body, .. } => {
                 seen.begun += 1;
                 let same = self.sent.get(id).is_some_and(|(sent, bytes)| {
                     classes[*sent] == class.profile.name && bytes[..] == body[..]
@@ -128,7 +128,9 @@
                     seen.foreign.push(format!("begun: {id:?} {} {:?}", class.profile.name, &body[..]));
                 }
             }
-            Effect::Respond(conn, seq, Response::Served(result), _) => {
+            Effect::Respond {
+                connection: conn, sequence: seq, response: Response::Served(result), ..
+            } => {
                 // A result is made of the body here, so that whose it is can be told.
                 seen.served += 1;
                 if self.asked.get(&(*conn, *seq)).is_none_or(|body| body[..] != result[..]) {
@@ -144,7 +146,7 @@
     fn step(&mut self, moment: Timestamp, inputs: &mut Vec<Input>, effects: &mut Vec<Effect>) {
         const CLASSES: [&str; 4] = ["sheet-view", "deep-zoom", "label-read", "label-save"];
         for input in inputs.iter() {
-            if let Input::Request(conn, seq, call) = input {
+            if let Input::Request { connection: conn, sequence: seq, request: call } = input {
                 let class = call.class.slot();
                 self.sent.insert(call.id.clone(), (class, call.body.to_vec()));
                 self.asked.insert((*conn, *seq), call.body.to_vec());
--- a/crates/node/src/admin/http.rs
+++ b/crates/node/src/admin/http.rs
@@ -153,9 +153,9 @@
         "/fleet/order" if method == "GET" => {
             let ticket = value(query, "ticket").and_then(|text| text.parse().ok());
             (
-                ticket
-                    .ok_or_else(|| bad("ticket=1"))
-                    .map(|of| Called::Plain(AdminRequest::Agreement(AgreementRequest::CommandStatus(of)))),
+                ticket.ok_or_else(|| bad("ticket=1")).map(|of| {
+                    Called::Plain(AdminRequest::Agreement(AgreementRequest::CommandStatus { ticket: of }))
+                }),
                 "GET, POST",
             )
         }
@@ -179,8 +179,9 @@
         "/fleet/wanted" => {
             let name = value(query, "name").map(String::from);
             (
-                name.ok_or_else(|| bad("name=n3"))
-                    .map(|of| Called::Plain(AdminRequest::Agreement(AgreementRequest::TargetVersion(of)))),
+                name.ok_or_else(|| bad("name=n3")).map(|of| {
+                    Called::Plain(AdminRequest::Agreement(AgreementRequest::TargetVersion { server: of }))
+                }),
                 "GET, HEAD",
             )
         }
@@ -219,7 +220,7 @@
         assert_eq!((whole.call, whole.body, whole.len), (Ok(Called::Plain(AdminRequest::StartDrain)), 2, 63));
         let call = |bytes: &[u8]| head(bytes).unwrap().unwrap().call;
         assert_eq!(call(b"GET /stats?x=1 HTTP/1.1\r\n\r\n"), Ok(Called::Plain(AdminRequest::Stats)));
-        let became = Called::Plain(AdminRequest::Agreement(AgreementRequest::CommandStatus(7)));
+        let became = Called::Plain(AdminRequest::Agreement(AgreementRequest::CommandStatus { ticket: 7 }));
         assert_eq!(call(b"GET /fleet/order?ticket=7 HTTP/1.1\r\n\r\n"), Ok(became));
         assert_eq!(call(b"POST /fleet/order HTTP/1.1\r\n\r\n"), Ok(Called::Order));
         assert_eq!(status(b"GET /fleet/order?ticket=x HTTP/1.1\r\n\r\n"), 400);
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -214,9 +214,10 @@
     };
     match std::str::from_utf8(body).map_err(|e| e.to_string()).and_then(|text| stage.put(text)) {
         Ok(digest) => {
-            let told = shared
-                .inputs
-                .send_timeout(Input::StagedSettingsChanged(None, stage.staged()), REDUCER_PATIENCE);
+            let told = shared.inputs.send_timeout(
+                Input::StagedSettingsChanged { active: None, staged: stage.staged() },
+                REDUCER_PATIENCE,
+            );
             if told.is_err() {
                 return Response::text(503, "the server did not take it in time; try again\n");
             }
@@ -252,7 +253,7 @@
     shared.waiting().insert(id, reply);
     let until = Instant::now() + REDUCER_PATIENCE;
     let told = call.clone();
-    let sent = shared.inputs.send_deadline(Input::AdminRequest(id, call), until).is_ok();
+    let sent = shared.inputs.send_deadline(Input::AdminRequest { id, request: call }, until).is_ok();
     let answer = if sent { answer.recv_deadline(until).ok() } else { None };
     shared.waiting().remove(&id);
     answer.map(response).unwrap_or_else(|| {
@@ -279,8 +280,8 @@
         AdminResponse::Configuration(answer) => configuration::response(&answer),
         AdminResponse::Agreement(answer) => agreements::response(&answer),
         AdminResponse::Fleet(None) => Response::text(404, "this server takes no part in a fleet\n"),
-        AdminResponse::DrainState { failed: true, .. } => Response::text(200, "draining\n"),
-        AdminResponse::DrainState { failed: false, .. } => Response::text(200, "serving\n"),
+        AdminResponse::DrainState { draining: true, .. } => Response::text(200, "draining\n"),
+        AdminResponse::DrainState { draining: false, .. } => Response::text(200, "serving\n"),
     }
 }
 
--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -132,14 +132,16 @@
     let mut next = Instant::now() + OPEN_AGAIN;
     loop {
         match queue.recv_deadline(next) {
-            Ok(Job::Claim { id, .. }) => inputs.send(Input::RunClaimed(id, RunClaim::Unknown)).ok()?,
+            Ok(Job::Claim { id, .. }) => {
+                inputs.send(Input::RunClaimed { id, claim: RunClaim::Unknown }).ok()?
+            }
             // Nothing was claimed here that could end.
             Ok(Job::Ended { .. }) => {}
             Ok(Job::Window(new)) => window = new,
             Err(RecvTimeoutError::Disconnected) => return None,
             Err(RecvTimeoutError::Timeout) => {
                 if let Ok(files) = Files::open(place, window, Arc::clone(pool)) {
-                    inputs.send(Input::RunsShared(files.salt)).ok()?;
+                    inputs.send(Input::RunsShared { salt: files.salt }).ok()?;
                     return Some(files);
                 }
                 next = Instant::now() + OPEN_AGAIN;
@@ -174,7 +176,7 @@
                 }
             };
             // Where nobody listens any more, the queue has ended too.
-            let _ = inputs.send(Input::RunClaimed(wait.id.clone(), claim));
+            let _ = inputs.send(Input::RunClaimed { id: wait.id.clone(), claim });
             true
         };
         for job in first.into_iter().chain(queue.try_iter()) {
--- a/crates/node/src/claims/tests.rs
+++ b/crates/node/src/claims/tests.rs
@@ -141,10 +141,10 @@
         claims.claim(RequestId::new(&n.to_string()), "t".into(), 7, Span(1_000));
         told.recv_timeout(PATIENCE).expect("an answer")
     };
-    assert!(matches!(asked(1), Input::RunClaimed(_, RunClaim::Unknown)));
+    assert!(matches!(asked(1), Input::RunClaimed { claim: RunClaim::Unknown, .. }));
     fs::remove_file(&folder.0).expect("it goes");
-    assert!(matches!(told.recv_timeout(PATIENCE), Ok(Input::RunsShared(1))));
-    assert!(matches!(asked(2), Input::RunClaimed(_, RunClaim::Ours)));
+    assert!(matches!(told.recv_timeout(PATIENCE), Ok(Input::RunsShared { salt: 1 })));
+    assert!(matches!(asked(2), Input::RunClaimed { claim: RunClaim::Ours, .. }));
 }
 
 /// Guards against a server whose keyed requests are all refused in an upgrade, or claimed outside of the folder, because of
--- a/crates/node/src/configuration_writer.rs
+++ b/crates/node/src/configuration_writer.rs
@@ -111,7 +111,7 @@
             Err(error) => {
                 let reason = error.reason();
                 if reason != last_failure {
-                    told(ConfigurationSaveResult::Failed(error.to_string()));
+                    told(ConfigurationSaveResult::Failed { reason: error.to_string() });
                     last_failure = reason;
                 }
                 if !put_back(shared, state, retry) {
--- a/crates/node/src/configuration_writer/tests.rs
+++ b/crates/node/src/configuration_writer/tests.rs
@@ -94,7 +94,7 @@
     let commit = next(&mut state);
     writer.hand_in(Snapshot::of(&state), Some(commit));
     let why = told.recv_timeout(PATIENCE).expect("a word from the writer");
-    assert!(matches!(why, ConfigurationSaveResult::Failed(_)), "{why:?}");
+    assert!(matches!(why, ConfigurationSaveResult::Failed { .. }), "{why:?}");
     assert_eq!(found(&disk).map(|found| found.revision()), Some(Revision(0)), "the state before");
     disk.fail(Fault::None);
     let all = until(&told, Revision(1));
--- a/crates/node/src/frontend/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -249,7 +249,7 @@
         let Some(conn) = self.handle(conn) else { return };
         let leaving = self.leaving.load(Ordering::Relaxed);
         let encode = |answer| conn.front.encode(seq, answer, hint, leaving, &self.pool);
-        let frame = encode(answer).or_else(|| encode(&Response::Failed { late: false }));
+        let frame = encode(answer).or_else(|| encode(&Response::Failed { timed_out: false }));
         conn.spent.fetch_add(Worth::of(answer).cost(), Ordering::Relaxed);
         let once = frame.is_none() || conn.front.once();
         frame.into_iter().for_each(|frame| conn.send(frame));
--- a/crates/node/src/frontend/pace.rs
+++ b/crates/node/src/frontend/pace.rs
@@ -23,9 +23,9 @@
     /// What an answer says of its request.
     pub fn of(answer: &Response) -> Self {
         match answer {
-            Response::Served(_) | Response::Health(..) => Self::Served,
+            Response::Served(_) | Response::Health { .. } => Self::Served,
             Response::Rejected { .. } | Response::Failed { .. } | Response::OutcomeUnknown => Self::Lost,
-            Response::Invalid(..) => Self::Nonsense,
+            Response::Invalid { .. } => Self::Nonsense,
         }
     }
 
--- a/crates/node/src/frontend/reader.rs
+++ b/crates/node/src/frontend/reader.rs
@@ -156,7 +156,8 @@
         let waits = reading.socket.flush();
         if reading.held && waits < MOST_UNREAD {
             // What it sent meanwhile waited for its own peer, not for this server.
-            let _ = self.shared.inputs.send(Input::ConnectionThrottled(conn, Span(0)));
+            let _ =
+                self.shared.inputs.send(Input::ConnectionThrottled { connection: conn, duration: Span(0) });
             reading.held = false;
             self.turns.push_back(conn);
         }
@@ -290,7 +291,11 @@
             Turn::Pause(pause) => {
                 self.paused.insert(conn, Instant::now() + pause);
                 let pause = Span(u64::try_from(pause.as_nanos()).unwrap_or(u64::MAX));
-                return self.shared.inputs.send(Input::ConnectionThrottled(conn, pause)).is_ok();
+                return self
+                    .shared
+                    .inputs
+                    .send(Input::ConnectionThrottled { connection: conn, duration: pause })
+                    .is_ok();
             }
             Turn::Ended(wrong) => {
                 // Another turn reads what is left, or the end.
--- a/crates/node/src/frontend/reader/tests.rs
+++ b/crates/node/src/frontend/reader/tests.rs
@@ -112,7 +112,9 @@
 
 fn health_checks(came: &Receiver<Input>) -> Vec<i32> {
     came.try_iter()
-        .filter_map(|input| if let Input::HealthCheck(_, seq) = input { Some(seq) } else { None })
+        .filter_map(
+            |input| if let Input::HealthCheck { sequence: seq, .. } = input { Some(seq) } else { None },
+        )
         .collect()
 }
 
--- a/crates/node/src/frontend/reading.rs
+++ b/crates/node/src/frontend/reading.rs
@@ -170,10 +170,14 @@
             used += len;
             let mut spent = 1;
             let input = match cut {
-                Cut::Call(seq, call) => Some(Input::Request(conn, seq, call)),
-                Cut::Health(seq) => Some(Input::HealthCheck(conn, seq)),
-                Cut::Invalid(seq, misuse, why) => Some(Input::InvalidRequest(conn, seq, misuse, why)),
-                Cut::Cancel(seq) => Some(Input::Cancel(conn, seq)),
+                Cut::Call(seq, call) => {
+                    Some(Input::Request { connection: conn, sequence: seq, request: call })
+                }
+                Cut::Health(seq) => Some(Input::HealthCheck { connection: conn, sequence: seq }),
+                Cut::Invalid(seq, misuse, why) => {
+                    Some(Input::InvalidRequest { connection: conn, sequence: seq, error: misuse, text: why })
+                }
+                Cut::Cancel(seq) => Some(Input::Cancel { connection: conn, sequence: seq }),
                 Cut::Nothing => continue,
                 Cut::Nonsense => {
                     spent += Worth::Nonsense.cost();
--- a/crates/node/src/frontend/scgi/mod.rs
+++ b/crates/node/src/frontend/scgi/mod.rs
@@ -142,11 +142,11 @@
     let mut more = Vec::new();
     let (status, reason, body): (u16, &str, &[u8]) = match answer {
         Response::Served(result) => (200, "OK", result),
-        Response::Health(good, store) => {
+        Response::Health { healthy: good, store } => {
             more.extend(store.map(|word| format!("X-Gradepin-Store: {word}")));
             if *good { (200, "OK", b"good\n") } else { (503, "Service Unavailable", b"bad\n") }
         }
-        Response::Rejected { backoff, last } => {
+        Response::Rejected { retry_after: backoff, no_failover: last } => {
             if backoff.0 > 0 {
                 // Whole seconds for those that know the standard header, and what was meant.
                 more.push(format!("Retry-After: {}", backoff.0.div_ceil(1_000_000_000)));
@@ -158,9 +158,9 @@
             (503, "Service Unavailable", b"refused: it never ran\n")
         }
         Response::OutcomeUnknown => (502, "Bad Gateway", UNKNOWN_OUTCOME_TEXT.as_bytes()),
-        Response::Failed { late: false } => (502, "Bad Gateway", b"failed\n"),
-        Response::Failed { late: true } => (504, "Gateway Timeout", b"too late\n"),
-        Response::Invalid(misuse, why) => {
+        Response::Failed { timed_out: false } => (502, "Bad Gateway", b"failed\n"),
+        Response::Failed { timed_out: true } => (504, "Gateway Timeout", b"too late\n"),
+        Response::Invalid { error: misuse, text: why } => {
             let (status, reason) = match misuse {
                 RequestError::Malformed => (400, "Bad Request"),
                 RequestError::NotFound => (404, "Not Found"),
--- a/crates/node/src/frontend/scgi/tests.rs
+++ b/crates/node/src/frontend/scgi/tests.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn answers_carry_the_advice_rounded_up_and_exactly() {
-    let refused = told(&Response::Rejected { backoff: Span(1_200_000_001), last: true }, true);
+    let refused = told(&Response::Rejected { retry_after: Span(1_200_000_001), no_failover: true }, true);
     assert_eq!(refused.status, 503);
     for (name, value) in [
         ("retry-after", "2"),
@@ -20,7 +20,7 @@
     ] {
         assert_eq!(refused.header(name), Some(value), "{name}");
     }
-    let plain = told(&Response::Rejected { backoff: Span(0), last: false }, false);
+    let plain = told(&Response::Rejected { retry_after: Span(0), no_failover: false }, false);
     assert_eq!((plain.header("retry-after"), plain.header("x-gradepin-final")), (None, None));
 }
 
@@ -31,8 +31,8 @@
     let served = told(&Response::Served(Arc::new(buffer)), true);
     assert_eq!((served.status, served.body), (200, result));
     let status = |answer| told(&answer, false).status;
-    assert_eq!([false, true].map(|late| status(Response::Failed { late })), [502, 504]);
-    assert_eq!([true, false].map(|good| status(Response::Health(good, None))), [200, 503]);
+    assert_eq!([false, true].map(|late| status(Response::Failed { timed_out: late })), [502, 504]);
+    assert_eq!([true, false].map(|good| status(Response::Health { healthy: good, store: None })), [200, 503]);
     assert_eq!(status(Response::OutcomeUnknown), 502);
 }
 
--- a/crates/node/src/frontend/thrift/codec.rs
+++ b/crates/node/src/frontend/thrift/codec.rs
@@ -355,13 +355,13 @@
             w.answer(result, &fields, true);
             w.end()
         }
-        Response::Health(good, store) => {
+        Response::Health { healthy: good, store } => {
             fields.extend(store.map(|word| ("store", word.to_string())));
             let mut w = reply("health");
             w.answer(b"", &fields, *good);
             w.end()
         }
-        Response::Rejected { backoff, last } => {
+        Response::Rejected { retry_after: backoff, no_failover: last } => {
             if backoff.0 > 0 {
                 fields.push(("backoff", backoff.0.div_ceil(1_000_000).to_string()));
             }
@@ -375,7 +375,7 @@
             fields.push(("why", UNKNOWN_OUTCOME_TEXT.to_string()));
             thrown(reply("call"), 2, &fields)
         }
-        Response::Invalid(misuse, why) => {
+        Response::Invalid { error: misuse, text: why } => {
             let mut w = Writer::message(pool, EXCEPTION, "call", seq);
             w.field(STRING, 1);
             w.string(why.as_bytes());
--- a/crates/node/src/frontend/thrift/mod.rs
+++ b/crates/node/src/frontend/thrift/mod.rs
@@ -53,7 +53,7 @@
 
     fn malformed(&self, why: &str, pool: &Arc<BufferPool>) -> Option<Buffer> {
         // Number 0 is no request's: clients count from 1, and what is open keeps its one answer.
-        codec::encode(0, &Response::Invalid(RequestError::Malformed, why.into()), None, pool)
+        codec::encode(0, &Response::Invalid { error: RequestError::Malformed, text: why.into() }, None, pool)
     }
 
     fn once(&self) -> bool {
--- a/crates/node/src/processor.rs
+++ b/crates/node/src/processor.rs
@@ -339,7 +339,7 @@
                     progress.read(notice);
                     Input::UpstreamCallRequested { notice, id, body }
                 }
-                Line::Used(tag, values) => Input::GaugesRead(tag, values),
+                Line::Used(tag, values) => Input::GaugesRead { number: tag, values },
                 Line::Reject(id) => Input::RunNotStarted(id),
                 Line::Remark(notice) => {
                     progress.read(notice);
--- a/crates/node/src/registry.rs
+++ b/crates/node/src/registry.rs
@@ -209,7 +209,7 @@
                 for ask in queue {
                     let Some(client) = clients.get(ask.url) else { continue };
                     let reply = client.ask(&app, &id, &ask.op, millis(ask.timeout));
-                    if inputs.send(Input::RegistryReply(ask.ticket, reply)).is_err() {
+                    if inputs.send(Input::RegistryReply { ticket: ask.ticket, reply }).is_err() {
                         return;
                     }
                 }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -63,7 +63,7 @@
                     let _ = done.recv_timeout(PATIENCE);
                 }
                 for input in parties.inputs_of(job) {
-                    open = matches!(input, Input::Reload(_) | Input::ReloadRejected(_)) || open;
+                    open = matches!(input, Input::Reload(_) | Input::ReloadRejected { .. }) || open;
                     if parties.inputs.send(input).is_err() {
                         return;
                     }
@@ -103,7 +103,7 @@
                     inputs.push(Input::Reload(Box::new(self.live.compare(config))));
                     inputs
                 }
-                Err(why) => vec![Input::ReloadRejected(why.to_string())],
+                Err(why) => vec![Input::ReloadRejected { reason: why.to_string() }],
             },
         }
     }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -323,7 +323,7 @@
     let mut ledger = ledger.transpose()?;
     let changes = urgently.clone();
     if let Some(stage) = &stage {
-        arrived.push(Input::StagedSettingsChanged(None, stage.staged()));
+        arrived.push(Input::StagedSettingsChanged { active: None, staged: stage.staged() });
     }
     let processor = Processor::connect(config.processor, urgently, pool, log.clone());
     let processor = processor.map_err(failed("processor"))?;
@@ -333,24 +333,33 @@
         reducer.step(clock.read(), arrived.drain(..), &mut effects);
         for effect in effects.drain(..) {
             match effect {
-                Effect::Respond(conn, seq, answer, hint) => fronts.answer(conn, seq, &answer, hint),
+                Effect::Respond {
+                    connection: conn,
+                    sequence: seq,
+                    response: answer,
+                    capacity_hint: hint,
+                } => fronts.answer(conn, seq, &answer, hint),
                 Effect::RequestDrain(conn) => fronts.draining(conn),
                 Effect::StopAccepting => fronts.stop_accepting(),
                 Effect::CloseConnection(conn) => fronts.close(conn),
-                Effect::CloseIdleConnection(conn, taken) => fronts.close_resting(conn, taken),
-                Effect::CloseLateConnection(conn, taken) => fronts.close_late(conn, taken),
-                Effect::StartRun(link, id, class, body) => {
+                Effect::CloseIdleConnection { connection: conn, messages_received: taken } => {
+                    fronts.close_resting(conn, taken)
+                }
+                Effect::CloseLateConnection { connection: conn, messages_received: taken } => {
+                    fronts.close_late(conn, taken)
+                }
+                Effect::StartRun { link, id, class, body } => {
                     processor.begin(link, &id, &class.profile.name, &body);
                 }
-                Effect::ReadGauges(link, tag) => processor.usage(link, tag),
-                Effect::CallUpstream(id, number, body, limit, leaves) => {
+                Effect::ReadGauges { link, number: tag } => processor.usage(link, tag),
+                Effect::CallUpstream { id, call: number, body, timeout: limit, leave_before: leaves } => {
                     let leaves = leaves.map(|at| clock.instant(at));
                     let ended = match &ledger {
                         Some(ledger) => ledger.call((id, number), &body, limit, leaves).err(),
                         // Nobody would tell its end, and the run would wait for that until its caller gives up.
                         None => Some(Input::UpstreamCallEnded {
                             id,
-                            number,
+                            call: number,
                             outcome: Outcome::ConnectFailed,
                             reply: None,
                         }),
@@ -358,7 +367,7 @@
                     // In its own queue: this thread must not wait for itself.
                     arrived.extend(ended);
                 }
-                Effect::SendPeerDatagram(to, datagram) => {
+                Effect::SendPeerDatagram { to, datagram } => {
                     if let Some(peers) = &peers {
                         peers.send(to, &datagram);
                     }
@@ -368,12 +377,12 @@
                         writer.hand_in(save.state, save.commit);
                     }
                 }
-                Effect::WriteVoterState(generation, number, records) => {
+                Effect::WriteVoterState { generation, number, records } => {
                     if let Some((folder, _)) = &council {
                         folder.write(generation, number, records);
                     }
                 }
-                Effect::StartRolloutStep(turn, until) => {
+                Effect::StartRolloutStep { step: turn, start_before: until } => {
                     let release = turn.release;
                     let changed = match &stage {
                         Some(stage) => stage
@@ -382,11 +391,12 @@
                         None => Err("the settings name no stage".to_string()),
                     };
                     // In its own queue: this thread must not wait for itself.
-                    arrived.extend(changed.err().map(|why| Input::RolloutStepFailed(release, why)));
+                    arrived
+                        .extend(changed.err().map(|why| Input::RolloutStepFailed { release, reason: why }));
                 }
-                Effect::DeliverUpstreamReply(link, id, reply) => processor.answer(link, &id, &reply),
-                Effect::StopRun(link, id) => processor.interrupt(link, &id),
-                Effect::ReconnectProcessor(link) => processor.renew(link),
+                Effect::DeliverUpstreamReply { link, id, reply } => processor.answer(link, &id, &reply),
+                Effect::StopRun { link, id } => processor.interrupt(link, &id),
+                Effect::ReconnectProcessor { link } => processor.renew(link),
                 Effect::SetProcessorAddress(address) => processor.retarget(address),
                 Effect::SetControlAddress(address) => control.retarget(address),
                 Effect::SetUpstreamAddress(address) => match &ledger {
@@ -396,7 +406,7 @@
                         Err(e) => error!(log, "no calls can be made to the ledger"; "error" => %e),
                     },
                 },
-                Effect::ReportReadiness(ready) => {
+                Effect::ReportReadiness { ready } => {
                     if let Err(e) = control.report(ready) {
                         info!(log, "a report could not be sent"; "error" => %e);
                     }
@@ -406,18 +416,18 @@
                         registry.ask(ask);
                     }
                 }
-                Effect::PersistRecords(number, batch) => {
+                Effect::PersistRecords { number, batch } => {
                     if let Some(store) = &store {
                         store.persist(number, batch);
                     }
                 }
                 Effect::ReplayNotices => processor.retell(),
-                Effect::ClaimRun(id, token, print, patience) => {
+                Effect::ClaimRun { id, key: token, fingerprint: print, timeout: patience } => {
                     if let Some(claims) = &claims {
                         claims.claim(id, token, print, patience);
                     }
                 }
-                Effect::ReleaseClaim(token, print, end) => {
+                Effect::ReleaseClaim { key: token, fingerprint: print, outcome: end } => {
                     if let Some(claims) = &claims {
                         claims.ended(token, print, end);
                     }
@@ -429,14 +439,14 @@
                     }
                 }
                 Effect::ReloadFinished => drop(reloaded.try_send(())),
-                Effect::AnswerAdmin(id, answer) => {
+                Effect::AnswerAdmin { id, response: answer } => {
                     if let Some(admin) = &admin {
                         admin.answer(id, answer);
                     }
                 }
-                Effect::Log(Level::Info, text) => info!(log, "{}", text),
-                Effect::Log(Level::Warning, text) => warn!(log, "{}", text),
-                Effect::Log(_, text) => error!(log, "{}", text),
+                Effect::Log { level: Level::Info, text } => info!(log, "{}", text),
+                Effect::Log { level: Level::Warning, text } => warn!(log, "{}", text),
+                Effect::Log { text, .. } => error!(log, "{}", text),
                 Effect::Exit => {
                     info!(log, "leaving");
                     if let Some(claims) = claims {
--- a/crates/node/src/settings/active.rs
+++ b/crates/node/src/settings/active.rs
@@ -133,10 +133,10 @@
     pub fn publish(&self, edition: u64, changes: Vec<NameChange>) {
         for change in changes {
             match change {
-                NameChange::Class(handle, class) => self.0.classes.put(handle, class),
+                NameChange::Class { handle, class } => self.0.classes.put(handle, class),
                 NameChange::ClassRemoved(class) => self.0.classes.removed(class.name()),
                 NameChange::ClassForgotten(class) => self.0.classes.gone(class.name()),
-                NameChange::Tenant(handle, tenant) => self.0.tenants.put(handle, tenant),
+                NameChange::Tenant { handle, tenant } => self.0.tenants.put(handle, tenant),
                 NameChange::TenantRemoved(tenant) => self.0.tenants.removed(tenant.name()),
                 NameChange::TenantForgotten(tenant) => self.0.tenants.gone(tenant.name()),
             }
--- a/crates/node/src/settings/active/tests.rs
+++ b/crates/node/src/settings/active/tests.rs
@@ -39,7 +39,7 @@
         5,
         vec![
             NameChange::TenantRemoved(Arc::new(Tenant { name: "a".into(), quota_rps: 1.0, portion: 0.0 })),
-            NameChange::Tenant(1.into(), Arc::clone(&tenants[0])),
+            NameChange::Tenant { handle: 1.into(), tenant: Arc::clone(&tenants[0]) },
         ],
     );
     let again = live.compare(config(&[("view", 4), ("save", 4)], &[("b", 2.0)]));
--- a/crates/node/src/staging.rs
+++ b/crates/node/src/staging.rs
@@ -130,7 +130,7 @@
                 }
             };
             if let Err(why) = done {
-                let _ = inputs.send(Input::RolloutStepFailed(release, why));
+                let _ = inputs.send(Input::RolloutStepFailed { release, reason: why });
             }
         };
         thread::Builder::new().name("change".into()).stack_size(STACK).spawn(run).map(drop)
@@ -159,7 +159,10 @@
         // Whole and checked before anything of it is in force.
         let config = Config::parse(&text).map_err(|e| e.to_string())?;
         replace(&self.config, &text).map_err(|e| format!("{}: {e}", self.config.display()))?;
-        reloads.staged(config, Input::StagedSettingsChanged(Some(version.to_string()), self.staged()));
+        reloads.staged(
+            config,
+            Input::StagedSettingsChanged { active: Some(version.to_string()), staged: self.staged() },
+        );
         Ok(())
     }
 }
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -79,7 +79,7 @@
             }
             Err(why) if why == told => {}
             Err(why) => {
-                inputs.send(Input::StoreFailed(0, why.clone())).ok()?;
+                inputs.send(Input::StoreFailed { number: 0, reason: why.clone() }).ok()?;
                 told = why;
             }
         }
@@ -129,8 +129,8 @@
                 result = store.add(stamp(), &records);
             }
             let input = match result {
-                Ok(()) => Input::StorePersisted(last),
-                Err(e) => Input::StoreFailed(last, e.to_string()),
+                Ok(()) => Input::StorePersisted { number: last },
+                Err(e) => Input::StoreFailed { number: last, reason: e.to_string() },
             };
             if inputs.send(input).is_err() {
                 return;
@@ -193,7 +193,7 @@
         let mut last = 0;
         while last < 500 {
             match told.recv_timeout(PATIENCE).expect("it goes on") {
-                Input::StorePersisted(upto) => last = upto,
+                Input::StorePersisted { number: upto } => last = upto,
                 other => panic!("{other:?}"),
             }
         }
@@ -202,12 +202,12 @@
         disk.fail(Fault::SyncFails);
         store.persist(501, batch(501));
         assert!(
-            matches!(told.recv_timeout(PATIENCE), Ok(Input::StoreFailed(501, why)) if why.contains("input/output"))
+            matches!(told.recv_timeout(PATIENCE), Ok(Input::StoreFailed { number: 501, reason: why }) if why.contains("input/output"))
         );
         disk.fail(Fault::None);
         store.persist(502, batch(502));
-        assert!(matches!(told.recv_timeout(PATIENCE), Ok(Input::StoreFailed(502, _))));
+        assert!(matches!(told.recv_timeout(PATIENCE), Ok(Input::StoreFailed { number: 502, .. })));
         store.persist(503, RecordBatch::Rewrite(Vec::new()));
-        assert!(matches!(told.recv_timeout(PATIENCE), Ok(Input::StorePersisted(503))));
+        assert!(matches!(told.recv_timeout(PATIENCE), Ok(Input::StorePersisted { number: 503 })));
     }
 }
--- a/crates/node/src/upstream_client.rs
+++ b/crates/node/src/upstream_client.rs
@@ -103,7 +103,7 @@
         self.calls.try_send(call).map_err(|unsent| {
             warn!(self.log, "a call to the ledger found no room; it is turned away unmade");
             let Call { id, number, .. } = unsent.into_inner();
-            Input::UpstreamCallEnded { id, number, outcome: Outcome::Rejected, reply: None }
+            Input::UpstreamCallEnded { id, call: number, outcome: Outcome::Rejected, reply: None }
         })
     }
 }
@@ -126,8 +126,7 @@
             }
             Some(left) => exchange(agent, &url, &call, left, pool),
         };
-        if inputs.send(Input::UpstreamCallEnded { id: call.id, number: call.number, outcome, reply }).is_err()
-        {
+        if inputs.send(Input::UpstreamCallEnded { id: call.id, call: call.number, outcome, reply }).is_err() {
             return;
         }
     }
--- a/crates/node/src/upstream_client/tests.rs
+++ b/crates/node/src/upstream_client/tests.rs
@@ -219,7 +219,7 @@
         let id = RequestId::new(&format!("{n:016x}"));
         // In time, however slow the machine: no verdict here hangs on how long a call takes.
         assert!(ledger.call((id, n as u64), b"form", Span(60_000_000_000), None).is_ok(), "seed {seed}, {n}");
-        let Input::UpstreamCallEnded { number, outcome, reply, .. } =
+        let Input::UpstreamCallEnded { call: number, outcome, reply, .. } =
             came.recv_timeout(Duration::from_secs(30)).unwrap_or_else(|_| {
                 panic!(
                     "seed {seed}: call {n} never ends, answered with {:?}",
--- a/crates/node/src/voter_storage.rs
+++ b/crates/node/src/voter_storage.rs
@@ -61,7 +61,7 @@
             None => Err("the folder isn't open".into()),
         };
         let input = match written {
-            Ok(()) => Input::VoterStateWritten(number),
+            Ok(()) => Input::VoterStateWritten { number },
             Err(why) => {
                 generation += 1;
                 // Its lock goes first.
@@ -75,7 +75,7 @@
                 (log, found) = (Some(again), held.clone());
                 // A disk that is full stays so for a while: no voter begins anew in a circle.
                 thread::sleep(AGAIN);
-                Input::VoterStateFailed(Box::new(held), why)
+                Input::VoterStateFailed { recovered: Box::new(held), reason: why }
             }
         };
         if inputs.send(input).is_err() {
--- a/crates/store/tests/world/mod.rs
+++ b/crates/store/tests/world/mod.rs
@@ -205,7 +205,7 @@
                 self.log = Some(log);
                 self.recovered = Some(Input::StoreRecovered(Box::new(found.recovered)));
             }
-            Err(why) => self.inputs.push(Input::StoreFailed(0, why.to_string())),
+            Err(why) => self.inputs.push(Input::StoreFailed { number: 0, reason: why.to_string() }),
         }
     }
 
@@ -251,7 +251,7 @@
             body: self.pool.copy(body.as_bytes()).expect("it fits"),
         };
         self.asked.insert(seq, (body.to_string(), self.truth.ms + budget, Vec::new()));
-        self.inputs.push(Input::Request(CONN, seq, Box::new(call)));
+        self.inputs.push(Input::Request { connection: CONN, sequence: seq, request: Box::new(call) });
         self.settle();
         seq
     }
@@ -324,10 +324,10 @@
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Respond(_, seq, answer, _) => {
+            Effect::Respond { sequence: seq, response: answer, .. } => {
                 let got = match answer {
                     Response::Served(result) => Got::Served(result.to_vec()),
-                    Response::Rejected { backoff, .. } => Got::Refused(backoff.0 / MS),
+                    Response::Rejected { retry_after: backoff, .. } => Got::Refused(backoff.0 / MS),
                     Response::Failed { .. } => Got::Failed,
                     Response::OutcomeUnknown => Got::Unknown,
                     _ => Got::Other,
@@ -346,7 +346,7 @@
                 }
                 answers.push(got);
             }
-            Effect::StartRun(_, id, class, body) => {
+            Effect::StartRun { id, class, body, .. } => {
                 let body = String::from_utf8_lossy(&body).into_owned();
                 // Runs take from 20 ms to 1.3 s.
                 let takes = 20 + self.rng.next_u64() % 16 * (self.rng.next_u64() % 80);
@@ -368,12 +368,12 @@
                 }
                 self.truth.running.push((self.truth.ms + takes, id.0.to_string(), body));
             }
-            Effect::ReadGauges(_, tag) => {
+            Effect::ReadGauges { number: tag, .. } => {
                 let on = self.truth.running.len() as f64;
                 let to = if self.gauges_wait { &mut self.gauges } else { &mut self.inputs };
-                to.push(Input::GaugesRead(tag, vec![0.5, on, 0.1, 9.0]));
+                to.push(Input::GaugesRead { number: tag, values: vec![0.5, on, 0.1, 9.0] });
             }
-            Effect::PersistRecords(number, batch) => match self.mode {
+            Effect::PersistRecords { number, batch } => match self.mode {
                 Disk::Prompt => self.persist(number, &batch),
                 Disk::Held => self.queue.push_back((u64::MAX, number, batch)),
                 Disk::Slow(ms) => {
@@ -387,7 +387,7 @@
                 self.inputs.push(Input::LinkDown);
                 self.link_up(true);
             }
-            Effect::Log(_, text) => self.logged.push(text),
+            Effect::Log { text, .. } => self.logged.push(text),
             Effect::Exit => self.exited = true,
             _ => {}
         }
@@ -403,8 +403,8 @@
         };
         self.see();
         self.inputs.push(match result {
-            Ok(()) => Input::StorePersisted(number),
-            Err(why) => Input::StoreFailed(number, why.to_string()),
+            Ok(()) => Input::StorePersisted { number },
+            Err(why) => Input::StoreFailed { number, reason: why.to_string() },
         });
     }
 
--- a/crates/testkit/src/scale/fleet/requests.rs
+++ b/crates/testkit/src/scale/fleet/requests.rs
@@ -97,17 +97,17 @@
     /// Takes an effect that is the processor's or a connection's, and appends what comes of it at once.
     pub fn take(&mut self, now: Time, effect: Effect, inputs: &mut Vec<Input>) {
         match effect {
-            Effect::StartRun(_, id, ..) => {
+            Effect::StartRun { id, .. } => {
                 let takes = self.exponential(self.mean_run_s).min(MOST_OF_MEAN * self.mean_run_s);
                 self.runs.push(Reverse((time_after(now, gradepin_admission::span_from_seconds(takes)), id)));
             }
-            Effect::ReadGauges(_, tag) => {
+            Effect::ReadGauges { number: tag, .. } => {
                 let gauges = vec![CORE_USE, self.runs.len() as f64, HEAP_SHARE, 0.0];
-                inputs.push(Input::GaugesRead(tag, gauges));
+                inputs.push(Input::GaugesRead { number: tag, values: gauges });
             }
             Effect::CloseConnection(conn)
-            | Effect::CloseIdleConnection(conn, _)
-            | Effect::CloseLateConnection(conn, _) => {
+            | Effect::CloseIdleConnection { connection: conn, .. }
+            | Effect::CloseLateConnection { connection: conn, .. } => {
                 self.conn.take_if(|open| *open == conn);
                 inputs.push(Input::ConnectionClosed(conn));
             }
@@ -147,7 +147,7 @@
             has_key: false,
             body,
         };
-        inputs.push(Input::Request(conn, self.last_seq, Box::new(call)));
+        inputs.push(Input::Request { connection: conn, sequence: self.last_seq, request: Box::new(call) });
     }
 
     fn connection(&mut self, inputs: &mut Vec<Input>) -> ConnectionId {
--- a/crates/testkit/src/scale/fleet/requests/tests.rs
+++ b/crates/testkit/src/scale/fleet/requests/tests.rs
@@ -30,11 +30,11 @@
         arrived += requests.due(moment(ms), &settings, &pool, &mut inputs);
         for input in std::mem::take(&mut inputs) {
             match input {
-                Input::Request(_, _, call) => {
+                Input::Request { request: call, .. } => {
                     assert_eq!(call.token.is_some(), call.class.slot() == 0, "keyed classes have a token");
                     let body = Arc::new(call.body);
                     let class = Arc::clone(&classes[call.class.slot()]);
-                    let begin = Effect::StartRun(LINK, call.id, class, body);
+                    let begin = Effect::StartRun { link: LINK, id: call.id, class, body };
                     requests.take(moment(ms).now, begin, &mut inputs);
                 }
                 Input::RunCompleted { notice, .. } => {
@@ -59,7 +59,11 @@
     requests.due(moment(500), &settings, &pool, &mut inputs);
     assert!(matches!(inputs[0], Input::ConnectionOpened(1)));
     inputs.clear();
-    requests.take(moment(500).now, Effect::CloseIdleConnection(1, 9), &mut inputs);
+    requests.take(
+        moment(500).now,
+        Effect::CloseIdleConnection { connection: 1, messages_received: 9 },
+        &mut inputs,
+    );
     assert!(matches!(inputs[..], [Input::ConnectionClosed(1)]));
     inputs.clear();
     requests.due(moment(1_000), &settings, &pool, &mut inputs);
--- a/crates/testkit/src/scale/fleet/server.rs
+++ b/crates/testkit/src/scale/fleet/server.rs
@@ -244,9 +244,9 @@
         let mut effects = std::mem::take(&mut self.effects);
         for effect in effects.drain(..) {
             match effect {
-                Effect::SendPeerDatagram(to, datagram) => self.send(around, to, &datagram),
-                Effect::Respond(_, _, Response::Served(_), _) => self.figures.served += 1,
-                Effect::AnswerAdmin(_, AdminResponse::Stats(stats)) => {
+                Effect::SendPeerDatagram { to, datagram } => self.send(around, to, &datagram),
+                Effect::Respond { response: Response::Served(_), .. } => self.figures.served += 1,
+                Effect::AnswerAdmin { response: AdminResponse::Stats(stats), .. } => {
                     if let Some(status) = stats.fleet {
                         self.figures.up = status.up as u64;
                         self.figures.heard = status.reporting as u64;
@@ -291,7 +291,7 @@
     pub fn look(&mut self, around: &mut Surroundings) {
         let moment = around.clock.read();
         self.looks += 1;
-        let asked = Input::AdminRequest(self.looks, AdminRequest::Stats);
+        let asked = Input::AdminRequest { id: self.looks, request: AdminRequest::Stats };
         self.reducer.step(moment, [asked], &mut self.effects);
         self.carry_out(moment.now, around);
         self.due = self.next_due(moment.now);
