--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -36,21 +36,21 @@
     /// Its tenant, if it names one.
     pub tenant: Option<Handle>,
     /// Number of the client proxy.
-    pub caller: u64,
+    pub client_proxy: u64,
     /// When it reached the machine, in Unix milliseconds.
-    pub t0: u64,
-    /// Milliseconds from `t0` that its caller waits.
-    pub budget: u64,
+    pub arrived_unix_ms: u64,
+    /// How long its caller waits, in milliseconds from `arrived_unix_ms`.
+    pub budget_ms: u64,
     /// Whether it is a retry or a hedged request.
     pub retry: bool,
     /// Memory that is reserved for it while it is queued, in kB.
     pub size_kb: f64,
-    /// Its precedence within its class.
+    /// Its rank by priority weight, from 0 to below 1.
     pub precedence: f64,
     /// Idempotency key that all attempts of the request share.
-    pub token: Option<Arc<str>>,
+    pub idempotency_key: Option<Arc<str>>,
     /// Whether it names a subject.
-    pub has_key: bool,
+    pub has_subject: bool,
     /// Its body, as it was sent.
     pub body: Buffer,
 }
--- a/crates/core/src/reducer/requests.rs
+++ b/crates/core/src/reducer/requests.rs
@@ -180,10 +180,10 @@
         }
         if self.classes.profile(class).effect != gradepin_admission::Idempotency::Keyed {
             // Where no class is keyed by it, a token means nothing.
-            call.token = None;
+            call.idempotency_key = None;
         }
         let deadline = self.classes.profile(class).deadline;
-        if call.budget > BUDGET_MULTIPLE * deadline.0.div_ceil(MS) {
+        if call.budget_ms > BUDGET_MULTIPLE * deadline.0.div_ceil(MS) {
             return self.invalid(
                 conn,
                 seq,
@@ -206,13 +206,13 @@
         }
         let unix = self.moment.unix_ms;
         // Nothing came later than it is read. Guards against a stamp that keeps a key's run for ever.
-        let t0 = call.t0.min(unix);
-        let due = t0.saturating_add(call.budget);
-        if let Some(token) = &call.token
+        let t0 = call.arrived_unix_ms.min(unix);
+        let due = t0.saturating_add(call.budget_ms);
+        if let Some(token) = &call.idempotency_key
             && !self.classes.takes_new_tokens(class, self.moment.now)
             && self.earlier(token, t0).is_none()
         {
-            call.token = None;
+            call.idempotency_key = None;
         }
         // It did not wait here before there was a connection. Guards against stamps of long ago, which would tell
         // the module that requests wait unread.
@@ -223,15 +223,15 @@
         // makes a server with time to read count as one that doesn't get to it, and health that goes bad by it.
         let queued =
             paced.map_or(queued, |until| queued.min(Span(self.moment.now.0.saturating_sub(until.0))));
-        if let Some(token) = &call.token
+        if let Some(token) = &call.idempotency_key
             && !self.keys.ran(token, t0)
             && self.ledger.refuses(self.moment.now).is_some()
         {
             // It can't be made sure that this never runs twice. Whatever ran before is answered all the same.
             return self.turn_away(conn, seq, class, self.store_advice());
         }
-        let print = if call.token.is_some() { self.print(class, &call.body) } else { 0 };
-        let earlier = call.token.as_ref().and_then(|token| self.earlier(token, t0));
+        let print = if call.idempotency_key.is_some() { self.print(class, &call.body) } else { 0 };
+        let earlier = call.idempotency_key.as_ref().and_then(|token| self.earlier(token, t0));
         if earlier.as_ref().is_some_and(|(_, first)| *first != print) {
             // Guards against a stranger who learnt a token: its request would be served another's result.
             let why = "the token came before with another body or class".into();
@@ -247,21 +247,21 @@
         }
         let Some(connection) = self.conns.get_mut(conn) else { return };
         connection.open.insert(seq, call.id.clone());
-        if let Some(token) = &call.token {
+        if let Some(token) = &call.idempotency_key {
             self.requests.batch.insert(Arc::clone(token), call.id.clone());
         }
         self.events.push(Event::Arrived(Request {
             id: call.id.clone(),
             expires_in: Some(Span(due.saturating_sub(unix).saturating_mul(MS))),
             class,
-            has_key: call.has_key,
-            caller: call.caller,
+            has_key: call.has_subject,
+            caller: call.client_proxy,
             work: None,
             tenant,
             size_kb: call.size_kb,
             precedence: call.precedence,
             retry: call.retry,
-            write: call.token.is_some(),
+            write: call.idempotency_key.is_some(),
             earlier,
             queued_for: queued,
         }));
@@ -273,7 +273,7 @@
             tenant,
             t0,
             due_ms: due,
-            token: call.token,
+            token: call.idempotency_key,
             print,
             state: State::Held,
             owed: true,
--- a/crates/model/src/policies/shell.rs
+++ b/crates/model/src/policies/shell.rs
@@ -216,10 +216,10 @@
         effects: &mut Vec<Effect>,
     ) {
         let now = moment.now;
-        let waited = Span(moment.unix_ms.saturating_sub(call.t0).saturating_mul(MS));
+        let waited = Span(moment.unix_ms.saturating_sub(call.arrived_unix_ms).saturating_mul(MS));
         let came = time_before(now, waited);
         let ask =
-            Ask { rank: call.precedence, came, read: now, due: time_after(came, Span(call.budget * MS)) };
+            Ask { rank: call.precedence, came, read: now, due: time_after(came, Span(call.budget_ms * MS)) };
         let id = call.id.clone();
         let open = Open {
             conn,
@@ -227,7 +227,7 @@
             class: call.class.slot(),
             kb: call.size_kb,
             ask,
-            token: call.token.clone(),
+            token: call.idempotency_key.clone(),
             body: Arc::new(call.body),
             owed: true,
             began: None,
@@ -237,7 +237,7 @@
         self.dues.insert((ask.due, id.clone()));
         self.kb += open.kb;
         self.open.insert(id.clone(), open);
-        match call.token.as_ref().and_then(|token| self.keys.get_mut(token)) {
+        match call.idempotency_key.as_ref().and_then(|token| self.keys.get_mut(token)) {
             Some(Key::Under(_, waiters)) => return waiters.push(id),
             Some(Key::Ran(result, until)) if came < *until => {
                 let answer = result.clone().map_or(Response::Failed { timed_out: false }, Response::Served);
@@ -250,7 +250,7 @@
         if self.link.is_none() || late || full || !self.policy.takes(now, &ask, self.load()) {
             return self.answer(&id, self.refusal(), effects);
         }
-        if let Some(token) = call.token {
+        if let Some(token) = call.idempotency_key {
             self.keys.insert(token, Key::Under(id.clone(), Vec::new()));
         }
         self.line.push_back(id);
--- a/crates/model/src/world/machines.rs
+++ b/crates/model/src/world/machines.rs
@@ -222,21 +222,21 @@
             id: RequestId::new(&format!("{id:016x}")),
             class: class.into(),
             tenant: Some((request.office as usize).into()),
-            caller: u64::from(self.conns[one.conn as usize].proxy),
-            t0: EPOCH_MS + came_ms,
-            budget: one.budget_ms,
+            client_proxy: u64::from(self.conns[one.conn as usize].proxy),
+            arrived_unix_ms: EPOCH_MS + came_ms,
+            budget_ms: one.budget_ms,
             retry: one.retry,
             size_kb: request.size_kb,
             precedence: request.rank,
-            token: window.map(|_| Arc::from(format!("{:032x}", one.request))),
-            has_key: false,
+            idempotency_key: window.map(|_| Arc::from(format!("{:032x}", one.request))),
+            has_subject: false,
             body: self.pool.exact(&one.request.to_be_bytes()).unwrap_or_else(|| self.pool.take()),
         };
         let (conn, told_left, size_kb) = (one.conn, one.told_left, request.size_kb);
         let key = window.map(|window| (u64::from(one.request), window));
         let machine = &mut self.machines[number];
         // One that was read only after its time is answered at once.
-        let due = (came_ms + call.budget).max(self.now / MS);
+        let due = (came_ms + call.budget_ms).max(self.now / MS);
         self.rules.read(machine.ident, u64::from(id), came_ms, due, key);
         machine.inputs.push(Input::Request {
             connection: conn,
--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -126,7 +126,7 @@
         for input in inputs.drain(..) {
             match input {
                 Input::Request { connection: conn, sequence: seq, request: call } => {
-                    let token = call.token.as_deref().unwrap_or("").to_string();
+                    let token = call.idempotency_key.as_deref().unwrap_or("").to_string();
                     let again = !token.is_empty() && self.ran.contains_key(&token);
                     if again && self.fault == Fault::TurnsAway {
                         effects.push(Self::refuse(conn, seq));
--- a/crates/node/src/frontend/scgi/routes/tests.rs
+++ b/crates/node/src/frontend/scgi/routes/tests.rs
@@ -36,7 +36,10 @@
 fn methods_and_paths_lead_to_classes_health_and_plain_errors() {
     let of = |method: &str, path: &str| asked(&[("REQUEST_METHOD", method), ("DOCUMENT_URI", path)]);
     let Ok(Routed::Call(call)) = of("GET", "/sheets/9?zoom=1") else { panic!("a call") };
-    assert_eq!((call.class.slot(), call.budget, call.t0, &*call.id.0), (0, 4000, 17, "00000000000000ff"));
+    assert_eq!(
+        (call.class.slot(), call.budget_ms, call.arrived_unix_ms, &*call.id.0),
+        (0, 4000, 17, "00000000000000ff")
+    );
     assert!(matches!(of("GET", "/health"), Ok(Routed::Health)));
     for (method, path, misuse) in [
         ("GET", "/nothing", RequestError::NotFound),
@@ -59,7 +62,7 @@
         ])
     };
     let Ok(Routed::Call(call)) = with("HTTP_X_WAIT_MS", "900") else { panic!("a call") };
-    assert_eq!((call.token.as_deref(), call.budget, call.retry), (Some("k1"), 900, false));
+    assert_eq!((call.idempotency_key.as_deref(), call.budget_ms, call.retry), (Some("k1"), 900, false));
     let Ok(Routed::Call(call)) = with("HTTP_X_RETRY", "1") else { panic!("a call") };
     assert!(call.retry);
     for (name, value) in [
--- a/crates/node/src/frontend/thrift/codec.rs
+++ b/crates/node/src/frontend/thrift/codec.rs
@@ -193,15 +193,15 @@
             id: RequestId::new(id.ok_or(bad("no rid of 16 hex digits"))?),
             class,
             tenant,
-            caller: self.peer.map_or(Ok(0), |text| number("peer", Some(text)))?,
-            t0: number("t0", self.t0)?,
+            client_proxy: self.peer.map_or(Ok(0), |text| number("peer", Some(text)))?,
+            arrived_unix_ms: number("t0", self.t0)?,
             // Where the settings say that callers don't pass it on, the field is absent: its class's deadline counts then.
-            budget: self.budget.map_or(Ok(deadline_ms), |text| number("budget", Some(text)))?,
+            budget_ms: self.budget.map_or(Ok(deadline_ms), |text| number("budget", Some(text)))?,
             retry: self.again == Some("1"),
             size_kb,
             precedence,
-            token: token.map(Arc::from),
-            has_key: self.obj.is_some(),
+            idempotency_key: token.map(Arc::from),
+            has_subject: self.obj.is_some(),
             body: pool.exact(body).ok_or(bad("a body over the size limit"))?,
         })
     }
--- a/crates/testkit/src/scale/fleet/requests/tests.rs
+++ b/crates/testkit/src/scale/fleet/requests/tests.rs
@@ -31,7 +31,11 @@
         for input in std::mem::take(&mut inputs) {
             match input {
                 Input::Request { request: call, .. } => {
-                    assert_eq!(call.token.is_some(), call.class.slot() == 0, "keyed classes have a token");
+                    assert_eq!(
+                        call.idempotency_key.is_some(),
+                        call.class.slot() == 0,
+                        "keyed classes have a token"
+                    );
                     let body = Arc::new(call.body);
                     let class = Arc::clone(&classes[call.class.slot()]);
                     let begin = Effect::StartRun { link: LINK, id: call.id, class, body };
