--- a/crates/core/src/reducer/operators.rs
+++ b/crates/core/src/reducer/admin.rs
@@ -9,35 +9,37 @@
 
 impl Reducer {
     /// An operator's call; each is answered in this step.
-    pub(super) fn admin(&mut self, id: AdminRequestId, call: AdminRequest) {
+    pub(super) fn admin_request(&mut self, id: AdminRequestId, call: AdminRequest) {
         if let AdminRequest::Agreement(call) = call {
-            let answer = AdminResponse::Agreement(self.agreed_call(call));
+            let answer = AdminResponse::Agreement(self.agreement_request(call));
             return self.effects.push(Effect::AnswerAdmin { id, response: answer });
         }
         if let AdminRequest::Configuration(call) = call {
-            let answer = AdminResponse::Configuration(Box::new(self.configuration_call(call)));
+            let answer = AdminResponse::Configuration(Box::new(self.configuration_request(call)));
             return self.effects.push(Effect::AnswerAdmin { id, response: answer });
         }
-        let answer = match self.door.order(self.moment.now, &call) {
+        let answer = match self.operator_drain.order(self.timestamp.now, &call) {
             Some(done) => {
                 if let AdminResponse::DrainState { draining, changed: true } = done {
                     // The control plane and health checks hear of it at once.
-                    self.changed();
+                    self.report_change();
                     let text = if draining { "drained at the operators' call" } else { "back to work" };
                     self.log(Level::Info, text.into());
                 }
                 done
             }
             None if call == AdminRequest::Health => AdminResponse::Health(self.ready()),
-            None if call == AdminRequest::Fleet => AdminResponse::Fleet(self.fleet.view(self.moment.now)),
+            None if call == AdminRequest::Fleet => {
+                AdminResponse::Fleet(self.cluster.view(self.timestamp.now))
+            }
             None => {
-                let open = self.requests.owed();
-                let fleet = self.fleet.status(self.moment.now);
-                let configuration = self.committed.figures(self.moment.now);
+                let open = self.requests.count_owed();
+                let fleet = self.cluster.status(self.timestamp.now);
+                let configuration = self.configuration.metrics(self.timestamp.now);
                 AdminResponse::Stats(Box::new(MetricsSnapshot {
                     fleet,
                     configuration,
-                    ..self.tally.stats(open as u64)
+                    ..self.metrics.stats(open as u64)
                 }))
             }
         };
@@ -46,11 +48,11 @@
 
     /// Whether this process is ready to serve, and if not, why.
     pub(super) fn ready(&self) -> Result<(), NotReadyReason> {
-        let well = self.active && !self.registration.is_out();
-        self.door.ready(ReadinessInputs {
+        let well = self.healthy && !self.registration.is_out();
+        self.operator_drain.ready(ReadinessInputs {
             processor: self.controller.is_some(),
             well,
-            leaving: self.drain.is_told(),
+            leaving: self.drain.is_draining(),
         })
     }
 }
--- a/crates/core/src/reducer/agreed.rs
+++ b/crates/core/src/reducer/agreements.rs
@@ -25,86 +25,99 @@
 
 /// What the reducer holds of it.
 #[derive(Default)]
-pub(super) struct Agreed {
-    pub(super) part: Option<Box<ServerAgent>>,
+pub(super) struct Agreements {
+    pub(super) agent: Option<Box<ServerAgent>>,
     zone: String,
-    program: String,
-    settings: String,
-    staged: Vec<String>,
-    failed: Option<(u64, String)>,
-    totals: BTreeMap<CellId, ServiceTotal>,
-    ready: bool,
-    next_look: Time,
+    program_version: String,
+    settings_digest: String,
+    staged_digests: Vec<String>,
+    failed_step: Option<(u64, String)>,
+    service_totals: BTreeMap<CellId, ServiceTotal>,
+    reported_ready: bool,
+    next_report_at: Time,
     /// Grows with each failure of the council's folder: writes of before are nobody's.
-    generation: u64,
-    tickets: u64,
+    voter_state_generation: u64,
+    last_ticket: u64,
 }
 
-impl Agreed {
+impl Agreements {
     pub(super) fn is_on(&self) -> bool {
-        self.part.is_some()
+        self.agent.is_some()
     }
 
     /// When something is due though nothing comes in.
     pub(super) fn wake_at(&self) -> Option<Time> {
-        self.part.as_ref().map(|part| part.wake_at().min(self.next_look))
+        self.agent.as_ref().map(|agent| agent.wake_at().min(self.next_report_at))
     }
 }
 
 impl Reducer {
     /// With a part in what the fleet agrees on; `program` and `settings` are the versions that run here.
-    pub fn with_part(mut self, part: ServerAgent, zone: String, program: String, settings: String) -> Self {
-        self.agreed = Agreed { part: Some(Box::new(part)), zone, program, settings, ..Agreed::default() };
+    pub fn with_agent(
+        mut self,
+        agent: ServerAgent,
+        zone: String,
+        program_version: String,
+        settings_digest: String,
+    ) -> Self {
+        self.agreements = Agreements {
+            agent: Some(Box::new(agent)),
+            zone,
+            program_version,
+            settings_digest,
+            ..Agreements::default()
+        };
         self
     }
 
     /// A server said something, in this life of its.
-    pub(super) fn agreed_word(&mut self, from: &Arc<str>, life: u64, word: &[u8]) {
-        if let Some(part) = &mut self.agreed.part {
-            part.word(self.moment.now, from, life, word);
+    pub(super) fn consensus_message_received(&mut self, from: &Arc<str>, life: u64, word: &[u8]) {
+        if let Some(agent) = &mut self.agreements.agent {
+            agent.word(self.timestamp.now, from, life, word);
         }
     }
 
     /// What was written in the council's folder is durable.
-    pub(super) fn council_written(&mut self, number: u64) {
-        if let Some(part) = &mut self.agreed.part {
-            part.written(number);
+    pub(super) fn voter_state_written(&mut self, number: u64) {
+        if let Some(agent) = &mut self.agreements.agent {
+            agent.written(number);
         }
     }
 
     /// It couldn't be; the folder was read anew.
-    pub(super) fn council_failed(&mut self, found: VoterState, why: &str) {
-        self.agreed.generation += 1;
-        if let Some(part) = &mut self.agreed.part {
-            part.failed(self.moment.now, found);
+    pub(super) fn voter_state_failed(&mut self, found: VoterState, why: &str) {
+        self.agreements.voter_state_generation += 1;
+        if let Some(agent) = &mut self.agreements.agent {
+            agent.failed(self.timestamp.now, found);
             self.log(Level::Error, format!("the council's folder failed: {why}; it was read anew"));
         }
     }
 
     /// Settings are staged here, by their digests, and those in force have this one.
-    pub(super) fn settings_are(&mut self, settings: Option<String>, staged: Vec<String>) {
-        self.agreed.settings = settings.unwrap_or_else(|| std::mem::take(&mut self.agreed.settings));
-        self.agreed.staged = staged;
-        self.agreed.next_look = self.moment.now;
+    pub(super) fn staged_settings_changed(&mut self, settings: Option<String>, staged: Vec<String>) {
+        self.agreements.settings_digest =
+            settings.unwrap_or_else(|| std::mem::take(&mut self.agreements.settings_digest));
+        self.agreements.staged_digests = staged;
+        self.agreements.next_report_at = self.timestamp.now;
     }
 
     /// This server couldn't take a step of a release.
-    pub(super) fn change_failed(&mut self, release: u64, why: String) {
+    pub(super) fn rollout_step_failed(&mut self, release: u64, why: String) {
         self.log(Level::Error, format!("this server's step of release {release} failed: {why}"));
-        self.agreed.failed = Some((release, why));
-        self.agreed.next_look = self.moment.now;
+        self.agreements.failed_step = Some((release, why));
+        self.agreements.next_report_at = self.timestamp.now;
     }
 
     /// A first try came, or was served: counted in its office's part of its class, in the class, and in the office, for the
     /// comparison of versions. A part may be too thin to tell of, where the whole is not.
-    pub(super) fn agreed_count(&mut self, tenant: Option<usize>, class: usize, came: u32, served: u32) {
-        if !self.agreed.is_on() {
+    pub(super) fn count_for_rollback(&mut self, tenant: Option<usize>, class: usize, came: u32, served: u32) {
+        if !self.agreements.is_on() {
             return;
         }
-        let whole = self.fleet_cell(None, class);
-        let of_office = tenant.map(|tenant| self.fleet_cell(Some(tenant), class));
-        let office = self.fleet_tenant_cell(tenant);
-        let totals = &mut self.agreed.totals;
+        let whole = self.counter_cell(None, class);
+        let of_office = tenant.map(|tenant| self.counter_cell(Some(tenant), class));
+        let office = self.tenant_cell(tenant);
+        let totals = &mut self.agreements.service_totals;
         for cell in [Some(whole), office, of_office].into_iter().flatten() {
             if totals.len() < MOST_CELLS || totals.contains_key(&cell) {
                 let total = totals.entry(cell).or_default();
@@ -115,61 +128,61 @@
     }
 
     /// An operator wants this server out: at once where nobody is to be asked, else once there is a permit. Whether it is asked for.
-    pub(super) fn asks_to_leave(&mut self) -> bool {
-        let now = self.moment.now;
-        let Some(part) = &mut self.agreed.part else { return false };
-        part.leave(now);
+    pub(super) fn request_permit_to_leave(&mut self) -> bool {
+        let now = self.timestamp.now;
+        let Some(agent) = &mut self.agreements.agent else { return false };
+        agent.leave(now);
         self.log(Level::Info, "asking the fleet for a permit to leave".into());
         true
     }
 
     /// An operator wants it to stay.
-    pub(super) fn asks_to_stay(&mut self) {
-        if let Some(part) = &mut self.agreed.part {
-            part.stay(self.moment.now);
+    pub(super) fn withdraw_permit_request(&mut self) {
+        if let Some(agent) = &mut self.agreements.agent {
+            agent.stay(self.timestamp.now);
         }
     }
 
     /// Its turn in a step.
-    pub(super) fn agreed_step(&mut self) {
-        let now = self.moment.now;
-        if !self.agreed.is_on() {
+    pub(super) fn agreements_step(&mut self) {
+        let now = self.timestamp.now;
+        if !self.agreements.is_on() {
             return;
         }
         let ready = self.ready().is_ok();
-        let agreed = &mut self.agreed;
-        if now >= agreed.next_look || ready != agreed.ready {
-            (agreed.next_look, agreed.ready) = (time_after(now, LOOK), ready);
+        let agreements = &mut self.agreements;
+        if now >= agreements.next_report_at || ready != agreements.reported_ready {
+            (agreements.next_report_at, agreements.reported_ready) = (time_after(now, LOOK), ready);
             let report = ServerReport {
-                zone: agreed.zone.clone(),
+                zone: agreements.zone.clone(),
                 ready,
-                program: agreed.program.clone(),
-                settings: agreed.settings.clone(),
-                staged: agreed.staged.clone(),
-                failed: agreed.failed.clone(),
-                totals: agreed.totals.iter().map(|(cell, total)| (cell.0, *total)).collect(),
+                program: agreements.program_version.clone(),
+                settings: agreements.settings_digest.clone(),
+                staged: agreements.staged_digests.clone(),
+                failed: agreements.failed_step.clone(),
+                totals: agreements.service_totals.iter().map(|(cell, total)| (cell.0, *total)).collect(),
                 ..ServerReport::default()
             };
-            if let Some(part) = &mut agreed.part {
-                part.tells(now, report);
+            if let Some(agent) = &mut agreements.agent {
+                agent.tells(now, report);
             }
         }
         let mut asked = Vec::new();
-        if let Some(part) = &mut self.agreed.part {
-            part.step(now, &mut asked);
+        if let Some(agent) = &mut self.agreements.agent {
+            agent.step(now, &mut asked);
         }
         for effect in asked {
-            self.agreed_effect(effect);
+            self.agent_effect(effect);
         }
     }
 
-    fn agreed_effect(&mut self, effect: AgentEffect) {
-        let now = self.moment.now;
+    fn agent_effect(&mut self, effect: AgentEffect) {
+        let now = self.timestamp.now;
         match effect {
-            AgentEffect::Send(to, word) => self.fleet_post(&to, &word),
+            AgentEffect::Send(to, word) => self.send_to_peer(&to, &word),
             AgentEffect::Write(number, records) => {
                 self.effects.push(Effect::WriteVoterState {
-                    generation: self.agreed.generation,
+                    generation: self.agreements.voter_state_generation,
                     number,
                     records,
                 });
@@ -177,10 +190,10 @@
             AgentEffect::PermitGranted(epoch, until) => {
                 if now < until {
                     self.log(Level::Info, format!("leaving by permit {epoch}"));
-                    self.take_out();
+                    self.take_out_of_service();
                 } else {
                     self.log(Level::Warning, format!("permit {epoch} came too late to begin; asking again"));
-                    self.asks_to_leave();
+                    self.request_permit_to_leave();
                 }
             }
             AgentEffect::PermitDenied(why) => self.log(Level::Warning, format!("not leaving: {why}")),
@@ -188,8 +201,8 @@
                 let (kind, version) = (turn.kind, turn.version.clone());
                 if now >= until {
                     self.log(Level::Warning, format!("the turn for {version} came too late to begin"));
-                    if let Some(part) = &mut self.agreed.part {
-                        part.missed();
+                    if let Some(agent) = &mut self.agreements.agent {
+                        agent.missed();
                     }
                     return;
                 }
@@ -197,7 +210,7 @@
                 self.log(Level::Info, format!("changing to {what} {version} by permit {}", turn.epoch));
                 self.effects.push(Effect::StartRolloutStep { step: Box::new(turn), start_before: until });
             }
-            AgentEffect::Configuration(effect) => self.configuration_agreed(effect),
+            AgentEffect::Configuration(effect) => self.consensus_configuration_effect(effect),
             AgentEffect::Log(bad, text) => {
                 self.log(if bad { Level::Warning } else { Level::Info }, text);
             }
@@ -205,35 +218,35 @@
     }
 
     /// An operator's call about the fleet's agreements.
-    pub(super) fn agreed_call(&mut self, call: AgreementRequest) -> AgreementResponse {
-        let now = self.moment.now;
-        let Some(part) = &mut self.agreed.part else { return AgreementResponse::Off };
+    pub(super) fn agreement_request(&mut self, call: AgreementRequest) -> AgreementResponse {
+        let now = self.timestamp.now;
+        let Some(agent) = &mut self.agreements.agent else { return AgreementResponse::Off };
         match call {
-            AgreementRequest::Status => AgreementResponse::Status(Box::new(part.status(now))),
+            AgreementRequest::Status => AgreementResponse::Status(Box::new(agent.status(now))),
             AgreementRequest::Command(order) => {
-                self.agreed.tickets += 1;
-                let ticket = self.agreed.tickets;
-                match part.order(now, ticket, *order) {
+                self.agreements.last_ticket += 1;
+                let ticket = self.agreements.last_ticket;
+                match agent.order(now, ticket, *order) {
                     Ok(()) => AgreementResponse::Ticket(ticket),
                     Err(why) => AgreementResponse::Completed(Err(why)),
                 }
             }
             AgreementRequest::CommandStatus { ticket } => {
-                AgreementResponse::CommandStatus(part.became(ticket))
+                AgreementResponse::CommandStatus(agent.became(ticket))
             }
             AgreementRequest::FoundGroup => {
-                AgreementResponse::Completed(part.found(now).map_err(|why| why.to_string()))
+                AgreementResponse::Completed(agent.found(now).map_err(|why| why.to_string()))
             }
             AgreementRequest::TargetVersion { server: name } => {
-                AgreementResponse::TargetVersion(part.record().and_then(|record| record.program_for(&name)))
+                AgreementResponse::TargetVersion(agent.record().and_then(|record| record.program_for(&name)))
             }
             AgreementRequest::Leave => {
-                self.asks_to_leave();
+                self.request_permit_to_leave();
                 AgreementResponse::Completed(Ok("asking for a permit".into()))
             }
             AgreementRequest::Stay => {
-                self.asks_to_stay();
-                self.take_in();
+                self.withdraw_permit_request();
+                self.return_to_service();
                 AgreementResponse::Completed(Ok("staying".into()))
             }
         }
--- a/crates/core/src/reducer/fleet.rs
+++ b/crates/core/src/reducer/cluster.rs
@@ -4,7 +4,7 @@
 //! Not here: what is lent, believed or judged, which is [`gradepin_cluster`]'s, and which calls are made in which order,
 //! which is the module's. Without a cluster nothing here does anything.
 
-use super::cells::Cells;
+use super::counter_cells::CounterCells;
 use super::{MS, Reducer};
 use crate::classes::Classes;
 use crate::messages::{Effect, UpstreamCallId, earliest};
@@ -29,7 +29,7 @@
 
 /// A call that the module made and that has no slot yet.
 #[derive(Debug)]
-struct Waiting {
+struct WaitingCall {
     id: RequestId,
     timeout: Span,
     until: Time,
@@ -37,35 +37,35 @@
 
 /// What the reducer holds of it.
 #[derive(Default)]
-pub(super) struct Fleet {
+pub(super) struct ClusterState {
     cluster: Option<Box<Cluster>>,
-    waiting: VecDeque<Waiting>,
+    waiting_calls: VecDeque<WaitingCall>,
     /// Requests whose calls hold a slot, and since when.
-    slots: HashMap<UpstreamCallId, Time>,
+    slots_in_use: HashMap<UpstreamCallId, Time>,
     /// Runs that asked for a call which the module has not made yet.
-    asking: HashSet<RequestId>,
+    requested_calls: HashSet<RequestId>,
     /// What a run of each class takes, as seen here.
     estimates: Vec<Span>,
     /// The cells of the counts that requests here fall into.
-    cells: Cells,
+    cells: CounterCells,
     /// The limit that the module goes by, and the quotas that it was told by slot; and when the next may be told.
-    limit: Option<f64>,
-    quotas: BTreeMap<usize, f64>,
-    next_limit: Time,
-    next_quotas: Time,
+    reported_limit: Option<f64>,
+    reported_quotas: BTreeMap<usize, f64>,
+    next_limit_at: Time,
+    next_quotas_at: Time,
 }
 
-impl Fleet {
+impl ClusterState {
     pub(super) fn is_on(&self) -> bool {
         self.cluster.is_some()
     }
 
-    fn estimate(&self, classes: &Classes, class: usize) -> Span {
+    fn estimated_run(&self, classes: &Classes, class: usize) -> Span {
         let seen = self.estimates.get(class).copied().filter(|span| span.0 > 0);
         seen.unwrap_or(Span(classes.profile(class).latency_objective.0 / FIRST_ESTIMATE))
     }
 
-    fn ended(&mut self, class: usize, took: Span) {
+    fn record_run(&mut self, class: usize, took: Span) {
         if self.estimates.len() <= class {
             self.estimates.resize(class + 1, Span(0));
         }
@@ -76,8 +76,8 @@
     /// When something is due though nothing comes in.
     pub(super) fn wake_at(&self, now: Time) -> Option<Time> {
         let cluster = self.cluster.as_ref()?;
-        let waits = self.waiting.iter().map(|waiting| waiting.until).min();
-        let slot = cluster.slot_at(now).filter(|_| !self.waiting.is_empty());
+        let waits = self.waiting_calls.iter().map(|waiting| waiting.until).min();
+        let slot = cluster.slot_at(now).filter(|_| !self.waiting_calls.is_empty());
         earliest(Some(cluster.wake_at(now)), earliest(waits, slot))
     }
 
@@ -112,104 +112,106 @@
 impl Reducer {
     /// With a part in a fleet whose servers talk to each other.
     pub fn with_cluster(mut self, cluster: Cluster) -> Self {
-        self.fleet.cluster = Some(Box::new(cluster));
+        self.cluster.cluster = Some(Box::new(cluster));
         self
     }
 
     /// The cell of a tenant's part of a class, or of all of a class.
-    pub(super) fn fleet_cell(&mut self, tenant: Option<usize>, class: usize) -> CellId {
-        self.fleet.cells.cell(&self.classes, &self.tenants, tenant, class)
+    pub(super) fn counter_cell(&mut self, tenant: Option<usize>, class: usize) -> CellId {
+        self.cluster.cells.cell(&self.classes, &self.tenants, tenant, class)
     }
 
     /// The cell of a whole tenant.
-    pub(super) fn fleet_tenant_cell(&mut self, tenant: Option<usize>) -> Option<CellId> {
-        tenant.and_then(|tenant| self.fleet.cells.whole(&self.tenants, tenant))
+    pub(super) fn tenant_cell(&mut self, tenant: Option<usize>) -> Option<CellId> {
+        tenant.and_then(|tenant| self.cluster.cells.whole(&self.tenants, tenant))
     }
 
     /// Tells another server something that isn't the cluster's own.
-    pub(super) fn fleet_post(&mut self, to: &str, word: &[u8]) {
-        if let Some(cluster) = &mut self.fleet.cluster {
-            cluster.post(self.moment.now, to, word);
+    pub(super) fn send_to_peer(&mut self, to: &str, word: &[u8]) {
+        if let Some(cluster) = &mut self.cluster.cluster {
+            cluster.post(self.timestamp.now, to, word);
         }
     }
 
     /// A datagram of another server came.
-    pub(super) fn envelope_received(&mut self, envelope: &Envelope) {
-        if let Some(cluster) = &mut self.fleet.cluster {
-            cluster.receive(self.moment.now, envelope);
+    pub(super) fn peer_datagram_received(&mut self, envelope: &Envelope) {
+        if let Some(cluster) = &mut self.cluster.cluster {
+            cluster.receive(self.timestamp.now, envelope);
         }
     }
 
     /// Datagrams were dropped at the socket.
-    pub(super) fn envelopes_dropped(&mut self, dropped: &[(DropReason, u64)]) {
-        if let Some(cluster) = &mut self.fleet.cluster {
+    pub(super) fn peer_datagrams_dropped(&mut self, dropped: &[(DropReason, u64)]) {
+        if let Some(cluster) = &mut self.cluster.cluster {
             dropped.iter().for_each(|(why, times)| cluster.dropped(*why, *times));
         }
     }
 
     /// The fleet's keys were read again.
-    pub(super) fn fleet_keys(&mut self, keys: AuthenticationKeys) {
-        if let Some(cluster) = &mut self.fleet.cluster {
+    pub(super) fn authentication_keys_reloaded(&mut self, keys: AuthenticationKeys) {
+        if let Some(cluster) = &mut self.cluster.cluster {
             cluster.set_keys(keys);
             self.log(Level::Info, "the fleet's keys were read again".into());
         }
     }
 
     /// A request came that can be taken; whether the fleet has room for it, where it repeats another try.
-    pub(super) fn fleet_takes(&mut self, tenant: Option<usize>, class: usize, repeat: bool) -> bool {
-        if !self.fleet.is_on() {
+    pub(super) fn cluster_admits(&mut self, tenant: Option<usize>, class: usize, repeat: bool) -> bool {
+        if !self.cluster.is_on() {
             return true;
         }
-        let estimate = self.fleet.estimate(&self.classes, class);
-        let cell = self.fleet_cell(tenant, class);
-        self.fleet.cells.seen(self.moment.now, tenant, class);
-        let Some(cluster) = &mut self.fleet.cluster else { return true };
-        cluster.arrived(self.moment.now, cell, repeat, estimate);
-        !repeat || cluster.admits_retry(self.moment.now)
+        let estimate = self.cluster.estimated_run(&self.classes, class);
+        let cell = self.counter_cell(tenant, class);
+        self.cluster.cells.seen(self.timestamp.now, tenant, class);
+        let Some(cluster) = &mut self.cluster.cluster else { return true };
+        cluster.arrived(self.timestamp.now, cell, repeat, estimate);
+        !repeat || cluster.admits_retry(self.timestamp.now)
     }
 
     /// A run went well.
-    pub(super) fn fleet_served(&mut self, tenant: Option<usize>, class: usize, took: Span) {
-        if !self.fleet.is_on() {
+    pub(super) fn cluster_run_served(&mut self, tenant: Option<usize>, class: usize, took: Span) {
+        if !self.cluster.is_on() {
             return;
         }
-        let cell = self.fleet_cell(tenant, class);
-        if let Some(cluster) = &mut self.fleet.cluster {
-            cluster.served(self.moment.now, cell, took);
-            self.fleet.ended(class, took);
+        let cell = self.counter_cell(tenant, class);
+        if let Some(cluster) = &mut self.cluster.cluster {
+            cluster.served(self.timestamp.now, cell, took);
+            self.cluster.record_run(class, took);
         }
     }
 
     /// A run asked for a call, or no longer does.
-    pub(super) fn fleet_asks(&mut self, id: &RequestId, asks: bool) {
-        if self.fleet.is_on() {
+    pub(super) fn note_call_requested(&mut self, id: &RequestId, asks: bool) {
+        if self.cluster.is_on() {
             if asks {
-                self.fleet.asking.insert(id.clone());
+                self.cluster.requested_calls.insert(id.clone());
             } else {
-                self.fleet.asking.remove(id);
+                self.cluster.requested_calls.remove(id);
             }
         }
     }
 
     /// The module makes a call: it goes once it has a slot.
-    pub(super) fn call_waits(&mut self, id: &RequestId, timeout: Span) {
-        let until = time_after(self.moment.now, timeout);
-        self.fleet.waiting.push_back(Waiting { id: id.clone(), timeout, until });
-        self.calls_out();
+    pub(super) fn queue_upstream_call(&mut self, id: &RequestId, timeout: Span) {
+        let until = time_after(self.timestamp.now, timeout);
+        self.cluster.waiting_calls.push_back(WaitingCall { id: id.clone(), timeout, until });
+        self.send_waiting_calls();
     }
 
     /// Makes the calls that have a slot now; those whose time is up, or that the ledger can't take, never leave.
-    pub(super) fn calls_out(&mut self) {
-        let now = self.moment.now;
-        self.give_up_overdue_calls();
-        while let Some(first) = self.fleet.waiting.front() {
+    pub(super) fn send_waiting_calls(&mut self) {
+        let now = self.timestamp.now;
+        self.drop_overdue_calls();
+        while let Some(first) = self.cluster.waiting_calls.front() {
             let still = self.requests.get(&first.id).is_some_and(|open| open.call.is_some());
-            let Some(cluster) = &mut self.fleet.cluster else { return };
+            let Some(cluster) = &mut self.cluster.cluster else { return };
             let decision = if still { cluster.call(now) } else { CallDecision::Rejected };
             if decision == CallDecision::Wait {
                 break;
             }
-            let Some(Waiting { id, timeout, until }) = self.fleet.waiting.pop_front() else { return };
+            let Some(WaitingCall { id, timeout, until }) = self.cluster.waiting_calls.pop_front() else {
+                return;
+            };
             match decision {
                 CallDecision::Proceed(slot) => {
                     let left = Span(until.0 - now.0).min(timeout);
@@ -217,22 +219,24 @@
                         Slot::Own => (left, None),
                         Slot::Borrowed { until, max_call } => (left.min(max_call), Some(until)),
                     };
-                    let number = self.make_call(&id, left, leaves);
-                    self.fleet.slots.insert(number, now);
+                    let number = self.send_upstream_call(&id, left, leaves);
+                    self.cluster.slots_in_use.insert(number, now);
+                }
+                CallDecision::Rejected if still => {
+                    self.complete_upstream_call(&id, None, Outcome::Rejected, None)
                 }
-                CallDecision::Rejected if still => self.call_ended(&id, None, Outcome::Rejected, None),
                 CallDecision::Rejected | CallDecision::Wait => {}
             }
         }
-        self.tell_waiting();
+        self.report_waiting_calls();
     }
 
     /// Gives up the calls whose time is up, wherever they wait. A time that stays behind while one before it waits longer would
     /// be the next turn again and again ([`Fleet::wake_at`]).
-    fn give_up_overdue_calls(&mut self) {
-        let now = self.moment.now;
+    fn drop_overdue_calls(&mut self) {
+        let now = self.timestamp.now;
         let mut overdue = Vec::new();
-        self.fleet.waiting.retain(|waiting| {
+        self.cluster.waiting_calls.retain(|waiting| {
             let is_over = waiting.until <= now;
             if is_over {
                 overdue.push(waiting.id.clone());
@@ -241,42 +245,42 @@
         });
         for id in overdue {
             if self.requests.get(&id).is_some_and(|open| open.call.is_some()) {
-                self.call_ended(&id, None, Outcome::Rejected, None);
+                self.complete_upstream_call(&id, None, Outcome::Rejected, None);
             }
         }
     }
 
-    fn tell_waiting(&mut self) {
+    fn report_waiting_calls(&mut self) {
         let requests = &self.requests;
         // One whose call the module gave up waits for no slot, though its run may go on.
         let waits = |id: &RequestId| requests.get(id).is_some_and(|open| open.call.is_some() && open.owed);
-        self.fleet.asking.retain(waits);
-        let waiting = self.fleet.waiting.len() + self.fleet.asking.len();
-        if let Some(cluster) = &mut self.fleet.cluster {
-            cluster.set_waiting(self.moment.now, waiting);
+        self.cluster.requested_calls.retain(waits);
+        let waiting = self.cluster.waiting_calls.len() + self.cluster.requested_calls.len();
+        if let Some(cluster) = &mut self.cluster.cluster {
+            cluster.set_waiting(self.timestamp.now, waiting);
         }
     }
 
     /// A call has ended; its slot, if it had one, is free. What it took counts from the slot: the ledger has no part in the
     /// wait for one.
-    pub(super) fn fleet_called(&mut self, number: UpstreamCallId, outcome: Outcome) {
-        if let Some(since) = self.fleet.slots.remove(&number)
-            && let Some(cluster) = &mut self.fleet.cluster
+    pub(super) fn release_call_slot(&mut self, number: UpstreamCallId, outcome: Outcome) {
+        if let Some(since) = self.cluster.slots_in_use.remove(&number)
+            && let Some(cluster) = &mut self.cluster.cluster
         {
-            let now = self.moment.now;
+            let now = self.timestamp.now;
             cluster.called(now, outcome, Span(now.0.saturating_sub(since.0)));
         }
     }
 
     /// The fleet's turn in a step.
-    pub(super) fn fleet_step(&mut self) {
-        let now = self.moment.now;
-        if !self.fleet.is_on() {
+    pub(super) fn cluster_step(&mut self) {
+        let now = self.timestamp.now;
+        if !self.cluster.is_on() {
             return;
         }
-        self.calls_out();
+        self.send_waiting_calls();
         let mut asked = Vec::new();
-        if let Some(cluster) = &mut self.fleet.cluster {
+        if let Some(cluster) = &mut self.cluster.cluster {
             cluster.step(now, &mut asked);
         }
         for effect in asked {
@@ -286,7 +290,7 @@
                 }
                 ClusterEffect::Post { from, incarnation, content } => {
                     if !self.configuration_message(&from, &content) {
-                        self.agreed_word(&from, incarnation.0, &content);
+                        self.consensus_message_received(&from, incarnation.0, &content);
                     }
                 }
                 ClusterEffect::Log(severity, text) => {
@@ -295,92 +299,92 @@
                 }
             }
         }
-        self.tell_module();
+        self.update_admission_limits();
     }
 
     /// The module goes by the slots that may be used now, and by the quotas of the tenants seen here as the fleet's counts
     /// tell them.
-    fn tell_module(&mut self) {
-        let now = self.moment.now;
-        if now >= self.fleet.next_limit {
-            self.tell_limit();
+    fn update_admission_limits(&mut self) {
+        let now = self.timestamp.now;
+        if now >= self.cluster.next_limit_at {
+            self.update_call_limit();
         }
-        if now >= self.fleet.next_quotas {
-            self.fleet.next_quotas = time_after(now, QUOTAS);
-            self.tell_quotas();
+        if now >= self.cluster.next_quotas_at {
+            self.cluster.next_quotas_at = time_after(now, QUOTAS);
+            self.update_quotas();
         }
     }
 
-    fn tell_limit(&mut self) {
-        let now = self.moment.now;
-        let Some(cluster) = &self.fleet.cluster else { return };
+    fn update_call_limit(&mut self) {
+        let now = self.timestamp.now;
+        let Some(cluster) = &self.cluster.cluster else { return };
         let limit = cluster.limit(now).unwrap_or(self.settings.specifics.calls_out);
-        if self.fleet.limit == Some(limit) {
+        if self.cluster.reported_limit == Some(limit) {
             return;
         }
         let Some(controller) = &mut self.controller else { return };
         let mut settings = Settings::clone(&self.settings);
         settings.specifics.calls_out = limit;
         controller.set_rest(settings);
-        self.fleet.limit = Some(limit);
-        self.fleet.next_limit = time_after(now, LIMITS);
+        self.cluster.reported_limit = Some(limit);
+        self.cluster.next_limit_at = time_after(now, LIMITS);
     }
 
     /// Tells the quotas that moved; of tenants no longer seen, the one that they are set.
-    fn tell_quotas(&mut self) {
-        let now = self.moment.now;
-        let Some(cluster) = &self.fleet.cluster else { return };
+    fn update_quotas(&mut self) {
+        let now = self.timestamp.now;
+        let Some(cluster) = &self.cluster.cluster else { return };
         let Some(controller) = &mut self.controller else { return };
-        let cells = self.fleet.cells.of_seen(now, &self.classes, &self.tenants);
-        if cells.is_empty() && self.fleet.quotas.is_empty() {
+        let cells = self.cluster.cells.of_seen(now, &self.classes, &self.tenants);
+        if cells.is_empty() && self.cluster.reported_quotas.is_empty() {
             return;
         }
         let mut parts = cluster.quota_parts(now, |id| cells.get(&id).copied());
-        for slot in self.fleet.quotas.keys() {
+        for slot in self.cluster.reported_quotas.keys() {
             parts.entry(*slot).or_insert(1.0);
         }
         for (slot, part) in parts {
             let Some(tenant) = self.tenants.get(slot) else { continue };
             let quota = tenant.quota_rps * part;
-            let told = self.fleet.quotas.insert(slot, quota).unwrap_or(tenant.quota_rps);
+            let told = self.cluster.reported_quotas.insert(slot, quota).unwrap_or(tenant.quota_rps);
             if told != quota {
                 controller.put_tenant(slot, quota, false);
             }
             if quota == tenant.quota_rps {
-                self.fleet.quotas.remove(&slot);
+                self.cluster.reported_quotas.remove(&slot);
             }
         }
     }
 
     /// Settings other than classes and tenants have changed: the fleet's part goes by them, and the module is told anew.
-    pub(super) fn fleet_retuned(&mut self) {
-        if let Some(cluster) = &mut self.fleet.cluster {
+    pub(super) fn cluster_settings_changed(&mut self) {
+        if let Some(cluster) = &mut self.cluster.cluster {
             cluster.reconfigure(self.settings.servers as usize, lent_share(&self.settings));
-            self.fleet.limit = None;
-            self.fleet.next_limit = Time(0);
+            self.cluster.reported_limit = None;
+            self.cluster.next_limit_at = Time(0);
         }
     }
 
     /// A tenant has another quota, or is another: what was told of the one before no longer holds.
-    pub(super) fn fleet_tenant_changed(&mut self, slot: usize) {
-        if self.fleet.quotas.remove(&slot).is_some() {
-            self.fleet.next_quotas = self.moment.now;
+    pub(super) fn forget_reported_quota(&mut self, slot: usize) {
+        if self.cluster.reported_quotas.remove(&slot).is_some() {
+            self.cluster.next_quotas_at = self.timestamp.now;
         }
     }
 
     /// Nothing refers to the class in a slot any more.
-    pub(super) fn fleet_class_gone(&mut self, slot: usize) {
-        if let Some(estimate) = self.fleet.estimates.get_mut(slot) {
+    pub(super) fn forget_run_estimate(&mut self, slot: usize) {
+        if let Some(estimate) = self.cluster.estimates.get_mut(slot) {
             *estimate = Span(0);
         }
     }
 
     /// The process ends: the others needn't suspect it first.
-    pub(super) fn fleet_leaves(&mut self) {
-        let Some(cluster) = &mut self.fleet.cluster else { return };
-        cluster.leave(self.moment.now);
+    pub(super) fn announce_departure(&mut self) {
+        let Some(cluster) = &mut self.cluster.cluster else { return };
+        cluster.leave(self.timestamp.now);
         let mut asked = Vec::new();
-        cluster.step(self.moment.now, &mut asked);
+        cluster.step(self.timestamp.now, &mut asked);
         for effect in asked {
             if let ClusterEffect::Send { to, datagram } = effect {
                 self.effects.push(Effect::SendPeerDatagram { to, datagram });
--- a/crates/core/src/reducer/configuration.rs
+++ b/crates/core/src/reducer/configuration.rs
@@ -27,21 +27,21 @@
 const RETRY: Span = Span(1_000 * MS);
 
 /// One transaction on the way into force.
-struct Step {
+struct PendingTransaction {
     transaction: Transaction,
     /// The state that is reached with it; none in the middle of an installation.
     reaches: Option<Configuration>,
 }
 
 /// What the reducer holds of the service.
-pub(super) struct Service {
+pub(super) struct ConfigurationService {
     pub(super) start: ConfigurationStart,
     pub(super) spread: Dissemination,
     /// The last whole state in force.
     pub(super) in_force: Configuration,
     /// What the reducer goes by, also in the middle of an installation. Its revision means nothing.
     content: Configuration,
-    steps: VecDeque<Step>,
+    steps: VecDeque<PendingTransaction>,
     /// Why the next step can't be taken, and when it is tried again.
     pub(super) stuck: Option<(String, Time)>,
     members: BTreeMap<Name, Arc<Member>>,
@@ -50,10 +50,10 @@
     told_stale: bool,
     durable: Revision,
     pub(super) source: Source,
-    pub(super) requests: super::configuration_calls::Requests,
+    pub(super) requests: super::configuration_admin::PendingProposals,
 }
 
-impl Service {
+impl ConfigurationService {
     /// The age of the state: since it was last confirmed as the newest one.
     pub(super) fn age(&self, now: Time) -> Span {
         let since = self.spread.status().confirmed_at.unwrap_or(self.began);
@@ -84,14 +84,15 @@
         // One that doesn't fit here is found when it is its turn, and the difference is worked out then.
         let _ = reaches.apply(commit);
         let transaction = commit.transaction.clone();
-        self.steps.push_back(Step { transaction, reaches: Some(reaches) });
+        self.steps.push_back(PendingTransaction { transaction, reaches: Some(reaches) });
     }
 
     /// A whole state is to come into force, whatever waits.
     fn add_state(&mut self, target: &Configuration) {
         self.steps.clear();
         let transactions = self.content.difference_to(target);
-        let steps = transactions.into_iter().map(|transaction| Step { transaction, reaches: None });
+        let steps =
+            transactions.into_iter().map(|transaction| PendingTransaction { transaction, reaches: None });
         self.steps.extend(steps);
         match self.steps.back_mut() {
             Some(last) => last.reaches = Some(target.clone()),
@@ -104,7 +105,7 @@
     }
 
     /// A step was taken.
-    fn reached(&mut self, step: Step) {
+    fn reached(&mut self, step: PendingTransaction) {
         match step.reaches {
             Some(state) => {
                 self.content = state.clone();
@@ -124,16 +125,16 @@
 
 /// The service, where it is on.
 #[derive(Default)]
-pub(super) struct Committed(pub(super) Option<Box<Service>>);
+pub(super) struct ConfigurationState(pub(super) Option<Box<ConfigurationService>>);
 
-impl Committed {
+impl ConfigurationState {
     /// When something is due though nothing comes in.
     pub(super) fn wake_at(&self, now: Time) -> Option<Time> {
         self.0.as_ref().map(|service| service.wake_at(now))
     }
 
     /// The figures, where the service is on.
-    pub(super) fn figures(&self, now: Time) -> Option<ConfigurationMetrics> {
+    pub(super) fn metrics(&self, now: Time) -> Option<ConfigurationMetrics> {
         let service = self.0.as_ref()?;
         Some(ConfigurationMetrics {
             revision: service.in_force.revision().0,
@@ -146,9 +147,9 @@
     /// With the configuration service, for a server that was made with the classes, tenants and rules of the start's state and
     /// that has a part in the fleet's agreements.
     pub fn with_configuration(mut self, start: ConfigurationStart, now: Time) -> Self {
-        self.changes.set_committed();
-        if let Some(part) = &mut self.agreed.part {
-            part.holds_configuration(&start.state);
+        self.settings_changes.set_committed();
+        if let Some(agent) = &mut self.agreements.agent {
+            agent.holds_configuration(&start.state);
         }
         let own = start.own.clone();
         let spread =
@@ -160,7 +161,7 @@
         let (state, source) = (start.state.clone(), start.source);
         // What was found on the disk is durable there.
         let durable = if source == Source::Snapshot { state.revision() } else { Revision(0) };
-        self.committed.0 = Some(Box::new(Service {
+        self.configuration.0 = Some(Box::new(ConfigurationService {
             spread,
             in_force: state.clone(),
             content: state,
@@ -175,8 +176,8 @@
             requests: Default::default(),
             start,
         }));
-        if let Some(part) = &mut self.agreed.part {
-            part.configuration_durable(durable);
+        if let Some(agent) = &mut self.agreements.agent {
+            agent.configuration_durable(durable);
         }
         self
     }
@@ -184,24 +185,24 @@
     /// A message of the service came from a server; whether it was one.
     pub(super) fn configuration_message(&mut self, from: &Name, content: &[u8]) -> bool {
         let Some((&CONFIGURATION_TAG, bytes)) = content.split_first() else { return false };
-        if let Some(service) = &mut self.committed.0 {
-            service.spread.receive(self.moment.now, from, bytes);
+        if let Some(service) = &mut self.configuration.0 {
+            service.spread.receive(self.timestamp.now, from, bytes);
         }
         true
     }
 
     /// What the consensus group says of the configuration.
-    pub(super) fn configuration_agreed(&mut self, effect: ConfigurationEffect) {
-        let now = self.moment.now;
-        let Some(service) = &mut self.committed.0 else { return };
+    pub(super) fn consensus_configuration_effect(&mut self, effect: ConfigurationEffect) {
+        let now = self.timestamp.now;
+        let Some(service) = &mut self.configuration.0 else { return };
         match effect {
             ConfigurationEffect::Committed(commit) => service.spread.committed(now, commit),
             ConfigurationEffect::Answered(answered) => service.requests.answered(now, answered),
             // Each state is handed to the writer as it comes into force; all that may be left to say is that it is there.
             ConfigurationEffect::MakeDurable(_) => {
                 let durable = service.durable;
-                if let Some(part) = &mut self.agreed.part {
-                    part.configuration_durable(durable);
+                if let Some(agent) = &mut self.agreements.agent {
+                    agent.configuration_durable(durable);
                 }
             }
         }
@@ -216,42 +217,42 @@
                 return self.log(Level::Error, text);
             }
         };
-        if let Some(service) = &mut self.committed.0 {
+        if let Some(service) = &mut self.configuration.0 {
             service.durable = service.durable.max(revision);
         }
-        if let Some(part) = &mut self.agreed.part {
-            part.configuration_durable(revision);
+        if let Some(agent) = &mut self.agreements.agent {
+            agent.configuration_durable(revision);
         }
     }
 
     /// The service's turn in a step.
     pub(super) fn configuration_step(&mut self) {
-        let now = self.moment.now;
-        let Some(service) = &self.committed.0 else { return };
+        let now = self.timestamp.now;
+        let Some(service) = &self.configuration.0 else { return };
         if now >= service.next_look {
-            self.look_at_members();
-            self.look_at_age();
+            self.update_members();
+            self.check_staleness();
         }
         let mut asked = Vec::new();
-        if let Some(service) = &mut self.committed.0 {
+        if let Some(service) = &mut self.configuration.0 {
             service.spread.step(now, &mut asked);
         }
         for effect in asked {
-            self.spread_effect(effect);
+            self.dissemination_effect(effect);
         }
-        self.next_revision();
+        self.apply_next_transaction();
     }
 
-    fn spread_effect(&mut self, effect: DisseminationEffect) {
+    fn dissemination_effect(&mut self, effect: DisseminationEffect) {
         match effect {
             DisseminationEffect::Send { to, bytes } => {
                 let mut content = Vec::with_capacity(1 + bytes.len());
                 content.push(CONFIGURATION_TAG);
                 content.extend_from_slice(&bytes);
-                self.fleet_post(&to, &content);
+                self.send_to_peer(&to, &content);
             }
-            DisseminationEffect::Apply(commit) => self.take_commit(commit),
-            DisseminationEffect::Install(snapshot) => self.take_state(snapshot),
+            DisseminationEffect::Apply(commit) => self.receive_commit(commit),
+            DisseminationEffect::Install(snapshot) => self.receive_state(snapshot),
             DisseminationEffect::Note { bad, text } => {
                 let level = if bad { Level::Warning } else { Level::Info };
                 self.log(level, format!("configuration: {text}"));
@@ -259,33 +260,33 @@
         }
     }
 
-    fn take_commit(&mut self, commit: Arc<Commit>) {
-        let Some(service) = &mut self.committed.0 else { return };
+    fn receive_commit(&mut self, commit: Arc<Commit>) {
+        let Some(service) = &mut self.configuration.0 else { return };
         service.add_commit(&commit);
         let state = Snapshot::of(service.last_reached());
-        self.hold_and_save(state, Some(commit));
+        self.save_configuration(state, Some(commit));
     }
 
-    fn take_state(&mut self, snapshot: Snapshot) {
-        let Some(service) = &mut self.committed.0 else { return };
+    fn receive_state(&mut self, snapshot: Snapshot) {
+        let Some(service) = &mut self.configuration.0 else { return };
         service.add_state(snapshot.configuration());
-        self.hold_and_save(snapshot, None);
+        self.save_configuration(snapshot, None);
     }
 
-    fn hold_and_save(&mut self, state: Snapshot, commit: Option<Arc<Commit>>) {
-        if let Some(part) = &mut self.agreed.part {
-            part.holds_configuration(state.configuration());
+    fn save_configuration(&mut self, state: Snapshot, commit: Option<Arc<Commit>>) {
+        if let Some(agent) = &mut self.agreements.agent {
+            agent.holds_configuration(state.configuration());
         }
-        if let Some(service) = &mut self.committed.0 {
+        if let Some(service) = &mut self.configuration.0 {
             service.source = Source::Fleet;
         }
         self.effects.push(Effect::SaveConfiguration(Box::new(ConfigurationSave { state, commit })));
     }
 
     /// Brings the next transaction into force; one a step, so that requests are not held up by many.
-    fn next_revision(&mut self) {
-        let now = self.moment.now;
-        let Some(service) = &mut self.committed.0 else { return };
+    fn apply_next_transaction(&mut self) {
+        let now = self.timestamp.now;
+        let Some(service) = &mut self.configuration.0 else { return };
         if let Some((_, until)) = &service.stuck {
             if now < *until {
                 return;
@@ -296,7 +297,7 @@
         }
         let Some(step) = service.steps.pop_front() else { return };
         let applied = self.apply_transaction(&step.transaction);
-        let Some(service) = &mut self.committed.0 else { return };
+        let Some(service) = &mut self.configuration.0 else { return };
         match applied {
             Ok(_) => service.reached(step),
             Err(why) => {
@@ -309,11 +310,11 @@
     }
 
     /// Tells dissemination who is up, and who votes.
-    fn look_at_members(&mut self) {
-        let now = self.moment.now;
-        let Some(view) = self.fleet.view(now) else { return };
-        let record = self.agreed.part.as_ref().and_then(|part| part.record());
-        let Some(service) = &mut self.committed.0 else { return };
+    fn update_members(&mut self) {
+        let now = self.timestamp.now;
+        let Some(view) = self.cluster.view(now) else { return };
+        let record = self.agreements.agent.as_ref().and_then(|agent| agent.record());
+        let Some(service) = &mut self.configuration.0 else { return };
         service.next_look = time_after(now, LOOK);
         let votes = |name: &Name| match record {
             Some(record) => record.voters.values().any(|voter| voter == name),
@@ -339,9 +340,9 @@
     }
 
     /// Tells once when the state becomes stale, and once when it no longer is.
-    fn look_at_age(&mut self) {
-        let now = self.moment.now;
-        let Some(service) = &mut self.committed.0 else { return };
+    fn check_staleness(&mut self) {
+        let now = self.timestamp.now;
+        let Some(service) = &mut self.configuration.0 else { return };
         service.next_look = time_after(now, LOOK);
         let stale = service.is_stale(now);
         if std::mem::replace(&mut service.told_stale, stale) == stale {
@@ -359,7 +360,7 @@
 
     /// When the service is due.
     pub(super) fn configuration_wake_at(&self, other: Option<Time>) -> Option<Time> {
-        earliest(other, self.committed.wake_at(self.moment.now))
+        earliest(other, self.configuration.wake_at(self.timestamp.now))
     }
 }
 
--- a/crates/core/src/reducer/configuration/tests.rs
+++ b/crates/core/src/reducer/configuration/tests.rs
@@ -97,10 +97,10 @@
     }
     let mut reducer = server(|base| base);
     step(&mut reducer, Time(1));
-    reducer.take_state(Snapshot::of(&target));
+    reducer.receive_state(Snapshot::of(&target));
     let installed = target.version();
     let after_it = commit(&mut target, vec![put_tenant(MANY)]);
-    reducer.take_commit(after_it);
+    reducer.receive_commit(after_it);
     let mut seen = Vec::new();
     let mut steps = 0;
     while seen.last() != Some(&target.version()) {
@@ -109,7 +109,7 @@
         let before = reducer.tenants.in_force();
         step(&mut reducer, Time(1 + steps));
         assert!(reducer.tenants.in_force() - before <= 1_024, "no more than a transaction a step");
-        let version = reducer.committed.0.as_ref().expect("on").in_force.version();
+        let version = reducer.configuration.0.as_ref().expect("on").in_force.version();
         if seen.last() != Some(&version) {
             seen.push(version);
         }
@@ -135,10 +135,10 @@
         commit(&mut state, vec![Change::PutClass(made)]);
         state
     });
-    let mut state = reducer.committed.0.as_ref().expect("on").in_force.clone();
+    let mut state = reducer.configuration.0.as_ref().expect("on").in_force.clone();
     let before = state.revision();
     let removal = commit(&mut state, vec![Change::RemoveClass("ghost".into())]);
-    reducer.committed.0.as_mut().expect("on").spread.committed(Time(1), removal);
+    reducer.configuration.0.as_mut().expect("on").spread.committed(Time(1), removal);
     step(&mut reducer, Time(1));
     let told = status(&mut reducer, Time(2));
     assert_eq!((told.revision, told.newest), (before, state.revision()));
@@ -171,7 +171,7 @@
     let config = config();
     let settings = Arc::new(config.settings.clone());
     let mut reducer = Reducer::new(&config, settings, Registration::default()).expect("a server");
-    let answer = reducer.configuration_call(ConfigurationAdminRequest::Status);
+    let answer = reducer.configuration_request(ConfigurationAdminRequest::Status);
     assert_eq!(answer, ConfigurationAdminResponse::Rejected(AdminError::Off));
     assert!(!reducer.configuration_message(&"n2".into(), &[3, 1]), "a consensus message");
     assert!(reducer.configuration_message(&"n2".into(), &[CONFIGURATION_TAG, 1]), "and none");
--- a/crates/core/src/reducer/configuration_calls.rs
+++ b/crates/core/src/reducer/configuration_admin.rs
@@ -19,7 +19,7 @@
 const LEAST_KEPT: u64 = 10_000 * MS;
 
 /// A request that was handed in here.
-struct Known {
+struct PendingProposal {
     ticket: u64,
     request_id: Name,
     /// See [`ConfigurationRequest::seen`] and [`ConfigurationRequest::asked_at_ms`].
@@ -33,12 +33,12 @@
 
 /// The requests that were handed in here, the latest ones.
 #[derive(Default)]
-pub(super) struct Requests {
-    known: VecDeque<Known>,
+pub(super) struct PendingProposals {
+    known: VecDeque<PendingProposal>,
     tickets: u64,
 }
 
-impl Requests {
+impl PendingProposals {
     /// What a request came to.
     pub(super) fn answered(&mut self, now: Time, answered: ProposalResponse) {
         if let Some(known) = self.known.iter_mut().find(|known| known.ticket == answered.ticket) {
@@ -47,7 +47,7 @@
         }
     }
 
-    fn find(&self, request_id: &Name) -> Option<&Known> {
+    fn find(&self, request_id: &Name) -> Option<&PendingProposal> {
         self.known.iter().rev().find(|known| known.request_id == *request_id)
     }
 
@@ -66,7 +66,7 @@
         let (seen, asked_at_ms) =
             before.map_or((seen, asked_at_ms), |before| (before.seen, before.asked_at_ms));
         if self.known.len() >= MOST_REQUESTS {
-            let young = |known: &Known| now.0.saturating_sub(known.since.0) < LEAST_KEPT;
+            let young = |known: &PendingProposal| now.0.saturating_sub(known.since.0) < LEAST_KEPT;
             if self.known.front().is_some_and(young) {
                 return Err(AdminError::TooBusy { retry_ms: BUSY_MS });
             }
@@ -75,7 +75,7 @@
         self.tickets += 1;
         let request_id = Arc::clone(&proposal.request_id);
         let ticket = self.tickets;
-        self.known.push_back(Known {
+        self.known.push_back(PendingProposal {
             ticket,
             request_id,
             seen,
@@ -114,26 +114,24 @@
 
 impl Reducer {
     /// An operator's call about the configuration.
-    pub(super) fn configuration_call(
+    pub(super) fn configuration_request(
         &mut self,
         call: ConfigurationAdminRequest,
     ) -> ConfigurationAdminResponse {
-        if self.committed.0.is_none() {
+        if self.configuration.0.is_none() {
             return ConfigurationAdminResponse::Rejected(AdminError::Off);
         }
         let answer = match call {
             ConfigurationAdminRequest::Status => return self.configuration_status(),
-            ConfigurationAdminRequest::RequestStatus(request_id) => self.request_became(request_id),
-            ConfigurationAdminRequest::Apply(request) if request.dry_run => {
-                self.check_request(&request.proposal)
-            }
+            ConfigurationAdminRequest::RequestStatus(request_id) => self.proposal_status(request_id),
+            ConfigurationAdminRequest::Apply(request) if request.dry_run => self.dry_run(&request.proposal),
             ConfigurationAdminRequest::Apply(request) => self.propose(*request),
         };
         answer.map_or_else(ConfigurationAdminResponse::Rejected, ConfigurationAdminResponse::Apply)
     }
 
-    fn request_became(&self, request_id: Name) -> Result<ApplyReply, AdminError> {
-        let service = self.committed.0.as_ref().ok_or(AdminError::Off)?;
+    fn proposal_status(&self, request_id: Name) -> Result<ApplyReply, AdminError> {
+        let service = self.configuration.0.as_ref().ok_or(AdminError::Off)?;
         match service.requests.find(&request_id) {
             None => Err(AdminError::UnknownRequest { request_id }),
             Some(known) => match &known.end {
@@ -146,8 +144,8 @@
         }
     }
 
-    fn check_request(&self, proposal: &Proposal) -> Result<ApplyReply, AdminError> {
-        let service = self.committed.0.as_ref().ok_or(AdminError::Off)?;
+    fn dry_run(&self, proposal: &Proposal) -> Result<ApplyReply, AdminError> {
+        let service = self.configuration.0.as_ref().ok_or(AdminError::Off)?;
         service.in_force.check(proposal).map_err(|refused| match refused {
             CommitRejected::Moved { expected, in_force } => AdminError::Stale { expected, in_force },
             CommitRejected::Invalid(invalid) => AdminError::Invalid(invalid),
@@ -157,13 +155,13 @@
     }
 
     fn propose(&mut self, request: ApplyRequest) -> Result<ApplyReply, AdminError> {
-        let (now, unix_ms) = (self.moment.now, self.moment.unix_ms);
-        let service = self.committed.0.as_mut().ok_or(AdminError::Off)?;
-        let part = self.agreed.part.as_mut().ok_or(AdminError::Off)?;
+        let (now, unix_ms) = (self.timestamp.now, self.timestamp.unix_ms);
+        let service = self.configuration.0.as_mut().ok_or(AdminError::Off)?;
+        let agent = self.agreements.agent.as_mut().ok_or(AdminError::Off)?;
         let request_id = Arc::clone(&request.proposal.request_id);
         let seen = service.spread.state().revision();
         let (ticket, request) = service.requests.take(now, request.proposal, seen, unix_ms)?;
-        if let Err(why) = part.request(now, ticket, request) {
+        if let Err(why) = agent.request(now, ticket, request) {
             service.requests.forget(ticket);
             return Err(refusal(why));
         }
@@ -171,8 +169,8 @@
     }
 
     fn configuration_status(&self) -> ConfigurationAdminResponse {
-        let now = self.moment.now;
-        let Some(service) = &self.committed.0 else {
+        let now = self.timestamp.now;
+        let Some(service) = &self.configuration.0 else {
             return ConfigurationAdminResponse::Rejected(AdminError::Off);
         };
         let spread = service.spread.status();
@@ -184,7 +182,7 @@
             revision: service.in_force.revision(),
             digest: service.in_force.digest().to_string(),
             newest,
-            leader: self.agreed.part.as_ref().and_then(|part| part.status(now).leader),
+            leader: self.agreements.agent.as_ref().and_then(|agent| agent.status(now).leader),
             age_s: Some(span_seconds(service.age(now))),
             stale: service.is_stale(now),
             source: service.source,
--- a/crates/core/src/reducer/connections.rs
+++ b/crates/core/src/reducer/connections.rs
@@ -2,8 +2,8 @@
 //! Not here: sockets, which are the fronts', and the requests themselves, of which a connection knows ids alone.
 
 use super::{MS, Reducer};
+use crate::idle_connections::IdleConnections;
 use crate::messages::{ConnectionId, Effect, SequenceId};
-use crate::resting::Resting;
 use crate::timer_wheel::{DueEntry, TimerWheel};
 use gradepin_admission::{RequestId, Span, Time, time_after};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -54,20 +54,28 @@
 pub(super) struct Connections {
     table: BTreeMap<ConnectionId, Connection>,
     /// Connections from which on newcomers take the places of resting ones, and from which on they have spare places.
-    room: usize,
-    most: usize,
+    crowded_from: usize,
+    max_connections: usize,
     /// Those with nothing open, and when to look at which whether it is idle.
-    resting: Resting,
-    looks: TimerWheel<ConnectionId>,
+    resting: IdleConnections,
+    idle_checks: TimerWheel<ConnectionId>,
     /// How long one may be idle, as the module says; none before it says so.
-    idle: Option<Span>,
+    idle_timeout: Option<Span>,
 }
 
 impl Connections {
     /// For so many connections at the most.
-    pub(super) fn new(most: usize) -> Self {
-        let (table, resting, looks) = (BTreeMap::new(), Resting::default(), TimerWheel::default());
-        Self { table, room: most - most / 8, most, resting, looks, idle: None }
+    pub(super) fn new(max_connections: usize) -> Self {
+        let (table, resting, idle_checks) =
+            (BTreeMap::new(), IdleConnections::default(), TimerWheel::default());
+        Self {
+            table,
+            crowded_from: max_connections - max_connections / 8,
+            max_connections,
+            resting,
+            idle_checks,
+            idle_timeout: None,
+        }
     }
 
     pub(super) fn len(&self) -> usize {
@@ -83,14 +91,14 @@
     }
 
     /// One more was accepted.
-    fn opened(&mut self, conn: ConnectionId, now: Time) {
+    fn insert(&mut self, conn: ConnectionId, now: Time) {
         self.table.insert(conn, Connection { opened: now, last: now, ..Connection::default() });
         self.resting.rests(conn, now, false);
-        self.looks.insert(time_after(now, LOOK_AGAIN), conn);
+        self.idle_checks.insert(time_after(now, LOOK_AGAIN), conn);
     }
 
     /// A whole message was taken in from it.
-    pub(super) fn took(&mut self, conn: ConnectionId) {
+    pub(super) fn message_received(&mut self, conn: ConnectionId) {
         if let Some(connection) = self.table.get_mut(&conn) {
             connection.taken += 1;
             connection.late = false;
@@ -98,15 +106,15 @@
     }
 
     /// Nothing more is read from it until then.
-    pub(super) fn paced(&mut self, conn: ConnectionId, until: Time) {
+    pub(super) fn throttled(&mut self, conn: ConnectionId, until: Time) {
         if let Some(connection) = self.table.get_mut(&conn) {
             connection.paced = Some(until);
         }
     }
 
     /// The module says how long one may be idle.
-    pub(super) fn idle_limit(&mut self, idle: Span) {
-        self.idle = Some(idle);
+    pub(super) fn set_idle_timeout(&mut self, idle: Span) {
+        self.idle_timeout = Some(idle);
     }
 
     /// It has said something now.
@@ -118,22 +126,22 @@
     }
 
     /// It has said something, or was answered, and may rest from now on.
-    pub(super) fn rest(&mut self, conn: ConnectionId, now: Time) {
+    pub(super) fn touch_and_rest(&mut self, conn: ConnectionId, now: Time) {
         if self.touch(conn, now).is_some_and(|connection| connection.open.is_empty()) {
             self.resting.rests(conn, now, true);
         }
     }
 
     /// A request of it is answered.
-    pub(super) fn answered(&mut self, conn: ConnectionId, seq: SequenceId, now: Time) {
+    pub(super) fn response_sent(&mut self, conn: ConnectionId, seq: SequenceId, now: Time) {
         if let Some(connection) = self.table.get_mut(&conn) {
             connection.open.remove(&seq);
         }
-        self.rest(conn, now);
+        self.touch_and_rest(conn, now);
     }
 
     /// Nothing more is taken from it.
-    pub(super) fn refuse(&mut self, conn: ConnectionId) {
+    pub(super) fn stop_accepting_from(&mut self, conn: ConnectionId) {
         if let Some(connection) = self.table.get_mut(&conn) {
             connection.refused = true;
         }
@@ -143,8 +151,8 @@
     /// and one that never said anything counts as if for twice as long. It may have sent what was not read yet, so
     /// it is closed only where that is not so, and one that has only just come or spoken stays. Guards against silent
     /// connections that keep all others, health checks too, out of a full table.
-    fn makes_room(&mut self, now: Time) -> Option<ConnectionId> {
-        if self.table.len() < self.room {
+    fn find_evictable(&mut self, now: Time) -> Option<ConnectionId> {
+        if self.table.len() < self.crowded_from {
             return None;
         }
         let connections = &self.table;
@@ -160,13 +168,17 @@
     }
 
     /// Those with nothing open of which this holds: when each was asked to drain, and when it last spoke.
-    pub(super) fn rested(&self, now: Time, wanted: impl Fn(Option<Time>, Time) -> bool) -> Vec<ConnectionId> {
+    pub(super) fn idle_where(
+        &self,
+        now: Time,
+        wanted: impl Fn(Option<Time>, Time) -> bool,
+    ) -> Vec<ConnectionId> {
         let rested = self.table.iter().filter(|(_, c)| c.open.is_empty() && !c.closes(now));
         rested.filter(|(_, c)| wanted(c.draining, c.last)).map(|(conn, _)| *conn).collect()
     }
 
     /// Forgets what the index of resting ones holds of others.
-    pub(super) fn tidy(&mut self) {
+    pub(super) fn drop_stale_entries(&mut self) {
         let connections = &self.table;
         self.resting.tidy(connections.len(), |conn, since, spoke| rests(connections, conn, since, spoke));
     }
@@ -174,51 +186,51 @@
 
 impl Reducer {
     /// A connection was accepted, and may take the place of another.
-    pub(super) fn opened(&mut self, conn: ConnectionId) {
-        if let Some(rested) = self.conns.makes_room(self.moment.now) {
-            self.close_resting(rested);
+    pub(super) fn connection_opened(&mut self, conn: ConnectionId) {
+        if let Some(rested) = self.connections.find_evictable(self.timestamp.now) {
+            self.close_if_idle(rested);
         }
-        let spare = self.conns.len() >= self.conns.most;
-        self.conns.opened(conn, self.moment.now);
+        let spare = self.connections.len() >= self.connections.max_connections;
+        self.connections.insert(conn, self.timestamp.now);
         if spare {
             // A health check is answered there and a request turned away; then it makes room for the next.
-            self.conns.refuse(conn);
+            self.connections.stop_accepting_from(conn);
         }
-        if spare || self.drain.is_told() {
-            self.ask_to_drain(conn);
+        if spare || self.drain.is_draining() {
+            self.request_drain(conn);
         }
     }
 
-    pub(super) fn closed(&mut self, conn: ConnectionId) {
-        if let Some(connection) = self.conns.table.remove(&conn) {
+    pub(super) fn connection_closed(&mut self, conn: ConnectionId) {
+        if let Some(connection) = self.connections.table.remove(&conn) {
             for id in connection.open.into_values().collect::<BTreeSet<_>>() {
-                self.gone(&id);
+                self.caller_gone(&id);
             }
         }
     }
 
     /// Nothing more comes from a connection: it is closed once what is open on it is answered. Until then it is asked
     /// to drain, which costs a peer that reads nothing, and makes one that is gone altogether answer with a reset.
-    pub(super) fn input_ended(&mut self, conn: ConnectionId) {
-        let Some(connection) = self.conns.table.get_mut(&conn) else { return };
+    pub(super) fn connection_half_closed(&mut self, conn: ConnectionId) {
+        let Some(connection) = self.connections.table.get_mut(&conn) else { return };
         connection.ended = true;
         if !connection.open.is_empty() {
-            self.ask_to_drain(conn);
+            self.request_drain(conn);
         }
-        self.close_if_over(conn);
+        self.close_if_done(conn);
     }
 
     /// A connection said no whole message in its time: it is closed once it is owed nothing, unless one comes yet.
-    pub(super) fn late(&mut self, conn: ConnectionId) {
-        if let Some(connection) = self.conns.table.get_mut(&conn) {
+    pub(super) fn connection_late(&mut self, conn: ConnectionId) {
+        if let Some(connection) = self.connections.table.get_mut(&conn) {
             connection.late = true;
-            self.close_if_over(conn);
+            self.close_if_done(conn);
         }
     }
 
     /// Closes a connection from which nothing more is to come, once it is owed nothing.
-    pub(super) fn close_if_over(&mut self, conn: ConnectionId) {
-        match self.conns.table.get(&conn) {
+    pub(super) fn close_if_done(&mut self, conn: ConnectionId) {
+        match self.connections.table.get(&conn) {
             Some(connection) if !connection.open.is_empty() => {}
             Some(connection) if connection.ended => self.effects.push(Effect::CloseConnection(conn)),
             Some(connection) if connection.late => {
@@ -228,21 +240,21 @@
                 });
             }
             // What is on its way from it yet is answered first.
-            Some(connection) if connection.refused => self.close_resting(conn),
+            Some(connection) if connection.refused => self.close_if_idle(conn),
             _ => {}
         }
     }
 
-    pub(super) fn ask_to_drain(&mut self, conn: ConnectionId) {
-        if let Some(connection) = self.conns.table.get_mut(&conn).filter(|c| c.draining.is_none()) {
-            connection.draining = Some(self.moment.now);
+    pub(super) fn request_drain(&mut self, conn: ConnectionId) {
+        if let Some(connection) = self.connections.table.get_mut(&conn).filter(|c| c.draining.is_none()) {
+            connection.draining = Some(self.timestamp.now);
             self.effects.push(Effect::RequestDrain(conn));
         }
     }
 
-    pub(super) fn close_resting(&mut self, conn: ConnectionId) {
-        if let Some(connection) = self.conns.table.get_mut(&conn) {
-            connection.closing = Some(self.moment.now);
+    pub(super) fn close_if_idle(&mut self, conn: ConnectionId) {
+        if let Some(connection) = self.connections.table.get_mut(&conn) {
+            connection.closing = Some(self.timestamp.now);
             self.effects
                 .push(Effect::CloseIdleConnection { connection: conn, messages_received: connection.taken });
         }
@@ -250,25 +262,30 @@
 
     /// Idle connections are asked to drain, which no request can cross unanswered, and closed only if their
     /// peers don't. Looks at some of those whose time may have come; whether there may be more.
-    pub(super) fn close_idle(&mut self) -> bool {
-        let (now, mut budget) = (self.moment.now, LOOKS);
-        let idle = self.conns.idle.map(|idle| if idle.0 == 0 { self.settings.specifics.idle } else { idle });
+    pub(super) fn drain_idle_connections(&mut self) -> bool {
+        let (now, mut budget) = (self.timestamp.now, LOOKS);
+        let idle = self
+            .connections
+            .idle_timeout
+            .map(|idle| if idle.0 == 0 { self.settings.specifics.idle } else { idle });
         loop {
-            let conn = match self.conns.looks.next_due(now, &mut budget) {
+            let conn = match self.connections.idle_checks.next_due(now, &mut budget) {
                 DueEntry::Entry(conn) => conn,
                 DueEntry::None => return false,
                 DueEntry::Later => return true,
             };
-            let Some(connection) = self.conns.table.get(&conn) else { continue };
+            let Some(connection) = self.connections.table.get(&conn) else { continue };
             let rested = idle.map(|idle| time_after(connection.last, idle));
             let again = connection.draining.map(|since| time_after(since, DRAIN_PATIENCE)).or(rested);
             let again = again.filter(|at| *at > now).unwrap_or(time_after(now, LOOK_AGAIN));
-            self.conns.looks.insert(again.min(time_after(now, LOOK_AGAIN)), conn);
+            self.connections.idle_checks.insert(again.min(time_after(now, LOOK_AGAIN)), conn);
             let quiet = connection.open.is_empty() && rested.is_some_and(|at| at <= now);
             match connection.draining {
-                None if quiet => self.ask_to_drain(conn),
-                Some(since) if quiet && time_after(since, DRAIN_PATIENCE) <= now && !self.drain.is_told() => {
-                    self.close_resting(conn)
+                None if quiet => self.request_drain(conn),
+                Some(since)
+                    if quiet && time_after(since, DRAIN_PATIENCE) <= now && !self.drain.is_draining() =>
+                {
+                    self.close_if_idle(conn)
                 }
                 _ => {}
             }
--- a/crates/core/src/reducer/cells.rs
+++ b/crates/core/src/reducer/counter_cells.rs
@@ -15,12 +15,12 @@
 
 /// A tenant and a class; none stands for no tenant, or for all classes of one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Pair {
+struct CellKey {
     tenant: Option<Handle>,
     class: Option<Handle>,
 }
 
-impl Pair {
+impl CellKey {
     fn place(self) -> usize {
         let number = |handle: Option<Handle>| handle.map_or(0, |handle| handle.slot() + 1);
         let mixed =
@@ -31,9 +31,9 @@
 
 /// The slots seen within the window of the counts, so many at the most.
 #[derive(Debug, Default)]
-struct Seen(BTreeMap<usize, Time>);
+struct RecentSlots(BTreeMap<usize, Time>);
 
-impl Seen {
+impl RecentSlots {
     fn note(&mut self, now: Time, slot: usize) {
         if self.0.len() < SEEN || self.0.contains_key(&slot) {
             self.0.insert(slot, now);
@@ -51,13 +51,13 @@
 
 /// The cells asked for lately, and whose they are.
 #[derive(Debug, Default)]
-pub(super) struct Cells {
-    kept: Vec<Option<(Pair, CellId)>>,
-    tenants: Seen,
-    classes: Seen,
+pub(super) struct CounterCells {
+    kept: Vec<Option<(CellKey, CellId)>>,
+    tenants: RecentSlots,
+    classes: RecentSlots,
 }
 
-impl Cells {
+impl CounterCells {
     /// The cell of a tenant's part of a class, or of all of a class.
     pub(super) fn cell(
         &mut self,
@@ -66,8 +66,10 @@
         tenant: Option<usize>,
         class: usize,
     ) -> CellId {
-        let pair =
-            Pair { tenant: tenant.map(|tenant| tenants.handle(tenant)), class: Some(classes.handle(class)) };
+        let pair = CellKey {
+            tenant: tenant.map(|tenant| tenants.handle(tenant)),
+            class: Some(classes.handle(class)),
+        };
         self.of(pair, || {
             let name = tenant.and_then(|tenant| tenants.name(tenant)).unwrap_or_default();
             CellId::of(name, &classes.profile(class).name)
@@ -77,11 +79,11 @@
     /// The cell of a whole tenant.
     pub(super) fn whole(&mut self, tenants: &Tenants, tenant: usize) -> Option<CellId> {
         let name = tenants.name(tenant)?;
-        let pair = Pair { tenant: Some(tenants.handle(tenant)), class: None };
+        let pair = CellKey { tenant: Some(tenants.handle(tenant)), class: None };
         Some(self.of(pair, || CellId::of(name, "")))
     }
 
-    fn of(&mut self, pair: Pair, make: impl FnOnce() -> CellId) -> CellId {
+    fn of(&mut self, pair: CellKey, make: impl FnOnce() -> CellId) -> CellId {
         if self.kept.is_empty() {
             self.kept.resize(KEPT, None);
         }
--- a/crates/core/src/reducer/drain.rs
+++ b/crates/core/src/reducer/drain.rs
@@ -19,23 +19,23 @@
 #[derive(Debug)]
 pub(super) struct Drain {
     /// When the notice to leave came.
-    told: Option<Time>,
+    notified_at: Option<Time>,
     /// When the process closes down if nobody stops it; then, when it ends whatever stands.
     exit_at: Option<Time>,
     /// From the notice to the stop.
-    pub(super) stop: Span,
+    pub(super) stop_after: Span,
     /// Where the listener is shared with a successor: what SIGTERM means then.
     pub(super) handover: Handover,
 }
 
 impl Drain {
-    pub(super) fn new(stop: Span) -> Self {
-        Self { told: None, exit_at: None, stop, handover: Handover::default() }
+    pub(super) fn new(stop_after: Span) -> Self {
+        Self { notified_at: None, exit_at: None, stop_after, handover: Handover::default() }
     }
 
     /// Whether the notice to leave has come.
-    pub(super) fn is_told(&self) -> bool {
-        self.told.is_some()
+    pub(super) fn is_draining(&self) -> bool {
+        self.notified_at.is_some()
     }
 
     /// When it is due though nothing comes in.
@@ -45,71 +45,72 @@
     }
 
     /// When the notice came; now, if it didn't.
-    pub(super) fn since(&self, now: Time) -> Time {
-        self.told.unwrap_or(now)
+    pub(super) fn notified_or(&self, now: Time) -> Time {
+        self.notified_at.unwrap_or(now)
     }
 }
 
 impl Reducer {
-    pub(super) fn terminate(&mut self) {
-        if self.drain.is_told() {
+    pub(super) fn begin_shutdown(&mut self) {
+        if self.drain.is_draining() {
             return;
         }
-        self.drain.told = Some(self.moment.now);
-        self.drain.exit_at = Some(time_after(time_after(self.moment.now, self.drain.stop), STOP_OVERDUE));
-        if self.drain.handover.begin(self.moment.now, self.drain.stop) {
+        self.drain.notified_at = Some(self.timestamp.now);
+        self.drain.exit_at =
+            Some(time_after(time_after(self.timestamp.now, self.drain.stop_after), STOP_OVERDUE));
+        if self.drain.handover.begin(self.timestamp.now, self.drain.stop_after) {
             self.effects.push(Effect::StopAccepting);
             self.log(Level::Info, "handing over: the process after this one accepts from now on".into());
         }
-        self.registration.leave(self.moment.now);
+        self.registration.leave(self.timestamp.now);
         if self.controller.is_some() {
-            self.tell_leaving();
+            self.notify_admission_of_shutdown();
         }
-        for conn in self.conns.ids() {
-            self.ask_to_drain(conn);
+        for conn in self.connections.ids() {
+            self.request_drain(conn);
         }
     }
 
     /// Out of service for all who list this server, while callers may still think otherwise; then the drain.
-    pub(super) fn take_out(&mut self) {
-        if self.drain.is_told() || !self.registration.take_out(self.moment.now) {
+    pub(super) fn take_out_of_service(&mut self) {
+        if self.drain.is_draining() || !self.registration.take_out(self.timestamp.now) {
             return;
         }
-        self.changed();
+        self.report_change();
         self.log(Level::Info, "taken out of service, draining later".into());
     }
 
-    pub(super) fn take_in(&mut self) {
-        if self.drain.is_told() || !self.registration.take_in() {
+    pub(super) fn return_to_service(&mut self) {
+        if self.drain.is_draining() || !self.registration.take_in() {
             return;
         }
-        self.changed();
+        self.report_change();
         self.log(Level::Info, "taken back into service".into());
     }
 
     /// Tells the module how long it has, a margin less than is left until the stop.
-    pub(super) fn tell_leaving(&mut self) {
+    pub(super) fn notify_admission_of_shutdown(&mut self) {
         let spent = Span(STOP_OVERDUE.0 + STOP_MARGIN.0);
-        let end = self.drain.exit_at.map_or(self.moment.now, |exit| time_before(exit, spent));
-        self.events.push(Event::ShutdownNotice(Span(end.0.saturating_sub(self.moment.now.0))));
+        let end = self.drain.exit_at.map_or(self.timestamp.now, |exit| time_before(exit, spent));
+        self.events.push(Event::ShutdownNotice(Span(end.0.saturating_sub(self.timestamp.now.0))));
     }
 
     /// What keeps a process that hands over or closes down: requests owed an answer, and connections. Those that rest after
     /// they were asked to drain are closed where nothing of them is unread.
-    pub(super) fn left(&mut self) -> RemainingWork {
-        let now = self.moment.now;
+    pub(super) fn remaining_work(&mut self) -> RemainingWork {
+        let now = self.timestamp.now;
         let handover = &self.drain.handover;
-        let rested = self.conns.rested(now, |draining, last| handover.closes(now, draining, last));
+        let rested = self.connections.idle_where(now, |draining, last| handover.closes(now, draining, last));
         for conn in rested {
-            self.close_resting(conn);
+            self.close_if_idle(conn);
         }
-        RemainingWork { open: self.requests.owed(), connections: self.conns.len() }
+        RemainingWork { open: self.requests.count_owed(), connections: self.connections.len() }
     }
 
     /// Ends the process when its time is up, or all is handed over. It closes down first: a request that came in the
     /// last instant is answered, and its connection closed as any other, not reset by the end of the process.
-    pub(super) fn end(&mut self) {
-        let now = self.moment.now;
+    pub(super) fn exit_when_done(&mut self) {
+        let now = self.timestamp.now;
         let due = self.drain.exit_at.is_some_and(|at| now >= at);
         if due && self.drain.handover.close_down(now, CLOSE_DOWN) {
             self.drain.exit_at = Some(time_after(now, CLOSE_DOWN));
@@ -117,11 +118,11 @@
             return;
         }
         let handed = self.drain.handover.is_under_way() && {
-            let left = self.left();
+            let left = self.remaining_work();
             self.drain.handover.may_leave(now, left)
         };
         if self.drain.exit_at.take_if(|at| now >= *at || handed).is_some() {
-            self.fleet_leaves();
+            self.announce_departure();
             self.effects.push(Effect::Exit);
         }
     }
--- a/crates/core/src/reducer/mod.rs
+++ b/crates/core/src/reducer/mod.rs
@@ -4,22 +4,22 @@
 //! test can drive it through any course of events. This file steps and routes; each concern has a file with the state
 //! that it alone changes.
 
-mod agreed;
-mod calls;
-mod cells;
-mod claims;
+mod admin;
+mod agreements;
+mod cluster;
 mod configuration;
-mod configuration_calls;
+mod configuration_admin;
 mod connections;
+mod counter_cells;
 mod drain;
-mod fleet;
-mod housekeeping;
-mod keeping;
-mod link;
-mod operators;
-mod requests;
+mod open_requests;
+mod persistence;
+mod processor_link;
+mod run_claims;
 mod runs;
-mod settings;
+mod schedule;
+mod settings_changes;
+mod upstream_calls;
 
 use crate::admin::OperatorDrain;
 use crate::buffer_pool::BufferPool;
@@ -34,21 +34,21 @@
 use crate::request_metrics::RequestMetrics;
 use crate::tenants::Tenants;
 use crate::timestamp::Timestamp;
-use agreed::Agreed;
-use configuration::Committed;
+use agreements::Agreements;
+use cluster::ClusterState;
+pub use cluster::{cell_names, lent_share};
+use configuration::ConfigurationState;
 use connections::Connections;
 use drain::Drain;
-use fleet::Fleet;
-pub use fleet::{cell_names, lent_share};
 use gradepin_admission::{
     Action, ClassDefinition, Controller, Event, Settings, Span, Tenant, Time, time_after,
 };
-use housekeeping::Duties;
-use keeping::Past;
-use link::Link;
-use requests::{Open, Requests, State};
-use settings::Changes;
-pub use settings::{Applied, ApplyError, Named};
+use open_requests::{OpenRequest, OpenRequests, State};
+use persistence::Recovery;
+use processor_link::ProcessorLink;
+use schedule::Schedule;
+use settings_changes::SettingsChanges;
+pub use settings_changes::{ApplyError, ApplySummary, NameList};
 use slog::Level;
 use std::sync::Arc;
 
@@ -62,35 +62,35 @@
     config: Config,
     seed: u64,
     controller: Option<Controller>,
-    moment: Timestamp,
-    requests: Requests,
-    conns: Connections,
-    keys: IdempotencyTable,
-    ledger: IdempotencyLog,
+    timestamp: Timestamp,
+    requests: OpenRequests,
+    connections: Connections,
+    idempotency_table: IdempotencyTable,
+    idempotency_log: IdempotencyLog,
     /// Where the process after this one in an upgrade shares what runs.
-    claims: PendingClaims,
-    past: Past,
-    link: Link,
+    pending_claims: PendingClaims,
+    recovery: Recovery,
+    processor: ProcessorLink,
     drain: Drain,
-    duties: Duties,
+    schedule: Schedule,
     /// What it shares with other servers, where they may talk to each other.
-    fleet: Fleet,
+    cluster: ClusterState,
     /// Its part in what that fleet agrees on.
-    agreed: Agreed,
+    agreements: Agreements,
     /// Classes, tenants and rules by committed revisions, where that service is on.
-    committed: Committed,
-    active: bool,
-    hint: Option<f64>,
+    configuration: ConfigurationState,
+    healthy: bool,
+    capacity_hint: Option<f64>,
     registration: Registration,
     /// The classes and tenants in force; `settings` are all others.
     classes: Classes,
     tenants: Tenants,
-    changes: Changes,
+    settings_changes: SettingsChanges,
     /// Calls to the ledger made so far.
-    calls: UpstreamCallId,
+    last_upstream_call: UpstreamCallId,
     /// The drain that operators order at their door, and the figures they scrape.
-    door: OperatorDrain,
-    tally: RequestMetrics,
+    operator_drain: OperatorDrain,
+    metrics: RequestMetrics,
     /// For the module's next turn.
     events: Vec<Event>,
     actions: Vec<Action>,
@@ -124,28 +124,28 @@
             config: config.clone(),
             settings: Arc::new(settings),
             controller: None,
-            moment: Timestamp::default(),
-            requests: Requests::new(config),
-            conns: Connections::new(config.connections()),
-            keys: IdempotencyTable::new(config.memory(RESULTS_PART)),
-            ledger: IdempotencyLog::off(),
-            claims: PendingClaims::default(),
-            past: Past::new(config.seed()?),
-            link: Link::default(),
+            timestamp: Timestamp::default(),
+            requests: OpenRequests::new(config),
+            connections: Connections::new(config.connections()),
+            idempotency_table: IdempotencyTable::new(config.memory(RESULTS_PART)),
+            idempotency_log: IdempotencyLog::off(),
+            pending_claims: PendingClaims::default(),
+            recovery: Recovery::new(config.seed()?),
+            processor: ProcessorLink::default(),
             drain: Drain::new(Span(config.stop_ms.saturating_mul(MS))),
-            duties: Duties::default(),
-            fleet: Fleet::default(),
-            agreed: Agreed::default(),
-            committed: Committed::default(),
-            active: false,
-            hint: None,
+            schedule: Schedule::default(),
+            cluster: ClusterState::default(),
+            agreements: Agreements::default(),
+            configuration: ConfigurationState::default(),
+            healthy: false,
+            capacity_hint: None,
             registration,
             classes,
             tenants: Tenants::new(tenants),
-            changes: Changes::starting(window),
-            calls: 0,
-            door: OperatorDrain::default(),
-            tally: RequestMetrics::default(),
+            settings_changes: SettingsChanges::new(window),
+            last_upstream_call: 0,
+            operator_drain: OperatorDrain::default(),
+            metrics: RequestMetrics::default(),
             events: Vec::new(),
             actions: Vec::new(),
             effects: Vec::new(),
@@ -162,14 +162,14 @@
     /// told later ([`Input::RunsShared`]) where they can't be shared yet. Not beside a store, which has one owner and a salt
     /// of its own.
     pub fn sharing_runs(mut self, salt: Option<u64>) -> Self {
-        self.claims = PendingClaims::shared();
-        self.past.salt = salt.unwrap_or(self.past.salt);
+        self.pending_claims = PendingClaims::shared();
+        self.recovery.salt = salt.unwrap_or(self.recovery.salt);
         self
     }
 
     /// With a store that is being opened, whose records go by this ledger.
     pub fn with_store(mut self, ledger: IdempotencyLog, pool: Arc<BufferPool>) -> Self {
-        (self.ledger, self.past.pool) = (ledger, pool);
+        (self.idempotency_log, self.recovery.pool) = (ledger, pool);
         self
     }
 
@@ -180,34 +180,35 @@
         inputs: impl IntoIterator<Item = Input>,
         effects: &mut Vec<Effect>,
     ) {
-        self.moment = moment;
-        self.past.step(moment.now);
+        self.timestamp = moment;
+        self.recovery.note_step(moment.now);
         for input in inputs {
             self.input(input);
         }
         self.reload_step();
-        self.fire();
+        self.fire_timers();
         self.decide();
-        self.agreed_step();
+        self.agreements_step();
         self.configuration_step();
-        self.fleet_step();
-        self.housekeeping();
+        self.cluster_step();
+        self.periodic_step();
         effects.append(&mut self.effects);
     }
 
     /// When [`Reducer::step`] must be called again though nothing came in.
     pub fn wake_at(&self) -> Option<Time> {
-        if !self.events.is_empty() || self.changes.is_pending() || !self.effects.is_empty() {
-            return Some(self.moment.now);
+        if !self.events.is_empty() || self.settings_changes.is_reloading() || !self.effects.is_empty() {
+            return Some(self.timestamp.now);
         }
-        let timer = self.duties.timer_at(self.moment.now, self.link.open_since);
+        let timer = self.schedule.timer_due_at(self.timestamp.now, self.processor.reading_since);
         let own = earliest(
             earliest(timer, self.drain.wake_at()),
-            earliest(self.ledger.wake_at(), self.past.hope()),
+            earliest(self.idempotency_log.wake_at(), self.recovery.wait_until()),
         );
-        let own = earliest(earliest(own, self.fleet.wake_at(self.moment.now)), self.agreed.wake_at());
+        let own =
+            earliest(earliest(own, self.cluster.wake_at(self.timestamp.now)), self.agreements.wake_at());
         let own = self.configuration_wake_at(own);
-        earliest(earliest(own, self.registration.wake_at(self.moment.now)), Some(self.duties.wake_at()))
+        earliest(earliest(own, self.registration.wake_at(self.timestamp.now)), Some(self.schedule.wake_at()))
     }
 
     fn log(&mut self, level: Level, text: String) {
@@ -220,106 +221,116 @@
         | Input::Cancel { connection: conn, .. }
         | Input::HealthCheck { connection: conn, .. } = &input
         {
-            self.conns.took(*conn);
+            self.connections.message_received(*conn);
         }
         if let Input::Request { connection: conn, sequence: seq, .. }
         | Input::InvalidRequest { connection: conn, sequence: seq, .. }
         | Input::HealthCheck { connection: conn, sequence: seq } = &input
-            && self.came_twice(*conn, *seq)
+            && self.reject_duplicate_sequence(*conn, *seq)
         {
             return;
         }
         match input {
-            Input::ConnectionOpened(conn) => self.opened(conn),
-            Input::ConnectionHalfClosed(conn) => self.input_ended(conn),
-            Input::ConnectionLate(conn) => self.late(conn),
-            Input::ConnectionClosed(conn) => self.closed(conn),
-            Input::Request { connection: conn, sequence: seq, request: call } => self.call(conn, seq, *call),
+            Input::ConnectionOpened(conn) => self.connection_opened(conn),
+            Input::ConnectionHalfClosed(conn) => self.connection_half_closed(conn),
+            Input::ConnectionLate(conn) => self.connection_late(conn),
+            Input::ConnectionClosed(conn) => self.connection_closed(conn),
+            Input::Request { connection: conn, sequence: seq, request: call } => {
+                self.receive_request(conn, seq, *call)
+            }
             Input::InvalidRequest { connection: conn, sequence: seq, error: misuse, text: why } => {
-                self.invalid(conn, seq, None, misuse, why)
+                self.reject_invalid(conn, seq, None, misuse, why)
             }
-            Input::Cancel { connection: conn, sequence: seq } => self.cancel(conn, seq),
+            Input::Cancel { connection: conn, sequence: seq } => self.cancel_request(conn, seq),
             Input::HealthCheck { connection: conn, sequence: seq } => {
-                self.conns.rest(conn, self.moment.now);
-                let good = self.active && self.door.draining_since().is_none();
-                let health =
-                    Response::Health { healthy: good, store: self.ledger.standing(self.moment.now).word() };
+                self.connections.touch_and_rest(conn, self.timestamp.now);
+                let good = self.healthy && self.operator_drain.draining_since().is_none();
+                let health = Response::Health {
+                    healthy: good,
+                    store: self.idempotency_log.standing(self.timestamp.now).word(),
+                };
                 self.effects.push(Effect::Respond {
                     connection: conn,
                     sequence: seq,
                     response: health,
-                    capacity_hint: self.hint,
+                    capacity_hint: self.capacity_hint,
                 });
-                self.close_if_over(conn);
+                self.close_if_done(conn);
             }
             Input::LinkUp { link, cold, age } => self.link_up(link, cold, age),
             Input::LinkDown => {
-                self.registration.processor_silent(self.moment.now);
-                self.link.down();
+                self.registration.processor_silent(self.timestamp.now);
+                self.processor.disconnected();
             }
-            Input::ProcessorRestarted => self.restarted(),
+            Input::ProcessorRestarted => self.processor_restarted(),
             Input::RunCompleted { notice, id, end, took, result } => {
-                if self.link.notice(notice, self.moment.now) {
-                    self.complete(&id, end, took, result);
-                } else if self.keys.hopes() {
-                    self.learned(&id, end, &result);
+                if self.processor.accept_notice(notice, self.timestamp.now) {
+                    self.run_completed(&id, end, took, result);
+                } else if self.idempotency_table.hopes() {
+                    self.recovered_run_completed(&id, end, &result);
                 }
             }
             Input::UpstreamCallRequested { notice, id, body } => {
-                if self.link.notice(notice, self.moment.now) {
-                    self.asks(&id, body);
+                if self.processor.accept_notice(notice, self.timestamp.now) {
+                    self.upstream_call_requested(&id, body);
                 }
             }
             Input::UpstreamCallEnded { id, call: number, outcome, reply } => {
-                self.called(&id, number, outcome, reply)
+                self.upstream_call_ended(&id, number, outcome, reply)
             }
-            Input::RunClaimed { id, claim } => self.claimed(&id, claim),
+            Input::RunClaimed { id, claim } => self.run_claimed(&id, claim),
             Input::RunsShared { salt } => {
-                self.past.salt = salt;
+                self.recovery.salt = salt;
                 self.log(Level::Info, "keyed runs are shared from now on".into());
             }
             Input::GaugesRead { number: tag, values } => {
-                self.link.heard = self.moment.now;
-                self.used(tag, &values);
+                self.processor.last_heard_at = self.timestamp.now;
+                self.gauges_read(tag, &values);
             }
-            Input::RunNotStarted(id) => self.rejected(&id),
+            Input::RunNotStarted(id) => self.run_not_started(&id),
             Input::ConnectionThrottled { connection: conn, duration: pause } => {
-                self.conns.paced(conn, time_after(self.moment.now, pause))
+                self.connections.throttled(conn, time_after(self.timestamp.now, pause))
             }
-            Input::ShutdownNotice => self.terminate(),
+            Input::ShutdownNotice => self.begin_shutdown(),
             Input::StoppedAccepting => self.drain.handover.stopped(),
             Input::TakeOutOfService => {
-                if !self.asks_to_leave() {
-                    self.take_out();
+                if !self.request_permit_to_leave() {
+                    self.take_out_of_service();
                 }
             }
             Input::ReturnToService => {
-                self.asks_to_stay();
-                self.take_in();
+                self.withdraw_permit_request();
+                self.return_to_service();
+            }
+            Input::VoterStateWritten { number } => self.voter_state_written(number),
+            Input::VoterStateFailed { recovered: found, reason: why } => {
+                self.voter_state_failed(*found, &why)
             }
-            Input::VoterStateWritten { number } => self.council_written(number),
-            Input::VoterStateFailed { recovered: found, reason: why } => self.council_failed(*found, &why),
             Input::ConfigurationWritten(written) => self.configuration_written(written),
-            Input::StagedSettingsChanged { active: settings, staged } => self.settings_are(settings, staged),
-            Input::RolloutStepFailed { release, reason: why } => self.change_failed(release, why),
-            Input::RegistryReply { ticket, reply } => self.registration.reply(self.moment.now, ticket, reply),
+            Input::StagedSettingsChanged { active: settings, staged } => {
+                self.staged_settings_changed(settings, staged)
+            }
+            Input::RolloutStepFailed { release, reason: why } => self.rollout_step_failed(release, why),
+            Input::RegistryReply { ticket, reply } => {
+                self.registration.reply(self.timestamp.now, ticket, reply)
+            }
             Input::Reload(config) => self.reload(config),
-            Input::ReloadRejected { reason: why } => self.reload_refused(&why),
-            Input::AdminRequest { id, request: call } => self.admin(id, call),
-            Input::StoreRecovered(recovered) => self.recovered(*recovered),
+            Input::ReloadRejected { reason: why } => self.reload_rejected(&why),
+            Input::AdminRequest { id, request: call } => self.admin_request(id, call),
+            Input::StoreRecovered(recovered) => self.store_recovered(*recovered),
             Input::StorePersisted { number: upto } => {
-                for id in self.ledger.persisted(self.moment.now, upto) {
+                for id in self.idempotency_log.persisted(self.timestamp.now, upto) {
                     if self.requests.running(&id).is_some() {
-                        self.begin(&id);
+                        self.send_run(&id);
                     }
                 }
             }
-            Input::PeerDatagram(envelope) => self.envelope_received(&envelope),
-            Input::PeerDatagramsDropped(dropped) => self.envelopes_dropped(&dropped),
-            Input::AuthenticationKeysReloaded(keys) => self.fleet_keys(keys),
+            Input::PeerDatagram(envelope) => self.peer_datagram_received(&envelope),
+            Input::PeerDatagramsDropped(dropped) => self.peer_datagrams_dropped(&dropped),
+            Input::AuthenticationKeysReloaded(keys) => self.authentication_keys_reloaded(keys),
             Input::StoreFailed { number: upto, reason: why } => {
-                for id in self.ledger.failed(self.moment.now, upto, &why) {
-                    self.never_ran(&id);
+                for id in self.idempotency_log.failed(self.timestamp.now, upto, &why) {
+                    self.reject_unstarted_run(&id);
                 }
             }
         }
@@ -327,65 +338,65 @@
 
     fn decide(&mut self) {
         let Some(controller) = &mut self.controller else { return };
-        if self.events.is_empty() && !self.duties.has_turn(self.moment.now) {
+        if self.events.is_empty() && !self.schedule.admission_is_due(self.timestamp.now) {
             return;
         }
         let mut actions = std::mem::take(&mut self.actions);
-        controller.handle(self.moment.now, &self.events, &mut actions);
+        controller.handle(self.timestamp.now, &self.events, &mut actions);
         self.events.clear();
         for action in actions.drain(..) {
-            self.act(action);
+            self.perform(action);
         }
         self.actions = actions;
-        for id in self.requests.decided() {
-            self.forget(&id);
+        for id in self.requests.end_batch() {
+            self.forget_request(&id);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
-            Action::Run(id) => self.process(&id),
-            Action::Reject { id, retry_after, last } => {
-                self.finish(&id, Response::Rejected { retry_after: retry_after, no_failover: last })
-            }
+            Action::Run(id) => self.start_run(&id),
+            Action::Reject { id, retry_after, last } => self
+                .respond_and_release(&id, Response::Rejected { retry_after: retry_after, no_failover: last }),
             Action::Fail(id) => {
-                let late = self.is_late(&id);
-                self.finish(&id, Response::Failed { timed_out: late });
+                let late = self.is_past_deadline(&id);
+                self.respond_and_release(&id, Response::Failed { timed_out: late });
             }
             Action::RetainIdempotencyKey { id, retain_for } => {
-                let until = time_after(self.moment.now, retain_for);
-                if let Some((token, print)) = self.requests.get(&id).and_then(Open::key) {
-                    self.keys.remember(token, print, &id, until);
+                let until = time_after(self.timestamp.now, retain_for);
+                if let Some((token, print)) = self.requests.get(&id).and_then(OpenRequest::key) {
+                    self.idempotency_table.remember(token, print, &id, until);
                 }
             }
             Action::ReleaseIdempotencyKey(id) => {
                 if let Some(token) = self.requests.get(&id).and_then(|open| open.token.as_ref()) {
-                    self.keys.release(token, &id);
+                    self.idempotency_table.release(token, &id);
                 }
             }
             Action::JoinRun(id) => {
                 let Some(open) = self.requests.get_mut(&id) else { return };
-                open.state = State::Joined(self.moment.now);
+                open.state = State::Joined(self.timestamp.now);
                 let token = open.token.clone();
-                let end = token.map_or(Some(RunOutcome::Failed), |token| self.keys.join(&token, &id));
+                let end =
+                    token.map_or(Some(RunOutcome::Failed), |token| self.idempotency_table.join(&token, &id));
                 if let Some(end) = end {
-                    self.joined(&id, end);
+                    self.respond_to_repeat(&id, end);
                 }
             }
             Action::ReportHealth { active, .. } => {
-                if active != self.active {
-                    self.active = active;
-                    self.registration.health(self.moment.now, active);
-                    self.changed();
+                if active != self.healthy {
+                    self.healthy = active;
+                    self.registration.health(self.timestamp.now, active);
+                    self.report_change();
                     self.log(Level::Info, format!("health is {}", if active { "good" } else { "bad" }));
                 }
             }
-            Action::AdvertiseCapacity(value) => self.hint = Some(value),
-            Action::SetIdleTimeout(span) => self.conns.idle_limit(span),
-            Action::SetTimer(time) => self.duties.remind(time),
+            Action::AdvertiseCapacity(value) => self.capacity_hint = Some(value),
+            Action::SetIdleTimeout(span) => self.connections.set_idle_timeout(span),
+            Action::SetTimer(time) => self.schedule.set_timer(time),
             Action::Log(text) => self.log(Level::Info, text),
-            Action::CallUpstream { id, timeout } => self.ask_below(&id, timeout),
-            Action::StopRun(id) => self.interrupt(&id),
+            Action::CallUpstream { id, timeout } => self.start_upstream_call(&id, timeout),
+            Action::StopRun(id) => self.stop_run(&id),
             Action::SkipUpstreamCall(_) => {
                 self.log(
                     Level::Error,
--- a/crates/core/src/reducer/requests.rs
+++ b/crates/core/src/reducer/open_requests.rs
@@ -39,7 +39,7 @@
 
 /// A request that is open or runs.
 #[derive(Debug)]
-pub(super) struct Open {
+pub(super) struct OpenRequest {
     pub(super) conn: ConnectionId,
     pub(super) seq: SequenceId,
     pub(super) class: usize,
@@ -64,7 +64,7 @@
     pub(super) call_number: Option<UpstreamCallId>,
 }
 
-impl Open {
+impl OpenRequest {
     /// Its token and the print that goes with it.
     pub(super) fn key(&self) -> Option<(&Arc<str>, Fingerprint)> {
         self.token.as_ref().map(|token| (token, self.print))
@@ -73,71 +73,77 @@
 
 /// The requests that are open or run, and what their bodies take.
 #[derive(Debug)]
-pub(super) struct Requests {
-    open: HashMap<RequestId, Open>,
+pub(super) struct OpenRequests {
+    by_id: HashMap<RequestId, OpenRequest>,
     /// What they take, and may take before more are refused.
     body_bytes: usize,
-    most_bodies: usize,
+    max_body_bytes: usize,
     /// Held requests whose caller left in this batch.
-    left: Vec<RequestId>,
+    abandoned: Vec<RequestId>,
     /// Keyed requests of this batch, not in the table yet.
-    batch: HashMap<Arc<str>, RequestId>,
+    new_keys: HashMap<Arc<str>, RequestId>,
 }
 
-impl Requests {
+impl OpenRequests {
     pub(super) fn new(config: &Config) -> Self {
-        let (open, batch) = (HashMap::new(), HashMap::new());
-        Self { open, body_bytes: 0, most_bodies: config.memory(BODIES_PART), left: Vec::new(), batch }
+        let (by_id, new_keys) = (HashMap::new(), HashMap::new());
+        Self {
+            by_id,
+            body_bytes: 0,
+            max_body_bytes: config.memory(BODIES_PART),
+            abandoned: Vec::new(),
+            new_keys,
+        }
     }
 
-    pub(super) fn get(&self, id: &RequestId) -> Option<&Open> {
-        self.open.get(id)
+    pub(super) fn get(&self, id: &RequestId) -> Option<&OpenRequest> {
+        self.by_id.get(id)
     }
 
-    pub(super) fn get_mut(&mut self, id: &RequestId) -> Option<&mut Open> {
-        self.open.get_mut(id)
+    pub(super) fn get_mut(&mut self, id: &RequestId) -> Option<&mut OpenRequest> {
+        self.by_id.get_mut(id)
     }
 
     pub(super) fn contains(&self, id: &RequestId) -> bool {
-        self.open.contains_key(id)
+        self.by_id.contains_key(id)
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.open.is_empty()
+        self.by_id.is_empty()
     }
 
     /// One that runs.
-    pub(super) fn running(&self, id: &RequestId) -> Option<&Open> {
-        self.open.get(id).filter(|open| open.state == State::Running)
+    pub(super) fn running(&self, id: &RequestId) -> Option<&OpenRequest> {
+        self.by_id.get(id).filter(|open| open.state == State::Running)
     }
 
     /// All that run, in the order of their ids: the same inputs give the same effects.
-    pub(super) fn all_running(&self) -> BTreeSet<RequestId> {
-        let running = self.open.iter().filter(|(_, open)| open.state == State::Running);
+    pub(super) fn running_ids(&self) -> BTreeSet<RequestId> {
+        let running = self.by_id.iter().filter(|(_, open)| open.state == State::Running);
         running.map(|(id, _)| id.clone()).collect()
     }
 
     /// How many run.
     pub(super) fn count_running(&self) -> usize {
-        self.open.values().filter(|open| open.state == State::Running).count()
+        self.by_id.values().filter(|open| open.state == State::Running).count()
     }
 
     /// How many are owed an answer.
-    pub(super) fn owed(&self) -> usize {
-        self.open.values().filter(|open| open.owed).count()
+    pub(super) fn count_owed(&self) -> usize {
+        self.by_id.values().filter(|open| open.owed).count()
     }
 
     /// The module has had its turn: what of this batch it hadn't seen is in its books now. Those whose callers left.
-    pub(super) fn decided(&mut self) -> Vec<RequestId> {
-        self.batch.clear();
-        std::mem::take(&mut self.left)
+    pub(super) fn end_batch(&mut self) -> Vec<RequestId> {
+        self.new_keys.clear();
+        std::mem::take(&mut self.abandoned)
     }
 
     /// Takes a request out of the books.
-    fn remove(&mut self, id: &RequestId) -> Option<Open> {
-        let open = self.open.remove(id)?;
+    fn remove(&mut self, id: &RequestId) -> Option<OpenRequest> {
+        let open = self.by_id.remove(id)?;
         // Its id may come again in this batch, and that request's caller waits.
-        self.left.retain(|left| left != id);
+        self.abandoned.retain(|left| left != id);
         self.body_bytes -= open.body.len() + BESIDE;
         Some(open)
     }
@@ -146,37 +152,37 @@
 impl Reducer {
     /// Whether a message that is owed an answer came under the number of an open request. Two answers under one number
     /// could not be told apart: the first keeps its own, and nothing more is taken.
-    pub(super) fn came_twice(&mut self, conn: ConnectionId, seq: SequenceId) -> bool {
-        let connection = self.conns.touch(conn, self.moment.now);
+    pub(super) fn reject_duplicate_sequence(&mut self, conn: ConnectionId, seq: SequenceId) -> bool {
+        let connection = self.connections.touch(conn, self.timestamp.now);
         if !connection.is_some_and(|connection| connection.open.contains_key(&seq)) {
             return false;
         }
         self.log(Level::Warning, format!("closing connection {conn}: request {seq} came twice"));
-        self.conns.refuse(conn);
-        self.ask_to_drain(conn);
+        self.connections.stop_accepting_from(conn);
+        self.request_drain(conn);
         true
     }
 
-    pub(super) fn call(&mut self, conn: ConnectionId, seq: SequenceId, mut call: ClientRequest) {
-        let Some(connection) = self.conns.touch(conn, self.moment.now) else { return };
+    pub(super) fn receive_request(&mut self, conn: ConnectionId, seq: SequenceId, mut call: ClientRequest) {
+        let Some(connection) = self.connections.touch(conn, self.timestamp.now) else { return };
         let (opened, paced, open) = (connection.opened, connection.paced, connection.open.len());
         let refused = connection.refused;
         let Some(class) = self.classes.resolve(call.class) else {
             // Its slot was freed since it was read, and may be another's.
             let why = "unknown method: the class was dropped".into();
-            return self.invalid(conn, seq, None, RequestError::NotFound, why);
+            return self.reject_invalid(conn, seq, None, RequestError::NotFound, why);
         };
-        if !self.classes.takes(class, self.moment.now) {
+        if !self.classes.takes(class, self.timestamp.now) {
             let name = &self.classes.profile(class).name;
             let why = format!("unknown method \"{name}\": the class was dropped");
-            return self.invalid(conn, seq, Some(class), RequestError::NotFound, why);
+            return self.reject_invalid(conn, seq, Some(class), RequestError::NotFound, why);
         }
         // One whose slot is another's by now is of no tenant's share.
         let tenant = call.tenant.and_then(|tenant| self.tenants.resolve(tenant));
-        if refused || open >= WINDOW || self.requests.body_bytes > self.requests.most_bodies {
+        if refused || open >= WINDOW || self.requests.body_bytes > self.requests.max_body_bytes {
             // Guards against hundreds of requests at once: left unread, they would hide cancels and the close. And
             // against more bodies than the memory holds, on many connections.
-            return self.turn_away(conn, seq, class, Span(0));
+            return self.reject(conn, seq, class, Span(0));
         }
         if self.classes.profile(class).effect != gradepin_admission::Idempotency::Keyed {
             // Where no class is keyed by it, a token means nothing.
@@ -184,7 +190,7 @@
         }
         let deadline = self.classes.profile(class).deadline;
         if call.budget_ms > BUDGET_MULTIPLE * deadline.0.div_ceil(MS) {
-            return self.invalid(
+            return self.reject_invalid(
                 conn,
                 seq,
                 Some(class),
@@ -192,63 +198,63 @@
                 "budget out of range".into(),
             );
         }
-        if self.requests.open.contains_key(&call.id) {
+        if self.requests.by_id.contains_key(&call.id) {
             let why = format!("the rid {} is open already", call.id.0);
-            return self.invalid(conn, seq, Some(class), RequestError::Conflict, why);
+            return self.reject_invalid(conn, seq, Some(class), RequestError::Conflict, why);
         }
         if !call.retry {
             // Whatever becomes of it: what is turned away before the module hears of it came too.
-            self.agreed_count(tenant, class, 1, 0);
+            self.count_for_rollback(tenant, class, 1, 0);
         }
         if self.controller.is_none() {
             // No processor yet, so nobody to ask; nothing has run.
-            return self.turn_away(conn, seq, class, Span(0));
+            return self.reject(conn, seq, class, Span(0));
         }
-        let unix = self.moment.unix_ms;
+        let unix = self.timestamp.unix_ms;
         // Nothing came later than it is read. Guards against a stamp that keeps a key's run for ever.
         let t0 = call.arrived_unix_ms.min(unix);
         let due = t0.saturating_add(call.budget_ms);
         if let Some(token) = &call.idempotency_key
-            && !self.classes.takes_new_tokens(class, self.moment.now)
-            && self.earlier(token, t0).is_none()
+            && !self.classes.takes_new_tokens(class, self.timestamp.now)
+            && self.earlier_attempt(token, t0).is_none()
         {
             call.idempotency_key = None;
         }
         // It did not wait here before there was a connection. Guards against stamps of long ago, which would tell
         // the module that requests wait unread.
         let queued = Span(unix.saturating_sub(t0).saturating_mul(MS));
-        let since = Span(self.moment.now.0.saturating_sub(opened.0));
+        let since = Span(self.timestamp.now.0.saturating_sub(opened.0));
         let queued = queued.min(Span(since.0.saturating_add(UNREAD_FIRST.0)));
         // Nor did it wait for this server while its own connection's pace held it back. Guards against a flood that
         // makes a server with time to read count as one that doesn't get to it, and health that goes bad by it.
         let queued =
-            paced.map_or(queued, |until| queued.min(Span(self.moment.now.0.saturating_sub(until.0))));
+            paced.map_or(queued, |until| queued.min(Span(self.timestamp.now.0.saturating_sub(until.0))));
         if let Some(token) = &call.idempotency_key
-            && !self.keys.ran(token, t0)
-            && self.ledger.refuses(self.moment.now).is_some()
+            && !self.idempotency_table.ran(token, t0)
+            && self.idempotency_log.refuses(self.timestamp.now).is_some()
         {
             // It can't be made sure that this never runs twice. Whatever ran before is answered all the same.
-            return self.turn_away(conn, seq, class, self.store_advice());
+            return self.reject(conn, seq, class, self.store_retry_after());
         }
-        let print = if call.idempotency_key.is_some() { self.print(class, &call.body) } else { 0 };
-        let earlier = call.idempotency_key.as_ref().and_then(|token| self.earlier(token, t0));
+        let print = if call.idempotency_key.is_some() { self.fingerprint(class, &call.body) } else { 0 };
+        let earlier = call.idempotency_key.as_ref().and_then(|token| self.earlier_attempt(token, t0));
         if earlier.as_ref().is_some_and(|(_, first)| *first != print) {
             // Guards against a stranger who learnt a token: its request would be served another's result.
             let why = "the token came before with another body or class".into();
-            return self.invalid(conn, seq, Some(class), RequestError::Conflict, why);
+            return self.reject_invalid(conn, seq, Some(class), RequestError::Conflict, why);
         }
         let earlier = earlier.map(|(id, _)| id);
         // A repeat of what is there is answered from it, and costs the fleet nothing.
         let repeats = call.retry && earlier.is_none();
-        if !self.fleet_takes(tenant, class, repeats) {
+        if !self.cluster_admits(tenant, class, repeats) {
             let limits = &self.settings.limits;
             let advice = if limits.retry_after { limits.max_retry_after } else { Span(0) };
-            return self.turn_away(conn, seq, class, advice);
+            return self.reject(conn, seq, class, advice);
         }
-        let Some(connection) = self.conns.get_mut(conn) else { return };
+        let Some(connection) = self.connections.get_mut(conn) else { return };
         connection.open.insert(seq, call.id.clone());
         if let Some(token) = &call.idempotency_key {
-            self.requests.batch.insert(Arc::clone(token), call.id.clone());
+            self.requests.new_keys.insert(Arc::clone(token), call.id.clone());
         }
         self.events.push(Event::Arrived(Request {
             id: call.id.clone(),
@@ -265,7 +271,7 @@
             earlier,
             queued_for: queued,
         }));
-        let open = Open {
+        let open = OpenRequest {
             first: !call.retry,
             conn,
             seq,
@@ -286,14 +292,14 @@
         self.requests.body_bytes += open.body.len() + BESIDE;
         self.classes.acquire(class);
         tenant.into_iter().for_each(|tenant| self.tenants.acquire(tenant));
-        self.requests.open.insert(call.id, open);
+        self.requests.by_id.insert(call.id, open);
     }
 
     /// Takes a request out of the books; nothing of it refers to its class and its tenant any more.
-    pub(super) fn forget(&mut self, id: &RequestId) {
+    pub(super) fn forget_request(&mut self, id: &RequestId) {
         if let Some(open) = self.requests.remove(id) {
             if let (State::Joined(_), Some(token)) = (open.state, &open.token) {
-                self.keys.leave(token, id);
+                self.idempotency_table.leave(token, id);
             }
             self.classes.release(open.class);
             open.tenant.into_iter().for_each(|tenant| self.tenants.release(tenant));
@@ -301,22 +307,22 @@
     }
 
     /// Turns away what the module never hears of.
-    pub(super) fn turn_away(&mut self, conn: ConnectionId, seq: SequenceId, class: usize, backoff: Span) {
-        self.conns.rest(conn, self.moment.now);
+    pub(super) fn reject(&mut self, conn: ConnectionId, seq: SequenceId, class: usize, backoff: Span) {
+        self.connections.touch_and_rest(conn, self.timestamp.now);
         let answer = Response::Rejected { retry_after: backoff, no_failover: false };
-        self.tally.answered(&self.classes.profile(class).name, &answer);
+        self.metrics.answered(&self.classes.profile(class).name, &answer);
         self.effects.push(Effect::Respond {
             connection: conn,
             sequence: seq,
             response: answer,
-            capacity_hint: self.hint,
+            capacity_hint: self.capacity_hint,
         });
-        self.close_if_over(conn);
+        self.close_if_done(conn);
     }
 
     /// Keyed, so that nobody can choose two bodies with one print; and by name, which a store outlives.
-    fn print(&self, class: usize, body: &[u8]) -> Fingerprint {
-        let mut hasher = SipHasher13::new_with_keys(self.past.salt, !self.past.salt);
+    fn fingerprint(&self, class: usize, body: &[u8]) -> Fingerprint {
+        let mut hasher = SipHasher13::new_with_keys(self.recovery.salt, !self.recovery.salt);
         let name = self.classes.profile(class).name.as_bytes();
         hasher.write_usize(name.len());
         hasher.write(name);
@@ -324,18 +330,18 @@
         hasher.finish()
     }
 
-    pub(super) fn earlier(&self, token: &str, t0: u64) -> Option<(RequestId, Fingerprint)> {
+    pub(super) fn earlier_attempt(&self, token: &str, t0: u64) -> Option<(RequestId, Fingerprint)> {
         let held = |id: &RequestId| {
-            self.requests.open.get(id).is_some_and(|open| open.state == State::Held && open.owed)
+            self.requests.by_id.get(id).is_some_and(|open| open.state == State::Held && open.owed)
         };
         // Two of one batch are linked before the module could keep the first.
-        let batch = self.requests.batch.get(token).filter(|id| held(id));
-        let batch = batch.and_then(|id| Some((id.clone(), self.requests.open.get(id)?.print)));
-        batch.or_else(|| self.keys.earlier(token, t0, self.moment.now, held))
+        let batch = self.requests.new_keys.get(token).filter(|id| held(id));
+        let batch = batch.and_then(|id| Some((id.clone(), self.requests.by_id.get(id)?.print)));
+        batch.or_else(|| self.idempotency_table.earlier(token, t0, self.timestamp.now, held))
     }
 
     /// Answers what can't be taken; counted where its class is known, since peers count it under that.
-    pub(super) fn invalid(
+    pub(super) fn reject_invalid(
         &mut self,
         conn: ConnectionId,
         seq: SequenceId,
@@ -343,96 +349,99 @@
         misuse: RequestError,
         why: String,
     ) {
-        self.conns.rest(conn, self.moment.now);
+        self.connections.touch_and_rest(conn, self.timestamp.now);
         self.log(Level::Warning, format!("a request on connection {conn} made no sense: {why}"));
         let answer = Response::Invalid { error: misuse, text: why };
         if let Some(class) = class {
-            self.tally.answered(&self.classes.profile(class).name, &answer);
+            self.metrics.answered(&self.classes.profile(class).name, &answer);
         }
         self.effects.push(Effect::Respond {
             connection: conn,
             sequence: seq,
             response: answer,
-            capacity_hint: self.hint,
+            capacity_hint: self.capacity_hint,
         });
-        self.close_if_over(conn);
+        self.close_if_done(conn);
     }
 
-    pub(super) fn cancel(&mut self, conn: ConnectionId, seq: SequenceId) {
+    pub(super) fn cancel_request(&mut self, conn: ConnectionId, seq: SequenceId) {
         // Otherwise the cancel has crossed the answer.
-        let open =
-            self.conns.touch(conn, self.moment.now).and_then(|connection| connection.open.remove(&seq));
+        let open = self
+            .connections
+            .touch(conn, self.timestamp.now)
+            .and_then(|connection| connection.open.remove(&seq));
         // Also one that only ever cancels what isn't open: it must not hold its place unseen.
-        self.conns.rest(conn, self.moment.now);
+        self.connections.touch_and_rest(conn, self.timestamp.now);
         if let Some(id) = open {
-            self.gone(&id);
-            self.close_if_over(conn);
+            self.caller_gone(&id);
+            self.close_if_done(conn);
         }
     }
 
     /// Nobody waits for a request any more.
-    pub(super) fn gone(&mut self, id: &RequestId) {
-        let Some(open) = self.requests.open.get_mut(id) else { return };
+    pub(super) fn caller_gone(&mut self, id: &RequestId) {
+        let Some(open) = self.requests.by_id.get_mut(id) else { return };
         open.owed = false;
         if open.state != State::Running {
             // The module may still release its key: it is taken out after that.
-            self.requests.left.push(id.clone());
+            self.requests.abandoned.push(id.clone());
         }
         self.events.push(Event::CallerGone(id.clone()));
     }
 
     /// A final answer of the module's own; a run goes on in the books until its notice.
-    pub(super) fn finish(&mut self, id: &RequestId, answer: Response) {
-        self.answer(id, answer);
-        if self.requests.open.get(id).is_some_and(|open| open.state != State::Running) {
-            self.forget(id);
+    pub(super) fn respond_and_release(&mut self, id: &RequestId, answer: Response) {
+        self.respond(id, answer);
+        if self.requests.by_id.get(id).is_some_and(|open| open.state != State::Running) {
+            self.forget_request(id);
         }
     }
 
-    pub(super) fn answer_end(&mut self, id: &RequestId, end: RunOutcome) {
+    pub(super) fn respond_with_outcome(&mut self, id: &RequestId, end: RunOutcome) {
         let answer = match end {
             RunOutcome::Served(result) => Response::Served(result),
-            RunOutcome::Failed => Response::Failed { timed_out: self.is_late(id) },
+            RunOutcome::Failed => Response::Failed { timed_out: self.is_past_deadline(id) },
             RunOutcome::Unknown => Response::OutcomeUnknown,
         };
-        self.answer(id, answer);
+        self.respond(id, answer);
     }
 
     /// Whether the time that a request's caller waits is up.
-    pub(super) fn is_late(&self, id: &RequestId) -> bool {
-        self.requests.open.get(id).is_some_and(|open| self.moment.unix_ms >= open.due_ms)
+    pub(super) fn is_past_deadline(&self, id: &RequestId) -> bool {
+        self.requests.by_id.get(id).is_some_and(|open| self.timestamp.unix_ms >= open.due_ms)
     }
 
     /// A repeat is answered from the run of another try.
-    pub(super) fn joined(&mut self, id: &RequestId, end: RunOutcome) {
-        let Some(Open { state: State::Joined(since), owed: true, .. }) = self.requests.open.get(id) else {
+    pub(super) fn respond_to_repeat(&mut self, id: &RequestId, end: RunOutcome) {
+        let Some(OpenRequest { state: State::Joined(since), owed: true, .. }) = self.requests.by_id.get(id)
+        else {
             return;
         };
-        let took = Span(self.moment.now.0.saturating_sub(since.0));
+        let took = Span(self.timestamp.now.0.saturating_sub(since.0));
         let outcome = if matches!(end, RunOutcome::Served(_)) { Outcome::Success } else { Outcome::Failure };
-        self.answer_end(id, end);
-        self.forget(id);
+        self.respond_with_outcome(id, end);
+        self.forget_request(id);
         self.events.push(Event::Completed { id: id.clone(), outcome, took });
     }
 
     /// Sends the one final answer, if it is still owed.
-    pub(super) fn answer(&mut self, id: &RequestId, answer: Response) {
-        let Some(open) = self.requests.open.get_mut(id).filter(|open| open.owed) else { return };
+    pub(super) fn respond(&mut self, id: &RequestId, answer: Response) {
+        let Some(open) = self.requests.by_id.get_mut(id).filter(|open| open.owed) else { return };
         open.owed = false;
         let (conn, seq) = (open.conn, open.seq);
         let (tenant, class, first) = (open.tenant, open.class, open.first);
         if first && matches!(answer, Response::Served(_)) {
-            self.agreed_count(tenant, class, 0, 1);
+            self.count_for_rollback(tenant, class, 0, 1);
         }
-        let Some(open) = self.requests.open.get(id) else { return };
-        self.tally.answered(&self.classes.profile(open.class).name, &answer);
-        self.conns.answered(conn, seq, self.moment.now);
+        let Some(open) = self.requests.by_id.get(id) else { return };
+        self.metrics.answered(&self.classes.profile(open.class).name, &answer);
+        self.connections.response_sent(conn, seq, self.timestamp.now);
         self.effects.push(Effect::Respond {
             connection: conn,
             sequence: seq,
             response: answer,
-            capacity_hint: self.hint,
+            capacity_hint: self.capacity_hint,
         });
-        self.close_if_over(conn);
+        self.close_if_done(conn);
     }
 }
--- a/crates/core/src/reducer/housekeeping.rs
+++ b/crates/core/src/reducer/schedule.rs
@@ -1,6 +1,6 @@
 //! What is due by the clock: reports to the control plane, sweeps, and the module's timers.
 
-use super::link::GAUGES_WAIT;
+use super::processor_link::GAUGES_WAIT;
 use super::{MS, Reducer};
 use crate::messages::Effect;
 use gradepin_admission::{Span, Time, time_after};
@@ -16,7 +16,7 @@
 
 /// When what is due.
 #[derive(Debug, Default)]
-pub(super) struct Duties {
+pub(super) struct Schedule {
     next_report: Time,
     /// Reports still to come soon of the last change.
     changes: u32,
@@ -25,36 +25,36 @@
     timers: BTreeSet<Time>,
 }
 
-impl Duties {
+impl Schedule {
     /// What is reported has changed, or where to: it is told at once, and some times more.
-    pub(super) fn changed(&mut self, now: Time) {
+    pub(super) fn report_change(&mut self, now: Time) {
         self.changes = REPORTS_OF_A_CHANGE;
         self.next_report = now;
     }
 
     /// The module wants to be called then.
-    pub(super) fn remind(&mut self, at: Time) {
+    pub(super) fn set_timer(&mut self, at: Time) {
         self.timers.insert(at);
     }
 
     /// The first of its timers, if it is due.
-    pub(super) fn due(&self, now: Time) -> Option<Time> {
+    pub(super) fn due_timer(&self, now: Time) -> Option<Time> {
         self.timers.first().copied().filter(|due| *due <= now)
     }
 
     /// Takes the next of its timers that is due.
-    pub(super) fn take_due(&mut self, now: Time) -> Option<Time> {
-        self.due(now)?;
+    pub(super) fn take_due_timer(&mut self, now: Time) -> Option<Time> {
+        self.due_timer(now)?;
         self.timers.pop_first()
     }
 
     /// Whether the module has a turn though nothing came in: a timer is due, or none is set at all.
-    pub(super) fn has_turn(&self, now: Time) -> bool {
+    pub(super) fn admission_is_due(&self, now: Time) -> bool {
         self.timers.first().is_none_or(|due| *due <= now)
     }
 
     /// When its first timer fires, where a question for the gauges is open since then.
-    pub(super) fn timer_at(&self, now: Time, asked: Option<Time>) -> Option<Time> {
+    pub(super) fn timer_due_at(&self, now: Time, asked: Option<Time>) -> Option<Time> {
         self.timers.first().map(|&due| match asked {
             Some(since) if due <= now => time_after(since, GAUGES_WAIT),
             _ => due,
@@ -79,29 +79,32 @@
 
 impl Reducer {
     /// What is reported has changed, or where to.
-    pub(super) fn changed(&mut self) {
-        self.duties.changed(self.moment.now);
+    pub(super) fn report_change(&mut self) {
+        self.schedule.report_change(self.timestamp.now);
     }
 
-    pub(super) fn housekeeping(&mut self) {
-        let now = self.moment.now;
-        if self.duties.report_due(now) && self.controller.is_some() && self.drain.handover.reports() {
-            let ready = self.active && !self.registration.is_out() && self.door.draining_since().is_none();
+    pub(super) fn periodic_step(&mut self) {
+        let now = self.timestamp.now;
+        if self.schedule.report_due(now) && self.controller.is_some() && self.drain.handover.reports() {
+            let ready =
+                self.healthy && !self.registration.is_out() && self.operator_drain.draining_since().is_none();
             self.effects.push(Effect::ReportReadiness { ready });
         }
-        if now >= self.duties.next_sweep {
+        if now >= self.schedule.next_sweep {
             // What is left of a sweep has its turn with the next step, which comes at once.
-            let more = self.settle_classes() | self.keys.sweep(now) | self.close_idle();
-            self.duties.next_sweep = if more { now } else { time_after(now, SWEEP_EVERY) };
-            self.conns.tidy();
+            let more = self.release_class_slots()
+                | self.idempotency_table.sweep(now)
+                | self.drain_idle_connections();
+            self.schedule.next_sweep = if more { now } else { time_after(now, SWEEP_EVERY) };
+            self.connections.drop_stale_entries();
         }
-        self.keep();
+        self.persist();
         if self.registration.drain_is_due(now) {
-            self.terminate();
+            self.begin_shutdown();
         }
-        let grace = time_after(self.drain.since(now), self.settings.rules.drain_grace);
-        let answered = self.drain.is_told() && self.requests.is_empty() && now > grace;
-        self.registration.step(self.moment, answered, &mut self.effects);
-        self.end();
+        let grace = time_after(self.drain.notified_or(now), self.settings.rules.drain_grace);
+        let answered = self.drain.is_draining() && self.requests.is_empty() && now > grace;
+        self.registration.step(self.timestamp, answered, &mut self.effects);
+        self.exit_when_done();
     }
 }
--- a/crates/core/src/reducer/settings.rs
+++ b/crates/core/src/reducer/settings_changes.rs
@@ -57,15 +57,15 @@
 
 /// What was applied: classes by what became of them, the first names of each kind, and how many tenants and rules.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Applied {
+pub struct ApplySummary {
     /// Classes that are new.
-    pub added: Named,
+    pub added: NameList,
     /// Classes in force with other figures.
-    pub changed: Named,
+    pub changed: NameList,
     /// Classes removed.
-    pub dropped: Named,
+    pub dropped: NameList,
     /// Classes that were removed before and are back.
-    pub back: Named,
+    pub back: NameList,
     /// Tenants added, changed or removed.
     pub tenants: usize,
     /// Rules set.
@@ -74,14 +74,14 @@
 
 /// How many, and the first of their names.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Named {
+pub struct NameList {
     /// How many.
     pub count: usize,
     /// The names of the first ones.
     pub first: Vec<String>,
 }
 
-impl Named {
+impl NameList {
     fn add(&mut self, name: &str) {
         self.count += 1;
         if self.first.len() < NAMES_TOLD {
@@ -98,56 +98,56 @@
 
 /// A file that is being applied.
 #[derive(Debug)]
-struct Pending {
+struct PendingReload {
     reload: Box<Reload>,
     next: usize,
-    applied: Applied,
+    applied: ApplySummary,
 }
 
 /// The reducer's books on changes of settings.
 #[derive(Debug, Default)]
-pub(super) struct Changes {
-    pending: Option<Pending>,
+pub(super) struct SettingsChanges {
+    reload: Option<PendingReload>,
     /// Of changes of the names in force; files are compared with those of one number.
     edition: u64,
     /// Classes, tenants and rules come from committed revisions: a file changes all else.
-    committed: bool,
-    window: Span,
-    names: Vec<NameChange>,
+    is_committed: bool,
+    longest_window: Span,
+    name_changes: Vec<NameChange>,
 }
 
-impl Changes {
+impl SettingsChanges {
     /// At the start, with the longest window of the classes.
-    pub(super) fn starting(window: Span) -> Self {
-        Self { window, ..Self::default() }
+    pub(super) fn new(longest_window: Span) -> Self {
+        Self { longest_window, ..Self::default() }
     }
 
     /// Classes, tenants and rules come from committed revisions.
     pub(super) fn set_committed(&mut self) {
-        self.committed = true;
+        self.is_committed = true;
     }
 
     /// Whether a file is being applied.
-    pub(super) fn is_pending(&self) -> bool {
-        self.pending.is_some()
+    pub(super) fn is_reloading(&self) -> bool {
+        self.reload.is_some()
     }
 }
 
 impl Reducer {
     /// Classes, tenants and rules come from committed revisions: a file that is read again changes all else.
     pub fn with_committed_settings(mut self) -> Self {
-        self.changes.set_committed();
+        self.settings_changes.set_committed();
         self
     }
 
     /// Applies a transaction, whole or not at all, at a cost that goes by its size. Its effects come with the next step,
     /// which is due at once.
-    pub fn apply_transaction(&mut self, transaction: &Transaction) -> Result<Applied, ApplyError> {
-        if let Some(pending) = &self.changes.pending {
+    pub fn apply_transaction(&mut self, transaction: &Transaction) -> Result<ApplySummary, ApplyError> {
+        if let Some(pending) = &self.settings_changes.reload {
             return Err(ApplyError::ReloadUnderWay(pending.next));
         }
         self.check_transaction(&transaction.changes)?;
-        let mut applied = Applied::default();
+        let mut applied = ApplySummary::default();
         let mut rest = None;
         for change in &transaction.changes {
             if let Change::PutRule(rule) = change {
@@ -156,18 +156,18 @@
             self.apply(change, &mut applied);
         }
         if let Some(rest) = rest {
-            self.set_rest(rest);
+            self.replace_settings(rest);
         }
-        self.changes.edition += u64::from(!self.changes.names.is_empty());
-        self.tell_names();
+        self.settings_changes.edition += u64::from(!self.settings_changes.name_changes.is_empty());
+        self.publish_names();
         self.log_applied(&applied);
         Ok(applied)
     }
 
     /// Whether every change can be applied in its turn, by the names that the ones before leave.
     fn check_transaction(&self, changes: &[Change]) -> Result<(), ApplyError> {
-        let mut classes = Tally::new(self.classes.in_force());
-        let mut tenants = Tally::new(self.tenants.in_force());
+        let mut classes = NameTally::new(self.classes.in_force());
+        let mut tenants = NameTally::new(self.tenants.in_force());
         for change in changes {
             match change {
                 Change::PutClass(class) => {
@@ -198,10 +198,10 @@
         if classes.in_force == 0 {
             return Err(ApplyError::NoClass);
         }
-        self.check_room(classes.in_force, classes.new, tenants.in_force, tenants.new)
+        self.check_capacity(classes.in_force, classes.new, tenants.in_force, tenants.new)
     }
 
-    fn check_room(
+    fn check_capacity(
         &self,
         classes: usize,
         new_classes: usize,
@@ -217,14 +217,14 @@
         Ok(())
     }
 
-    fn apply(&mut self, change: &Change, applied: &mut Applied) {
+    fn apply(&mut self, change: &Change, applied: &mut ApplySummary) {
         match change {
             Change::PutClass(class) => self.put_class(class, applied),
             Change::RemoveClass(name) => {
-                if let Some(slot) = self.classes.remove(self.moment.now, name) {
+                if let Some(slot) = self.classes.remove(self.timestamp.now, name) {
                     applied.dropped.add(name);
                     let dropped = NameChange::ClassRemoved(Arc::clone(self.classes.defined(slot)));
-                    self.changes.names.push(dropped);
+                    self.settings_changes.name_changes.push(dropped);
                 }
             }
             Change::PutTenant(tenant) => self.put_tenant(tenant, applied),
@@ -233,144 +233,145 @@
         }
     }
 
-    fn put_class(&mut self, class: &Arc<ClassDefinition>, applied: &mut Applied) {
-        let (slot, put) = self.classes.put(self.moment.now, Arc::clone(class));
+    fn put_class(&mut self, class: &Arc<ClassDefinition>, applied: &mut ApplySummary) {
+        let (slot, put) = self.classes.put(self.timestamp.now, Arc::clone(class));
         match put {
             Put::Same => return,
             Put::Added => applied.added.add(&class.profile.name),
             Put::Changed => applied.changed.add(&class.profile.name),
             Put::Back => applied.back.add(&class.profile.name),
         }
-        self.tell_class(slot);
-        self.changes
-            .names
+        self.put_admission_class(slot);
+        self.settings_changes
+            .name_changes
             .push(NameChange::Class { handle: self.classes.handle(slot), class: Arc::clone(class) });
     }
 
     /// The module goes by what holds for the class in a slot now.
-    fn tell_class(&mut self, slot: usize) {
+    fn put_admission_class(&mut self, slot: usize) {
         if let Some(controller) = &mut self.controller {
             controller.put_class(slot, Arc::clone(self.classes.get(slot)));
         }
     }
 
-    fn put_tenant(&mut self, tenant: &Arc<Tenant>, applied: &mut Applied) {
+    fn put_tenant(&mut self, tenant: &Arc<Tenant>, applied: &mut ApplySummary) {
         let placed = self.tenants.put(Arc::clone(tenant));
         if placed.put == Put::Same {
             return;
         }
         applied.tenants += 1;
-        self.changes.names.extend(placed.gone.map(NameChange::TenantForgotten));
+        self.settings_changes.name_changes.extend(placed.gone.map(NameChange::TenantForgotten));
         let handle = self.tenants.handle(placed.slot);
-        self.changes.names.push(NameChange::Tenant { handle, tenant: Arc::clone(tenant) });
-        self.tell_tenant(placed.slot, tenant.quota_rps, placed.put == Put::Added);
+        self.settings_changes.name_changes.push(NameChange::Tenant { handle, tenant: Arc::clone(tenant) });
+        self.put_admission_tenant(placed.slot, tenant.quota_rps, placed.put == Put::Added);
     }
 
-    fn remove_tenant(&mut self, name: &str, applied: &mut Applied) {
+    fn remove_tenant(&mut self, name: &str, applied: &mut ApplySummary) {
         let slot = self.tenants.find(name);
         let tenant = slot.and_then(|slot| self.tenants.get(slot)).map(Arc::clone);
         let (Some(slot), Some(tenant)) = (self.tenants.remove(name), tenant) else { return };
         applied.tenants += 1;
-        self.changes.names.push(NameChange::TenantRemoved(tenant));
+        self.settings_changes.name_changes.push(NameChange::TenantRemoved(tenant));
         // Of no share: the module sets no bound by a quota of 0.
-        self.tell_tenant(slot, 0.0, false);
+        self.put_admission_tenant(slot, 0.0, false);
     }
 
-    fn tell_tenant(&mut self, slot: usize, quota_rps: f64, another: bool) {
-        self.fleet_tenant_changed(slot);
+    fn put_admission_tenant(&mut self, slot: usize, quota_rps: f64, another: bool) {
+        self.forget_reported_quota(slot);
         if let Some(controller) = &mut self.controller {
             controller.put_tenant(slot, quota_rps, another);
         }
     }
 
     /// All settings but classes and tenants are these from now on.
-    fn set_rest(&mut self, rest: Settings) {
+    fn replace_settings(&mut self, rest: Settings) {
         self.settings = Arc::new(rest);
         if let Some(controller) = &mut self.controller {
             controller.set_rest(Settings::clone(&self.settings));
         }
-        self.fleet_retuned();
+        self.cluster_settings_changed();
     }
 
     /// Tells the shell which names have changed.
-    fn tell_names(&mut self) {
-        let changes = std::mem::take(&mut self.changes.names);
+    fn publish_names(&mut self) {
+        let changes = std::mem::take(&mut self.settings_changes.name_changes);
         if !changes.is_empty() {
-            self.effects.push(Effect::UpdateNames { edition: self.changes.edition, changes });
+            self.effects.push(Effect::UpdateNames { edition: self.settings_changes.edition, changes });
         }
         let window = self.classes.longest_window();
-        if window != std::mem::replace(&mut self.changes.window, window) {
+        if window != std::mem::replace(&mut self.settings_changes.longest_window, window) {
             self.effects.push(Effect::SetLongestWindow(window));
         }
     }
 
-    fn log_applied(&mut self, applied: &Applied) {
-        let Applied { added, dropped, back, .. } = applied;
+    fn log_applied(&mut self, applied: &ApplySummary) {
+        let ApplySummary { added, dropped, back, .. } = applied;
         let (added, dropped, back) = (added.text(), dropped.text(), back.text());
         let text = format!("settings in force: classes added {added}, dropped {dropped}, back {back}");
         self.log(Level::Info, text);
     }
 
     /// A file read at a reload could not be used; the configuration in force stays.
-    pub(super) fn reload_refused(&mut self, why: &str) {
-        self.tally.reloaded(false);
+    pub(super) fn reload_rejected(&mut self, why: &str) {
+        self.metrics.reloaded(false);
         self.log(Level::Error, format!("the configuration was turned down, all stays as it was: {why}"));
         self.effects.push(Effect::ReloadFinished);
     }
 
     /// Takes over what may change while serving; where the classes and tenants can't be taken, nothing of the file is.
     pub(super) fn reload(&mut self, mut reload: Box<Reload>) {
-        if self.changes.committed {
+        if self.settings_changes.is_committed {
             reload.changes.clear();
             (reload.new_classes, reload.new_tenants) = (0, 0);
         } else if let Err(why) = self.check_reload(&reload) {
-            return self.reload_refused(&why);
+            return self.reload_rejected(&why);
         }
-        self.changes.pending = Some(Pending { reload, next: 0, applied: Applied::default() });
+        self.settings_changes.reload =
+            Some(PendingReload { reload, next: 0, applied: ApplySummary::default() });
         self.reload_step();
     }
 
     fn check_reload(&self, reload: &Reload) -> Result<(), String> {
-        if self.changes.pending.is_some() {
+        if self.settings_changes.reload.is_some() {
             return Err("expected the file before to be in force, got another".into());
         }
-        if reload.compared_at != self.changes.edition {
+        if reload.compared_at != self.settings_changes.edition {
             return Err("expected a file compared with what is in force, got a change since".into());
         }
-        self.check_room(0, reload.new_classes, 0, reload.new_tenants).map_err(|why| why.to_string())
+        self.check_capacity(0, reload.new_classes, 0, reload.new_tenants).map_err(|why| why.to_string())
     }
 
     /// Applies the next piece of a file; with the last one it is in force.
     pub(super) fn reload_step(&mut self) {
-        let Some(mut pending) = self.changes.pending.take() else { return };
+        let Some(mut pending) = self.settings_changes.reload.take() else { return };
         let end = pending.reload.changes.len().min(pending.next + PIECE);
         for place in pending.next..end {
             self.apply(&pending.reload.changes[place], &mut pending.applied);
         }
         pending.next = end;
         let done = end == pending.reload.changes.len();
-        self.changes.edition += u64::from(!self.changes.names.is_empty());
-        self.tell_names();
+        self.settings_changes.edition += u64::from(!self.settings_changes.name_changes.is_empty());
+        self.publish_names();
         if done {
-            self.reloaded(*pending.reload, &pending.applied);
+            self.finish_reload(*pending.reload, &pending.applied);
         } else {
-            self.changes.pending = Some(pending);
+            self.settings_changes.reload = Some(pending);
         }
     }
 
     /// The classes and tenants of a file are in force; the rest of it now is too.
-    fn reloaded(&mut self, reload: Reload, applied: &Applied) {
+    fn finish_reload(&mut self, reload: Reload, applied: &ApplySummary) {
         let mut config = reload.config;
-        self.tally.reloaded(true);
+        self.metrics.reloaded(true);
         let called = self.settings.specifics.below == UpstreamKind::Shared;
         let mut rest = std::mem::take(&mut config.settings);
-        if self.changes.committed {
+        if self.settings_changes.is_committed {
             rest.rules = self.settings.rules.clone();
             rest.over_quota_weight = self.settings.over_quota_weight;
             let text = "classes, tenants and rules hold as committed; the file's are not used";
             self.log(Level::Info, text.into());
         }
-        self.set_rest(rest);
+        self.replace_settings(rest);
         self.log_applied(applied);
         if (&config.name, config.listen) != (&self.config.name, self.config.listen) {
             self.log(Level::Warning, "a new name or address to listen on takes a restart".into());
@@ -389,8 +390,8 @@
             self.config.ledger = Some(ledger);
         }
         // The new control plane is to hear of this server at once, whether or not it knows the old one's list.
-        self.changed();
-        self.drain.stop = Span(config.stop_ms.saturating_mul(MS));
+        self.report_change();
+        self.drain.stop_after = Span(config.stop_ms.saturating_mul(MS));
         let (processor, control) = (config.processor, config.control);
         self.log(Level::Info, format!("reloaded: the processor is at {processor}, control at {control}"));
         (self.config.processor, self.config.control) = (processor, control);
@@ -399,35 +400,35 @@
 
     /// Frees the slots of dropped classes that nothing refers to, and has classes that were keyed be so no more once their
     /// windows are past; whether more are due.
-    pub(super) fn settle_classes(&mut self) -> bool {
+    pub(super) fn release_class_slots(&mut self) -> bool {
         if !self.events.is_empty() {
             // Of requests that are over here and not yet in the module's books.
             return false;
         }
-        for settled in self.classes.settle(self.moment.now, SETTLED) {
+        for settled in self.classes.settle(self.timestamp.now, SETTLED) {
             match settled {
                 Settled::Freed(slot, class) => {
-                    self.fleet_class_gone(slot);
-                    self.changes.names.push(NameChange::ClassForgotten(class));
-                    self.tell_class(slot);
+                    self.forget_run_estimate(slot);
+                    self.settings_changes.name_changes.push(NameChange::ClassForgotten(class));
+                    self.put_admission_class(slot);
                 }
-                Settled::Unkeyed(slot) => self.tell_class(slot),
+                Settled::Unkeyed(slot) => self.put_admission_class(slot),
             }
         }
-        self.tell_names();
-        self.classes.is_due(self.moment.now)
+        self.publish_names();
+        self.classes.is_due(self.timestamp.now)
     }
 }
 
 /// The names in force as the changes of a transaction leave them, without a copy of those it leaves alone.
-struct Tally<'a> {
+struct NameTally<'a> {
     in_force: usize,
     /// Names that had no slot.
     new: usize,
     touched: HashMap<&'a str, bool>,
 }
 
-impl<'a> Tally<'a> {
+impl<'a> NameTally<'a> {
     fn new(in_force: usize) -> Self {
         Self { in_force, new: 0, touched: HashMap::new() }
     }
--- a/crates/core/src/reducer/calls.rs
+++ b/crates/core/src/reducer/upstream_calls.rs
@@ -11,42 +11,42 @@
 
 impl Reducer {
     /// A run waits for a call with this body; the module hears of it, unless the request is no longer in the books.
-    pub(super) fn asks(&mut self, id: &RequestId, body: Buffer) {
+    pub(super) fn upstream_call_requested(&mut self, id: &RequestId, body: Buffer) {
         // It goes on from the call before: that one's reply has arrived.
-        self.link.replied(id);
+        self.processor.reply_received(id);
         let Some(open) = self.requests.get_mut(id) else { return };
         open.call = Some(Arc::new(body));
         (open.call_since, open.call_number) = (None, None);
-        self.fleet_asks(id, true);
+        self.note_call_requested(id, true);
         self.events.push(Event::UpstreamCallNeeded(id.clone()));
     }
 
     /// The module makes the call a run waits for.
-    pub(super) fn ask_below(&mut self, id: &RequestId, timeout: Span) {
+    pub(super) fn start_upstream_call(&mut self, id: &RequestId, timeout: Span) {
         let Some(open) = self.requests.get_mut(id) else { return };
         if open.call.is_none() || open.call_since.is_some() {
             return;
         }
-        open.call_since = Some(self.moment.now);
+        open.call_since = Some(self.timestamp.now);
         let timeout = if timeout.0 == 0 { self.classes.profile(open.class).deadline } else { timeout };
-        self.fleet_asks(id, false);
-        if self.fleet.is_on() {
-            self.call_waits(id, timeout);
+        self.note_call_requested(id, false);
+        if self.cluster.is_on() {
+            self.queue_upstream_call(id, timeout);
         } else {
-            self.make_call(id, timeout, None);
+            self.send_upstream_call(id, timeout, None);
         }
     }
 
     /// A call leaves, with so much time for its reply; past a time it must not leave any more. Its number.
-    pub(super) fn make_call(
+    pub(super) fn send_upstream_call(
         &mut self,
         id: &RequestId,
         timeout: Span,
         leaves: Option<Time>,
     ) -> UpstreamCallId {
-        let now = self.moment.now;
-        self.calls += 1;
-        let number = self.calls;
+        let now = self.timestamp.now;
+        self.last_upstream_call += 1;
+        let number = self.last_upstream_call;
         let body = self.requests.get_mut(id).and_then(|open| {
             // What it takes is the ledger's time, not the wait for a slot: the module goes by it.
             (open.call_since, open.call_number) = (Some(now), Some(number));
@@ -65,7 +65,7 @@
     }
 
     /// A call that was out ended.
-    pub(super) fn called(
+    pub(super) fn upstream_call_ended(
         &mut self,
         id: &RequestId,
         number: UpstreamCallId,
@@ -73,20 +73,20 @@
         reply: Option<Buffer>,
     ) {
         // Its slot is free, whatever became of the request meanwhile.
-        self.fleet_called(number, outcome);
-        self.call_ended(id, Some(number), outcome, reply);
+        self.release_call_slot(number, outcome);
+        self.complete_upstream_call(id, Some(number), outcome, reply);
     }
 
     /// A call ended, or with no number never left. Its reply goes to the run that waits for this call; the module hears how
     /// it went. Guards against the reply to a request's call that goes to another one under the same id.
-    pub(super) fn call_ended(
+    pub(super) fn complete_upstream_call(
         &mut self,
         id: &RequestId,
         number: Option<UpstreamCallId>,
         outcome: Outcome,
         reply: Option<Buffer>,
     ) {
-        let now = self.moment.now;
+        let now = self.timestamp.now;
         let Some(open) = self.requests.get_mut(id).filter(|open| open.call_number == number) else { return };
         let Some(since) = open.call_since.take() else { return };
         open.call_number = None;
@@ -98,10 +98,10 @@
         }
         if let (Outcome::Success, Some(reply)) = (outcome, reply) {
             open.call = None;
-            self.reply(id.clone(), Arc::new(reply));
+            self.deliver_reply(id.clone(), Arc::new(reply));
         } else {
             // It waits for its call still, until the module makes it again or gives the request up.
-            self.fleet_asks(id, true);
+            self.note_call_requested(id, true);
         }
         self.events.push(Event::UpstreamCallEnded { id: id.clone(), outcome, took });
     }
@@ -109,20 +109,20 @@
     /// Gives a run the reply to its call, now or once the link stands and is settled; what a fallen link may have lost
     /// is sent again then. Guards against runs that wait for a reply until their callers give up, and against calls
     /// made twice, or keyed requests failed, because a link fell beside them.
-    pub(super) fn reply(&mut self, id: RequestId, reply: Arc<Buffer>) {
-        if let Some(link) = self.link.settled() {
+    pub(super) fn deliver_reply(&mut self, id: RequestId, reply: Arc<Buffer>) {
+        if let Some(link) = self.processor.usable_link() {
             self.effects.push(Effect::DeliverUpstreamReply {
                 link,
                 id: id.clone(),
                 reply: Arc::clone(&reply),
             });
         }
-        self.link.replies.push((id, reply, self.link.asked));
+        self.processor.unconfirmed_replies.push((id, reply, self.processor.last_reading));
     }
 
     /// Stops a run where there is a link; a run that ends so is told as stopped.
-    pub(super) fn interrupt(&mut self, id: &RequestId) {
-        if let (Some(_), Some(link)) = (self.requests.get(id), self.link.number) {
+    pub(super) fn stop_run(&mut self, id: &RequestId) {
+        if let (Some(_), Some(link)) = (self.requests.get(id), self.processor.number) {
             self.effects.push(Effect::StopRun { link, id: id.clone() });
         }
     }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -281,7 +281,7 @@
                     part = part.with_configuration(configuration_service::order_settings(set));
                 }
                 let (version, settings) = (files.version.clone(), in_force.unwrap_or_default());
-                reducer = reducer.with_part(part, zone, version, settings);
+                reducer = reducer.with_agent(part, zone, version, settings);
                 if let (Some(service), Some(service_set)) = (&service, service_set) {
                     let start = service.start(service_set, set, &own_life, seed);
                     reducer = reducer.with_configuration(start, clock.read().now);
