--- a/crates/core/src/admin.rs
+++ b/crates/core/src/admin.rs
@@ -128,9 +128,9 @@
     /// The processor has greeted, and the module is there.
     pub processor: bool,
     /// The module says it takes work, and no operator took the server out.
-    pub well: bool,
+    pub healthy: bool,
     /// The notice to leave has come.
-    pub leaving: bool,
+    pub shutting_down: bool,
 }
 
 /// The drain that operators order at the door, and since when.
@@ -140,20 +140,14 @@
 }
 
 impl OperatorDrain {
-    /// Takes a call that changes something, and says what it is answered; the others are the reducer's to answer.
-    pub fn order(&mut self, now: Time, call: &AdminRequest) -> Option<AdminResponse> {
-        let changed = match call {
-            AdminRequest::StartDrain => {
-                self.draining_since.replace(self.draining_since.unwrap_or(now)).is_none()
-            }
-            AdminRequest::EndDrain => self.draining_since.take().is_some(),
-            AdminRequest::Health
-            | AdminRequest::Stats
-            | AdminRequest::Fleet
-            | AdminRequest::Agreement(_)
-            | AdminRequest::Configuration(_) => return None,
+    /// Starts or ends the drain; the response says whether that changed anything.
+    pub fn set(&mut self, now: Time, draining: bool) -> AdminResponse {
+        let changed = if draining {
+            self.draining_since.replace(self.draining_since.unwrap_or(now)).is_none()
+        } else {
+            self.draining_since.take().is_some()
         };
-        Some(AdminResponse::DrainState { draining: self.draining_since.is_some(), changed })
+        AdminResponse::DrainState { draining, changed }
     }
 
     /// Whether an operator drains the process, and since when.
@@ -162,14 +156,14 @@
     }
 
     /// Whether the process is ready: it answers as it serves, and says no at once after a drain was ordered.
-    pub fn ready(&self, standing: ReadinessInputs) -> Result<(), NotReadyReason> {
-        if standing.leaving {
+    pub fn readiness(&self, server: ReadinessInputs) -> Result<(), NotReadyReason> {
+        if server.shutting_down {
             Err(NotReadyReason::ShuttingDown)
         } else if self.draining_since.is_some() {
             Err(NotReadyReason::OperatorDrain)
-        } else if !standing.processor {
+        } else if !server.processor {
             Err(NotReadyReason::NoProcessor)
-        } else if !standing.well {
+        } else if !server.healthy {
             Err(NotReadyReason::Unhealthy)
         } else {
             Ok(())
--- a/crates/core/src/classes.rs
+++ b/crates/core/src/classes.rs
@@ -127,12 +127,12 @@
     }
 
     /// How many names more would find a slot now.
-    pub fn room(&self) -> usize {
+    pub fn free_slots(&self) -> usize {
         MAX_CLASS_SLOTS - (self.slots.len() - self.slots.free())
     }
 
     /// Whether a class of this name is in force.
-    pub fn knows(&self, name: &str) -> bool {
+    pub fn is_in_force(&self, name: &str) -> bool {
         let standing = self.slots.find(name).and_then(|slot| self.slots.get(slot));
         standing.is_some_and(|(_, standing)| standing.dropped.is_none())
     }
@@ -188,7 +188,7 @@
             self.count_window(definition.profile.window);
             return (self.slots.insert(definition, Standing::default()), Put::Added);
         };
-        if self.knows(&definition.profile.name) && **self.defined(slot) == *definition {
+        if self.is_in_force(&definition.profile.name) && **self.defined(slot) == *definition {
             return (slot, Put::Same);
         }
         self.count_window(definition.profile.window);
@@ -286,13 +286,13 @@
 
     /// Whether a token that nothing is known of counts now. Past the grace of a class that is keyed no more it doesn't: a run
     /// that began under one then would be inside its window when the class stops being keyed.
-    pub fn takes_new_tokens(&self, slot: usize, now: Time) -> bool {
+    pub fn accepts_new_keys(&self, slot: usize, now: Time) -> bool {
         let standing = self.slots.get(slot).map(|(_, standing)| standing);
         standing.is_none_or(|standing| standing.still.is_none() || now < standing.new_tokens)
     }
 
     /// Whether a request of the class in this slot is taken now.
-    pub fn takes(&self, slot: usize, now: Time) -> bool {
+    pub fn accepts_requests(&self, slot: usize, now: Time) -> bool {
         match self.slots.get(slot) {
             Some((_, Standing { dropped: None, .. })) => true,
             Some((_, Standing { dropped: Some(since), .. })) => now < time_after(*since, DROP_GRACE),
--- a/crates/core/src/handover.rs
+++ b/crates/core/src/handover.rs
@@ -67,18 +67,18 @@
     }
 
     /// The shell accepts no more; every connection it accepted was told before this.
-    pub fn stopped(&mut self) {
+    pub fn accepting_stopped(&mut self) {
         self.stopped = true;
     }
 
     /// Whether the control plane is to hear from this process: not once it hands over.
-    pub fn reports(&self) -> bool {
+    pub fn reports_readiness(&self) -> bool {
         self.since.is_none()
     }
 
     /// Whether a connection that was asked to drain then and last spoke then has rested long enough to be closed,
     /// during a hand-over.
-    pub fn closes(&self, now: Time, draining: Option<Time>, last: Time) -> bool {
+    pub fn may_close_idle(&self, now: Time, draining: Option<Time>, last: Time) -> bool {
         let rested = |since| time_after(since, IDLE_AFTER_DRAIN) <= now;
         self.since.is_some() && draining.is_some_and(rested) && rested(last)
     }
--- a/crates/core/src/idempotency_log.rs
+++ b/crates/core/src/idempotency_log.rs
@@ -1,10 +1,10 @@
-//! What of the keyed requests must be durable, and when: the order of intent, run, end and answer, and what is done when a
-//! disk doesn't keep up or fails. No I/O: records leave as effects, and what became of them is told.
+//! The log of keyed runs, which outlives the process: what must be durable, and when. It decides what is written; the records leave
+//! with effects, and the shell's store writes them.
 //!
-//! A keyed request's intent is written before its run is begun, and its end after it. An intent that is not durable in
-//! time is refused as never run, and a record behind it says so. While the store can't be trusted, keyed requests that
-//! no earlier run answers are refused with a time to come back; all others are served. The way back is always the same: all that
-//! is known is written anew, and counts once that is durable.
+//! The intent of a keyed run is durable before the run is sent to the processor; its outcome is written after it. A request whose
+//! intent is not durable in time is rejected as never run, and a record says so. While the store can't be relied on, keyed
+//! requests are rejected with a time to retry after, unless the outcome of an earlier attempt answers them; all others are served.
+//! The store recovers in one way: all that is known is written anew, and counts once that is durable.
 
 use crate::buffer_pool::Buffer;
 use crate::keyed_run::{KeyedRun, RunOutcome};
@@ -15,62 +15,62 @@
 use std::sync::Arc;
 
 const MS: u64 = 1_000_000;
-/// Batches that may be on their way before intents are refused: what waits for a disk is bounded.
-const MOST_BATCHES: usize = 1024;
-/// Intents that may wait.
-const MOST_WAITING: usize = 4096;
-/// Between tries to write all anew, doubled with each that fails, up to a bound.
-const AGAIN: Span = Span(1_000 * MS);
-const MOST_AGAIN: Span = Span(8_000 * MS);
-/// A store that has been good for so long has come back for good.
-const STEADY: Span = Span(10_000 * MS);
-/// Advice while the store is only late, or is still read.
-const SOON: Span = Span(100 * MS);
+/// Batches in flight, past which keyed requests are rejected.
+const MAX_BATCHES_IN_FLIGHT: usize = 1024;
+/// Intents that are not durable yet, past which keyed requests are rejected.
+const MAX_WAITING_INTENTS: usize = 4096;
+/// Between attempts to write all anew; doubled with each that fails, up to [`MAX_RETRY_PAUSE`].
+const FIRST_RETRY_PAUSE: Span = Span(1_000 * MS);
+const MAX_RETRY_PAUSE: Span = Span(8_000 * MS);
+/// A store that fails sooner than this after it recovered is paused for twice as long as before.
+const STABLE_AFTER: Span = Span(10_000 * MS);
+/// Advised wait while the store is only late, or is still read.
+const SHORT_RETRY_AFTER: Span = Span(100 * MS);
 
 /// A record for the store.
 #[derive(Debug, Clone)]
 pub enum LogRecord {
-    /// A try will be begun.
+    /// An attempt will be run.
     Intent {
-        /// What all tries share.
+        /// Idempotency key that all attempts share.
         token: Arc<str>,
-        /// Of body and class.
+        /// Fingerprint of its body and class.
         print: u64,
-        /// The try.
+        /// The attempt.
         id: RequestId,
         /// What is left of its window.
         left: Span,
     },
-    /// What is known of a run at its end, or when all is written anew.
+    /// The outcome of a run, when it ends or when all is written anew.
     Known {
-        /// What all tries share.
+        /// Idempotency key that all attempts share.
         token: Arc<str>,
-        /// Of body and class.
+        /// Fingerprint of its body and class.
         print: u64,
-        /// The try.
+        /// The attempt that ran.
         id: RequestId,
         /// What is left of its window.
         left: Span,
         /// The result, or none if it failed.
         result: Option<Arc<Buffer>>,
     },
-    /// The intent before this one came to nothing: the try never ran.
+    /// The attempt of an earlier intent never ran.
     Void {
-        /// What all tries share.
+        /// Idempotency key that all attempts share.
         token: Arc<str>,
-        /// The try.
+        /// The attempt.
         id: RequestId,
     },
 }
 
-/// What a store held.
+/// What a store held when it was opened.
 #[derive(Debug, Clone, Default)]
 pub struct RecoveredRuns {
-    /// The runs whose windows may be open, in the order of their tokens.
+    /// The runs whose windows may be open, in the order of their keys.
     pub past: Vec<SavedRun>,
-    /// The key of all prints in this store.
+    /// Key of all fingerprints in this store.
     pub salt: u64,
-    /// If something that was durable can't be read: any token may have run, for so long.
+    /// Set if something that was durable can't be read: any key may have run, for so long.
     pub doubt: Option<Span>,
     /// What was found, for the log.
     pub notes: Vec<String>,
@@ -79,20 +79,20 @@
 /// Whether the store can be relied on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreHealth {
-    /// There is none: nothing survives this process.
+    /// There is no store: nothing survives this process.
     Off,
-    /// It is still read.
+    /// It is still being read.
     Opening,
-    /// It is.
+    /// It can.
     Good,
-    /// Something in it can't be read: until its time is over, any token may have run.
+    /// Something in it can't be read: until its windows are over, any key may have run.
     Incomplete,
     /// It can't.
     Down,
 }
 
 impl StoreHealth {
-    /// In a word, for health checks and a registry.
+    /// In a word, for health checks and a registry; none without a store.
     pub fn word(self) -> Option<&'static str> {
         match self {
             Self::Off => None,
@@ -104,264 +104,331 @@
     }
 }
 
+/// A batch of records that leaves with a step.
 #[derive(Debug)]
-enum State {
+pub enum RecordBatch {
+    /// Records to be appended.
+    Append(Vec<LogRecord>),
+    /// All that is known, to be written anew. It replaces what was written before once it is durable.
+    Rewrite(Vec<LogRecord>),
+}
+
+/// A batch that leaves with a step, with its number.
+pub type NumberedBatch = (u64, RecordBatch);
+
+/// A line for the process's log.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct LogNote {
+    /// Whether operators should look at it.
+    pub is_error: bool,
+    /// The line.
+    pub text: String,
+}
+
+/// How far the store is.
+#[derive(Debug)]
+enum StoreState {
+    /// There is none.
     Off,
+    /// It is being read.
     Opening,
+    /// It takes records.
     Good,
-    /// Until when the next try to write all anew waits, how long the one after it would, and the number of the one that
-    /// is under way.
+    /// It has failed, and all is to be written anew.
     Down {
-        next: Time,
+        /// When the next attempt starts.
+        next_attempt_at: Time,
+        /// The pause before that attempt.
         pause: Span,
-        under_way: Option<u64>,
+        /// The batch of the attempt that is in flight.
+        in_flight: Option<u64>,
     },
 }
 
-/// A batch of records that leaves with a step.
+/// A batch that was handed to the store.
 #[derive(Debug)]
-pub enum RecordBatch {
-    /// To be added.
-    Append(Vec<LogRecord>),
-    /// All that is known, to be written anew; what was before counts no more once this is durable.
-    Rewrite(Vec<LogRecord>),
+struct BatchInFlight {
+    number: u64,
+    since: Time,
+}
+
+/// An intent that is not durable yet.
+#[derive(Debug)]
+struct WaitingIntent {
+    /// Number of the batch that holds it.
+    batch: u64,
+    id: RequestId,
 }
 
-/// The ledger of one server.
+/// When the store last recovered.
+#[derive(Debug)]
+struct LastRecovery {
+    at: Time,
+    /// The pause before the attempt that succeeded.
+    pause: Span,
+}
+
+/// The log of one server.
 #[derive(Debug)]
 pub struct IdempotencyLog {
-    state: State,
-    /// How long an intent may take to become durable.
-    patience: Span,
+    state: StoreState,
+    /// How long a batch may take to become durable.
+    write_timeout: Span,
+    /// Until when any key may have run, as the store was incomplete.
     doubtful_until: Option<Time>,
-    /// When it last came back, and the pause that came before.
-    back: Option<(Time, Span)>,
-    /// The last batch that left, and those under way with their times.
-    last: u64,
-    under_way: VecDeque<(u64, Time)>,
-    batch: Vec<LogRecord>,
-    /// Tries whose intent waits, with the batch that holds it.
-    waiting: VecDeque<(u64, RequestId, Time)>,
-    notes: Vec<(bool, String)>,
+    last_recovery: Option<LastRecovery>,
+    /// Number of the last batch that left.
+    last_batch: u64,
+    in_flight: VecDeque<BatchInFlight>,
+    /// Records of the next batch.
+    next_batch: Vec<LogRecord>,
+    waiting_intents: VecDeque<WaitingIntent>,
+    notes: Vec<LogNote>,
 }
 
 impl IdempotencyLog {
     /// For a server without a store.
-    pub fn off() -> Self {
-        Self::new(State::Off, Span(0))
+    pub fn disabled() -> Self {
+        Self::new(StoreState::Off, Span(0))
     }
 
-    /// For a server with a store that is being opened.
-    pub fn opening(patience: Span) -> Self {
-        Self::new(State::Opening, patience)
+    /// For a server whose store is being opened; a batch may take `write_timeout` to become durable.
+    pub fn opening(write_timeout: Span) -> Self {
+        Self::new(StoreState::Opening, write_timeout)
     }
 
-    fn new(state: State, patience: Span) -> Self {
+    fn new(state: StoreState, write_timeout: Span) -> Self {
         Self {
             state,
-            patience,
+            write_timeout,
             doubtful_until: None,
-            back: None,
-            last: 0,
-            under_way: VecDeque::new(),
-            batch: Vec::new(),
-            waiting: VecDeque::new(),
+            last_recovery: None,
+            last_batch: 0,
+            in_flight: VecDeque::new(),
+            next_batch: Vec::new(),
+            waiting_intents: VecDeque::new(),
             notes: Vec::new(),
         }
     }
 
     /// Whether there is a store.
-    pub fn is_on(&self) -> bool {
-        !matches!(self.state, State::Off)
+    pub fn is_enabled(&self) -> bool {
+        !matches!(self.state, StoreState::Off)
     }
 
-    /// Whether it can be relied on.
-    pub fn standing(&self, now: Time) -> StoreHealth {
+    /// Whether the store can be relied on.
+    pub fn health(&self, now: Time) -> StoreHealth {
         match &self.state {
-            State::Off => StoreHealth::Off,
-            State::Opening => StoreHealth::Opening,
-            State::Good if self.doubtful_until.is_some_and(|until| until > now) => StoreHealth::Incomplete,
-            State::Good => StoreHealth::Good,
-            State::Down { .. } => StoreHealth::Down,
+            StoreState::Off => StoreHealth::Off,
+            StoreState::Opening => StoreHealth::Opening,
+            StoreState::Good if self.doubtful_until.is_some_and(|until| until > now) => {
+                StoreHealth::Incomplete
+            }
+            StoreState::Good => StoreHealth::Good,
+            StoreState::Down { .. } => StoreHealth::Down,
         }
     }
 
-    /// If a keyed request that no earlier run answers must be turned away now: when to come back.
-    pub fn refuses(&self, now: Time) -> Option<Span> {
+    /// Set if a keyed request that no earlier run answers must be rejected now: how long its client should wait.
+    pub fn retry_after(&self, now: Time) -> Option<Span> {
         match &self.state {
-            State::Off => None,
-            State::Opening => Some(SOON),
-            State::Good => {
-                let doubt = self.doubtful_until.filter(|until| *until > now);
-                let full = self.under_way.len() >= MOST_BATCHES || self.waiting.len() >= MOST_WAITING;
-                doubt.map(|until| Span(until.0 - now.0)).or(full.then_some(SOON))
+            StoreState::Off => None,
+            StoreState::Opening => Some(SHORT_RETRY_AFTER),
+            StoreState::Good => {
+                let doubtful_until = self.doubtful_until.filter(|until| *until > now);
+                let is_full = self.in_flight.len() >= MAX_BATCHES_IN_FLIGHT
+                    || self.waiting_intents.len() >= MAX_WAITING_INTENTS;
+                match doubtful_until {
+                    Some(until) => Some(Span(until.0 - now.0)),
+                    None => is_full.then_some(SHORT_RETRY_AFTER),
+                }
+            }
+            StoreState::Down { next_attempt_at, pause, .. } => {
+                Some(Span(next_attempt_at.0.saturating_sub(now.0).max(pause.0 / 2)))
             }
-            State::Down { next, pause, .. } => Some(Span(next.0.saturating_sub(now.0).max(pause.0 / 2))),
         }
     }
 
-    /// A try is to run once its intent is durable; false if it can't be written, and then it must be turned away.
-    pub fn intent(&mut self, now: Time, known: KeyedRun) -> bool {
-        if self.refuses(now).is_some() {
+    /// An attempt is to run once its intent is durable. Returns false if the intent can't be written: the attempt must be rejected.
+    pub fn append_intent(&mut self, now: Time, run: KeyedRun) -> bool {
+        if self.retry_after(now).is_some() {
             return false;
         }
-        let KeyedRun { token, print, id, left, .. } = known;
-        self.waiting.push_back((self.last + 1, id.clone(), now));
-        self.batch.push(LogRecord::Intent { token, print, id, left });
+        let batch = self.last_batch + 1;
+        self.waiting_intents.push_back(WaitingIntent { batch, id: run.id.clone() });
+        self.next_batch.push(intent_record(run));
         true
     }
 
     /// A run has ended.
-    pub fn end(&mut self, known: KeyedRun) {
-        // Where the store is down, this goes out when all is written anew.
-        if matches!(self.state, State::Good)
-            && let Some(record) = known_record(known)
+    pub fn append_outcome(&mut self, run: KeyedRun) {
+        // Where the store is down, the outcome is part of what is written anew.
+        if matches!(self.state, StoreState::Good)
+            && let Some(record) = outcome_record(run)
         {
-            self.batch.push(record);
+            self.next_batch.push(record);
         }
     }
 
-    /// A try whose intent was given here never ran.
-    pub fn void(&mut self, token: &Arc<str>, id: &RequestId) {
-        if matches!(self.state, State::Good) {
-            self.batch.push(LogRecord::Void { token: Arc::clone(token), id: id.clone() });
+    /// An attempt whose intent was appended never ran.
+    pub fn append_void(&mut self, key: &Arc<str>, id: &RequestId) {
+        if matches!(self.state, StoreState::Good) {
+            self.next_batch.push(LogRecord::Void { token: Arc::clone(key), id: id.clone() });
         }
     }
 
     /// The store was opened and read.
-    pub fn recovered(&mut self, now: Time, recovered: &RecoveredRuns) {
-        self.state = State::Good;
+    pub fn store_recovered(&mut self, now: Time, recovered: &RecoveredRuns) {
+        self.state = StoreState::Good;
         self.doubtful_until = recovered.doubt.map(|doubt| time_after(now, doubt));
-        self.notes.extend(recovered.notes.iter().map(|note| (recovered.doubt.is_some(), note.clone())));
+        let is_error = recovered.doubt.is_some();
+        self.notes.extend(recovered.notes.iter().map(|text| LogNote { is_error, text: text.clone() }));
         let count = recovered.past.len();
-        self.notes.push((false, format!("the store is open, with {count} runs of an earlier life")));
+        self.note(format!("the store is open, with {count} runs of an earlier process"));
     }
 
-    /// Tries whose intent is not durable yet.
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    /// How many intents are not durable yet.
+    pub fn count_waiting(&self) -> usize {
+        self.waiting_intents.len()
     }
 
-    /// All batches up to this one are durable; returns the tries that may begin, in their order.
-    pub fn persisted(&mut self, now: Time, upto: u64) -> Vec<RequestId> {
-        self.under_way.retain(|(number, _)| *number > upto);
+    /// All batches up to this one are durable. Returns the attempts that may run now, in their order.
+    pub fn batch_persisted(&mut self, now: Time, number: u64) -> Vec<RequestId> {
+        self.in_flight.retain(|batch| batch.number > number);
         match &mut self.state {
-            State::Good => {
-                let free = self.waiting.partition_point(|(batch, ..)| *batch <= upto);
-                self.waiting.drain(..free).map(|(_, id, _)| id).collect()
+            StoreState::Good => {
+                let durable = self.waiting_intents.partition_point(|intent| intent.batch <= number);
+                self.waiting_intents.drain(..durable).map(|intent| intent.id).collect()
             }
-            State::Down { under_way: Some(anew), pause, .. } if *anew <= upto => {
-                self.back = Some((now, *pause));
-                self.state = State::Good;
-                self.notes.push((false, "the store is back: all that is known was written anew".into()));
+            StoreState::Down { in_flight: Some(rewrite), pause, .. } if *rewrite <= number => {
+                self.last_recovery = Some(LastRecovery { at: now, pause: *pause });
+                self.state = StoreState::Good;
+                self.note("the store is back: all that is known was written anew".into());
                 Vec::new()
             }
             _ => Vec::new(),
         }
     }
 
-    /// What was written up to this batch can't be relied on, and nothing after it was; returns the tries to be turned away.
-    pub fn failed(&mut self, now: Time, upto: u64, why: &str) -> Vec<RequestId> {
-        self.under_way.retain(|(number, _)| *number > upto);
+    /// Batches up to this one may be lost, and so may all after them. Returns the attempts that must be rejected.
+    pub fn batch_failed(&mut self, now: Time, number: u64, reason: &str) -> Vec<RequestId> {
+        self.in_flight.retain(|batch| batch.number > number);
         match &mut self.state {
-            State::Off => Vec::new(),
-            // It could not be opened, or is not open yet: the shell goes on trying.
-            State::Opening => {
-                self.notes.push((true, format!("the store can't be opened: {why}")));
+            StoreState::Off => Vec::new(),
+            // It could not be opened, or is not open yet: the shell tries again.
+            StoreState::Opening => {
+                self.note_error(format!("the store can't be opened: {reason}"));
                 Vec::new()
             }
-            State::Good => {
-                self.notes.push((true, format!("the store has failed, keyed requests are refused: {why}")));
-                self.down(now)
+            StoreState::Good => {
+                self.note_error(format!("the store has failed, keyed requests are refused: {reason}"));
+                self.take_down(now)
             }
-            State::Down { next, pause, under_way } => {
-                if under_way.take_if(|number| *number <= upto).is_some() {
-                    *pause = Span((pause.0 * 2).min(MOST_AGAIN.0));
-                    *next = time_after(now, *pause);
-                    self.notes.push((true, format!("the store is still down: {why}")));
+            StoreState::Down { next_attempt_at, pause, in_flight } => {
+                if in_flight.take_if(|rewrite| *rewrite <= number).is_some() {
+                    *pause = Span((pause.0 * 2).min(MAX_RETRY_PAUSE.0));
+                    *next_attempt_at = time_after(now, *pause);
+                    self.note_error(format!("the store is still down: {reason}"));
                 }
                 Vec::new()
             }
         }
     }
 
-    fn down(&mut self, now: Time) -> Vec<RequestId> {
-        // A disk that falls again soon is given longer each time: it would else go to and fro at every save.
-        let again = self.back.filter(|(at, _)| time_after(*at, STEADY) > now);
-        let pause = again.map_or(AGAIN, |(_, before)| Span((before.0 * 2).min(MOST_AGAIN.0)));
-        self.state = State::Down { next: time_after(now, pause), pause, under_way: None };
-        self.batch.clear();
-        self.waiting.drain(..).map(|(_, id, _)| id).collect()
+    /// Stops relying on the store. Returns the attempts that must be rejected.
+    fn take_down(&mut self, now: Time) -> Vec<RequestId> {
+        // Guards against a disk that fails at every write, by which the store would be up and down in turn.
+        let recent = self.last_recovery.as_ref().filter(|last| time_after(last.at, STABLE_AFTER) > now);
+        let pause = match recent {
+            Some(last) => Span((last.pause.0 * 2).min(MAX_RETRY_PAUSE.0)),
+            None => FIRST_RETRY_PAUSE,
+        };
+        let next_attempt_at = time_after(now, pause);
+        self.state = StoreState::Down { next_attempt_at, pause, in_flight: None };
+        self.next_batch.clear();
+        self.waiting_intents.drain(..).map(|intent| intent.id).collect()
     }
 
-    /// Looks at what has taken too long; returns the tries to be turned away.
-    pub fn overdue(&mut self, now: Time) -> Vec<RequestId> {
-        let late = |since: Time| time_after(since, self.patience) <= now;
-        if matches!(self.state, State::Good) && self.under_way.front().is_some_and(|(_, since)| late(*since))
-        {
-            let text =
-                format!("the store takes over {} ms, keyed requests are refused", self.patience.0 / MS);
-            self.notes.push((true, text));
-            return self.down(now);
+    /// Takes the store down if a batch takes too long. Returns the attempts that must be rejected.
+    pub fn fail_overdue(&mut self, now: Time) -> Vec<RequestId> {
+        let is_overdue = |batch: &BatchInFlight| time_after(batch.since, self.write_timeout) <= now;
+        if !matches!(self.state, StoreState::Good) || !self.in_flight.front().is_some_and(is_overdue) {
+            return Vec::new();
         }
-        Vec::new()
+        let ms = self.write_timeout.0 / MS;
+        self.note_error(format!("the store takes over {ms} ms, keyed requests are refused"));
+        self.take_down(now)
     }
 
-    /// What leaves with this step, with its number. `all` is asked for when all must be written anew.
-    pub fn take(
+    /// The batch that leaves with this step. `all_runs` is called when all must be written anew.
+    pub fn take_batch(
         &mut self,
-        moment: Timestamp,
-        all: impl FnOnce() -> Vec<KeyedRun>,
-    ) -> Option<(u64, RecordBatch)> {
+        timestamp: Timestamp,
+        all_runs: impl FnOnce() -> Vec<KeyedRun>,
+    ) -> Option<NumberedBatch> {
         let batch = match &mut self.state {
-            State::Good if !self.batch.is_empty() => RecordBatch::Append(std::mem::take(&mut self.batch)),
+            StoreState::Good if !self.next_batch.is_empty() => {
+                RecordBatch::Append(std::mem::take(&mut self.next_batch))
+            }
             // One at a time: behind a sync that never returns a second one would only wait too.
-            State::Down { next, under_way: under_way @ None, .. } if *next <= moment.now => {
-                *under_way = Some(self.last + 1);
-                RecordBatch::Rewrite(all().into_iter().filter_map(anew).collect())
+            StoreState::Down { next_attempt_at, in_flight: in_flight @ None, .. }
+                if *next_attempt_at <= timestamp.now =>
+            {
+                *in_flight = Some(self.last_batch + 1);
+                RecordBatch::Rewrite(all_runs().into_iter().filter_map(rewritten_record).collect())
             }
             _ => return None,
         };
-        self.last += 1;
-        self.under_way.push_back((self.last, moment.now));
-        Some((self.last, batch))
+        self.last_batch += 1;
+        self.in_flight.push_back(BatchInFlight { number: self.last_batch, since: timestamp.now });
+        Some((self.last_batch, batch))
     }
 
     /// When something is due though nothing comes in.
     pub fn wake_at(&self) -> Option<Time> {
         match &self.state {
-            State::Good => self.under_way.front().map(|(_, since)| time_after(*since, self.patience)),
-            State::Down { next, under_way: None, .. } => Some(*next),
+            StoreState::Good => {
+                self.in_flight.front().map(|batch| time_after(batch.since, self.write_timeout))
+            }
+            StoreState::Down { next_attempt_at, in_flight: None, .. } => Some(*next_attempt_at),
             _ => None,
         }
     }
 
-    /// What is to be told, and whether it is bad.
-    pub fn notes(&mut self) -> Vec<(bool, String)> {
+    /// Takes the lines for the process's log.
+    pub fn take_notes(&mut self) -> Vec<LogNote> {
         std::mem::take(&mut self.notes)
     }
+
+    fn note(&mut self, text: String) {
+        self.notes.push(LogNote { is_error: false, text });
+    }
+
+    fn note_error(&mut self, text: String) {
+        self.notes.push(LogNote { is_error: true, text });
+    }
+}
+
+fn intent_record(run: KeyedRun) -> LogRecord {
+    LogRecord::Intent { token: run.key, print: run.fingerprint, id: run.id, left: run.window_left }
 }
 
-/// The record of a run that has ended.
-fn known_record(known: KeyedRun) -> Option<LogRecord> {
-    let KeyedRun { token, print, id, left, end } = known;
-    let result = match end {
+/// The record of a run's outcome; none if nothing is known that the intent doesn't say.
+fn outcome_record(run: KeyedRun) -> Option<LogRecord> {
+    let result = match run.outcome {
         Some(RunOutcome::Served(result)) => Some(result),
         Some(RunOutcome::Failed) => None,
-        // Nothing is known that the intent doesn't say.
         Some(RunOutcome::Unknown) | None => return None,
     };
-    Some(LogRecord::Known { token, print, id, left, result })
+    let KeyedRun { key, fingerprint, id, window_left, .. } = run;
+    Some(LogRecord::Known { token: key, print: fingerprint, id, left: window_left, result })
 }
 
-/// The record of a run when all is written anew: one without an end may have run, and stays an intent.
-fn anew(known: KeyedRun) -> Option<LogRecord> {
-    let KeyedRun { token, print, id, left, end } = &known;
-    match end {
-        Some(RunOutcome::Unknown) | None => {
-            Some(LogRecord::Intent { token: Arc::clone(token), print: *print, id: id.clone(), left: *left })
-        }
-        _ => known_record(known),
+/// The record of a run when all is written anew. One without an outcome may have run, and stays an intent.
+fn rewritten_record(run: KeyedRun) -> Option<LogRecord> {
+    match run.outcome {
+        Some(RunOutcome::Unknown) | None => Some(intent_record(run)),
+        Some(RunOutcome::Served(_) | RunOutcome::Failed) => outcome_record(run),
     }
 }
 
--- a/crates/core/src/idempotency_table.rs
+++ b/crates/core/src/idempotency_table.rs
@@ -1,7 +1,8 @@
-//! The table of keyed requests: which try holds a token's entry, what ran under it, and what that run made.
+//! The table of idempotency keys: which attempt holds a key, the key's run, and the retained outcome of that run.
 //!
-//! What no try can ask for any more is found by a [`TimerWheel`], a bounded part at a time, so that no pause grows with the
-//! number of keys. The table is split for the same reason: a map that grows moves all it holds.
+//! What no attempt can ask for any more is found by a [`TimerWheel`], a bounded part at a time, so that no pause grows with the number
+//! of keys. The table is split for the same reason: a map that grows moves all it holds. Invariants: a key has at most one run that new
+//! attempts find; retained results take at most the given bytes.
 
 pub use crate::keyed_run::{Fingerprint, KeyedRun, RunOutcome};
 use crate::keyed_run::{SavedOutcome, SavedRun};
@@ -14,338 +15,394 @@
 use std::sync::Arc;
 
 const MS: u64 = 1_000_000;
-/// Past its window a run is known for so long: tries sent within the window may be read so much later.
+/// A run is known for so long past its window: attempts that were sent within the window may be read so much later.
 pub const READ_LATE: Span = Span(30_000 * MS);
-/// And how much longer where its end never came: no run takes that long.
-const ENDLESS: Span = Span(60_000 * MS);
-/// What a kept result takes beside its bytes.
-const BESIDE: usize = 256;
+/// And for so much longer if its end was never reported: no run takes that long.
+const MAX_UNREPORTED_RUN: Span = Span(60_000 * MS);
+/// Memory of a retained result beside its bytes.
+const RESULT_OVERHEAD_BYTES: usize = 256;
 /// Parts of the table. With a million keys one of them moves some 4,000 when it grows.
 const PARTS: usize = 256;
-/// Looks at records and slots in one sweep.
-const SWEEP: usize = 128;
+/// Records and timer slots that one sweep looks at.
+const MAX_SWEPT: usize = 128;
 
+/// All idempotency keys that attempts may ask for.
 #[derive(Debug)]
 pub struct IdempotencyTable {
     parts: Vec<HashMap<Arc<str>, Record>>,
-    /// One entry for each record, not later than the time at which something of it ends.
+    /// One entry for each record, not later than the time at which something of it expires.
     due: TimerWheel<Arc<str>>,
-    /// Tokens with a kept result and the number of its keeping, oldest first; stale where that result is gone.
-    kept: VecDeque<(Arc<str>, u64)>,
-    keepings: u64,
+    /// Retained results, oldest first. An entry is stale where that result is gone.
+    retained: VecDeque<RetainedResult>,
+    last_retention: u64,
+    retained_bytes: usize,
+    /// Bytes that retained results may take. Past that the oldest is dropped, and a repeat of it fails instead of running again.
+    max_retained_bytes: usize,
+    /// Runs of an earlier process whose end is unknown, with their keys; a processor that outlived that process may report it.
+    recovered_runs: BTreeMap<RequestId, Arc<str>>,
+}
+
+/// A result in the order in which results were retained.
+#[derive(Debug)]
+struct RetainedResult {
+    key: Arc<str>,
+    /// Number of its retention.
+    retention: u64,
+}
+
+/// What a run's retained result takes.
+#[derive(Debug, Clone, Copy)]
+struct Retention {
+    number: u64,
     bytes: usize,
-    /// Bytes that kept results may take; over that the oldest is dropped, and a repeat of it fails instead of
-    /// running again.
-    most: usize,
-    /// Runs of an earlier life whose end is unknown, with their tokens; a processor that outlived that life may tell.
-    unknown: BTreeMap<RequestId, Arc<str>>,
 }
 
+/// The attempt that holds a key.
+#[derive(Debug)]
+struct Holder {
+    id: RequestId,
+    until: Time,
+}
+
+/// A key.
 #[derive(Debug, Default)]
 struct Record {
-    /// The try that holds the entry, and until when.
-    holder: Option<(RequestId, Time)>,
+    holder: Option<Holder>,
     run: Option<Run>,
-    /// Runs before that one, begun again past their window, that go on and that tries wait for yet.
+    /// Former runs of the key, past their windows, that go on and that attempts still wait for.
     replaced: Vec<Run>,
-    /// Of the body and the class of its tries.
-    print: Fingerprint,
+    /// Fingerprint of the body and class of its attempts.
+    fingerprint: Fingerprint,
 }
 
+/// A run of a key.
 #[derive(Debug)]
 struct Run {
     id: RequestId,
-    /// End of its window, in Unix milliseconds: tries stamped before find it.
-    closes_ms: u64,
-    /// The end of its window here.
-    closes: Time,
-    end: Option<RunOutcome>,
-    /// Tries to be answered from it; each is open.
-    waiters: Vec<RequestId>,
-    /// What its kept result takes, and the number of the keeping.
-    kept: Option<(usize, u64)>,
+    /// End of its window, in Unix milliseconds: attempts that arrived before it find the run.
+    closes_unix_ms: u64,
+    /// End of its window by the monotonic clock.
+    closes_at: Time,
+    /// None while it runs.
+    outcome: Option<RunOutcome>,
+    /// Attempts that are to be answered with its outcome; each is open.
+    waiting: Vec<RequestId>,
+    /// Set while its result is retained.
+    retention: Option<Retention>,
 }
 
 impl Run {
-    /// When it is known no longer.
-    fn over(&self) -> Time {
-        let late = time_after(self.closes, READ_LATE);
-        if self.end.is_some() { late } else { time_after(late, ENDLESS) }
+    /// When it is forgotten.
+    fn expires_at(&self) -> Time {
+        let late = time_after(self.closes_at, READ_LATE);
+        if self.outcome.is_some() { late } else { time_after(late, MAX_UNREPORTED_RUN) }
     }
 }
 
 impl IdempotencyTable {
     /// An empty table whose results may take so many bytes.
-    pub fn new(most: usize) -> Self {
+    pub fn new(max_retained_bytes: usize) -> Self {
         Self {
             parts: (0..PARTS).map(|_| HashMap::new()).collect(),
             due: TimerWheel::default(),
-            kept: VecDeque::new(),
-            keepings: 0,
-            bytes: 0,
-            most,
-            unknown: BTreeMap::new(),
+            retained: VecDeque::new(),
+            last_retention: 0,
+            retained_bytes: 0,
+            max_retained_bytes,
+            recovered_runs: BTreeMap::new(),
         }
     }
 
-    /// Records now.
+    /// How many keys it holds.
     pub fn len(&self) -> usize {
         self.due.len()
     }
 
-    /// Whether there are none.
+    /// Whether it holds none.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    fn part(token: &str) -> usize {
+    fn part(key: &str) -> usize {
         let mut hasher = DefaultHasher::new();
-        token.hash(&mut hasher);
+        key.hash(&mut hasher);
         hasher.finish() as usize % PARTS
     }
 
-    fn get(&self, token: &str) -> Option<&Record> {
-        self.parts[Self::part(token)].get(token)
+    fn get(&self, key: &str) -> Option<&Record> {
+        self.parts[Self::part(key)].get(key)
+    }
+
+    fn get_mut(&mut self, key: &str) -> Option<&mut Record> {
+        self.parts[Self::part(key)].get_mut(key)
     }
 
-    fn get_mut(&mut self, token: &str) -> Option<&mut Record> {
-        self.parts[Self::part(token)].get_mut(token)
+    fn run(&self, key: &str) -> Option<&Run> {
+        self.get(key)?.run.as_ref()
     }
 
-    /// The record of a token, made if there is none, and then looked at again at this time.
-    fn entry(&mut self, token: &Arc<str>, look: Time) -> &mut Record {
+    /// The record of a key. If there is none it is made, and swept at `sweep_at`.
+    fn entry(&mut self, key: &Arc<str>, sweep_at: Time) -> &mut Record {
         let due = &mut self.due;
-        self.parts[Self::part(token)].entry(Arc::clone(token)).or_insert_with(|| {
-            due.insert(look, Arc::clone(token));
+        self.parts[Self::part(key)].entry(Arc::clone(key)).or_insert_with(|| {
+            due.insert(sweep_at, Arc::clone(key));
             Record::default()
         })
     }
 
-    /// The try that a request stamped `t0` repeats: the one that holds the entry, if it is still held or any
-    /// try has run, or else the one that ran less than a window before. With it the print that its tries share.
+    /// The attempt that a request repeats which arrived at that Unix time: the key's holder, if that is queued or any attempt has
+    /// run, or else the attempt that ran less than a window before. With it the fingerprint that its attempts share.
     pub fn earlier(
         &self,
-        token: &str,
-        t0: u64,
+        key: &str,
+        arrived_unix_ms: u64,
         now: Time,
-        held: impl Fn(&RequestId) -> bool,
+        is_queued: impl Fn(&RequestId) -> bool,
     ) -> Option<(RequestId, Fingerprint)> {
-        let record = self.get(token)?;
-        let holder = record.holder.as_ref().filter(|(_, until)| *until > now).map(|(id, _)| id);
-        let holder = holder.filter(|id| record.run.is_some() || held(id));
-        let run = record.run.as_ref().filter(|run| t0 < run.closes_ms).map(|run| &run.id);
-        holder.or(run).map(|id| (id.clone(), record.print))
+        let record = self.get(key)?;
+        let holder = record.holder.as_ref().filter(|holder| holder.until > now).map(|holder| &holder.id);
+        let holder = holder.filter(|id| record.run.is_some() || is_queued(id));
+        let run = record.run.as_ref().filter(|run| arrived_unix_ms < run.closes_unix_ms);
+        holder.or(run.map(|run| &run.id)).map(|id| (id.clone(), record.fingerprint))
     }
 
-    /// Whether any try has run, or runs, that a request stamped `t0` repeats.
-    pub fn ran(&self, token: &str, t0: u64) -> bool {
-        self.get(token).and_then(|record| record.run.as_ref()).is_some_and(|run| t0 < run.closes_ms)
+    /// Whether any attempt has run, or runs, that a request repeats which arrived at that Unix time.
+    pub fn ran(&self, key: &str, arrived_unix_ms: u64) -> bool {
+        self.run(key).is_some_and(|run| arrived_unix_ms < run.closes_unix_ms)
     }
 
-    /// Gives a token's entry to a try.
-    pub fn remember(&mut self, token: &Arc<str>, print: Fingerprint, id: &RequestId, until: Time) {
-        let record = self.entry(token, until);
-        record.holder = Some((id.clone(), until));
-        record.print = print;
+    /// Gives a key to an attempt.
+    pub fn retain(&mut self, key: &Arc<str>, fingerprint: Fingerprint, id: &RequestId, until: Time) {
+        let record = self.entry(key, until);
+        record.holder = Some(Holder { id: id.clone(), until });
+        record.fingerprint = fingerprint;
     }
 
-    /// Takes the entry out, if this try holds it.
-    pub fn release(&mut self, token: &str, id: &RequestId) {
-        if let Some(record) = self.get_mut(token) {
-            record.holder.take_if(|(holder, _)| holder == id);
+    /// Takes a key from an attempt, if that holds it.
+    pub fn release(&mut self, key: &str, id: &RequestId) {
+        if let Some(record) = self.get_mut(key) {
+            record.holder.take_if(|holder| holder.id == *id);
         }
     }
 
-    /// A try was begun; its window ends then, in Unix milliseconds.
-    pub fn began(
+    /// An attempt is run; the window of its run ends at that Unix time.
+    pub fn run_started(
         &mut self,
-        token: &Arc<str>,
-        print: Fingerprint,
+        key: &Arc<str>,
+        fingerprint: Fingerprint,
         id: &RequestId,
-        closes_ms: u64,
-        moment: Timestamp,
+        closes_unix_ms: u64,
+        timestamp: Timestamp,
     ) {
-        let left = Span(closes_ms.saturating_sub(moment.unix_ms).saturating_mul(MS));
-        let closes = time_after(moment.now, left);
-        let run = Run { id: id.clone(), closes_ms, closes, end: None, waiters: Vec::new(), kept: None };
-        let record = self.entry(token, time_after(closes, READ_LATE));
-        record.print = print;
-        let before = record.run.replace(run);
-        match before {
-            // Guards against tries that have the end of another request's run, because their token came again.
-            Some(before) if !before.waiters.is_empty() => record.replaced.push(before),
-            _ => self.drop_result(before),
+        let window_left = Span(closes_unix_ms.saturating_sub(timestamp.unix_ms).saturating_mul(MS));
+        let closes_at = time_after(timestamp.now, window_left);
+        let run = Run {
+            id: id.clone(),
+            closes_unix_ms,
+            closes_at,
+            outcome: None,
+            waiting: Vec::new(),
+            retention: None,
+        };
+        let record = self.entry(key, time_after(closes_at, READ_LATE));
+        record.fingerprint = fingerprint;
+        match record.run.replace(run) {
+            // Guards against attempts that get the outcome of another request's run, because their key was used again.
+            Some(before) if !before.waiting.is_empty() => record.replaced.push(before),
+            before => self.drop_result(before),
         }
     }
 
     fn drop_result(&mut self, run: Option<Run>) {
-        if let Some((bytes, _)) = run.and_then(|run| run.kept) {
-            self.bytes -= bytes;
+        if let Some(retention) = run.and_then(|run| run.retention) {
+            self.retained_bytes -= retention.bytes;
         }
     }
 
-    /// Takes over a run of an earlier life. Its window goes on by this life's clocks: between the two, the Unix clock
-    /// may have been set.
-    pub fn restore(&mut self, past: SavedRun, moment: Timestamp, pool: &Arc<crate::buffer_pool::BufferPool>) {
-        let SavedRun { token, print, id, left, end } = past;
-        let (token, id): (Arc<str>, _) = (Arc::from(token), RequestId::new(&id));
-        let closes_ms = moment.unix_ms.saturating_add(left.0.div_ceil(MS));
-        self.began(&token, print, &id, closes_ms, moment);
-        let end = match end {
-            SavedOutcome::Served(result) => Some(match pool.exact(&result) {
+    /// Takes over a run of an earlier process. Its window goes on by this process's clocks, as the Unix clock may have been set
+    /// between the two.
+    pub fn restore(
+        &mut self,
+        saved: SavedRun,
+        timestamp: Timestamp,
+        pool: &Arc<crate::buffer_pool::BufferPool>,
+    ) {
+        let key: Arc<str> = Arc::from(saved.token);
+        let id = RequestId::new(&saved.id);
+        let closes_unix_ms = timestamp.unix_ms.saturating_add(saved.left.0.div_ceil(MS));
+        self.run_started(&key, saved.print, &id, closes_unix_ms, timestamp);
+        let outcome = match saved.end {
+            SavedOutcome::Served(result) => match pool.exact(&result) {
                 Some(result) => RunOutcome::Served(Arc::new(result)),
                 None => RunOutcome::Failed,
-            }),
-            SavedOutcome::Failed => Some(RunOutcome::Failed),
-            SavedOutcome::Unknown => None,
+            },
+            SavedOutcome::Failed => RunOutcome::Failed,
+            SavedOutcome::Unknown => {
+                self.recovered_runs.insert(id, key);
+                return;
+            }
         };
-        match end {
-            Some(end) => drop(self.ended(&token, &id, Some(end))),
-            None => drop(self.unknown.insert(id, token)),
-        }
+        self.run_ended(&key, &id, Some(outcome));
     }
 
-    /// A run has ended, or with no end was never started; returns the tries that wait for it.
-    pub fn ended(&mut self, token: &Arc<str>, id: &RequestId, end: Option<RunOutcome>) -> Vec<RequestId> {
-        let (most, keepings) = (self.most, self.keepings + 1);
-        let Some(record) = self.get_mut(token) else { return Vec::new() };
+    /// A run has ended, or with no outcome never started. Returns the attempts that wait for it.
+    pub fn run_ended(
+        &mut self,
+        key: &Arc<str>,
+        id: &RequestId,
+        outcome: Option<RunOutcome>,
+    ) -> Vec<RequestId> {
+        let number = self.last_retention + 1;
+        let Some(record) = self.get_mut(key) else { return Vec::new() };
         if let Some(place) = record.replaced.iter().position(|run| run.id == *id) {
-            // Nobody can ask for it any more.
-            return record.replaced.swap_remove(place).waiters;
+            // No later attempt can ask for it.
+            return record.replaced.swap_remove(place).waiting;
         }
         let Some(run) = record.run.as_mut().filter(|run| run.id == *id) else { return Vec::new() };
-        let waiters = std::mem::take(&mut run.waiters);
-        let Some(end) = end else {
+        let waiting = std::mem::take(&mut run.waiting);
+        let Some(outcome) = outcome else {
             record.run = None;
-            return waiters;
+            return waiting;
         };
-        let kept = if let RunOutcome::Served(result) = &end { Some(result.len() + BESIDE) } else { None };
-        run.kept = kept.map(|bytes| (bytes, keepings));
-        run.end = Some(end);
-        if let Some(bytes) = kept {
-            self.keepings = keepings;
-            self.bytes += bytes;
-            self.kept.push_back((Arc::clone(token), keepings));
+        let retention = match &outcome {
+            RunOutcome::Served(result) => {
+                Some(Retention { number, bytes: result.len() + RESULT_OVERHEAD_BYTES })
+            }
+            RunOutcome::Failed | RunOutcome::Unknown => None,
+        };
+        run.retention = retention;
+        run.outcome = Some(outcome);
+        if let Some(Retention { number, bytes }) = retention {
+            self.last_retention = number;
+            self.retained_bytes += bytes;
+            self.retained.push_back(RetainedResult { key: Arc::clone(key), retention: number });
         }
-        while self.bytes > most && self.drop_oldest() {}
-        waiters
+        while self.retained_bytes > self.max_retained_bytes && self.drop_oldest() {}
+        waiting
     }
 
-    /// Drops the oldest kept result, or a stale entry; false if there is neither.
+    /// Drops the oldest retained result, or a stale entry; false if there is neither.
     fn drop_oldest(&mut self) -> bool {
-        let Some((oldest, number)) = self.kept.pop_front() else { return false };
-        let run = self.get_mut(&oldest).and_then(|record| record.run.as_mut());
-        let run = run.filter(|run| run.kept.is_some_and(|(_, kept)| kept == number));
-        if let Some((bytes, _)) = run.and_then(|run| {
-            run.end = Some(RunOutcome::Failed);
-            run.kept.take()
-        }) {
-            self.bytes -= bytes;
+        let Some(oldest) = self.retained.pop_front() else { return false };
+        let run = self.get_mut(&oldest.key).and_then(|record| record.run.as_mut());
+        let is_retained =
+            |run: &&mut Run| run.retention.is_some_and(|retention| retention.number == oldest.retention);
+        if let Some(run) = run.filter(is_retained) {
+            run.outcome = Some(RunOutcome::Failed);
+            let bytes = run.retention.take().map_or(0, |retention| retention.bytes);
+            self.retained_bytes -= bytes;
         }
         true
     }
 
-    /// What a repeat is answered with; none if its run still goes on, and then it waits for that.
-    pub fn join(&mut self, token: &str, id: &RequestId) -> Option<RunOutcome> {
-        let run = self.get_mut(token).and_then(|record| record.run.as_mut());
+    /// The outcome that a repeat is answered with. Without one its run still goes on, and the repeat waits for that.
+    pub fn join(&mut self, key: &str, id: &RequestId) -> Option<RunOutcome> {
+        let run = self.get_mut(key).and_then(|record| record.run.as_mut());
         let Some(run) = run else { return Some(RunOutcome::Failed) };
-        if run.end.is_none() {
-            run.waiters.push(id.clone());
+        if run.outcome.is_none() {
+            run.waiting.push(id.clone());
         }
-        run.end.clone()
+        run.outcome.clone()
     }
 
-    /// A try is open no more, and waits for no run. Guards against a later request under its id that would have the end of
-    /// a run it never asked for.
-    pub fn leave(&mut self, token: &str, id: &RequestId) {
-        if let Some(record) = self.get_mut(token) {
+    /// An attempt is no longer open, and waits for no run. Guards against a later request under its id that would get the outcome of a
+    /// run it never asked for.
+    pub fn leave(&mut self, key: &str, id: &RequestId) {
+        if let Some(record) = self.get_mut(key) {
             for run in record.run.iter_mut().chain(&mut record.replaced) {
-                run.waiters.retain(|waiter| waiter != id);
+                run.waiting.retain(|waiting| waiting != id);
             }
         }
     }
 
-    /// Whether another run was begun under the token since this one.
-    pub fn is_replaced(&self, token: &str, id: &RequestId) -> bool {
-        self.get(token).and_then(|record| record.run.as_ref()).is_some_and(|run| run.id != *id)
+    /// Whether another run of the key was started since this one.
+    pub fn is_replaced(&self, key: &str, id: &RequestId) -> bool {
+        self.run(key).is_some_and(|run| run.id != *id)
     }
 
-    /// The token of a run of an earlier life whose end was unknown until now.
-    pub fn learned(&mut self, id: &RequestId) -> Option<Arc<str>> {
-        self.unknown.remove(id)
+    /// Removes a run of an earlier process from those whose end is unknown; its key.
+    pub fn take_recovered_run(&mut self, id: &RequestId) -> Option<Arc<str>> {
+        self.recovered_runs.remove(id)
     }
 
-    /// Whether there are runs whose end a processor may still tell.
-    pub fn hopes(&self) -> bool {
-        !self.unknown.is_empty()
+    /// Whether there are runs of an earlier process whose end a processor may still report.
+    pub fn awaits_recovered_runs(&self) -> bool {
+        !self.recovered_runs.is_empty()
     }
 
-    /// Nobody will tell any more: returns the tries that waited, and the runs.
-    pub fn give_up(&mut self) -> Vec<RequestId> {
-        let unknown = std::mem::take(&mut self.unknown);
-        unknown
+    /// The ends of an earlier process's runs won't be reported any more: they are unknown. Returns the attempts that wait for them.
+    pub fn abandon_recovered_runs(&mut self) -> Vec<RequestId> {
+        let recovered_runs = std::mem::take(&mut self.recovered_runs);
+        recovered_runs
             .into_iter()
-            .flat_map(|(id, token)| self.ended(&token, &id, Some(RunOutcome::Unknown)))
+            .flat_map(|(id, key)| self.run_ended(&key, &id, Some(RunOutcome::Unknown)))
             .collect()
     }
 
-    /// What is known of a try's run, for the store.
-    pub fn known(&self, token: &Arc<str>, now: Time) -> Option<KeyedRun> {
-        let record = self.get(token)?;
+    /// What is known of a key's run, for the store.
+    pub fn known_run(&self, key: &Arc<str>, now: Time) -> Option<KeyedRun> {
+        let record = self.get(key)?;
         let run = record.run.as_ref()?;
         Some(KeyedRun {
-            token: Arc::clone(token),
-            print: record.print,
+            key: Arc::clone(key),
+            fingerprint: record.fingerprint,
             id: run.id.clone(),
-            left: Span(run.closes.0.saturating_sub(now.0)),
-            end: run.end.clone(),
+            window_left: Span(run.closes_at.0.saturating_sub(now.0)),
+            outcome: run.outcome.clone(),
         })
     }
 
-    /// All that a later life would need, in an order that depends on nothing but what is known.
-    pub fn all_known(&self, now: Time) -> Vec<KeyedRun> {
-        let tokens = self.parts.iter().flat_map(HashMap::keys);
-        let mut all: Vec<KeyedRun> = tokens.filter_map(|token| self.known(token, now)).collect();
-        all.sort_by(|a, b| a.token.cmp(&b.token));
+    /// All that a later process would need, in the order of the keys: it depends on nothing but what is known.
+    pub fn all_known_runs(&self, now: Time) -> Vec<KeyedRun> {
+        let keys = self.parts.iter().flat_map(HashMap::keys);
+        let mut all: Vec<KeyedRun> = keys.filter_map(|key| self.known_run(key, now)).collect();
+        all.sort_by(|a, b| a.key.cmp(&b.key));
         all
     }
 
-    /// Forgets what no try can ask for any more, a bounded part of it; whether more may be due.
+    /// Forgets what no attempt can ask for any more, a bounded part of it. Returns whether more may be due.
     pub fn sweep(&mut self, now: Time) -> bool {
-        let mut budget = SWEEP;
+        let mut budget = MAX_SWEPT;
         let more = loop {
-            let token = match self.due.next_due(now, &mut budget) {
-                DueEntry::Entry(token) => token,
+            match self.due.next_due(now, &mut budget) {
+                DueEntry::Entry(key) => self.sweep_key(now, key),
                 DueEntry::None => break false,
                 DueEntry::Later => break true,
-            };
-            let part = &mut self.parts[Self::part(&token)];
-            let Some(record) = part.get_mut(&token) else { continue };
-            record.holder.take_if(|(_, until)| *until <= now);
-            // Guards against runs whose end never comes: kept for good, they would fill the memory.
-            let gone = record.run.take_if(|run| run.over() <= now);
-            record.replaced.retain(|run| run.over() > now);
-            let holder = record.holder.as_ref().map(|(_, until)| *until);
-            let runs = record.run.iter().chain(&record.replaced).map(Run::over);
-            let look = holder.into_iter().chain(runs).min();
-            match look {
-                Some(look) => self.due.insert(look, token),
-                None => drop(part.remove(&token)),
-            }
-            if let Some(run) = &gone {
-                self.unknown.remove(&run.id);
             }
-            self.drop_result(gone);
         };
-        // Stale entries gather only behind one that is not; what is swept is mostly the oldest.
-        while let Some((token, number)) = self.kept.front() {
-            let run = self.get(token).and_then(|record| record.run.as_ref()).and_then(|run| run.kept);
-            if run.is_some_and(|(_, kept)| kept == *number) {
+        self.drop_stale_entries();
+        more
+    }
+
+    fn sweep_key(&mut self, now: Time, key: Arc<str>) {
+        let part = &mut self.parts[Self::part(&key)];
+        let Some(record) = part.get_mut(&key) else { return };
+        record.holder.take_if(|holder| holder.until <= now);
+        // Guards against runs whose end never comes: kept for good, they would fill the memory.
+        let expired = record.run.take_if(|run| run.expires_at() <= now);
+        record.replaced.retain(|run| run.expires_at() > now);
+        let holder_until = record.holder.as_ref().map(|holder| holder.until);
+        let runs_until = record.run.iter().chain(&record.replaced).map(Run::expires_at);
+        match holder_until.into_iter().chain(runs_until).min() {
+            Some(sweep_at) => self.due.insert(sweep_at, key),
+            None => drop(part.remove(&key)),
+        }
+        if let Some(run) = &expired {
+            self.recovered_runs.remove(&run.id);
+        }
+        self.drop_result(expired);
+    }
+
+    /// Drops stale entries of retained results from the front. They gather only behind one that is not stale; what is swept is mostly
+    /// the oldest.
+    fn drop_stale_entries(&mut self) {
+        while let Some(oldest) = self.retained.front() {
+            let retention = self.run(&oldest.key).and_then(|run| run.retention);
+            if retention.is_some_and(|retention| retention.number == oldest.retention) {
                 break;
             }
-            self.kept.pop_front();
+            self.retained.pop_front();
         }
-        more
     }
 }
 
--- a/crates/core/src/idle_connections.rs
+++ b/crates/core/src/idle_connections.rs
@@ -1,53 +1,83 @@
-//! Which connection has rested longest: an index in place of a look at all of them for each newcomer.
+//! An index of idle connections: which one is idle for longest is found without a look at all of them for each newcomer.
 //!
-//! A connection is put in whenever it comes to rest. It is not taken out when it speaks again; the entry is then stale
-//! and is dropped when it comes to the front. Stale ones are swept out when they outnumber the connections, so the
-//! memory stays within twice the places, and each message pays for a constant part of it.
+//! A connection is added whenever it becomes idle. It is not removed when it is used again: its entry is stale then, and is dropped
+//! when it comes to the front. Stale entries are swept out once they outnumber the connections, so the index stays within twice the
+//! table, and each message pays for a constant part of it.
 
 use crate::messages::ConnectionId;
 use gradepin_admission::Time;
 use std::collections::VecDeque;
 
-/// Entries that are not worth a sweep.
-const FEW: usize = 64;
+/// Up to so many entries beside the bound are not worth a sweep.
+const MIN_SWEPT_ENTRIES: usize = 64;
 
-/// Connections at rest, those that once spoke and those that never did, each in the order of their last word.
+/// A connection that became idle.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct IdleEntry {
+    /// Since when.
+    pub since: Time,
+    /// Which one.
+    pub connection: ConnectionId,
+}
+
+/// The connections that are idle for longest.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct LongestIdle {
+    /// Of those that have sent a message.
+    pub with_messages: Option<IdleEntry>,
+    /// Of those that never have.
+    pub silent: Option<IdleEntry>,
+}
+
+/// Idle connections, each queue in the order in which they became idle.
 #[derive(Debug, Default)]
 pub struct IdleConnections {
-    spoke: VecDeque<(Time, ConnectionId)>,
-    silent: VecDeque<(Time, ConnectionId)>,
+    /// Those that have sent a message.
+    with_messages: VecDeque<IdleEntry>,
+    /// Those that never have.
+    silent: VecDeque<IdleEntry>,
 }
 
 impl IdleConnections {
-    /// A connection rests since then. Times must not go back.
-    pub fn rests(&mut self, conn: ConnectionId, since: Time, spoke: bool) {
-        if spoke { &mut self.spoke } else { &mut self.silent }.push_back((since, conn));
+    /// A connection became idle. Times must not go back.
+    pub fn add(&mut self, entry: IdleEntry, sent_message: bool) {
+        if sent_message { &mut self.with_messages } else { &mut self.silent }.push_back(entry);
     }
 
-    /// The ones that rested longest among those that spoke and among those that never did. `holds` says whether one
-    /// still rests since a time; `skip` leaves one out for now.
+    /// The connections that are idle for longest. `holds` says whether an entry of a connection that did or didn't send a message is
+    /// still true; `skip` leaves a connection out for now.
     pub fn longest(
         &mut self,
-        holds: impl Fn(ConnectionId, Time, bool) -> bool,
+        holds: impl Fn(IdleEntry, bool) -> bool,
         skip: impl Fn(ConnectionId) -> bool,
-    ) -> [Option<(Time, ConnectionId)>; 2] {
-        [(&mut self.spoke, true), (&mut self.silent, false)].map(|(queue, spoke)| {
-            while queue.front().is_some_and(|&(since, conn)| !holds(conn, since, spoke)) {
-                queue.pop_front();
-            }
-            queue.iter().find(|(since, conn)| !skip(*conn) && holds(*conn, *since, spoke)).copied()
-        })
+    ) -> LongestIdle {
+        LongestIdle {
+            with_messages: first(&mut self.with_messages, |entry| holds(entry, true), &skip),
+            silent: first(&mut self.silent, |entry| holds(entry, false), &skip),
+        }
     }
 
-    /// Sweeps stale entries out once they outnumber so many connections.
-    pub fn tidy(&mut self, connections: usize, holds: impl Fn(ConnectionId, Time, bool) -> bool) {
-        for (queue, spoke) in [(&mut self.spoke, true), (&mut self.silent, false)] {
-            if queue.len() > 2 * connections + FEW {
-                queue.retain(|&(since, conn)| holds(conn, since, spoke));
+    /// Sweeps stale entries out once they outnumber the connections.
+    pub fn drop_stale(&mut self, connections: usize, holds: impl Fn(IdleEntry, bool) -> bool) {
+        for (queue, sent_message) in [(&mut self.with_messages, true), (&mut self.silent, false)] {
+            if queue.len() > 2 * connections + MIN_SWEPT_ENTRIES {
+                queue.retain(|entry| holds(*entry, sent_message));
             }
         }
     }
 }
 
+/// The first entry that holds and isn't skipped; drops stale ones before it from the front.
+fn first(
+    queue: &mut VecDeque<IdleEntry>,
+    holds: impl Fn(IdleEntry) -> bool,
+    skip: impl Fn(ConnectionId) -> bool,
+) -> Option<IdleEntry> {
+    while queue.front().is_some_and(|entry| !holds(*entry)) {
+        queue.pop_front();
+    }
+    queue.iter().find(|entry| !skip(entry.connection) && holds(**entry)).copied()
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/keyed_run.rs
+++ b/crates/core/src/keyed_run.rs
@@ -1,10 +1,10 @@
-//! What is known of a keyed run: as the table of this life holds it, and as the store of an earlier one told it.
+//! What is known of a keyed run: as the table of this process holds it, and as the store of an earlier process saved it.
 
 use crate::buffer_pool::Buffer;
 use gradepin_admission::{RequestId, Span};
 use std::sync::Arc;
 
-/// Tells requests under one token apart: all tries of one request have the same body and class.
+/// Fingerprint of the body and class of a keyed request, which all its attempts share. Tells apart requests under one key.
 pub type Fingerprint = u64;
 
 /// How a run ended, for its repeats.
@@ -12,49 +12,49 @@
 pub enum RunOutcome {
     /// With this result.
     Served(Arc<Buffer>),
-    /// Without one, or it is no longer kept.
+    /// Without a result, or the result is no longer retained.
     Failed,
-    /// It was begun before a crash, and what became of it can't be learned any more.
+    /// It was started before a crash, and its outcome can't be learned any more.
     Unknown,
 }
 
-/// What is known of a keyed run, as the store keeps it.
+/// A keyed run as the store saves it.
 #[derive(Debug, Clone)]
 pub struct KeyedRun {
-    /// Its token.
-    pub token: Arc<str>,
-    /// Of its body and class.
-    pub print: Fingerprint,
-    /// The try that ran.
+    /// Its idempotency key.
+    pub key: Arc<str>,
+    /// Fingerprint of its body and class.
+    pub fingerprint: Fingerprint,
+    /// The attempt that runs, or ran.
     pub id: RequestId,
-    /// What is left of its window; nothing where only late readers may still ask.
-    pub left: Span,
-    /// Its end, if it has one.
-    pub end: Option<RunOutcome>,
+    /// What is left of its window; 0 where only attempts that were sent before its end may still ask.
+    pub window_left: Span,
+    /// Its outcome; none while it runs.
+    pub outcome: Option<RunOutcome>,
 }
 
-/// A keyed run of an earlier life.
+/// A keyed run of an earlier process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SavedRun {
-    /// What all tries share.
+    /// Its idempotency key.
     pub token: String,
-    /// Of body and class.
+    /// Fingerprint of its body and class.
     pub print: u64,
-    /// The try.
+    /// The attempt that ran.
     pub id: String,
     /// What is left of its window.
     pub left: Span,
-    /// Its end.
+    /// Its outcome.
     pub end: SavedOutcome,
 }
 
-/// How a run of an earlier life ended.
+/// How a run of an earlier process ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SavedOutcome {
     /// With this result.
     Served(Vec<u8>),
-    /// Without one, or it is not kept.
+    /// Without a result, or the result was no longer retained.
     Failed,
-    /// Nothing tells: it may never have begun, may run still, or has ended.
+    /// Not recorded: it may never have started, may still run, or has ended.
     Unknown,
 }
--- a/crates/core/src/pending_claims.rs
+++ b/crates/core/src/pending_claims.rs
@@ -22,18 +22,18 @@
     }
 
     /// Whether runs are shared.
-    pub fn is_on(&self) -> bool {
+    pub fn is_enabled(&self) -> bool {
         self.shared
     }
 
     /// A request of a class with this deadline waits from now on; how long it may.
-    pub fn asked(&mut self, id: &RequestId, deadline: Span) -> Span {
+    pub fn add(&mut self, id: &RequestId, deadline: Span) -> Span {
         self.waiting.insert(id.clone());
         Span(deadline.0.saturating_mul(PATIENCE_MULTIPLE))
     }
 
     /// A claim is told; false if nothing waits for it any more.
-    pub fn told(&mut self, id: &RequestId) -> bool {
+    pub fn remove(&mut self, id: &RequestId) -> bool {
         self.waiting.remove(id)
     }
 }
--- a/crates/core/src/reducer/admin.rs
+++ b/crates/core/src/reducer/admin.rs
@@ -1,5 +1,7 @@
-//! What operators ask of the reducer at their door: answered from the state that the
-//! reducer owns, with the readiness and the drain of [`crate::admin`] and the figures of [`crate::request_metrics`].
+//! Operators' requests at the admin endpoint: each is answered in the step in which it comes in.
+//!
+//! Readiness and the operators' drain are [`crate::admin`]'s, the metrics [`crate::request_metrics`]'; requests about agreements and
+//! the committed configuration go to [`super::agreements`] and [`super::configuration_admin`].
 
 use super::Reducer;
 use crate::admin::{AdminRequest, AdminRequestId, AdminResponse, NotReadyReason, ReadinessInputs};
@@ -8,51 +10,48 @@
 use slog::Level;
 
 impl Reducer {
-    /// An operator's call; each is answered in this step.
-    pub(super) fn admin_request(&mut self, id: AdminRequestId, call: AdminRequest) {
-        if let AdminRequest::Agreement(call) = call {
-            let answer = AdminResponse::Agreement(self.agreement_request(call));
-            return self.effects.push(Effect::AnswerAdmin { id, response: answer });
-        }
-        if let AdminRequest::Configuration(call) = call {
-            let answer = AdminResponse::Configuration(Box::new(self.configuration_request(call)));
-            return self.effects.push(Effect::AnswerAdmin { id, response: answer });
-        }
-        let answer = match self.operator_drain.order(self.timestamp.now, &call) {
-            Some(done) => {
-                if let AdminResponse::DrainState { draining, changed: true } = done {
-                    // The control plane and health checks hear of it at once.
-                    self.report_change();
-                    let text = if draining { "drained at the operators' call" } else { "back to work" };
-                    self.log(Level::Info, text.into());
-                }
-                done
-            }
-            None if call == AdminRequest::Health => AdminResponse::Health(self.ready()),
-            None if call == AdminRequest::Fleet => {
-                AdminResponse::Fleet(self.cluster.view(self.timestamp.now))
-            }
-            None => {
-                let open = self.requests.count_owed();
-                let fleet = self.cluster.status(self.timestamp.now);
-                let configuration = self.configuration.metrics(self.timestamp.now);
-                AdminResponse::Stats(Box::new(MetricsSnapshot {
-                    fleet,
-                    configuration,
-                    ..self.metrics.stats(open as u64)
-                }))
+    /// Answers an operator's request.
+    pub(super) fn admin_request(&mut self, id: AdminRequestId, request: AdminRequest) {
+        let response = match request {
+            AdminRequest::Agreement(request) => AdminResponse::Agreement(self.agreement_request(request)),
+            AdminRequest::Configuration(request) => {
+                AdminResponse::Configuration(Box::new(self.configuration_request(request)))
             }
+            AdminRequest::Health => AdminResponse::Health(self.readiness()),
+            AdminRequest::Stats => AdminResponse::Stats(Box::new(self.metrics_snapshot())),
+            AdminRequest::Fleet => AdminResponse::Fleet(self.cluster.view(self.timestamp.now)),
+            AdminRequest::StartDrain => self.set_operator_drain(true),
+            AdminRequest::EndDrain => self.set_operator_drain(false),
         };
-        self.effects.push(Effect::AnswerAdmin { id, response: answer });
+        self.effects.push(Effect::AnswerAdmin { id, response });
+    }
+
+    fn set_operator_drain(&mut self, draining: bool) -> AdminResponse {
+        let response = self.operator_drain.set(self.timestamp.now, draining);
+        if let AdminResponse::DrainState { changed: true, .. } = response {
+            // The control plane and health checks learn of it at once.
+            self.report_change();
+            let text = if draining { "drained at the operators' call" } else { "back to work" };
+            self.log(Level::Info, text.into());
+        }
+        response
+    }
+
+    fn metrics_snapshot(&self) -> MetricsSnapshot {
+        let now = self.timestamp.now;
+        MetricsSnapshot {
+            fleet: self.cluster.status(now),
+            configuration: self.configuration.metrics(now),
+            ..self.metrics.snapshot(self.requests.count_owed() as u64)
+        }
     }
 
     /// Whether this process is ready to serve, and if not, why.
-    pub(super) fn ready(&self) -> Result<(), NotReadyReason> {
-        let well = self.healthy && !self.registration.is_out();
-        self.operator_drain.ready(ReadinessInputs {
+    pub(super) fn readiness(&self) -> Result<(), NotReadyReason> {
+        self.operator_drain.readiness(ReadinessInputs {
             processor: self.controller.is_some(),
-            well,
-            leaving: self.drain.is_draining(),
+            healthy: self.healthy && !self.registration.is_out(),
+            shutting_down: self.drain.is_draining(),
         })
     }
 }
--- /dev/null
+++ b/crates/core/src/reducer/admission_actions.rs
@@ -0,0 +1,97 @@
+//! The admission module's part of a step: it handles the events of the step at once, and its actions change the state.
+//!
+//! All decisions are the module's ([`gradepin_admission::Controller`]); here they are carried out in its order.
+
+use super::Reducer;
+use super::open_requests::{OpenRequest, RequestState};
+use crate::idempotency_table::RunOutcome;
+use crate::messages::Response;
+use gradepin_admission::{Action, RequestId, Span, time_after};
+use slog::Level;
+
+impl Reducer {
+    /// Lets the admission module handle the events of this step, if there are any or one of its timers is due.
+    pub(super) fn decide(&mut self) {
+        let Some(controller) = &mut self.controller else { return };
+        if self.events.is_empty() && !self.schedule.admission_is_due(self.timestamp.now) {
+            return;
+        }
+        let mut actions = std::mem::take(&mut self.actions);
+        controller.handle(self.timestamp.now, &self.events, &mut actions);
+        self.events.clear();
+        for action in actions.drain(..) {
+            self.perform(action);
+        }
+        self.actions = actions;
+        for id in self.requests.end_batch() {
+            self.forget_request(&id);
+        }
+    }
+
+    fn perform(&mut self, action: Action) {
+        match action {
+            Action::Run(id) => self.start_run(&id),
+            Action::Reject { id, retry_after, last } => {
+                self.respond_and_release(&id, Response::Rejected { retry_after, no_failover: last })
+            }
+            Action::Fail(id) => self.fail_request(&id),
+            Action::RetainIdempotencyKey { id, retain_for } => self.retain_idempotency_key(&id, retain_for),
+            Action::ReleaseIdempotencyKey(id) => self.release_idempotency_key(&id),
+            Action::JoinRun(id) => self.join_run(&id),
+            Action::ReportHealth { active, .. } => self.set_health(active),
+            Action::AdvertiseCapacity(hint) => self.capacity_hint = Some(hint),
+            Action::SetIdleTimeout(span) => self.connections.set_idle_timeout(span),
+            Action::SetTimer(time) => self.schedule.set_timer(time),
+            Action::Log(text) => self.log(Level::Info, text),
+            Action::CallUpstream { id, timeout } => self.start_upstream_call(&id, timeout),
+            Action::StopRun(id) => self.stop_run(&id),
+            Action::SkipUpstreamCall(_) => {
+                // The processor has no such command: the admission module must not be configured for it.
+                let text = "the module asked to go on without a call, which the processor can't";
+                self.log(Level::Error, text.into());
+            }
+        }
+    }
+
+    fn fail_request(&mut self, id: &RequestId) {
+        let timed_out = self.is_past_deadline(id);
+        self.respond_and_release(id, Response::Failed { timed_out });
+    }
+
+    /// Later attempts with the key of a request repeat it, for so long.
+    fn retain_idempotency_key(&mut self, id: &RequestId, retain_for: Span) {
+        let until = time_after(self.timestamp.now, retain_for);
+        if let Some((key, fingerprint)) = self.requests.get(id).and_then(OpenRequest::key_and_fingerprint) {
+            self.idempotency_table.retain(key, fingerprint, id, until);
+        }
+    }
+
+    fn release_idempotency_key(&mut self, id: &RequestId) {
+        if let Some(key) = self.requests.get(id).and_then(|open| open.idempotency_key.as_ref()) {
+            self.idempotency_table.release(key, id);
+        }
+    }
+
+    /// A repeat gets the outcome of its key's run, now or once that has ended.
+    fn join_run(&mut self, id: &RequestId) {
+        let Some(open) = self.requests.get_mut(id) else { return };
+        open.state = RequestState::Joined { since: self.timestamp.now };
+        let outcome = match open.idempotency_key.clone() {
+            Some(key) => self.idempotency_table.join(&key, id),
+            None => Some(RunOutcome::Failed),
+        };
+        if let Some(outcome) = outcome {
+            self.respond_to_repeat(id, outcome);
+        }
+    }
+
+    fn set_health(&mut self, healthy: bool) {
+        if healthy == self.healthy {
+            return;
+        }
+        self.healthy = healthy;
+        self.registration.health(self.timestamp.now, healthy);
+        self.report_change();
+        self.log(Level::Info, format!("health is {}", if healthy { "good" } else { "bad" }));
+    }
+}
--- a/crates/core/src/reducer/agreements.rs
+++ b/crates/core/src/reducer/agreements.rs
@@ -1,8 +1,9 @@
-//! The server's part in what the fleet agrees on: permits to leave, turns in a release, and the council where this server is a
-//! voter. Words go over the fleet's datagrams; files and commands are the shell's.
+//! The server's part in what the fleet agrees on: permits to leave, steps of a rollout, and the consensus group where this server is a
+//! voter.
 //!
-//! Not here: what is agreed and when, which is [`gradepin_coordination`]'. Without a council block nothing here does anything, and
-//! SIGTERM means what it always did: a server that the platform stops is out without a permit.
+//! Messages go over the cluster's datagrams; files and commands are the shell's. Not here: what is agreed and when, which is
+//! [`gradepin_coordination`]'s. Without a consensus group nothing here has an effect. SIGTERM needs no permit: a server that the
+//! platform stops is out without one.
 
 use super::{MS, Reducer};
 use crate::admin::{AgreementRequest, AgreementResponse};
@@ -10,7 +11,7 @@
 use gradepin_admission::{Span, Time, time_after};
 use gradepin_cluster::counters::CellId;
 use gradepin_coordination::consensus::VoterState;
-use gradepin_coordination::messages::ServerReport;
+use gradepin_coordination::messages::{ServerReport, StepAssignment};
 use gradepin_coordination::rollback::ServiceTotal;
 use gradepin_coordination::rollout::ReleaseKind;
 use gradepin_coordination::server_agent::{AgentEffect, ServerAgent};
@@ -18,30 +19,38 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Between looks at what this server tells of itself; a change of readiness is seen at once.
-const LOOK: Span = Span(250 * MS);
-/// Cells that are told of; what more there is, isn't compared.
-const MOST_CELLS: usize = 48;
+/// Between reports of this server to the consensus group; a change of readiness is reported at once.
+const REPORT_INTERVAL: Span = Span(250 * MS);
+/// Cells whose totals are reported; others aren't compared.
+const MAX_REPORTED_CELLS: usize = 48;
 
-/// What the reducer holds of it.
+/// What the reducer holds of the agreements.
 #[derive(Default)]
 pub(super) struct Agreements {
+    /// The agent of this server; none without a consensus group.
     pub(super) agent: Option<Box<ServerAgent>>,
     zone: String,
+    /// Version of the running program.
     program_version: String,
+    /// Digest of the active settings.
     settings_digest: String,
+    /// Digests of the staged settings.
     staged_digests: Vec<String>,
+    /// The release whose step failed here last, and the reason.
     failed_step: Option<(u64, String)>,
+    /// Requests of this process by cell, for the comparison of versions.
     service_totals: BTreeMap<CellId, ServiceTotal>,
     reported_ready: bool,
     next_report_at: Time,
-    /// Grows with each failure of the council's folder: writes of before are nobody's.
+    /// Grows with each failure of the folder of the voter state: writes of former generations are void.
     voter_state_generation: u64,
+    /// Ticket of the last operator command.
     last_ticket: u64,
 }
 
 impl Agreements {
-    pub(super) fn is_on(&self) -> bool {
+    /// Whether there is a consensus group.
+    pub(super) fn is_enabled(&self) -> bool {
         self.agent.is_some()
     }
 
@@ -49,10 +58,24 @@
     pub(super) fn wake_at(&self) -> Option<Time> {
         self.agent.as_ref().map(|agent| agent.wake_at().min(self.next_report_at))
     }
+
+    fn report(&self, ready: bool) -> ServerReport {
+        ServerReport {
+            zone: self.zone.clone(),
+            ready,
+            program: self.program_version.clone(),
+            settings: self.settings_digest.clone(),
+            staged: self.staged_digests.clone(),
+            failed: self.failed_step.clone(),
+            totals: self.service_totals.iter().map(|(cell, total)| (cell.0, *total)).collect(),
+            ..ServerReport::default()
+        }
+    }
 }
 
 impl Reducer {
-    /// With a part in what the fleet agrees on; `program` and `settings` are the versions that run here.
+    /// With a part in what the fleet agrees on, for a server of this zone whose program has this version and whose active settings
+    /// have this digest.
     pub fn with_agent(
         mut self,
         agent: ServerAgent,
@@ -60,135 +83,125 @@
         program_version: String,
         settings_digest: String,
     ) -> Self {
-        self.agreements = Agreements {
-            agent: Some(Box::new(agent)),
-            zone,
-            program_version,
-            settings_digest,
-            ..Agreements::default()
-        };
+        let agent = Some(Box::new(agent));
+        self.agreements =
+            Agreements { agent, zone, program_version, settings_digest, ..Agreements::default() };
         self
     }
 
-    /// A server said something, in this life of its.
-    pub(super) fn consensus_message_received(&mut self, from: &Arc<str>, life: u64, word: &[u8]) {
+    /// A message of another server's agent or voter came in.
+    pub(super) fn consensus_message_received(&mut self, from: &Arc<str>, incarnation: u64, message: &[u8]) {
         if let Some(agent) = &mut self.agreements.agent {
-            agent.word(self.timestamp.now, from, life, word);
+            agent.word(self.timestamp.now, from, incarnation, message);
         }
     }
 
-    /// What was written in the council's folder is durable.
+    /// Records of the voter state up to this number are durable.
     pub(super) fn voter_state_written(&mut self, number: u64) {
         if let Some(agent) = &mut self.agreements.agent {
             agent.written(number);
         }
     }
 
-    /// It couldn't be; the folder was read anew.
-    pub(super) fn voter_state_failed(&mut self, found: VoterState, why: &str) {
+    /// Records of the voter state could not be written; the voter goes on from what its folder holds.
+    pub(super) fn voter_state_failed(&mut self, recovered: VoterState, reason: &str) {
         self.agreements.voter_state_generation += 1;
         if let Some(agent) = &mut self.agreements.agent {
-            agent.failed(self.timestamp.now, found);
-            self.log(Level::Error, format!("the council's folder failed: {why}; it was read anew"));
+            agent.failed(self.timestamp.now, recovered);
+            let text = format!("writing the voter state failed: {reason}; it was read again");
+            self.log(Level::Error, text);
         }
     }
 
-    /// Settings are staged here, by their digests, and those in force have this one.
-    pub(super) fn staged_settings_changed(&mut self, settings: Option<String>, staged: Vec<String>) {
-        self.agreements.settings_digest =
-            settings.unwrap_or_else(|| std::mem::take(&mut self.agreements.settings_digest));
+    /// The active settings, if `active` names a digest, or the staged ones have changed.
+    pub(super) fn staged_settings_changed(&mut self, active: Option<String>, staged: Vec<String>) {
+        if let Some(active) = active {
+            self.agreements.settings_digest = active;
+        }
         self.agreements.staged_digests = staged;
         self.agreements.next_report_at = self.timestamp.now;
     }
 
-    /// This server couldn't take a step of a release.
-    pub(super) fn rollout_step_failed(&mut self, release: u64, why: String) {
-        self.log(Level::Error, format!("this server's step of release {release} failed: {why}"));
-        self.agreements.failed_step = Some((release, why));
+    /// This server could not take a step of a rollout.
+    pub(super) fn rollout_step_failed(&mut self, release: u64, reason: String) {
+        self.log(Level::Error, format!("this server's step of release {release} failed: {reason}"));
+        self.agreements.failed_step = Some((release, reason));
         self.agreements.next_report_at = self.timestamp.now;
     }
 
-    /// A first try came, or was served: counted in its office's part of its class, in the class, and in the office, for the
-    /// comparison of versions. A part may be too thin to tell of, where the whole is not.
-    pub(super) fn count_for_rollback(&mut self, tenant: Option<usize>, class: usize, came: u32, served: u32) {
-        if !self.agreements.is_on() {
+    /// Counts first attempts that arrived, or that were served, for the comparison of versions: in the cells of the class, of the
+    /// tenant and of both, as the last may have too few requests to compare.
+    pub(super) fn count_for_rollback(
+        &mut self,
+        tenant: Option<usize>,
+        class: usize,
+        arrived: u32,
+        served: u32,
+    ) {
+        if !self.agreements.is_enabled() {
             return;
         }
-        let whole = self.counter_cell(None, class);
-        let of_office = tenant.map(|tenant| self.counter_cell(Some(tenant), class));
-        let office = self.tenant_cell(tenant);
+        let class_cell = self.counter_cell(None, class);
+        let tenant_class_cell = tenant.map(|tenant| self.counter_cell(Some(tenant), class));
+        let tenant_cell = self.tenant_cell(tenant);
         let totals = &mut self.agreements.service_totals;
-        for cell in [Some(whole), office, of_office].into_iter().flatten() {
-            if totals.len() < MOST_CELLS || totals.contains_key(&cell) {
+        for cell in [Some(class_cell), tenant_cell, tenant_class_cell].into_iter().flatten() {
+            if totals.len() < MAX_REPORTED_CELLS || totals.contains_key(&cell) {
                 let total = totals.entry(cell).or_default();
-                total.came = total.came.saturating_add(came);
+                total.came = total.came.saturating_add(arrived);
                 total.served = total.served.saturating_add(served);
             }
         }
     }
 
-    /// An operator wants this server out: at once where nobody is to be asked, else once there is a permit. Whether it is asked for.
+    /// Asks for a permit to leave; false if there is no consensus group to ask.
     pub(super) fn request_permit_to_leave(&mut self) -> bool {
-        let now = self.timestamp.now;
         let Some(agent) = &mut self.agreements.agent else { return false };
-        agent.leave(now);
+        agent.leave(self.timestamp.now);
         self.log(Level::Info, "asking the fleet for a permit to leave".into());
         true
     }
 
-    /// An operator wants it to stay.
+    /// An operator wants the server to stay.
     pub(super) fn withdraw_permit_request(&mut self) {
         if let Some(agent) = &mut self.agreements.agent {
             agent.stay(self.timestamp.now);
         }
     }
 
-    /// Its turn in a step.
+    /// The agent's part of a step.
     pub(super) fn agreements_step(&mut self) {
-        let now = self.timestamp.now;
-        if !self.agreements.is_on() {
+        if !self.agreements.is_enabled() {
             return;
         }
-        let ready = self.ready().is_ok();
-        let agreements = &mut self.agreements;
-        if now >= agreements.next_report_at || ready != agreements.reported_ready {
-            (agreements.next_report_at, agreements.reported_ready) = (time_after(now, LOOK), ready);
-            let report = ServerReport {
-                zone: agreements.zone.clone(),
-                ready,
-                program: agreements.program_version.clone(),
-                settings: agreements.settings_digest.clone(),
-                staged: agreements.staged_digests.clone(),
-                failed: agreements.failed_step.clone(),
-                totals: agreements.service_totals.iter().map(|(cell, total)| (cell.0, *total)).collect(),
-                ..ServerReport::default()
-            };
-            if let Some(agent) = &mut agreements.agent {
+        let now = self.timestamp.now;
+        let ready = self.readiness().is_ok();
+        if now >= self.agreements.next_report_at || ready != self.agreements.reported_ready {
+            self.agreements.next_report_at = time_after(now, REPORT_INTERVAL);
+            self.agreements.reported_ready = ready;
+            let report = self.agreements.report(ready);
+            if let Some(agent) = &mut self.agreements.agent {
                 agent.tells(now, report);
             }
         }
-        let mut asked = Vec::new();
+        let mut effects = Vec::new();
         if let Some(agent) = &mut self.agreements.agent {
-            agent.step(now, &mut asked);
+            agent.step(now, &mut effects);
         }
-        for effect in asked {
+        for effect in effects {
             self.agent_effect(effect);
         }
     }
 
     fn agent_effect(&mut self, effect: AgentEffect) {
-        let now = self.timestamp.now;
         match effect {
-            AgentEffect::Send(to, word) => self.send_to_peer(&to, &word),
+            AgentEffect::Send(to, message) => self.send_to_peer(&to, &message),
             AgentEffect::Write(number, records) => {
-                self.effects.push(Effect::WriteVoterState {
-                    generation: self.agreements.voter_state_generation,
-                    number,
-                    records,
-                });
+                let generation = self.agreements.voter_state_generation;
+                self.effects.push(Effect::WriteVoterState { generation, number, records });
             }
-            AgentEffect::PermitGranted(epoch, until) => {
-                if now < until {
+            AgentEffect::PermitGranted(epoch, expires_at) => {
+                if self.timestamp.now < expires_at {
                     self.log(Level::Info, format!("leaving by permit {epoch}"));
                     self.take_out_of_service();
                 } else {
@@ -196,57 +209,59 @@
                     self.request_permit_to_leave();
                 }
             }
-            AgentEffect::PermitDenied(why) => self.log(Level::Warning, format!("not leaving: {why}")),
-            AgentEffect::StepGranted(turn, until) => {
-                let (kind, version) = (turn.kind, turn.version.clone());
-                if now >= until {
-                    self.log(Level::Warning, format!("the turn for {version} came too late to begin"));
-                    if let Some(agent) = &mut self.agreements.agent {
-                        agent.missed();
-                    }
-                    return;
-                }
-                let what = if kind == ReleaseKind::Program { "program" } else { "settings" };
-                self.log(Level::Info, format!("changing to {what} {version} by permit {}", turn.epoch));
-                self.effects.push(Effect::StartRolloutStep { step: Box::new(turn), start_before: until });
-            }
+            AgentEffect::PermitDenied(reason) => self.log(Level::Warning, format!("not leaving: {reason}")),
+            AgentEffect::StepGranted(step, expires_at) => self.start_rollout_step(step, expires_at),
             AgentEffect::Configuration(effect) => self.consensus_configuration_effect(effect),
-            AgentEffect::Log(bad, text) => {
-                self.log(if bad { Level::Warning } else { Level::Info }, text);
+            AgentEffect::Log(is_warning, text) => {
+                self.log(if is_warning { Level::Warning } else { Level::Info }, text);
             }
         }
     }
 
-    /// An operator's call about the fleet's agreements.
-    pub(super) fn agreement_request(&mut self, call: AgreementRequest) -> AgreementResponse {
+    fn start_rollout_step(&mut self, step: StepAssignment, start_before: Time) {
+        let version = &step.version;
+        if self.timestamp.now >= start_before {
+            self.log(Level::Warning, format!("the turn for {version} came too late to begin"));
+            if let Some(agent) = &mut self.agreements.agent {
+                agent.missed();
+            }
+            return;
+        }
+        let kind = if step.kind == ReleaseKind::Program { "program" } else { "settings" };
+        self.log(Level::Info, format!("changing to {kind} {version} by permit {}", step.epoch));
+        self.effects.push(Effect::StartRolloutStep { step: Box::new(step), start_before });
+    }
+
+    /// Answers an operator's request about the agreements.
+    pub(super) fn agreement_request(&mut self, request: AgreementRequest) -> AgreementResponse {
         let now = self.timestamp.now;
         let Some(agent) = &mut self.agreements.agent else { return AgreementResponse::Off };
-        match call {
+        match request {
             AgreementRequest::Status => AgreementResponse::Status(Box::new(agent.status(now))),
-            AgreementRequest::Command(order) => {
+            AgreementRequest::Command(command) => {
                 self.agreements.last_ticket += 1;
                 let ticket = self.agreements.last_ticket;
-                match agent.order(now, ticket, *order) {
+                match agent.order(now, ticket, *command) {
                     Ok(()) => AgreementResponse::Ticket(ticket),
-                    Err(why) => AgreementResponse::Completed(Err(why)),
+                    Err(error) => AgreementResponse::Completed(Err(error)),
                 }
             }
             AgreementRequest::CommandStatus { ticket } => {
                 AgreementResponse::CommandStatus(agent.became(ticket))
             }
             AgreementRequest::FoundGroup => {
-                AgreementResponse::Completed(agent.found(now).map_err(|why| why.to_string()))
+                AgreementResponse::Completed(agent.found(now).map_err(|error| error.to_string()))
             }
-            AgreementRequest::TargetVersion { server: name } => {
-                AgreementResponse::TargetVersion(agent.record().and_then(|record| record.program_for(&name)))
+            AgreementRequest::TargetVersion { server } => {
+                let version = agent.record().and_then(|record| record.program_for(&server));
+                AgreementResponse::TargetVersion(version)
             }
             AgreementRequest::Leave => {
                 self.request_permit_to_leave();
                 AgreementResponse::Completed(Ok("asking for a permit".into()))
             }
             AgreementRequest::Stay => {
-                self.withdraw_permit_request();
-                self.return_to_service();
+                self.operator_returns();
                 AgreementResponse::Completed(Ok("staying".into()))
             }
         }
--- a/crates/core/src/reducer/cluster.rs
+++ b/crates/core/src/reducer/cluster.rs
@@ -1,8 +1,8 @@
-//! The server's part of the fleet, where servers talk to each other: what it counts for them, calls to the shared ledger
-//! that wait for a slot, and what the module is told of the slots and quotas that it may go by.
+//! The server's part in a cluster whose servers talk to each other: what it counts for them, calls to the shared upstream that wait
+//! for a slot, and the limits that the admission module is given from the cluster's counters and leases.
 //!
-//! Not here: what is lent, believed or judged, which is [`gradepin_cluster`]'s, and which calls are made in which order,
-//! which is the module's. Without a cluster nothing here does anything.
+//! Not here: what is lent, believed or ejected, which is [`gradepin_cluster`]'s, and which calls are made in which order, which the
+//! admission module decides. Without a cluster nothing here has an effect.
 
 use super::counter_cells::CounterCells;
 use super::{MS, Reducer};
@@ -18,89 +18,98 @@
 use slog::Level;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
-/// Between looks at the quotas, which move over seconds.
-const QUOTAS: Span = Span(500 * MS);
-/// Between two tellings of a limit to the module at the least.
-const LIMITS: Span = Span(20 * MS);
-/// The part of its class's aim that a run is estimated to take before any was seen.
-const FIRST_ESTIMATE: u64 = 8;
-/// Names of cells kept for people, some 400 KB; a cell without one is told by its number.
-const MOST_NAMES: usize = 4_096;
-
-/// A call that the module made and that has no slot yet.
+/// Between updates of the quotas, which move over seconds.
+const QUOTA_UPDATE_INTERVAL: Span = Span(500 * MS);
+/// Between two updates of the call limit at the least.
+const MIN_LIMIT_UPDATE_INTERVAL: Span = Span(20 * MS);
+/// Before any run of a class was seen, one is estimated to take its latency objective divided by this.
+const FIRST_ESTIMATE_DIVISOR: u64 = 8;
+/// The estimate of a run moves by the difference to the last one divided by this.
+const ESTIMATE_SMOOTHING: u64 = 16;
+/// Names of cells for people, some 400 KB; a cell without a name is shown by its number.
+const MAX_CELL_NAMES: usize = 4_096;
+
+/// A call that the admission module made and that has no slot yet.
 #[derive(Debug)]
 struct WaitingCall {
     id: RequestId,
+    /// How long to wait for the reply at the most.
     timeout: Span,
-    until: Time,
+    /// When it is given up.
+    expires_at: Time,
 }
 
-/// What the reducer holds of it.
+/// What the reducer holds of the cluster.
 #[derive(Default)]
 pub(super) struct ClusterState {
     cluster: Option<Box<Cluster>>,
+    /// Calls without a slot, in the order in which they were made. Bounded by the open requests.
     waiting_calls: VecDeque<WaitingCall>,
-    /// Requests whose calls hold a slot, and since when.
+    /// Calls that hold a slot, and since when.
     slots_in_use: HashMap<UpstreamCallId, Time>,
-    /// Runs that asked for a call which the module has not made yet.
+    /// Requests whose runs wait for a call that the admission module has not made yet.
     requested_calls: HashSet<RequestId>,
-    /// What a run of each class takes, as seen here.
-    estimates: Vec<Span>,
-    /// The cells of the counts that requests here fall into.
+    /// What a run takes, by the slot of its class; 0 where none was seen.
+    run_estimates: Vec<Span>,
     cells: CounterCells,
-    /// The limit that the module goes by, and the quotas that it was told by slot; and when the next may be told.
+    /// The call limit that the admission module was given.
     reported_limit: Option<f64>,
+    /// The quotas that it was given, by the slots of tenants, where they differ from the settings.
     reported_quotas: BTreeMap<usize, f64>,
     next_limit_at: Time,
     next_quotas_at: Time,
 }
 
 impl ClusterState {
-    pub(super) fn is_on(&self) -> bool {
+    /// Whether there is a cluster.
+    pub(super) fn is_enabled(&self) -> bool {
         self.cluster.is_some()
     }
 
     fn estimated_run(&self, classes: &Classes, class: usize) -> Span {
-        let seen = self.estimates.get(class).copied().filter(|span| span.0 > 0);
-        seen.unwrap_or(Span(classes.profile(class).latency_objective.0 / FIRST_ESTIMATE))
+        let seen = self.run_estimates.get(class).copied().filter(|span| span.0 > 0);
+        seen.unwrap_or(Span(classes.profile(class).latency_objective.0 / FIRST_ESTIMATE_DIVISOR))
     }
 
     fn record_run(&mut self, class: usize, took: Span) {
-        if self.estimates.len() <= class {
-            self.estimates.resize(class + 1, Span(0));
+        if self.run_estimates.len() <= class {
+            self.run_estimates.resize(class + 1, Span(0));
         }
-        let estimate = &mut self.estimates[class];
-        *estimate = if estimate.0 == 0 { took } else { Span(estimate.0 - estimate.0 / 16 + took.0 / 16) };
+        let estimate = &mut self.run_estimates[class];
+        *estimate = match estimate.0 {
+            0 => took,
+            before => Span(before - before / ESTIMATE_SMOOTHING + took.0 / ESTIMATE_SMOOTHING),
+        };
     }
 
     /// When something is due though nothing comes in.
     pub(super) fn wake_at(&self, now: Time) -> Option<Time> {
         let cluster = self.cluster.as_ref()?;
-        let waits = self.waiting_calls.iter().map(|waiting| waiting.until).min();
-        let slot = cluster.slot_at(now).filter(|_| !self.waiting_calls.is_empty());
-        earliest(Some(cluster.wake_at(now)), earliest(waits, slot))
+        let expires_at = self.waiting_calls.iter().map(|call| call.expires_at).min();
+        let slot_at = cluster.slot_at(now).filter(|_| !self.waiting_calls.is_empty());
+        earliest(Some(cluster.wake_at(now)), earliest(expires_at, slot_at))
     }
 
-    /// The fleet as it is seen from here, where there is a cluster.
+    /// The cluster as this server sees it, where there is one.
     pub(super) fn view(&self, now: Time) -> Option<Box<FleetView>> {
         self.cluster.as_ref().map(|cluster| Box::new(cluster.view(now)))
     }
 
-    /// The figures, where there is a cluster.
+    /// The cluster's metrics, where there is one.
     pub(super) fn status(&self, now: Time) -> Option<Box<ClusterStatus>> {
         self.cluster.as_ref().map(|cluster| Box::new(cluster.status(now)))
     }
 }
 
-/// What the cells of these settings are called, for people: of classes and tenants as far as there is room, and of their
-/// pairs where all of those have room.
+/// Names for people of the cells that these settings have: of classes and tenants up to the bound, and of their combinations where
+/// all of those are within it.
 pub fn cell_names(settings: &Settings) -> BTreeMap<u32, String> {
     let classes = || settings.profiles.iter().map(|class| class.name.as_str());
     let tenants = || settings.customers.iter().map(|tenant| tenant.name.as_str());
     let of_classes = classes().map(|class| (CellId::of("", class).0, class.to_string()));
     let of_tenants = tenants().map(|tenant| (CellId::of(tenant, "").0, tenant.to_string()));
-    let mut names: BTreeMap<u32, String> = of_classes.chain(of_tenants).take(MOST_NAMES).collect();
-    if settings.profiles.len().saturating_mul(settings.customers.len()) <= MOST_NAMES {
+    let mut names: BTreeMap<u32, String> = of_classes.chain(of_tenants).take(MAX_CELL_NAMES).collect();
+    if settings.profiles.len().saturating_mul(settings.customers.len()) <= MAX_CELL_NAMES {
         for tenant in tenants() {
             let name = |class: &str| (CellId::of(tenant, class).0, format!("{class} of {tenant}"));
             names.extend(classes().map(name));
@@ -109,45 +118,52 @@
     names
 }
 
+/// The share of the shared upstream's slots that takes part in lending. A share under one call does not: the admission module
+/// keeps it as a mean over time, which leases don't move.
+pub fn lent_share(settings: &Settings) -> Option<f64> {
+    let specifics = &settings.specifics;
+    (specifics.below == UpstreamKind::Shared && specifics.calls_out >= 1.0).then_some(specifics.calls_out)
+}
+
 impl Reducer {
-    /// With a part in a fleet whose servers talk to each other.
+    /// With a part in a cluster whose servers talk to each other.
     pub fn with_cluster(mut self, cluster: Cluster) -> Self {
         self.cluster.cluster = Some(Box::new(cluster));
         self
     }
 
-    /// The cell of a tenant's part of a class, or of all of a class.
+    /// The cell of a tenant's requests of a class, or without a tenant of all requests of the class.
     pub(super) fn counter_cell(&mut self, tenant: Option<usize>, class: usize) -> CellId {
         self.cluster.cells.cell(&self.classes, &self.tenants, tenant, class)
     }
 
-    /// The cell of a whole tenant.
+    /// The cell of all requests of a tenant.
     pub(super) fn tenant_cell(&mut self, tenant: Option<usize>) -> Option<CellId> {
-        tenant.and_then(|tenant| self.cluster.cells.whole(&self.tenants, tenant))
+        tenant.and_then(|tenant| self.cluster.cells.tenant_cell(&self.tenants, tenant))
     }
 
-    /// Tells another server something that isn't the cluster's own.
-    pub(super) fn send_to_peer(&mut self, to: &str, word: &[u8]) {
+    /// Sends a message of another concern to a server, by its name.
+    pub(super) fn send_to_peer(&mut self, to: &str, message: &[u8]) {
         if let Some(cluster) = &mut self.cluster.cluster {
-            cluster.post(self.timestamp.now, to, word);
+            cluster.post(self.timestamp.now, to, message);
         }
     }
 
-    /// A datagram of another server came.
+    /// A datagram of another server came in.
     pub(super) fn peer_datagram_received(&mut self, envelope: &Envelope) {
         if let Some(cluster) = &mut self.cluster.cluster {
             cluster.receive(self.timestamp.now, envelope);
         }
     }
 
-    /// Datagrams were dropped at the socket.
+    /// Counts datagrams that were dropped at the socket.
     pub(super) fn peer_datagrams_dropped(&mut self, dropped: &[(DropReason, u64)]) {
         if let Some(cluster) = &mut self.cluster.cluster {
-            dropped.iter().for_each(|(why, times)| cluster.dropped(*why, *times));
+            dropped.iter().for_each(|(reason, count)| cluster.dropped(*reason, *count));
         }
     }
 
-    /// The fleet's keys were read again.
+    /// The keys that authenticate peer datagrams were read again.
     pub(super) fn authentication_keys_reloaded(&mut self, keys: AuthenticationKeys) {
         if let Some(cluster) = &mut self.cluster.cluster {
             cluster.set_keys(keys);
@@ -155,22 +171,23 @@
         }
     }
 
-    /// A request came that can be taken; whether the fleet has room for it, where it repeats another try.
-    pub(super) fn cluster_admits(&mut self, tenant: Option<usize>, class: usize, repeat: bool) -> bool {
-        if !self.cluster.is_on() {
+    /// Counts a valid request. Returns whether it is admitted: a retry only within the cluster's retry budget.
+    pub(super) fn cluster_admits(&mut self, tenant: Option<usize>, class: usize, is_retry: bool) -> bool {
+        if !self.cluster.is_enabled() {
             return true;
         }
+        let now = self.timestamp.now;
         let estimate = self.cluster.estimated_run(&self.classes, class);
         let cell = self.counter_cell(tenant, class);
-        self.cluster.cells.seen(self.timestamp.now, tenant, class);
+        self.cluster.cells.note_request(now, tenant, class);
         let Some(cluster) = &mut self.cluster.cluster else { return true };
-        cluster.arrived(self.timestamp.now, cell, repeat, estimate);
-        !repeat || cluster.admits_retry(self.timestamp.now)
+        cluster.arrived(now, cell, is_retry, estimate);
+        !is_retry || cluster.admits_retry(now)
     }
 
-    /// A run went well.
+    /// Counts a run that ended with a result.
     pub(super) fn cluster_run_served(&mut self, tenant: Option<usize>, class: usize, took: Span) {
-        if !self.cluster.is_on() {
+        if !self.cluster.is_enabled() {
             return;
         }
         let cell = self.counter_cell(tenant, class);
@@ -180,50 +197,41 @@
         }
     }
 
-    /// A run asked for a call, or no longer does.
-    pub(super) fn note_call_requested(&mut self, id: &RequestId, asks: bool) {
-        if self.cluster.is_on() {
-            if asks {
-                self.cluster.requested_calls.insert(id.clone());
-            } else {
-                self.cluster.requested_calls.remove(id);
-            }
+    /// Notes that a run waits for a call that is not made yet, or no longer does.
+    pub(super) fn note_call_requested(&mut self, id: &RequestId, is_requested: bool) {
+        if !self.cluster.is_enabled() {
+            return;
+        }
+        if is_requested {
+            self.cluster.requested_calls.insert(id.clone());
+        } else {
+            self.cluster.requested_calls.remove(id);
         }
     }
 
-    /// The module makes a call: it goes once it has a slot.
+    /// The admission module makes a call: it is sent once it has a slot.
     pub(super) fn queue_upstream_call(&mut self, id: &RequestId, timeout: Span) {
-        let until = time_after(self.timestamp.now, timeout);
-        self.cluster.waiting_calls.push_back(WaitingCall { id: id.clone(), timeout, until });
+        let expires_at = time_after(self.timestamp.now, timeout);
+        let call = WaitingCall { id: id.clone(), timeout, expires_at };
+        self.cluster.waiting_calls.push_back(call);
         self.send_waiting_calls();
     }
 
-    /// Makes the calls that have a slot now; those whose time is up, or that the ledger can't take, never leave.
-    pub(super) fn send_waiting_calls(&mut self) {
-        let now = self.timestamp.now;
+    /// Sends the calls that have a slot now. Those whose time is up, or that the circuit breaker rejects, are never sent.
+    fn send_waiting_calls(&mut self) {
         self.drop_overdue_calls();
         while let Some(first) = self.cluster.waiting_calls.front() {
-            let still = self.requests.get(&first.id).is_some_and(|open| open.call.is_some());
+            let is_needed = self.is_call_needed(&first.id);
             let Some(cluster) = &mut self.cluster.cluster else { return };
-            let decision = if still { cluster.call(now) } else { CallDecision::Rejected };
+            let decision = if is_needed { cluster.call(self.timestamp.now) } else { CallDecision::Rejected };
             if decision == CallDecision::Wait {
                 break;
             }
-            let Some(WaitingCall { id, timeout, until }) = self.cluster.waiting_calls.pop_front() else {
-                return;
-            };
+            let Some(call) = self.cluster.waiting_calls.pop_front() else { return };
             match decision {
-                CallDecision::Proceed(slot) => {
-                    let left = Span(until.0 - now.0).min(timeout);
-                    let (left, leaves) = match slot {
-                        Slot::Own => (left, None),
-                        Slot::Borrowed { until, max_call } => (left.min(max_call), Some(until)),
-                    };
-                    let number = self.send_upstream_call(&id, left, leaves);
-                    self.cluster.slots_in_use.insert(number, now);
-                }
-                CallDecision::Rejected if still => {
-                    self.complete_upstream_call(&id, None, Outcome::Rejected, None)
+                CallDecision::Proceed(slot) => self.send_with_slot(&call, slot),
+                CallDecision::Rejected if is_needed => {
+                    self.complete_upstream_call(&call.id, None, Outcome::Rejected, None)
                 }
                 CallDecision::Rejected | CallDecision::Wait => {}
             }
@@ -231,40 +239,59 @@
         self.report_waiting_calls();
     }
 
-    /// Gives up the calls whose time is up, wherever they wait. A time that stays behind while one before it waits longer would
-    /// be the next turn again and again ([`Fleet::wake_at`]).
+    /// Whether the run of a request still waits for its call.
+    fn is_call_needed(&self, id: &RequestId) -> bool {
+        self.requests.get(id).is_some_and(|open| open.upstream_call.is_some())
+    }
+
+    fn send_with_slot(&mut self, call: &WaitingCall, slot: Slot) {
+        let now = self.timestamp.now;
+        let remaining = Span(call.expires_at.0 - now.0).min(call.timeout);
+        let (timeout, leave_before) = match slot {
+            Slot::Own => (remaining, None),
+            Slot::Borrowed { until, max_call } => (remaining.min(max_call), Some(until)),
+        };
+        let number = self.send_upstream_call(&call.id, timeout, leave_before);
+        self.cluster.slots_in_use.insert(number, now);
+    }
+
+    /// Gives up the calls whose time is up, wherever they wait. An overdue call behind one that waits longer would be due again and
+    /// again ([`ClusterState::wake_at`]).
     fn drop_overdue_calls(&mut self) {
         let now = self.timestamp.now;
         let mut overdue = Vec::new();
-        self.cluster.waiting_calls.retain(|waiting| {
-            let is_over = waiting.until <= now;
-            if is_over {
-                overdue.push(waiting.id.clone());
+        self.cluster.waiting_calls.retain(|call| {
+            let is_overdue = call.expires_at <= now;
+            if is_overdue {
+                overdue.push(call.id.clone());
             }
-            !is_over
+            !is_overdue
         });
         for id in overdue {
-            if self.requests.get(&id).is_some_and(|open| open.call.is_some()) {
+            if self.is_call_needed(&id) {
                 self.complete_upstream_call(&id, None, Outcome::Rejected, None);
             }
         }
     }
 
+    /// Tells the cluster how many calls wait here, by which it lends slots.
     fn report_waiting_calls(&mut self) {
         let requests = &self.requests;
-        // One whose call the module gave up waits for no slot, though its run may go on.
-        let waits = |id: &RequestId| requests.get(id).is_some_and(|open| open.call.is_some() && open.owed);
-        self.cluster.requested_calls.retain(waits);
+        // A request whose call the admission module gave up waits for no slot, though its run may go on.
+        let is_waiting = |id: &RequestId| {
+            requests.get(id).is_some_and(|open| open.upstream_call.is_some() && open.response_owed)
+        };
+        self.cluster.requested_calls.retain(is_waiting);
         let waiting = self.cluster.waiting_calls.len() + self.cluster.requested_calls.len();
         if let Some(cluster) = &mut self.cluster.cluster {
             cluster.set_waiting(self.timestamp.now, waiting);
         }
     }
 
-    /// A call has ended; its slot, if it had one, is free. What it took counts from the slot: the ledger has no part in the
-    /// wait for one.
-    pub(super) fn release_call_slot(&mut self, number: UpstreamCallId, outcome: Outcome) {
-        if let Some(since) = self.cluster.slots_in_use.remove(&number)
+    /// A call has ended; its slot, if it had one, is free. Its duration counts from the slot: the upstream has no part in the wait
+    /// for one.
+    pub(super) fn release_call_slot(&mut self, call: UpstreamCallId, outcome: Outcome) {
+        if let Some(since) = self.cluster.slots_in_use.remove(&call)
             && let Some(cluster) = &mut self.cluster.cluster
         {
             let now = self.timestamp.now;
@@ -272,45 +299,47 @@
         }
     }
 
-    /// The fleet's turn in a step.
+    /// The cluster's part of a step.
     pub(super) fn cluster_step(&mut self) {
-        let now = self.timestamp.now;
-        if !self.cluster.is_on() {
+        if !self.cluster.is_enabled() {
             return;
         }
         self.send_waiting_calls();
-        let mut asked = Vec::new();
+        let mut effects = Vec::new();
         if let Some(cluster) = &mut self.cluster.cluster {
-            cluster.step(now, &mut asked);
+            cluster.step(self.timestamp.now, &mut effects);
         }
-        for effect in asked {
-            match effect {
-                ClusterEffect::Send { to, datagram } => {
-                    self.effects.push(Effect::SendPeerDatagram { to, datagram })
-                }
-                ClusterEffect::Post { from, incarnation, content } => {
-                    if !self.configuration_message(&from, &content) {
-                        self.consensus_message_received(&from, incarnation.0, &content);
-                    }
-                }
-                ClusterEffect::Log(severity, text) => {
-                    let level = if severity == Severity::Warning { Level::Warning } else { Level::Info };
-                    self.log(level, format!("fleet: {text}"));
+        for effect in effects {
+            self.cluster_effect(effect);
+        }
+        self.update_admission_limits();
+    }
+
+    fn cluster_effect(&mut self, effect: ClusterEffect) {
+        match effect {
+            ClusterEffect::Send { to, datagram } => {
+                self.effects.push(Effect::SendPeerDatagram { to, datagram })
+            }
+            ClusterEffect::Post { from, incarnation, content } => {
+                if !self.configuration_message(&from, &content) {
+                    self.consensus_message_received(&from, incarnation.0, &content);
                 }
             }
+            ClusterEffect::Log(severity, text) => {
+                let level = if severity == Severity::Warning { Level::Warning } else { Level::Info };
+                self.log(level, format!("fleet: {text}"));
+            }
         }
-        self.update_admission_limits();
     }
 
-    /// The module goes by the slots that may be used now, and by the quotas of the tenants seen here as the fleet's counts
-    /// tell them.
+    /// Gives the admission module the slots that may be used now, and the quotas by the cluster's counters of the tenants seen here.
     fn update_admission_limits(&mut self) {
         let now = self.timestamp.now;
         if now >= self.cluster.next_limit_at {
             self.update_call_limit();
         }
         if now >= self.cluster.next_quotas_at {
-            self.cluster.next_quotas_at = time_after(now, QUOTAS);
+            self.cluster.next_quotas_at = time_after(now, QUOTA_UPDATE_INTERVAL);
             self.update_quotas();
         }
     }
@@ -327,36 +356,36 @@
         settings.specifics.calls_out = limit;
         controller.set_rest(settings);
         self.cluster.reported_limit = Some(limit);
-        self.cluster.next_limit_at = time_after(now, LIMITS);
+        self.cluster.next_limit_at = time_after(now, MIN_LIMIT_UPDATE_INTERVAL);
     }
 
-    /// Tells the quotas that moved; of tenants no longer seen, the one that they are set.
+    /// Updates the quotas that moved; those of tenants no longer seen go back to the settings.
     fn update_quotas(&mut self) {
         let now = self.timestamp.now;
         let Some(cluster) = &self.cluster.cluster else { return };
         let Some(controller) = &mut self.controller else { return };
-        let cells = self.cluster.cells.of_seen(now, &self.classes, &self.tenants);
+        let cells = self.cluster.cells.of_recent_tenants(now, &self.classes, &self.tenants);
         if cells.is_empty() && self.cluster.reported_quotas.is_empty() {
             return;
         }
-        let mut parts = cluster.quota_parts(now, |id| cells.get(&id).copied());
+        let mut shares = cluster.quota_parts(now, |id| cells.get(&id).copied());
         for slot in self.cluster.reported_quotas.keys() {
-            parts.entry(*slot).or_insert(1.0);
+            shares.entry(*slot).or_insert(1.0);
         }
-        for (slot, part) in parts {
+        for (slot, share) in shares {
             let Some(tenant) = self.tenants.get(slot) else { continue };
-            let quota = tenant.quota_rps * part;
-            let told = self.cluster.reported_quotas.insert(slot, quota).unwrap_or(tenant.quota_rps);
-            if told != quota {
-                controller.put_tenant(slot, quota, false);
+            let quota_rps = tenant.quota_rps * share;
+            let reported = self.cluster.reported_quotas.insert(slot, quota_rps).unwrap_or(tenant.quota_rps);
+            if reported != quota_rps {
+                controller.put_tenant(slot, quota_rps, false);
             }
-            if quota == tenant.quota_rps {
+            if quota_rps == tenant.quota_rps {
                 self.cluster.reported_quotas.remove(&slot);
             }
         }
     }
 
-    /// Settings other than classes and tenants have changed: the fleet's part goes by them, and the module is told anew.
+    /// Settings other than classes and tenants have changed: the cluster goes by them, and the call limit is given anew.
     pub(super) fn cluster_settings_changed(&mut self) {
         if let Some(cluster) = &mut self.cluster.cluster {
             cluster.reconfigure(self.settings.servers as usize, lent_share(&self.settings));
@@ -365,37 +394,30 @@
         }
     }
 
-    /// A tenant has another quota, or is another: what was told of the one before no longer holds.
+    /// The tenant in a slot has another quota, or is another tenant: the quota that was given no longer holds.
     pub(super) fn forget_reported_quota(&mut self, slot: usize) {
         if self.cluster.reported_quotas.remove(&slot).is_some() {
             self.cluster.next_quotas_at = self.timestamp.now;
         }
     }
 
-    /// Nothing refers to the class in a slot any more.
+    /// The slot of a class was freed.
     pub(super) fn forget_run_estimate(&mut self, slot: usize) {
-        if let Some(estimate) = self.cluster.estimates.get_mut(slot) {
+        if let Some(estimate) = self.cluster.run_estimates.get_mut(slot) {
             *estimate = Span(0);
         }
     }
 
-    /// The process ends: the others needn't suspect it first.
+    /// The process exits: the other servers need not suspect it first.
     pub(super) fn announce_departure(&mut self) {
         let Some(cluster) = &mut self.cluster.cluster else { return };
         cluster.leave(self.timestamp.now);
-        let mut asked = Vec::new();
-        cluster.step(self.timestamp.now, &mut asked);
-        for effect in asked {
+        let mut effects = Vec::new();
+        cluster.step(self.timestamp.now, &mut effects);
+        for effect in effects {
             if let ClusterEffect::Send { to, datagram } = effect {
                 self.effects.push(Effect::SendPeerDatagram { to, datagram });
             }
         }
     }
 }
-
-/// The share of the ledger's slots that takes part in lending: a share under one call is kept as a mean over a span by the
-/// module, which leases don't move.
-pub fn lent_share(settings: &Settings) -> Option<f64> {
-    let specifics = &settings.specifics;
-    (specifics.below == UpstreamKind::Shared && specifics.calls_out >= 1.0).then_some(specifics.calls_out)
-}
--- a/crates/core/src/reducer/configuration_admin.rs
+++ b/crates/core/src/reducer/configuration_admin.rs
@@ -1,4 +1,7 @@
-//! Operators' calls about the configuration: changes that are handed in here, and how it stands.
+//! Operators' requests about the committed configuration: changes that are proposed at this server, and its status.
+//!
+//! Owns [`PendingProposals`], the latest proposals of this server with their outcomes. The consensus group decides about them; their
+//! outcomes come back under tickets.
 
 use super::{MS, Reducer};
 use crate::configuration::{ConfigurationAdminRequest, ConfigurationAdminResponse};
@@ -11,90 +14,116 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Requests whose end is remembered here; refusals are remembered nowhere else.
-const MOST_REQUESTS: usize = 256;
-/// What a caller is told to wait when there are too many.
-const BUSY_MS: u64 = 500;
-/// A request that is under way stays so for 1.8 s at the most, and is never forgotten before.
-const LEAST_KEPT: u64 = 10_000 * MS;
+/// Proposals whose outcomes are kept here; rejections are kept nowhere else.
+const MAX_PROPOSALS: usize = 256;
+/// Advised wait when there are too many proposals.
+const BUSY_RETRY_AFTER_MS: u64 = 500;
+/// A proposal is kept for so long at the least. One that is under way ends within 1.8 s, so it is never dropped.
+const MIN_PROPOSAL_AGE_NS: u64 = 10_000 * MS;
 
-/// A request that was handed in here.
+/// A change that was proposed at this server.
 struct PendingProposal {
     ticket: u64,
+    /// Its author's name for it; a repeat has the same.
     request_id: Name,
-    /// See [`ConfigurationRequest::seen`] and [`ConfigurationRequest::asked_at_ms`].
+    /// See [`ConfigurationRequest::seen`].
     seen: Revision,
+    /// See [`ConfigurationRequest::asked_at_ms`].
     asked_at_ms: u64,
+    /// When it was proposed, or when its outcome came.
     since: Time,
-    /// What it came to, once it has.
-    end: Option<Result<Revision, AdminError>>,
-    repeated: bool,
+    /// None while it is under way.
+    outcome: Option<Result<Revision, AdminError>>,
+    /// Whether it had been committed before.
+    is_repeated: bool,
 }
 
-/// The requests that were handed in here, the latest ones.
+/// The changes that were proposed at this server, the latest [`MAX_PROPOSALS`].
 #[derive(Default)]
 pub(super) struct PendingProposals {
-    known: VecDeque<PendingProposal>,
-    tickets: u64,
+    proposals: VecDeque<PendingProposal>,
+    last_ticket: u64,
+}
+
+/// A proposal for the consensus group, under the ticket that its outcome comes back with.
+struct TicketedRequest {
+    ticket: u64,
+    request: ConfigurationRequest,
 }
 
 impl PendingProposals {
-    /// What a request came to.
-    pub(super) fn answered(&mut self, now: Time, answered: ProposalResponse) {
-        if let Some(known) = self.known.iter_mut().find(|known| known.ticket == answered.ticket) {
-            known.since = now;
-            known.end = Some(answered.answer.map_err(refusal));
+    /// The outcome of a proposal came back.
+    pub(super) fn answered(&mut self, now: Time, response: ProposalResponse) {
+        let proposal = self.proposals.iter_mut().find(|proposal| proposal.ticket == response.ticket);
+        if let Some(proposal) = proposal {
+            proposal.since = now;
+            proposal.outcome = Some(response.answer.map_err(admin_error));
         }
     }
 
     fn find(&self, request_id: &Name) -> Option<&PendingProposal> {
-        self.known.iter().rev().find(|known| known.request_id == *request_id)
+        self.proposals.iter().rev().find(|proposal| proposal.request_id == *request_id)
     }
 
-    /// Takes a request in, under a ticket; refused if too many are too young to be forgotten.
-    fn take(
+    /// Adds a proposal under a new ticket. A repeat takes the place of the one before, and keeps the revision and the time that its
+    /// author first saw. Errors: there are too many proposals of less than [`MIN_PROPOSAL_AGE_NS`].
+    fn add(
         &mut self,
         now: Time,
         proposal: Proposal,
         seen: Revision,
         asked_at_ms: u64,
-    ) -> Result<(u64, ConfigurationRequest), AdminError> {
-        let before = self.known.iter().position(|known| known.request_id == proposal.request_id);
-        let before = before.and_then(|place| self.known.remove(place));
-        let repeated =
-            before.as_ref().is_some_and(|known| known.repeated || matches!(known.end, Some(Ok(_))));
-        let (seen, asked_at_ms) =
-            before.map_or((seen, asked_at_ms), |before| (before.seen, before.asked_at_ms));
-        if self.known.len() >= MOST_REQUESTS {
-            let young = |known: &PendingProposal| now.0.saturating_sub(known.since.0) < LEAST_KEPT;
-            if self.known.front().is_some_and(young) {
-                return Err(AdminError::TooBusy { retry_ms: BUSY_MS });
+    ) -> Result<TicketedRequest, AdminError> {
+        let before = self.take(&proposal.request_id);
+        let (seen, asked_at_ms, is_repeated) = match &before {
+            Some(before) => {
+                let was_committed = matches!(before.outcome, Some(Ok(_)));
+                (before.seen, before.asked_at_ms, before.is_repeated || was_committed)
             }
-            self.known.pop_front();
-        }
-        self.tickets += 1;
-        let request_id = Arc::clone(&proposal.request_id);
-        let ticket = self.tickets;
-        self.known.push_back(PendingProposal {
+            None => (seen, asked_at_ms, false),
+        };
+        self.make_room(now)?;
+        self.last_ticket += 1;
+        let ticket = self.last_ticket;
+        self.proposals.push_back(PendingProposal {
             ticket,
-            request_id,
+            request_id: Arc::clone(&proposal.request_id),
             seen,
             asked_at_ms,
             since: now,
-            end: None,
-            repeated,
+            outcome: None,
+            is_repeated,
         });
-        Ok((ticket, ConfigurationRequest { proposal, seen, asked_at_ms }))
+        let request = ConfigurationRequest { proposal, seen, asked_at_ms };
+        Ok(TicketedRequest { ticket, request })
     }
 
-    fn forget(&mut self, ticket: u64) {
-        self.known.retain(|known| known.ticket != ticket);
+    fn take(&mut self, request_id: &Name) -> Option<PendingProposal> {
+        let index = self.proposals.iter().position(|proposal| proposal.request_id == *request_id)?;
+        self.proposals.remove(index)
+    }
+
+    fn make_room(&mut self, now: Time) -> Result<(), AdminError> {
+        if self.proposals.len() < MAX_PROPOSALS {
+            return Ok(());
+        }
+        let is_young =
+            |proposal: &PendingProposal| now.0.saturating_sub(proposal.since.0) < MIN_PROPOSAL_AGE_NS;
+        if self.proposals.front().is_some_and(is_young) {
+            return Err(AdminError::TooBusy { retry_ms: BUSY_RETRY_AFTER_MS });
+        }
+        self.proposals.pop_front();
+        Ok(())
+    }
+
+    fn remove(&mut self, ticket: u64) {
+        self.proposals.retain(|proposal| proposal.ticket != ticket);
     }
 }
 
-/// What a caller is told of a refused proposal.
-fn refusal(why: ConfigurationRejected) -> AdminError {
-    match why {
+/// The error that an operator gets for a rejected proposal.
+fn admin_error(rejected: ConfigurationRejected) -> AdminError {
+    match rejected {
         ConfigurationRejected::Moved { expected, in_force } => AdminError::Stale { expected, in_force },
         ConfigurationRejected::Invalid(invalid) => AdminError::Invalid(invalid),
         ConfigurationRejected::TooLong { limit, came } => {
@@ -102,51 +131,53 @@
             AdminError::Invalid(Invalid::new("transaction", expected, format!("{came} bytes")))
         }
         ConfigurationRejected::Busy | ConfigurationRejected::Behind { .. } => {
-            AdminError::TooBusy { retry_ms: BUSY_MS }
+            AdminError::TooBusy { retry_ms: BUSY_RETRY_AFTER_MS }
         }
         ConfigurationRejected::NoLeader
         | ConfigurationRejected::NoVoter
-        | ConfigurationRejected::Unconfirmed => AdminError::NoLeader { reason: why.to_string() },
-        ConfigurationRejected::Forgotten { .. } => AdminError::BadCall { reason: why.to_string() },
+        | ConfigurationRejected::Unconfirmed => AdminError::NoLeader { reason: rejected.to_string() },
+        ConfigurationRejected::Forgotten { .. } => AdminError::BadCall { reason: rejected.to_string() },
         ConfigurationRejected::Off => AdminError::Off,
     }
 }
 
 impl Reducer {
-    /// An operator's call about the configuration.
+    /// Answers an operator's request about the configuration. A proposal is only pending then; its outcome is asked for with
+    /// [`ConfigurationAdminRequest::RequestStatus`].
     pub(super) fn configuration_request(
         &mut self,
-        call: ConfigurationAdminRequest,
+        request: ConfigurationAdminRequest,
     ) -> ConfigurationAdminResponse {
-        if self.configuration.0.is_none() {
+        if self.configuration.service.is_none() {
             return ConfigurationAdminResponse::Rejected(AdminError::Off);
         }
-        let answer = match call {
+        let reply = match request {
             ConfigurationAdminRequest::Status => return self.configuration_status(),
             ConfigurationAdminRequest::RequestStatus(request_id) => self.proposal_status(request_id),
             ConfigurationAdminRequest::Apply(request) if request.dry_run => self.dry_run(&request.proposal),
             ConfigurationAdminRequest::Apply(request) => self.propose(*request),
         };
-        answer.map_or_else(ConfigurationAdminResponse::Rejected, ConfigurationAdminResponse::Apply)
+        reply.map_or_else(ConfigurationAdminResponse::Rejected, ConfigurationAdminResponse::Apply)
     }
 
     fn proposal_status(&self, request_id: Name) -> Result<ApplyReply, AdminError> {
-        let service = self.configuration.0.as_ref().ok_or(AdminError::Off)?;
-        match service.requests.find(&request_id) {
-            None => Err(AdminError::UnknownRequest { request_id }),
-            Some(known) => match &known.end {
-                None => Ok(ApplyReply::Pending { request_id }),
-                Some(Ok(revision)) => {
-                    Ok(ApplyReply::Committed { revision: *revision, repeated: known.repeated })
-                }
-                Some(Err(refusal)) => Err(refusal.clone()),
-            },
+        let service = self.configuration.service.as_ref().ok_or(AdminError::Off)?;
+        let Some(proposal) = service.proposals.find(&request_id) else {
+            return Err(AdminError::UnknownRequest { request_id });
+        };
+        match &proposal.outcome {
+            None => Ok(ApplyReply::Pending { request_id }),
+            Some(Ok(revision)) => {
+                Ok(ApplyReply::Committed { revision: *revision, repeated: proposal.is_repeated })
+            }
+            Some(Err(error)) => Err(error.clone()),
         }
     }
 
+    /// Validates a proposal against what is in force, without proposing it.
     fn dry_run(&self, proposal: &Proposal) -> Result<ApplyReply, AdminError> {
-        let service = self.configuration.0.as_ref().ok_or(AdminError::Off)?;
-        service.in_force.check(proposal).map_err(|refused| match refused {
+        let service = self.configuration.service.as_ref().ok_or(AdminError::Off)?;
+        service.in_force.check(proposal).map_err(|rejected| match rejected {
             CommitRejected::Moved { expected, in_force } => AdminError::Stale { expected, in_force },
             CommitRejected::Invalid(invalid) => AdminError::Invalid(invalid),
         })?;
@@ -156,26 +187,27 @@
 
     fn propose(&mut self, request: ApplyRequest) -> Result<ApplyReply, AdminError> {
         let (now, unix_ms) = (self.timestamp.now, self.timestamp.unix_ms);
-        let service = self.configuration.0.as_mut().ok_or(AdminError::Off)?;
+        let service = self.configuration.service.as_mut().ok_or(AdminError::Off)?;
         let agent = self.agreements.agent.as_mut().ok_or(AdminError::Off)?;
         let request_id = Arc::clone(&request.proposal.request_id);
-        let seen = service.spread.state().revision();
-        let (ticket, request) = service.requests.take(now, request.proposal, seen, unix_ms)?;
-        if let Err(why) = agent.request(now, ticket, request) {
-            service.requests.forget(ticket);
-            return Err(refusal(why));
+        let seen = service.dissemination.state().revision();
+        let TicketedRequest { ticket, request } =
+            service.proposals.add(now, request.proposal, seen, unix_ms)?;
+        if let Err(rejected) = agent.request(now, ticket, request) {
+            service.proposals.remove(ticket);
+            return Err(admin_error(rejected));
         }
         Ok(ApplyReply::Pending { request_id })
     }
 
     fn configuration_status(&self) -> ConfigurationAdminResponse {
         let now = self.timestamp.now;
-        let Some(service) = &self.configuration.0 else {
+        let Some(service) = &self.configuration.service else {
             return ConfigurationAdminResponse::Rejected(AdminError::Off);
         };
-        let spread = service.spread.status();
-        let cannot_apply = service.stuck.as_ref().map(|(why, _)| why.clone());
-        let refused = spread.cannot_apply.map(|revision| format!("revision {revision} is not valid here"));
+        let spread = service.dissemination.status();
+        let cannot_apply = service.failure.as_ref().map(|failure| failure.reason.clone());
+        let invalid = spread.cannot_apply.map(|revision| format!("revision {revision} is not valid here"));
         let newest = spread.newest.unwrap_or_default().max(spread.version.revision);
         let status = StatusReply {
             server: Some(Arc::clone(&service.start.own.name)),
@@ -186,7 +218,7 @@
             age_s: Some(span_seconds(service.age(now))),
             stale: service.is_stale(now),
             source: service.source,
-            cannot_apply: cannot_apply.or(refused),
+            cannot_apply: cannot_apply.or(invalid),
             ..StatusReply::default()
         };
         ConfigurationAdminResponse::Status(Box::new(status))
--- a/crates/core/src/reducer/connections.rs
+++ b/crates/core/src/reducer/connections.rs
@@ -1,304 +1,322 @@
-//! The table of client connections: who is there, what each has open, which rest, and which make room for newcomers.
-//! Not here: sockets, which are the fronts', and the requests themselves, of which a connection knows ids alone.
+//! The table of client connections: what each has open, which are idle, and which of those close for newcomers.
+//!
+//! A connection knows its requests by their ids alone. Not here: sockets, which are the front ends'; they close an idle connection only
+//! if nothing of it is under way. Invariant: a connection from which nothing more comes is closed once it is owed nothing.
 
 use super::{MS, Reducer};
-use crate::idle_connections::IdleConnections;
+use crate::idle_connections::{IdleConnections, IdleEntry};
 use crate::messages::{ConnectionId, Effect, SequenceId};
 use crate::timer_wheel::{DueEntry, TimerWheel};
 use gradepin_admission::{RequestId, Span, Time, time_after};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Connections looked at in one sweep, and how long one of them is not looked at again at the most: the module may
-/// shorten the time that they may be idle.
-const LOOKS: usize = 64;
-const LOOK_AGAIN: Span = Span(1_000 * MS);
-/// How long a peer that was asked to drain an idle connection has before it is closed from here.
-const DRAIN_PATIENCE: Span = Span(1_000 * MS);
-/// A connection that came or spoke so lately is not closed for room; half of it for one that never spoke.
-const REST: Span = Span(200 * MS);
-/// How long a resting connection takes to close; after that it must have spoken.
-const CLOSE_PATIENCE: Span = Span(250 * MS);
+/// Connections that one sweep checks for idleness.
+const MAX_IDLE_CHECKS: usize = 64;
+/// Between checks of a connection at the most: the admission module may shorten the idle timeout.
+const IDLE_CHECK_INTERVAL: Span = Span(1_000 * MS);
+/// A peer that was asked to drain an idle connection has so long to close it.
+const DRAIN_TIMEOUT: Span = Span(1_000 * MS);
+/// A connection that is idle for less is not closed for a newcomer; half of it for one that never sent a message.
+const MIN_IDLE_BEFORE_EVICTION: Span = Span(200 * MS);
+/// How long an idle connection takes to close. One that still stands after it was not idle.
+const CLOSE_TIMEOUT: Span = Span(250 * MS);
+/// The table counts as crowded when all but its size divided by this is taken.
+const CROWDED_DIVISOR: usize = 8;
+/// A connection that never sent a message counts as idle for this many times as long as it is.
+const SILENT_WEIGHT: u64 = 2;
 
+/// The state of a client connection.
 #[derive(Debug, Default)]
-pub(super) struct Connection {
+pub(super) struct ConnectionState {
+    /// Requests that are owed a response.
     pub(super) open: HashMap<SequenceId, RequestId>,
+    /// When it was accepted.
     pub(super) opened: Time,
-    pub(super) last: Time,
-    /// Whether a whole message ever came.
-    spoke: bool,
+    /// When it was last used.
+    last_used: Time,
+    /// Whether it ever sent a complete message.
+    sent_message: bool,
     /// Since when it is asked to drain.
-    draining: Option<Time>,
+    draining_since: Option<Time>,
     /// Nothing more comes from it; it is closed once what is open is answered.
-    ended: bool,
-    /// Nothing more is taken from it; the same holds once nothing of it is under way.
-    pub(super) refused: bool,
-    /// No message of it was whole in its time, and none has come since.
-    late: bool,
-    /// Messages taken in from it.
-    taken: u64,
-    /// Until when nothing was read from it, the last time that its pace held it back.
-    pub(super) paced: Option<Time>,
-    /// When it was last to be closed if it rests.
-    closing: Option<Time>,
+    is_half_closed: bool,
+    /// Nothing more is accepted from it; it is closed once nothing of it is under way.
+    pub(super) is_refused: bool,
+    /// No message of it was complete in its time, and none came since.
+    is_late: bool,
+    /// Messages received from it.
+    messages_received: u64,
+    /// Until when nothing was read from it, the last time that it was throttled.
+    pub(super) throttled_until: Option<Time>,
+    /// When the shell was last asked to close it if it is idle.
+    closing_since: Option<Time>,
 }
 
-impl Connection {
-    /// Whether it is being closed, as far as is known.
-    fn closes(&self, now: Time) -> bool {
-        self.closing.is_some_and(|since| now < time_after(since, CLOSE_PATIENCE))
+impl ConnectionState {
+    /// Whether it is being closed, as far as is known here.
+    fn is_closing(&self, now: Time) -> bool {
+        self.closing_since.is_some_and(|since| now < time_after(since, CLOSE_TIMEOUT))
     }
 }
 
 /// All client connections.
 #[derive(Debug)]
 pub(super) struct Connections {
-    table: BTreeMap<ConnectionId, Connection>,
-    /// Connections from which on newcomers take the places of resting ones, and from which on they have spare places.
+    table: BTreeMap<ConnectionId, ConnectionState>,
+    /// From this many connections on newcomers take the places of idle ones.
     crowded_from: usize,
+    /// From this many connections on newcomers have reserved places.
     max_connections: usize,
-    /// Those with nothing open, and when to look at which whether it is idle.
-    resting: IdleConnections,
+    /// Connections with nothing open.
+    idle: IdleConnections,
+    /// When to check which connection for idleness.
     idle_checks: TimerWheel<ConnectionId>,
-    /// How long one may be idle, as the module says; none before it says so.
+    /// How long one may be idle, once the admission module has set it.
     idle_timeout: Option<Span>,
 }
 
 impl Connections {
-    /// For so many connections at the most.
+    /// For at most so many connections beside the reserved places.
     pub(super) fn new(max_connections: usize) -> Self {
-        let (table, resting, idle_checks) =
-            (BTreeMap::new(), IdleConnections::default(), TimerWheel::default());
         Self {
-            table,
-            crowded_from: max_connections - max_connections / 8,
+            table: BTreeMap::new(),
+            crowded_from: max_connections - max_connections / CROWDED_DIVISOR,
             max_connections,
-            resting,
-            idle_checks,
+            idle: IdleConnections::default(),
+            idle_checks: TimerWheel::default(),
             idle_timeout: None,
         }
     }
 
+    /// How many there are.
     pub(super) fn len(&self) -> usize {
         self.table.len()
     }
 
+    /// All of them, in their order.
     pub(super) fn ids(&self) -> Vec<ConnectionId> {
         self.table.keys().copied().collect()
     }
 
-    pub(super) fn get_mut(&mut self, conn: ConnectionId) -> Option<&mut Connection> {
-        self.table.get_mut(&conn)
+    /// The state of a connection, to be changed.
+    pub(super) fn get_mut(&mut self, connection: ConnectionId) -> Option<&mut ConnectionState> {
+        self.table.get_mut(&connection)
     }
 
-    /// One more was accepted.
-    fn insert(&mut self, conn: ConnectionId, now: Time) {
-        self.table.insert(conn, Connection { opened: now, last: now, ..Connection::default() });
-        self.resting.rests(conn, now, false);
-        self.idle_checks.insert(time_after(now, LOOK_AGAIN), conn);
+    fn insert(&mut self, connection: ConnectionId, now: Time) {
+        let state = ConnectionState { opened: now, last_used: now, ..ConnectionState::default() };
+        self.table.insert(connection, state);
+        self.idle.add(IdleEntry { since: now, connection }, false);
+        self.idle_checks.insert(time_after(now, IDLE_CHECK_INTERVAL), connection);
     }
 
-    /// A whole message was taken in from it.
-    pub(super) fn message_received(&mut self, conn: ConnectionId) {
-        if let Some(connection) = self.table.get_mut(&conn) {
-            connection.taken += 1;
-            connection.late = false;
+    /// A complete message came from a connection.
+    pub(super) fn message_received(&mut self, connection: ConnectionId) {
+        if let Some(state) = self.table.get_mut(&connection) {
+            state.messages_received += 1;
+            state.is_late = false;
         }
     }
 
-    /// Nothing more is read from it until then.
-    pub(super) fn throttled(&mut self, conn: ConnectionId, until: Time) {
-        if let Some(connection) = self.table.get_mut(&conn) {
-            connection.paced = Some(until);
+    /// Nothing more is read from a connection until then.
+    pub(super) fn throttled(&mut self, connection: ConnectionId, until: Time) {
+        if let Some(state) = self.table.get_mut(&connection) {
+            state.throttled_until = Some(until);
         }
     }
 
-    /// The module says how long one may be idle.
-    pub(super) fn set_idle_timeout(&mut self, idle: Span) {
-        self.idle_timeout = Some(idle);
+    /// The admission module sets how long a connection may be idle; 0 stands for the settings' timeout.
+    pub(super) fn set_idle_timeout(&mut self, idle_timeout: Span) {
+        self.idle_timeout = Some(idle_timeout);
     }
 
-    /// It has said something now.
-    pub(super) fn touch(&mut self, conn: ConnectionId, now: Time) -> Option<&mut Connection> {
-        let connection = self.table.get_mut(&conn)?;
-        connection.last = now;
-        connection.spoke = true;
-        Some(connection)
+    /// A connection is used by a message of its peer.
+    pub(super) fn touch(&mut self, connection: ConnectionId, now: Time) -> Option<&mut ConnectionState> {
+        let state = self.table.get_mut(&connection)?;
+        state.last_used = now;
+        state.sent_message = true;
+        Some(state)
     }
 
-    /// It has said something, or was answered, and may rest from now on.
-    pub(super) fn touch_and_rest(&mut self, conn: ConnectionId, now: Time) {
-        if self.touch(conn, now).is_some_and(|connection| connection.open.is_empty()) {
-            self.resting.rests(conn, now, true);
+    /// A connection is used, and idle from now on if nothing is open on it.
+    pub(super) fn touch_and_rest(&mut self, connection: ConnectionId, now: Time) {
+        if self.touch(connection, now).is_some_and(|state| state.open.is_empty()) {
+            self.idle.add(IdleEntry { since: now, connection }, true);
         }
     }
 
-    /// A request of it is answered.
-    pub(super) fn response_sent(&mut self, conn: ConnectionId, seq: SequenceId, now: Time) {
-        if let Some(connection) = self.table.get_mut(&conn) {
-            connection.open.remove(&seq);
+    /// A request of a connection is answered.
+    pub(super) fn response_sent(&mut self, connection: ConnectionId, sequence: SequenceId, now: Time) {
+        if let Some(state) = self.table.get_mut(&connection) {
+            state.open.remove(&sequence);
         }
-        self.touch_and_rest(conn, now);
+        self.touch_and_rest(connection, now);
     }
 
-    /// Nothing more is taken from it.
-    pub(super) fn stop_accepting_from(&mut self, conn: ConnectionId) {
-        if let Some(connection) = self.table.get_mut(&conn) {
-            connection.refused = true;
+    /// Nothing more is accepted from a connection.
+    pub(super) fn stop_accepting_from(&mut self, connection: ConnectionId) {
+        if let Some(state) = self.table.get_mut(&connection) {
+            state.is_refused = true;
         }
     }
 
-    /// Near the limit, a newcomer takes the place of a connection with nothing open: of the one that rested longest,
-    /// and one that never said anything counts as if for twice as long. It may have sent what was not read yet, so
-    /// it is closed only where that is not so, and one that has only just come or spoken stays. Guards against silent
-    /// connections that keep all others, health checks too, out of a full table.
+    /// In a crowded table, the connection that is idle for longest, whose place a newcomer takes. One that never sent a message
+    /// counts with [`SILENT_WEIGHT`]. It may have sent what was not read yet, so the shell closes it only if it has not. Guards against
+    /// silent connections that keep all others, health checks too, out of a full table.
     fn find_evictable(&mut self, now: Time) -> Option<ConnectionId> {
         if self.table.len() < self.crowded_from {
             return None;
         }
-        let connections = &self.table;
-        let [spoke, silent] = self.resting.longest(
-            |conn, since, spoke| rests(connections, conn, since, spoke),
-            |conn| connections.get(&conn).is_some_and(|c| c.closes(now)),
+        let table = &self.table;
+        let longest = self.idle.longest(
+            |entry, sent_message| is_idle(table, entry, sent_message),
+            |connection| table.get(&connection).is_some_and(|state| state.is_closing(now)),
         );
-        let rested = |found: Option<(Time, ConnectionId)>, times| {
-            found.map_or((0, 0), |(since, conn)| ((now.0 - since.0) * times, conn))
+        let weighted = |entry: Option<IdleEntry>, weight| {
+            entry.map_or((0, 0), |entry| ((now.0 - entry.since.0) * weight, entry.connection))
         };
-        let (longest, conn) = rested(spoke, 1).max(rested(silent, 2));
-        (longest >= REST.0).then_some(conn)
+        let (idle_ns, connection) =
+            weighted(longest.with_messages, 1).max(weighted(longest.silent, SILENT_WEIGHT));
+        (idle_ns >= MIN_IDLE_BEFORE_EVICTION.0).then_some(connection)
     }
 
-    /// Those with nothing open of which this holds: when each was asked to drain, and when it last spoke.
+    /// The connections with nothing open of which this holds: since when they are asked to drain, and when they were last used.
     pub(super) fn idle_where(
         &self,
         now: Time,
         wanted: impl Fn(Option<Time>, Time) -> bool,
     ) -> Vec<ConnectionId> {
-        let rested = self.table.iter().filter(|(_, c)| c.open.is_empty() && !c.closes(now));
-        rested.filter(|(_, c)| wanted(c.draining, c.last)).map(|(conn, _)| *conn).collect()
+        let idle = self.table.iter().filter(|(_, state)| state.open.is_empty() && !state.is_closing(now));
+        let wanted = idle.filter(|(_, state)| wanted(state.draining_since, state.last_used));
+        wanted.map(|(connection, _)| *connection).collect()
     }
 
-    /// Forgets what the index of resting ones holds of others.
+    /// Drops entries of the index of idle connections that no longer hold.
     pub(super) fn drop_stale_entries(&mut self) {
-        let connections = &self.table;
-        self.resting.tidy(connections.len(), |conn, since, spoke| rests(connections, conn, since, spoke));
+        let table = &self.table;
+        self.idle.drop_stale(table.len(), |entry, sent_message| is_idle(table, entry, sent_message));
     }
 }
 
 impl Reducer {
-    /// A connection was accepted, and may take the place of another.
-    pub(super) fn connection_opened(&mut self, conn: ConnectionId) {
-        if let Some(rested) = self.connections.find_evictable(self.timestamp.now) {
-            self.close_if_idle(rested);
+    /// A connection was accepted. In a crowded table it takes the place of an idle one.
+    pub(super) fn connection_opened(&mut self, connection: ConnectionId) {
+        if let Some(idle) = self.connections.find_evictable(self.timestamp.now) {
+            self.close_if_idle(idle);
         }
-        let spare = self.connections.len() >= self.connections.max_connections;
-        self.connections.insert(conn, self.timestamp.now);
-        if spare {
-            // A health check is answered there and a request turned away; then it makes room for the next.
-            self.connections.stop_accepting_from(conn);
+        let has_reserved_place = self.connections.len() >= self.connections.max_connections;
+        self.connections.insert(connection, self.timestamp.now);
+        if has_reserved_place {
+            // It has one exchange, a health check or a rejection, and leaves the place to the next.
+            self.connections.stop_accepting_from(connection);
         }
-        if spare || self.drain.is_draining() {
-            self.request_drain(conn);
+        if has_reserved_place || self.drain.is_draining() {
+            self.request_drain(connection);
         }
     }
 
-    pub(super) fn connection_closed(&mut self, conn: ConnectionId) {
-        if let Some(connection) = self.connections.table.remove(&conn) {
-            for id in connection.open.into_values().collect::<BTreeSet<_>>() {
+    /// A connection has ended: nobody waits for its requests any more.
+    pub(super) fn connection_closed(&mut self, connection: ConnectionId) {
+        if let Some(state) = self.connections.table.remove(&connection) {
+            for id in state.open.into_values().collect::<BTreeSet<_>>() {
                 self.caller_gone(&id);
             }
         }
     }
 
-    /// Nothing more comes from a connection: it is closed once what is open on it is answered. Until then it is asked
-    /// to drain, which costs a peer that reads nothing, and makes one that is gone altogether answer with a reset.
-    pub(super) fn connection_half_closed(&mut self, conn: ConnectionId) {
-        let Some(connection) = self.connections.table.get_mut(&conn) else { return };
-        connection.ended = true;
-        if !connection.open.is_empty() {
-            self.request_drain(conn);
+    /// Nothing more comes from a connection: it is closed once what is open on it is answered. Until then it is asked to drain, which
+    /// costs a peer that reads nothing, and makes a host that is gone answer with a reset.
+    pub(super) fn connection_half_closed(&mut self, connection: ConnectionId) {
+        let Some(state) = self.connections.table.get_mut(&connection) else { return };
+        state.is_half_closed = true;
+        if !state.open.is_empty() {
+            self.request_drain(connection);
         }
-        self.close_if_done(conn);
+        self.close_if_done(connection);
     }
 
-    /// A connection said no whole message in its time: it is closed once it is owed nothing, unless one comes yet.
-    pub(super) fn connection_late(&mut self, conn: ConnectionId) {
-        if let Some(connection) = self.connections.table.get_mut(&conn) {
-            connection.late = true;
-            self.close_if_done(conn);
+    /// A connection sent no complete message in its time: it is closed once it is owed nothing, unless one is completed before.
+    pub(super) fn connection_late(&mut self, connection: ConnectionId) {
+        if let Some(state) = self.connections.table.get_mut(&connection) {
+            state.is_late = true;
+            self.close_if_done(connection);
         }
     }
 
     /// Closes a connection from which nothing more is to come, once it is owed nothing.
-    pub(super) fn close_if_done(&mut self, conn: ConnectionId) {
-        match self.connections.table.get(&conn) {
-            Some(connection) if !connection.open.is_empty() => {}
-            Some(connection) if connection.ended => self.effects.push(Effect::CloseConnection(conn)),
-            Some(connection) if connection.late => {
-                self.effects.push(Effect::CloseLateConnection {
-                    connection: conn,
-                    messages_received: connection.taken,
-                });
+    pub(super) fn close_if_done(&mut self, connection: ConnectionId) {
+        match self.connections.table.get(&connection) {
+            Some(state) if !state.open.is_empty() => {}
+            Some(state) if state.is_half_closed => self.effects.push(Effect::CloseConnection(connection)),
+            Some(state) if state.is_late => {
+                let messages_received = state.messages_received;
+                self.effects.push(Effect::CloseLateConnection { connection, messages_received });
             }
-            // What is on its way from it yet is answered first.
-            Some(connection) if connection.refused => self.close_if_idle(conn),
+            // What is on its way from it is answered first.
+            Some(state) if state.is_refused => self.close_if_idle(connection),
             _ => {}
         }
     }
 
-    pub(super) fn request_drain(&mut self, conn: ConnectionId) {
-        if let Some(connection) = self.connections.table.get_mut(&conn).filter(|c| c.draining.is_none()) {
-            connection.draining = Some(self.timestamp.now);
-            self.effects.push(Effect::RequestDrain(conn));
+    /// Asks the peer of a connection, once, to send no more requests on it.
+    pub(super) fn request_drain(&mut self, connection: ConnectionId) {
+        let state = self.connections.table.get_mut(&connection);
+        if let Some(state) = state.filter(|state| state.draining_since.is_none()) {
+            state.draining_since = Some(self.timestamp.now);
+            self.effects.push(Effect::RequestDrain(connection));
         }
     }
 
-    pub(super) fn close_if_idle(&mut self, conn: ConnectionId) {
-        if let Some(connection) = self.connections.table.get_mut(&conn) {
-            connection.closing = Some(self.timestamp.now);
-            self.effects
-                .push(Effect::CloseIdleConnection { connection: conn, messages_received: connection.taken });
+    /// Has the shell close a connection if nothing of it is under way.
+    pub(super) fn close_if_idle(&mut self, connection: ConnectionId) {
+        if let Some(state) = self.connections.table.get_mut(&connection) {
+            state.closing_since = Some(self.timestamp.now);
+            let messages_received = state.messages_received;
+            self.effects.push(Effect::CloseIdleConnection { connection, messages_received });
         }
     }
 
-    /// Idle connections are asked to drain, which no request can cross unanswered, and closed only if their
-    /// peers don't. Looks at some of those whose time may have come; whether there may be more.
+    /// Asks idle connections to drain, which no request can cross unanswered, and closes those whose peers don't. Checks a bounded
+    /// number of connections; returns whether more may be due.
     pub(super) fn drain_idle_connections(&mut self) -> bool {
-        let (now, mut budget) = (self.timestamp.now, LOOKS);
-        let idle = self
-            .connections
-            .idle_timeout
-            .map(|idle| if idle.0 == 0 { self.settings.specifics.idle } else { idle });
+        let now = self.timestamp.now;
+        let mut budget = MAX_IDLE_CHECKS;
+        let idle_timeout = match self.connections.idle_timeout {
+            Some(timeout) if timeout.0 == 0 => Some(self.settings.specifics.idle),
+            timeout => timeout,
+        };
         loop {
-            let conn = match self.connections.idle_checks.next_due(now, &mut budget) {
-                DueEntry::Entry(conn) => conn,
+            match self.connections.idle_checks.next_due(now, &mut budget) {
+                DueEntry::Entry(connection) => self.drain_if_idle(connection, idle_timeout),
                 DueEntry::None => return false,
                 DueEntry::Later => return true,
-            };
-            let Some(connection) = self.connections.table.get(&conn) else { continue };
-            let rested = idle.map(|idle| time_after(connection.last, idle));
-            let again = connection.draining.map(|since| time_after(since, DRAIN_PATIENCE)).or(rested);
-            let again = again.filter(|at| *at > now).unwrap_or(time_after(now, LOOK_AGAIN));
-            self.connections.idle_checks.insert(again.min(time_after(now, LOOK_AGAIN)), conn);
-            let quiet = connection.open.is_empty() && rested.is_some_and(|at| at <= now);
-            match connection.draining {
-                None if quiet => self.request_drain(conn),
-                Some(since)
-                    if quiet && time_after(since, DRAIN_PATIENCE) <= now && !self.drain.is_draining() =>
-                {
-                    self.close_if_idle(conn)
-                }
-                _ => {}
             }
         }
     }
+
+    /// Checks one connection for idleness, and schedules its next check.
+    fn drain_if_idle(&mut self, connection: ConnectionId, idle_timeout: Option<Span>) {
+        let now = self.timestamp.now;
+        let Some(state) = self.connections.table.get(&connection) else { return };
+        let idle_at = idle_timeout.map(|timeout| time_after(state.last_used, timeout));
+        let drained_at = state.draining_since.map(|since| time_after(since, DRAIN_TIMEOUT));
+        let latest_check = time_after(now, IDLE_CHECK_INTERVAL);
+        let next_check = drained_at.or(idle_at).filter(|at| *at > now).unwrap_or(latest_check);
+        self.connections.idle_checks.insert(next_check.min(latest_check), connection);
+        let is_idle = state.open.is_empty() && idle_at.is_some_and(|at| at <= now);
+        match drained_at {
+            None if is_idle => self.request_drain(connection),
+            Some(drained_at) if is_idle && drained_at <= now && !self.drain.is_draining() => {
+                self.close_if_idle(connection)
+            }
+            _ => {}
+        }
+    }
 }
 
-/// Whether a connection has nothing open, and said its last word then.
-fn rests(
-    connections: &BTreeMap<ConnectionId, Connection>,
-    conn: ConnectionId,
-    since: Time,
-    spoke: bool,
-) -> bool {
-    connections.get(&conn).is_some_and(|c| c.open.is_empty() && c.last == since && c.spoke == spoke)
+/// Whether a connection has nothing open and was not used since its entry was made.
+fn is_idle(table: &BTreeMap<ConnectionId, ConnectionState>, entry: IdleEntry, sent_message: bool) -> bool {
+    table.get(&entry.connection).is_some_and(|state| {
+        state.open.is_empty() && state.last_used == entry.since && state.sent_message == sent_message
+    })
 }
--- a/crates/core/src/reducer/counter_cells.rs
+++ b/crates/core/src/reducer/counter_cells.rs
@@ -1,5 +1,5 @@
-//! The cells of the fleet's counts that requests here fall into, made when they are first asked for, and what the fleet
-//! counted of the tenants seen here. Both are bounded: no table of classes by tenants is ever made.
+//! The cells of the cluster's counters that requests of this server fall into, computed when first used, and the tenants and classes
+//! seen lately. Both are bounded: no table of classes by tenants is ever made.
 
 use crate::classes::Classes;
 use crate::slots::Handle;
@@ -8,12 +8,12 @@
 use gradepin_cluster::counters::{CellId, MAX_CELLS, WINDOW};
 use std::collections::{BTreeMap, HashMap};
 
-/// Cells kept at their pairs, some 160 KB; another pair of the same place is hashed anew.
-const KEPT: usize = 4_096;
-/// Tenants and classes whose quotas are looked at: a server tells no more cells of its own, so it counts no more apart.
-const SEEN: usize = MAX_CELLS;
+/// Cached cells, some 160 KB; another key of the same entry is hashed anew.
+const CACHED_CELLS: usize = 4_096;
+/// Tenants and classes whose quotas are looked at: a server publishes no more cells of its own.
+const MAX_RECENT_SLOTS: usize = MAX_CELLS;
 
-/// A tenant and a class; none stands for no tenant, or for all classes of one.
+/// What a cell counts: a tenant's requests of a class; without a tenant all of the class, without a class all of the tenant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct CellKey {
     tenant: Option<Handle>,
@@ -21,26 +21,27 @@
 }
 
 impl CellKey {
-    fn place(self) -> usize {
+    /// The entry of the cache for it.
+    fn cache_index(self) -> usize {
         let number = |handle: Option<Handle>| handle.map_or(0, |handle| handle.slot() + 1);
         let mixed =
             (number(self.tenant) as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ number(self.class) as u64;
-        (mixed.wrapping_mul(0xff51_afd7_ed55_8ccd) >> 32) as usize % KEPT
+        (mixed.wrapping_mul(0xff51_afd7_ed55_8ccd) >> 32) as usize % CACHED_CELLS
     }
 }
 
-/// The slots seen within the window of the counts, so many at the most.
+/// Slots seen within the window of the counters, at most [`MAX_RECENT_SLOTS`], with when each was last seen.
 #[derive(Debug, Default)]
 struct RecentSlots(BTreeMap<usize, Time>);
 
 impl RecentSlots {
     fn note(&mut self, now: Time, slot: usize) {
-        if self.0.len() < SEEN || self.0.contains_key(&slot) {
+        if self.0.len() < MAX_RECENT_SLOTS || self.0.contains_key(&slot) {
             self.0.insert(slot, now);
         }
     }
 
-    fn forget(&mut self, now: Time) {
+    fn drop_old(&mut self, now: Time) {
         self.0.retain(|_, seen| time_after(*seen, WINDOW) > now);
     }
 
@@ -49,16 +50,16 @@
     }
 }
 
-/// The cells asked for lately, and whose they are.
+/// The cells that were used lately.
 #[derive(Debug, Default)]
 pub(super) struct CounterCells {
-    kept: Vec<Option<(CellKey, CellId)>>,
-    tenants: RecentSlots,
-    classes: RecentSlots,
+    cache: Vec<Option<(CellKey, CellId)>>,
+    recent_tenants: RecentSlots,
+    recent_classes: RecentSlots,
 }
 
 impl CounterCells {
-    /// The cell of a tenant's part of a class, or of all of a class.
+    /// The cell of a tenant's requests of a class, or without a tenant of all requests of the class.
     pub(super) fn cell(
         &mut self,
         classes: &Classes,
@@ -66,68 +67,69 @@
         tenant: Option<usize>,
         class: usize,
     ) -> CellId {
-        let pair = CellKey {
+        let key = CellKey {
             tenant: tenant.map(|tenant| tenants.handle(tenant)),
             class: Some(classes.handle(class)),
         };
-        self.of(pair, || {
+        self.cached(key, || {
             let name = tenant.and_then(|tenant| tenants.name(tenant)).unwrap_or_default();
             CellId::of(name, &classes.profile(class).name)
         })
     }
 
-    /// The cell of a whole tenant.
-    pub(super) fn whole(&mut self, tenants: &Tenants, tenant: usize) -> Option<CellId> {
+    /// The cell of all requests of a tenant.
+    pub(super) fn tenant_cell(&mut self, tenants: &Tenants, tenant: usize) -> Option<CellId> {
         let name = tenants.name(tenant)?;
-        let pair = CellKey { tenant: Some(tenants.handle(tenant)), class: None };
-        Some(self.of(pair, || CellId::of(name, "")))
+        let key = CellKey { tenant: Some(tenants.handle(tenant)), class: None };
+        Some(self.cached(key, || CellId::of(name, "")))
     }
 
-    fn of(&mut self, pair: CellKey, make: impl FnOnce() -> CellId) -> CellId {
-        if self.kept.is_empty() {
-            self.kept.resize(KEPT, None);
+    fn cached(&mut self, key: CellKey, compute: impl FnOnce() -> CellId) -> CellId {
+        if self.cache.is_empty() {
+            self.cache.resize(CACHED_CELLS, None);
         }
-        let kept = &mut self.kept[pair.place()];
-        match kept {
-            Some((of, cell)) if *of == pair => *cell,
+        let entry = &mut self.cache[key.cache_index()];
+        match entry {
+            Some((cached_key, cell)) if *cached_key == key => *cell,
             _ => {
-                let cell = make();
-                *kept = Some((pair, cell));
+                let cell = compute();
+                *entry = Some((key, cell));
                 cell
             }
         }
     }
 
-    /// A request of this tenant and class came.
-    pub(super) fn seen(&mut self, now: Time, tenant: Option<usize>, class: usize) {
-        self.classes.note(now, class);
+    /// Notes a request of a tenant and a class.
+    pub(super) fn note_request(&mut self, now: Time, tenant: Option<usize>, class: usize) {
+        self.recent_classes.note(now, class);
         if let Some(tenant) = tenant {
-            self.tenants.note(now, tenant);
+            self.recent_tenants.note(now, tenant);
         }
     }
 
-    /// The cells of the tenants seen lately, each with its tenant's slot: those of all classes where there are few, else
-    /// of the classes seen here lately.
-    pub(super) fn of_seen(
+    /// The cells of the tenants seen lately, each with its tenant's slot: for all classes where there are few, else for the classes
+    /// seen lately.
+    pub(super) fn of_recent_tenants(
         &mut self,
         now: Time,
         classes: &Classes,
         tenants: &Tenants,
     ) -> HashMap<CellId, usize> {
-        self.tenants.forget(now);
-        self.classes.forget(now);
-        let rows: Vec<usize> = self.tenants.slots().filter(|slot| tenants.get(*slot).is_some()).collect();
-        if rows.is_empty() {
+        self.recent_tenants.drop_old(now);
+        self.recent_classes.drop_old(now);
+        let in_force = |slot: &usize| tenants.get(*slot).is_some();
+        let tenant_slots: Vec<usize> = self.recent_tenants.slots().filter(in_force).collect();
+        if tenant_slots.is_empty() {
             return HashMap::new();
         }
-        let columns: Vec<usize> = if classes.in_force() <= SEEN {
+        let class_slots: Vec<usize> = if classes.in_force() <= MAX_RECENT_SLOTS {
             classes.iter().map(|(slot, _)| slot).collect()
         } else {
-            self.classes.slots().collect()
+            self.recent_classes.slots().collect()
         };
-        let mut cells = HashMap::with_capacity(rows.len() * columns.len());
-        for &tenant in &rows {
-            for &class in &columns {
+        let mut cells = HashMap::with_capacity(tenant_slots.len() * class_slots.len());
+        for &tenant in &tenant_slots {
+            for &class in &class_slots {
                 cells.insert(self.cell(classes, tenants, Some(tenant), class), tenant);
             }
         }
