--- a/crates/core/src/reducer/mod.rs
+++ b/crates/core/src/reducer/mod.rs
@@ -1,10 +1,11 @@
-//! All state of the tile server, and all changes to it: inputs in, effects out.
+//! All state of one tile server and all changes to it: [`Input`]s in, [`Effect`]s out.
 //!
-//! The reducer hosts one [`Controller`] and decides nothing itself. It does no I/O and reads no clock, so a
-//! test can drive it through any course of events. This file steps and routes; each concern has a file with the state
-//! that it alone changes.
+//! The reducer hosts one [`Controller`], which decides about requests, and carries out its actions on the state. It does no I/O and
+//! reads no clock, so that a test can drive it through any course of events. This file steps and routes. Each concern has a file
+//! with the state that it alone changes, and its methods of [`Reducer`].
 
 mod admin;
+mod admission_actions;
 mod agreements;
 mod cluster;
 mod configuration;
@@ -15,10 +16,13 @@
 mod open_requests;
 mod persistence;
 mod processor_link;
+mod request_intake;
+mod responses;
 mod run_claims;
 mod runs;
 mod schedule;
 mod settings_changes;
+mod settings_reload;
 mod upstream_calls;
 
 use crate::admin::OperatorDrain;
@@ -27,8 +31,8 @@
 use crate::config::{Config, ConfigError};
 use crate::handover::Handover;
 use crate::idempotency_log::IdempotencyLog;
-use crate::idempotency_table::{IdempotencyTable, RunOutcome};
-use crate::messages::{Effect, Input, Response, UpstreamCallId, earliest};
+use crate::idempotency_table::IdempotencyTable;
+use crate::messages::{ConnectionId, Effect, Input, SequenceId, UpstreamCallId, earliest};
 use crate::pending_claims::PendingClaims;
 use crate::registration::Registration;
 use crate::request_metrics::RequestMetrics;
@@ -43,7 +47,7 @@
 use gradepin_admission::{
     Action, ClassDefinition, Controller, Event, Settings, Span, Tenant, Time, time_after,
 };
-use open_requests::{OpenRequest, OpenRequests, State};
+use open_requests::OpenRequests;
 use persistence::Recovery;
 use processor_link::ProcessorLink;
 use schedule::Schedule;
@@ -53,52 +57,81 @@
 use std::sync::Arc;
 
 const MS: u64 = 1_000_000;
-/// Part of the memory for the results of keyed runs.
-const RESULTS_PART: usize = 6;
+/// Retained results of keyed runs may take the memory of the process divided by this.
+const RESULT_MEMORY_DIVISOR: usize = 6;
 
 /// The state of one tile server.
 pub struct Reducer {
+    /// The active settings without classes and tenants.
     settings: Arc<Settings>,
     config: Config,
     seed: u64,
+    /// The admission module; none before the processor's first greeting.
     controller: Option<Controller>,
+    /// Of the step that is being taken.
     timestamp: Timestamp,
     requests: OpenRequests,
     connections: Connections,
     idempotency_table: IdempotencyTable,
     idempotency_log: IdempotencyLog,
-    /// Where the process after this one in an upgrade shares what runs.
+    /// Runs that wait for their claims, where the two processes of an upgrade share them.
     pending_claims: PendingClaims,
     recovery: Recovery,
     processor: ProcessorLink,
     drain: Drain,
     schedule: Schedule,
-    /// What it shares with other servers, where they may talk to each other.
+    /// What it shares with other servers, where there is a cluster.
     cluster: ClusterState,
-    /// Its part in what that fleet agrees on.
+    /// Its part in permits and rollouts, where there is a consensus group.
     agreements: Agreements,
-    /// Classes, tenants and rules by committed revisions, where that service is on.
+    /// The committed configuration, where that service is on.
     configuration: ConfigurationState,
+    /// Whether the admission module says that the server takes requests.
     healthy: bool,
+    /// The hint that each response carries, once the admission module has set it.
     capacity_hint: Option<f64>,
     registration: Registration,
-    /// The classes and tenants in force; `settings` are all others.
     classes: Classes,
     tenants: Tenants,
     settings_changes: SettingsChanges,
-    /// Calls to the ledger made so far.
+    /// Id of the last call to the shared upstream.
     last_upstream_call: UpstreamCallId,
-    /// The drain that operators order at their door, and the figures they scrape.
     operator_drain: OperatorDrain,
     metrics: RequestMetrics,
-    /// For the module's next turn.
+    /// Events that the admission module handles next.
     events: Vec<Event>,
+    /// Kept for its memory; empty between steps.
     actions: Vec<Action>,
+    /// Effects of this step so far.
     effects: Vec<Effect>,
 }
 
+/// What all messages of clients have in common.
+struct ClientMessage {
+    connection: ConnectionId,
+    sequence: SequenceId,
+    /// Whether it is owed a response.
+    is_request: bool,
+}
+
+impl ClientMessage {
+    fn of(input: &Input) -> Option<Self> {
+        match input {
+            Input::Request { connection, sequence, .. }
+            | Input::InvalidRequest { connection, sequence, .. }
+            | Input::HealthCheck { connection, sequence } => {
+                Some(Self { connection: *connection, sequence: *sequence, is_request: true })
+            }
+            Input::Cancel { connection, sequence } => {
+                Some(Self { connection: *connection, sequence: *sequence, is_request: false })
+            }
+            _ => None,
+        }
+    }
+}
+
 impl Reducer {
-    /// The state at the start of a server.
+    /// The state at the start of a server. Errors: the seed of `config` is no hex number.
     pub fn new(
         config: &Config,
         settings: Arc<Settings>,
@@ -109,7 +142,7 @@
         Self::with_definitions(&config, classes, tenants, registration)
     }
 
-    /// The same, with the classes and tenants, in slots by their order, apart from the settings of the configuration.
+    /// The same, with the classes and tenants apart from the settings of the configuration; they take slots in their order.
     pub fn with_definitions(
         config: &Config,
         classes: Vec<Arc<ClassDefinition>>,
@@ -118,7 +151,7 @@
     ) -> Result<Self, ConfigError> {
         let settings = config.settings.clone();
         let classes = Classes::new(classes);
-        let window = classes.longest_window();
+        let longest_window = classes.longest_window();
         Ok(Self {
             seed: config.seed()?,
             config: config.clone(),
@@ -127,8 +160,8 @@
             timestamp: Timestamp::default(),
             requests: OpenRequests::new(config),
             connections: Connections::new(config.connections()),
-            idempotency_table: IdempotencyTable::new(config.memory(RESULTS_PART)),
-            idempotency_log: IdempotencyLog::off(),
+            idempotency_table: IdempotencyTable::new(config.memory(RESULT_MEMORY_DIVISOR)),
+            idempotency_log: IdempotencyLog::disabled(),
             pending_claims: PendingClaims::default(),
             recovery: Recovery::new(config.seed()?),
             processor: ProcessorLink::default(),
@@ -142,7 +175,7 @@
             registration,
             classes,
             tenants: Tenants::new(tenants),
-            settings_changes: SettingsChanges::new(window),
+            settings_changes: SettingsChanges::new(longest_window),
             last_upstream_call: 0,
             operator_drain: OperatorDrain::default(),
             metrics: RequestMetrics::default(),
@@ -152,36 +185,36 @@
         })
     }
 
-    /// For a process whose listener is inherited and shared with the one that comes after it in an upgrade.
+    /// For a process whose listener is inherited and shared with its successor in an upgrade.
     pub fn sharing_listener(mut self) -> Self {
         self.drain.handover = Handover::shared();
         self
     }
 
-    /// For a process that shares its keyed runs with the other one of an upgrade; this salt keys the prints of both, and is
-    /// told later ([`Input::RunsShared`]) where they can't be shared yet. Not beside a store, which has one owner and a salt
-    /// of its own.
+    /// For a process that shares its keyed runs with the other one of an upgrade. `salt` keys the fingerprints of both; without it,
+    /// it comes with [`Input::RunsShared`] once the runs can be shared. Not together with a store, which has one owner and a
+    /// salt of its own.
     pub fn sharing_runs(mut self, salt: Option<u64>) -> Self {
         self.pending_claims = PendingClaims::shared();
         self.recovery.salt = salt.unwrap_or(self.recovery.salt);
         self
     }
 
-    /// With a store that is being opened, whose records go by this ledger.
-    pub fn with_store(mut self, ledger: IdempotencyLog, pool: Arc<BufferPool>) -> Self {
-        (self.idempotency_log, self.recovery.pool) = (ledger, pool);
+    /// With a store that is being opened, whose records go by this log. Results that it recovers take buffers of `pool`.
+    pub fn with_store(mut self, log: IdempotencyLog, pool: Arc<BufferPool>) -> Self {
+        (self.idempotency_log, self.recovery.pool) = (log, pool);
         self
     }
 
-    /// Takes in all inputs, lets the module decide once, and appends what is to be done.
+    /// Applies all inputs in their order, lets the admission module decide once, and appends the effects.
     pub fn step(
         &mut self,
-        moment: Timestamp,
+        timestamp: Timestamp,
         inputs: impl IntoIterator<Item = Input>,
         effects: &mut Vec<Effect>,
     ) {
-        self.timestamp = moment;
-        self.recovery.note_step(moment.now);
+        self.timestamp = timestamp;
+        self.recovery.note_step(timestamp.now);
         for input in inputs {
             self.input(input);
         }
@@ -197,212 +230,91 @@
 
     /// When [`Reducer::step`] must be called again though nothing came in.
     pub fn wake_at(&self) -> Option<Time> {
+        let now = self.timestamp.now;
         if !self.events.is_empty() || self.settings_changes.is_reloading() || !self.effects.is_empty() {
-            return Some(self.timestamp.now);
+            return Some(now);
         }
-        let timer = self.schedule.timer_due_at(self.timestamp.now, self.processor.reading_since);
-        let own = earliest(
-            earliest(timer, self.drain.wake_at()),
-            earliest(self.idempotency_log.wake_at(), self.recovery.wait_until()),
-        );
-        let own =
-            earliest(earliest(own, self.cluster.wake_at(self.timestamp.now)), self.agreements.wake_at());
-        let own = self.configuration_wake_at(own);
-        earliest(earliest(own, self.registration.wake_at(self.timestamp.now)), Some(self.schedule.wake_at()))
+        let due = [
+            self.schedule.timer_due_at(now, self.processor.reading_since),
+            self.drain.wake_at(),
+            self.idempotency_log.wake_at(),
+            self.recovery.wait_until(),
+            self.cluster.wake_at(now),
+            self.agreements.wake_at(),
+            self.configuration.wake_at(now),
+            self.registration.wake_at(now),
+            Some(self.schedule.wake_at()),
+        ];
+        due.into_iter().fold(None, earliest)
     }
 
     fn log(&mut self, level: Level, text: String) {
         self.effects.push(Effect::Log { level, text });
     }
 
+    /// Counts a message of a client on its connection; false if it must be dropped, as its sequence number is taken.
+    fn accept_message(&mut self, input: &Input) -> bool {
+        let Some(message) = ClientMessage::of(input) else { return true };
+        self.connections.message_received(message.connection);
+        !message.is_request || !self.reject_duplicate_sequence(message.connection, message.sequence)
+    }
+
     fn input(&mut self, input: Input) {
-        if let Input::Request { connection: conn, .. }
-        | Input::InvalidRequest { connection: conn, .. }
-        | Input::Cancel { connection: conn, .. }
-        | Input::HealthCheck { connection: conn, .. } = &input
-        {
-            self.connections.message_received(*conn);
-        }
-        if let Input::Request { connection: conn, sequence: seq, .. }
-        | Input::InvalidRequest { connection: conn, sequence: seq, .. }
-        | Input::HealthCheck { connection: conn, sequence: seq } = &input
-            && self.reject_duplicate_sequence(*conn, *seq)
-        {
+        if !self.accept_message(&input) {
             return;
         }
+        let now = self.timestamp.now;
         match input {
-            Input::ConnectionOpened(conn) => self.connection_opened(conn),
-            Input::ConnectionHalfClosed(conn) => self.connection_half_closed(conn),
-            Input::ConnectionLate(conn) => self.connection_late(conn),
-            Input::ConnectionClosed(conn) => self.connection_closed(conn),
-            Input::Request { connection: conn, sequence: seq, request: call } => {
-                self.receive_request(conn, seq, *call)
+            Input::ConnectionOpened(connection) => self.connection_opened(connection),
+            Input::ConnectionHalfClosed(connection) => self.connection_half_closed(connection),
+            Input::ConnectionLate(connection) => self.connection_late(connection),
+            Input::ConnectionClosed(connection) => self.connection_closed(connection),
+            Input::ConnectionThrottled { connection, duration } => {
+                self.connections.throttled(connection, time_after(now, duration))
             }
-            Input::InvalidRequest { connection: conn, sequence: seq, error: misuse, text: why } => {
-                self.reject_invalid(conn, seq, None, misuse, why)
+            Input::Request { connection, sequence, request } => {
+                self.receive_request(connection, sequence, *request)
             }
-            Input::Cancel { connection: conn, sequence: seq } => self.cancel_request(conn, seq),
-            Input::HealthCheck { connection: conn, sequence: seq } => {
-                self.connections.touch_and_rest(conn, self.timestamp.now);
-                let good = self.healthy && self.operator_drain.draining_since().is_none();
-                let health = Response::Health {
-                    healthy: good,
-                    store: self.idempotency_log.standing(self.timestamp.now).word(),
-                };
-                self.effects.push(Effect::Respond {
-                    connection: conn,
-                    sequence: seq,
-                    response: health,
-                    capacity_hint: self.capacity_hint,
-                });
-                self.close_if_done(conn);
+            Input::InvalidRequest { connection, sequence, error, text } => {
+                self.reject_invalid(connection, sequence, None, error, text)
             }
+            Input::Cancel { connection, sequence } => self.cancel_request(connection, sequence),
+            Input::HealthCheck { connection, sequence } => self.answer_health_check(connection, sequence),
             Input::LinkUp { link, cold, age } => self.link_up(link, cold, age),
-            Input::LinkDown => {
-                self.registration.processor_silent(self.timestamp.now);
-                self.processor.disconnected();
-            }
+            Input::LinkDown => self.link_down(),
             Input::ProcessorRestarted => self.processor_restarted(),
             Input::RunCompleted { notice, id, end, took, result } => {
-                if self.processor.accept_notice(notice, self.timestamp.now) {
-                    self.run_completed(&id, end, took, result);
-                } else if self.idempotency_table.hopes() {
-                    self.recovered_run_completed(&id, end, &result);
-                }
+                self.run_completed(notice, &id, end, took, result)
             }
             Input::UpstreamCallRequested { notice, id, body } => {
-                if self.processor.accept_notice(notice, self.timestamp.now) {
-                    self.upstream_call_requested(&id, body);
-                }
+                self.upstream_call_requested(notice, &id, body)
             }
-            Input::UpstreamCallEnded { id, call: number, outcome, reply } => {
-                self.upstream_call_ended(&id, number, outcome, reply)
+            Input::UpstreamCallEnded { id, call, outcome, reply } => {
+                self.upstream_call_ended(&id, call, outcome, reply)
             }
             Input::RunClaimed { id, claim } => self.run_claimed(&id, claim),
-            Input::RunsShared { salt } => {
-                self.recovery.salt = salt;
-                self.log(Level::Info, "keyed runs are shared from now on".into());
-            }
-            Input::GaugesRead { number: tag, values } => {
-                self.processor.last_heard_at = self.timestamp.now;
-                self.gauges_read(tag, &values);
-            }
+            Input::RunsShared { salt } => self.runs_shared(salt),
+            Input::GaugesRead { number, values } => self.gauges_read(number, &values),
             Input::RunNotStarted(id) => self.run_not_started(&id),
-            Input::ConnectionThrottled { connection: conn, duration: pause } => {
-                self.connections.throttled(conn, time_after(self.timestamp.now, pause))
-            }
             Input::ShutdownNotice => self.begin_shutdown(),
-            Input::StoppedAccepting => self.drain.handover.stopped(),
-            Input::TakeOutOfService => {
-                if !self.request_permit_to_leave() {
-                    self.take_out_of_service();
-                }
-            }
-            Input::ReturnToService => {
-                self.withdraw_permit_request();
-                self.return_to_service();
-            }
+            Input::StoppedAccepting => self.drain.handover.accepting_stopped(),
+            Input::TakeOutOfService => self.operator_takes_out(),
+            Input::ReturnToService => self.operator_returns(),
             Input::VoterStateWritten { number } => self.voter_state_written(number),
-            Input::VoterStateFailed { recovered: found, reason: why } => {
-                self.voter_state_failed(*found, &why)
-            }
-            Input::ConfigurationWritten(written) => self.configuration_written(written),
-            Input::StagedSettingsChanged { active: settings, staged } => {
-                self.staged_settings_changed(settings, staged)
-            }
-            Input::RolloutStepFailed { release, reason: why } => self.rollout_step_failed(release, why),
-            Input::RegistryReply { ticket, reply } => {
-                self.registration.reply(self.timestamp.now, ticket, reply)
-            }
-            Input::Reload(config) => self.reload(config),
-            Input::ReloadRejected { reason: why } => self.reload_rejected(&why),
-            Input::AdminRequest { id, request: call } => self.admin_request(id, call),
+            Input::VoterStateFailed { recovered, reason } => self.voter_state_failed(*recovered, &reason),
+            Input::ConfigurationWritten(result) => self.configuration_written(result),
+            Input::StagedSettingsChanged { active, staged } => self.staged_settings_changed(active, staged),
+            Input::RolloutStepFailed { release, reason } => self.rollout_step_failed(release, reason),
+            Input::RegistryReply { ticket, reply } => self.registration.reply(now, ticket, reply),
+            Input::Reload(reload) => self.reload(reload),
+            Input::ReloadRejected { reason } => self.reload_rejected(&reason),
+            Input::AdminRequest { id, request } => self.admin_request(id, request),
             Input::StoreRecovered(recovered) => self.store_recovered(*recovered),
-            Input::StorePersisted { number: upto } => {
-                for id in self.idempotency_log.persisted(self.timestamp.now, upto) {
-                    if self.requests.running(&id).is_some() {
-                        self.send_run(&id);
-                    }
-                }
-            }
+            Input::StorePersisted { number } => self.store_persisted(number),
+            Input::StoreFailed { number, reason } => self.store_failed(number, &reason),
             Input::PeerDatagram(envelope) => self.peer_datagram_received(&envelope),
             Input::PeerDatagramsDropped(dropped) => self.peer_datagrams_dropped(&dropped),
             Input::AuthenticationKeysReloaded(keys) => self.authentication_keys_reloaded(keys),
-            Input::StoreFailed { number: upto, reason: why } => {
-                for id in self.idempotency_log.failed(self.timestamp.now, upto, &why) {
-                    self.reject_unstarted_run(&id);
-                }
-            }
-        }
-    }
-
-    fn decide(&mut self) {
-        let Some(controller) = &mut self.controller else { return };
-        if self.events.is_empty() && !self.schedule.admission_is_due(self.timestamp.now) {
-            return;
-        }
-        let mut actions = std::mem::take(&mut self.actions);
-        controller.handle(self.timestamp.now, &self.events, &mut actions);
-        self.events.clear();
-        for action in actions.drain(..) {
-            self.perform(action);
-        }
-        self.actions = actions;
-        for id in self.requests.end_batch() {
-            self.forget_request(&id);
-        }
-    }
-
-    fn perform(&mut self, action: Action) {
-        match action {
-            Action::Run(id) => self.start_run(&id),
-            Action::Reject { id, retry_after, last } => self
-                .respond_and_release(&id, Response::Rejected { retry_after: retry_after, no_failover: last }),
-            Action::Fail(id) => {
-                let late = self.is_past_deadline(&id);
-                self.respond_and_release(&id, Response::Failed { timed_out: late });
-            }
-            Action::RetainIdempotencyKey { id, retain_for } => {
-                let until = time_after(self.timestamp.now, retain_for);
-                if let Some((token, print)) = self.requests.get(&id).and_then(OpenRequest::key) {
-                    self.idempotency_table.remember(token, print, &id, until);
-                }
-            }
-            Action::ReleaseIdempotencyKey(id) => {
-                if let Some(token) = self.requests.get(&id).and_then(|open| open.token.as_ref()) {
-                    self.idempotency_table.release(token, &id);
-                }
-            }
-            Action::JoinRun(id) => {
-                let Some(open) = self.requests.get_mut(&id) else { return };
-                open.state = State::Joined(self.timestamp.now);
-                let token = open.token.clone();
-                let end =
-                    token.map_or(Some(RunOutcome::Failed), |token| self.idempotency_table.join(&token, &id));
-                if let Some(end) = end {
-                    self.respond_to_repeat(&id, end);
-                }
-            }
-            Action::ReportHealth { active, .. } => {
-                if active != self.healthy {
-                    self.healthy = active;
-                    self.registration.health(self.timestamp.now, active);
-                    self.report_change();
-                    self.log(Level::Info, format!("health is {}", if active { "good" } else { "bad" }));
-                }
-            }
-            Action::AdvertiseCapacity(value) => self.capacity_hint = Some(value),
-            Action::SetIdleTimeout(span) => self.connections.set_idle_timeout(span),
-            Action::SetTimer(time) => self.schedule.set_timer(time),
-            Action::Log(text) => self.log(Level::Info, text),
-            Action::CallUpstream { id, timeout } => self.start_upstream_call(&id, timeout),
-            Action::StopRun(id) => self.stop_run(&id),
-            Action::SkipUpstreamCall(_) => {
-                self.log(
-                    Level::Error,
-                    "the module asked to go on without a call, which the processor can't".into(),
-                );
-            }
         }
     }
 }
--- a/crates/core/src/reducer/open_requests.rs
+++ b/crates/core/src/reducer/open_requests.rs
@@ -1,447 +1,198 @@
-//! Open requests: what came, what is held, and the one final answer that each is owed. The module hears of every request
-//! that can be taken; what can't be is turned away here, and it never hears of that.
-//! Not here: runs ([`super::runs`]) and the connections that the requests came on ([`super::connections`]).
+//! The requests that are open or running: what each holds, and the bytes that their bodies take.
+//!
+//! Invariants: an id names one open request; [`OpenRequests::has_body_capacity`] bounds what is held. Not here: which requests
+//! are taken ([`super::request_intake`]), their responses ([`super::responses`]) and their runs ([`super::runs`]).
 
-use super::{MS, Reducer};
 use crate::buffer_pool::Buffer;
 use crate::config::Config;
-use crate::idempotency_table::{Fingerprint, RunOutcome};
-use crate::messages::{
-    ClientRequest, ConnectionId, Effect, RequestError, Response, SequenceId, UpstreamCallId,
-};
-use gradepin_admission::{Event, Outcome, Request, RequestId, Span, Time};
-use siphasher::sip::SipHasher13;
-use slog::Level;
+use crate::idempotency_table::Fingerprint;
+use crate::messages::{ConnectionId, SequenceId, UpstreamCallId};
+use gradepin_admission::{RequestId, Time};
 use std::collections::{BTreeSet, HashMap};
-use std::hash::Hasher;
 use std::sync::Arc;
 
-/// Part of the memory for the bodies of open requests.
-const BODIES_PART: usize = 4;
-/// What an open request takes beside its body.
-const BESIDE: usize = 1024;
-/// A budget is at most this many times the deadline of its class.
-const BUDGET_MULTIPLE: u64 = 2;
-/// How long the first requests of a connection may have waited to be read: none came before the connection.
-const UNREAD_FIRST: Span = Span(100 * MS);
-/// Requests open on one connection.
-const WINDOW: usize = 32;
+/// Bodies of open requests may take the memory of the process divided by this.
+const BODY_MEMORY_DIVISOR: usize = 4;
+/// Memory of an open request beside its body.
+const OPEN_REQUEST_OVERHEAD_BYTES: usize = 1024;
 
+/// How far a request is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum State {
-    Held,
-    /// Waits for another try's run, since a time.
-    Joined(Time),
+pub(super) enum RequestState {
+    /// It waits for the admission module.
+    Queued,
+    /// It waits for the outcome of another attempt's run.
+    Joined {
+        /// Since when.
+        since: Time,
+    },
+    /// Its run was started.
     Running,
-    /// Its run was stopped, and its answer is still owed: no notice of it is to come.
+    /// Its run was stopped and its response is still owed; the processor reports nothing more of it.
     Stopped,
 }
 
-/// A request that is open or runs.
+/// A request that is open or running.
 #[derive(Debug)]
 pub(super) struct OpenRequest {
-    pub(super) conn: ConnectionId,
-    pub(super) seq: SequenceId,
+    /// Connection that it came on.
+    pub(super) connection: ConnectionId,
+    /// Its number there.
+    pub(super) sequence: SequenceId,
+    /// Slot of its class.
     pub(super) class: usize,
+    /// Slot of its tenant, if it has one in force.
     pub(super) tenant: Option<usize>,
-    pub(super) t0: u64,
+    /// When it reached the machine, in Unix milliseconds.
+    pub(super) arrived_unix_ms: u64,
     /// When its caller stops waiting, in Unix milliseconds.
-    pub(super) due_ms: u64,
-    pub(super) token: Option<Arc<str>>,
-    /// Of its body and class, if it has a token.
-    pub(super) print: Fingerprint,
-    pub(super) state: State,
-    /// Whether its caller still waits for an answer.
-    pub(super) owed: bool,
-    /// Whether it is the first try of its caller.
-    pub(super) first: bool,
+    pub(super) deadline_unix_ms: u64,
+    /// Its idempotency key, if its class has them.
+    pub(super) idempotency_key: Option<Arc<str>>,
+    /// Fingerprint of its body and class; 0 without an idempotency key.
+    pub(super) fingerprint: Fingerprint,
+    /// How far it is.
+    pub(super) state: RequestState,
+    /// Whether its caller still waits for a response.
+    pub(super) response_owed: bool,
+    /// Whether it is neither a retry nor a hedged request.
+    pub(super) is_first_attempt: bool,
+    /// Its body, shared with the effects that start its run.
     pub(super) body: Arc<Buffer>,
-    /// Times that its run was asked for.
-    pub(super) begins: u32,
-    /// The call its run waits for, since when that call is to be made or out, and its number once it is out.
-    pub(super) call: Option<Arc<Buffer>>,
-    pub(super) call_since: Option<Time>,
-    pub(super) call_number: Option<UpstreamCallId>,
+    /// Times that its run was sent to the processor.
+    pub(super) start_count: u32,
+    /// Body of the upstream call that its run waits for.
+    pub(super) upstream_call: Option<Arc<Buffer>>,
+    /// Since when that call is to be made, or is out.
+    pub(super) upstream_call_since: Option<Time>,
+    /// Names that call once it is out.
+    pub(super) upstream_call_id: Option<UpstreamCallId>,
 }
 
 impl OpenRequest {
-    /// Its token and the print that goes with it.
-    pub(super) fn key(&self) -> Option<(&Arc<str>, Fingerprint)> {
-        self.token.as_ref().map(|token| (token, self.print))
+    /// Its idempotency key, with the fingerprint of its body and class.
+    pub(super) fn key_and_fingerprint(&self) -> Option<(&Arc<str>, Fingerprint)> {
+        self.idempotency_key.as_ref().map(|key| (key, self.fingerprint))
     }
 }
 
-/// The requests that are open or run, and what their bodies take.
+/// The requests that are open or running.
 #[derive(Debug)]
 pub(super) struct OpenRequests {
     by_id: HashMap<RequestId, OpenRequest>,
-    /// What they take, and may take before more are refused.
+    /// Memory that they take, with [`OPEN_REQUEST_OVERHEAD_BYTES`] for each.
     body_bytes: usize,
     max_body_bytes: usize,
-    /// Held requests whose caller left in this batch.
+    /// Requests without a run whose callers left in this step.
     abandoned: Vec<RequestId>,
-    /// Keyed requests of this batch, not in the table yet.
+    /// Idempotency keys of requests of this step, which are not in the table yet.
     new_keys: HashMap<Arc<str>, RequestId>,
 }
 
 impl OpenRequests {
+    /// None yet.
     pub(super) fn new(config: &Config) -> Self {
-        let (by_id, new_keys) = (HashMap::new(), HashMap::new());
         Self {
-            by_id,
+            by_id: HashMap::new(),
             body_bytes: 0,
-            max_body_bytes: config.memory(BODIES_PART),
+            max_body_bytes: config.memory(BODY_MEMORY_DIVISOR),
             abandoned: Vec::new(),
-            new_keys,
+            new_keys: HashMap::new(),
         }
     }
 
+    /// The request of an id.
     pub(super) fn get(&self, id: &RequestId) -> Option<&OpenRequest> {
         self.by_id.get(id)
     }
 
+    /// The request of an id, to be changed.
     pub(super) fn get_mut(&mut self, id: &RequestId) -> Option<&mut OpenRequest> {
         self.by_id.get_mut(id)
     }
 
+    /// Whether an id is open.
     pub(super) fn contains(&self, id: &RequestId) -> bool {
         self.by_id.contains_key(id)
     }
 
+    /// Whether none is open and none runs.
     pub(super) fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
 
-    /// One that runs.
+    /// Whether the bodies leave memory for another request.
+    pub(super) fn has_body_capacity(&self) -> bool {
+        self.body_bytes <= self.max_body_bytes
+    }
+
+    /// The request of an id, if it runs.
     pub(super) fn running(&self, id: &RequestId) -> Option<&OpenRequest> {
-        self.by_id.get(id).filter(|open| open.state == State::Running)
+        self.by_id.get(id).filter(|open| open.state == RequestState::Running)
+    }
+
+    /// Whether a request waits for the admission module, and its caller for it.
+    pub(super) fn is_queued(&self, id: &RequestId) -> bool {
+        self.by_id.get(id).is_some_and(|open| open.state == RequestState::Queued && open.response_owed)
     }
 
     /// All that run, in the order of their ids: the same inputs give the same effects.
     pub(super) fn running_ids(&self) -> BTreeSet<RequestId> {
-        let running = self.by_id.iter().filter(|(_, open)| open.state == State::Running);
+        let running = self.by_id.iter().filter(|(_, open)| open.state == RequestState::Running);
         running.map(|(id, _)| id.clone()).collect()
     }
 
     /// How many run.
     pub(super) fn count_running(&self) -> usize {
-        self.by_id.values().filter(|open| open.state == State::Running).count()
+        self.by_id.values().filter(|open| open.state == RequestState::Running).count()
     }
 
-    /// How many are owed an answer.
+    /// How many are owed a response.
     pub(super) fn count_owed(&self) -> usize {
-        self.by_id.values().filter(|open| open.owed).count()
-    }
-
-    /// The module has had its turn: what of this batch it hadn't seen is in its books now. Those whose callers left.
-    pub(super) fn end_batch(&mut self) -> Vec<RequestId> {
-        self.new_keys.clear();
-        std::mem::take(&mut self.abandoned)
+        self.by_id.values().filter(|open| open.response_owed).count()
     }
 
-    /// Takes a request out of the books.
-    fn remove(&mut self, id: &RequestId) -> Option<OpenRequest> {
-        let open = self.by_id.remove(id)?;
-        // Its id may come again in this batch, and that request's caller waits.
-        self.abandoned.retain(|left| left != id);
-        self.body_bytes -= open.body.len() + BESIDE;
-        Some(open)
+    /// The queued request of this step with an idempotency key, and its fingerprint. Two attempts of one step are linked
+    /// before the admission module could retain the first one's key.
+    pub(super) fn attempt_of_this_step(&self, key: &str) -> Option<(RequestId, Fingerprint)> {
+        let id = self.new_keys.get(key).filter(|id| self.is_queued(id))?;
+        Some((id.clone(), self.by_id.get(id)?.fingerprint))
     }
-}
 
-impl Reducer {
-    /// Whether a message that is owed an answer came under the number of an open request. Two answers under one number
-    /// could not be told apart: the first keeps its own, and nothing more is taken.
-    pub(super) fn reject_duplicate_sequence(&mut self, conn: ConnectionId, seq: SequenceId) -> bool {
-        let connection = self.connections.touch(conn, self.timestamp.now);
-        if !connection.is_some_and(|connection| connection.open.contains_key(&seq)) {
-            return false;
-        }
-        self.log(Level::Warning, format!("closing connection {conn}: request {seq} came twice"));
-        self.connections.stop_accepting_from(conn);
-        self.request_drain(conn);
-        true
+    /// Names the request of this step that has an idempotency key.
+    pub(super) fn note_key(&mut self, key: &Arc<str>, id: &RequestId) {
+        self.new_keys.insert(Arc::clone(key), id.clone());
     }
 
-    pub(super) fn receive_request(&mut self, conn: ConnectionId, seq: SequenceId, mut call: ClientRequest) {
-        let Some(connection) = self.connections.touch(conn, self.timestamp.now) else { return };
-        let (opened, paced, open) = (connection.opened, connection.paced, connection.open.len());
-        let refused = connection.refused;
-        let Some(class) = self.classes.resolve(call.class) else {
-            // Its slot was freed since it was read, and may be another's.
-            let why = "unknown method: the class was dropped".into();
-            return self.reject_invalid(conn, seq, None, RequestError::NotFound, why);
-        };
-        if !self.classes.takes(class, self.timestamp.now) {
-            let name = &self.classes.profile(class).name;
-            let why = format!("unknown method \"{name}\": the class was dropped");
-            return self.reject_invalid(conn, seq, Some(class), RequestError::NotFound, why);
-        }
-        // One whose slot is another's by now is of no tenant's share.
-        let tenant = call.tenant.and_then(|tenant| self.tenants.resolve(tenant));
-        if refused || open >= WINDOW || self.requests.body_bytes > self.requests.max_body_bytes {
-            // Guards against hundreds of requests at once: left unread, they would hide cancels and the close. And
-            // against more bodies than the memory holds, on many connections.
-            return self.reject(conn, seq, class, Span(0));
-        }
-        if self.classes.profile(class).effect != gradepin_admission::Idempotency::Keyed {
-            // Where no class is keyed by it, a token means nothing.
-            call.idempotency_key = None;
-        }
-        let deadline = self.classes.profile(class).deadline;
-        if call.budget_ms > BUDGET_MULTIPLE * deadline.0.div_ceil(MS) {
-            return self.reject_invalid(
-                conn,
-                seq,
-                Some(class),
-                RequestError::Malformed,
-                "budget out of range".into(),
-            );
-        }
-        if self.requests.by_id.contains_key(&call.id) {
-            let why = format!("the rid {} is open already", call.id.0);
-            return self.reject_invalid(conn, seq, Some(class), RequestError::Conflict, why);
-        }
-        if !call.retry {
-            // Whatever becomes of it: what is turned away before the module hears of it came too.
-            self.count_for_rollback(tenant, class, 1, 0);
-        }
-        if self.controller.is_none() {
-            // No processor yet, so nobody to ask; nothing has run.
-            return self.reject(conn, seq, class, Span(0));
-        }
-        let unix = self.timestamp.unix_ms;
-        // Nothing came later than it is read. Guards against a stamp that keeps a key's run for ever.
-        let t0 = call.arrived_unix_ms.min(unix);
-        let due = t0.saturating_add(call.budget_ms);
-        if let Some(token) = &call.idempotency_key
-            && !self.classes.takes_new_tokens(class, self.timestamp.now)
-            && self.earlier_attempt(token, t0).is_none()
-        {
-            call.idempotency_key = None;
-        }
-        // It did not wait here before there was a connection. Guards against stamps of long ago, which would tell
-        // the module that requests wait unread.
-        let queued = Span(unix.saturating_sub(t0).saturating_mul(MS));
-        let since = Span(self.timestamp.now.0.saturating_sub(opened.0));
-        let queued = queued.min(Span(since.0.saturating_add(UNREAD_FIRST.0)));
-        // Nor did it wait for this server while its own connection's pace held it back. Guards against a flood that
-        // makes a server with time to read count as one that doesn't get to it, and health that goes bad by it.
-        let queued =
-            paced.map_or(queued, |until| queued.min(Span(self.timestamp.now.0.saturating_sub(until.0))));
-        if let Some(token) = &call.idempotency_key
-            && !self.idempotency_table.ran(token, t0)
-            && self.idempotency_log.refuses(self.timestamp.now).is_some()
-        {
-            // It can't be made sure that this never runs twice. Whatever ran before is answered all the same.
-            return self.reject(conn, seq, class, self.store_retry_after());
-        }
-        let print = if call.idempotency_key.is_some() { self.fingerprint(class, &call.body) } else { 0 };
-        let earlier = call.idempotency_key.as_ref().and_then(|token| self.earlier_attempt(token, t0));
-        if earlier.as_ref().is_some_and(|(_, first)| *first != print) {
-            // Guards against a stranger who learnt a token: its request would be served another's result.
-            let why = "the token came before with another body or class".into();
-            return self.reject_invalid(conn, seq, Some(class), RequestError::Conflict, why);
-        }
-        let earlier = earlier.map(|(id, _)| id);
-        // A repeat of what is there is answered from it, and costs the fleet nothing.
-        let repeats = call.retry && earlier.is_none();
-        if !self.cluster_admits(tenant, class, repeats) {
-            let limits = &self.settings.limits;
-            let advice = if limits.retry_after { limits.max_retry_after } else { Span(0) };
-            return self.reject(conn, seq, class, advice);
-        }
-        let Some(connection) = self.connections.get_mut(conn) else { return };
-        connection.open.insert(seq, call.id.clone());
-        if let Some(token) = &call.idempotency_key {
-            self.requests.new_keys.insert(Arc::clone(token), call.id.clone());
-        }
-        self.events.push(Event::Arrived(Request {
-            id: call.id.clone(),
-            expires_in: Some(Span(due.saturating_sub(unix).saturating_mul(MS))),
-            class,
-            has_key: call.has_subject,
-            caller: call.client_proxy,
-            work: None,
-            tenant,
-            size_kb: call.size_kb,
-            precedence: call.precedence,
-            retry: call.retry,
-            write: call.idempotency_key.is_some(),
-            earlier,
-            queued_for: queued,
-        }));
-        let open = OpenRequest {
-            first: !call.retry,
-            conn,
-            seq,
-            class,
-            tenant,
-            t0,
-            due_ms: due,
-            token: call.idempotency_key,
-            print,
-            state: State::Held,
-            owed: true,
-            body: Arc::new(call.body),
-            begins: 0,
-            call: None,
-            call_since: None,
-            call_number: None,
-        };
-        self.requests.body_bytes += open.body.len() + BESIDE;
-        self.classes.acquire(class);
-        tenant.into_iter().for_each(|tenant| self.tenants.acquire(tenant));
-        self.requests.by_id.insert(call.id, open);
+    /// Adds a request.
+    pub(super) fn insert(&mut self, id: RequestId, open: OpenRequest) {
+        self.body_bytes += open.body.len() + OPEN_REQUEST_OVERHEAD_BYTES;
+        self.by_id.insert(id, open);
     }
 
-    /// Takes a request out of the books; nothing of it refers to its class and its tenant any more.
-    pub(super) fn forget_request(&mut self, id: &RequestId) {
-        if let Some(open) = self.requests.remove(id) {
-            if let (State::Joined(_), Some(token)) = (open.state, &open.token) {
-                self.idempotency_table.leave(token, id);
-            }
-            self.classes.release(open.class);
-            open.tenant.into_iter().for_each(|tenant| self.tenants.release(tenant));
+    /// The caller of a request no longer waits; false if none is open under this id.
+    pub(super) fn abandon(&mut self, id: &RequestId) -> bool {
+        let Some(open) = self.by_id.get_mut(id) else { return false };
+        open.response_owed = false;
+        if open.state != RequestState::Running {
+            // The admission module may still release its key: it is removed after that.
+            self.abandoned.push(id.clone());
         }
+        true
     }
 
-    /// Turns away what the module never hears of.
-    pub(super) fn reject(&mut self, conn: ConnectionId, seq: SequenceId, class: usize, backoff: Span) {
-        self.connections.touch_and_rest(conn, self.timestamp.now);
-        let answer = Response::Rejected { retry_after: backoff, no_failover: false };
-        self.metrics.answered(&self.classes.profile(class).name, &answer);
-        self.effects.push(Effect::Respond {
-            connection: conn,
-            sequence: seq,
-            response: answer,
-            capacity_hint: self.capacity_hint,
-        });
-        self.close_if_done(conn);
-    }
-
-    /// Keyed, so that nobody can choose two bodies with one print; and by name, which a store outlives.
-    fn fingerprint(&self, class: usize, body: &[u8]) -> Fingerprint {
-        let mut hasher = SipHasher13::new_with_keys(self.recovery.salt, !self.recovery.salt);
-        let name = self.classes.profile(class).name.as_bytes();
-        hasher.write_usize(name.len());
-        hasher.write(name);
-        hasher.write(body);
-        hasher.finish()
-    }
-
-    pub(super) fn earlier_attempt(&self, token: &str, t0: u64) -> Option<(RequestId, Fingerprint)> {
-        let held = |id: &RequestId| {
-            self.requests.by_id.get(id).is_some_and(|open| open.state == State::Held && open.owed)
-        };
-        // Two of one batch are linked before the module could keep the first.
-        let batch = self.requests.new_keys.get(token).filter(|id| held(id));
-        let batch = batch.and_then(|id| Some((id.clone(), self.requests.by_id.get(id)?.print)));
-        batch.or_else(|| self.idempotency_table.earlier(token, t0, self.timestamp.now, held))
-    }
-
-    /// Answers what can't be taken; counted where its class is known, since peers count it under that.
-    pub(super) fn reject_invalid(
-        &mut self,
-        conn: ConnectionId,
-        seq: SequenceId,
-        class: Option<usize>,
-        misuse: RequestError,
-        why: String,
-    ) {
-        self.connections.touch_and_rest(conn, self.timestamp.now);
-        self.log(Level::Warning, format!("a request on connection {conn} made no sense: {why}"));
-        let answer = Response::Invalid { error: misuse, text: why };
-        if let Some(class) = class {
-            self.metrics.answered(&self.classes.profile(class).name, &answer);
-        }
-        self.effects.push(Effect::Respond {
-            connection: conn,
-            sequence: seq,
-            response: answer,
-            capacity_hint: self.capacity_hint,
-        });
-        self.close_if_done(conn);
-    }
-
-    pub(super) fn cancel_request(&mut self, conn: ConnectionId, seq: SequenceId) {
-        // Otherwise the cancel has crossed the answer.
-        let open = self
-            .connections
-            .touch(conn, self.timestamp.now)
-            .and_then(|connection| connection.open.remove(&seq));
-        // Also one that only ever cancels what isn't open: it must not hold its place unseen.
-        self.connections.touch_and_rest(conn, self.timestamp.now);
-        if let Some(id) = open {
-            self.caller_gone(&id);
-            self.close_if_done(conn);
-        }
-    }
-
-    /// Nobody waits for a request any more.
-    pub(super) fn caller_gone(&mut self, id: &RequestId) {
-        let Some(open) = self.requests.by_id.get_mut(id) else { return };
-        open.owed = false;
-        if open.state != State::Running {
-            // The module may still release its key: it is taken out after that.
-            self.requests.abandoned.push(id.clone());
-        }
-        self.events.push(Event::CallerGone(id.clone()));
-    }
-
-    /// A final answer of the module's own; a run goes on in the books until its notice.
-    pub(super) fn respond_and_release(&mut self, id: &RequestId, answer: Response) {
-        self.respond(id, answer);
-        if self.requests.by_id.get(id).is_some_and(|open| open.state != State::Running) {
-            self.forget_request(id);
-        }
-    }
-
-    pub(super) fn respond_with_outcome(&mut self, id: &RequestId, end: RunOutcome) {
-        let answer = match end {
-            RunOutcome::Served(result) => Response::Served(result),
-            RunOutcome::Failed => Response::Failed { timed_out: self.is_past_deadline(id) },
-            RunOutcome::Unknown => Response::OutcomeUnknown,
-        };
-        self.respond(id, answer);
-    }
-
-    /// Whether the time that a request's caller waits is up.
-    pub(super) fn is_past_deadline(&self, id: &RequestId) -> bool {
-        self.requests.by_id.get(id).is_some_and(|open| self.timestamp.unix_ms >= open.due_ms)
-    }
-
-    /// A repeat is answered from the run of another try.
-    pub(super) fn respond_to_repeat(&mut self, id: &RequestId, end: RunOutcome) {
-        let Some(OpenRequest { state: State::Joined(since), owed: true, .. }) = self.requests.by_id.get(id)
-        else {
-            return;
-        };
-        let took = Span(self.timestamp.now.0.saturating_sub(since.0));
-        let outcome = if matches!(end, RunOutcome::Served(_)) { Outcome::Success } else { Outcome::Failure };
-        self.respond_with_outcome(id, end);
-        self.forget_request(id);
-        self.events.push(Event::Completed { id: id.clone(), outcome, took });
+    /// The admission module has handled all requests of this step. Returns the abandoned ones, which are to be removed.
+    pub(super) fn end_batch(&mut self) -> Vec<RequestId> {
+        self.new_keys.clear();
+        std::mem::take(&mut self.abandoned)
     }
 
-    /// Sends the one final answer, if it is still owed.
-    pub(super) fn respond(&mut self, id: &RequestId, answer: Response) {
-        let Some(open) = self.requests.by_id.get_mut(id).filter(|open| open.owed) else { return };
-        open.owed = false;
-        let (conn, seq) = (open.conn, open.seq);
-        let (tenant, class, first) = (open.tenant, open.class, open.first);
-        if first && matches!(answer, Response::Served(_)) {
-            self.count_for_rollback(tenant, class, 0, 1);
-        }
-        let Some(open) = self.requests.by_id.get(id) else { return };
-        self.metrics.answered(&self.classes.profile(open.class).name, &answer);
-        self.connections.response_sent(conn, seq, self.timestamp.now);
-        self.effects.push(Effect::Respond {
-            connection: conn,
-            sequence: seq,
-            response: answer,
-            capacity_hint: self.capacity_hint,
-        });
-        self.close_if_done(conn);
+    /// Removes a request.
+    pub(super) fn remove(&mut self, id: &RequestId) -> Option<OpenRequest> {
+        let open = self.by_id.remove(id)?;
+        // Its id may be used again in this step, by a request whose caller waits.
+        self.abandoned.retain(|abandoned| abandoned != id);
+        self.body_bytes -= open.body.len() + OPEN_REQUEST_OVERHEAD_BYTES;
+        Some(open)
     }
 }
--- /dev/null
+++ b/crates/core/src/reducer/responses.rs
@@ -0,0 +1,145 @@
+//! Responses to clients: each open request gets one final response at most, and leaves the state with it or with its run.
+//!
+//! [`Reducer::respond`] is the only place that answers an open request. Not here: which response it is, which the admission module
+//! decides or the run's outcome says.
+
+use super::Reducer;
+use super::open_requests::{OpenRequest, RequestState};
+use crate::idempotency_table::RunOutcome;
+use crate::messages::{ConnectionId, Effect, RequestError, Response, SequenceId};
+use gradepin_admission::{Event, Outcome, RequestId, Span};
+use slog::Level;
+
+impl Reducer {
+    /// Answers a health check.
+    pub(super) fn answer_health_check(&mut self, connection: ConnectionId, sequence: SequenceId) {
+        self.connections.touch_and_rest(connection, self.timestamp.now);
+        let healthy = self.healthy && self.operator_drain.draining_since().is_none();
+        let store = self.idempotency_log.health(self.timestamp.now).word();
+        self.send_response(connection, sequence, Response::Health { healthy, store });
+        self.close_if_done(connection);
+    }
+
+    /// Rejects a request that the admission module never learns of.
+    pub(super) fn reject(
+        &mut self,
+        connection: ConnectionId,
+        sequence: SequenceId,
+        class: usize,
+        retry_after: Span,
+    ) {
+        self.connections.touch_and_rest(connection, self.timestamp.now);
+        let response = Response::Rejected { retry_after, no_failover: false };
+        self.metrics.count_response(&self.classes.profile(class).name, &response);
+        self.send_response(connection, sequence, response);
+        self.close_if_done(connection);
+    }
+
+    /// Answers a message that is no valid request. It is counted where its class is known, as clients count it under that.
+    pub(super) fn reject_invalid(
+        &mut self,
+        connection: ConnectionId,
+        sequence: SequenceId,
+        class: Option<usize>,
+        error: RequestError,
+        text: String,
+    ) {
+        self.connections.touch_and_rest(connection, self.timestamp.now);
+        self.log(Level::Warning, format!("invalid request on connection {connection}: {text}"));
+        let response = Response::Invalid { error, text };
+        if let Some(class) = class {
+            self.metrics.count_response(&self.classes.profile(class).name, &response);
+        }
+        self.send_response(connection, sequence, response);
+        self.close_if_done(connection);
+    }
+
+    /// A client cancels a request.
+    pub(super) fn cancel_request(&mut self, connection: ConnectionId, sequence: SequenceId) {
+        let state = self.connections.touch(connection, self.timestamp.now);
+        let id = state.and_then(|state| state.open.remove(&sequence));
+        // Also a connection that cancels nothing but what isn't open must become idle, or it would keep its place unseen.
+        self.connections.touch_and_rest(connection, self.timestamp.now);
+        // Without an open request the cancel has crossed its response.
+        if let Some(id) = id {
+            self.caller_gone(&id);
+            self.close_if_done(connection);
+        }
+    }
+
+    /// The caller of a request no longer waits for its response.
+    pub(super) fn caller_gone(&mut self, id: &RequestId) {
+        if self.requests.abandon(id) {
+            self.events.push(Event::CallerGone(id.clone()));
+        }
+    }
+
+    /// Sends a response that the admission module decided on. A request whose run goes on stays in the state until that ends.
+    pub(super) fn respond_and_release(&mut self, id: &RequestId, response: Response) {
+        self.respond(id, response);
+        if self.requests.get(id).is_some_and(|open| open.state != RequestState::Running) {
+            self.forget_request(id);
+        }
+    }
+
+    /// Answers a request with the outcome of a run.
+    pub(super) fn respond_with_outcome(&mut self, id: &RequestId, outcome: RunOutcome) {
+        let response = match outcome {
+            RunOutcome::Served(result) => Response::Served(result),
+            RunOutcome::Failed => Response::Failed { timed_out: self.is_past_deadline(id) },
+            RunOutcome::Unknown => Response::OutcomeUnknown,
+        };
+        self.respond(id, response);
+    }
+
+    /// Whether the caller of a request has stopped waiting by its budget.
+    pub(super) fn is_past_deadline(&self, id: &RequestId) -> bool {
+        self.requests.get(id).is_some_and(|open| self.timestamp.unix_ms >= open.deadline_unix_ms)
+    }
+
+    /// Answers a repeat from the run of another attempt.
+    pub(super) fn respond_to_repeat(&mut self, id: &RequestId, run: RunOutcome) {
+        let Some(OpenRequest { state: RequestState::Joined { since }, response_owed: true, .. }) =
+            self.requests.get(id)
+        else {
+            return;
+        };
+        let took = Span(self.timestamp.now.0.saturating_sub(since.0));
+        let outcome = if matches!(run, RunOutcome::Served(_)) { Outcome::Success } else { Outcome::Failure };
+        self.respond_with_outcome(id, run);
+        self.forget_request(id);
+        self.events.push(Event::Completed { id: id.clone(), outcome, took });
+    }
+
+    /// Sends the one final response of a request, if it is still owed.
+    pub(super) fn respond(&mut self, id: &RequestId, response: Response) {
+        let Some(open) = self.requests.get_mut(id).filter(|open| open.response_owed) else { return };
+        open.response_owed = false;
+        let (connection, sequence) = (open.connection, open.sequence);
+        let (tenant, class) = (open.tenant, open.class);
+        if open.is_first_attempt && matches!(response, Response::Served(_)) {
+            self.count_for_rollback(tenant, class, 0, 1);
+        }
+        self.metrics.count_response(&self.classes.profile(class).name, &response);
+        self.connections.response_sent(connection, sequence, self.timestamp.now);
+        self.send_response(connection, sequence, response);
+        self.close_if_done(connection);
+    }
+
+    fn send_response(&mut self, connection: ConnectionId, sequence: SequenceId, response: Response) {
+        let capacity_hint = self.capacity_hint;
+        self.effects.push(Effect::Respond { connection, sequence, response, capacity_hint });
+    }
+
+    /// Removes a request from the state, with its references to its class, its tenant and the run that it waits for.
+    pub(super) fn forget_request(&mut self, id: &RequestId) {
+        let Some(open) = self.requests.remove(id) else { return };
+        if let (RequestState::Joined { .. }, Some(key)) = (open.state, &open.idempotency_key) {
+            self.idempotency_table.leave(key, id);
+        }
+        self.classes.release(open.class);
+        if let Some(tenant) = open.tenant {
+            self.tenants.release(tenant);
+        }
+    }
+}
--- a/crates/core/src/reducer/run_claims.rs
+++ b/crates/core/src/reducer/run_claims.rs
@@ -1,64 +1,67 @@
-//! Keyed runs that the two processes of an upgrade share: a run is begun once it is claimed, and one of the other
-//! process answers the tries here too. To the module it runs meanwhile, as it does anywhere on this server.
+//! Claims of keyed runs, where the two processes of an upgrade share them: a run is sent to the processor once this process has
+//! claimed it. A run of the other process answers the attempts here too.
+//!
+//! To the admission module a request runs while its claim is pending. Which requests wait is [`crate::pending_claims`]'; the claims
+//! are files of the shell.
 
 use super::Reducer;
 use crate::idempotency_table::RunOutcome;
 use crate::messages::{Effect, RunClaim};
 use gradepin_admission::{Event, Outcome, RequestId, Span};
+use slog::Level;
 use std::sync::Arc;
 
 impl Reducer {
-    /// Has the run of a keyed request claimed before it begins.
+    /// The folder of claims can be used from now on; `salt` keys the fingerprints of both processes.
+    pub(super) fn runs_shared(&mut self, salt: u64) {
+        self.recovery.salt = salt;
+        self.log(Level::Info, "keyed runs are shared from now on".into());
+    }
+
+    /// Has the run of a keyed request claimed before it is sent.
     pub(super) fn claim_run(&mut self, id: &RequestId) {
         let Some(open) = self.requests.get(id) else { return };
-        let Some((token, print)) = open.key() else { return };
-        let patience = self.pending_claims.asked(id, self.classes.profile(open.class).deadline);
-        self.effects.push(Effect::ClaimRun {
-            id: id.clone(),
-            key: Arc::clone(token),
-            fingerprint: print,
-            timeout: patience,
-        });
+        let Some((key, fingerprint)) = open.key_and_fingerprint() else { return };
+        let deadline = self.classes.profile(open.class).deadline;
+        let timeout = self.pending_claims.add(id, deadline);
+        let key = Arc::clone(key);
+        self.effects.push(Effect::ClaimRun { id: id.clone(), key, fingerprint, timeout });
     }
 
-    /// It is told whose the run is.
+    /// The shell reports which process owns a run.
     pub(super) fn run_claimed(&mut self, id: &RequestId, claim: RunClaim) {
-        if !self.pending_claims.told(id) {
+        if !self.pending_claims.remove(id) {
             return;
         }
         match claim {
             RunClaim::Ours => self.send_run(id),
-            RunClaim::Ended(end) => self.complete_from_other_process(id, end),
+            RunClaim::Ended(outcome) => self.complete_from_other_process(id, outcome),
             RunClaim::Unknown => self.reject_unstarted_run(id),
         }
     }
 
-    /// The other process ran it: its end answers this try and all that wait for it.
-    fn complete_from_other_process(&mut self, id: &RequestId, end: RunOutcome) {
+    /// The other process ran it: the outcome answers this attempt and all that wait for it.
+    fn complete_from_other_process(&mut self, id: &RequestId, run: RunOutcome) {
         let Some(open) = self.requests.running(id) else { return };
-        let token = open.token.clone();
-        self.respond_with_outcome(id, end.clone());
+        let key = open.idempotency_key.clone();
+        self.respond_with_outcome(id, run.clone());
         self.forget_request(id);
-        // Nothing was started here, and nothing is to be learnt of how long it took.
-        self.events.push(Event::Completed { id: id.clone(), outcome: Outcome::NotStarted, took: Span(0) });
-        let waiters = token
-            .map(|token| self.idempotency_table.ended(&token, id, Some(end.clone())))
-            .unwrap_or_default();
-        for waiter in waiters {
-            self.respond_to_repeat(&waiter, end.clone());
+        // Nothing was started here, so the admission module must not learn from its duration.
+        let outcome = Outcome::NotStarted;
+        self.events.push(Event::Completed { id: id.clone(), outcome, took: Span(0) });
+        let Some(key) = key else { return };
+        for repeat in self.idempotency_table.run_ended(&key, id, Some(run.clone())) {
+            self.respond_to_repeat(&repeat, run.clone());
         }
     }
 
-    /// A keyed run has its end, or with none never began: the other process is to know.
-    pub(super) fn release_claim(&mut self, token: &Arc<str>, end: Option<RunOutcome>) {
-        if self.pending_claims.is_on() {
-            let print =
-                self.idempotency_table.known(token, self.timestamp.now).map_or(0, |known| known.print);
-            self.effects.push(Effect::ReleaseClaim {
-                key: Arc::clone(token),
-                fingerprint: print,
-                outcome: end,
-            });
+    /// A claimed run has ended, or with no outcome never started: the other process may learn it.
+    pub(super) fn release_claim(&mut self, key: &Arc<str>, outcome: Option<RunOutcome>) {
+        if !self.pending_claims.is_enabled() {
+            return;
         }
+        let run = self.idempotency_table.known_run(key, self.timestamp.now);
+        let fingerprint = run.map_or(0, |run| run.fingerprint);
+        self.effects.push(Effect::ReleaseClaim { key: Arc::clone(key), fingerprint, outcome });
     }
 }
--- a/crates/core/src/reducer/runs.rs
+++ b/crates/core/src/reducer/runs.rs
@@ -1,8 +1,10 @@
-//! Runs: what the module begins, what the processor ends, and what of it is kept for repeats of a keyed request.
-//! Owns no state of its own: the requests are [`super::open_requests`]', what may be lost on the way is [`super::processor_link`]'s, and
-//! keyed runs are the key table's.
+//! Runs: starting them on the processor, their ends, and the outcomes that repeats of a keyed request get.
+//!
+//! Owns no state of its own. The requests are [`super::open_requests`]', what the processor may not have received is
+//! [`super::processor_link`]'s, and keyed runs are those of the idempotency table. Invariant: a keyed run is sent to the processor
+//! only once its claim is ours or its intent is durable, where there are claims or a store.
 
-use super::open_requests::State;
+use super::open_requests::RequestState;
 use super::{MS, Reducer};
 use crate::buffer_pool::Buffer;
 use crate::idempotency_table::RunOutcome;
@@ -11,149 +13,180 @@
 use slog::Level;
 use std::sync::Arc;
 
+/// How a run ended: for the admission module, and for attempts that repeat the request.
+struct Completion {
+    outcome: Outcome,
+    /// None if it never started.
+    for_repeats: Option<RunOutcome>,
+}
+
+impl Completion {
+    /// The result of a keyed run is copied into a buffer of its size, as it is retained.
+    fn of(end: RunEnd, result: Option<Arc<Buffer>>, is_keyed: bool) -> Self {
+        let (outcome, for_repeats) = match (end, result) {
+            (RunEnd::Ok, Some(result)) => {
+                let result = if is_keyed { Arc::new(result.exact()) } else { result };
+                (Outcome::Success, Some(RunOutcome::Served(result)))
+            }
+            (RunEnd::NotStarted, _) => (Outcome::NotStarted, None),
+            (RunEnd::Stopped, _) => (Outcome::Stopped, Some(RunOutcome::Failed)),
+            (RunEnd::Ok | RunEnd::Failed, _) => (Outcome::Failure, Some(RunOutcome::Failed)),
+        };
+        Self { outcome, for_repeats }
+    }
+}
+
 impl Reducer {
+    /// The admission module starts the run of a queued request.
     pub(super) fn start_run(&mut self, id: &RequestId) {
-        let Some(open) = self.requests.get_mut(id).filter(|open| open.state == State::Held) else {
-            let (id, outcome) = (id.clone(), Outcome::NotStarted);
-            return self.events.push(Event::Completed { id, outcome, took: Span(0) });
+        let Some(open) = self.requests.get_mut(id).filter(|open| open.state == RequestState::Queued) else {
+            return self.report_not_started(id);
         };
-        open.state = State::Running;
-        if let Some(token) = &open.token {
-            let window_ms = self.classes.profile(open.class).window.0.div_ceil(MS);
-            let closes_ms = open.t0.saturating_add(window_ms);
-            self.idempotency_table.began(token, open.print, id, closes_ms, self.timestamp);
-            if self.pending_claims.is_on() {
-                return self.claim_run(id);
-            }
-            if self.idempotency_log.is_on() {
-                // It begins once its intent is durable.
-                let known = self.idempotency_table.known(token, self.timestamp.now);
-                if !known.is_some_and(|known| self.idempotency_log.intent(self.timestamp.now, known)) {
-                    self.reject_unstarted_run(id);
-                }
-                return;
-            }
+        open.state = RequestState::Running;
+        let Some(key) = &open.idempotency_key else { return self.send_run(id) };
+        let window_ms = self.classes.profile(open.class).window.0.div_ceil(MS);
+        let closes_unix_ms = open.arrived_unix_ms.saturating_add(window_ms);
+        self.idempotency_table.run_started(key, open.fingerprint, id, closes_unix_ms, self.timestamp);
+        if self.pending_claims.is_enabled() {
+            return self.claim_run(id);
+        }
+        if !self.idempotency_log.is_enabled() {
+            return self.send_run(id);
         }
-        self.send_run(id);
+        // It is sent once its intent is durable.
+        let run = self.idempotency_table.known_run(key, self.timestamp.now);
+        if !run.is_some_and(|run| self.idempotency_log.append_intent(self.timestamp.now, run)) {
+            self.reject_unstarted_run(id);
+        }
+    }
+
+    fn report_not_started(&mut self, id: &RequestId) {
+        let outcome = Outcome::NotStarted;
+        self.events.push(Event::Completed { id: id.clone(), outcome, took: Span(0) });
     }
 
-    /// Sends a request to its run, now or once the link stands and is settled.
+    /// Sends a request to the processor, now or once there is a link that is usable.
     pub(super) fn send_run(&mut self, id: &RequestId) {
         let Some(open) = self.requests.get(id) else { return };
-        self.processor.unconfirmed_runs.push((id.clone(), self.processor.last_reading));
-        if let Some(link) = self.processor.usable_link() {
-            self.metrics.relayed();
-            let class = Arc::clone(self.classes.get(open.class));
-            self.effects.push(Effect::StartRun { link, id: id.clone(), class, body: Arc::clone(&open.body) });
-            if let Some(open) = self.requests.get_mut(id) {
-                open.begins = open.begins.saturating_add(1);
-            }
+        self.processor.add_unconfirmed_run(id.clone());
+        let Some(link) = self.processor.usable_link() else { return };
+        self.metrics.count_run();
+        let class = Arc::clone(self.classes.get(open.class));
+        self.effects.push(Effect::StartRun { link, id: id.clone(), class, body: Arc::clone(&open.body) });
+        if let Some(open) = self.requests.get_mut(id) {
+            open.start_count = open.start_count.saturating_add(1);
         }
     }
 
-    /// A begin was not carried out. Where it was the only one, and nothing tells that it was read before, its run never
-    /// was. Guards against an effect twice: any other may have begun, and must not run again under its token.
+    /// The processor did not carry out a start. If that was the only one and none is confirmed, the run never started. Guards
+    /// against an effect twice: any other start may have been carried out, and must not be again under its key.
     pub(super) fn run_not_started(&mut self, id: &RequestId) {
         self.log(Level::Error, format!("the processor rejected the run of {}", id.0));
-        let once = self.requests.running(id).is_some_and(|open| open.begins == 1);
-        let end = if once && self.processor.is_unconfirmed(id) { RunEnd::NotStarted } else { RunEnd::Failed };
+        let was_sent_once = self.requests.running(id).is_some_and(|open| open.start_count == 1);
+        let never_started = was_sent_once && self.processor.is_unconfirmed(id);
+        let end = if never_started { RunEnd::NotStarted } else { RunEnd::Failed };
         self.end_run(id, end, Span(0), None);
     }
 
-    pub(super) fn run_completed(&mut self, id: &RequestId, end: RunEnd, took: Span, result: Buffer) {
-        let result = Arc::new(result);
-        if !self.requests.contains(id) {
-            return self.recovered_run_completed(id, end, &result);
+    /// The processor reports the end of a run. A notice that was read before counts only for runs of an earlier process.
+    pub(super) fn run_completed(
+        &mut self,
+        notice: u64,
+        id: &RequestId,
+        end: RunEnd,
+        took: Span,
+        result: Buffer,
+    ) {
+        let is_new = self.processor.accept_notice(notice, self.timestamp.now);
+        if is_new && self.requests.contains(id) {
+            self.end_run(id, end, took, Some(Arc::new(result)));
+        } else if is_new || self.idempotency_table.awaits_recovered_runs() {
+            self.recovered_run_completed(id, end, &result);
         }
-        self.end_run(id, end, took, Some(result));
     }
 
-    /// A processor that outlived an earlier life tells the end of a run of that.
-    pub(super) fn recovered_run_completed(&mut self, id: &RequestId, end: RunEnd, result: &Buffer) {
-        let Some(token) = self.idempotency_table.learned(id) else { return };
-        let end = match end {
+    /// A processor that outlived an earlier process reports the end of a run of that.
+    fn recovered_run_completed(&mut self, id: &RequestId, end: RunEnd, result: &Buffer) {
+        let Some(key) = self.idempotency_table.take_recovered_run(id) else { return };
+        let outcome = match end {
             RunEnd::Ok => Some(RunOutcome::Served(Arc::new(result.exact()))),
             RunEnd::Failed | RunEnd::Stopped => Some(RunOutcome::Failed),
             RunEnd::NotStarted => None,
         };
-        self.complete_keyed_run(&token, id, end);
+        self.complete_keyed_run(&key, id, outcome);
     }
 
-    /// A keyed run has its end, or with none never was: it is kept and written, and its repeats are answered.
-    pub(super) fn complete_keyed_run(&mut self, token: &Arc<str>, id: &RequestId, end: Option<RunOutcome>) {
-        let replaced = self.idempotency_table.is_replaced(token, id);
-        let waiters = self.idempotency_table.ended(token, id, end.clone());
-        if !replaced {
-            self.publish_outcome(token, id, end.clone());
+    /// A keyed run has ended, or with no outcome never started: its outcome is retained and published, and its repeats are answered.
+    fn complete_keyed_run(&mut self, key: &Arc<str>, id: &RequestId, outcome: Option<RunOutcome>) {
+        let is_replaced = self.idempotency_table.is_replaced(key, id);
+        let waiting = self.idempotency_table.run_ended(key, id, outcome.clone());
+        if !is_replaced {
+            self.publish_outcome(key, id, outcome.clone());
         }
-        for waiter in waiters {
-            self.respond_to_repeat(&waiter, end.clone().unwrap_or(RunOutcome::Failed));
+        for repeat in waiting {
+            self.respond_to_repeat(&repeat, outcome.clone().unwrap_or(RunOutcome::Failed));
         }
     }
 
-    /// The last run of a token has its end: the other process of an upgrade and the store are to know.
-    fn publish_outcome(&mut self, token: &Arc<str>, id: &RequestId, end: Option<RunOutcome>) {
-        let void = end.is_none();
-        self.release_claim(token, end);
-        if void {
-            self.idempotency_log.void(token, id);
-        } else if self.idempotency_log.is_on()
-            && let Some(known) = self.idempotency_table.known(token, self.timestamp.now)
+    /// The other process of an upgrade and the store learn the outcome of a key's last run.
+    fn publish_outcome(&mut self, key: &Arc<str>, id: &RequestId, outcome: Option<RunOutcome>) {
+        let never_started = outcome.is_none();
+        self.release_claim(key, outcome);
+        if never_started {
+            self.idempotency_log.append_void(key, id);
+        } else if self.idempotency_log.is_enabled()
+            && let Some(run) = self.idempotency_table.known_run(key, self.timestamp.now)
         {
-            self.idempotency_log.end(known);
+            self.idempotency_log.append_outcome(run);
         }
     }
 
-    /// A run that the module began will not be: its intent is not durable. It and its repeats are turned away at once.
+    /// A run that the admission module started is not sent to the processor, as its intent is not durable or its claim failed.
+    /// The request and its repeats are rejected.
     pub(super) fn reject_unstarted_run(&mut self, id: &RequestId) {
         let Some(open) = self.requests.running(id) else { return };
-        let token = open.token.clone();
-        let waiters =
-            token.as_ref().map(|token| self.idempotency_table.ended(token, id, None)).unwrap_or_default();
-        if let Some(token) = &token {
-            self.release_claim(token, None);
+        let mut waiting = Vec::new();
+        if let Some(key) = open.idempotency_key.clone() {
+            waiting = self.idempotency_table.run_ended(&key, id, None);
+            self.release_claim(&key, None);
         }
-        for id in std::iter::once(id.clone()).chain(waiters) {
-            self.respond(
-                &id,
-                Response::Rejected { retry_after: self.store_retry_after(), no_failover: false },
-            );
+        for id in std::iter::once(id.clone()).chain(waiting) {
+            let retry_after = self.store_retry_after();
+            self.respond(&id, Response::Rejected { retry_after, no_failover: false });
             self.forget_request(&id);
-            self.events.push(Event::Completed { id, outcome: Outcome::NotStarted, took: Span(0) });
+            self.report_not_started(&id);
         }
     }
 
-    /// A run is over, or was never begun.
+    /// A run has ended, or never started.
     pub(super) fn end_run(&mut self, id: &RequestId, end: RunEnd, took: Span, result: Option<Arc<Buffer>>) {
         let Some(open) = self.requests.running(id) else { return };
-        let token = open.token.clone();
+        let key = open.idempotency_key.clone();
         if end == RunEnd::Ok {
             let (tenant, class) = (open.tenant, open.class);
             self.cluster_run_served(tenant, class, took);
         }
         self.processor.run_ended(id);
-        let (outcome, kept) = match (end, result) {
-            // Kept for repeats in no more room than it needs.
-            (RunEnd::Ok, Some(result)) => {
-                let kept = if token.is_some() { Arc::new(result.exact()) } else { result };
-                (Outcome::Success, Some(RunOutcome::Served(kept)))
-            }
-            (RunEnd::NotStarted, _) => (Outcome::NotStarted, None),
-            (RunEnd::Stopped, _) => (Outcome::Stopped, Some(RunOutcome::Failed)),
-            (RunEnd::Ok | RunEnd::Failed, _) => (Outcome::Failure, Some(RunOutcome::Failed)),
-        };
-        let answer = kept.clone().unwrap_or(RunOutcome::Failed);
-        if outcome != Outcome::Stopped {
-            self.respond_with_outcome(id, answer.clone());
+        let Completion { outcome, for_repeats } = Completion::of(end, result, key.is_some());
+        let is_stopped = outcome == Outcome::Stopped;
+        if !is_stopped {
+            self.respond_with_outcome(id, for_repeats.clone().unwrap_or(RunOutcome::Failed));
         }
         self.events.push(Event::Completed { id: id.clone(), outcome, took });
         match self.requests.get_mut(id) {
-            // The module answers it. Guards against one that stays in the books for good, as if its run were to end yet.
-            Some(open) if outcome == Outcome::Stopped && open.owed => open.state = State::Stopped,
+            // The admission module answers it. Guards against a request that stays open for good, as if its run were to end yet.
+            Some(open) if is_stopped && open.response_owed => open.state = RequestState::Stopped,
             _ => self.forget_request(id),
         }
-        if let Some(token) = token {
-            self.complete_keyed_run(&token, id, kept);
+        if let Some(key) = key {
+            self.complete_keyed_run(&key, id, for_repeats);
+        }
+    }
+
+    /// Stops a run where there is a link; the processor then reports its end as [`RunEnd::Stopped`].
+    pub(super) fn stop_run(&mut self, id: &RequestId) {
+        if let (true, Some(link)) = (self.requests.contains(id), self.processor.number) {
+            self.effects.push(Effect::StopRun { link, id: id.clone() });
         }
     }
 }
--- a/crates/core/src/reducer/schedule.rs
+++ b/crates/core/src/reducer/schedule.rs
@@ -1,62 +1,63 @@
-//! What is due by the clock: reports to the control plane, sweeps, and the module's timers.
+//! What is due by the clock: readiness reports to the control plane, sweeps, and the timers of the admission module.
 
-use super::processor_link::GAUGES_WAIT;
+use super::processor_link::MAX_GAUGES_WAIT;
 use super::{MS, Reducer};
 use crate::messages::Effect;
 use gradepin_admission::{Span, Time, time_after};
 use std::collections::BTreeSet;
 
-/// Between reports to the control plane, which forgets a server after 3 s.
-const REPORT_EVERY: Span = Span(400 * MS);
-/// A change of state is reported this many times in a row, so often: reports get lost.
-const REPORTS_OF_A_CHANGE: u32 = 3;
-const REPORT_AGAIN: Span = Span(60 * MS);
-/// Between sweeps through connections and keys.
-const SWEEP_EVERY: Span = Span(250 * MS);
+/// Between readiness reports. The control plane forgets a server after 3 s.
+const REPORT_INTERVAL: Span = Span(400 * MS);
+/// Reports of a change, as one may be lost.
+const REPORTS_PER_CHANGE: u32 = 3;
+/// Between the reports of a change.
+const CHANGE_REPORT_INTERVAL: Span = Span(60 * MS);
+/// Between sweeps through classes, idempotency keys and connections.
+const SWEEP_INTERVAL: Span = Span(250 * MS);
 
 /// When what is due.
 #[derive(Debug, Default)]
 pub(super) struct Schedule {
     next_report: Time,
-    /// Reports still to come soon of the last change.
-    changes: u32,
+    /// Reports of the last change that are still to come.
+    change_reports: u32,
     next_sweep: Time,
-    /// Those that the module asked for.
+    /// Timers of the admission module.
     timers: BTreeSet<Time>,
 }
 
 impl Schedule {
-    /// What is reported has changed, or where to: it is told at once, and some times more.
+    /// What is reported has changed, or the control plane is another one.
     pub(super) fn report_change(&mut self, now: Time) {
-        self.changes = REPORTS_OF_A_CHANGE;
+        self.change_reports = REPORTS_PER_CHANGE;
         self.next_report = now;
     }
 
-    /// The module wants to be called then.
+    /// The admission module sets a timer.
     pub(super) fn set_timer(&mut self, at: Time) {
         self.timers.insert(at);
     }
 
-    /// The first of its timers, if it is due.
+    /// The first timer, if it is due.
     pub(super) fn due_timer(&self, now: Time) -> Option<Time> {
         self.timers.first().copied().filter(|due| *due <= now)
     }
 
-    /// Takes the next of its timers that is due.
+    /// Removes the first timer, if it is due.
     pub(super) fn take_due_timer(&mut self, now: Time) -> Option<Time> {
         self.due_timer(now)?;
         self.timers.pop_first()
     }
 
-    /// Whether the module has a turn though nothing came in: a timer is due, or none is set at all.
+    /// Whether the admission module is due without an event: a timer is, or none is set at all.
     pub(super) fn admission_is_due(&self, now: Time) -> bool {
         self.timers.first().is_none_or(|due| *due <= now)
     }
 
-    /// When its first timer fires, where a question for the gauges is open since then.
-    pub(super) fn timer_due_at(&self, now: Time, asked: Option<Time>) -> Option<Time> {
-        self.timers.first().map(|&due| match asked {
-            Some(since) if due <= now => time_after(since, GAUGES_WAIT),
+    /// When the first timer fires. A due one waits for the gauges while a reading is open, `reading_since` then.
+    pub(super) fn timer_due_at(&self, now: Time, reading_since: Option<Time>) -> Option<Time> {
+        self.timers.first().map(|&due| match reading_since {
+            Some(since) if due <= now => time_after(since, MAX_GAUGES_WAIT),
             _ => due,
         })
     }
@@ -66,45 +67,57 @@
         self.next_sweep.min(self.next_report)
     }
 
-    /// Whether a report is due; the next one is set.
-    fn report_due(&mut self, now: Time) -> bool {
-        let due = now >= self.next_report;
-        if due {
-            self.changes = self.changes.saturating_sub(1);
-            self.next_report = time_after(now, if self.changes > 0 { REPORT_AGAIN } else { REPORT_EVERY });
+    /// Whether a report is due; if so, schedules the next one.
+    fn take_due_report(&mut self, now: Time) -> bool {
+        let is_due = now >= self.next_report;
+        if is_due {
+            self.change_reports = self.change_reports.saturating_sub(1);
+            let interval = if self.change_reports > 0 { CHANGE_REPORT_INTERVAL } else { REPORT_INTERVAL };
+            self.next_report = time_after(now, interval);
         }
-        due
+        is_due
     }
 }
 
 impl Reducer {
-    /// What is reported has changed, or where to.
+    /// Reports the readiness at once and some times more: it has changed, or the control plane is another one.
     pub(super) fn report_change(&mut self) {
         self.schedule.report_change(self.timestamp.now);
     }
 
+    /// The part of a step that goes by the clock.
     pub(super) fn periodic_step(&mut self) {
         let now = self.timestamp.now;
-        if self.schedule.report_due(now) && self.controller.is_some() && self.drain.handover.reports() {
-            let ready =
-                self.healthy && !self.registration.is_out() && self.operator_drain.draining_since().is_none();
-            self.effects.push(Effect::ReportReadiness { ready });
-        }
+        self.report_readiness();
         if now >= self.schedule.next_sweep {
-            // What is left of a sweep has its turn with the next step, which comes at once.
-            let more = self.release_class_slots()
-                | self.idempotency_table.sweep(now)
-                | self.drain_idle_connections();
-            self.schedule.next_sweep = if more { now } else { time_after(now, SWEEP_EVERY) };
-            self.connections.drop_stale_entries();
+            self.sweep();
         }
         self.persist();
         if self.registration.drain_is_due(now) {
             self.begin_shutdown();
         }
-        let grace = time_after(self.drain.notified_or(now), self.settings.rules.drain_grace);
-        let answered = self.drain.is_draining() && self.requests.is_empty() && now > grace;
-        self.registration.step(self.timestamp, answered, &mut self.effects);
+        let grace_ends = time_after(self.drain.notified_or(now), self.settings.rules.drain_grace);
+        let is_drained = self.drain.is_draining() && self.requests.is_empty() && now > grace_ends;
+        self.registration.step(self.timestamp, is_drained, &mut self.effects);
         self.exit_when_done();
     }
+
+    fn report_readiness(&mut self) {
+        let is_due = self.schedule.take_due_report(self.timestamp.now);
+        if is_due && self.controller.is_some() && self.drain.handover.reports_readiness() {
+            let is_out = self.registration.is_out() || self.operator_drain.draining_since().is_some();
+            self.effects.push(Effect::ReportReadiness { ready: self.healthy && !is_out });
+        }
+    }
+
+    /// Sweeps a bounded part; the rest follows with the next step, which comes at once.
+    fn sweep(&mut self) {
+        let now = self.timestamp.now;
+        let more_classes = self.release_class_slots();
+        let more_keys = self.idempotency_table.sweep(now);
+        let more_connections = self.drain_idle_connections();
+        let more = more_classes || more_keys || more_connections;
+        self.schedule.next_sweep = if more { now } else { time_after(now, SWEEP_INTERVAL) };
+        self.connections.drop_stale_entries();
+    }
 }
--- a/crates/core/src/reducer/settings_changes.rs
+++ b/crates/core/src/reducer/settings_changes.rs
@@ -1,26 +1,23 @@
-//! Changes of the settings in force: a transaction at once, whole or not at all, and a file that was read again in
-//! pieces of bounded size, in one order. Each costs by what it changes; nothing here goes through all classes or tenants.
+//! Changes of the active settings: a transaction is applied at once and completely, or not at all.
 //!
-//! Not here: which changes are valid by themselves, which their author's side checks, and where files are read.
+//! Owns the edition of the active names and the name changes that the shell is to learn. A change costs by its own size; nothing
+//! here goes through all classes or tenants. Not here: which changes are valid by themselves, which their author's side checks,
+//! and settings files that are read again ([`super::settings_reload`]).
 
-use super::{MS, Reducer};
+use super::Reducer;
+use super::settings_reload::PendingReload;
 use crate::classes::{Put, Settled};
 use crate::messages::{Effect, NameChange};
-use crate::reload::Reload;
-use gradepin_admission::{ClassDefinition, Settings, Span, Tenant, UpstreamKind};
+use gradepin_admission::{ClassDefinition, Settings, Span, Tenant};
 use gradepin_config::change::{Change, MAX_CLASSES, MAX_TENANTS, Name, Rule, Transaction};
 use slog::Level;
 use std::collections::HashMap;
-use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Changes of a file that one step applies; 100 changes at once took 0.9 ms in a debug build, at 10,000 classes and 110,000
-/// tenants.
-const PIECE: usize = 64;
-/// Slots of dropped classes that one step looks at.
-const SETTLED: usize = 128;
-/// Names that the log tells of one kind of change.
-const NAMES_TOLD: usize = 8;
+/// Slots of removed classes that one step looks at.
+const MAX_RELEASES_PER_STEP: usize = 128;
+/// Names that a log line lists of one kind of change.
+const MAX_LISTED_NAMES: usize = 8;
 
 /// Why a transaction can't be applied; nothing of it is.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -32,7 +29,7 @@
     #[error("expected the name of a tenant in force, got '{0}'")]
     UnknownTenant(Name),
     /// A class has no name, or a time that must be above 0 is 0.
-    #[error("expected a class with a name, a promise and a deadline above 0, got '{0}'")]
+    #[error("expected a class with a name, a latency objective and a deadline above 0, got '{0}'")]
     BadClass(Name),
     /// A tenant has no name.
     #[error("expected a tenant with a name")]
@@ -40,51 +37,51 @@
     /// No class would be left.
     #[error("expected a class that stays, got all removed")]
     NoClass,
-    /// More would be in force than may be, or slots that open requests still refer to leave no room.
-    #[error("expected room for at most {most} {what}, got {came}")]
+    /// More would be in force than may be, or slots that open requests still refer to leave no capacity.
+    #[error("expected capacity for at most {max} {what}, got {got}")]
     TooMany {
         /// Classes or tenants.
         what: &'static str,
-        /// The bound.
-        most: usize,
-        /// How many there would be.
-        came: usize,
+        /// How many may be in force.
+        max: usize,
+        /// How many would be.
+        got: usize,
     },
-    /// A file is being applied; the order of the two would not be told.
+    /// A settings file is being applied, and the order of the two would be undefined.
     #[error("expected no file being applied, got one at its change {0}")]
     ReloadUnderWay(usize),
 }
 
-/// What was applied: classes by what became of them, the first names of each kind, and how many tenants and rules.
+/// What a transaction or a file changed: classes by kind of change, and counts of tenants and rules.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ApplySummary {
     /// Classes that are new.
     pub added: NameList,
-    /// Classes in force with other figures.
+    /// Classes in force with another definition.
     pub changed: NameList,
-    /// Classes removed.
-    pub dropped: NameList,
-    /// Classes that were removed before and are back.
-    pub back: NameList,
-    /// Tenants added, changed or removed.
+    /// Classes that were removed.
+    pub removed: NameList,
+    /// Classes that had been removed and are in force again.
+    pub restored: NameList,
+    /// Count of tenants added, changed or removed.
     pub tenants: usize,
-    /// Rules set.
+    /// Count of rules set.
     pub rules: usize,
 }
 
-/// How many, and the first of their names.
+/// A count of names, and the first [`MAX_LISTED_NAMES`] of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct NameList {
-    /// How many.
+    /// How many names.
     pub count: usize,
-    /// The names of the first ones.
+    /// The first ones.
     pub first: Vec<String>,
 }
 
 impl NameList {
     fn add(&mut self, name: &str) {
         self.count += 1;
-        if self.first.len() < NAMES_TOLD {
+        if self.first.len() < MAX_LISTED_NAMES {
             self.first.push(name.to_string());
         }
     }
@@ -96,100 +93,94 @@
     }
 }
 
-/// A file that is being applied.
-#[derive(Debug)]
-struct PendingReload {
-    reload: Box<Reload>,
-    next: usize,
-    applied: ApplySummary,
-}
-
-/// The reducer's books on changes of settings.
+/// Changes of the active settings that are under way, and what the shell knows of the active names.
 #[derive(Debug, Default)]
 pub(super) struct SettingsChanges {
-    reload: Option<PendingReload>,
-    /// Of changes of the names in force; files are compared with those of one number.
-    edition: u64,
-    /// Classes, tenants and rules come from committed revisions: a file changes all else.
-    is_committed: bool,
+    /// The settings file that is being applied.
+    pub(super) reload: Option<PendingReload>,
+    /// Number of the last change of the active names. A settings file is compared with the names of one edition.
+    pub(super) edition: u64,
+    /// Whether classes, tenants and rules come from committed revisions: a settings file changes all else.
+    pub(super) is_committed: bool,
+    /// The longest idempotency window that the shell was given.
     longest_window: Span,
+    /// Changes of names for the shell, not sent yet.
     name_changes: Vec<NameChange>,
 }
 
 impl SettingsChanges {
-    /// At the start, with the longest window of the classes.
+    /// At the start, with the longest idempotency window of the classes.
     pub(super) fn new(longest_window: Span) -> Self {
         Self { longest_window, ..Self::default() }
     }
 
-    /// Classes, tenants and rules come from committed revisions.
+    /// Classes, tenants and rules come from committed revisions from now on.
     pub(super) fn set_committed(&mut self) {
         self.is_committed = true;
     }
 
-    /// Whether a file is being applied.
+    /// Whether a settings file is being applied.
     pub(super) fn is_reloading(&self) -> bool {
         self.reload.is_some()
     }
+
+    /// Begins a new edition if names have changed since the last one.
+    pub(super) fn end_edition(&mut self) {
+        self.edition += u64::from(!self.name_changes.is_empty());
+    }
 }
 
 impl Reducer {
-    /// Classes, tenants and rules come from committed revisions: a file that is read again changes all else.
+    /// Classes, tenants and rules come from committed revisions: a settings file that is read again changes all else.
     pub fn with_committed_settings(mut self) -> Self {
         self.settings_changes.set_committed();
         self
     }
 
-    /// Applies a transaction, whole or not at all, at a cost that goes by its size. Its effects come with the next step,
+    /// Applies a transaction completely or not at all, at a cost that goes by its size. Its effects come with the next step,
     /// which is due at once.
     pub fn apply_transaction(&mut self, transaction: &Transaction) -> Result<ApplySummary, ApplyError> {
-        if let Some(pending) = &self.settings_changes.reload {
-            return Err(ApplyError::ReloadUnderWay(pending.next));
+        if let Some(reload) = &self.settings_changes.reload {
+            return Err(ApplyError::ReloadUnderWay(reload.applied_changes));
         }
         self.check_transaction(&transaction.changes)?;
-        let mut applied = ApplySummary::default();
-        let mut rest = None;
+        let mut summary = ApplySummary::default();
+        let mut settings = None;
         for change in &transaction.changes {
             if let Change::PutRule(rule) = change {
-                set_rule(rest.get_or_insert_with(|| Settings::clone(&self.settings)), *rule);
+                set_rule(settings.get_or_insert_with(|| Settings::clone(&self.settings)), *rule);
             }
-            self.apply(change, &mut applied);
+            self.apply(change, &mut summary);
         }
-        if let Some(rest) = rest {
-            self.replace_settings(rest);
+        if let Some(settings) = settings {
+            self.replace_settings(settings);
         }
-        self.settings_changes.edition += u64::from(!self.settings_changes.name_changes.is_empty());
+        self.settings_changes.end_edition();
         self.publish_names();
-        self.log_applied(&applied);
-        Ok(applied)
+        self.log_summary(&summary);
+        Ok(summary)
     }
 
-    /// Whether every change can be applied in its turn, by the names that the ones before leave.
+    /// Whether every change can be applied, by the names that the ones before it leave.
     fn check_transaction(&self, changes: &[Change]) -> Result<(), ApplyError> {
         let mut classes = NameTally::new(self.classes.in_force());
         let mut tenants = NameTally::new(self.tenants.in_force());
         for change in changes {
             match change {
                 Change::PutClass(class) => {
-                    let profile = &class.profile;
-                    if profile.name.is_empty() || profile.latency_objective.0 == 0 || profile.deadline.0 == 0
-                    {
-                        return Err(ApplyError::BadClass(Name::from(profile.name.as_str())));
-                    }
-                    classes.put(&profile.name, self.classes.knows(&profile.name), || {
-                        !self.classes.has_slot(&profile.name)
-                    });
+                    check_class(class)?;
+                    let name = &class.profile.name;
+                    classes.put(name, self.classes.is_in_force(name), || !self.classes.has_slot(name));
                 }
                 Change::PutTenant(tenant) if tenant.name.is_empty() => return Err(ApplyError::BadTenant),
                 Change::PutTenant(tenant) => {
-                    tenants.put(&tenant.name, self.tenants.knows(&tenant.name), || {
-                        !self.tenants.has_slot(&tenant.name)
-                    });
+                    let name = &tenant.name;
+                    tenants.put(name, self.tenants.is_in_force(name), || !self.tenants.has_slot(name));
                 }
-                Change::RemoveClass(name) if !classes.remove(name, self.classes.knows(name)) => {
+                Change::RemoveClass(name) if !classes.remove(name, self.classes.is_in_force(name)) => {
                     return Err(ApplyError::UnknownClass(Name::clone(name)));
                 }
-                Change::RemoveTenant(name) if !tenants.remove(name, self.tenants.knows(name)) => {
+                Change::RemoveTenant(name) if !tenants.remove(name, self.tenants.is_in_force(name)) => {
                     return Err(ApplyError::UnknownTenant(Name::clone(name)));
                 }
                 Change::RemoveClass(_) | Change::RemoveTenant(_) | Change::PutRule(_) => {}
@@ -198,102 +189,100 @@
         if classes.in_force == 0 {
             return Err(ApplyError::NoClass);
         }
-        self.check_capacity(classes.in_force, classes.new, tenants.in_force, tenants.new)
+        self.check_slots(classes.demand(), tenants.demand())
     }
 
-    fn check_capacity(
-        &self,
-        classes: usize,
-        new_classes: usize,
-        tenants: usize,
-        new_tenants: usize,
-    ) -> Result<(), ApplyError> {
-        if classes > MAX_CLASSES || new_classes > self.classes.room() {
-            return Err(ApplyError::TooMany { what: "classes", most: MAX_CLASSES, came: classes });
+    /// Whether the names that would be in force, and the slots that new ones need, are within the bounds.
+    pub(super) fn check_slots(&self, classes: NameDemand, tenants: NameDemand) -> Result<(), ApplyError> {
+        if classes.in_force > MAX_CLASSES || classes.new > self.classes.free_slots() {
+            return Err(ApplyError::TooMany { what: "classes", max: MAX_CLASSES, got: classes.in_force });
         }
-        if tenants > MAX_TENANTS || new_tenants > self.tenants.room() {
-            return Err(ApplyError::TooMany { what: "tenants", most: MAX_TENANTS, came: tenants });
+        if tenants.in_force > MAX_TENANTS || tenants.new > self.tenants.free_slots() {
+            return Err(ApplyError::TooMany { what: "tenants", max: MAX_TENANTS, got: tenants.in_force });
         }
         Ok(())
     }
 
-    fn apply(&mut self, change: &Change, applied: &mut ApplySummary) {
+    /// Applies one change; rules are applied by the caller, all at once.
+    pub(super) fn apply(&mut self, change: &Change, summary: &mut ApplySummary) {
         match change {
-            Change::PutClass(class) => self.put_class(class, applied),
-            Change::RemoveClass(name) => {
-                if let Some(slot) = self.classes.remove(self.timestamp.now, name) {
-                    applied.dropped.add(name);
-                    let dropped = NameChange::ClassRemoved(Arc::clone(self.classes.defined(slot)));
-                    self.settings_changes.name_changes.push(dropped);
-                }
-            }
-            Change::PutTenant(tenant) => self.put_tenant(tenant, applied),
-            Change::RemoveTenant(name) => self.remove_tenant(name, applied),
-            Change::PutRule(_) => applied.rules += 1,
+            Change::PutClass(class) => self.put_class(class, summary),
+            Change::RemoveClass(name) => self.remove_class(name, summary),
+            Change::PutTenant(tenant) => self.put_tenant(tenant, summary),
+            Change::RemoveTenant(name) => self.remove_tenant(name, summary),
+            Change::PutRule(_) => summary.rules += 1,
         }
     }
 
-    fn put_class(&mut self, class: &Arc<ClassDefinition>, applied: &mut ApplySummary) {
+    fn put_class(&mut self, class: &Arc<ClassDefinition>, summary: &mut ApplySummary) {
         let (slot, put) = self.classes.put(self.timestamp.now, Arc::clone(class));
         match put {
             Put::Same => return,
-            Put::Added => applied.added.add(&class.profile.name),
-            Put::Changed => applied.changed.add(&class.profile.name),
-            Put::Back => applied.back.add(&class.profile.name),
+            Put::Added => summary.added.add(&class.profile.name),
+            Put::Changed => summary.changed.add(&class.profile.name),
+            Put::Back => summary.restored.add(&class.profile.name),
         }
         self.put_admission_class(slot);
-        self.settings_changes
-            .name_changes
-            .push(NameChange::Class { handle: self.classes.handle(slot), class: Arc::clone(class) });
+        let handle = self.classes.handle(slot);
+        self.settings_changes.name_changes.push(NameChange::Class { handle, class: Arc::clone(class) });
+    }
+
+    fn remove_class(&mut self, name: &str, summary: &mut ApplySummary) {
+        let Some(slot) = self.classes.remove(self.timestamp.now, name) else { return };
+        summary.removed.add(name);
+        let class = Arc::clone(self.classes.defined(slot));
+        self.settings_changes.name_changes.push(NameChange::ClassRemoved(class));
     }
 
-    /// The module goes by what holds for the class in a slot now.
+    /// Gives the admission module the class that holds in a slot now.
     fn put_admission_class(&mut self, slot: usize) {
         if let Some(controller) = &mut self.controller {
             controller.put_class(slot, Arc::clone(self.classes.get(slot)));
         }
     }
 
-    fn put_tenant(&mut self, tenant: &Arc<Tenant>, applied: &mut ApplySummary) {
+    fn put_tenant(&mut self, tenant: &Arc<Tenant>, summary: &mut ApplySummary) {
         let placed = self.tenants.put(Arc::clone(tenant));
         if placed.put == Put::Same {
             return;
         }
-        applied.tenants += 1;
-        self.settings_changes.name_changes.extend(placed.gone.map(NameChange::TenantForgotten));
+        summary.tenants += 1;
+        let forgotten = placed.gone.map(NameChange::TenantForgotten);
+        self.settings_changes.name_changes.extend(forgotten);
         let handle = self.tenants.handle(placed.slot);
         self.settings_changes.name_changes.push(NameChange::Tenant { handle, tenant: Arc::clone(tenant) });
         self.put_admission_tenant(placed.slot, tenant.quota_rps, placed.put == Put::Added);
     }
 
-    fn remove_tenant(&mut self, name: &str, applied: &mut ApplySummary) {
+    fn remove_tenant(&mut self, name: &str, summary: &mut ApplySummary) {
         let slot = self.tenants.find(name);
         let tenant = slot.and_then(|slot| self.tenants.get(slot)).map(Arc::clone);
         let (Some(slot), Some(tenant)) = (self.tenants.remove(name), tenant) else { return };
-        applied.tenants += 1;
+        summary.tenants += 1;
         self.settings_changes.name_changes.push(NameChange::TenantRemoved(tenant));
-        // Of no share: the module sets no bound by a quota of 0.
+        // Without a quota: the admission module bounds no tenant by a quota of 0.
         self.put_admission_tenant(slot, 0.0, false);
     }
 
-    fn put_admission_tenant(&mut self, slot: usize, quota_rps: f64, another: bool) {
+    /// Gives the admission module the quota of the tenant in a slot, and whether it is another tenant than before.
+    fn put_admission_tenant(&mut self, slot: usize, quota_rps: f64, is_another: bool) {
         self.forget_reported_quota(slot);
         if let Some(controller) = &mut self.controller {
-            controller.put_tenant(slot, quota_rps, another);
+            controller.put_tenant(slot, quota_rps, is_another);
         }
     }
 
-    /// All settings but classes and tenants are these from now on.
-    fn replace_settings(&mut self, rest: Settings) {
-        self.settings = Arc::new(rest);
+    /// Replaces all settings but classes and tenants.
+    pub(super) fn replace_settings(&mut self, settings: Settings) {
+        self.settings = Arc::new(settings);
         if let Some(controller) = &mut self.controller {
             controller.set_rest(Settings::clone(&self.settings));
         }
         self.cluster_settings_changed();
     }
 
-    /// Tells the shell which names have changed.
-    fn publish_names(&mut self) {
+    /// Sends the shell the names that have changed, and the longest idempotency window if that has.
+    pub(super) fn publish_names(&mut self) {
         let changes = std::mem::take(&mut self.settings_changes.name_changes);
         if !changes.is_empty() {
             self.effects.push(Effect::UpdateNames { edition: self.settings_changes.edition, changes });
@@ -304,108 +293,22 @@
         }
     }
 
-    fn log_applied(&mut self, applied: &ApplySummary) {
-        let ApplySummary { added, dropped, back, .. } = applied;
-        let (added, dropped, back) = (added.text(), dropped.text(), back.text());
-        let text = format!("settings in force: classes added {added}, dropped {dropped}, back {back}");
+    /// Logs what was applied.
+    pub(super) fn log_summary(&mut self, summary: &ApplySummary) {
+        let ApplySummary { added, removed, restored, .. } = summary;
+        let (added, removed, restored) = (added.text(), removed.text(), restored.text());
+        let text = format!("settings in force: classes added {added}, dropped {removed}, back {restored}");
         self.log(Level::Info, text);
     }
 
-    /// A file read at a reload could not be used; the configuration in force stays.
-    pub(super) fn reload_rejected(&mut self, why: &str) {
-        self.metrics.reloaded(false);
-        self.log(Level::Error, format!("the configuration was turned down, all stays as it was: {why}"));
-        self.effects.push(Effect::ReloadFinished);
-    }
-
-    /// Takes over what may change while serving; where the classes and tenants can't be taken, nothing of the file is.
-    pub(super) fn reload(&mut self, mut reload: Box<Reload>) {
-        if self.settings_changes.is_committed {
-            reload.changes.clear();
-            (reload.new_classes, reload.new_tenants) = (0, 0);
-        } else if let Err(why) = self.check_reload(&reload) {
-            return self.reload_rejected(&why);
-        }
-        self.settings_changes.reload =
-            Some(PendingReload { reload, next: 0, applied: ApplySummary::default() });
-        self.reload_step();
-    }
-
-    fn check_reload(&self, reload: &Reload) -> Result<(), String> {
-        if self.settings_changes.reload.is_some() {
-            return Err("expected the file before to be in force, got another".into());
-        }
-        if reload.compared_at != self.settings_changes.edition {
-            return Err("expected a file compared with what is in force, got a change since".into());
-        }
-        self.check_capacity(0, reload.new_classes, 0, reload.new_tenants).map_err(|why| why.to_string())
-    }
-
-    /// Applies the next piece of a file; with the last one it is in force.
-    pub(super) fn reload_step(&mut self) {
-        let Some(mut pending) = self.settings_changes.reload.take() else { return };
-        let end = pending.reload.changes.len().min(pending.next + PIECE);
-        for place in pending.next..end {
-            self.apply(&pending.reload.changes[place], &mut pending.applied);
-        }
-        pending.next = end;
-        let done = end == pending.reload.changes.len();
-        self.settings_changes.edition += u64::from(!self.settings_changes.name_changes.is_empty());
-        self.publish_names();
-        if done {
-            self.finish_reload(*pending.reload, &pending.applied);
-        } else {
-            self.settings_changes.reload = Some(pending);
-        }
-    }
-
-    /// The classes and tenants of a file are in force; the rest of it now is too.
-    fn finish_reload(&mut self, reload: Reload, applied: &ApplySummary) {
-        let mut config = reload.config;
-        self.metrics.reloaded(true);
-        let called = self.settings.specifics.below == UpstreamKind::Shared;
-        let mut rest = std::mem::take(&mut config.settings);
-        if self.settings_changes.is_committed {
-            rest.rules = self.settings.rules.clone();
-            rest.over_quota_weight = self.settings.over_quota_weight;
-            let text = "classes, tenants and rules hold as committed; the file's are not used";
-            self.log(Level::Info, text.into());
-        }
-        self.replace_settings(rest);
-        self.log_applied(applied);
-        if (&config.name, config.listen) != (&self.config.name, self.config.listen) {
-            self.log(Level::Warning, "a new name or address to listen on takes a restart".into());
-        }
-        if config.processor != self.config.processor {
-            self.effects.push(Effect::SetProcessorAddress(config.processor));
-        }
-        if config.control != self.config.control {
-            self.effects.push(Effect::SetControlAddress(config.control));
-        }
-        let calls = self.settings.specifics.below == UpstreamKind::Shared;
-        let moved = |ledger: &SocketAddr| Some(*ledger) != self.config.ledger || (calls && !called);
-        if let Some(ledger) = config.ledger.filter(moved) {
-            // Calls out to the old address end there; new ones go to the new.
-            self.effects.push(Effect::SetUpstreamAddress(ledger));
-            self.config.ledger = Some(ledger);
-        }
-        // The new control plane is to hear of this server at once, whether or not it knows the old one's list.
-        self.report_change();
-        self.drain.stop_after = Span(config.stop_ms.saturating_mul(MS));
-        let (processor, control) = (config.processor, config.control);
-        self.log(Level::Info, format!("reloaded: the processor is at {processor}, control at {control}"));
-        (self.config.processor, self.config.control) = (processor, control);
-        self.effects.push(Effect::ReloadFinished);
-    }
-
-    /// Frees the slots of dropped classes that nothing refers to, and has classes that were keyed be so no more once their
-    /// windows are past; whether more are due.
+    /// Frees the slots of removed classes that nothing refers to, and ends the idempotency of classes that are keyed no more once
+    /// their windows are over. Returns whether more are due.
     pub(super) fn release_class_slots(&mut self) -> bool {
         if !self.events.is_empty() {
-            // Of requests that are over here and not yet in the module's books.
+            // Events of requests that are closed here and not yet handled by the admission module refer to slots.
             return false;
         }
-        for settled in self.classes.settle(self.timestamp.now, SETTLED) {
+        for settled in self.classes.settle(self.timestamp.now, MAX_RELEASES_PER_STEP) {
             match settled {
                 Settled::Freed(slot, class) => {
                     self.forget_run_estimate(slot);
@@ -420,11 +323,21 @@
     }
 }
 
-/// The names in force as the changes of a transaction leave them, without a copy of those it leaves alone.
+/// How many names would be in force, and how many of them need a new slot.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct NameDemand {
+    /// Names in force.
+    pub(super) in_force: usize,
+    /// Names that have no slot.
+    pub(super) new: usize,
+}
+
+/// The names in force as the changes of a transaction leave them, without a copy of those that it doesn't touch.
 struct NameTally<'a> {
     in_force: usize,
     /// Names that had no slot.
     new: usize,
+    /// Whether each name that the transaction touches is in force after the changes so far.
     touched: HashMap<&'a str, bool>,
 }
 
@@ -435,7 +348,7 @@
 
     fn put(&mut self, name: &'a str, known: bool, without_slot: impl FnOnce() -> bool) {
         match self.touched.insert(name, true) {
-            Some(before) => self.in_force += usize::from(!before),
+            Some(was_in_force) => self.in_force += usize::from(!was_in_force),
             None => {
                 self.in_force += usize::from(!known);
                 self.new += usize::from(without_slot());
@@ -443,12 +356,24 @@
         }
     }
 
-    /// Whether there was one of this name.
+    /// Returns whether a name was in force.
     fn remove(&mut self, name: &'a str, known: bool) -> bool {
-        let there = self.touched.insert(name, false).unwrap_or(known);
-        self.in_force -= usize::from(there);
-        there
+        let was_in_force = self.touched.insert(name, false).unwrap_or(known);
+        self.in_force -= usize::from(was_in_force);
+        was_in_force
+    }
+
+    fn demand(&self) -> NameDemand {
+        NameDemand { in_force: self.in_force, new: self.new }
+    }
+}
+
+fn check_class(class: &ClassDefinition) -> Result<(), ApplyError> {
+    let profile = &class.profile;
+    if profile.name.is_empty() || profile.latency_objective.0 == 0 || profile.deadline.0 == 0 {
+        return Err(ApplyError::BadClass(Name::from(profile.name.as_str())));
     }
+    Ok(())
 }
 
 fn set_rule(settings: &mut Settings, rule: Rule) {
--- /dev/null
+++ b/crates/core/src/reducer/settings_reload.rs
@@ -0,0 +1,144 @@
+//! Reload of the settings file (SIGHUP). Its changes of classes and tenants are applied in pieces of bounded size, one a step and
+//! in their order, so that requests are served meanwhile; with the last piece the rest of the file comes into force.
+//!
+//! The shell reads the file and compares it with the active names ([`crate::reload`]). One file is applied at a time. A file that
+//! can't be used changes nothing.
+
+use super::settings_changes::{ApplyError, ApplySummary, NameDemand};
+use super::{MS, Reducer};
+use crate::config::Config;
+use crate::messages::Effect;
+use crate::reload::Reload;
+use gradepin_admission::{Settings, Span, UpstreamKind};
+use slog::Level;
+use std::net::SocketAddr;
+
+/// Changes of a file that one step applies; it bounds the pause of requests.
+const MAX_CHANGES_PER_STEP: usize = 64;
+
+/// Why a settings file that was read again can't be used.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+enum ReloadError {
+    /// The file before is still being applied.
+    #[error("expected the file before to be in force, got another")]
+    ReloadUnderWay,
+    /// Names have changed since the file was compared with them.
+    #[error("expected a file compared with what is in force, got a change since")]
+    StaleComparison,
+    /// Its names exceed the bounds.
+    #[error(transparent)]
+    TooMany(#[from] ApplyError),
+}
+
+/// A settings file that is being applied.
+#[derive(Debug)]
+pub(super) struct PendingReload {
+    reload: Box<Reload>,
+    /// How many of its changes are applied.
+    pub(super) applied_changes: usize,
+    summary: ApplySummary,
+}
+
+impl Reducer {
+    /// A settings file could not be used; the active settings stay.
+    pub(super) fn reload_rejected(&mut self, reason: &str) {
+        self.metrics.count_reload(false);
+        let text = format!("the configuration was turned down, all stays as it was: {reason}");
+        self.log(Level::Error, text);
+        self.effects.push(Effect::ReloadFinished);
+    }
+
+    /// Starts to apply a settings file. Where classes, tenants and rules come from committed revisions, those of the file are
+    /// ignored.
+    pub(super) fn reload(&mut self, mut reload: Box<Reload>) {
+        if self.settings_changes.is_committed {
+            reload.changes.clear();
+            (reload.new_classes, reload.new_tenants) = (0, 0);
+        } else if let Err(error) = self.check_reload(&reload) {
+            return self.reload_rejected(&error.to_string());
+        }
+        let summary = ApplySummary::default();
+        self.settings_changes.reload = Some(PendingReload { reload, applied_changes: 0, summary });
+        self.reload_step();
+    }
+
+    fn check_reload(&self, reload: &Reload) -> Result<(), ReloadError> {
+        if self.settings_changes.is_reloading() {
+            return Err(ReloadError::ReloadUnderWay);
+        }
+        if reload.compared_at != self.settings_changes.edition {
+            return Err(ReloadError::StaleComparison);
+        }
+        // The names in force are bounded where the file is checked; only new slots are counted here.
+        let classes = NameDemand { in_force: 0, new: reload.new_classes };
+        let tenants = NameDemand { in_force: 0, new: reload.new_tenants };
+        Ok(self.check_slots(classes, tenants)?)
+    }
+
+    /// Applies the next piece of a settings file; with the last one it is in force.
+    pub(super) fn reload_step(&mut self) {
+        let Some(mut pending) = self.settings_changes.reload.take() else { return };
+        let changes = &pending.reload.changes;
+        let end = changes.len().min(pending.applied_changes + MAX_CHANGES_PER_STEP);
+        for change in &changes[pending.applied_changes..end] {
+            self.apply(change, &mut pending.summary);
+        }
+        let is_complete = end == changes.len();
+        pending.applied_changes = end;
+        self.settings_changes.end_edition();
+        self.publish_names();
+        if is_complete {
+            self.finish_reload(pending.reload.config, &pending.summary);
+        } else {
+            self.settings_changes.reload = Some(pending);
+        }
+    }
+
+    /// The classes and tenants of a file are in force; brings the rest of it into force.
+    fn finish_reload(&mut self, mut config: Config, summary: &ApplySummary) {
+        self.metrics.count_reload(true);
+        let called_upstream = self.settings.specifics.below == UpstreamKind::Shared;
+        self.replace_file_settings(std::mem::take(&mut config.settings));
+        self.log_summary(summary);
+        if (&config.name, config.listen) != (&self.config.name, self.config.listen) {
+            self.log(Level::Warning, "a new name or address to listen on takes a restart".into());
+        }
+        self.update_addresses(&config, called_upstream);
+        // The new control plane must learn of this server at once, whether or not it has the old one's list.
+        self.report_change();
+        self.drain.stop_after = Span(config.stop_ms.saturating_mul(MS));
+        let (processor, control) = (config.processor, config.control);
+        self.log(Level::Info, format!("reloaded: the processor is at {processor}, control at {control}"));
+        (self.config.processor, self.config.control) = (processor, control);
+        self.effects.push(Effect::ReloadFinished);
+    }
+
+    fn replace_file_settings(&mut self, mut settings: Settings) {
+        if self.settings_changes.is_committed {
+            settings.rules = self.settings.rules.clone();
+            settings.over_quota_weight = self.settings.over_quota_weight;
+            let text = "classes, tenants and rules hold as committed; the file's are not used";
+            self.log(Level::Info, text.into());
+        }
+        self.replace_settings(settings);
+    }
+
+    /// Has the shell use the addresses that have changed. `called_upstream` says whether the old settings had calls to the shared
+    /// upstream.
+    fn update_addresses(&mut self, config: &Config, called_upstream: bool) {
+        if config.processor != self.config.processor {
+            self.effects.push(Effect::SetProcessorAddress(config.processor));
+        }
+        if config.control != self.config.control {
+            self.effects.push(Effect::SetControlAddress(config.control));
+        }
+        let calls_upstream = self.settings.specifics.below == UpstreamKind::Shared;
+        let starts_to_call = calls_upstream && !called_upstream;
+        let is_new = |upstream: &SocketAddr| Some(*upstream) != self.config.ledger || starts_to_call;
+        if let Some(upstream) = config.ledger.filter(is_new) {
+            // Calls that are out end at the old address; new ones go to the new.
+            self.effects.push(Effect::SetUpstreamAddress(upstream));
+            self.config.ledger = Some(upstream);
+        }
+    }
+}
--- a/crates/core/src/request_metrics.rs
+++ b/crates/core/src/request_metrics.rs
@@ -57,7 +57,7 @@
 
 impl RequestMetrics {
     /// A final answer to a request of this class. Answers that are no requests' are not counted.
-    pub fn answered(&mut self, class: &str, answer: &Response) {
+    pub fn count_response(&mut self, class: &str, answer: &Response) {
         let counts = self.counts(class);
         match answer {
             Response::Served(_) => counts.fulfilled += 1,
@@ -70,12 +70,12 @@
     }
 
     /// A run was handed to the processor.
-    pub fn relayed(&mut self) {
+    pub fn count_run(&mut self) {
         self.relayed += 1;
     }
 
     /// A file was read at a reload, and taken or not.
-    pub fn reloaded(&mut self, taken: bool) {
+    pub fn count_reload(&mut self, taken: bool) {
         if taken {
             self.cfg_accepted += 1;
         } else {
@@ -84,7 +84,7 @@
     }
 
     /// The figures, with the requests open now.
-    pub fn stats(&self, open: u64) -> MetricsSnapshot {
+    pub fn snapshot(&self, open: u64) -> MetricsSnapshot {
         MetricsSnapshot {
             classes: self.classes.iter().map(|(name, counts)| (Arc::clone(name), *counts)).collect(),
             relayed: self.relayed,
--- a/crates/core/src/tenants.rs
+++ b/crates/core/src/tenants.rs
@@ -57,12 +57,12 @@
     }
 
     /// How many names more would find a slot now, whatever open requests are of.
-    pub fn room(&self) -> usize {
+    pub fn free_slots(&self) -> usize {
         MAX_TENANT_SLOTS - (self.slots.len() - self.slots.free())
     }
 
     /// Whether a tenant of this name is in force.
-    pub fn knows(&self, name: &str) -> bool {
+    pub fn is_in_force(&self, name: &str) -> bool {
         self.slots.find(name).and_then(|slot| self.get(slot)).is_some()
     }
 
--- a/crates/core/src/tenants/tests.rs
+++ b/crates/core/src/tenants/tests.rs
@@ -10,7 +10,7 @@
 fn tenants_keep_their_slots_and_removed_ones_come_back_to_them() {
     let mut tenants = Tenants::new([tenant("a", 1.0), tenant("b", 1.0)]);
     assert_eq!((tenants.remove("a"), tenants.remove("a"), tenants.remove("none")), (Some(0), None, None));
-    assert_eq!((tenants.in_force(), tenants.knows("a"), tenants.name(0)), (1, false, Some("a")));
+    assert_eq!((tenants.in_force(), tenants.is_in_force("a"), tenants.name(0)), (1, false, Some("a")));
     let placed = tenants.put(tenant("c", 1.0));
     assert_eq!((placed.slot, placed.put, placed.gone), (2, Put::Added, None));
     let back = tenants.put(tenant("a", 2.0));
@@ -37,5 +37,5 @@
     tenants.release(0);
     tenants.remove("t9");
     assert_eq!(tenants.put(tenant("last", 1.0)).slot, 0);
-    assert_eq!(tenants.room(), MAX_TENANT_SLOTS - MAX_TENANTS - 1);
+    assert_eq!(tenants.free_slots(), MAX_TENANT_SLOTS - MAX_TENANTS - 1);
 }
--- a/crates/testkit/src/bench/keys.rs
+++ b/crates/testkit/src/bench/keys.rs
@@ -31,9 +31,9 @@
 impl Table for Wheel {
     fn put(&mut self, token: &Arc<str>, id: &RequestId, now_ms: u64) {
         let moment = Timestamp { now: Time(now_ms * MS), unix_ms: now_ms };
-        self.0.remember(token, 7, id, Time((now_ms + WINDOW_MS) * MS));
-        self.0.began(token, 7, id, now_ms + WINDOW_MS, moment);
-        self.0.ended(token, id, Some(RunOutcome::Failed));
+        self.0.retain(token, 7, id, Time((now_ms + WINDOW_MS) * MS));
+        self.0.run_started(token, 7, id, now_ms + WINDOW_MS, moment);
+        self.0.run_ended(token, id, Some(RunOutcome::Failed));
     }
 
     fn sweep(&mut self, now_ms: u64) -> bool {
