--- a/crates/core/src/admin.rs
+++ b/crates/core/src/admin.rs
@@ -1,8 +1,6 @@
-//! The operators' door as the reducer sees it: the calls it takes, what they are answered, and the one order it
-//! keeps, a drain by hand. Whether the process is ready is decided here, from what the reducer tells of itself.
+//! Operators' requests at the admin endpoint, their responses, and the one command whose effect is kept here: a drain.
 //!
-//! Owns no socket and speaks no HTTP: the shell makes calls of requests and responses of answers, and it answers on
-//! its own where the reducer is late.
+//! No I/O: the shell decodes requests and encodes responses. It answers for the reducer where that is late.
 
 use crate::configuration::{ConfigurationAdminRequest, ConfigurationAdminResponse};
 use crate::request_metrics::MetricsSnapshot;
@@ -11,88 +9,88 @@
 use gradepin_coordination::messages::OperatorCommand;
 use gradepin_coordination::server_agent::{AgentStatus as Agreements, CommandStatus};
 
-/// Names a call of the door until it is answered; never used again.
+/// Names a request of the admin endpoint until it is answered; never used again.
 pub type AdminRequestId = u64;
 
-/// What an operator asks.
+/// An operator's request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AdminRequest {
     /// Whether this process is ready to serve.
     Health,
-    /// The figures.
+    /// The metrics.
     Stats,
-    /// The fleet as this server sees it.
+    /// The cluster as this server sees it.
     Fleet,
-    /// Send clients away: health says no until the drain ends.
+    /// Send clients away: the health check fails until the drain ends.
     StartDrain,
-    /// The drain ends: back to work.
+    /// End the drain.
     EndDrain,
-    /// About what the fleet agrees on.
+    /// About permits, rollouts and the consensus group.
     Agreement(AgreementRequest),
     /// About the committed configuration.
     Configuration(ConfigurationAdminRequest),
 }
 
-/// What an operator asks of the fleet's agreements.
+/// An operator's request about permits, rollouts and the consensus group.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AgreementRequest {
-    /// How they stand, as far as is known here.
+    /// The agreements as far as this server knows them.
     Status,
-    /// Have the council agree on something.
+    /// Propose a command to the consensus group.
     Command(Box<OperatorCommand>),
     /// Status of a command.
     CommandStatus {
         /// Ticket of the command.
         ticket: u64,
     },
-    /// Found the council.
+    /// Found the consensus group.
     FoundGroup,
     /// Which version a server shall run, for whoever starts its process.
     TargetVersion {
         /// Name of the server.
         server: String,
     },
-    /// This server asks for a permit and leaves by it.
+    /// This server asks for a permit to leave, and leaves by it.
     Leave,
-    /// It stays.
+    /// This server stays.
     Stay,
 }
 
-/// What that is answered.
+/// The response to an [`AgreementRequest`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum AgreementResponse {
-    /// This server takes no part.
+    /// This server has no consensus group.
     Off,
-    /// How they stand.
+    /// The agreements.
     Status(Box<Agreements>),
-    /// The order is under way, under this ticket.
+    /// The command is under way, under this ticket.
     Ticket(u64),
-    /// What became of it.
+    /// Status of a command.
     CommandStatus(CommandStatus),
-    /// Done, or not, and why.
+    /// Done, with a text for the operator; or why not.
     Completed(Result<String, String>),
-    /// The version, if a release has one for it.
+    /// The version, if a release has one for the server.
     TargetVersion(Option<String>),
 }
 
-/// What a call is answered.
+/// The response to an [`AdminRequest`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum AdminResponse {
-    /// Ready to serve, or not, and why not.
+    /// Ready to serve, or why not.
     Health(Result<(), NotReadyReason>),
-    /// The figures as of now.
+    /// The metrics.
     Stats(Box<MetricsSnapshot>),
-    /// About what the fleet agrees on.
+    /// About permits, rollouts and the consensus group.
     Agreement(AgreementResponse),
     /// About the committed configuration.
     Configuration(Box<ConfigurationAdminResponse>),
-    /// The fleet as it is seen from here; none where servers don't talk to each other.
+    /// The cluster as this server sees it; none where servers don't talk to each other.
     Fleet(Option<Box<FleetView>>),
-    /// The order is in force, and whether it changed anything.
+    /// The drain was started or ended.
     DrainState {
         /// Whether an operator drains the process from now on.
         draining: bool,
-        /// Whether it was not so before.
+        /// Whether it was otherwise before.
         changed: bool,
     },
 }
@@ -100,13 +98,13 @@
 /// Why a process is not ready to serve; the first that holds, in this order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotReadyReason {
-    /// It was told to leave.
+    /// It shuts down.
     ShuttingDown,
     /// An operator drains it.
     OperatorDrain,
     /// Its processor has not greeted yet: nothing could run.
     NoProcessor,
-    /// The decision module says it is unwell, or an operator took it out of service.
+    /// The admission module reports that it is unhealthy, or an operator took it out of service.
     Unhealthy,
 }
 
@@ -122,18 +120,18 @@
     }
 }
 
-/// What the reducer tells of itself when readiness is asked.
+/// The state of the process that its readiness depends on, beside an operator's drain.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ReadinessInputs {
-    /// The processor has greeted, and the module is there.
+    /// Whether the processor has greeted.
     pub processor: bool,
-    /// The module says it takes work, and no operator took the server out.
+    /// Whether the admission module takes requests, and no operator took the server out of service.
     pub healthy: bool,
-    /// The notice to leave has come.
+    /// Whether the notice to shut down has come.
     pub shutting_down: bool,
 }
 
-/// The drain that operators order at the door, and since when.
+/// The drain that operators order at the admin endpoint.
 #[derive(Debug, Default)]
 pub struct OperatorDrain {
     draining_since: Option<Time>,
@@ -150,12 +148,12 @@
         AdminResponse::DrainState { draining, changed }
     }
 
-    /// Whether an operator drains the process, and since when.
+    /// Since when an operator drains the process; none if not.
     pub fn draining_since(&self) -> Option<Time> {
         self.draining_since
     }
 
-    /// Whether the process is ready: it answers as it serves, and says no at once after a drain was ordered.
+    /// Whether the process is ready to serve, or the first reason why not.
     pub fn readiness(&self, server: ReadinessInputs) -> Result<(), NotReadyReason> {
         if server.shutting_down {
             Err(NotReadyReason::ShuttingDown)
--- a/crates/core/src/buffer_pool.rs
+++ b/crates/core/src/buffer_pool.rs
@@ -1,22 +1,23 @@
-//! Buffers of one size, used again: for reading, for bodies, for results and for frames to be written.
+//! Buffers of one size that are used again: for reading, for bodies, for results and for frames to be written. A buffer goes back to its
+//! pool when it is dropped.
 
 use std::ops::Deref;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Bytes in a buffer: the largest result (4 KiB) and the envelope it travels in.
+/// Size of a buffer: the largest result (4 KiB) with the message around it.
 pub const BUFFER_BYTES: usize = 4608;
 
-/// The buffers that are free now.
+/// The free buffers.
 #[derive(Debug)]
 pub struct BufferPool {
     free: Mutex<Vec<Box<[u8]>>>,
-    keep: usize,
+    max_free: usize,
 }
 
 impl BufferPool {
-    /// A pool that keeps at most this many free buffers for later.
-    pub fn new(keep: usize) -> Arc<Self> {
-        Arc::new(Self { free: Mutex::default(), keep })
+    /// A pool that keeps at most so many free buffers.
+    pub fn new(max_free: usize) -> Arc<Self> {
+        Arc::new(Self { free: Mutex::default(), max_free })
     }
 
     /// An empty buffer.
@@ -26,21 +27,21 @@
         Buffer { bytes, len: 0, pool: Arc::clone(self) }
     }
 
-    /// A buffer of no more than these bytes, for what is kept for long; it never enters the pool. None if they are
-    /// more than a buffer holds. Guards against whole buffers held for small things, which the memory limit feels.
+    /// A buffer of just these bytes, for what is retained for long; it never enters the pool. None if they are more than
+    /// [`BUFFER_BYTES`]. Guards against large buffers that hold small contents until the memory limit is reached.
     pub fn exact(self: &Arc<Self>, bytes: &[u8]) -> Option<Buffer> {
         let copy = (bytes.len() <= BUFFER_BYTES).then(|| bytes.to_vec().into_boxed_slice())?;
         Some(Buffer { len: copy.len(), bytes: copy, pool: Arc::clone(self) })
     }
 
-    /// A buffer that holds a copy of the bytes, or none if they are too many.
+    /// A buffer with a copy of the bytes; none if they are more than [`BUFFER_BYTES`].
     pub fn copy(self: &Arc<Self>, bytes: &[u8]) -> Option<Buffer> {
         let mut buffer = self.take();
         buffer.extend(bytes).then_some(buffer)
     }
 }
 
-/// A buffer on loan; it goes back to its pool when dropped.
+/// A buffer of a pool, to which it goes back when it is dropped.
 #[derive(Debug)]
 pub struct Buffer {
     bytes: Box<[u8]>,
@@ -49,13 +50,13 @@
 }
 
 impl Buffer {
-    /// A copy for keeping, of no more than its bytes.
+    /// A copy of just its bytes, for what is retained for long.
     pub fn exact(&self) -> Buffer {
         let bytes: Box<[u8]> = Box::from(&**self);
         Buffer { len: bytes.len(), bytes, pool: Arc::clone(&self.pool) }
     }
 
-    /// Appends the bytes, or nothing and says `false` where they don't fit.
+    /// Appends the bytes; if they don't fit, appends nothing and returns false.
     pub fn extend(&mut self, bytes: &[u8]) -> bool {
         let end = self.len + bytes.len();
         let fits = end <= self.bytes.len();
@@ -83,7 +84,7 @@
         self.len -= bytes;
     }
 
-    /// Writes over bytes already there; the place must lie within them.
+    /// Overwrites bytes from `at` on. Panics if they don't lie within those that are in use.
     pub fn patch(&mut self, at: usize, bytes: &[u8]) {
         self.bytes[..self.len][at..at + bytes.len()].copy_from_slice(bytes);
     }
@@ -102,7 +103,7 @@
             return;
         }
         let mut free = self.pool.free.lock().unwrap_or_else(PoisonError::into_inner);
-        if free.len() < self.pool.keep {
+        if free.len() < self.pool.max_free {
             free.push(std::mem::take(&mut self.bytes));
         }
     }
--- a/crates/core/src/config/address.rs
+++ b/crates/core/src/config/address.rs
@@ -1,4 +1,4 @@
-//! Addresses in a configuration. What is none is told with what was expected and what came.
+//! Addresses in a configuration. The error for an invalid one says what was expected and what it got.
 
 use serde::de::{Deserializer, Error};
 use serde::{Deserialize, de};
@@ -15,8 +15,8 @@
 }
 
 fn parsed<E: de::Error>(text: &str) -> Result<SocketAddr, E> {
-    let wrong = |_| {
+    let invalid = |_| {
         Error::custom(format_args!("expected an address and port such as 127.0.0.1:9000, got \"{text}\""))
     };
-    text.parse().map_err(wrong)
+    text.parse().map_err(invalid)
 }
--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration.rs
@@ -1,5 +1,5 @@
-//! What the reducer and its shell tell each other of the configuration service: what a server starts with, what is to be
-//! written, and how it stands.
+//! What crosses the reducer's border for the configuration service: what a server starts with, what is to be made durable, operators'
+//! requests, and the metrics.
 
 use gradepin_admission::Span;
 use gradepin_config::admin::{AdminError, ApplyReply, ApplyRequest, Source, StatusReply};
@@ -8,8 +8,8 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The first byte of a message of the configuration service between servers. A consensus message begins with the index of
-/// its variant, which is far below; so each program, also one that doesn't know this service, tells the two apart.
+/// The first byte of a message of the configuration service between servers. A consensus message begins with the index of its variant,
+/// which is far below; so every program tells the two apart, also one without this service.
 pub const CONFIGURATION_TAG: u8 = 0xC0;
 
 /// What a server starts with.
@@ -17,7 +17,7 @@
 pub struct ConfigurationStart {
     /// The state in force: the classes, tenants and rules that the reducer was made with.
     pub state: Configuration,
-    /// Where it came from.
+    /// Where the state came from.
     pub source: Source,
     /// How changes spread.
     pub dissemination: DisseminationSettings,
@@ -27,9 +27,9 @@
     pub voters: Vec<Name>,
     /// The region of each zone that is in one.
     pub regions: BTreeMap<String, String>,
-    /// The age past which the state is told as stale.
+    /// The age past which the state is reported as stale.
     pub stale_after: Span,
-    /// For all that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
@@ -42,7 +42,7 @@
     pub commit: Option<Arc<Commit>>,
 }
 
-/// What became of writing it.
+/// The outcome of a [`ConfigurationSave`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ConfigurationSaveResult {
     /// The state of this revision is durable.
@@ -54,29 +54,29 @@
     },
 }
 
-/// What an operator asks of the configuration service.
+/// An operator's request about the committed configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ConfigurationAdminRequest {
-    /// A change, or the check of one.
+    /// Propose a change, or validate one.
     Apply(Box<ApplyRequest>),
-    /// What became of the request of this id.
+    /// Status of the proposal with this request id.
     RequestStatus(Name),
-    /// How the configuration stands here.
+    /// Status of the configuration on this server.
     Status,
 }
 
-/// What that is answered.
+/// The response to a [`ConfigurationAdminRequest`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum ConfigurationAdminResponse {
-    /// To a change, or to a question about one.
+    /// To a proposal, or to a question about one.
     Apply(ApplyReply),
-    /// How it stands.
+    /// Status of the configuration on this server.
     Status(Box<StatusReply>),
     /// Nothing was changed.
     Rejected(AdminError),
 }
 
-/// The figures of a scrape.
+/// The metrics of the committed configuration.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ConfigurationMetrics {
     /// The revision in force.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,10 @@
 //! All state of one tile server and all changes to it, without I/O and without a clock: `(now, inputs) -> effects`.
 //!
-//! [`reducer`] hosts the decision module and owns the requests, connections, keys, timers and the server's registration;
-//! [`messages`] is what crosses its border, in terms of no protocol; [`idempotency_log`] says what of the keyed requests must be
-//! durable, and when. Shells of threads and sockets carry that out.
+//! [`reducer`] hosts the admission module and owns the requests, connections, idempotency keys, timers and the server's registration.
+//! [`messages`] holds its inputs and effects, independent of any protocol; shells of threads and sockets deliver the inputs and carry
+//! out the effects. The other modules each own a part of the reducer's state, and can be tested without it.
+
+#![warn(missing_docs)]
 
 pub mod admin;
 pub mod buffer_pool;
--- a/crates/core/src/pending_claims.rs
+++ b/crates/core/src/pending_claims.rs
@@ -1,14 +1,14 @@
-//! Which keyed requests wait to hear whether their run is this process's, where the two processes of an upgrade share
-//! them. No I/O: the shell makes the claims, and what became of each is told.
+//! The keyed requests that wait for their runs' claims, where the two processes of an upgrade share their runs. No I/O: the shell
+//! makes the claims and reports each result.
 
 use gradepin_admission::{RequestId, Span};
 use std::collections::BTreeSet;
 
-/// The end of another process's run is waited for so many times the deadline of its class: it was begun no later
-/// than the request that waits, and its process lives no longer than that after its notice to leave.
-const PATIENCE_MULTIPLE: u64 = 2;
+/// The outcome of the other process's run is waited for this many times the deadline of its class: the run started no later than
+/// the request that waits, and its process lives no longer than that after its notice to shut down.
+const WAIT_DEADLINES: u64 = 2;
 
-/// The claims of one server. Bounded: an entry for a request that is open.
+/// The claims that are pending. Bounded: one for each open request at the most.
 #[derive(Debug, Default)]
 pub struct PendingClaims {
     shared: bool,
@@ -26,13 +26,13 @@
         self.shared
     }
 
-    /// A request of a class with this deadline waits from now on; how long it may.
+    /// A request waits for its claim. Returns how long it may, by the deadline of its class.
     pub fn add(&mut self, id: &RequestId, deadline: Span) -> Span {
         self.waiting.insert(id.clone());
-        Span(deadline.0.saturating_mul(PATIENCE_MULTIPLE))
+        Span(deadline.0.saturating_mul(WAIT_DEADLINES))
     }
 
-    /// A claim is told; false if nothing waits for it any more.
+    /// The result of a claim came; false if no request waits for it any more.
     pub fn remove(&mut self, id: &RequestId) -> bool {
         self.waiting.remove(id)
     }
--- a/crates/core/src/processor_identity.rs
+++ b/crates/core/src/processor_identity.rs
@@ -1,51 +1,51 @@
-//! Which processor tells what comes on the link: the one that was there before, or another, whose notices begin at 1
-//! again. The one place that decides this; the shell asks it at each greeting, says hello by it and tells the reducer.
+//! Whether the processor that greets on a link is the one from before, or another one, whose notices are numbered from 1 again. This is
+//! the one place that decides it: the shell asks at each greeting, tells the processor the last notice by it, and informs the reducer.
 //!
-//! A greeting tells how long ago the processor started. It is written after the link began to be made and before it is
-//! read, so the processor started no sooner than that long before the one, and no later than that long before the other.
-//! It is another one where its earliest start is past the latest one of the processor before, or its latest start past
-//! the last word of that.
+//! A greeting says how long ago the processor started. It is written after the shell began to connect and before it is read. So the
+//! processor started no sooner than that long before the one, and no later than that long before the other. It is another one if its
+//! earliest start is past the latest start of the one before, or its latest start past the last message of that.
 //!
-//! Invariants: another one is told as such unless it says that it is older than the one before was; the one before is taken
-//! for another only where its greeting is read later than it had been up. Where a greeting leaves both open it counts as
-//! another's: runs are failed then, where otherwise all results would be dropped.
+//! Invariants: another processor is recognized unless it claims to be older than the one before was. The same processor is taken for
+//! another only if its greeting is read later than it had been up. A greeting that leaves both possible counts as another's: then
+//! runs fail, where otherwise all results would be dropped.
 
 use crate::messages::MIN_PROCESSOR_RESTART;
 use gradepin_admission::{Span, Time, time_after, time_before};
 
-/// How far the clocks of two processes of a machine may be apart, and still tell one start from another.
-const CLOCKS_APART: Span = Span(1_000_000_000);
+/// How far the clocks of two processes on one machine may be apart.
+const MAX_CLOCK_DIFFERENCE: Span = Span(1_000_000_000);
 
 /// What is known of the processor across links.
 #[derive(Debug, Default)]
 pub struct ProcessorIdentity {
-    /// When it last told anything, as far as that was read.
-    heard: Option<Time>,
+    /// When its last message was read.
+    last_message_at: Option<Time>,
     /// When it had started at the latest.
     started_by: Option<Time>,
 }
 
 impl ProcessorIdentity {
-    /// It told something, which is read now.
-    pub fn told(&mut self, now: Time) {
-        self.heard = Some(now);
+    /// A message of the processor is read.
+    pub fn message_read(&mut self, now: Time) {
+        self.last_message_at = Some(now);
     }
 
-    /// It greets on a link that began to be made then, and says that it started so long ago; whether it is another one.
-    pub fn greets(&mut self, connecting: Time, now: Time, age: Span) -> bool {
-        // The last word may have been read long after it was written, with the start of another between the two: that alone
-        // would not tell it.
-        let since_heard =
-            self.heard.is_some_and(|heard| time_before(now, age) > time_after(heard, MIN_PROCESSOR_RESTART));
-        let since_started = self
-            .started_by
-            .is_some_and(|started| time_before(connecting, age) > time_after(started, CLOCKS_APART));
-        let another = since_heard || since_started;
-        let started_by = time_before(now, age);
-        let known = self.started_by.filter(|_| !another);
-        self.started_by = Some(known.map_or(started_by, |known| known.min(started_by)));
-        self.heard = Some(now);
-        another
+    /// The processor greets on a link that the shell began to make at `connecting`, and says that it started `age` ago. Returns whether
+    /// it is another one than before.
+    pub fn greeted(&mut self, connecting: Time, now: Time, age: Span) -> bool {
+        let earliest_start = time_before(connecting, age);
+        let latest_start = time_before(now, age);
+        // The last message may have been read long after it was written, and another processor may have started between the two. So the
+        // starts are compared too.
+        let started_after_message =
+            self.last_message_at.is_some_and(|last| latest_start > time_after(last, MIN_PROCESSOR_RESTART));
+        let started_after_former =
+            self.started_by.is_some_and(|former| earliest_start > time_after(former, MAX_CLOCK_DIFFERENCE));
+        let is_another = started_after_message || started_after_former;
+        let known_start = self.started_by.filter(|_| !is_another);
+        self.started_by = Some(known_start.map_or(latest_start, |known| known.min(latest_start)));
+        self.last_message_at = Some(now);
+        is_another
     }
 }
 
--- a/crates/core/src/processor_identity/tests.rs
+++ b/crates/core/src/processor_identity/tests.rs
@@ -13,8 +13,8 @@
 /// One that started at 100 s, greeted at 110 s and last told something at 115 s.
 fn known() -> ProcessorIdentity {
     let mut known = ProcessorIdentity::default();
-    assert!(!known.greets(at(110_000), at(110_003), for_ms(10_000)), "there was none before");
-    known.told(at(115_000));
+    assert!(!known.greeted(at(110_000), at(110_003), for_ms(10_000)), "there was none before");
+    known.message_read(at(115_000));
     known
 }
 
@@ -25,7 +25,7 @@
     for written in [115_100, 115_101, 120_000, 129_999] {
         for read in [written, 130_000] {
             let age = for_ms(written - 100_000);
-            assert!(!known().greets(at(115_100), at(read), age), "{written} {read}");
+            assert!(!known().greeted(at(115_100), at(read), age), "{written} {read}");
         }
     }
 }
@@ -35,12 +35,12 @@
 fn one_that_started_since_is_another_however_late_the_last_words_were_read() {
     for (started, heard) in [(115_100, 115_000), (115_100, 130_000), (102_000, 130_000)] {
         let mut known = known();
-        known.told(at(heard));
-        assert!(known.greets(at(130_001), at(130_050), for_ms(130_020 - started)), "{started} {heard}");
+        known.message_read(at(heard));
+        assert!(known.greeted(at(130_001), at(130_050), for_ms(130_020 - started)), "{started} {heard}");
         // It is the known one from then on.
-        assert!(!known.greets(at(131_000), at(131_050), for_ms(131_020 - started)), "{started} {heard}");
-        assert!(known.greets(at(141_000), at(141_050), for_ms(5)), "{started} {heard}");
+        assert!(!known.greeted(at(131_000), at(131_050), for_ms(131_020 - started)), "{started} {heard}");
+        assert!(known.greeted(at(141_000), at(141_050), for_ms(5)), "{started} {heard}");
     }
     // Its link was taken before it was up.
-    assert!(known().greets(at(115_100), at(145_000), for_ms(10)));
+    assert!(known().greeted(at(115_100), at(145_000), for_ms(10)));
 }
--- a/crates/core/src/registration.rs
+++ b/crates/core/src/registration.rs
@@ -1,5 +1,5 @@
-//! The server's registration beside the state that it tells of: what is true here goes to [`Membership`], and its
-//! questions become effects. Also the planned leave, where callers' views may still hold the server for a while.
+//! The server's registration: its state is published to a registry through [`Membership`], and the requests of that become effects.
+//! Also an operator's planned leave, where clients' views may still list the server for a while before it drains.
 
 use crate::messages::Effect;
 use crate::timestamp::Timestamp;
@@ -8,122 +8,122 @@
 use slog::Level;
 
 /// How long the link to the processor may be down before the processor counts as gone.
-const SILENCE: Span = Span(1_000_000_000);
-/// Questions in one step at the most; there are two lanes.
-const MOST_ASKS: usize = 2;
+const PROCESSOR_SILENCE_TIMEOUT: Span = Span(1_000_000_000);
+/// Requests to registries in one step; each of the two lanes has one in flight.
+const MAX_REQUESTS_PER_STEP: usize = 2;
 
-/// What is told to a registry, if to any, and a planned leave.
+/// What is published to a registry, if to any, and a planned leave.
 #[derive(Debug, Default)]
 pub struct Registration {
     membership: Option<Membership>,
-    /// From the order of an operator to the drain.
-    hold: Span,
+    /// From an operator's command to the drain.
+    leave_delay: Span,
     /// When the drain that an operator ordered begins.
-    drains: Option<Time>,
-    silent_since: Option<Time>,
+    drain_at: Option<Time>,
+    processor_silent_since: Option<Time>,
 }
 
 impl Registration {
-    /// With a registry, or without one; and how long a planned leave waits for callers before its drain.
-    pub fn new(membership: Option<Membership>, hold: Span) -> Self {
-        Self { membership, hold, ..Self::default() }
+    /// With a registry, or without one. A planned leave waits for `leave_delay` before its drain, as clients may still list the server.
+    pub fn new(membership: Option<Membership>, leave_delay: Span) -> Self {
+        Self { membership, leave_delay, ..Self::default() }
     }
 
-    /// The processor is there, and started then.
-    pub fn processor_up(&mut self, since: Time, cold: bool) {
-        self.silent_since = None;
+    /// The processor greeted, and started then.
+    pub fn processor_up(&mut self, started_at: Time, cold: bool) {
+        self.processor_silent_since = None;
         if let Some(membership) = &mut self.membership {
-            membership.processor(Some((since, cold)));
+            membership.processor(Some((started_at, cold)));
         }
     }
 
-    /// The link to it is down.
+    /// The link to the processor is down.
     pub fn processor_silent(&mut self, now: Time) {
-        self.silent_since.get_or_insert(now);
+        self.processor_silent_since.get_or_insert(now);
     }
 
-    /// The module's health.
-    pub fn health(&mut self, now: Time, good: bool) {
+    /// Publishes the health that the admission module reports.
+    pub fn health(&mut self, now: Time, healthy: bool) {
         if let Some(membership) = &mut self.membership {
-            membership.health(now, good);
+            membership.health(now, healthy);
         }
     }
 
-    /// How it is with the server's store, in a word; a registry is told of a change.
+    /// Publishes the state of the store, in a word.
     pub fn store(&mut self, word: &str) {
         if let Some(membership) = &mut self.membership {
             membership.metadata("store", word);
         }
     }
 
-    /// The server leaves.
+    /// The server shuts down.
     pub fn leave(&mut self, now: Time) {
-        self.drains = None;
+        self.drain_at = None;
         if let Some(membership) = &mut self.membership {
             membership.leave(now);
         }
     }
 
-    /// An operator takes the server out; false if it is out already.
+    /// An operator takes the server out of service; false if it is out already.
     pub fn take_out(&mut self, now: Time) -> bool {
-        if self.drains.is_some() {
+        if self.drain_at.is_some() {
             return false;
         }
         if let Some(membership) = &mut self.membership {
             membership.leave(now);
         }
-        self.drains = Some(time_after(now, self.hold));
+        self.drain_at = Some(time_after(now, self.leave_delay));
         true
     }
 
-    /// An operator takes it back in; false if it wasn't out.
+    /// An operator returns the server to service; false if it wasn't out.
     pub fn take_in(&mut self) -> bool {
-        let out = self.drains.take().is_some();
-        if let Some(membership) = self.membership.as_mut().filter(|_| out) {
+        let was_out = self.drain_at.take().is_some();
+        if let Some(membership) = self.membership.as_mut().filter(|_| was_out) {
             membership.retry_after();
         }
-        out
+        was_out
     }
 
-    /// Whether an operator has taken it out.
+    /// Whether an operator has taken the server out of service.
     pub fn is_out(&self) -> bool {
-        self.drains.is_some()
+        self.drain_at.is_some()
     }
 
     /// Whether the drain that an operator ordered begins now.
     pub fn drain_is_due(&self, now: Time) -> bool {
-        self.drains.is_some_and(|at| at <= now)
+        self.drain_at.is_some_and(|at| at <= now)
     }
 
-    /// What became of a question.
+    /// The outcome of a request to a registry.
     pub fn reply(&mut self, now: Time, ticket: u64, reply: RegistryReply) {
         if let Some(membership) = &mut self.membership {
             membership.reply(now, ticket, reply);
         }
     }
 
-    /// Asks what is due. `answered` says that all is answered and nothing more will run.
-    pub fn step(&mut self, moment: Timestamp, answered: bool, effects: &mut Vec<Effect>) {
+    /// Sends the requests that are due. `is_drained` says that the server shuts down, all is answered and nothing more will run.
+    pub fn step(&mut self, timestamp: Timestamp, is_drained: bool, effects: &mut Vec<Effect>) {
         let Some(membership) = &mut self.membership else { return };
-        if self.silent_since.take_if(|since| time_after(*since, SILENCE) <= moment.now).is_some() {
+        let is_gone = |since: &mut Time| time_after(*since, PROCESSOR_SILENCE_TIMEOUT) <= timestamp.now;
+        if self.processor_silent_since.take_if(is_gone).is_some() {
             membership.processor(None);
         }
-        if answered {
+        if is_drained {
             membership.answered();
         }
-        for _ in 0..MOST_ASKS {
-            effects.extend(membership.poll(moment.now, moment.unix_ms).map(Effect::AskRegistry));
+        for _ in 0..MAX_REQUESTS_PER_STEP {
+            effects.extend(membership.poll(timestamp.now, timestamp.unix_ms).map(Effect::AskRegistry));
         }
-        effects.extend(
-            membership.notes().into_iter().map(|note| Effect::Log { level: Level::Info, text: note }),
-        );
+        let notes = membership.notes().into_iter();
+        effects.extend(notes.map(|text| Effect::Log { level: Level::Info, text }));
     }
 
     /// When something is due though nothing comes in.
     pub fn wake_at(&self, now: Time) -> Option<Time> {
         let membership = self.membership.as_ref().map(|membership| membership.wake_at(now));
-        let silence =
-            self.silent_since.filter(|_| membership.is_some()).map(|since| time_after(since, SILENCE));
-        [membership, silence, self.drains].into_iter().flatten().min()
+        let silent_since = self.processor_silent_since.filter(|_| membership.is_some());
+        let processor_gone = silent_since.map(|since| time_after(since, PROCESSOR_SILENCE_TIMEOUT));
+        [membership, processor_gone, self.drain_at].into_iter().flatten().min()
     }
 }
--- a/crates/core/src/request_metrics.rs
+++ b/crates/core/src/request_metrics.rs
@@ -1,8 +1,8 @@
-//! The figures that operators scrape: final answers by class and kind, runs handed to the processor, and files
-//! taken or turned down at a reload. All count from the start of the process and never go down.
+//! The request metrics that operators scrape: final responses by class and kind, runs sent to the processor, and settings files taken
+//! or rejected at a reload. All count from the start of the process and never go down.
 //!
-//! Counts are kept by the class's name, so that a class dropped at a reload keeps what it had and one that comes back
-//! goes on from there. Not here: how the figures are written out, which is the shell's.
+//! Counts are kept by the name of the class, so that a class that is removed at a reload keeps its counts, and goes on from there if it
+//! comes back. Not here: the text format, which is the shell's.
 
 use crate::configuration::ConfigurationMetrics;
 use crate::response::Response;
@@ -10,20 +10,20 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Class names counted at the most; a reload that brings more counts the rest under [`OTHER_CLASSES`]. Guards against
-/// figures that grow without bound over many reloads.
+/// Class names that are counted apart; further ones count under [`OTHER_CLASSES`]. Guards against metrics that grow without bound over
+/// many reloads.
 pub const MAX_COUNTED_CLASSES: usize = 64;
 /// The name under which classes beyond [`MAX_COUNTED_CLASSES`] are counted.
 pub const OTHER_CLASSES: &str = "other";
 
-/// Final answers of one class.
+/// Counts of the final responses of a class.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ResponseCounts {
     /// Served with the result of a run.
     pub fulfilled: u64,
-    /// Turned away: the try never ran.
+    /// Rejected: the attempt never ran.
     pub throttled: u64,
-    /// Failed, or of an outcome that can't be learned, or not taken.
+    /// Failed, of an unknown outcome, or invalid.
     pub faulted: u64,
 }
 
@@ -32,21 +32,21 @@
 pub struct MetricsSnapshot {
     /// By class name, in the order of names.
     pub classes: Vec<(Arc<str>, ResponseCounts)>,
-    /// Runs handed to the processor, repeats of a begin on a new link too.
+    /// Count of runs sent to the processor; one that is sent again on a new link counts again.
     pub relayed: u64,
-    /// Requests taken and owed an answer.
+    /// Requests that are owed a response.
     pub open: u64,
-    /// Configuration files taken at a reload.
+    /// Count of settings files taken at a reload.
     pub cfg_accepted: u64,
-    /// Configuration files turned down at a reload.
+    /// Count of settings files rejected at a reload.
     pub cfg_invalid: u64,
-    /// What it knows of other servers and shares with them, where they talk to each other.
+    /// State of the cluster, where servers talk to each other.
     pub fleet: Option<Box<ClusterStatus>>,
-    /// The committed configuration, where that service is on.
+    /// State of the committed configuration, where that service is on.
     pub configuration: Option<ConfigurationMetrics>,
 }
 
-/// The counts as they run.
+/// The counters.
 #[derive(Debug, Default)]
 pub struct RequestMetrics {
     classes: BTreeMap<Arc<str>, ResponseCounts>,
@@ -56,10 +56,10 @@
 }
 
 impl RequestMetrics {
-    /// A final answer to a request of this class. Answers that are no requests' are not counted.
-    pub fn count_response(&mut self, class: &str, answer: &Response) {
+    /// Counts the final response to a request of this class. Health checks are no requests.
+    pub fn count_response(&mut self, class: &str, response: &Response) {
         let counts = self.counts(class);
-        match answer {
+        match response {
             Response::Served(_) => counts.fulfilled += 1,
             Response::Rejected { .. } => counts.throttled += 1,
             Response::Failed { .. } | Response::OutcomeUnknown | Response::Invalid { .. } => {
@@ -69,21 +69,21 @@
         }
     }
 
-    /// A run was handed to the processor.
+    /// Counts a run that is sent to the processor.
     pub fn count_run(&mut self) {
         self.relayed += 1;
     }
 
-    /// A file was read at a reload, and taken or not.
-    pub fn count_reload(&mut self, taken: bool) {
-        if taken {
+    /// Counts a settings file that was read again.
+    pub fn count_reload(&mut self, accepted: bool) {
+        if accepted {
             self.cfg_accepted += 1;
         } else {
             self.cfg_invalid += 1;
         }
     }
 
-    /// The figures, with the requests open now.
+    /// All counts, with the requests that are open now.
     pub fn snapshot(&self, open: u64) -> MetricsSnapshot {
         MetricsSnapshot {
             classes: self.classes.iter().map(|(name, counts)| (Arc::clone(name), *counts)).collect(),
@@ -97,11 +97,8 @@
     }
 
     fn counts(&mut self, class: &str) -> &mut ResponseCounts {
-        let name = if self.classes.contains_key(class) || self.classes.len() < MAX_COUNTED_CLASSES {
-            class
-        } else {
-            OTHER_CLASSES
-        };
+        let is_counted_apart = self.classes.contains_key(class) || self.classes.len() < MAX_COUNTED_CLASSES;
+        let name = if is_counted_apart { class } else { OTHER_CLASSES };
         self.classes.entry(Arc::from(name)).or_default()
     }
 }
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -1,9 +1,9 @@
-//! Slots for named definitions: found by a hash of the name, counted while something refers to them, and used again
-//! for another name once nothing does.
+//! Slots for named definitions: found by a hash of the name, counted while something refers to them, and used again for another name
+//! once nothing does.
 //!
-//! A [`Handle`] names a slot and the generation of what is in it: one that was read before the slot was used again
-//! resolves to nothing, so what is on its way can't be taken for another name's. Every operation costs the same
-//! however many slots there are; the table of names is split, since a map that grows moves all it holds.
+//! A [`Handle`] names a slot and the generation of its definition. One that was read before the slot was used again resolves to
+//! nothing, so a request on its way can't be taken for another name's. Every operation costs the same however many slots there
+//! are; the table of names is split, since a map that grows moves all it holds.
 
 use gradepin_admission::{ClassDefinition, Tenant};
 use std::borrow::Borrow;
@@ -14,7 +14,7 @@
 /// Parts of the table of names. With 131,072 names one of them moves some 2,000 when it grows.
 pub const CHUNK_COUNT: usize = 64;
 
-/// A slot and the generation of what is in it.
+/// Refers to a definition by its slot and the generation of that.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct Handle {
     slot: u32,
@@ -28,14 +28,14 @@
     }
 }
 
-/// The first generation of a slot, as the settings of the start fill them in their order.
+/// The first generation of a slot. The settings of the start fill slots in their order.
 impl From<usize> for Handle {
     fn from(slot: usize) -> Self {
         Self { slot: u32::try_from(slot).unwrap_or(u32::MAX), generation: 0 }
     }
 }
 
-/// What has a name that it is found by.
+/// A definition with a name that it is found by.
 pub trait Named {
     /// The name.
     fn name(&self) -> &str;
@@ -53,7 +53,7 @@
     }
 }
 
-/// A definition as the key of a table: equal and hashed by its name, which is stored once.
+/// A definition as the key of a map: equal and hashed by its name, which is stored once.
 #[derive(Debug, Clone)]
 pub struct ByName<D>(pub Arc<D>);
 
@@ -77,15 +77,35 @@
     }
 }
 
+/// What a filled slot holds.
+#[derive(Debug)]
+struct Filled<D, S> {
+    definition: Arc<D>,
+    state: S,
+}
+
+/// A slot.
 #[derive(Debug)]
 struct Entry<D, S> {
     generation: u32,
+    /// Count of what refers to it.
     references: u32,
     /// None where the slot is free.
-    filled: Option<(Arc<D>, S)>,
+    filled: Option<Filled<D, S>>,
 }
 
-/// The slots of one kind of definition, each with a state of its owner's.
+/// A slot that is not free.
+#[derive(Debug)]
+pub struct FilledSlot<'a, D, S> {
+    /// Its number.
+    pub slot: usize,
+    /// The definition in it.
+    pub definition: &'a Arc<D>,
+    /// The state of that.
+    pub state: &'a S,
+}
+
+/// The slots of one kind of definition, each with a state that its owner defines.
 #[derive(Debug)]
 pub struct Slots<D, S> {
     entries: Vec<Entry<D, S>>,
@@ -106,17 +126,17 @@
         self.hash.hash_one(name) as usize % CHUNK_COUNT
     }
 
-    /// Slots that were ever filled.
+    /// How many slots were ever filled.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none ever was.
+    /// Whether no slot was ever filled.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Slots that are free now, of those that were ever filled.
+    /// How many of the slots are free now.
     pub fn free(&self) -> usize {
         self.free.len()
     }
@@ -126,27 +146,27 @@
         self.parts[self.part(name)].get(name).map(|slot| *slot as usize)
     }
 
-    /// The slot that a handle means, unless it was freed since.
+    /// The slot that a handle refers to, unless it was freed since.
     pub fn resolve(&self, handle: Handle) -> Option<usize> {
         let entry = self.entries.get(handle.slot())?;
         (entry.generation == handle.generation && entry.filled.is_some()).then_some(handle.slot())
     }
 
-    /// The handle of what is in a slot.
+    /// The handle of the definition in a slot.
     pub fn handle(&self, slot: usize) -> Handle {
         let generation = self.entries.get(slot).map_or(0, |entry| entry.generation);
         Handle { slot: slot as u32, generation }
     }
 
-    /// What is in a slot, with its state.
+    /// The definition in a slot, with its state.
     pub fn get(&self, slot: usize) -> Option<(&Arc<D>, &S)> {
-        let (definition, state) = self.entries.get(slot)?.filled.as_ref()?;
-        Some((definition, state))
+        let filled = self.entries.get(slot)?.filled.as_ref()?;
+        Some((&filled.definition, &filled.state))
     }
 
-    /// The state of what is in a slot.
+    /// The state of the definition in a slot, to be changed.
     pub fn state_mut(&mut self, slot: usize) -> Option<&mut S> {
-        self.entries.get_mut(slot)?.filled.as_mut().map(|(_, state)| state)
+        self.entries.get_mut(slot)?.filled.as_mut().map(|filled| &mut filled.state)
     }
 
     /// Fills a free slot, or else a new one, with a name that has none yet.
@@ -161,25 +181,25 @@
         let part = self.part(definition.name());
         let replaced = self.parts[part].insert(ByName(Arc::clone(&definition)), slot as u32);
         debug_assert!(replaced.is_none(), "a name has one slot");
-        self.entries[slot].filled = Some((definition, state));
+        self.entries[slot].filled = Some(Filled { definition, state });
         slot
     }
 
-    /// Puts another definition of the same name into a slot; the one before.
+    /// Puts another definition of the same name into a slot. Returns the one before.
     pub fn replace(&mut self, slot: usize, definition: Arc<D>) -> Option<Arc<D>> {
         let part = self.part(definition.name());
-        let (old, _) = self.entries.get_mut(slot)?.filled.as_mut()?;
-        debug_assert_eq!(old.name(), definition.name());
-        let old = std::mem::replace(old, Arc::clone(&definition));
+        let filled = self.entries.get_mut(slot)?.filled.as_mut()?;
+        debug_assert_eq!(filled.definition.name(), definition.name());
+        let old = std::mem::replace(&mut filled.definition, Arc::clone(&definition));
         self.parts[part].remove(definition.name());
         self.parts[part].insert(ByName(definition), slot as u32);
         Some(old)
     }
 
-    /// Frees a slot that nothing refers to; what was in it.
+    /// Frees a slot that nothing refers to. Returns what it held.
     pub fn remove(&mut self, slot: usize) -> Option<(Arc<D>, S)> {
         let entry = self.entries.get_mut(slot).filter(|entry| entry.references == 0)?;
-        let (definition, state) = entry.filled.take()?;
+        let Filled { definition, state } = entry.filled.take()?;
         entry.generation = entry.generation.wrapping_add(1);
         let part = self.part(definition.name());
         self.parts[part].remove(definition.name());
@@ -194,7 +214,7 @@
         }
     }
 
-    /// Something no longer refers to a slot; whether nothing does now.
+    /// Something no longer refers to a slot. Returns whether nothing does now.
     pub fn release(&mut self, slot: usize) -> bool {
         let Some(entry) = self.entries.get_mut(slot) else { return false };
         debug_assert!(entry.references > 0, "released more often than acquired");
@@ -208,10 +228,10 @@
     }
 
     /// The filled slots, in their order.
-    pub fn iter(&self) -> impl Iterator<Item = (usize, &Arc<D>, &S)> {
+    pub fn iter(&self) -> impl Iterator<Item = FilledSlot<'_, D, S>> {
         self.entries.iter().enumerate().filter_map(|(slot, entry)| {
-            let (definition, state) = entry.filled.as_ref()?;
-            Some((slot, definition, state))
+            let Filled { definition, state } = entry.filled.as_ref()?;
+            Some(FilledSlot { slot, definition, state })
         })
     }
 }
--- a/crates/core/src/tenants.rs
+++ b/crates/core/src/tenants.rs
@@ -1,11 +1,11 @@
-//! The tenants in force, each in a slot that it keeps while anything refers to it.
+//! The tenants in force. Each has a slot that it keeps while anything refers to it.
 //!
-//! A tenant that is removed is of no share from then on. Its name stays known while there is room: requests that name it
-//! are taken as of no tenant's share, since client proxies hear of new settings late. Where a new name needs a slot and
-//! none is free, the one removed longest ago that no open request is of gives its slot up.
+//! A tenant that is removed has no quota from then on. Its name stays known while there are free slots: requests that name it are
+//! accepted without a quota, since client proxies learn of new settings late. Where a new name needs a slot and none is free, the
+//! tenant that was removed longest ago and has no open request gives up its slot.
 //!
-//! Invariants: a name has one slot; a slot that is referred to keeps its name; a change costs the same however many
-//! tenants there are.
+//! Invariants: a name has one slot; a slot that is referred to keeps its name; a change costs the same however many tenants there
+//! are.
 
 use crate::classes::Put;
 use crate::slots::{Handle, Slots};
@@ -14,29 +14,29 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Slots at the most: besides all tenants in force, as many that are removed and that open requests are of.
+/// Slots beside those of all tenants in force are for as many that are removed and have open requests.
 pub const MAX_TENANT_SLOTS: usize = 2 * MAX_TENANTS;
-/// Removed tenants looked at for one that gives its slot up.
-const LOOKS: usize = 64;
+/// Removed tenants that are checked for one that gives up its slot.
+const MAX_EVICTION_CHECKS: usize = 64;
 
-/// A tenant as it was put.
+/// The result of putting a tenant.
 #[derive(Debug)]
 pub struct Placed {
     /// Its slot.
     pub slot: usize,
-    /// What became of it.
+    /// Whether it is new, changed or back.
     pub put: Put,
-    /// Whose slot it took.
+    /// The removed tenant whose slot it took.
     pub gone: Option<Arc<Tenant>>,
 }
 
-/// The tenants in force, and those removed whose slots are not used again.
+/// The tenants in force, and removed ones whose slots are not used again.
 #[derive(Debug, Default)]
 pub struct Tenants {
-    /// With the number of its removal, where it is removed.
+    /// Each with the number of its removal, if it is removed.
     slots: Slots<Tenant, Option<u64>>,
     in_force: usize,
-    /// Slots of removed ones by the numbers of their removals, the longest ago first.
+    /// Slots of removed tenants by the numbers of their removals, the longest ago first.
     removed: BTreeMap<u64, usize>,
     removals: u64,
 }
@@ -44,11 +44,11 @@
 impl Tenants {
     /// The tenants that the process starts with, in slots by their order.
     pub fn new(tenants: impl IntoIterator<Item = Arc<Tenant>>) -> Self {
-        let mut all = Self::default();
+        let mut placed = Self::default();
         for tenant in tenants {
-            all.put(tenant);
+            placed.put(tenant);
         }
-        all
+        placed
     }
 
     /// How many are in force.
@@ -56,7 +56,7 @@
         self.in_force
     }
 
-    /// How many names more would find a slot now, whatever open requests are of.
+    /// How many more names would get a slot now, as far as open requests allow.
     pub fn free_slots(&self) -> usize {
         MAX_TENANT_SLOTS - (self.slots.len() - self.slots.free())
     }
@@ -76,7 +76,7 @@
         self.slots.find(name).is_some()
     }
 
-    /// The slot that a handle means, unless it was given to another name since.
+    /// The slot that a handle refers to, unless it was given to another name since.
     pub fn resolve(&self, handle: Handle) -> Option<usize> {
         self.slots.resolve(handle)
     }
@@ -98,13 +98,14 @@
 
     /// The tenants in force.
     pub fn iter(&self) -> impl Iterator<Item = (usize, &Arc<Tenant>)> {
-        self.slots.iter().filter(|(.., removed)| removed.is_none()).map(|(slot, tenant, _)| (slot, tenant))
+        let in_force = self.slots.iter().filter(|filled| filled.state.is_none());
+        in_force.map(|filled| (filled.slot, filled.definition))
     }
 
     /// Adds a tenant, or replaces the one of this name.
     pub fn put(&mut self, tenant: Arc<Tenant>) -> Placed {
         let Some(slot) = self.slots.find(&tenant.name) else {
-            let gone = self.make_room();
+            let gone = self.evict_if_full();
             self.in_force += 1;
             return Placed { slot: self.slots.insert(tenant, None), put: Put::Added, gone };
         };
@@ -113,12 +114,12 @@
         }
         self.slots.replace(slot, tenant);
         let removal = self.slots.state_mut(slot).and_then(Option::take);
-        let back = removal.is_some_and(|number| self.removed.remove(&number).is_some());
-        self.in_force += usize::from(back);
-        Placed { slot, put: if back { Put::Back } else { Put::Changed }, gone: None }
+        let is_back = removal.is_some_and(|number| self.removed.remove(&number).is_some());
+        self.in_force += usize::from(is_back);
+        Placed { slot, put: if is_back { Put::Back } else { Put::Changed }, gone: None }
     }
 
-    /// Removes the tenant of a name; its slot, if it was in force.
+    /// Removes the tenant of a name. Returns its slot, if it was in force.
     pub fn remove(&mut self, name: &str) -> Option<usize> {
         let slot = self.slots.find(name)?;
         self.get(slot)?;
@@ -127,7 +128,7 @@
         Some(slot)
     }
 
-    /// A slot is the last of the removed ones to give itself up.
+    /// The tenant in a slot is the last of the removed ones to give up its slot.
     fn note_removal(&mut self, slot: usize) {
         self.removals += 1;
         if let Some(removed) = self.slots.state_mut(slot) {
@@ -136,12 +137,12 @@
         }
     }
 
-    /// Frees the slot of the tenant removed longest ago that nothing refers to, where a new name would find none.
-    fn make_room(&mut self) -> Option<Arc<Tenant>> {
+    /// Where a new name would find no free slot, frees that of the tenant which was removed longest ago and to which nothing refers.
+    fn evict_if_full(&mut self) -> Option<Arc<Tenant>> {
         if self.slots.free() > 0 || self.slots.len() < MAX_TENANTS {
             return None;
         }
-        for _ in 0..LOOKS {
+        for _ in 0..MAX_EVICTION_CHECKS {
             let (_, slot) = self.removed.pop_first()?;
             if self.slots.is_referred_to(slot) {
                 self.note_removal(slot);
@@ -157,7 +158,7 @@
         self.slots.acquire(slot);
     }
 
-    /// It is no longer.
+    /// A request of the tenant in a slot is no longer open.
     pub fn release(&mut self, slot: usize) {
         self.slots.release(slot);
     }
--- a/crates/core/src/timestamp.rs
+++ b/crates/core/src/timestamp.rs
@@ -5,8 +5,8 @@
 /// One reading of both clocks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Timestamp {
-    /// The monotonic clock, which the module and all timers go by.
+    /// The monotonic clock: the admission module and all timers go by it.
     pub now: Time,
-    /// The Unix clock in milliseconds, which the stamps of requests go by.
+    /// The Unix clock in milliseconds: the stamps of requests go by it.
     pub unix_ms: u64,
 }
--- a/crates/gradepin/tests/scenario/virtually.rs
+++ b/crates/gradepin/tests/scenario/virtually.rs
@@ -258,7 +258,7 @@
             }
             Effect::ReadGauges { number: tag, .. } => {
                 if !self.muted {
-                    self.known.told(Time(self.ms * MS));
+                    self.known.message_read(Time(self.ms * MS));
                     self.waiting.push(Input::GaugesRead { number: tag, values: vec![0.5, 2.0, 0.1, 9.0] });
                 }
                 return;
@@ -341,7 +341,7 @@
                 self.link += 1;
                 let age = Span(ms.parse::<u64>().expect("ms") * MS);
                 let (now, connecting) = (Time(self.ms * MS), self.connecting.take());
-                if self.known.greets(connecting.unwrap_or(now), now, age) {
+                if self.known.greeted(connecting.unwrap_or(now), now, age) {
                     self.waiting.push(Input::ProcessorRestarted);
                 }
                 Input::LinkUp { link: self.link, cold: state == "COLD", age }
@@ -368,7 +368,7 @@
             ["unmute"] => return self.muted = false,
             _ => panic!("no line of the processor: {line}"),
         };
-        self.known.told(Time(self.ms * MS));
+        self.known.message_read(Time(self.ms * MS));
         self.waiting.push(input);
         self.settle();
     }
--- a/crates/node/src/processor.rs
+++ b/crates/node/src/processor.rs
@@ -72,7 +72,7 @@
 
     /// A processor greets on a link that began to be made then; what is to be told of it.
     fn greeted(&mut self, connecting: Time, age: Span) -> Greeted {
-        if !self.known.greets(connecting, self.now(), age) {
+        if !self.known.greeted(connecting, self.now(), age) {
             return Greeted::Known;
         }
         self.before_retelling = 0;
@@ -347,7 +347,7 @@
                 }
                 Line::Nothing => continue,
             };
-            progress.known.told(progress.now());
+            progress.known.message_read(progress.now());
             tell(inputs, input)?;
         }
         match rustix::io::read(&out.stream, lines.space()?) {
