--- a/crates/core/src/admin/tests.rs
+++ b/crates/core/src/admin/tests.rs
@@ -4,7 +4,7 @@
 
 /// Guards the drain rule: no good answer from the call on, and a good one again as soon as it ends.
 #[test]
-fn a_drain_says_no_at_once_and_its_end_says_yes_at_once() {
+fn operator_drain_starts_and_ends_at_once() {
     let mut drain = OperatorDrain::default();
     assert_eq!(drain.readiness(UP), Ok(()));
     let failed = drain.set(Time(5), true);
@@ -20,7 +20,7 @@
 
 /// Guards the upgrade: a new process says yes only once it can serve, and an old one no once it leaves.
 #[test]
-fn readiness_follows_what_the_process_can_do() {
+fn readiness_gives_the_first_reason_against_it() {
     let drain = OperatorDrain::default();
     assert_eq!(drain.readiness(ReadinessInputs::default()), Err(NotReadyReason::NoProcessor));
     assert_eq!(drain.readiness(ReadinessInputs { healthy: false, ..UP }), Err(NotReadyReason::Unhealthy));
--- a/crates/core/src/buffer_pool.rs
+++ b/crates/core/src/buffer_pool.rs
@@ -1,5 +1,5 @@
-//! Buffers of one size that are used again: for reading, for bodies, for results and for frames to be written. A buffer goes back to its
-//! pool when it is dropped.
+//! Buffers of one size that are used again: for reading, for bodies, for results and for frames to be written. A buffer goes
+//! back to its pool when it is dropped.
 
 use std::ops::Deref;
 use std::sync::{Arc, Mutex, PoisonError};
--- a/crates/core/src/classes.rs
+++ b/crates/core/src/classes.rs
@@ -1,17 +1,17 @@
-//! The classes in force. Each has a slot that it keeps while anything refers to it, so that an open request, an idempotency key or a
-//! count that names the class by its slot means the same after a change.
+//! The classes in force. Each has a slot that it keeps while anything refers to it, so that an open request, an idempotency key
+//! or a count that names the class by its slot means the same after a change.
 //!
-//! A class that is removed is dropped first: its requests are still accepted for [`DROP_GRACE`], since client proxies learn of new
-//! settings late, and rejected as unknown after that; open requests keep their class. Its slot is free once the grace is over, no
-//! request of it is open, and no attempt can ask for a run under one of its keys. If it is put again before that, it gets its slot
-//! back.
+//! A class that is removed is dropped first: its requests are still accepted for [`DROP_GRACE`], since client proxies learn of
+//! new settings late, and rejected as unknown after that; open requests keep their class. Its slot is free once the grace is
+//! over, no request of it is open, and no attempt can ask for a run under one of its keys. If it is put again before that, it
+//! gets its slot back.
 //!
-//! A class that was keyed and is no longer stays keyed for the admission module until the window of the last attempt with a key is
-//! over ([`Classes::get`]): what ran under a key must not run again because the settings changed. Attempts without a key run as the
-//! settings say meanwhile.
+//! A class that was keyed and is no longer stays keyed for the admission module until the window of the last attempt with a key
+//! is over ([`Classes::get`]): what ran under a key must not run again because the settings changed. Attempts without a key run
+//! as the settings say meanwhile.
 //!
-//! Invariants: a name has one slot; a slot that is referred to keeps its name; a change costs the same however many classes there
-//! are. Not here: which changes are valid, and what the admission module makes of a definition.
+//! Invariants: a name has one slot; a slot that is referred to keeps its name; a change costs the same however many classes
+//! there are. Not here: which changes are valid, and what the admission module makes of a definition.
 
 use crate::slots::{Handle, Slots};
 use gradepin_admission::{ClassDefinition, ClassProfile, Idempotency, Settings, Span, Time, time_after};
@@ -19,8 +19,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Requests of a dropped class are accepted for so long: client proxies use new settings 1.2 s after a reload, and some requests that
-/// were on their way arrive later.
+/// Requests of a dropped class are accepted for so long: client proxies use new settings 1.2 s after a reload, and some
+/// requests that were on their way arrive later.
 pub const DROP_GRACE: Span = Span(2_500_000_000);
 /// The longest name of a class or tenant. One of each fits into a message beside the longest body and all other fields at their
 /// longest. Guards against classes whose requests can't be read.
@@ -41,7 +41,7 @@
     },
     /// A name leaves no room for the longest body in a message of a client proxy.
     #[error(
-        "expected names of at most {MAX_CLASS_NAME_BYTES} bytes in settings.{what}, got {came} in '{start}..'"
+        "expected names of at most {MAX_CLASS_NAME_BYTES} bytes in settings.{what}, got {got} in '{start}..'"
     )]
     TooLong {
         /// The list in the settings.
@@ -49,17 +49,17 @@
         /// The first characters of the name.
         start: String,
         /// Its length, in bytes.
-        came: usize,
+        got: usize,
     },
     /// More are named than may be in force at a time.
-    #[error("expected at most {most} of settings.{what}, got {came}")]
+    #[error("expected at most {max} of settings.{what}, got {got}")]
     TooMany {
         /// The list in the settings.
         what: &'static str,
         /// How many may be in force.
-        most: usize,
+        max: usize,
         /// How many the settings have.
-        came: usize,
+        got: usize,
     },
 }
 
@@ -76,7 +76,7 @@
     Same,
 }
 
-/// A slot whose state changed because its time came.
+/// A slot whose state changed because its time got.
 #[derive(Debug, PartialEq)]
 pub enum Settled {
     /// Nothing refers to the slot any more; the class that was in it.
@@ -103,7 +103,8 @@
     keyed_runs: Option<KeyedRuns>,
     /// What holds in place of its definition while it stays keyed though that isn't.
     keyed_definition: Option<Arc<ClassDefinition>>,
-    /// Until when keys without a run are accepted then: client proxies may send them for as long as requests of a dropped class come.
+    /// Until when keys without a run are accepted then: client proxies may send them for as long as requests of a dropped class
+    /// come.
     new_keys_until: Time,
 }
 
@@ -186,7 +187,8 @@
         self.slots.handle(slot)
     }
 
-    /// The definition that holds for the class in a slot: as it was put, but keyed while attempts may ask for runs under its keys.
+    /// The definition that holds for the class in a slot: as it was put, but keyed while attempts may ask for runs under its
+    /// keys.
     pub fn get(&self, slot: usize) -> &Arc<ClassDefinition> {
         match self.slots.get(slot) {
             Some((_, ClassState { keyed_definition: Some(keyed), .. })) => keyed,
@@ -275,8 +277,8 @@
         }
     }
 
-    /// Frees slots and ends idempotency where the time for it has come, in at most `max_slots` slots. The caller must hold no request or
-    /// event of a class that may be freed.
+    /// Frees slots and ends idempotency where the time for it has come, in at most `max_slots` slots. The caller must hold no
+    /// request or event of a class that may be freed.
     pub fn settle(&mut self, now: Time, max_slots: usize) -> Vec<Settled> {
         let mut settled = Vec::new();
         for _ in 0..max_slots {
@@ -310,8 +312,8 @@
         self.due.first().is_some_and(|(at, _)| *at <= now)
     }
 
-    /// Whether an idempotency key without a run is accepted now. Past the grace of a class that is no longer keyed it isn't: a run under
-    /// it would be inside its window when the class stops being keyed.
+    /// Whether an idempotency key without a run is accepted now. Past the grace of a class that is no longer keyed it isn't: a
+    /// run under it would be inside its window when the class stops being keyed.
     pub fn accepts_new_keys(&self, slot: usize, now: Time) -> bool {
         let state = self.slots.get(slot).map(|(_, state)| state);
         state.is_none_or(|state| state.keyed_definition.is_none() || now < state.new_keys_until)
@@ -353,15 +355,15 @@
     max_names: usize,
     names: impl ExactSizeIterator<Item = &'a str>,
 ) -> Result<(), NamesError> {
-    let came = names.len();
-    if came > max_names {
-        return Err(NamesError::TooMany { what, most: max_names, came });
+    let got = names.len();
+    if got > max_names {
+        return Err(NamesError::TooMany { what, max: max_names, got });
     }
-    let mut seen = std::collections::HashSet::with_capacity(came);
+    let mut seen = std::collections::HashSet::with_capacity(got);
     for name in names {
         if name.len() > MAX_CLASS_NAME_BYTES {
             let start = name.chars().take(40).collect();
-            return Err(NamesError::TooLong { what, start, came: name.len() });
+            return Err(NamesError::TooLong { what, start, got: name.len() });
         }
         if !seen.insert(name) {
             return Err(NamesError::Twice { what, name: name.to_string() });
--- a/crates/core/src/classes/tests.rs
+++ b/crates/core/src/classes/tests.rs
@@ -22,7 +22,7 @@
 /// Guards open requests and counts across a change: slots stay, new classes come after, dropped ones stay taken for the
 /// grace and not after, and one that comes back is taken again.
 #[test]
-fn classes_keep_their_slots_and_dropped_ones_lapse() {
+fn classes_keep_slots_and_dropped_ones_are_rejected_after_the_grace() {
     let mut classes = Classes::new([plain("view", 4), plain("save", 4)]);
     assert_eq!(classes.remove(Time(100), "save"), Some(1));
     assert_eq!(classes.put(Time(100), plain("save-v2", 5)), (2, Put::Added));
@@ -37,12 +37,12 @@
     assert_eq!((classes.in_force(), classes.is_in_force("save"), classes.has_slot("save")), (2, false, true));
     assert_eq!(classes.put(Time(200), plain("save", 7)), (1, Put::Back));
     assert!(classes.accepts_requests(1, Time(u64::MAX)));
-    assert!(classes.settle(Time(u64::MAX), 9).is_empty(), "what came back is not freed by its drop");
+    assert!(classes.settle(Time(u64::MAX), 9).is_empty(), "what got back is not freed by its drop");
 }
 
 /// Guards against a slot that is given away while something refers to it, and one that is never used again.
 #[test]
-fn a_slot_is_free_once_its_grace_its_windows_and_its_requests_are_over() {
+fn slot_is_freed_after_its_grace_windows_and_requests() {
     let mut classes = Classes::new([plain("view", 4), class("save", Idempotency::Keyed, 700, 4)]);
     for slot in 0..2 {
         classes.acquire(slot);
@@ -64,7 +64,7 @@
 
 /// Guards against a table that grows with the life of a process: any number of names comes and goes.
 #[test]
-fn any_number_of_names_over_a_life_takes_few_slots() {
+fn many_names_over_time_take_few_slots() {
     let mut classes = Classes::new([plain("stays", 1)]);
     for n in 0..3 * MAX_CLASSES as u64 {
         let now = Time(n * DROP_GRACE.0);
@@ -78,15 +78,15 @@
     assert_eq!(check(&many), Err(NamesError::Twice { what: "profiles", name: "a".into() }));
     let profile = |n: usize| ClassProfile { name: n.to_string(), ..many.profiles[0].clone() };
     many.profiles = (0..=MAX_CLASSES).map(profile).collect();
-    let came = MAX_CLASSES + 1;
-    assert_eq!(check(&many), Err(NamesError::TooMany { what: "profiles", most: MAX_CLASSES, came }));
+    let got = MAX_CLASSES + 1;
+    assert_eq!(check(&many), Err(NamesError::TooMany { what: "profiles", max: MAX_CLASSES, got }));
     many.profiles.pop();
     assert_eq!(check(&many), Ok(()));
 }
 
 /// Guards the window of a run under a token across changes that make its class keyed no more, and keyed again.
 #[test]
-fn a_class_stays_keyed_for_the_module_until_its_last_window_is_past() {
+fn class_stays_keyed_until_its_last_window_is_over() {
     let of = |effect| class("save", effect, if effect == Idempotency::Keyed { 700 } else { 0 }, 4);
     let holds = |classes: &Classes| (classes.profile(0).effect, classes.profile(0).window);
     let mut classes = Classes::new([of(Idempotency::Keyed)]);
@@ -112,7 +112,7 @@
 
 /// Guards a run begun under a long window against a change to a short one and then to none: the long one counts.
 #[test]
-fn the_longest_window_of_what_a_class_was_counts() {
+fn longest_window_of_former_definitions_counts() {
     let mut classes = Classes::new([class("save", Idempotency::Keyed, 9_000, 4)]);
     classes.put(Time(100), class("save", Idempotency::Keyed, 10, 4));
     assert_eq!(classes.longest_window(), Span(10));
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -23,8 +23,8 @@
     /// Where the control plane takes reports.
     #[serde(deserialize_with = "address::required")]
     pub control: SocketAddr,
-    /// Where the shared upstream takes calls over HTTP. Without it a call that a run asks for can't be made, as at a deployment whose
-    /// processor makes them itself.
+    /// Where the shared upstream takes calls over HTTP. Without it a call that a run asks for can't be made, as at a deployment
+    /// whose processor makes them itself.
     #[serde(default, deserialize_with = "address::optional")]
     pub ledger: Option<SocketAddr>,
     /// Seed of random numbers as sixteen hex digits, new with each start.
@@ -39,7 +39,8 @@
     pub limits: Limits,
     /// Settings of the admission module.
     pub settings: Settings,
-    /// Whether servers lend each other slots of the shared upstream, as the operators' settings say: then more calls may be out.
+    /// Whether servers lend each other slots of the shared upstream, as the operators' settings say: then more calls may be
+    /// out.
     #[serde(skip)]
     pub lends: bool,
 }
@@ -63,8 +64,8 @@
 
 /// Descriptors that are reserved for the listener, the link, reports, signals, standard streams and [`RESERVED_CONNECTIONS`].
 const RESERVED_SOCKETS: usize = 32;
-/// Connections that are accepted while all other places are taken: each has one exchange, a health check or a rejection, and is closed.
-/// Guards against peers that fill all places for as long as they like.
+/// Connections that are accepted while all other places are taken: each has one exchange, a health check or a rejection, and is
+/// closed. Guards against peers that fill all places for as long as they like.
 pub const RESERVED_CONNECTIONS: usize = 8;
 /// Descriptors that are reserved where there is an admin endpoint: its listener and its clients.
 pub const ADMIN_SOCKETS: usize = 33;
@@ -160,8 +161,8 @@
         self.limits.sockets - RESERVED_SOCKETS - admin - self.calls()
     }
 
-    /// Most calls to the shared upstream at a time, each with a connection and a thread of its own. Their descriptors are reserved: a
-    /// call that fails for want of one would count as one that may have run.
+    /// Most calls to the shared upstream at a time, each with a connection and a thread of its own. Their descriptors are
+    /// reserved: a call that fails for want of one would count as one that may have run.
     pub fn calls(&self) -> usize {
         if self.ledger.is_none() || self.settings.specifics.below != UpstreamKind::Shared {
             return 0;
--- a/crates/core/src/config/tests.rs
+++ b/crates/core/src/config/tests.rs
@@ -16,7 +16,7 @@
 /// Guards the server's own links: with every place taken by clients, there is a descriptor for each call to the ledger,
 /// each caller at the operators' door, and the rest.
 #[test]
-fn places_for_clients_leave_descriptors_for_all_that_is_the_servers_own() {
+fn client_connections_leave_descriptors_for_the_servers_own_use() {
     let plain = config(|_| ());
     assert_eq!((plain.connections(), plain.calls()), (480, 0));
     let calling = |share: f64, sockets: usize| {
@@ -41,7 +41,7 @@
 
 /// Guards against a customer whose tool writes whole numbers with a point, or with an exponent: its server didn't start.
 #[test]
-fn numbers_are_taken_in_either_form() {
+fn accepts_whole_numbers_with_a_point_or_an_exponent() {
     let text = r#"{"name": "n", "listen": "127.0.0.1:1", "processor": "127.0.0.1:2", "control": "127.0.0.1:3", "seed": "1",
         "stop_ms": 3200.0, "limits": {"cores": 0.5, "sockets": 5.12e2, "memory_mb": 96.5}, "settings": {"granularity": 2e6,
         "servers": 10.0, "tier": 0.0, "customers": [{"name": "t", "quota_rps": 66, "portion": 1}],
@@ -61,7 +61,7 @@
 /// Guards whoever looks for the mistake in a file of hundreds of classes: the keys that lead there, what was expected and
 /// what stands there are told.
 #[test]
-fn what_is_wrong_is_told_with_its_place() {
+fn error_names_the_path_of_the_invalid_value() {
     let good = json!({
         "name": "n", "listen": "127.0.0.1:1", "processor": "127.0.0.1:2", "control": "127.0.0.1:3", "seed": "1",
         "stop_ms": 1, "limits": {"sockets": 512}, "settings": {"granularity": 1,
@@ -129,7 +129,7 @@
 
 /// Guards the thread that reads files again: whatever byte of a file is missing or another, it is told and ends nothing.
 #[test]
-fn any_spoilt_file_is_told() {
+fn any_corrupted_file_is_an_error() {
     let good = json!({
         "name": "n", "listen": "127.0.0.1:1", "processor": "127.0.0.1:2", "control": "127.0.0.1:3", "seed": "1",
         "stop_ms": 1, "limits": {"sockets": 512}, "settings": {"granularity": 1,
--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration.rs
@@ -1,5 +1,5 @@
-//! What crosses the reducer's border for the configuration service: what a server starts with, what is to be made durable, operators'
-//! requests, and the metrics.
+//! What crosses the reducer's border for the configuration service: what a server starts with, what is to be made durable,
+//! operators' requests, and the metrics.
 
 use gradepin_admission::Span;
 use gradepin_config::admin::{AdminError, ApplyReply, ApplyRequest, Source, StatusReply};
@@ -8,8 +8,8 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The first byte of a message of the configuration service between servers. A consensus message begins with the index of its variant,
-/// which is far below; so every program tells the two apart, also one without this service.
+/// The first byte of a message of the configuration service between servers. A consensus message begins with the index of its
+/// variant, which is far below; so every program can distinguish the two, also one without this service.
 pub const CONFIGURATION_TAG: u8 = 0xC0;
 
 /// What a server starts with.
--- a/crates/core/src/handover.rs
+++ b/crates/core/src/handover.rs
@@ -1,13 +1,13 @@
-//! The old process's part in an upgrade. Where the clients' listening socket is inherited, the platform holds it and a new process
-//! accepts on it beside this one. SIGTERM then means a hand-over: not a notice to drain the server, whose place in the list the new
-//! process keeps.
+//! The old process's part in an upgrade. Where the clients' listening socket is inherited, the platform holds it and a new
+//! process accepts on it beside this one. SIGTERM then means a hand-over: not a notice to drain the server, whose place in the
+//! list the new process keeps.
 //!
-//! From SIGTERM on the old process accepts nothing more, reports nothing more to the control plane (a `NotReady` would take the server
-//! off the list while the new process says `Ready`), asks its connections to drain, and answers all requests that it read.
-//! Connections that are idle for [`IDLE_AFTER_DRAIN`] since they were asked to drain are closed where the shell finds nothing unread on
-//! them. It exits once the shell has stopped accepting (so that no accepted connection is on its way), no response is owed and no
-//! connection is left; at the latest [`KILL_MARGIN`] before SIGKILL, which resets all connections. Not here: how the admission module
-//! drains, which is as at any SIGTERM.
+//! From SIGTERM on the old process accepts nothing more, reports nothing more to the control plane (a `NotReady` would take the
+//! server off the list while the new process says `Ready`), asks its connections to drain, and answers all requests that it
+//! read. Connections that are idle for [`IDLE_AFTER_DRAIN`] since they were asked to drain are closed where the shell finds
+//! nothing unread on them. It exits once the shell has stopped accepting (so that no accepted connection is on its way), no
+//! response is owed and no connection is left; at the latest [`KILL_MARGIN`] before SIGKILL, which resets all connections. Not
+//! here: how the admission module drains, which is as at any SIGTERM.
 
 use gradepin_admission::{Span, Time, time_after, time_before};
 
@@ -26,7 +26,7 @@
     pub connections: usize,
 }
 
-/// A hand-over, or the close-down of a process that nobody stopped, that is under way.
+/// A hand-over that is under way, or the close-down of a process that was not stopped in time.
 #[derive(Debug)]
 struct Progress {
     /// When SIGKILL follows.
@@ -69,8 +69,8 @@
         true
     }
 
-    /// The time of a process whose listener is its own is up, and nobody stopped it: it exits as after a hand-over, within `timeout`.
-    /// Returns false if it does that already.
+    /// The time of a process whose listener is its own is up, and it was not stopped: it exits as after a hand-over, within
+    /// `timeout`. Returns false if it does that already.
     pub fn close_down(&mut self, now: Time, timeout: Span) -> bool {
         if self.progress.is_some() {
             return false;
--- a/crates/core/src/handover/tests.rs
+++ b/crates/core/src/handover/tests.rs
@@ -5,7 +5,7 @@
 /// Guards the upgrade: a process that owns its listener drains as ever; one that shares it hands over, falls
 /// silent, leaves once all is answered and closed, and before SIGKILL whatever stands.
 #[test]
-fn a_shared_listener_is_handed_over_and_left_in_time() {
+fn shared_listener_is_handed_over_before_sigkill() {
     let mut own = Handover::default();
     assert!(!own.begin(Time(S), Span(3 * S)) && own.reports_readiness());
     assert!(!own.may_leave(Time(9 * S), RemainingWork { open: 0, connections: 0 }));
--- a/crates/core/src/idempotency_log.rs
+++ b/crates/core/src/idempotency_log.rs
@@ -1,10 +1,10 @@
-//! The log of keyed runs, which outlives the process: what must be durable, and when. It decides what is written; the records leave
-//! with effects, and the shell's store writes them.
+//! The log of keyed runs, which outlives the process: what must be durable, and when. It decides what is written; the records
+//! leave with effects, and the shell's store writes them.
 //!
-//! The intent of a keyed run is durable before the run is sent to the processor; its outcome is written after it. A request whose
-//! intent is not durable in time is rejected as never run, and a record says so. While the store can't be relied on, keyed
-//! requests are rejected with a time to retry after, unless the outcome of an earlier attempt answers them; all others are served.
-//! The store recovers in one way: all that is known is written anew, and counts once that is durable.
+//! The intent of a keyed run is durable before the run is sent to the processor; its outcome is written after it. A request
+//! whose intent is not durable in time is rejected as never run, and a record says so. While the store can't be relied on,
+//! keyed requests are rejected with a time to retry after, unless the outcome of an earlier attempt answers them; all others
+//! are served. The store recovers in one way: all that is known is written anew, and counts once that is durable.
 
 use crate::buffer_pool::Buffer;
 use crate::keyed_run::{KeyedRun, RunOutcome};
@@ -249,7 +249,8 @@
         }
     }
 
-    /// An attempt is to run once its intent is durable. Returns false if the intent can't be written: the attempt must be rejected.
+    /// An attempt is to run once its intent is durable. Returns false if the intent can't be written: the attempt must be
+    /// rejected.
     pub fn append_intent(&mut self, now: Time, run: KeyedRun) -> bool {
         if self.retry_after(now).is_some() {
             return false;
@@ -315,7 +316,7 @@
         self.in_flight.retain(|batch| batch.number > number);
         match &mut self.state {
             StoreState::Off => Vec::new(),
-            // It could not be opened, or is not open yet: the shell tries again.
+            // It is not open yet: the shell makes further attempts.
             StoreState::Opening => {
                 self.note_error(format!("the store can't be opened: {reason}"));
                 Vec::new()
--- a/crates/core/src/idempotency_log/tests.rs
+++ b/crates/core/src/idempotency_log/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_try_begins_when_its_own_batch_is_durable() {
+fn attempt_may_run_once_its_own_batch_is_durable() {
     let mut log = good();
     assert!(log.append_intent(Time(1), known(1)));
     assert!(matches!(take(&mut log, 1), Some((1, RecordBatch::Append(records))) if records.len() == 1));
@@ -35,7 +35,7 @@
 /// Guards against a store that is trusted after it failed: nothing begins by a later word of the disk, keyed requests
 /// are turned away, and only a whole new copy that is durable brings it back.
 #[test]
-fn after_a_failure_only_a_new_copy_counts() {
+fn after_a_failure_only_a_durable_rewrite_recovers() {
     let mut log = good();
     assert!(log.append_intent(Time(0), known(1)));
     take(&mut log, 0);
@@ -64,7 +64,7 @@
 
 /// Guards against requests that wait for a sync that never returns, and against a queue that grows behind it.
 #[test]
-fn a_sync_that_never_returns_holds_nothing_up() {
+fn sync_that_never_returns_rejects_waiting_attempts() {
     let mut log = good();
     assert!(log.append_intent(Time(0), known(1)));
     take(&mut log, 0);
@@ -86,7 +86,7 @@
 
 /// Guards against a second run where a record was lost to damage: any token may have run.
 #[test]
-fn while_in_doubt_nothing_new_of_a_key_runs() {
+fn rejects_new_keys_while_the_store_is_incomplete() {
     let mut log = IdempotencyLog::opening(Span(250 * MS));
     assert_eq!(log.retry_after(Time(0)), Some(SHORT_RETRY_AFTER));
     log.store_recovered(
--- a/crates/core/src/idempotency_table.rs
+++ b/crates/core/src/idempotency_table.rs
@@ -1,8 +1,8 @@
 //! The table of idempotency keys: which attempt holds a key, the key's run, and the retained outcome of that run.
 //!
-//! What no attempt can ask for any more is found by a [`TimerWheel`], a bounded part at a time, so that no pause grows with the number
-//! of keys. The table is split for the same reason: a map that grows moves all it holds. Invariants: a key has at most one run that new
-//! attempts find; retained results take at most the given bytes.
+//! What no attempt can ask for any more is found by a [`TimerWheel`], a bounded part at a time, so that no pause grows with the
+//! number of keys. The table is split for the same reason: a map that grows moves all it holds. Invariants: a key has at most
+//! one run that new attempts find; retained results take at most the given bytes.
 
 pub use crate::keyed_run::{Fingerprint, KeyedRun, RunOutcome};
 use crate::keyed_run::{SavedOutcome, SavedRun};
@@ -36,7 +36,8 @@
     retained: VecDeque<RetainedResult>,
     last_retention: u64,
     retained_bytes: usize,
-    /// Bytes that retained results may take. Past that the oldest is dropped, and a repeat of it fails instead of running again.
+    /// Bytes that retained results may take. Past that the oldest is dropped, and a repeat of it fails instead of running
+    /// again.
     max_retained_bytes: usize,
     /// Runs of an earlier process whose end is unknown, with their keys; a processor that outlived that process may report it.
     recovered_runs: BTreeMap<RequestId, Arc<str>>,
@@ -150,8 +151,8 @@
         })
     }
 
-    /// The attempt that a request repeats which arrived at that Unix time: the key's holder, if that is queued or any attempt has
-    /// run, or else the attempt that ran less than a window before. With it the fingerprint that its attempts share.
+    /// The attempt that a request repeats which arrived at that Unix time: the key's holder, if that is queued or any attempt
+    /// has run, or else the attempt that ran less than a window before. With it the fingerprint that its attempts share.
     pub fn earlier(
         &self,
         key: &str,
@@ -305,8 +306,8 @@
         run.outcome.clone()
     }
 
-    /// An attempt is no longer open, and waits for no run. Guards against a later request under its id that would get the outcome of a
-    /// run it never asked for.
+    /// An attempt is no longer open, and waits for no run. Guards against a later request under its id that would get the
+    /// outcome of a run it never asked for.
     pub fn leave(&mut self, key: &str, id: &RequestId) {
         if let Some(record) = self.get_mut(key) {
             for run in record.run.iter_mut().chain(&mut record.replaced) {
@@ -330,7 +331,8 @@
         !self.recovered_runs.is_empty()
     }
 
-    /// The ends of an earlier process's runs won't be reported any more: they are unknown. Returns the attempts that wait for them.
+    /// The ends of an earlier process's runs won't be reported any more: they are unknown. Returns the attempts that wait for
+    /// them.
     pub fn abandon_recovered_runs(&mut self) -> Vec<RequestId> {
         let recovered_runs = std::mem::take(&mut self.recovered_runs);
         recovered_runs
@@ -393,8 +395,8 @@
         self.drop_result(expired);
     }
 
-    /// Drops stale entries of retained results from the front. They gather only behind one that is not stale; what is swept is mostly
-    /// the oldest.
+    /// Drops stale entries of retained results from the front. They gather only behind one that is not stale; what is swept is
+    /// mostly the oldest.
     fn drop_stale_entries(&mut self) {
         while let Some(oldest) = self.retained.front() {
             let retention = self.run(&oldest.key).and_then(|run| run.retention);
--- a/crates/core/src/idempotency_table/tests.rs
+++ b/crates/core/src/idempotency_table/tests.rs
@@ -20,7 +20,7 @@
 
 /// Guards against runs whose end never comes: their records stayed for good.
 #[test]
-fn nothing_is_kept_for_ever() {
+fn runs_without_a_reported_end_expire() {
     let mut table = IdempotencyTable::new(10_000);
     run(&mut table, 1, None);
     run(&mut table, 2, BufferPool::new(0).exact(b"out").map(|result| RunOutcome::Served(Arc::new(result))));
@@ -33,7 +33,7 @@
 
 /// Guards against kept results that fill the memory. The oldest goes, and its repeats fail.
 #[test]
-fn results_take_no_more_than_they_may() {
+fn retained_results_stay_within_the_byte_limit() {
     let mut table = IdempotencyTable::new(2 * (1000 + RESULT_OVERHEAD_BYTES));
     for n in 1..=3 {
         run(
@@ -51,7 +51,7 @@
 /// Guards against a window that a set clock shortens: a run of an earlier life is found for what was left of its
 /// window, though the Unix clock says now that it is long past, or far ahead.
 #[test]
-fn a_restored_window_goes_by_the_time_that_was_left() {
+fn restored_window_lasts_for_the_time_that_was_left() {
     let past = |n: u64, end| SavedRun {
         token: format!("t{n}"),
         print: n,
@@ -74,7 +74,7 @@
 
 /// Guards against a run that is left out when all is written anew, whatever its token: it would run again after a crash.
 #[test]
-fn all_that_is_known_is_told() {
+fn all_known_runs_include_every_key() {
     let mut table = IdempotencyTable::new(10_000);
     run(&mut table, 1, Some(RunOutcome::Failed));
     table.run_started(&Arc::from(""), 0, &RequestId::new("r"), 1_009_000, at(0));
@@ -84,7 +84,7 @@
 
 /// Guards against a sweep that looks at everything: a million table, of which few are due, cost it no more looks.
 #[test]
-fn a_sweep_is_bounded() {
+fn sweep_work_is_bounded() {
     let mut table = IdempotencyTable::new(10_000);
     for n in 0..100_000 {
         run(&mut table, n, Some(RunOutcome::Failed));
--- a/crates/core/src/idle_connections.rs
+++ b/crates/core/src/idle_connections.rs
@@ -1,14 +1,14 @@
 //! An index of idle connections: which one is idle for longest is found without a look at all of them for each newcomer.
 //!
-//! A connection is added whenever it becomes idle. It is not removed when it is used again: its entry is stale then, and is dropped
-//! when it comes to the front. Stale entries are swept out once they outnumber the connections, so the index stays within twice the
-//! table, and each message pays for a constant part of it.
+//! A connection is added whenever it becomes idle. It is not removed when it is used again: its entry is stale then, and is
+//! dropped when it comes to the front. Stale entries are swept out once they outnumber the connections, so the index stays
+//! within twice the table, and each message pays for a constant part of it.
 
 use crate::messages::ConnectionId;
 use gradepin_admission::Time;
 use std::collections::VecDeque;
 
-/// Up to so many entries beside the bound are not worth a sweep.
+/// A sweep takes place when so many entries are beyond the bound.
 const MIN_SWEPT_ENTRIES: usize = 64;
 
 /// A connection that became idle.
@@ -44,8 +44,8 @@
         if sent_message { &mut self.with_messages } else { &mut self.silent }.push_back(entry);
     }
 
-    /// The connections that are idle for longest. `holds` says whether an entry of a connection that did or didn't send a message is
-    /// still true; `skip` leaves a connection out for now.
+    /// The connections that are idle for longest. `holds` says whether an entry of a connection that did or didn't send a
+    /// message is still true; `skip` leaves a connection out for now.
     pub fn longest(
         &mut self,
         holds: impl Fn(IdleEntry, bool) -> bool,
--- a/crates/core/src/idle_connections/tests.rs
+++ b/crates/core/src/idle_connections/tests.rs
@@ -6,7 +6,7 @@
 /// Guards against a busy connection taken for a resting one, and against one that is never found: beside a look at
 /// all of them, and with memory that stays bounded.
 #[test]
-fn it_finds_what_a_look_at_all_finds() {
+fn longest_idle_matches_a_full_scan() {
     let seed = std::env::var("SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(9);
     println!("SEED={seed}");
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,9 @@
 //! All state of one tile server and all changes to it, without I/O and without a clock: `(now, inputs) -> effects`.
 //!
-//! [`reducer`] hosts the admission module and owns the requests, connections, idempotency keys, timers and the server's registration.
-//! [`messages`] holds its inputs and effects, independent of any protocol; shells of threads and sockets deliver the inputs and carry
-//! out the effects. The other modules each own a part of the reducer's state, and can be tested without it.
+//! [`reducer`] hosts the admission module and owns the requests, connections, idempotency keys, timers and the server's
+//! registration. [`messages`] holds its inputs and effects, independent of any protocol; shells of threads and sockets deliver
+//! the inputs and carry out the effects. The other modules each own a part of the reducer's state, and can be tested without
+//! it.
 
 #![warn(missing_docs)]
 
--- a/crates/core/src/pending_claims.rs
+++ b/crates/core/src/pending_claims.rs
@@ -1,11 +1,11 @@
-//! The keyed requests that wait for their runs' claims, where the two processes of an upgrade share their runs. No I/O: the shell
-//! makes the claims and reports each result.
+//! The keyed requests that wait for their runs' claims, where the two processes of an upgrade share their runs. No I/O: the
+//! shell makes the claims and reports each result.
 
 use gradepin_admission::{RequestId, Span};
 use std::collections::BTreeSet;
 
-/// The outcome of the other process's run is waited for this many times the deadline of its class: the run started no later than
-/// the request that waits, and its process lives no longer than that after its notice to shut down.
+/// The outcome of the other process's run is waited for this many times the deadline of its class: the run started no later
+/// than the request that waits, and its process ends within that time after its notice to shut down.
 const WAIT_DEADLINES: u64 = 2;
 
 /// The claims that are pending. Bounded: one for each open request at the most.
--- a/crates/core/src/processor_identity.rs
+++ b/crates/core/src/processor_identity.rs
@@ -1,13 +1,14 @@
-//! Whether the processor that greets on a link is the one from before, or another one, whose notices are numbered from 1 again. This is
-//! the one place that decides it: the shell asks at each greeting, tells the processor the last notice by it, and informs the reducer.
+//! Whether the processor that greets on a link is the one from before, or another one, whose notices are numbered from 1 again.
+//! This is the one place that decides it: the shell asks at each greeting, goes by it when it sends the number of the last
+//! notice, and informs the reducer.
 //!
-//! A greeting says how long ago the processor started. It is written after the shell began to connect and before it is read. So the
-//! processor started no sooner than that long before the one, and no later than that long before the other. It is another one if its
-//! earliest start is past the latest start of the one before, or its latest start past the last message of that.
+//! A greeting says how long ago the processor started. It is written after the shell began to connect and before it is read. So
+//! the processor started no sooner than that long before the one, and no later than that long before the other. It is another
+//! one if its earliest start is past the latest start of the one before, or its latest start past the last message of that.
 //!
-//! Invariants: another processor is recognized unless it claims to be older than the one before was. The same processor is taken for
-//! another only if its greeting is read later than it had been up. A greeting that leaves both possible counts as another's: then
-//! runs fail, where otherwise all results would be dropped.
+//! Invariants: another processor is recognized unless it claims to be older than the one before was. The same processor is
+//! taken for another only if its greeting is read later than it had been up. A greeting that leaves both possible counts as
+//! another's: then runs fail, where otherwise all results would be dropped.
 
 use crate::messages::MIN_PROCESSOR_RESTART;
 use gradepin_admission::{Span, Time, time_after, time_before};
@@ -30,13 +31,13 @@
         self.last_message_at = Some(now);
     }
 
-    /// The processor greets on a link that the shell began to make at `connecting`, and says that it started `age` ago. Returns whether
-    /// it is another one than before.
+    /// The processor greets on a link that the shell began to make at `connecting`, and says that it started `age` ago. Returns
+    /// whether it is another one than before.
     pub fn greeted(&mut self, connecting: Time, now: Time, age: Span) -> bool {
         let earliest_start = time_before(connecting, age);
         let latest_start = time_before(now, age);
-        // The last message may have been read long after it was written, and another processor may have started between the two. So the
-        // starts are compared too.
+        // The last message may have been read long after it was written, and another processor may have started between the
+        // two. So the starts are compared too.
         let started_after_message =
             self.last_message_at.is_some_and(|last| latest_start > time_after(last, MIN_PROCESSOR_RESTART));
         let started_after_former =
--- a/crates/core/src/processor_identity/tests.rs
+++ b/crates/core/src/processor_identity/tests.rs
@@ -20,7 +20,7 @@
 
 /// Guards against runs that are failed, and notices told again, because a greeting or words before it were read late.
 #[test]
-fn what_is_read_late_makes_no_other_processor() {
+fn messages_read_late_make_no_other_processor() {
     // Its greeting is written between the making of the link and its reading, whichever takes long.
     for written in [115_100, 115_101, 120_000, 129_999] {
         for read in [written, 130_000] {
@@ -32,7 +32,7 @@
 
 /// Guards against another processor taken for the one before, whose notices would be taken for known ones.
 #[test]
-fn one_that_started_since_is_another_however_late_the_last_words_were_read() {
+fn recognizes_a_processor_that_started_since_the_last_greeting() {
     for (started, heard) in [(115_100, 115_000), (115_100, 130_000), (102_000, 130_000)] {
         let mut known = known();
         known.message_read(at(heard));
--- a/crates/core/src/reducer/admin.rs
+++ b/crates/core/src/reducer/admin.rs
@@ -1,7 +1,7 @@
 //! Operators' requests at the admin endpoint: each is answered in the step in which it comes in.
 //!
-//! Readiness and the operators' drain are [`crate::admin`]'s, the metrics [`crate::request_metrics`]'; requests about agreements and
-//! the committed configuration go to [`super::agreements`] and [`super::configuration_admin`].
+//! Readiness and the operators' drain are [`crate::admin`]'s, the metrics [`crate::request_metrics`]'; requests about
+//! agreements and the committed configuration go to [`super::agreements`] and [`super::configuration_admin`].
 
 use super::Reducer;
 use crate::admin::{AdminRequest, AdminRequestId, AdminResponse, NotReadyReason, ReadinessInputs};
--- a/crates/core/src/reducer/agreements.rs
+++ b/crates/core/src/reducer/agreements.rs
@@ -1,9 +1,9 @@
-//! The server's part in what the fleet agrees on: permits to leave, steps of a rollout, and the consensus group where this server is a
-//! voter.
+//! The server's part in what the fleet agrees on: permits to leave, steps of a rollout, and the consensus group where this
+//! server is a voter.
 //!
 //! Messages go over the cluster's datagrams; files and commands are the shell's. Not here: what is agreed and when, which is
-//! [`gradepin_coordination`]'s. Without a consensus group nothing here has an effect. SIGTERM needs no permit: a server that the
-//! platform stops is out without one.
+//! [`gradepin_coordination`]'s. Without a consensus group nothing here has an effect. SIGTERM needs no permit: a server that
+//! the platform stops is out without one.
 
 use super::{MS, Reducer};
 use crate::admin::{AgreementRequest, AgreementResponse};
@@ -74,8 +74,8 @@
 }
 
 impl Reducer {
-    /// With a part in what the fleet agrees on, for a server of this zone whose program has this version and whose active settings
-    /// have this digest.
+    /// With a part in what the fleet agrees on, for a server of this zone whose program has this version and whose active
+    /// settings have this digest.
     pub fn with_agent(
         mut self,
         agent: ServerAgent,
@@ -129,8 +129,8 @@
         self.agreements.next_report_at = self.timestamp.now;
     }
 
-    /// Counts first attempts that arrived, or that were served, for the comparison of versions: in the cells of the class, of the
-    /// tenant and of both, as the last may have too few requests to compare.
+    /// Counts first attempts that arrived, or that were served, for the comparison of versions: in the cells of the class, of
+    /// the tenant and of both, as the last may have too few requests to compare.
     pub(super) fn count_for_rollback(
         &mut self,
         tenant: Option<usize>,
--- a/crates/core/src/reducer/cluster.rs
+++ b/crates/core/src/reducer/cluster.rs
@@ -1,8 +1,8 @@
-//! The server's part in a cluster whose servers talk to each other: what it counts for them, calls to the shared upstream that wait
-//! for a slot, and the limits that the admission module is given from the cluster's counters and leases.
+//! The server's part in a cluster whose servers talk to each other: what it counts for them, calls to the shared upstream that
+//! wait for a slot, and the limits that the admission module is given from the cluster's counters and leases.
 //!
-//! Not here: what is lent, believed or ejected, which is [`gradepin_cluster`]'s, and which calls are made in which order, which the
-//! admission module decides. Without a cluster nothing here has an effect.
+//! Not here: what is lent, believed or ejected, which is [`gradepin_cluster`]'s, and which calls are made in which order, which
+//! the admission module decides. Without a cluster nothing here has an effect.
 
 use super::counter_cells::CounterCells;
 use super::{MS, Reducer};
@@ -101,8 +101,8 @@
     }
 }
 
-/// Names for people of the cells that these settings have: of classes and tenants up to the bound, and of their combinations where
-/// all of those are within it.
+/// Names for people of the cells that these settings have: of classes and tenants up to the bound, and of their combinations
+/// where all of those are within it.
 pub fn cell_names(settings: &Settings) -> BTreeMap<u32, String> {
     let classes = || settings.profiles.iter().map(|class| class.name.as_str());
     let tenants = || settings.customers.iter().map(|tenant| tenant.name.as_str());
@@ -255,8 +255,8 @@
         self.cluster.slots_in_use.insert(number, now);
     }
 
-    /// Gives up the calls whose time is up, wherever they wait. An overdue call behind one that waits longer would be due again and
-    /// again ([`ClusterState::wake_at`]).
+    /// Gives up the calls whose time is up, wherever they wait. An overdue call behind one that waits longer would be due again
+    /// and again ([`ClusterState::wake_at`]).
     fn drop_overdue_calls(&mut self) {
         let now = self.timestamp.now;
         let mut overdue = Vec::new();
@@ -288,8 +288,8 @@
         }
     }
 
-    /// A call has ended; its slot, if it had one, is free. Its duration counts from the slot: the upstream has no part in the wait
-    /// for one.
+    /// A call has ended; its slot, if it had one, is free. Its duration counts from the slot: the upstream has no part in the
+    /// wait for one.
     pub(super) fn release_call_slot(&mut self, call: UpstreamCallId, outcome: Outcome) {
         if let Some(since) = self.cluster.slots_in_use.remove(&call)
             && let Some(cluster) = &mut self.cluster.cluster
@@ -332,7 +332,8 @@
         }
     }
 
-    /// Gives the admission module the slots that may be used now, and the quotas by the cluster's counters of the tenants seen here.
+    /// Gives the admission module the slots that may be used now, and the quotas by the cluster's counters of the tenants seen
+    /// here.
     fn update_admission_limits(&mut self) {
         let now = self.timestamp.now;
         if now >= self.cluster.next_limit_at {
--- a/crates/core/src/reducer/configuration.rs
+++ b/crates/core/src/reducer/configuration.rs
@@ -1,12 +1,12 @@
 //! The committed configuration: brings revisions that the consensus group committed into force, and has them made durable.
 //!
-//! Owns the [`ConfigurationService`]. Its messages go over the cluster's datagrams behind [`CONFIGURATION_TAG`]; transactions are
-//! applied by [`Reducer::apply_transaction`], one a step. Not here: what is committed and in which order, which is the consensus
-//! group's, and which server gets it from whom, which is [`gradepin_config::dissemination`]'s. Without a service nothing here has an
-//! effect.
+//! Owns the [`ConfigurationService`]. Its messages go over the cluster's datagrams behind [`CONFIGURATION_TAG`]; transactions
+//! are applied by [`Reducer::apply_transaction`], one a step. Not here: what is committed and in which order, which is the
+//! consensus group's, and which server gets it from whom, which is [`gradepin_config::dissemination`]'s. Without a service
+//! nothing here has an effect.
 //!
-//! Invariant: what is in force is a prefix of the committed log, except while a complete state is being installed, which takes several
-//! steps; the revision that is shown is the last one that is completely in force.
+//! Invariant: what is in force is a prefix of the committed log, except while a complete state is being installed, which takes
+//! several steps; the revision that is shown is the last one that is completely in force.
 
 use super::configuration_admin::PendingProposals;
 use super::{MS, Reducer};
@@ -194,8 +194,8 @@
 }
 
 impl Reducer {
-    /// With the configuration service, for a server that was made with the classes, tenants and rules of `start` and that has an agent
-    /// ([`Reducer::with_agent`]).
+    /// With the configuration service, for a server that was made with the classes, tenants and rules of `start` and that has
+    /// an agent ([`Reducer::with_agent`]).
     pub fn with_configuration(mut self, start: ConfigurationStart, now: Time) -> Self {
         self.settings_changes.set_committed();
         if let Some(agent) = &mut self.agreements.agent {
@@ -304,7 +304,7 @@
         self.save_configuration(snapshot, None);
     }
 
-    /// Has a state of the cluster made durable, and tells the agent that it is held here.
+    /// Has a state of the cluster made durable, and reports to the agent that it is held here.
     fn save_configuration(&mut self, state: Snapshot, commit: Option<Arc<Commit>>) {
         if let Some(agent) = &mut self.agreements.agent {
             agent.holds_configuration(state.configuration());
--- a/crates/core/src/reducer/configuration/tests.rs
+++ b/crates/core/src/reducer/configuration/tests.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_whole_state_comes_into_force_one_transaction_a_step_and_commits_wait_behind_it() {
+fn complete_state_applies_one_transaction_per_step_before_later_commits() {
     let mut target = Configuration::from_settings(&config().settings).expect("a base");
     for piece in 0..MANY / 1_000 {
         commit(&mut target, (0..1_000).map(|n| put_tenant(piece * 1_000 + n)).collect());
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_commit_that_this_program_cannot_apply_leaves_the_last_state_in_force_and_is_tried_again() {
+fn inapplicable_commit_keeps_the_last_state_and_is_retried() {
     // The state has a class that the reducer was not made with.
     let ghost = |base: &Configuration| {
         let mut profile = base.class("read").expect("there").profile.clone();
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_state_that_nobody_confirms_is_told_as_stale_once_and_holds() {
+fn unconfirmed_state_is_logged_as_stale_once_and_stays_in_force() {
     let mut reducer = server(|base| base);
     let told = |effects: Vec<Effect>| {
         let stale = |effect: &&Effect| matches!(effect, Effect::Log { text, .. } if text.contains("stale"));
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn without_the_service_its_calls_are_refused() {
+fn rejects_configuration_requests_without_the_service() {
     let config = config();
     let settings = Arc::new(config.settings.clone());
     let mut reducer = Reducer::new(&config, settings, Registration::default()).expect("a server");
--- a/crates/core/src/reducer/configuration_admin.rs
+++ b/crates/core/src/reducer/configuration_admin.rs
@@ -1,7 +1,7 @@
 //! Operators' requests about the committed configuration: changes that are proposed at this server, and its status.
 //!
-//! Owns [`PendingProposals`], the latest proposals of this server with their outcomes. The consensus group decides about them; their
-//! outcomes come back under tickets.
+//! Owns [`PendingProposals`], the latest proposals of this server with their outcomes. The consensus group decides about them;
+//! their outcomes come back under tickets.
 
 use super::{MS, Reducer};
 use crate::configuration::{ConfigurationAdminRequest, ConfigurationAdminResponse};
@@ -65,8 +65,8 @@
         self.proposals.iter().rev().find(|proposal| proposal.request_id == *request_id)
     }
 
-    /// Adds a proposal under a new ticket. A repeat takes the place of the one before, and keeps the revision and the time that its
-    /// author first saw. Errors: there are too many proposals of less than [`MIN_PROPOSAL_AGE_NS`].
+    /// Adds a proposal under a new ticket. A repeat takes the place of the one before, and keeps the revision and the time that
+    /// its author first saw. Errors: there are too many proposals of less than [`MIN_PROPOSAL_AGE_NS`].
     fn add(
         &mut self,
         now: Time,
@@ -82,7 +82,7 @@
             }
             None => (seen, asked_at_ms, false),
         };
-        self.make_room(now)?;
+        self.drop_oldest_if_full(now)?;
         self.last_ticket += 1;
         let ticket = self.last_ticket;
         self.proposals.push_back(PendingProposal {
@@ -103,7 +103,7 @@
         self.proposals.remove(index)
     }
 
-    fn make_room(&mut self, now: Time) -> Result<(), AdminError> {
+    fn drop_oldest_if_full(&mut self, now: Time) -> Result<(), AdminError> {
         if self.proposals.len() < MAX_PROPOSALS {
             return Ok(());
         }
--- a/crates/core/src/reducer/connections.rs
+++ b/crates/core/src/reducer/connections.rs
@@ -1,7 +1,8 @@
 //! The table of client connections: what each has open, which are idle, and which of those close for newcomers.
 //!
-//! A connection knows its requests by their ids alone. Not here: sockets, which are the front ends'; they close an idle connection only
-//! if nothing of it is under way. Invariant: a connection from which nothing more comes is closed once it is owed nothing.
+//! A connection knows its requests by their ids alone. Not here: sockets, which are the front ends'; they close an idle
+//! connection only if nothing of it is under way. Invariant: a connection from which nothing more comes is closed once it is
+//! owed nothing.
 
 use super::{MS, Reducer};
 use crate::idle_connections::{IdleConnections, IdleEntry};
@@ -20,8 +21,8 @@
 const MIN_IDLE_BEFORE_EVICTION: Span = Span(200 * MS);
 /// How long an idle connection takes to close. One that still stands after it was not idle.
 const CLOSE_TIMEOUT: Span = Span(250 * MS);
-/// The table counts as crowded when all but its size divided by this is taken.
-const CROWDED_DIVISOR: usize = 8;
+/// Newcomers take the places of idle connections when no more places are free than the size of the table divided by this.
+const FREE_PLACES_DIVISOR: usize = 8;
 /// A connection that never sent a message counts as idle for this many times as long as it is.
 const SILENT_WEIGHT: u64 = 2;
 
@@ -64,7 +65,7 @@
 pub(super) struct Connections {
     table: BTreeMap<ConnectionId, ConnectionState>,
     /// From this many connections on newcomers take the places of idle ones.
-    crowded_from: usize,
+    evict_from: usize,
     /// From this many connections on newcomers have reserved places.
     max_connections: usize,
     /// Connections with nothing open.
@@ -80,7 +81,7 @@
     pub(super) fn new(max_connections: usize) -> Self {
         Self {
             table: BTreeMap::new(),
-            crowded_from: max_connections - max_connections / CROWDED_DIVISOR,
+            evict_from: max_connections - max_connections / FREE_PLACES_DIVISOR,
             max_connections,
             idle: IdleConnections::default(),
             idle_checks: TimerWheel::default(),
@@ -160,11 +161,11 @@
         }
     }
 
-    /// In a crowded table, the connection that is idle for longest, whose place a newcomer takes. One that never sent a message
-    /// counts with [`SILENT_WEIGHT`]. It may have sent what was not read yet, so the shell closes it only if it has not. Guards against
-    /// silent connections that keep all others, health checks too, out of a full table.
+    /// Near the bound, the connection that is idle for longest, whose place a newcomer takes. One that never sent a message
+    /// counts with [`SILENT_WEIGHT`]. It may have sent what was not read yet, so the shell closes it only if it has not. Guards
+    /// against silent connections that keep all others, health checks too, out of a full table.
     fn find_evictable(&mut self, now: Time) -> Option<ConnectionId> {
-        if self.table.len() < self.crowded_from {
+        if self.table.len() < self.evict_from {
             return None;
         }
         let table = &self.table;
@@ -199,7 +200,7 @@
 }
 
 impl Reducer {
-    /// A connection was accepted. In a crowded table it takes the place of an idle one.
+    /// A connection was accepted. Near the bound it takes the place of an idle one.
     pub(super) fn connection_opened(&mut self, connection: ConnectionId) {
         if let Some(idle) = self.connections.find_evictable(self.timestamp.now) {
             self.close_if_idle(idle);
@@ -215,7 +216,7 @@
         }
     }
 
-    /// A connection has ended: nobody waits for its requests any more.
+    /// A connection has ended: the callers of its requests no longer wait.
     pub(super) fn connection_closed(&mut self, connection: ConnectionId) {
         if let Some(state) = self.connections.table.remove(&connection) {
             for id in state.open.into_values().collect::<BTreeSet<_>>() {
@@ -224,8 +225,8 @@
         }
     }
 
-    /// Nothing more comes from a connection: it is closed once what is open on it is answered. Until then it is asked to drain, which
-    /// costs a peer that reads nothing, and makes a host that is gone answer with a reset.
+    /// Nothing more comes from a connection: it is closed once what is open on it is answered. Until then it is asked to drain,
+    /// which costs a peer that reads nothing, and makes a host that is gone answer with a reset.
     pub(super) fn connection_half_closed(&mut self, connection: ConnectionId) {
         let Some(state) = self.connections.table.get_mut(&connection) else { return };
         state.is_half_closed = true;
@@ -276,8 +277,8 @@
         }
     }
 
-    /// Asks idle connections to drain, which no request can cross unanswered, and closes those whose peers don't. Checks a bounded
-    /// number of connections; returns whether more may be due.
+    /// Asks idle connections to drain, which no request can cross unanswered, and closes those whose peers don't. Checks a
+    /// bounded number of connections; returns whether more may be due.
     pub(super) fn drain_idle_connections(&mut self) -> bool {
         let now = self.timestamp.now;
         let mut budget = MAX_IDLE_CHECKS;
--- a/crates/core/src/reducer/counter_cells.rs
+++ b/crates/core/src/reducer/counter_cells.rs
@@ -1,5 +1,5 @@
-//! The cells of the cluster's counters that requests of this server fall into, computed when first used, and the tenants and classes
-//! seen lately. Both are bounded: no table of classes by tenants is ever made.
+//! The cells of the cluster's counters that requests of this server fall into, computed when first used, and the tenants and
+//! classes seen lately. Both are bounded: no table of classes by tenants is ever made.
 
 use crate::classes::Classes;
 use crate::slots::Handle;
@@ -107,8 +107,8 @@
         }
     }
 
-    /// The cells of the tenants seen lately, each with its tenant's slot: for all classes where there are few, else for the classes
-    /// seen lately.
+    /// The cells of the tenants seen lately, each with its tenant's slot: for all classes where there are few, else for the
+    /// classes seen lately.
     pub(super) fn of_recent_tenants(
         &mut self,
         now: Time,
--- a/crates/core/src/reducer/drain.rs
+++ b/crates/core/src/reducer/drain.rs
@@ -9,9 +9,10 @@
 use gradepin_admission::{Event, Span, Time, time_after, time_before};
 use slog::Level;
 
-/// The admission module is to be done this much before the process is stopped: the notice and the last responses take time to cross.
+/// The admission module is to be done this much before the process is stopped: the notice and the last responses take time to
+/// cross.
 const STOP_MARGIN: Span = Span(100 * MS);
-/// A process that nobody stopped closes down this long after it was to be stopped.
+/// A process that was not stopped closes down this long after the stop was due.
 const STOP_OVERDUE: Span = Span(2_000 * MS);
 /// How long closing down may take: no more is accepted, what was accepted is answered, and idle connections are closed.
 const CLOSE_DOWN_TIMEOUT: Span = Span(1_500 * MS);
@@ -21,7 +22,7 @@
 pub(super) struct Drain {
     /// When the notice came.
     notified_at: Option<Time>,
-    /// When the process closes down if nobody stops it; while it closes down, when it exits in any case.
+    /// When the process closes down if it is not stopped; while it closes down, when it exits in any case.
     exit_at: Option<Time>,
     /// From the notice to the stop.
     pub(super) stop_after: Span,
@@ -113,8 +114,8 @@
         self.events.push(Event::ShutdownNotice(Span(end.0.saturating_sub(now.0))));
     }
 
-    /// What keeps a process that hands over or closes down: requests that are owed a response, and connections. Closes those that are
-    /// idle since they were asked to drain.
+    /// What keeps a process that hands over or closes down: requests that are owed a response, and connections. Closes those
+    /// that are idle since they were asked to drain.
     fn remaining_work(&mut self) -> RemainingWork {
         let now = self.timestamp.now;
         let handover = &self.drain.handover;
--- a/crates/core/src/reducer/mod.rs
+++ b/crates/core/src/reducer/mod.rs
@@ -1,8 +1,8 @@
 //! All state of one tile server and all changes to it: [`Input`]s in, [`Effect`]s out.
 //!
-//! The reducer hosts one [`Controller`], which decides about requests, and carries out its actions on the state. It does no I/O and
-//! reads no clock, so that a test can drive it through any course of events. This file steps and routes. Each concern has a file
-//! with the state that it alone changes, and its methods of [`Reducer`].
+//! The reducer hosts one [`Controller`], which decides about requests, and carries out its actions on the state. It does no I/O
+//! and reads no clock, so that a test can drive it through any course of events. This file steps and routes. Each concern has a
+//! file with the state that it alone changes, and its methods of [`Reducer`].
 
 mod admin;
 mod admission_actions;
@@ -191,9 +191,9 @@
         self
     }
 
-    /// For a process that shares its keyed runs with the other one of an upgrade. `salt` keys the fingerprints of both; without it,
-    /// it comes with [`Input::RunsShared`] once the runs can be shared. Not together with a store, which has one owner and a
-    /// salt of its own.
+    /// For a process that shares its keyed runs with the other one of an upgrade. `salt` keys the fingerprints of both; without
+    /// it, it comes with [`Input::RunsShared`] once the runs can be shared. Not together with a store, which has one owner and
+    /// a salt of its own.
     pub fn sharing_runs(mut self, salt: Option<u64>) -> Self {
         self.pending_claims = PendingClaims::shared();
         self.recovery.salt = salt.unwrap_or(self.recovery.salt);
--- a/crates/core/src/reducer/persistence.rs
+++ b/crates/core/src/reducer/persistence.rs
@@ -12,7 +12,8 @@
 use slog::Level;
 use std::sync::Arc;
 
-/// Where the processor outlived an earlier process, the ends of that one's runs are waited for this many times the longest deadline.
+/// Where the processor outlived an earlier process, the ends of that one's runs are waited for this many times the longest
+/// deadline.
 const RECOVERY_WAIT_DEADLINES: u64 = 2;
 
 /// What is known of the processes before this one, and of the processor that may have outlived them.
@@ -50,7 +51,7 @@
         self.first_step_at.get_or_insert(now);
     }
 
-    /// The processor greeted, and started then. One that started with this process or after it, as far as `margin` tells, has no
+    /// The processor greeted, and started then. One that started with this process or after it, within `margin`, has no
     /// recovered runs.
     pub(super) fn processor_up(&mut self, now: Time, started_at: Time, margin: Span) {
         let is_new = |first_step| time_after(started_at, margin) >= first_step;
@@ -85,7 +86,7 @@
         }
         let wait = Span(self.longest_recovered_run().0.saturating_mul(RECOVERY_WAIT_DEADLINES));
         self.recovery.wait_until = Some(time_after(now, wait));
-        if self.processor.last_heard_at != Time::default() {
+        if self.processor.last_message_at != Time::default() {
             // Notices so far were about runs that weren't known yet.
             self.effects.push(Effect::ReplayNotices);
         }
--- a/crates/core/src/reducer/processor_link.rs
+++ b/crates/core/src/reducer/processor_link.rs
@@ -1,8 +1,8 @@
 //! The link to the processor: readings of its gauges, what it may not have received, and what is sent again after a link fell.
 //!
 //! The processor answers in order. So what was sent before a reading was asked for has been received once that reading is
-//! answered; until then it is unconfirmed, and sent again on the next link. Notices are numbered, and each is applied once. Not here:
-//! the connection itself, which is the shell's, and what the ends of runs mean ([`super::runs`]).
+//! answered; until then it is unconfirmed, and sent again on the next link. Notices are numbered, and each is applied once. Not
+//! here: the connection itself, which is the shell's, and what the ends of runs mean ([`super::runs`]).
 
 use super::{MS, Reducer};
 use crate::buffer_pool::Buffer;
@@ -51,8 +51,8 @@
     resend_after: Option<u64>,
     /// The reading that was asked for after the processor was to repeat its notices for recovered runs.
     replay_reading: Option<u64>,
-    /// When the processor was last heard from.
-    pub(super) last_heard_at: Time,
+    /// When its last message was read.
+    pub(super) last_message_at: Time,
     /// Number of the last notice that was applied.
     last_notice: u64,
     /// Whether the shell has reported another processor whose greeting has not come yet.
@@ -74,7 +74,7 @@
 
     /// Whether a notice is new: after a reconnect the processor may repeat what was read before.
     pub(super) fn accept_notice(&mut self, notice: u64, now: Time) -> bool {
-        self.last_heard_at = now;
+        self.last_message_at = now;
         let is_new = notice > self.last_notice;
         self.last_notice = self.last_notice.max(notice);
         is_new
@@ -139,7 +139,7 @@
             // Guards against runs for a warm processor on one that starts cold, which overload it.
             controller.cores_started(cold, started_at);
         }
-        self.processor.last_heard_at = now;
+        self.processor.last_message_at = now;
         self.processor.number = Some(link);
         self.processor.reading_since = None;
         let must_resend = self.processor.has_unconfirmed();
@@ -179,9 +179,9 @@
         self.processor.disconnected();
     }
 
-    /// Another processor greets: runs on the one before have no end to wait for, and notices are numbered from 1 again. The shell
-    /// decides this, as it also tells the processor the last notice that was read: two decisions could differ, and lose every
-    /// result.
+    /// Another processor greets: runs on the one before have no end to wait for, and notices are numbered from 1 again. The
+    /// shell decides this, as it also sends the processor the number of the last notice that was read: two decisions could
+    /// differ, and lose every result.
     pub(super) fn processor_restarted(&mut self) {
         self.log(Level::Warning, "the processor has restarted; its runs are lost".into());
         self.processor.last_notice = 0;
@@ -200,7 +200,7 @@
     /// The processor answers a reading of its gauges; an answer to an earlier reading is ignored.
     pub(super) fn gauges_read(&mut self, number: u64, values: &[f64]) {
         let now = self.timestamp.now;
-        self.processor.last_heard_at = now;
+        self.processor.last_message_at = now;
         if number != self.processor.last_reading || self.processor.reading_since.take().is_none() {
             return;
         }
@@ -229,8 +229,9 @@
         }
     }
 
-    /// Where no more runs are on the cores than were started here, none of an earlier process is: its end was reported before or never
-    /// will be. Guards against repeats that wait, in process after process, for a run that never reached the processor.
+    /// Where no more runs are on the cores than were started here, none of an earlier process is: its end was reported before
+    /// or never will be. Guards against repeats that wait, in process after process, for a run that never reached the
+    /// processor.
     fn check_recovered_runs(&mut self, runnable: Option<f64>) {
         let (Some(_), Some(on_cores)) = (self.recovery.wait_until(), runnable) else { return };
         let running = self.requests.count_running();
@@ -242,7 +243,8 @@
         }
     }
 
-    /// Fires the due timers of the admission module with the gauges as they are now, or without where the processor doesn't answer.
+    /// Fires the due timers of the admission module with the gauges as they are now, or without where the processor doesn't
+    /// answer.
     pub(super) fn fire_timers(&mut self) {
         let now = self.timestamp.now;
         let Some(due) = self.schedule.due_timer(now) else { return };
--- a/crates/core/src/reducer/request_intake.rs
+++ b/crates/core/src/reducer/request_intake.rs
@@ -1,8 +1,8 @@
 //! Intake of client requests: validation, then registration as an open request and an event for the admission module.
 //!
 //! A request that fails validation is answered here and the admission module never learns of it. Each check is a function that
-//! returns [`IntakeError`]; their order is the order in which a client sees them. Whether and when a request that passes runs is
-//! the admission module's decision.
+//! returns [`IntakeError`]; their order is the order in which a client sees them. Whether and when a request that passes runs
+//! is the admission module's decision.
 
 use super::open_requests::{OpenRequest, RequestState};
 use super::{MS, Reducer};
@@ -80,7 +80,7 @@
 }
 
 impl Reducer {
-    /// Whether a message has the sequence number of an open request of its connection. Responses to the two could not be told
+    /// Whether a message has the sequence number of an open request of its connection. Responses to the two could not be kept
     /// apart: the first request keeps the number, the message is dropped and the connection accepts nothing more.
     pub(super) fn reject_duplicate_sequence(
         &mut self,
@@ -219,8 +219,8 @@
         }
     }
 
-    /// Rejects a keyed request that might run twice, as the store can't record its run. A request whose run is known is answered
-    /// from that.
+    /// Rejects a keyed request that might run twice, as the store can't record its run. A request whose run is known is
+    /// answered from that.
     fn check_store(
         &self,
         class: usize,
@@ -236,8 +236,8 @@
         Ok(())
     }
 
-    /// The attempt that a request repeats. Guards against a stranger who learnt a key: its request would be answered with another
-    /// request's result.
+    /// The attempt that a request repeats. Guards against a stranger who learnt a key: its request would be answered with
+    /// another request's result.
     fn find_earlier_attempt(
         &self,
         class: usize,
@@ -275,7 +275,8 @@
     /// How long a request waited on this machine before it was read.
     fn queued_for(&self, origin: Origin, arrived_unix_ms: u64) -> Span {
         let by_stamp = Span(self.timestamp.unix_ms.saturating_sub(arrived_unix_ms).saturating_mul(MS));
-        // It did not wait before there was a connection. Guards against stamps of long ago, by which requests seem to wait unread.
+        // It did not wait before there was a connection. Guards against stamps of long ago, by which requests seem to wait
+        // unread.
         let since_open = Span(self.timestamp.now.0.saturating_sub(origin.opened.0));
         let queued = by_stamp.min(Span(since_open.0.saturating_add(MAX_UNREAD_BEFORE_OPEN.0)));
         // Nor did it wait for this server while its connection was throttled. Guards against a flood that makes a server look
@@ -335,8 +336,8 @@
         self.requests.insert(request.id, open);
     }
 
-    /// Fingerprint of the body and the class of a keyed request. Keyed with a salt, so that nobody can choose two bodies with one
-    /// fingerprint; by the class's name, since a store outlives its slot.
+    /// Fingerprint of the body and the class of a keyed request. Keyed with a salt, so that no client can choose two bodies
+    /// with one fingerprint; by the class's name, since a store outlives its slot.
     fn fingerprint_of(&self, class: usize, request: &ClientRequest) -> Fingerprint {
         if request.idempotency_key.is_none() {
             return 0;
--- a/crates/core/src/reducer/responses.rs
+++ b/crates/core/src/reducer/responses.rs
@@ -1,7 +1,7 @@
 //! Responses to clients: each open request gets one final response at most, and leaves the state with it or with its run.
 //!
-//! [`Reducer::respond`] is the only place that answers an open request. Not here: which response it is, which the admission module
-//! decides or the run's outcome says.
+//! [`Reducer::respond`] is the only place that answers an open request. Not here: which response it is, which the admission
+//! module decides or the run's outcome says.
 
 use super::Reducer;
 use super::open_requests::{OpenRequest, RequestState};
--- a/crates/core/src/reducer/run_claims.rs
+++ b/crates/core/src/reducer/run_claims.rs
@@ -1,8 +1,8 @@
 //! Claims of keyed runs, where the two processes of an upgrade share them: a run is sent to the processor once this process has
 //! claimed it. A run of the other process answers the attempts here too.
 //!
-//! To the admission module a request runs while its claim is pending. Which requests wait is [`crate::pending_claims`]'; the claims
-//! are files of the shell.
+//! To the admission module a request runs while its claim is pending. Which requests wait is [`crate::pending_claims`]'; the
+//! claims are files of the shell.
 
 use super::Reducer;
 use crate::idempotency_table::RunOutcome;
--- a/crates/core/src/reducer/runs.rs
+++ b/crates/core/src/reducer/runs.rs
@@ -1,8 +1,8 @@
 //! Runs: starting them on the processor, their ends, and the outcomes that repeats of a keyed request get.
 //!
 //! Owns no state of its own. The requests are [`super::open_requests`]', what the processor may not have received is
-//! [`super::processor_link`]'s, and keyed runs are those of the idempotency table. Invariant: a keyed run is sent to the processor
-//! only once its claim is ours or its intent is durable, where there are claims or a store.
+//! [`super::processor_link`]'s, and keyed runs are those of the idempotency table. Invariant: a keyed run is sent to the
+//! processor only once its claim is ours or its intent is durable, where there are claims or a store.
 
 use super::open_requests::RequestState;
 use super::{MS, Reducer};
@@ -116,7 +116,8 @@
         self.complete_keyed_run(&key, id, outcome);
     }
 
-    /// A keyed run has ended, or with no outcome never started: its outcome is retained and published, and its repeats are answered.
+    /// A keyed run has ended, or with no outcome never started: its outcome is retained and published, and its repeats are
+    /// answered.
     fn complete_keyed_run(&mut self, key: &Arc<str>, id: &RequestId, outcome: Option<RunOutcome>) {
         let is_replaced = self.idempotency_table.is_replaced(key, id);
         let waiting = self.idempotency_table.run_ended(key, id, outcome.clone());
@@ -174,7 +175,8 @@
         }
         self.events.push(Event::Completed { id: id.clone(), outcome, took });
         match self.requests.get_mut(id) {
-            // The admission module answers it. Guards against a request that stays open for good, as if its run were to end yet.
+            // The admission module answers it. Guards against a request that stays open for good, as if its run were to end
+            // yet.
             Some(open) if is_stopped && open.response_owed => open.state = RequestState::Stopped,
             _ => self.forget_request(id),
         }
--- a/crates/core/src/reducer/settings_changes.rs
+++ b/crates/core/src/reducer/settings_changes.rs
@@ -1,8 +1,8 @@
 //! Changes of the active settings: a transaction is applied at once and completely, or not at all.
 //!
-//! Owns the edition of the active names and the name changes that the shell is to learn. A change costs by its own size; nothing
-//! here goes through all classes or tenants. Not here: which changes are valid by themselves, which their author's side checks,
-//! and settings files that are read again ([`super::settings_reload`]).
+//! Owns the edition of the active names and the name changes that the shell is to learn. A change costs by its own size;
+//! nothing here goes through all classes or tenants. Not here: which changes are valid by themselves, which their author's side
+//! checks, and settings files that are read again ([`super::settings_reload`]).
 
 use super::Reducer;
 use super::settings_reload::PendingReload;
@@ -247,7 +247,7 @@
             return;
         }
         summary.tenants += 1;
-        let forgotten = placed.gone.map(NameChange::TenantForgotten);
+        let forgotten = placed.evicted.map(NameChange::TenantForgotten);
         self.settings_changes.name_changes.extend(forgotten);
         let handle = self.tenants.handle(placed.slot);
         self.settings_changes.name_changes.push(NameChange::Tenant { handle, tenant: Arc::clone(tenant) });
@@ -301,8 +301,8 @@
         self.log(Level::Info, text);
     }
 
-    /// Frees the slots of removed classes that nothing refers to, and ends the idempotency of classes that are keyed no more once
-    /// their windows are over. Returns whether more are due.
+    /// Frees the slots of removed classes that nothing refers to, and ends the idempotency of classes that are keyed no more
+    /// once their windows are over. Returns whether more are due.
     pub(super) fn release_class_slots(&mut self) -> bool {
         if !self.events.is_empty() {
             // Events of requests that are closed here and not yet handled by the admission module refer to slots.
--- a/crates/core/src/reducer/settings_reload.rs
+++ b/crates/core/src/reducer/settings_reload.rs
@@ -1,8 +1,8 @@
-//! Reload of the settings file (SIGHUP). Its changes of classes and tenants are applied in pieces of bounded size, one a step and
-//! in their order, so that requests are served meanwhile; with the last piece the rest of the file comes into force.
+//! Reload of the settings file (SIGHUP). Its changes of classes and tenants are applied in pieces of bounded size, one a step
+//! and in their order, so that requests are served meanwhile; with the last piece the rest of the file comes into force.
 //!
-//! The shell reads the file and compares it with the active names ([`crate::reload`]). One file is applied at a time. A file that
-//! can't be used changes nothing.
+//! The shell reads the file and compares it with the active names ([`crate::reload`]). One file is applied at a time. A file
+//! that can't be used changes nothing.
 
 use super::settings_changes::{ApplyError, ApplySummary, NameDemand};
 use super::{MS, Reducer};
@@ -123,8 +123,8 @@
         self.replace_settings(settings);
     }
 
-    /// Has the shell use the addresses that have changed. `called_upstream` says whether the old settings had calls to the shared
-    /// upstream.
+    /// Has the shell use the addresses that have changed. `called_upstream` says whether the old settings had calls to the
+    /// shared upstream.
     fn update_addresses(&mut self, config: &Config, called_upstream: bool) {
         if config.processor != self.config.processor {
             self.effects.push(Effect::SetProcessorAddress(config.processor));
--- a/crates/core/src/reducer/upstream_calls.rs
+++ b/crates/core/src/reducer/upstream_calls.rs
@@ -1,8 +1,8 @@
-//! Calls to the shared upstream: a run asks for one through the processor, the admission module says when it is made and how long
-//! it may take, and the reply goes back to the run.
+//! Calls to the shared upstream: a run asks for one through the processor, the admission module says when it is made and how
+//! long it may take, and the reply goes back to the run.
 //!
-//! The body of a call and the time that it is out since are kept with its request. How many calls are out at once is the admission
-//! module's decision; the slots that the servers of a cluster share are [`super::cluster`]'s.
+//! The body of a call and the time that it is out since are kept with its request. How many calls are out at once is the
+//! admission module's decision; the slots that the servers of a cluster share are [`super::cluster`]'s.
 
 use super::{MS, Reducer};
 use crate::buffer_pool::Buffer;
@@ -12,8 +12,8 @@
 use std::sync::Arc;
 
 impl Reducer {
-    /// The processor reports that a run waits for a call with this body. Ignored if the notice was read before, or if the request is
-    /// no longer open.
+    /// The processor reports that a run waits for a call with this body. Ignored if the notice was read before, or if the
+    /// request is no longer open.
     pub(super) fn upstream_call_requested(&mut self, notice: u64, id: &RequestId, body: Buffer) {
         if !self.processor.accept_notice(notice, self.timestamp.now) {
             return;
@@ -75,8 +75,8 @@
         self.complete_upstream_call(id, Some(call), outcome, reply);
     }
 
-    /// A call ended, or with no `call` was never sent. The reply goes to the run that waits for this very call. Guards against the
-    /// reply to a call of one request that goes to another request under the same id.
+    /// A call ended, or with no `call` was never sent. The reply goes to the run that waits for this very call. Guards against
+    /// the reply to a call of one request that goes to another request under the same id.
     pub(super) fn complete_upstream_call(
         &mut self,
         id: &RequestId,
@@ -105,9 +105,9 @@
         self.events.push(Event::UpstreamCallEnded { id: id.clone(), outcome, took });
     }
 
-    /// Gives a run the reply to its call, now or once there is a link that is usable. It is sent again after a link that may have
-    /// lost it. Guards against runs that wait for a reply until their callers give up, and against calls made twice, or keyed
-    /// requests failed, because a link fell.
+    /// Gives a run the reply to its call, now or once there is a link that is usable. It is sent again after a link that may
+    /// have lost it. Guards against runs that wait for a reply until their callers give up, and against calls made twice, or
+    /// keyed requests failed, because a link fell.
     pub(super) fn deliver_reply(&mut self, id: RequestId, reply: Arc<Buffer>) {
         if let Some(link) = self.processor.usable_link() {
             let (id, reply) = (id.clone(), Arc::clone(&reply));
--- a/crates/core/src/registration.rs
+++ b/crates/core/src/registration.rs
@@ -1,5 +1,5 @@
-//! The server's registration: its state is published to a registry through [`Membership`], and the requests of that become effects.
-//! Also an operator's planned leave, where clients' views may still list the server for a while before it drains.
+//! The server's registration: its state is published to a registry through [`Membership`], and the requests of that become
+//! effects. Also an operator's planned leave, where clients' views may still list the server for a while before it drains.
 
 use crate::messages::Effect;
 use crate::timestamp::Timestamp;
@@ -24,7 +24,8 @@
 }
 
 impl Registration {
-    /// With a registry, or without one. A planned leave waits for `leave_delay` before its drain, as clients may still list the server.
+    /// With a registry, or without one. A planned leave waits for `leave_delay` before its drain, as clients may still list the
+    /// server.
     pub fn new(membership: Option<Membership>, leave_delay: Span) -> Self {
         Self { membership, leave_delay, ..Self::default() }
     }
@@ -102,11 +103,12 @@
         }
     }
 
-    /// Sends the requests that are due. `is_drained` says that the server shuts down, all is answered and nothing more will run.
+    /// Sends the requests that are due. `is_drained` says that the server shuts down, all is answered and nothing more will
+    /// run.
     pub fn step(&mut self, timestamp: Timestamp, is_drained: bool, effects: &mut Vec<Effect>) {
         let Some(membership) = &mut self.membership else { return };
-        let is_gone = |since: &mut Time| time_after(*since, PROCESSOR_SILENCE_TIMEOUT) <= timestamp.now;
-        if self.processor_silent_since.take_if(is_gone).is_some() {
+        let is_timed_out = |since: &mut Time| time_after(*since, PROCESSOR_SILENCE_TIMEOUT) <= timestamp.now;
+        if self.processor_silent_since.take_if(is_timed_out).is_some() {
             membership.processor(None);
         }
         if is_drained {
@@ -123,7 +125,7 @@
     pub fn wake_at(&self, now: Time) -> Option<Time> {
         let membership = self.membership.as_ref().map(|membership| membership.wake_at(now));
         let silent_since = self.processor_silent_since.filter(|_| membership.is_some());
-        let processor_gone = silent_since.map(|since| time_after(since, PROCESSOR_SILENCE_TIMEOUT));
-        [membership, processor_gone, self.drain_at].into_iter().flatten().min()
+        let silence_ends = silent_since.map(|since| time_after(since, PROCESSOR_SILENCE_TIMEOUT));
+        [membership, silence_ends, self.drain_at].into_iter().flatten().min()
     }
 }
--- a/crates/core/src/reload.rs
+++ b/crates/core/src/reload.rs
@@ -1,5 +1,5 @@
-//! A settings file that was read again, as it reaches the reducer. Whoever read it has compared its classes and tenants with those in
-//! force, which takes a while for a large file.
+//! A settings file that was read again, as it reaches the reducer. Whoever read it has compared its classes and tenants with
+//! those in force, which takes a while for a large file.
 
 use crate::config::Config;
 use gradepin_config::change::Change;
--- a/crates/core/src/request_metrics.rs
+++ b/crates/core/src/request_metrics.rs
@@ -1,8 +1,8 @@
-//! The request metrics that operators scrape: final responses by class and kind, runs sent to the processor, and settings files taken
-//! or rejected at a reload. All count from the start of the process and never go down.
+//! The request metrics that operators scrape: final responses by class and kind, runs sent to the processor, and settings files
+//! taken or rejected at a reload. All count from the start of the process and never go down.
 //!
-//! Counts are kept by the name of the class, so that a class that is removed at a reload keeps its counts, and goes on from there if it
-//! comes back. Not here: the text format, which is the shell's.
+//! Counts are kept by the name of the class, so that a class that is removed at a reload keeps its counts, and goes on from
+//! there if it comes back. Not here: the text format, which is the shell's.
 
 use crate::configuration::ConfigurationMetrics;
 use crate::response::Response;
@@ -10,8 +10,8 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Class names that are counted apart; further ones count under [`OTHER_CLASSES`]. Guards against metrics that grow without bound over
-/// many reloads.
+/// Class names that are counted apart; further ones count under [`OTHER_CLASSES`]. Guards against metrics that grow without
+/// bound over many reloads.
 pub const MAX_COUNTED_CLASSES: usize = 64;
 /// The name under which classes beyond [`MAX_COUNTED_CLASSES`] are counted.
 pub const OTHER_CLASSES: &str = "other";
--- a/crates/core/src/request_metrics/tests.rs
+++ b/crates/core/src/request_metrics/tests.rs
@@ -8,7 +8,7 @@
 
 /// Guards the figures against a kind of answer counted under another, and a class lost at a reload.
 #[test]
-fn answers_count_by_class_and_kind() {
+fn counts_responses_by_class_and_kind() {
     let mut metrics = RequestMetrics::default();
     let refused = Response::Rejected { retry_after: Span(0), no_failover: false };
     metrics.count_response("read", &served());
@@ -29,7 +29,7 @@
 
 /// Guards memory over many reloads: names past the bound share one count.
 #[test]
-fn names_are_bounded() {
+fn class_names_past_the_limit_share_one_count() {
     let mut metrics = RequestMetrics::default();
     for n in 0..MAX_COUNTED_CLASSES + 10 {
         metrics.count_response(&format!("class-{n}"), &served());
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -1,5 +1,5 @@
-//! Slots for named definitions: found by a hash of the name, counted while something refers to them, and used again for another name
-//! once nothing does.
+//! Slots for named definitions: found by a hash of the name, counted while something refers to them, and used again for another
+//! name once nothing does.
 //!
 //! A [`Handle`] names a slot and the generation of its definition. One that was read before the slot was used again resolves to
 //! nothing, so a request on its way can't be taken for another name's. Every operation costs the same however many slots there
--- a/crates/core/src/tenants.rs
+++ b/crates/core/src/tenants.rs
@@ -1,11 +1,11 @@
 //! The tenants in force. Each has a slot that it keeps while anything refers to it.
 //!
-//! A tenant that is removed has no quota from then on. Its name stays known while there are free slots: requests that name it are
-//! accepted without a quota, since client proxies learn of new settings late. Where a new name needs a slot and none is free, the
-//! tenant that was removed longest ago and has no open request gives up its slot.
+//! A tenant that is removed has no quota from then on. Its name stays known while there are free slots: requests that name it
+//! are accepted without a quota, since client proxies learn of new settings late. Where a new name needs a slot and none is
+//! free, the tenant that was removed longest ago and has no open request gives up its slot.
 //!
-//! Invariants: a name has one slot; a slot that is referred to keeps its name; a change costs the same however many tenants there
-//! are.
+//! Invariants: a name has one slot; a slot that is referred to keeps its name; a change costs the same however many tenants
+//! there are.
 
 use crate::classes::Put;
 use crate::slots::{Handle, Slots};
@@ -27,7 +27,7 @@
     /// Whether it is new, changed or back.
     pub put: Put,
     /// The removed tenant whose slot it took.
-    pub gone: Option<Arc<Tenant>>,
+    pub evicted: Option<Arc<Tenant>>,
 }
 
 /// The tenants in force, and removed ones whose slots are not used again.
@@ -105,18 +105,18 @@
     /// Adds a tenant, or replaces the one of this name.
     pub fn put(&mut self, tenant: Arc<Tenant>) -> Placed {
         let Some(slot) = self.slots.find(&tenant.name) else {
-            let gone = self.evict_if_full();
+            let evicted = self.evict_if_full();
             self.in_force += 1;
-            return Placed { slot: self.slots.insert(tenant, None), put: Put::Added, gone };
+            return Placed { slot: self.slots.insert(tenant, None), put: Put::Added, evicted };
         };
         if self.get(slot).is_some_and(|known| *known == tenant) {
-            return Placed { slot, put: Put::Same, gone: None };
+            return Placed { slot, put: Put::Same, evicted: None };
         }
         self.slots.replace(slot, tenant);
         let removal = self.slots.state_mut(slot).and_then(Option::take);
         let is_back = removal.is_some_and(|number| self.removed.remove(&number).is_some());
         self.in_force += usize::from(is_back);
-        Placed { slot, put: if is_back { Put::Back } else { Put::Changed }, gone: None }
+        Placed { slot, put: if is_back { Put::Back } else { Put::Changed }, evicted: None }
     }
 
     /// Removes the tenant of a name. Returns its slot, if it was in force.
@@ -137,7 +137,8 @@
         }
     }
 
-    /// Where a new name would find no free slot, frees that of the tenant which was removed longest ago and to which nothing refers.
+    /// Where a new name would find no free slot, frees that of the tenant which was removed longest ago and to which nothing
+    /// refers.
     fn evict_if_full(&mut self) -> Option<Arc<Tenant>> {
         if self.slots.free() > 0 || self.slots.len() < MAX_TENANTS {
             return None;
--- a/crates/core/src/tenants/tests.rs
+++ b/crates/core/src/tenants/tests.rs
@@ -7,12 +7,12 @@
 /// Guards the slots of open requests across changes: a tenant keeps its slot, one that is removed stays known while there
 /// is room, and comes back to its own.
 #[test]
-fn tenants_keep_their_slots_and_removed_ones_come_back_to_them() {
+fn tenants_keep_slots_and_get_them_back_after_removal() {
     let mut tenants = Tenants::new([tenant("a", 1.0), tenant("b", 1.0)]);
     assert_eq!((tenants.remove("a"), tenants.remove("a"), tenants.remove("none")), (Some(0), None, None));
     assert_eq!((tenants.in_force(), tenants.is_in_force("a"), tenants.name(0)), (1, false, Some("a")));
     let placed = tenants.put(tenant("c", 1.0));
-    assert_eq!((placed.slot, placed.put, placed.gone), (2, Put::Added, None));
+    assert_eq!((placed.slot, placed.put, placed.evicted), (2, Put::Added, None));
     let back = tenants.put(tenant("a", 2.0));
     assert_eq!((back.slot, back.put, tenants.in_force()), (0, Put::Back, 3));
     assert_eq!(tenants.put(tenant("a", 2.0)).put, Put::Same);
@@ -21,7 +21,7 @@
 
 /// Guards against a table that grows with the life of a process, and against a slot given away that a request is of.
 #[test]
-fn the_one_removed_longest_ago_gives_its_slot_up_unless_a_request_is_of_it() {
+fn tenant_removed_longest_ago_is_evicted_unless_it_has_a_request() {
     let mut tenants = Tenants::new((0..MAX_TENANTS).map(|n| tenant(&format!("t{n}"), 1.0)));
     let (first, second) = (tenants.handle(0), tenants.handle(1));
     tenants.acquire(0);
@@ -29,7 +29,10 @@
         assert_eq!(tenants.remove(&format!("t{n}")), Some(n));
     }
     let placed = tenants.put(tenant("new", 1.0));
-    assert_eq!((placed.slot, placed.gone.map(|gone| gone.name.clone())), (1, Some("t1".to_string())));
+    assert_eq!(
+        (placed.slot, placed.evicted.map(|evicted| evicted.name.clone())),
+        (1, Some("t1".to_string()))
+    );
     assert_eq!((tenants.resolve(first), tenants.resolve(second)), (Some(0), None));
     assert_eq!(tenants.put(tenant("newer", 1.0)).slot, 2);
     // None is left but the one in use: the table grows, within its bound.
--- a/crates/core/src/timer_wheel.rs
+++ b/crates/core/src/timer_wheel.rs
@@ -1,9 +1,9 @@
-//! A hashed timing wheel with one level (Varghese and Lauck, "Hashed and Hierarchical Timing Wheels", 1987, scheme 6): due entries are
-//! found without a look at those that aren't.
+//! A hashed timing wheel with one level (Varghese and Lauck, "Hashed and Hierarchical Timing Wheels", 1987, scheme 6): due
+//! entries are found without a look at those that aren't.
 //!
-//! Slots are ticks of [`TICK`]. An entry that is due later than one turn of the wheel stays in its slot for several turns. Nothing is
-//! moved between levels, which would be a pause that grows with the number of entries. Nothing is removed before its time either:
-//! whoever inserted an entry checks, when it is due, whether it still holds.
+//! Slots are ticks of [`TICK`]. An entry that is due later than one turn of the wheel stays in its slot for several turns.
+//! Nothing is moved between levels, which would be a pause that grows with the number of entries. Nothing is removed before its
+//! time either: whoever inserted an entry checks, when it is due, whether it still holds.
 
 use gradepin_admission::{Span, Time};
 
@@ -68,8 +68,8 @@
         self.count += 1;
     }
 
-    /// The next due entry. Each look at an entry or a slot takes one from `budget`, which bounds the pause. After [`DueEntry::Later`]
-    /// the next look goes on where this one stopped.
+    /// The next due entry. Each look at an entry or a slot takes one from `budget`, which bounds the pause. After
+    /// [`DueEntry::Later`] the next look goes on where this one stopped.
     pub fn next_due(&mut self, now: Time, budget: &mut usize) -> DueEntry<T> {
         let last_due_tick = now.0 / TICK.0;
         if self.count == 0 {
--- a/crates/core/src/timer_wheel/tests.rs
+++ b/crates/core/src/timer_wheel/tests.rs
@@ -17,7 +17,7 @@
 /// Guards against an entry that is lost, comes early, or comes later than a tick: beside an ordered set, whatever
 /// the steps of time, more than one turn ahead included.
 #[test]
-fn what_is_due_comes_out_and_nothing_else() {
+fn due_entries_come_out_and_no_others() {
     let seed = std::env::var("SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(5);
     println!("SEED={seed}");
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -48,7 +48,7 @@
 
 /// Guards against a pause that grows with what is due at once.
 #[test]
-fn a_look_is_bounded_by_its_budget() {
+fn look_is_bounded_by_its_budget() {
     let mut wheel = TimerWheel::default();
     (0..100_000_u64).for_each(|n| wheel.insert(Time(1), n));
     let (mut budget, mut came) = (256, 0);
--- a/crates/core/tests/room.rs
+++ b/crates/core/tests/connection_eviction.rs
@@ -13,7 +13,7 @@
 /// Guards against a connection that holds its place unseen: one whose last word was a cancel of what isn't open, nonsense
 /// or a health check must be found when it rested longest, or a table full of such ones has no room for usual callers.
 #[test]
-fn whatever_it_said_last_the_longest_rested_gives_way() {
+fn longest_idle_connection_is_evicted_whatever_it_sent_last() {
     let last_words: [fn(u64) -> Input; 3] = [
         |conn| Input::Cancel { connection: conn, sequence: 7 },
         |conn| Input::InvalidRequest {
@@ -52,7 +52,7 @@
 /// Guards health and what callers are told against a flood: what a connection wrote while its own pace held it back did
 /// not wait for this server. Told as waiting unread, a dozen such requests a day turned health bad.
 #[test]
-fn what_a_paced_connection_wrote_meanwhile_did_not_wait_unread() {
+fn time_throttled_does_not_count_as_queueing() {
     // How often health goes bad while a connection's requests of a second ago are read, paced or not.
     let bad = |paced: bool| {
         let mut reducer = reducer();
--- a/crates/core/tests/again.rs
+++ b/crates/core/tests/id_reuse.rs
@@ -32,7 +32,7 @@
 /// Guards against a request that nobody answers: its id was that of a repeat that left in the same batch, and it was
 /// forgotten in the place of that one.
 #[test]
-fn a_request_keeps_its_place_though_one_with_its_id_left_in_its_batch() {
+fn request_stays_open_when_another_with_its_id_leaves_in_the_same_step() {
     // It shares its keyed runs with another process, so that a run that was begun may yet never run.
     let mut reducer = support::reducer().sharing_runs(Some(7));
     let begun = vec![
--- a/crates/core/tests/apply.rs
+++ b/crates/core/tests/settings_changes.rs
@@ -303,7 +303,7 @@
 /// Guards hard case 6: no run twice within its window, no slot given away that something refers to, no answer counted
 /// under another class, whatever is dropped, put back with another effect and used again meanwhile.
 #[test]
-fn changes_at_any_moment_run_nothing_twice_and_mix_nothing_up() {
+fn settings_changes_at_any_time_run_no_key_twice_and_mix_no_classes() {
     let mut reused = 0;
     for seed in 1..=40 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -331,7 +331,7 @@
 /// Guards hard case 6 step by step: dropped while a request is open and another one's run is inside its window, the slot
 /// used for nobody else meanwhile, put back with another effect, and a repeat that is on its way answered from the run.
 #[test]
-fn a_class_dropped_and_put_back_with_another_effect_answers_a_repeat_from_its_run() {
+fn class_restored_with_another_effect_answers_repeats_from_its_run() {
     let mut world = World::new(0);
     let (claim, _) = world.names["claim"];
     let token: Arc<str> = Arc::from("t");
@@ -367,7 +367,7 @@
 
 /// Guards against half a transaction: whatever is wrong with its last change, nothing of it is in force.
 #[test]
-fn a_transaction_that_can_not_be_applied_changes_nothing() {
+fn rejected_transaction_changes_nothing() {
     let tenant = |name: &str| Arc::new(Tenant { name: name.into(), quota_rps: 1.0, portion: 0.0 });
     type IsWhy = fn(&ApplyError) -> bool;
     let bad: [(Change, IsWhy); 6] = [
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -205,7 +205,7 @@
 /// Guards against a processor that is taken to be warm because the one before it was: it started again beside a server that
 /// went on, and falls over with what a warm one survives.
 #[test]
-fn a_processor_that_restarts_cold_gets_what_a_cold_one_survives() {
+fn cold_restart_gets_no_more_than_a_cold_processor_survives() {
     let mut server = Server::new(USUAL);
     server.processor_starts(true, 0);
     server.busy(USUAL.ms + 4_000);
@@ -220,7 +220,7 @@
 
 /// Guards against a server that stays careful for ever: the processor that comes after a cold one may be warm.
 #[test]
-fn a_processor_that_restarts_warm_gets_what_a_warm_one_survives() {
+fn warm_restart_gets_what_a_warm_processor_survives() {
     let mut server = Server::new(USUAL);
     server.processor_starts(true, 0);
     server.busy(1_000);
@@ -234,7 +234,7 @@
 /// Guards the age that counts: a link that falls and comes again while the processor warms makes it neither colder nor
 /// warmer, and a server that finds a cold processor goes by that one's age.
 #[test]
-fn a_link_that_falls_during_the_warm_up_changes_nothing() {
+fn link_loss_during_warm_up_changes_nothing() {
     for (age_ms, falls) in [(0, 0), (0, 3), (6_000, 0), (6_000, 2), (60_000, 1)] {
         let mut server = Server::new(USUAL);
         server.processor_starts(true, age_ms);
@@ -261,7 +261,7 @@
 /// Guards rule 4 on drawn courses: processors that restart cold or warm, old or new, links that fall, and rules that are
 /// committed during the warm-up, with settings at their edges. At each begin of a run no more run than are survived.
 #[test]
-fn no_course_of_restarts_and_rules_runs_more_than_is_survived() {
+fn no_sequence_of_restarts_and_rules_exceeds_what_is_survived() {
     let first = std::env::var("SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(1);
     println!("SEED={first}, and the {SEEDS} from there on");
     for seed in first..first + SEEDS {
