--- a/crates/core/src/classes/tests.rs
+++ b/crates/core/src/classes/tests.rs
@@ -19,8 +19,8 @@
     time_after(time_after(Time(since), DROP_GRACE), Span(more))
 }
 
-/// Guards open requests and counts across a change: slots stay, new classes come after, dropped ones stay taken for the
-/// grace and not after, and one that comes back is taken again.
+/// Guards open requests and counts across a change: slots stay, new classes get further ones, requests of dropped classes are
+/// accepted for the grace and not after, and those of a restored class again.
 #[test]
 fn classes_keep_slots_and_dropped_ones_are_rejected_after_the_grace() {
     let mut classes = Classes::new([plain("view", 4), plain("save", 4)]);
@@ -40,7 +40,7 @@
     assert!(classes.settle(Time(u64::MAX), 9).is_empty(), "what got back is not freed by its drop");
 }
 
-/// Guards against a slot that is given away while something refers to it, and one that is never used again.
+/// Guards against a slot that is reused while something refers to it, and one that is never reused.
 #[test]
 fn slot_is_freed_after_its_grace_windows_and_requests() {
     let mut classes = Classes::new([plain("view", 4), class("save", Idempotency::Keyed, 700, 4)]);
@@ -62,7 +62,7 @@
     assert_eq!((names(&classes), classes.longest_window()), (vec![("other", 1)], Span(0)));
 }
 
-/// Guards against a table that grows with the life of a process: any number of names comes and goes.
+/// Guards against a table that grows with the age of a process, whatever number of names it has had.
 #[test]
 fn many_names_over_time_take_few_slots() {
     let mut classes = Classes::new([plain("stays", 1)]);
@@ -84,7 +84,7 @@
     assert_eq!(check(&many), Ok(()));
 }
 
-/// Guards the window of a run under a token across changes that make its class keyed no more, and keyed again.
+/// Guards the window of a run under a key across changes that make its class no longer keyed, and keyed again.
 #[test]
 fn class_stays_keyed_until_its_last_window_is_over() {
     let of = |effect| class("save", effect, if effect == Idempotency::Keyed { 700 } else { 0 }, 4);
@@ -93,7 +93,7 @@
     classes.put(Time(100), of(Idempotency::NonIdempotent));
     assert_eq!(classes.defined(0).profile.effect, Idempotency::NonIdempotent);
     assert_eq!(holds(&classes), (Idempotency::Keyed, Span(700)));
-    // Other changes meanwhile don't lengthen it, nor cut it short.
+    // Other changes meanwhile neither lengthen nor shorten it.
     classes.put(Time(200), of(Idempotency::Idempotent));
     let until = grace(800, 0);
     assert!(classes.settle(Time(until.0 - 1), 9).is_empty());
@@ -110,7 +110,7 @@
     assert_eq!(holds(&classes), (Idempotency::Keyed, Span(700)));
 }
 
-/// Guards a run begun under a long window against a change to a short one and then to none: the long one counts.
+/// Guards a run that started under a long window against a change to a short one and then to none: the long one counts.
 #[test]
 fn longest_window_of_former_definitions_counts() {
     let mut classes = Classes::new([class("save", Idempotency::Keyed, 9_000, 4)]);
--- a/crates/core/src/config/tests.rs
+++ b/crates/core/src/config/tests.rs
@@ -13,8 +13,8 @@
     Config::parse(&text.to_string()).unwrap()
 }
 
-/// Guards the server's own links: with every place taken by clients, there is a descriptor for each call to the ledger,
-/// each caller at the operators' door, and the rest.
+/// Guards the server's own connections: with every place taken by clients there is a descriptor for each upstream call, each
+/// client of the admin endpoint, and the rest.
 #[test]
 fn client_connections_leave_descriptors_for_the_servers_own_use() {
     let plain = config(|_| ());
@@ -39,7 +39,7 @@
     assert_eq!(lending.calls(), 24);
 }
 
-/// Guards against a customer whose tool writes whole numbers with a point, or with an exponent: its server didn't start.
+/// Guards against an operator whose tool writes whole numbers with a point or with an exponent: the server didn't start.
 #[test]
 fn accepts_whole_numbers_with_a_point_or_an_exponent() {
     let text = r#"{"name": "n", "listen": "127.0.0.1:1", "processor": "127.0.0.1:2", "control": "127.0.0.1:3", "seed": "1",
@@ -58,8 +58,8 @@
     assert_eq!((settings.servers, settings.specifics.n_cores, settings.specifics.clients_total), (10, 6, 3));
 }
 
-/// Guards whoever looks for the mistake in a file of hundreds of classes: the keys that lead there, what was expected and
-/// what stands there are told.
+/// Guards whoever looks for the mistake in a file of hundreds of classes: the error names the keys that lead there, what was
+/// expected and what it got.
 #[test]
 fn error_names_the_path_of_the_invalid_value() {
     let good = json!({
@@ -70,7 +70,7 @@
             "rules": {"fall": 1, "tip_multiple": 1.0, "drain_grace": 1},
             "specifics": {"n_cores": 1, "memory_kb": 1.0, "run_factor": 1.0}}
     });
-    let wrong = |pointer: &str, value: Value| {
+    let error_at = |pointer: &str, value: Value| {
         let mut changed = good.clone();
         let (object, key) = pointer.rsplit_once('/').unwrap();
         let object = changed.pointer_mut(object).unwrap().as_object_mut().unwrap();
@@ -79,12 +79,12 @@
         } else {
             drop(object.insert(key.into(), value))
         }
-        // In lines and without: the place is the same.
-        let told = Config::parse(&changed.to_string()).unwrap_err().to_string();
+        // In lines and without: the path is the same.
+        let error = Config::parse(&changed.to_string()).unwrap_err().to_string();
         let lines = Config::parse(&serde_json::to_string_pretty(&changed).unwrap()).unwrap_err().to_string();
         let without = |text: &str| text.split(" at line ").next().unwrap().to_string();
-        assert_eq!(without(&told), without(&lines));
-        told
+        assert_eq!(without(&error), without(&lines));
+        error
     };
     for (pointer, value, parts) in [
         (
@@ -112,22 +112,22 @@
         ("/limits/sockets", json!(12), ["limits.sockets", "128 or more", "got 12"]),
         ("/stop_ms", Value::Null, ["the top: ", "missing field", "`stop_ms`"]),
     ] {
-        let told = wrong(pointer, value);
-        assert!(parts.iter().all(|part| told.contains(part)), "{pointer}: {told}");
+        let error = error_at(pointer, value);
+        assert!(parts.iter().all(|part| error.contains(part)), "{pointer}: {error}");
     }
-    let long = |pointer: &str| wrong(pointer, json!("x".repeat(1_025)));
-    let told = long("/settings/profiles/0/name");
+    let long = |pointer: &str| error_at(pointer, json!("x".repeat(1_025)));
+    let error = long("/settings/profiles/0/name");
     assert!(
-        told.contains("settings.profiles") && told.contains("1024 bytes") && told.contains("1025"),
-        "{told}"
+        error.contains("settings.profiles") && error.contains("1024 bytes") && error.contains("1025"),
+        "{error}"
     );
     for text in ["", "{", "[1, 2", "{\"name\": \"n\", \"sto", "\u{feff}{}", "nonsense"] {
-        let told = Config::parse(text).unwrap_err().to_string();
-        assert!(told.starts_with("expected a configuration: "), "{told}");
+        let error = Config::parse(text).unwrap_err().to_string();
+        assert!(error.starts_with("expected a configuration: "), "{error}");
     }
 }
 
-/// Guards the thread that reads files again: whatever byte of a file is missing or another, it is told and ends nothing.
+/// Guards the thread that reads files again against a panic, whatever byte of a file is missing or changed.
 #[test]
 fn any_corrupted_file_is_an_error() {
     let good = json!({
@@ -139,8 +139,8 @@
     });
     for text in [good.to_string(), serde_json::to_string_pretty(&good).unwrap()] {
         for at in (0..text.len()).filter(|at| text.is_char_boundary(*at)) {
-            let told = Config::parse(&text[..at]).unwrap_err().to_string();
-            assert!(told.starts_with("expected a configuration: "), "cut at {at}: {told}");
+            let error = Config::parse(&text[..at]).unwrap_err().to_string();
+            assert!(error.starts_with("expected a configuration: "), "cut at {at}: {error}");
             let rest = text[at..].chars().next().map_or("", |first| &text[at + first.len_utf8()..]);
             for other in ["", "\"", "{", "}", "[", "]", ",", ":", "\\", "\n", "0", "-", "ä"] {
                 let spoilt = format!("{}{other}{rest}", &text[..at]);
--- a/crates/core/src/handover/tests.rs
+++ b/crates/core/src/handover/tests.rs
@@ -2,25 +2,25 @@
 
 const S: u64 = 1_000_000_000;
 
-/// Guards the upgrade: a process that owns its listener drains as ever; one that shares it hands over, falls
-/// silent, leaves once all is answered and closed, and before SIGKILL whatever stands.
+/// Guards the upgrade: a process that owns its listener drains as usual; one that shares it hands over, reports nothing more,
+/// exits once all is answered and closed, and before SIGKILL whatever is left.
 #[test]
 fn shared_listener_is_handed_over_before_sigkill() {
     let mut own = Handover::default();
     assert!(!own.begin(Time(S), Span(3 * S)) && own.reports_readiness());
     assert!(!own.may_leave(Time(9 * S), RemainingWork { open: 0, connections: 0 }));
 
-    // Its time is up all the same: it closes down once, and leaves in time whatever stands.
-    let mut over = Handover::default();
-    assert!(over.close_down(Time(5 * S), Span(S)) && !over.close_down(Time(5 * S), Span(S)));
+    // Its time is up all the same: it closes down once, and exits in time whatever is left.
+    let mut closing = Handover::default();
+    assert!(closing.close_down(Time(5 * S), Span(S)) && !closing.close_down(Time(5 * S), Span(S)));
     assert!(
-        !over.may_leave(Time(5 * S), RemainingWork { open: 0, connections: 0 }),
+        !closing.may_leave(Time(5 * S), RemainingWork { open: 0, connections: 0 }),
         "accepting may not have stopped"
     );
-    assert!(!over.may_leave(Time(6 * S - 1), RemainingWork { open: 1, connections: 1 }));
-    assert!(over.may_leave(Time(6 * S), RemainingWork { open: 1, connections: 1 }));
-    over.accepting_stopped();
-    assert!(over.may_leave(Time(5 * S), RemainingWork { open: 0, connections: 0 }));
+    assert!(!closing.may_leave(Time(6 * S - 1), RemainingWork { open: 1, connections: 1 }));
+    assert!(closing.may_leave(Time(6 * S), RemainingWork { open: 1, connections: 1 }));
+    closing.accepting_stopped();
+    assert!(closing.may_leave(Time(5 * S), RemainingWork { open: 0, connections: 0 }));
 
     let mut shared = Handover::shared();
     assert!(shared.reports_readiness() && shared.wake_at().is_none());
@@ -39,10 +39,14 @@
     assert_eq!(shared.wake_at(), Some(last));
     assert!(!shared.may_leave(time_before(last, Span(1)), RemainingWork { open: 3, connections: 5 }));
     assert!(shared.may_leave(last, RemainingWork { open: 3, connections: 5 }));
-    // A connection closes once it has rested since both the drain and its last word.
-    let (asked, spoke) = (Time(S), Time(S + IDLE_AFTER_DRAIN.0));
-    assert!(!own.may_close_idle(Time(9 * S), Some(asked), asked));
-    assert!(!shared.may_close_idle(time_after(spoke, Span(IDLE_AFTER_DRAIN.0 - 1)), Some(asked), spoke));
-    assert!(shared.may_close_idle(time_after(spoke, IDLE_AFTER_DRAIN), Some(asked), spoke));
-    assert!(!shared.may_close_idle(Time(9 * S), None, spoke), "one not asked to drain stays");
+    // A connection closes once it has been idle since both the drain and its last use.
+    let (draining_since, last_used) = (Time(S), Time(S + IDLE_AFTER_DRAIN.0));
+    assert!(!own.may_close_idle(Time(9 * S), Some(draining_since), draining_since));
+    assert!(!shared.may_close_idle(
+        time_after(last_used, Span(IDLE_AFTER_DRAIN.0 - 1)),
+        Some(draining_since),
+        last_used
+    ));
+    assert!(shared.may_close_idle(time_after(last_used, IDLE_AFTER_DRAIN), Some(draining_since), last_used));
+    assert!(!shared.may_close_idle(Time(9 * S), None, last_used), "one not asked to drain stays");
 }
--- a/crates/core/src/idempotency_table/tests.rs
+++ b/crates/core/src/idempotency_table/tests.rs
@@ -18,7 +18,7 @@
     while table.sweep(now) {}
 }
 
-/// Guards against runs whose end never comes: their records stayed for good.
+/// Guards against runs whose end is never reported: their records stayed for good.
 #[test]
 fn runs_without_a_reported_end_expire() {
     let mut table = IdempotencyTable::new(10_000);
@@ -31,7 +31,7 @@
     assert!(table.is_empty() && table.parts.iter().all(HashMap::is_empty));
 }
 
-/// Guards against kept results that fill the memory. The oldest goes, and its repeats fail.
+/// Guards against retained results that fill the memory. The oldest is dropped, and its repeats fail.
 #[test]
 fn retained_results_stay_within_the_byte_limit() {
     let mut table = IdempotencyTable::new(2 * (1000 + RESULT_OVERHEAD_BYTES));
@@ -48,11 +48,11 @@
     assert!(matches!(join(3), Some(RunOutcome::Served(result)) if result.len() == 1000));
 }
 
-/// Guards against a window that a set clock shortens: a run of an earlier life is found for what was left of its
-/// window, though the Unix clock says now that it is long past, or far ahead.
+/// Guards against a window that a change of the Unix clock shortens: a run of an earlier process is found for what was left of
+/// its window, though by that clock it is long over, or far ahead.
 #[test]
 fn restored_window_lasts_for_the_time_that_was_left() {
-    let past = |n: u64, end| SavedRun {
+    let saved = |n: u64, end| SavedRun {
         token: format!("t{n}"),
         print: n,
         id: format!("{n:016x}"),
@@ -61,9 +61,9 @@
     };
     for unix_ms in [5, 1_000_000, 9_000_000_000] {
         let (mut table, pool) = (IdempotencyTable::new(10_000), BufferPool::new(0));
-        let moment = Timestamp { now: Time(77 * MS), unix_ms };
-        table.restore(past(1, SavedOutcome::Served(b"out".to_vec())), moment, &pool);
-        table.restore(past(2, SavedOutcome::Unknown), moment, &pool);
+        let timestamp = Timestamp { now: Time(77 * MS), unix_ms };
+        table.restore(saved(1, SavedOutcome::Served(b"out".to_vec())), timestamp, &pool);
+        table.restore(saved(2, SavedOutcome::Unknown), timestamp, &pool);
         assert!(table.ran("t1", unix_ms + 7_999) && !table.ran("t1", unix_ms + 8_000));
         assert!(matches!(table.join("t1", &RequestId::new("x")), Some(RunOutcome::Served(_))));
         assert!(table.join("t2", &RequestId::new("y")).is_none(), "the processor may still tell");
@@ -72,17 +72,17 @@
     }
 }
 
-/// Guards against a run that is left out when all is written anew, whatever its token: it would run again after a crash.
+/// Guards against a run that is left out when all is written anew, whatever its key: it would run again after a crash.
 #[test]
 fn all_known_runs_include_every_key() {
     let mut table = IdempotencyTable::new(10_000);
     run(&mut table, 1, Some(RunOutcome::Failed));
     table.run_started(&Arc::from(""), 0, &RequestId::new("r"), 1_009_000, at(0));
-    let told: Vec<_> = table.all_known_runs(Time(0)).into_iter().map(|known| known.key).collect();
-    assert_eq!(told, [Arc::from(""), Arc::from("t1")]);
+    let keys: Vec<_> = table.all_known_runs(Time(0)).into_iter().map(|known| known.key).collect();
+    assert_eq!(keys, [Arc::from(""), Arc::from("t1")]);
 }
 
-/// Guards against a sweep that looks at everything: a million table, of which few are due, cost it no more looks.
+/// Guards against a sweep that looks at everything: a million keys, of which few are due, cost it no more looks.
 #[test]
 fn sweep_work_is_bounded() {
     let mut table = IdempotencyTable::new(10_000);
--- a/crates/core/src/idle_connections/tests.rs
+++ b/crates/core/src/idle_connections/tests.rs
@@ -3,45 +3,47 @@
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// Guards against a busy connection taken for a resting one, and against one that is never found: beside a look at
-/// all of them, and with memory that stays bounded.
+/// Guards against a busy connection that is taken for an idle one, and an idle one that is never found, by comparison with a
+/// full scan; and against memory that grows without bound.
 #[test]
 fn longest_idle_matches_a_full_scan() {
     let seed = std::env::var("SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(9);
     println!("SEED={seed}");
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut idle = IdleConnections::default();
-    // Since when each rests, and whether it spoke.
-    let mut conns = BTreeMap::<ConnectionId, (Option<Time>, bool)>::new();
+    // Since when each is idle, and whether it sent a message.
+    let mut connections = BTreeMap::<ConnectionId, (Option<Time>, bool)>::new();
     for n in 0..50_000_u64 {
-        let (now, conn) = (Time(n), rng.next_u64() % 40);
+        let (now, connection) = (Time(n), rng.next_u64() % 40);
         match rng.next_u64() % 5 {
             0 => {
-                idle.add(IdleEntry { since: now, connection: conn }, false);
-                conns.insert(conn, (Some(now), false));
+                idle.add(IdleEntry { since: now, connection }, false);
+                connections.insert(connection, (Some(now), false));
             }
-            1 => drop(conns.remove(&conn)),
+            1 => drop(connections.remove(&connection)),
             2 => {
-                conns.entry(conn).and_modify(|c| *c = (None, true));
+                connections.entry(connection).and_modify(|c| *c = (None, true));
             }
             _ => {
-                if let Some(known) = conns.get_mut(&conn) {
-                    *known = (Some(now), true);
-                    idle.add(IdleEntry { since: now, connection: conn }, true);
+                if let Some(state) = connections.get_mut(&connection) {
+                    *state = (Some(now), true);
+                    idle.add(IdleEntry { since: now, connection }, true);
                 }
             }
         }
-        let holds =
-            |entry: IdleEntry, spoke| conns.get(&entry.connection) == Some(&(Some(entry.since), spoke));
+        let holds = |entry: IdleEntry, sent_message| {
+            connections.get(&entry.connection) == Some(&(Some(entry.since), sent_message))
+        };
         let odd = n % 2;
-        let found = idle.longest(holds, |conn| conn % 2 == odd);
-        for (found, spoke) in [(found.with_messages, true), (found.silent, false)] {
-            let plain = conns.iter().filter(|(conn, c)| **conn % 2 != odd && c.1 == spoke);
-            let plain =
-                plain.filter_map(|(&connection, c)| Some(IdleEntry { since: c.0?, connection })).min();
-            assert_eq!(found, plain);
+        let found = idle.longest(holds, |connection| connection % 2 == odd);
+        for (found, sent_message) in [(found.with_messages, true), (found.silent, false)] {
+            let scanned =
+                connections.iter().filter(|(connection, c)| **connection % 2 != odd && c.1 == sent_message);
+            let scanned =
+                scanned.filter_map(|(&connection, c)| Some(IdleEntry { since: c.0?, connection })).min();
+            assert_eq!(found, scanned);
         }
-        idle.drop_stale(conns.len(), holds);
+        idle.drop_stale(connections.len(), holds);
         assert!(idle.with_messages.len() + idle.silent.len() <= 4 * 40 + 2 * MIN_SWEPT_ENTRIES + 2);
     }
 }
--- a/crates/core/src/reducer/configuration/tests.rs
+++ b/crates/core/src/reducer/configuration/tests.rs
@@ -1,4 +1,5 @@
-//! Committed changes and whole states on their way into force, without a network: what dissemination says is handed in.
+//! Committed changes and complete states on their way into force, without a network: the effects of dissemination are called
+//! directly.
 
 #[path = "../../../../admission/tests/common/mod.rs"]
 mod common;
@@ -28,7 +29,7 @@
     Config::parse(&config.to_string()).expect("a whole configuration")
 }
 
-/// A server whose service is on, with this state in the place of its start file's.
+/// A server whose service is on, with this state in place of its start file's.
 fn server(state: impl FnOnce(Configuration) -> Configuration) -> Reducer {
     let config = config();
     let base = Configuration::from_settings(&config.settings).expect("a base");
@@ -73,10 +74,10 @@
 
 fn status(reducer: &mut Reducer, now: Time) -> StatusReply {
     let mut effects = Vec::new();
-    let call = AdminRequest::Configuration(ConfigurationAdminRequest::Status);
+    let request = AdminRequest::Configuration(ConfigurationAdminRequest::Status);
     reducer.step(
         Timestamp { now, ..Timestamp::default() },
-        [Input::AdminRequest { id: 1, request: call }],
+        [Input::AdminRequest { id: 1, request }],
         &mut effects,
     );
     let answer = effects.into_iter().find_map(|effect| match effect {
@@ -115,24 +116,24 @@
         }
     }
     assert!(steps > 3, "several steps");
-    assert_eq!(seen[seen.len() - 2..], [installed, target.version()], "and nothing in between is told");
+    assert_eq!(seen[seen.len() - 2..], [installed, target.version()], "and nothing in between is shown");
     assert_eq!(reducer.tenants.in_force(), MANY + 1);
 }
 
 #[test]
 fn inapplicable_commit_keeps_the_last_state_and_is_retried() {
     // The state has a class that the reducer was not made with.
-    let ghost = |base: &Configuration| {
+    let extra_class = |base: &Configuration| {
         let mut profile = base.class("read").expect("there").profile.clone();
         profile.name = "ghost".into();
         Arc::new(ClassDefinition { profile, calls: false, skip_weight: 0.0 })
     };
     let mut class = None;
     let mut reducer = server(|base| {
-        let made = ghost(&base);
-        class = Some(Arc::clone(&made));
+        let definition = extra_class(&base);
+        class = Some(Arc::clone(&definition));
         let mut state = base;
-        commit(&mut state, vec![Change::PutClass(made)]);
+        commit(&mut state, vec![Change::PutClass(definition)]);
         state
     });
     let mut state = reducer.configuration.service.as_ref().expect("on").in_force.clone();
@@ -140,28 +141,28 @@
     let removal = commit(&mut state, vec![Change::RemoveClass("ghost".into())]);
     reducer.configuration.service.as_mut().expect("on").dissemination.committed(Time(1), removal);
     step(&mut reducer, Time(1));
-    let told = status(&mut reducer, Time(2));
-    assert_eq!((told.revision, told.newest), (before, state.revision()));
-    assert!(told.cannot_apply.is_some_and(|why| why.contains("ghost")));
+    let reply = status(&mut reducer, Time(2));
+    assert_eq!((reply.revision, reply.newest), (before, state.revision()));
+    assert!(reply.cannot_apply.is_some_and(|why| why.contains("ghost")));
     reducer
         .apply_transaction(&Transaction { changes: vec![Change::PutClass(class.expect("made"))] })
         .expect("put");
     assert_eq!(status(&mut reducer, Time(3)).revision, before, "not before its time");
     step(&mut reducer, time_after(Time(3), RETRY_INTERVAL));
-    let told = status(&mut reducer, time_after(Time(4), RETRY_INTERVAL));
-    assert_eq!((told.revision, told.cannot_apply), (state.revision(), None));
+    let reply = status(&mut reducer, time_after(Time(4), RETRY_INTERVAL));
+    assert_eq!((reply.revision, reply.cannot_apply), (state.revision(), None));
 }
 
 #[test]
 fn unconfirmed_state_is_logged_as_stale_once_and_stays_in_force() {
     let mut reducer = server(|base| base);
-    let told = |effects: Vec<Effect>| {
+    let count_stale = |effects: Vec<Effect>| {
         let stale = |effect: &&Effect| matches!(effect, Effect::Log { text, .. } if text.contains("stale"));
         effects.iter().filter(stale).count()
     };
-    assert_eq!(told(step(&mut reducer, Time(59_000 * MS))), 0);
-    assert_eq!(told(step(&mut reducer, Time(61_000 * MS))), 1);
-    assert_eq!(told(step(&mut reducer, Time(70_000 * MS))), 0);
+    assert_eq!(count_stale(step(&mut reducer, Time(59_000 * MS))), 0);
+    assert_eq!(count_stale(step(&mut reducer, Time(61_000 * MS))), 1);
+    assert_eq!(count_stale(step(&mut reducer, Time(70_000 * MS))), 0);
     let status = status(&mut reducer, Time(70_000 * MS));
     assert!(status.stale && status.age_s == Some(70.0) && status.source == Source::StartFile);
 }
--- a/crates/core/src/request_metrics/tests.rs
+++ b/crates/core/src/request_metrics/tests.rs
@@ -6,13 +6,13 @@
     Response::Served(Arc::new(BufferPool::new(1).copy(b"tile").unwrap()))
 }
 
-/// Guards the figures against a kind of answer counted under another, and a class lost at a reload.
+/// Guards against a kind of response that is counted under another, and a class whose counts are lost at a reload.
 #[test]
 fn counts_responses_by_class_and_kind() {
     let mut metrics = RequestMetrics::default();
-    let refused = Response::Rejected { retry_after: Span(0), no_failover: false };
+    let rejected = Response::Rejected { retry_after: Span(0), no_failover: false };
     metrics.count_response("read", &served());
-    metrics.count_response("read", &refused);
+    metrics.count_response("read", &rejected);
     metrics.count_response("write", &Response::Failed { timed_out: true });
     metrics.count_response("write", &Response::OutcomeUnknown);
     metrics.count_response("write", &Response::Health { healthy: true, store: None });
@@ -27,7 +27,7 @@
     assert_eq!((snapshot.relayed, snapshot.open, snapshot.cfg_accepted, snapshot.cfg_invalid), (1, 3, 1, 2));
 }
 
-/// Guards memory over many reloads: names past the bound share one count.
+/// Guards the memory over many reloads: names past the bound share one count.
 #[test]
 fn class_names_past_the_limit_share_one_count() {
     let mut metrics = RequestMetrics::default();
--- a/crates/core/src/tenants/tests.rs
+++ b/crates/core/src/tenants/tests.rs
@@ -4,8 +4,8 @@
     Arc::new(Tenant { name: name.to_string(), quota_rps, portion: 0.0 })
 }
 
-/// Guards the slots of open requests across changes: a tenant keeps its slot, one that is removed stays known while there
-/// is room, and comes back to its own.
+/// Guards the slots of open requests across changes: a tenant keeps its slot; one that is removed stays known while there are
+/// free slots, and gets its own back.
 #[test]
 fn tenants_keep_slots_and_get_them_back_after_removal() {
     let mut tenants = Tenants::new([tenant("a", 1.0), tenant("b", 1.0)]);
@@ -19,7 +19,7 @@
     assert_eq!(tenants.put(tenant("a", 3.0)).put, Put::Changed);
 }
 
-/// Guards against a table that grows with the life of a process, and against a slot given away that a request is of.
+/// Guards against a table that grows with the age of a process, and against a slot that is reused while a request refers to it.
 #[test]
 fn tenant_removed_longest_ago_is_evicted_unless_it_has_a_request() {
     let mut tenants = Tenants::new((0..MAX_TENANTS).map(|n| tenant(&format!("t{n}"), 1.0)));
@@ -35,7 +35,7 @@
     );
     assert_eq!((tenants.resolve(first), tenants.resolve(second)), (Some(0), None));
     assert_eq!(tenants.put(tenant("newer", 1.0)).slot, 2);
-    // None is left but the one in use: the table grows, within its bound.
+    // Only the one in use is left: the table grows, within its bound.
     assert_eq!(tenants.put(tenant("newest", 1.0)).slot, MAX_TENANTS);
     tenants.release(0);
     tenants.remove("t9");
--- a/crates/core/tests/connection_eviction.rs
+++ b/crates/core/tests/connection_eviction.rs
@@ -1,4 +1,4 @@
-//! Which connection gives way to a newcomer near the limit, whatever it said last.
+//! Which connection is evicted for a newcomer near the limit, and what counts as queueing time of its requests.
 
 mod support;
 
@@ -7,39 +7,40 @@
 use gradepin_core::messages::{ClientRequest, Effect, Input, RequestError};
 use support::{MS, reducer, step};
 
-/// Of 128 descriptors 96 may be connections; from seven eighths of those on one gives way.
-const ROOM: u64 = 84;
+/// Of 128 descriptors 96 may be connections; from seven eighths of those on a newcomer evicts one.
+const EVICT_FROM: u64 = 84;
 
-/// Guards against a connection that holds its place unseen: one whose last word was a cancel of what isn't open, nonsense
-/// or a health check must be found when it rested longest, or a table full of such ones has no room for usual callers.
+/// Guards against a connection that keeps its place unnoticed: one whose last message was a cancel of what isn't open, an
+/// invalid request or a health check must be found when it is idle for longest, or a table full of such ones has no place for
+/// others.
 #[test]
 fn longest_idle_connection_is_evicted_whatever_it_sent_last() {
-    let last_words: [fn(u64) -> Input; 3] = [
-        |conn| Input::Cancel { connection: conn, sequence: 7 },
-        |conn| Input::InvalidRequest {
-            connection: conn,
+    let last_messages: [fn(u64) -> Input; 3] = [
+        |connection| Input::Cancel { connection, sequence: 7 },
+        |connection| Input::InvalidRequest {
+            connection,
             sequence: 7,
             error: RequestError::Malformed,
             text: "nonsense".into(),
         },
-        |conn| Input::HealthCheck { connection: conn, sequence: 7 },
+        |connection| Input::HealthCheck { connection, sequence: 7 },
     ];
-    for word in last_words {
+    for last_message in last_messages {
         let mut reducer = reducer();
-        step(&mut reducer, 1_000, vec![Input::ConnectionOpened(1), word(1)]);
-        for conn in 2..=ROOM {
+        step(&mut reducer, 1_000, vec![Input::ConnectionOpened(1), last_message(1)]);
+        for connection in 2..=EVICT_FROM {
             step(
                 &mut reducer,
-                1_000 + conn,
-                vec![Input::ConnectionOpened(conn), Input::HealthCheck { connection: conn, sequence: 1 }],
+                1_000 + connection,
+                vec![Input::ConnectionOpened(connection), Input::HealthCheck { connection, sequence: 1 }],
             );
         }
-        let effects = step(&mut reducer, 2_000, vec![Input::ConnectionOpened(ROOM + 1)]);
+        let effects = step(&mut reducer, 2_000, vec![Input::ConnectionOpened(EVICT_FROM + 1)]);
         let closed: Vec<_> = effects
             .iter()
             .filter_map(|effect| {
-                if let Effect::CloseIdleConnection { connection: conn, messages_received: taken } = effect {
-                    Some((*conn, *taken))
+                if let Effect::CloseIdleConnection { connection, messages_received } = effect {
+                    Some((*connection, *messages_received))
                 } else {
                     None
                 }
@@ -49,12 +50,12 @@
     }
 }
 
-/// Guards health and what callers are told against a flood: what a connection wrote while its own pace held it back did
-/// not wait for this server. Told as waiting unread, a dozen such requests a day turned health bad.
+/// Guards health against a flood: what a client wrote while its connection was throttled did not wait for this server. Counted
+/// as queueing time, a dozen such requests a day made the server unhealthy.
 #[test]
 fn time_throttled_does_not_count_as_queueing() {
-    // How often health goes bad while a connection's requests of a second ago are read, paced or not.
-    let bad = |paced: bool| {
+    // How often health goes bad while requests of a second ago are read from a connection, throttled or not.
+    let count_bad_health = |throttled: bool| {
         let mut reducer = reducer();
         let pool = BufferPool::new(4);
         step(
@@ -62,7 +63,7 @@
             9_000,
             vec![Input::LinkUp { link: 1, cold: false, age: Span(0) }, Input::ConnectionOpened(1)],
         );
-        if paced {
+        if throttled {
             step(
                 &mut reducer,
                 9_010,
@@ -71,7 +72,7 @@
         }
         let mut effects = Vec::new();
         for n in 0..12 {
-            let call = ClientRequest {
+            let request = ClientRequest {
                 id: RequestId::new(&format!("{n:016x}")),
                 class: 0.into(),
                 tenant: None,
@@ -88,7 +89,7 @@
             effects.extend(step(
                 &mut reducer,
                 10_200 + n,
-                vec![Input::Request { connection: 1, sequence: n as i32 + 1, request: Box::new(call) }],
+                vec![Input::Request { connection: 1, sequence: n as i32 + 1, request: Box::new(request) }],
             ));
         }
         for ms in (10_210..10_600).step_by(10) {
@@ -96,5 +97,5 @@
         }
         effects.iter().filter(|e| matches!(e, Effect::Log { text, .. } if text == "health is bad")).count()
     };
-    assert_eq!((bad(false), bad(true)), (1, 0));
+    assert_eq!((count_bad_health(false), count_bad_health(true)), (1, 0));
 }
--- a/crates/core/tests/settings_changes.rs
+++ b/crates/core/tests/settings_changes.rs
@@ -1,5 +1,5 @@
-//! Changes of classes and tenants while requests are open, runs are inside their windows and repeats are on their way,
-//! held against a model that knows names alone.
+//! Changes of classes and tenants while requests are open, runs are inside their windows and repeats are on their way, compared
+//! with a model that goes by names alone.
 
 #[path = "../../admission/tests/common/mod.rs"]
 mod common;
@@ -24,15 +24,15 @@
 
 const MS: u64 = 1_000_000;
 const NAMES: [&str; 5] = ["read", "claim", "x", "y", "z"];
-/// Late tokens: client proxies hear of a change this long after it at the most.
-const LATE_MS: u64 = 1_200;
+/// Client proxies may send keys of a class for so long after a change.
+const MAX_KEY_DELAY_MS: u64 = 1_200;
 
-/// A try as the model knows it: by names.
+/// An attempt as the model knows it: by names.
 #[derive(Clone)]
-struct Try {
+struct Attempt {
     name: String,
     token: Option<Arc<str>>,
-    /// Whether its token counted when it came: a class may be keyed later, while it is held.
+    /// Whether its key counted when it arrived: the class may become keyed later, while the attempt is queued.
     keyed: bool,
     t0: u64,
     slot: usize,
@@ -40,8 +40,8 @@
     runs: bool,
 }
 
-/// A run under a token, and when its window ends.
-struct Ran {
+/// A run under a key, and when its window ends.
+struct KeyedRun {
     name: String,
     token: Arc<str>,
     slot: usize,
@@ -53,13 +53,13 @@
     pool: Arc<BufferPool>,
     ms: u64,
     inputs: Vec<Input>,
-    /// Names that requests may use, as effects say, with what holds there as defined.
+    /// Names that requests may use, by the effects, with the definitions.
     names: HashMap<String, (Handle, Arc<ClassDefinition>)>,
     stale: Vec<(String, Handle)>,
-    tries: BTreeMap<RequestId, Try>,
-    of_seq: HashMap<i32, RequestId>,
+    attempts: BTreeMap<RequestId, Attempt>,
+    by_sequence: HashMap<i32, RequestId>,
     running: Vec<RequestId>,
-    ran: Vec<Ran>,
+    ran: Vec<KeyedRun>,
     /// When each name was last defined as keyed.
     keyed: HashMap<String, u64>,
     counts: BTreeMap<String, ResponseCounts>,
@@ -103,8 +103,8 @@
             ],
             names: names.collect(),
             stale: Vec::new(),
-            tries: BTreeMap::new(),
-            of_seq: HashMap::new(),
+            attempts: BTreeMap::new(),
+            by_sequence: HashMap::new(),
             running: Vec::new(),
             ran: Vec::new(),
             keyed: HashMap::from([("claim".to_string(), 10_000)]),
@@ -141,11 +141,11 @@
     fn effect(&mut self, effect: Effect) {
         let seed = self.seed;
         match effect {
-            Effect::ReadGauges { number: tag, .. } => {
-                self.inputs.push(Input::GaugesRead { number: tag, values: vec![0.5, 1.0, 0.1, 9.0] })
+            Effect::ReadGauges { number, .. } => {
+                self.inputs.push(Input::GaugesRead { number, values: vec![0.5, 1.0, 0.1, 9.0] })
             }
             Effect::StartRun { id, class, .. } => {
-                let one = self.tries.get_mut(&id).expect("a try");
+                let one = self.attempts.get_mut(&id).expect("an attempt");
                 assert_eq!(class.profile.name, one.name, "seed {seed}: begun as another class");
                 assert!(!std::mem::replace(&mut one.runs, true), "seed {seed}: {} begun twice", id.0);
                 self.running.push(id.clone());
@@ -158,11 +158,11 @@
                     if one.keyed && class.profile.effect == gradepin_admission::Idempotency::Keyed {
                         let closes = one.t0 + class.profile.window.0 / MS;
                         let (name, slot) = (one.name.clone(), one.slot);
-                        self.ran.push(Ran { name, token, slot, closes });
+                        self.ran.push(KeyedRun { name, token, slot, closes });
                     }
                 }
             }
-            Effect::Respond { sequence: seq, response: answer, .. } => self.answered(seq, &answer),
+            Effect::Respond { sequence, response, .. } => self.answered(sequence, &response),
             Effect::UpdateNames { changes, .. } => changes.into_iter().for_each(|change| self.name(change)),
             Effect::AnswerAdmin { response: AdminResponse::Stats(stats), .. } => {
                 self.stats = Some(stats.classes)
@@ -171,9 +171,9 @@
         }
     }
 
-    fn answered(&mut self, seq: i32, answer: &Response) {
-        let id = self.of_seq[&seq].clone();
-        let one = self.tries.get_mut(&id).expect("a try");
+    fn answered(&mut self, sequence: i32, answer: &Response) {
+        let id = self.by_sequence[&sequence].clone();
+        let one = self.attempts.get_mut(&id).expect("an attempt");
         assert!(!std::mem::replace(&mut one.answered, true), "seed {}: two answers", self.seed);
         if matches!(answer, Response::Invalid { text: why, .. } if why.starts_with("unknown method:")) {
             return; // Its slot was freed: nobody knows what class that was.
@@ -190,7 +190,7 @@
         match change {
             NameChange::Class { handle, class } => {
                 let name = &class.profile.name;
-                let open = self.tries.values().filter(|one| !one.answered || one.runs);
+                let open = self.attempts.values().filter(|one| !one.answered || one.runs);
                 let taken = open.filter(|one| one.slot == handle.slot()).find(|one| one.name != *name);
                 assert!(taken.is_none(), "seed {}: {name} took a slot with a request open", self.seed);
                 let kept = self.ran.iter().filter(|ran| ran.closes > self.ms);
@@ -207,8 +207,8 @@
     }
 
     fn call(&mut self, name: &str, handle: Handle, token: Option<Arc<str>>) {
-        let seq = self.of_seq.len() as i32 + 1;
-        let id = RequestId::new(&format!("{seq:016x}"));
+        let sequence = self.by_sequence.len() as i32 + 1;
+        let id = RequestId::new(&format!("{sequence:016x}"));
         let body = token.as_deref().unwrap_or("body");
         let call = ClientRequest {
             id: id.clone(),
@@ -225,11 +225,12 @@
             body: self.pool.copy(body.as_bytes()).expect("fits"),
         };
         let (name, slot, t0) = (name.to_string(), handle.slot(), self.ms);
-        let keyed = self.is_keyed(&name) || self.keyed.get(&name).is_some_and(|at| t0 < at + LATE_MS);
-        let one = Try { name, token, keyed, t0, slot, answered: false, runs: false };
-        self.tries.insert(id.clone(), one);
-        self.of_seq.insert(seq, id);
-        self.inputs.push(Input::Request { connection: 1, sequence: seq, request: Box::new(call) });
+        let keyed =
+            self.is_keyed(&name) || self.keyed.get(&name).is_some_and(|at| t0 < at + MAX_KEY_DELAY_MS);
+        let one = Attempt { name, token, keyed, t0, slot, answered: false, runs: false };
+        self.attempts.insert(id.clone(), one);
+        self.by_sequence.insert(sequence, id);
+        self.inputs.push(Input::Request { connection: 1, sequence: sequence, request: Box::new(call) });
     }
 
     fn complete(&mut self, place: usize) {
@@ -237,7 +238,7 @@
         self.notice += 1;
         let (end, took) = (RunEnd::Ok, Span(20 * MS));
         let result = self.pool.copy(b"out").expect("fits");
-        self.tries.get_mut(&id).expect("a try").runs = false;
+        self.attempts.get_mut(&id).expect("an attempt").runs = false;
         self.inputs.push(Input::RunCompleted { notice: self.notice, id, end, took, result });
     }
 
@@ -256,10 +257,10 @@
                     }
                     (None, None) => return,
                 };
-                let late = self.keyed.get(&name).is_some_and(|at| self.ms < at + LATE_MS);
+                let late = self.keyed.get(&name).is_some_and(|at| self.ms < at + MAX_KEY_DELAY_MS);
                 let old: Vec<_> = self.ran.iter().filter(|ran| ran.name == name).collect();
                 let repeat = old.get(pick(old.len())).filter(|_| pick(2) == 0).map(|ran| ran.token.clone());
-                let fresh = (keyed || late).then(|| Arc::from(format!("token-{}", self.tries.len())));
+                let fresh = (keyed || late).then(|| Arc::from(format!("token-{}", self.attempts.len())));
                 self.call(&name, handle, repeat.or(fresh));
             }
             5..=6 if !self.running.is_empty() => {
@@ -300,8 +301,8 @@
     }
 }
 
-/// Guards hard case 6: no run twice within its window, no slot given away that something refers to, no answer counted
-/// under another class, whatever is dropped, put back with another effect and used again meanwhile.
+/// Guards hard case 6: no run twice within its window, no slot reused that something refers to, no response counted under
+/// another class, whatever is removed, restored with another effect and reused meanwhile.
 #[test]
 fn settings_changes_at_any_time_run_no_key_twice_and_mix_no_classes() {
     let mut reused = 0;
@@ -316,7 +317,7 @@
             world.settle();
         }
         world.advance(6_000);
-        assert!(world.tries.values().all(|one| one.answered), "seed {seed}: an answer is owed");
+        assert!(world.attempts.values().all(|one| one.answered), "seed {seed}: an answer is owed");
         world.inputs.push(Input::AdminRequest { id: 1, request: AdminRequest::Stats });
         world.settle();
         let counted = world.stats.take().expect("figures").into_iter();
@@ -328,8 +329,8 @@
     assert!(reused > 100, "slots were freed and used again: {reused}");
 }
 
-/// Guards hard case 6 step by step: dropped while a request is open and another one's run is inside its window, the slot
-/// used for nobody else meanwhile, put back with another effect, and a repeat that is on its way answered from the run.
+/// Guards hard case 6 step by step: a class is removed while a request is open and another one's run is inside its window, its
+/// slot is not reused meanwhile, it is restored with another effect, and a repeat on its way is answered from the run.
 #[test]
 fn class_restored_with_another_effect_answers_repeats_from_its_run() {
     let mut world = World::new(0);
@@ -351,7 +352,7 @@
     world.settle();
     assert!(world.running.is_empty(), "answered from the run");
     assert_eq!(world.counts["claim"], ResponseCounts { fulfilled: 2, throttled: 0, faulted: 0 });
-    // Past all windows it is what it was put back as, and once dropped its slot is free for another name.
+    // Past all windows its restored definition holds, and once it is removed its slot is free for another name.
     world.advance(20_000);
     let remove = Change::RemoveClass(Name::from("claim"));
     world.reducer.apply_transaction(&Transaction { changes: vec![remove] }).expect("applied");
@@ -365,7 +366,7 @@
     assert!(world.running.is_empty(), "a handle of before is nobody's");
 }
 
-/// Guards against half a transaction: whatever is wrong with its last change, nothing of it is in force.
+/// Guards against a transaction that is applied in part: whatever is wrong with its last change, nothing of it is in force.
 #[test]
 fn rejected_transaction_changes_nothing() {
     let tenant = |name: &str| Arc::new(Tenant { name: name.into(), quota_rps: 1.0, portion: 0.0 });
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! What a server begins while its processor is cold: within what the settings say that such a processor survives, whenever
-//! it started.
+//! Slow start: what a server runs while its processor is cold is within what the settings say that such a processor survives,
+//! whenever it started.
 
 #[path = "../../admission/tests/common/mod.rs"]
 mod common;
@@ -22,16 +22,16 @@
 const TICK_MS: u64 = 10;
 /// A run waits for the disk most of the time, so that the cores look idle and the running limit grows.
 const RUN_MS: u64 = 400;
-/// Between the end of a processor and the greeting of the next, beside that one's age.
+/// Between the end of a processor and the greeting of the next, without that one's age.
 const DOWN_MS: u64 = 300;
-/// Seeds of the drawn courses.
+/// Random sequences that are tested.
 const SEEDS: u64 = 80;
 
-/// What the settings say of a cold server.
+/// The settings of slow start.
 #[derive(Debug, Clone, Copy)]
 struct Cold {
     cores: u32,
-    /// Runs a core that a warm server survives, the least share of its speed, and the time until it is warm.
+    /// Runs for each core that a warm server survives, the share of that when cold, and the time until it is warm.
     tip: f64,
     share: f64,
     ms: u64,
@@ -41,7 +41,7 @@
 const USUAL: Cold = Cold { cores: 4, tip: 4.0, share: 0.25, ms: 10_000 };
 
 impl Cold {
-    /// What a processor survives at an age: the wire page's rule 4, with the slowest warming that it allows.
+    /// Runs that a processor survives at an age: rule 4 of the wire page, with the slowest warm-up that it allows.
     fn survives(&self, cold: bool, age_ms: u64) -> f64 {
         let warm = if self.ms == 0 { 1.0 } else { (age_ms as f64 / self.ms as f64).min(1.0) };
         let share = if cold { self.share + (1.0 - self.share) * warm } else { 1.0 };
@@ -62,7 +62,7 @@
     notices: u64,
     sent: u64,
     runs: VecDeque<(u64, RequestId)>,
-    /// The most that ran at once, and by how much at the worst that was more than a processor of its age survives.
+    /// The most runs at once, and the largest excess over what a processor of its age survives.
     most: usize,
     excess: f64,
 }
@@ -101,7 +101,7 @@
         server
     }
 
-    /// A processor that started so long ago greets; runs of one before it are gone.
+    /// A processor that started so long ago greets; runs of the one before have ended.
     fn processor_starts(&mut self, cold: bool, age_ms: u64) {
         self.runs.clear();
         self.now_ms += DOWN_MS + age_ms.min(1_000);
@@ -114,7 +114,7 @@
         self.greets_as(false);
     }
 
-    /// The same; whether the shell finds that it is another processor than the one before.
+    /// The same; `another` says whether the shell finds another processor than before.
     fn greets_as(&mut self, another: bool) {
         self.link += 1;
         let age = Span((self.now_ms - self.started_ms) * MS);
@@ -130,7 +130,7 @@
         self.set.survives(self.cold, self.now_ms - self.started_ms)
     }
 
-    /// Other rules are committed.
+    /// Other settings of slow start are committed.
     fn commit(&mut self, set: Cold) {
         self.set = Cold { cores: self.set.cores, ..set };
         let rules = [Rule::TipMultiple(set.tip), Rule::ColdShare(set.share), Rule::Cold(Span(set.ms * MS))];
@@ -149,7 +149,7 @@
             self.reducer.step(moment, inputs.drain(..), &mut effects);
             for effect in effects {
                 match effect {
-                    // For a request that runs already nothing happens.
+                    // A start of a request that runs already has no effect.
                     Effect::StartRun { link, id, .. } if link == self.link && !self.runs(&id) => {
                         self.runs.push_back((self.now_ms, id));
                         self.most = self.most.max(self.runs.len());
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Some time under more requests than it can run.
+    /// Advances under more requests than it can run.
     fn busy(&mut self, ms: u64) {
         let end = self.now_ms + ms;
         while self.now_ms < end {
@@ -202,8 +202,8 @@
     }
 }
 
-/// Guards against a processor that is taken to be warm because the one before it was: it started again beside a server that
-/// went on, and falls over with what a warm one survives.
+/// Guards against a processor that is taken for warm because the one before was: it restarted beside a server that went on, and
+/// falls over under what a warm one survives.
 #[test]
 fn cold_restart_gets_no_more_than_a_cold_processor_survives() {
     let mut server = Server::new(USUAL);
@@ -218,7 +218,7 @@
     assert!(server.most > 10, "{}: it never got warm", server.most);
 }
 
-/// Guards against a server that stays careful for ever: the processor that comes after a cold one may be warm.
+/// Guards against slow start without an end: the processor that comes after a cold one may be warm.
 #[test]
 fn warm_restart_gets_what_a_warm_processor_survives() {
     let mut server = Server::new(USUAL);
@@ -231,7 +231,7 @@
     assert!(server.most > 10, "{}: it goes on as a cold one", server.most);
 }
 
-/// Guards the age that counts: a link that falls and comes again while the processor warms makes it neither colder nor
+/// Guards the age that counts: a link that falls and comes up again while the processor warms up makes it neither colder nor
 /// warmer, and a server that finds a cold processor goes by that one's age.
 #[test]
 fn link_loss_during_warm_up_changes_nothing() {
@@ -258,8 +258,8 @@
     }
 }
 
-/// Guards rule 4 on drawn courses: processors that restart cold or warm, old or new, links that fall, and rules that are
-/// committed during the warm-up, with settings at their edges. At each begin of a run no more run than are survived.
+/// Guards rule 4 on random sequences: processors that restart cold or warm, old or new, links that fall, and rules that are
+/// committed during the warm-up, with settings at their bounds. At each start of a run no more run than are survived.
 #[test]
 fn no_sequence_of_restarts_and_rules_exceeds_what_is_survived() {
     let first = std::env::var("SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(1);
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A reducer for tests: the settings of the module's tests, with no calls below, and steps of virtual time.
+//! A reducer for tests, with the settings of the admission module's tests and without upstream calls, and steps of virtual
+//! time.
 
 #[path = "../../../admission/tests/common/mod.rs"]
 mod common;
@@ -15,7 +16,7 @@
 /// Nanoseconds in a millisecond.
 pub const MS: u64 = 1_000_000;
 
-/// A server with 128 descriptors that has not heard of its processor yet.
+/// A server with 128 descriptors whose processor has not greeted yet.
 pub fn reducer() -> Reducer {
     let mut settings = common::base();
     settings["specifics"]["below"] = json!("off");
@@ -27,7 +28,7 @@
     Reducer::new(&config, settings, Registration::default()).expect("whole")
 }
 
-/// One step at so many milliseconds, by both clocks.
+/// One step at this time by both clocks.
 pub fn step(reducer: &mut Reducer, ms: u64, inputs: Vec<Input>) -> Vec<Effect> {
     let mut effects = Vec::new();
     reducer.step(Timestamp { now: Time(ms * MS), unix_ms: ms }, inputs, &mut effects);
