--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,11 @@
 //! All state of one tile server and all changes to it, without I/O and without a clock: `(now, inputs) -> effects`.
 //!
-//! [`reducer`] hosts the decision module and owns the requests, connections, keys, timers and the server's registration;
-//! [`messages`] is what crosses its border, in terms of no protocol; [`idempotency_log`] says what of the keyed requests must be
-//! durable, and when. Shells of threads and sockets carry that out.
+//! [`reducer`] hosts the admission module and owns the requests, connections, idempotency keys, timers and the server's
+//! registration. [`messages`] holds its inputs and effects, independent of any protocol; shells of threads and sockets deliver
+//! the inputs and carry out the effects. The other modules each own a part of the reducer's state, and can be tested without
+//! it.
+
+#![warn(missing_docs)]
 
 pub mod admin;
 pub mod buffer_pool;
@@ -12,6 +15,7 @@
 pub mod handover;
 pub mod idempotency_log;
 pub mod idempotency_table;
+mod idle_connections;
 pub mod keyed_run;
 pub mod messages;
 pub mod pending_claims;
@@ -21,7 +25,6 @@
 pub mod reload;
 pub mod request_metrics;
 pub mod response;
-mod resting;
 pub mod slots;
 pub mod tenants;
 pub mod timer_wheel;
--- a/crates/core/src/reducer/configuration/tests.rs
+++ b/crates/core/src/reducer/configuration/tests.rs
@@ -1,4 +1,5 @@
-//! Committed changes and whole states on their way into force, without a network: what dissemination says is handed in.
+//! Committed changes and complete states on their way into force, without a network: the effects of dissemination are called
+//! directly.
 
 #[path = "../../../../admission/tests/common/mod.rs"]
 mod common;
@@ -28,7 +29,7 @@
     Config::parse(&config.to_string()).expect("a whole configuration")
 }
 
-/// A server whose service is on, with this state in the place of its start file's.
+/// A server whose service is on, with this state in place of its start file's.
 fn server(state: impl FnOnce(Configuration) -> Configuration) -> Reducer {
     let config = config();
     let base = Configuration::from_settings(&config.settings).expect("a base");
@@ -73,10 +74,14 @@
 
 fn status(reducer: &mut Reducer, now: Time) -> StatusReply {
     let mut effects = Vec::new();
-    let call = AdminRequest::Configuration(ConfigurationAdminRequest::Status);
-    reducer.step(Timestamp { now, ..Timestamp::default() }, [Input::AdminRequest(1, call)], &mut effects);
+    let request = AdminRequest::Configuration(ConfigurationAdminRequest::Status);
+    reducer.step(
+        Timestamp { now, ..Timestamp::default() },
+        [Input::AdminRequest { id: 1, request }],
+        &mut effects,
+    );
     let answer = effects.into_iter().find_map(|effect| match effect {
-        Effect::AnswerAdmin(1, AdminResponse::Configuration(answer)) => Some(*answer),
+        Effect::AnswerAdmin { id: 1, response: AdminResponse::Configuration(answer) } => Some(*answer),
         _ => None,
     });
     match answer {
@@ -86,17 +91,17 @@
 }
 
 #[test]
-fn a_whole_state_comes_into_force_one_transaction_a_step_and_commits_wait_behind_it() {
+fn complete_state_applies_one_transaction_per_step_before_later_commits() {
     let mut target = Configuration::from_settings(&config().settings).expect("a base");
     for piece in 0..MANY / 1_000 {
         commit(&mut target, (0..1_000).map(|n| put_tenant(piece * 1_000 + n)).collect());
     }
     let mut reducer = server(|base| base);
     step(&mut reducer, Time(1));
-    reducer.take_state(Snapshot::of(&target));
+    reducer.receive_state(Snapshot::of(&target));
     let installed = target.version();
     let after_it = commit(&mut target, vec![put_tenant(MANY)]);
-    reducer.take_commit(after_it);
+    reducer.receive_commit(after_it);
     let mut seen = Vec::new();
     let mut steps = 0;
     while seen.last() != Some(&target.version()) {
@@ -105,69 +110,69 @@
         let before = reducer.tenants.in_force();
         step(&mut reducer, Time(1 + steps));
         assert!(reducer.tenants.in_force() - before <= 1_024, "no more than a transaction a step");
-        let version = reducer.committed.0.as_ref().expect("on").in_force.version();
+        let version = reducer.configuration.service.as_ref().expect("on").in_force.version();
         if seen.last() != Some(&version) {
             seen.push(version);
         }
     }
     assert!(steps > 3, "several steps");
-    assert_eq!(seen[seen.len() - 2..], [installed, target.version()], "and nothing in between is told");
+    assert_eq!(seen[seen.len() - 2..], [installed, target.version()], "and nothing in between is shown");
     assert_eq!(reducer.tenants.in_force(), MANY + 1);
 }
 
 #[test]
-fn a_commit_that_this_program_cannot_apply_leaves_the_last_state_in_force_and_is_tried_again() {
+fn inapplicable_commit_keeps_the_last_state_and_is_retried() {
     // The state has a class that the reducer was not made with.
-    let ghost = |base: &Configuration| {
+    let extra_class = |base: &Configuration| {
         let mut profile = base.class("read").expect("there").profile.clone();
         profile.name = "ghost".into();
         Arc::new(ClassDefinition { profile, calls: false, skip_weight: 0.0 })
     };
     let mut class = None;
     let mut reducer = server(|base| {
-        let made = ghost(&base);
-        class = Some(Arc::clone(&made));
+        let definition = extra_class(&base);
+        class = Some(Arc::clone(&definition));
         let mut state = base;
-        commit(&mut state, vec![Change::PutClass(made)]);
+        commit(&mut state, vec![Change::PutClass(definition)]);
         state
     });
-    let mut state = reducer.committed.0.as_ref().expect("on").in_force.clone();
+    let mut state = reducer.configuration.service.as_ref().expect("on").in_force.clone();
     let before = state.revision();
     let removal = commit(&mut state, vec![Change::RemoveClass("ghost".into())]);
-    reducer.committed.0.as_mut().expect("on").spread.committed(Time(1), removal);
+    reducer.configuration.service.as_mut().expect("on").dissemination.committed(Time(1), removal);
     step(&mut reducer, Time(1));
-    let told = status(&mut reducer, Time(2));
-    assert_eq!((told.revision, told.newest), (before, state.revision()));
-    assert!(told.cannot_apply.is_some_and(|why| why.contains("ghost")));
+    let reply = status(&mut reducer, Time(2));
+    assert_eq!((reply.revision, reply.newest), (before, state.revision()));
+    assert!(reply.cannot_apply.is_some_and(|why| why.contains("ghost")));
     reducer
         .apply_transaction(&Transaction { changes: vec![Change::PutClass(class.expect("made"))] })
         .expect("put");
     assert_eq!(status(&mut reducer, Time(3)).revision, before, "not before its time");
-    step(&mut reducer, time_after(Time(3), RETRY));
-    let told = status(&mut reducer, time_after(Time(4), RETRY));
-    assert_eq!((told.revision, told.cannot_apply), (state.revision(), None));
+    step(&mut reducer, time_after(Time(3), RETRY_INTERVAL));
+    let reply = status(&mut reducer, time_after(Time(4), RETRY_INTERVAL));
+    assert_eq!((reply.revision, reply.cannot_apply), (state.revision(), None));
 }
 
 #[test]
-fn a_state_that_nobody_confirms_is_told_as_stale_once_and_holds() {
+fn unconfirmed_state_is_logged_as_stale_once_and_stays_in_force() {
     let mut reducer = server(|base| base);
-    let told = |effects: Vec<Effect>| {
-        let stale = |effect: &&Effect| matches!(effect, Effect::Log(_, text) if text.contains("stale"));
+    let count_stale = |effects: Vec<Effect>| {
+        let stale = |effect: &&Effect| matches!(effect, Effect::Log { text, .. } if text.contains("stale"));
         effects.iter().filter(stale).count()
     };
-    assert_eq!(told(step(&mut reducer, Time(59_000 * MS))), 0);
-    assert_eq!(told(step(&mut reducer, Time(61_000 * MS))), 1);
-    assert_eq!(told(step(&mut reducer, Time(70_000 * MS))), 0);
+    assert_eq!(count_stale(step(&mut reducer, Time(59_000 * MS))), 0);
+    assert_eq!(count_stale(step(&mut reducer, Time(61_000 * MS))), 1);
+    assert_eq!(count_stale(step(&mut reducer, Time(70_000 * MS))), 0);
     let status = status(&mut reducer, Time(70_000 * MS));
     assert!(status.stale && status.age_s == Some(70.0) && status.source == Source::StartFile);
 }
 
 #[test]
-fn without_the_service_its_calls_are_refused() {
+fn rejects_configuration_requests_without_the_service() {
     let config = config();
     let settings = Arc::new(config.settings.clone());
     let mut reducer = Reducer::new(&config, settings, Registration::default()).expect("a server");
-    let answer = reducer.configuration_call(ConfigurationAdminRequest::Status);
+    let answer = reducer.configuration_request(ConfigurationAdminRequest::Status);
     assert_eq!(answer, ConfigurationAdminResponse::Rejected(AdminError::Off));
     assert!(!reducer.configuration_message(&"n2".into(), &[3, 1]), "a consensus message");
     assert!(reducer.configuration_message(&"n2".into(), &[CONFIGURATION_TAG, 1]), "and none");
--- a/crates/core/src/reducer/mod.rs
+++ b/crates/core/src/reducer/mod.rs
@@ -1,25 +1,29 @@
-//! All state of the tile server, and all changes to it: inputs in, effects out.
+//! All state of one tile server and all changes to it: [`Input`]s in, [`Effect`]s out.
 //!
-//! The reducer hosts one [`Controller`] and decides nothing itself. It does no I/O and reads no clock, so a
-//! test can drive it through any course of events. This file steps and routes; each concern has a file with the state
-//! that it alone changes.
+//! The reducer hosts one [`Controller`], which decides about requests, and carries out its actions on the state. It does no I/O
+//! and reads no clock, so that a test can drive it through any course of events. This file steps and routes. Each concern has a
+//! file with the state that it alone changes, and its methods of [`Reducer`].
 
-mod agreed;
-mod calls;
-mod cells;
-mod claims;
+mod admin;
+mod admission_actions;
+mod agreements;
+mod cluster;
 mod configuration;
-mod configuration_calls;
+mod configuration_admin;
 mod connections;
+mod counter_cells;
 mod drain;
-mod fleet;
-mod housekeeping;
-mod keeping;
-mod link;
-mod operators;
-mod requests;
+mod open_requests;
+mod persistence;
+mod processor_link;
+mod request_intake;
+mod responses;
+mod run_claims;
 mod runs;
-mod settings;
+mod schedule;
+mod settings_changes;
+mod settings_reload;
+mod upstream_calls;
 
 use crate::admin::OperatorDrain;
 use crate::buffer_pool::BufferPool;
@@ -27,78 +31,107 @@
 use crate::config::{Config, ConfigError};
 use crate::handover::Handover;
 use crate::idempotency_log::IdempotencyLog;
-use crate::idempotency_table::{IdempotencyTable, RunOutcome};
-use crate::messages::{Effect, Input, Response, UpstreamCallId, earliest};
+use crate::idempotency_table::IdempotencyTable;
+use crate::messages::{ConnectionId, Effect, Input, SequenceId, UpstreamCallId, earliest};
 use crate::pending_claims::PendingClaims;
 use crate::registration::Registration;
 use crate::request_metrics::RequestMetrics;
 use crate::tenants::Tenants;
 use crate::timestamp::Timestamp;
-use agreed::Agreed;
-use configuration::Committed;
+use agreements::Agreements;
+use cluster::ClusterState;
+pub use cluster::{cell_names, lent_share};
+use configuration::ConfigurationState;
 use connections::Connections;
 use drain::Drain;
-use fleet::Fleet;
-pub use fleet::{cell_names, lent_share};
 use gradepin_admission::{
     Action, ClassDefinition, Controller, Event, Settings, Span, Tenant, Time, time_after,
 };
-use housekeeping::Duties;
-use keeping::Past;
-use link::Link;
-use requests::{Open, Requests, State};
-use settings::Changes;
-pub use settings::{Applied, ApplyError, Named};
+use open_requests::OpenRequests;
+use persistence::Recovery;
+use processor_link::ProcessorLink;
+use schedule::Schedule;
+use settings_changes::SettingsChanges;
+pub use settings_changes::{ApplyError, ApplySummary, NameList};
 use slog::Level;
 use std::sync::Arc;
 
 const MS: u64 = 1_000_000;
-/// Part of the memory for the results of keyed runs.
-const RESULTS_PART: usize = 6;
+/// Retained results of keyed runs may take the memory of the process divided by this.
+const RESULT_MEMORY_DIVISOR: usize = 6;
 
 /// The state of one tile server.
 pub struct Reducer {
+    /// The active settings without classes and tenants.
     settings: Arc<Settings>,
     config: Config,
     seed: u64,
+    /// The admission module; none before the processor's first greeting.
     controller: Option<Controller>,
-    moment: Timestamp,
-    requests: Requests,
-    conns: Connections,
-    keys: IdempotencyTable,
-    ledger: IdempotencyLog,
-    /// Where the process after this one in an upgrade shares what runs.
-    claims: PendingClaims,
-    past: Past,
-    link: Link,
+    /// Of the step that is being taken.
+    timestamp: Timestamp,
+    requests: OpenRequests,
+    connections: Connections,
+    idempotency_table: IdempotencyTable,
+    idempotency_log: IdempotencyLog,
+    /// Runs that wait for their claims, where the two processes of an upgrade share them.
+    pending_claims: PendingClaims,
+    recovery: Recovery,
+    processor: ProcessorLink,
     drain: Drain,
-    duties: Duties,
-    /// What it shares with other servers, where they may talk to each other.
-    fleet: Fleet,
-    /// Its part in what that fleet agrees on.
-    agreed: Agreed,
-    /// Classes, tenants and rules by committed revisions, where that service is on.
-    committed: Committed,
-    active: bool,
-    hint: Option<f64>,
+    schedule: Schedule,
+    /// What it shares with other servers, where there is a cluster.
+    cluster: ClusterState,
+    /// Its part in permits and rollouts, where there is a consensus group.
+    agreements: Agreements,
+    /// The committed configuration, where that service is on.
+    configuration: ConfigurationState,
+    /// Whether the admission module says that the server takes requests.
+    healthy: bool,
+    /// The hint that each response carries, once the admission module has set it.
+    capacity_hint: Option<f64>,
     registration: Registration,
-    /// The classes and tenants in force; `settings` are all others.
     classes: Classes,
     tenants: Tenants,
-    changes: Changes,
-    /// Calls to the ledger made so far.
-    calls: UpstreamCallId,
-    /// The drain that operators order at their door, and the figures they scrape.
-    door: OperatorDrain,
-    tally: RequestMetrics,
-    /// For the module's next turn.
+    settings_changes: SettingsChanges,
+    /// Id of the last call to the shared upstream.
+    last_upstream_call: UpstreamCallId,
+    operator_drain: OperatorDrain,
+    metrics: RequestMetrics,
+    /// Events that the admission module handles next.
     events: Vec<Event>,
+    /// Kept for its memory; empty between steps.
     actions: Vec<Action>,
+    /// Effects of this step so far.
     effects: Vec<Effect>,
 }
 
+/// What all messages of clients have in common.
+struct ClientMessage {
+    connection: ConnectionId,
+    sequence: SequenceId,
+    /// Whether it is owed a response.
+    is_request: bool,
+}
+
+impl ClientMessage {
+    fn of(input: &Input) -> Option<Self> {
+        match input {
+            Input::Request { connection, sequence, .. }
+            | Input::InvalidRequest { connection, sequence, .. }
+            | Input::HealthCheck { connection, sequence } => {
+                Some(Self { connection: *connection, sequence: *sequence, is_request: true })
+            }
+            Input::Cancel { connection, sequence } => {
+                Some(Self { connection: *connection, sequence: *sequence, is_request: false })
+            }
+            _ => None,
+        }
+    }
+}
+
 impl Reducer {
-    /// The state at the start of a server.
+    /// The state at the start of a server. Errors: the seed of `config` is no hex number.
     pub fn new(
         config: &Config,
         settings: Arc<Settings>,
@@ -109,7 +142,7 @@
         Self::with_definitions(&config, classes, tenants, registration)
     }
 
-    /// The same, with the classes and tenants, in slots by their order, apart from the settings of the configuration.
+    /// The same, with the classes and tenants apart from the settings of the configuration; they take slots in their order.
     pub fn with_definitions(
         config: &Config,
         classes: Vec<Arc<ClassDefinition>>,
@@ -118,272 +151,170 @@
     ) -> Result<Self, ConfigError> {
         let settings = config.settings.clone();
         let classes = Classes::new(classes);
-        let window = classes.longest_window();
+        let longest_window = classes.longest_window();
         Ok(Self {
             seed: config.seed()?,
             config: config.clone(),
             settings: Arc::new(settings),
             controller: None,
-            moment: Timestamp::default(),
-            requests: Requests::new(config),
-            conns: Connections::new(config.connections()),
-            keys: IdempotencyTable::new(config.memory(RESULTS_PART)),
-            ledger: IdempotencyLog::off(),
-            claims: PendingClaims::default(),
-            past: Past::new(config.seed()?),
-            link: Link::default(),
+            timestamp: Timestamp::default(),
+            requests: OpenRequests::new(config),
+            connections: Connections::new(config.connections()),
+            idempotency_table: IdempotencyTable::new(config.memory(RESULT_MEMORY_DIVISOR)),
+            idempotency_log: IdempotencyLog::disabled(),
+            pending_claims: PendingClaims::default(),
+            recovery: Recovery::new(config.seed()?),
+            processor: ProcessorLink::default(),
             drain: Drain::new(Span(config.stop_ms.saturating_mul(MS))),
-            duties: Duties::default(),
-            fleet: Fleet::default(),
-            agreed: Agreed::default(),
-            committed: Committed::default(),
-            active: false,
-            hint: None,
+            schedule: Schedule::default(),
+            cluster: ClusterState::default(),
+            agreements: Agreements::default(),
+            configuration: ConfigurationState::default(),
+            healthy: false,
+            capacity_hint: None,
             registration,
             classes,
             tenants: Tenants::new(tenants),
-            changes: Changes::starting(window),
-            calls: 0,
-            door: OperatorDrain::default(),
-            tally: RequestMetrics::default(),
+            settings_changes: SettingsChanges::new(longest_window),
+            last_upstream_call: 0,
+            operator_drain: OperatorDrain::default(),
+            metrics: RequestMetrics::default(),
             events: Vec::new(),
             actions: Vec::new(),
             effects: Vec::new(),
         })
     }
 
-    /// For a process whose listener is inherited and shared with the one that comes after it in an upgrade.
+    /// For a process whose listener is inherited and shared with its successor in an upgrade.
     pub fn sharing_listener(mut self) -> Self {
         self.drain.handover = Handover::shared();
         self
     }
 
-    /// For a process that shares its keyed runs with the other one of an upgrade; this salt keys the prints of both, and is
-    /// told later ([`Input::RunsShared`]) where they can't be shared yet. Not beside a store, which has one owner and a salt
-    /// of its own.
+    /// For a process that shares its keyed runs with the other one of an upgrade. `salt` keys the fingerprints of both; without
+    /// it, it comes with [`Input::RunsShared`] once the runs can be shared. Not together with a store, which has one owner and
+    /// a salt of its own.
     pub fn sharing_runs(mut self, salt: Option<u64>) -> Self {
-        self.claims = PendingClaims::shared();
-        self.past.salt = salt.unwrap_or(self.past.salt);
+        self.pending_claims = PendingClaims::shared();
+        self.recovery.salt = salt.unwrap_or(self.recovery.salt);
         self
     }
 
-    /// With a store that is being opened, whose records go by this ledger.
-    pub fn with_store(mut self, ledger: IdempotencyLog, pool: Arc<BufferPool>) -> Self {
-        (self.ledger, self.past.pool) = (ledger, pool);
+    /// With a store that is being opened, whose records go by this log. Results that it recovers take buffers of `pool`.
+    pub fn with_store(mut self, log: IdempotencyLog, pool: Arc<BufferPool>) -> Self {
+        (self.idempotency_log, self.recovery.pool) = (log, pool);
         self
     }
 
-    /// Takes in all inputs, lets the module decide once, and appends what is to be done.
+    /// Applies all inputs in their order, lets the admission module decide once, and appends the effects.
     pub fn step(
         &mut self,
-        moment: Timestamp,
+        timestamp: Timestamp,
         inputs: impl IntoIterator<Item = Input>,
         effects: &mut Vec<Effect>,
     ) {
-        self.moment = moment;
-        self.past.step(moment.now);
+        self.timestamp = timestamp;
+        self.recovery.note_step(timestamp.now);
         for input in inputs {
             self.input(input);
         }
         self.reload_step();
-        self.fire();
+        self.fire_timers();
         self.decide();
-        self.agreed_step();
+        self.agreements_step();
         self.configuration_step();
-        self.fleet_step();
-        self.housekeeping();
+        self.cluster_step();
+        self.periodic_step();
         effects.append(&mut self.effects);
     }
 
     /// When [`Reducer::step`] must be called again though nothing came in.
     pub fn wake_at(&self) -> Option<Time> {
-        if !self.events.is_empty() || self.changes.is_pending() || !self.effects.is_empty() {
-            return Some(self.moment.now);
+        let now = self.timestamp.now;
+        if !self.events.is_empty() || self.settings_changes.is_reloading() || !self.effects.is_empty() {
+            return Some(now);
         }
-        let timer = self.duties.timer_at(self.moment.now, self.link.open_since);
-        let own = earliest(
-            earliest(timer, self.drain.wake_at()),
-            earliest(self.ledger.wake_at(), self.past.hope()),
-        );
-        let own = earliest(earliest(own, self.fleet.wake_at(self.moment.now)), self.agreed.wake_at());
-        let own = self.configuration_wake_at(own);
-        earliest(earliest(own, self.registration.wake_at(self.moment.now)), Some(self.duties.wake_at()))
+        let due = [
+            self.schedule.timer_due_at(now, self.processor.reading_since),
+            self.drain.wake_at(),
+            self.idempotency_log.wake_at(),
+            self.recovery.wait_until(),
+            self.cluster.wake_at(now),
+            self.agreements.wake_at(),
+            self.configuration.wake_at(now),
+            self.registration.wake_at(now),
+            Some(self.schedule.wake_at()),
+        ];
+        due.into_iter().fold(None, earliest)
     }
 
     fn log(&mut self, level: Level, text: String) {
-        self.effects.push(Effect::Log(level, text));
+        self.effects.push(Effect::Log { level, text });
+    }
+
+    /// Counts a message of a client on its connection; false if it must be dropped, as its sequence number is taken.
+    fn accept_message(&mut self, input: &Input) -> bool {
+        let Some(message) = ClientMessage::of(input) else { return true };
+        self.connections.message_received(message.connection);
+        !message.is_request || !self.reject_duplicate_sequence(message.connection, message.sequence)
     }
 
     fn input(&mut self, input: Input) {
-        if let Input::Request(conn, ..)
-        | Input::InvalidRequest(conn, ..)
-        | Input::Cancel(conn, _)
-        | Input::HealthCheck(conn, _) = &input
-        {
-            self.conns.took(*conn);
-        }
-        if let Input::Request(conn, seq, _)
-        | Input::InvalidRequest(conn, seq, ..)
-        | Input::HealthCheck(conn, seq) = &input
-            && self.came_twice(*conn, *seq)
-        {
+        if !self.accept_message(&input) {
             return;
         }
+        let now = self.timestamp.now;
         match input {
-            Input::ConnectionOpened(conn) => self.opened(conn),
-            Input::ConnectionHalfClosed(conn) => self.input_ended(conn),
-            Input::ConnectionLate(conn) => self.late(conn),
-            Input::ConnectionClosed(conn) => self.closed(conn),
-            Input::Request(conn, seq, call) => self.call(conn, seq, *call),
-            Input::InvalidRequest(conn, seq, misuse, why) => self.invalid(conn, seq, None, misuse, why),
-            Input::Cancel(conn, seq) => self.cancel(conn, seq),
-            Input::HealthCheck(conn, seq) => {
-                self.conns.rest(conn, self.moment.now);
-                let good = self.active && self.door.failed_since().is_none();
-                let health = Response::Health(good, self.ledger.standing(self.moment.now).word());
-                self.effects.push(Effect::Respond(conn, seq, health, self.hint));
-                self.close_if_over(conn);
+            Input::ConnectionOpened(connection) => self.connection_opened(connection),
+            Input::ConnectionHalfClosed(connection) => self.connection_half_closed(connection),
+            Input::ConnectionLate(connection) => self.connection_late(connection),
+            Input::ConnectionClosed(connection) => self.connection_closed(connection),
+            Input::ConnectionThrottled { connection, duration } => {
+                self.connections.throttled(connection, time_after(now, duration))
             }
-            Input::LinkUp { link, cold, age } => self.link_up(link, cold, age),
-            Input::LinkDown => {
-                self.registration.processor_silent(self.moment.now);
-                self.link.down();
+            Input::Request { connection, sequence, request } => {
+                self.receive_request(connection, sequence, *request)
             }
-            Input::ProcessorRestarted => self.restarted(),
+            Input::InvalidRequest { connection, sequence, error, text } => {
+                self.reject_invalid(connection, sequence, None, error, text)
+            }
+            Input::Cancel { connection, sequence } => self.cancel_request(connection, sequence),
+            Input::HealthCheck { connection, sequence } => self.answer_health_check(connection, sequence),
+            Input::LinkUp { link, cold, age } => self.link_up(link, cold, age),
+            Input::LinkDown => self.link_down(),
+            Input::ProcessorRestarted => self.processor_restarted(),
             Input::RunCompleted { notice, id, end, took, result } => {
-                if self.link.notice(notice, self.moment.now) {
-                    self.complete(&id, end, took, result);
-                } else if self.keys.hopes() {
-                    self.learned(&id, end, &result);
-                }
+                self.run_completed(notice, &id, end, took, result)
             }
             Input::UpstreamCallRequested { notice, id, body } => {
-                if self.link.notice(notice, self.moment.now) {
-                    self.asks(&id, body);
-                }
-            }
-            Input::UpstreamCallEnded { id, number, outcome, reply } => {
-                self.called(&id, number, outcome, reply)
-            }
-            Input::RunClaimed(id, claim) => self.claimed(&id, claim),
-            Input::RunsShared(salt) => {
-                self.past.salt = salt;
-                self.log(Level::Info, "keyed runs are shared from now on".into());
-            }
-            Input::GaugesRead(tag, values) => {
-                self.link.heard = self.moment.now;
-                self.used(tag, &values);
-            }
-            Input::RunNotStarted(id) => self.rejected(&id),
-            Input::ConnectionThrottled(conn, pause) => {
-                self.conns.paced(conn, time_after(self.moment.now, pause))
-            }
-            Input::ShutdownNotice => self.terminate(),
-            Input::StoppedAccepting => self.drain.handover.stopped(),
-            Input::TakeOutOfService => {
-                if !self.asks_to_leave() {
-                    self.take_out();
-                }
-            }
-            Input::ReturnToService => {
-                self.asks_to_stay();
-                self.take_in();
-            }
-            Input::VoterStateWritten(number) => self.council_written(number),
-            Input::VoterStateFailed(found, why) => self.council_failed(*found, &why),
-            Input::ConfigurationWritten(written) => self.configuration_written(written),
-            Input::StagedSettingsChanged(settings, staged) => self.settings_are(settings, staged),
-            Input::RolloutStepFailed(release, why) => self.change_failed(release, why),
-            Input::RegistryReply(ticket, reply) => self.registration.reply(self.moment.now, ticket, reply),
-            Input::Reload(config) => self.reload(config),
-            Input::ReloadRejected(why) => self.reload_refused(&why),
-            Input::AdminRequest(id, call) => self.admin(id, call),
-            Input::StoreRecovered(recovered) => self.recovered(*recovered),
-            Input::StorePersisted(upto) => {
-                for id in self.ledger.persisted(self.moment.now, upto) {
-                    if self.requests.running(&id).is_some() {
-                        self.begin(&id);
-                    }
-                }
-            }
-            Input::PeerDatagram(envelope) => self.envelope_received(&envelope),
-            Input::PeerDatagramsDropped(dropped) => self.envelopes_dropped(&dropped),
-            Input::AuthenticationKeysReloaded(keys) => self.fleet_keys(keys),
-            Input::StoreFailed(upto, why) => {
-                for id in self.ledger.failed(self.moment.now, upto, &why) {
-                    self.never_ran(&id);
-                }
-            }
-        }
-    }
-
-    fn decide(&mut self) {
-        let Some(controller) = &mut self.controller else { return };
-        if self.events.is_empty() && !self.duties.has_turn(self.moment.now) {
-            return;
-        }
-        let mut actions = std::mem::take(&mut self.actions);
-        controller.handle(self.moment.now, &self.events, &mut actions);
-        self.events.clear();
-        for action in actions.drain(..) {
-            self.act(action);
-        }
-        self.actions = actions;
-        for id in self.requests.decided() {
-            self.forget(&id);
-        }
-    }
-
-    fn act(&mut self, action: Action) {
-        match action {
-            Action::Run(id) => self.process(&id),
-            Action::Reject { id, retry_after, last } => {
-                self.finish(&id, Response::Rejected { backoff: retry_after, last })
-            }
-            Action::Fail(id) => {
-                let late = self.is_late(&id);
-                self.finish(&id, Response::Failed { late });
-            }
-            Action::RetainIdempotencyKey { id, retain_for } => {
-                let until = time_after(self.moment.now, retain_for);
-                if let Some((token, print)) = self.requests.get(&id).and_then(Open::key) {
-                    self.keys.remember(token, print, &id, until);
-                }
-            }
-            Action::ReleaseIdempotencyKey(id) => {
-                if let Some(token) = self.requests.get(&id).and_then(|open| open.token.as_ref()) {
-                    self.keys.release(token, &id);
-                }
-            }
-            Action::JoinRun(id) => {
-                let Some(open) = self.requests.get_mut(&id) else { return };
-                open.state = State::Joined(self.moment.now);
-                let token = open.token.clone();
-                let end = token.map_or(Some(RunOutcome::Failed), |token| self.keys.join(&token, &id));
-                if let Some(end) = end {
-                    self.joined(&id, end);
-                }
-            }
-            Action::ReportHealth { active, .. } => {
-                if active != self.active {
-                    self.active = active;
-                    self.registration.health(self.moment.now, active);
-                    self.changed();
-                    self.log(Level::Info, format!("health is {}", if active { "good" } else { "bad" }));
-                }
+                self.upstream_call_requested(notice, &id, body)
             }
-            Action::AdvertiseCapacity(value) => self.hint = Some(value),
-            Action::SetIdleTimeout(span) => self.conns.idle_limit(span),
-            Action::SetTimer(time) => self.duties.remind(time),
-            Action::Log(text) => self.log(Level::Info, text),
-            Action::CallUpstream { id, timeout } => self.ask_below(&id, timeout),
-            Action::StopRun(id) => self.interrupt(&id),
-            Action::SkipUpstreamCall(_) => {
-                self.log(
-                    Level::Error,
-                    "the module asked to go on without a call, which the processor can't".into(),
-                );
+            Input::UpstreamCallEnded { id, call, outcome, reply } => {
+                self.upstream_call_ended(&id, call, outcome, reply)
             }
+            Input::RunClaimed { id, claim } => self.run_claimed(&id, claim),
+            Input::RunsShared { salt } => self.runs_shared(salt),
+            Input::GaugesRead { number, values } => self.gauges_read(number, &values),
+            Input::RunNotStarted(id) => self.run_not_started(&id),
+            Input::ShutdownNotice => self.begin_shutdown(),
+            Input::StoppedAccepting => self.drain.handover.accepting_stopped(),
+            Input::TakeOutOfService => self.operator_takes_out(),
+            Input::ReturnToService => self.operator_returns(),
+            Input::VoterStateWritten { number } => self.voter_state_written(number),
+            Input::VoterStateFailed { recovered, reason } => self.voter_state_failed(*recovered, &reason),
+            Input::ConfigurationWritten(result) => self.configuration_written(result),
+            Input::StagedSettingsChanged { active, staged } => self.staged_settings_changed(active, staged),
+            Input::RolloutStepFailed { release, reason } => self.rollout_step_failed(release, reason),
+            Input::RegistryReply { ticket, reply } => self.registration.reply(now, ticket, reply),
+            Input::Reload(reload) => self.reload(reload),
+            Input::ReloadRejected { reason } => self.reload_rejected(&reason),
+            Input::AdminRequest { id, request } => self.admin_request(id, request),
+            Input::StoreRecovered(recovered) => self.store_recovered(*recovered),
+            Input::StorePersisted { number } => self.store_persisted(number),
+            Input::StoreFailed { number, reason } => self.store_failed(number, &reason),
+            Input::PeerDatagram(envelope) => self.peer_datagram_received(&envelope),
+            Input::PeerDatagramsDropped(dropped) => self.peer_datagrams_dropped(&dropped),
+            Input::AuthenticationKeysReloaded(keys) => self.authentication_keys_reloaded(keys),
         }
     }
 }
--- a/crates/node/src/frontend/thrift/codec.rs
+++ b/crates/node/src/frontend/thrift/codec.rs
@@ -193,15 +193,15 @@
             id: RequestId::new(id.ok_or(bad("no rid of 16 hex digits"))?),
             class,
             tenant,
-            caller: self.peer.map_or(Ok(0), |text| number("peer", Some(text)))?,
-            t0: number("t0", self.t0)?,
+            client_proxy: self.peer.map_or(Ok(0), |text| number("peer", Some(text)))?,
+            arrived_unix_ms: number("t0", self.t0)?,
             // Where the settings say that callers don't pass it on, the field is absent: its class's deadline counts then.
-            budget: self.budget.map_or(Ok(deadline_ms), |text| number("budget", Some(text)))?,
+            budget_ms: self.budget.map_or(Ok(deadline_ms), |text| number("budget", Some(text)))?,
             retry: self.again == Some("1"),
             size_kb,
             precedence,
-            token: token.map(Arc::from),
-            has_key: self.obj.is_some(),
+            idempotency_key: token.map(Arc::from),
+            has_subject: self.obj.is_some(),
             body: pool.exact(body).ok_or(bad("a body over the size limit"))?,
         })
     }
@@ -355,13 +355,13 @@
             w.answer(result, &fields, true);
             w.end()
         }
-        Response::Health(good, store) => {
+        Response::Health { healthy: good, store } => {
             fields.extend(store.map(|word| ("store", word.to_string())));
             let mut w = reply("health");
             w.answer(b"", &fields, *good);
             w.end()
         }
-        Response::Rejected { backoff, last } => {
+        Response::Rejected { retry_after: backoff, no_failover: last } => {
             if backoff.0 > 0 {
                 fields.push(("backoff", backoff.0.div_ceil(1_000_000).to_string()));
             }
@@ -375,7 +375,7 @@
             fields.push(("why", UNKNOWN_OUTCOME_TEXT.to_string()));
             thrown(reply("call"), 2, &fields)
         }
-        Response::Invalid(misuse, why) => {
+        Response::Invalid { error: misuse, text: why } => {
             let mut w = Writer::message(pool, EXCEPTION, "call", seq);
             w.field(STRING, 1);
             w.string(why.as_bytes());
