--- a/crates/gradepin/src/main.rs
+++ b/crates/gradepin/src/main.rs
@@ -12,9 +12,10 @@
 use gradepin_node::frontend::scgi::routes::Routes;
 use gradepin_node::inherited_listener::InheritedListener;
 use gradepin_node::log::{self, LogFormat};
+use gradepin_node::serve::{self, StartError};
 use gradepin_node::settings::cluster::keys;
 use gradepin_node::settings::{ActiveSettings, OperatorSettings};
-use gradepin_node::{config as configuration, serve};
+use gradepin_node::{config as configuration, signals};
 use rustix::process::{Pid, Signal, kill_process};
 use std::error::Error;
 use std::io::Write;
@@ -101,7 +102,7 @@
 }
 
 impl Files {
-    fn load(self) -> Result<(Config, OperatorSettings, serve::Files), Box<dyn Error>> {
+    fn load(self) -> Result<(Config, OperatorSettings, serve::ServerFiles), Box<dyn Error>> {
         let path = self.config.or_else(|| std::env::var_os("GW_CONFIG").map(PathBuf::from));
         let path = path.ok_or("no configuration: give --config FILE or set GW_CONFIG")?;
         let own = self.settings.as_deref().map(OperatorSettings::load).transpose()?.unwrap_or_default();
@@ -111,7 +112,15 @@
             let names = ActiveSettings::new(&config.settings);
             Routes::new(scgi, names.clone(), |class| names.class(class).is_some())?;
         }
-        Ok((config, own, serve::Files { config: path, own: self.settings, version: self.program_version }))
+        Ok((
+            config,
+            own,
+            serve::ServerFiles {
+                config: path,
+                operator_settings: self.settings,
+                version: self.program_version,
+            },
+        ))
     }
 }
 
@@ -119,7 +128,8 @@
     match command {
         Command::Serve { files, log_format } => {
             // Before a file is read, which takes its time: until then each signal ends the process.
-            let signals = serve::signals()?;
+            let signals = signals::install()
+                .map_err(|source| StartError::System { resource: "signals".into(), source })?;
             let (config, own, files) = files.load()?;
             let format = match log_format {
                 Format::Text => LogFormat::Text,
--- a/crates/gradepin/tests/held_folders.rs
+++ b/crates/gradepin/tests/held_folders.rs
@@ -93,7 +93,7 @@
         assert!(held.contains(&temp.0.join(folder).display().to_string()), "{held}");
         if leaves {
             kill(&program, "TERM");
-            assert!(lines.any(|line| line.contains("told to leave")));
+            assert!(lines.any(|line| line.contains("received SIGTERM during start-up")));
             assert!(program.wait().expect("a program").success());
         } else {
             drop(lock);
--- a/crates/gradepin/tests/life.rs
+++ b/crates/gradepin/tests/life.rs
@@ -380,7 +380,7 @@
         assert!(line.contains(&address.to_string()), "{line}");
         if leaves {
             scenario::sockets::kill(&program, "TERM");
-            assert!(lines.by_ref().map_while(Result::ok).any(|line| line.contains("told to leave")));
+            assert!(lines.by_ref().map_while(Result::ok).any(|line| line.contains("received SIGTERM during start-up")));
             assert!(program.wait().expect("a program").success());
         } else {
             drop(holder);
--- a/crates/gradepin/tests/starts.rs
+++ b/crates/gradepin/tests/starts.rs
@@ -88,7 +88,7 @@
     program.line("another process holds the address");
     if leaves {
         program.signal("TERM");
-        program.line("told to leave");
+        program.line("received SIGTERM during start-up");
         assert_eq!(program.end(), Some(0));
         drop(held);
     } else {
--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -96,12 +96,12 @@
     }
 
     /// A run that was claimed here has its end, or with none never began.
-    pub fn ended(&self, token: Arc<str>, print: Fingerprint, end: Option<RunOutcome>) {
+    pub fn release(&self, token: Arc<str>, print: Fingerprint, end: Option<RunOutcome>) {
         let _ = self.jobs.send(Job::Ended { token, print, end });
     }
 
     /// The longest window has changed.
-    pub fn window(&self, window: Span) {
+    pub fn set_longest_window(&self, window: Span) {
         let _ = self.jobs.send(Job::Window(Duration::from_nanos(window.0)));
     }
 
--- a/crates/node/src/configuration_service.rs
+++ b/crates/node/src/configuration_service.rs
@@ -107,7 +107,7 @@
     }
 
     /// Starts the thread that writes, where there is a folder.
-    pub fn writer(self, inputs: Sender<Input>) -> io::Result<Option<ConfigurationWriter>> {
+    pub fn start_writer(self, inputs: Sender<Input>) -> io::Result<Option<ConfigurationWriter>> {
         let told = move |written| {
             let _ = inputs.send_timeout(Input::ConfigurationWritten(written), TELL_PATIENCE);
         };
@@ -116,7 +116,7 @@
 }
 
 /// The settings of the consensus group's part.
-pub fn order_settings(set: &ConfigurationSettings) -> configuration_log::ConfigurationSettings {
+pub fn log_settings(set: &ConfigurationSettings) -> configuration_log::ConfigurationSettings {
     let history = u32::try_from(set.history).unwrap_or(u32::MAX).min(configuration_log::MAX_HISTORY);
     configuration_log::ConfigurationSettings { history, ..Default::default() }
 }
--- a/crates/node/src/descriptors.rs
+++ b/crates/node/src/descriptors.rs
@@ -13,7 +13,7 @@
 const LEAST: usize = 96;
 
 /// Has the system allow as many as the configuration says, as far as it does, and goes by what it allows.
-pub fn settle(limits: &mut Limits, log: &Logger) {
+pub fn apply_system_limit(limits: &mut Limits, log: &Logger) {
     let allowed = usize::try_from(raise(limits.sockets as u64)).unwrap_or(usize::MAX);
     if allowed < limits.sockets {
         warn!(log, "the system allows fewer descriptors than limits.sockets, and the server goes by that";
--- /dev/null
+++ b/crates/node/src/effects.rs
@@ -0,0 +1,201 @@
+//! Carries out the effects that the reducer asks for, each by one call of the part that it is for.
+//!
+//! Nothing here blocks the main thread or decides anything. What an effect has to say at once becomes an input of the next
+//! step ([`EffectExecutor::execute`]) and not an entry of a queue: the main thread, which empties the queues, would wait
+//! for itself where one is full.
+
+use crate::admin::Admin;
+use crate::claims::Claims;
+use crate::clock::Clock;
+use crate::configuration_writer::ConfigurationWriter;
+use crate::control::Control;
+use crate::frontend::Frontend;
+use crate::peer_datagrams::PeerDatagrams;
+use crate::processor::Processor;
+use crate::registry::Registry;
+use crate::reload::ConfigReloader;
+use crate::settings::ActiveSettings;
+use crate::staging::StagingArea;
+use crate::store::Store;
+use crate::upstream_client::{UpstreamClient, UpstreamStarter};
+use crate::voter_storage::VoterStorage;
+use crossbeam_channel::Sender;
+use gradepin_admission::{Outcome, RequestId, Span, Time};
+use gradepin_coordination::messages::StepAssignment;
+use gradepin_core::messages::{Effect, Input, UpstreamCallId};
+use slog::{Level, Logger, error, info, warn};
+use std::net::SocketAddr;
+use std::ops::ControlFlow;
+use std::sync::Arc;
+
+/// All running parts of a server. Dropped in this order: the part that was started last first.
+pub(crate) struct EffectExecutor {
+    /// The link to the processor.
+    pub processor: Processor,
+    /// Calls to the shared upstream, where there is one.
+    pub upstream: Option<UpstreamClient>,
+    /// Starts [`Self::upstream`] where a reload is the first to name an address.
+    pub upstream_starter: UpstreamStarter,
+    /// Requests to the registry.
+    pub registry: Option<Registry>,
+    /// Connections of clients.
+    pub frontend: Frontend,
+    /// Requests of operators.
+    pub admin: Option<Admin>,
+    /// The store of keyed runs.
+    pub store: Option<Store>,
+    /// Applies staged settings.
+    pub reloader: ConfigReloader,
+    /// Lets the reload thread go on to the next file.
+    pub reload_finished: Sender<()>,
+    /// Writes the last good configuration; its drop waits for the disk.
+    pub configuration_writer: Option<ConfigurationWriter>,
+    /// Datagrams to other servers.
+    pub peers: Option<PeerDatagrams>,
+    /// Writes a voter's state.
+    pub voter_storage: Option<VoterStorage>,
+    /// Takes the steps of rollouts.
+    pub staging: Option<Arc<StagingArea>>,
+    /// Reports to the control plane.
+    pub control: Control,
+    /// Keyed runs shared with the other process of an upgrade.
+    pub claims: Option<Claims>,
+    /// Names that requests may use.
+    pub names: ActiveSettings,
+    /// Urgent inputs to the reducer, for threads that effects start.
+    pub urgent_inputs: Sender<Input>,
+    /// The reducer's clock.
+    pub clock: Clock,
+    /// The log.
+    pub log: Logger,
+}
+
+/// Upstream calls at a time where a reload is the first to name an upstream: the descriptors reserved at the start have room
+/// for no more.
+const LATE_UPSTREAM_MAX_CALLS: usize = 4;
+
+impl EffectExecutor {
+    /// Carries out one effect; appends what it says at once to the inputs of the next step. Breaks at [`Effect::Exit`].
+    pub(crate) fn execute(&mut self, effect: Effect, arrived: &mut Vec<Input>) -> ControlFlow<()> {
+        match effect {
+            Effect::Respond(conn, seq, response, hint) => self.frontend.answer(conn, seq, &response, hint),
+            Effect::RequestDrain(conn) => self.frontend.draining(conn),
+            Effect::StopAccepting => self.frontend.stop_accepting(),
+            Effect::CloseConnection(conn) => self.frontend.close(conn),
+            Effect::CloseIdleConnection(conn, taken) => self.frontend.close_resting(conn, taken),
+            Effect::CloseLateConnection(conn, taken) => self.frontend.close_late(conn, taken),
+            Effect::StartRun(link, id, class, body) => {
+                self.processor.begin(link, &id, &class.profile.name, &body);
+            }
+            Effect::StopRun(link, id) => self.processor.interrupt(link, &id),
+            Effect::ReadGauges(link, tag) => self.processor.usage(link, tag),
+            Effect::DeliverUpstreamReply(link, id, reply) => self.processor.answer(link, &id, &reply),
+            Effect::ReconnectProcessor(link) => self.processor.reconnect(link),
+            Effect::ReplayNotices => self.processor.replay_notices(),
+            Effect::SetProcessorAddress(address) => self.processor.retarget(address),
+            Effect::CallUpstream(id, number, body, limit, leaves) => {
+                arrived.extend(self.call_upstream(id, number, &body, limit, leaves));
+            }
+            Effect::SetUpstreamAddress(address) => self.set_upstream_address(address),
+            Effect::ReportReadiness(ready) => self.report_readiness(ready),
+            Effect::SetControlAddress(address) => self.control.retarget(address),
+            Effect::AskRegistry(request) => if_present(&self.registry, |registry| registry.ask(request)),
+            Effect::SendPeerDatagram(to, datagram) => {
+                if_present(&self.peers, |peers| peers.send(to, &datagram));
+            }
+            Effect::PersistRecords(number, batch) => {
+                if_present(&self.store, |store| store.persist(number, batch));
+            }
+            Effect::SaveConfiguration(save) => {
+                if_present(&self.configuration_writer, |writer| writer.hand_in(save.state, save.commit));
+            }
+            Effect::WriteVoterState(generation, number, records) => {
+                if_present(&self.voter_storage, |storage| storage.write(generation, number, records));
+            }
+            Effect::StartRolloutStep(step, until) => arrived.extend(self.start_rollout_step(*step, until)),
+            Effect::ClaimRun(id, token, print, patience) => {
+                if_present(&self.claims, |claims| claims.claim(id, token, print, patience));
+            }
+            Effect::ReleaseClaim(token, print, end) => {
+                if_present(&self.claims, |claims| claims.release(token, print, end));
+            }
+            Effect::SetLongestWindow(window) => {
+                if_present(&self.claims, |claims| claims.set_longest_window(window));
+            }
+            Effect::UpdateNames { edition, changes } => self.names.publish(edition, changes),
+            Effect::ReloadFinished => self.notify_reload_finished(),
+            Effect::AnswerAdmin(id, response) => if_present(&self.admin, |admin| admin.answer(id, response)),
+            Effect::Log(level, text) => self.write_log_line(level, &text),
+            Effect::Exit => return ControlFlow::Break(()),
+        }
+        ControlFlow::Continue(())
+    }
+
+    /// Hands a call to the upstream threads; returns its end where it can't be made. Without that input the run would wait
+    /// until its caller gives up.
+    fn call_upstream(
+        &self,
+        id: RequestId,
+        number: UpstreamCallId,
+        body: &[u8],
+        limit: Span,
+        leaves: Option<Time>,
+    ) -> Option<Input> {
+        let leaves_by = leaves.map(|at| self.clock.instant(at));
+        match &self.upstream {
+            Some(upstream) => upstream.call((id, number), body, limit, leaves_by).err(),
+            None => {
+                Some(Input::UpstreamCallEnded { id, number, outcome: Outcome::ConnectFailed, reply: None })
+            }
+        }
+    }
+
+    fn set_upstream_address(&mut self, address: SocketAddr) {
+        if let Some(upstream) = &self.upstream {
+            return upstream.retarget(address);
+        }
+        match self.upstream_starter.start(address, LATE_UPSTREAM_MAX_CALLS) {
+            Ok(upstream) => self.upstream = Some(upstream),
+            Err(e) => error!(self.log, "can't start the threads of upstream calls"; "error" => %e),
+        }
+    }
+
+    fn report_readiness(&self, ready: bool) {
+        if let Err(e) = self.control.report(ready) {
+            info!(self.log, "can't send a report to the control plane"; "error" => %e);
+        }
+    }
+
+    /// Starts a rollout step in a thread of its own; returns its failure where it can't be started.
+    fn start_rollout_step(&self, step: StepAssignment, until: Time) -> Option<Input> {
+        let release = step.release;
+        let reason = match &self.staging {
+            Some(staging) => staging
+                .start_step(step, until, self.clock, self.urgent_inputs.clone(), self.reloader.clone())
+                .err()?
+                .to_string(),
+            None => "the settings name no staging area".to_string(),
+        };
+        Some(Input::RolloutStepFailed(release, reason))
+    }
+
+    /// Lets the reload thread go on; a full queue means that it was told already.
+    fn notify_reload_finished(&self) {
+        let _ = self.reload_finished.try_send(());
+    }
+
+    fn write_log_line(&self, level: Level, text: &str) {
+        match level {
+            Level::Info => info!(self.log, "{}", text),
+            Level::Warning => warn!(self.log, "{}", text),
+            _ => error!(self.log, "{}", text),
+        }
+    }
+}
+
+/// Calls a part where it runs; without it the effect has no receiver.
+fn if_present<P>(part: &Option<P>, call: impl FnOnce(&P)) {
+    if let Some(part) = part {
+        call(part);
+    }
+}
--- a/crates/node/src/processor.rs
+++ b/crates/node/src/processor.rs
@@ -217,7 +217,7 @@
     }
 
     /// Has all notices that the processor keeps told again, on a new link.
-    pub fn retell(&self) {
+    pub fn replay_notices(&self) {
         self.retell.store(true, Ordering::SeqCst);
         let target = self.target.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(link) = &target.link {
@@ -226,7 +226,7 @@
     }
 
     /// Ends a link; a new one follows.
-    pub fn renew(&self, link: u64) {
+    pub fn reconnect(&self, link: u64) {
         self.on(link, |link| link.out.shut());
     }
 }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -6,7 +6,7 @@
 use crate::frontend::scgi::Scgi;
 use crate::frontend::scgi::routes::Routes;
 use crate::peer_datagrams::SharedKeys;
-use crate::serve::Files;
+use crate::serve::ServerFiles;
 use crate::settings::cluster;
 use crate::settings::{ActiveSettings, OperatorSettings};
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
@@ -41,13 +41,13 @@
 /// What a reload needs beside the file.
 pub struct ReloadTargets {
     /// Where the files are.
-    pub files: Files,
+    pub files: ServerFiles,
     /// The front whose routes are read again.
     pub scgi: Option<Arc<Scgi>>,
     /// The fleet's keys, which are read again.
     pub keys: Option<SharedKeys>,
     /// What is in force.
-    pub live: ActiveSettings,
+    pub active: ActiveSettings,
     /// To the reducer.
     pub inputs: Sender<Input>,
 }
@@ -75,14 +75,14 @@
     }
 
     /// The files are to be read again.
-    pub fn files(&self) {
+    pub fn reload_files(&self) {
         match self.0.try_send(Job::Files) {
             Ok(()) | Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {}
         }
     }
 
     /// A checked configuration is to be in force, and this is told behind it.
-    pub fn staged(&self, config: Config, then: Input) {
+    pub fn apply_staged(&self, config: Config, then: Input) {
         let _ = self.0.send(Job::Staged(Box::new(config), Box::new(then)));
     }
 }
@@ -91,7 +91,7 @@
     fn inputs_of(&self, job: Job) -> Vec<Input> {
         match job {
             Job::Staged(config, then) => {
-                vec![Input::Reload(Box::new(self.live.compare(*config))), *then]
+                vec![Input::Reload(Box::new(self.active.compare(*config))), *then]
             }
             Job::Files => match self.read() {
                 Ok((config, keys)) => {
@@ -100,7 +100,7 @@
                         new.clone_into(&mut shared.write().unwrap_or_else(PoisonError::into_inner));
                         inputs.push(Input::AuthenticationKeysReloaded(new));
                     }
-                    inputs.push(Input::Reload(Box::new(self.live.compare(config))));
+                    inputs.push(Input::Reload(Box::new(self.active.compare(config))));
                     inputs
                 }
                 Err(why) => vec![Input::ReloadRejected(why.to_string())],
@@ -111,14 +111,20 @@
     /// Reads both files again. Both are checked before either is used: a bad one changes nothing.
     fn read(&self) -> Result<(Config, Option<AuthenticationKeys>), Box<dyn Error>> {
         let config = config::load(&self.files.config)?;
-        let own = self.files.own.as_deref().map(OperatorSettings::load).transpose()?.unwrap_or_default();
+        let own = self
+            .files
+            .operator_settings
+            .as_deref()
+            .map(OperatorSettings::load)
+            .transpose()?
+            .unwrap_or_default();
         let fleet = own.cluster.as_ref().filter(|_| self.keys.is_some());
         let keys = fleet.map(|set| cluster::keys(&set.key_file)).transpose()?;
         // Listeners take a restart; without the block the routes stay.
         if let (Some(front), Some(set)) = (&self.scgi, &own.scgi) {
             let profiles = &config.settings.profiles;
             let classes: HashSet<&str> = profiles.iter().map(|class| class.name.as_str()).collect();
-            front.reload(Routes::new(set, self.live.clone(), |class| classes.contains(class))?);
+            front.reload(Routes::new(set, self.active.clone(), |class| classes.contains(class))?);
         }
         Ok((config, keys))
     }
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -1,21 +1,28 @@
-//! Signals as a thread sees them: each sets a flag and wakes a reader of a pipe, the self-pipe pattern.
+//! Signals of the process, by the self-pipe pattern: a handler sets the signal's flag and wakes a reader of a pipe. A
+//! thread turns them into inputs of the reducer and reloads.
 //!
-//! A pipe and not `signal_hook::iterator`, whose self-pipe is a pair of Unix sockets: platforms that allow sockets of
-//! TCP and UDP alone refuse those, and the server would not start.
+//! A pipe and not `signal_hook::iterator`, whose self-pipe is a pair of Unix sockets: platforms that allow only TCP and
+//! UDP sockets refuse those, and the server would not start.
 
+use crate::reload::ConfigReloader;
+use crossbeam_channel::Sender;
+use gradepin_core::messages::Input;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::io::Errno;
+use signal_hook::consts::{SIGHUP, SIGTERM, SIGUSR1, SIGUSR2, SIGXFSZ};
 use signal_hook::low_level::pipe;
 use std::io::{self, PipeReader, Read};
 use std::os::raw::c_int;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
+use std::thread;
 
-/// Flags are looked at so often though nothing came through the pipe. Guards against a signal that is never told: its handler may
-/// not try again where the system interrupts its write, and its byte is lost.
-const LOOK_AGAIN: Timespec = Timespec { tv_sec: 0, tv_nsec: 200_000_000 };
-/// Bytes read from the pipe at a time; what is more stays for the next read, and flags tell all the same.
-const DRAIN: usize = 64;
+/// The flags are checked at this interval though nothing came through the pipe: a handler does not repeat its write where the
+/// system interrupts it, and the signal would never be reported.
+const FLAG_CHECK_INTERVAL: Timespec = Timespec { tv_sec: 0, tv_nsec: 200_000_000 };
+/// Bytes read from the pipe at a time; the rest stays for the next read, since the flags are what counts.
+const PIPE_READ_BYTES: usize = 64;
+const STACK_BYTES: usize = 64 * 1024;
 
 /// Signals that this process takes instead of their default actions.
 pub struct Signals {
@@ -24,7 +31,7 @@
 }
 
 impl Signals {
-    /// From now on these signals are taken here.
+    /// Installs handlers for these signals.
     pub fn new(signals: &[c_int]) -> io::Result<Self> {
         let (reader, writer) = io::pipe()?;
         let mut flags = Vec::with_capacity(signals.len());
@@ -38,38 +45,38 @@
         Ok(Self { pipe: reader, flags })
     }
 
-    /// Whether a signal came that was not told yet. It stays to be told.
+    /// Whether a signal came that [`Signals::wait`] has not returned yet; it is still returned there.
     pub fn is_pending(&self, signal: c_int) -> bool {
         self.flags.iter().any(|(known, flag)| *known == signal && flag.load(Ordering::SeqCst))
     }
 
-    /// Waits until at least one signal came, and tells those that did, in the order they were asked for. One that came
-    /// twice meanwhile is told once.
+    /// Waits until at least one signal came, and returns those that did, in the order of [`Signals::new`]. A signal that
+    /// came twice meanwhile is returned once.
     pub fn wait(&mut self) -> io::Result<Vec<c_int>> {
         loop {
             self.drain_pipe()?;
             // The pipe is read before the flags, so that a signal that comes in between wakes the next wait.
-            let came: Vec<c_int> = self
+            let received: Vec<c_int> = self
                 .flags
                 .iter()
                 .filter(|(_, flag)| flag.swap(false, Ordering::SeqCst))
                 .map(|(signal, _)| *signal)
                 .collect();
-            if !came.is_empty() {
-                return Ok(came);
+            if !received.is_empty() {
+                return Ok(received);
             }
         }
     }
 
-    /// Waits for a byte for so long at the most, and takes what there is.
+    /// Waits for a byte for at most [`FLAG_CHECK_INTERVAL`], and reads what there is.
     fn drain_pipe(&mut self) -> io::Result<()> {
         let mut pipe = [PollFd::new(&self.pipe, PollFlags::IN)];
-        match poll(&mut pipe, Some(&LOOK_AGAIN)) {
+        match poll(&mut pipe, Some(&FLAG_CHECK_INTERVAL)) {
             Ok(0) | Err(Errno::INTR | Errno::AGAIN) => return Ok(()),
             Ok(_) => {}
             Err(e) => return Err(e.into()),
         }
-        let mut bytes = [0_u8; DRAIN];
+        let mut bytes = [0_u8; PIPE_READ_BYTES];
         match self.pipe.read(&mut bytes) {
             Ok(0) => Err(io::ErrorKind::UnexpectedEof.into()),
             Ok(_) => Ok(()),
@@ -79,5 +86,42 @@
     }
 }
 
+/// Takes the signals that a server acts on in place of their default actions, from before any file is read: SIGTERM during
+/// the start must not end a process for which requests already wait in a socket, nor SIGHUP, SIGUSR1 or SIGUSR2 one that
+/// is still reading its settings. SIGXFSZ is taken too, so that a write past the limit of file sizes fails as on a full
+/// disk.
+pub fn install() -> io::Result<Signals> {
+    signal_hook::flag::register(SIGXFSZ, Arc::default())?;
+    Signals::new(&[SIGTERM, SIGHUP, SIGUSR1, SIGUSR2])
+}
+
+/// Starts the thread that turns signals into inputs: SIGTERM begins the shutdown, SIGUSR1 takes the server out of service,
+/// SIGUSR2 returns it; SIGHUP has the files read again.
+pub(crate) fn forward_signals(
+    mut signals: Signals,
+    reloader: ConfigReloader,
+    inputs: Sender<Input>,
+) -> io::Result<()> {
+    let forward = move || {
+        while let Ok(received) = signals.wait() {
+            for signal in received {
+                let input = match signal {
+                    SIGHUP => {
+                        reloader.reload_files();
+                        continue;
+                    }
+                    SIGUSR1 => Input::TakeOutOfService,
+                    SIGUSR2 => Input::ReturnToService,
+                    _ => Input::ShutdownNotice,
+                };
+                if inputs.send(input).is_err() {
+                    return;
+                }
+            }
+        }
+    };
+    thread::Builder::new().name("signals".into()).stack_size(STACK_BYTES).spawn(forward).map(drop)
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/node/src/signals/tests.rs
+++ b/crates/node/src/signals/tests.rs
@@ -5,7 +5,7 @@
 /// Guards the reload and the planned leave: a signal that comes is told, one that didn't is not, and one that came
 /// while nobody waited is told at the next wait.
 #[test]
-fn signals_that_came_are_told_once() {
+fn returns_each_received_signal_once() {
     let mut signals = Signals::new(&[SIGUSR1, SIGUSR2]).unwrap();
     raise(SIGUSR2).unwrap();
     assert_eq!(signals.wait().unwrap(), vec![SIGUSR2]);
@@ -21,7 +21,7 @@
 /// Guards against a process that never hears its notice to leave: the handler's write of the waking byte was interrupted, as
 /// fault injection does to it, so that only the flag tells of the signal.
 #[test]
-fn a_signal_whose_byte_was_lost_is_told_all_the_same() {
+fn returns_a_signal_whose_pipe_byte_was_lost() {
     // One that no other test here raises.
     let mut signals = Signals::new(&[SIGWINCH]).unwrap();
     signals.flags[0].1.store(true, Ordering::SeqCst);
--- a/crates/node/src/staging.rs
+++ b/crates/node/src/staging.rs
@@ -43,7 +43,12 @@
 
 impl StagingArea {
     /// In this folder, made if it isn't there; the settings in force are kept in it.
-    pub fn new(folder: PathBuf, config: PathBuf, replace: Option<PathBuf>, name: String) -> io::Result<Self> {
+    pub fn open(
+        folder: PathBuf,
+        config: PathBuf,
+        replace: Option<PathBuf>,
+        name: String,
+    ) -> io::Result<Self> {
         fs::create_dir_all(&folder)?;
         let stage = Self { folder, config, replace, name };
         let text = fs::read_to_string(&stage.config)?;
@@ -52,7 +57,7 @@
     }
 
     /// The digest of the settings that stand in the configuration's file.
-    pub fn in_force(&self) -> io::Result<String> {
+    pub fn active_digest(&self) -> io::Result<String> {
         Ok(digest(&fs::read_to_string(&self.config)?))
     }
 
@@ -110,7 +115,7 @@
     }
 
     /// Takes a step in a thread of its own, since a command takes its time.
-    pub fn change(
+    pub fn start_step(
         self: &Arc<Self>,
         turn: StepAssignment,
         until: Time,
@@ -159,7 +164,7 @@
         // Whole and checked before anything of it is in force.
         let config = Config::parse(&text).map_err(|e| e.to_string())?;
         replace(&self.config, &text).map_err(|e| format!("{}: {e}", self.config.display()))?;
-        reloads.staged(config, Input::StagedSettingsChanged(Some(version.to_string()), self.staged()));
+        reloads.apply_staged(config, Input::StagedSettingsChanged(Some(version.to_string()), self.staged()));
         Ok(())
     }
 }
--- /dev/null
+++ b/crates/node/src/startup/predecessor_wait.rs
@@ -0,0 +1,95 @@
+//! Waits at the start for addresses and folders that the predecessor process still holds.
+//!
+//! A predecessor closes its addresses in its own order, some of them and all its folders only with its end. So every
+//! address and every folder with one owner is acquired through here: while another process holds it, acquiring it is
+//! retried for [`MAX_WAIT`], and SIGTERM ends the wait.
+
+use crate::frontend::Listener;
+use crate::signals::Signals;
+use crate::startup::{StartAborted, StartError};
+use gradepin_store::disk::{Folder, FolderError};
+use signal_hook::consts::SIGTERM;
+use slog::{Logger, info, warn};
+use std::io::{self, ErrorKind};
+use std::net::SocketAddr;
+use std::path::Path;
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// How long another process may hold a resource, counted from the creation of the [`PredecessorWait`].
+const MAX_WAIT: Duration = Duration::from_secs(10);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Acquires the resources of a start, all within the same [`MAX_WAIT`].
+pub struct PredecessorWait<'s> {
+    started: Instant,
+    signals: &'s Signals,
+    log: &'s Logger,
+}
+
+impl<'s> PredecessorWait<'s> {
+    /// Starts the time of all waits.
+    pub fn new(signals: &'s Signals, log: &'s Logger) -> Self {
+        Self { started: Instant::now(), signals, log }
+    }
+
+    /// Listens for client connections on a TCP address.
+    pub fn listen_tcp(&self, address: SocketAddr) -> Result<Listener, StartAborted> {
+        self.acquire(&format!("listening on {address}"), || Listener::tcp(address))
+    }
+
+    /// Calls `acquire` until it succeeds, fails otherwise than with an address in use, or the time is up. `resource` names
+    /// it in the log and in errors.
+    pub fn acquire<T>(&self, resource: &str, acquire: impl Fn() -> io::Result<T>) -> Result<T, StartAborted> {
+        let mut is_logged = false;
+        loop {
+            match acquire() {
+                Ok(acquired) => return Ok(acquired),
+                Err(_) if self.shutdown_requested(resource) => return Err(StartAborted::ShutdownRequested),
+                Err(e) if e.kind() == ErrorKind::AddrInUse && self.has_time() => {
+                    self.pause("address", resource, &mut is_logged);
+                }
+                Err(source) => return Err(StartError::system(resource)(source).into()),
+            }
+        }
+    }
+
+    /// Waits until no other process holds these folders, or the time is up. Whoever opens a folder next reports what is
+    /// wrong with it.
+    pub fn wait_for_folders<'p>(
+        &self,
+        folders: impl IntoIterator<Item = &'p Path>,
+    ) -> Result<(), StartAborted> {
+        for folder in folders {
+            let resource = folder.display().to_string();
+            let mut is_logged = false;
+            while matches!(Folder::open(folder), Err(FolderError::Locked(_))) && self.has_time() {
+                if self.shutdown_requested(&resource) {
+                    return Err(StartAborted::ShutdownRequested);
+                }
+                self.pause("folder", &resource, &mut is_logged);
+            }
+        }
+        Ok(())
+    }
+
+    fn has_time(&self) -> bool {
+        self.started.elapsed() < MAX_WAIT
+    }
+
+    fn shutdown_requested(&self, resource: &str) -> bool {
+        let requested = self.signals.is_pending(SIGTERM);
+        if requested {
+            info!(self.log, "received SIGTERM during start-up"; "waiting_for" => resource);
+        }
+        requested
+    }
+
+    /// Pauses before the next attempt; only the first pause for a resource is logged.
+    fn pause(&self, kind: &str, resource: &str, is_logged: &mut bool) {
+        if !std::mem::replace(is_logged, true) {
+            warn!(self.log, "another process holds the {}; retrying", kind; "resource" => resource);
+        }
+        thread::sleep(RETRY_INTERVAL);
+    }
+}
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -31,7 +31,7 @@
 pub type Opener = Box<dyn FnMut() -> Result<Box<dyn Disk>, String> + Send>;
 
 /// Takes a folder of files.
-pub fn folder(path: PathBuf) -> Opener {
+pub fn open_folder(path: PathBuf) -> Opener {
     Box::new(move || {
         Folder::open(&path).map(|folder| Box::new(folder) as Box<dyn Disk>).map_err(|e| e.to_string())
     })
--- a/crates/node/src/upstream_client.rs
+++ b/crates/node/src/upstream_client.rs
@@ -108,6 +108,27 @@
     }
 }
 
+/// Starts upstream clients that report to the same reducer. Kept while serving, since a reload may be the first to name an
+/// upstream.
+pub struct UpstreamStarter {
+    inputs: Sender<Input>,
+    pool: Arc<BufferPool>,
+    log: Logger,
+}
+
+impl UpstreamStarter {
+    /// For clients that send the ends of calls to `inputs`, with replies in buffers of `pool`.
+    pub fn new(inputs: Sender<Input>, pool: Arc<BufferPool>, log: Logger) -> Self {
+        Self { inputs, pool, log }
+    }
+
+    /// Starts a client; see [`UpstreamClient::start`].
+    pub fn start(&self, address: SocketAddr, max_calls: usize) -> io::Result<UpstreamClient> {
+        let (inputs, pool) = (self.inputs.clone(), Arc::clone(&self.pool));
+        UpstreamClient::start(address, max_calls, inputs, pool, self.log.clone())
+    }
+}
+
 fn carry(
     agent: &Agent,
     url: &RwLock<Arc<str>>,
--- a/crates/testkit/src/scale/fleet/server.rs
+++ b/crates/testkit/src/scale/fleet/server.rs
@@ -21,7 +21,7 @@
 use gradepin_core::registration::Registration;
 use gradepin_core::response::Response;
 use gradepin_node::clock::Clock;
-use gradepin_node::serve::fleet_settings;
+use gradepin_node::serve::cluster_settings;
 use gradepin_node::settings::FleetSettings;
 use rustix::time::{ClockId, clock_gettime};
 use std::collections::{BTreeMap, HashSet};
@@ -127,7 +127,7 @@
             Reducer::new(&config, Arc::clone(&around.settings), Registration::new(None, Span(0)))?;
         if let Some((set, keys)) = &around.fleet {
             let set = own_part(set, place);
-            let settings = fleet_settings(&set, &config, keys.clone(), around.clock, seed)?;
+            let settings = cluster_settings(&set, &config, keys.clone(), around.clock, seed)?;
             reducer = reducer.with_cluster(Cluster::new(settings, now));
         }
         let socket = UdpSocket::bind(place.address)?;
