--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -150,12 +150,14 @@
             for effect in effects {
                 match effect {
                     // For a request that runs already nothing happens.
-                    Effect::StartRun(link, id, ..) if link == self.link && !self.runs(&id) => {
+                    Effect::StartRun { link, id, .. } if link == self.link && !self.runs(&id) => {
                         self.runs.push_back((self.now_ms, id));
                         self.most = self.most.max(self.runs.len());
                         self.excess = self.excess.max(self.runs.len() as f64 - self.survives());
                     }
-                    Effect::ReadGauges(_, tag) => inputs.push(Input::GaugesRead(tag, vec![0.5, 1.0])),
+                    Effect::ReadGauges { number: tag, .. } => {
+                        inputs.push(Input::GaugesRead { number: tag, values: vec![0.5, 1.0] })
+                    }
                     _ => {}
                 }
             }
@@ -180,17 +182,21 @@
                 id: RequestId::new(&format!("{:016x}", self.sent)),
                 class: 0.into(),
                 tenant: None,
-                caller: 1,
-                t0: self.now_ms,
-                budget: 4_000,
+                client_proxy: 1,
+                arrived_unix_ms: self.now_ms,
+                budget_ms: 4_000,
                 retry: false,
                 size_kb: 1.0,
                 precedence: 0.5,
-                token: None,
-                has_key: false,
+                idempotency_key: None,
+                has_subject: false,
                 body: self.pool.copy(b"in").expect("it fits"),
             };
-            inputs.push(Input::Request(1, self.sent as i32, Box::new(call)));
+            inputs.push(Input::Request {
+                connection: 1,
+                sequence: self.sent as i32,
+                request: Box::new(call),
+            });
             self.step(inputs);
         }
     }
--- a/crates/node/src/effects.rs
+++ b/crates/node/src/effects.rs
@@ -78,54 +78,64 @@
     /// Carries out one effect; appends what it says at once to the inputs of the next step. Breaks at [`Effect::Exit`].
     pub(crate) fn execute(&mut self, effect: Effect, arrived: &mut Vec<Input>) -> ControlFlow<()> {
         match effect {
-            Effect::Respond(conn, seq, response, hint) => self.frontend.answer(conn, seq, &response, hint),
-            Effect::RequestDrain(conn) => self.frontend.draining(conn),
+            Effect::Respond { connection, sequence, response, capacity_hint } => {
+                self.frontend.answer(connection, sequence, &response, capacity_hint);
+            }
+            Effect::RequestDrain(connection) => self.frontend.draining(connection),
             Effect::StopAccepting => self.frontend.stop_accepting(),
-            Effect::CloseConnection(conn) => self.frontend.close(conn),
-            Effect::CloseIdleConnection(conn, taken) => self.frontend.close_resting(conn, taken),
-            Effect::CloseLateConnection(conn, taken) => self.frontend.close_late(conn, taken),
-            Effect::StartRun(link, id, class, body) => {
+            Effect::CloseConnection(connection) => self.frontend.close(connection),
+            Effect::CloseIdleConnection { connection, messages_received } => {
+                self.frontend.close_resting(connection, messages_received);
+            }
+            Effect::CloseLateConnection { connection, messages_received } => {
+                self.frontend.close_late(connection, messages_received);
+            }
+            Effect::StartRun { link, id, class, body } => {
                 self.processor.begin(link, &id, &class.profile.name, &body);
             }
-            Effect::StopRun(link, id) => self.processor.interrupt(link, &id),
-            Effect::ReadGauges(link, tag) => self.processor.usage(link, tag),
-            Effect::DeliverUpstreamReply(link, id, reply) => self.processor.answer(link, &id, &reply),
-            Effect::ReconnectProcessor(link) => self.processor.reconnect(link),
+            Effect::StopRun { link, id } => self.processor.interrupt(link, &id),
+            Effect::ReadGauges { link, number } => self.processor.usage(link, number),
+            Effect::DeliverUpstreamReply { link, id, reply } => self.processor.answer(link, &id, &reply),
+            Effect::ReconnectProcessor { link } => self.processor.reconnect(link),
             Effect::ReplayNotices => self.processor.replay_notices(),
             Effect::SetProcessorAddress(address) => self.processor.retarget(address),
-            Effect::CallUpstream(id, number, body, limit, leaves) => {
-                arrived.extend(self.call_upstream(id, number, &body, limit, leaves));
+            Effect::CallUpstream { id, call, body, timeout, leave_before } => {
+                arrived.extend(self.call_upstream(id, call, &body, timeout, leave_before));
             }
             Effect::SetUpstreamAddress(address) => self.set_upstream_address(address),
-            Effect::ReportReadiness(ready) => self.report_readiness(ready),
+            Effect::ReportReadiness { ready } => self.report_readiness(ready),
             Effect::SetControlAddress(address) => self.control.retarget(address),
             Effect::AskRegistry(request) => if_present(&self.registry, |registry| registry.ask(request)),
-            Effect::SendPeerDatagram(to, datagram) => {
+            Effect::SendPeerDatagram { to, datagram } => {
                 if_present(&self.peers, |peers| peers.send(to, &datagram));
             }
-            Effect::PersistRecords(number, batch) => {
+            Effect::PersistRecords { number, batch } => {
                 if_present(&self.store, |store| store.persist(number, batch));
             }
             Effect::SaveConfiguration(save) => {
                 if_present(&self.configuration_writer, |writer| writer.hand_in(save.state, save.commit));
             }
-            Effect::WriteVoterState(generation, number, records) => {
+            Effect::WriteVoterState { generation, number, records } => {
                 if_present(&self.voter_storage, |storage| storage.write(generation, number, records));
             }
-            Effect::StartRolloutStep(step, until) => arrived.extend(self.start_rollout_step(*step, until)),
-            Effect::ClaimRun(id, token, print, patience) => {
-                if_present(&self.claims, |claims| claims.claim(id, token, print, patience));
+            Effect::StartRolloutStep { step, start_before } => {
+                arrived.extend(self.start_rollout_step(*step, start_before));
             }
-            Effect::ReleaseClaim(token, print, end) => {
-                if_present(&self.claims, |claims| claims.release(token, print, end));
+            Effect::ClaimRun { id, key, fingerprint, timeout } => {
+                if_present(&self.claims, |claims| claims.claim(id, key, fingerprint, timeout));
+            }
+            Effect::ReleaseClaim { key, fingerprint, outcome } => {
+                if_present(&self.claims, |claims| claims.release(key, fingerprint, outcome));
             }
             Effect::SetLongestWindow(window) => {
                 if_present(&self.claims, |claims| claims.set_longest_window(window));
             }
             Effect::UpdateNames { edition, changes } => self.names.publish(edition, changes),
             Effect::ReloadFinished => self.notify_reload_finished(),
-            Effect::AnswerAdmin(id, response) => if_present(&self.admin, |admin| admin.answer(id, response)),
-            Effect::Log(level, text) => self.write_log_line(level, &text),
+            Effect::AnswerAdmin { id, response } => {
+                if_present(&self.admin, |admin| admin.answer(id, response));
+            }
+            Effect::Log { level, text } => self.write_log_line(level, &text),
             Effect::Exit => return ControlFlow::Break(()),
         }
         ControlFlow::Continue(())
@@ -136,16 +146,17 @@
     fn call_upstream(
         &self,
         id: RequestId,
-        number: UpstreamCallId,
+        call: UpstreamCallId,
         body: &[u8],
-        limit: Span,
-        leaves: Option<Time>,
+        timeout: Span,
+        leave_before: Option<Time>,
     ) -> Option<Input> {
-        let leaves_by = leaves.map(|at| self.clock.instant(at));
+        let leave_before = leave_before.map(|at| self.clock.instant(at));
         match &self.upstream {
-            Some(upstream) => upstream.call((id, number), body, limit, leaves_by).err(),
+            Some(upstream) => upstream.call((id, call), body, timeout, leave_before).err(),
             None => {
-                Some(Input::UpstreamCallEnded { id, number, outcome: Outcome::ConnectFailed, reply: None })
+                let outcome = Outcome::ConnectFailed;
+                Some(Input::UpstreamCallEnded { id, call, outcome, reply: None })
             }
         }
     }
@@ -167,16 +178,16 @@
     }
 
     /// Starts a rollout step in a thread of its own; returns its failure where it can't be started.
-    fn start_rollout_step(&self, step: StepAssignment, until: Time) -> Option<Input> {
+    fn start_rollout_step(&self, step: StepAssignment, start_before: Time) -> Option<Input> {
         let release = step.release;
         let reason = match &self.staging {
             Some(staging) => staging
-                .start_step(step, until, self.clock, self.urgent_inputs.clone(), self.reloader.clone())
+                .start_step(step, start_before, self.clock, self.urgent_inputs.clone(), self.reloader.clone())
                 .err()?
                 .to_string(),
             None => "the settings name no staging area".to_string(),
         };
-        Some(Input::RolloutStepFailed(release, reason))
+        Some(Input::RolloutStepFailed { release, reason })
     }
 
     /// Lets the reload thread go on; a full queue means that it was told already.
--- a/crates/node/src/startup/context.rs
+++ b/crates/node/src/startup/context.rs
@@ -114,7 +114,7 @@
             UpstreamStarter::new(self.urgent_inputs.clone(), Arc::clone(&state.pool), self.log.clone());
         let upstream = self.start_upstream(&upstream_starter)?;
         if let Some(staging) = &fleet.staging {
-            arrived.push(Input::StagedSettingsChanged(None, staging.staged()));
+            arrived.push(Input::StagedSettingsChanged { active: None, staged: staging.staged() });
         }
         let processor = self.connect_processor(&state)?;
         info!(self.log, "serving"; "listen" => %self.config.listen, "version" => env!("CARGO_PKG_VERSION"));
--- a/crates/testkit/src/scale/fleet/requests.rs
+++ b/crates/testkit/src/scale/fleet/requests.rs
@@ -97,17 +97,17 @@
     /// Takes an effect that is the processor's or a connection's, and appends what comes of it at once.
     pub fn take(&mut self, now: Time, effect: Effect, inputs: &mut Vec<Input>) {
         match effect {
-            Effect::StartRun(_, id, ..) => {
+            Effect::StartRun { id, .. } => {
                 let takes = self.exponential(self.mean_run_s).min(MOST_OF_MEAN * self.mean_run_s);
                 self.runs.push(Reverse((time_after(now, gradepin_admission::span_from_seconds(takes)), id)));
             }
-            Effect::ReadGauges(_, tag) => {
+            Effect::ReadGauges { number: tag, .. } => {
                 let gauges = vec![CORE_USE, self.runs.len() as f64, HEAP_SHARE, 0.0];
-                inputs.push(Input::GaugesRead(tag, gauges));
+                inputs.push(Input::GaugesRead { number: tag, values: gauges });
             }
             Effect::CloseConnection(conn)
-            | Effect::CloseIdleConnection(conn, _)
-            | Effect::CloseLateConnection(conn, _) => {
+            | Effect::CloseIdleConnection { connection: conn, .. }
+            | Effect::CloseLateConnection { connection: conn, .. } => {
                 self.conn.take_if(|open| *open == conn);
                 inputs.push(Input::ConnectionClosed(conn));
             }
@@ -137,17 +137,17 @@
             id: RequestId::new(&format!("{:016x}", self.rng.next_u64())),
             class: class.into(),
             tenant: (tenants > 0).then(|| (self.last_request as usize % tenants).into()),
-            caller: self.name,
-            t0: moment.unix_ms,
-            budget: deadline.0 / 1_000_000,
+            client_proxy: self.name,
+            arrived_unix_ms: moment.unix_ms,
+            budget_ms: deadline.0 / 1_000_000,
             retry: false,
             size_kb: 8.0 + 56.0 * self.unit(),
             precedence: self.unit() * 0.999,
-            token: keyed.then(|| Arc::from(format!("{number:032x}"))),
-            has_key: false,
+            idempotency_key: keyed.then(|| Arc::from(format!("{number:032x}"))),
+            has_subject: false,
             body,
         };
-        inputs.push(Input::Request(conn, self.last_seq, Box::new(call)));
+        inputs.push(Input::Request { connection: conn, sequence: self.last_seq, request: Box::new(call) });
     }
 
     fn connection(&mut self, inputs: &mut Vec<Input>) -> ConnectionId {
