--- a/crates/node/src/processor/lines/tests.rs
+++ b/crates/node/src/processor/lines/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// All lines of these bytes, which come in pieces of so many.
+/// All lines of these bytes, which are received in pieces of `piece` bytes.
 fn lines(bytes: &[u8], piece: usize) -> io::Result<Vec<Line>> {
     let (mut lines, mut all) = (Lines::new(&BufferPool::new(1)), Vec::new());
     let mut left = bytes;
@@ -17,24 +17,24 @@
     Ok(all)
 }
 
-/// Guards against a link that falls again and again over the text of a remark.
+/// Guards against a link that is lost again and again over the text of a remark.
 #[test]
-fn a_remark_may_hold_anything() {
+fn skips_a_remark_with_any_bytes() {
     let parsed = parse(b"remark 7 \xff\xfe 12\r\nused 1 0.5\r\n", &BufferPool::new(1)).expect("a remark");
-    assert!(matches!(parsed, Some((16, Line::Remark(7)))), "{parsed:?}");
+    assert!(matches!(parsed, Some(ParsedLine { bytes: 16, line: Line::Remark { notice: 7 } })), "{parsed:?}");
     assert!(parse(b"remark x \r\n", &BufferPool::new(1)).is_err());
 }
 
-/// Guards against a remark of any length, in pieces of any size, that ends the link or takes the line behind it along.
+/// Guards against a remark of any length, in pieces of any size, that ends the link or swallows the line after it.
 #[test]
-fn a_remark_may_be_of_any_length() {
+fn skips_a_remark_of_any_length() {
     for length in (0..3).chain(4_595..4_612).chain([9_200, 70_000]) {
         for piece in [113, 4_607, 4_608, usize::MAX] {
             let text = "\rx".repeat(length / 2 + 1);
             let bytes = format!("remark 7 {}\r\nreject begin r1\r\n", &text[..length]);
             let lines = lines(bytes.as_bytes(), piece).unwrap_or_else(|e| panic!("{length} by {piece}: {e}"));
             assert!(
-                matches!(&lines[..], [Line::Remark(7), Line::Reject(_)]),
+                matches!(&lines[..], [Line::Remark { notice: 7 }, Line::RunRejected { .. }]),
                 "{length} by {piece}: {lines:?}"
             );
         }
--- a/crates/node/src/processor/tests.rs
+++ b/crates/node/src/processor/tests.rs
@@ -1,18 +1,20 @@
 use super::*;
+use gradepin_admission::Span;
+use gradepin_core::buffer_pool::BUFFER_BYTES;
 use std::io::Read;
 use std::net::TcpListener;
 
-/// Guards against a link that is made later and later because the ones before it were only quiet.
+/// Guards against growing pauses after links that were only quiet.
 #[test]
-fn only_links_that_fell_young_and_brought_nothing_lengthen_the_pause() {
-    let young = Duration::from_millis(3);
-    assert_eq!(next_pause(RETRY, false, young), RETRY * 2);
-    assert_eq!(next_pause(MOST_RETRY, false, young), MOST_RETRY);
-    assert_eq!(next_pause(MOST_RETRY, false, STOOD), RETRY);
-    assert_eq!(next_pause(MOST_RETRY, true, young), RETRY);
+fn lengthens_the_pause_only_after_short_links_without_notices() {
+    let short = Duration::from_millis(3);
+    assert_eq!(next_pause(MIN_RECONNECT_PAUSE, false, short), MIN_RECONNECT_PAUSE * 2);
+    assert_eq!(next_pause(MAX_RECONNECT_PAUSE, false, short), MAX_RECONNECT_PAUSE);
+    assert_eq!(next_pause(MAX_RECONNECT_PAUSE, false, STABLE_LINK_DURATION), MIN_RECONNECT_PAUSE);
+    assert_eq!(next_pause(MAX_RECONNECT_PAUSE, true, short), MIN_RECONNECT_PAUSE);
 }
 
-/// Takes the processor's end of a link, and what `hello` it began with.
+/// Accepts the processor's end of a link, which starts with `hello 0`.
 fn accepted(listener: &TcpListener) -> TcpStream {
     let (mut socket, _) = listener.accept().unwrap();
     socket.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
@@ -22,17 +24,17 @@
     socket
 }
 
-/// Guards against commands that are cut, doubled or overtake one another: whatever their lengths, in steps of any size
-/// and with a socket that is full, and against commands of a link that has ended on the one after it.
+/// Guards against commands that are truncated, repeated or reordered, whatever their lengths, in steps of any size and
+/// with a full socket, and against commands for a link that has ended on the next one.
 #[test]
-fn commands_of_any_length_leave_whole_in_their_order_on_their_own_link() {
+fn sends_commands_of_any_length_in_order_on_their_own_link() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (inputs, _came) = bounded(64);
+    let (inputs, _received) = bounded(64);
     let log = Logger::root(slog::Discard, slog::o!());
     let (address, pool) = (listener.local_addr().unwrap(), BufferPool::new(8));
     let processor = Processor::connect(address, inputs, pool, log).unwrap();
     let mut first = accepted(&listener);
-    // The link can be used once it stands here too; a command for it before that would be dropped.
+    // A command would be dropped before the link is in use on this side too.
     while processor.target.lock().unwrap().link.is_none() {
         thread::yield_now();
     }
@@ -55,9 +57,9 @@
         processor.usage(2, 999);
     }
     processor.flush();
-    let mut came = vec![0; expected.len()];
-    first.read_exact(&mut came).unwrap();
-    assert!(came == expected, "another command than was given");
+    let mut received = vec![0; expected.len()];
+    first.read_exact(&mut received).unwrap();
+    assert!(received == expected, "another command than was given");
     processor.begin(1, &RequestId::new("late"), "c", b"never flushed");
     drop(first);
     let mut second = accepted(&listener);
@@ -67,35 +69,35 @@
     processor.begin(1, &RequestId::new("late"), "c", b"of the link before");
     processor.usage(2, 7);
     processor.flush();
-    let mut came = [0; 9];
-    second.read_exact(&mut came).unwrap();
-    assert_eq!(&came, b"usage 7\r\n");
+    let mut received = [0; 9];
+    second.read_exact(&mut received).unwrap();
+    assert_eq!(&received, b"usage 7\r\n");
 }
 
-/// Guards against results lost of a processor that takes the place of another while that one was to tell all again: it
-/// was greeted with a number of the one before.
+/// Guards against lost results of a processor that replaces another during a replay: its `hello` named a notice of the
+/// one before.
 #[test]
-fn a_retelling_that_another_processor_answers_leaves_no_number_of_the_one_before() {
+fn forgets_the_last_notice_when_another_processor_answers_a_replay() {
     let up = Span(10_000_000_000);
     for another in [false, true] {
-        let mut progress = Progress::new();
-        assert_eq!(progress.greeted(progress.now(), up), Greeted::Known);
-        progress.read(40);
-        progress.ended();
-        assert_eq!(progress.hello(true), 0);
+        let mut progress = NoticeProgress::new();
+        assert_eq!(progress.greet(progress.now(), up), Greeting::Known);
+        progress.record(40);
+        progress.end_link();
+        assert_eq!(progress.start_link(true), 0);
         let (age, expected, last) = match another {
-            true => (Span(0), Greeted::Another, 3),
-            false => (Span(up.0 * 2), Greeted::Known, 40),
+            true => (Span(0), Greeting::Another, 3),
+            false => (Span(up.0 * 2), Greeting::Known, 40),
         };
-        assert_eq!(progress.greeted(progress.now(), age), expected);
-        progress.read(3);
-        progress.ended();
-        assert_eq!(progress.hello(false), last);
+        assert_eq!(progress.greet(progress.now(), age), expected);
+        progress.record(3);
+        progress.end_link();
+        assert_eq!(progress.start_link(false), last);
     }
-    let mut progress = Progress::new();
-    assert_eq!(progress.greeted(progress.now(), up), Greeted::Known);
-    progress.read(40);
-    assert_eq!(progress.greeted(progress.now(), Span(0)), Greeted::AnotherUnread);
-    progress.ended();
-    assert_eq!(progress.hello(false), 0);
+    let mut progress = NoticeProgress::new();
+    assert_eq!(progress.greet(progress.now(), up), Greeting::Known);
+    progress.record(40);
+    assert_eq!(progress.greet(progress.now(), Span(0)), Greeting::AnotherWithGap);
+    progress.end_link();
+    assert_eq!(progress.start_link(false), 0);
 }
--- /dev/null
+++ b/crates/node/src/store/tests.rs
@@ -0,0 +1,59 @@
+use super::*;
+use crossbeam_channel::bounded;
+use gradepin_admission::{RequestId, Span};
+use gradepin_core::idempotency_log::RecoveredRuns;
+use gradepin_store::sim::{Fault, SimDisk};
+use slog::{Discard, o};
+
+fn batch(n: u64) -> RecordBatch {
+    let (token, id) = (format!("t{n}").into(), RequestId::new(&format!("{n:016x}")));
+    RecordBatch::Append(vec![LogRecord::Intent { token, print: 1, id, left: Span(9_000_000_000) }])
+}
+
+/// Guards against a sync for each request, against a caller that waits for a disk, and against a report before the
+/// sync: while one hangs, all batches are queued at once, and then share the next.
+#[test]
+fn queued_batches_share_the_next_sync() {
+    const MAX_WAIT: Duration = Duration::from_secs(20);
+    let disk = SimDisk::new(1);
+    let (inputs, reported) = bounded(64);
+    let mine = disk.clone();
+    let open: OpenDisk = Box::new(move || Ok(Box::new(mine.clone()) as Box<dyn Disk>));
+    let limits = Limits {
+        segment_bytes: 1 << 20,
+        most_bytes: 1 << 30,
+        most_results: 1 << 20,
+        most_records: usize::MAX,
+        window: Span(0),
+    };
+    let log = Logger::root(Discard, o!());
+    let store = Store::start(open, limits, 7, Clock::start(), inputs, log).expect("a thread");
+    let first = reported.recv_timeout(MAX_WAIT).expect("it opens");
+    assert!(matches!(first, Input::StoreRecovered(found) if matches!(*found, RecoveredRuns { salt: 7, .. })));
+    disk.fail(Fault::SyncHangs);
+    (1..=500).for_each(|n| store.persist(n, batch(n)));
+    assert!(
+        reported.recv_timeout(Duration::from_millis(50)).is_err(),
+        "nothing is durable while a sync hangs"
+    );
+    disk.fail(Fault::None);
+    let mut last = 0;
+    while last < 500 {
+        match reported.recv_timeout(MAX_WAIT).expect("it goes on") {
+            Input::StorePersisted { number: upto } => last = upto,
+            other => panic!("{other:?}"),
+        }
+    }
+    assert!(disk.syncs() <= 3, "{} syncs for 500 batches", disk.syncs());
+    // A failure is reported with its reason, and nothing is durable until all is written again.
+    disk.fail(Fault::SyncFails);
+    store.persist(501, batch(501));
+    assert!(
+        matches!(reported.recv_timeout(MAX_WAIT), Ok(Input::StoreFailed { number: 501, reason: why }) if why.contains("input/output"))
+    );
+    disk.fail(Fault::None);
+    store.persist(502, batch(502));
+    assert!(matches!(reported.recv_timeout(MAX_WAIT), Ok(Input::StoreFailed { number: 502, .. })));
+    store.persist(503, RecordBatch::Rewrite(Vec::new()));
+    assert!(matches!(reported.recv_timeout(MAX_WAIT), Ok(Input::StorePersisted { number: 503 })));
+}
