--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -1,24 +1,26 @@
-//! Keyed runs that the two processes of an upgrade share: a file a token in a folder that both have, made before its
-//! run is begun. Whoever makes it runs the request; the other one is told how that run ended, or runs it after all
-//! where it never began. The thread here decides nothing about requests: it says whose a run is, and how it ended.
+//! Keyed runs that the two processes of an upgrade share: before a run of an idempotency key begins, its process makes a
+//! file for the key in a folder that both have. The process that makes the file runs the request; the other one gets the
+//! run's outcome, or runs it where that run never began.
+//!
+//! The thread here decides nothing about requests: it reports who runs a key and how that ended.
 //!
 //! | file | meaning |
 //! | --- | --- |
-//! | `NAME`, empty, mode 0600 | claimed; its run goes on |
-//! | `NAME` with a print and bytes | it ended with this result |
-//! | `NAME`, empty, mode 0400 | it ended without a result, or that is no longer kept |
+//! | `NAME`, empty, mode 0600 | claimed; the run goes on |
+//! | `NAME` with a fingerprint and bytes | the run ended with this result |
+//! | `NAME`, empty, mode 0400 | the run ended without a result, or the result was dropped |
 //! | `alive.SEED` | locked by a process for as long as it lives |
-//! | `salt` | keys the names and the prints of all processes |
+//! | `salt` | keys the names and the fingerprints of all processes |
 //!
-//! `NAME` is 32 hex digits, a keyed hash of the token, so that no stranger chooses a file's name. Files count as memory
-//! there: an empty one takes about 1 kB of the system's, and results take pages, up to a part of the memory.
+//! `NAME` is 32 hex digits, a keyed hash of the idempotency key, so that no client can choose a file's name. The files count
+//! as memory of the process: an empty one takes about 1 kB, results take pages, up to a fraction of the memory.
 
 mod folder;
 #[cfg(test)]
 mod tests;
 
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, unbounded};
-use folder::Files;
+use folder::ClaimFolder;
 pub use folder::Place;
 use gradepin_admission::{RequestId, Span};
 use gradepin_core::buffer_pool::BufferPool;
@@ -30,31 +32,40 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant, SystemTime};
 
-const STACK: usize = 64 * 1024;
-/// Between looks at claims of the other process that runs here wait for.
-const POLL: Duration = Duration::from_millis(10);
-/// Between looks for files whose time is over, and for processes that have ended.
-const TIDY: Duration = Duration::from_secs(2);
-/// Between tries to have a folder that can't be used.
-const OPEN_AGAIN: Duration = Duration::from_millis(500);
+const STACK_BYTES: usize = 64 * 1024;
+/// The pause between checks of the other process's claims that runs here wait for.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The pause between removals of expired files and of what dead processes left.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(2);
+/// The pause between attempts to open a folder that can't be used.
+const REOPEN_INTERVAL: Duration = Duration::from_millis(500);
 
 enum Job {
-    Claim { id: RequestId, token: Arc<str>, print: Fingerprint, until: Instant },
-    Ended { token: Arc<str>, print: Fingerprint, end: Option<RunOutcome> },
-    Window(Duration),
+    Claim(PendingClaim),
+    Release { key: Arc<str>, fingerprint: Fingerprint, outcome: Option<RunOutcome> },
+    SetWindow(Duration),
+}
+
+/// A claim that waits for an answer.
+struct PendingClaim {
+    id: RequestId,
+    key: Arc<str>,
+    fingerprint: Fingerprint,
+    /// How long it waits for the end of another process's run.
+    deadline: Instant,
 }
 
-/// The claims, as the reducer's effects see them.
+/// The thread of claims, as the main thread uses it. End it by [`Claims::close`].
 pub struct Claims {
-    // Without a bound of its own: a job a keyed request that the reducer holds open, and those are bounded.
+    // Unbounded: one job for each keyed request that the reducer holds open, and those are bounded.
     jobs: Sender<Job>,
     thread: JoinHandle<()>,
     salt: Option<u64>,
 }
 
 impl Claims {
-    /// Shares keyed runs in this folder from now on; `window` is the longest in which a token may come again. Where the
-    /// folder can't be used, it is tried again until it can: no keyed run begins meanwhile, and all else is served.
+    /// Starts the thread on a folder; `window` is the longest time in which a key may be repeated. While the folder can't
+    /// be used, every claim is answered by [`RunClaim::Unknown`] and the folder is tried again.
     pub fn start(
         place: Place,
         window: Span,
@@ -63,50 +74,50 @@
         log: Logger,
     ) -> io::Result<Self> {
         let window = Duration::from_nanos(window.0);
-        let files = Files::open(&place, window, Arc::clone(&pool));
-        let salt = files.as_ref().ok().map(|files| files.salt);
+        let opened = ClaimFolder::open(&place, window, Arc::clone(&pool));
+        let salt = opened.as_ref().ok().map(|folder| folder.salt);
         let (jobs, queue) = unbounded();
         let run = move || {
-            let files = match files {
-                Ok(files) => Some(files),
-                Err(why) => {
-                    warn!(log, "the folder of keyed runs can't be used: each is refused until it can";
-                          "folder" => %place.folder.display(), "error" => %why);
-                    opened(&place, window, &pool, &queue, &inputs)
+            let folder = match opened {
+                Ok(folder) => Some(folder),
+                Err(e) => {
+                    warn!(log, "can't use the folder of keyed runs; keyed requests are rejected until it can be used";
+                          "folder" => %place.folder.display(), "error" => %e);
+                    open_until_done(&place, window, &pool, &queue, &inputs)
                 }
             };
-            if let Some(mut files) = files {
-                serve(&mut files, &queue, &inputs, &log);
+            if let Some(folder) = folder {
+                ClaimServer::new(folder, inputs, log).run(&queue);
             }
         };
-        let thread = thread::Builder::new().name("claims".into()).stack_size(STACK).spawn(run)?;
+        let thread = thread::Builder::new().name("claims".into()).stack_size(STACK_BYTES).spawn(run)?;
         Ok(Self { jobs, thread, salt })
     }
 
-    /// The key of the prints of all processes that share the folder; none while it can't be used, and then it is told by
-    /// [`Input::RunsShared`].
+    /// The key of the fingerprints of all processes that share the folder. None while the folder can't be used; then
+    /// [`Input::RunsShared`] follows.
     pub fn salt(&self) -> Option<u64> {
         self.salt
     }
 
-    /// Says whose the run of a token is, by an input; waits for so long for the end of another process's.
-    pub fn claim(&self, id: RequestId, token: Arc<str>, print: Fingerprint, patience: Span) {
-        let until = Instant::now() + Duration::from_nanos(patience.0);
-        let _ = self.jobs.send(Job::Claim { id, token, print, until });
+    /// Asks who runs a key; [`Input::RunClaimed`] follows, after at most `timeout` where another process runs it.
+    pub fn claim(&self, id: RequestId, key: Arc<str>, fingerprint: Fingerprint, timeout: Span) {
+        let deadline = Instant::now() + Duration::from_nanos(timeout.0);
+        let _ = self.jobs.send(Job::Claim(PendingClaim { id, key, fingerprint, deadline }));
     }
 
-    /// A run that was claimed here has its end, or with none never began.
-    pub fn release(&self, token: Arc<str>, print: Fingerprint, end: Option<RunOutcome>) {
-        let _ = self.jobs.send(Job::Ended { token, print, end });
+    /// Shares the outcome of a run that was claimed here; None where the run never began.
+    pub fn release(&self, key: Arc<str>, fingerprint: Fingerprint, outcome: Option<RunOutcome>) {
+        let _ = self.jobs.send(Job::Release { key, fingerprint, outcome });
     }
 
-    /// The longest window has changed.
+    /// Changes the longest time in which a key may be repeated.
     pub fn set_longest_window(&self, window: Span) {
-        let _ = self.jobs.send(Job::Window(Duration::from_nanos(window.0)));
+        let _ = self.jobs.send(Job::SetWindow(Duration::from_nanos(window.0)));
     }
 
-    /// Writes all that was told; to be called before the process ends, or the next one waits for ends that never come.
-    /// Nobody takes `inputs` any more, so they end first: a thread that waited for room in them would never be done.
+    /// Writes all outcomes and ends the thread; without it the other process waits for outcomes that never come. `inputs`
+    /// is closed first: nobody reads it any more, and the thread would wait forever for space in it.
     pub fn close(self, inputs: Receiver<Input>) {
         drop(inputs);
         drop(self.jobs);
@@ -114,96 +125,131 @@
     }
 }
 
-struct Waiting {
-    id: RequestId,
-    token: Arc<str>,
-    print: Fingerprint,
-    until: Instant,
-}
-
-/// Tries until the folder can be used, and says so; no claim can be made meanwhile. None if nobody asks any more.
-fn opened(
+/// Tries until the folder can be used, and reports that; claims are answered by [`RunClaim::Unknown`] meanwhile. None if
+/// nobody asks any more.
+fn open_until_done(
     place: &Place,
     mut window: Duration,
     pool: &Arc<BufferPool>,
     queue: &Receiver<Job>,
     inputs: &Sender<Input>,
-) -> Option<Files> {
-    let mut next = Instant::now() + OPEN_AGAIN;
+) -> Option<ClaimFolder> {
+    let mut next_attempt = Instant::now() + REOPEN_INTERVAL;
     loop {
-        match queue.recv_deadline(next) {
-            Ok(Job::Claim { id, .. }) => {
-                inputs.send(Input::RunClaimed { id, claim: RunClaim::Unknown }).ok()?
+        match queue.recv_deadline(next_attempt) {
+            Ok(Job::Claim(PendingClaim { id, .. })) => {
+                inputs.send(Input::RunClaimed { id, claim: RunClaim::Unknown }).ok()?;
             }
             // Nothing was claimed here that could end.
-            Ok(Job::Ended { .. }) => {}
-            Ok(Job::Window(new)) => window = new,
+            Ok(Job::Release { .. }) => {}
+            Ok(Job::SetWindow(new)) => window = new,
             Err(RecvTimeoutError::Disconnected) => return None,
             Err(RecvTimeoutError::Timeout) => {
-                if let Ok(files) = Files::open(place, window, Arc::clone(pool)) {
-                    inputs.send(Input::RunsShared { salt: files.salt }).ok()?;
-                    return Some(files);
+                if let Ok(folder) = ClaimFolder::open(place, window, Arc::clone(pool)) {
+                    inputs.send(Input::RunsShared { salt: folder.salt }).ok()?;
+                    return Some(folder);
                 }
-                next = Instant::now() + OPEN_AGAIN;
+                next_attempt = Instant::now() + REOPEN_INTERVAL;
             }
         }
     }
 }
 
-fn serve(files: &mut Files, queue: &Receiver<Job>, inputs: &Sender<Input>, log: &Logger) {
-    let mut waiting: Vec<Waiting> = Vec::new();
-    let (mut polled, mut tidied) = (Instant::now(), Instant::now());
-    let mut told = false;
-    let mut failed = |what: &str, why: &io::Error| {
-        if !std::mem::replace(&mut told, true) {
-            warn!(log, "keyed runs can't be shared with the other process of an upgrade"; "what" => what, "error" => %why);
+/// The state of the thread while the folder can be used.
+struct ClaimServer {
+    folder: ClaimFolder,
+    inputs: Sender<Input>,
+    /// Claims of keys that another process runs.
+    waiting: Vec<PendingClaim>,
+    last_poll: Instant,
+    last_cleanup: Instant,
+    /// Whether a failure was logged; only the first one is.
+    failure_logged: bool,
+    log: Logger,
+}
+
+impl ClaimServer {
+    fn new(folder: ClaimFolder, inputs: Sender<Input>, log: Logger) -> Self {
+        let now = Instant::now();
+        Self {
+            folder,
+            inputs,
+            waiting: Vec::new(),
+            last_poll: now,
+            last_cleanup: now,
+            failure_logged: false,
+            log,
         }
-    };
-    loop {
-        let first = match queue.recv_timeout(if waiting.is_empty() { TIDY } else { POLL }) {
-            Ok(job) => Some(job),
-            Err(RecvTimeoutError::Timeout) => None,
-            Err(RecvTimeoutError::Disconnected) => return,
-        };
-        let mut look = |files: &mut Files, wait: &Waiting| -> bool {
-            let claim = match files.claim(&wait.token, wait.print) {
-                Ok(Some(claim)) => claim,
-                Ok(None) if Instant::now() < wait.until => return false,
-                Ok(None) => RunClaim::Ended(RunOutcome::Failed),
-                Err(why) => {
-                    failed("claim", &why);
-                    RunClaim::Unknown
-                }
+    }
+
+    /// Serves jobs until nobody sends any more.
+    fn run(mut self, queue: &Receiver<Job>) {
+        loop {
+            let timeout = if self.waiting.is_empty() { CLEANUP_INTERVAL } else { POLL_INTERVAL };
+            let first = match queue.recv_timeout(timeout) {
+                Ok(job) => Some(job),
+                Err(RecvTimeoutError::Timeout) => None,
+                Err(RecvTimeoutError::Disconnected) => return,
             };
-            // Where nobody listens any more, the queue has ended too.
-            let _ = inputs.send(Input::RunClaimed { id: wait.id.clone(), claim });
-            true
-        };
-        for job in first.into_iter().chain(queue.try_iter()) {
-            match job {
-                Job::Claim { id, token, print, until } => {
-                    let wait = Waiting { id, token, print, until };
-                    if !look(files, &wait) {
-                        waiting.push(wait);
-                    }
-                }
-                Job::Ended { token, print, end } => {
-                    if let Err(why) = files.ended(&token, print, end) {
-                        warn!(log, "the end of a keyed run can't be shared"; "error" => %why);
-                    }
+            for job in first.into_iter().chain(queue.try_iter()) {
+                self.serve(job);
+            }
+            if self.last_poll.elapsed() >= POLL_INTERVAL {
+                self.poll();
+            }
+            if self.last_cleanup.elapsed() >= CLEANUP_INTERVAL {
+                if let Err(e) = self.folder.clean_up(SystemTime::now()) {
+                    self.log_failure("cleanup", &e);
                 }
-                Job::Window(window) => files.window = window,
+                self.last_cleanup = Instant::now();
             }
         }
-        if polled.elapsed() >= POLL {
-            waiting.retain(|wait| !look(files, wait));
-            polled = Instant::now();
+    }
+
+    fn serve(&mut self, job: Job) {
+        match job {
+            Job::Claim(claim) => {
+                if !self.is_answered(&claim) {
+                    self.waiting.push(claim);
+                }
+            }
+            Job::Release { key, fingerprint, outcome } => {
+                if let Err(e) = self.folder.release(&key, fingerprint, outcome) {
+                    warn!(self.log, "can't share the outcome of a keyed run"; "error" => %e);
+                }
+            }
+            Job::SetWindow(window) => self.folder.window = window,
         }
-        if tidied.elapsed() >= TIDY {
-            if let Err(why) = files.tidy(SystemTime::now()) {
-                failed("tidy", &why);
+    }
+
+    /// Tries all waiting claims again.
+    fn poll(&mut self) {
+        let mut waiting = std::mem::take(&mut self.waiting);
+        waiting.retain(|claim| !self.is_answered(claim));
+        self.waiting = waiting;
+        self.last_poll = Instant::now();
+    }
+
+    /// Tries a claim, and answers it unless another process's run goes on and there is time to wait for it.
+    fn is_answered(&mut self, pending: &PendingClaim) -> bool {
+        let claim = match self.folder.claim(&pending.key, pending.fingerprint) {
+            Ok(Some(claim)) => claim,
+            Ok(None) if Instant::now() < pending.deadline => return false,
+            Ok(None) => RunClaim::Ended(RunOutcome::Failed),
+            Err(e) => {
+                self.log_failure("claim", &e);
+                RunClaim::Unknown
             }
-            tidied = Instant::now();
+        };
+        // Where nobody receives inputs any more, the queue of jobs ends too.
+        let _ = self.inputs.send(Input::RunClaimed { id: pending.id.clone(), claim });
+        true
+    }
+
+    fn log_failure(&mut self, operation: &str, error: &io::Error) {
+        if !std::mem::replace(&mut self.failure_logged, true) {
+            warn!(self.log, "can't share keyed runs with the other process of an upgrade";
+                  "operation" => operation, "error" => %error);
         }
     }
 }
--- a/crates/node/src/claims/folder.rs
+++ b/crates/node/src/claims/folder.rs
@@ -1,4 +1,6 @@
-//! The folder of claims: files made, read and removed. Which file means what stands in [`super`].
+//! The folder of claims: makes, reads and removes its files. The meaning of each file is in the table of [`super`].
+//!
+//! Invariant: the content of a name changes atomically, from one meaning of the table to the next.
 
 use gradepin_core::buffer_pool::{BUFFER_BYTES, BufferPool};
 use gradepin_core::idempotency_table::{Fingerprint, READ_LATE, RunOutcome};
@@ -13,36 +15,41 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-/// What an empty file takes of the memory, and the page in which bytes come.
+/// The memory that an empty file takes.
 pub(super) const FILE_BYTES: usize = 1024;
-const PAGE: usize = 4096;
-/// Parts of the memory for claims and for results.
-pub(super) const CLAIMS_PART: usize = 16;
-const RESULTS_PART: usize = 16;
+/// Files grow by pages.
+const PAGE_BYTES: usize = 4096;
+/// Claims take at most this fraction of the memory, as its denominator.
+pub(super) const CLAIMS_MEMORY_DIVISOR: usize = 16;
+/// The same of results.
+const RESULTS_MEMORY_DIVISOR: usize = 16;
 const OPEN_MODE: u32 = 0o600;
 const ENDED_MODE: u32 = 0o400;
+const MODE_BITS: u32 = 0o777;
+const SALT_FILE: &str = "salt";
+const ALIVE_PREFIX: &str = "alive.";
+const DRAFT_PREFIX: &str = "draft.";
+/// A longer server name is replaced by its digest in the folder's name.
+const MAX_PLAIN_NAME_BYTES: usize = 64;
 
-/// Bytes of a server's name at the most that stand in the folder's name as they are.
-const MAX_PLAIN_NAME: usize = 64;
-
-/// Where the claims are, and whose.
+/// The folder of claims of one process.
 #[derive(Debug, Clone)]
 pub struct Place {
     /// The folder, made if it isn't there.
     pub folder: PathBuf,
-    /// Names this process among those that share the folder.
+    /// Identifies this process among those that share the folder.
     pub seed: u64,
-    /// Of the process, in bytes.
+    /// The memory of the process, in bytes.
     pub memory: usize,
 }
 
 impl Place {
-    /// For a server of this name, below a folder that both processes have. A name that is no plain file name, or too long
-    /// for one, is told by its digest: the folder of a server called `../n1` would stand elsewhere, and one of 250 bytes
-    /// could not be made, so that no keyed run would ever be claimed.
+    /// The folder of a server below a folder that both processes have. A name that is no plain file name, or too long for
+    /// one, is replaced by its digest: the folder of a server called `../n1` would be elsewhere, and one of 250 bytes could
+    /// not be made, so that no keyed run would ever be claimed.
     pub fn new(shared: &Path, name: &str, seed: u64, memory: usize) -> Self {
-        let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-        let name = if name.len() <= MAX_PLAIN_NAME && name.bytes().all(plain) {
+        let is_plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
+        let name = if name.len() <= MAX_PLAIN_NAME_BYTES && name.bytes().all(is_plain) {
             name.to_string()
         } else {
             blake3::hash(name.as_bytes()).to_hex().to_string()
@@ -51,209 +58,237 @@
     }
 }
 
-/// The folder, and what of it is this process's own.
-pub(super) struct Files {
+/// A result that this process wrote.
+struct WrittenResult {
+    file_name: String,
+    /// In whole pages.
+    bytes: usize,
+}
+
+/// The open folder, and the claims of this process in it. Its drop removes the `alive` file.
+pub(super) struct ClaimFolder {
     folder: PathBuf,
-    /// Held locked for as long as this process lives.
-    _alive: File,
-    alive: String,
+    /// Locked for as long as this process lives.
+    _alive_lock: File,
+    alive_name: String,
+    /// Keys the names and the fingerprints of all processes.
     pub(super) salt: u64,
+    /// The longest time in which a key may be repeated.
     pub(super) window: Duration,
+    /// Claims of this process by file name, with their times.
     pub(super) own: HashMap<String, SystemTime>,
-    most: usize,
-    /// Own results, oldest first, and the bytes that they take and may take.
-    results: VecDeque<(String, usize)>,
-    pub(super) bytes: usize,
-    pub(super) most_bytes: usize,
+    max_claims: usize,
+    /// Results of this process, oldest first.
+    results: VecDeque<WrittenResult>,
+    /// Bytes of `results`.
+    pub(super) result_bytes: usize,
+    pub(super) max_result_bytes: usize,
     pool: Arc<BufferPool>,
 }
 
-impl Files {
+impl ClaimFolder {
+    /// Opens the folder, makes it if it isn't there, and removes what has expired in it.
     pub(super) fn open(place: &Place, window: Duration, pool: Arc<BufferPool>) -> io::Result<Self> {
         let Place { folder, seed, memory } = place.clone();
         fs::create_dir_all(&folder)?;
         let salt = salt(&folder, seed)?;
-        let alive = format!("alive.{seed:016x}");
-        // Locked before it has its name: one that looks in between would take its process for ended.
-        let draft = folder.join(format!("draft.{alive}"));
+        let alive_name = format!("{ALIVE_PREFIX}{seed:016x}");
+        // Locked before it has its name: the other process would take this one for dead in between.
+        let draft = folder.join(format!("{DRAFT_PREFIX}{alive_name}"));
         let lock = File::create(&draft)?;
         lock.try_lock().map_err(io::Error::from)?;
-        fs::rename(draft, folder.join(&alive))?;
-        let mut files = Self {
+        fs::rename(draft, folder.join(&alive_name))?;
+        let mut opened = Self {
             folder,
-            _alive: lock,
-            alive,
+            _alive_lock: lock,
+            alive_name,
             salt,
             window,
             own: HashMap::new(),
-            most: memory / CLAIMS_PART / FILE_BYTES,
+            max_claims: memory / CLAIMS_MEMORY_DIVISOR / FILE_BYTES,
             results: VecDeque::new(),
-            bytes: 0,
-            most_bytes: memory / RESULTS_PART,
+            result_bytes: 0,
+            max_result_bytes: memory / RESULTS_MEMORY_DIVISOR,
             pool,
         };
-        files.tidy(SystemTime::now())?;
-        Ok(files)
+        opened.clean_up(SystemTime::now())?;
+        Ok(opened)
     }
 
-    fn name(&self, token: &str) -> String {
+    /// The file name of an idempotency key.
+    fn file_name(&self, key: &str) -> String {
         let mut hasher = SipHasher13::new_with_keys(self.salt, !self.salt);
-        hasher.write(token.as_bytes());
+        hasher.write(key.as_bytes());
         format!("{:032x}", hasher.finish128().as_u128())
     }
 
-    /// Whose the run of a token is; none while another process's goes on.
-    pub(super) fn claim(&mut self, token: &str, print: Fingerprint) -> io::Result<Option<RunClaim>> {
-        let name = self.name(token);
-        let path = self.folder.join(&name);
+    /// Claims a key, or finds who runs it; None while another process's run goes on.
+    pub(super) fn claim(&mut self, key: &str, fingerprint: Fingerprint) -> io::Result<Option<RunClaim>> {
+        let name = self.file_name(key);
         if self.own.contains_key(&name) {
-            // Ran here, and its window is over, or the reducer would have answered from that run.
+            // It ran here, and its window is over: the reducer would have answered from that run otherwise.
             self.forget(&name)?;
         }
-        if self.own.len() >= self.most {
-            return Err(io::Error::other("more keyed runs are remembered than the memory has room for"));
+        if self.own.len() >= self.max_claims {
+            return Err(io::Error::other("the memory for claims of keyed runs is full"));
         }
+        let path = self.folder.join(&name);
         let made = OpenOptions::new().write(true).create_new(true).mode(OPEN_MODE).open(&path);
         match made {
             Ok(_) => {
                 self.own.insert(name, SystemTime::now());
                 return Ok(Some(RunClaim::Ours));
             }
-            Err(why) if why.kind() == ErrorKind::AlreadyExists => {}
-            Err(why) => return Err(why),
+            Err(e) if e.kind() == ErrorKind::AlreadyExists => {}
+            Err(e) => return Err(e),
         }
-        let read = fs::metadata(&path).and_then(|meta| Ok((meta, fs::read(&path)?)));
+        self.read_claim(&path, fingerprint)
+    }
+
+    /// Reads another process's claim; None while its run goes on.
+    fn read_claim(&self, path: &Path, fingerprint: Fingerprint) -> io::Result<Option<RunClaim>> {
+        let read = fs::metadata(path).and_then(|meta| Ok((meta, fs::read(path)?)));
         let (meta, bytes) = match read {
             Ok(read) => read,
-            // It came to nothing just now: the next look claims it.
-            Err(why) if why.kind() == ErrorKind::NotFound => return Ok(None),
-            Err(why) => return Err(why),
+            // Its run never began, and the file was removed just now: the next attempt claims the key.
+            Err(e) if e.kind() == ErrorKind::NotFound => return Ok(None),
+            Err(e) => return Err(e),
         };
-        let ended = meta.permissions().mode() & 0o777 == ENDED_MODE;
-        let Some((theirs, result)) = bytes.split_first_chunk() else {
-            return Ok(ended.then_some(RunClaim::Ended(RunOutcome::Failed)));
+        let has_ended = meta.permissions().mode() & MODE_BITS == ENDED_MODE;
+        let Some((written_fingerprint, result)) = bytes.split_first_chunk() else {
+            return Ok(has_ended.then_some(RunClaim::Ended(RunOutcome::Failed)));
         };
-        // Guards against a stranger who learnt a token: its request would be served another's result.
-        let same = Fingerprint::from_le_bytes(*theirs) == print && result.len() <= BUFFER_BYTES;
-        let result = same.then(|| self.pool.exact(result)).flatten();
-        Ok(Some(RunClaim::Ended(
-            result.map_or(RunOutcome::Failed, |result| RunOutcome::Served(Arc::new(result))),
-        )))
+        // Guards against a client that learnt another's key: its request would be served the other's result.
+        let is_same_request = Fingerprint::from_le_bytes(*written_fingerprint) == fingerprint;
+        let is_usable = is_same_request && result.len() <= BUFFER_BYTES;
+        let result = is_usable.then(|| self.pool.exact(result)).flatten();
+        let outcome = result.map_or(RunOutcome::Failed, |result| RunOutcome::Served(Arc::new(result)));
+        Ok(Some(RunClaim::Ended(outcome)))
     }
 
+    /// Removes a claim of this process.
     fn forget(&mut self, name: &str) -> io::Result<()> {
         self.own.remove(name);
         match fs::remove_file(self.folder.join(name)) {
-            Err(why) if why.kind() != ErrorKind::NotFound => Err(why),
+            Err(e) if e.kind() != ErrorKind::NotFound => Err(e),
             _ => Ok(()),
         }
     }
 
-    pub(super) fn ended(
+    /// Writes the outcome of a run; None where it never began. Does nothing for a key that this process did not claim: the
+    /// other one writes its outcome itself.
+    pub(super) fn release(
         &mut self,
-        token: &str,
-        print: Fingerprint,
-        end: Option<RunOutcome>,
+        key: &str,
+        fingerprint: Fingerprint,
+        outcome: Option<RunOutcome>,
     ) -> io::Result<()> {
-        let name = self.name(token);
+        let name = self.file_name(key);
         if !self.own.contains_key(&name) {
-            // The other process's, which tells its end itself.
             return Ok(());
         }
-        match end {
+        match outcome {
             None => self.forget(&name),
-            Some(RunOutcome::Served(result)) => {
-                // Whole or not at all: the name always stands, with one meaning or the next.
-                let (path, draft) =
-                    (self.folder.join(&name), self.folder.join(format!("draft.{}", self.alive)));
-                let mut file = OpenOptions::new()
-                    .write(true)
-                    .create(true)
-                    .truncate(true)
-                    .mode(OPEN_MODE)
-                    .open(&draft)?;
-                file.write_all(&print.to_le_bytes())?;
-                file.write_all(&result)?;
-                fs::rename(draft, path)?;
-                let bytes = (result.len() + size_of::<Fingerprint>()).next_multiple_of(PAGE);
-                self.bytes += bytes;
-                self.results.push_back((name, bytes));
-                while self.bytes > self.most_bytes {
-                    let Some((oldest, bytes)) = self.results.pop_front() else { break };
-                    self.bytes -= bytes;
-                    if self.own.contains_key(&oldest) {
-                        without_result(&self.folder.join(oldest))?;
-                    }
-                }
-                Ok(())
+            Some(RunOutcome::Served(result)) => self.write_result(name, fingerprint, &result),
+            Some(RunOutcome::Failed | RunOutcome::Unknown) => end_without_result(&self.folder.join(name)),
+        }
+    }
+
+    fn write_result(&mut self, name: String, fingerprint: Fingerprint, result: &[u8]) -> io::Result<()> {
+        let draft = self.folder.join(format!("{DRAFT_PREFIX}{}", self.alive_name));
+        let mut file =
+            OpenOptions::new().write(true).create(true).truncate(true).mode(OPEN_MODE).open(&draft)?;
+        file.write_all(&fingerprint.to_le_bytes())?;
+        file.write_all(result)?;
+        fs::rename(draft, self.folder.join(&name))?;
+        let bytes = (result.len() + size_of::<Fingerprint>()).next_multiple_of(PAGE_BYTES);
+        self.result_bytes += bytes;
+        self.results.push_back(WrittenResult { file_name: name, bytes });
+        self.drop_oldest_results()
+    }
+
+    /// Drops results until the rest keeps to its fraction of the memory.
+    fn drop_oldest_results(&mut self) -> io::Result<()> {
+        while self.result_bytes > self.max_result_bytes {
+            let Some(oldest) = self.results.pop_front() else { break };
+            self.result_bytes -= oldest.bytes;
+            if self.own.contains_key(&oldest.file_name) {
+                end_without_result(&self.folder.join(oldest.file_name))?;
             }
-            Some(RunOutcome::Failed | RunOutcome::Unknown) => without_result(&self.folder.join(name)),
         }
+        Ok(())
     }
 
-    /// Removes what no try can ask for any more, and ends what a process left open that lives no longer.
-    pub(super) fn tidy(&mut self, now: SystemTime) -> io::Result<()> {
-        let keeps = self.window + Duration::from_nanos(READ_LATE.0);
-        let over = |at: SystemTime| now.duration_since(at).is_ok_and(|since| since > keeps);
-        let mut alone = true;
-        let mut open = Vec::new();
+    /// Removes files whose window is over, and ends claims that dead processes left open.
+    pub(super) fn clean_up(&mut self, now: SystemTime) -> io::Result<()> {
+        let kept_for = self.window + Duration::from_nanos(READ_LATE.0);
+        let has_expired = |at: SystemTime| now.duration_since(at).is_ok_and(|age| age > kept_for);
+        let mut is_alone = true;
+        let mut open_claims = Vec::new();
         for entry in fs::read_dir(&self.folder)? {
             let entry = entry?;
             let name = entry.file_name().to_string_lossy().into_owned();
-            if name == "salt" || name.starts_with("draft.") {
+            if name == SALT_FILE || name.starts_with(DRAFT_PREFIX) {
                 continue;
             }
-            if name.starts_with("alive.") {
-                alone &= name == self.alive || gone(&entry.path())?;
+            if name.starts_with(ALIVE_PREFIX) {
+                is_alone &= name == self.alive_name || remove_if_dead(&entry.path())?;
                 continue;
             }
             let Ok(meta) = entry.metadata() else { continue };
-            let (mode, since) = (meta.permissions().mode() & 0o777, meta.modified()?);
-            if over(*self.own.get(&name).unwrap_or(&since)) {
+            let is_own = self.own.contains_key(&name);
+            let is_open = meta.len() == 0 && meta.permissions().mode() & MODE_BITS == OPEN_MODE;
+            let claimed_at = meta.modified()?;
+            if has_expired(*self.own.get(&name).unwrap_or(&claimed_at)) {
                 self.forget(&name)?;
-            } else if !self.own.contains_key(&name) && meta.len() == 0 && mode == OPEN_MODE {
-                open.push(entry.path());
+            } else if is_open && !is_own {
+                open_claims.push(entry.path());
             }
         }
-        while self.results.front().is_some_and(|(name, _)| !self.own.contains_key(name)) {
-            self.bytes -= self.results.pop_front().map_or(0, |(_, bytes)| bytes);
-        }
-        // A process that just started may have claimed since: it locked its file before that, and was seen.
-        if alone {
-            open.iter().try_for_each(|path| without_result(path))?;
+        self.forget_removed_results();
+        // A process that started since then may have claimed: it locked its `alive` file before, so it was seen.
+        if is_alone {
+            open_claims.iter().try_for_each(|path| end_without_result(path))?;
         }
         Ok(())
     }
+
+    /// Takes results off the books whose claims were removed.
+    fn forget_removed_results(&mut self) {
+        while self.results.front().is_some_and(|oldest| !self.own.contains_key(&oldest.file_name)) {
+            self.result_bytes -= self.results.pop_front().map_or(0, |oldest| oldest.bytes);
+        }
+    }
 }
 
-impl Drop for Files {
+impl Drop for ClaimFolder {
     fn drop(&mut self) {
-        let _ = fs::remove_file(self.folder.join(&self.alive));
+        let _ = fs::remove_file(self.folder.join(&self.alive_name));
     }
 }
 
 /// Leaves a claim as ended without a result.
-fn without_result(path: &Path) -> io::Result<()> {
-    // The mode first: an empty file of mode 0600 would say that its run goes on.
+fn end_without_result(path: &Path) -> io::Result<()> {
+    // The mode first: an empty file of mode 0600 means that its run goes on.
     let ended = OpenOptions::new().write(true).open(path).and_then(|file| {
         file.set_permissions(Permissions::from_mode(ENDED_MODE))?;
         file.set_len(0)
     });
     match ended {
-        // It has ended already, or is no longer asked for.
-        Err(why) if matches!(why.kind(), ErrorKind::NotFound | ErrorKind::PermissionDenied) => Ok(()),
-        done => done,
+        // It was removed, or has ended already.
+        Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::PermissionDenied) => Ok(()),
+        result => result,
     }
 }
 
-/// Whether the process of an `alive` file has ended; its file goes then.
-fn gone(path: &Path) -> io::Result<bool> {
+/// Whether the process of an `alive` file is dead; its file is removed then.
+fn remove_if_dead(path: &Path) -> io::Result<bool> {
     let file = match File::open(path) {
         Ok(file) => file,
-        Err(why) if why.kind() == ErrorKind::NotFound => return Ok(true),
-        Err(why) => return Err(why),
+        Err(e) if e.kind() == ErrorKind::NotFound => return Ok(true),
+        Err(e) => return Err(e),
     };
-    // Shared, so that two that look at once don't take each other for a living owner.
+    // A shared lock, so that two processes that check at once don't take each other for the living owner.
     if file.try_lock_shared().is_err() {
         return Ok(false);
     }
@@ -261,15 +296,16 @@
     Ok(true)
 }
 
-/// The folder's salt, made by the process that comes first.
+/// The folder's salt, made by the first process.
 fn salt(folder: &Path, seed: u64) -> io::Result<u64> {
-    let (path, draft) = (folder.join("salt"), folder.join(format!("draft.salt.{seed:016x}")));
+    let path = folder.join(SALT_FILE);
+    let draft = folder.join(format!("{DRAFT_PREFIX}{SALT_FILE}.{seed:016x}"));
     fs::write(&draft, seed.to_le_bytes())?;
-    // A link is made whole or not at all.
+    // Atomic, and fails where another process was first.
     let linked = fs::hard_link(&draft, &path);
     fs::remove_file(&draft)?;
     match linked {
-        Err(why) if why.kind() != ErrorKind::AlreadyExists => return Err(why),
+        Err(e) if e.kind() != ErrorKind::AlreadyExists => return Err(e),
         _ => {}
     }
     let bytes = fs::read(&path)?;
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,131 +1,155 @@
-//! Files that are read again while serving: read, checked and compared with what is in force in a thread of their own, so
-//! that neither the reducer nor signals wait for a large one. One at a time, in the order in which they came: the next is
-//! compared once the reducer has said of the one before that all of it, or nothing, is in force.
+//! Reloads: a thread reads and checks the files again, compares them with the active settings and hands the difference to
+//! the reducer, so that neither the main thread nor the signal thread waits for a large file.
+//!
+//! One reload at a time, in the order of the requests: a file is compared once the reducer has finished the reload before
+//! it ([`gradepin_core::messages::Effect::ReloadFinished`]), completely or not at all.
 
-use crate::config;
+use crate::config::{self, LoadError};
 use crate::frontend::scgi::Scgi;
-use crate::frontend::scgi::routes::Routes;
+use crate::frontend::scgi::routes::{BadRoute, Routes};
 use crate::peer_datagrams::SharedKeys;
 use crate::serve::ServerFiles;
-use crate::settings::cluster;
-use crate::settings::{ActiveSettings, OperatorSettings};
-use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
+use crate::settings::cluster::{self, KeysError};
+use crate::settings::{ActiveSettings, OperatorSettings, SettingsError};
+use crossbeam_channel::{Receiver, Sender, bounded};
 use gradepin_cluster::authentication::AuthenticationKeys;
 use gradepin_core::config::Config;
 use gradepin_core::messages::Input;
 use std::collections::HashSet;
-use std::error::Error;
 use std::sync::{Arc, PoisonError};
 use std::thread;
 use std::time::Duration;
 
-/// Of the thread: a configuration is nested.
-const STACK: usize = 256 * 1024;
-/// Reloads that may wait; one more is told by those that do, as they read the file later.
-const WAITING: usize = 16;
-/// How long the file before may take to be in force: what is compared after that is turned down if it isn't.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Configurations nest.
+const STACK_BYTES: usize = 256 * 1024;
+/// Reloads that may wait. A request that finds the queue full is dropped: a reload that waits reads the files later and
+/// sees the same.
+const QUEUE_CAPACITY: usize = 16;
+/// How long a reload waits for the end of the one before it. The reducer rejects one that is compared too early.
+const MAX_WAIT_FOR_PREVIOUS: Duration = Duration::from_secs(10);
 
-/// What is to be put in force.
+/// What is to be applied.
 enum Job {
     /// The files that the process was started with.
     Files,
-    /// A configuration that was staged, and what is to be told behind it.
-    Staged(Box<Config>, Box<Input>),
+    /// A staged configuration, and an input that follows it.
+    Staged { config: Box<Config>, then: Box<Input> },
 }
 
-/// Asks for reloads.
+/// Why the files can't be used.
+#[derive(Debug, thiserror::Error)]
+enum ReloadError {
+    #[error(transparent)]
+    Config(#[from] LoadError),
+    #[error(transparent)]
+    OperatorSettings(#[from] SettingsError),
+    #[error(transparent)]
+    Keys(#[from] KeysError),
+    #[error(transparent)]
+    Route(#[from] BadRoute),
+}
+
+/// Files that were read and checked.
+struct ReadFiles {
+    config: Config,
+    keys: Option<AuthenticationKeys>,
+}
+
+/// Requests reloads of the thread.
 #[derive(Clone)]
 pub struct ConfigReloader(Sender<Job>);
 
-/// What a reload needs beside the file.
+/// What a reload reads and changes.
 pub struct ReloadTargets {
-    /// Where the files are.
+    /// The files.
     pub files: ServerFiles,
-    /// The front whose routes are read again.
+    /// The SCGI front end, whose routes are replaced.
     pub scgi: Option<Arc<Scgi>>,
-    /// The fleet's keys, which are read again.
+    /// The authentication keys of the fleet, which are replaced.
     pub keys: Option<SharedKeys>,
-    /// What is in force.
+    /// The active settings, which a file is compared with.
     pub active: ActiveSettings,
-    /// To the reducer.
+    /// Inputs of the reducer.
     pub inputs: Sender<Input>,
 }
 
 impl ConfigReloader {
-    /// Starts the thread; `done` is told by each [`gradepin_core::messages::Effect::ReloadFinished`].
-    pub fn start(parties: ReloadTargets, done: Receiver<()>) -> std::io::Result<Self> {
-        let (jobs, waiting) = bounded(WAITING);
+    /// Starts the thread; `finished` receives the end of each reload.
+    pub fn start(targets: ReloadTargets, finished: Receiver<()>) -> std::io::Result<Self> {
+        let (jobs, queue) = bounded(QUEUE_CAPACITY);
         let run = move || {
-            let mut open = false;
-            for job in waiting {
-                if open {
-                    let _ = done.recv_timeout(PATIENCE);
+            let mut has_previous = false;
+            for job in queue {
+                if has_previous {
+                    let _ = finished.recv_timeout(MAX_WAIT_FOR_PREVIOUS);
                 }
-                for input in parties.inputs_of(job) {
-                    open = matches!(input, Input::Reload(_) | Input::ReloadRejected { .. }) || open;
-                    if parties.inputs.send(input).is_err() {
+                for input in targets.inputs_of(job) {
+                    has_previous |= matches!(input, Input::Reload(_) | Input::ReloadRejected { .. });
+                    if targets.inputs.send(input).is_err() {
                         return;
                     }
                 }
             }
         };
-        thread::Builder::new().name("reload".into()).stack_size(STACK).spawn(run)?;
+        thread::Builder::new().name("reload".into()).stack_size(STACK_BYTES).spawn(run)?;
         Ok(Self(jobs))
     }
 
-    /// The files are to be read again.
+    /// Requests that the files be read again; never blocks.
     pub fn reload_files(&self) {
-        match self.0.try_send(Job::Files) {
-            Ok(()) | Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {}
-        }
+        // Dropped where the queue is full, or the process ends.
+        let _ = self.0.try_send(Job::Files);
     }
 
-    /// A checked configuration is to be in force, and this is told behind it.
+    /// Requests that a checked configuration be applied, followed by the input `then`; blocks while the queue is full.
     pub fn apply_staged(&self, config: Config, then: Input) {
-        let _ = self.0.send(Job::Staged(Box::new(config), Box::new(then)));
+        let _ = self.0.send(Job::Staged { config: Box::new(config), then: Box::new(then) });
     }
 }
 
 impl ReloadTargets {
     fn inputs_of(&self, job: Job) -> Vec<Input> {
         match job {
-            Job::Staged(config, then) => {
-                vec![Input::Reload(Box::new(self.active.compare(*config))), *then]
-            }
-            Job::Files => match self.read() {
-                Ok((config, keys)) => {
-                    let mut inputs = Vec::new();
-                    if let (Some(shared), Some(new)) = (&self.keys, keys) {
-                        new.clone_into(&mut shared.write().unwrap_or_else(PoisonError::into_inner));
-                        inputs.push(Input::AuthenticationKeysReloaded(new));
-                    }
-                    inputs.push(Input::Reload(Box::new(self.active.compare(config))));
-                    inputs
-                }
-                Err(why) => vec![Input::ReloadRejected { reason: why.to_string() }],
+            Job::Staged { config, then } => vec![self.reload(*config), *then],
+            Job::Files => match self.read_files() {
+                Ok(files) => self.inputs_of_files(files),
+                Err(error) => vec![Input::ReloadRejected { reason: error.to_string() }],
             },
         }
     }
 
-    /// Reads both files again. Both are checked before either is used: a bad one changes nothing.
-    fn read(&self) -> Result<(Config, Option<AuthenticationKeys>), Box<dyn Error>> {
+    fn inputs_of_files(&self, files: ReadFiles) -> Vec<Input> {
+        let mut inputs = Vec::new();
+        if let (Some(shared), Some(keys)) = (&self.keys, files.keys) {
+            keys.clone_into(&mut shared.write().unwrap_or_else(PoisonError::into_inner));
+            inputs.push(Input::AuthenticationKeysReloaded(keys));
+        }
+        inputs.push(self.reload(files.config));
+        inputs
+    }
+
+    fn reload(&self, config: Config) -> Input {
+        Input::Reload(Box::new(self.active.compare(config)))
+    }
+
+    /// Reads all files again, and replaces the routes. Everything is checked before anything is replaced: an invalid file
+    /// changes nothing.
+    fn read_files(&self) -> Result<ReadFiles, ReloadError> {
         let config = config::load(&self.files.config)?;
-        let own = self
-            .files
-            .operator_settings
-            .as_deref()
-            .map(OperatorSettings::load)
-            .transpose()?
-            .unwrap_or_default();
-        let fleet = own.cluster.as_ref().filter(|_| self.keys.is_some());
-        let keys = fleet.map(|set| cluster::keys(&set.key_file)).transpose()?;
-        // Listeners take a restart; without the block the routes stay.
-        if let (Some(front), Some(set)) = (&self.scgi, &own.scgi) {
+        let operator = match &self.files.operator_settings {
+            Some(path) => OperatorSettings::load(path)?,
+            None => OperatorSettings::default(),
+        };
+        let keys = match &operator.cluster {
+            Some(cluster) if self.keys.is_some() => Some(cluster::keys(&cluster.key_file)?),
+            _ => None,
+        };
+        // A change of listeners takes a restart; without the block the routes stay.
+        if let (Some(front), Some(settings)) = (&self.scgi, &operator.scgi) {
             let profiles = &config.settings.profiles;
             let classes: HashSet<&str> = profiles.iter().map(|class| class.name.as_str()).collect();
-            front.reload(Routes::new(set, self.active.clone(), |class| classes.contains(class))?);
+            front.reload(Routes::new(settings, self.active.clone(), |class| classes.contains(class))?);
         }
-        Ok((config, keys))
+        Ok(ReadFiles { config, keys })
     }
 }
--- a/crates/node/src/upstream_client.rs
+++ b/crates/node/src/upstream_client.rs
@@ -1,14 +1,15 @@
-//! Calls to the ledger, the dependency that all servers share: `POST /post` over HTTP/1.1 by `ureq`, one call at a
-//! time on a connection, on threads of their own so that no step waits. When to call and how long a call may take is
-//! the module's; this carries the call and says how it ended, in the module's words.
+//! Calls to the upstream, the dependency that all servers share: `POST /post` over HTTP/1.1, one call at a time on a
+//! connection, on threads of their own. When a call is made and how long it may take is the module's decision; a thread
+//! carries the call and reports its outcome.
 //!
 //! | reply | outcome |
 //! | --- | --- |
-//! | 200 with a body | `Delivered`, the body goes to the run |
-//! | 503 or 409 with `X-Untouched: 1`, a refused connection, a call that never left here | `Shed` or `DialFailed`: it never ran |
-//! | 500, or 503 and 409 without that header | `AppError`: it may have had its effect |
-//! | 504, or no reply in time (the connection is closed, which gives the call up) | `Expired` |
-//! | a connection that broke during the call | `Dropped` |
+//! | 200 with a body | `Success`, the body goes to the run |
+//! | 503 or 409 with `X-Untouched: 1`, a call that was not sent | `Rejected`: it had no effect |
+//! | a connection that was not made | `ConnectFailed`: it had no effect |
+//! | 500, or 503 and 409 without that header | `Failure`: it may have had its effect |
+//! | 504, or no reply in time (the connection is closed, which cancels the call) | `TimedOut` |
+//! | a connection that broke during the call | `Aborted` |
 
 use crossbeam_channel::{Receiver, Sender, bounded};
 use gradepin_admission::{Outcome, RequestId, Span};
@@ -20,33 +21,37 @@
 use std::sync::{Arc, PoisonError, RwLock};
 use std::thread;
 use std::time::{Duration, Instant};
-use ureq::Agent;
-
-/// The library nests its calls, and keeps its buffers on the heap.
-const STACK: usize = 1024 * 1024;
-/// Calls that wait for a thread at the most; more are turned away here, which proves that they never ran.
-const QUEUE: usize = 256;
-/// A connection idle for so long is not used again: the ledger closes those idle for 10 s, and a call on one that it
-/// closed would break without having been read, and count as one that may have run.
-const IDLE: Duration = Duration::from_secs(4);
-/// How long a connection may take to be made; a call that can't be made in it never ran.
-const CONNECT: Duration = Duration::from_millis(500);
-
-/// A call as the threads take it.
+use ureq::http::Response;
+use ureq::{Agent, Body};
+
+/// The HTTP library nests its calls deeply.
+const STACK_BYTES: usize = 1024 * 1024;
+/// Calls that wait for a thread; more are rejected here, which proves that they had no effect.
+const QUEUE_CAPACITY: usize = 256;
+/// A connection idle for so long is not used again: the upstream closes connections idle for 10 s, and a call on a closed
+/// one would break unread, and count as one that may have had its effect.
+const MAX_IDLE_AGE: Duration = Duration::from_secs(4);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// A call in the queue.
 struct Call {
     id: RequestId,
     number: UpstreamCallId,
     body: Arc<Vec<u8>>,
-    limit: Duration,
-    until: Instant,
-    /// After which it must not leave here.
-    leaves: Option<Instant>,
+    timeout: Duration,
+    /// The call and its wait in the queue end here.
+    deadline: Instant,
+    /// The call must not be sent at this time or later.
+    leave_before: Option<Instant>,
 }
 
-/// The calls to the ledger that all servers share.
+/// The address that calls go to; a reload changes it.
+type SharedUrl = Arc<RwLock<Arc<str>>>;
+
+/// The threads of upstream calls, as the main thread uses them.
 pub struct UpstreamClient {
     calls: Sender<Call>,
-    url: Arc<RwLock<Arc<str>>>,
+    url: SharedUrl,
     log: Logger,
 }
 
@@ -55,10 +60,10 @@
 }
 
 impl UpstreamClient {
-    /// Calls this address from now on, so many calls at a time with a thread each, and tells how each ended.
+    /// Starts `max_calls` threads, each with one call at a time; the end of each call becomes an input.
     pub fn start(
         address: SocketAddr,
-        most: usize,
+        max_calls: usize,
         inputs: Sender<Input>,
         pool: Arc<BufferPool>,
         log: Logger,
@@ -67,41 +72,46 @@
             .http_status_as_error(false)
             .max_redirects(0)
             .proxy(None)
-            .max_idle_age(IDLE)
-            .timeout_connect(Some(CONNECT))
+            .max_idle_age(MAX_IDLE_AGE)
+            .timeout_connect(Some(CONNECT_TIMEOUT))
             .user_agent(concat!("gradepin/", env!("CARGO_PKG_VERSION")));
         let agent: Agent = config.build().into();
         let url = Arc::new(RwLock::new(url(address)));
-        let (calls, queue) = bounded::<Call>(QUEUE);
-        for n in 0..most {
-            let (agent, url, queue, inputs, pool) =
-                (agent.clone(), Arc::clone(&url), queue.clone(), inputs.clone(), Arc::clone(&pool));
-            let carry = move || carry(&agent, &url, &queue, &inputs, &pool);
-            thread::Builder::new().name(format!("ledger-{n}")).stack_size(STACK).spawn(carry)?;
+        let (calls, queue) = bounded::<Call>(QUEUE_CAPACITY);
+        for n in 0..max_calls {
+            let caller = Caller {
+                agent: agent.clone(),
+                url: Arc::clone(&url),
+                queue: queue.clone(),
+                inputs: inputs.clone(),
+                pool: Arc::clone(&pool),
+            };
+            let run = move || caller.run();
+            thread::Builder::new().name(format!("ledger-{n}")).stack_size(STACK_BYTES).spawn(run)?;
         }
         Ok(Self { calls, url, log })
     }
 
-    /// Calls go to this address from now on; those out already end where they are.
+    /// Sends calls to another address from now on; calls under way end at the old one.
     pub fn retarget(&self, address: SocketAddr) {
         *self.url.write().unwrap_or_else(PoisonError::into_inner) = url(address);
     }
 
-    /// Makes a call, for a request and under a number; never blocks. Where it finds no room, its end is given back at once: put into the
-    /// queue of inputs, a full one, it would have the thread that empties that queue wait for itself.
-    /// `leaves` is the time after which it must not leave here any more: a lease that it goes by is over then.
+    /// Queues a call for a request, under a number; never blocks. A full queue rejects it, and its end is returned: the
+    /// caller is the thread that empties the inputs, and would wait for itself where those are full.
+    /// At `leave_before` or later the call must not be sent: the lease that it is made under has expired.
     pub fn call(
         &self,
         (id, number): (RequestId, UpstreamCallId),
         body: &[u8],
-        limit: Span,
-        leaves: Option<Instant>,
+        timeout: Span,
+        leave_before: Option<Instant>,
     ) -> Result<(), Input> {
-        let limit = Duration::from_nanos(limit.0);
-        let until = Instant::now() + limit;
-        let call = Call { id, number, body: Arc::new(body.to_vec()), limit, until, leaves };
+        let timeout = Duration::from_nanos(timeout.0);
+        let deadline = Instant::now() + timeout;
+        let call = Call { id, number, body: Arc::new(body.to_vec()), timeout, deadline, leave_before };
         self.calls.try_send(call).map_err(|unsent| {
-            warn!(self.log, "a call to the ledger found no room; it is turned away unmade");
+            warn!(self.log, "upstream call rejected: queue is full"; "capacity" => QUEUE_CAPACITY);
             let Call { id, number, .. } = unsent.into_inner();
             Input::UpstreamCallEnded { id, call: number, outcome: Outcome::Rejected, reply: None }
         })
@@ -129,62 +139,82 @@
     }
 }
 
-fn carry(
-    agent: &Agent,
-    url: &RwLock<Arc<str>>,
-    queue: &Receiver<Call>,
-    inputs: &Sender<Input>,
-    pool: &Arc<BufferPool>,
-) {
-    for call in queue {
-        let url = Arc::clone(&url.read().unwrap_or_else(PoisonError::into_inner));
-        let (outcome, reply) = match call.until.checked_duration_since(Instant::now()) {
-            // Its time ran out while it waited here: it never left.
-            None => (Outcome::Rejected, None),
-            // The last look at the clock: this thread may have been stopped since the call was decided.
-            Some(_) if call.leaves.is_some_and(|leaves| Instant::now() >= leaves) => {
-                (Outcome::Rejected, None)
+/// One thread of upstream calls.
+struct Caller {
+    agent: Agent,
+    url: SharedUrl,
+    queue: Receiver<Call>,
+    inputs: Sender<Input>,
+    pool: Arc<BufferPool>,
+}
+
+/// How a call ended, with its reply on success.
+struct CallEnd {
+    outcome: Outcome,
+    reply: Option<Buffer>,
+}
+
+impl CallEnd {
+    fn without_reply(outcome: Outcome) -> Self {
+        Self { outcome, reply: None }
+    }
+}
+
+impl Caller {
+    fn run(&self) {
+        for call in &self.queue {
+            let url = Arc::clone(&self.url.read().unwrap_or_else(PoisonError::into_inner));
+            let CallEnd { outcome, reply } = self.call(&url, &call);
+            let ended = Input::UpstreamCallEnded { id: call.id, call: call.number, outcome, reply };
+            if self.inputs.send(ended).is_err() {
+                return;
             }
-            Some(left) => exchange(agent, &url, &call, left, pool),
+        }
+    }
+
+    /// Makes a call, unless its time ran out in the queue.
+    fn call(&self, url: &str, call: &Call) -> CallEnd {
+        let Some(remaining) = call.deadline.checked_duration_since(Instant::now()) else {
+            return CallEnd::without_reply(Outcome::Rejected);
         };
-        if inputs.send(Input::UpstreamCallEnded { id: call.id, call: call.number, outcome, reply }).is_err() {
-            return;
+        // Checked last: this thread may have been stopped since the call was decided.
+        if call.leave_before.is_some_and(|leave_before| Instant::now() >= leave_before) {
+            return CallEnd::without_reply(Outcome::Rejected);
         }
+        self.exchange(url, call, remaining)
     }
-}
 
-fn exchange(
-    agent: &Agent,
-    url: &str,
-    call: &Call,
-    left: Duration,
-    pool: &Arc<BufferPool>,
-) -> (Outcome, Option<Buffer>) {
-    let request = agent.post(url).config().timeout_global(Some(left)).build();
-    let request = request
-        .header("X-Txn-Ref", call.id.0.as_ref())
-        .header("X-Limit-Ms", call.limit.as_millis().to_string());
-    let mut response = match request.send(call.body.as_slice()) {
-        Ok(response) => response,
-        Err(error) => return (failed(&error), None),
-    };
-    let untouched = response.headers().get("X-Untouched").is_some_and(|value| value.as_bytes() == b"1");
-    match response.status().as_u16() {
-        200 => match response.body_mut().with_config().limit(BUFFER_BYTES as u64).read_to_vec() {
-            Ok(body) => match pool.copy(&body) {
-                Some(body) => (Outcome::Success, Some(body)),
-                None => (Outcome::Failure, None),
+    fn exchange(&self, url: &str, call: &Call, remaining: Duration) -> CallEnd {
+        let request = self.agent.post(url).config().timeout_global(Some(remaining)).build();
+        let request = request
+            .header("X-Txn-Ref", call.id.0.as_ref())
+            .header("X-Limit-Ms", call.timeout.as_millis().to_string());
+        let mut response = match request.send(call.body.as_slice()) {
+            Ok(response) => response,
+            Err(error) => return CallEnd::without_reply(outcome_of_error(&error)),
+        };
+        let untouched = response.headers().get("X-Untouched").is_some_and(|value| value.as_bytes() == b"1");
+        match response.status().as_u16() {
+            200 => self.read_reply(&mut response),
+            503 | 409 if untouched => CallEnd::without_reply(Outcome::Rejected),
+            504 => CallEnd::without_reply(Outcome::TimedOut),
+            _ => CallEnd::without_reply(Outcome::Failure),
+        }
+    }
+
+    /// Reads the body of a success; one longer than a buffer makes the call a failure.
+    fn read_reply(&self, response: &mut Response<Body>) -> CallEnd {
+        match response.body_mut().with_config().limit(BUFFER_BYTES as u64).read_to_vec() {
+            Ok(body) => match self.pool.copy(&body) {
+                Some(reply) => CallEnd { outcome: Outcome::Success, reply: Some(reply) },
+                None => CallEnd::without_reply(Outcome::Failure),
             },
-            Err(error) => (failed(&error), None),
-        },
-        503 | 409 if untouched => (Outcome::Rejected, None),
-        504 => (Outcome::TimedOut, None),
-        _ => (Outcome::Failure, None),
+            Err(error) => CallEnd::without_reply(outcome_of_error(&error)),
+        }
     }
 }
 
-/// What an error of the exchange says of the call.
-fn failed(error: &ureq::Error) -> Outcome {
+fn outcome_of_error(error: &ureq::Error) -> Outcome {
     match error {
         ureq::Error::Timeout(ureq::Timeout::Connect | ureq::Timeout::Resolve) => Outcome::ConnectFailed,
         ureq::Error::Timeout(_) => Outcome::TimedOut,
--- a/crates/node/src/upstream_client/tests.rs
+++ b/crates/node/src/upstream_client/tests.rs
@@ -2,8 +2,8 @@
 use std::io::{Read, Write};
 use std::net::TcpListener;
 
-/// A stand-in ledger that answers each call with the next of these replies, or holds it without one.
-fn ledger(replies: Vec<Option<&'static str>>) -> SocketAddr {
+/// A stand-in upstream that answers each call with the next of these replies, or never where there is none.
+fn upstream(replies: Vec<Option<&'static str>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -33,16 +33,16 @@
 }
 
 fn outcome(address: SocketAddr, limit_ms: u64) -> (Outcome, Option<Vec<u8>>) {
-    let (inputs, came) = bounded(4);
+    let (inputs, received) = bounded(4);
     let pool = BufferPool::new(4);
     let log = Logger::root(slog::Discard, slog::o!());
-    let ledger = UpstreamClient::start(address, 4, inputs, pool, log).unwrap();
+    let client = UpstreamClient::start(address, 4, inputs, pool, log).unwrap();
     assert!(
-        ledger
+        client
             .call((RequestId::new("00000000000000a1"), 1), b"form", Span(limit_ms * 1_000_000), None)
             .is_ok()
     );
-    match came.recv_timeout(Duration::from_secs(10)).unwrap() {
+    match received.recv_timeout(Duration::from_secs(10)).unwrap() {
         Input::UpstreamCallEnded { outcome, reply, .. } => (outcome, reply.map(|reply| reply.to_vec())),
         _ => panic!("another input"),
     }
@@ -51,7 +51,7 @@
 /// Guards each reply's meaning for the module: which prove that the call never ran, which may have had an
 /// effect, and the body that goes to the run.
 #[test]
-fn replies_of_the_ledger_say_what_became_of_a_call() {
+fn maps_each_reply_to_its_outcome() {
     let replies = [
         ("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", Outcome::Success),
         ("HTTP/1.1 503 Busy\r\nX-Untouched: 1\r\nContent-Length: 0\r\n\r\n", Outcome::Rejected),
@@ -68,13 +68,13 @@
         ("nonsense\r\n\r\n", Outcome::Aborted),
     ];
     for (reply, expected) in replies {
-        let (outcome, body) = outcome(ledger(vec![Some(reply)]), 2_000);
+        let (outcome, body) = outcome(upstream(vec![Some(reply)]), 2_000);
         assert_eq!(outcome, expected, "{reply}");
         assert_eq!(body.is_some(), expected == Outcome::Success, "{reply}");
     }
-    assert_eq!(outcome(ledger(vec![Some(replies[0].0)]), 2_000).1.as_deref(), Some(&b"ok"[..]));
+    assert_eq!(outcome(upstream(vec![Some(replies[0].0)]), 2_000).1.as_deref(), Some(&b"ok"[..]));
     // No reply within the limit: the call is given up, and may have had its effect.
-    assert_eq!(outcome(ledger(vec![None]), 200).0, Outcome::TimedOut);
+    assert_eq!(outcome(upstream(vec![None]), 200).0, Outcome::TimedOut);
     // Nobody listens: it never ran.
     let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     assert_eq!(outcome(gone, 2_000).0, Outcome::ConnectFailed);
@@ -82,46 +82,46 @@
 
 /// Guards against a reply longer than a result may be, taken for a whole one or kept in memory as it comes.
 #[test]
-fn a_reply_that_is_too_long_never_reaches_the_run() {
+fn drops_a_reply_longer_than_a_result() {
     let reply = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}",
         BUFFER_BYTES * 4,
         "x".repeat(BUFFER_BYTES * 4)
     );
     let reply: &'static str = Box::leak(reply.into_boxed_str());
-    assert_eq!(outcome(ledger(vec![Some(reply)]), 2_000), (Outcome::Aborted, None));
+    assert_eq!(outcome(upstream(vec![Some(reply)]), 2_000), (Outcome::Aborted, None));
 }
 
 /// Guards against a deadlock: the thread that makes calls is the one that empties the inputs, so a call that finds no
 /// room must not be told to a queue that is full.
 #[test]
-fn a_call_without_room_is_given_back_though_the_inputs_are_full() {
+fn returns_a_call_that_finds_the_queue_full_while_inputs_are_full() {
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let (inputs, _came) = bounded(1);
     inputs.send(Input::LinkDown).unwrap();
     let log = Logger::root(slog::Discard, slog::o!());
     let address = silent.local_addr().unwrap();
-    let ledger = UpstreamClient::start(address, 4, inputs, BufferPool::new(4), log).unwrap();
+    let client = UpstreamClient::start(address, 4, inputs, BufferPool::new(4), log).unwrap();
     let (told, tells) = bounded(1);
     thread::spawn(move || {
-        let turned_away = (0..QUEUE + 4 + 1).filter_map(|n| {
-            ledger.call((RequestId::new(&format!("{n:016x}")), 1), b"form", Span(60_000_000_000), None).err()
+        let rejected = (0..QUEUE_CAPACITY + 4 + 1).filter_map(|n| {
+            client.call((RequestId::new(&format!("{n:016x}")), 1), b"form", Span(60_000_000_000), None).err()
         });
-        let all = turned_away.collect::<Vec<_>>();
+        let all = rejected.collect::<Vec<_>>();
         told.send(all).unwrap();
     });
-    let turned_away = tells.recv_timeout(Duration::from_secs(20)).expect("no call waits for the inputs");
-    assert!(!turned_away.is_empty());
+    let rejected = tells.recv_timeout(Duration::from_secs(20)).expect("no call waits for the inputs");
+    assert!(!rejected.is_empty());
     let shed = |input: &Input| {
         matches!(input, Input::UpstreamCallEnded { outcome: Outcome::Rejected, reply: None, .. })
     };
-    assert!(turned_away.iter().all(shed));
+    assert!(rejected.iter().all(shed));
 }
 
 /// Guards against a call that breaks, and may have run as far as anyone knows, only because its connection was closed
 /// as idle before: that is seen before anything is written, and another connection is made.
 #[test]
-fn a_call_whose_connection_was_closed_idle_takes_another() {
+fn uses_another_connection_where_the_idle_one_was_closed() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (closed, closes) = bounded(2);
@@ -138,13 +138,13 @@
             closed.send(()).unwrap();
         }
     });
-    let (inputs, came) = bounded(4);
+    let (inputs, received) = bounded(4);
     let log = Logger::root(slog::Discard, slog::o!());
-    let ledger = UpstreamClient::start(address, 4, inputs, BufferPool::new(4), log).unwrap();
+    let client = UpstreamClient::start(address, 4, inputs, BufferPool::new(4), log).unwrap();
     for n in 0..2 {
         let id = RequestId::new(&format!("{n:016x}"));
-        assert!(ledger.call((id, n), b"form", Span(10_000_000_000), None).is_ok());
-        let came = came.recv_timeout(Duration::from_secs(10)).unwrap();
+        assert!(client.call((id, n), b"form", Span(10_000_000_000), None).is_ok());
+        let came = received.recv_timeout(Duration::from_secs(10)).unwrap();
         assert!(matches!(came, Input::UpstreamCallEnded { outcome: Outcome::Success, .. }), "call {n}");
         closes.recv_timeout(Duration::from_secs(10)).unwrap();
     }
@@ -178,9 +178,9 @@
 }
 
 /// Guards against a call that never ends, ends twice or takes its thread along, and against a reply cut short that is taken
-/// for a whole one, whatever the ledger sends and wherever that breaks off.
+/// for a whole one, whatever the upstream sends and wherever that breaks off.
 #[test]
-fn each_call_ends_once_whatever_comes_back() {
+fn ends_each_call_once_whatever_the_reply() {
     let whole: [&[u8]; 4] = [
         b"HTTP/1.1 200 OK\r\nContent-Length: 12\r\nX-A: b\r\n\r\nhello\r\n\r\nyou",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n7\r\n\r\n\r\nyou\r\n0\r\n\r\n",
@@ -211,16 +211,16 @@
             });
         }
     });
-    let (inputs, came) = bounded(count);
+    let (inputs, received) = bounded(count);
     let log = Logger::root(slog::Discard, slog::o!());
-    let ledger = UpstreamClient::start(address, 4, inputs, BufferPool::new(4), log).unwrap();
+    let client = UpstreamClient::start(address, 4, inputs, BufferPool::new(4), log).unwrap();
     let mut ends = vec![None; count];
     for n in 0..count {
         let id = RequestId::new(&format!("{n:016x}"));
         // In time, however slow the machine: no verdict here hangs on how long a call takes.
-        assert!(ledger.call((id, n as u64), b"form", Span(60_000_000_000), None).is_ok(), "seed {seed}, {n}");
+        assert!(client.call((id, n as u64), b"form", Span(60_000_000_000), None).is_ok(), "seed {seed}, {n}");
         let Input::UpstreamCallEnded { call: number, outcome, reply, .. } =
-            came.recv_timeout(Duration::from_secs(30)).unwrap_or_else(|_| {
+            received.recv_timeout(Duration::from_secs(30)).unwrap_or_else(|_| {
                 panic!(
                     "seed {seed}: call {n} never ends, answered with {:?}",
                     String::from_utf8_lossy(&sent[n])
@@ -234,7 +234,7 @@
         let end = (outcome, reply.map(|reply| reply.to_vec()));
         assert!(ends[n].replace(end).is_none(), "seed {seed}: call {n} ended twice");
     }
-    assert!(came.try_recv().is_err(), "a call ended twice");
+    assert!(received.try_recv().is_err(), "a call ended twice");
     for (n, end) in ends.iter().flatten().enumerate() {
         if n < cuts {
             assert_eq!(*end, (Outcome::Aborted, None), "cut at byte {n}");
