--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -9,7 +9,7 @@
 //! | `NAME`, empty, mode 0600 | claimed; the run goes on |
 //! | `NAME` with a fingerprint and bytes | the run ended with this result |
 //! | `NAME`, empty, mode 0400 | the run ended without a result, or the result was dropped |
-//! | `alive.SEED` | locked by a process for as long as it lives |
+//! | `alive.SEED` | locked by a process until it ends |
 //! | `salt` | keys the names and the fingerprints of all processes |
 //!
 //! `NAME` is 32 hex digits, a keyed hash of the idempotency key, so that no client can choose a file's name. The files count
@@ -117,7 +117,7 @@
     }
 
     /// Writes all outcomes and ends the thread; without it the other process waits for outcomes that never come. `inputs`
-    /// is closed first: nobody reads it any more, and the thread would wait forever for space in it.
+    /// is closed first: with no reader left, the thread would wait forever for space in it.
     pub fn close(self, inputs: Receiver<Input>) {
         drop(inputs);
         drop(self.jobs);
@@ -126,7 +126,7 @@
 }
 
 /// Tries until the folder can be used, and reports that; claims are answered by [`RunClaim::Unknown`] meanwhile. None if
-/// nobody asks any more.
+/// the queue of jobs is closed.
 fn open_until_done(
     place: &Place,
     mut window: Duration,
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Serves jobs until nobody sends any more.
+    /// Serves jobs until their queue is closed.
     fn run(mut self, queue: &Receiver<Job>) {
         loop {
             let timeout = if self.waiting.is_empty() { CLEANUP_INTERVAL } else { POLL_INTERVAL };
@@ -241,7 +241,7 @@
                 RunClaim::Unknown
             }
         };
-        // Where nobody receives inputs any more, the queue of jobs ends too.
+        // Where the queue of inputs is closed, the queue of jobs will be too.
         let _ = self.inputs.send(Input::RunClaimed { id: pending.id.clone(), claim });
         true
     }
--- a/crates/node/src/claims/folder.rs
+++ b/crates/node/src/claims/folder.rs
@@ -61,14 +61,14 @@
 /// A result that this process wrote.
 struct WrittenResult {
     file_name: String,
-    /// In whole pages.
+    /// Rounded up to pages.
     bytes: usize,
 }
 
 /// The open folder, and the claims of this process in it. Its drop removes the `alive` file.
 pub(super) struct ClaimFolder {
     folder: PathBuf,
-    /// Locked for as long as this process lives.
+    /// Locked until this process ends.
     _alive_lock: File,
     alive_name: String,
     /// Keys the names and the fingerprints of all processes.
@@ -221,8 +221,8 @@
 
     /// Removes files whose window is over, and ends claims that dead processes left open.
     pub(super) fn clean_up(&mut self, now: SystemTime) -> io::Result<()> {
-        let kept_for = self.window + Duration::from_nanos(READ_LATE.0);
-        let has_expired = |at: SystemTime| now.duration_since(at).is_ok_and(|age| age > kept_for);
+        let retention = self.window + Duration::from_nanos(READ_LATE.0);
+        let has_expired = |at: SystemTime| now.duration_since(at).is_ok_and(|age| age > retention);
         let mut is_alone = true;
         let mut open_claims = Vec::new();
         for entry in fs::read_dir(&self.folder)? {
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -4,10 +4,10 @@
 use gradepin_core::timestamp::Timestamp;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// What the clock shows at its start.
-const ORIGIN: u64 = 1_000_000_000_000;
+/// The clock's time at its start.
+const ORIGIN_NANOS: u64 = 1_000_000_000_000;
 
-/// A monotonic clock that starts at 1,000 s, so that earlier times can be told too.
+/// A monotonic clock that starts at 1,000 s, so that it has room for earlier times. With each reading comes the Unix time.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock(Instant);
 
@@ -17,9 +17,9 @@
         Self(Instant::now())
     }
 
-    /// A time of this clock, for threads that look at the system's.
+    /// Converts a time of this clock for threads that use the system's monotonic clock.
     pub fn instant(&self, time: Time) -> Instant {
-        self.0 + Duration::from_nanos(time.0.saturating_sub(ORIGIN))
+        self.0 + Duration::from_nanos(time.0.saturating_sub(ORIGIN_NANOS))
     }
 
     /// Reads both clocks.
@@ -27,7 +27,7 @@
         let nanos = u64::try_from(self.0.elapsed().as_nanos()).unwrap_or(u64::MAX);
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Timestamp {
-            now: Time(ORIGIN.saturating_add(nanos)),
+            now: Time(ORIGIN_NANOS.saturating_add(nanos)),
             unix_ms: u64::try_from(unix.as_millis()).unwrap_or(u64::MAX),
         }
     }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -3,29 +3,30 @@
 use gradepin_core::config::{Config, ConfigError};
 use std::path::{Path, PathBuf};
 
-/// Why a file holds no configuration.
+/// Why a configuration file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// It can't be read.
-    #[error("{}: {why}", path.display())]
+    /// The file can't be read.
+    #[error("{}: {source}", path.display())]
     Read {
         /// The file.
         path: PathBuf,
-        /// What the system says.
-        why: std::io::Error,
+        /// The system's reason.
+        source: std::io::Error,
     },
-    /// What it holds can't be used.
-    #[error("{}: {why}", path.display())]
+    /// The file holds no valid configuration.
+    #[error("{}: {source}", path.display())]
     Config {
         /// The file.
         path: PathBuf,
-        /// What is wrong.
-        why: ConfigError,
+        /// What is invalid.
+        source: ConfigError,
     },
 }
 
 /// Reads and checks a configuration.
 pub fn load(path: &Path) -> Result<Config, LoadError> {
-    let text = std::fs::read_to_string(path).map_err(|why| LoadError::Read { path: path.into(), why })?;
-    Config::parse(&text).map_err(|why| LoadError::Config { path: path.into(), why })
+    let text =
+        std::fs::read_to_string(path).map_err(|source| LoadError::Read { path: path.into(), source })?;
+    Config::parse(&text).map_err(|source| LoadError::Config { path: path.into(), source })
 }
--- a/crates/node/src/configuration_service.rs
+++ b/crates/node/src/configuration_service.rs
@@ -1,6 +1,7 @@
-//! The configuration service at the start of a server: the state to start from, and what the reducer is told of it.
+//! The configuration service at the start of a server: finds the configuration to start from, on disk or in the
+//! configuration file, and makes the reducer's settings of it.
 
-use crate::configuration_writer::{ConfigurationWriter, RETRY};
+use crate::configuration_writer::{ConfigurationWriter, RETRY_INTERVAL};
 use crate::settings::{ConfigurationSettings, CouncilSettings};
 use crossbeam_channel::Sender;
 use gradepin_cluster::peer::Peer;
@@ -18,15 +19,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long the writer waits for room to tell that a state is durable; the next one that is tells it too.
-const TELL_PATIENCE: Duration = Duration::from_secs(1);
+/// How long the writer waits for space to report a durable state; the report of the next one makes up for a lost one.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Bytes of commits kept for peers.
-const KEPT_BYTES: usize = 4 << 20;
+const MAX_HISTORY_BYTES: usize = 4 << 20;
 
-/// Why the service can't start.
+/// Why the configuration service can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigurationStartError {
-    /// The start file can't be the base.
+    /// The configuration file can't be the base.
     #[error("the configuration: {0}")]
     Base(#[from] Invalid),
     /// The folder can't be used.
@@ -35,12 +36,12 @@
     /// The folder can't be opened, or another process has it.
     #[error("the folder of the configuration: {0}")]
     Folder(#[from] FolderError),
-    /// A voter keeps what it has voted for.
-    #[error("expected a folder in config: this server is a voter of the council")]
-    NoFolder,
+    /// A voter has no folder for the configurations that it voted for.
+    #[error("expected a folder in config: this server is a voter of the consensus group")]
+    VoterWithoutFolder,
 }
 
-/// What the service starts from.
+/// The configuration that the service starts from, and its open folder.
 pub struct ConfigurationService {
     state: Configuration,
     source: Source,
@@ -48,24 +49,25 @@
 }
 
 impl ConfigurationService {
-    /// Finds the state to start from: the last good one where a folder has one, else the start file. The configuration goes by
-    /// it from here on.
+    /// Finds the state to start from: the last good one where the folder has one, else that of the configuration file.
+    /// Replaces classes, tenants and rules of `config` by it.
     pub fn open(
-        set: &ConfigurationSettings,
-        council: Option<&CouncilSettings>,
+        settings: &ConfigurationSettings,
+        consensus: Option<&CouncilSettings>,
         config: &mut Config,
         log: &Logger,
     ) -> Result<Self, ConfigurationStartError> {
-        if set.folder.is_none() && council.is_some_and(|council| council.folder.is_some()) {
-            return Err(ConfigurationStartError::NoFolder);
+        let is_voter = consensus.is_some_and(|consensus| consensus.folder.is_some());
+        if is_voter && settings.folder.is_none() {
+            return Err(ConfigurationStartError::VoterWithoutFolder);
         }
         let base = Configuration::from_settings(&config.settings)?;
-        let Some(path) = &set.folder else {
+        let Some(path) = &settings.folder else {
             return Ok(Self { state: base, source: Source::StartFile, store: None });
         };
         let (store, found) = ConfigurationStore::open(Box::new(Folder::open(path)?))?;
         for name in &found.passed_over {
-            warn!(log, "a file of the configuration is not whole and is passed over"; "file" => name);
+            warn!(log, "ignoring an incomplete file of the configuration"; "file" => name);
         }
         let Some(state) = found.state else {
             return Ok(Self { state: base, source: Source::StartFile, store: Some(store) });
@@ -75,48 +77,48 @@
         Ok(Self { state, source: Source::Snapshot, store: Some(store) })
     }
 
-    /// What the reducer starts with.
+    /// What the reducer starts the service with; `own` is this server's identity in the cluster.
     pub fn start(
         &self,
-        set: &ConfigurationSettings,
-        council: &CouncilSettings,
+        settings: &ConfigurationSettings,
+        consensus: &CouncilSettings,
         own: &Peer,
         seed: u64,
     ) -> ConfigurationStart {
         let own = Member {
             name: Arc::clone(&own.name),
             zone: Arc::clone(&own.zone),
-            region: Arc::from(set.region(&own.zone)),
-            voter: council.voters.contains(&own.name),
+            region: Arc::from(settings.region(&own.zone)),
+            voter: consensus.voters.contains(&own.name),
         };
         ConfigurationStart {
             state: self.state.clone(),
             source: self.source,
             dissemination: DisseminationSettings {
-                kept: LogLimits { commits: set.history, bytes: KEPT_BYTES },
-                send_bytes_s: f64::from(set.bytes_per_second),
-                snapshot_bytes_s: f64::from(set.snapshot_bytes_per_second),
+                kept: LogLimits { commits: settings.history, bytes: MAX_HISTORY_BYTES },
+                send_bytes_s: f64::from(settings.bytes_per_second),
+                snapshot_bytes_s: f64::from(settings.snapshot_bytes_per_second),
                 ..DisseminationSettings::default()
             },
             own,
-            voters: council.voters.clone(),
-            regions: set.regions.clone(),
-            stale_after: set.stale_after,
+            voters: consensus.voters.clone(),
+            regions: settings.regions.clone(),
+            stale_after: settings.stale_after,
             seed,
         }
     }
 
-    /// Starts the thread that writes, where there is a folder.
+    /// Starts the thread that writes committed configurations, where there is a folder.
     pub fn start_writer(self, inputs: Sender<Input>) -> io::Result<Option<ConfigurationWriter>> {
-        let told = move |written| {
-            let _ = inputs.send_timeout(Input::ConfigurationWritten(written), TELL_PATIENCE);
+        let report = move |result| {
+            let _ = inputs.send_timeout(Input::ConfigurationWritten(result), REPORT_TIMEOUT);
         };
-        self.store.map(|store| ConfigurationWriter::start(store, RETRY, told)).transpose()
+        self.store.map(|store| ConfigurationWriter::start(store, RETRY_INTERVAL, report)).transpose()
     }
 }
 
-/// The settings of the consensus group's part.
-pub fn log_settings(set: &ConfigurationSettings) -> configuration_log::ConfigurationSettings {
-    let history = u32::try_from(set.history).unwrap_or(u32::MAX).min(configuration_log::MAX_HISTORY);
+/// Settings of the configuration log in the consensus group.
+pub fn log_settings(settings: &ConfigurationSettings) -> configuration_log::ConfigurationSettings {
+    let history = u32::try_from(settings.history).unwrap_or(u32::MAX).min(configuration_log::MAX_HISTORY);
     configuration_log::ConfigurationSettings { history, ..Default::default() }
 }
--- a/crates/node/src/configuration_writer.rs
+++ b/crates/node/src/configuration_writer.rs
@@ -1,7 +1,8 @@
-//! The thread that writes the last good configuration. Who hands states in never waits for the disk.
+//! The thread that writes the last good configuration to disk; callers never wait for the disk.
 //!
-//! It holds the newest state and at most [`MAX_COMMITS`] commits that led to it; what it can't keep up with is written as
-//! one snapshot. A failure is told once for each reason and tried again: serving does not depend on it.
+//! It holds the newest state and at most [`MAX_PENDING_COMMITS`] commits that led to it; where the disk is slower than
+//! commits, one snapshot replaces them. A failure is reported once for each reason and the write is retried: serving does
+//! not depend on it.
 
 use gradepin_config::{Commit, Snapshot};
 use gradepin_core::configuration::ConfigurationSaveResult;
@@ -12,16 +13,15 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// Encoding nests little; snapshots are on the heap.
-const STACK: usize = 256 * 1024;
-/// Commits that wait for the disk, at the most; a snapshot replaces more.
-const MAX_COMMITS: usize = 256;
-/// Between tries on a disk that fails.
-pub const RETRY: Duration = Duration::from_secs(5);
+const STACK_BYTES: usize = 256 * 1024;
+/// Commits that wait for the disk; a snapshot replaces more.
+const MAX_PENDING_COMMITS: usize = 256;
+/// The pause between attempts to write to a disk that fails.
+pub const RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
 #[derive(Default)]
 struct Pending {
-    /// The newest state, where it is not written yet.
+    /// The newest state; None once it is written.
     state: Option<Snapshot>,
     /// The last commits that led to it, without gaps.
     commits: VecDeque<Arc<Commit>>,
@@ -40,33 +40,34 @@
     }
 }
 
-/// The thread, as the server sees it. Dropped, it writes what was handed in and ends.
+/// The thread, as the main thread uses it. Its drop waits until the newest state is written, or its write has failed.
 pub struct ConfigurationWriter {
     shared: Arc<Shared>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl ConfigurationWriter {
-    /// Starts the thread; `told` hears on it what became of each write.
+    /// Starts the thread, which calls `report` with the result of each write.
     pub fn start(
         store: ConfigurationStore,
         retry: Duration,
-        told: impl FnMut(ConfigurationSaveResult) + Send + 'static,
+        report: impl FnMut(ConfigurationSaveResult) + Send + 'static,
     ) -> io::Result<Self> {
         let shared = Arc::new(Shared::default());
-        let ours = Arc::clone(&shared);
-        let run = move || write_all(&ours, store, retry, told);
-        let thread = thread::Builder::new().name("config".into()).stack_size(STACK).spawn(run)?;
+        let writer_shared = Arc::clone(&shared);
+        let run = move || write_all(&writer_shared, store, retry, report);
+        let thread = thread::Builder::new().name("config".into()).stack_size(STACK_BYTES).spawn(run)?;
         Ok(Self { shared, thread: Some(thread) })
     }
 
-    /// Hands in a state, and the commit that led to it from the one before; none for a state that came otherwise.
-    pub fn hand_in(&self, state: Snapshot, commit: Option<Arc<Commit>>) {
+    /// Queues a state, and the commit that led to it from the one before; None for a state that did not come by a commit.
+    pub fn save(&self, state: Snapshot, commit: Option<Arc<Commit>>) {
         let mut pending = self.shared.pending();
         match commit {
             Some(commit) => {
                 let follows = |last: &Arc<Commit>| commit.revision == last.revision.next();
-                if pending.commits.len() >= MAX_COMMITS || !pending.commits.back().is_none_or(follows) {
+                if pending.commits.len() >= MAX_PENDING_COMMITS || !pending.commits.back().is_none_or(follows)
+                {
                     pending.commits.clear();
                 }
                 pending.commits.push_back(commit);
@@ -92,9 +93,9 @@
     shared: &Shared,
     mut store: ConfigurationStore,
     retry: Duration,
-    mut told: impl FnMut(ConfigurationSaveResult),
+    mut report: impl FnMut(ConfigurationSaveResult),
 ) {
-    let mut last_failure = String::new();
+    let mut reported_failure = String::new();
     loop {
         let mut pending = shared.pending();
         while pending.state.is_none() && !pending.closed {
@@ -105,16 +106,16 @@
         drop(pending);
         match write(&mut store, &state, &commits) {
             Ok(()) => {
-                last_failure.clear();
-                told(ConfigurationSaveResult::Durable(state.version().revision));
+                reported_failure.clear();
+                report(ConfigurationSaveResult::Durable(state.version().revision));
             }
             Err(error) => {
                 let reason = error.reason();
-                if reason != last_failure {
-                    told(ConfigurationSaveResult::Failed { reason: error.to_string() });
-                    last_failure = reason;
+                if reason != reported_failure {
+                    report(ConfigurationSaveResult::Failed { reason: error.to_string() });
+                    reported_failure = reason;
                 }
-                if !put_back(shared, state, retry) {
+                if !wait_to_retry(shared, state, retry) {
                     return;
                 }
             }
@@ -122,8 +123,8 @@
     }
 }
 
-/// What failed is tried again later, unless a newer state was handed in meanwhile. False at the end of the server.
-fn put_back(shared: &Shared, state: Snapshot, retry: Duration) -> bool {
+/// Waits before the write of a state is retried; a newer state replaces it meanwhile. False where the writer was dropped.
+fn wait_to_retry(shared: &Shared, state: Snapshot, retry: Duration) -> bool {
     let mut pending = shared.pending();
     if pending.state.is_none() {
         pending.state = Some(state);
--- a/crates/node/src/configuration_writer/tests.rs
+++ b/crates/node/src/configuration_writer/tests.rs
@@ -7,7 +7,7 @@
 use gradepin_store::sim::{Fault, SimDisk};
 
 /// A wait that only ends a test which would hang.
-const PATIENCE: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
 fn base() -> Configuration {
     let class = ClassProfile {
@@ -40,20 +40,23 @@
 }
 
 fn start(disk: &SimDisk) -> (ConfigurationWriter, Receiver<ConfigurationSaveResult>) {
-    let (sender, told) = unbounded();
+    let (sender, results) = unbounded();
     let (store, _) = ConfigurationStore::open(Box::new(disk.clone())).expect("a folder");
     let retry = Duration::from_millis(1);
     let writer = ConfigurationWriter::start(store, retry, move |written| {
         let _ = sender.send(written);
     });
-    (writer.expect("a thread"), told)
+    (writer.expect("a thread"), results)
 }
 
-/// Waits until a revision is told as durable.
-fn until(told: &Receiver<ConfigurationSaveResult>, revision: Revision) -> Vec<ConfigurationSaveResult> {
+/// Waits until a revision is reported as durable.
+fn results_until(
+    results: &Receiver<ConfigurationSaveResult>,
+    revision: Revision,
+) -> Vec<ConfigurationSaveResult> {
     let mut all = Vec::new();
     while all.last() != Some(&ConfigurationSaveResult::Durable(revision)) {
-        all.push(told.recv_timeout(PATIENCE).expect("a word from the writer"));
+        all.push(results.recv_timeout(MAX_WAIT).expect("a result of the writer"));
     }
     all
 }
@@ -64,43 +67,43 @@
 }
 
 #[test]
-fn nobody_waits_for_a_disk_that_hangs() {
+fn never_blocks_callers_while_the_disk_hangs() {
     let disk = SimDisk::new(1);
-    let (writer, told) = start(&disk);
+    let (writer, results) = start(&disk);
     let mut state = base();
-    writer.hand_in(Snapshot::of(&state), None);
-    until(&told, Revision(0));
+    writer.save(Snapshot::of(&state), None);
+    results_until(&results, Revision(0));
     // The gate is closed until all is handed in: a writer that made its caller wait would never come to open it.
     disk.fail(Fault::SyncHangs);
-    for _ in 0..2 * MAX_COMMITS + 3 {
+    for _ in 0..2 * MAX_PENDING_COMMITS + 3 {
         let commit = next(&mut state);
-        writer.hand_in(Snapshot::of(&state), Some(commit));
+        writer.save(Snapshot::of(&state), Some(commit));
     }
-    assert!(writer.shared.pending().commits.len() <= MAX_COMMITS);
+    assert!(writer.shared.pending().commits.len() <= MAX_PENDING_COMMITS);
     disk.fail(Fault::None);
-    until(&told, state.revision());
+    results_until(&results, state.revision());
     assert_eq!(found(&disk).map(|found| found.version()), Some(state.version()));
 }
 
 #[test]
-fn a_full_disk_is_told_once_and_tried_again() {
+fn reports_a_full_disk_once_and_retries() {
     let disk = SimDisk::new(2);
-    let (writer, told) = start(&disk);
+    let (writer, results) = start(&disk);
     let mut state = base();
-    writer.hand_in(Snapshot::of(&state), None);
-    until(&told, Revision(0));
+    writer.save(Snapshot::of(&state), None);
+    results_until(&results, Revision(0));
     let held = disk.lengths().iter().map(|(_, length)| length).sum();
     disk.fail(Fault::Full(held));
     let commit = next(&mut state);
-    writer.hand_in(Snapshot::of(&state), Some(commit));
-    let why = told.recv_timeout(PATIENCE).expect("a word from the writer");
+    writer.save(Snapshot::of(&state), Some(commit));
+    let why = results.recv_timeout(MAX_WAIT).expect("a result of the writer");
     assert!(matches!(why, ConfigurationSaveResult::Failed { .. }), "{why:?}");
     assert_eq!(found(&disk).map(|found| found.revision()), Some(Revision(0)), "the state before");
     disk.fail(Fault::None);
-    let all = until(&told, Revision(1));
+    let all = results_until(&results, Revision(1));
     assert!(all.len() <= 2, "each reason once: {all:?}");
     let commit = next(&mut state);
-    writer.hand_in(Snapshot::of(&state), Some(commit));
+    writer.save(Snapshot::of(&state), Some(commit));
     drop(writer);
     assert_eq!(found(&disk).map(|found| found.version()), Some(state.version()), "written at the end");
 }
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -1,4 +1,4 @@
-//! The control plane: reports over UDP that get no answer.
+//! Reports to the control plane: one UDP datagram for each, without an answer.
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
@@ -7,42 +7,42 @@
 #[derive(Debug)]
 pub struct Control {
     socket: UdpSocket,
-    from: IpAddr,
+    own_ip: IpAddr,
     to: SocketAddr,
-    name: String,
+    server_name: String,
 }
 
 impl Control {
-    /// Reports under a name, to an address, from the host that the server listens on.
-    pub fn new(name: &str, from: SocketAddr, to: SocketAddr) -> io::Result<Self> {
-        let from = from.ip();
-        Ok(Self { socket: socket(from, to)?, from, to, name: name.to_string() })
+    /// Reports of the server `name`, which listens on `listen`, to the control plane at `to`.
+    pub fn new(name: &str, listen: SocketAddr, to: SocketAddr) -> io::Result<Self> {
+        let own_ip = listen.ip();
+        Ok(Self { socket: bind(own_ip, to)?, own_ip, to, server_name: name.to_string() })
     }
 
-    /// Reports to another address from now on.
+    /// Sends reports to another address from now on.
     pub fn retarget(&mut self, to: SocketAddr) {
         if to.is_ipv4() != self.to.is_ipv4()
-            && let Ok(socket) = socket(self.from, to)
+            && let Ok(socket) = bind(self.own_ip, to)
         {
             self.socket = socket;
         }
         self.to = to;
     }
 
-    /// Sends one report; it never blocks, and the next one makes up for a lost one.
+    /// Reports whether this server takes work; never blocks. A lost report is made up for by the next one.
     pub fn report(&self, ready: bool) -> io::Result<()> {
         let state = if ready { "Ready" } else { "NotReady" };
-        self.socket.send_to(format!("lease {} {state}", self.name).as_bytes(), self.to).map(drop)
+        self.socket.send_to(format!("lease {} {state}", self.server_name).as_bytes(), self.to).map(drop)
     }
 }
 
-/// A socket for reports to an address. Guards against one of another family than that, from which no report ever leaves: the
-/// server would be on nobody's list. Where the system has no such family, reports fail and the server serves.
-fn socket(from: IpAddr, to: SocketAddr) -> io::Result<UdpSocket> {
-    let any = if to.is_ipv4() { Ipv4Addr::UNSPECIFIED.into() } else { Ipv6Addr::UNSPECIFIED.into() };
-    let own = if from.is_ipv4() == to.is_ipv4() { from } else { any };
-    let socket = UdpSocket::bind((own, 0))
-        .or_else(|_| UdpSocket::bind((any, 0)))
+/// Binds a socket for datagrams to `to`, of the same address family: from one of another family no report ever leaves, and
+/// the server would be on no endpoint list. Where the system lacks the family, reports fail and the server serves.
+fn bind(own_ip: IpAddr, to: SocketAddr) -> io::Result<UdpSocket> {
+    let unspecified = if to.is_ipv4() { Ipv4Addr::UNSPECIFIED.into() } else { Ipv6Addr::UNSPECIFIED.into() };
+    let preferred = if own_ip.is_ipv4() == to.is_ipv4() { own_ip } else { unspecified };
+    let socket = UdpSocket::bind((preferred, 0))
+        .or_else(|_| UdpSocket::bind((unspecified, 0)))
         .or_else(|_| UdpSocket::bind((Ipv4Addr::UNSPECIFIED, 0)))?;
     socket.set_nonblocking(true)?;
     Ok(socket)
--- a/crates/node/src/descriptors.rs
+++ b/crates/node/src/descriptors.rs
@@ -1,36 +1,36 @@
-//! How many descriptors the process may hold: what its configuration says, and what the system allows.
+//! The number of file descriptors that the process may hold, by its configuration and by the system.
 //!
-//! The places of client connections are counted from `limits.sockets`, and what is kept back for all else is left beside
-//! them. Where the system allows fewer, idle clients would take those too: then nobody is accepted any more, no fallen
-//! link is made again, and no operator is answered.
+//! The limit of client connections is `limits.sockets` less a reserve for all else. Where the system allows fewer, idle
+//! clients would take the reserve too: no connection would be accepted, no lost link made again, no operator answered.
 
 use gradepin_core::config::Limits;
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use slog::{Logger, warn};
 
-/// What is kept back, the operators' callers and calls to the ledger included, and some places for clients: a server goes
-/// by no fewer, whatever the system allows.
-const LEAST: usize = 96;
+/// The reserve, with those of operators' requests and upstream calls, and some client connections: a server assumes no fewer,
+/// whatever the system allows.
+const MIN_DESCRIPTORS: usize = 96;
 
-/// Has the system allow as many as the configuration says, as far as it does, and goes by what it allows.
+/// Raises the system's limit to `limits.sockets` as far as the system lets it, and lowers `limits.sockets` to what is
+/// allowed then.
 pub fn apply_system_limit(limits: &mut Limits, log: &Logger) {
     let allowed = usize::try_from(raise(limits.sockets as u64)).unwrap_or(usize::MAX);
     if allowed < limits.sockets {
-        warn!(log, "the system allows fewer descriptors than limits.sockets, and the server goes by that";
+        warn!(log, "the system allows fewer descriptors than limits.sockets; using the system's limit";
             "allowed" => allowed, "configured" => limits.sockets);
-        limits.sockets = allowed.max(LEAST);
+        limits.sockets = allowed.max(MIN_DESCRIPTORS);
     }
 }
 
-/// Raises the soft limit towards this number, as far as the hard one lets it; says what is allowed then.
+/// Raises the soft limit towards `wanted`, as far as the hard limit lets it; returns the limit then in force.
 fn raise(wanted: u64) -> u64 {
     let limit = getrlimit(Resource::Nofile);
     let current = limit.current.unwrap_or(u64::MAX);
     if current >= wanted {
         return current;
     }
-    let raised = limit.maximum.map_or(wanted, |most| most.min(wanted));
-    // Where it is denied, what is allowed is as it was.
+    let raised = limit.maximum.map_or(wanted, |max| max.min(wanted));
+    // Where that is denied, the limit is as it was.
     match setrlimit(Resource::Nofile, Rlimit { current: Some(raised), maximum: limit.maximum }) {
         Ok(()) => raised,
         Err(_) => current,
--- a/crates/node/src/effects.rs
+++ b/crates/node/src/effects.rs
@@ -72,7 +72,7 @@
 
 /// Upstream calls at a time where a reload is the first to name an upstream: the descriptors reserved at the start have room
 /// for no more.
-const LATE_UPSTREAM_MAX_CALLS: usize = 4;
+const MAX_CALLS_OF_ADDED_UPSTREAM: usize = 4;
 
 impl EffectExecutor {
     /// Carries out one effect; appends what it says at once to the inputs of the next step. Breaks at [`Effect::Exit`].
@@ -113,7 +113,7 @@
                 if_present(&self.store, |store| store.persist(number, batch));
             }
             Effect::SaveConfiguration(save) => {
-                if_present(&self.configuration_writer, |writer| writer.hand_in(save.state, save.commit));
+                if_present(&self.configuration_writer, |writer| writer.save(save.state, save.commit));
             }
             Effect::WriteVoterState { generation, number, records } => {
                 if_present(&self.voter_storage, |storage| storage.write(generation, number, records));
@@ -165,7 +165,7 @@
         if let Some(upstream) = &self.upstream {
             return upstream.retarget(address);
         }
-        match self.upstream_starter.start(address, LATE_UPSTREAM_MAX_CALLS) {
+        match self.upstream_starter.start(address, MAX_CALLS_OF_ADDED_UPSTREAM) {
             Ok(upstream) => self.upstream = Some(upstream),
             Err(e) => error!(self.log, "can't start the threads of upstream calls"; "error" => %e),
         }
@@ -190,7 +190,7 @@
         Some(Input::RolloutStepFailed { release, reason })
     }
 
-    /// Lets the reload thread go on; a full queue means that it was told already.
+    /// Lets the reload thread go on; a full queue means that it was notified already.
     fn notify_reload_finished(&self) {
         let _ = self.reload_finished.try_send(());
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,10 @@
-//! The shell of one tile server: its sockets, files, threads and clocks round `gradepin-core`, which decides.
+//! The shell of one tile server: its sockets, files, threads and clocks around `gradepin-core`, which makes all decisions.
 //!
-//! [`frontend`], [`processor`], [`control`] and [`registry`] each speak with one kind of peer and know nothing of the
-//! others; [`settings`] and [`config`] read what the server is told; [`serve`] joins them.
+//! [`serve`] is the entry: it starts all parts in a fixed order and runs the main loop, which steps the reducer and has its
+//! effects carried out. [`frontend`], [`processor`], [`control`], [`registry`], [`upstream_client`] and [`peer_datagrams`]
+//! each communicate with one kind of peer and know nothing of the others; [`store`], [`claims`], [`voter_storage`],
+//! [`staging`] and [`configuration_writer`] each own one folder. [`settings`] and [`config`] read the files that a server is
+//! started with. Threads send [`gradepin_core::messages::Input`]s to the main thread and never call it.
 
 pub mod admin;
 pub mod claims;
--- a/crates/node/src/outgoing.rs
+++ b/crates/node/src/outgoing.rs
@@ -1,8 +1,8 @@
-//! What is written to the processor: at once where its socket takes it, and by a thread where it doesn't.
+//! Writes to the processor: at once where the socket accepts a frame completely, and by a thread where it doesn't.
 //!
-//! Nothing here blocks a caller. Frames leave in the order in which they came. The thread is started when the socket
-//! first doesn't take a frame whole, and ends when nothing waits. Where none can be started the link ends, and what was
-//! on its way is settled on the next one. Clients' connections have no such thread: see `fronts/conn.rs`.
+//! Nothing here blocks a caller, and frames leave in the order of the calls. The thread is started when the socket first
+//! accepts only a part of a frame, and ends when nothing waits. Where it can't be started the link is closed, and the
+//! reducer settles on the next one what was under way. Connections of clients have no such thread: see `frontend/conn.rs`.
 
 use gradepin_core::buffer_pool::Buffer;
 use rustix::io::Errno;
@@ -13,27 +13,27 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
 
-/// Stack of the thread: frames are on the heap.
-const STACK: usize = 64 * 1024;
+const STACK_BYTES: usize = 64 * 1024;
 
-/// A socket and what waits for it. Whoever made it bounds what is put in.
+/// A socket and the frames that wait for it. Unbounded here: the sender bounds what it sends.
 pub struct Outgoing {
-    /// The socket; its time limit for writing is how long a peer may take nothing.
+    /// The socket; its write timeout is how long the peer may accept nothing.
     pub stream: OwnedFd,
     sending: Mutex<Sending>,
 }
 
 #[derive(Default)]
 struct Sending {
-    /// Frames that the socket didn't take, in order; a thread writes them.
+    /// Frames that the socket didn't accept, in order; the thread writes them.
     waiting: VecDeque<Buffer>,
-    writes: bool,
-    /// Nothing can be written any more.
-    dead: bool,
+    /// Whether the thread runs.
+    has_writer: bool,
+    /// Whether the socket is shut down: frames are dropped.
+    closed: bool,
 }
 
 impl Outgoing {
-    /// Nothing waits yet.
+    /// For a connected socket.
     pub fn new(stream: OwnedFd) -> Self {
         Self { stream, sending: Mutex::default() }
     }
@@ -42,57 +42,57 @@
         self.sending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn end(&self, sending: &mut Sending) {
-        sending.dead = true;
+    fn close(&self, sending: &mut Sending) {
+        sending.closed = true;
         sending.waiting.clear();
         let _ = shutdown(&self.stream, Shutdown::Both);
     }
 
-    /// Ends both ways at once; what waits is dropped, and nothing is written after it.
+    /// Shuts the socket down both ways at once; frames that wait, and all later ones, are dropped.
     pub fn shut(&self) {
-        self.end(&mut self.sending());
+        self.close(&mut self.sending());
     }
 
-    /// Writes a frame, or what the socket takes of it at once; a thread writes the rest.
+    /// Sends a frame: what the socket accepts at once is written here, the rest by the thread.
     pub fn send(self: &Arc<Self>, mut frame: Buffer) {
         let mut sending = self.sending();
-        if sending.dead {
+        if sending.closed {
             return;
         }
-        if !sending.writes {
+        if !sending.has_writer {
             match send(&self.stream, &frame, SendFlags::DONTWAIT | SendFlags::NOSIGNAL) {
-                Ok(taken) if taken == frame.len() => return,
-                Ok(taken) => frame.consume(taken),
+                Ok(sent) if sent == frame.len() => return,
+                Ok(sent) => frame.consume(sent),
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {}
-                Err(_) => return self.end(&mut sending),
+                Err(_) => return self.close(&mut sending),
             }
             let writer = Arc::clone(self);
-            let small = thread::Builder::new().name("write".into()).stack_size(STACK);
-            if small.spawn(move || writer.write()).is_err() {
-                return self.end(&mut sending);
+            let thread = thread::Builder::new().name("write".into()).stack_size(STACK_BYTES);
+            if thread.spawn(move || writer.write_waiting()).is_err() {
+                return self.close(&mut sending);
             }
-            sending.writes = true;
+            sending.has_writer = true;
         }
-        // What waits may wait for long: it takes no more than its bytes.
+        // It may wait for long, so it takes no more memory than its bytes.
         sending.waiting.push_back(frame.exact());
     }
 
-    /// Writes what waits, and ends when nothing does.
-    fn write(&self) {
+    /// The thread: writes the frames that wait, and ends when there are none.
+    fn write_waiting(&self) {
         loop {
             let frame = {
                 let mut sending = self.sending();
                 let Some(frame) = sending.waiting.pop_front() else {
-                    sending.writes = false;
+                    sending.has_writer = false;
                     return;
                 };
                 frame
             };
-            // Blocks for as long as the socket's time limit at the most.
-            let mut left = &frame[..];
-            while !left.is_empty() {
-                match send(&self.stream, left, SendFlags::NOSIGNAL) {
-                    Ok(taken) => left = &left[taken..],
+            // Blocks at most for the socket's write timeout.
+            let mut remaining = &frame[..];
+            while !remaining.is_empty() {
+                match send(&self.stream, remaining, SendFlags::NOSIGNAL) {
+                    Ok(sent) => remaining = &remaining[sent..],
                     Err(Errno::INTR) => {}
                     Err(_) => return self.shut(),
                 }
--- a/crates/node/src/outgoing/tests.rs
+++ b/crates/node/src/outgoing/tests.rs
@@ -3,10 +3,9 @@
 use std::io::Read;
 use std::net::{TcpListener, TcpStream};
 
-/// Guards against frames that overtake one another when the socket is full: the processor would take half a command
-/// for another.
+/// Guards against frames that are reordered when the socket is full: the processor would read parts of commands as others.
 #[test]
-fn frames_keep_their_order_through_a_full_socket() {
+fn keeps_the_order_of_frames_through_a_full_socket() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let out = Arc::new(Outgoing::new(listener.accept().unwrap().0.into()));
--- a/crates/node/src/processor.rs
+++ b/crates/node/src/processor.rs
@@ -168,7 +168,7 @@
 }
 
 impl LinkKeeper {
-    /// Connects, reads until the link ends, and starts again; returns once nobody receives inputs any more.
+    /// Connects, reads until the link ends, and starts again; returns once the queue of inputs is closed.
     fn run(&mut self) {
         let mut pause = MIN_RECONNECT_PAUSE;
         for number in 1.. {
@@ -233,7 +233,7 @@
         loop {
             while let Some(line) = lines.next()? {
                 if let Some(input) = self.input_of(line, link, connecting)? {
-                    self.progress.record_sign_of_life();
+                    self.progress.record_activity();
                     self.send(input)?;
                 }
             }
--- a/crates/node/src/processor/notice_progress.rs
+++ b/crates/node/src/processor/notice_progress.rs
@@ -63,7 +63,7 @@
     }
 
     /// Records that the processor sent something that was read now.
-    pub(super) fn record_sign_of_life(&mut self) {
+    pub(super) fn record_activity(&mut self) {
         self.identity.told(self.now());
     }
 
--- a/crates/node/src/staging.rs
+++ b/crates/node/src/staging.rs
@@ -62,7 +62,7 @@
 #[derive(Debug, thiserror::Error)]
 enum StepError {
     #[error("it came too late to begin")]
-    TooLate,
+    StartTimeOver,
     #[error("no command replaces programs here")]
     NoCommand,
     #[error("{}: {source}", command.display())]
@@ -155,7 +155,7 @@
         let area = Arc::clone(self);
         let run = move || {
             let result = if clock.read().now >= start_before {
-                Err(StepError::TooLate)
+                Err(StepError::StartTimeOver)
             } else {
                 match step.kind {
                     ReleaseKind::Program => area.replace_program(&step.version),
--- a/crates/node/src/startup/queues.rs
+++ b/crates/node/src/startup/queues.rs
@@ -40,7 +40,7 @@
 }
 
 impl InputQueues {
-    /// For a server without peers: a queue that nobody sends to would count as closed, and end each wait at once.
+    /// For a server without peers: a queue without senders counts as closed, and would end each wait at once.
     pub(crate) fn without_peers(self) -> Self {
         Self { peer: never(), ..self }
     }
--- a/crates/node/src/startup/roles.rs
+++ b/crates/node/src/startup/roles.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 /// The settings of the fleet that apply to this process. None of them do on an inherited listener: the second process of an
-/// upgrade has the name and the addresses of the first one, so it is no member of the fleet and hears of no changes.
+/// upgrade has the name and the addresses of the first one, so it is no member of the fleet and receives no changes.
 #[derive(Clone, Copy)]
 pub(super) struct FleetRoles<'s> {
     /// Membership in the cluster.
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -85,7 +85,7 @@
     }
 }
 
-/// Tries until the store is open, and reports each new reason once. None if nobody receives inputs any more.
+/// Tries until the store is open, and reports each new reason once. None if the queue of inputs is closed.
 fn open_until_done(
     mut open_disk: OpenDisk,
     limits: Limits,
