--- a/crates/gradepin/src/admin_client.rs
+++ b/crates/gradepin/src/admin_client.rs
@@ -1,18 +1,19 @@
-//! A client of the admin endpoint of a running server: HTTP/1.1, one call a connection. Used by `gradepin fleet`, `release` and
-//! `config`.
+//! A client of the admin endpoint of a running server: HTTP/1.1, one request a connection. Used by `gradepin fleet`, `release`
+//! and `config`.
 
 use std::error::Error;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// An answer is owed within a second.
+/// A server responds within a second.
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// An answer is read up to so many bytes; a page of entries is well below.
+/// A page of entries is well below.
 const MAX_RESPONSE_BYTES: u64 = 4 << 20;
-/// How long an order may be under way, and how often is asked.
+/// How long an order may be pending.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
-const POLL: Duration = Duration::from_millis(100);
+/// The pause between queries for the end of an order.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A response: status and body.
 #[derive(Debug)]
@@ -24,26 +25,26 @@
 /// Why there is no response.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// No connection was had: the server knows nothing of the call.
+    /// No connection was made: the server has not seen the request.
     #[error("the admin endpoint at {address}: {cause}")]
     Connect { address: SocketAddr, cause: std::io::Error },
-    /// The call may have come, and its answer did not.
+    /// The request may have been received; no response was.
     #[error("the admin endpoint at {address}: no answer: {cause}")]
     Lost { address: SocketAddr, cause: std::io::Error },
-    /// What came is no HTTP response.
+    /// The response is not HTTP.
     #[error("the admin endpoint at {address}: expected an HTTP response")]
     NotHttp { address: SocketAddr },
 }
 
 impl Response {
-    /// The body where the call was taken; else it is the error.
-    pub fn taken(self) -> Result<String, Box<dyn Error>> {
+    /// The body on success; otherwise the body is the error.
+    pub fn into_success(self) -> Result<String, Box<dyn Error>> {
         let text = self.body.trim().to_string();
         if (200..300).contains(&self.status) { Ok(text) } else { Err(text.into()) }
     }
 }
 
-/// Calls an admin endpoint.
+/// Sends a request to an admin endpoint.
 pub fn call(address: SocketAddr, method: &str, path: &str, body: &str) -> Result<Response, ClientError> {
     let stream = TcpStream::connect_timeout(&address, TIMEOUT);
     let stream = stream.map_err(|cause| ClientError::Connect { address, cause })?;
@@ -71,18 +72,18 @@
     Some(Response { status, body: body.to_string() })
 }
 
-/// Gives an order and waits for what becomes of it.
+/// Sends an order to the consensus group and waits for its end.
 pub fn order(address: SocketAddr, order: &impl serde::Serialize) -> Result<String, Box<dyn Error>> {
-    let ticket = call(address, "POST", "/fleet/order", &serde_json::to_string(order)?)?.taken()?;
-    let begin = Instant::now();
+    let ticket = call(address, "POST", "/fleet/order", &serde_json::to_string(order)?)?.into_success()?;
+    let started = Instant::now();
     loop {
         let answer = call(address, "GET", &format!("/fleet/order?ticket={ticket}"), "")?;
         if answer.status != 202 {
-            return answer.taken();
+            return answer.into_success();
         }
-        if begin.elapsed() > ORDER_TIMEOUT {
+        if started.elapsed() > ORDER_TIMEOUT {
             return Err("it is still under way; the status shows what became of it".into());
         }
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/gradepin/src/config/client.rs
+++ b/crates/gradepin/src/config/client.rs
@@ -1,5 +1,5 @@
-//! Calls of the configuration's admin endpoints: reads at the first server that answers, and changes that are asked for again
-//! under one request id until an answer is final.
+//! Calls of the configuration's admin paths: reads at the first server that answers, and changes that are retried under one
+//! request id until an answer is final.
 
 use super::ConfigError;
 use crate::admin_client::{self, ClientError, Response};
@@ -10,17 +10,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Between two questions what became of a change.
-const POLL: Duration = Duration::from_millis(200);
-/// Before the next server is asked.
-const NEXT: Duration = Duration::from_millis(300);
-/// A server's own word on when to ask again is taken up to this.
-const MAX_RETRY: Duration = Duration::from_secs(1);
+/// The pause between queries for the end of a change.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// The pause before the next server is tried.
+const NEXT_SERVER_PAUSE: Duration = Duration::from_millis(300);
+/// The longest pause that a server may ask for before a retry.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Servers that are asked in turn, and for how long a change is asked for.
+/// Calls servers in turn.
 pub struct ConfigClient<'a> {
-    pub doors: &'a [SocketAddr],
-    pub wait: Duration,
+    /// Admin endpoints.
+    pub addresses: &'a [SocketAddr],
+    /// How long a change is retried.
+    pub timeout: Duration,
 }
 
 /// What one server's answer to a change means.
@@ -28,40 +30,40 @@
     /// It is final.
     Reply(ApplyReply),
     /// It is final: nothing was changed.
-    Refused(AdminError),
-    /// Another try may do better.
-    Again { after: Duration, may_be_committed: bool, why: String },
+    Rejected(AdminError),
+    /// Another attempt may succeed.
+    Retry { after: Duration, may_be_committed: bool, why: String },
 }
 
 impl ConfigClient<'_> {
-    /// A read, at the first server that answers.
+    /// Reads at the first server that answers.
     pub fn get<T: DeserializeOwned>(&self, path: &str, query: &str) -> Result<T, ConfigError> {
         let separator = if query.is_empty() { "" } else { "?" };
         let path = format!("{path}{separator}{query}");
         let mut why = Vec::new();
-        for &door in self.doors {
-            match admin_client::call(door, "GET", &path, "") {
+        for &address in self.addresses {
+            match admin_client::call(address, "GET", &path, "") {
                 Ok(response) if response.status == 200 => return read(&response.body),
-                Ok(response) => return Err(refusal(&response).into()),
+                Ok(response) => return Err(rejection(&response).into()),
                 Err(error) => why.push(error.to_string()),
             }
         }
         Err(ConfigError::NotTaken(why.join("; ")))
     }
 
-    /// A change: posted to each server in turn, under its request id, until an answer is final or the time is up.
+    /// Posts a change to each server in turn, under its request id, until an answer is final or the time is up.
     pub fn commit(&self, path: &str, body: &str, request_id: &Name) -> Result<ApplyReply, ConfigError> {
-        let until = Instant::now() + self.wait;
-        let mut unsure = false;
-        for &door in self.doors.iter().cycle() {
-            match self.propose(door, path, body, request_id, until) {
+        let deadline = Instant::now() + self.timeout;
+        let mut may_have_committed = false;
+        for &address in self.addresses.iter().cycle() {
+            match self.propose(address, path, body, request_id, deadline) {
                 Outcome::Reply(reply) => return Ok(reply),
-                Outcome::Refused(refusal) => return Err(refusal.into()),
-                Outcome::Again { after, may_be_committed, why } => {
-                    unsure |= may_be_committed;
-                    if Instant::now() + after >= until {
+                Outcome::Rejected(rejection) => return Err(rejection.into()),
+                Outcome::Retry { after, may_be_committed, why } => {
+                    may_have_committed |= may_be_committed;
+                    if Instant::now() + after >= deadline {
                         let request_id = request_id.clone();
-                        return Err(if unsure {
+                        return Err(if may_have_committed {
                             ConfigError::Unknown { request_id, why }
                         } else {
                             ConfigError::NotTaken(why)
@@ -76,59 +78,61 @@
 
     fn propose(
         &self,
-        door: SocketAddr,
+        address: SocketAddr,
         path: &str,
         body: &str,
         request_id: &Name,
-        until: Instant,
+        deadline: Instant,
     ) -> Outcome {
-        let mut answer = admin_client::call(door, "POST", path, body);
+        let mut answer = admin_client::call(address, "POST", path, body);
         let mut pending = false;
         loop {
             match outcome(answer, pending) {
-                Outcome::Reply(ApplyReply::Pending { .. }) if Instant::now() + POLL < until => {}
+                Outcome::Reply(ApplyReply::Pending { .. }) if Instant::now() + POLL_INTERVAL < deadline => {}
                 Outcome::Reply(ApplyReply::Pending { .. }) => {
-                    let why = format!("still under way at {door}");
-                    return Outcome::Again { after: POLL, may_be_committed: true, why };
+                    let why = format!("still under way at {address}");
+                    return Outcome::Retry { after: POLL_INTERVAL, may_be_committed: true, why };
                 }
                 other => return other,
             }
             pending = true;
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
             let path = format!("/config/apply?{}", query::request_query(request_id));
-            answer = admin_client::call(door, "GET", &path, "");
+            answer = admin_client::call(address, "GET", &path, "");
         }
     }
 }
 
-/// What an answer means; `pending`: the change was taken by this server before.
+/// What an answer means; `pending`: this server has accepted the change before.
 fn outcome(answer: Result<Response, ClientError>, pending: bool) -> Outcome {
     let response = match answer {
         Ok(response) => response,
         Err(error) => {
             let may_be_committed = pending || !matches!(error, ClientError::Connect { .. });
-            return Outcome::Again { after: NEXT, may_be_committed, why: error.to_string() };
+            return Outcome::Retry { after: NEXT_SERVER_PAUSE, may_be_committed, why: error.to_string() };
         }
     };
     if matches!(response.status, 200 | 202) {
         return match read(&response.body) {
             Ok(reply) => Outcome::Reply(reply),
-            Err(why) => Outcome::Again { after: NEXT, may_be_committed: true, why: why.to_string() },
+            Err(why) => {
+                Outcome::Retry { after: NEXT_SERVER_PAUSE, may_be_committed: true, why: why.to_string() }
+            }
         };
     }
-    let refusal = refusal(&response);
-    if !refusal.is_transient() {
-        return Outcome::Refused(refusal);
+    let rejection = rejection(&response);
+    if !rejection.is_transient() {
+        return Outcome::Rejected(rejection);
     }
-    let after = match &refusal {
-        AdminError::TooBusy { retry_ms } => Duration::from_millis(*retry_ms).min(MAX_RETRY),
-        _ => NEXT,
+    let after = match &rejection {
+        AdminError::TooBusy { retry_ms } => Duration::from_millis(*retry_ms).min(MAX_RETRY_AFTER),
+        _ => NEXT_SERVER_PAUSE,
     };
-    Outcome::Again { after, may_be_committed: pending, why: refusal.to_string() }
+    Outcome::Retry { after, may_be_committed: pending, why: rejection.to_string() }
 }
 
-/// The refusal of a response that is none of the taken ones. The endpoint itself answers in plain text where the server is late.
-fn refusal(response: &Response) -> AdminError {
+/// The error of a response without success. The endpoint itself answers in plain text where the server is too slow.
+fn rejection(response: &Response) -> AdminError {
     let text = response.body.trim();
     serde_json::from_str(text).unwrap_or_else(|_| match response.status {
         408 | 503 => AdminError::NoLeader { reason: text.to_string() },
--- a/crates/gradepin/src/config/mod.rs
+++ b/crates/gradepin/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! `gradepin config`: changes of the fleet's configuration, asked for and looked at through any server's admin endpoint.
+//! `gradepin config`: changes and queries of the fleet's configuration, at the admin endpoint of any server.
 //!
 //! The exit status tells a script what it may do next; see [`ConfigError::exit_status`].
 
@@ -21,40 +21,40 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Where, and how long it may take.
+/// Which servers are called, and how long a change may take.
 #[derive(Debug, Args)]
-pub struct At {
+pub struct Servers {
     /// The admin endpoint of a server; several are tried in turn
-    #[arg(long, value_name = "IP:PORT", required = true)]
-    door: Vec<SocketAddr>,
-    /// Seconds until a change that isn't answered for is given up
-    #[arg(long, value_name = "SECONDS", default_value_t = 10)]
-    wait: u64,
+    #[arg(long = "door", value_name = "IP:PORT", required = true)]
+    addresses: Vec<SocketAddr>,
+    /// Seconds until a change without a final answer is given up
+    #[arg(long = "wait", value_name = "SECONDS", default_value_t = 10)]
+    wait_seconds: u64,
 }
 
-/// Who changes what is in force, and why.
+/// Who changes the configuration, and why.
 #[derive(Debug, Args)]
-pub struct Signed {
+pub struct ChangeArguments {
     #[command(flatten)]
-    at: At,
-    /// Why, for the history
+    servers: Servers,
+    /// The reason, for the history
     #[arg(long)]
     why: String,
-    /// Who, for the history; without it the name that the environment has
+    /// The author, for the history; without it the user of the environment
     #[arg(long)]
     author: Option<String>,
-    /// Refuse the change if another revision is in force
+    /// Reject the change if another revision is active
     #[arg(long, value_name = "REVISION")]
     expected: Option<u64>,
-    /// The id of this change; given again, it gives the same revision. Without it one is drawn and printed
+    /// The id of this change; a repeat with the same id gives the same revision. Without it a random one is printed
     #[arg(long, value_name = "ID")]
     request_id: Option<String>,
-    /// Only say whether it is valid
+    /// Only check whether it is valid
     #[arg(long)]
     dry_run: bool,
 }
 
-/// What is asked of the configuration.
+/// Queries and changes of the configuration.
 #[derive(Debug, Subcommand)]
 pub enum ConfigCommand {
     /// Commit the changes of a document
@@ -62,43 +62,43 @@
         /// The document: KDL, or JSON where its name ends in .json
         file: PathBuf,
         #[command(flatten)]
-        signed: Signed,
+        change: ChangeArguments,
     },
     /// Commit a new revision with the content of an earlier one
     Rollback {
-        /// The revision whose content is to be in force again
+        /// The revision whose content is to be active again
         revision: u64,
         #[command(flatten)]
-        signed: Signed,
+        change: ChangeArguments,
     },
     /// Changes from one revision to another
     Diff {
         #[command(flatten)]
-        at: At,
+        servers: Servers,
         /// From this revision
         #[arg(long, value_name = "REVISION")]
         from: u64,
-        /// To this one; without it, to the one in force
+        /// To this one; without it, to the active one
         #[arg(long, value_name = "REVISION")]
         to: Option<u64>,
         /// As JSON
         #[arg(long)]
         json: bool,
     },
-    /// What is in force at a server: a summary, or entries
+    /// The active configuration of a server: a summary, or entries
     Show {
         #[command(flatten)]
-        at: At,
+        servers: Servers,
         #[command(flatten)]
-        what: What,
+        selection: EntrySelection,
         /// As JSON
         #[arg(long)]
         json: bool,
     },
-    /// How far each revision has come, and who lags
+    /// How far each revision has spread, and which servers lag
     Status {
         #[command(flatten)]
-        at: At,
+        servers: Servers,
         /// As JSON
         #[arg(long)]
         json: bool,
@@ -106,7 +106,7 @@
     /// Commits, the newest first
     History {
         #[command(flatten)]
-        at: At,
+        servers: Servers,
         /// Only those before this revision
         #[arg(long, value_name = "REVISION")]
         before: Option<u64>,
@@ -119,10 +119,10 @@
     },
 }
 
-/// Which entries.
+/// Which entries to show.
 #[derive(Debug, Args)]
 #[group(multiple = false)]
-pub struct What {
+pub struct EntrySelection {
     /// One class
     #[arg(long, value_name = "NAME")]
     class: Option<String>,
@@ -137,32 +137,32 @@
     tenants: bool,
 }
 
-/// Why a command did not do what was asked.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// A server refused it. Nothing was changed.
+    /// A server rejected it. Nothing was changed.
     #[error("refused: {0}")]
     Refused(#[from] AdminError),
-    /// No server could be asked, or none could take it now. Nothing was changed.
+    /// No server could be reached, or none could accept it now. Nothing was changed.
     #[error("not taken: {0}")]
     NotTaken(String),
-    /// It may have been committed: the same command with this request id tells, and commits it once at the most.
+    /// It may have been committed: the same command with this request id finds out, and commits it at most once.
     #[error(
         "not known whether it was committed: {why}\nask again with --request-id {request_id}: it is committed once at the most"
     )]
     Unknown { request_id: Name, why: String },
-    /// What was given, or what came, makes no sense.
+    /// The input, or a server's answer, is invalid.
     #[error("{0}")]
     Unusable(String),
 }
 
 impl ConfigError {
-    /// 1 refused, or it makes no sense; 3 another revision is in force than expected; 4 not taken now, ask again later; 5 not known whether
-    /// it was committed, ask again with the same request id. (0 done, 2 a command line that makes no sense.)
+    /// 1 rejected or invalid; 3 another revision is active than expected; 4 not accepted now, retry later; 5 not known whether it
+    /// was committed, retry with the same request id. (0 done, 2 an invalid command line.)
     pub fn exit_status(&self) -> u8 {
         match self {
             Self::Refused(AdminError::Stale { .. }) => 3,
-            Self::Refused(refusal) if refusal.is_transient() => 4,
+            Self::Refused(error) if error.is_transient() => 4,
             Self::Refused(_) | Self::Unusable(_) => 1,
             Self::NotTaken(_) => 4,
             Self::Unknown { .. } => 5,
@@ -172,30 +172,30 @@
 
 type Result<T> = std::result::Result<T, ConfigError>;
 
-/// Does what is asked.
+/// Carries out a command and prints the answer.
 pub fn run(command: ConfigCommand) -> Result<()> {
     match command {
-        ConfigCommand::Apply { file, signed } => apply(&file, signed),
-        ConfigCommand::Rollback { revision, signed } => rollback(Revision(revision), signed),
-        ConfigCommand::Diff { at, from, to, json } => {
+        ConfigCommand::Apply { file, change } => apply(&file, change),
+        ConfigCommand::Rollback { revision, change } => rollback(Revision(revision), change),
+        ConfigCommand::Diff { servers, from, to, json } => {
             let query = Diff { from: Revision(from), to: to.map(Revision) }.to_query();
-            let reply: DiffReply = at.client().get("/config/diff", &query)?;
+            let reply: DiffReply = servers.client().get("/config/diff", &query)?;
             print(&reply, json, render::diff)
         }
-        ConfigCommand::Show { at, what, json } => show(&at, what, json),
-        ConfigCommand::Status { at, json } => {
-            let reply: StatusReply = at.client().get("/config/status", "")?;
+        ConfigCommand::Show { servers, selection, json } => show(&servers, selection, json),
+        ConfigCommand::Status { servers, json } => {
+            let reply: StatusReply = servers.client().get("/config/status", "")?;
             print(&reply, json, render::status)
         }
-        ConfigCommand::History { at, before, limit, json } => {
+        ConfigCommand::History { servers, before, limit, json } => {
             let query = History { before: before.map(Revision), limit }.to_query();
-            let reply: HistoryReply = at.client().get("/config/history", &query)?;
+            let reply: HistoryReply = servers.client().get("/config/history", &query)?;
             print(&reply, json, render::history)
         }
     }
 }
 
-fn apply(file: &Path, signed: Signed) -> Result<()> {
+fn apply(file: &Path, change: ChangeArguments) -> Result<()> {
     let unusable = |why: String| ConfigError::Unusable(format!("{}: {why}", file.display()));
     let text = std::fs::read_to_string(file).map_err(|why| unusable(why.to_string()))?;
     let transaction = transaction::parse(&text, Form::of(file)).map_err(|problems| {
@@ -205,37 +205,37 @@
     if transaction.changes.is_empty() {
         return Err(unusable("expected a change, got none".into()));
     }
-    let (request_id, author) = (signed.request_id(), signed.author());
-    let (reason, expected) = (Arc::from(signed.why.as_str()), signed.expected.map(Revision));
+    let (request_id, author) = (change.request_id(), change.author());
+    let (reason, expected) = (Arc::from(change.why.as_str()), change.expected.map(Revision));
     let proposal = Proposal { request_id: Arc::clone(&request_id), author, reason, expected, transaction };
-    let request = ApplyRequest { proposal, dry_run: signed.dry_run };
-    signed.commit("/config/apply", &request, &request_id)
+    let request = ApplyRequest { proposal, dry_run: change.dry_run };
+    change.commit("/config/apply", &request, &request_id)
 }
 
-fn rollback(to: Revision, signed: Signed) -> Result<()> {
-    let request_id = signed.request_id();
+fn rollback(to: Revision, change: ChangeArguments) -> Result<()> {
+    let request_id = change.request_id();
     let request = RollbackRequest {
         to,
         request_id: Arc::clone(&request_id),
-        author: signed.author(),
-        reason: Arc::from(signed.why.as_str()),
-        expected: signed.expected.map(Revision),
-        dry_run: signed.dry_run,
+        author: change.author(),
+        reason: Arc::from(change.why.as_str()),
+        expected: change.expected.map(Revision),
+        dry_run: change.dry_run,
     };
-    signed.commit("/config/rollback", &request, &request_id)
+    change.commit("/config/rollback", &request, &request_id)
 }
 
-fn show(at: &At, what: What, json: bool) -> Result<()> {
+fn show(servers: &Servers, selection: EntrySelection, json: bool) -> Result<()> {
     let name = |name: String| Arc::from(name.as_str());
     let first = || Page { after: None, limit: MAX_PAGE };
-    let mut query = match what {
-        What { class: Some(class), .. } => Show::Class(name(class)),
-        What { tenant: Some(tenant), .. } => Show::Tenant(name(tenant)),
-        What { classes: true, .. } => Show::Classes(first()),
-        What { tenants: true, .. } => Show::Tenants(first()),
+    let mut query = match selection {
+        EntrySelection { class: Some(class), .. } => Show::Class(name(class)),
+        EntrySelection { tenant: Some(tenant), .. } => Show::Tenant(name(tenant)),
+        EntrySelection { classes: true, .. } => Show::Classes(first()),
+        EntrySelection { tenants: true, .. } => Show::Tenants(first()),
         _ => Show::Summary,
     };
-    let client = at.client();
+    let client = servers.client();
     loop {
         let reply: ShowReply = client.get("/config/show", &query.to_query())?;
         if query == Show::Summary {
@@ -259,24 +259,24 @@
     Ok(())
 }
 
-impl At {
+impl Servers {
     fn client(&self) -> ConfigClient<'_> {
-        ConfigClient { doors: &self.door, wait: Duration::from_secs(self.wait) }
+        ConfigClient { addresses: &self.addresses, timeout: Duration::from_secs(self.wait_seconds) }
     }
 }
 
-impl Signed {
+impl ChangeArguments {
     fn author(&self) -> Name {
         let user = || std::env::var("USER").ok().filter(|user| !user.is_empty());
         Arc::from(self.author.clone().or_else(user).unwrap_or_else(|| "somebody".into()))
     }
 
-    /// The one that was given, or 64 random bits, printed first so that a command that is cut off can be given again.
+    /// The given id, or 64 random bits, printed first so that an interrupted command can be repeated.
     fn request_id(&self) -> Name {
         if let Some(id) = &self.request_id {
             return Arc::from(id.as_str());
         }
-        // Seeded by the system for each process.
+        // The system seeds it for each process.
         let drawn = format!("{:016x}", RandomState::new().build_hasher().finish());
         if !self.dry_run {
             eprintln!("gradepin: request id {drawn}");
@@ -286,7 +286,7 @@
 
     fn commit(&self, path: &str, request: &impl Serialize, request_id: &Name) -> Result<()> {
         let body = serde_json::to_string(request).map_err(|why| ConfigError::Unusable(why.to_string()))?;
-        let reply = self.at.client().commit(path, &body, request_id)?;
+        let reply = self.servers.client().commit(path, &body, request_id)?;
         let text = match reply {
             ApplyReply::Committed { revision, repeated: false } => {
                 format!("committed as revision {revision}")
--- a/crates/gradepin/src/main.rs
+++ b/crates/gradepin/src/main.rs
@@ -1,21 +1,23 @@
-//! The command line of the tile server.
+//! The program `gradepin`: its command line, and the exit status of each command.
 
 mod admin_client;
+mod check;
 mod config;
 mod fleet;
+mod release;
 mod store;
 
 use clap::{Parser, Subcommand, ValueEnum};
 use config::{ConfigCommand, ConfigError};
-use fleet::{FleetCommand, ReleaseCommand};
+use fleet::FleetCommand;
 use gradepin_core::config::Config;
 use gradepin_node::frontend::scgi::routes::Routes;
 use gradepin_node::inherited_listener::InheritedListener;
 use gradepin_node::log::{self, LogFormat};
-use gradepin_node::serve::{self, StartError};
-use gradepin_node::settings::cluster::keys;
+use gradepin_node::serve::{self, ServerFiles, StartError};
 use gradepin_node::settings::{ActiveSettings, OperatorSettings};
 use gradepin_node::{config as configuration, signals};
+use release::ReleaseCommand;
 use rustix::process::{Pid, Signal, kill_process};
 use std::error::Error;
 use std::io::Write;
@@ -35,10 +37,10 @@
     /// The configuration, as JSON; without it, the file that GW_CONFIG names
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// Our own settings, as KDL; without it all that they switch on is off
+    /// The operators' settings, as KDL; without it all that they switch on is off
     #[arg(long, value_name = "FILE")]
     settings: Option<PathBuf>,
-    /// What this program is called in releases
+    /// The version of this program, as releases name it
     #[arg(long, default_value = env!("CARGO_PKG_VERSION"))]
     program_version: String,
 }
@@ -49,41 +51,50 @@
     Json,
 }
 
+impl From<Format> for LogFormat {
+    fn from(format: Format) -> Self {
+        match format {
+            Format::Text => Self::Text,
+            Format::Json => Self::Json,
+        }
+    }
+}
+
 #[derive(Subcommand)]
 enum Command {
     /// Serve until SIGTERM and the stop time of the configuration
     Serve {
         #[command(flatten)]
         files: Files,
-        /// The form of log lines on standard error
+        /// The format of log lines on standard error
         #[arg(long, value_enum, default_value = "text")]
         log_format: Format,
     },
-    /// Read and check the configuration and our own settings, and say what they hold
+    /// Read and check the configuration and the operators' settings, and print what they hold
     Check {
         #[command(flatten)]
         files: Files,
     },
-    /// Take a running server out of service: told to the registry and the control plane at once, then drained
+    /// Take a running server out of service: registry and control plane are notified at once, then it drains
     Leave {
         /// The server's process id
         #[arg(long)]
         pid: i32,
-        /// Take it back in instead, if its drain has not begun
+        /// Return it to service instead, if its drain has not begun
         #[arg(long)]
         cancel: bool,
     },
-    /// What the fleet agrees on: who may be out, the council
+    /// The state of the fleet that the consensus group holds: permits, voters
     Fleet {
         #[command(subcommand)]
         command: FleetCommand,
     },
-    /// Releases of programs and settings over the fleet, in waves
+    /// Releases of programs and settings over the fleet, in batches
     Release {
         #[command(subcommand)]
         command: ReleaseCommand,
     },
-    /// The configuration that the fleet agrees on: changes, their spread, history
+    /// The configuration of the fleet: changes, their spread, history
     #[command(
         after_help = "Exit status: 0 done, 1 refused or not valid, 3 another revision is in force than expected, 4 not taken now, \
                             5 not known whether it was committed: ask again with the same --request-id"
@@ -92,7 +103,7 @@
         #[command(subcommand)]
         command: ConfigCommand,
     },
-    /// Look into the store of keyed runs, without a server
+    /// Inspect the store of keyed runs, without a server
     Store {
         #[command(subcommand)]
         command: StoreCommand,
@@ -101,112 +112,66 @@
     Version,
 }
 
+/// The files that a command was given, read and checked.
+struct LoadedFiles {
+    config: Config,
+    operator: OperatorSettings,
+    /// Where both came from.
+    sources: ServerFiles,
+}
+
 impl Files {
-    fn load(self) -> Result<(Config, OperatorSettings, serve::ServerFiles), Box<dyn Error>> {
+    fn load(self) -> Result<LoadedFiles, Box<dyn Error>> {
         let path = self.config.or_else(|| std::env::var_os("GW_CONFIG").map(PathBuf::from));
         let path = path.ok_or("no configuration: give --config FILE or set GW_CONFIG")?;
-        let own = self.settings.as_deref().map(OperatorSettings::load).transpose()?.unwrap_or_default();
+        let operator = match &self.settings {
+            Some(path) => OperatorSettings::load(path)?,
+            None => OperatorSettings::default(),
+        };
         let config = configuration::load(&path)?;
-        if let Some(scgi) = &own.scgi {
-            // As `serve` would: a route to a class that isn't there ends the start.
+        if let Some(scgi) = &operator.scgi {
+            // A start checks this too: it fails where a route names an unknown class.
             let names = ActiveSettings::new(&config.settings);
             Routes::new(scgi, names.clone(), |class| names.class(class).is_some())?;
         }
-        Ok((
-            config,
-            own,
-            serve::ServerFiles {
-                config: path,
-                operator_settings: self.settings,
-                version: self.program_version,
-            },
-        ))
+        let sources =
+            ServerFiles { config: path, operator_settings: self.settings, version: self.program_version };
+        Ok(LoadedFiles { config, operator, sources })
     }
 }
 
+/// Runs a command. Ok(false) is exit status 1 without a message: the command has printed what is wrong.
 fn run(command: Command) -> Result<bool, Box<dyn Error>> {
     match command {
-        Command::Serve { files, log_format } => {
-            // Before a file is read, which takes its time: until then each signal ends the process.
-            let signals = signals::install()
-                .map_err(|source| StartError::System { resource: "signals".into(), source })?;
-            let (config, own, files) = files.load()?;
-            let format = match log_format {
-                Format::Text => LogFormat::Text,
-                Format::Json => LogFormat::Json,
-            };
-            let handed = InheritedListener::from_env()?;
-            let log = log::root(&config.name, format);
-            serve::serve(config, own, files, handed, signals, &log)?;
-            Ok(true)
-        }
-        Command::Check { files } => {
-            let (config, own, _) = files.load()?;
-            for warning in &own.warnings {
-                println!("warning: {warning}");
-            }
-            let (classes, tenants) = (config.settings.profiles.len(), config.settings.customers.len());
-            println!("{}: listens on {}, {classes} classes, {tenants} tenants", config.name, config.listen);
-            match own.registry {
-                None => println!("registry: off"),
-                Some(registry) => {
-                    let id = registry.instance.as_ref().unwrap_or(&config.name);
-                    println!("registry: {} as {id}, {} service URLs", registry.app, registry.urls.len());
-                }
-            }
-            match own.scgi {
-                None => println!("scgi: off"),
-                Some(scgi) => {
-                    let listeners = scgi.listen.len() + scgi.unix.len();
-                    println!("scgi: {listeners} listeners, {} routes", scgi.routes.len());
-                }
-            }
-            match own.store {
-                None => println!("store: off"),
-                Some(store) => println!("store: {}", store.path.display()),
-            }
-            match own.cluster {
-                None => println!("cluster: off"),
-                Some(cluster) => {
-                    let keys = keys(&cluster.key_file)?;
-                    let (zone, seeds) = (&cluster.zone, cluster.seeds.len());
-                    let lends = if cluster.leases.is_some() { "lends" } else { "doesn't lend" };
-                    if let Some(council) = &own.council {
-                        let voters: Vec<&str> = council.voters.iter().map(|name| &**name).collect();
-                        let most = &council.limits;
-                        println!(
-                            "council: voters {}; {} of the fleet may be out, {} of a zone",
-                            voters.join(", "),
-                            most.fleet,
-                            most.zone
-                        );
-                    }
-                    println!(
-                        "cluster: {} in zone '{zone}', {seeds} seeds, {keys:?}, {lends} slots",
-                        cluster.advertise
-                    );
-                }
-            }
-            Ok(true)
-        }
-        Command::Leave { pid, cancel } => {
-            let process = Pid::from_raw(pid).filter(|_| pid > 1).ok_or("expected a process id")?;
-            let signal = if cancel { Signal::USR2 } else { Signal::USR1 };
-            kill_process(process, signal).map_err(|e| format!("process {pid}: {e}"))?;
-            Ok(true)
-        }
-        Command::Fleet { command } => fleet::fleet(command),
-        Command::Release { command } => fleet::release(command),
-        Command::Config { command } => {
-            config::run(command)?;
-            Ok(true)
-        }
-        Command::Store { command } => store::run(command),
-        Command::Version => {
-            println!("gradepin {}", env!("CARGO_PKG_VERSION"));
-            Ok(true)
-        }
+        Command::Serve { files, log_format } => serve(files, log_format)?,
+        Command::Check { files } => check::print_report(&files.load()?)?,
+        Command::Leave { pid, cancel } => leave(pid, cancel)?,
+        Command::Fleet { command } => fleet::run(command)?,
+        Command::Release { command } => release::run(command)?,
+        Command::Config { command } => config::run(command)?,
+        Command::Store { command } => return store::run(command),
+        Command::Version => println!("gradepin {}", env!("CARGO_PKG_VERSION")),
     }
+    Ok(true)
+}
+
+fn serve(files: Files, log_format: Format) -> Result<(), Box<dyn Error>> {
+    // Before any file is read: until then each signal ends the process.
+    let signals =
+        signals::install().map_err(|source| StartError::System { resource: "signals".into(), source })?;
+    let LoadedFiles { config, operator, sources } = files.load()?;
+    let inherited = InheritedListener::from_env()?;
+    let log = log::root(&config.name, log_format.into());
+    serve::serve(config, operator, sources, inherited, signals, &log)?;
+    Ok(())
+}
+
+/// Sends a running server the signal to leave, or to come back.
+fn leave(pid: i32, cancel: bool) -> Result<(), Box<dyn Error>> {
+    let process = Pid::from_raw(pid).filter(|_| pid > 1).ok_or("expected a process id")?;
+    let signal = if cancel { Signal::USR2 } else { Signal::USR1 };
+    kill_process(process, signal).map_err(|e| format!("process {pid}: {e}"))?;
+    Ok(())
 }
 
 fn main() -> ExitCode {
@@ -215,7 +180,7 @@
         Ok(false) => ExitCode::FAILURE,
         Err(message) => {
             for line in message.to_string().lines() {
-                // The status counts where nobody reads the message: `eprintln!` would panic.
+                // `eprintln!` would panic where standard error is closed; the exit status must not change for that.
                 let _ = writeln!(std::io::stderr(), "gradepin: {line}");
             }
             let status = message.downcast_ref::<ConfigError>().map(ConfigError::exit_status);
--- a/crates/gradepin/src/store.rs
+++ b/crates/gradepin/src/store.rs
@@ -1,4 +1,4 @@
-//! `gradepin store`: looks into a folder without a server, says what it holds and what is damaged.
+//! `gradepin store`: inspects the folder of an idempotency store without a server, and reports damage.
 
 use gradepin_admission::{RequestId, Span};
 use gradepin_core::buffer_pool::BufferPool;
@@ -11,8 +11,8 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// A reading by hand brings everything back.
-const LIMITS: Limits = Limits {
+/// An inspection reads everything.
+const UNLIMITED: Limits = Limits {
     segment_bytes: 4 << 20,
     most_bytes: u64::MAX,
     most_results: usize::MAX,
@@ -20,9 +20,10 @@
     window: Span(0),
 };
 
+/// Commands on a folder.
 #[derive(clap::Subcommand)]
 pub enum StoreCommand {
-    /// Read every segment, and say what it holds and what is damaged; status 1 if anything is
+    /// Read every segment, and print what it holds and what is damaged; status 1 if anything is
     Check {
         /// The folder
         folder: PathBuf,
@@ -32,14 +33,14 @@
         /// The folder
         folder: PathBuf,
     },
-    /// Write what is still known anew into one segment and drop the others; no server may use the folder
+    /// Rewrite all live records into one segment and drop the others; no server may use the folder
     Compact {
         /// The folder
         folder: PathBuf,
     },
 }
 
-/// Carries one out; false if something is damaged.
+/// Carries out a command; false if something is damaged.
 pub fn run(command: StoreCommand) -> Result<bool, Box<dyn Error>> {
     match command {
         StoreCommand::Check { folder } => check(&folder),
@@ -49,50 +50,51 @@
 }
 
 fn check(folder: &Path) -> Result<bool, Box<dyn Error>> {
-    let reading = log::read(&mut Folder::look(folder)?, &LIMITS)?;
+    let reading = log::read(&mut Folder::look(folder)?, &UNLIMITED)?;
     let salt = reading.salt();
     let found = reading.found(Span(0), salt.unwrap_or(0));
-    let mut whole = true;
-    for seen in &found.segments {
-        let state = match (&seen.damage, seen.torn) {
+    let mut intact = true;
+    for segment in &found.segments {
+        let state = match (&segment.damage, segment.torn) {
             (Some(why), _) => format!("DAMAGED: {why}"),
             (None, Some(at)) => format!("ends with a write cut short at byte {at}, which is harmless"),
             (None, None) => "whole".to_string(),
         };
-        whole &= seen.damage.is_none();
-        let life = seen.life.map_or("-".to_string(), |life| life.to_string());
+        intact &= segment.damage.is_none();
+        let life = segment.life.map_or("-".to_string(), |life| life.to_string());
         println!(
             "{}  life {life}  {} bytes  {} frames  {} records  {state}",
-            log::name_of(seen.number),
-            seen.bytes,
-            seen.frames,
-            seen.records
+            log::name_of(segment.number),
+            segment.bytes,
+            segment.frames,
+            segment.records
         );
     }
-    let of =
-        |test: fn(&SavedOutcome) -> bool| found.recovered.past.iter().filter(|past| test(&past.end)).count();
+    let runs = &found.recovered.past;
+    let count =
+        |is_counted: fn(&SavedOutcome) -> bool| runs.iter().filter(|run| is_counted(&run.end)).count();
     println!(
         "{} runs may still be asked for: {} with a result, {} failed, {} with an unknown outcome",
-        found.recovered.past.len(),
-        of(|end| matches!(end, SavedOutcome::Served(_))),
-        of(|end| *end == SavedOutcome::Failed),
-        of(|end| *end == SavedOutcome::Unknown)
+        runs.len(),
+        count(|end| matches!(end, SavedOutcome::Served(_))),
+        count(|end| *end == SavedOutcome::Failed),
+        count(|end| *end == SavedOutcome::Unknown)
     );
-    Ok(whole)
+    Ok(intact)
 }
 
 fn dump(folder: &Path) -> Result<bool, Box<dyn Error>> {
     let mut disk = Folder::look(folder)?;
     let mut numbers: Vec<u64> = disk.list()?.iter().filter_map(|name| log::number_of(name)).collect();
     numbers.sort_unstable();
-    let mut whole = true;
+    let mut intact = true;
     for number in numbers {
         let bytes = disk.read(&log::name_of(number))?;
         let head = match frame::decode_head(&bytes) {
             Ok(head) => head,
-            Err(why) => {
-                println!("{number:016x}  {why}");
-                whole = false;
+            Err(error) => {
+                println!("{number:016x}  {error}");
+                intact = false;
                 continue;
             }
         };
@@ -104,7 +106,7 @@
                     head.life,
                     batch.mono_ms,
                     batch.unix_ms,
-                    line(record)
+                    describe(record)
                 );
             }
         }
@@ -113,14 +115,14 @@
             frame::Tail::Torn(at) => println!("{number:016x}  cut short at byte {at}"),
             frame::Tail::Damaged(at) => {
                 println!("{number:016x}  DAMAGED from byte {at} on");
-                whole = false;
+                intact = false;
             }
         }
     }
-    Ok(whole)
+    Ok(intact)
 }
 
-fn line(record: &StoredRecord<'_>) -> String {
+fn describe(record: &StoredRecord<'_>) -> String {
     match record {
         StoredRecord::Intent { token, print, id, left_ms } => {
             format!("intent  {token:?} {id} print {print:016x} for {left_ms} ms")
@@ -138,32 +140,32 @@
 
 fn compact(folder: &Path) -> Result<bool, Box<dyn Error>> {
     let disk = Box::new(Folder::open(folder)?);
-    let (mut log, found) = Log::open(disk, LIMITS, 0)?;
+    let (mut log, found) = Log::open(disk, UNLIMITED, 0)?;
     let before = log.bytes();
     if found.segments.is_empty() {
         println!("nothing to compact");
         return Ok(true);
     }
     let count = found.recovered.past.len();
-    let records: Vec<LogRecord> = found.recovered.past.into_iter().map(record).collect();
+    let records: Vec<LogRecord> = found.recovered.past.into_iter().map(record_of).collect();
     log.write_anew(Stamp::default(), &records)?;
-    let damaged = found.segments.iter().any(|seen| seen.damage.is_some());
+    let is_damaged = found.segments.iter().any(|segment| segment.damage.is_some());
     println!("{count} runs written anew: {before} bytes before, {} after", log.bytes());
-    if damaged {
-        let late = READ_LATE.0 / 1_000_000_000;
-        println!("damaged segments stay until a server has run for their windows and {late} s");
+    if is_damaged {
+        let margin_s = READ_LATE.0 / 1_000_000_000;
+        println!("damaged segments stay until a server has run for their windows and {margin_s} s");
     }
-    Ok(!damaged)
+    Ok(!is_damaged)
 }
 
-fn record(past: SavedRun) -> LogRecord {
-    let SavedRun { token, print, id, left, end } = past;
+fn record_of(run: SavedRun) -> LogRecord {
+    let SavedRun { token, print, id, left, end } = run;
     let (token, id) = (Arc::from(token), RequestId::new(&id));
     match end {
         SavedOutcome::Unknown => LogRecord::Intent { token, print, id, left },
         SavedOutcome::Failed => LogRecord::Known { token, print, id, left, result: None },
         SavedOutcome::Served(result) => {
-            // What a store holds was once in a buffer.
+            // It fits: every stored result was in a buffer once.
             let result = BufferPool::new(0).exact(&result).map(Arc::new);
             LogRecord::Known { token, print, id, left, result }
         }
