--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,8 +1,19 @@
-//! Reads the configuration of one tile server from its file.
+//! The files of one tile server, and the reader of its configuration.
 
 use gradepin_core::config::{Config, ConfigError};
 use std::path::{Path, PathBuf};
 
+/// The files that a process was started with, which a reload reads again, and the version of its program.
+#[derive(Debug, Clone)]
+pub struct ServerFiles {
+    /// The configuration.
+    pub config: PathBuf,
+    /// The operators' settings, where there are any.
+    pub operator_settings: Option<PathBuf>,
+    /// The version of the program, as a release names it.
+    pub version: String,
+}
+
 /// Why a configuration file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
--- a/crates/node/src/configuration_writer.rs
+++ b/crates/node/src/configuration_writer.rs
@@ -1,6 +1,6 @@
 //! The thread that writes the last good configuration to disk; callers never wait for the disk.
 //!
-//! It holds the newest state and at most [`MAX_PENDING_COMMITS`] commits that led to it; where the disk is slower than
+//! It holds the newest state and at most `MAX_PENDING_COMMITS` commits that led to it; where the disk is slower than
 //! commits, one snapshot replaces them. A failure is reported once for each reason and the write is retried: serving does
 //! not depend on it.
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,6 +1,6 @@
 //! The shell of one tile server: its sockets, files, threads and clocks around `gradepin-core`, which makes all decisions.
 //!
-//! [`serve`] is the entry: it starts all parts in a fixed order and runs the main loop, which steps the reducer and has its
+//! [`serve`] is the entry: `startup` starts all parts in a fixed order, `main_loop` steps the reducer, and `effects` has its
 //! effects carried out. [`frontend`], [`processor`], [`control`], [`registry`], [`upstream_client`] and [`peer_datagrams`]
 //! each communicate with one kind of peer and know nothing of the others; [`store`], [`claims`], [`voter_storage`],
 //! [`staging`] and [`configuration_writer`] each own one folder. [`settings`] and [`config`] read the files that a server is
@@ -18,9 +18,11 @@
 pub mod frontend;
 pub mod inherited_listener;
 pub mod log;
+mod main_loop;
 mod outgoing;
 pub mod peer_datagrams;
 pub mod processor;
+mod queues;
 pub mod registry;
 pub mod reload;
 pub mod serve;
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -4,11 +4,10 @@
 //! One reload at a time, in the order of the requests: a file is compared once the reducer has finished the reload before
 //! it ([`gradepin_core::messages::Effect::ReloadFinished`]), completely or not at all.
 
-use crate::config::{self, LoadError};
+use crate::config::{self, LoadError, ServerFiles};
 use crate::frontend::scgi::Scgi;
 use crate::frontend::scgi::routes::{BadRoute, Routes};
 use crate::peer_datagrams::SharedKeys;
-use crate::serve::ServerFiles;
 use crate::settings::cluster::{self, KeysError};
 use crate::settings::{ActiveSettings, OperatorSettings, SettingsError};
 use crossbeam_channel::{Receiver, Sender, bounded};
--- a/crates/node/src/startup/context.rs
+++ b/crates/node/src/startup/context.rs
@@ -3,21 +3,22 @@
 use super::error::{StartAborted, StartError};
 use super::fleet::FleetParts;
 use super::listeners::Sockets;
-use super::queues::InputQueues;
 use super::roles::FleetRoles;
 use super::start_optional;
 use super::state::ServerState;
 use crate::admin::Admin;
 use crate::claims::{Claims, Place};
+use crate::config::ServerFiles;
 use crate::configuration_service::ConfigurationService;
 use crate::configuration_writer::ConfigurationWriter;
 use crate::effects::EffectExecutor;
 use crate::frontend::{Frontend, Listener, Protocol};
 use crate::inherited_listener::InheritedListener;
+use crate::main_loop::Server;
 use crate::processor::Processor;
+use crate::queues::InputQueues;
 use crate::registry::Registry;
 use crate::reload::{ConfigReloader, ReloadTargets};
-use crate::serve::{Server, ServerFiles};
 use crate::settings::OperatorSettings;
 use crate::signals::{Signals, forward_signals};
 use crate::store::{self, Store};
@@ -68,7 +69,7 @@
 
 impl StartContext<'_> {
     /// Shares keyed runs with the other process of an upgrade. Not beside a store, which has one owner: there a process
-    /// refuses keyed requests until it has taken the store over.
+    /// rejects keyed requests until it has taken the store over.
     pub(super) fn share_keyed_runs(&self, state: &ServerState) -> Result<Option<Claims>, StartError> {
         if self.operator.store.is_some() {
             return Ok(None);
@@ -84,7 +85,7 @@
         })
     }
 
-    /// Starts the remaining threads, the reader of clients among the last, and the main loop's server.
+    /// Starts the remaining threads, the reader of clients among the last, and hands all parts to the main loop.
     pub(super) fn start_threads(
         &self,
         started: StartedState,
@@ -104,7 +105,7 @@
         let store = self.start_store(&state)?;
         let mut arrived = Vec::new();
         if store.is_some() {
-            // Recovery mostly takes some milliseconds; waiting for it spares keyed requests a refusal.
+            // Recovery mostly takes some milliseconds; waiting for it spares keyed requests a rejection.
             arrived.extend(queues.urgent.recv_timeout(MAX_STORE_RECOVERY_WAIT).ok());
         }
         let admin = self.start_admin(sockets.admin, &fleet)?;
--- a/crates/node/src/startup/mod.rs
+++ b/crates/node/src/startup/mod.rs
@@ -11,25 +11,24 @@
 mod fleet_identity;
 mod listeners;
 mod predecessor_wait;
-mod queues;
 mod roles;
 mod state;
 
 pub(crate) use error::StartAborted;
 pub use error::StartError;
 pub use fleet_identity::cluster_settings;
-pub(crate) use queues::InputQueues;
 
+use crate::config::ServerFiles;
 use crate::configuration_service::ConfigurationService;
 use crate::descriptors;
 use crate::inherited_listener::InheritedListener;
-use crate::serve::{Server, ServerFiles};
+use crate::main_loop::Server;
+use crate::queues::input_queues;
 use crate::settings::OperatorSettings;
 use crate::signals::Signals;
 use context::{StartContext, StartedState};
 use gradepin_core::config::Config;
 use predecessor_wait::PredecessorWait;
-use queues::input_queues;
 use roles::FleetRoles;
 use slog::{Logger, warn};
 use state::ServerState;
--- a/crates/node/src/startup/predecessor_wait.rs
+++ b/crates/node/src/startup/predecessor_wait.rs
@@ -4,9 +4,9 @@
 //! address and every folder with one owner is acquired through here: while another process holds it, acquiring it is
 //! retried for [`MAX_WAIT`], and SIGTERM ends the wait.
 
+use super::error::{StartAborted, StartError};
 use crate::frontend::Listener;
 use crate::signals::Signals;
-use crate::startup::{StartAborted, StartError};
 use gradepin_store::disk::{Folder, FolderError};
 use signal_hook::consts::SIGTERM;
 use slog::{Logger, info, warn};
--- a/crates/node/tests/registry_answers.rs
+++ b/crates/node/tests/registry_answers.rs
@@ -1,5 +1,5 @@
-//! What a registry may answer: cut, without end, of the wrong length, garbage. Each question has its reply within its time, and the
-//! thread that carries it goes on.
+//! Responses of a registry that are truncated, endless, of the wrong length or garbage: each request gets a reply within its
+//! timeout, and its thread goes on.
 
 use gradepin_node::registry::Client;
 use gradepin_node::settings::ServiceUrl;
@@ -13,21 +13,21 @@
 use std::time::Duration;
 
 const TIMEOUT: Duration = Duration::from_millis(300);
-/// No verdict hangs on how soon a reply comes: only on whether it does.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// The test depends on whether a reply comes, and not on how soon.
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// What the registry does with one connection.
+/// How the registry responds on a connection.
 #[derive(Clone)]
 enum Answer {
-    /// Says this, and ends.
-    Says(Vec<u8>),
-    /// Says this, then nothing, and keeps the connection.
-    Holds(Vec<u8>),
-    /// Says this, then the other again and again.
-    Drips(Vec<u8>, &'static [u8]),
+    /// Sends these bytes and closes.
+    SendAndClose(Vec<u8>),
+    /// Sends these bytes, then nothing, and keeps the connection open.
+    SendAndHold(Vec<u8>),
+    /// Sends the first bytes once, then the others again and again.
+    Drip(Vec<u8>, &'static [u8]),
 }
 
-/// A registry that answers every connection so, until the test is over.
+/// A registry that responds so on every connection, until the test is over.
 fn registry(answer: Answer) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -36,12 +36,12 @@
         for mut socket in listener.incoming().flatten() {
             let _ = socket.read(&mut [0; 4_096]);
             match answer.clone() {
-                Answer::Says(bytes) => drop(socket.write_all(&bytes)),
-                Answer::Holds(bytes) => {
+                Answer::SendAndClose(bytes) => drop(socket.write_all(&bytes)),
+                Answer::SendAndHold(bytes) => {
                     let _ = socket.write_all(&bytes);
                     held.push(socket);
                 }
-                Answer::Drips(bytes, more) => drop(thread::spawn(move || {
+                Answer::Drip(bytes, more) => drop(thread::spawn(move || {
                     let _ = socket.write_all(&bytes);
                     while socket.write_all(more).is_ok() {
                         thread::sleep(Duration::from_millis(5));
@@ -53,7 +53,7 @@
     format!("http://{address}/eureka")
 }
 
-/// Asks in a thread of its own, with the stack that the daemon's has.
+/// Makes a request in a thread with the same stack as in the server.
 fn ask(url: String, format: Format, op: RegistryOperation) -> Receiver<RegistryReply> {
     let (replies, replied) = channel();
     let run = move || {
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn each_question_has_its_reply_whatever_is_answered() {
+fn replies_to_each_request_whatever_the_registry_responds() {
     let deep_json = "{\"instance\":".repeat(9_000);
     let deep_xml = "<a>".repeat(20_000);
     let wide_xml = format!("<instance {}/>", (0..5_000).map(|n| format!("a{n}='' ")).collect::<String>());
@@ -106,15 +106,15 @@
         with_body(&format!("Content-Length: {}\r\n", wide_xml.len()), &wide_xml),
         with_body("", &"x".repeat(1 << 20)),
     ];
-    let mut answers: Vec<Answer> = says.iter().cloned().map(Answer::Says).collect();
-    answers.extend(says.into_iter().map(Answer::Holds));
-    answers.push(Answer::Drips(Vec::new(), b"H"));
-    answers.push(Answer::Drips(b"HTTP/1.1 200 OK\r\n".to_vec(), b"X: y\r\n"));
-    answers.push(Answer::Drips(b"".to_vec(), b"HTTP/1.1 100 Continue\r\n\r\n"));
-    answers.push(Answer::Drips(head("Content-Length: 60000\r\n"), b"{"));
-    answers.push(Answer::Drips(head("Transfer-Encoding: chunked\r\n"), b"1\r\n{\r\n"));
-    answers.push(Answer::Drips(head("Transfer-Encoding: chunked\r\n"), b"1;x"));
-    answers.push(Answer::Drips(head(""), b" "));
+    let mut answers: Vec<Answer> = says.iter().cloned().map(Answer::SendAndClose).collect();
+    answers.extend(says.into_iter().map(Answer::SendAndHold));
+    answers.push(Answer::Drip(Vec::new(), b"H"));
+    answers.push(Answer::Drip(b"HTTP/1.1 200 OK\r\n".to_vec(), b"X: y\r\n"));
+    answers.push(Answer::Drip(b"".to_vec(), b"HTTP/1.1 100 Continue\r\n\r\n"));
+    answers.push(Answer::Drip(head("Content-Length: 60000\r\n"), b"{"));
+    answers.push(Answer::Drip(head("Transfer-Encoding: chunked\r\n"), b"1\r\n{\r\n"));
+    answers.push(Answer::Drip(head("Transfer-Encoding: chunked\r\n"), b"1;x"));
+    answers.push(Answer::Drip(head(""), b" "));
     for (part, answers) in answers.chunks(8).enumerate() {
         let mut waiting = Vec::new();
         for (n, answer) in answers.iter().enumerate() {
@@ -131,7 +131,7 @@
             }
         }
         for (what, replied) in waiting {
-            let reply = replied.recv_timeout(PATIENCE).unwrap_or_else(|why| panic!("{what}: {why}"));
+            let reply = replied.recv_timeout(MAX_WAIT).unwrap_or_else(|why| panic!("{what}: {why}"));
             assert!(!matches!(reply, RegistryReply::Record(_)), "{what}: {reply:?}");
         }
     }
