--- a/crates/gradepin/src/release/plan.rs
+++ b/crates/gradepin/src/release/plan.rs
@@ -1,4 +1,4 @@
-//! Release plans: their KDL text, and what they would do in words.
+//! Release plans: their KDL text, and their description for a terminal.
 
 use gradepin_coordination::rollout::{Batch, ReleaseKind, RolloutPlan};
 use gradepin_node::settings::kdl_text;
--- a/crates/node/src/claims/folder.rs
+++ b/crates/node/src/claims/folder.rs
@@ -93,7 +93,7 @@
         fs::create_dir_all(&folder)?;
         let salt = salt(&folder, seed)?;
         let alive_name = format!("{ALIVE_PREFIX}{seed:016x}");
-        // Locked before it has its name: the other process would take this one for dead in between.
+        // Locked before it has its name: the other process would take this one for dead otherwise.
         let draft = folder.join(format!("{DRAFT_PREFIX}{alive_name}"));
         let lock = File::create(&draft)?;
         lock.try_lock().map_err(io::Error::from)?;
@@ -253,7 +253,7 @@
         Ok(())
     }
 
-    /// Takes results off the books whose claims were removed.
+    /// Stops counting results whose claims were removed.
     fn forget_removed_results(&mut self) {
         while self.results.front().is_some_and(|oldest| !self.own.contains_key(&oldest.file_name)) {
             self.result_bytes -= self.results.pop_front().map_or(0, |oldest| oldest.bytes);
--- a/crates/node/src/startup/context.rs
+++ b/crates/node/src/startup/context.rs
@@ -35,7 +35,7 @@
 /// How long the start waits for the store to be read before all else is served; requests wait in the sockets meanwhile.
 const MAX_STORE_RECOVERY_WAIT: Duration = Duration::from_millis(500);
 
-/// What every step of a start goes by.
+/// What every step of a start uses.
 pub(super) struct StartContext<'s> {
     /// The server's configuration; its classes and tenants are the reducer's.
     pub config: &'s Config,
--- a/crates/node/src/startup/fleet.rs
+++ b/crates/node/src/startup/fleet.rs
@@ -1,4 +1,4 @@
-//! Starts what a server of a fleet has beside a single one: the staging area, the voter's storage, membership in the
+//! Starts the parts that only a server of a fleet has: the staging area, the voter's storage, membership in the
 //! cluster, the server agent, and the thread that receives datagrams.
 
 use super::context::StartContext;
