--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -212,7 +212,10 @@
     let Some(stage) = &shared.stage else {
         return Response::text(404, "expected a stage in the settings' council block\n");
     };
-    match std::str::from_utf8(body).map_err(|e| e.to_string()).and_then(|text| stage.put(text)) {
+    match std::str::from_utf8(body)
+        .map_err(|e| e.to_string())
+        .and_then(|text| stage.put(text).map_err(|e| e.to_string()))
+    {
         Ok(digest) => {
             let told = shared.inputs.send_timeout(
                 Input::StagedSettingsChanged { active: None, staged: stage.staged() },
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,10 @@
-//! The shell of one tile server: its sockets, files, threads and clocks round `gradepin-core`, which decides.
+//! The shell of one tile server: its sockets, files, threads and clocks around `gradepin-core`, which makes all decisions.
 //!
-//! [`frontend`], [`processor`], [`control`] and [`registry`] each speak with one kind of peer and know nothing of the
-//! others; [`settings`] and [`config`] read what the server is told; [`serve`] joins them.
+//! [`serve`] is the entry: `startup` starts all parts in a fixed order, `main_loop` steps the reducer, and `effects` has its
+//! effects carried out. [`frontend`], [`processor`], [`control`], [`registry`], [`upstream_client`] and [`peer_datagrams`]
+//! each communicate with one kind of peer and know nothing of the others; [`store`], [`claims`], [`voter_storage`],
+//! [`staging`] and [`configuration_writer`] each own one folder. [`settings`] and [`config`] read the files that a server is
+//! started with. Threads send [`gradepin_core::messages::Input`]s to the main thread and never call it.
 
 pub mod admin;
 pub mod claims;
@@ -11,20 +14,22 @@
 pub mod configuration_writer;
 pub mod control;
 mod descriptors;
-mod fleet_start;
+mod effects;
 pub mod frontend;
 pub mod inherited_listener;
 pub mod log;
+mod main_loop;
 mod outgoing;
 pub mod peer_datagrams;
-mod predecessor_wait;
 pub mod processor;
+mod queues;
 pub mod registry;
 pub mod reload;
 pub mod serve;
 pub mod settings;
 pub mod signals;
 pub mod staging;
+mod startup;
 pub mod store;
 pub mod upstream_client;
 pub mod voter_storage;
--- a/crates/node/src/staging.rs
+++ b/crates/node/src/staging.rs
@@ -1,39 +1,94 @@
-//! A step of a release on this server: settings that were staged are put in force as at SIGHUP, the old ones kept beside
-//! them; for a program the operators' own command is run, which is to replace this process.
+//! The staging area: a folder with settings that operators staged for rollouts, and the steps of rollouts on this server.
 //!
-//! Decides nothing: whether and until when it may begin was agreed on, and the clock is looked at last here.
+//! A settings step puts a staged file in the place of the configuration file and applies it as SIGHUP would; the file
+//! before it is kept in the folder. A program step runs the operators' command, which is to replace this process.
+//!
+//! Whether a step may begin is the consensus group's decision, and until when; the clock is only compared here.
+//! Invariants: a file `DIGEST.json` holds exactly the settings with this digest; files are replaced atomically.
 
 use crate::clock::Clock;
-use crate::config;
+use crate::config::{self, LoadError};
 use crate::reload::ConfigReloader;
 use crossbeam_channel::Sender;
 use gradepin_admission::Time;
 use gradepin_coordination::messages::StepAssignment;
 use gradepin_coordination::rollout::ReleaseKind;
-use gradepin_core::config::Config;
+use gradepin_core::config::{Config, ConfigError};
 use gradepin_core::messages::Input;
 use std::fs;
 use std::io;
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::process::{Command, Stdio};
+use std::process::{Command, ExitStatus, Stdio};
 use std::sync::Arc;
 use std::thread;
 
-const STACK: usize = 256 * 1024;
-const SUFFIX: &str = ".json";
-/// Settings kept; the oldest go.
-const MOST_STAGED: usize = 16;
-/// How much of what a command says is told.
-const SAID: usize = 400;
+const STACK_BYTES: usize = 256 * 1024;
+const STAGED_SUFFIX: &str = ".json";
+/// Staged settings that are kept; the oldest are removed.
+const MAX_STAGED_FILES: usize = 16;
+/// Bytes of a command's error output that are reported.
+const MAX_REPORTED_OUTPUT_BYTES: usize = 400;
+
+/// Why settings can't be staged.
+#[derive(Debug, thiserror::Error)]
+pub enum StageError {
+    /// The settings are not valid.
+    #[error(transparent)]
+    Invalid(#[from] ConfigError),
+    /// The configuration file, which they are compared with, can't be read.
+    #[error(transparent)]
+    CurrentConfig(#[from] LoadError),
+    /// They are another server's, or change what takes a restart.
+    #[error(
+        "expected the settings of {expected_name} at {expected_address}, got {found_name} at {found_address}"
+    )]
+    OtherServer {
+        /// This server's name.
+        expected_name: String,
+        /// The address that it listens on.
+        expected_address: SocketAddr,
+        /// The name in the staged settings.
+        found_name: String,
+        /// The address in the staged settings.
+        found_address: SocketAddr,
+    },
+    /// The folder can't be written.
+    #[error(transparent)]
+    Folder(#[from] io::Error),
+}
+
+/// Why a step of a rollout failed on this server.
+#[derive(Debug, thiserror::Error)]
+enum StepError {
+    #[error("it came too late to begin")]
+    StartTimeOver,
+    #[error("no command replaces programs here")]
+    NoCommand,
+    #[error("{}: {source}", command.display())]
+    CommandNotRun { command: PathBuf, source: io::Error },
+    #[error("{} ended with {status}: {output}", command.display())]
+    CommandFailed { command: PathBuf, status: ExitStatus, output: String },
+    #[error("settings {digest} aren't staged: {source}")]
+    NotStaged { digest: String, source: io::Error },
+    #[error("the file staged as {digest} holds other settings")]
+    DigestMismatch { digest: String },
+    #[error(transparent)]
+    CurrentConfig(io::Error),
+    #[error(transparent)]
+    Invalid(ConfigError),
+    #[error("{}: {source}", config.display())]
+    NotReplaced { config: PathBuf, source: io::Error },
+}
 
-/// Where settings are staged, and how a program is replaced.
+/// The folder of staged settings, and how this server takes a step.
 #[derive(Debug, Clone)]
 pub struct StagingArea {
     folder: PathBuf,
     config: PathBuf,
-    /// The operators' command: it is given the version and this server's name.
-    replace: Option<PathBuf>,
-    name: String,
+    /// The operators' command; its arguments are the version and this server's name.
+    replace_command: Option<PathBuf>,
+    server_name: String,
 }
 
 /// The digest of settings: 16 hex digits of BLAKE3.
@@ -42,132 +97,144 @@
 }
 
 impl StagingArea {
-    /// In this folder, made if it isn't there; the settings in force are kept in it.
-    pub fn new(folder: PathBuf, config: PathBuf, replace: Option<PathBuf>, name: String) -> io::Result<Self> {
+    /// Opens the folder, makes it if it isn't there, and keeps a copy of the configuration file in it.
+    pub fn open(
+        folder: PathBuf,
+        config: PathBuf,
+        replace_command: Option<PathBuf>,
+        server_name: String,
+    ) -> io::Result<Self> {
         fs::create_dir_all(&folder)?;
-        let stage = Self { folder, config, replace, name };
-        let text = fs::read_to_string(&stage.config)?;
-        stage.keep(&text)?;
-        Ok(stage)
+        let area = Self { folder, config, replace_command, server_name };
+        let text = fs::read_to_string(&area.config)?;
+        area.keep(&text)?;
+        Ok(area)
     }
 
-    /// The digest of the settings that stand in the configuration's file.
-    pub fn in_force(&self) -> io::Result<String> {
+    /// The digest of the configuration file.
+    pub fn active_digest(&self) -> io::Result<String> {
         Ok(digest(&fs::read_to_string(&self.config)?))
     }
 
-    fn path(&self, digest: &str) -> PathBuf {
-        self.folder.join(format!("{digest}{SUFFIX}"))
-    }
-
-    fn keep(&self, text: &str) -> io::Result<String> {
-        let digest = digest(text);
-        let path = self.path(&digest);
-        if !path.exists() {
-            self.make_room()?;
-            replace(&path, text)?;
-        }
-        Ok(digest)
-    }
-
-    fn make_room(&self) -> io::Result<()> {
-        let mut all = Vec::new();
-        for entry in fs::read_dir(&self.folder)? {
-            let entry = entry?;
-            if entry.file_name().to_string_lossy().ends_with(SUFFIX) {
-                all.push((entry.metadata()?.modified()?, entry.path()));
-            }
-        }
-        all.sort();
-        let spare = (all.len() + 1).saturating_sub(MOST_STAGED);
-        for (_, path) in all.into_iter().take(spare) {
-            fs::remove_file(path)?;
-        }
-        Ok(())
-    }
-
-    /// Everything that is staged, by digest.
+    /// The digests of all staged settings, sorted; empty where the folder can't be read.
     pub fn staged(&self) -> Vec<String> {
         let names = fs::read_dir(&self.folder).into_iter().flatten().flatten();
         let names = names.map(|entry| entry.file_name().to_string_lossy().into_owned());
         let mut staged: Vec<String> =
-            names.filter_map(|name| name.strip_suffix(SUFFIX).map(String::from)).collect();
+            names.filter_map(|name| name.strip_suffix(STAGED_SUFFIX).map(String::from)).collect();
         staged.sort();
         staged
     }
 
-    /// Stages settings: checked as a whole first, and against what takes a restart. The digest, or what is wrong.
-    pub fn put(&self, text: &str) -> Result<String, String> {
-        let new = Config::parse(text).map_err(|e| e.to_string())?;
-        let now = config::load(&self.config).map_err(|e| e.to_string())?;
-        if (&new.name, new.listen) != (&now.name, now.listen) {
-            return Err(format!(
-                "expected the settings of {} at {}, got {} at {}",
-                now.name, now.listen, new.name, new.listen
-            ));
+    /// Stages settings, and returns their digest. They are checked completely first, and must keep the server's name and
+    /// address, which take a restart.
+    pub fn put(&self, text: &str) -> Result<String, StageError> {
+        let staged = Config::parse(text)?;
+        let current = config::load(&self.config)?;
+        if (&staged.name, staged.listen) != (&current.name, current.listen) {
+            return Err(StageError::OtherServer {
+                expected_name: current.name,
+                expected_address: current.listen,
+                found_name: staged.name,
+                found_address: staged.listen,
+            });
         }
-        self.keep(text).map_err(|e| e.to_string())
+        Ok(self.keep(text)?)
     }
 
-    /// Takes a step in a thread of its own, since a command takes its time.
-    pub fn change(
+    /// Takes a step in a thread of its own, since a command may take long. A failure becomes an input; nothing begins at
+    /// `start_before` or later.
+    pub fn start_step(
         self: &Arc<Self>,
-        turn: StepAssignment,
-        until: Time,
+        step: StepAssignment,
+        start_before: Time,
         clock: Clock,
         inputs: Sender<Input>,
-        reloads: ConfigReloader,
+        reloader: ConfigReloader,
     ) -> io::Result<()> {
-        let stage = Arc::clone(self);
+        let area = Arc::clone(self);
         let run = move || {
-            let release = turn.release;
-            let done = if clock.read().now >= until {
-                Err("it came too late to begin".to_string())
+            let result = if clock.read().now >= start_before {
+                Err(StepError::StartTimeOver)
             } else {
-                match turn.kind {
-                    ReleaseKind::Program => stage.program(&turn.version),
-                    ReleaseKind::Settings => stage.settings(&turn.version, &reloads),
+                match step.kind {
+                    ReleaseKind::Program => area.replace_program(&step.version),
+                    ReleaseKind::Settings => area.apply_settings(&step.version, &reloader),
                 }
             };
-            if let Err(why) = done {
-                let _ = inputs.send(Input::RolloutStepFailed { release, reason: why });
+            if let Err(error) = result {
+                let reason = error.to_string();
+                let _ = inputs.send(Input::RolloutStepFailed { release: step.release, reason });
             }
         };
-        thread::Builder::new().name("change".into()).stack_size(STACK).spawn(run).map(drop)
+        thread::Builder::new().name("change".into()).stack_size(STACK_BYTES).spawn(run).map(drop)
     }
 
-    fn program(&self, version: &str) -> Result<(), String> {
-        let command = self.replace.as_ref().ok_or("no command replaces programs here")?;
-        let output = Command::new(command).arg(version).arg(&self.name).stdin(Stdio::null()).output();
-        let output = output.map_err(|e| format!("{}: {e}", command.display()))?;
+    fn replace_program(&self, version: &str) -> Result<(), StepError> {
+        let command = self.replace_command.as_ref().ok_or(StepError::NoCommand)?;
+        let output = Command::new(command).arg(version).arg(&self.server_name).stdin(Stdio::null()).output();
+        let output =
+            output.map_err(|source| StepError::CommandNotRun { command: command.clone(), source })?;
         if output.status.success() {
             return Ok(());
         }
-        let mut said = String::from_utf8_lossy(&output.stderr).trim().to_string();
-        said.truncate(said.floor_char_boundary(SAID));
-        Err(format!("{} ended with {}: {said}", command.display(), output.status))
+        let mut text = String::from_utf8_lossy(&output.stderr).trim().to_string();
+        text.truncate(text.floor_char_boundary(MAX_REPORTED_OUTPUT_BYTES));
+        Err(StepError::CommandFailed { command: command.clone(), status: output.status, output: text })
     }
 
-    fn settings(&self, version: &str, reloads: &ConfigReloader) -> Result<(), String> {
+    fn apply_settings(&self, version: &str, reloader: &ConfigReloader) -> Result<(), StepError> {
         let text = fs::read_to_string(self.path(version))
-            .map_err(|e| format!("settings {version} aren't staged: {e}"))?;
+            .map_err(|source| StepError::NotStaged { digest: version.to_string(), source })?;
         if digest(&text) != version {
-            return Err(format!("what is staged as {version} is something else"));
+            return Err(StepError::DigestMismatch { digest: version.to_string() });
+        }
+        let current = fs::read_to_string(&self.config).map_err(StepError::CurrentConfig)?;
+        self.keep(&current).map_err(StepError::CurrentConfig)?;
+        // Checked completely before the file is replaced.
+        let config = Config::parse(&text).map_err(StepError::Invalid)?;
+        replace(&self.config, &text)
+            .map_err(|source| StepError::NotReplaced { config: self.config.clone(), source })?;
+        let applied =
+            Input::StagedSettingsChanged { active: Some(version.to_string()), staged: self.staged() };
+        reloader.apply_staged(config, applied);
+        Ok(())
+    }
+
+    fn path(&self, digest: &str) -> PathBuf {
+        self.folder.join(format!("{digest}{STAGED_SUFFIX}"))
+    }
+
+    /// Keeps settings under their digest, which is returned.
+    fn keep(&self, text: &str) -> io::Result<String> {
+        let digest = digest(text);
+        let path = self.path(&digest);
+        if !path.exists() {
+            self.remove_oldest()?;
+            replace(&path, text)?;
+        }
+        Ok(digest)
+    }
+
+    /// Makes room for one more file within [`MAX_STAGED_FILES`].
+    fn remove_oldest(&self) -> io::Result<()> {
+        let mut files = Vec::new();
+        for entry in fs::read_dir(&self.folder)? {
+            let entry = entry?;
+            if entry.file_name().to_string_lossy().ends_with(STAGED_SUFFIX) {
+                files.push((entry.metadata()?.modified()?, entry.path()));
+            }
+        }
+        files.sort();
+        let excess = (files.len() + 1).saturating_sub(MAX_STAGED_FILES);
+        for (_, path) in files.into_iter().take(excess) {
+            fs::remove_file(path)?;
         }
-        let old = fs::read_to_string(&self.config).map_err(|e| e.to_string())?;
-        self.keep(&old).map_err(|e| e.to_string())?;
-        // Whole and checked before anything of it is in force.
-        let config = Config::parse(&text).map_err(|e| e.to_string())?;
-        replace(&self.config, &text).map_err(|e| format!("{}: {e}", self.config.display()))?;
-        reloads.staged(
-            config,
-            Input::StagedSettingsChanged { active: Some(version.to_string()), staged: self.staged() },
-        );
         Ok(())
     }
 }
 
-/// Puts a text in the place of a file, whole or not at all.
+/// Replaces a file atomically: a reader finds the old text or the new one, also after a crash.
 fn replace(path: &Path, text: &str) -> io::Result<()> {
     let new = path.with_extension("new");
     fs::write(&new, text)?;
