--- a/crates/node/tests/golden_edges/admin.rs
+++ b/crates/node/tests/golden_edges/admin.rs
@@ -225,7 +225,7 @@
 #[test]
 fn health_and_orders_match_golden_bytes() {
     let health = |why| AdminResponse::Health(Err(why));
-    let done = |failed, changed| AdminResponse::DrainState { failed, changed };
+    let done = |draining, changed| AdminResponse::DrainState { draining, changed };
     let answers = [
         ("ready", AdminResponse::Health(Ok(()))),
         ("leaving", health(NotReadyReason::ShuttingDown)),
@@ -338,13 +338,13 @@
         ("POST", "/healthcheck/fail", "", plain(AdminRequest::StartDrain)),
         ("POST", "/healthcheck/ok", "", plain(AdminRequest::EndDrain)),
         ("GET", "/fleet/status", "", agreed(AgreementRequest::Status)),
-        ("GET", "/fleet/order", "ticket=7", agreed(AgreementRequest::CommandStatus(7))),
+        ("GET", "/fleet/order", "ticket=7", agreed(AgreementRequest::CommandStatus { ticket: 7 })),
         ("POST", "/fleet/order", "", Called::Order),
         ("POST", "/fleet/stage", "", Called::Stage),
         ("POST", "/fleet/found", "", agreed(AgreementRequest::FoundGroup)),
         ("POST", "/fleet/leave", "", agreed(AgreementRequest::Leave)),
         ("POST", "/fleet/stay", "", agreed(AgreementRequest::Stay)),
-        ("GET", "/fleet/wanted", "name=n3", agreed(AgreementRequest::TargetVersion("n3".into()))),
+        ("GET", "/fleet/wanted", "name=n3", agreed(AgreementRequest::TargetVersion { server: "n3".into() })),
         (
             "GET",
             "/config/apply",
--- a/crates/node/tests/golden_edges/answers.rs
+++ b/crates/node/tests/golden_edges/answers.rs
@@ -50,8 +50,9 @@
     let served = |bytes: &[u8]| {
         Response::Served(Arc::new(BufferPool::new(1).exact(bytes).expect("it fits in a buffer")))
     };
-    let refused = |backoff, last| Response::Rejected { backoff: Span(backoff), last };
-    let invalid = |misuse| Response::Invalid(misuse, "why not".into());
+    let refused =
+        |retry_after, no_failover| Response::Rejected { retry_after: Span(retry_after), no_failover };
+    let invalid = |error| Response::Invalid { error, text: "why not".into() };
     vec![
         ("served", served(b"tile \x00\xff\r\n")),
         ("served empty", served(b"")),
@@ -59,8 +60,8 @@
         ("rejected with retry-after", refused(1_200_000_001, false)),
         ("rejected with retry-after, final", refused(250_000_000, true)),
         ("rejected, final", refused(0, true)),
-        ("failed", Response::Failed { late: false }),
-        ("failed late", Response::Failed { late: true }),
+        ("failed", Response::Failed { timed_out: false }),
+        ("failed late", Response::Failed { timed_out: true }),
         ("unknown outcome", Response::OutcomeUnknown),
         ("invalid request", invalid(RequestError::Malformed)),
         ("invalid not found", invalid(RequestError::NotFound)),
@@ -69,10 +70,10 @@
         ("invalid no length", invalid(RequestError::LengthRequired)),
         ("invalid too large", invalid(RequestError::BodyTooLarge)),
         ("invalid head too large", invalid(RequestError::HeaderTooLarge)),
-        ("health good", Response::Health(true, None)),
-        ("health bad", Response::Health(false, None)),
-        ("health good with a store", Response::Health(true, Some("good"))),
-        ("health bad with a store", Response::Health(false, Some("failed"))),
+        ("health good", Response::Health { healthy: true, store: None }),
+        ("health bad", Response::Health { healthy: false, store: None }),
+        ("health good with a store", Response::Health { healthy: true, store: Some("good") }),
+        ("health bad with a store", Response::Health { healthy: false, store: Some("failed") }),
     ]
 }
 
@@ -102,23 +103,24 @@
     match front.cutter().cut(bytes, &pool) {
         Ok(Some((_, Cut::Call(seq, call)))) => {
             // SCGI requests carry no arrival time: it is the time at which they were read.
-            let t0 = if call.t0 == 17 { "17" } else { "now" };
-            let times = format!("t0 {t0}, budget {}, retry {}", call.budget, call.retry);
-            let sizes = format!("size {}, rank {}, key {}", call.size_kb, call.precedence, call.has_key);
+            let t0 = if call.arrived_unix_ms == 17 { "17" } else { "now" };
+            let times = format!("t0 {t0}, budget {}, retry {}", call.budget_ms, call.retry);
+            let sizes = format!("size {}, rank {}, key {}", call.size_kb, call.precedence, call.has_subject);
             format!(
                 "{seq}: id {}, class {}, tenant {:?}, caller {}, {times}, {sizes}, token {:?}, body {}",
                 call.id.0,
                 call.class.slot(),
                 call.tenant.map(|tenant| tenant.slot()),
-                call.caller,
-                call.token.as_deref(),
+                call.client_proxy,
+                call.idempotency_key.as_deref(),
                 call.body.escape_ascii()
             )
         }
         Ok(Some((_, Cut::Health(seq)))) => format!("{seq}: health"),
         Ok(Some((_, Cut::Cancel(seq)))) => format!("{seq}: cancel"),
         Ok(Some((_, Cut::Invalid(seq, misuse, why)))) => {
-            let answer = front.encode(seq, &Response::Invalid(misuse, why), None, false, &pool);
+            let answer =
+                front.encode(seq, &Response::Invalid { error: misuse, text: why }, None, false, &pool);
             answer.expect("it fits in a buffer").escape_ascii().to_string()
         }
         Ok(Some((_, Cut::Nonsense))) => "skipped".to_string(),
--- a/crates/node/tests/golden_edges/outgoing_calls.rs
+++ b/crates/node/tests/golden_edges/outgoing_calls.rs
@@ -33,7 +33,7 @@
     }
     socket.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").expect("written");
     let called = received.recv_timeout(PATIENCE).expect("the end of the call");
-    assert!(matches!(called, Input::UpstreamCallEnded { number: 7, .. }));
+    assert!(matches!(called, Input::UpstreamCallEnded { call: 7, .. }));
     // The port is another one in each run, the version one in each release.
     let (address, agent) = (address.to_string(), format!("gradepin/{}", env!("CARGO_PKG_VERSION")));
     let text = request.escape_ascii().to_string();
--- a/crates/node/tests/golden_edges/processor.rs
+++ b/crates/node/tests/golden_edges/processor.rs
@@ -65,7 +65,7 @@
         Input::UpstreamCallRequested { notice, id, body } => {
             format!("notice {notice}: {} calls with '{}'\n", id.0, body.escape_ascii())
         }
-        Input::GaugesRead(number, values) => format!("gauges {number}: {values:?}\n"),
+        Input::GaugesRead { number, values } => format!("gauges {number}: {values:?}\n"),
         Input::RunNotStarted(id) => format!("{} not begun\n", id.0),
         Input::LinkDown => "link down\n".to_string(),
         _ => "another input\n".to_string(),
--- a/crates/node/tests/golden_edges/shared_folder.rs
+++ b/crates/node/tests/golden_edges/shared_folder.rs
@@ -38,11 +38,11 @@
 fn claimed((claims, received): &(Claims, Receiver<Input>), token: &str, print: u64) -> String {
     claims.claim(RequestId::new("r"), token.into(), print, Span(0));
     match received.recv_timeout(PATIENCE).expect("an answer") {
-        Input::RunClaimed(_, RunClaim::Ours) => "ours".to_string(),
-        Input::RunClaimed(_, RunClaim::Ended(RunOutcome::Served(result))) => {
+        Input::RunClaimed { claim: RunClaim::Ours, .. } => "ours".to_string(),
+        Input::RunClaimed { claim: RunClaim::Ended(RunOutcome::Served(result)), .. } => {
             format!("served {}", result.escape_ascii())
         }
-        Input::RunClaimed(_, RunClaim::Ended(RunOutcome::Failed)) => "failed".to_string(),
+        Input::RunClaimed { claim: RunClaim::Ended(RunOutcome::Failed), .. } => "failed".to_string(),
         _ => "another answer".to_string(),
     }
 }
