--- a/crates/gradepin/tests/scenario/virtually.rs
+++ b/crates/gradepin/tests/scenario/virtually.rs
@@ -17,6 +17,7 @@
 use gradepin_core::registration::Registration;
 use gradepin_core::timestamp::Timestamp;
 use gradepin_node::admin;
+use gradepin_node::frontend::DecodedMessage;
 use gradepin_node::frontend::thrift::codec;
 use gradepin_node::settings::ActiveSettings;
 use std::collections::BTreeMap;
@@ -317,15 +318,20 @@
     fn client(&mut self, conn: &str, bytes: &[u8], more: bool) {
         let conn = self.conn(conn);
         let input = match codec::decode(&bytes[4..], &self.names, &self.pool).expect("well-formed") {
-            codec::Message::Call(seq, call) => {
+            DecodedMessage::Request { sequence: seq, request: call } => {
                 Input::Request { connection: conn, sequence: seq, request: call }
             }
-            codec::Message::Health(seq) => Input::HealthCheck { connection: conn, sequence: seq },
-            codec::Message::Cancel(seq) => Input::Cancel { connection: conn, sequence: seq },
-            codec::Message::Invalid(seq, misuse, why) => {
-                Input::InvalidRequest { connection: conn, sequence: seq, error: misuse, text: why }
+            DecodedMessage::HealthCheck { sequence: seq } => {
+                Input::HealthCheck { connection: conn, sequence: seq }
             }
-            codec::Message::Unknown => return,
+            DecodedMessage::Cancel { sequence: seq } => Input::Cancel { connection: conn, sequence: seq },
+            DecodedMessage::Invalid { sequence: seq, invalid } => Input::InvalidRequest {
+                connection: conn,
+                sequence: seq,
+                error: invalid.error,
+                text: invalid.text,
+            },
+            DecodedMessage::Unsupported | DecodedMessage::Incomplete => return,
         };
         self.waiting.push(input);
         if !more {
--- /dev/null
+++ b/crates/node/src/frontend/acceptor.rs
@@ -0,0 +1,205 @@
+//! The listeners of all front ends and the connection slots that they share.
+//!
+//! Accepts one connection at a time and says why none was accepted; what follows from it is decided in
+//! [`super::event_loop`]. Bounds: all front ends together have `max_connections`, plus `RESERVED_CONNECTIONS` on the
+//! first one; each front end beside the first has at most half of the slots, since its clients open a connection for
+//! each request and must not close the others out.
+
+use super::connection::Connection;
+use super::{Listener, Protocol};
+use gradepin_core::config::RESERVED_CONNECTIONS;
+use std::io::{self, ErrorKind};
+use std::os::fd::OwnedFd;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::time::{Duration, Instant};
+
+/// Before accepting is retried where the system had no descriptor or no memory.
+const SHORTAGE_BACKOFF: Duration = Duration::from_millis(50);
+/// A front end beside the first has the slots divided by this.
+const SECONDARY_SLOT_DIVISOR: usize = 2;
+
+/// A listener and its share of the slots.
+struct ListenerEntry {
+    /// `None` once accepting has stopped.
+    listener: Option<Listener>,
+    protocol: Arc<dyn Protocol>,
+    max_connections: usize,
+    open_connections: Arc<AtomicUsize>,
+    /// Whether connections may be queued on the listener.
+    may_have_queued: bool,
+    /// Until when accepting pauses after a shortage.
+    paused_until: Option<Instant>,
+}
+
+/// Result of one accept.
+pub(super) enum Accepted {
+    /// A connection.
+    Connection {
+        /// Its socket.
+        stream: OwnedFd,
+        /// Whether all regular slots were taken, so that it would use a reserved one.
+        slots_full: bool,
+    },
+    /// The attempt was interrupted, or the connection reset before it was accepted: try again.
+    Interrupted,
+    /// No connection is queued, or accepting has stopped.
+    NoneQueued,
+    /// No slot is free.
+    NoSlot,
+    /// The system has no descriptor or no memory; accepting pauses.
+    Shortage {
+        /// The error of the system; `None` if it was returned before and the shortage persists.
+        error: Option<io::Error>,
+    },
+}
+
+/// The listeners of all front ends, by their index.
+pub(super) struct Acceptor {
+    entries: Vec<ListenerEntry>,
+    max_connections: usize,
+}
+
+impl Acceptor {
+    /// For these front ends, of which the first takes the health checks.
+    ///
+    /// # Errors
+    /// If a listener can't be made non-blocking.
+    pub(super) fn new(
+        front_ends: Vec<(Arc<dyn Protocol>, Listener)>,
+        max_connections: usize,
+    ) -> io::Result<Self> {
+        let mut entries = Vec::with_capacity(front_ends.len());
+        for (protocol, listener) in front_ends {
+            listener.set_nonblocking()?;
+            let divisor = if entries.is_empty() { 1 } else { SECONDARY_SLOT_DIVISOR };
+            entries.push(ListenerEntry {
+                listener: Some(listener),
+                protocol,
+                max_connections: max_connections / divisor,
+                open_connections: Arc::default(),
+                may_have_queued: true,
+                paused_until: None,
+            });
+        }
+        Ok(Self { entries, max_connections })
+    }
+
+    /// Number of listeners.
+    pub(super) fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// The listeners that still accept, with their indexes.
+    pub(super) fn listeners(&self) -> impl Iterator<Item = (usize, &Listener)> {
+        let entries = self.entries.iter().enumerate();
+        entries.filter_map(|(index, entry)| Some((index, entry.listener.as_ref()?)))
+    }
+
+    /// Whether any listener still accepts.
+    pub(super) fn is_accepting(&self) -> bool {
+        self.entries.iter().any(|entry| entry.listener.is_some())
+    }
+
+    /// Whether connections may be queued on any listener.
+    pub(super) fn may_have_queued(&self) -> bool {
+        self.entries.iter().any(|entry| entry.may_have_queued)
+    }
+
+    /// Connections may be queued on a listener, by an event; false if there is no such listener.
+    pub(super) fn set_ready(&mut self, index: usize) -> bool {
+        let Some(entry) = self.entries.get_mut(index) else { return false };
+        entry.may_have_queued = entry.listener.is_some();
+        true
+    }
+
+    /// Connections may be queued on every listener though no event said so.
+    pub(super) fn set_all_ready(&mut self) {
+        for entry in &mut self.entries {
+            entry.may_have_queued = entry.listener.is_some();
+        }
+    }
+
+    /// Connections of all front ends.
+    pub(super) fn open_connections(&self) -> usize {
+        self.entries.iter().map(|entry| entry.open_connections.load(Ordering::Relaxed)).sum()
+    }
+
+    /// Whether no regular slot is free.
+    pub(super) fn is_full(&self) -> bool {
+        self.open_connections() >= self.max_connections
+    }
+
+    /// Whether accepting on a listener pauses after a shortage.
+    pub(super) fn is_paused(&self, index: usize, now: Instant) -> bool {
+        self.entries[index].paused_until.is_some_and(|until| now < until)
+    }
+
+    /// Accepts one connection of a listener, if one is queued and a slot is free.
+    pub(super) fn accept(&mut self, index: usize, now: Instant) -> Accepted {
+        let all_connections = self.open_connections();
+        let slots_full = all_connections >= self.max_connections;
+        // Health checks come to the first front end: only it has the reserved slots.
+        let reserved_slots = if index == 0 { RESERVED_CONNECTIONS } else { 0 };
+        let entry = &mut self.entries[index];
+        if !entry.may_have_queued {
+            return Accepted::NoneQueued;
+        }
+        let all_slots_full = all_connections >= self.max_connections + reserved_slots;
+        let own_slots_full =
+            entry.open_connections.load(Ordering::Relaxed) >= entry.max_connections + reserved_slots;
+        if all_slots_full || own_slots_full {
+            return Accepted::NoSlot;
+        }
+        let Some(listener) = &entry.listener else { return Accepted::NoneQueued };
+        match listener.accept() {
+            Ok(stream) => {
+                entry.paused_until = None;
+                Accepted::Connection { stream, slots_full }
+            }
+            Err(e) if e.kind() == ErrorKind::WouldBlock => {
+                entry.may_have_queued = false;
+                Accepted::NoneQueued
+            }
+            Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {
+                Accepted::Interrupted
+            }
+            Err(e) => {
+                let is_new = entry.paused_until.is_none();
+                entry.paused_until = Some(now + SHORTAGE_BACKOFF);
+                Accepted::Shortage { error: is_new.then_some(e) }
+            }
+        }
+    }
+
+    /// A connection accepted on a listener; it takes one of its slots until it is dropped.
+    pub(super) fn connection(&self, index: usize, stream: OwnedFd) -> Connection {
+        let entry = &self.entries[index];
+        Connection::new(stream, Arc::clone(&entry.protocol), &entry.open_connections)
+    }
+
+    /// Prepares a listener for its last accepts: whether connections queued on it would be lost by its close, so that
+    /// they must be accepted first.
+    pub(super) fn must_empty_queue(&mut self, index: usize) -> bool {
+        let entry = &mut self.entries[index];
+        let is_exclusive = entry.listener.as_ref().is_some_and(Listener::is_exclusive);
+        if is_exclusive {
+            entry.may_have_queued = true;
+            entry.paused_until = None;
+        }
+        is_exclusive
+    }
+
+    /// Takes a listener, which accepts no more.
+    pub(super) fn take_listener(&mut self, index: usize) -> Option<Listener> {
+        let entry = &mut self.entries[index];
+        entry.may_have_queued = false;
+        entry.listener.take()
+    }
+
+    /// Forgets that connections may be queued on a listener, as when an accept was interrupted.
+    #[cfg(test)]
+    pub(super) fn clear_ready(&mut self, index: usize) {
+        self.entries[index].may_have_queued = false;
+    }
+}
--- /dev/null
+++ b/crates/node/src/frontend/event_loop/tests.rs
@@ -0,0 +1,189 @@
+use super::*;
+use crate::frontend::thrift::Thrift;
+use crate::settings::ActiveSettings;
+use crossbeam_channel::{Receiver, unbounded};
+use gradepin_core::buffer_pool::BufferPool;
+use gradepin_core::config::RESERVED_CONNECTIONS;
+use rustix::net::{SendFlags, send};
+use slog::Logger;
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::AtomicBool;
+
+/// An event loop that has not run, with so many connection slots, its address and the inputs that it sends.
+fn event_loop(max_connections: usize, shared: bool) -> (EventLoop, SocketAddr, Receiver<Input>) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    let listener = if shared { Listener::Shared(listener) } else { Listener::Tcp(listener) };
+    let (inputs, received) = unbounded();
+    let protocol: Arc<dyn Protocol> = Arc::new(Thrift::new(ActiveSettings::new(&Default::default())));
+    let log = Logger::root(slog::Discard, slog::o!());
+    let shared = Shared {
+        connections: Arc::default(),
+        accepting: Arc::new(AtomicBool::new(true)),
+        inputs,
+        pool: BufferPool::new(4),
+        log,
+    };
+    (EventLoop::new(vec![(protocol, listener)], max_connections, shared).unwrap(), address, received)
+}
+
+/// Guards against connections that the system queued for this process and resets when it ends: they are accepted before
+/// the listener is closed. A listener that another process shares keeps its queue.
+#[test]
+fn accepts_queued_connections_before_closing_an_exclusive_listener() {
+    for shared in [false, true] {
+        let (mut event_loop, address, received) = event_loop(100, shared);
+        let _peers: Vec<TcpStream> = (0..40).map(|_| TcpStream::connect(address).unwrap()).collect();
+        event_loop.shared.accepting.store(false, Ordering::SeqCst);
+        event_loop.accept();
+        let inputs: Vec<Input> = received.try_iter().collect();
+        let opened = inputs.iter().filter(|input| matches!(input, Input::ConnectionOpened(_))).count();
+        assert_eq!(opened, if shared { 0 } else { 40 });
+        assert!(matches!(inputs.last(), Some(Input::StoppedAccepting)), "{inputs:?}");
+        assert!(TcpStream::connect(address).is_err(), "nobody listens any more");
+        event_loop.accept();
+        assert!(received.is_empty(), "it is told once");
+    }
+}
+
+/// Guards against slots that are never freed, and against lingering peers that keep new connections out.
+#[test]
+fn accepts_into_reserved_slots_when_full_and_replaces_a_lingering_connection() {
+    let (mut event_loop, address, received) = event_loop(4, false);
+    let _peers: Vec<TcpStream> =
+        (0..4 + RESERVED_CONNECTIONS + 3).map(|_| TcpStream::connect(address).unwrap()).collect();
+    event_loop.accept();
+    assert_eq!(received.try_iter().count(), 4 + RESERVED_CONNECTIONS);
+    let connection = |n: ConnectionId| Arc::clone(&event_loop.readers[&n].connection);
+    connection(2).close();
+    let lingering = connection(2);
+    assert!(lingering.lingering_since().is_some());
+    drop(lingering);
+    event_loop.accept();
+    let inputs: Vec<Input> = received.try_iter().collect();
+    assert!(matches!(inputs[..], [Input::ConnectionClosed(2), Input::ConnectionOpened(_)]), "{inputs:?}");
+}
+
+/// A health check as a client proxy frames it.
+fn health(seq: i32) -> Vec<u8> {
+    let head = [&[0x80, 1, 0, 1][..], &6_u32.to_be_bytes(), b"health", &seq.to_be_bytes()].concat();
+    let message = [&head[..], &[2, 0, 1, 0, 0]].concat();
+    [&(message.len() as u32).to_be_bytes()[..], &message].concat()
+}
+
+/// Unread bytes of the server's end of a connection, from /proc/net/tcp.
+fn unread(peer: &TcpStream) -> usize {
+    let word = |address: SocketAddr| format!(":{:04X}", address.port());
+    let (server, client) = (word(peer.peer_addr().unwrap()), word(peer.local_addr().unwrap()));
+    let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
+    let line = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
+    let mut line = line.filter(|words| words[1].ends_with(&server) && words[2].ends_with(&client));
+    let words = line.next().expect("the connection stands");
+    usize::from_str_radix(words[4].split_once(':').unwrap().1, 16).unwrap()
+}
+
+/// Waits until so many bytes of a peer are unread.
+fn arrived(peer: &TcpStream, bytes: usize) {
+    let start = Instant::now();
+    while unread(peer) < bytes {
+        assert!(start.elapsed() < Duration::from_secs(20), "{} of {bytes} bytes arrived", unread(peer));
+        std::thread::sleep(Duration::from_millis(1));
+    }
+}
+
+/// Handles all pending events, as the loop does, until nothing is scheduled.
+fn run_all_events(event_loop: &mut EventLoop) {
+    event_loop.accept();
+    loop {
+        let mut events = Vec::with_capacity(MAX_EVENTS);
+        let none = Timespec { tv_sec: 0, tv_nsec: 0 };
+        epoll::wait(&event_loop.epoll, rustix::buffer::spare_capacity(&mut events), Some(&none)).unwrap();
+        for event in &events {
+            event_loop.handle_connection_event(event.data.u64(), event.flags);
+        }
+        if event_loop.scheduled.is_empty() {
+            return;
+        }
+        while let Some(id) = event_loop.scheduled.pop_front() {
+            assert!(event_loop.read(id));
+        }
+    }
+}
+
+fn health_checks(received: &Receiver<Input>) -> Vec<i32> {
+    received
+        .try_iter()
+        .filter_map(
+            |input| if let Input::HealthCheck { sequence: seq, .. } = input { Some(seq) } else { None },
+        )
+        .collect()
+}
+
+/// Guards against a connection that hangs with requests unread: a read may be cut short though more bytes are there, as
+/// at an urgent mark, and no new event comes for them.
+#[test]
+fn reads_everything_after_a_read_that_was_cut_short() {
+    let (mut event_loop, address, received) = event_loop(4, false);
+    let mut peer = TcpStream::connect(address).unwrap();
+    peer.write_all(&health(1)).unwrap();
+    send(&peer, b"!", SendFlags::OOB).unwrap();
+    peer.write_all(&health(2)).unwrap();
+    arrived(&peer, 2 * health(1).len() + 1);
+    run_all_events(&mut event_loop);
+    assert_eq!(health_checks(&received), [1, 2]);
+}
+
+/// Guards against a request that is discarded without a response, since it arrived at the moment of its timeout: after
+/// the last wait for events, and before the close.
+#[test]
+fn delivers_a_request_that_arrives_at_the_moment_of_its_timeout() {
+    for before_the_look in [true, false] {
+        let (mut event_loop, address, received) = event_loop(4, false);
+        let mut peer = TcpStream::connect(address).unwrap();
+        run_all_events(&mut event_loop);
+        let late = Instant::now() + Duration::from_secs(3);
+        if before_the_look {
+            peer.write_all(&health(1)).unwrap();
+            arrived(&peer, health(1).len());
+        }
+        event_loop.tick(late);
+        if !before_the_look {
+            // The main thread has not closed it yet.
+            peer.write_all(&health(1)).unwrap();
+            arrived(&peer, health(1).len());
+        }
+        run_all_events(&mut event_loop);
+        assert_eq!(health_checks(&received), [1], "{before_the_look}");
+    }
+}
+
+/// Guards against frames that stay queued: no event follows a write that was denied for want of memory instead of space
+/// in the socket, and its connection would be closed 5 s later.
+#[test]
+fn retries_a_write_that_was_denied() {
+    let (mut event_loop, address, _received) = event_loop(4, false);
+    let mut peer = TcpStream::connect(address).unwrap();
+    run_all_events(&mut event_loop);
+    let connection = Arc::clone(&event_loop.readers[&1].connection);
+    connection.simulate_denied_write(event_loop.shared.pool.copy(b"answer").unwrap());
+    run_all_events(&mut event_loop);
+    event_loop.tick(Instant::now());
+    assert!(!connection.is_stalled() && connection.unsent_frames() == 0, "it waits yet");
+    peer.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+    let mut answer = [0; 6];
+    peer.read_exact(&mut answer).unwrap();
+    assert_eq!(&answer, b"answer");
+}
+
+/// Guards against connections that stay queued until another one arrives: after an interrupted accept no event comes for
+/// them.
+#[test]
+fn accepts_queued_connections_without_an_event() {
+    let (mut event_loop, address, received) = event_loop(4, false);
+    let _peer = TcpStream::connect(address).unwrap();
+    event_loop.acceptor.clear_ready(0);
+    event_loop.tick(Instant::now());
+    event_loop.accept();
+    assert!(matches!(received.try_recv(), Ok(Input::ConnectionOpened(_))));
+}
--- a/crates/node/src/frontend/scgi/mod.rs
+++ b/crates/node/src/frontend/scgi/mod.rs
@@ -1,192 +1,176 @@
-//! The cataloguing stations' front: SCGI, one request on each connection, on TCP and on a UNIX socket.
+//! SCGI front end, for web servers: one request on each connection, over TCP or a UNIX socket.
+//!
+//! Headers become requests by the routes and header names of the settings ([`routes`]); the bytes are in [`codec`] and
+//! [`response`]. A connection is closed after its response, as SCGI has no keep-alive.
 
 pub mod codec;
+mod response;
 pub mod routes;
 
-use super::{Cut, Cutter, Malformed, Patience, Protocol};
-use codec::{Bad, Decoder};
+use super::{
+    DecodedFrame, DecodedMessage, FirstMessageTimeout, FrameDecoder, InvalidRequest, MalformedFrame,
+    Protocol, ReadTimeouts,
+};
+use codec::{Decoder, ScgiError};
 use gradepin_core::buffer_pool::{Buffer, BufferPool};
-use gradepin_core::messages::{RequestError, Response, SequenceId, UNKNOWN_OUTCOME_TEXT};
-use routes::{Routed, Routes};
+use gradepin_core::messages::{RequestError, Response, SequenceId};
+use routes::{Arrival, Routed, Routes};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// From the accept to the first byte.
-const FIRST_PATIENCE: Duration = Duration::from_secs(3);
-/// From there to the last byte of the request.
-const WHOLE_PATIENCE: Duration = Duration::from_secs(5);
-/// The one request of a connection.
-const SEQ: SequenceId = 1;
+const FIRST_BYTE_TIMEOUT: Duration = Duration::from_secs(3);
+/// From the first byte of the request to its last.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// Number of the one request of a connection.
+const SEQUENCE: SequenceId = 1;
 
-/// The front.
+/// The SCGI protocol.
 pub struct Scgi {
-    /// Those in force; open requests keep the ones that they came by.
+    /// The routes in force; a connection keeps those of its accept.
     routes: Mutex<Arc<Routes>>,
-    /// For requests that bring no id: unlike any other's, and not to be guessed from one.
-    ids: Arc<Ids>,
+    request_ids: Arc<RequestIdGenerator>,
 }
 
-struct Ids {
-    next: AtomicU64,
+/// Generates ids for requests that bring none: unique in this process, and not predictable from one another.
+struct RequestIdGenerator {
+    counter: AtomicU64,
     seed: u64,
 }
 
-impl Ids {
-    /// A bijection of a counter, keyed with the seed: no two are the same.
+impl RequestIdGenerator {
+    fn new(seed: u64) -> Self {
+        Self { counter: AtomicU64::new(0), seed }
+    }
+
+    /// The next id: a bijection of a counter (the finalizer of SplitMix64), so that no id comes twice.
     fn next(&self) -> u64 {
-        let n = self.next.fetch_add(1, Ordering::Relaxed).wrapping_add(self.seed);
-        let n = (n ^ (n >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        let n = (n ^ (n >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        n ^ (n >> 31)
+        let counter = self.counter.fetch_add(1, Ordering::Relaxed).wrapping_add(self.seed);
+        let mixed = (counter ^ (counter >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        mixed ^ (mixed >> 31)
     }
 }
 
 impl Scgi {
     /// With these routes; the seed keys the ids of requests that bring none.
     pub fn new(routes: Routes, seed: u64) -> Self {
-        let ids = Ids { next: AtomicU64::new(0), seed };
-        Self { routes: Mutex::new(Arc::new(routes)), ids: Arc::new(ids) }
+        Self { routes: Mutex::new(Arc::new(routes)), request_ids: Arc::new(RequestIdGenerator::new(seed)) }
     }
 
-    /// New routes, for connections that come from now on.
+    /// Replaces the routes, for connections that are accepted from now on.
     pub fn reload(&self, routes: Routes) {
         *self.routes.lock().unwrap_or_else(PoisonError::into_inner) = Arc::new(routes);
     }
 }
 
 impl Protocol for Scgi {
-    fn cutter(&self) -> Box<dyn Cutter> {
+    fn decoder(&self) -> Box<dyn FrameDecoder> {
         let routes = Arc::clone(&self.routes.lock().unwrap_or_else(PoisonError::into_inner));
-        let decoder = Decoder::new(routes.wanted());
-        Box::new(Requests { routes, decoder, ids: Arc::clone(&self.ids), done: false })
+        let decoder = Decoder::new(routes.required_headers());
+        Box::new(RequestDecoder {
+            routes,
+            decoder,
+            request_ids: Arc::clone(&self.request_ids),
+            finished: false,
+        })
     }
 
-    fn patience(&self) -> Patience {
-        Patience { first: FIRST_PATIENCE, first_byte_only: true, whole: WHOLE_PATIENCE }
+    fn timeouts(&self) -> ReadTimeouts {
+        ReadTimeouts { first: FirstMessageTimeout::FirstByte(FIRST_BYTE_TIMEOUT), message: REQUEST_TIMEOUT }
     }
 
     fn encode(
         &self,
         _: SequenceId,
-        answer: &Response,
-        hint: Option<f64>,
-        leaving: bool,
+        response: &Response,
+        capacity_hint: Option<f64>,
+        draining: bool,
         pool: &Arc<BufferPool>,
     ) -> Option<Buffer> {
-        encode(answer, hint, leaving, pool)
+        response::encode(response, capacity_hint, draining, pool)
     }
 
-    fn draining(&self, _: &Arc<BufferPool>) -> Option<Buffer> {
+    fn drain_request(&self, _: &Arc<BufferPool>) -> Option<Buffer> {
         None
     }
 
-    fn malformed(&self, _: &str, _: &Arc<BufferPool>) -> Option<Buffer> {
-        // A head that is none: whatever is behind the front server would take a response for another's.
+    fn malformed_response(&self, _: &str, _: &Arc<BufferPool>) -> Option<Buffer> {
+        // The web server could take a response to something that is no request for that of another request.
         None
     }
 
-    fn once(&self) -> bool {
+    fn closes_after_response(&self) -> bool {
         true
     }
 }
 
-/// The one request of a connection; whatever comes behind it is not read.
-struct Requests {
+/// Decodes the one request of a connection; bytes after it are skipped.
+struct RequestDecoder {
     routes: Arc<Routes>,
     decoder: Decoder,
-    ids: Arc<Ids>,
-    done: bool,
-}
-
-fn misuse(bad: Bad) -> RequestError {
-    match bad {
-        Bad::HeadTooLong => RequestError::HeaderTooLarge,
-        Bad::NoContentLength => RequestError::LengthRequired,
-        Bad::BodyTooLong => RequestError::BodyTooLarge,
-        Bad::Length | Bad::Head | Bad::ContentLength | Bad::Twice | Bad::Version => RequestError::Malformed,
-    }
+    request_ids: Arc<RequestIdGenerator>,
+    finished: bool,
 }
 
-impl Cutter for Requests {
-    fn cut(&mut self, bytes: &[u8], pool: &Arc<BufferPool>) -> Result<Option<(usize, Cut)>, Malformed> {
-        if self.done {
-            return Ok(Some((bytes.len(), Cut::Nothing)));
+impl FrameDecoder for RequestDecoder {
+    fn decode(
+        &mut self,
+        bytes: &[u8],
+        pool: &Arc<BufferPool>,
+    ) -> Result<Option<DecodedFrame>, MalformedFrame> {
+        if self.finished {
+            let message = DecodedMessage::Incomplete;
+            return Ok(Some(DecodedFrame { consumed_bytes: bytes.len(), message }));
         }
-        let (used, request) = match self.decoder.feed(bytes) {
+        let fed = match self.decoder.feed(bytes) {
             Ok(fed) => fed,
-            Err(bad) => {
-                // It is told what is wrong; nothing more of it is read.
-                self.done = true;
-                return Ok(Some((bytes.len(), Cut::Invalid(SEQ, misuse(bad), bad.to_string()))));
+            Err(error) => {
+                // The client gets the error; nothing more of its request is read.
+                self.finished = true;
+                let message = invalid(InvalidRequest::new(request_error(error), error.to_string()));
+                return Ok(Some(DecodedFrame { consumed_bytes: bytes.len(), message }));
             }
         };
-        let Some(request) = request else { return Ok(Some((used, Cut::Nothing))) };
-        self.done = true;
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
-        let cut = match self.routes.route(&request, now, self.ids.next(), pool) {
-            Ok(Routed::Call(call)) => Cut::Call(SEQ, call),
-            Ok(Routed::Health) => Cut::Health(SEQ),
-            Err((misuse, why)) => Cut::Invalid(SEQ, misuse, why),
+        let Some(request) = fed.request else {
+            let message = DecodedMessage::Incomplete;
+            return Ok(Some(DecodedFrame { consumed_bytes: fed.consumed_bytes, message }));
+        };
+        self.finished = true;
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+        let arrival = Arrival {
+            unix_ms: since_epoch.map_or(0, |since| since.as_millis() as u64),
+            generated_id: self.request_ids.next(),
+        };
+        let message = match self.routes.route(&request, arrival, pool) {
+            Ok(Routed::Request(request)) => DecodedMessage::Request { sequence: SEQUENCE, request },
+            Ok(Routed::HealthCheck) => DecodedMessage::HealthCheck { sequence: SEQUENCE },
+            Err(error) => invalid(error),
         };
-        Ok(Some((used, cut)))
+        Ok(Some(DecodedFrame { consumed_bytes: fed.consumed_bytes, message }))
     }
 
-    fn begun(&self) -> bool {
-        !self.done && self.decoder.begun()
+    fn is_mid_message(&self) -> bool {
+        !self.finished && self.decoder.is_mid_request()
     }
 }
 
-/// The bytes of an answer; none if it doesn't fit into a buffer.
-pub fn encode(answer: &Response, hint: Option<f64>, leaving: bool, pool: &Arc<BufferPool>) -> Option<Buffer> {
-    let mut more = Vec::new();
-    let (status, reason, body): (u16, &str, &[u8]) = match answer {
-        Response::Served(result) => (200, "OK", result),
-        Response::Health { healthy: good, store } => {
-            more.extend(store.map(|word| format!("X-Gradepin-Store: {word}")));
-            if *good { (200, "OK", b"good\n") } else { (503, "Service Unavailable", b"bad\n") }
-        }
-        Response::Rejected { retry_after: backoff, no_failover: last } => {
-            if backoff.0 > 0 {
-                // Whole seconds for those that know the standard header, and what was meant.
-                more.push(format!("Retry-After: {}", backoff.0.div_ceil(1_000_000_000)));
-                more.push(format!("X-Gradepin-Retry-After-Ms: {}", backoff.0.div_ceil(1_000_000)));
-            }
-            if *last {
-                more.push("X-Gradepin-Final: 1".into());
-            }
-            (503, "Service Unavailable", b"refused: it never ran\n")
-        }
-        Response::OutcomeUnknown => (502, "Bad Gateway", UNKNOWN_OUTCOME_TEXT.as_bytes()),
-        Response::Failed { timed_out: false } => (502, "Bad Gateway", b"failed\n"),
-        Response::Failed { timed_out: true } => (504, "Gateway Timeout", b"too late\n"),
-        Response::Invalid { error: misuse, text: why } => {
-            let (status, reason) = match misuse {
-                RequestError::Malformed => (400, "Bad Request"),
-                RequestError::NotFound => (404, "Not Found"),
-                RequestError::MethodNotAllowed => (405, "Method Not Allowed"),
-                RequestError::Conflict => (409, "Conflict"),
-                RequestError::LengthRequired => (411, "Length Required"),
-                RequestError::BodyTooLarge => (413, "Content Too Large"),
-                RequestError::HeaderTooLarge => (431, "Request Header Fields Too Large"),
-            };
-            (status, reason, why.as_bytes())
-        }
-    };
-    more.extend(hint.map(|value| format!("X-Gradepin-Hint: {value}")));
-    if leaving {
-        more.push("Connection: close".into());
-    }
-    let kind = if matches!(answer, Response::Served(_)) { "application/octet-stream" } else { "text/plain" };
-    let mut head =
-        format!("Status: {status} {reason}\r\nContent-Type: {kind}\r\nContent-Length: {}\r\n", body.len());
-    for line in more {
-        head.push_str(&line);
-        head.push_str("\r\n");
+fn invalid(invalid: InvalidRequest) -> DecodedMessage {
+    DecodedMessage::Invalid { sequence: SEQUENCE, invalid }
+}
+
+fn request_error(error: ScgiError) -> RequestError {
+    match error {
+        ScgiError::HeadersTooLong => RequestError::HeaderTooLarge,
+        ScgiError::MissingContentLength => RequestError::LengthRequired,
+        ScgiError::BodyTooLong => RequestError::BodyTooLarge,
+        ScgiError::NetstringLength
+        | ScgiError::Headers
+        | ScgiError::ContentLength
+        | ScgiError::DuplicateHeader
+        | ScgiError::Version => RequestError::Malformed,
     }
-    head.push_str("\r\n");
-    let mut buffer = pool.take();
-    (buffer.extend(head.as_bytes()) && buffer.extend(body)).then_some(buffer)
 }
 
 #[cfg(test)]
--- a/crates/node/src/frontend/scgi/routes.rs
+++ b/crates/node/src/frontend/scgi/routes.rs
@@ -1,201 +1,264 @@
-//! From a request's method, path and headers to a call: which class it is, who sent it and how long they wait. Decides by
-//! the settings alone; no I/O.
+//! Routes of the SCGI front end: from the method, path and headers of a request to a request of a class, by the settings
+//! alone. No I/O.
 
 use super::codec::Request;
+use crate::frontend::InvalidRequest;
 use crate::settings::{ActiveSettings, Headers, ScgiSettings};
-use gradepin_admission::{Idempotency, RequestId};
+use gradepin_admission::{ClassDefinition, Idempotency, RequestId};
 use gradepin_core::buffer_pool::BufferPool;
 use gradepin_core::messages::{ClientRequest, RequestError};
+use gradepin_core::slots::Handle;
 use std::collections::BTreeMap;
+use std::ops::Range;
+use std::str::FromStr;
 use std::sync::Arc;
 
-const MS: u64 = 1_000_000;
-/// A token, as on the Thrift front.
-const MOST_TOKEN: usize = 64;
+const NANOSECONDS_PER_MS: u64 = 1_000_000;
+/// Bytes of an idempotency key at the most, as on the Thrift front end.
+const MAX_KEY_BYTES: usize = 64;
+/// Memory that a client may state for its request, in kB.
+const SIZE_KB: Range<f64> = 0.001..2_000.0;
+/// Ranks that a client may state.
+const RANKS: Range<f64> = 0.0..1.0;
+/// Headers in which web servers state the path; the first that is present counts.
+const PATH_HEADERS: [&str; 3] = ["DOCUMENT_URI", "PATH_INFO", "REQUEST_URI"];
+const METHOD_HEADER: &str = "REQUEST_METHOD";
 
 /// What is wrong with the routes of the settings.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum BadRoute {
-    /// The class is none of the configuration's.
+pub enum RouteError {
+    /// The configuration has no class of this name.
     #[error("expected a class of the configuration, got '{0}'")]
-    Class(String),
-    /// The pattern can't be read, or another one takes what it would.
-    #[error("the route {method} {path}: {why}")]
-    Pattern {
-        /// Its method.
+    UnknownClass(String),
+    /// The pattern is invalid, or overlaps with that of another route.
+    #[error("the route {method} {path}: {reason}")]
+    InvalidPattern {
+        /// Method of the route.
         method: String,
-        /// Its pattern.
+        /// Pattern of the route.
         path: String,
         /// What is wrong with it.
-        why: String,
+        reason: String,
     },
 }
 
-/// A request that can't be taken: how it is wrong, and a text for the one who sent it.
-pub type Refusal = (RequestError, String);
-
-/// Where a path leads.
+/// Where a route leads.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Target {
-    /// By its name, which a request looks up: its slot may be another's later.
+    /// A class. By its name, which each request looks up: its slot may be another class's later.
     Class(Arc<str>),
-    Health,
+    HealthCheck,
 }
 
-/// What came of a request.
+/// What a request is.
 #[derive(Debug)]
 pub enum Routed {
-    /// A request.
-    Call(Box<ClientRequest>),
+    /// A request of a class.
+    Request(Box<ClientRequest>),
     /// A health check.
-    Health,
+    HealthCheck,
+}
+
+/// What the server adds to a request.
+#[derive(Debug, Clone, Copy)]
+pub struct Arrival {
+    /// When it was read, in Unix milliseconds.
+    pub unix_ms: u64,
+    /// Its id, unless it brings one.
+    pub generated_id: u64,
 }
 
-/// The routes of one set of settings, to the classes in force.
+/// The routes of one settings file, to the classes in force.
 #[derive(Debug)]
 pub struct Routes {
-    routers: BTreeMap<String, matchit::Router<Target>>,
-    headers: Headers,
-    memory_kb: f64,
-    rank: f64,
-    names: ActiveSettings,
+    routers_by_method: BTreeMap<String, matchit::Router<Target>>,
+    header_names: Headers,
+    default_size_kb: f64,
+    default_rank: f64,
+    active: ActiveSettings,
 }
 
 impl Routes {
-    /// Builds and checks them; `is_class` says whether the configuration they go with has a class of a name.
+    /// Builds and checks the routes; `is_class` says whether the configuration that they go with has a class of a name.
+    ///
+    /// # Errors
+    /// The first route with an unknown class, or with a pattern that is invalid or overlaps with another.
     pub fn new(
-        set: &ScgiSettings,
-        names: ActiveSettings,
+        settings: &ScgiSettings,
+        active: ActiveSettings,
         is_class: impl Fn(&str) -> bool,
-    ) -> Result<Self, BadRoute> {
-        let mut routers = BTreeMap::<String, matchit::Router<Target>>::new();
+    ) -> Result<Self, RouteError> {
+        let mut routers_by_method = BTreeMap::<String, matchit::Router<Target>>::new();
         let mut insert = |method: &str, path: &str, target| {
-            let router = routers.entry(method.to_string()).or_default();
-            router.insert(path, target).map_err(|why| BadRoute::Pattern {
+            let router = routers_by_method.entry(method.to_string()).or_default();
+            router.insert(path, target).map_err(|error| RouteError::InvalidPattern {
                 method: method.to_string(),
                 path: path.to_string(),
-                why: why.to_string(),
+                reason: error.to_string(),
             })
         };
-        for route in &set.routes {
+        for route in &settings.routes {
             if !is_class(&route.class) {
-                return Err(BadRoute::Class(route.class.clone()));
+                return Err(RouteError::UnknownClass(route.class.clone()));
             }
             insert(&route.method, &route.path, Target::Class(Arc::from(route.class.as_str())))?;
         }
-        if let Some(path) = &set.health {
-            insert("GET", path, Target::Health)?;
+        if let Some(path) = &settings.health {
+            insert("GET", path, Target::HealthCheck)?;
         }
-        let (headers, memory_kb, rank) = (set.headers.clone(), set.memory_kb, set.rank);
-        Ok(Self { routers, headers, memory_kb, rank, names })
+        Ok(Self {
+            routers_by_method,
+            header_names: settings.headers.clone(),
+            default_size_kb: settings.memory_kb,
+            default_rank: settings.rank,
+            active,
+        })
     }
 
-    /// The headers that a decoder is to keep.
-    pub fn wanted(&self) -> Vec<String> {
-        let own = ["REQUEST_METHOD", "DOCUMENT_URI", "PATH_INFO", "REQUEST_URI"].map(String::from);
-        own.into_iter().chain(self.headers.all().map(String::from)).collect()
+    /// The headers that a decoder must keep.
+    pub fn required_headers(&self) -> Vec<String> {
+        let of_routes = [METHOD_HEADER].into_iter().chain(PATH_HEADERS);
+        of_routes.chain(self.header_names.all()).map(String::from).collect()
     }
 
-    fn target(&self, request: &Request) -> Result<Target, Refusal> {
+    fn target(&self, request: &Request) -> Result<Target, InvalidRequest> {
         let text = |name: &str| request.header(name).and_then(|value| std::str::from_utf8(value).ok());
         let method =
-            text("REQUEST_METHOD").ok_or((RequestError::Malformed, "expected REQUEST_METHOD".to_string()))?;
-        // Web servers tell the path under several names; the first that is there counts, without its query.
-        let names = ["DOCUMENT_URI", "PATH_INFO", "REQUEST_URI"];
-        let path = names.iter().filter_map(|name| text(name)).find(|path| !path.is_empty());
-        let path = path.ok_or((RequestError::Malformed, "expected a path as DOCUMENT_URI".to_string()))?;
+            text(METHOD_HEADER).ok_or_else(|| InvalidRequest::malformed("expected REQUEST_METHOD"))?;
+        let path = PATH_HEADERS.iter().filter_map(|name| text(name)).find(|path| !path.is_empty());
+        let path = path.ok_or_else(|| InvalidRequest::malformed("expected a path as DOCUMENT_URI"))?;
         let path = path.split('?').next().unwrap_or(path);
-        let at = |router: &matchit::Router<Target>| router.at(path).ok().map(|found| found.value.clone());
-        if let Some(target) = self.routers.get(method).and_then(at) {
+        let find = |router: &matchit::Router<Target>| router.at(path).ok().map(|found| found.value.clone());
+        if let Some(target) = self.routers_by_method.get(method).and_then(find) {
             return Ok(target);
         }
-        let others: Vec<&str> = self
-            .routers
+        let other_methods: Vec<&str> = self
+            .routers_by_method
             .iter()
-            .filter(|(_, router)| at(router).is_some())
+            .filter(|(_, router)| find(router).is_some())
             .map(|(method, _)| method.as_str())
             .collect();
-        if others.is_empty() {
-            return Err((RequestError::NotFound, "no route has this path".into()));
+        if other_methods.is_empty() {
+            return Err(InvalidRequest::new(RequestError::NotFound, "no route has this path"));
         }
-        Err((RequestError::MethodNotAllowed, format!("this path takes {}", others.join(", "))))
+        let text = format!("this path takes {}", other_methods.join(", "));
+        Err(InvalidRequest::new(RequestError::MethodNotAllowed, text))
     }
 
-    /// What a request is; `now_ms` is when it was read, and `id` its id where it brings none.
+    /// Routes a request.
+    ///
+    /// # Errors
+    /// If no route leads anywhere, or a header has an invalid value.
     pub fn route(
         &self,
         request: &Request,
-        now_ms: u64,
-        id: u64,
+        arrival: Arrival,
         pool: &Arc<BufferPool>,
-    ) -> Result<Routed, Refusal> {
+    ) -> Result<Routed, InvalidRequest> {
         let class = match self.target(request)? {
-            Target::Health => return Ok(Routed::Health),
+            Target::HealthCheck => return Ok(Routed::HealthCheck),
             Target::Class(class) => class,
         };
-        let bad = |why: &str| (RequestError::Malformed, why.to_string());
-        // A value that is no text, or holds what could end a line, is nobody's honest header.
-        let text = |name: &str| match request.header(name) {
-            None | Some(b"") => Ok(None),
-            Some(value) if value.iter().any(|b| b.is_ascii_control()) => {
-                Err(bad(&format!("control bytes in {name}")))
-            }
-            Some(value) => {
-                std::str::from_utf8(value).map(Some).map_err(|_| bad(&format!("no text as {name}")))
-            }
-        };
-        let Some((class, definition)) = self.names.class(&class) else {
-            return Err((RequestError::NotFound, "the class of this route is not in force".into()));
-        };
-        let profile = &definition.profile;
-        let h = &self.headers;
-        let tenant = match text(&h.tenant)? {
-            None => None,
-            Some(name) => Some(self.names.tenant(name).ok_or_else(|| bad("an unknown tenant"))?),
-        };
-        let number = |name: &str, default: f64, range: std::ops::Range<f64>| match text(name)? {
-            None => Ok(default),
-            Some(value) => {
-                value.parse::<f64>().ok().filter(|number| range.contains(number)).ok_or_else(|| {
-                    bad(&format!("expected {name} from {} to under {}", range.start, range.end))
-                })
-            }
-        };
-        let whole = |name: &str, default: u64| match text(name)? {
-            None => Ok(default),
-            Some(value) => {
-                value.parse::<u64>().map_err(|_| bad(&format!("expected a whole number as {name}")))
-            }
+        let Some((class, definition)) = self.active.class(&class) else {
+            let text = "the class of this route is not in force";
+            return Err(InvalidRequest::new(RequestError::NotFound, text));
         };
-        let id = match text(&h.id)? {
-            None => format!("{id:016x}"),
-            Some(id) if id.len() == 16 && id.bytes().all(|b| b.is_ascii_hexdigit()) => id.to_string(),
-            Some(_) => return Err(bad(&format!("expected 16 hex digits as {}", h.id))),
-        };
-        let keyed = profile.effect == Idempotency::Keyed;
-        // The draft of the Idempotency-Key header has it as a quoted string; bare ones are common.
-        let token = text(&h.token)?
-            .map(|token| token.strip_prefix('"').and_then(|t| t.strip_suffix('"')).unwrap_or(token));
-        let token = token.filter(|token| !token.is_empty() && token.len() <= MOST_TOKEN);
-        if keyed && token.is_none() {
-            return Err(bad(&format!("expected a token of 1 to {MOST_TOKEN} bytes as {}", h.token)));
-        }
-        Ok(Routed::Call(Box::new(ClientRequest {
-            id: RequestId::new(&id),
+        let names = &self.header_names;
+        let headers = HeaderValues(request);
+        let tenant = self.tenant(headers)?;
+        let id = request_id(headers, &names.id, arrival.generated_id)?;
+        let idempotency_key = idempotency_key(headers, &names.token, &definition)?;
+        let default_budget_ms = definition.profile.deadline.0 / NANOSECONDS_PER_MS;
+        let client_request = ClientRequest {
+            id,
             class,
             tenant,
-            client_proxy: whole(&h.caller, 0)?,
-            arrived_unix_ms: now_ms,
-            budget_ms: whole(&h.wait_ms, profile.deadline.0 / MS)?,
-            retry: text(&h.retry)? == Some("1"),
-            size_kb: number(&h.memory_kb, self.memory_kb, 0.001..2_000.0)?,
-            precedence: number(&h.rank, self.rank, 0.0..1.0)?,
-            idempotency_key: token.map(Arc::from),
+            client_proxy: headers.integer(&names.caller, 0)?,
+            arrived_unix_ms: arrival.unix_ms,
+            budget_ms: headers.integer(&names.wait_ms, default_budget_ms)?,
+            retry: headers.text(&names.retry)? == Some("1"),
+            size_kb: headers.number(&names.memory_kb, self.default_size_kb, SIZE_KB)?,
+            precedence: headers.number(&names.rank, self.default_rank, RANKS)?,
+            idempotency_key,
             has_subject: false,
             body: pool
                 .exact(&request.body)
-                .ok_or((RequestError::BodyTooLarge, "a body over its limit".to_string()))?,
-        })))
+                .ok_or_else(|| InvalidRequest::new(RequestError::BodyTooLarge, "a body over its limit"))?,
+        };
+        Ok(Routed::Request(Box::new(client_request)))
+    }
+
+    fn tenant(&self, headers: HeaderValues<'_>) -> Result<Option<Handle>, InvalidRequest> {
+        let Some(name) = headers.text(&self.header_names.tenant)? else { return Ok(None) };
+        match self.active.tenant(name) {
+            Some(tenant) => Ok(Some(tenant)),
+            None => Err(InvalidRequest::malformed("an unknown tenant")),
+        }
+    }
+}
+
+/// The id that a request brings, or the generated one. Only hex digits are taken: it is written into the lines to the
+/// processor.
+fn request_id(headers: HeaderValues<'_>, name: &str, generated_id: u64) -> Result<RequestId, InvalidRequest> {
+    match headers.text(name)? {
+        None => Ok(RequestId::new(&format!("{generated_id:016x}"))),
+        Some(id) if id.len() == 16 && id.bytes().all(|byte| byte.is_ascii_hexdigit()) => {
+            Ok(RequestId::new(id))
+        }
+        Some(_) => Err(InvalidRequest::malformed(format!("expected 16 hex digits as {name}"))),
+    }
+}
+
+/// The idempotency key of a request, which a keyed class requires.
+fn idempotency_key(
+    headers: HeaderValues<'_>,
+    name: &str,
+    class: &ClassDefinition,
+) -> Result<Option<Arc<str>>, InvalidRequest> {
+    // The IETF draft of Idempotency-Key has it as a quoted string; bare ones are common.
+    let unquoted = |key: &str| key.strip_prefix('"').and_then(|key| key.strip_suffix('"')).map(Arc::from);
+    let key: Option<Arc<str>> =
+        headers.text(name)?.map(|key| unquoted(key).unwrap_or_else(|| Arc::from(key)));
+    let key = key.filter(|key| !key.is_empty() && key.len() <= MAX_KEY_BYTES);
+    if class.profile.effect == Idempotency::Keyed && key.is_none() {
+        let text = format!("expected a token of 1 to {MAX_KEY_BYTES} bytes as {name}");
+        return Err(InvalidRequest::malformed(text));
+    }
+    Ok(key)
+}
+
+/// Reads the values of headers; an empty one counts as absent.
+#[derive(Clone, Copy)]
+struct HeaderValues<'r>(&'r Request);
+
+impl<'r> HeaderValues<'r> {
+    /// A text without control characters, which could end a line of the log or of the processor's link.
+    fn text(self, name: &str) -> Result<Option<&'r str>, InvalidRequest> {
+        match self.0.header(name) {
+            None | Some(b"") => Ok(None),
+            Some(value) if value.iter().any(u8::is_ascii_control) => {
+                Err(InvalidRequest::malformed(format!("control bytes in {name}")))
+            }
+            Some(value) => match std::str::from_utf8(value) {
+                Ok(text) => Ok(Some(text)),
+                Err(_) => Err(InvalidRequest::malformed(format!("no text as {name}"))),
+            },
+        }
+    }
+
+    fn number(self, name: &str, default: f64, range: Range<f64>) -> Result<f64, InvalidRequest> {
+        let Some(text) = self.text(name)? else { return Ok(default) };
+        let number = f64::from_str(text).ok().filter(|number| range.contains(number));
+        number.ok_or_else(|| {
+            let (start, end) = (range.start, range.end);
+            InvalidRequest::malformed(format!("expected {name} from {start} to under {end}"))
+        })
+    }
+
+    fn integer(self, name: &str, default: u64) -> Result<u64, InvalidRequest> {
+        let Some(text) = self.text(name)? else { return Ok(default) };
+        let error = |_| InvalidRequest::malformed(format!("expected a whole number as {name}"));
+        u64::from_str(text).map_err(error)
     }
 }
 
--- a/crates/node/src/frontend/thrift/codec/tests.rs
+++ b/crates/node/src/frontend/thrift/codec/tests.rs
@@ -1,5 +1,8 @@
+use super::super::call_fields::MAX_BODY_BYTES;
+use super::super::wire::MAX_NESTING;
 use super::*;
-use crate::frontend::STACK;
+use crate::frontend::InvalidRequest;
+use crate::frontend::STACK_BYTES;
 use gradepin_admission::Settings;
 use proptest::prelude::*;
 use std::thread;
@@ -26,7 +29,7 @@
     [&[STRING, 0, 2][..], &string(bytes)].concat()
 }
 
-fn names() -> ActiveSettings {
+fn active_settings() -> ActiveSettings {
     let read = serde_json::json!({"name": "read", "promise": 1, "deadline": 1_000_000_000_u64, "effect": "repeatable",
                                   "worth": 1.0});
     let profiles = serde_json::json!([read]);
@@ -43,20 +46,22 @@
     ("prio", b"0.625"),
 ];
 
-/// The id and the body of a call, if these bytes are one that can be taken.
-fn called(bytes: &[u8]) -> Option<(SequenceId, String, Vec<u8>)> {
-    match decode(bytes, &names(), &BufferPool::new(1)) {
-        Ok(Message::Call(seq, call)) => Some((seq, call.id.0.to_string(), call.body.to_vec())),
+/// Number, id and body of a call, if these bytes are a valid one.
+fn decoded_call(bytes: &[u8]) -> Option<(SequenceId, String, Vec<u8>)> {
+    match decode(bytes, &active_settings(), &BufferPool::new(1)) {
+        Ok(DecodedMessage::Request { sequence, request }) => {
+            Some((sequence, request.id.0.to_string(), request.body.to_vec()))
+        }
         _ => None,
     }
 }
 
-/// Runs a test on as much stack as the reader has.
-fn as_the_reader(test: impl FnOnce() + Send + 'static) {
-    thread::Builder::new().stack_size(STACK).spawn(test).unwrap().join().expect("it ends");
+/// Runs a test on as much stack as the reading thread has.
+fn on_the_readers_stack(test: impl FnOnce() + Send + 'static) {
+    thread::Builder::new().stack_size(STACK_BYTES).spawn(test).unwrap().join().expect("it ends");
 }
 
-/// Containers of every kind, one in the other, to some depth.
+/// Nested containers of one kind, to some depth.
 fn nested(kind: u8, depth: usize) -> Vec<u8> {
     let inner = |kind| if depth == 0 { vec![0; 4] } else { nested(kind, depth - 1) };
     let of = if depth == 0 { I32 } else { kind };
@@ -67,10 +72,10 @@
     }
 }
 
-/// Guards against a reader that ends with its stack: what is nested as deeply as a frame holds is turned down, and what
-/// is nested a little is skipped.
+/// Guards against a stack overflow of the reading thread: values nested as deeply as a frame holds are rejected, and those
+/// nested a little are skipped.
 #[test]
-fn nested_values_are_skipped_or_turned_down_on_the_readers_stack() {
+fn skips_or_rejects_nested_values_on_the_stack_of_the_reading_thread() {
     let mut cases = Vec::new();
     for kind in [STRUCT, MAP, 14, LIST] {
         for depth in 0..700 {
@@ -79,24 +84,24 @@
             cases.extend((bytes.len() <= BUFFER_BYTES).then_some((kind, depth, bytes)));
         }
     }
-    as_the_reader(move || {
+    on_the_readers_stack(move || {
         for (kind, depth, bytes) in cases {
-            let taken = called(&bytes).is_some();
-            assert_eq!(taken, depth + 1 < MOST_DEPTH, "kind {kind}, {depth} deep");
+            let taken = decoded_call(&bytes).is_some();
+            assert_eq!(taken, depth + 1 < MAX_NESTING, "kind {kind}, {depth} deep");
         }
     });
 }
 
-/// Guards against a usual call that is turned down, or read as another, for what the protocol leaves open: the order of
-/// its fields, fields that mean nothing here, and an empty body or none.
+/// Guards against rejecting or misreading a valid call for what the protocol leaves open: the order of its fields,
+/// unknown fields, and an empty body or none.
 #[test]
-fn a_call_is_the_same_in_every_form_that_the_protocol_allows() {
+fn decodes_a_call_in_every_form_that_the_protocol_allows() {
     let (fields, more) = (map(&USUAL), [USUAL.as_slice(), &[("novel", b"\0\xc3\xa9\n"), ("", b"")]].concat());
     let extra =
         [&[I32, 0, 8, 0, 0, 0, 1, 10, 0, 9][..], &[0; 8], &[LIST, 0, 10, STRING, 0, 0, 0, 1], &string(b"x")]
             .concat();
-    let whole: Vec<u8> = (0..MOST_BODY).map(|n| (n % 256) as u8).collect();
-    for sent in [&b""[..], b"in", &whole] {
+    let longest: Vec<u8> = (0..MAX_BODY_BYTES).map(|n| (n % 256) as u8).collect();
+    for sent in [&b""[..], b"in", &longest] {
         let forms = [
             [&fields[..], &body(sent)].concat(),
             [&body(sent)[..], &fields].concat(),
@@ -104,28 +109,37 @@
         ];
         for form in forms {
             let id = "00000000000000ab".to_string();
-            assert_eq!(called(&message(CALL, "call", -5, &form)), Some((-5, id, sent.to_vec())));
+            assert_eq!(decoded_call(&message(CALL, "call", -5, &form)), Some((-5, id, sent.to_vec())));
         }
     }
-    assert_eq!(called(&message(CALL, "call", 1, &fields)).map(|(.., body)| body), Some(Vec::new()));
+    assert_eq!(decoded_call(&message(CALL, "call", 1, &fields)).map(|(.., body)| body), Some(Vec::new()));
     let long = decode(
-        &message(CALL, "call", 1, &[&fields[..], &body(&[7; MOST_BODY + 1])].concat()),
-        &names(),
+        &message(CALL, "call", 1, &[&fields[..], &body(&[7; MAX_BODY_BYTES + 1])].concat()),
+        &active_settings(),
         &BufferPool::new(1),
     );
-    assert!(matches!(long, Ok(Message::Invalid(1, RequestError::BodyTooLarge, _))), "{long:?}");
+    assert!(
+        matches!(
+            long,
+            Ok(DecodedMessage::Invalid {
+                sequence: 1,
+                invalid: InvalidRequest { error: RequestError::BodyTooLarge, .. }
+            })
+        ),
+        "{long:?}"
+    );
 }
 
-/// Guards against a length taken at its word: each that a message holds, negative, far over and one too many.
+/// Guards against trusting a length: each one in a message is replaced by a negative, a huge and a slightly larger one.
 #[test]
-fn lengths_that_lie_are_turned_down() {
+fn rejects_wrong_lengths() {
     let whole = message(CALL, "call", 1, &[&map(&USUAL)[..], &body(b"in")].concat());
     for place in 0..whole.len() - 4 {
         for lie in [-1, i32::MIN, i32::MAX, 4_604, 1 << 24] {
             let mut bytes = whole.clone();
             bytes[place..place + 4].copy_from_slice(&lie.to_be_bytes());
-            if let Some((_, id, body)) = called(&bytes) {
-                assert!(id.len() == 16 && body.len() <= MOST_BODY);
+            if let Some((_, id, body)) = decoded_call(&bytes) {
+                assert!(id.len() == 16 && body.len() <= MAX_BODY_BYTES);
             }
         }
     }
@@ -140,19 +154,19 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    /// Guards against a reader that ends at what a stranger sends, and against a body that isn't the one sent: whatever
-    /// bytes come, and a call with some bytes changed, cut off or put in.
+    /// Guards against a panic on arbitrary bytes and against a body that isn't the one sent, also for a call with some bytes
+    /// changed, removed or inserted.
     #[test]
-    fn whatever_comes_is_read_or_turned_down(
+    fn decodes_or_rejects_arbitrary_bytes(
         noise in prop::collection::vec(any::<u8>(), 0..200),
         sent in prop::collection::vec(any::<u8>(), 0..200),
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 0..3_u8), 0..6),
     ) {
-        let _ = decode(&noise, &names(), &BufferPool::new(1));
+        let _ = decode(&noise, &active_settings(), &BufferPool::new(1));
         let headed = message(CALL, "call", 1, &noise);
-        let _ = decode(&headed, &names(), &BufferPool::new(1));
+        let _ = decode(&headed, &active_settings(), &BufferPool::new(1));
         let usual = message(CALL, "call", 1, &[&map(&USUAL)[..], &body(&sent)].concat());
-        prop_assert_eq!(called(&usual).map(|(.., body)| body), Some(sent));
+        prop_assert_eq!(decoded_call(&usual).map(|(.., body)| body), Some(sent));
         let mut bytes = usual;
         for (place, byte, how) in changes {
             let place = place.index(bytes.len());
@@ -163,8 +177,8 @@
                 _ => {}
             }
         }
-        if let Some((_, id, body)) = called(&bytes) {
-            prop_assert!(id.len() == 16 && id.bytes().all(|b| b.is_ascii_hexdigit()) && body.len() <= MOST_BODY);
+        if let Some((_, id, body)) = decoded_call(&bytes) {
+            prop_assert!(id.len() == 16 && id.bytes().all(|b| b.is_ascii_hexdigit()) && body.len() <= MAX_BODY_BYTES);
         }
     }
 }
--- a/crates/node/src/frontend/thrift/mod.rs
+++ b/crates/node/src/frontend/thrift/mod.rs
@@ -1,84 +1,89 @@
-//! The client proxies' front: Thrift with framed transport, many requests open on a connection.
+//! Thrift front end, for client proxies: framed transport, many open requests on each connection.
+//!
+//! [`codec`] decodes and encodes messages. A connection stays open until its peer closes it or it is idle.
 
+mod call_fields;
 pub mod codec;
+mod wire;
 
-use super::{Cut, Cutter, Malformed, Patience, Protocol};
+use super::{DecodedFrame, FirstMessageTimeout, FrameDecoder, MalformedFrame, Protocol, ReadTimeouts};
 use crate::settings::ActiveSettings;
-use codec::Message;
 use gradepin_core::buffer_pool::{Buffer, BufferPool};
 use gradepin_core::messages::{RequestError, Response, SequenceId};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// From the accept to the first whole frame. Guards against connections that hold their places and say nothing.
-const FIRST_PATIENCE: Duration = Duration::from_secs(2);
+/// From the accept to the end of the first frame. Guards against silent connections that hold their slots.
+const FIRST_FRAME_TIMEOUT: Duration = Duration::from_secs(2);
 /// From the first byte of any later frame to its last.
-const FRAME_PATIENCE: Duration = Duration::from_secs(5);
+const FRAME_TIMEOUT: Duration = Duration::from_secs(5);
+/// Sequence number of a response to no request: clients count from 1.
+const NO_REQUEST: SequenceId = 0;
 
-/// The front.
+/// The Thrift protocol.
 pub struct Thrift {
-    names: ActiveSettings,
+    active: ActiveSettings,
 }
 
 impl Thrift {
     /// For the classes and tenants in force.
-    pub fn new(names: ActiveSettings) -> Self {
-        Self { names }
+    pub fn new(active: ActiveSettings) -> Self {
+        Self { active }
     }
 }
 
 impl Protocol for Thrift {
-    fn cutter(&self) -> Box<dyn Cutter> {
-        Box::new(Frames(self.names.clone()))
+    fn decoder(&self) -> Box<dyn FrameDecoder> {
+        Box::new(ThriftDecoder { active: self.active.clone() })
     }
 
-    fn patience(&self) -> Patience {
-        Patience { first: FIRST_PATIENCE, first_byte_only: false, whole: FRAME_PATIENCE }
+    fn timeouts(&self) -> ReadTimeouts {
+        ReadTimeouts { first: FirstMessageTimeout::Complete(FIRST_FRAME_TIMEOUT), message: FRAME_TIMEOUT }
     }
 
     fn encode(
         &self,
-        seq: SequenceId,
-        answer: &Response,
-        hint: Option<f64>,
+        sequence: SequenceId,
+        response: &Response,
+        capacity_hint: Option<f64>,
         _: bool,
         pool: &Arc<BufferPool>,
     ) -> Option<Buffer> {
-        codec::encode(seq, answer, hint, pool)
+        codec::encode(sequence, response, capacity_hint, pool)
     }
 
-    fn draining(&self, pool: &Arc<BufferPool>) -> Option<Buffer> {
-        codec::draining(pool)
+    fn drain_request(&self, pool: &Arc<BufferPool>) -> Option<Buffer> {
+        codec::drain_request(pool)
     }
 
-    fn malformed(&self, why: &str, pool: &Arc<BufferPool>) -> Option<Buffer> {
-        // Number 0 is no request's: clients count from 1, and what is open keeps its one answer.
-        codec::encode(0, &Response::Invalid { error: RequestError::Malformed, text: why.into() }, None, pool)
+    fn malformed_response(&self, reason: &str, pool: &Arc<BufferPool>) -> Option<Buffer> {
+        let response = Response::Invalid { error: RequestError::Malformed, text: reason.into() };
+        codec::encode(NO_REQUEST, &response, None, pool)
     }
 
-    fn once(&self) -> bool {
+    fn closes_after_response(&self) -> bool {
         false
     }
 }
 
-/// Whole frames; what is not whole stays in the reader's buffer.
-struct Frames(ActiveSettings);
+/// Decodes complete frames; the bytes of an incomplete one stay in the caller's buffer.
+struct ThriftDecoder {
+    active: ActiveSettings,
+}
 
-impl Cutter for Frames {
-    fn cut(&mut self, bytes: &[u8], pool: &Arc<BufferPool>) -> Result<Option<(usize, Cut)>, Malformed> {
-        let Some(len) = codec::frame(bytes)? else { return Ok(None) };
-        let Some(frame) = bytes.get(4..len) else { return Ok(None) };
-        let cut = match codec::decode(frame, &self.0, pool)? {
-            Message::Call(seq, call) => Cut::Call(seq, call),
-            Message::Health(seq) => Cut::Health(seq),
-            Message::Invalid(seq, misuse, why) => Cut::Invalid(seq, misuse, why),
-            Message::Cancel(seq) => Cut::Cancel(seq),
-            Message::Unknown => Cut::Nonsense,
-        };
-        Ok(Some((len, cut)))
+impl FrameDecoder for ThriftDecoder {
+    fn decode(
+        &mut self,
+        bytes: &[u8],
+        pool: &Arc<BufferPool>,
+    ) -> Result<Option<DecodedFrame>, MalformedFrame> {
+        let Some(frame_bytes) = codec::frame(bytes)? else { return Ok(None) };
+        let Some(frame) = bytes.get(codec::LENGTH_PREFIX_BYTES..frame_bytes) else { return Ok(None) };
+        let message = codec::decode(frame, &self.active, pool)?;
+        Ok(Some(DecodedFrame { consumed_bytes: frame_bytes, message }))
     }
 
-    fn begun(&self) -> bool {
+    fn is_mid_message(&self) -> bool {
         false
     }
 }
--- /dev/null
+++ b/crates/node/src/frontend/thrift/wire.rs
@@ -0,0 +1,180 @@
+//! Thrift's strict binary protocol in framed transport: values off the front of a frame, and frames being written.
+
+use crate::frontend::MalformedFrame;
+use gradepin_core::buffer_pool::{Buffer, BufferPool};
+use gradepin_core::messages::SequenceId;
+use std::sync::Arc;
+
+/// Version word of the strict binary protocol; its low byte is the kind of the message.
+pub(super) const VERSION: u32 = 0x8001_0000;
+/// Values within values at the most; more would overflow the stack of the reading thread.
+pub(super) const MAX_NESTING: usize = 16;
+
+/// Kinds of messages.
+pub(super) const CALL: u8 = 1;
+pub(super) const REPLY: u8 = 2;
+pub(super) const EXCEPTION: u8 = 3;
+pub(super) const ONEWAY: u8 = 4;
+
+/// Types of values.
+const STOP: u8 = 0;
+pub(super) const BOOL: u8 = 2;
+const BYTE: u8 = 3;
+const DOUBLE: u8 = 4;
+const I16: u8 = 6;
+pub(super) const I32: u8 = 8;
+const I64: u8 = 10;
+pub(super) const STRING: u8 = 11;
+pub(super) const STRUCT: u8 = 12;
+pub(super) const MAP: u8 = 13;
+const SET: u8 = 14;
+const LIST: u8 = 15;
+
+const TRUNCATED: MalformedFrame = MalformedFrame("a message cut short");
+
+/// Reads values off the front of a frame. Each read fails if the frame is too short for its value.
+pub(super) struct WireReader<'a>(pub(super) &'a [u8]);
+
+impl<'a> WireReader<'a> {
+    fn bytes(&mut self, count: usize) -> Result<&'a [u8], MalformedFrame> {
+        let (taken, rest) = self.0.split_at_checked(count).ok_or(TRUNCATED)?;
+        self.0 = rest;
+        Ok(taken)
+    }
+
+    fn array<const N: usize>(&mut self) -> Result<[u8; N], MalformedFrame> {
+        self.bytes(N)?.try_into().map_err(|_| TRUNCATED)
+    }
+
+    pub(super) fn u8(&mut self) -> Result<u8, MalformedFrame> {
+        self.array::<1>().map(|[byte]| byte)
+    }
+
+    pub(super) fn u32(&mut self) -> Result<u32, MalformedFrame> {
+        self.array().map(u32::from_be_bytes)
+    }
+
+    pub(super) fn i32(&mut self) -> Result<i32, MalformedFrame> {
+        self.array().map(i32::from_be_bytes)
+    }
+
+    /// A number of elements, of at least one byte each.
+    pub(super) fn count(&mut self) -> Result<usize, MalformedFrame> {
+        let count = usize::try_from(self.i32()?).map_err(|_| MalformedFrame("a negative length"))?;
+        if count > self.0.len() { Err(TRUNCATED) } else { Ok(count) }
+    }
+
+    pub(super) fn string(&mut self) -> Result<&'a [u8], MalformedFrame> {
+        let length = self.count()?;
+        self.bytes(length)
+    }
+
+    /// Visits the fields of a struct by id and type; the visitor returns whether it read the value, which is skipped
+    /// otherwise.
+    pub(super) fn each_field<F>(&mut self, mut visit: F) -> Result<(), MalformedFrame>
+    where
+        F: FnMut(&mut Self, i16, u8) -> Result<bool, MalformedFrame>,
+    {
+        loop {
+            let field_type = self.u8()?;
+            if field_type == STOP {
+                return Ok(());
+            }
+            let id = self.array().map(i16::from_be_bytes)?;
+            if !visit(self, id, field_type)? {
+                self.skip(field_type, MAX_NESTING)?;
+            }
+        }
+    }
+
+    /// Skips a value with at most so many levels of nesting.
+    fn skip(&mut self, value_type: u8, max_nesting: usize) -> Result<(), MalformedFrame> {
+        let max_nesting = max_nesting.checked_sub(1).ok_or(MalformedFrame("a message nested too deeply"))?;
+        match value_type {
+            BOOL | BYTE => self.bytes(1).map(drop),
+            I16 => self.bytes(2).map(drop),
+            I32 => self.bytes(4).map(drop),
+            DOUBLE | I64 => self.bytes(8).map(drop),
+            STRING => self.string().map(drop),
+            STRUCT => loop {
+                let field_type = self.u8()?;
+                if field_type == STOP {
+                    return Ok(());
+                }
+                self.bytes(2)?;
+                self.skip(field_type, max_nesting)?;
+            },
+            MAP => {
+                let (key_type, value_type, count) = (self.u8()?, self.u8()?, self.count()?);
+                for _ in 0..count {
+                    self.skip(key_type, max_nesting)?;
+                    self.skip(value_type, max_nesting)?;
+                }
+                Ok(())
+            }
+            SET | LIST => {
+                let (element_type, count) = (self.u8()?, self.count()?);
+                (0..count).try_for_each(|_| self.skip(element_type, max_nesting))
+            }
+            _ => Err(MalformedFrame("a value of an unknown type")),
+        }
+    }
+}
+
+/// Writes one message as a frame into a pooled buffer. Whether it fitted is known at the end.
+pub(super) struct WireWriter {
+    buffer: Buffer,
+    fits: bool,
+}
+
+impl WireWriter {
+    /// Begins a message.
+    pub(super) fn message(pool: &Arc<BufferPool>, kind: u8, name: &str, sequence: SequenceId) -> Self {
+        let mut writer = Self { buffer: pool.take(), fits: true };
+        // Space for the length of the frame.
+        writer.put(&[0; 4]);
+        writer.put(&(VERSION | u32::from(kind)).to_be_bytes());
+        writer.string(name.as_bytes());
+        writer.put(&sequence.to_be_bytes());
+        writer
+    }
+
+    pub(super) fn put(&mut self, bytes: &[u8]) {
+        self.fits &= self.buffer.extend(bytes);
+    }
+
+    pub(super) fn string(&mut self, bytes: &[u8]) {
+        self.put(&i32::try_from(bytes.len()).unwrap_or(i32::MAX).to_be_bytes());
+        self.put(bytes);
+    }
+
+    /// Begins a field of a struct; its value follows.
+    pub(super) fn field(&mut self, field_type: u8, id: i16) {
+        self.put(&[field_type]);
+        self.put(&id.to_be_bytes());
+    }
+
+    /// A field that is a map of strings.
+    pub(super) fn map(&mut self, id: i16, entries: &[(&str, String)]) {
+        self.field(MAP, id);
+        self.put(&[STRING, STRING]);
+        self.put(&i32::try_from(entries.len()).unwrap_or(0).to_be_bytes());
+        for (name, value) in entries {
+            self.string(name.as_bytes());
+            self.string(value.as_bytes());
+        }
+    }
+
+    /// Ends a struct within the message.
+    pub(super) fn stop(&mut self) {
+        self.put(&[STOP]);
+    }
+
+    /// Ends the message; `None` if it didn't fit into the buffer.
+    pub(super) fn finish(mut self) -> Option<Buffer> {
+        self.stop();
+        let length = u32::try_from(self.buffer.len().saturating_sub(4)).ok()?;
+        self.buffer.patch(0, &length.to_be_bytes());
+        self.fits.then_some(self.buffer)
+    }
+}
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -9,7 +9,7 @@
 pub use crate::fleet_start::fleet_settings;
 use crate::fleet_start::part_settings;
 use crate::frontend::scgi::Scgi;
-use crate::frontend::scgi::routes::{BadRoute, Routes};
+use crate::frontend::scgi::routes::{RouteError, Routes};
 use crate::frontend::thrift::Thrift;
 use crate::frontend::{Frontend, Listener, Protocol};
 use crate::inherited_listener::{self, InheritedListener, InheritedListenerError};
@@ -72,7 +72,7 @@
     Config(#[from] ConfigError),
     /// A route of the settings can't be used.
     #[error(transparent)]
-    Route(#[from] BadRoute),
+    Route(#[from] RouteError),
     /// The fleet's keys can't be used.
     #[error(transparent)]
     Keys(#[from] KeysError),
@@ -338,15 +338,15 @@
                     sequence: seq,
                     response: answer,
                     capacity_hint: hint,
-                } => fronts.answer(conn, seq, &answer, hint),
-                Effect::RequestDrain(conn) => fronts.draining(conn),
+                } => fronts.respond(conn, seq, &answer, hint),
+                Effect::RequestDrain(conn) => fronts.request_drain(conn),
                 Effect::StopAccepting => fronts.stop_accepting(),
                 Effect::CloseConnection(conn) => fronts.close(conn),
                 Effect::CloseIdleConnection { connection: conn, messages_received: taken } => {
-                    fronts.close_resting(conn, taken)
+                    fronts.close_when_idle(conn, taken)
                 }
                 Effect::CloseLateConnection { connection: conn, messages_received: taken } => {
-                    fronts.close_late(conn, taken)
+                    fronts.close_timed_out(conn, taken)
                 }
                 Effect::StartRun { link, id, class, body } => {
                     processor.begin(link, &id, &class.profile.name, &body);
--- a/crates/node/tests/golden_edges/answers.rs
+++ b/crates/node/tests/golden_edges/answers.rs
@@ -8,7 +8,7 @@
 use gradepin_node::frontend::scgi::codec::encode;
 use gradepin_node::frontend::scgi::routes::Routes;
 use gradepin_node::frontend::thrift::Thrift;
-use gradepin_node::frontend::{Cut, Protocol};
+use gradepin_node::frontend::{DecodedFrame, DecodedMessage, Protocol};
 use gradepin_node::settings::{ActiveSettings, OperatorSettings};
 use std::sync::Arc;
 
@@ -89,9 +89,10 @@
             text += &line(&format!("{label}{more}"), &bytes);
         }
     }
-    for (label, bytes) in
-        [("draining", front.draining(&pool)), ("malformed", front.malformed("no message", &pool))]
-    {
+    for (label, bytes) in [
+        ("draining", front.drain_request(&pool)),
+        ("malformed", front.malformed_response("no message", &pool)),
+    ] {
         text += &bytes.map_or(format!("{label} is empty\n"), |bytes| line(label, &bytes));
     }
     text
@@ -100,8 +101,13 @@
 /// How a front decodes the first message in these bytes; for an invalid one, the bytes of its answer.
 fn decoded(front: &impl Protocol, bytes: &[u8]) -> String {
     let pool = BufferPool::new(1);
-    match front.cutter().cut(bytes, &pool) {
-        Ok(Some((_, Cut::Call(seq, call)))) => {
+    let message = match front.decoder().decode(bytes, &pool) {
+        Ok(Some(DecodedFrame { message, .. })) => message,
+        Ok(None) => return "incomplete".to_string(),
+        Err(malformed) => return format!("malformed: {malformed}"),
+    };
+    match message {
+        DecodedMessage::Request { sequence: seq, request: call } => {
             // SCGI requests carry no arrival time: it is the time at which they were read.
             let t0 = if call.arrived_unix_ms == 17 { "17" } else { "now" };
             let times = format!("t0 {t0}, budget {}, retry {}", call.budget_ms, call.retry);
@@ -116,16 +122,20 @@
                 call.body.escape_ascii()
             )
         }
-        Ok(Some((_, Cut::Health(seq)))) => format!("{seq}: health"),
-        Ok(Some((_, Cut::Cancel(seq)))) => format!("{seq}: cancel"),
-        Ok(Some((_, Cut::Invalid(seq, misuse, why)))) => {
-            let answer =
-                front.encode(seq, &Response::Invalid { error: misuse, text: why }, None, false, &pool);
+        DecodedMessage::HealthCheck { sequence: seq } => format!("{seq}: health"),
+        DecodedMessage::Cancel { sequence: seq } => format!("{seq}: cancel"),
+        DecodedMessage::Invalid { sequence: seq, invalid } => {
+            let answer = front.encode(
+                seq,
+                &Response::Invalid { error: invalid.error, text: invalid.text },
+                None,
+                false,
+                &pool,
+            );
             answer.expect("it fits in a buffer").escape_ascii().to_string()
         }
-        Ok(Some((_, Cut::Nonsense))) => "skipped".to_string(),
-        Ok(Some((_, Cut::Nothing)) | None) => "incomplete".to_string(),
-        Err(why) => format!("malformed: {}", why.0),
+        DecodedMessage::Unsupported => "skipped".to_string(),
+        DecodedMessage::Incomplete => "incomplete".to_string(),
     }
 }
 
