--- a/crates/node/src/frontend/acceptor.rs
+++ b/crates/node/src/frontend/acceptor.rs
@@ -66,11 +66,11 @@
     /// # Errors
     /// If a listener can't be made non-blocking.
     pub(super) fn new(
-        front_ends: Vec<(Arc<dyn Protocol>, Listener)>,
+        frontends: Vec<(Arc<dyn Protocol>, Listener)>,
         max_connections: usize,
     ) -> io::Result<Self> {
-        let mut entries = Vec::with_capacity(front_ends.len());
-        for (protocol, listener) in front_ends {
+        let mut entries = Vec::with_capacity(frontends.len());
+        for (protocol, listener) in frontends {
             listener.set_nonblocking()?;
             let divisor = if entries.is_empty() { 1 } else { SECONDARY_SLOT_DIVISOR };
             entries.push(ListenerEntry {
--- a/crates/node/src/frontend/event_loop.rs
+++ b/crates/node/src/frontend/event_loop.rs
@@ -22,7 +22,7 @@
 
 /// Between checks of the timeouts, and the longest wait for events.
 const TICK: Duration = Duration::from_millis(100);
-/// Between attempts to accept connections of which no event told.
+/// Between attempts to accept connections for which no event came.
 const ACCEPT_PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// Before accepting is retried where no slot was free.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
@@ -56,12 +56,12 @@
     /// # Errors
     /// If epoll can't be set up for the listeners.
     pub(super) fn new(
-        front_ends: Vec<(Arc<dyn Protocol>, Listener)>,
+        frontends: Vec<(Arc<dyn Protocol>, Listener)>,
         max_connections: usize,
         shared: Shared,
     ) -> io::Result<Self> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
-        let acceptor = Acceptor::new(front_ends, max_connections)?;
+        let acceptor = Acceptor::new(frontends, max_connections)?;
         for (index, listener) in acceptor.listeners() {
             watch(&epoll, listener, index as u64)?;
         }
--- a/crates/node/src/frontend/listener.rs
+++ b/crates/node/src/frontend/listener.rs
@@ -58,6 +58,7 @@
         !matches!(self, Self::Shared(_))
     }
 
+    /// Lets [`Self::accept`] return `WouldBlock` where no connection is queued.
     pub(super) fn set_nonblocking(&self) -> io::Result<()> {
         match self {
             Self::Tcp(listener) | Self::Shared(listener) => listener.set_nonblocking(true),
@@ -65,6 +66,7 @@
         }
     }
 
+    /// Accepts a queued connection; on TCP without Nagle's delay, as responses are written at once.
     pub(super) fn accept(&self) -> io::Result<OwnedFd> {
         match self {
             Self::Tcp(listener) | Self::Shared(listener) => {
--- a/crates/node/src/frontend/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -81,7 +81,7 @@
     /// # Errors
     /// If a listener can't be watched, or the thread not be started.
     pub fn listen(
-        front_ends: Vec<(Arc<dyn Protocol>, Listener)>,
+        frontends: Vec<(Arc<dyn Protocol>, Listener)>,
         max_connections: usize,
         inputs: Sender<Input>,
         pool: Arc<BufferPool>,
@@ -96,7 +96,7 @@
             pool: Arc::clone(&pool),
             log,
         };
-        let mut event_loop = EventLoop::new(front_ends, max_connections, shared)?;
+        let mut event_loop = EventLoop::new(frontends, max_connections, shared)?;
         let reading_thread = thread::Builder::new().name("read".into()).stack_size(STACK_BYTES);
         reading_thread.spawn(move || event_loop.run())?;
         Ok(Self { connections, pool, draining: AtomicBool::new(false), accepting })
--- a/crates/node/src/frontend/scgi/codec.rs
+++ b/crates/node/src/frontend/scgi/codec.rs
@@ -4,7 +4,7 @@
 mod decoder;
 
 pub use client::{ScgiResponse, encode};
-pub use decoder::{Decoder, Fed, MAX_BODY_BYTES, MAX_HEADERS_BYTES, MAX_KEPT_BYTES, Request, ScgiError};
+pub use decoder::{Decoder, Fed, MAX_BODY_BYTES, MAX_HEADERS_BYTES, MAX_RETAINED_BYTES, Request, ScgiError};
 
 #[cfg(test)]
 mod tests;
--- a/crates/node/src/frontend/scgi/codec/decoder.rs
+++ b/crates/node/src/frontend/scgi/codec/decoder.rs
@@ -1,7 +1,7 @@
 //! Decodes one SCGI 1 request: a netstring of headers, then a body (<https://python.ca/scgi/protocol.txt>).
 //!
 //! Bytes are fed in pieces of any size. Only the headers that the server requires are kept, so a connection holds at
-//! most [`MAX_KEPT_BYTES`] of headers and [`MAX_BODY_BYTES`] of body, however long its header block is.
+//! most [`MAX_RETAINED_BYTES`] of headers and [`MAX_BODY_BYTES`] of body, however long its header block is.
 
 use std::collections::BTreeSet;
 
@@ -10,7 +10,7 @@
 /// Bytes of the body at the most.
 pub const MAX_BODY_BYTES: usize = 2048;
 /// Bytes of header values kept of one request at the most.
-pub const MAX_KEPT_BYTES: usize = 4096;
+pub const MAX_RETAINED_BYTES: usize = 4096;
 /// A header with a longer name is none that is required, and is skipped.
 pub(super) const MAX_NAME_BYTES: usize = 128;
 
@@ -94,7 +94,7 @@
     value: Vec<u8>,
     keeps_current_header: bool,
     /// Bytes of all kept values.
-    kept_bytes: usize,
+    retained_bytes: usize,
     is_first_header: bool,
     has_version: bool,
     content_length: usize,
@@ -112,7 +112,7 @@
             name: Vec::new(),
             value: Vec::new(),
             keeps_current_header: false,
-            kept_bytes: 0,
+            retained_bytes: 0,
             is_first_header: true,
             has_version: false,
             content_length: 0,
@@ -188,8 +188,8 @@
                 return Err(ScgiError::Headers);
             }
             if self.keeps_current_header {
-                self.kept_bytes += 1;
-                if self.kept_bytes > MAX_KEPT_BYTES {
+                self.retained_bytes += 1;
+                if self.retained_bytes > MAX_RETAINED_BYTES {
                     return Err(ScgiError::HeadersTooLong);
                 }
                 self.value.push(byte);
--- a/crates/node/src/frontend/scgi/codec/tests.rs
+++ b/crates/node/src/frontend/scgi/codec/tests.rs
@@ -54,9 +54,9 @@
     let mut no_comma = block("CONTENT_LENGTH|0|SCGI|1|");
     *no_comma.last_mut().unwrap() = b';';
     assert_eq!(decode(&no_comma), Err(ScgiError::Headers));
-    let long = format!("CONTENT_LENGTH|0|SCGI|1|A|{}|", "x".repeat(MAX_KEPT_BYTES));
+    let long = format!("CONTENT_LENGTH|0|SCGI|1|A|{}|", "x".repeat(MAX_RETAINED_BYTES));
     assert_eq!(decode(&block(&long)), Err(ScgiError::HeadersTooLong));
-    let skipped = format!("CONTENT_LENGTH|0|SCGI|1|OTHER|{}|", "x".repeat(MAX_KEPT_BYTES));
+    let skipped = format!("CONTENT_LENGTH|0|SCGI|1|OTHER|{}|", "x".repeat(MAX_RETAINED_BYTES));
     assert!(decode(&block(&skipped)).unwrap().is_some(), "what is not kept may be long");
 }
 
@@ -100,6 +100,6 @@
         let bytes = [start.as_bytes(), &bytes].concat();
         let cuts: Vec<usize> = (0..bytes.len()).step_by(7).collect();
         let (_, held) = fed(&bytes, &cuts);
-        prop_assert!(held <= MAX_KEPT_BYTES + MAX_BODY_BYTES + 2 * MAX_NAME_BYTES + 64, "{held}");
+        prop_assert!(held <= MAX_RETAINED_BYTES + MAX_BODY_BYTES + 2 * MAX_NAME_BYTES + 64, "{held}");
     }
 }
--- a/crates/node/src/frontend/scgi/response.rs
+++ b/crates/node/src/frontend/scgi/response.rs
@@ -32,7 +32,7 @@
             Response::Rejected { retry_after, no_failover } => {
                 let mut content = Self::new(503, "Service Unavailable", b"refused: it never ran\n");
                 if retry_after.0 > 0 {
-                    // The standard header has whole seconds; the other one the exact time.
+                    // The standard header takes full seconds only; the other one states the time in ms.
                     let (seconds, ms) =
                         (retry_after.0.div_ceil(1_000_000_000), retry_after.0.div_ceil(1_000_000));
                     content.headers.push(format!("Retry-After: {seconds}"));
--- a/crates/node/src/frontend/thrift/wire.rs
+++ b/crates/node/src/frontend/thrift/wire.rs
@@ -10,22 +10,30 @@
 /// Values within values at the most; more would overflow the stack of the reading thread.
 pub(super) const MAX_NESTING: usize = 16;
 
-/// Kinds of messages.
+/// Message kind: a call that is owed a reply.
 pub(super) const CALL: u8 = 1;
+/// Message kind: the reply to a call, with a result or a declared exception.
 pub(super) const REPLY: u8 = 2;
+/// Message kind: an application exception in place of a reply.
 pub(super) const EXCEPTION: u8 = 3;
+/// Message kind: a call without a reply.
 pub(super) const ONEWAY: u8 = 4;
 
-/// Types of values.
+/// Ends the fields of a struct.
 const STOP: u8 = 0;
+/// Value type: one byte, 0 or 1.
 pub(super) const BOOL: u8 = 2;
 const BYTE: u8 = 3;
 const DOUBLE: u8 = 4;
 const I16: u8 = 6;
+/// Value type: four bytes, big-endian.
 pub(super) const I32: u8 = 8;
 const I64: u8 = 10;
+/// Value type: a length and as many bytes, text or binary.
 pub(super) const STRING: u8 = 11;
+/// Value type: fields with type and id, up to a stop byte.
 pub(super) const STRUCT: u8 = 12;
+/// Value type: types of key and value, a count, and the entries.
 pub(super) const MAP: u8 = 13;
 const SET: u8 = 14;
 const LIST: u8 = 15;
@@ -46,14 +54,17 @@
         self.bytes(N)?.try_into().map_err(|_| TRUNCATED)
     }
 
+    /// One byte.
     pub(super) fn u8(&mut self) -> Result<u8, MalformedFrame> {
         self.array::<1>().map(|[byte]| byte)
     }
 
+    /// Four bytes, big-endian.
     pub(super) fn u32(&mut self) -> Result<u32, MalformedFrame> {
         self.array().map(u32::from_be_bytes)
     }
 
+    /// Four bytes, big-endian, signed.
     pub(super) fn i32(&mut self) -> Result<i32, MalformedFrame> {
         self.array().map(i32::from_be_bytes)
     }
@@ -64,6 +75,7 @@
         if count > self.0.len() { Err(TRUNCATED) } else { Ok(count) }
     }
 
+    /// A length and as many bytes.
     pub(super) fn string(&mut self) -> Result<&'a [u8], MalformedFrame> {
         let length = self.count()?;
         self.bytes(length)
@@ -139,10 +151,12 @@
         writer
     }
 
+    /// Writes bytes as they are.
     pub(super) fn put(&mut self, bytes: &[u8]) {
         self.fits &= self.buffer.extend(bytes);
     }
 
+    /// Writes a length and the bytes.
     pub(super) fn string(&mut self, bytes: &[u8]) {
         self.put(&i32::try_from(bytes.len()).unwrap_or(i32::MAX).to_be_bytes());
         self.put(bytes);
