--- a/crates/node/src/settings/active.rs
+++ b/crates/node/src/settings/active.rs
@@ -1,7 +1,8 @@
-//! The names that requests may use, as the reducer last said, for the fronts: from the name of a class or a tenant to its
-//! slot and what it was defined as. A change takes the time of what it changes and holds one part of the names for that
-//! long; definitions are shared with the reducer. A handle read before its slot was used again resolves to nothing there
-//! ([`gradepin_core::slots`]), so a front may act on a name a moment too late.
+//! The classes and tenants in force, for the threads that decode requests: names to slots and definitions.
+//!
+//! The reducer publishes changes; definitions are shared with it. A name table is divided into chunks with a lock each,
+//! so a change blocks readers of one chunk only, for the time of that change. A handle that was read before its slot was
+//! reused is rejected by the reducer ([`gradepin_core::slots`]), so decoding with a slightly old name is harmless.
 
 use gradepin_admission::{ClassDefinition, Settings, Tenant};
 use gradepin_config::change::Change;
@@ -14,102 +15,110 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, PoisonError, RwLock};
 
-/// Names of one kind, in parts that are locked one by one.
+/// A chunk of a name table.
+type Chunk<D> = RwLock<HashMap<ByName<D>, Entry>>;
+
+/// The names of all classes or of all tenants, in chunks that are locked one by one.
 #[derive(Debug)]
-struct Names<D> {
-    parts: Vec<RwLock<HashMap<ByName<D>, Known>>>,
-    hash: RandomState,
+struct NameTable<D> {
+    chunks: Vec<Chunk<D>>,
+    hasher: RandomState,
 }
 
-/// What is known of a name beside its definition.
+/// What a name has beside its definition.
 #[derive(Debug, Clone, Copy)]
-struct Known {
+struct Entry {
     handle: Handle,
-    /// Whether it was not removed since.
+    /// False once it was removed: until it is forgotten, requests may still name it.
     in_force: bool,
 }
 
-impl<D: Named + PartialEq> Names<D> {
+impl<D: Named + PartialEq> NameTable<D> {
     fn new() -> Self {
-        Self { parts: (0..CHUNK_COUNT).map(|_| RwLock::default()).collect(), hash: RandomState::new() }
+        Self { chunks: (0..CHUNK_COUNT).map(|_| RwLock::default()).collect(), hasher: RandomState::new() }
     }
 
-    fn part(&self, name: &str) -> &RwLock<HashMap<ByName<D>, Known>> {
-        &self.parts[self.hash.hash_one(name) as usize % CHUNK_COUNT]
+    fn chunk(&self, name: &str) -> &Chunk<D> {
+        &self.chunks[self.hasher.hash_one(name) as usize % CHUNK_COUNT]
     }
 
-    fn get(&self, name: &str) -> Option<(Known, Arc<D>)> {
-        let part = self.part(name).read().unwrap_or_else(PoisonError::into_inner);
-        part.get_key_value(name).map(|(definition, known)| (*known, Arc::clone(&definition.0)))
+    fn get(&self, name: &str) -> Option<(Entry, Arc<D>)> {
+        let chunk = self.chunk(name).read().unwrap_or_else(PoisonError::into_inner);
+        chunk.get_key_value(name).map(|(definition, entry)| (*entry, Arc::clone(&definition.0)))
     }
 
     fn put(&self, handle: Handle, definition: Arc<D>) {
-        let mut part = self.part(definition.name()).write().unwrap_or_else(PoisonError::into_inner);
-        // With its key, which holds the definition.
-        part.remove(definition.name());
-        part.insert(ByName(definition), Known { handle, in_force: true });
+        let mut chunk = self.chunk(definition.name()).write().unwrap_or_else(PoisonError::into_inner);
+        // An insert alone would keep the old key, which holds the old definition.
+        chunk.remove(definition.name());
+        chunk.insert(ByName(definition), Entry { handle, in_force: true });
     }
 
-    fn removed(&self, name: &str) {
-        let mut part = self.part(name).write().unwrap_or_else(PoisonError::into_inner);
-        if let Some(known) = part.get_mut(name) {
-            known.in_force = false;
+    /// The name is not in force any more; requests may still name it until it is forgotten.
+    fn remove(&self, name: &str) {
+        let mut chunk = self.chunk(name).write().unwrap_or_else(PoisonError::into_inner);
+        if let Some(entry) = chunk.get_mut(name) {
+            entry.in_force = false;
         }
     }
 
-    fn gone(&self, name: &str) {
-        self.part(name).write().unwrap_or_else(PoisonError::into_inner).remove(name);
+    fn forget(&self, name: &str) {
+        self.chunk(name).write().unwrap_or_else(PoisonError::into_inner).remove(name);
     }
 
-    /// Names in force that are none of these.
-    fn others(&self, names: &HashSet<&str>) -> Vec<Arc<str>> {
+    /// Names in force that are not among these.
+    fn in_force_except(&self, names: &HashSet<&str>) -> Vec<Arc<str>> {
         let mut others = Vec::new();
-        for part in &self.parts {
-            let part = part.read().unwrap_or_else(PoisonError::into_inner);
-            let names_of_part = part.iter().filter(|(_, known)| known.in_force);
-            let gone = names_of_part.filter(|(definition, _)| !names.contains(definition.0.name()));
-            others.extend(gone.map(|(definition, _)| Arc::from(definition.0.name())));
+        for chunk in &self.chunks {
+            let chunk = chunk.read().unwrap_or_else(PoisonError::into_inner);
+            let in_force = chunk.iter().filter(|(_, entry)| entry.in_force);
+            let absent = in_force.filter(|(definition, _)| !names.contains(definition.0.name()));
+            others.extend(absent.map(|(definition, _)| Arc::from(definition.0.name())));
         }
         others
     }
 
-    /// Whether this is in force as it is, and whether its name has a slot.
-    fn compare(&self, definition: &D) -> Compared {
+    /// Compares a definition with the one in force.
+    fn compare(&self, definition: &D) -> Difference {
         match self.get(definition.name()) {
-            Some((known, old)) if known.in_force && *old == *definition => Compared::Same,
-            Some(_) => Compared::Changed,
-            None => Compared::New,
+            Some((entry, old)) if entry.in_force && *old == *definition => Difference::Unchanged,
+            Some(_) => Difference::Changed,
+            None => Difference::New,
         }
     }
 }
 
-enum Compared {
-    Same,
+enum Difference {
+    Unchanged,
+    /// The name has a slot; its definition differs, or was removed.
     Changed,
+    /// The name has no slot.
     New,
 }
 
-/// A shared handle on the names that requests may use.
+/// A shared handle on the classes and tenants in force.
 #[derive(Debug, Clone)]
 pub struct ActiveSettings(Arc<Shared>);
 
 #[derive(Debug)]
 struct Shared {
-    classes: Names<ClassDefinition>,
-    tenants: Names<Tenant>,
+    classes: NameTable<ClassDefinition>,
+    tenants: NameTable<Tenant>,
+    /// Edition of the names that the reducer published last.
     edition: AtomicU64,
 }
 
 impl ActiveSettings {
-    /// With the classes and tenants of the start, in slots by their order.
+    /// With the classes and tenants of the configuration file, in slots by their order.
     pub fn new(settings: &Settings) -> Self {
         let (_, classes, tenants) = settings.clone().split();
         Self::of(&classes, &tenants)
     }
 
-    /// With these, in slots by their order.
+    /// With these classes and tenants, in slots by their order.
     pub fn of(classes: &[Arc<ClassDefinition>], tenants: &[Arc<Tenant>]) -> Self {
-        let shared = Shared { classes: Names::new(), tenants: Names::new(), edition: AtomicU64::new(0) };
+        let shared =
+            Shared { classes: NameTable::new(), tenants: NameTable::new(), edition: AtomicU64::new(0) };
         for (slot, class) in classes.iter().enumerate() {
             shared.classes.put(slot.into(), Arc::clone(class));
         }
@@ -119,52 +128,53 @@
         Self(Arc::new(shared))
     }
 
-    /// The class of a name, as it was defined.
+    /// Slot and definition of a class, also of one that was removed and is not forgotten yet.
     pub fn class(&self, name: &str) -> Option<(Handle, Arc<ClassDefinition>)> {
-        self.0.classes.get(name).map(|(known, class)| (known.handle, class))
+        self.0.classes.get(name).map(|(entry, class)| (entry.handle, class))
     }
 
-    /// The tenant of a name.
+    /// Slot of a tenant, also of one that was removed and is not forgotten yet.
     pub fn tenant(&self, name: &str) -> Option<Handle> {
-        self.0.tenants.get(name).map(|(known, _)| known.handle)
+        self.0.tenants.get(name).map(|(entry, _)| entry.handle)
     }
 
-    /// The reducer says that the names changed.
+    /// Applies changes that the reducer published, in their order; `edition` is their number.
     pub fn publish(&self, edition: u64, changes: Vec<NameChange>) {
         for change in changes {
             match change {
                 NameChange::Class { handle, class } => self.0.classes.put(handle, class),
-                NameChange::ClassRemoved(class) => self.0.classes.removed(class.name()),
-                NameChange::ClassForgotten(class) => self.0.classes.gone(class.name()),
+                NameChange::ClassRemoved(class) => self.0.classes.remove(class.name()),
+                NameChange::ClassForgotten(class) => self.0.classes.forget(class.name()),
                 NameChange::Tenant { handle, tenant } => self.0.tenants.put(handle, tenant),
-                NameChange::TenantRemoved(tenant) => self.0.tenants.removed(tenant.name()),
-                NameChange::TenantForgotten(tenant) => self.0.tenants.gone(tenant.name()),
+                NameChange::TenantRemoved(tenant) => self.0.tenants.remove(tenant.name()),
+                NameChange::TenantForgotten(tenant) => self.0.tenants.forget(tenant.name()),
             }
         }
         self.0.edition.store(edition, Ordering::Release);
     }
 
-    /// What a file that was read again changes. Takes the time of the whole file: not for the reducer's thread.
+    /// Compares a configuration file that was read again with what is in force. Takes time in proportion to the file: not
+    /// for the reducer's thread.
     pub fn compare(&self, mut config: Config) -> Reload {
         let compared_at = self.0.edition.load(Ordering::Acquire);
         let (rest, classes, tenants) = std::mem::take(&mut config.settings).split();
         config.settings = rest;
         let mut reload = Reload { config, changes: Vec::new(), new_classes: 0, new_tenants: 0, compared_at };
         let names = classes.iter().map(|class| class.name()).collect();
-        reload.changes.extend(self.0.classes.others(&names).into_iter().map(Change::RemoveClass));
+        reload.changes.extend(self.0.classes.in_force_except(&names).into_iter().map(Change::RemoveClass));
         let names = tenants.iter().map(|tenant| tenant.name()).collect();
-        reload.changes.extend(self.0.tenants.others(&names).into_iter().map(Change::RemoveTenant));
+        reload.changes.extend(self.0.tenants.in_force_except(&names).into_iter().map(Change::RemoveTenant));
         for class in classes {
-            let compared = self.0.classes.compare(&class);
-            reload.new_classes += usize::from(matches!(compared, Compared::New));
-            if !matches!(compared, Compared::Same) {
+            let difference = self.0.classes.compare(&class);
+            reload.new_classes += usize::from(matches!(difference, Difference::New));
+            if !matches!(difference, Difference::Unchanged) {
                 reload.changes.push(Change::PutClass(class));
             }
         }
         for tenant in tenants {
-            let compared = self.0.tenants.compare(&tenant);
-            reload.new_tenants += usize::from(matches!(compared, Compared::New));
-            if !matches!(compared, Compared::Same) {
+            let difference = self.0.tenants.compare(&tenant);
+            reload.new_tenants += usize::from(matches!(difference, Difference::New));
+            if !matches!(difference, Difference::Unchanged) {
                 reload.changes.push(Change::PutTenant(tenant));
             }
         }
--- a/crates/node/src/settings/active/tests.rs
+++ b/crates/node/src/settings/active/tests.rs
@@ -11,10 +11,10 @@
             "customers": tenants.iter().map(tenant).collect::<Vec<_>>(),
             "rules": {"fall": 1, "tip_multiple": 4.0, "drain_grace": 1},
             "specifics": {"n_cores": 1, "memory_kb": 1.0, "run_factor": 1.0}}});
-    Config::parse(&text.to_string()).expect("a whole configuration")
+    Config::parse(&text.to_string()).expect("a valid configuration")
 }
 
-fn told(changes: &[Change]) -> Vec<String> {
+fn summary(changes: &[Change]) -> Vec<String> {
     let name = |change: &Change| match change {
         Change::PutClass(class) => format!("+{}", class.profile.name),
         Change::RemoveClass(name) => format!("-{name}"),
@@ -25,28 +25,29 @@
     changes.iter().map(name).collect()
 }
 
-/// Guards a reload against what it need not change, what it must remove, and names that are removed already.
+/// Guards a reload against changing what is equal, keeping what is absent, and removing names twice.
 #[test]
-fn a_file_arrives_as_its_difference() {
-    let live = ActiveSettings::new(&config(&[("view", 4), ("save", 4)], &[("a", 1.0), ("b", 1.0)]).settings);
+fn compares_a_file_with_what_is_in_force() {
+    let active =
+        ActiveSettings::new(&config(&[("view", 4), ("save", 4)], &[("a", 1.0), ("b", 1.0)]).settings);
     let new = config(&[("view", 4), ("save", 9), ("tag", 1)], &[("b", 2.0), ("c", 1.0)]);
-    let reload = live.compare(new.clone());
-    assert_eq!(told(&reload.changes), ["-@a", "+save", "+tag", "+@b", "+@c"]);
+    let reload = active.compare(new.clone());
+    assert_eq!(summary(&reload.changes), ["-@a", "+save", "+tag", "+@b", "+@c"]);
     assert_eq!((reload.new_classes, reload.new_tenants, reload.compared_at), (1, 1, 0));
     assert!(reload.config.settings.profiles.is_empty() && reload.config.settings.customers.is_empty());
-    let (_, tenants) = (live.tenant("b"), new.settings.split().2);
-    live.publish(
+    let (_, tenants) = (active.tenant("b"), new.settings.split().2);
+    active.publish(
         5,
         vec![
             NameChange::TenantRemoved(Arc::new(Tenant { name: "a".into(), quota_rps: 1.0, portion: 0.0 })),
             NameChange::Tenant { handle: 1.into(), tenant: Arc::clone(&tenants[0]) },
         ],
     );
-    let again = live.compare(config(&[("view", 4), ("save", 4)], &[("b", 2.0)]));
+    let again = active.compare(config(&[("view", 4), ("save", 4)], &[("b", 2.0)]));
     assert_eq!(
-        (told(&again.changes), again.compared_at),
+        (summary(&again.changes), again.compared_at),
         (Vec::new(), 5),
         "a is removed already, b is as it is"
     );
-    assert!(live.tenant("a").is_some(), "requests may still name it");
+    assert!(active.tenant("a").is_some(), "requests may still name it");
 }
--- a/crates/node/src/settings/cluster.rs
+++ b/crates/node/src/settings/cluster.rs
@@ -1,6 +1,7 @@
-//! Settings of the fleet: how servers reach each other, and what they share.
+//! The `cluster` block: how the servers of a fleet reach each other, and what they share.
 
-use super::reader::{Block, OldName};
+use super::NANOSECONDS_PER_MS;
+use super::kdl_reader::{Block, OldName};
 use gradepin_admission::Span;
 use gradepin_cluster::authentication::{AuthenticationKeys, InvalidKeys};
 use gradepin_cluster::leases::LeaseSettings;
@@ -9,11 +10,12 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-const MS: u64 = 1_000_000;
-/// A fleet's seeds; more are no better.
+/// Seeds of a fleet at the most: more find no more servers.
 const MAX_SEEDS: usize = 16;
-/// The largest drift of a clock in millionths that leases are made for.
+/// The largest clock drift that leases allow for, in millionths.
 const MAX_DRIFT_PPM: u64 = 200_000;
+const DEFAULT_BYTES_PER_SECOND: u64 = 32_000;
+const DEFAULT_PROBES_PER_SECOND: f64 = 2.0;
 /// Names up to version 0.2 in the `cluster` block.
 const OLD_NAMES: [OldName; 7] = [
     OldName { old: "probe-ms", new: "probe-period-ms" },
@@ -33,156 +35,182 @@
     OldName { old: "drill-ignores-ends", new: "drill-ignore-expiry" },
 ];
 
-/// Servers that talk to each other.
+/// Membership in a fleet whose servers exchange datagrams.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FleetSettings {
-    /// Where datagrams are taken.
+    /// Address on which datagrams are received.
     pub listen: SocketAddr,
-    /// Where others reach that.
+    /// Address at which other servers reach it.
     pub advertise: SocketAddr,
-    /// The group of servers that may fail together.
+    /// Zone: the servers that may fail together.
     pub zone: String,
-    /// Where others may be found.
+    /// Addresses at which other servers may be found at the start.
     pub seeds: Vec<SocketAddr>,
-    /// The file with the fleet's keys.
+    /// File with the keys that authenticate datagrams.
     pub key_file: PathBuf,
-    /// How quickly the fleet notices.
+    /// Timing of probes and suspicion.
     pub failure_detection: FailureDetection,
-    /// Bytes sent in a second at the most.
+    /// Bytes sent per second at the most.
     pub max_bytes_per_second: u32,
-    /// Repeated tries for each first one that the fleet takes.
+    /// Retries per first attempt that the fleet accepts.
     pub retry_ratio: Option<f64>,
-    /// Probes a second of the whole fleet to a ledger that looks dead.
+    /// Probes per second, of all servers together, to a shared upstream that looks down.
     pub probes_per_second: f64,
-    /// How slots of the shared ledger are lent, if they are; its linger is told by the configuration.
+    /// Leases of slots of the shared upstream, if servers lend them; `upstream_linger` is set by
+    /// [`FleetSettings::lease_settings`].
     pub leases: Option<LeaseSettings>,
 }
 
-/// Why the fleet's keys can't be used.
+/// Why a key file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum KeysError {
     /// The file can't be read.
-    #[error("{}: {why}", path.display())]
+    #[error("{}: {error}", path.display())]
     Read {
         /// The file.
         path: PathBuf,
-        /// What the system says.
-        why: std::io::Error,
+        /// Error of the system.
+        error: std::io::Error,
     },
-    /// It holds no keys.
-    #[error("{}: {why}", path.display())]
-    Bad {
+    /// It holds no valid keys.
+    #[error("{}: {error}", path.display())]
+    Invalid {
         /// The file.
         path: PathBuf,
-        /// What is wrong.
-        why: InvalidKeys,
+        /// What is wrong with them.
+        error: InvalidKeys,
     },
 }
 
-/// Reads the fleet's keys.
+/// Reads the keys that authenticate the fleet's datagrams.
+///
+/// # Errors
+/// If the file can't be read or holds no valid keys.
 pub fn keys(path: &Path) -> Result<AuthenticationKeys, KeysError> {
-    let text = std::fs::read_to_string(path).map_err(|why| KeysError::Read { path: path.into(), why })?;
-    AuthenticationKeys::parse(&text).map_err(|why| KeysError::Bad { path: path.into(), why })
+    let text = std::fs::read_to_string(path).map_err(|error| KeysError::Read { path: path.into(), error })?;
+    AuthenticationKeys::parse(&text).map_err(|error| KeysError::Invalid { path: path.into(), error })
 }
 
-/// Reads the block; none if something that has no default is missing, and then that is a problem.
-pub fn read(mut block: Block<'_>) -> Option<FleetSettings> {
+/// Reads the block; `None` if a required node is missing, which is a problem.
+pub(super) fn read(mut block: Block<'_>) -> Option<FleetSettings> {
     block.accept_old_names(&OLD_NAMES);
-    let listen = block.address("listen");
-    if listen.is_none() && !block.has("listen") {
-        block.problem("expected a listen, as in listen \"127.0.0.1:7947\"");
-    }
+    let listen = required(&mut block, "listen", "listen \"127.0.0.1:7947\"", Block::address);
     let advertise = block.address("advertise").or(listen);
     if let Some(address) = advertise.filter(|address| address.ip().is_unspecified() || address.port() == 0) {
-        block.problem(&format!("expected advertise to be an address that others reach, got {address}"));
-    }
-    let key_file = block.word("key-file");
-    if key_file.is_none() && !block.has("key-file") {
-        block.problem("expected a key-file, as in key-file \"/etc/gradepin/fleet.keys\"");
+        block.problem(format!("expected advertise to be an address that others reach, got {address}"));
     }
-    let zone = block.word("zone").unwrap_or_default();
+    let key_file = required(&mut block, "key-file", "key-file \"/etc/gradepin/fleet.keys\"", Block::text);
+    let zone = block.text("zone").unwrap_or_default();
     if zone.len() > MAX_NAME_BYTES {
-        block.problem(&format!("expected zone of {MAX_NAME_BYTES} bytes at the most"));
+        block.problem(format!("expected zone of {MAX_NAME_BYTES} bytes at the most"));
+    }
+    let seeds = seeds(&mut block);
+    let failure_detection = failure_detection(&mut block);
+    let max_bytes_per_second =
+        block.integer("max-bytes-per-second", 4_000..=10_000_000).unwrap_or(DEFAULT_BYTES_PER_SECOND) as u32;
+    let retry_ratio = block.number("retry-ratio", 0.0..=10.0);
+    let probes_per_second =
+        block.number("probes-per-second", 0.01..=1_000.0).unwrap_or(DEFAULT_PROBES_PER_SECOND);
+    let leases = block.block("leases").map(leases);
+    block.end();
+    Some(FleetSettings {
+        listen: listen?,
+        advertise: advertise?,
+        zone,
+        seeds,
+        key_file: key_file?.into(),
+        failure_detection,
+        max_bytes_per_second,
+        retry_ratio,
+        probes_per_second,
+        leases,
+    })
+}
+
+/// Reads a node that has no default; it is a problem if it is missing.
+fn required<'p, T>(
+    block: &mut Block<'p>,
+    name: &str,
+    example: &str,
+    read: impl Fn(&mut Block<'p>, &str) -> Option<T>,
+) -> Option<T> {
+    let value = read(block, name);
+    if value.is_none() && !block.has(name) {
+        block.problem(format!("expected a {name}, as in {example}"));
     }
+    value
+}
+
+fn seeds(block: &mut Block<'_>) -> Vec<SocketAddr> {
     let mut seeds = Vec::new();
     for (text, node) in block.each("seed") {
         match text.parse::<SocketAddr>() {
             Ok(seed) if seeds.contains(&seed) => node.problem("the same seed twice"),
             Ok(seed) => seeds.push(seed),
-            Err(_) => node.problem(&format!("expected seed to be IP:PORT, got {text:?}")),
+            Err(_) => node.problem(format!("expected seed to be IP:PORT, got {text:?}")),
         }
-        node.end_properties();
+        node.end();
     }
     if seeds.is_empty() && !block.has("seed") {
         block.problem("expected a seed, as in seed \"127.0.0.1:7947\"; the first server names itself");
     }
     if seeds.len() > MAX_SEEDS {
-        block.problem(&format!("expected {MAX_SEEDS} seeds at the most"));
+        block.problem(format!("expected {MAX_SEEDS} seeds at the most"));
     }
-    let usual = FailureDetection::default();
-    let failure_detection = FailureDetection {
-        probe_period: block.span_ms("probe-period-ms", 100..=60_000).unwrap_or(usual.probe_period),
-        probe_timeout: block.span_ms("probe-timeout-ms", 10..=30_000).unwrap_or(usual.probe_timeout),
+    seeds
+}
+
+fn failure_detection(block: &mut Block<'_>) -> FailureDetection {
+    let default = FailureDetection::default();
+    let settings = FailureDetection {
+        probe_period: block.milliseconds("probe-period-ms", 100..=60_000).unwrap_or(default.probe_period),
+        probe_timeout: block.milliseconds("probe-timeout-ms", 10..=30_000).unwrap_or(default.probe_timeout),
         suspicion_timeout: block
-            .span_ms("suspicion-timeout-ms", 200..=600_000)
-            .unwrap_or(usual.suspicion_timeout),
+            .milliseconds("suspicion-timeout-ms", 200..=600_000)
+            .unwrap_or(default.suspicion_timeout),
     };
-    if failure_detection.probe_timeout.0 * 2 > failure_detection.probe_period.0 {
+    if settings.probe_timeout.0 * 2 > settings.probe_period.0 {
         block.problem(
             "expected probe-timeout-ms of half of probe-period-ms at the most: others are asked to probe meanwhile",
         );
     }
-    if failure_detection.suspicion_timeout < failure_detection.probe_period {
+    if settings.suspicion_timeout < settings.probe_period {
         block.problem(
             "expected suspicion-timeout-ms of probe-period-ms or more: a suspect must get to refute it",
         );
     }
-    let max_bytes_per_second =
-        block.whole("max-bytes-per-second", 4_000..=10_000_000).unwrap_or(32_000) as u32;
-    let retry_ratio = block.number("retry-ratio", 0.0..=10.0);
-    let probes_per_second = block.number("probes-per-second", 0.01..=1_000.0).unwrap_or(2.0);
-    let leases = block.block("leases").map(leases);
-    block.end();
-    Some(FleetSettings {
-        listen: listen?,
-        advertise: advertise?,
-        zone,
-        seeds,
-        key_file: key_file?.into(),
-        failure_detection,
-        max_bytes_per_second,
-        retry_ratio,
-        probes_per_second,
-        leases,
-    })
+    settings
 }
 
 fn leases(mut block: Block<'_>) -> LeaseSettings {
     block.accept_old_names(&OLD_LEASE_NAMES);
-    let usual = LeaseSettings::default();
-    let set = LeaseSettings {
-        duration: block.span_ms("duration-ms", 200..=60_000).unwrap_or(usual.duration),
-        max_call: block.span_ms("max-call-ms", 50..=60_000).unwrap_or(usual.max_call),
-        upstream_linger: usual.upstream_linger,
+    let default = LeaseSettings::default();
+    let settings = LeaseSettings {
+        duration: block.milliseconds("duration-ms", 200..=60_000).unwrap_or(default.duration),
+        max_call: block.milliseconds("max-call-ms", 50..=60_000).unwrap_or(default.max_call),
+        upstream_linger: default.upstream_linger,
         max_drift_ppm: block
-            .share("max-clock-drift")
-            .map_or(usual.max_drift_ppm, |share| (share * 1e6) as u64),
+            .fraction("max-clock-drift")
+            .map_or(default.max_drift_ppm, |fraction| (fraction * 1e6) as u64),
         lendable_permille: block
-            .share("lendable-share")
-            .map_or(usual.lendable_permille, |share| (share * 1e3) as u32),
-        ignore_expiry: block.truth("drill-ignore-expiry").unwrap_or(false),
+            .fraction("lendable-share")
+            .map_or(default.lendable_permille, |fraction| (fraction * 1e3) as u32),
+        ignore_expiry: block.boolean("drill-ignore-expiry").unwrap_or(false),
     };
-    if set.max_drift_ppm > MAX_DRIFT_PPM {
+    if settings.max_drift_ppm > MAX_DRIFT_PPM {
         block.problem("expected max-clock-drift from 0 to 0.2: a clock further off than that is broken");
     }
     block.end();
-    set
+    settings
 }
 
 impl FleetSettings {
-    /// How slots are lent by a server whose configuration tells how long an abandoned call stays with the ledger.
+    /// Settings of the leases; `linger` is how long the shared upstream works on an abandoned call.
     pub fn lease_settings(&self, linger: Span) -> LeaseSettings {
-        LeaseSettings { upstream_linger: linger.max(Span(MS)), ..self.leases.clone().unwrap_or_default() }
+        LeaseSettings {
+            upstream_linger: linger.max(Span(NANOSECONDS_PER_MS)),
+            ..self.leases.clone().unwrap_or_default()
+        }
     }
 }
 
--- a/crates/node/src/settings/cluster/tests.rs
+++ b/crates/node/src/settings/cluster/tests.rs
@@ -1,4 +1,4 @@
-//! Names of an earlier version, which are taken for one more.
+//! Names of an earlier version, which are accepted for one more.
 
 use super::super::OperatorSettings;
 
@@ -8,20 +8,20 @@
     format!("cluster {{\n{REQUIRED}{more}\n}}")
 }
 
-/// Guards a fleet whose settings were written for the version before: each old name means what it meant, and is told with its
-/// line.
+/// Guards a fleet whose settings were written for the previous version: each old name keeps its meaning, with a warning
+/// at its line.
 #[test]
-fn old_names_mean_the_same_and_are_warned_of() {
+fn accepts_old_names_with_a_warning() {
     let old = "probe-ms 2000\nanswer-ms 500\nsuspect-ms 5000\nbytes-a-second 16000\nrepeats 0.5\nprobes-a-second 3\n\
                slots {\nlease-ms 1500\ncall-ms 1000\ndrift 0.02\npart 0.5\ndrill-ignores-ends #true\n}";
     let new = "probe-period-ms 2000\nprobe-timeout-ms 500\nsuspicion-timeout-ms 5000\nmax-bytes-per-second 16000\n\
                retry-ratio 0.5\nprobes-per-second 3\nleases {\nduration-ms 1500\nmax-call-ms 1000\nmax-clock-drift 0.02\n\
                lendable-share 0.5\ndrill-ignore-expiry #true\n}";
-    let of_old = OperatorSettings::parse(&cluster(old)).expect("old names are taken");
-    let of_new = OperatorSettings::parse(&cluster(new)).expect("new names are taken");
+    let of_old = OperatorSettings::parse(&cluster(old)).expect("old names are accepted");
+    let of_new = OperatorSettings::parse(&cluster(new)).expect("new names are accepted");
     assert_eq!(of_old.cluster, of_new.cluster);
-    let default = OperatorSettings::parse(&cluster("leases {\n}")).expect("nothing is needed").cluster;
-    assert_ne!(of_new.cluster, default, "all of it is read");
+    let default = OperatorSettings::parse(&cluster("leases {\n}")).expect("all nodes are optional").cluster;
+    assert_ne!(of_new.cluster, default, "all nodes are read");
     assert_eq!(of_new.warnings, []);
     let warnings: Vec<String> = of_old.warnings.iter().map(ToString::to_string).collect();
     assert_eq!(warnings.len(), 12, "{warnings:#?}");
@@ -33,11 +33,11 @@
     assert!(warnings[11].starts_with("line 16, column 1: 'drill-ignores-ends'"), "{}", warnings[11]);
 }
 
-/// Guards against a file in which nobody can say which of two values counts.
+/// Guards against a file with two values for one setting.
 #[test]
-fn an_old_name_beside_its_new_one_is_a_problem() {
+fn rejects_an_old_name_beside_its_new_one() {
     let both = "probe-period-ms 2000\nprobe-ms 1000";
-    let problems = OperatorSettings::parse(&cluster(both)).expect_err("it says two things");
+    let problems = OperatorSettings::parse(&cluster(both)).expect_err("two values");
     let first = problems[0].to_string();
     assert_eq!(
         first,
@@ -45,9 +45,9 @@
     );
 }
 
-/// Guards against an old name that holds where it never did.
+/// Guards against accepting an old name in another block.
 #[test]
-fn old_names_hold_in_their_own_block_alone() {
+fn rejects_an_old_name_in_another_block() {
     let problems =
         OperatorSettings::parse(&cluster("leases {\nprobe-ms 1000\n}")).expect_err("it is unknown there");
     assert_eq!(problems[0].to_string(), "line 6, column 1: an unknown node 'probe-ms'");
--- a/crates/node/src/settings/configuration/tests.rs
+++ b/crates/node/src/settings/configuration/tests.rs
@@ -17,22 +17,31 @@
 }
 
 #[test]
-fn a_block_is_read_and_an_empty_one_has_defaults() {
-    let own = OperatorSettings::parse(&file("")).expect("defaults");
-    let set = own.configuration.expect("a block");
-    assert_eq!((set.folder.as_ref(), set.stale_after, set.history), (None, STALE_AFTER, 1_024));
-    assert_eq!(set.region("a"), "a");
+fn reads_a_block_and_gives_an_empty_one_defaults() {
+    let settings = OperatorSettings::parse(&file("")).expect("defaults");
+    let configuration = settings.configuration.expect("a block");
+    assert_eq!(
+        (configuration.folder.as_ref(), configuration.stale_after, configuration.history),
+        (None, DEFAULT_STALE_AFTER, 1_024)
+    );
+    assert_eq!(configuration.region("a"), "a");
     let text = "folder \"/d/config\"\nstale-after-ms 5000\nhistory 64\nbytes-per-second 8000\n\
                 region \"north\" { zone \"a\"; zone \"b\"; }\nregion \"south\" { zone \"c\"; }";
-    let own = OperatorSettings::parse(&file(text)).expect("a whole block");
-    let set = own.configuration.expect("a block");
-    assert_eq!((set.stale_after, set.history, set.bytes_per_second), (Span(5_000 * MS), 64, 8_000));
-    assert_eq!((set.region("a"), set.region("b"), set.region("c")), ("north", "north", "south"));
-    assert_eq!(OperatorSettings::parse("").map(|own| own.configuration), Ok(None));
+    let settings = OperatorSettings::parse(&file(text)).expect("a valid block");
+    let configuration = settings.configuration.expect("a block");
+    assert_eq!(
+        (configuration.stale_after, configuration.history, configuration.bytes_per_second),
+        (Span(5_000 * NANOSECONDS_PER_MS), 64, 8_000)
+    );
+    assert_eq!(
+        (configuration.region("a"), configuration.region("b"), configuration.region("c")),
+        ("north", "north", "south")
+    );
+    assert_eq!(OperatorSettings::parse("").map(|settings| settings.configuration), Ok(None));
 }
 
 #[test]
-fn what_it_cannot_work_with_is_told() {
+fn reports_invalid_values_and_contradictions() {
     for (config, expected) in [
         ("history 3", "expected history from 16 to 65536"),
         ("bytes-per-second 10", "expected bytes-per-second from 4000"),
--- /dev/null
+++ b/crates/node/src/settings/consensus.rs
@@ -0,0 +1,101 @@
+//! The `council` block: the consensus group of the fleet, its limits on servers out of service, and how a rollout changes
+//! this server.
+
+use super::NANOSECONDS_PER_MS;
+use super::kdl_reader::Block;
+use gradepin_admission::Span;
+use gradepin_coordination::replicated_state::{Limits, Name};
+use std::collections::BTreeMap;
+use std::path::PathBuf;
+use std::sync::Arc;
+
+/// Voters of the group at the most: more are slower, and no safer in practice.
+const MAX_VOTERS: usize = 7;
+/// Upper bound of each limit on servers out of service.
+const MAX_LIMIT: u64 = 4_096;
+const DEFAULT_STEADY: Span = Span(3_000 * NANOSECONDS_PER_MS);
+const DEFAULT_FRESH: Span = Span(2_000 * NANOSECONDS_PER_MS);
+
+/// The consensus group, and this server's part in permits and rollouts.
+#[derive(Debug, Clone, PartialEq)]
+pub struct CouncilSettings {
+    /// The voters, by the names of their servers.
+    pub voters: Vec<Name>,
+    /// Folder of this server's voter state, if it may be a voter.
+    pub folder: Option<PathBuf>,
+    /// Folder in which settings are staged for rollouts.
+    pub stage: Option<PathBuf>,
+    /// Limits on servers out of service at a time.
+    pub limits: Limits,
+    /// Stabilization period: how long a server must have been ready before its permit ends.
+    pub steady: Span,
+    /// A server without a message for this long counts as out of service.
+    pub fresh: Span,
+    /// Whether a leave waits if no permit is granted; else it is rejected.
+    pub waits: bool,
+    /// The command that replaces this server's program.
+    pub replace: Option<PathBuf>,
+    /// Whether the limits are ignored; for drills only.
+    pub plain: bool,
+}
+
+/// Reads the block.
+pub(super) fn read(mut block: Block<'_>) -> CouncilSettings {
+    let voters = voters(&mut block);
+    let limits = limits(&mut block);
+    let steady = block.milliseconds("steady-ms", 100..=3_600_000).unwrap_or(DEFAULT_STEADY);
+    let fresh = block.milliseconds("fresh-ms", 1_000..=60_000).unwrap_or(DEFAULT_FRESH);
+    let waits = block.choice("without-permit", &["wait", "refuse"]).is_none_or(|index| index == 0);
+    let settings = CouncilSettings {
+        voters,
+        folder: block.text("folder").map(PathBuf::from),
+        stage: block.text("stage").map(PathBuf::from),
+        limits,
+        steady,
+        fresh,
+        waits,
+        replace: block.text("replace-command").map(PathBuf::from),
+        plain: block.boolean("drill-ignores-limits").unwrap_or(false),
+    };
+    block.end();
+    settings
+}
+
+fn voters(block: &mut Block<'_>) -> Vec<Name> {
+    let mut voters: Vec<Name> = Vec::new();
+    for (name, node) in block.each("voter") {
+        if voters.iter().any(|known| **known == *name) {
+            node.problem("the same voter twice");
+        }
+        voters.push(Arc::from(name));
+        node.end();
+    }
+    if voters.is_empty() && !block.has("voter") {
+        block.problem("expected a voter, as in voter \"n0\", for each of 3 or 5 servers");
+    } else if voters.len().is_multiple_of(2) || voters.len() > MAX_VOTERS {
+        block.problem("expected 3 or 5 voters: of an even number the last one adds nothing");
+    }
+    voters
+}
+
+fn limits(block: &mut Block<'_>) -> Limits {
+    let mut limits = Limits::default();
+    limits.fleet = limit(block, "most-out").unwrap_or(limits.fleet);
+    limits.zone = limit(block, "most-out-of-a-zone").unwrap_or(limits.zone);
+    limits.zones = limit(block, "most-zones-out").unwrap_or(limits.zones);
+    if let Some(mut services) = block.block("most-out-of-services") {
+        let mut limits_by_service = BTreeMap::new();
+        for name in services.names() {
+            if let Some(limit) = limit(&mut services, &name) {
+                limits_by_service.insert(Arc::from(name), limit);
+            }
+        }
+        services.end();
+        limits.services = limits_by_service;
+    }
+    limits
+}
+
+fn limit(block: &mut Block<'_>, name: &str) -> Option<u32> {
+    block.integer(name, 0..=MAX_LIMIT).map(|number| number as u32)
+}
--- /dev/null
+++ b/crates/node/src/settings/kdl_reader.rs
@@ -0,0 +1,339 @@
+//! Reads typed values from the nodes of a KDL document, and collects what is wrong with them.
+//!
+//! Each reader returns `None` where a node is absent or wrong; if it is wrong, a problem was added. Every node must be
+//! read by its name: what is left at [`Block::end`] is unknown, which is a problem too. Names of an earlier version are
+//! mapped by [`OldName`] before anything is read.
+
+use super::kdl_text;
+use super::problem::{ProblemKind, Problems};
+use gradepin_admission::Span;
+use kdl::{KdlNode, KdlValue};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use std::ops::RangeInclusive;
+
+const TIME: &str = "nanoseconds, or a time as in \"250ms\" or \"4s\"";
+const BOOLEAN: &str = "#true or #false";
+
+/// A node's name of an earlier version, which is accepted for one more version.
+#[derive(Debug, Clone, Copy)]
+pub struct OldName {
+    /// Name of the earlier version.
+    pub old: &'static str,
+    /// Name of this version.
+    pub new: &'static str,
+}
+
+/// The nodes of a document, or the children of a node.
+pub struct Block<'p> {
+    nodes: Vec<KdlNode>,
+    /// Indexes of the nodes that were read.
+    read: BTreeSet<usize>,
+    /// Offset of the block in the text, in bytes.
+    offset: usize,
+    problems: &'p Problems<'p>,
+}
+
+/// A node that may occur several times, with one text and properties.
+pub struct Repeated<'p> {
+    node: KdlNode,
+    /// Names of the properties that were read.
+    read: BTreeSet<String>,
+    problems: &'p Problems<'p>,
+}
+
+/// The one argument of a node, and the offset of the node.
+struct Argument {
+    offset: usize,
+    value: KdlValue,
+}
+
+/// Offset of a node's name: the span of the node itself includes the space before it.
+fn offset(node: &KdlNode) -> usize {
+    node.name().span().offset()
+}
+
+fn children(node: &KdlNode) -> Vec<KdlNode> {
+    node.children().map_or_else(Vec::new, |children| children.nodes().to_vec())
+}
+
+impl<'p> Block<'p> {
+    /// The nodes of a document; `None` if the text is no KDL.
+    pub fn document(text: &str, problems: &'p Problems<'p>) -> Option<Self> {
+        match kdl_text::parse(text) {
+            Ok(document) => Some(Self::new(document.nodes().to_vec(), 0, problems)),
+            Err(errors) => {
+                for error in errors {
+                    problems.add(error.offset, ProblemKind::Syntax(error.message));
+                }
+                None
+            }
+        }
+    }
+
+    fn new(nodes: Vec<KdlNode>, offset: usize, problems: &'p Problems<'p>) -> Self {
+        Self { nodes, read: BTreeSet::new(), offset, problems }
+    }
+
+    /// Adds a problem of the block itself.
+    pub fn problem(&self, text: impl Into<String>) {
+        self.problems.add(self.offset, ProblemKind::Invalid(text.into()));
+    }
+
+    /// Accepts nodes by their names of an earlier version too, each with a warning; must be called before anything is
+    /// read. Both names of one node in a block are a problem, as either value could be meant.
+    pub fn accept_old_names(&mut self, names: &[OldName]) {
+        for &OldName { old, new } in names {
+            let has_new = self.has(new);
+            for node in self.nodes.iter_mut().filter(|node| node.name().value() == old) {
+                let offset = offset(node);
+                if has_new {
+                    self.problems.add(offset, ProblemKind::OldAndNewName { old, new });
+                } else {
+                    self.problems.warn(offset, ProblemKind::RenamedNode { old, new });
+                }
+                // The identifier keeps its place in the text.
+                node.name_mut().set_value(new);
+            }
+        }
+    }
+
+    /// Whether the block has a node of this name, valid or not.
+    pub fn has(&self, name: &str) -> bool {
+        self.nodes.iter().any(|node| node.name().value() == name)
+    }
+
+    /// The node of a name, which may occur once.
+    fn node(&mut self, name: &str) -> Option<KdlNode> {
+        let mut first = None;
+        for (index, node) in self.nodes.iter().enumerate().filter(|(_, node)| node.name().value() == name) {
+            self.read.insert(index);
+            if first.is_some() {
+                self.problems.add(offset(node), ProblemKind::DuplicateNode(name.into()));
+            } else {
+                first = Some(node.clone());
+            }
+        }
+        first
+    }
+
+    /// The one argument of a node.
+    fn argument(&mut self, name: &str, expected: &'static str) -> Option<Argument> {
+        let node = self.node(name)?;
+        let offset = offset(&node);
+        if node.children().is_some() {
+            self.problems.add(offset, ProblemKind::ChildrenOf(name.into()));
+        }
+        match node.entries() {
+            [entry] if entry.name().is_none() => Some(Argument { offset, value: entry.value().clone() }),
+            _ => {
+                self.problems.add(offset, ProblemKind::WrongArguments { name: name.into(), expected });
+                None
+            }
+        }
+    }
+
+    /// Adds a problem if no value was made of an argument.
+    fn check_value<T>(
+        &self,
+        name: &str,
+        expected: &'static str,
+        argument: &Argument,
+        value: Option<T>,
+    ) -> Option<T> {
+        if value.is_none() {
+            let (name, got) = (name.to_string(), shown(&argument.value));
+            self.problems.add(argument.offset, ProblemKind::WrongValue { name, expected, got });
+        }
+        value
+    }
+
+    /// An integer in a range.
+    pub fn integer(&mut self, name: &str, range: RangeInclusive<u64>) -> Option<u64> {
+        let argument = self.argument(name, "one whole number")?;
+        let number = self.check_value(name, "a whole number", &argument, argument.value.as_integer())?;
+        let in_range = u64::try_from(number).ok().filter(|number| range.contains(number));
+        if in_range.is_none() {
+            let (min, max) = (range.start().to_string(), range.end().to_string());
+            let (name, got) = (name.to_string(), number.to_string());
+            self.problems.add(argument.offset, ProblemKind::OutOfRange { name, min, max, got });
+        }
+        in_range
+    }
+
+    /// A text that is not empty.
+    pub fn text(&mut self, name: &str) -> Option<String> {
+        let argument = self.argument(name, "one word")?;
+        let text = argument.value.as_string().filter(|text| !text.is_empty()).map(String::from);
+        self.check_value(name, "a word", &argument, text)
+    }
+
+    /// One of some words, by its index among them.
+    pub fn choice(&mut self, name: &str, words: &[&str]) -> Option<usize> {
+        let argument = self.argument(name, "one word")?;
+        let index = argument.value.as_string().and_then(|text| words.iter().position(|word| *word == text));
+        if index.is_none() {
+            let words: Vec<String> = words.iter().map(|word| format!("{word:?}")).collect();
+            let (expected, got) = (words.join(" or "), shown(&argument.value));
+            let kind = ProblemKind::UnknownWord { name: name.into(), expected, got };
+            self.problems.add(argument.offset, kind);
+        }
+        index
+    }
+
+    /// A time in milliseconds.
+    pub fn milliseconds(&mut self, name: &str, range: RangeInclusive<u64>) -> Option<Span> {
+        self.integer(name, range).map(|ms| Span(ms * 1_000_000))
+    }
+
+    /// A fraction, from 0 to 1.
+    pub fn fraction(&mut self, name: &str) -> Option<f64> {
+        self.number(name, 0.0..=1.0)
+    }
+
+    /// A number in a range.
+    pub fn number(&mut self, name: &str, range: RangeInclusive<f64>) -> Option<f64> {
+        let argument = self.argument(name, "one number")?;
+        let number = argument.value.as_float().or(argument.value.as_integer().map(|integer| integer as f64));
+        let number = self.check_value(name, "a number", &argument, number)?;
+        if !range.contains(&number) {
+            let (min, max) = (range.start().to_string(), range.end().to_string());
+            let (name, got) = (name.to_string(), shown(&argument.value));
+            self.problems.add(argument.offset, ProblemKind::OutOfRange { name, min, max, got });
+            return None;
+        }
+        Some(number)
+    }
+
+    /// A time: an integer in nanoseconds, or a text with a unit, as in "250ms".
+    pub fn time(&mut self, name: &str) -> Option<Span> {
+        let argument = self.argument(name, TIME)?;
+        let nanoseconds = argument.value.as_integer().and_then(|number| u64::try_from(number).ok());
+        let time = nanoseconds.map(Span).or_else(|| argument.value.as_string().and_then(time_with_unit));
+        self.check_value(name, TIME, &argument, time)
+    }
+
+    /// A boolean.
+    pub fn boolean(&mut self, name: &str) -> Option<bool> {
+        let argument = self.argument(name, BOOLEAN)?;
+        self.check_value(name, BOOLEAN, &argument, argument.value.as_bool())
+    }
+
+    /// An address with a port.
+    pub fn address(&mut self, name: &str) -> Option<SocketAddr> {
+        let argument = self.argument(name, "one address")?;
+        let address = argument.value.as_string().and_then(|text| text.parse().ok());
+        self.check_value(name, "IP:PORT", &argument, address)
+    }
+
+    /// A node with children.
+    pub fn block(&mut self, name: &str) -> Option<Block<'p>> {
+        let node = self.node(name)?;
+        let offset = offset(&node);
+        if !node.entries().is_empty() {
+            self.problems.add(offset, ProblemKind::ChildrenOnly(name.into()));
+        }
+        Some(Self::new(children(&node), offset, self.problems))
+    }
+
+    /// All nodes of a name, each with its one argument, a text.
+    pub fn each(&mut self, name: &str) -> Vec<(String, Repeated<'p>)> {
+        let mut all = Vec::new();
+        for (index, node) in self.nodes.iter().enumerate().filter(|(_, node)| node.name().value() == name) {
+            self.read.insert(index);
+            let arguments = node.entries().iter().filter(|entry| entry.name().is_none());
+            let arguments: Vec<&KdlValue> = arguments.map(|entry| entry.value()).collect();
+            let [KdlValue::String(text)] = arguments[..] else {
+                self.problems.add(offset(node), ProblemKind::OneText(name.into()));
+                continue;
+            };
+            let node = Repeated { node: node.clone(), read: BTreeSet::new(), problems: self.problems };
+            all.push((text.clone(), node));
+        }
+        all
+    }
+
+    /// The names of all nodes, each once.
+    pub fn names(&self) -> BTreeSet<String> {
+        self.nodes.iter().map(|node| node.name().value().to_string()).collect()
+    }
+
+    /// All nodes as names with one text each.
+    pub fn texts_by_name(&mut self) -> Vec<(String, String)> {
+        self.names().into_iter().filter_map(|name| Some((name.clone(), self.text(&name)?))).collect()
+    }
+
+    /// Ends reading: nodes that were not read are unknown.
+    pub fn end(self) {
+        for (index, node) in self.nodes.iter().enumerate() {
+            if !self.read.contains(&index) {
+                let name = node.name().value().to_string();
+                self.problems.add(offset(node), ProblemKind::UnknownNode(name));
+            }
+        }
+    }
+}
+
+impl<'p> Repeated<'p> {
+    /// Its children.
+    pub fn block(&self) -> Block<'p> {
+        Block::new(children(&self.node), offset(&self.node), self.problems)
+    }
+
+    /// Adds a problem if it has children.
+    pub fn no_block(&self) {
+        if self.node.children().is_some() {
+            self.problems.add(offset(&self.node), ProblemKind::Children);
+        }
+    }
+
+    /// A property that is a text.
+    pub fn property(&mut self, name: &str) -> Option<String> {
+        self.read.insert(name.to_string());
+        let value = self.node.get(name)?;
+        let text = value.as_string().map(String::from);
+        if text.is_none() {
+            let (name, expected, got) = (name.to_string(), "a text", shown(value));
+            let kind = ProblemKind::WrongValue { name, expected, got };
+            self.problems.add(offset(&self.node), kind);
+        }
+        text
+    }
+
+    /// Adds a problem of the node.
+    pub fn problem(&self, text: impl Into<String>) {
+        self.problems.add(offset(&self.node), ProblemKind::Invalid(text.into()));
+    }
+
+    /// Ends reading: properties that were not read are unknown.
+    pub fn end(self) {
+        for name in self.node.entries().iter().filter_map(|entry| entry.name()) {
+            if !self.read.contains(name.value()) {
+                let kind = ProblemKind::UnknownProperty(name.value().to_string());
+                self.problems.add(offset(&self.node), kind);
+            }
+        }
+    }
+}
+
+/// A time as in `4s`, `250ms`, `10us` or `7ns`, with an integer.
+fn time_with_unit(text: &str) -> Option<Span> {
+    let digits = text.trim_end_matches(|c: char| c.is_ascii_alphabetic());
+    let unit_ns = match &text[digits.len()..] {
+        "s" => 1_000_000_000,
+        "ms" => 1_000_000,
+        "us" => 1_000,
+        "ns" => 1,
+        _ => return None,
+    };
+    digits.parse::<u64>().ok()?.checked_mul(unit_ns).map(Span)
+}
+
+/// A value as it would be written in KDL.
+fn shown(value: &KdlValue) -> String {
+    match value {
+        KdlValue::String(text) => format!("{text:?}"),
+        KdlValue::Float(number) => format!("{number:?}"),
+        other => other.to_string(),
+    }
+}
--- a/crates/node/src/settings/kdl_text/tests.rs
+++ b/crates/node/src/settings/kdl_text/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 use proptest::prelude::*;
 
-/// More of one error, or of one comment, than 256 KiB of stack took.
+/// More errors, or more of one comment, than a stack of 256 KiB held.
 const ERRORS: usize = 4_000;
 
-fn first(text: &str) -> Fault {
-    parse(text).expect_err("it is not whole").swap_remove(0)
+fn first(text: &str) -> SyntaxError {
+    parse(text).expect_err("invalid text").swap_remove(0)
 }
 
-/// Guards against comments, blocks and strings taken for one another, and against a text changed beside its comments.
+/// Guards against confusing comments, blocks and strings, and against changing text outside of comments.
 #[test]
-fn comments_are_blanked_and_all_else_is_as_it_was() {
-    let blanked = |text: &str| Scanner::new(text).blanked().expect("whole").into_owned();
+fn blanks_comments_and_nothing_else() {
+    let blanked = |text: &str| Scanner::new(text).blanked().expect("valid text").into_owned();
     assert_eq!(blanked("a /* b /* c\n */ } */ 1"), format!("a{}1", " ".repeat(20)));
     for text in [
         "a \"/* } {\" // /* {\nb",
@@ -30,15 +30,15 @@
     );
 }
 
-/// Guards against a file that takes the stack: what nests or is wrong too often is told with its place.
+/// Guards against a stack overflow: text with too much nesting or too many errors is rejected with its place.
 #[test]
-fn what_would_take_the_stack_is_told() {
+fn reports_text_that_would_overflow_the_stack() {
     assert!(parse(&format!("{}{}", "a {".repeat(MAX_NESTING), "}".repeat(MAX_NESTING))).is_ok());
     let deep = first(&"a {".repeat(20_000));
-    assert_eq!((deep.offset, deep.what.contains("16")), (3 * MAX_NESTING + 2, true), "{deep:?}");
+    assert_eq!((deep.offset, deep.message.contains("16")), (3 * MAX_NESTING + 2, true), "{deep:?}");
     assert_eq!(first("a {}}").offset, 4);
     assert_eq!(first("a\n /* b").offset, 3);
-    assert!(first(&"a\n".repeat(MAX_BYTES)).what.contains("bytes"));
+    assert!(first(&"a\n".repeat(MAX_BYTES)).message.contains("bytes"));
     let banner = format!("/*{}*/ a", "*/ /*".repeat(ERRORS));
     assert_eq!(parse(&banner).expect("KDL").nodes().len(), 1);
     for wrong in [")", "=", "a=", "{}", "a {}", "*/", "a (", "a }", "{\"a\":["] {
@@ -47,9 +47,9 @@
 }
 
 proptest! {
-    /// Guards against a text for which the parser ends its thread, and against one that reads otherwise blanked.
+    /// Guards against a text that ends the parser's thread, and against one that parses differently when blanked.
     #[test]
-    fn any_text_parses_or_is_told(words in prop::collection::vec(prop::sample::select(vec![
+    fn parses_or_rejects_any_text(words in prop::collection::vec(prop::sample::select(vec![
         "a", "b ", "\n", "{", "}", "\"", "\"\"\"", "#", "/*", "*/", "//", "/-", "\\", ";", "=", "(", ")", "[", "1", "é",
         "#true", " ", "\u{2028}", "-", ".", "0x",
     ]), 0..60)) {
--- a/crates/node/src/settings/scgi.rs
+++ b/crates/node/src/settings/scgi.rs
@@ -1,62 +1,62 @@
-//! Settings of the SCGI front.
+//! The `scgi` block: where the SCGI front end listens, its routes, and the names of its headers.
 
-use super::reader::Block;
+use super::kdl_reader::Block;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The SCGI front: where it listens, and what its requests mean.
+/// The SCGI front end.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScgiSettings {
-    /// Addresses.
+    /// Addresses to listen on.
     pub listen: Vec<SocketAddr>,
-    /// Paths of UNIX sockets.
+    /// Paths of UNIX sockets to listen on.
     pub unix: Vec<PathBuf>,
-    /// From methods and paths to classes.
+    /// Routes from methods and paths to classes.
     pub routes: Vec<Route>,
-    /// The path of health checks.
+    /// Path of health checks, if there is one.
     pub health: Option<String>,
-    /// Where the rest is told.
+    /// Names of the headers that are read.
     pub headers: Headers,
-    /// The memory booked for a request that tells none, in kB.
+    /// Memory of a request that doesn't state it, in kB.
     pub memory_kb: f64,
-    /// The rank of a request that tells none.
+    /// Rank of a request that doesn't state it, from 0 to below 1.
     pub rank: f64,
 }
 
-/// From a method and a path to a class.
+/// A route from a method and a path to a class.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// As `GET`.
+    /// HTTP method, such as `GET`.
     pub method: String,
-    /// As `/sheets/{id}`.
+    /// Pattern of the path, such as `/sheets/{id}`.
     pub path: String,
-    /// As the configuration names it.
+    /// Name of the class in the configuration.
     pub class: String,
 }
 
-/// Names of the headers, as SCGI spells them: `HTTP_X_TENANT` for `X-Tenant`.
+/// Names of headers as SCGI spells them: `HTTP_X_TENANT` for `X-Tenant`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Headers {
     /// The tenant.
     pub tenant: String,
-    /// The caller's number.
+    /// Number of the client.
     pub caller: String,
-    /// Milliseconds that the caller still waits; else the deadline of its class.
+    /// How long the client still waits, in milliseconds; if absent, the deadline of the class counts.
     pub wait_ms: String,
-    /// `1` for a further try.
+    /// `1` for a retry.
     pub retry: String,
     /// The rank.
     pub rank: String,
-    /// The memory to book, in kB.
+    /// Memory of the request, in kB.
     pub memory_kb: String,
-    /// The request's id, 16 hex digits; else it gets one.
+    /// Id of the request, 16 hex digits; if absent, one is generated.
     pub id: String,
-    /// The token of a keyed class, as a quoted string or bare.
+    /// Idempotency key, as a quoted string or bare; required by keyed classes.
     pub token: String,
 }
 
 impl Headers {
-    /// All of them.
+    /// All names.
     pub fn all(&self) -> [&str; 8] {
         let Self { tenant, caller, wait_ms, retry, rank, memory_kb, id, token } = self;
         [tenant, caller, wait_ms, retry, rank, memory_kb, id, token].map(String::as_str)
@@ -81,68 +81,83 @@
 
 impl Default for ScgiSettings {
     fn default() -> Self {
-        let (listen, unix, routes, health) = (Vec::new(), Vec::new(), Vec::new(), None);
-        Self { listen, unix, routes, health, headers: Headers::default(), memory_kb: 16.0, rank: 0.5 }
+        Self {
+            listen: Vec::new(),
+            unix: Vec::new(),
+            routes: Vec::new(),
+            health: None,
+            headers: Headers::default(),
+            memory_kb: 16.0,
+            rank: 0.5,
+        }
     }
 }
 
 /// Reads the block.
-pub fn read(mut block: Block<'_>) -> ScgiSettings {
-    let mut set = ScgiSettings::default();
+pub(super) fn read(mut block: Block<'_>) -> ScgiSettings {
+    let mut settings = ScgiSettings::default();
     for (text, node) in block.each("listen") {
         match text.parse() {
-            Ok(address) => set.listen.push(address),
+            Ok(address) => settings.listen.push(address),
             Err(_) => node.problem("expected listen to be IP:PORT"),
         }
-        node.end_properties();
+        node.end();
     }
     for (path, node) in block.each("unix") {
-        set.unix.push(path.into());
-        node.end_properties();
+        settings.unix.push(path.into());
+        node.end();
     }
-    if set.listen.is_empty() && set.unix.is_empty() && !block.has("listen") && !block.has("unix") {
+    if settings.listen.is_empty() && settings.unix.is_empty() && !block.has("listen") && !block.has("unix") {
         block.problem("expected listen or unix, as in listen \"127.0.0.1:9001\"");
     }
+    settings.routes = routes(&mut block);
+    settings.health = block.text("health");
+    if let Some(names) = block.block("headers") {
+        read_headers(&mut settings.headers, names);
+    }
+    settings.memory_kb = block.number("memory-kb", 0.001..=1_999.0).unwrap_or(settings.memory_kb);
+    settings.rank = block.number("rank", 0.0..=0.999).unwrap_or(settings.rank);
+    block.end();
+    settings
+}
+
+fn routes(block: &mut Block<'_>) -> Vec<Route> {
+    let mut routes = Vec::new();
     for (path, mut node) in block.each("route") {
-        let (method, class) = (node.property("method"), node.property("class"));
-        match class {
-            Some(class) if path.starts_with('/') => {
-                set.routes.push(Route { method: method.unwrap_or("GET".into()), path, class });
-            }
+        let method = node.property("method").unwrap_or("GET".into());
+        match node.property("class") {
+            Some(class) if path.starts_with('/') => routes.push(Route { method, path, class }),
             Some(_) => node.problem("expected a path that begins with /"),
             None => node.problem("expected a class, as in route \"/sheets/{id}\" class=\"sheet-view\""),
         }
-        node.end_properties();
+        node.end();
     }
-    if set.routes.is_empty() && !block.has("route") {
+    if routes.is_empty() && !block.has("route") {
         block.problem("expected a route");
     }
-    set.health = block.word("health");
-    if let Some(mut names) = block.block("headers") {
-        let h = &mut set.headers;
-        for (node, slot) in [
-            ("tenant", &mut h.tenant),
-            ("caller", &mut h.caller),
-            ("wait-ms", &mut h.wait_ms),
-            ("retry", &mut h.retry),
-            ("rank", &mut h.rank),
-            ("memory-kb", &mut h.memory_kb),
-            ("id", &mut h.id),
-            ("token", &mut h.token),
-        ] {
-            if let Some(name) = names.word(node) {
-                *slot = name;
-            }
-        }
-        let mut all = set.headers.all();
-        all.sort_unstable();
-        if all.windows(2).any(|two| two[0] == two[1]) {
-            names.problem("one header can't tell two things");
+    routes
+}
+
+/// Reads the names that replace the usual ones.
+fn read_headers(headers: &mut Headers, mut block: Block<'_>) {
+    for (node, name) in [
+        ("tenant", &mut headers.tenant),
+        ("caller", &mut headers.caller),
+        ("wait-ms", &mut headers.wait_ms),
+        ("retry", &mut headers.retry),
+        ("rank", &mut headers.rank),
+        ("memory-kb", &mut headers.memory_kb),
+        ("id", &mut headers.id),
+        ("token", &mut headers.token),
+    ] {
+        if let Some(text) = block.text(node) {
+            *name = text;
         }
-        names.end();
     }
-    set.memory_kb = block.number("memory-kb", 0.001..=1_999.0).unwrap_or(set.memory_kb);
-    set.rank = block.number("rank", 0.0..=0.999).unwrap_or(set.rank);
+    let mut names = headers.all();
+    names.sort_unstable();
+    if names.windows(2).any(|pair| pair[0] == pair[1]) {
+        block.problem("one header can't tell two things");
+    }
     block.end();
-    set
 }
--- a/crates/node/src/settings/store.rs
+++ b/crates/node/src/settings/store.rs
@@ -1,61 +1,68 @@
-//! Settings of the store.
+//! The `store` block: where keyed runs are kept beyond the process, and the bounds of that log.
 
-use super::reader::Block;
+use super::NANOSECONDS_PER_MS;
+use super::kdl_reader::Block;
 use gradepin_admission::{Idempotency, Span};
 use gradepin_core::config::Config;
 use gradepin_store::log::Limits;
 use std::path::PathBuf;
 
-const MS: u64 = 1_000_000;
-const MB: u64 = 1 << 20;
-/// What a run takes while it is read and taken over, in bytes; measured at 100,000 of them. Half of the memory may go
-/// there.
-const RUN: usize = 600;
-const RUNS_PART: usize = 2;
-/// A recovery brings back results of this part of the memory at the most: what the table of keys keeps.
-const RESULTS_PART: usize = 6;
+const BYTES_PER_MIB: u64 = 1 << 20;
+/// Memory that a run takes while it is recovered, in bytes.
+const RECOVERED_RUN_BYTES: usize = 600;
+/// Recovered runs may take the memory divided by this.
+const RUNS_MEMORY_DIVISOR: usize = 2;
+/// Recovered results may take the memory divided by this: what the idempotency table keeps.
+const RESULTS_MEMORY_DIVISOR: usize = 6;
+const DEFAULT_PATIENCE: Span = Span(250 * NANOSECONDS_PER_MS);
+const DEFAULT_MAX_MIB: u64 = 512;
+const DEFAULT_SEGMENT_MIB: u64 = 4;
 
-/// Where keyed runs are kept beyond the process.
+/// The store of keyed runs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreSettings {
-    /// A folder of this server's own, on a disk that lasts.
+    /// Folder of this server alone, on a durable disk.
     pub path: PathBuf,
-    /// How long an intent may take to become durable before its request is refused.
+    /// How long an intent may take to become durable before its request is rejected.
     pub patience: Span,
-    /// All segments together, in bytes.
+    /// Size of all segments together at the most, in bytes.
     pub most_bytes: u64,
-    /// One segment, in bytes.
+    /// Size of one segment, in bytes.
     pub segment_bytes: u64,
 }
 
-/// Reads the block; none if it names no folder, and then that is a problem.
-pub fn read(mut block: Block<'_>) -> Option<StoreSettings> {
-    let path = block.word("path");
+/// Reads the block; `None` if it names no folder, which is a problem.
+pub(super) fn read(mut block: Block<'_>) -> Option<StoreSettings> {
+    let path = block.text("path");
     if path.is_none() && !block.has("path") {
         block.problem("expected a path, as in path \"/var/lib/gradepin/n3\"");
     }
-    let patience = block.span_ms("patience-ms", 10..=10_000).unwrap_or(Span(250 * MS));
-    let most = block.whole("most-mb", 8..=65_536).unwrap_or(512);
-    let segment = block.whole("segment-mb", 1..=1_024).unwrap_or(4);
-    if most < 2 * segment {
+    let patience = block.milliseconds("patience-ms", 10..=10_000).unwrap_or(DEFAULT_PATIENCE);
+    let max_mib = block.integer("most-mb", 8..=65_536).unwrap_or(DEFAULT_MAX_MIB);
+    let segment_mib = block.integer("segment-mb", 1..=1_024).unwrap_or(DEFAULT_SEGMENT_MIB);
+    if max_mib < 2 * segment_mib {
         block.problem(
             "expected most-mb of twice segment-mb or more: one segment is written while another ends",
         );
     }
     block.end();
-    let (most_bytes, segment_bytes) = (most * MB, segment * MB);
-    path.map(|path| StoreSettings { path: path.into(), patience, most_bytes, segment_bytes })
+    Some(StoreSettings {
+        path: path?.into(),
+        patience,
+        most_bytes: max_mib * BYTES_PER_MIB,
+        segment_bytes: segment_mib * BYTES_PER_MIB,
+    })
 }
 
 impl StoreSettings {
-    /// The bounds of the log of a server with this configuration.
+    /// Bounds of the log of a server with this configuration.
     pub fn limits(&self, config: &Config) -> Limits {
         let keyed = config.settings.profiles.iter().filter(|profile| profile.effect == Idempotency::Keyed);
         Limits {
             segment_bytes: self.segment_bytes,
             most_bytes: self.most_bytes,
-            most_results: config.memory(RESULTS_PART),
-            most_records: config.memory(RUNS_PART) / RUN,
+            most_results: config.memory(RESULTS_MEMORY_DIVISOR),
+            most_records: config.memory(RUNS_MEMORY_DIVISOR) / RECOVERED_RUN_BYTES,
             window: keyed.map(|profile| profile.window).max().unwrap_or_default(),
         }
     }
--- a/crates/node/src/settings/transaction.rs
+++ b/crates/node/src/settings/transaction.rs
@@ -1,18 +1,19 @@
-//! A transaction of the configuration as a KDL or JSON document.
+//! Transactions of the configuration as KDL or JSON documents.
 //!
-//! Both have the keys of the configuration file. In KDL times are nanoseconds too, or texts with a unit. What is wrong
-//! with the document is told with line and column; whether the figures are valid is `gradepin_config`'s.
+//! Both forms have the keys of the configuration file, which are mapped here. In KDL times are nanoseconds too, or texts
+//! with a unit. Problems of the document have their line and column; whether the values are valid is checked by
+//! `gradepin_config`.
 
-use super::Problem;
-use super::reader::{Block, Problems, Repeated};
+use super::kdl_reader::{Block, Repeated};
+use super::problem::{Problem, ProblemKind, Problems};
 use gradepin_admission::{Idempotency, Span};
 use gradepin_config::document::{ClassEntry, Document, RuleEntries, TenantEntry};
 use gradepin_config::{Name, Transaction};
 use std::ops::RangeInclusive;
 
-/// The longest document, in bytes: a transaction of the most changes fits.
+/// Size of a document at the most: a transaction with the maximum number of changes fits.
 pub const MAX_DOCUMENT_BYTES: usize = 1 << 20;
-/// Any number, so that one check of figures is made, with one message.
+/// No bounds here, so that values are checked in one place, with one message.
 const ANY: RangeInclusive<f64> = f64::NEG_INFINITY..=f64::INFINITY;
 const EFFECTS: [&str; 3] = ["repeatable", "by_key", "once"];
 
@@ -26,18 +27,21 @@
 }
 
 impl Form {
-    /// By the end of a file's name; JSON where that is `.json`.
+    /// The form of a file, by its extension: JSON if that is `.json`, else KDL.
     pub fn of(path: &std::path::Path) -> Self {
         let json = path.extension().is_some_and(|extension| extension.eq_ignore_ascii_case("json"));
         if json { Self::Json } else { Self::Kdl }
     }
 }
 
-/// Reads a document; all problems of KDL are told, of JSON the first.
+/// Parses a document.
+///
+/// # Errors
+/// All problems of a KDL document, the first one of a JSON document.
 pub fn parse(text: &str, form: Form) -> Result<Transaction, Vec<Problem>> {
     if text.len() > MAX_DOCUMENT_BYTES {
-        let what = format!("expected at most {MAX_DOCUMENT_BYTES} bytes, got {}", text.len());
-        return Err(vec![Problem { line: 1, column: 1, what }]);
+        let message = format!("expected at most {MAX_DOCUMENT_BYTES} bytes, got {}", text.len());
+        return Err(vec![Problem { line: 1, column: 1, kind: ProblemKind::Syntax(message) }]);
     }
     match form {
         Form::Kdl => kdl(text),
@@ -48,10 +52,10 @@
 fn json(text: &str) -> Result<Transaction, Vec<Problem>> {
     let document = serde_json::from_str::<Document>(text);
     let problem = |error: serde_json::Error| {
-        let told = error.to_string();
+        let text = error.to_string();
         let place = format!(" at line {} column {}", error.line(), error.column());
-        let what = told.strip_suffix(&place).unwrap_or(&told).to_string();
-        vec![Problem { line: error.line().max(1), column: error.column().max(1), what }]
+        let kind = ProblemKind::Syntax(text.strip_suffix(&place).unwrap_or(&text).to_string());
+        vec![Problem { line: error.line().max(1), column: error.column().max(1), kind }]
     };
     document.map(Transaction::from).map_err(problem)
 }
@@ -75,23 +79,23 @@
 fn names(root: &mut Block<'_>, node: &str) -> Vec<Name> {
     let named = root.each(node).into_iter().map(|(name, node)| {
         node.no_block();
-        node.end_properties();
+        node.end();
         Name::from(name)
     });
     named.collect()
 }
 
-/// Tells what a class can't do without.
+/// Adds a problem if a class lacks a node that has no default.
 fn required<T>(block: &Block<'_>, name: &str, value: Option<T>) -> Option<T> {
     if value.is_none() && !block.has(name) {
-        block.problem(&format!("expected {name} in the class"));
+        block.problem(format!("expected {name} in the class"));
     }
     value
 }
 
 fn class(name: String, node: Repeated<'_>) -> Option<ClassEntry> {
     let mut block = node.block();
-    node.end_properties();
+    node.end();
     let effect = match block.choice("effect", &EFFECTS) {
         Some(0) => Some(Idempotency::Idempotent),
         Some(1) => Some(Idempotency::Keyed),
@@ -108,7 +112,7 @@
     let late_value = block.number("late_value", ANY).unwrap_or(0.0);
     let window = block.time("window").unwrap_or(Span(0));
     let objective_stretch = block.number("aim_stretch", ANY).unwrap_or(0.0);
-    let calls = block.truth("calls").unwrap_or(true);
+    let calls = block.boolean("calls").unwrap_or(true);
     let skip_weight = block.number("skip_worth", ANY).unwrap_or(0.0);
     block.end();
     Some(ClassEntry {
@@ -127,7 +131,7 @@
 
 fn tenant(name: String, node: Repeated<'_>) -> TenantEntry {
     let mut block = node.block();
-    node.end_properties();
+    node.end();
     let quota_rps = block.number("quota_rps", ANY).unwrap_or(0.0);
     let portion = block.number("portion", ANY).unwrap_or(0.0);
     block.end();
--- a/crates/node/src/settings/transaction/tests.rs
+++ b/crates/node/src/settings/transaction/tests.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn both_forms_say_the_same() {
+fn reads_the_same_transaction_from_both_forms() {
     let transaction = parse(KDL, Form::Kdl).expect("a document");
     assert_eq!(parse(JSON, Form::Json), Ok(transaction.clone()));
     assert_eq!(transaction.changes.len(), 9);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_told_with_its_place() {
+fn reports_problems_with_their_place() {
     let text = "class \"a\" {\n    promise \"1 s\"\n    deadline \"2s\"\n    effect \"twice\"\n    worht 1\n}\n\
                 tenant \"b\" { portion \"half\"; }\nremove-tenant \"c\" { x 1; }\nclas \"d\"\ntenant\n";
     let expected = [
