--- a/crates/gradepin/src/main.rs
+++ b/crates/gradepin/src/main.rs
@@ -161,7 +161,7 @@
                     let keys = keys(&cluster.key_file)?;
                     let (zone, seeds) = (&cluster.zone, cluster.seeds.len());
                     let lends = if cluster.leases.is_some() { "lends" } else { "doesn't lend" };
-                    if let Some(council) = &own.council {
+                    if let Some(council) = &own.consensus {
                         let voters: Vec<&str> = council.voters.iter().map(|name| &**name).collect();
                         let most = &council.limits;
                         println!(
--- a/crates/node/src/configuration_service.rs
+++ b/crates/node/src/configuration_service.rs
@@ -1,7 +1,7 @@
 //! The configuration service at the start of a server: the state to start from, and what the reducer is told of it.
 
 use crate::configuration_writer::{ConfigurationWriter, RETRY};
-use crate::settings::{ConfigurationSettings, CouncilSettings};
+use crate::settings::{ConfigurationSettings, ConsensusSettings};
 use crossbeam_channel::Sender;
 use gradepin_cluster::peer::Peer;
 use gradepin_config::admin::Source;
@@ -52,7 +52,7 @@
     /// it from here on.
     pub fn open(
         set: &ConfigurationSettings,
-        council: Option<&CouncilSettings>,
+        council: Option<&ConsensusSettings>,
         config: &mut Config,
         log: &Logger,
     ) -> Result<Self, ConfigurationStartError> {
@@ -79,7 +79,7 @@
     pub fn start(
         &self,
         set: &ConfigurationSettings,
-        council: &CouncilSettings,
+        council: &ConsensusSettings,
         own: &Peer,
         seed: u64,
     ) -> ConfigurationStart {
--- a/crates/node/src/fleet_start.rs
+++ b/crates/node/src/fleet_start.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Clock;
 use crate::serve::StartError;
-use crate::settings::{CouncilSettings, FleetSettings};
+use crate::settings::{ConsensusSettings, FleetSettings};
 use gradepin_cluster::authentication::AuthenticationKeys;
 use gradepin_cluster::cluster::ClusterSettings;
 use gradepin_cluster::peer::{Incarnation, MAX_NAME_BYTES, Peer};
@@ -18,7 +18,7 @@
 
 /// This server's part in what the fleet agrees on.
 pub fn part_settings(
-    set: &CouncilSettings,
+    set: &ConsensusSettings,
     names: BTreeMap<u32, String>,
     own: Peer,
     folder: Option<VoterState>,
@@ -26,16 +26,16 @@
 ) -> AgentSettings {
     let any = u32::MAX;
     let all = set.limits.services.keys().map(|name| (Arc::clone(name), any)).collect();
-    let limits = if set.plain {
+    let limits = if set.ignore_limits {
         Limits { fleet: any, zone: any, zones: any, services: all }
     } else {
         set.limits.clone()
     };
     let controller = ControllerSettings {
         limits,
-        stabilization: set.steady,
-        fresh_for: set.fresh,
-        ignore_limits: set.plain,
+        stabilization: set.stabilization,
+        fresh_for: set.fresh_for,
+        ignore_limits: set.ignore_limits,
         cell_names: names,
         ..ControllerSettings::default()
     };
@@ -46,7 +46,7 @@
         voters: set.voters.clone(),
         folder,
         controller,
-        waits: set.waits,
+        waits: set.waits_for_permit,
         seed: seed ^ own.incarnation.0,
     }
 }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -148,14 +148,14 @@
         warn!(log, "on an inherited listener the configuration service is off, and the start file holds");
     }
     // What the process before this one has until its end. The store is waited for by its own thread.
-    let councils = own.council.as_ref().filter(|_| handed.accept_fd.is_none() && own.cluster.is_some());
+    let councils = own.consensus.as_ref().filter(|_| handed.accept_fd.is_none() && own.cluster.is_some());
     let councils = councils.and_then(|set| set.folder.as_deref());
     let configurations = service_set.and_then(|set| set.folder.as_deref());
     if !PredecessorWait::new(&signals, log).folders_are_free(councils.into_iter().chain(configurations)) {
         return Ok(());
     }
     let service = service_set
-        .map(|set| ConfigurationService::open(set, own.council.as_ref(), &mut config, log))
+        .map(|set| ConfigurationService::open(set, own.consensus.as_ref(), &mut config, log))
         .transpose()?;
     let names = cell_names(&config.settings);
     let store_limits = own.store.as_ref().map(|set| set.limits(&config));
@@ -177,7 +177,7 @@
     }
     let pool = BufferPool::new(POOL.min(config.memory(POOL_PART) / BUFFER_BYTES));
     if let Some(set) = &own.store {
-        reducer = reducer.with_store(IdempotencyLog::opening(set.patience), Arc::clone(&pool));
+        reducer = reducer.with_store(IdempotencyLog::opening(set.persist_timeout), Arc::clone(&pool));
     }
     let (inputs, queue) = bounded(QUEUE);
     let (urgently, urgent) = bounded(URGENT);
@@ -246,8 +246,9 @@
         }
     }
     let (letters_in, letters) = bounded(LETTERS);
-    let agrees = own.council.as_ref().filter(|_| fleet.is_some());
-    let stage = agrees.and_then(|set| set.stage.clone().map(|folder| (folder, set.replace.clone())));
+    let agrees = own.consensus.as_ref().filter(|_| fleet.is_some());
+    let stage =
+        agrees.and_then(|set| set.staging_folder.clone().map(|folder| (folder, set.replace_command.clone())));
     let stage = stage.map(|(folder, replace)| {
         StagingArea::new(folder, files.config.clone(), replace, config.name.clone()).map(Arc::new)
     });
@@ -270,7 +271,7 @@
             let settings = fleet_settings(set, &config, read(keys), clock, seed)?;
             let own_life = settings.own.clone();
             reducer = reducer.with_cluster(Cluster::new(settings, clock.read().now));
-            if let Some(set) = &own.council {
+            if let Some(set) = &own.consensus {
                 let found = council.as_ref().map(|(_, found)| found.clone());
                 let part = part_settings(set, names, own_life.clone(), found, seed);
                 let in_force =
--- a/crates/node/src/settings/consensus.rs
+++ b/crates/node/src/settings/consensus.rs
@@ -13,49 +13,49 @@
 const MAX_VOTERS: usize = 7;
 /// Upper bound of each limit on servers out of service.
 const MAX_LIMIT: u64 = 4_096;
-const DEFAULT_STEADY: Span = Span(3_000 * NANOSECONDS_PER_MS);
-const DEFAULT_FRESH: Span = Span(2_000 * NANOSECONDS_PER_MS);
+const DEFAULT_STABILIZATION: Span = Span(3_000 * NANOSECONDS_PER_MS);
+const DEFAULT_FRESH_FOR: Span = Span(2_000 * NANOSECONDS_PER_MS);
 
 /// The consensus group, and this server's part in permits and rollouts.
 #[derive(Debug, Clone, PartialEq)]
-pub struct CouncilSettings {
+pub struct ConsensusSettings {
     /// The voters, by the names of their servers.
     pub voters: Vec<Name>,
     /// Folder of this server's voter state, if it may be a voter.
     pub folder: Option<PathBuf>,
     /// Folder in which settings are staged for rollouts.
-    pub stage: Option<PathBuf>,
+    pub staging_folder: Option<PathBuf>,
     /// Limits on servers out of service at a time.
     pub limits: Limits,
     /// Stabilization period: how long a server must have been ready before its permit ends.
-    pub steady: Span,
+    pub stabilization: Span,
     /// A server without a message for this long counts as out of service.
-    pub fresh: Span,
+    pub fresh_for: Span,
     /// Whether a leave waits if no permit is granted; else it is rejected.
-    pub waits: bool,
+    pub waits_for_permit: bool,
     /// The command that replaces this server's program.
-    pub replace: Option<PathBuf>,
+    pub replace_command: Option<PathBuf>,
     /// Whether the limits are ignored; for drills only.
-    pub plain: bool,
+    pub ignore_limits: bool,
 }
 
 /// Reads the block.
-pub(super) fn read(mut block: Block<'_>) -> CouncilSettings {
+pub(super) fn read(mut block: Block<'_>) -> ConsensusSettings {
     let voters = voters(&mut block);
     let limits = limits(&mut block);
-    let steady = block.milliseconds("steady-ms", 100..=3_600_000).unwrap_or(DEFAULT_STEADY);
-    let fresh = block.milliseconds("fresh-ms", 1_000..=60_000).unwrap_or(DEFAULT_FRESH);
-    let waits = block.choice("without-permit", &["wait", "refuse"]).is_none_or(|index| index == 0);
-    let settings = CouncilSettings {
+    let stabilization = block.milliseconds("steady-ms", 100..=3_600_000).unwrap_or(DEFAULT_STABILIZATION);
+    let fresh_for = block.milliseconds("fresh-ms", 1_000..=60_000).unwrap_or(DEFAULT_FRESH_FOR);
+    let waits_for_permit = block.choice("without-permit", &["wait", "refuse"]).is_none_or(|index| index == 0);
+    let settings = ConsensusSettings {
         voters,
         folder: block.text("folder").map(PathBuf::from),
-        stage: block.text("stage").map(PathBuf::from),
+        staging_folder: block.text("stage").map(PathBuf::from),
         limits,
-        steady,
-        fresh,
-        waits,
-        replace: block.text("replace-command").map(PathBuf::from),
-        plain: block.boolean("drill-ignores-limits").unwrap_or(false),
+        stabilization,
+        fresh_for,
+        waits_for_permit,
+        replace_command: block.text("replace-command").map(PathBuf::from),
+        ignore_limits: block.boolean("drill-ignores-limits").unwrap_or(false),
     };
     block.end();
     settings
--- a/crates/node/src/settings/mod.rs
+++ b/crates/node/src/settings/mod.rs
@@ -21,7 +21,7 @@
 pub use active::ActiveSettings;
 pub use cluster::FleetSettings;
 pub use configuration::ConfigurationSettings;
-pub use consensus::CouncilSettings;
+pub use consensus::ConsensusSettings;
 pub use problem::{Problem, ProblemKind};
 pub use registry::{RegistrySettings, ServiceUrl, ServiceUrlError};
 pub use scgi::{Headers, Route, ScgiSettings};
@@ -69,7 +69,7 @@
     /// The fleet whose servers exchange datagrams, if this one is a member.
     pub cluster: Option<FleetSettings>,
     /// The consensus group of that fleet, if there is one.
-    pub council: Option<CouncilSettings>,
+    pub consensus: Option<ConsensusSettings>,
     /// The configuration service, if classes, tenants and rules come from committed revisions.
     pub configuration: Option<ConfigurationSettings>,
     /// Names of an earlier version that the file still has, for the log and for `check`.
@@ -111,8 +111,8 @@
         self.scgi = root.block("scgi").map(scgi::read);
         self.store = root.block("store").and_then(store::read);
         self.cluster = root.block("cluster").and_then(cluster::read);
-        self.council = root.block("council").map(consensus::read);
-        if self.council.is_some() && !root.has("cluster") {
+        self.consensus = root.block("council").map(consensus::read);
+        if self.consensus.is_some() && !root.has("cluster") {
             root.problem("expected a cluster beside the council: its servers talk by that");
         }
         self.configuration = root.block("config").map(configuration::read);
@@ -128,7 +128,7 @@
                 "expected a cluster and a council beside the config: they spread and commit changes",
             );
         }
-        let voter_folder = self.council.as_ref().and_then(|council| council.folder.as_ref());
+        let voter_folder = self.consensus.as_ref().and_then(|consensus| consensus.folder.as_ref());
         let store_folder = self.store.as_ref().map(|store| &store.path);
         let folder = configuration.folder.as_ref();
         if folder.is_some() && (folder == voter_folder || folder == store_folder) {
--- a/crates/node/src/settings/store.rs
+++ b/crates/node/src/settings/store.rs
@@ -14,7 +14,7 @@
 const RUNS_MEMORY_DIVISOR: usize = 2;
 /// Recovered results may take the memory divided by this: what the idempotency table keeps.
 const RESULTS_MEMORY_DIVISOR: usize = 6;
-const DEFAULT_PATIENCE: Span = Span(250 * NANOSECONDS_PER_MS);
+const DEFAULT_PERSIST_TIMEOUT: Span = Span(250 * NANOSECONDS_PER_MS);
 const DEFAULT_MAX_MIB: u64 = 512;
 const DEFAULT_SEGMENT_MIB: u64 = 4;
 
@@ -24,9 +24,9 @@
     /// Folder of this server alone, on a durable disk.
     pub path: PathBuf,
     /// How long an intent may take to become durable before its request is rejected.
-    pub patience: Span,
+    pub persist_timeout: Span,
     /// Size of all segments together at the most, in bytes.
-    pub most_bytes: u64,
+    pub max_bytes: u64,
     /// Size of one segment, in bytes.
     pub segment_bytes: u64,
 }
@@ -37,7 +37,7 @@
     if path.is_none() && !block.has("path") {
         block.problem("expected a path, as in path \"/var/lib/gradepin/n3\"");
     }
-    let patience = block.milliseconds("patience-ms", 10..=10_000).unwrap_or(DEFAULT_PATIENCE);
+    let persist_timeout = block.milliseconds("patience-ms", 10..=10_000).unwrap_or(DEFAULT_PERSIST_TIMEOUT);
     let max_mib = block.integer("most-mb", 8..=65_536).unwrap_or(DEFAULT_MAX_MIB);
     let segment_mib = block.integer("segment-mb", 1..=1_024).unwrap_or(DEFAULT_SEGMENT_MIB);
     if max_mib < 2 * segment_mib {
@@ -48,8 +48,8 @@
     block.end();
     Some(StoreSettings {
         path: path?.into(),
-        patience,
-        most_bytes: max_mib * BYTES_PER_MIB,
+        persist_timeout,
+        max_bytes: max_mib * BYTES_PER_MIB,
         segment_bytes: segment_mib * BYTES_PER_MIB,
     })
 }
@@ -60,7 +60,7 @@
         let keyed = config.settings.profiles.iter().filter(|profile| profile.effect == Idempotency::Keyed);
         Limits {
             segment_bytes: self.segment_bytes,
-            most_bytes: self.most_bytes,
+            most_bytes: self.max_bytes,
             most_results: config.memory(RESULTS_MEMORY_DIVISOR),
             most_records: config.memory(RUNS_MEMORY_DIVISOR) / RECOVERED_RUN_BYTES,
             window: keyed.map(|profile| profile.window).max().unwrap_or_default(),
--- a/crates/node/src/settings/tests.rs
+++ b/crates/node/src/settings/tests.rs
@@ -31,7 +31,7 @@
     assert_eq!(registry.urls[0], near, "the own zone comes first");
     assert_eq!((registry.app.as_str(), registry.vip.as_str()), ("TILE-SERVER", "tiles"));
     assert_eq!(
-        (registry.lease, registry.ready_share, registry.cancel),
+        (registry.lease, registry.ready_share, registry.deregister),
         (Span(15_000 * NANOSECONDS_PER_MS), 0.7, true)
     );
     assert_eq!(registry.metadata, [("rack".to_string(), "b7".to_string())]);
@@ -45,10 +45,10 @@
     let settings = OperatorSettings::parse(include_str!("../../../../deploy/scgi.kdl")).unwrap();
     assert_eq!(settings.scgi.map(|scgi| scgi.routes.len()), Some(4));
     let settings = OperatorSettings::parse(include_str!("../../../../deploy/store.kdl")).unwrap();
-    assert_eq!(settings.store.map(|store| store.patience), Some(Span(250 * NANOSECONDS_PER_MS)));
+    assert_eq!(settings.store.map(|store| store.persist_timeout), Some(Span(250 * NANOSECONDS_PER_MS)));
     let settings = OperatorSettings::parse(include_str!("../../../../deploy/council.kdl")).unwrap();
-    let council = settings.council.unwrap();
-    assert_eq!((council.voters.len(), council.limits.fleet, council.limits.services.len()), (3, 2, 1));
+    let consensus = settings.consensus.unwrap();
+    assert_eq!((consensus.voters.len(), consensus.limits.fleet, consensus.limits.services.len()), (3, 2, 1));
     let settings = OperatorSettings::parse(include_str!("../../../../deploy/cluster.kdl")).unwrap();
     assert_eq!(
         settings.cluster.and_then(|cluster| cluster.leases).map(|leases| leases.duration),
--- a/crates/node/tests/golden_edges/settings.rs
+++ b/crates/node/tests/golden_edges/settings.rs
@@ -26,9 +26,12 @@
     assert_eq!(set.instance.as_deref(), Some("tiles-n7"));
     assert_eq!(set.address.expect("an address").to_string(), "10.0.0.3:8443");
     assert_eq!(set.metadata, [("rack".to_string(), "b7".to_string())]);
-    assert!(set.format == Format::Xml && set.cancel);
+    assert!(set.format == Format::Xml && set.deregister);
     assert_eq!((set.heartbeat.0, set.lease.0, set.timeout.0), (2002 * MS, 6006 * MS, 303 * MS));
-    assert_eq!((set.tell_every.0, set.steady.0, set.prefer_every.0), (404 * MS, 505 * MS, 606 * MS));
+    assert_eq!(
+        (set.min_publish_interval.0, set.stabilization.0, set.preferred_url_interval.0),
+        (404 * MS, 505 * MS, 606 * MS)
+    );
     assert_eq!(set.ready_share, 0.625);
 }
 
@@ -48,8 +51,8 @@
     let names = [of.tenant, of.caller, of.wait_ms, of.retry, of.rank, of.memory_kb, of.id, of.token];
     assert_eq!(names, ["H_A", "H_B", "H_C", "H_D", "H_E", "H_F", "H_G", "H_H"]);
     let set = own.store.expect("a block");
-    assert_eq!((set.path.as_path(), set.patience.0), (Path::new("/d/store"), 251 * MS));
-    assert_eq!((set.most_bytes, set.segment_bytes), (510 << 20, 5 << 20));
+    assert_eq!((set.path.as_path(), set.persist_timeout.0), (Path::new("/d/store"), 251 * MS));
+    assert_eq!((set.max_bytes, set.segment_bytes), (510 << 20, 5 << 20));
 }
 
 #[test]
@@ -70,14 +73,17 @@
 #[test]
 fn every_node_of_council_and_config_is_read() {
     let own = settings();
-    let set = own.council.expect("a block");
+    let set = own.consensus.expect("a block");
     let voters: Vec<&str> = set.voters.iter().map(|name| &**name).collect();
     assert_eq!(voters, ["n1", "n2", "n3"]);
-    let paths = [set.folder, set.stage, set.replace].map(|path| path.expect("a path"));
+    let paths = [set.folder, set.staging_folder, set.replace_command].map(|path| path.expect("a path"));
     assert_eq!(paths, ["/d/council", "/d/staged", "/bin/replace"].map(Path::new));
     assert_eq!((set.limits.fleet, set.limits.zone, set.limits.zones), (5, 3, 2));
     assert_eq!(set.limits.services.get("ledger"), Some(&4));
-    assert_eq!((set.steady.0, set.fresh.0, set.waits, set.plain), (3001 * MS, 2003 * MS, false, true));
+    assert_eq!(
+        (set.stabilization.0, set.fresh_for.0, set.waits_for_permit, set.ignore_limits),
+        (3001 * MS, 2003 * MS, false, true)
+    );
     let set = own.configuration.expect("a block");
     assert_eq!(set.folder.as_deref(), Some(Path::new("/d/config")));
     assert_eq!((set.stale_after.0, set.history), (5005 * MS, 65));
