--- a/crates/node/src/admin/agreements.rs
+++ b/crates/node/src/admin/agreements.rs
@@ -1,43 +1,43 @@
-//! What the fleet agrees on, as the door tells it.
+//! Responses about permits, rollouts and the consensus group.
 //!
 //! ```text
-//! GET /fleet/status  {"leader": "n1", "voter": true, "age_s": 0.2, "limits": {..}, "servers": [{"name", "zone", "heard", "permit",
-//!                     "program", "settings", "step"}, ..], "permits": [{"epoch", "target", "holder", "for", "stage"}, ..],
+//! GET /fleet/status  {"leader": "n1", "voter": true, "age_s": 0.2, "limits": {..},
+//!                     "servers": [{"name", "zone", "ready", "permit", "program", "settings", "step"}, ..],
+//!                     "permits": [{"epoch", "target", "holder", "for", "stage"}, ..],
 //!                     "release": {"name", "state", "wave", "halts", ..}, "waits": {"for_s", "why"}, "acts": [..]}
-//! POST /fleet/found  200 "a council of n0, n1, n2 is founded", each time it is asked for; 409 where other voters have one, or one
-//!                     isn't heard
-//! POST /fleet/order  202 and a ticket; GET /fleet/order?ticket=N  202 while it is under way, 200 and what came of it, or 409 and why not
+//! POST /fleet/found  200 each time the group is founded; 409 if other voters have a group, or one can't be reached
+//! POST /fleet/order  202 and a ticket; GET /fleet/order?ticket=N  202 while it is pending, 200 with the result, or 409
+//!                     with the reason
 //! ```
 
 use super::http::Response;
-use gradepin_coordination::replicated_state::{Limits, PermitStage, Purpose, Target};
+use gradepin_coordination::replicated_state::{
+    Limits, Member, Name, Permit, PermitStage, Purpose, ReplicatedState, Target,
+};
 use gradepin_coordination::rollout::{Rollout, ServerProgress};
 use gradepin_coordination::server_agent::{AgentStatus, CommandStatus};
 use gradepin_core::admin::AgreementResponse;
 use serde_json::{Value, json};
 
-/// The response to a call about the fleet's agreements.
-pub fn response(answer: &AgreementResponse) -> Response {
-    let said = |said: &Result<String, String>| match said {
-        Ok(text) => Response::text(200, format!("{text}\n")),
-        Err(why) => Response::text(409, format!("{why}\n")),
-    };
+/// Operator actions shown, the latest first.
+const MAX_ACTIONS: usize = 8;
+
+/// The HTTP response for a response of the reducer.
+pub(super) fn response(answer: &AgreementResponse) -> Response {
     match answer {
         AgreementResponse::Off => {
             Response::text(404, "this server takes no part in what a fleet agrees on\n")
         }
-        AgreementResponse::Status(status) => {
-            let mut response = Response::text(200, format!("{}\n", value(status)));
-            response.content_type = "application/json";
-            response
-        }
+        AgreementResponse::Status(status) => Response::json(200, format!("{}\n", status_json(status))),
         AgreementResponse::Ticket(ticket) => Response::text(202, format!("{ticket}\n")),
         AgreementResponse::CommandStatus(CommandStatus::Pending) => Response::text(202, "under way\n"),
         AgreementResponse::CommandStatus(CommandStatus::Unknown) => {
             Response::text(404, "no order of this ticket is known here\n")
         }
-        AgreementResponse::CommandStatus(CommandStatus::Finished(answer))
-        | AgreementResponse::Completed(answer) => said(answer),
+        AgreementResponse::CommandStatus(CommandStatus::Finished(Ok(result)))
+        | AgreementResponse::Completed(Ok(result)) => Response::text(200, format!("{result}\n")),
+        AgreementResponse::CommandStatus(CommandStatus::Finished(Err(reason)))
+        | AgreementResponse::Completed(Err(reason)) => Response::text(409, format!("{reason}\n")),
         AgreementResponse::TargetVersion(Some(version)) => Response::text(200, format!("{version}\n")),
         AgreementResponse::TargetVersion(None) => {
             Response::text(404, "no release says which version it shall have\n")
@@ -45,7 +45,90 @@
     }
 }
 
-fn stage(stage: &PermitStage) -> &'static str {
+fn status_json(status: &AgentStatus) -> Value {
+    let mut value = json!({
+        "leader": status.leader.as_deref(),
+        "voter": status.voter,
+        "lost": status.lost,
+        "unsure": status.unsure,
+    });
+    value["waits"] = match &status.waits {
+        Some(waiting) => json!({"for_s": waiting.for_s, "why": waiting.why}),
+        None => Value::Null,
+    };
+    let Some((state, age_s)) = &status.record else { return value };
+    value["age_s"] = if age_s.is_finite() { json!(age_s) } else { Value::Null };
+    value["index"] = json!(state.index);
+    value["voters"] = json!(state.voters.values().map(|name| &**name).collect::<Vec<_>>());
+    value["limits"] = limits_json(&state.limits);
+    let servers = state.roster.iter().map(|(name, member)| server_json(name, member, state, status));
+    value["servers"] = servers.collect();
+    value["permits"] = state.permits.iter().map(|(epoch, permit)| permit_json(*epoch, permit)).collect();
+    value["release"] = state.release.as_ref().map_or(Value::Null, rollout_json);
+    let actions = state.acts.iter().rev().take(MAX_ACTIONS);
+    value["acts"] = actions
+        .map(|action| {
+            json!({"index": action.index, "by": &*action.by, "what": action.what, "why": action.why})
+        })
+        .collect();
+    value
+}
+
+fn limits_json(limits: &Limits) -> Value {
+    json!({
+        "fleet": limits.fleet,
+        "zone": limits.zone,
+        "zones": limits.zones,
+        "services": limits.services,
+    })
+}
+
+fn server_json(name: &Name, member: &Member, state: &ReplicatedState, status: &AgentStatus) -> Value {
+    let permit = state.permit_of(&Target::Server(name.clone())).map(|(epoch, _)| epoch);
+    let (program, settings) = status.versions.get(name).cloned().unwrap_or_default();
+    let in_rollout = state.release.as_ref().and_then(|rollout| rollout.servers.get(name));
+    // Only voters know which servers don't report that they are ready.
+    let ready = status.voter.then(|| !status.unheard.contains(name));
+    json!({
+        "name": &**name,
+        "zone": &*member.zone,
+        "ready": ready,
+        "permit": permit,
+        "program": program,
+        "settings": settings,
+        "step": in_rollout.map(|server| progress_label(&server.step)),
+    })
+}
+
+fn permit_json(epoch: u64, permit: &Permit) -> Value {
+    let purpose = match permit.purpose {
+        Purpose::Drain => "drain".to_string(),
+        Purpose::Release(number) => format!("release {number}"),
+    };
+    json!({
+        "epoch": epoch,
+        "target": permit.target.to_string(),
+        "holder": &*permit.holder,
+        "for": purpose,
+        "stage": stage_label(&permit.stage),
+    })
+}
+
+fn rollout_json(rollout: &Rollout) -> Value {
+    json!({
+        "name": rollout.plan.name,
+        "number": rollout.number,
+        "version": rollout.plan.version,
+        "by": &*rollout.by,
+        "state": rollout.state.to_string(),
+        "open": rollout.is_open(),
+        "wave": rollout.wave,
+        "waves": rollout.plan.waves.len(),
+        "halts": rollout.halts,
+    })
+}
+
+fn stage_label(stage: &PermitStage) -> &'static str {
     match stage {
         PermitStage::Reserved => "reserved",
         PermitStage::Begun => "begun",
@@ -53,63 +136,14 @@
     }
 }
 
-fn step(step: &ServerProgress) -> String {
-    match step {
+fn progress_label(progress: &ServerProgress) -> String {
+    match progress {
         ServerProgress::Pending => "waits".into(),
         ServerProgress::Updating => "changes".into(),
         ServerProgress::Updated => "new".into(),
-        ServerProgress::Failed(why) => format!("failed: {why}"),
+        ServerProgress::Failed(reason) => format!("failed: {reason}"),
         ServerProgress::RollingBack => "goes back".into(),
         ServerProgress::RolledBack => "back".into(),
-        ServerProgress::RollbackFailed(why) => format!("can't go back: {why}"),
+        ServerProgress::RollbackFailed(reason) => format!("can't go back: {reason}"),
     }
 }
-
-fn limits(limits: &Limits) -> Value {
-    json!({"fleet": limits.fleet, "zone": limits.zone, "zones": limits.zones, "services": limits.services})
-}
-
-fn release(release: &Rollout) -> Value {
-    json!({
-        "name": release.plan.name, "number": release.number, "version": release.plan.version, "by": &*release.by,
-        "state": release.state.to_string(), "open": release.is_open(), "wave": release.wave,
-        "waves": release.plan.waves.len(), "halts": release.halts,
-    })
-}
-
-fn value(status: &AgentStatus) -> Value {
-    let mut value = json!({
-        "leader": status.leader.as_deref(), "voter": status.voter, "lost": status.lost, "unsure": status.unsure,
-    });
-    value["waits"] = status.waits.as_ref().map_or(Value::Null, |w| json!({"for_s": w.for_s, "why": w.why}));
-    let Some((record, age_s)) = &status.record else { return value };
-    value["age_s"] = if age_s.is_finite() { json!(age_s) } else { Value::Null };
-    value["index"] = json!(record.index);
-    value["voters"] = json!(record.voters.values().map(|name| &**name).collect::<Vec<_>>());
-    value["limits"] = limits(&record.limits);
-    let servers = record.roster.iter().map(|(name, member)| {
-        let permit = record.permit_of(&Target::Server(name.clone())).map(|(epoch, _)| epoch);
-        let (program, settings) = status.versions.get(name).cloned().unwrap_or_default();
-        let of = record.release.as_ref().and_then(|release| release.servers.get(name));
-        // Who isn't heard to be ready is known to voters alone.
-        let heard = status.voter.then(|| !status.unheard.contains(name));
-        json!({"name": &**name, "zone": &*member.zone, "ready": heard, "permit": permit, "program": program,
-               "settings": settings, "step": of.map(|server| step(&server.step))})
-    });
-    value["servers"] = servers.collect();
-    let permits = record.permits.iter().map(|(epoch, permit)| {
-        let purpose = match permit.purpose {
-            Purpose::Drain => "drain".to_string(),
-            Purpose::Release(number) => format!("release {number}"),
-        };
-        json!({"epoch": epoch, "target": permit.target.to_string(), "holder": &*permit.holder, "for": purpose,
-               "stage": stage(&permit.stage)})
-    });
-    value["permits"] = permits.collect();
-    value["release"] = record.release.as_ref().map_or(Value::Null, release);
-    let acts = record.acts.iter().rev().take(8);
-    value["acts"] = acts
-        .map(|act| json!({"index": act.index, "by": &*act.by, "what": act.what, "why": act.why}))
-        .collect();
-    value
-}
--- a/crates/node/tests/golden_edges/admin.rs
+++ b/crates/node/tests/golden_edges/admin.rs
@@ -25,8 +25,9 @@
     ConfigurationAdminRequest, ConfigurationAdminResponse, ConfigurationMetrics,
 };
 use gradepin_core::request_metrics::{MetricsSnapshot, ResponseCounts};
-use gradepin_node::admin::http::{Called, Response, head, route};
+use gradepin_node::admin::http::{Response, parse_head};
 use gradepin_node::admin::response;
+use gradepin_node::admin::routes::{Endpoint, route};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::sync::Arc;
@@ -329,8 +330,8 @@
 /// Guards each path, and the answers to requests that name no call.
 #[test]
 fn paths_name_calls_or_match_golden_bytes() {
-    let (plain, agreed) = (Called::Plain, |call| Called::Plain(AdminRequest::Agreement(call)));
-    let configuration = |call| Called::Plain(AdminRequest::Configuration(call));
+    let (plain, agreed) = (Endpoint::Request, |call| Endpoint::Request(AdminRequest::Agreement(call)));
+    let configuration = |call| Endpoint::Request(AdminRequest::Configuration(call));
     let calls = [
         ("GET", "/healthcheck", "", plain(AdminRequest::Health)),
         ("HEAD", "/stats", "", plain(AdminRequest::Stats)),
@@ -339,8 +340,8 @@
         ("POST", "/healthcheck/ok", "", plain(AdminRequest::EndDrain)),
         ("GET", "/fleet/status", "", agreed(AgreementRequest::Status)),
         ("GET", "/fleet/order", "ticket=7", agreed(AgreementRequest::CommandStatus { ticket: 7 })),
-        ("POST", "/fleet/order", "", Called::Order),
-        ("POST", "/fleet/stage", "", Called::Stage),
+        ("POST", "/fleet/order", "", Endpoint::SubmitCommand),
+        ("POST", "/fleet/stage", "", Endpoint::StageSettings),
         ("POST", "/fleet/found", "", agreed(AgreementRequest::FoundGroup)),
         ("POST", "/fleet/leave", "", agreed(AgreementRequest::Leave)),
         ("POST", "/fleet/stay", "", agreed(AgreementRequest::Stay)),
@@ -351,7 +352,7 @@
             "request-id=r-1",
             configuration(ConfigurationAdminRequest::RequestStatus(name("r-1"))),
         ),
-        ("POST", "/config/apply", "", Called::ConfigurationApply),
+        ("POST", "/config/apply", "", Endpoint::ApplyConfiguration),
         ("GET", "/config/status", "", configuration(ConfigurationAdminRequest::Status)),
     ];
     for (method, path, query, call) in calls {
@@ -371,8 +372,10 @@
         ("body too long", b"POST /stats HTTP/1.1\r\nContent-Length: 262145\r\n\r\n"),
         ("head too long", &[b'a'; 8192]),
     ];
-    let refused =
-        |bytes: &[u8]| head(bytes).and_then(|head| head.expect("a whole head").call).expect_err("no call");
+    let refused = |bytes: &[u8]| {
+        let head = parse_head(bytes).map(|head| head.expect("a whole head"));
+        head.and_then(|head| route(&head.method, &head.path, &head.query)).expect_err("no call")
+    };
     let mut text: String =
         requests.iter().map(|(label, bytes)| line(label, &refused(bytes).bytes(false))).collect();
     for status in [200, 202, 400, 404, 405, 408, 409, 410, 413, 422, 429, 503, 599] {
