--- a/crates/node/src/admin/connection.rs
+++ b/crates/node/src/admin/connection.rs
@@ -2,14 +2,16 @@
 
 use super::configuration;
 use super::http::{self, MAX_BODY_BYTES, RequestHead, Response};
+use super::reducer_client::ReducerClient;
 use super::routes::{self, Endpoint};
-use super::server::Shared;
+use crate::staging::StagingArea;
 use gradepin_config::admin::AdminError;
 use gradepin_core::admin::{AdminRequest, AgreementRequest};
 use gradepin_core::configuration::ConfigurationAdminRequest;
 use gradepin_core::messages::Input;
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, TcpStream};
+use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
@@ -18,6 +20,14 @@
 /// Lingering close: how long the caller has to end the connection, so that the close doesn't reset the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 
+/// What requests are handed to.
+pub(super) struct Backends {
+    /// The reducer, which answers most requests.
+    pub(super) reducer: ReducerClient,
+    /// Where settings are staged for rollouts, if they are.
+    pub(super) staging_area: Option<Arc<StagingArea>>,
+}
+
 /// A complete request.
 struct Request {
     /// What is requested, or the response that says why that is nothing.
@@ -37,7 +47,7 @@
 }
 
 /// Reads one request, sets `request_complete` and answers it.
-pub(super) fn serve(stream: &TcpStream, request_complete: &AtomicBool, shared: &Shared) {
+pub(super) fn serve(stream: &TcpStream, request_complete: &AtomicBool, backends: &Backends) {
     let deadline = Instant::now() + READ_TIMEOUT;
     let request = match read(stream, deadline) {
         Ok(request) => request,
@@ -46,30 +56,30 @@
     };
     request_complete.store(true, Ordering::SeqCst);
     let response = match request.endpoint {
-        Ok(endpoint) => handle(endpoint, &request.body, shared),
+        Ok(endpoint) => handle(endpoint, &request.body, backends),
         Err(response) => response,
     };
     respond(stream, &response, request.head_only);
 }
 
-fn handle(endpoint: Endpoint, body: &[u8], shared: &Shared) -> Response {
+fn handle(endpoint: Endpoint, body: &[u8], backends: &Backends) -> Response {
     match endpoint {
-        Endpoint::Request(request) => shared.request(request),
+        Endpoint::Request(request) => backends.reducer.request(request),
         Endpoint::SubmitCommand => match serde_json::from_slice(body) {
             Ok(command) => {
                 let request = AgreementRequest::Command(Box::new(command));
-                shared.request(AdminRequest::Agreement(request))
+                backends.reducer.request(AdminRequest::Agreement(request))
             }
             Err(e) => Response::text(400, format!("expected an order as JSON: {e}\n")),
         },
         Endpoint::ApplyConfiguration => match serde_json::from_slice(body) {
             Ok(apply) => {
                 let request = ConfigurationAdminRequest::Apply(Box::new(apply));
-                shared.request(AdminRequest::Configuration(request))
+                backends.reducer.request(AdminRequest::Configuration(request))
             }
             Err(e) => configuration::error_response(&AdminError::BadCall { reason: e.to_string() }),
         },
-        Endpoint::StageSettings => stage_settings(body, shared),
+        Endpoint::StageSettings => stage_settings(body, backends),
     }
 }
 
@@ -123,8 +133,8 @@
 }
 
 /// Checks and stages settings, and notifies the reducer.
-fn stage_settings(body: &[u8], shared: &Shared) -> Response {
-    let Some(staging_area) = &shared.staging_area else {
+fn stage_settings(body: &[u8], backends: &Backends) -> Response {
+    let Some(staging_area) = &backends.staging_area else {
         return Response::text(404, "expected a stage in the settings' council block\n");
     };
     let text = match std::str::from_utf8(body) {
@@ -134,7 +144,7 @@
     match staging_area.put(text) {
         Ok(digest) => {
             let input = Input::StagedSettingsChanged { active: None, staged: staging_area.staged() };
-            if !shared.send(input) {
+            if !backends.reducer.notify(input) {
                 return Response::text(503, "the server did not take it in time; try again\n");
             }
             Response::text(200, format!("{digest}\n"))
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! A request becomes an input of the reducer on the urgent queue, which no client fills, and is answered in its next
 //! step; if that takes too long, the endpoint answers 503 itself. [`server`] accepts and bounds the connections,
-//! [`connection`] reads and answers one request, [`routes`] maps paths to requests, [`http`] is the wire, and
+//! [`reducer_client`] waits for the reducer, [`connection`] reads and answers one request, [`routes`] maps paths to requests, [`http`] is the wire, and
 //! [`responses`] maps the reducer's responses to it, with a module for each kind that is JSON or metrics. The meaning of requests is in `gradepin_core::admin`.
 
 mod agreements;
@@ -12,6 +12,7 @@
 mod exposition;
 mod fleet;
 pub mod http;
+mod reducer_client;
 mod responses;
 pub mod routes;
 mod server;
--- a/crates/node/src/admin/server.rs
+++ b/crates/node/src/admin/server.rs
@@ -1,29 +1,25 @@
-//! Accepts connections of the admin endpoint, at most [`MAX_CONNECTIONS`] at a time, and hands requests to the reducer.
+//! Accepts connections of the admin endpoint, at most [`MAX_CONNECTIONS`] at a time, and serves each on a thread.
 //!
 //! When all slots are taken, a new connection replaces the oldest one whose request is incomplete; if all requests are
 //! complete, it is answered 503: those are answered within their timeout anyway.
 
-use super::connection;
+use super::connection::{self, Backends};
 use super::http::Response;
-use super::responses::response;
+use super::reducer_client::ReducerClient;
 use crate::staging::StagingArea;
-use crossbeam_channel::{Sender, bounded};
-use gradepin_core::admin::{AdminRequest, AdminRequestId, AdminResponse};
+use crossbeam_channel::Sender;
+use gradepin_core::admin::{AdminRequestId, AdminResponse};
 use gradepin_core::messages::Input;
 use slog::{Logger, info, warn};
-use std::collections::HashMap;
 use std::io;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 /// Connections served at a time, each with a thread. Their descriptors are reserved beside those of clients.
 pub const MAX_CONNECTIONS: usize = 32;
-/// How long the reducer has to answer a request; the endpoint answers 503 then, well within the second that operators
-/// are promised.
-pub(super) const REDUCER_TIMEOUT: Duration = Duration::from_millis(600);
 /// Before accepting is retried after an error.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 /// Stack of each thread: the buffers are on the heap.
@@ -39,24 +35,15 @@
 }
 
 /// What the threads of the endpoint share.
-pub(super) struct Shared {
-    inputs: Sender<Input>,
-    /// Requests that the reducer has not answered, by id. At most one for each connection.
-    pending: Mutex<HashMap<AdminRequestId, Sender<AdminResponse>>>,
+struct Shared {
     /// At most [`MAX_CONNECTIONS`], the oldest first.
     connections: Mutex<Vec<ServedConnection>>,
-    /// Next number of a connection and next id of a request.
     next_number: AtomicU64,
-    /// Where settings are staged, if they are.
-    pub(super) staging_area: Option<Arc<StagingArea>>,
+    backends: Backends,
     log: Logger,
 }
 
 impl Shared {
-    fn pending(&self) -> MutexGuard<'_, HashMap<AdminRequestId, Sender<AdminResponse>>> {
-        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
     fn connections(&self) -> MutexGuard<'_, Vec<ServedConnection>> {
         self.connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -77,30 +64,6 @@
         connections.push(connection);
         true
     }
-
-    /// Sends an input to the reducer; false if its queue takes none before the timeout.
-    pub(super) fn send(&self, input: Input) -> bool {
-        self.inputs.send_timeout(input, REDUCER_TIMEOUT).is_ok()
-    }
-
-    /// Sends a request to the reducer and waits for its response; 503 if there is none before the timeout.
-    pub(super) fn request(&self, request: AdminRequest) -> Response {
-        let id = self.next_number.fetch_add(1, Ordering::Relaxed);
-        let (sender, receiver) = bounded(1);
-        self.pending().insert(id, sender);
-        let deadline = Instant::now() + REDUCER_TIMEOUT;
-        let input = Input::AdminRequest { id, request: request.clone() };
-        let is_sent = self.inputs.send_deadline(input, deadline).is_ok();
-        let answer = if is_sent { receiver.recv_deadline(deadline).ok() } else { None };
-        self.pending().remove(&id);
-        match answer {
-            Some(answer) => response(answer),
-            None => {
-                warn!(self.log, "admin request timed out in the reducer"; "request" => ?request);
-                Response::text(503, "the server did not answer in time; try again\n")
-            }
-        }
-    }
 }
 
 /// The endpoint, for the main thread, which passes the reducer's responses to it.
@@ -122,11 +85,9 @@
     ) -> io::Result<Self> {
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
-            inputs,
-            pending: Mutex::default(),
             connections: Mutex::new(Vec::with_capacity(MAX_CONNECTIONS)),
             next_number: AtomicU64::new(1),
-            staging_area,
+            backends: Backends { reducer: ReducerClient::new(inputs, log.clone()), staging_area },
             log,
         });
         let accepting = Arc::clone(&shared);
@@ -143,9 +104,7 @@
 
     /// Passes on the reducer's response to a request; dropped if the request timed out meanwhile.
     pub fn answer(&self, id: AdminRequestId, answer: AdminResponse) {
-        if let Some(sender) = self.shared.pending().remove(&id) {
-            let _ = sender.try_send(answer);
-        }
+        self.shared.backends.reducer.answer(id, answer);
     }
 }
 
@@ -176,7 +135,7 @@
     }
     let serving = Arc::clone(shared);
     let serve = move || {
-        connection::serve(&stream, &request_complete, &serving);
+        connection::serve(&stream, &request_complete, &serving.backends);
         serving.forget(number);
     };
     if let Err(e) = thread::Builder::new().name("admin-call".into()).stack_size(STACK_BYTES).spawn(serve) {
--- a/crates/node/src/frontend/acceptor.rs
+++ b/crates/node/src/frontend/acceptor.rs
@@ -6,7 +6,8 @@
 //! each request and must not close the others out.
 
 use super::connection::Connection;
-use super::{Listener, Protocol};
+use super::listener::Listener;
+use super::protocol::Protocol;
 use gradepin_core::config::RESERVED_CONNECTIONS;
 use std::io::{self, ErrorKind};
 use std::os::fd::OwnedFd;
--- a/crates/node/src/frontend/connection.rs
+++ b/crates/node/src/frontend/connection.rs
@@ -4,9 +4,9 @@
 //! file or response comes between a check and the action that depends on it. The states only move forward, in the order
 //! of [`ConnectionState`]; a connection that is open is active, mid-message or idle ([`ReadActivity`]). Nothing here
 //! blocks: frames that the socket doesn't take are queued until the socket is writable. That queue is bounded by the
-//! reader, which reads nothing more past `MAX_UNSENT_FRAMES`.
+//! reader, which reads nothing more past [`MAX_UNSENT_FRAMES`].
 
-use super::Protocol;
+use super::protocol::Protocol;
 use gradepin_core::buffer_pool::Buffer;
 use rustix::io::Errno;
 use rustix::net::{RecvFlags, SendFlags, Shutdown, recv, send, shutdown};
@@ -16,6 +16,8 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
+/// Frames that a peer may leave unread before nothing more is read from it.
+pub(super) const MAX_UNSENT_FRAMES: usize = 64;
 /// A peer that takes none of its queued frames for this long is considered dead.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Lingering close: how long the peer has to end its half after this server ended its own.
--- a/crates/node/src/frontend/connection_reader.rs
+++ b/crates/node/src/frontend/connection_reader.rs
@@ -4,10 +4,10 @@
 //! Each call of [`ConnectionReader::read`] does a bounded amount of work and says what the event loop must do next.
 //! Which connection is read when, and which timed out, is decided in [`super::event_loop`].
 
-use super::connection::ConnectionState;
+use super::connection::{Connection, ConnectionState, MAX_UNSENT_FRAMES};
 use super::protocol::{DecodedMessage, FirstMessageTimeout, FrameDecoder, ReadTimeouts};
+use super::shared::Shared;
 use super::throttle::{MessageOutcome, TokenBucket};
-use super::{Connection, MAX_UNSENT_FRAMES, Shared};
 use gradepin_core::buffer_pool::Buffer;
 use gradepin_core::messages::{ConnectionId, Input};
 use rustix::io::Errno;
--- a/crates/node/src/frontend/event_loop.rs
+++ b/crates/node/src/frontend/event_loop.rs
@@ -6,8 +6,11 @@
 //! [`super::connection_reader`], which listeners accept in [`super::acceptor`].
 
 use super::acceptor::{Accepted, Acceptor};
+use super::connection::MAX_UNSENT_FRAMES;
 use super::connection_reader::{ConnectionReader, ReadOutcome};
-use super::{Listener, MAX_UNSENT_FRAMES, Protocol, Shared};
+use super::listener::Listener;
+use super::protocol::Protocol;
+use super::shared::Shared;
 use gradepin_admission::Span;
 use gradepin_core::messages::{ConnectionId, Input};
 use rustix::event::{Timespec, epoll};
@@ -361,7 +364,7 @@
         let is_over =
             |reader: &ConnectionReader| reader.is_fully_closed() || reader.connection.is_timed_out(now);
         let over = self.matching(is_over);
-        let timed_out = self.matching(|reader| !is_over(reader) && reader.message_timed_out(now));
+        let timed_out = self.matching(|reader| reader.message_timed_out(now) && !is_over(reader));
         for id in over {
             self.remove(id, None);
         }
--- a/crates/node/src/frontend/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -11,7 +11,7 @@
 //! A connection takes one descriptor and no thread: a thread for each would be stopped and continued one by one when
 //! the process is held to its share of the core. Nothing blocks the caller of [`Frontend`]: frames that a socket doesn't
 //! take at once are queued until it is writable. That queue is bounded, since nothing is read from a peer that leaves
-//! [`MAX_UNSENT_FRAMES`] unread.
+//! `MAX_UNSENT_FRAMES` unread.
 
 mod acceptor;
 mod connection;
@@ -20,6 +20,7 @@
 mod listener;
 mod protocol;
 pub mod scgi;
+mod shared;
 pub mod thrift;
 mod throttle;
 
@@ -34,37 +35,16 @@
 use event_loop::EventLoop;
 use gradepin_core::buffer_pool::BufferPool;
 use gradepin_core::messages::{ConnectionId, Input, Response, SequenceId};
+use shared::{Connections, Shared};
 use slog::Logger;
-use std::collections::HashMap;
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, PoisonError};
 use std::thread;
 use throttle::MessageOutcome;
 
 /// Stack of the reading thread: its buffers are on the heap.
 const STACK_BYTES: usize = 64 * 1024;
-/// Frames that a peer may leave unread before nothing more is read from it.
-const MAX_UNSENT_FRAMES: usize = 64;
-
-type Connections = Mutex<HashMap<ConnectionId, Arc<Connection>>>;
-
-/// What the reading thread shares with the rest of the server.
-struct Shared {
-    connections: Arc<Connections>,
-    /// Whether connections are still accepted; it never becomes true again.
-    accepting: Arc<AtomicBool>,
-    inputs: Sender<Input>,
-    pool: Arc<BufferPool>,
-    log: Logger,
-}
-
-impl Shared {
-    fn connections(&self) -> MutexGuard<'_, HashMap<ConnectionId, Arc<Connection>>> {
-        self.connections.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-}
-
 /// The connections of all front ends, for the effects of the reducer. Ids of connections that are gone are ignored.
 pub struct Frontend {
     connections: Arc<Connections>,
--- a/crates/node/src/frontend/scgi/mod.rs
+++ b/crates/node/src/frontend/scgi/mod.rs
@@ -7,7 +7,7 @@
 mod response;
 pub mod routes;
 
-use super::{
+use super::protocol::{
     DecodedFrame, DecodedMessage, FirstMessageTimeout, FrameDecoder, InvalidRequest, MalformedFrame,
     Protocol, ReadTimeouts,
 };
--- a/crates/node/src/frontend/scgi/routes.rs
+++ b/crates/node/src/frontend/scgi/routes.rs
@@ -2,7 +2,7 @@
 //! alone. No I/O.
 
 use super::codec::Request;
-use crate::frontend::InvalidRequest;
+use crate::frontend::protocol::InvalidRequest;
 use crate::settings::{ActiveSettings, Headers, ScgiSettings};
 use gradepin_admission::{ClassDefinition, Idempotency, RequestId};
 use gradepin_core::buffer_pool::BufferPool;
--- /dev/null
+++ b/crates/node/src/frontend/shared.rs
@@ -0,0 +1,34 @@
+//! What the reading thread shares with the rest of the server.
+
+use super::connection::Connection;
+use crossbeam_channel::Sender;
+use gradepin_core::buffer_pool::BufferPool;
+use gradepin_core::messages::{ConnectionId, Input};
+use slog::Logger;
+use std::collections::HashMap;
+use std::sync::atomic::AtomicBool;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+
+/// The connections of all front ends, by id.
+pub(super) type Connections = Mutex<HashMap<ConnectionId, Arc<Connection>>>;
+
+/// The queue, pool, flags and connections that the reading thread uses.
+pub(super) struct Shared {
+    /// Open connections, also read by the main thread.
+    pub(super) connections: Arc<Connections>,
+    /// Whether connections are still accepted; it never becomes true again.
+    pub(super) accepting: Arc<AtomicBool>,
+    /// Queue of the reducer, which is bounded: sending may block.
+    pub(super) inputs: Sender<Input>,
+    /// Buffers for received bytes.
+    pub(super) pool: Arc<BufferPool>,
+    /// Log of the server.
+    pub(super) log: Logger,
+}
+
+impl Shared {
+    /// The open connections, locked.
+    pub(super) fn connections(&self) -> MutexGuard<'_, HashMap<ConnectionId, Arc<Connection>>> {
+        self.connections.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
--- a/crates/node/src/frontend/thrift/call_fields.rs
+++ b/crates/node/src/frontend/thrift/call_fields.rs
@@ -1,7 +1,7 @@
 //! The string fields of a Thrift `call`, and the request that they make. The protocol's field names are mapped here.
 
 use super::wire::{STRING, WireReader};
-use crate::frontend::{InvalidRequest, MalformedFrame};
+use crate::frontend::protocol::{InvalidRequest, MalformedFrame};
 use crate::settings::ActiveSettings;
 use gradepin_admission::{ClassDefinition, Idempotency, RequestId};
 use gradepin_core::buffer_pool::BufferPool;
--- a/crates/node/src/frontend/thrift/codec.rs
+++ b/crates/node/src/frontend/thrift/codec.rs
@@ -4,7 +4,7 @@
 use super::wire::{
     BOOL, CALL, EXCEPTION, I32, MAP, ONEWAY, REPLY, STRING, STRUCT, VERSION, WireReader, WireWriter,
 };
-use crate::frontend::{DecodedMessage, MalformedFrame};
+use crate::frontend::protocol::{DecodedMessage, MalformedFrame};
 use crate::settings::ActiveSettings;
 use gradepin_core::buffer_pool::{BUFFER_BYTES, Buffer, BufferPool};
 use gradepin_core::messages::{RequestError, Response, SequenceId, UNKNOWN_OUTCOME_TEXT};
--- a/crates/node/src/frontend/thrift/mod.rs
+++ b/crates/node/src/frontend/thrift/mod.rs
@@ -6,7 +6,9 @@
 pub mod codec;
 mod wire;
 
-use super::{DecodedFrame, FirstMessageTimeout, FrameDecoder, MalformedFrame, Protocol, ReadTimeouts};
+use super::protocol::{
+    DecodedFrame, FirstMessageTimeout, FrameDecoder, MalformedFrame, Protocol, ReadTimeouts,
+};
 use crate::settings::ActiveSettings;
 use gradepin_core::buffer_pool::{Buffer, BufferPool};
 use gradepin_core::messages::{RequestError, Response, SequenceId};
--- a/crates/node/src/frontend/thrift/wire.rs
+++ b/crates/node/src/frontend/thrift/wire.rs
@@ -1,6 +1,6 @@
 //! Thrift's strict binary protocol in framed transport: values off the front of a frame, and frames being written.
 
-use crate::frontend::MalformedFrame;
+use crate::frontend::protocol::MalformedFrame;
 use gradepin_core::buffer_pool::{Buffer, BufferPool};
 use gradepin_core::messages::SequenceId;
 use std::sync::Arc;
--- a/crates/node/src/settings/cluster.rs
+++ b/crates/node/src/settings/cluster.rs
@@ -1,7 +1,6 @@
 //! The `cluster` block: how the servers of a fleet reach each other, and what they share.
 
-use super::NANOSECONDS_PER_MS;
-use super::kdl_reader::{Block, OldName};
+use super::kdl_reader::{Block, NANOSECONDS_PER_MS, OldName};
 use gradepin_admission::Span;
 use gradepin_cluster::authentication::{AuthenticationKeys, InvalidKeys};
 use gradepin_cluster::leases::LeaseSettings;
--- a/crates/node/src/settings/configuration.rs
+++ b/crates/node/src/settings/configuration.rs
@@ -1,7 +1,6 @@
 //! The `config` block: where the configuration service keeps its last good state, and how changes are disseminated.
 
-use super::NANOSECONDS_PER_MS;
-use super::kdl_reader::Block;
+use super::kdl_reader::{Block, NANOSECONDS_PER_MS};
 use gradepin_admission::Span;
 use gradepin_cluster::peer::MAX_NAME_BYTES;
 use std::collections::BTreeMap;
--- a/crates/node/src/settings/consensus.rs
+++ b/crates/node/src/settings/consensus.rs
@@ -1,8 +1,7 @@
 //! The `council` block: the consensus group of the fleet, its limits on servers out of service, and how a rollout changes
 //! this server.
 
-use super::NANOSECONDS_PER_MS;
-use super::kdl_reader::Block;
+use super::kdl_reader::{Block, NANOSECONDS_PER_MS};
 use gradepin_admission::Span;
 use gradepin_coordination::replicated_state::{Limits, Name};
 use std::collections::BTreeMap;
--- a/crates/node/src/settings/kdl_reader.rs
+++ b/crates/node/src/settings/kdl_reader.rs
@@ -12,6 +12,9 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
+/// Spans are in nanoseconds, most settings in milliseconds.
+pub const NANOSECONDS_PER_MS: u64 = 1_000_000;
+
 const TIME: &str = "nanoseconds, or a time as in \"250ms\" or \"4s\"";
 const BOOLEAN: &str = "#true or #false";
 
@@ -183,7 +186,7 @@
 
     /// A time in milliseconds.
     pub fn milliseconds(&mut self, name: &str, range: RangeInclusive<u64>) -> Option<Span> {
-        self.integer(name, range).map(|ms| Span(ms * 1_000_000))
+        self.integer(name, range).map(|ms| Span(ms * NANOSECONDS_PER_MS))
     }
 
     /// A fraction, from 0 to 1.
--- a/crates/node/src/settings/kdl_text.rs
+++ b/crates/node/src/settings/kdl_text.rs
@@ -39,15 +39,6 @@
     }
 }
 
-/// Line and column of a place in a text.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TextPlace {
-    /// From 1.
-    pub line: usize,
-    /// From 1, in characters.
-    pub column: usize,
-}
-
 /// Parses a text.
 ///
 /// # Errors
@@ -83,14 +74,6 @@
     })
 }
 
-/// Line and column of an offset in bytes.
-pub fn place(text: &str, offset: usize) -> TextPlace {
-    let before = text.get(..offset.min(text.len())).unwrap_or(text);
-    let line = before.matches('\n').count() + 1;
-    let column = before.rsplit('\n').next().unwrap_or("").chars().count() + 1;
-    TextPlace { line, column }
-}
-
 fn syntax_errors(error: &KdlError) -> Vec<SyntaxError> {
     if error.diagnostics.is_empty() {
         return vec![SyntaxError::new(0, "expected KDL")];
--- a/crates/node/src/settings/mod.rs
+++ b/crates/node/src/settings/mod.rs
@@ -32,8 +32,6 @@
 use problem::Problems;
 use std::path::{Path, PathBuf};
 
-const NANOSECONDS_PER_MS: u64 = 1_000_000;
-
 /// Why a settings file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
--- a/crates/node/src/settings/problem.rs
+++ b/crates/node/src/settings/problem.rs
@@ -1,6 +1,5 @@
 //! What is wrong in a settings file: errors with their place in the text, collected while the file is read.
 
-use super::kdl_text;
 use std::cell::RefCell;
 
 /// A problem at one place of a file.
@@ -150,6 +149,8 @@
 
 /// A problem at an offset of a text, in bytes.
 pub fn problem(text: &str, offset: usize, kind: ProblemKind) -> Problem {
-    let place = kdl_text::place(text, offset);
-    Problem { line: place.line, column: place.column, kind }
+    let before = text.get(..offset.min(text.len())).unwrap_or(text);
+    let line = before.matches('\n').count() + 1;
+    let column = before.rsplit('\n').next().unwrap_or("").chars().count() + 1;
+    Problem { line, column, kind }
 }
--- a/crates/node/src/settings/registry.rs
+++ b/crates/node/src/settings/registry.rs
@@ -1,7 +1,6 @@
 //! The `registry` block: where the service registry is, and how this server registers itself.
 
-use super::NANOSECONDS_PER_MS;
-use super::kdl_reader::Block;
+use super::kdl_reader::{Block, NANOSECONDS_PER_MS};
 use gradepin_admission::Span;
 use gradepin_core::config::Config;
 use gradepin_registry::instance::{Instance, Lease, Port};
--- a/crates/node/src/settings/store.rs
+++ b/crates/node/src/settings/store.rs
@@ -1,7 +1,6 @@
 //! The `store` block: where keyed runs are kept beyond the process, and the bounds of that log.
 
-use super::NANOSECONDS_PER_MS;
-use super::kdl_reader::Block;
+use super::kdl_reader::{Block, NANOSECONDS_PER_MS};
 use gradepin_admission::{Idempotency, Span};
 use gradepin_core::config::Config;
 use gradepin_store::log::Limits;
--- a/crates/node/src/settings/tests.rs
+++ b/crates/node/src/settings/tests.rs
@@ -1,3 +1,4 @@
+use super::kdl_reader::NANOSECONDS_PER_MS;
 use super::*;
 
 fn problems(text: &str) -> Vec<String> {
