--- a/crates/node/src/admin/connection.rs
+++ b/crates/node/src/admin/connection.rs
@@ -30,7 +30,7 @@
 
 /// A complete request.
 struct Request {
-    /// What is requested, or the response that says why that is nothing.
+    /// The endpoint, or the response that reports why there is none.
     endpoint: Result<Endpoint, Response>,
     /// Whether only the head of the response is wanted.
     head_only: bool,
--- a/crates/node/src/admin/http.rs
+++ b/crates/node/src/admin/http.rs
@@ -1,11 +1,11 @@
 //! HTTP/1.1 of the admin endpoint, one request on each connection: request heads, parsed with `httparse`, and responses
 //! as bytes. No I/O.
 
-/// Size of a request head at the most, in bytes.
+/// Size of a request head at most, in bytes.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Size of a body at the most, in bytes: a configuration, or a command.
+/// Size of a body at most, in bytes: a configuration, or a command.
 pub const MAX_BODY_BYTES: usize = 256 * 1024;
-/// Headers of a request at the most.
+/// Headers of a request at most.
 const MAX_HEADERS: usize = 32;
 
 /// A response.
--- a/crates/node/src/admin/server.rs
+++ b/crates/node/src/admin/server.rs
@@ -18,7 +18,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// Connections served at a time, each with a thread. Their descriptors are reserved beside those of clients.
+/// Connections served at a time, each with a thread. Their descriptors are reserved, in addition to those of clients.
 pub const MAX_CONNECTIONS: usize = 32;
 /// Before accepting is retried after an error.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
--- a/crates/node/src/frontend/acceptor.rs
+++ b/crates/node/src/frontend/acceptor.rs
@@ -2,7 +2,7 @@
 //!
 //! Accepts one connection at a time and says why none was accepted; what follows from it is decided in
 //! [`super::event_loop`]. Bounds: all front ends together have `max_connections`, plus `RESERVED_CONNECTIONS` on the
-//! first one; each front end beside the first has at most half of the slots, since its clients open a connection for
+//! first one; each front end but the first has at most half of the slots, since its clients open a connection for
 //! each request and must not close the others out.
 
 use super::connection::Connection;
@@ -17,7 +17,7 @@
 
 /// Before accepting is retried where the system had no descriptor or no memory.
 const SHORTAGE_BACKOFF: Duration = Duration::from_millis(50);
-/// A front end beside the first has the slots divided by this.
+/// Each front end but the first may use the slots divided by this.
 const SECONDARY_SLOT_DIVISOR: usize = 2;
 
 /// A listener and its share of the slots.
@@ -62,7 +62,7 @@
 }
 
 impl Acceptor {
-    /// For these front ends, of which the first takes the health checks.
+    /// For these front ends; the first one receives the health checks.
     ///
     /// # Errors
     /// If a listener can't be made non-blocking.
--- a/crates/node/src/frontend/connection.rs
+++ b/crates/node/src/frontend/connection.rs
@@ -202,8 +202,8 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes a frame, or as much of it as the socket takes at once; the rest is queued. Dropped unless the connection
-    /// is open.
+    /// Writes as much of a frame as the socket takes at once, and queues the rest. The frame is dropped unless the
+    /// connection is open.
     pub(super) fn send(&self, mut frame: Buffer) {
         let mut inner = self.inner();
         if inner.state != ConnectionState::Open {
--- a/crates/node/src/frontend/connection_reader.rs
+++ b/crates/node/src/frontend/connection_reader.rs
@@ -156,8 +156,8 @@
         Ok(ReadOutcome::MoreToRead)
     }
 
-    /// The system says that the socket is empty. Only that ends a read: one that was cut short, at an urgent mark for
-    /// example, may leave bytes behind for which no event comes, since events are edge-triggered.
+    /// Ends a read: the system reported that the socket is empty. A short read is no such report: at an urgent mark, for
+    /// example, it leaves bytes behind for which no event comes, since events are edge-triggered.
     fn wait_for_bytes(&mut self, buffer: Buffer) -> ReadOutcome {
         self.buffer = (!buffer.is_empty()).then_some(buffer);
         if self.is_mid_message() {
--- a/crates/node/src/frontend/event_loop.rs
+++ b/crates/node/src/frontend/event_loop.rs
@@ -54,7 +54,7 @@
 }
 
 impl EventLoop {
-    /// For these front ends; together they have at most so many connections, and a few reserved ones beside.
+    /// For these front ends, with at most `max_connections` together and `RESERVED_CONNECTIONS` more on the first.
     ///
     /// # Errors
     /// If epoll can't be set up for the listeners.
@@ -246,7 +246,7 @@
                 }
                 Accepted::Interrupted => {}
                 Accepted::NoneQueued => return false,
-                // A queued connection takes the slot of a peer that only has yet to end its half.
+                // A lingering connection is only waiting for its peer to end its half: it gives up its slot.
                 Accepted::NoSlot => return self.close_longest_lingering(),
                 Accepted::Shortage { error } => {
                     if let Some(error) = error {
--- a/crates/node/src/frontend/protocol.rs
+++ b/crates/node/src/frontend/protocol.rs
@@ -9,12 +9,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The bytes of a connection are no messages of its protocol; says what was found. No more messages are decoded from it.
+/// The bytes of a connection are no messages of its protocol, with what was found instead. No more messages are decoded
+/// from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct MalformedFrame(pub &'static str);
 
-/// A well-formed message that is no valid request; its sender is owed a response that says so.
+/// A well-formed message that is no valid request; its sender is owed an error response.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{text}")]
 pub struct InvalidRequest {
--- a/crates/node/src/frontend/scgi/codec/decoder.rs
+++ b/crates/node/src/frontend/scgi/codec/decoder.rs
@@ -5,11 +5,11 @@
 
 use std::collections::BTreeSet;
 
-/// Bytes of the header block, as its netstring states them, at the most.
+/// Bytes of the header block, as its netstring states them, at most.
 pub const MAX_HEADERS_BYTES: usize = 16 * 1024;
-/// Bytes of the body at the most.
+/// Bytes of the body at most.
 pub const MAX_BODY_BYTES: usize = 2048;
-/// Bytes of header values kept of one request at the most.
+/// Bytes of header values kept of one request at most.
 pub const MAX_RETAINED_BYTES: usize = 4096;
 /// A header with a longer name is none that is required, and is skipped.
 pub(super) const MAX_NAME_BYTES: usize = 128;
--- a/crates/node/src/frontend/scgi/routes.rs
+++ b/crates/node/src/frontend/scgi/routes.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 const NANOSECONDS_PER_MS: u64 = 1_000_000;
-/// Bytes of an idempotency key at the most, as on the Thrift front end.
+/// Bytes of an idempotency key at most, as on the Thrift front end.
 const MAX_KEY_BYTES: usize = 64;
 /// Memory that a client may state for its request, in kB.
 const SIZE_KB: Range<f64> = 0.001..2_000.0;
--- a/crates/node/src/frontend/thrift/call_fields.rs
+++ b/crates/node/src/frontend/thrift/call_fields.rs
@@ -10,13 +10,13 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// Bytes of a body at the most.
+/// Bytes of a body at most.
 pub(super) const MAX_BODY_BYTES: usize = 2048;
-/// Bytes of an idempotency key at the most.
+/// Bytes of an idempotency key at most.
 const MAX_KEY_BYTES: usize = 64;
 /// Memory of a request, in kB: more than 0 and less than this.
 const MAX_SIZE_KB: f64 = 2000.0;
-/// Characters of a client's text that an error quotes at the most.
+/// Characters of a client's text that an error quotes at most.
 const MAX_QUOTED_CHARS: usize = 40;
 const NANOSECONDS_PER_MS: u64 = 1_000_000;
 
--- a/crates/node/src/frontend/thrift/wire.rs
+++ b/crates/node/src/frontend/thrift/wire.rs
@@ -7,7 +7,7 @@
 
 /// Version word of the strict binary protocol; its low byte is the kind of the message.
 pub(super) const VERSION: u32 = 0x8001_0000;
-/// Values within values at the most; more would overflow the stack of the reading thread.
+/// Values within values at most; more would overflow the stack of the reading thread.
 pub(super) const MAX_NESTING: usize = 16;
 
 /// Message kind: a call that is owed a reply.
--- a/crates/node/src/frontend/throttle.rs
+++ b/crates/node/src/frontend/throttle.rs
@@ -6,7 +6,7 @@
 /// Tokens that a connection gains per second. A served request costs one when it is read and one when it is answered,
 /// so usual client proxies stay far below.
 const TOKENS_PER_SECOND: f64 = 2000.0;
-/// Tokens that a bucket holds at the most.
+/// Tokens that a bucket holds at most.
 const MAX_BURST_TOKENS: f64 = 1000.0;
 
 /// What became of a message, for its cost.
--- a/crates/node/src/settings/cluster.rs
+++ b/crates/node/src/settings/cluster.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Seeds of a fleet at the most: more find no more servers.
+/// Seeds of a fleet at most: more don't find more servers.
 const MAX_SEEDS: usize = 16;
 /// The largest clock drift that leases allow for, in millionths.
 const MAX_DRIFT_PPM: u64 = 200_000;
@@ -49,7 +49,7 @@
     pub key_file: PathBuf,
     /// Timing of probes and suspicion.
     pub failure_detection: FailureDetection,
-    /// Bytes sent per second at the most.
+    /// Bytes sent per second at most.
     pub max_bytes_per_second: u32,
     /// Retries per first attempt that the fleet accepts.
     pub retry_ratio: Option<f64>,
--- a/crates/node/src/settings/configuration.rs
+++ b/crates/node/src/settings/configuration.rs
@@ -23,9 +23,9 @@
     pub stale_after: Span,
     /// Commits kept, for operators and for servers that are a little behind.
     pub history: usize,
-    /// Bytes sent per second at the most, snapshots aside.
+    /// Bytes sent per second at most, snapshots aside.
     pub bytes_per_second: u32,
-    /// Bytes of snapshots sent per second at the most, to servers that are far behind.
+    /// Bytes of snapshots sent per second at most, to servers that are far behind.
     pub snapshot_bytes_per_second: u32,
     /// Regions by zone, for the zones that are in one.
     pub regions: BTreeMap<String, String>,
--- a/crates/node/src/settings/consensus.rs
+++ b/crates/node/src/settings/consensus.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// Voters of the group at the most: more are slower, and no safer in practice.
+/// Voters of the group at most: more are slower, and no safer in practice.
 const MAX_VOTERS: usize = 7;
 /// Upper bound of each limit on servers out of service.
 const MAX_LIMIT: u64 = 4_096;
--- a/crates/node/src/settings/kdl_text.rs
+++ b/crates/node/src/settings/kdl_text.rs
@@ -13,14 +13,14 @@
 use std::panic::resume_unwind;
 use std::thread;
 
-/// Size of a text at the most; settings with all blocks take a tenth of it. The parser's time is quadratic in the number
+/// Size of a text at most; settings with all blocks take a tenth of it. The parser's time is quadratic in the number
 /// of errors: some seconds at this size.
 const MAX_BYTES: usize = 64 * 1024;
-/// Levels of nested blocks at the most; settings have four.
+/// Levels of nested blocks at most; settings have four.
 const MAX_NESTING: usize = 16;
 /// Stack of the parser for [`MAX_NESTING`] levels, also in a debug build.
 const BASE_STACK_BYTES: usize = 2 << 20;
-/// Stack for each byte of the text: an error that the parser recovers from takes so much. Memory is used only if there
+/// Stack for each byte of the text: what the parser takes for an error from which it recovers. Memory is used only if there
 /// are that many errors.
 const STACK_BYTES_PER_BYTE: usize = 4 << 10;
 
--- a/crates/node/src/settings/store.rs
+++ b/crates/node/src/settings/store.rs
@@ -24,7 +24,7 @@
     pub path: PathBuf,
     /// How long an intent may take to become durable before its request is rejected.
     pub persist_timeout: Span,
-    /// Size of all segments together at the most, in bytes.
+    /// Size of all segments together at most, in bytes.
     pub max_bytes: u64,
     /// Size of one segment, in bytes.
     pub segment_bytes: u64,
--- a/crates/node/src/settings/transaction.rs
+++ b/crates/node/src/settings/transaction.rs
@@ -11,7 +11,7 @@
 use gradepin_config::{Name, Transaction};
 use std::ops::RangeInclusive;
 
-/// Size of a document at the most: a transaction with the maximum number of changes fits.
+/// Size of a document at most: a transaction with the maximum number of changes fits.
 pub const MAX_DOCUMENT_BYTES: usize = 1 << 20;
 /// No bounds here, so that values are checked in one place, with one message.
 const ANY: RangeInclusive<f64> = f64::NEG_INFINITY..=f64::INFINITY;
