--- a/crates/gradepin/src/check.rs
+++ b/crates/gradepin/src/check.rs
@@ -4,7 +4,7 @@
 use gradepin_core::config::Config;
 use gradepin_node::settings::cluster::{self, KeysError};
 use gradepin_node::settings::{
-    CouncilSettings, FleetSettings, OperatorSettings, RegistrySettings, ScgiSettings, StoreSettings,
+    ConsensusSettings, FleetSettings, OperatorSettings, RegistrySettings, ScgiSettings, StoreSettings,
 };
 
 /// Prints the report of files that are valid; the authentication keys of the fleet are read here.
@@ -45,7 +45,7 @@
         return Ok(());
     };
     let cluster = cluster_line(cluster)?;
-    if let Some(consensus) = &operator.council {
+    if let Some(consensus) = &operator.consensus {
         println!("council: {}", consensus_line(consensus));
     }
     println!("cluster: {cluster}");
@@ -59,7 +59,7 @@
     Ok(format!("{} in zone '{zone}', {seeds} seeds, {keys:?}, {lends} slots", settings.advertise))
 }
 
-fn consensus_line(settings: &CouncilSettings) -> String {
+fn consensus_line(settings: &ConsensusSettings) -> String {
     let voters: Vec<&str> = settings.voters.iter().map(|name| &**name).collect();
     let limits = &settings.limits;
     let (of_fleet, of_zone) = (limits.fleet, limits.zone);
--- a/crates/gradepin/src/fleet.rs
+++ b/crates/gradepin/src/fleet.rs
@@ -171,6 +171,3 @@
     println!("{text}");
     Ok(())
 }
-
-#[cfg(test)]
-mod golden_tests;
--- a/crates/gradepin/src/release/plan.rs
+++ b/crates/gradepin/src/release/plan.rs
@@ -110,5 +110,7 @@
     )
 }
 
+#[cfg(test)]
+mod golden_tests;
 #[cfg(test)]
 mod tests;
--- a/crates/node/src/admin/agreements/tests.rs
+++ b/crates/node/src/admin/agreements/tests.rs
@@ -91,9 +91,9 @@
         RolloutState::RolledBack("u".into()),
     ];
     let mut shown: Vec<Value> =
-        states.into_iter().map(|state| value(&status(Some((record(state), 0.25)), true))).collect();
-    shown.push(value(&status(Some((record(RolloutState::Done), f64::INFINITY)), false)));
-    shown.push(value(&AgentStatus::default()));
+        states.into_iter().map(|state| status_json(&status(Some((record(state), 0.25)), true))).collect();
+    shown.push(status_json(&status(Some((record(RolloutState::Done), f64::INFINITY)), false)));
+    shown.push(status_json(&AgentStatus::default()));
     let text: String = shown.iter().map(|value| format!("{value}\n")).collect();
     let golden = include_str!("../../../tests/golden/fleet-status.jsonl");
     for (got, expected) in text.lines().zip(golden.lines()) {
--- a/crates/node/src/configuration_service.rs
+++ b/crates/node/src/configuration_service.rs
@@ -2,7 +2,7 @@
 //! configuration file, and makes the reducer's settings of it.
 
 use crate::configuration_writer::{ConfigurationWriter, RETRY_INTERVAL};
-use crate::settings::{ConfigurationSettings, CouncilSettings};
+use crate::settings::{ConfigurationSettings, ConsensusSettings};
 use crossbeam_channel::Sender;
 use gradepin_cluster::peer::Peer;
 use gradepin_config::admin::Source;
@@ -53,7 +53,7 @@
     /// Replaces classes, tenants and rules of `config` by it.
     pub fn open(
         settings: &ConfigurationSettings,
-        consensus: Option<&CouncilSettings>,
+        consensus: Option<&ConsensusSettings>,
         config: &mut Config,
         log: &Logger,
     ) -> Result<Self, ConfigurationStartError> {
@@ -81,7 +81,7 @@
     pub fn start(
         &self,
         settings: &ConfigurationSettings,
-        consensus: &CouncilSettings,
+        consensus: &ConsensusSettings,
         own: &Peer,
         seed: u64,
     ) -> ConfigurationStart {
--- a/crates/node/src/effects.rs
+++ b/crates/node/src/effects.rs
@@ -79,16 +79,16 @@
     pub(crate) fn execute(&mut self, effect: Effect, arrived: &mut Vec<Input>) -> ControlFlow<()> {
         match effect {
             Effect::Respond { connection, sequence, response, capacity_hint } => {
-                self.frontend.answer(connection, sequence, &response, capacity_hint);
+                self.frontend.respond(connection, sequence, &response, capacity_hint);
             }
-            Effect::RequestDrain(connection) => self.frontend.draining(connection),
+            Effect::RequestDrain(connection) => self.frontend.request_drain(connection),
             Effect::StopAccepting => self.frontend.stop_accepting(),
             Effect::CloseConnection(connection) => self.frontend.close(connection),
             Effect::CloseIdleConnection { connection, messages_received } => {
-                self.frontend.close_resting(connection, messages_received);
+                self.frontend.close_when_idle(connection, messages_received);
             }
             Effect::CloseLateConnection { connection, messages_received } => {
-                self.frontend.close_late(connection, messages_received);
+                self.frontend.close_timed_out(connection, messages_received);
             }
             Effect::StartRun { link, id, class, body } => {
                 self.processor.begin(link, &id, &class.profile.name, &body);
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -6,7 +6,7 @@
 
 use crate::config::{self, LoadError, ServerFiles};
 use crate::frontend::scgi::Scgi;
-use crate::frontend::scgi::routes::{BadRoute, Routes};
+use crate::frontend::scgi::routes::{RouteError, Routes};
 use crate::peer_datagrams::SharedKeys;
 use crate::settings::cluster::{self, KeysError};
 use crate::settings::{ActiveSettings, OperatorSettings, SettingsError};
@@ -45,7 +45,7 @@
     #[error(transparent)]
     Keys(#[from] KeysError),
     #[error(transparent)]
-    Route(#[from] BadRoute),
+    Route(#[from] RouteError),
 }
 
 /// Files that were read and checked.
--- a/crates/node/src/startup/error.rs
+++ b/crates/node/src/startup/error.rs
@@ -1,7 +1,7 @@
 //! Why a start did not lead to a serving process.
 
 use crate::configuration_service::ConfigurationStartError;
-use crate::frontend::scgi::routes::BadRoute;
+use crate::frontend::scgi::routes::RouteError;
 use crate::inherited_listener::InheritedListenerError;
 use crate::settings::cluster::KeysError;
 use gradepin_cluster::peer::MAX_NAME_BYTES;
@@ -16,7 +16,7 @@
     Config(#[from] ConfigError),
     /// A route of the settings can't be used.
     #[error(transparent)]
-    Route(#[from] BadRoute),
+    Route(#[from] RouteError),
     /// The authentication keys of the fleet can't be used.
     #[error(transparent)]
     Keys(#[from] KeysError),
--- a/crates/node/src/startup/fleet.rs
+++ b/crates/node/src/startup/fleet.rs
@@ -10,7 +10,7 @@
 use crate::configuration_service::{self, ConfigurationService};
 use crate::peer_datagrams::{PeerDatagrams, SharedKeys};
 use crate::settings::cluster;
-use crate::settings::{CouncilSettings, FleetSettings};
+use crate::settings::{ConsensusSettings, FleetSettings};
 use crate::staging::StagingArea;
 use crate::voter_storage::VoterStorage;
 use crossbeam_channel::Sender;
@@ -108,8 +108,8 @@
 
     fn open_staging_area(&self) -> Result<Option<Arc<StagingArea>>, StartError> {
         let Some(consensus) = self.roles.consensus else { return Ok(None) };
-        start_optional(consensus.stage.clone(), |folder| {
-            let (config, command) = (self.files.config.clone(), consensus.replace.clone());
+        start_optional(consensus.staging_folder.clone(), |folder| {
+            let (config, command) = (self.files.config.clone(), consensus.replace_command.clone());
             StagingArea::open(folder, config, command, self.config.name.clone())
                 .map(Arc::new)
                 .map_err(StartError::system("the staging area"))
@@ -128,7 +128,7 @@
 
     fn check_voter_has_folder(&self) -> Result<(), StartError> {
         let name = &self.config.name;
-        let lacks_folder = |consensus: &CouncilSettings| {
+        let lacks_folder = |consensus: &ConsensusSettings| {
             consensus.folder.is_none() && consensus.voters.iter().any(|voter| **voter == **name)
         };
         match self.roles.consensus {
@@ -154,7 +154,7 @@
 
     fn agent(
         &self,
-        consensus: &CouncilSettings,
+        consensus: &ConsensusSettings,
         own: Peer,
         state: &mut ServerState,
         folders: FleetFolders<'_>,
--- a/crates/node/src/startup/fleet_identity.rs
+++ b/crates/node/src/startup/fleet_identity.rs
@@ -2,7 +2,7 @@
 
 use super::error::StartError;
 use crate::clock::Clock;
-use crate::settings::{CouncilSettings, FleetSettings};
+use crate::settings::{ConsensusSettings, FleetSettings};
 use gradepin_cluster::authentication::AuthenticationKeys;
 use gradepin_cluster::cluster::ClusterSettings;
 use gradepin_cluster::peer::{Incarnation, MAX_NAME_BYTES, Peer};
@@ -25,18 +25,19 @@
 /// Settings of this server's agent. `own` is its identity in the cluster, `voter_state` what its folder held if it is a
 /// voter, and `cell_names` names cells for operators.
 pub(super) fn agent_settings(
-    consensus: &CouncilSettings,
+    consensus: &ConsensusSettings,
     cell_names: BTreeMap<u32, String>,
     own: Peer,
     voter_state: Option<VoterState>,
     seed: u64,
 ) -> AgentSettings {
-    let limits = if consensus.plain { unlimited(&consensus.limits) } else { consensus.limits.clone() };
+    let limits =
+        if consensus.ignore_limits { unlimited(&consensus.limits) } else { consensus.limits.clone() };
     let controller = ControllerSettings {
         limits,
-        stabilization: consensus.steady,
-        fresh_for: consensus.fresh,
-        ignore_limits: consensus.plain,
+        stabilization: consensus.stabilization,
+        fresh_for: consensus.fresh_for,
+        ignore_limits: consensus.ignore_limits,
         cell_names,
         ..ControllerSettings::default()
     };
@@ -47,7 +48,7 @@
         voters: consensus.voters.clone(),
         folder: voter_state,
         controller,
-        waits: consensus.waits,
+        waits: consensus.waits_for_permit,
         seed: seed ^ own.incarnation.0,
     }
 }
--- a/crates/node/src/startup/listeners.rs
+++ b/crates/node/src/startup/listeners.rs
@@ -10,7 +10,7 @@
 use super::state::ServerState;
 use crate::control::Control;
 use crate::frontend::scgi::Scgi;
-use crate::frontend::scgi::routes::{BadRoute, Routes};
+use crate::frontend::scgi::routes::{RouteError, Routes};
 use crate::frontend::thrift::Thrift;
 use crate::frontend::{Listener, Protocol};
 use crate::inherited_listener;
@@ -74,7 +74,7 @@
         }
     }
 
-    fn scgi_frontend(&self, state: &ServerState) -> Result<Option<Arc<Scgi>>, BadRoute> {
+    fn scgi_frontend(&self, state: &ServerState) -> Result<Option<Arc<Scgi>>, RouteError> {
         start_optional(self.operator.scgi.as_ref(), |settings| {
             let names = &state.names;
             let routes = Routes::new(settings, names.clone(), |class| names.class(class).is_some())?;
--- a/crates/node/src/startup/mod.rs
+++ b/crates/node/src/startup/mod.rs
@@ -65,7 +65,7 @@
     roles.warn_if_no_configuration_service(&operator, log);
     PredecessorWait::new(&signals, log).wait_for_folders(roles.exclusive_folders())?;
     let configuration_service = start_optional(roles.configuration, |settings| {
-        ConfigurationService::open(settings, operator.council.as_ref(), &mut config, log)
+        ConfigurationService::open(settings, operator.consensus.as_ref(), &mut config, log)
     })?;
     let mut state = ServerState::build(&mut config, &operator, &inherited)?;
     let (senders, queues) = input_queues();
--- a/crates/node/src/startup/roles.rs
+++ b/crates/node/src/startup/roles.rs
@@ -1,7 +1,7 @@
 //! What this process does in the fleet, by its settings.
 
 use crate::inherited_listener::InheritedListener;
-use crate::settings::{ConfigurationSettings, CouncilSettings, FleetSettings, OperatorSettings};
+use crate::settings::{ConfigurationSettings, ConsensusSettings, FleetSettings, OperatorSettings};
 use slog::{Logger, warn};
 use std::path::Path;
 
@@ -12,7 +12,7 @@
     /// Membership in the cluster.
     pub cluster: Option<&'s FleetSettings>,
     /// The server agent, and the voter where this server is one.
-    pub consensus: Option<&'s CouncilSettings>,
+    pub consensus: Option<&'s ConsensusSettings>,
     /// The configuration service.
     pub configuration: Option<&'s ConfigurationSettings>,
 }
@@ -26,7 +26,7 @@
         let cluster = operator.cluster.as_ref();
         Self {
             cluster,
-            consensus: operator.council.as_ref().filter(|_| cluster.is_some()),
+            consensus: operator.consensus.as_ref().filter(|_| cluster.is_some()),
             configuration: operator.configuration.as_ref(),
         }
     }
--- a/crates/node/src/startup/state.rs
+++ b/crates/node/src/startup/state.rs
@@ -67,7 +67,7 @@
         }
         let pool = BufferPool::new(MAX_POOLED_BUFFERS.min(config.memory(POOL_MEMORY_DIVISOR) / BUFFER_BYTES));
         if let Some(store) = &operator.store {
-            reducer = reducer.with_store(IdempotencyLog::opening(store.patience), Arc::clone(&pool));
+            reducer = reducer.with_store(IdempotencyLog::opening(store.persist_timeout), Arc::clone(&pool));
         }
         Ok(Self { reducer, names, cell_names, store_limits, longest_window, instance_id, pool, clock, seed })
     }
--- a/crates/node/tests/golden_edges/shared_folder.rs
+++ b/crates/node/tests/golden_edges/shared_folder.rs
@@ -38,11 +38,11 @@
 fn claimed((claims, received): &(Claims, Receiver<Input>), token: &str, print: u64) -> String {
     claims.claim(RequestId::new("r"), token.into(), print, Span(0));
     match received.recv_timeout(PATIENCE).expect("an answer") {
-        Input::RunClaimed(_, RunClaim::Ours) => "ours".to_string(),
-        Input::RunClaimed(_, RunClaim::Ended(RunOutcome::Served(result))) => {
+        Input::RunClaimed { claim: RunClaim::Ours, .. } => "ours".to_string(),
+        Input::RunClaimed { claim: RunClaim::Ended(RunOutcome::Served(result)), .. } => {
             format!("served {}", result.escape_ascii())
         }
-        Input::RunClaimed(_, RunClaim::Ended(RunOutcome::Failed)) => "failed".to_string(),
+        Input::RunClaimed { claim: RunClaim::Ended(RunOutcome::Failed), .. } => "failed".to_string(),
         _ => "another answer".to_string(),
     }
 }
@@ -78,10 +78,10 @@
     }
     note("claimed", &files(&folder.0, ""));
     let result = Arc::new(BufferPool::new(1).exact(b"tile \x00\xff").expect("it fits in a buffer"));
-    old.0.ended("served".into(), PRINT, Some(RunOutcome::Served(result)));
-    old.0.ended("failed".into(), PRINT, Some(RunOutcome::Failed));
-    old.0.ended("unknown".into(), PRINT, Some(RunOutcome::Unknown));
-    old.0.ended("none".into(), PRINT, None);
+    old.0.release("served".into(), PRINT, Some(RunOutcome::Served(result)));
+    old.0.release("failed".into(), PRINT, Some(RunOutcome::Failed));
+    old.0.release("unknown".into(), PRINT, Some(RunOutcome::Unknown));
+    old.0.release("none".into(), PRINT, None);
     // Jobs are done in their order, so the ends are written before this claim.
     assert_eq!(claimed(&old, "last", PRINT), "ours");
     note("ended", &files(&folder.0, ""));
