--- a/crates/node/src/frontend/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -4,9 +4,9 @@
 //! reducer's effects, through [`Frontend`]. A protocol is a folder with a [`Protocol`], which does no I/O; descriptors,
 //! buffers, throttling, fair reading, connection slots and draining are here once, for all protocols:
 //!
-//! - [`event_loop`] waits for sockets and reads connections in turn, [`acceptor`] accepts them within their bounds;
-//! - [`connection_reader`] decodes the bytes of one connection, [`throttle`] bounds its rate;
-//! - [`connection`] is the state that both threads share, under one lock.
+//! - `event_loop` waits for sockets and reads connections in turn, `acceptor` accepts them within their bounds;
+//! - `connection_reader` decodes the bytes of one connection, `throttle` bounds its rate;
+//! - `connection` is the state that both threads share, under one lock.
 //!
 //! A connection takes one descriptor and no thread: a thread for each would be stopped and continued one by one when
 //! the process is held to its share of the core. Nothing blocks the caller of [`Frontend`]: frames that a socket doesn't
--- a/crates/node/src/frontend/scgi/mod.rs
+++ b/crates/node/src/frontend/scgi/mod.rs
@@ -1,7 +1,7 @@
 //! SCGI front end, for web servers: one request on each connection, over TCP or a UNIX socket.
 //!
 //! Headers become requests by the routes and header names of the settings ([`routes`]); the bytes are in [`codec`] and
-//! [`response`]. A connection is closed after its response, as SCGI has no keep-alive.
+//! `response`. A connection is closed after its response, as SCGI has no keep-alive.
 
 pub mod codec;
 mod response;
--- a/crates/node/src/settings/mod.rs
+++ b/crates/node/src/settings/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! A file is checked completely: every unknown node, value out of range and contradiction is reported with its line and
 //! column ([`Problem`]), and a file with any of them is not used. Each block has a module, which maps the keys of the
-//! file; [`kdl_reader`] reads their values. [`active`] has the classes and tenants in force, which change at run time,
+//! file; `kdl_reader` reads their values. `active` has the classes and tenants in force, which change at run time,
 //! and [`transaction`] reads changes of the configuration.
 
 mod active;
