--- a/crates/core/src/idempotency_log.rs
+++ b/crates/core/src/idempotency_log.rs
@@ -113,8 +113,14 @@
     Rewrite(Vec<LogRecord>),
 }
 
-/// A batch that leaves with a step, with its number.
-pub type NumberedBatch = (u64, RecordBatch);
+/// A batch with its number.
+#[derive(Debug)]
+pub struct NumberedBatch {
+    /// From 1 and without gaps.
+    pub number: u64,
+    /// The records.
+    pub batch: RecordBatch,
+}
 
 /// A line for the process's log.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -382,7 +388,7 @@
         };
         self.last_batch += 1;
         self.in_flight.push_back(BatchInFlight { number: self.last_batch, since: timestamp.now });
-        Some((self.last_batch, batch))
+        Some(NumberedBatch { number: self.last_batch, batch })
     }
 
     /// When something is due though nothing comes in.
--- a/crates/core/src/idempotency_log/tests.rs
+++ b/crates/core/src/idempotency_log/tests.rs
@@ -15,7 +15,7 @@
     log
 }
 
-fn take(log: &mut IdempotencyLog, ms: u64) -> Option<(u64, RecordBatch)> {
+fn take(log: &mut IdempotencyLog, ms: u64) -> Option<NumberedBatch> {
     log.take_batch(at(ms), Vec::new)
 }
 
@@ -23,9 +23,13 @@
 fn attempt_may_run_once_its_own_batch_is_durable() {
     let mut log = good();
     assert!(log.append_intent(Time(1), keyed_run(1)));
-    assert!(matches!(take(&mut log, 1), Some((1, RecordBatch::Append(records))) if records.len() == 1));
+    assert!(
+        matches!(take(&mut log, 1), Some(NumberedBatch { number: 1, batch: RecordBatch::Append(records) }) if records.len() == 1)
+    );
     assert!(log.append_intent(Time(2), keyed_run(2)) && log.append_intent(Time(2), keyed_run(3)));
-    assert!(matches!(take(&mut log, 2), Some((2, RecordBatch::Append(records))) if records.len() == 2));
+    assert!(
+        matches!(take(&mut log, 2), Some(NumberedBatch { number: 2, batch: RecordBatch::Append(records) }) if records.len() == 2)
+    );
     assert!(take(&mut log, 3).is_none());
     assert_eq!(log.batch_persisted(Time(0), 1), [keyed_run(1).id]);
     assert_eq!(log.batch_persisted(Time(0), 2), [keyed_run(2).id, keyed_run(3).id]);
@@ -49,7 +53,7 @@
     );
     assert!(take(&mut log, 900).is_none(), "not at once");
     let rewrite = |log: &mut IdempotencyLog, ms| match log.take_batch(at(ms), || vec![keyed_run(7)]) {
-        Some((number, RecordBatch::Rewrite(records))) => (number, records.len()),
+        Some(NumberedBatch { number, batch: RecordBatch::Rewrite(records) }) => (number, records.len()),
         other => panic!("{other:?}"),
     };
     let (number, count) = rewrite(&mut log, 1_010);
--- a/crates/core/src/reducer/agreements.rs
+++ b/crates/core/src/reducer/agreements.rs
@@ -205,7 +205,10 @@
                     self.log(Level::Info, format!("leaving by permit {epoch}"));
                     self.take_out_of_service();
                 } else {
-                    self.log(Level::Warning, format!("permit {epoch} came too late to begin; asking again"));
+                    self.log(
+                        Level::Warning,
+                        format!("permit {epoch} was granted too late to leave by; asking again"),
+                    );
                     self.request_permit_to_leave();
                 }
             }
@@ -221,7 +224,7 @@
     fn start_rollout_step(&mut self, step: StepAssignment, start_before: Time) {
         let version = &step.version;
         if self.timestamp.now >= start_before {
-            self.log(Level::Warning, format!("the turn for {version} came too late to begin"));
+            self.log(Level::Warning, format!("the rollout step to {version} was granted too late to start"));
             if let Some(agent) = &mut self.agreements.agent {
                 agent.missed();
             }
--- a/crates/core/src/reducer/mod.rs
+++ b/crates/core/src/reducer/mod.rs
@@ -7,6 +7,7 @@
 mod admin;
 mod admission_actions;
 mod agreements;
+mod apply_summary;
 mod cluster;
 mod configuration;
 mod configuration_admin;
@@ -39,6 +40,7 @@
 use crate::tenants::Tenants;
 use crate::timestamp::Timestamp;
 use agreements::Agreements;
+pub use apply_summary::{ApplyError, ApplySummary, NameList};
 use cluster::ClusterState;
 pub use cluster::{cell_names, lent_share};
 use configuration::ConfigurationState;
@@ -52,7 +54,6 @@
 use processor_link::ProcessorLink;
 use schedule::Schedule;
 use settings_changes::SettingsChanges;
-pub use settings_changes::{ApplyError, ApplySummary, NameList};
 use slog::Level;
 use std::sync::Arc;
 
--- a/crates/core/src/reducer/persistence.rs
+++ b/crates/core/src/reducer/persistence.rs
@@ -5,7 +5,7 @@
 
 use super::Reducer;
 use crate::buffer_pool::BufferPool;
-use crate::idempotency_log::{RecoveredRuns, StoreHealth};
+use crate::idempotency_log::{NumberedBatch, RecoveredRuns, StoreHealth};
 use crate::idempotency_table::RunOutcome;
 use crate::messages::Effect;
 use gradepin_admission::{Span, Time, time_after};
@@ -139,7 +139,7 @@
         }
         let table = &self.idempotency_table;
         let batch = self.idempotency_log.take_batch(self.timestamp, || table.all_known_runs(now));
-        if let Some((number, batch)) = batch {
+        if let Some(NumberedBatch { number, batch }) = batch {
             self.effects.push(Effect::PersistRecords { number, batch });
         }
         for note in self.idempotency_log.take_notes() {
--- a/crates/core/src/reducer/settings_reload.rs
+++ b/crates/core/src/reducer/settings_reload.rs
@@ -4,7 +4,7 @@
 //! The shell reads the file and compares it with the active names ([`crate::reload`]). One file is applied at a time. A file
 //! that can't be used changes nothing.
 
-use super::settings_changes::{ApplyError, ApplySummary, NameDemand};
+use super::apply_summary::{ApplyError, ApplySummary, NameDemand};
 use super::{MS, Reducer};
 use crate::config::Config;
 use crate::messages::Effect;
