--- a/crates/core/src/registration.rs
+++ b/crates/core/src/registration.rs
@@ -80,7 +80,7 @@
     pub fn take_in(&mut self) -> bool {
         let out = self.drains.take().is_some();
         if let Some(membership) = self.membership.as_mut().filter(|_| out) {
-            membership.retry_after();
+            membership.return_to_service();
         }
         out
     }
@@ -114,7 +114,7 @@
         for _ in 0..MOST_ASKS {
             effects.extend(membership.poll(moment.now, moment.unix_ms).map(Effect::AskRegistry));
         }
-        effects.extend(membership.notes().into_iter().map(|note| Effect::Log(Level::Info, note)));
+        effects.extend(membership.take_log_lines().into_iter().map(|note| Effect::Log(Level::Info, note)));
     }
 
     /// When something is due though nothing comes in.
--- a/crates/gradepin/tests/node.rs
+++ b/crates/gradepin/tests/node.rs
@@ -649,12 +649,12 @@
         urls: 2,
         heartbeat: Span(30_000 * MS),
         timeout: Span(2_000 * MS),
-        tell_every: Span(1_000 * MS),
-        steady: Span(0),
+        min_change_interval: Span(1_000 * MS),
+        stabilization_period: Span(0),
         ready_share: 0.6,
         cold_capacity: 0.25,
         cold: Span(10_000 * MS),
-        prefer_every: Span(60_000 * MS),
+        preferred_retry_interval: Span(60_000 * MS),
         cancel: true,
     };
     let membership = Membership::new(set, 7, Time(0));
--- a/crates/gradepin/tests/scenario/virtually.rs
+++ b/crates/gradepin/tests/scenario/virtually.rs
@@ -269,7 +269,7 @@
             Effect::SetControlAddress(address) => format!("reports to {address}"),
             Effect::SetUpstreamAddress(address) => format!("calls to {address}"),
             Effect::AskRegistry(ask) => {
-                let text = format!("{:?}", ask.op);
+                let text = format!("{:?}", ask.operation);
                 format!("registry {}", text.split(['(', ' ']).next().unwrap_or_default())
             }
             Effect::PersistRecords(number, _) => format!("store {number}"),
--- a/crates/model/src/agreed/days.rs
+++ b/crates/model/src/agreed/days.rs
@@ -91,7 +91,7 @@
 }
 
 fn broken(fleet: &Fleet, most: &Limits) -> Option<String> {
-    fleet.latency_objective(most).err()
+    fleet.check_permit_limits(most).err()
 }
 
 fn trouble(fleet: &mut Fleet, which: usize, zone: usize, day: &Day) {
--- a/crates/model/src/agreed/mod.rs
+++ b/crates/model/src/agreed/mod.rs
@@ -2,7 +2,7 @@
 //! supervisor that starts them with the version that the fleet wants, and a net between them. Load is not modelled: a ready
 //! server counts what came and what it served, at a rate and a share that its version has.
 //!
-//! [`Fleet::latency_objective`] holds the promise against what those saw who see the truth.
+//! [`Fleet::check_permit_limits`] holds the promise against what those saw who see the truth.
 
 mod days;
 
@@ -492,7 +492,7 @@
 
     /// The promise, by those who see the truth: at each moment at which somebody began to be out, those out by agreement and
     /// those known to be out otherwise were no more than the limits allow.
-    pub fn latency_objective(&self, limits: &Limits) -> Result<(), String> {
+    pub fn check_permit_limits(&self, limits: &Limits) -> Result<(), String> {
         for Began { at, who, agreed, unplanned } in &self.began {
             let all: BTreeSet<usize> = agreed.iter().chain(unplanned).copied().collect();
             let zone = all.iter().filter(|n| *n % 3 == who % 3).count();
--- a/crates/model/src/roster/mod.rs
+++ b/crates/model/src/roster/mod.rs
@@ -78,12 +78,12 @@
         urls: 1,
         heartbeat: span_from_seconds(heartbeat_s),
         timeout: span_from_seconds(1.0),
-        tell_every: span_from_seconds(1.0),
-        steady: span_from_seconds(0.5),
+        min_change_interval: span_from_seconds(1.0),
+        stabilization_period: span_from_seconds(0.5),
         ready_share: 0.5,
         cold_capacity: 0.21,
         cold: span_from_seconds(18.0),
-        prefer_every: span_from_seconds(60.0),
+        preferred_retry_interval: span_from_seconds(60.0),
         cancel: true,
     }
 }
--- a/crates/model/src/world/roster.rs
+++ b/crates/model/src/world/roster.rs
@@ -153,7 +153,7 @@
             Outcome::Done => RegistryReply::Done,
             Outcome::NotFound => RegistryReply::NotFound,
         };
-        let reply = match ask.op {
+        let reply = match ask.operation {
             RegistryOperation::Register(instance) => {
                 self.registry.register(*instance, false, now_ms);
                 RegistryReply::Done
--- a/crates/model/tests/agreed.rs
+++ b/crates/model/tests/agreed.rs
@@ -17,7 +17,7 @@
     let mut fleet = Fleet::new(9, 3, most.clone(), 1);
     (0..9).for_each(|n| fleet.leave(n));
     assert!(fleet.until(120_000, |fleet| fleet.began.len() == 9), "{:?}", fleet.notes);
-    fleet.latency_objective(&most).unwrap();
+    fleet.check_permit_limits(&most).unwrap();
     assert!(fleet.until(20_000, |fleet| fleet.record().permits.is_empty()));
     let waited = fleet.began.last().unwrap().at.0 - fleet.began[0].at.0;
     assert!(waited > 5_000_000_000, "they went at once");
@@ -42,7 +42,7 @@
             }
         }
         assert!(fleet.until(120_000, |fleet| fleet.began.len() >= 4), "seed {seed}: {:?}", fleet.notes);
-        fleet.latency_objective(&most).unwrap();
+        fleet.check_permit_limits(&most).unwrap();
     }
 }
 
@@ -68,7 +68,7 @@
     assert_eq!(fleet.began.len(), 1);
     fleet.cut.clear();
     assert!(fleet.until(20_000, |fleet| fleet.began.len() == 2));
-    fleet.latency_objective(&most).unwrap();
+    fleet.check_permit_limits(&most).unwrap();
 }
 
 /// Hard case 3: a holder is stopped before it leaves and goes on a minute later, its slot freed by an operator meanwhile and
@@ -104,7 +104,7 @@
         assert!(fleet.began.is_empty(), "seed {seed}: {:?}", fleet.began);
         fleet.servers[5].stopped = false;
         assert!(fleet.until(60_000, |fleet| fleet.began.len() == 2), "seed {seed}: {:?}", fleet.notes);
-        fleet.latency_objective(&most).unwrap();
+        fleet.check_permit_limits(&most).unwrap();
     }
 }
 
@@ -136,7 +136,7 @@
         fleet.record().release
     );
     assert!(all_have(&fleet, "v2"));
-    fleet.latency_objective(&most).unwrap();
+    fleet.check_permit_limits(&most).unwrap();
 }
 
 /// A sound release goes through, one first, then shares, and takes no more time than its parts.
@@ -157,7 +157,7 @@
         fleet.record().release
     );
     assert!(all_have(&fleet, "v2") && fleet.began.len() == 9);
-    fleet.latency_objective(&most).unwrap();
+    fleet.check_permit_limits(&most).unwrap();
     let took = (fleet.now.0 - begin.0) as f64 / 1e9;
     // A step: drain, start, steady as the plan and the permit say, and some looks. One first, then two at a time.
     let step = 0.8 + 1.2 + 1.0 + 0.8;
@@ -188,7 +188,7 @@
         let undone = |fleet: &Fleet| matches!(fleet.state(), RolloutState::RolledBack(_));
         assert!(fleet.until(120_000, undone), "{version}: {:?} {:?}", fleet.record().release, fleet.notes);
         assert!(fleet.until(10_000, |fleet| all_have(fleet, "v1")), "{version}");
-        fleet.latency_objective(&most).unwrap();
+        fleet.check_permit_limits(&most).unwrap();
     }
 }
 
@@ -222,7 +222,7 @@
     let goes =
         |fleet: &Fleet| matches!(fleet.state(), RolloutState::RollingBack(_) | RolloutState::RolledBack(_));
     assert!(fleet.until(20_000, goes), "{:?} {:?}", fleet.state(), fleet.notes);
-    fleet.latency_objective(&most).unwrap();
+    fleet.check_permit_limits(&most).unwrap();
 }
 
 /// Hard case 6, the other side: a sound version while a trouble of another cause is on, the same for old and new, isn't blamed;
@@ -291,7 +291,7 @@
     assert!(of_leader.is_empty());
     fleet.cut.clear();
     fleet.run(3_000);
-    fleet.latency_objective(&most).unwrap();
+    fleet.check_permit_limits(&most).unwrap();
 }
 
 /// Hard case 8: `back` and `halt` from both ends of a cut, and a back by hand in the middle of a wave.
@@ -320,7 +320,7 @@
     let steps: Vec<&ServerProgress> =
         fleet.record().release.as_ref().unwrap().servers.values().map(|s| &s.step).collect();
     assert!(steps.iter().all(|step| matches!(step, ServerProgress::Pending | ServerProgress::RolledBack)));
-    fleet.latency_objective(&most).unwrap();
+    fleet.check_permit_limits(&most).unwrap();
 }
 
 /// Hard case 9: the whole council is killed in the middle of a release and comes back, one of three never: the release goes on.
@@ -348,7 +348,7 @@
         fleet.servers.iter().enumerate().all(|(n, server)| n == 1 || server.ready && server.program == "v2")
     };
     assert!(fleet.until(200_000, rest), "{:?} {:?}", fleet.record().release, fleet.notes);
-    fleet.latency_objective(&most).unwrap();
+    fleet.check_permit_limits(&most).unwrap();
 }
 
 /// Drawn faults while all want out and a release goes: kills, stops, cuts, loss. The promise by those who see the truth, and
@@ -387,7 +387,7 @@
             fleet.servers[n].stopped = false;
             fleet.revive(n);
         }
-        fleet.latency_objective(&most).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
+        fleet.check_permit_limits(&most).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
         fleet.run(20_000);
         // A release that was halted or went back for the faults is put through by hand.
         for _ in 0..4 {
@@ -413,7 +413,7 @@
             "seed {seed}: {:?}",
             fleet.record()
         );
-        fleet.latency_objective(&most).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
+        fleet.check_permit_limits(&most).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
     }
 }
 
--- a/crates/node/src/registry.rs
+++ b/crates/node/src/registry.rs
@@ -208,7 +208,7 @@
             let carry = move || {
                 for ask in queue {
                     let Some(client) = clients.get(ask.url) else { continue };
-                    let reply = client.ask(&app, &id, &ask.op, millis(ask.timeout));
+                    let reply = client.ask(&app, &id, &ask.operation, millis(ask.timeout));
                     if inputs.send(Input::RegistryReply(ask.ticket, reply)).is_err() {
                         return;
                     }
--- a/crates/node/src/settings/mod.rs
+++ b/crates/node/src/settings/mod.rs
@@ -321,12 +321,12 @@
             urls: self.urls.len(),
             heartbeat: self.heartbeat,
             timeout: self.timeout,
-            tell_every: self.tell_every,
-            steady: self.steady,
+            min_change_interval: self.tell_every,
+            stabilization_period: self.steady,
             ready_share: self.ready_share,
             cold_capacity: rules.cold_capacity,
             cold: rules.cold,
-            prefer_every: self.prefer_every,
+            preferred_retry_interval: self.prefer_every,
             cancel: self.cancel,
         }
     }
--- a/crates/registry/src/instance.rs
+++ b/crates/registry/src/instance.rs
@@ -1,11 +1,11 @@
-//! An instance as a registry knows it. Nothing here is about how it is sent.
+//! An instance as a registry knows it, independent of the wire format.
 
 use std::collections::BTreeMap;
 use std::fmt;
 use std::net::IpAddr;
 use std::str::FromStr;
 
-/// The state of an instance, as callers go by it.
+/// The status of an instance, by which clients choose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub enum InstanceStatus {
     /// Takes requests.
@@ -16,14 +16,14 @@
     Starting,
     /// Taken out on purpose.
     OutOfService,
-    /// Not told, or told in words unknown here. As an override: none.
+    /// Missing, or a name that isn't known here. As an override: none.
     #[default]
     Unknown,
 }
 
 impl InstanceStatus {
-    /// The word on the wire.
-    pub fn word(self) -> &'static str {
+    /// The name on the wire.
+    pub fn wire_name(self) -> &'static str {
         match self {
             Self::Up => "UP",
             Self::Down => "DOWN",
@@ -36,16 +36,16 @@
 
 impl fmt::Display for InstanceStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.word())
+        f.write_str(self.wire_name())
     }
 }
 
 impl FromStr for InstanceStatus {
     type Err = std::convert::Infallible;
 
-    /// Any word is read, as Eureka's clients do: one that is not known counts as [`InstanceStatus::Unknown`].
-    fn from_str(word: &str) -> Result<Self, Self::Err> {
-        Ok(match word.trim().to_ascii_uppercase().as_str() {
+    /// Reads any name, as Eureka's clients do: one that is not known counts as [`InstanceStatus::Unknown`].
+    fn from_str(name: &str) -> Result<Self, Self::Err> {
+        Ok(match name.trim().to_ascii_uppercase().as_str() {
             "UP" => Self::Up,
             "DOWN" => Self::Down,
             "STARTING" => Self::Starting,
@@ -55,7 +55,7 @@
     }
 }
 
-/// What a delta says was done to an instance.
+/// The change of an instance that a delta reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ActionType {
     /// It is new.
@@ -63,13 +63,13 @@
     Added,
     /// Something about it changed.
     Modified,
-    /// It is gone.
+    /// It was removed.
     Deleted,
 }
 
 impl ActionType {
-    /// The word on the wire.
-    pub fn word(self) -> &'static str {
+    /// The name on the wire.
+    pub fn wire_name(self) -> &'static str {
         match self {
             Self::Added => "ADDED",
             Self::Modified => "MODIFIED",
@@ -87,14 +87,14 @@
     pub enabled: bool,
 }
 
-/// The lease by which a registry keeps an instance.
+/// The lease of an instance at a registry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Lease {
     /// Seconds between heartbeats.
     pub renewal_s: u64,
     /// Seconds without one after which the registry may evict the instance.
     pub duration_s: u64,
-    /// When it was registered, in Unix milliseconds; 0 where the registry has not said.
+    /// When it was registered, in Unix milliseconds; 0 where the registry doesn't say.
     pub registered_ms: u64,
     /// The last heartbeat, in Unix milliseconds.
     pub renewed_ms: u64,
@@ -133,13 +133,13 @@
     pub status_url: String,
     /// Its lease.
     pub lease: Lease,
-    /// Whatever else is told; the zone stands under `zone`.
+    /// Further entries; the zone is under `zone`.
     pub metadata: BTreeMap<String, String>,
     /// When the registry last changed it, in Unix milliseconds.
     pub updated_ms: u64,
     /// When the instance itself last changed, in Unix milliseconds. Of two records the later one counts.
     pub dirty_ms: u64,
-    /// In a delta: what was done.
+    /// In a delta: the change.
     pub action: ActionType,
 }
 
@@ -168,60 +168,32 @@
 }
 
 impl Instance {
-    /// The zone it runs in, where its metadata tells one.
+    /// The zone that it runs in, where its metadata has one.
     pub fn zone(&self) -> Option<&str> {
         self.metadata.get("zone").map(String::as_str)
     }
 }
 
-/// All instances of one or more applications, as a fetch brings them.
+/// All instances of one or more applications, as fetched.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Applications {
     /// The registry's version of the delta.
     pub version: String,
-    /// The registry's own [`hash_code`] of everything that it holds; empty where it tells none.
+    /// The registry's [`hash_code`] of everything that it holds; empty where it sends none.
     pub hash_code: String,
-    /// The instances, in the order told.
+    /// The instances, in the order sent.
     pub instances: Vec<Instance>,
 }
 
-/// The reconciliation code of a set of states: each state's word and count, in the words' order, as in `DOWN_1_UP_2_`.
-/// A caller that applied all deltas has the registry's code.
+/// The reconciliation code of a set of statuses: the name and count of each, in alphabetical order, as in `DOWN_1_UP_2_`.
+/// A client that applied all deltas has the registry's code.
 pub fn hash_code(statuses: impl IntoIterator<Item = InstanceStatus>) -> String {
     let mut counts = BTreeMap::<&str, usize>::new();
     for status in statuses {
-        *counts.entry(status.word()).or_default() += 1;
+        *counts.entry(status.wire_name()).or_default() += 1;
     }
-    counts.iter().map(|(word, count)| format!("{word}_{count}_")).collect()
+    counts.iter().map(|(name, count)| format!("{name}_{count}_")).collect()
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_code_counts_states_in_the_order_of_their_words() {
-        let code = hash_code([
-            InstanceStatus::Up,
-            InstanceStatus::Down,
-            InstanceStatus::Up,
-            InstanceStatus::OutOfService,
-        ]);
-        assert_eq!(code, "DOWN_1_OUT_OF_SERVICE_1_UP_2_");
-        assert_eq!(hash_code([]), "");
-    }
-
-    #[test]
-    fn words_come_back_as_the_states_they_stand_for() {
-        for status in [
-            InstanceStatus::Up,
-            InstanceStatus::Down,
-            InstanceStatus::Starting,
-            InstanceStatus::OutOfService,
-            InstanceStatus::Unknown,
-        ] {
-            assert_eq!(status.word().parse(), Ok(status));
-        }
-        assert_eq!("perhaps".parse(), Ok(InstanceStatus::Unknown));
-    }
-}
+mod tests;
--- a/crates/registry/src/wire/json.rs
+++ b/crates/registry/src/wire/json.rs
@@ -1,22 +1,23 @@
 //! The JSON of the registry API: attributes are members with `@`, text beside them is `$`.
 
 use super::tree::Node;
-use super::{MOST_DEPTH, WireError};
+use super::{MAX_DEPTH, WireError};
 use crate::instance::{Applications, Instance, InstanceStatus, Port};
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 
+/// Parses a message into a tree.
 pub fn parse(bytes: &[u8]) -> Result<Node, WireError> {
     let syntax = |why: String| WireError::Syntax { format: "JSON", why };
     // The library bounds the nesting itself, at 128.
     let value: Value = serde_json::from_slice(bytes).map_err(|e| syntax(e.to_string()))?;
     let mut root = Node::new("");
-    fill(&mut root, &value, 0).map_err(|()| syntax(format!("nested more than {MOST_DEPTH} times")))?;
+    fill(&mut root, &value, 0).map_err(|()| syntax(format!("nested more than {MAX_DEPTH} times")))?;
     Ok(root)
 }
 
 fn fill(node: &mut Node, value: &Value, depth: usize) -> Result<(), ()> {
-    if depth > MOST_DEPTH {
+    if depth > MAX_DEPTH {
         return Err(());
     }
     match value {
@@ -27,7 +28,7 @@
                 } else if key == "$" {
                     node.text = text(value);
                 } else {
-                    // A list is so many members of one name.
+                    // A list stands for several members of the same name.
                     let each = if let Value::Array(values) = value {
                         &values[..]
                     } else {
@@ -60,7 +61,7 @@
     json!({"$": port.number, "@enabled": port.enabled.to_string()})
 }
 
-fn value(i: &Instance) -> Value {
+fn instance_value(i: &Instance) -> Value {
     let mut metadata: Map<String, Value> = i.metadata.iter().map(|(k, v)| (k.clone(), json!(v))).collect();
     if metadata.is_empty() {
         metadata.insert("@class".into(), json!("java.util.Collections$EmptyMap"));
@@ -70,8 +71,8 @@
         "hostName": i.host,
         "app": i.app,
         "ipAddr": i.ip.map(|ip| ip.to_string()).unwrap_or_default(),
-        "status": i.status.word(),
-        "overriddenStatus": i.overridden.word(),
+        "status": i.status.wire_name(),
+        "overriddenStatus": i.overridden.wire_name(),
         "port": port(i.port),
         "securePort": port(i.secure_port),
         "countryId": 1,
@@ -90,7 +91,7 @@
         "isCoordinatingDiscoveryServer": "false",
         "lastUpdatedTimestamp": i.updated_ms.to_string(),
         "lastDirtyTimestamp": i.dirty_ms.to_string(),
-        "actionType": i.action.word(),
+        "actionType": i.action.wire_name(),
     });
     for (name, url) in [("healthCheckUrl", &i.health_url), ("statusPageUrl", &i.status_url)] {
         if !url.is_empty() {
@@ -98,26 +99,29 @@
         }
     }
     if i.overridden == InstanceStatus::Unknown {
-        // Older clients know this spelling only.
-        out["overriddenstatus"] = json!(InstanceStatus::Unknown.word());
+        // Older clients read this spelling only.
+        out["overriddenstatus"] = json!(InstanceStatus::Unknown.wire_name());
     }
     out
 }
 
+/// Writes one instance.
 pub fn instance(instance: &Instance) -> Vec<u8> {
-    json!({"instance": value(instance)}).to_string().into_bytes()
+    json!({"instance": instance_value(instance)}).to_string().into_bytes()
 }
 
-fn app(name: &str, instances: &[&Instance]) -> Value {
-    json!({"name": name, "instance": instances.iter().map(|i| value(i)).collect::<Vec<_>>()})
+fn application_value(name: &str, instances: &[&Instance]) -> Value {
+    json!({"name": name, "instance": instances.iter().map(|i| instance_value(i)).collect::<Vec<_>>()})
 }
 
+/// Writes one application.
 pub fn application(name: &str, instances: &[&Instance]) -> Vec<u8> {
-    json!({"application": app(name, instances)}).to_string().into_bytes()
+    json!({"application": application_value(name, instances)}).to_string().into_bytes()
 }
 
+/// Writes all applications.
 pub fn applications(all: &Applications, apps: &BTreeMap<&str, Vec<&Instance>>) -> Vec<u8> {
-    let apps: Vec<Value> = apps.iter().map(|(name, instances)| app(name, instances)).collect();
+    let apps: Vec<Value> = apps.iter().map(|(name, instances)| application_value(name, instances)).collect();
     json!({"applications": {
         "versions__delta": all.version, "apps__hashcode": all.hash_code, "application": apps
     }})
--- a/crates/registry/src/wire/mod.rs
+++ b/crates/registry/src/wire/mod.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeMap;
 use tree::Node;
 
-/// Most nesting that is read. Guards the stack against bytes made to exhaust it.
-const MOST_DEPTH: usize = 32;
+/// Maximum nesting that is read, against input made to exhaust the stack.
+const MAX_DEPTH: usize = 32;
 
 /// The two formats of the API.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -44,17 +44,17 @@
     Syntax {
         /// The format they should be of.
         format: &'static str,
-        /// What its parser says.
+        /// The parser's message.
         why: String,
     },
-    /// They are, but what must be told is missing or makes no sense.
+    /// The bytes are of the format, but a required value is missing or out of range.
     #[error("expected {expected} in {place}, got {got}")]
     Meaning {
-        /// What should stand there.
+        /// The expected value.
         expected: &'static str,
         /// The element.
         place: &'static str,
-        /// What stands there.
+        /// The value found.
         got: String,
     },
 }
@@ -101,57 +101,24 @@
 fn instance(node: &Node, app: &str) -> Result<Instance, WireError> {
     let text = |name: &str| node.text_of(name).unwrap_or_default().to_string();
     let number = |name: &'static str| number(node.text_of(name), name);
-    // Registrations of old clients have no id of their own: the host name stands in.
-    let id = [text("instanceId"), text("hostName")].into_iter().find(|id| !id.is_empty());
-    let id =
-        id.ok_or(WireError::Meaning { expected: "an instanceId", place: "instance", got: "none".into() })?;
-    let app = [text("app"), app.to_string()].into_iter().find(|app| !app.is_empty());
-    let app = app.ok_or(WireError::Meaning { expected: "an app", place: "instance", got: "none".into() })?;
-    let status = |names: &[&str]| {
-        let word = names.iter().find_map(|name| node.text_of(name)).unwrap_or_default();
-        word.parse::<InstanceStatus>().unwrap_or_default()
-    };
-    let port = |name: &'static str| -> Result<Option<Port>, WireError> {
-        let Some(port) = node.child(name) else { return Ok(None) };
-        let number = number_of(&port.text, name)?;
-        let number = u16::try_from(number).map_err(|_| WireError::Meaning {
-            expected: "a port",
-            place: name,
-            got: number.to_string(),
-        })?;
-        Ok(Some(Port { number, enabled: port.attribute("enabled").is_none_or(|word| word != "false") }))
-    };
-    let lease = match node.child("leaseInfo") {
-        None => Lease { renewal_s: 30, duration_s: 90, ..Lease::default() },
-        Some(lease) => {
-            let of = |name: &'static str| self::number(lease.text_of(name), name);
-            let or = |value: u64, default: u64| if value == 0 { default } else { value };
-            Lease {
-                renewal_s: or(of("renewalIntervalInSecs")?, 30),
-                duration_s: or(of("durationInSecs")?, 90),
-                registered_ms: of("registrationTimestamp")?,
-                renewed_ms: of("lastRenewalTimestamp")?,
-                evicted_ms: of("evictionTimestamp")?,
-                up_ms: of("serviceUpTimestamp")?,
-            }
-        }
-    };
-    let metadata = node.child("metadata").map(|data| {
-        data.children.iter().map(|child| (child.name.clone(), child.text.clone())).collect::<BTreeMap<_, _>>()
-    });
+    // Registrations of old clients have no id of their own: the host name replaces it.
+    let id = first_filled([text("instanceId"), text("hostName")], "an instanceId")?;
+    let app = first_filled([text("app"), app.to_string()], "an app")?;
+    let lease = lease(node.child("leaseInfo"))?;
+    let default_secure_port = Port { number: 443, enabled: false };
     Ok(Instance {
         host: text("hostName"),
         ip: text("ipAddr").parse().ok(),
-        status: status(&["status"]),
-        overridden: status(&["overriddenStatus", "overriddenstatus"]),
-        port: port("port")?.unwrap_or_default(),
-        secure_port: port("securePort")?.unwrap_or(Port { number: 443, enabled: false }),
+        status: status(node, &["status"]),
+        overridden: status(node, &["overriddenStatus", "overriddenstatus"]),
+        port: port(node, "port")?.unwrap_or_default(),
+        secure_port: port(node, "securePort")?.unwrap_or(default_secure_port),
         vip: text("vipAddress"),
         secure_vip: text("secureVipAddress"),
         health_url: text("healthCheckUrl"),
         status_url: text("statusPageUrl"),
         lease,
-        metadata: metadata.unwrap_or_default(),
+        metadata: metadata(node.child("metadata")),
         updated_ms: number("lastUpdatedTimestamp")?,
         dirty_ms: number("lastDirtyTimestamp")?,
         action: match node.text_of("actionType") {
@@ -164,7 +131,59 @@
     })
 }
 
-/// A number that may be left out.
+/// The first text that isn't empty.
+fn first_filled(texts: [String; 2], expected: &'static str) -> Result<String, WireError> {
+    let filled = texts.into_iter().find(|text| !text.is_empty());
+    filled.ok_or(WireError::Meaning { expected, place: "instance", got: "none".into() })
+}
+
+/// The status under the first of these names.
+fn status(node: &Node, names: &[&str]) -> InstanceStatus {
+    let name = names.iter().find_map(|name| node.text_of(name)).unwrap_or_default();
+    name.parse().unwrap_or_default()
+}
+
+fn port(node: &Node, name: &'static str) -> Result<Option<Port>, WireError> {
+    let Some(port) = node.child(name) else { return Ok(None) };
+    let number = number_of(&port.text, name)?;
+    let number = u16::try_from(number).map_err(|_| WireError::Meaning {
+        expected: "a port",
+        place: name,
+        got: number.to_string(),
+    })?;
+    let enabled = port.attribute("enabled").is_none_or(|enabled| enabled != "false");
+    Ok(Some(Port { number, enabled }))
+}
+
+/// A lease; its missing or zero durations are Eureka's defaults.
+fn lease(node: Option<&Node>) -> Result<Lease, WireError> {
+    const DEFAULT_RENEWAL_S: u64 = 30;
+    const DEFAULT_DURATION_S: u64 = 90;
+    let Some(node) = node else {
+        return Ok(Lease {
+            renewal_s: DEFAULT_RENEWAL_S,
+            duration_s: DEFAULT_DURATION_S,
+            ..Lease::default()
+        });
+    };
+    let number = |name: &'static str| number(node.text_of(name), name);
+    let or_default = |value: u64, default: u64| if value == 0 { default } else { value };
+    Ok(Lease {
+        renewal_s: or_default(number("renewalIntervalInSecs")?, DEFAULT_RENEWAL_S),
+        duration_s: or_default(number("durationInSecs")?, DEFAULT_DURATION_S),
+        registered_ms: number("registrationTimestamp")?,
+        renewed_ms: number("lastRenewalTimestamp")?,
+        evicted_ms: number("evictionTimestamp")?,
+        up_ms: number("serviceUpTimestamp")?,
+    })
+}
+
+fn metadata(node: Option<&Node>) -> BTreeMap<String, String> {
+    let entries = node.map(|node| &node.children[..]).unwrap_or_default();
+    entries.iter().map(|entry| (entry.name.clone(), entry.text.clone())).collect()
+}
+
+/// A number that may be missing; 0 then.
 fn number(text: Option<&str>, place: &'static str) -> Result<u64, WireError> {
     text.map_or(Ok(0), |text| number_of(text, place))
 }
@@ -182,7 +201,7 @@
     })
 }
 
-/// Writes one instance, as a registration or as the answer to a question for it.
+/// Writes one instance, as a registration or as the reply to a fetch of it.
 pub fn write_instance(instance: &Instance, format: Format) -> Vec<u8> {
     match format {
         Format::Json => json::instance(instance),
@@ -212,100 +231,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn some() -> Instance {
-        Instance {
-            id: "n3:8443".into(),
-            app: "TILE-SERVER".into(),
-            host: "n3".into(),
-            ip: Some("127.0.0.3".parse().unwrap()),
-            status: InstanceStatus::Up,
-            overridden: InstanceStatus::OutOfService,
-            port: Port { number: 8443, enabled: true },
-            vip: "tiles".into(),
-            lease: Lease {
-                renewal_s: 10,
-                duration_s: 30,
-                registered_ms: 5,
-                renewed_ms: 6,
-                evicted_ms: 0,
-                up_ms: 7,
-            },
-            metadata: [("zone", "lahti-1"), ("odd", "a<b & \"c\"")]
-                .map(|(key, value)| (key.to_string(), value.to_string()))
-                .into(),
-            updated_ms: 1_764_576_000_123,
-            dirty_ms: 1_764_576_000_456,
-            action: ActionType::Modified,
-            ..Instance::default()
-        }
-    }
-
-    #[test]
-    fn what_is_written_is_read_again_in_both_formats() {
-        let other = Instance { id: "n4".into(), app: "OTHER".into(), ..some() };
-        let all =
-            Applications { version: "3".into(), hash_code: "UP_2_".into(), instances: vec![other, some()] };
-        for format in [Format::Json, Format::Xml] {
-            let bytes = write_instance(&some(), format);
-            assert_eq!(read_instance(&bytes, format), Ok(some()), "{}", String::from_utf8_lossy(&bytes));
-            assert_eq!(read_applications(&write_applications(&all, format), format), Ok(all.clone()));
-            let one = write_application("TILE-SERVER", &[some()], format).unwrap();
-            assert_eq!(read_applications(&one, format).unwrap().instances, [some()]);
-        }
-    }
-
-    /// As servers and clients in other languages send it: single objects for lists, numbers as strings, the odd
-    /// spelling of the override, no lease, no id.
-    #[test]
-    fn the_spellings_of_other_implementations_are_read() {
-        let json = br#"{"applications":{"versions__delta":1,"apps__hashcode":"UP_1_","application":
-            {"name":"TILES","instance":{"hostName":"n1","app":"tiles","ipAddr":"10.0.0.4","status":"UP",
-             "overriddenstatus":"UNKNOWN","port":{"$":"8080","@enabled":"true"},"metadata":
-             {"@class":"java.util.Collections$EmptyMap"},"lastDirtyTimestamp":"17","actionType":"ADDED"}}}}"#;
-        let all = read_applications(json, Format::Json).unwrap();
-        let one = &all.instances[0];
-        assert_eq!((one.id.as_str(), one.app.as_str(), one.status), ("n1", "TILES", InstanceStatus::Up));
-        assert_eq!((one.port.number, one.port.enabled, one.dirty_ms), (8080, true, 17));
-        assert_eq!((one.lease.renewal_s, one.metadata.len()), (30, 0));
-        let xml =
-            br#"<?xml version="1.0"?><application><name>TILES</name><instance><instanceId>n&#49;</instanceId>
-            <hostName>h&amp;1</hostName><status> UP </status><port enabled="false">9</port>
-            <leaseInfo><renewalIntervalInSecs>5</renewalIntervalInSecs></leaseInfo>
-            <metadata class="java.util.Collections$EmptyMap"/></instance></application>"#;
-        let one = read_applications(xml, Format::Xml).unwrap().instances.remove(0);
-        assert_eq!((one.id.as_str(), one.host.as_str(), one.app.as_str()), ("n1", "h&1", "TILES"));
-        assert_eq!((one.port.enabled, one.lease.renewal_s, one.lease.duration_s), (false, 5, 90));
-    }
-
-    #[test]
-    fn what_makes_no_sense_is_an_error_that_says_what() {
-        let bad: [(&[u8], Format, &str); 7] = [
-            (b"{", Format::Json, "expected JSON"),
-            (b"<a><b></a>", Format::Xml, "expected XML"),
-            (b"<instance>", Format::Xml, "expected XML"),
-            (b"[]", Format::Json, "applications or application"),
-            (b"{\"application\":{\"name\":\"A\",\"instance\":[{}]}}", Format::Json, "an instanceId"),
-            (
-                b"<application><name>A</name><instance><hostName>h</hostName><port>70000</port></instance></application>",
-                Format::Xml,
-                "a port",
-            ),
-            (
-                b"{\"application\":{\"name\":\"A\",\"instance\":{\"hostName\":\"h\",\"lastDirtyTimestamp\":\"x\"}}}",
-                Format::Json,
-                "a whole number",
-            ),
-        ];
-        for (bytes, format, message) in bad {
-            let error = read_applications(bytes, format).unwrap_err().to_string();
-            assert!(error.contains(message), "{error} should hold {message}");
-        }
-        // Guards the stack: nesting without end.
-        let deep = "<a>".repeat(100_000);
-        assert!(read_applications(deep.as_bytes(), Format::Xml).is_err());
-        assert!(read_applications("[".repeat(100_000).as_bytes(), Format::Json).is_err());
-    }
-}
+mod tests;
--- a/crates/registry/src/wire/tree.rs
+++ b/crates/registry/src/wire/tree.rs
@@ -1,32 +1,40 @@
-//! A message as a tree, whichever format it came in.
+//! A message as a tree, independent of its format.
 
 /// An element: an XML element, or a member of a JSON object. `"@x"` members are attributes and `"$"` is text, as
 /// Eureka's JSON spells them.
 #[derive(Debug, Default)]
 pub struct Node {
+    /// The element's or member's name.
     pub name: String,
+    /// The text in it.
     pub text: String,
     attributes: Vec<(String, String)>,
+    /// The elements in it, in order.
     pub children: Vec<Node>,
 }
 
 impl Node {
+    /// An empty node.
     pub fn new(name: &str) -> Self {
         Self { name: name.to_string(), ..Self::default() }
     }
 
+    /// Adds an attribute.
     pub fn set_attribute(&mut self, name: &str, value: String) {
         self.attributes.push((name.to_string(), value));
     }
 
+    /// The value of an attribute.
     pub fn attribute(&self, name: &str) -> Option<&str> {
         self.attributes.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
 
+    /// The first child of a name.
     pub fn child(&self, name: &str) -> Option<&Node> {
         self.children.iter().find(|child| child.name == name)
     }
 
+    /// All children of a name.
     pub fn children<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a Node> {
         self.children.iter().filter(move |child| child.name == name)
     }
--- a/crates/registry/src/wire/xml.rs
+++ b/crates/registry/src/wire/xml.rs
@@ -1,7 +1,7 @@
 //! The XML of the registry API.
 
 use super::tree::Node;
-use super::{MOST_DEPTH, WireError};
+use super::{MAX_DEPTH, WireError};
 use crate::instance::{Applications, Instance, Port};
 use quick_xml::events::{BytesEnd, BytesStart, BytesText, Event};
 use quick_xml::{Reader, Writer};
@@ -11,6 +11,7 @@
     WireError::Syntax { format: "XML", why: why.to_string() }
 }
 
+/// Parses a message into a tree.
 pub fn parse(bytes: &[u8]) -> Result<Node, WireError> {
     let mut reader = Reader::from_reader(bytes);
     reader.config_mut().check_end_names = true;
@@ -21,7 +22,7 @@
         buffer.clear();
         match reader.read_event_into(&mut buffer).map_err(syntax)? {
             Event::Start(tag) => {
-                if open.len() >= MOST_DEPTH || root.is_some() {
+                if open.len() >= MAX_DEPTH || root.is_some() {
                     return Err(syntax(if root.is_some() {
                         "more than one root"
                     } else {
@@ -48,15 +49,15 @@
             Event::GeneralRef(name) => {
                 let Some(node) = open.last_mut() else { continue };
                 let character = name.resolve_char_ref().map_err(syntax)?;
-                let word = name.decode().map_err(syntax)?;
-                match (character, quick_xml::escape::resolve_predefined_entity(&word)) {
+                let entity = name.decode().map_err(syntax)?;
+                match (character, quick_xml::escape::resolve_predefined_entity(&entity)) {
                     (Some(character), _) => node.text.push(character),
                     (None, Some(text)) => node.text.push_str(text),
-                    (None, None) => return Err(syntax(format!("an unknown entity {word}"))),
+                    (None, None) => return Err(syntax(format!("an unknown entity {entity}"))),
                 }
             }
             Event::Eof => break,
-            // Declarations, comments and instructions say nothing here; a document type is never followed.
+            // Declarations, comments and instructions are ignored; a document type is never followed.
             _ => {}
         }
     }
@@ -122,8 +123,8 @@
                 ("hostName", &i.host),
                 ("app", &i.app),
                 ("ipAddr", &ip),
-                ("status", i.status.word()),
-                ("overriddenstatus", i.overridden.word()),
+                ("status", i.status.wire_name()),
+                ("overriddenstatus", i.overridden.wire_name()),
             ] {
                 out.text(name, &[], text);
             }
@@ -164,7 +165,7 @@
                 ("isCoordinatingDiscoveryServer", "false"),
                 ("lastUpdatedTimestamp", &i.updated_ms.to_string()),
                 ("lastDirtyTimestamp", &i.dirty_ms.to_string()),
-                ("actionType", i.action.word()),
+                ("actionType", i.action.wire_name()),
             ] {
                 out.text(name, &[], text);
             }
@@ -187,14 +188,17 @@
     out.0.into_inner()
 }
 
+/// Writes one instance.
 pub fn instance(instance: &Instance) -> Vec<u8> {
     document(|out| out.instance(instance))
 }
 
+/// Writes one application.
 pub fn application(name: &str, instances: &[&Instance]) -> Vec<u8> {
     document(|out| out.application(name, instances))
 }
 
+/// Writes all applications.
 pub fn applications(all: &Applications, apps: &BTreeMap<&str, Vec<&Instance>>) -> Vec<u8> {
     document(|out| {
         out.within("applications", &[], |out| {
--- a/crates/registry/tests/golden_documents.rs
+++ b/crates/registry/tests/golden_documents.rs
@@ -57,7 +57,7 @@
 /// The rest of the words, and as little as may be told.
 fn sparse(status: InstanceStatus, action: ActionType) -> Instance {
     Instance {
-        id: status.word().into(),
+        id: status.wire_name().into(),
         app: "OTHER".into(),
         host: "n4".into(),
         status,
--- a/crates/registry/tests/odd_replies.rs
+++ b/crates/registry/tests/odd_replies.rs
@@ -19,12 +19,12 @@
         urls,
         heartbeat: Span(10_000 * MS),
         timeout: Span(1_000 * MS),
-        tell_every: Span(1_000 * MS),
-        steady: Span(500 * MS),
+        min_change_interval: Span(1_000 * MS),
+        stabilization_period: Span(500 * MS),
         ready_share: 0.6,
         cold_capacity: 0.2,
         cold: Span(8_000 * MS),
-        prefer_every: Span(30_000 * MS),
+        preferred_retry_interval: Span(30_000 * MS),
         cancel: true,
     }
 }
@@ -46,7 +46,7 @@
                 return ask;
             }
             let shown = membership.shown().unwrap_or_default();
-            let reply = if ask.op == RegistryOperation::FetchOwnRecord {
+            let reply = if ask.operation == RegistryOperation::FetchOwnRecord {
                 record(shown, 1)
             } else {
                 RegistryReply::Done
@@ -64,9 +64,10 @@
     for dirty_ms in [u64::MAX - 1, u64::MAX] {
         let mut now = Time(1_000 * MS);
         let mut membership = Membership::new(settings(1), 5, now);
-        let look = asked(&mut membership, &mut now, |ask| ask.op == RegistryOperation::FetchOwnRecord);
+        let look = asked(&mut membership, &mut now, |ask| ask.operation == RegistryOperation::FetchOwnRecord);
         membership.reply(now, look.ticket, record(InstanceStatus::Starting, dirty_ms));
-        let again = asked(&mut membership, &mut now, |ask| matches!(ask.op, RegistryOperation::Register(_)));
+        let again =
+            asked(&mut membership, &mut now, |ask| matches!(ask.operation, RegistryOperation::Register(_)));
         membership.reply(now, again.ticket, RegistryReply::Done);
         membership.leave(now);
         asked(&mut membership, &mut now, |ask| ask.lane == RequestLane::Urgent);
@@ -80,17 +81,17 @@
     let mut membership = Membership::new(settings(2), 5, now);
     membership.processor(Some((now, false)));
     membership.health(now, true);
-    asked(&mut membership, &mut now, |ask| matches!(ask.op, RegistryOperation::Heartbeat { .. }));
+    asked(&mut membership, &mut now, |ask| matches!(ask.operation, RegistryOperation::Heartbeat { .. }));
     membership.leave(now);
     let look = asked(&mut membership, &mut now, |ask| {
-        ask.lane == RequestLane::Urgent && ask.op == RegistryOperation::FetchOwnRecord
+        ask.lane == RequestLane::Urgent && ask.operation == RegistryOperation::FetchOwnRecord
     });
-    membership.retry_after();
+    membership.return_to_service();
     now = time_after(now, Span(600 * MS));
     // The other lane's question runs out of its time meanwhile, so the second registry is in use.
     let routine = (1..look.ticket).rev().find(|ticket| {
         membership.reply(now, *ticket, RegistryReply::Failed("cut".into()));
-        membership.notes().iter().any(|note| note.contains("failed"))
+        membership.take_log_lines().iter().any(|note| note.contains("failed"))
     });
     assert!(routine.is_some(), "one was open");
     membership.reply(now, look.ticket, record(InstanceStatus::OutOfService, 1));
@@ -127,7 +128,7 @@
             let dirty_ms = [0, now.0 / MS, u64::MAX, u64::MAX - 1, 1][(draw >> 16) as usize % 5];
             match (draw >> 24) % 16 {
                 0 => membership.leave(now),
-                1 => membership.retry_after(),
+                1 => membership.return_to_service(),
                 2 => membership.health(now, draw.is_multiple_of(2)),
                 3 => membership.processor((!draw.is_multiple_of(3)).then_some((now, draw.is_multiple_of(5)))),
                 4 => membership.metadata("store", &draw.to_string()),
--- a/crates/registry/tests/view.rs
+++ b/crates/registry/tests/view.rs
@@ -98,7 +98,7 @@
 fn an_instance_that_moves_between_zones_is_chosen_where_it_is() {
     let near = ViewSettings { zone: Some("lahti-1".into()), ..ViewSettings::default() };
     let mut view = view(near, up(0..3));
-    assert!(!view.pick("tiles", |_| false).unwrap().near, "none is there: any other will do");
+    assert!(!view.pick("tiles", |_| false).unwrap().in_own_zone, "none is there: any other will do");
     let moved = Instance {
         action: ActionType::Modified,
         updated_ms: 2,
@@ -108,7 +108,7 @@
     next(&mut view, 30, Some(&delta));
     for _ in 0..50 {
         let picked = view.pick("tiles", |_| false).unwrap();
-        assert_eq!((picked.id, picked.near), ("n1", true));
+        assert_eq!((picked.id, picked.in_own_zone), ("n1", true));
     }
     assert_eq!(view.len(), 3);
 }
@@ -119,7 +119,7 @@
     let mut fleet = up(0..20);
     fleet.push(instance(20, "lahti-1", InstanceStatus::Up));
     let mut view = view(near, fleet);
-    let near = (0..1000).filter(|_| view.pick("tiles", |_| false).unwrap().near).count();
+    let near = (0..1000).filter(|_| view.pick("tiles", |_| false).unwrap().in_own_zone).count();
     assert!(near < 120, "one of 21 gets {near} of 1000");
 }
 
@@ -197,7 +197,7 @@
         let mut truth: std::collections::BTreeMap<u16, Instance> =
             (0..20).map(|n| (n, instance(n, zones[n as usize % 3], InstanceStatus::Up))).collect();
         // Doubts have tests of their own.
-        let set = ViewSettings { least_left: 0.0, ..ViewSettings::default() };
+        let set = ViewSettings { min_remaining_share: 0.0, ..ViewSettings::default() };
         let mut view = view(set, truth.values().cloned().collect());
         for (step, (n, what, arrives)) in changes.into_iter().enumerate() {
             let s = 30 * (step as u64 + 1);
--- a/crates/testkit/src/bench/mod.rs
+++ b/crates/testkit/src/bench/mod.rs
@@ -70,7 +70,7 @@
             member
         })
         .collect();
-    let total = |members: &[Membership]| members.iter().map(Membership::calls).sum::<u64>();
+    let total = |members: &[Membership]| members.iter().map(Membership::requests_sent).sum::<u64>();
     let (mut early, until) = (0, 330_000);
     for ms in (0..until).step_by(50) {
         let now = Time(ms * MS);
@@ -80,7 +80,7 @@
                 let done = |outcome| {
                     if outcome == Outcome::Done { RegistryReply::Done } else { RegistryReply::NotFound }
                 };
-                let reply = match &ask.op {
+                let reply = match &ask.operation {
                     RegistryOperation::Register(instance) => {
                         registry.register(Instance::clone(instance), false, ms);
                         RegistryReply::Done
--- a/crates/testkit/src/registry/mod.rs
+++ b/crates/testkit/src/registry/mod.rs
@@ -17,12 +17,12 @@
         urls: 1,
         heartbeat: ms(30_000),
         timeout: ms(2_000),
-        tell_every: ms(1_000),
-        steady: ms(1_000),
+        min_change_interval: ms(1_000),
+        stabilization_period: ms(1_000),
         ready_share: 0.6,
         cold_capacity: 0.21,
         cold: ms(18_000),
-        prefer_every: ms(60_000),
+        preferred_retry_interval: ms(60_000),
         cancel: false,
     }
 }
--- a/crates/testkit/tests/membership.rs
+++ b/crates/testkit/tests/membership.rs
@@ -17,8 +17,8 @@
 
 fn settings(urls: usize) -> MembershipSettings {
     let instance = Instance { id: ID.into(), app: APP.into(), ..Instance::default() };
-    let (heartbeat, prefer_every) = (Span(10_000 * MS), Span(20_000 * MS));
-    MembershipSettings { urls, heartbeat, prefer_every, ..member(instance) }
+    let (heartbeat, preferred_retry_interval) = (Span(10_000 * MS), Span(20_000 * MS));
+    MembershipSettings { urls, heartbeat, preferred_retry_interval, ..member(instance) }
 }
 
 /// How a registry answers.
@@ -91,7 +91,7 @@
     }
 
     fn carry(&mut self, ask: RegistryRequest) {
-        self.asked.push((self.ms, ask.lane, ask.op.clone()));
+        self.asked.push((self.ms, ask.lane, ask.operation.clone()));
         let way = self.ways[ask.url];
         let timeout = ask.timeout.0 / MS;
         let late = |why: &str| (self.ms + timeout, ask.ticket, RegistryReply::Failed(why.into()));
@@ -100,18 +100,20 @@
             Way::Hangs => late("hangs"),
             Way::Status(status) => (self.ms + 1, ask.ticket, RegistryReply::Rejected(status)),
             Way::Deaf => {
-                apply(&mut self.registries[ask.url], &ask.op, self.ms);
+                apply(&mut self.registries[ask.url], &ask.operation, self.ms);
                 late("lost")
             }
             Way::Slow(by) => {
-                self.slowly.push((self.ms + by, ask.ticket, ask.url, ask.op));
+                self.slowly.push((self.ms + by, ask.ticket, ask.url, ask.operation));
                 if by <= timeout {
                     return;
                 }
                 // It will be done all the same, long after it was given up.
                 late("late")
             }
-            Way::Well => (self.ms + 2, ask.ticket, apply(&mut self.registries[ask.url], &ask.op, self.ms)),
+            Way::Well => {
+                (self.ms + 2, ask.ticket, apply(&mut self.registries[ask.url], &ask.operation, self.ms))
+            }
         };
         self.replies.push(reply);
     }
@@ -297,7 +299,7 @@
             Some(InstanceStatus::OutOfService),
             "left after {before} ms, answers {delay} ms late"
         );
-        assert!(world.membership.left());
+        assert!(world.membership.is_out_of_service());
     }
 }
 
@@ -310,7 +312,7 @@
         world.membership.leave(world.now());
         world.run(2_000);
         world.ways[0] = Way::Slow(slow);
-        world.membership.retry_after();
+        world.membership.return_to_service();
         world.run(50);
         world.ways[0] = Way::Well;
         world.membership.leave(world.now());
@@ -381,7 +383,8 @@
 #[test]
 fn a_health_that_flaps_is_told_at_a_bounded_rate_and_the_last_word_is_told() {
     for (last, steady) in [(true, 1_000), (false, 1_000), (true, 0), (false, 0)] {
-        let mut world = World::with(MembershipSettings { steady: Span(steady * MS), ..settings(1) }, 1_000);
+        let mut world =
+            World::with(MembershipSettings { stabilization_period: Span(steady * MS), ..settings(1) }, 1_000);
         world.ready();
         world.run(5_000);
         let before = world.count(is_register);
@@ -415,7 +418,7 @@
     world.membership.leave(world.now());
     world.run(1_000);
     assert_eq!(world.shows(0), Some(InstanceStatus::OutOfService));
-    world.membership.retry_after();
+    world.membership.return_to_service();
     world.run(5_000);
     assert_eq!(world.shows(0), Some(InstanceStatus::Up));
 }
