--- a/crates/core/src/registration.rs
+++ b/crates/core/src/registration.rs
@@ -81,7 +81,7 @@
     pub fn take_in(&mut self) -> bool {
         let was_out = self.drain_at.take().is_some();
         if let Some(membership) = self.membership.as_mut().filter(|_| was_out) {
-            membership.retry_after();
+            membership.return_to_service();
         }
         was_out
     }
@@ -117,7 +117,7 @@
         for _ in 0..MAX_REQUESTS_PER_STEP {
             effects.extend(membership.poll(timestamp.now, timestamp.unix_ms).map(Effect::AskRegistry));
         }
-        let notes = membership.notes().into_iter();
+        let notes = membership.take_log_lines().into_iter();
         effects.extend(notes.map(|text| Effect::Log { level: Level::Info, text }));
     }
 
--- a/crates/node/src/registry.rs
+++ b/crates/node/src/registry.rs
@@ -229,7 +229,7 @@
         for request in queue {
             let Some(client) = clients.get(request.url) else { continue };
             let timeout = Duration::from_nanos(request.timeout.0);
-            let reply = client.ask(&app, &instance_id, &request.op, timeout);
+            let reply = client.ask(&app, &instance_id, &request.operation, timeout);
             if inputs.send(Input::RegistryReply { ticket: request.ticket, reply }).is_err() {
                 return;
             }
--- a/crates/node/src/settings/registry.rs
+++ b/crates/node/src/settings/registry.rs
@@ -213,12 +213,12 @@
             urls: self.urls.len(),
             heartbeat: self.heartbeat,
             timeout: self.timeout,
-            tell_every: self.min_publish_interval,
-            steady: self.stabilization,
+            min_change_interval: self.min_publish_interval,
+            stabilization_period: self.stabilization,
             ready_share: self.ready_share,
             cold_capacity: rules.cold_capacity,
             cold: rules.cold,
-            prefer_every: self.preferred_url_interval,
+            preferred_retry_interval: self.preferred_url_interval,
             cancel: self.deregister,
         }
     }
