--- a/crates/core/tests/settings_changes.rs
+++ b/crates/core/tests/settings_changes.rs
@@ -230,7 +230,7 @@
         let one = Attempt { name, token, keyed, t0, slot, answered: false, runs: false };
         self.attempts.insert(id.clone(), one);
         self.by_sequence.insert(sequence, id);
-        self.inputs.push(Input::Request { connection: 1, sequence: sequence, request: Box::new(call) });
+        self.inputs.push(Input::Request { connection: 1, sequence, request: Box::new(call) });
     }
 
     fn complete(&mut self, place: usize) {
