--- a/crates/core/src/idempotency_log.rs
+++ b/crates/core/src/idempotency_log.rs
@@ -33,31 +33,31 @@
     /// An attempt will be run.
     Intent {
         /// Idempotency key that all attempts share.
-        token: Arc<str>,
+        key: Arc<str>,
         /// Fingerprint of its body and class.
-        print: u64,
+        fingerprint: u64,
         /// The attempt.
         id: RequestId,
         /// What is left of its window.
-        left: Span,
+        window_left: Span,
     },
     /// The outcome of a run, when it ends or when all is written anew.
     Known {
         /// Idempotency key that all attempts share.
-        token: Arc<str>,
+        key: Arc<str>,
         /// Fingerprint of its body and class.
-        print: u64,
+        fingerprint: u64,
         /// The attempt that ran.
         id: RequestId,
         /// What is left of its window.
-        left: Span,
+        window_left: Span,
         /// The result, or none if it failed.
         result: Option<Arc<Buffer>>,
     },
     /// The attempt of an earlier intent never ran.
     Void {
         /// Idempotency key that all attempts share.
-        token: Arc<str>,
+        key: Arc<str>,
         /// The attempt.
         id: RequestId,
     },
@@ -67,11 +67,11 @@
 #[derive(Debug, Clone, Default)]
 pub struct RecoveredRuns {
     /// The runs whose windows may be open, in the order of their keys.
-    pub past: Vec<SavedRun>,
+    pub runs: Vec<SavedRun>,
     /// Key of all fingerprints in this store.
     pub salt: u64,
     /// Set if something that was durable can't be read: any key may have run, for so long.
-    pub doubt: Option<Span>,
+    pub doubtful_for: Option<Span>,
     /// What was found, for the log.
     pub notes: Vec<String>,
 }
@@ -280,17 +280,17 @@
     /// An attempt whose intent was appended never ran.
     pub fn append_void(&mut self, key: &Arc<str>, id: &RequestId) {
         if matches!(self.state, StoreState::Good) {
-            self.next_batch.push(LogRecord::Void { token: Arc::clone(key), id: id.clone() });
+            self.next_batch.push(LogRecord::Void { key: Arc::clone(key), id: id.clone() });
         }
     }
 
     /// The store was opened and read.
     pub fn store_recovered(&mut self, now: Time, recovered: &RecoveredRuns) {
         self.state = StoreState::Good;
-        self.doubtful_until = recovered.doubt.map(|doubt| time_after(now, doubt));
-        let is_error = recovered.doubt.is_some();
+        self.doubtful_until = recovered.doubtful_for.map(|doubt| time_after(now, doubt));
+        let is_error = recovered.doubtful_for.is_some();
         self.notes.extend(recovered.notes.iter().map(|text| LogNote { is_error, text: text.clone() }));
-        let count = recovered.past.len();
+        let count = recovered.runs.len();
         self.note(format!("the store is open, with {count} runs of an earlier process"));
     }
 
@@ -417,7 +417,7 @@
 }
 
 fn intent_record(run: KeyedRun) -> LogRecord {
-    LogRecord::Intent { token: run.key, print: run.fingerprint, id: run.id, left: run.window_left }
+    LogRecord::Intent { key: run.key, fingerprint: run.fingerprint, id: run.id, window_left: run.window_left }
 }
 
 /// The record of a run's outcome; none if nothing is known that the intent doesn't say.
@@ -428,7 +428,7 @@
         Some(RunOutcome::Unknown) | None => return None,
     };
     let KeyedRun { key, fingerprint, id, window_left, .. } = run;
-    Some(LogRecord::Known { token: key, print: fingerprint, id, left: window_left, result })
+    Some(LogRecord::Known { key, fingerprint, id, window_left, result })
 }
 
 /// The record of a run when all is written anew. One without an outcome may have run, and stays an intent.
--- a/crates/core/src/idempotency_table.rs
+++ b/crates/core/src/idempotency_table.rs
@@ -228,11 +228,11 @@
         timestamp: Timestamp,
         pool: &Arc<crate::buffer_pool::BufferPool>,
     ) {
-        let key: Arc<str> = Arc::from(saved.token);
+        let key: Arc<str> = Arc::from(saved.key);
         let id = RequestId::new(&saved.id);
-        let closes_unix_ms = timestamp.unix_ms.saturating_add(saved.left.0.div_ceil(MS));
-        self.run_started(&key, saved.print, &id, closes_unix_ms, timestamp);
-        let outcome = match saved.end {
+        let closes_unix_ms = timestamp.unix_ms.saturating_add(saved.window_left.0.div_ceil(MS));
+        self.run_started(&key, saved.fingerprint, &id, closes_unix_ms, timestamp);
+        let outcome = match saved.outcome {
             SavedOutcome::Served(result) => match pool.exact(&result) {
                 Some(result) => RunOutcome::Served(Arc::new(result)),
                 None => RunOutcome::Failed,
--- a/crates/core/src/idempotency_table/tests.rs
+++ b/crates/core/src/idempotency_table/tests.rs
@@ -53,11 +53,11 @@
 #[test]
 fn restored_window_lasts_for_the_time_that_was_left() {
     let saved = |n: u64, end| SavedRun {
-        token: format!("t{n}"),
-        print: n,
+        key: format!("t{n}"),
+        fingerprint: n,
         id: format!("{n:016x}"),
-        left: Span(8_000 * MS),
-        end,
+        window_left: Span(8_000 * MS),
+        outcome: end,
     };
     for unix_ms in [5, 1_000_000, 9_000_000_000] {
         let (mut table, pool) = (IdempotencyTable::new(10_000), BufferPool::new(0));
--- a/crates/core/src/keyed_run.rs
+++ b/crates/core/src/keyed_run.rs
@@ -37,15 +37,15 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SavedRun {
     /// Its idempotency key.
-    pub token: String,
+    pub key: String,
     /// Fingerprint of its body and class.
-    pub print: u64,
+    pub fingerprint: u64,
     /// The attempt that ran.
     pub id: String,
     /// What is left of its window.
-    pub left: Span,
+    pub window_left: Span,
     /// Its outcome.
-    pub end: SavedOutcome,
+    pub outcome: SavedOutcome,
 }
 
 /// How a run of an earlier process ended.
--- a/crates/core/src/reducer/persistence.rs
+++ b/crates/core/src/reducer/persistence.rs
@@ -78,7 +78,7 @@
         let now = self.timestamp.now;
         self.recovery.salt = recovered.salt;
         self.idempotency_log.store_recovered(now, &recovered);
-        for run in recovered.past {
+        for run in recovered.runs {
             self.idempotency_table.restore(run, self.timestamp, &self.recovery.pool);
         }
         if !self.idempotency_table.awaits_recovered_runs() {
--- a/crates/gradepin/src/store.rs
+++ b/crates/gradepin/src/store.rs
@@ -69,11 +69,12 @@
             seen.records
         );
     }
-    let of =
-        |test: fn(&SavedOutcome) -> bool| found.recovered.past.iter().filter(|past| test(&past.end)).count();
+    let of = |test: fn(&SavedOutcome) -> bool| {
+        found.recovered.runs.iter().filter(|past| test(&past.outcome)).count()
+    };
     println!(
         "{} runs may still be asked for: {} with a result, {} failed, {} with an unknown outcome",
-        found.recovered.past.len(),
+        found.recovered.runs.len(),
         of(|end| matches!(end, SavedOutcome::Served(_))),
         of(|end| *end == SavedOutcome::Failed),
         of(|end| *end == SavedOutcome::Unknown)
@@ -144,8 +145,8 @@
         println!("nothing to compact");
         return Ok(true);
     }
-    let count = found.recovered.past.len();
-    let records: Vec<LogRecord> = found.recovered.past.into_iter().map(record).collect();
+    let count = found.recovered.runs.len();
+    let records: Vec<LogRecord> = found.recovered.runs.into_iter().map(record).collect();
     log.write_anew(Stamp::default(), &records)?;
     let damaged = found.segments.iter().any(|seen| seen.damage.is_some());
     println!("{count} runs written anew: {before} bytes before, {} after", log.bytes());
@@ -157,15 +158,15 @@
 }
 
 fn record(past: SavedRun) -> LogRecord {
-    let SavedRun { token, print, id, left, end } = past;
-    let (token, id) = (Arc::from(token), RequestId::new(&id));
-    match end {
-        SavedOutcome::Unknown => LogRecord::Intent { token, print, id, left },
-        SavedOutcome::Failed => LogRecord::Known { token, print, id, left, result: None },
+    let SavedRun { key, fingerprint, id, window_left, outcome } = past;
+    let (key, id) = (Arc::from(key), RequestId::new(&id));
+    match outcome {
+        SavedOutcome::Unknown => LogRecord::Intent { key, fingerprint, id, window_left },
+        SavedOutcome::Failed => LogRecord::Known { key, fingerprint, id, window_left, result: None },
         SavedOutcome::Served(result) => {
             // What a store holds was once in a buffer.
             let result = BufferPool::new(0).exact(&result).map(Arc::new);
-            LogRecord::Known { token, print, id, left, result }
+            LogRecord::Known { key, fingerprint, id, window_left, result }
         }
     }
 }
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -158,7 +158,12 @@
 
     fn batch(n: u64) -> RecordBatch {
         let (token, id) = (format!("t{n}").into(), RequestId::new(&format!("{n:016x}")));
-        RecordBatch::Append(vec![LogRecord::Intent { token, print: 1, id, left: Span(9_000_000_000) }])
+        RecordBatch::Append(vec![LogRecord::Intent {
+            key: token,
+            fingerprint: 1,
+            id,
+            window_left: Span(9_000_000_000),
+        }])
     }
 
     /// Guards against a sync for each request, against a caller that waits for a disk, and against a word that comes
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -110,17 +110,20 @@
 pub fn stored(record: &LogRecord) -> StoredRecord<'_> {
     const MS: u64 = 1_000_000;
     match record {
-        LogRecord::Intent { token, print, id, left } => {
-            StoredRecord::Intent { token, print: *print, id: &id.0, left_ms: left.0.div_ceil(MS) }
-        }
-        LogRecord::Known { token, print, id, left, result } => {
+        LogRecord::Intent { key, fingerprint, id, window_left } => StoredRecord::Intent {
+            token: key,
+            print: *fingerprint,
+            id: &id.0,
+            left_ms: window_left.0.div_ceil(MS),
+        },
+        LogRecord::Known { key: token, fingerprint: print, id, window_left: left, result } => {
             let (print, id, left_ms) = (*print, &*id.0, left.0.div_ceil(MS));
             match result {
                 Some(result) => StoredRecord::Served { token, print, id, left_ms, result },
                 None => StoredRecord::Failed { token, print, id, left_ms },
             }
         }
-        LogRecord::Void { token, id } => StoredRecord::Void { token, id: &id.0 },
+        LogRecord::Void { key: token, id } => StoredRecord::Void { token, id: &id.0 },
     }
 }
 
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -300,11 +300,14 @@
         let past = self.entries.into_iter().filter_map(|(token, entry)| {
             let left = left(&clocks, entry.life, entry.end_ms)?;
             let (token, id) = (token.into_string(), entry.id.into_string());
-            Some(SavedRun { token, print: entry.print, id, left, end: entry.end })
+            Some(SavedRun { key: token, fingerprint: entry.print, id, window_left: left, outcome: entry.end })
         });
         let mut past: Vec<SavedRun> = past.collect();
-        past.sort_by(|a, b| a.token.cmp(&b.token));
-        RecoveredLog { recovered: RecoveredRuns { past, salt, doubt, notes }, segments: self.segments }
+        past.sort_by(|a, b| a.key.cmp(&b.key));
+        RecoveredLog {
+            recovered: RecoveredRuns { runs: past, salt, doubtful_for: doubt, notes },
+            segments: self.segments,
+        }
     }
 }
 
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -286,10 +286,10 @@
     for group in 0..50 {
         let records: Vec<LogRecord> = (0..400)
             .map(|n| LogRecord::Known {
-                token: format!("{:06}", group * 400 + n).into(),
-                print: 1,
+                key: format!("{:06}", group * 400 + n).into(),
+                fingerprint: 1,
                 id: RequestId::new(&format!("{n:016x}")),
-                left: window,
+                window_left: window,
                 result: result.clone(),
             })
             .collect();
@@ -297,20 +297,20 @@
     }
     let files = disk.clone();
     let (_, found) = Log::open(Box::new(disk), limits, 7).expect("whole");
-    let past = found.recovered.past;
+    let past = found.recovered.runs;
     assert_eq!(past.len(), 20_000);
-    let kept: Vec<bool> = past.iter().map(|past| matches!(past.end, SavedOutcome::Served(_))).collect();
+    let kept: Vec<bool> = past.iter().map(|past| matches!(past.outcome, SavedOutcome::Served(_))).collect();
     assert_eq!(kept.iter().filter(|kept| **kept).count(), 100);
     assert!(kept[19_900..].iter().all(|kept| *kept), "the newest are kept");
     assert!(
-        past[..19_900].iter().all(|past| past.end == SavedOutcome::Failed),
+        past[..19_900].iter().all(|past| past.outcome == SavedOutcome::Failed),
         "the others are known to have ended"
     );
-    assert_eq!(found.recovered.doubt, None);
+    assert_eq!(found.recovered.doubtful_for, None);
     // More runs than there may be: the rest is not known, so nothing new of a key may run for a window.
     let few = Limits { most_records: 1_000, ..limits };
     let (_, found) = Log::open(Box::new(files), few, 7).expect("whole");
-    assert_eq!((found.recovered.past.len(), found.recovered.doubt), (1_000, Some(window)));
+    assert_eq!((found.recovered.runs.len(), found.recovered.doubtful_for), (1_000, Some(window)));
 }
 
 /// Guards against what a failed sync leaves behind: nothing written before it is trusted, and a crash at any moment after
--- a/crates/store/tests/full.rs
+++ b/crates/store/tests/full.rs
@@ -7,7 +7,7 @@
 
 fn intent(n: u64) -> LogRecord {
     let (token, id) = (format!("t{n}").into(), RequestId::new(&format!("{n:016x}")));
-    LogRecord::Intent { token, print: 1, id, left: Span(9_000_000_000) }
+    LogRecord::Intent { key: token, fingerprint: 1, id, window_left: Span(9_000_000_000) }
 }
 
 /// Guards the folder against a file for each try to write all anew: tries go on for as long as the disk is full, and what they
--- a/crates/store/tests/names.rs
+++ b/crates/store/tests/names.rs
@@ -47,11 +47,12 @@
         };
         let (mut log, _) = Log::open(folder.disk(), limits, 7).expect("it opens");
         let id = RequestId::new("00000000000000aa");
-        let intent = LogRecord::Intent { token: "t".into(), print: 1, id, left: Span(9_000_000_000) };
+        let intent =
+            LogRecord::Intent { key: "t".into(), fingerprint: 1, id, window_left: Span(9_000_000_000) };
         log.add(Stamp::default(), &[intent]).expect("it writes");
         drop(log);
         let (_, found) = Log::open(folder.disk(), limits, 8).expect("it opens again");
-        assert_eq!(found.recovered.past.len(), 1);
+        assert_eq!(found.recovered.runs.len(), 1);
 
         let folder = Temp::new("council", &[voter_log::name_of(number)]);
         VoterLog::open(folder.disk(), 5).map(drop).expect("it opens");
--- a/crates/testkit/src/bench/store.rs
+++ b/crates/testkit/src/bench/store.rs
@@ -68,10 +68,14 @@
             .map(|one| {
                 let (token, id) = (Arc::clone(&one.token), RequestId(Arc::clone(&one.token)));
                 match one.end {
-                    true => {
-                        LogRecord::Known { token, print: 7, id, left, result: Some(Arc::clone(&self.result)) }
-                    }
-                    false => LogRecord::Intent { token, print: 7, id, left },
+                    true => LogRecord::Known {
+                        key: token,
+                        fingerprint: 7,
+                        id,
+                        window_left: left,
+                        result: Some(Arc::clone(&self.result)),
+                    },
+                    false => LogRecord::Intent { key: token, fingerprint: 7, id, window_left: left },
                 }
             })
             .collect();
@@ -272,8 +276,14 @@
                     Arc::from(format!("{:032x}", (*n as u128).wrapping_mul(0x9e37_79b9_7f4a_7c15)));
                 let id = RequestId::new(&format!("{n:016x}"));
                 match n % 2 {
-                    0 => LogRecord::Known { token, print: 7, id, left, result: Some(Arc::clone(&bytes)) },
-                    _ => LogRecord::Intent { token, print: 7, id, left },
+                    0 => LogRecord::Known {
+                        key: token,
+                        fingerprint: 7,
+                        id,
+                        window_left: left,
+                        result: Some(Arc::clone(&bytes)),
+                    },
+                    _ => LogRecord::Intent { key: token, fingerprint: 7, id, window_left: left },
                 }
             })
             .collect();
