--- a/crates/gradepin/src/store.rs
+++ b/crates/gradepin/src/store.rs
@@ -70,9 +70,9 @@
             segment.records
         );
     }
-    let runs = &found.recovered.past;
+    let runs = &found.recovered.runs;
     let count =
-        |is_counted: fn(&SavedOutcome) -> bool| runs.iter().filter(|run| is_counted(&run.end)).count();
+        |is_counted: fn(&SavedOutcome) -> bool| runs.iter().filter(|run| is_counted(&run.outcome)).count();
     println!(
         "{} runs may still be asked for: {} with a result, {} failed, {} with an unknown outcome",
         runs.len(),
@@ -146,8 +146,8 @@
         println!("nothing to compact");
         return Ok(true);
     }
-    let count = found.recovered.past.len();
-    let records: Vec<LogRecord> = found.recovered.past.into_iter().map(record_of).collect();
+    let count = found.recovered.runs.len();
+    let records: Vec<LogRecord> = found.recovered.runs.into_iter().map(record_of).collect();
     log.write_anew(Stamp::default(), &records)?;
     let is_damaged = found.segments.iter().any(|segment| segment.damage.is_some());
     println!("{count} runs written anew: {before} bytes before, {} after", log.bytes());
@@ -159,15 +159,15 @@
 }
 
 fn record_of(run: SavedRun) -> LogRecord {
-    let SavedRun { token, print, id, left, end } = run;
-    let (token, id) = (Arc::from(token), RequestId::new(&id));
-    match end {
-        SavedOutcome::Unknown => LogRecord::Intent { token, print, id, left },
-        SavedOutcome::Failed => LogRecord::Known { token, print, id, left, result: None },
+    let SavedRun { key, fingerprint, id, window_left, outcome } = run;
+    let (key, id) = (Arc::from(key), RequestId::new(&id));
+    match outcome {
+        SavedOutcome::Unknown => LogRecord::Intent { key, fingerprint, id, window_left },
+        SavedOutcome::Failed => LogRecord::Known { key, fingerprint, id, window_left, result: None },
         SavedOutcome::Served(result) => {
             // It fits: every stored result was in a buffer once.
             let result = BufferPool::new(0).exact(&result).map(Arc::new);
-            LogRecord::Known { token, print, id, left, result }
+            LogRecord::Known { key, fingerprint, id, window_left, result }
         }
     }
 }
--- a/crates/store/tests/golden_files.rs
+++ b/crates/store/tests/golden_files.rs
@@ -70,17 +70,17 @@
 
 fn intent(token: &str, print: u64) -> LogRecord {
     LogRecord::Intent {
-        token: token.into(),
-        print,
+        key: token.into(),
+        fingerprint: print,
         id: id(&format!("{token}-1")),
-        left: Span(12_075 * MS + 1),
+        window_left: Span(12_075 * MS + 1),
     }
 }
 
 fn known(token: &str, print: u64, result: Option<&[u8]>) -> LogRecord {
     let result = result.map(|bytes| Arc::new(BufferPool::new(1).exact(bytes).expect("short")));
-    let (id, left) = (id(&format!("{token}-1")), Span(11_000 * MS));
-    LogRecord::Known { token: token.into(), print, id, left, result }
+    let (id, window_left) = (id(&format!("{token}-1")), Span(11_000 * MS));
+    LogRecord::Known { key: token.into(), fingerprint: print, id, window_left, result }
 }
 
 /// Every kind of record, in two frames; a try that ended, one that failed, one that never ran and one of which nothing tells.
@@ -91,7 +91,7 @@
     let ends = [
         known("served", 300, Some(b"result")),
         known("failed", 301, None),
-        LogRecord::Void { token: "void".into(), id: id("void-1") },
+        LogRecord::Void { key: "void".into(), id: id("void-1") },
     ];
     log.add(Stamp { mono_ms: 2_000, unix_ms: 1_700_000_001_000 }, &ends).expect("written");
 }
@@ -111,11 +111,10 @@
 fn recovers_keyed_runs_from_a_golden_segment() {
     let (_, found) = open_runs(&MemoryFolder::golden("runs.txt"));
     let recovered = found.recovered;
-    assert_eq!((recovered.salt, recovered.doubt, recovered.notes), (ID, None, Vec::<String>::new()));
-    let past = recovered
-        .past
-        .iter()
-        .map(|past| (past.token.as_str(), past.print, past.id.as_str(), past.left.0 / MS, past.end.clone()));
+    assert_eq!((recovered.salt, recovered.doubtful_for, recovered.notes), (ID, None, Vec::<String>::new()));
+    let past = recovered.runs.iter().map(|past| {
+        (past.key.as_str(), past.fingerprint, past.id.as_str(), past.window_left.0 / MS, past.outcome.clone())
+    });
     let expected = [
         ("failed", 301, "failed-1", 11_000, SavedOutcome::Failed),
         ("open", 303, "open-1", 11_076, SavedOutcome::Unknown),
@@ -138,7 +137,7 @@
     log.write_anew(Stamp { mono_ms: 20, unix_ms: 1_700_000_003_000 }, &all).expect("written");
     folder.assert_golden("runs-anew.txt");
     let (_, found) = open_runs(&MemoryFolder::golden("runs-anew.txt"));
-    let tokens = found.recovered.past.iter().map(|past| past.token.as_str());
+    let tokens = found.recovered.runs.iter().map(|past| past.key.as_str());
     assert_eq!(tokens.collect::<Vec<_>>(), ["later", "served"]);
 }
 
