--- a/crates/gradepin/src/store.rs
+++ b/crates/gradepin/src/store.rs
@@ -14,9 +14,9 @@
 /// An inspection reads everything.
 const UNLIMITED: Limits = Limits {
     segment_bytes: 4 << 20,
-    most_bytes: u64::MAX,
-    most_results: usize::MAX,
-    most_records: usize::MAX,
+    max_bytes: u64::MAX,
+    max_result_bytes: usize::MAX,
+    max_records: usize::MAX,
     window: Span(0),
 };
 
@@ -61,9 +61,9 @@
             (None, None) => "whole".to_string(),
         };
         intact &= segment.damage.is_none();
-        let life = segment.life.map_or("-".to_string(), |life| life.to_string());
+        let incarnation = segment.incarnation.map_or("-".to_string(), |incarnation| incarnation.to_string());
         println!(
-            "{}  life {life}  {} bytes  {} frames  {} records  {state}",
+            "{}  life {incarnation}  {} bytes  {} frames  {} records  {state}",
             log::name_of(segment.number),
             segment.bytes,
             segment.frames,
@@ -90,7 +90,7 @@
     let mut intact = true;
     for number in numbers {
         let bytes = disk.read(&log::name_of(number))?;
-        let head = match frame::decode_head(&bytes) {
+        let head = match frame::decode_header(&bytes) {
             Ok(head) => head,
             Err(error) => {
                 println!("{number:016x}  {error}");
@@ -103,7 +103,7 @@
             for record in &batch.records {
                 println!(
                     "{number:016x}  life {}  at {} ms ({} unix)  {}",
-                    head.life,
+                    head.incarnation,
                     batch.mono_ms,
                     batch.unix_ms,
                     describe(record)
@@ -124,17 +124,20 @@
 
 fn describe(record: &StoredRecord<'_>) -> String {
     match record {
-        StoredRecord::Intent { token, print, id, left_ms } => {
-            format!("intent  {token:?} {id} print {print:016x} for {left_ms} ms")
+        StoredRecord::Intent { key, fingerprint, id, window_left_ms } => {
+            format!("intent  {key:?} {id} print {fingerprint:016x} for {window_left_ms} ms")
         }
-        StoredRecord::Served { token, print, id, left_ms, result } => {
-            format!("served  {token:?} {id} print {print:016x} for {left_ms} ms, {} bytes", result.len())
+        StoredRecord::Served { key, fingerprint, id, window_left_ms, result } => {
+            format!(
+                "served  {key:?} {id} print {fingerprint:016x} for {window_left_ms} ms, {} bytes",
+                result.len()
+            )
         }
-        StoredRecord::Failed { token, print, id, left_ms } => {
-            format!("failed  {token:?} {id} print {print:016x} for {left_ms} ms")
+        StoredRecord::Failed { key, fingerprint, id, window_left_ms } => {
+            format!("failed  {key:?} {id} print {fingerprint:016x} for {window_left_ms} ms")
         }
-        StoredRecord::Void { token, id } => format!("void    {token:?} {id}"),
-        StoredRecord::Anew => "all that was known is written anew up to here".to_string(),
+        StoredRecord::Void { key, id } => format!("void    {key:?} {id}"),
+        StoredRecord::RewriteComplete => "all that was known is written anew up to here".to_string(),
     }
 }
 
@@ -148,7 +151,7 @@
     }
     let count = found.recovered.runs.len();
     let records: Vec<LogRecord> = found.recovered.runs.into_iter().map(record_of).collect();
-    log.write_anew(Stamp::default(), &records)?;
+    log.rewrite(Stamp::default(), &records)?;
     let is_damaged = found.segments.iter().any(|segment| segment.damage.is_some());
     println!("{count} runs written anew: {before} bytes before, {} after", log.bytes());
     if is_damaged {
--- a/crates/node/src/configuration_service.rs
+++ b/crates/node/src/configuration_service.rs
@@ -66,7 +66,7 @@
             return Ok(Self { state: base, source: Source::StartFile, store: None });
         };
         let (store, found) = ConfigurationStore::open(Box::new(Folder::open(path)?))?;
-        for name in &found.passed_over {
+        for name in &found.skipped {
             warn!(log, "ignoring an incomplete file of the configuration"; "file" => name);
         }
         let Some(state) = found.state else {
--- a/crates/node/src/settings/store.rs
+++ b/crates/node/src/settings/store.rs
@@ -59,9 +59,9 @@
         let keyed = config.settings.profiles.iter().filter(|profile| profile.effect == Idempotency::Keyed);
         Limits {
             segment_bytes: self.segment_bytes,
-            most_bytes: self.max_bytes,
-            most_results: config.memory(RESULTS_MEMORY_DIVISOR),
-            most_records: config.memory(RUNS_MEMORY_DIVISOR) / RECOVERED_RUN_BYTES,
+            max_bytes: self.max_bytes,
+            max_result_bytes: config.memory(RESULTS_MEMORY_DIVISOR),
+            max_records: config.memory(RUNS_MEMORY_DIVISOR) / RECOVERED_RUN_BYTES,
             window: keyed.map(|profile| profile.window).max().unwrap_or_default(),
         }
     }
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -179,7 +179,7 @@
 
     fn write(&mut self, group: BatchGroup) -> Result<(), log::WriteError> {
         if let Some(records) = group.rewrite {
-            self.store.write_anew(self.stamp(), &records)?;
+            self.store.rewrite(self.stamp(), &records)?;
         }
         if !group.append.is_empty() {
             self.store.add(self.stamp(), &group.append)?;
--- a/crates/node/src/store/tests.rs
+++ b/crates/node/src/store/tests.rs
@@ -21,9 +21,9 @@
     let open: OpenDisk = Box::new(move || Ok(Box::new(mine.clone()) as Box<dyn Disk>));
     let limits = Limits {
         segment_bytes: 1 << 20,
-        most_bytes: 1 << 30,
-        most_results: 1 << 20,
-        most_records: usize::MAX,
+        max_bytes: 1 << 30,
+        max_result_bytes: 1 << 20,
+        max_records: usize::MAX,
         window: Span(0),
     };
     let log = Logger::root(Discard, o!());
--- a/crates/store/src/configuration.rs
+++ b/crates/store/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The last good configuration on disk: a snapshot and the commits after it, of which the newest whole one counts.
+//! The last good configuration on disk: a snapshot and the commits after it. The newest complete one counts.
 //!
 //! ```text
 //! file:     "gpconfig" | version u16 | number u64 | crc u32        (all little-endian), then frames
@@ -6,57 +6,61 @@
 //! payload:  of the first frame a snapshot, of each further frame one commit, as `gradepin_config` encodes them
 //! ```
 //!
-//! A snapshot begins a new file, and the files before go once it is durable: at each moment one whole snapshot is on the
-//! disk. Commits are appended to it, as writing a snapshot of some megabytes for each change would wear a disk and keep
-//! it busy; past [`MAX_COMMIT_BYTES`] of them the next write is a snapshot. The first write of a process and the first
-//! after an error are one too, so nothing is ever written behind a torn frame.
-//! A file that is not whole, or of another version, is passed over at the start. It is not the truth that is kept here:
-//! what is missing comes from other servers.
+//! A snapshot starts a new file, and the earlier files are removed once it is durable: at each moment a complete snapshot is
+//! on the disk. Commits are appended to it, since a snapshot of some megabytes for each change would wear a disk and keep it
+//! busy; past [`MAX_COMMIT_BYTES`] of them the next write is a snapshot. The first write of a process and the first after
+//! an error are snapshots too, so nothing is ever written behind a torn frame.
+//!
+//! An incomplete file, or one of another version, is skipped at the start. This folder isn't authoritative: what is missing
+//! comes from other servers.
 
 use crate::disk::{Disk, Segment};
-use crate::framing::{FRAME_HEADER_BYTES, framed, next_frame, number_of, sealed, whole};
+use crate::framing::{
+    FRAME_HEADER_BYTES, decode_frame, encode_frame, has_valid_checksum, number_of, with_checksum,
+};
 use gradepin_config::{Commit, Configuration, Revision, Snapshot};
 use std::io;
 
 const MAGIC: &[u8; 8] = b"gpconfig";
 const VERSION: u16 = 1;
 const SUFFIX: &str = ".config";
-const HEAD: usize = 8 + 2 + 8 + 4;
+/// Bytes of a file before its frames.
+const HEADER_BYTES: usize = 8 + 2 + 8 + 4;
 /// The longest payload: a snapshot of full tables with the longest names is under 40 MB.
-const MAX_PAYLOAD: usize = 64 << 20;
-/// Commits behind a snapshot, at the most, in bytes.
+const MAX_PAYLOAD_BYTES: usize = 64 << 20;
+/// Maximum bytes of commits after a snapshot.
 pub const MAX_COMMIT_BYTES: usize = 1 << 20;
-/// A snapshot is appended in pieces of this size, so that no single call holds the disk for long.
-const PIECE: usize = 256 << 10;
+/// A snapshot is appended in pieces of this size, so that no single call blocks for long.
+const PIECE_BYTES: usize = 256 << 10;
 
-/// Why something was not written. What was durable before still is.
+/// Why a write failed. What was durable before still is.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigurationStoreError {
-    /// The disk fails.
+    /// The disk failed.
     #[error("{name}: {why}")]
     Disk {
-        /// Which file, or what was to be done.
+        /// The file, or the operation.
         name: String,
-        /// What the system says.
+        /// The system's error.
         why: io::Error,
     },
-    /// The commit does not follow what was written, or a snapshot has to come first.
+    /// The commit doesn't follow the last one, or a snapshot must be written first.
     #[error("expected a snapshot, or the commit after revision {last}")]
     Order {
         /// The last revision that was written.
         last: Revision,
     },
-    /// It can't be written in one frame.
-    #[error("expected at most {MAX_PAYLOAD} bytes")]
-    Long,
+    /// It is longer than a frame may be.
+    #[error("expected at most {MAX_PAYLOAD_BYTES} bytes")]
+    TooLong,
 }
 
 impl ConfigurationStoreError {
-    /// Why, without the file that it came with. Each try writes another file, and a disk that stays full is one failure.
+    /// The reason without the file name: each attempt writes another file, but a disk that stays full is one failure.
     pub fn reason(&self) -> String {
         match self {
             Self::Disk { why, .. } => why.to_string(),
-            Self::Order { .. } | Self::Long => self.to_string(),
+            Self::Order { .. } | Self::TooLong => self.to_string(),
         }
     }
 }
@@ -65,15 +69,15 @@
     move |why| ConfigurationStoreError::Disk { name: name.to_string(), why }
 }
 
-/// What a folder held at the start.
+/// The content of a folder at the start.
 #[derive(Debug, Default)]
 pub struct Opened {
-    /// The newest whole state.
+    /// The newest complete state.
     pub state: Option<Configuration>,
     /// The commits after its snapshot, the last one being the state's.
     pub commits: Vec<Commit>,
-    /// Files that were passed over because they are not whole.
-    pub passed_over: Vec<String>,
+    /// Incomplete files that were skipped.
+    pub skipped: Vec<String>,
 }
 
 /// The folder, open for writing.
@@ -99,27 +103,27 @@
     format!("{number:016x}{SUFFIX}")
 }
 
-fn head(number: u64) -> Vec<u8> {
+fn header(number: u64) -> Vec<u8> {
     let mut bytes = MAGIC.to_vec();
     bytes.extend(VERSION.to_le_bytes());
     bytes.extend(number.to_le_bytes());
-    sealed(bytes)
+    with_checksum(bytes)
 }
 
 /// The state of a file's bytes, and the commits that led to it from its snapshot.
 fn read(number: u64, bytes: &[u8]) -> Option<(Configuration, Vec<Commit>)> {
-    let (found, mut rest) = bytes.split_at_checked(HEAD)?;
-    if !whole(found) || found != head(number) {
+    let (found, mut rest) = bytes.split_at_checked(HEADER_BYTES)?;
+    if !has_valid_checksum(found) || found != header(number) {
         return None;
     }
-    let snapshot = next_frame(number, 0, rest)?;
+    let snapshot = decode_frame(number, 0, rest)?;
     let mut state = Snapshot::decode(snapshot).ok()?.configuration().clone();
     rest = &rest[FRAME_HEADER_BYTES + snapshot.len()..];
     let mut commits = Vec::new();
     for place in 1.. {
-        let Some(payload) = next_frame(number, place, rest) else { break };
+        let Some(payload) = decode_frame(number, place, rest) else { break };
         let Ok(commit) = postcard::from_bytes::<Commit>(payload) else { break };
-        // One that can't be applied was not written by this program: the state before it still holds.
+        // A commit that can't be applied was not written by this program: the state before it still counts.
         if state.apply(&commit).is_err() {
             break;
         }
@@ -130,7 +134,7 @@
 }
 
 impl ConfigurationStore {
-    /// Opens a folder and reads the newest whole state.
+    /// Opens a folder and reads the newest complete state.
     pub fn open(mut files: Box<dyn Disk>) -> Result<(Self, Opened), ConfigurationStoreError> {
         let names = files.list().map_err(disk("the folder"))?;
         let mut numbers: Vec<u64> = names.iter().filter_map(|name| number_of(name, SUFFIX)).collect();
@@ -143,7 +147,7 @@
                     (opened.state, opened.commits) = (Some(state), commits);
                     break;
                 }
-                None => opened.passed_over.push(name),
+                None => opened.skipped.push(name),
             }
         }
         let next = numbers.last().map_or(0, |last| last + 1);
@@ -161,24 +165,24 @@
         self.active.as_ref().is_none_or(|active| active.commit_bytes > MAX_COMMIT_BYTES)
     }
 
-    /// Makes a snapshot durable; the files before it go. On an error they stay.
+    /// Makes a snapshot durable and removes the files before it. On an error they stay.
     pub fn save(&mut self, snapshot: &Snapshot) -> Result<(), ConfigurationStoreError> {
         let number = self.next;
         self.next += 1;
-        // A file that is given up stays in the list until a whole one is behind it.
+        // An abandoned file stays in the list until a complete one follows it.
         self.old.extend(self.active.take().map(|active| active.number));
         match self.write(number, snapshot) {
             Ok(segment) => {
                 self.active = Some(Active { number, place: 1, commit_bytes: 0, segment });
                 self.last = snapshot.version().revision;
-                // One that can't be removed is passed over by a reading, as a later one counts.
+                // A file that can't be removed is ignored when read, as a later one counts.
                 for number in std::mem::take(&mut self.old) {
                     let _ = self.disk.remove(&name_of(number));
                 }
                 Ok(())
             }
             Err(error) => {
-                // Its bytes are of no use, and on a full disk in the way.
+                // Its bytes are useless and take space on a full disk.
                 let _ = self.disk.remove(&name_of(number));
                 Err(error)
             }
@@ -191,32 +195,32 @@
         snapshot: &Snapshot,
     ) -> Result<Box<dyn Segment>, ConfigurationStoreError> {
         let payload = snapshot.encode();
-        if payload.len() > MAX_PAYLOAD {
-            return Err(ConfigurationStoreError::Long);
+        if payload.len() > MAX_PAYLOAD_BYTES {
+            return Err(ConfigurationStoreError::TooLong);
         }
         let name = name_of(number);
-        let mut bytes = head(number);
-        bytes.extend(framed(number, 0, &payload));
+        let mut bytes = header(number);
+        bytes.extend(encode_frame(number, 0, &payload));
         drop(payload);
         let mut segment = self.disk.create(&name).map_err(disk(&name))?;
-        for piece in bytes.chunks(PIECE) {
+        for piece in bytes.chunks(PIECE_BYTES) {
             segment.append(piece).map_err(disk(&name))?;
         }
         segment.sync().map_err(disk(&name))?;
         Ok(segment)
     }
 
-    /// Makes a commit durable behind the last one. After an error the next write has to be a snapshot.
+    /// Makes a commit durable after the last one. After an error the next write has to be a snapshot.
     pub fn append(&mut self, commit: &Commit) -> Result<(), ConfigurationStoreError> {
         let follows = commit.revision == self.last.next() && !self.wants_snapshot();
         let Some(mut active) = self.active.take_if(|_| follows) else {
             return Err(ConfigurationStoreError::Order { last: self.last });
         };
-        let payload = postcard::to_stdvec(commit).map_err(|_| ConfigurationStoreError::Long)?;
+        let payload = postcard::to_stdvec(commit).map_err(|_| ConfigurationStoreError::TooLong)?;
         let name = name_of(active.number);
-        // What fails leaves no active file: whether the frame is there is not known.
+        // After a failure there is no active file: whether the frame was written is unknown.
         self.old.push(active.number);
-        active.segment.append(&framed(active.number, active.place, &payload)).map_err(disk(&name))?;
+        active.segment.append(&encode_frame(active.number, active.place, &payload)).map_err(disk(&name))?;
         active.segment.sync().map_err(disk(&name))?;
         self.old.pop();
         active.place += 1;
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,18 +1,18 @@
-//! The border to files: what a log needs of a disk, and the real one.
+//! The disk as logs use it, and its real implementation.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// A folder on a disk, as a log sees it. Names are plain file names.
+/// A folder on a disk. Names are plain file names.
 pub trait Disk: Send {
-    /// All names.
+    /// The names of all files.
     fn list(&mut self) -> io::Result<Vec<String>>;
 
-    /// A whole file.
+    /// Reads a complete file.
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// A new, empty file, to be appended to. Its name is durable once this returns.
+    /// Creates an empty file for appending. Its name is durable once this returns.
     fn create(&mut self, name: &str) -> io::Result<Box<dyn Segment>>;
 
     /// Removes a file.
@@ -21,42 +21,42 @@
 
 /// A file that is being written.
 pub trait Segment: Send {
-    /// Appends bytes. What is written is not durable yet, and where this fails some of it may be.
+    /// Appends bytes, which are not durable yet. After an error some of them may be written.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Makes all that was appended durable. After an error nothing of it can be relied on, and another call tells
-    /// nothing: systems drop what they could not write (PostgreSQL's "fsyncgate", 2018).
+    /// Makes all appended bytes durable. After an error none of them can be relied on, and a later success proves nothing:
+    /// systems drop pages that they could not write (PostgreSQL's "fsyncgate", 2018).
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// The file whose lock says that a server uses the folder.
+/// The file whose lock marks the folder as in use.
 const LOCK: &str = "lock";
 
 /// Why a folder can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum FolderError {
-    /// Another process has its lock.
+    /// Another process holds its lock.
     #[error("{}: another server uses this folder", .0.display())]
     Locked(PathBuf),
-    /// The system denies something.
+    /// The system reported an error.
     #[error("{}: {why}", path.display())]
     System {
-        /// Which folder.
+        /// The folder.
         path: PathBuf,
-        /// What the system says.
+        /// The system's error.
         why: io::Error,
     },
 }
 
-/// A folder of files, held by a lock while this exists.
+/// A folder of files, locked while this value exists.
 pub struct Folder {
     path: PathBuf,
-    /// Its lock ends with it, also where the process is killed.
+    /// The system releases the lock with the process, also when it is killed.
     _lock: Option<File>,
 }
 
 impl Folder {
-    /// Takes a folder for writing; it is made if it isn't there.
+    /// Locks a folder for writing; creates it if it is missing.
     pub fn open(path: &Path) -> Result<Self, FolderError> {
         let system = |why| FolderError::System { path: path.into(), why };
         std::fs::create_dir_all(path).map_err(system)?;
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Looks into a folder without its lock, beside a server that uses it: only to read.
+    /// Opens a folder for reading only, without its lock, beside a server that uses it.
     pub fn look(path: &Path) -> Result<Self, FolderError> {
         std::fs::read_dir(path).map_err(|why| FolderError::System { path: path.into(), why })?;
         Ok(Self { path: path.into(), _lock: None })
@@ -102,7 +102,7 @@
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        // Not made durable: a file that comes back after a crash is read again and found to be over.
+        // Not made durable: a file that reappears after a crash is found to be expired when read.
         std::fs::remove_file(self.path.join(name))
     }
 }
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -1,4 +1,4 @@
-//! The form of a segment: a head, then frames, each with all records of one group commit. No I/O.
+//! The format of a segment of keyed runs: a header, then frames, each with all records of one group commit. No I/O.
 //!
 //! ```text
 //! segment: "gradepin" | version u16 | number u64 | life u64 | salt u64 | crc u32 of all before      (all little-endian)
@@ -6,37 +6,37 @@
 //! payload: postcard of Batch
 //! ```
 //!
-//! The length has a check of its own: a flipped bit in it would else look like a torn tail, and what follows, which was
-//! durable, like nothing. The segment's number and the frame's place are in both, so that no frame counts elsewhere.
+//! The length has a checksum of its own: otherwise a flipped bit in it would look like a torn tail, and the durable frames
+//! after it would be lost. Both checksums cover the segment's number and the frame's place, so that no frame counts elsewhere.
 
 use gradepin_core::idempotency_log::LogRecord;
 use serde::{Deserialize, Serialize};
 
-/// The version of the form that this crate reads and writes.
+/// The version of the format that this crate reads and writes.
 pub const VERSION: u16 = 1;
 const MAGIC: &[u8; 8] = b"gradepin";
-/// Bytes of a segment's head.
+/// Bytes of a segment before its frames.
 pub const HEADER_BYTES: usize = 8 + 2 + 8 + 8 + 8 + 4;
 /// Bytes of a frame before its payload.
 pub const FRAME_HEADER_BYTES: usize = 12;
-/// The longest payload. A step's records are split over frames where they are more.
+/// Maximum bytes of a payload; longer groups of records are split over several frames.
 pub const MAX_PAYLOAD_BYTES: usize = 4 << 20;
 
-/// What a segment says of itself.
+/// The header of a segment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SegmentHeader {
-    /// Its number; segments are read in this order.
+    /// The segment's number; segments are read in this order.
     pub number: u64,
-    /// Starts of a server on this folder before, so that times of one life are told from those of another.
-    pub life: u64,
-    /// The key of all prints.
+    /// The number of earlier processes on this folder; clock readings of one incarnation don't compare with another's.
+    pub incarnation: u64,
+    /// The key of all fingerprints.
     pub salt: u64,
 }
 
 /// The records of one group commit, and when it was written.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch<'a> {
-    /// Milliseconds since this life began, by the monotonic clock: no set clock changes them.
+    /// Milliseconds since this process started, by the monotonic clock.
     pub mono_ms: u64,
     /// Unix milliseconds, for people who read the files.
     pub unix_ms: u64,
@@ -45,85 +45,85 @@
     pub records: Vec<StoredRecord<'a>>,
 }
 
-/// A record as it is stored. New kinds go to the end: their place is their number.
+/// A record as it is stored. New variants go to the end: the encoding uses their index.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoredRecord<'a> {
-    /// A try may begin from now on.
+    /// An attempt may start from now on.
     Intent {
-        /// What all tries share.
-        token: &'a str,
-        /// Of body and class.
-        print: u64,
-        /// The try.
+        /// The idempotency key.
+        key: &'a str,
+        /// The fingerprint of body and class.
+        fingerprint: u64,
+        /// The attempt.
         id: &'a str,
-        /// What is left of its window, in milliseconds.
-        left_ms: u64,
+        /// The remaining window, in milliseconds.
+        window_left_ms: u64,
     },
-    /// A run that has ended, with its result; it needs no intent beside it.
+    /// A run that ended with a result; it needs no intent before it.
     Served {
-        /// What all tries share.
-        token: &'a str,
-        /// Of body and class.
-        print: u64,
-        /// The try.
+        /// The idempotency key.
+        key: &'a str,
+        /// The fingerprint of body and class.
+        fingerprint: u64,
+        /// The attempt.
         id: &'a str,
-        /// What is left of its window, in milliseconds.
-        left_ms: u64,
+        /// The remaining window, in milliseconds.
+        window_left_ms: u64,
         /// The result.
         result: &'a [u8],
     },
-    /// A run that has ended without one.
+    /// A run that ended without a result.
     Failed {
-        /// What all tries share.
-        token: &'a str,
-        /// Of body and class.
-        print: u64,
-        /// The try.
+        /// The idempotency key.
+        key: &'a str,
+        /// The fingerprint of body and class.
+        fingerprint: u64,
+        /// The attempt.
         id: &'a str,
-        /// What is left of its window, in milliseconds.
-        left_ms: u64,
+        /// The remaining window, in milliseconds.
+        window_left_ms: u64,
     },
-    /// The try never ran.
+    /// The attempt never ran.
     Void {
-        /// What all tries share.
-        token: &'a str,
-        /// The try.
+        /// The idempotency key.
+        key: &'a str,
+        /// The attempt.
         id: &'a str,
     },
-    /// All that is known has been written anew up to here: earlier segments count no more.
-    Anew,
+    /// All known runs were rewritten up to here: earlier segments no longer count.
+    RewriteComplete,
 }
 
 impl StoredRecord<'_> {
-    /// What is left of the window it tells of, in milliseconds.
-    pub fn left_ms(&self) -> Option<u64> {
+    /// The remaining window, in milliseconds, if the record has one.
+    pub fn window_left_ms(&self) -> Option<u64> {
         match self {
-            Self::Intent { left_ms, .. } | Self::Served { left_ms, .. } | Self::Failed { left_ms, .. } => {
-                Some(*left_ms)
-            }
-            Self::Void { .. } | Self::Anew => None,
+            Self::Intent { window_left_ms, .. }
+            | Self::Served { window_left_ms, .. }
+            | Self::Failed { window_left_ms, .. } => Some(*window_left_ms),
+            Self::Void { .. } | Self::RewriteComplete => None,
         }
     }
 }
 
-/// A record in its stored form.
+/// The stored form of a record.
 pub fn stored(record: &LogRecord) -> StoredRecord<'_> {
     const MS: u64 = 1_000_000;
     match record {
         LogRecord::Intent { key, fingerprint, id, window_left } => StoredRecord::Intent {
-            token: key,
-            print: *fingerprint,
+            key,
+            fingerprint: *fingerprint,
             id: &id.0,
-            left_ms: window_left.0.div_ceil(MS),
+            window_left_ms: window_left.0.div_ceil(MS),
         },
-        LogRecord::Known { key: token, fingerprint: print, id, window_left: left, result } => {
-            let (print, id, left_ms) = (*print, &*id.0, left.0.div_ceil(MS));
+        LogRecord::Known { key, fingerprint, id, window_left, result } => {
+            let (fingerprint, id, window_left_ms) = (*fingerprint, &*id.0, window_left.0.div_ceil(MS));
             match result {
-                Some(result) => StoredRecord::Served { token, print, id, left_ms, result },
-                None => StoredRecord::Failed { token, print, id, left_ms },
+                Some(result) => StoredRecord::Served { key, fingerprint, id, window_left_ms, result },
+                None => StoredRecord::Failed { key, fingerprint, id, window_left_ms },
             }
         }
-        LogRecord::Void { key: token, id } => StoredRecord::Void { token, id: &id.0 },
+        LogRecord::Void { key, id } => StoredRecord::Void { key, id: &id.0 },
     }
 }
 
@@ -133,12 +133,12 @@
     hasher.finalize()
 }
 
-/// The bytes of a head.
-pub fn encode_head(head: SegmentHeader) -> [u8; HEADER_BYTES] {
+/// Encodes a header.
+pub fn encode_header(head: SegmentHeader) -> [u8; HEADER_BYTES] {
     let mut out = [0; HEADER_BYTES];
     out[..8].copy_from_slice(MAGIC);
     out[8..10].copy_from_slice(&VERSION.to_le_bytes());
-    for (place, value) in [head.number, head.life, head.salt].into_iter().enumerate() {
+    for (place, value) in [head.number, head.incarnation, head.salt].into_iter().enumerate() {
         out[10 + 8 * place..18 + 8 * place].copy_from_slice(&value.to_le_bytes());
     }
     let sum = crc(&[&out[..HEADER_BYTES - 4]]);
@@ -146,19 +146,19 @@
     out
 }
 
-/// Why a segment's head can't be used.
+/// Why a segment's header can't be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum HeaderError {
-    /// Its writer was interrupted before anything in it counted.
+    /// Incomplete: its writer was interrupted before the first frame.
     #[error("expected a head of {HEADER_BYTES} bytes, got {0}")]
     Short(usize),
-    /// It is no segment, or its first bytes are damaged.
+    /// Not a segment, or its first bytes are damaged.
     #[error("expected a segment of this store, got other bytes")]
     Foreign,
-    /// It was written by another version of this program.
+    /// Written by another version of this program.
     #[error("expected version {VERSION} of the form, got {0}: it is left alone")]
     Version(u16),
-    /// Its check doesn't hold.
+    /// Its checksum doesn't match.
     #[error("expected a whole head, its check doesn't hold")]
     Damaged,
 }
@@ -171,34 +171,36 @@
     bytes.get(at..at + 4).and_then(|four| four.try_into().ok()).map_or(0, u32::from_le_bytes)
 }
 
-/// Reads a head.
-pub fn decode_head(bytes: &[u8]) -> Result<SegmentHeader, HeaderError> {
+/// Decodes a header.
+pub fn decode_header(bytes: &[u8]) -> Result<SegmentHeader, HeaderError> {
     let Some(head) = bytes.get(..HEADER_BYTES) else { return Err(HeaderError::Short(bytes.len())) };
     if head.iter().all(|&byte| byte == 0) {
-        // The length was durable before the bytes were.
+        // The length became durable before the bytes.
         return Err(HeaderError::Short(0));
     }
     if &head[..8] != MAGIC {
         return Err(HeaderError::Foreign);
     }
-    let whole = u32_at(head, HEADER_BYTES - 4) == crc(&[&head[..HEADER_BYTES - 4]]);
+    let is_intact = u32_at(head, HEADER_BYTES - 4) == crc(&[&head[..HEADER_BYTES - 4]]);
     let version = u16::from_le_bytes([head[8], head[9]]);
-    match (whole, version) {
-        (true, VERSION) => {
-            Ok(SegmentHeader { number: u64_at(head, 10), life: u64_at(head, 18), salt: u64_at(head, 26) })
-        }
-        // Another version may check its head in another way: it is not called damaged.
+    match (is_intact, version) {
+        (true, VERSION) => Ok(SegmentHeader {
+            number: u64_at(head, 10),
+            incarnation: u64_at(head, 18),
+            salt: u64_at(head, 26),
+        }),
+        // Another version may use another checksum, so it is not reported as damaged.
         (_, version) if version != VERSION => Err(HeaderError::Version(version)),
         _ => Err(HeaderError::Damaged),
     }
 }
 
-/// Appends a frame; an error only where a record is longer than any frame may be.
+/// Appends a frame. Fails only if a record is longer than a frame may be.
 pub fn encode(out: &mut Vec<u8>, number: u64, place: u32, batch: &Batch<'_>) -> Result<(), postcard::Error> {
     let start = out.len();
     out.resize(start + FRAME_HEADER_BYTES, 0);
-    let taken = std::mem::take(out);
-    *out = postcard::to_extend(batch, taken)?;
+    let buffer = std::mem::take(out);
+    *out = postcard::to_extend(batch, buffer)?;
     let len = out.len() - start - FRAME_HEADER_BYTES;
     if len > MAX_PAYLOAD_BYTES {
         return Err(postcard::Error::SerializeBufferFull);
@@ -212,35 +214,35 @@
     Ok(())
 }
 
-/// What follows the frames that could be read.
+/// What follows the frames that could be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Tail {
     /// Nothing.
     Clean,
-    /// A frame that was not written whole, at this offset: nothing of it ever counted.
+    /// An incompletely written frame at this offset, which never counted.
     Torn(usize),
-    /// Bytes that were whole and are not now, at this offset: what stood there and after it is lost.
+    /// Damage at this offset: the frame there and all after it are lost.
     Damaged(usize),
 }
 
-/// The frames of a segment, its head taken for read, in their order.
+/// Iterates over the frames of a segment after its header.
 #[derive(Debug)]
 pub struct Frames<'a> {
     bytes: &'a [u8],
     at: usize,
     number: u64,
     place: u32,
-    /// Set once no further frame can be read.
+    /// Set once no further frame can be decoded.
     tail: Option<Tail>,
 }
 
 impl<'a> Frames<'a> {
-    /// Of a segment with this number.
+    /// The frames of the segment with this number.
     pub fn new(bytes: &'a [u8], number: u64) -> Self {
         Self { bytes, at: HEADER_BYTES, number, place: 0, tail: None }
     }
 
-    /// What follows, once there are no more.
+    /// What follows the frames, once the iteration has ended.
     pub fn tail(&self) -> Tail {
         self.tail.unwrap_or(Tail::Clean)
     }
@@ -262,7 +264,7 @@
         if rest.is_empty() {
             return self.end(Tail::Clean);
         }
-        // A length that was durable before the bytes were leaves zeros behind.
+        // A length that became durable before the bytes leaves zeros.
         if rest.iter().all(|&byte| byte == 0) || rest.len() < FRAME_HEADER_BYTES {
             return self.end(Tail::Torn(at));
         }
@@ -285,95 +287,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    const HEAD_OF: SegmentHeader = SegmentHeader { number: 7, life: 2, salt: 99 };
-
-    fn batch(n: u64) -> Batch<'static> {
-        let records = vec![
-            StoredRecord::Intent { token: "t", print: n, id: "00000000000000aa", left_ms: 12_075 },
-            StoredRecord::Served { token: "t", print: n, id: "00000000000000aa", left_ms: 1, result: b"out" },
-            StoredRecord::Void { token: "u", id: "00000000000000ab" },
-        ];
-        Batch { mono_ms: n, unix_ms: 5, records }
-    }
-
-    fn segment(count: u32) -> (Vec<u8>, Vec<usize>) {
-        let mut out = encode_head(HEAD_OF).to_vec();
-        let mut ends = vec![out.len()];
-        for place in 0..count {
-            encode(&mut out, HEAD_OF.number, place, &batch(place.into())).unwrap();
-            ends.push(out.len());
-        }
-        (out, ends)
-    }
-
-    fn read(bytes: &[u8]) -> (usize, Tail) {
-        let mut frames = Frames::new(bytes, HEAD_OF.number);
-        let count = frames.by_ref().count();
-        (count, frames.tail())
-    }
-
-    /// Guards against a torn tail that is taken for damage, and against one that hides whole frames before it.
-    #[test]
-    fn a_segment_cut_anywhere_gives_its_whole_frames_and_a_torn_tail() {
-        let (bytes, ends) = segment(3);
-        for cut in HEADER_BYTES..=bytes.len() {
-            let whole = ends.iter().filter(|end| **end <= cut).count() - 1;
-            let tail = if ends.contains(&cut) { Tail::Clean } else { Tail::Torn(ends[whole]) };
-            assert_eq!(read(&bytes[..cut]), (whole, tail), "cut at {cut}");
-        }
-        let zeros = [&bytes[..], &[0; 700]].concat();
-        assert_eq!(read(&zeros), (3, Tail::Torn(bytes.len())));
-        for short in 0..HEADER_BYTES {
-            assert_eq!(decode_head(&bytes[..short]), Err(HeaderError::Short(short)));
-        }
-    }
-
-    /// Guards against a flipped bit that is read as something else, or as the end of the log: what was durable behind it
-    /// would be forgotten without a word.
-    #[test]
-    fn any_flipped_bit_is_told_as_damage() {
-        let (bytes, ends) = segment(3);
-        for place in 0..bytes.len() {
-            for bit in 0..8 {
-                let mut flipped = bytes.clone();
-                flipped[place] ^= 1 << bit;
-                if place < HEADER_BYTES {
-                    assert!(decode_head(&flipped).is_err(), "bit {bit} of byte {place}");
-                    continue;
-                }
-                let before = ends.iter().filter(|end| **end <= place).count() - 1;
-                assert_eq!(
-                    read(&flipped),
-                    (before, Tail::Damaged(ends[before])),
-                    "bit {bit} of byte {place}"
-                );
-            }
-        }
-    }
-
-    /// Guards against a file of another version that is read, or called damaged and thrown away.
-    #[test]
-    fn another_version_is_named() {
-        let (mut bytes, _) = segment(1);
-        bytes[8..10].copy_from_slice(&9_u16.to_le_bytes());
-        assert_eq!(decode_head(&bytes), Err(HeaderError::Version(9)));
-        assert_eq!(decode_head(&[b'x'; HEADER_BYTES]), Err(HeaderError::Foreign));
-        assert_eq!(decode_head(&segment(0).0), Ok(HEAD_OF));
-    }
-
-    proptest! {
-        /// Guards against a panic over whatever stands in a file.
-        #[test]
-        fn arbitrary_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
-            let _ = decode_head(&bytes);
-            let _ = read(&bytes);
-            let (mut whole, _) = segment(1);
-            whole.extend(&bytes);
-            prop_assert!(read(&whole).0 >= 1);
-        }
-    }
-}
+mod tests;
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,10 +1,14 @@
-//! Durable records of keyed requests: a segmented log behind a small trait for the disk, real or simulated.
+//! Durable records on files, behind a small trait for the disk, real or simulated.
 //!
-//! [`frame`] is the form of the files, without I/O; [`log`] writes them and reads them back, deciding nothing about
-//! requests; [`recovery`] makes of what was read what a new life needs to know. [`disk`] is the border to files, and
-//! [`sim`] a disk in memory that loses, tears and reorders what was not synced, for tests. What must be durable, and when,
-//! is decided in `gradepin_core::idempotency_log`. [`voter_log`] has the files of a voter of the fleet's council, and
-//! [`configuration`] the last good configuration. The form of the files and what holds after a crash: `docs/design/recovery.md`.
+//! - [`log`]: keyed runs in segments, whose format is in [`frame`]; [`recovery`] reads what earlier processes left. What must
+//!   be durable, and when, is decided in `gradepin_core::idempotency_log`.
+//! - [`voter_log`]: the state of a voter of the consensus group.
+//! - [`configuration`]: the last good configuration.
+//! - [`disk`]: the disk as these logs use it; [`sim`]: a disk in memory that loses, tears and reorders unsynced bytes, for
+//!   tests.
+//!
+//! File formats and the guarantees after a crash are in `docs/design/recovery.md`.
+#![warn(missing_docs)]
 
 pub mod configuration;
 pub mod disk;
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -1,9 +1,8 @@
-//! A disk in memory for tests: it loses, tears and reorders what was not synced, fails as it is told to, and counts each
-//! boundary at which a machine may crash.
+//! A disk in memory for tests: it loses, tears and reorders unsynced bytes, fails on request, and records each point at which
+//! a machine may crash.
 //!
-//! What it may do to unsynced bytes is what a file system may: any part of them is there or not, in pieces of a sector, and
-//! the length may be durable before the bytes, which then are zeros. Names are durable once created; a removed file may
-//! come back.
+//! It may do to unsynced bytes what a file system may: any sector of them is written or not, and the length may become
+//! durable before the bytes, which are zeros then. Names are durable once created; a removed file may reappear.
 
 use crate::disk::{Disk, Segment};
 use rand_pcg::Pcg64Mcg;
@@ -12,22 +11,22 @@
 use std::io;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 
-/// What is written in one piece.
-const SECTOR: usize = 512;
+/// Bytes that are written atomically.
+const SECTOR_BYTES: usize = 512;
 
-/// How the disk fails, from now on.
+/// How the disk fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Fault {
     /// It doesn't.
     #[default]
     None,
-    /// There is no room for more than so many bytes in all.
+    /// It holds at most this many bytes.
     Full(usize),
     /// Writing fails.
     WriteFails,
-    /// Syncing fails, and what was to be synced is lost or not.
+    /// Syncing fails, and the unsynced bytes may be lost.
     SyncFails,
-    /// Syncing doesn't return until the fault is over.
+    /// Syncing blocks until the fault is cleared.
     SyncHangs,
     /// No file can be made, changed or removed.
     ReadOnly,
@@ -49,7 +48,7 @@
 struct State {
     files: Files,
     fault: Fault,
-    /// The files after each boundary so far, while they are recorded.
+    /// The files at each crash point, while they are recorded.
     boundaries: Option<Vec<Files>>,
     rng: Option<Pcg64Mcg>,
     syncs: u64,
@@ -62,12 +61,12 @@
 }
 
 impl SimDisk {
-    /// An empty one; what it loses is drawn from the seed.
+    /// An empty disk; the seed decides what it loses.
     pub fn new(seed: u64) -> Self {
         Self::with(Files::default(), seed)
     }
 
-    /// One with these files.
+    /// A disk with these files.
     pub fn with(files: Files, seed: u64) -> Self {
         let rng = Some(Pcg64Mcg::seed_from_u64(seed));
         Self { state: Arc::new((Mutex::new(State { files, rng, ..State::default() }), Condvar::new())) }
@@ -77,23 +76,23 @@
         self.state.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Fails like this from now on.
+    /// Sets the fault from now on.
     pub fn fail(&self, fault: Fault) {
         self.state().fault = fault;
         self.state.1.notify_all();
     }
 
-    /// Syncs that returned.
+    /// The number of successful syncs.
     pub fn syncs(&self) -> u64 {
         self.state().syncs
     }
 
-    /// Keeps the files at each boundary from now on.
+    /// Records the files at each crash point from now on.
     pub fn record(&self) {
         self.state().boundaries = Some(Vec::new());
     }
 
-    /// The files at each boundary since the last call.
+    /// Takes the files at each crash point since the last call.
     pub fn boundaries(&self) -> Vec<Files> {
         self.state().boundaries.as_mut().map(std::mem::take).unwrap_or_default()
     }
@@ -110,7 +109,7 @@
         file.map(|file| change(&mut file.durable)).is_some()
     }
 
-    /// Names and lengths of what is there, unsynced bytes included.
+    /// Names and lengths of all files, unsynced bytes included.
     pub fn lengths(&self) -> Vec<(String, usize)> {
         let state = self.state();
         let there = state.files.0.iter().filter(|(_, file)| !file.removed);
@@ -119,7 +118,7 @@
 }
 
 impl Files {
-    /// What a crash at this moment leaves: any part of what was not synced.
+    /// The files after a crash of the machine: any part of the unsynced bytes is lost.
     pub fn crash(&self, seed: u64) -> Files {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let files = self.0.iter().filter_map(|(name, file)| {
@@ -133,7 +132,7 @@
         Files(files.collect())
     }
 
-    /// All bytes are there: what the end of a process leaves, while the machine goes on.
+    /// The files after the process was killed: all bytes are there.
     pub fn killed(&self) -> Files {
         let there = self.0.iter().filter(|(_, file)| !file.removed);
         let files = there.map(|(name, file)| {
@@ -144,17 +143,17 @@
     }
 }
 
-/// A part of bytes that were not synced.
+/// A random part of unsynced bytes.
 fn survivors(pending: &[u8], rng: &mut Pcg64Mcg) -> Vec<u8> {
     let cut = |rng: &mut Pcg64Mcg| (rng.next_u64() % (pending.len() as u64 + 1)) as usize;
     match rng.next_u64() % 4 {
         0 => Vec::new(),
         1 => pending.to_vec(),
         2 => pending[..cut(rng)].to_vec(),
-        // The length is there, some sectors are not.
+        // The length was written, some sectors were not.
         _ => {
             let mut left = pending[..cut(rng)].to_vec();
-            for sector in left.chunks_mut(SECTOR) {
+            for sector in left.chunks_mut(SECTOR_BYTES) {
                 if rng.next_u64().is_multiple_of(2) {
                     sector.fill(0);
                 }
@@ -227,11 +226,11 @@
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         let mut state = self.disk.state();
         state.writable()?;
-        let room = match state.fault {
-            Fault::Full(most) => most.saturating_sub(state.bytes()),
+        let capacity = match state.fault {
+            Fault::Full(max_bytes) => max_bytes.saturating_sub(state.bytes()),
             _ => usize::MAX,
         };
-        let taken = bytes.len().min(room);
+        let taken = bytes.len().min(capacity);
         let file = state.files.0.get_mut(&self.name).ok_or(io::ErrorKind::NotFound)?;
         file.pending.extend(&bytes[..taken]);
         state.boundary();
@@ -248,7 +247,7 @@
         if let Some(file) = state.files.0.get_mut(&self.name) {
             let pending = std::mem::take(&mut file.pending);
             match rng.as_mut().filter(|_| failed) {
-                // The system takes what it could not write for clean: it may be lost, and no later sync tells.
+                // The system marks pages that it could not write as clean: they may be lost, and a later sync succeeds.
                 Some(rng) => file.durable.extend(survivors(&pending, rng)),
                 None => file.durable.extend(pending),
             }
--- a/crates/store/tests/configuration.rs
+++ b/crates/store/tests/configuration.rs
@@ -190,7 +190,7 @@
         let (_, opened) = ConfigurationStore::open(Box::new(disk)).expect("a folder");
         match opened.state {
             Some(state) => assert_eq!(play.known.get(&state.revision()), Some(&state.version()), "byte {at}"),
-            None => assert_eq!(opened.passed_over, std::slice::from_ref(&name), "byte {at}"),
+            None => assert_eq!(opened.skipped, std::slice::from_ref(&name), "byte {at}"),
         }
     }
 }
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -276,9 +276,9 @@
     let window = Span(WINDOW_MS * world::MS);
     let limits = Limits {
         segment_bytes: 1 << 20,
-        most_bytes: 1 << 30,
-        most_results: 100_000,
-        most_records: usize::MAX,
+        max_bytes: 1 << 30,
+        max_result_bytes: 100_000,
+        max_records: usize::MAX,
         window,
     };
     let (mut log, _) = Log::open(Box::new(disk.clone()), limits, 7).expect("an empty folder");
@@ -308,7 +308,7 @@
     );
     assert_eq!(found.recovered.doubtful_for, None);
     // More runs than there may be: the rest is not known, so nothing new of a key may run for a window.
-    let few = Limits { most_records: 1_000, ..limits };
+    let few = Limits { max_records: 1_000, ..limits };
     let (_, found) = Log::open(Box::new(files), few, 7).expect("whole");
     assert_eq!((found.recovered.runs.len(), found.recovered.doubtful_for), (1_000, Some(window)));
 }
--- a/crates/store/tests/full.rs
+++ b/crates/store/tests/full.rs
@@ -17,9 +17,9 @@
     let disk = SimDisk::new(5);
     let limits = Limits {
         segment_bytes: 1 << 20,
-        most_bytes: 1 << 30,
-        most_results: 1 << 20,
-        most_records: usize::MAX,
+        max_bytes: 1 << 30,
+        max_result_bytes: 1 << 20,
+        max_records: usize::MAX,
         window: Span(0),
     };
     let (mut log, _) = Log::open(Box::new(disk.clone()), limits, 7).expect("a new folder");
@@ -30,13 +30,13 @@
     for room in [0, 10, 40] {
         disk.fail(Fault::Full(there + room));
         for n in 0..100 {
-            assert!(log.write_anew(stamp(2 + n), &[intent(1)]).is_err());
+            assert!(log.rewrite(stamp(2 + n), &[intent(1)]).is_err());
             log.expire(2 + n).expect("files can be removed");
         }
         let files = disk.lengths();
         assert!(files.len() <= 3, "{room} bytes of room: {} files", files.len());
     }
     disk.fail(Fault::None);
-    log.write_anew(stamp(500), &[intent(1)]).expect("a disk without faults");
+    log.rewrite(stamp(500), &[intent(1)]).expect("a disk without faults");
     assert_eq!(disk.lengths().len(), 1, "{:?}", disk.lengths());
 }
--- a/crates/store/tests/golden_files.rs
+++ b/crates/store/tests/golden_files.rs
@@ -57,9 +57,9 @@
 fn limits() -> Limits {
     Limits {
         segment_bytes: 1 << 20,
-        most_bytes: 1 << 24,
-        most_results: 1 << 20,
-        most_records: 1_000,
+        max_bytes: 1 << 24,
+        max_result_bytes: 1 << 20,
+        max_records: 1_000,
         window: Span(60_000 * MS),
     }
 }
@@ -122,7 +122,7 @@
     ];
     assert_eq!(past.collect::<Vec<_>>(), expected);
     let seen = &found.segments[0];
-    let figures = (seen.number, seen.life, seen.frames, seen.records, seen.torn, seen.left);
+    let figures = (seen.number, seen.incarnation, seen.frames, seen.records, seen.torn, seen.left);
     assert_eq!((found.segments.len(), figures), (1, (0, Some(0), 2, 7, None, Some(Span(11_076 * MS)))));
 }
 
@@ -134,7 +134,7 @@
     log.add(Stamp { mono_ms: 10, unix_ms: 1_700_000_002_000 }, &[intent("later", 304)]).expect("written");
     folder.assert_golden("runs-later.txt");
     let all = [known("served", 300, Some(b"result")), intent("later", 304)];
-    log.write_anew(Stamp { mono_ms: 20, unix_ms: 1_700_000_003_000 }, &all).expect("written");
+    log.rewrite(Stamp { mono_ms: 20, unix_ms: 1_700_000_003_000 }, &all).expect("written");
     folder.assert_golden("runs-anew.txt");
     let (_, found) = open_runs(&MemoryFolder::golden("runs-anew.txt"));
     let tokens = found.recovered.runs.iter().map(|past| past.key.as_str());
@@ -221,7 +221,7 @@
 #[test]
 fn reads_the_golden_configuration_with_its_commits() {
     let opened = open_configuration(&MemoryFolder::golden("configuration.txt")).1;
-    assert_eq!((opened.commits, opened.passed_over.len()), (commits().to_vec(), 0));
+    assert_eq!((opened.commits, opened.skipped.len()), (commits().to_vec(), 0));
     assert_eq!(opened.state.map(|state| state.version()), Some(state_after_commits().version()));
     let opened = open_configuration(&MemoryFolder::golden("configuration-anew.txt")).1;
     assert_eq!(opened.state.map(|state| state.version()), Some(state_after_commits().version()));
--- a/crates/store/tests/names.rs
+++ b/crates/store/tests/names.rs
@@ -40,9 +40,9 @@
         let folder = Temp::new("log", &[log::name_of(number)]);
         let limits = Limits {
             segment_bytes: 1 << 20,
-            most_bytes: 1 << 30,
-            most_results: 1 << 20,
-            most_records: usize::MAX,
+            max_bytes: 1 << 30,
+            max_result_bytes: 1 << 20,
+            max_records: usize::MAX,
             window: Span(9_000_000_000),
         };
         let (mut log, _) = Log::open(folder.disk(), limits, 7).expect("it opens");
--- a/crates/store/tests/world/mod.rs
+++ b/crates/store/tests/world/mod.rs
@@ -194,9 +194,9 @@
     pub fn open(&mut self) {
         let limits = Limits {
             segment_bytes: SEGMENT,
-            most_bytes: 1 << 30,
-            most_results: 1 << 20,
-            most_records: usize::MAX,
+            max_bytes: 1 << 30,
+            max_result_bytes: 1 << 20,
+            max_records: usize::MAX,
             window: Span(WINDOW_MS * MS),
         };
         let salt = self.rng.next_u64();
@@ -399,7 +399,7 @@
         let Some(log) = &mut self.log else { return };
         let result = match batch {
             RecordBatch::Append(records) => log.add(stamp, records),
-            RecordBatch::Rewrite(records) => log.write_anew(stamp, records),
+            RecordBatch::Rewrite(records) => log.rewrite(stamp, records),
         };
         self.see();
         self.inputs.push(match result {
--- a/crates/testkit/src/bench/store.rs
+++ b/crates/testkit/src/bench/store.rs
@@ -46,9 +46,9 @@
         let disk = Folder::open(folder).map_err(io::Error::other)?;
         let limits = Limits {
             segment_bytes: 4 << 20,
-            most_bytes: 8 << 30,
-            most_results: 32 << 20,
-            most_records: usize::MAX,
+            max_bytes: 8 << 30,
+            max_result_bytes: 32 << 20,
+            max_records: usize::MAX,
             window: Span(0),
         };
         let (log, _) = Log::open(Box::new(disk), limits, 1).map_err(io::Error::other)?;
@@ -259,9 +259,9 @@
     let disk = Folder::open(folder).map_err(io::Error::other)?;
     let limits = Limits {
         segment_bytes: 4 << 20,
-        most_bytes: u64::MAX,
-        most_results: usize::MAX,
-        most_records: usize::MAX,
+        max_bytes: u64::MAX,
+        max_result_bytes: usize::MAX,
+        max_records: usize::MAX,
         window: Span(0),
     };
     let (mut log, _) = Log::open(Box::new(disk), limits, 1).map_err(io::Error::other)?;
