--- a/crates/core/src/reducer/upstream_calls.rs
+++ b/crates/core/src/reducer/upstream_calls.rs
@@ -91,7 +91,8 @@
         let took = Span(self.timestamp.now.0.saturating_sub(since.0));
         if outcome != Outcome::Success {
             let ms = took.0 / MS;
-            let text = format!("a call to the shared upstream for {} ended {outcome:?} after {ms} ms", id.0);
+            let outcome = logged_name(outcome);
+            let text = format!("a call to the ledger for {} ended {outcome} after {ms} ms", id.0);
             self.effects.push(Effect::Log { level: Level::Warning, text });
         }
         match reply {
@@ -116,3 +117,17 @@
         self.processor.add_unconfirmed_reply(id, reply);
     }
 }
+
+/// The name of an outcome in the log, as the operators' pages have it.
+fn logged_name(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Success => "Delivered",
+        Outcome::Failure => "AppError",
+        Outcome::Rejected => "Shed",
+        Outcome::TimedOut => "Expired",
+        Outcome::ConnectFailed => "DialFailed",
+        Outcome::Aborted => "Dropped",
+        Outcome::Stopped => "Revoked",
+        Outcome::NotStarted => "Unused",
+    }
+}
