--- a/crates/gradepin/tests/fleet.rs
+++ b/crates/gradepin/tests/fleet.rs
@@ -65,7 +65,7 @@
          expect ledger call 1 one
          wait 10
          send ledger 1 500
-         expect log a call to the ledger for 0000000000000001 ended Failure after 60 ms",
+         expect log a call to the ledger for 0000000000000001 ended AppError after 60 ms",
     );
 }
 
@@ -130,8 +130,8 @@
          wait 290
          expect no log a call to the ledger
          wait 20
-         expect log a call to the ledger for 0000000000000007 ended Rejected
-         expect log a call to the ledger for 0000000000000008 ended Rejected
+         expect log a call to the ledger for 0000000000000007 ended Shed
+         expect log a call to the ledger for 0000000000000008 ended Shed
          expect no log a call to the ledger
          send ledger 1 200 done
          expect processor answer 1 done
