--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -34,7 +34,7 @@
 use crate::random::RandomSource;
 use crate::request::RequestId;
 use crate::retry_patterns::RetryPatterns;
-use crate::settings::Settings;
+use crate::settings::{Settings, SplitSettings};
 use crate::slow_start::SlowStart;
 use crate::tenant_quota::TenantQuotas;
 use crate::throttling::Throttle;
@@ -87,7 +87,7 @@
     pub fn new(mut settings: Settings, seed: u64, now: Time) -> Self {
         settings.specifics.n_cores = settings.specifics.n_cores.max(1);
         let cores = f64::from(settings.specifics.n_cores);
-        let (settings, classes, tenants) = settings.split();
+        let SplitSettings { rest: settings, classes, tenants } = settings.split();
         let mut controller = Self {
             random: RandomSource::seeded(seed),
             now,
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -71,7 +71,8 @@
 pub use events::{Event, Gauges};
 pub use request::{Outcome, Request, RequestId};
 pub use settings::{
-    AdmissionSettingsError, Callers, Goal, Limits, Prices, Rules, Settings, Tenant, WeightBasis,
+    AdmissionSettingsError, Callers, Goal, Limits, Prices, Rules, Settings, SplitSettings, Tenant,
+    WeightBasis,
 };
 pub use specifics::{CapacitySignal, Specifics, StopMode, UpstreamKind};
 pub use throttling::throttling;
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -103,7 +103,7 @@
 impl Settings {
     /// Splits off the classes and the tenants, in the order of the settings. Settings that name classes by
     /// their place move into the definitions.
-    pub fn split(mut self) -> (Self, Vec<Arc<ClassDefinition>>, Vec<Arc<Tenant>>) {
+    pub fn split(mut self) -> SplitSettings {
         let calls = std::mem::take(&mut self.specifics.calls_by_class);
         let skip_worths = std::mem::take(&mut self.specifics.class_skip_weights);
         let define = |(place, profile): (usize, ClassProfile)| {
@@ -116,10 +116,21 @@
         };
         let classes = std::mem::take(&mut self.profiles).into_iter().enumerate().map(define).collect();
         let tenants = std::mem::take(&mut self.customers).into_iter().map(Arc::new).collect();
-        (self, classes, tenants)
+        SplitSettings { rest: self, classes, tenants }
     }
 }
 
+/// Settings with their classes and tenants apart, each in the order of the settings.
+#[derive(Debug, Clone)]
+pub struct SplitSettings {
+    /// The settings without classes and tenants.
+    pub rest: Settings,
+    /// The classes.
+    pub classes: Vec<Arc<ClassDefinition>>,
+    /// The tenants.
+    pub tenants: Vec<Arc<Tenant>>,
+}
+
 fn one() -> u32 {
     1
 }
--- a/crates/admission/tests/customers.rs
+++ b/crates/admission/tests/customers.rs
@@ -6,7 +6,7 @@
 
 use customers::{MS, settings};
 use gradepin_admission::{
-    Action, Controller, Event, Gauges, Outcome, Request, RequestId, Settings, Span, Time,
+    Action, Controller, Event, Gauges, Outcome, Request, RequestId, Settings, Span, SplitSettings, Time,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Runs, RngAlgorithm, TestRng, TestRunner};
@@ -219,7 +219,7 @@
     /// Another customer's file, as the reducer tells it: classes, tenants, then all else. Slots of open requests stay theirs.
     fn reload(&mut self, set: &Settings) {
         let open = self.set.profiles.len();
-        let (mut rest, classes, tenants) = set.clone().split();
+        let SplitSettings { mut rest, classes, tenants } = set.clone().split();
         for (slot, class) in classes.iter().enumerate() {
             self.controller.put_class(open + slot, std::sync::Arc::clone(class));
         }
--- a/crates/admission/tests/shares.rs
+++ b/crates/admission/tests/shares.rs
@@ -36,7 +36,7 @@
 
     /// As a reload, or a lease, tells another share.
     fn reshare(&mut self, share: f64) {
-        self.module.set_rest(Self::settings(share).split().0);
+        self.module.set_rest(Self::settings(share).split().rest);
     }
 
     /// Some time in which a call that is made takes so long.
--- a/crates/core/src/reducer/mod.rs
+++ b/crates/core/src/reducer/mod.rs
@@ -47,7 +47,7 @@
 use connections::Connections;
 use drain::Drain;
 use gradepin_admission::{
-    Action, ClassDefinition, Controller, Event, Settings, Span, Tenant, Time, time_after,
+    Action, ClassDefinition, Controller, Event, Settings, Span, SplitSettings, Tenant, Time, time_after,
 };
 use open_requests::OpenRequests;
 use persistence::Recovery;
@@ -138,7 +138,7 @@
         settings: Arc<Settings>,
         registration: Registration,
     ) -> Result<Self, ConfigError> {
-        let (rest, classes, tenants) = Arc::unwrap_or_clone(settings).split();
+        let SplitSettings { rest, classes, tenants } = Arc::unwrap_or_clone(settings).split();
         let config = Config { settings: rest, ..config.clone() };
         Self::with_definitions(&config, classes, tenants, registration)
     }
--- a/crates/core/tests/settings_changes.rs
+++ b/crates/core/tests/settings_changes.rs
@@ -90,7 +90,7 @@
 
 impl World {
     fn new(seed: u64) -> Self {
-        let base = common::settings(common::base()).split().1;
+        let base = common::settings(common::base()).split().classes;
         let known = base.into_iter().enumerate();
         let names = known.map(|(slot, class)| (class.profile.name.clone(), (slot.into(), class)));
         let mut world = Self {
--- a/crates/node/src/settings/active.rs
+++ b/crates/node/src/settings/active.rs
@@ -4,7 +4,7 @@
 //! so a change blocks readers of one chunk only, for the time of that change. A handle that was read before its slot was
 //! reused is rejected by the reducer ([`gradepin_core::slots`]), so decoding with a slightly old name is harmless.
 
-use gradepin_admission::{ClassDefinition, Settings, Tenant};
+use gradepin_admission::{ClassDefinition, Settings, SplitSettings, Tenant};
 use gradepin_config::change::Change;
 use gradepin_core::config::Config;
 use gradepin_core::messages::NameChange;
@@ -111,7 +111,7 @@
 impl ActiveSettings {
     /// With the classes and tenants of the configuration file, in slots by their order.
     pub fn new(settings: &Settings) -> Self {
-        let (_, classes, tenants) = settings.clone().split();
+        let SplitSettings { classes, tenants, .. } = settings.clone().split();
         Self::of(&classes, &tenants)
     }
 
@@ -157,7 +157,7 @@
     /// for the reducer's thread.
     pub fn compare(&self, mut config: Config) -> Reload {
         let compared_at = self.0.edition.load(Ordering::Acquire);
-        let (rest, classes, tenants) = std::mem::take(&mut config.settings).split();
+        let SplitSettings { rest, classes, tenants } = std::mem::take(&mut config.settings).split();
         config.settings = rest;
         let mut reload = Reload { config, changes: Vec::new(), new_classes: 0, new_tenants: 0, compared_at };
         let names = classes.iter().map(|class| class.name()).collect();
--- a/crates/node/src/startup/state.rs
+++ b/crates/node/src/startup/state.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use crate::inherited_listener::InheritedListener;
 use crate::settings::{ActiveSettings, OperatorSettings};
-use gradepin_admission::{Settings, Span};
+use gradepin_admission::{Settings, Span, SplitSettings};
 use gradepin_core::buffer_pool::{BUFFER_BYTES, BufferPool};
 use gradepin_core::config::{Config, ConfigError};
 use gradepin_core::idempotency_log::IdempotencyLog;
@@ -51,7 +51,7 @@
         let cell_names = cell_names(&config.settings);
         let store_limits = operator.store.as_ref().map(|store| store.limits(config));
         let longest_window = longest_window(&config.settings);
-        let (rest, classes, tenants) = std::mem::take(&mut config.settings).split();
+        let SplitSettings { rest, classes, tenants } = std::mem::take(&mut config.settings).split();
         config.settings = rest;
         let names = ActiveSettings::of(&classes, &tenants);
         let clock = Clock::start();
--- a/crates/testkit/src/scale/fleet/requests/tests.rs
+++ b/crates/testkit/src/scale/fleet/requests/tests.rs
@@ -22,7 +22,7 @@
 fn requests_come_at_their_rate_and_runs_end_once() {
     let settings = Config::parse(SETTINGS).unwrap().settings;
     let pool = BufferPool::new(8);
-    let (_, classes, _) = settings.clone().split();
+    let classes = settings.clone().split().classes;
     let mut requests = Requests::new(3, 11, 200.0, 20.0, moment(0).now);
     let (mut inputs, mut arrived, mut ended) = (Vec::new(), 0, 0);
     // Turns of uneven length up to ten seconds.
