--- a/crates/coordination/src/configuration_log.rs
+++ b/crates/coordination/src/configuration_log.rs
@@ -1,11 +1,11 @@
-//! The replicated order of configuration changes: which revision each commit has, under which request id, by whom and why.
+//! The replicated order of configuration changes: the revision, request id, author and reason of each commit.
 //!
-//! Replicated is the order and not the content: a leader validates a transaction against the content of the revision it goes
-//! by, and its entry names that revision and the digest before and after. So applying an entry costs the size of its texts,
-//! needs no content and comes out the same on every voter. Invariant: revisions are given without gaps, and one request id
-//! gets one revision for as long as it is known here.
+//! The order is replicated and not the content: a leader validates a transaction against the content of a revision, and its
+//! entry names that revision and the digests before and after. So applying an entry costs the size of its texts, needs no
+//! content and has the same result on every voter. Invariant: revisions have no gaps, and one request id gets one revision for
+//! as long as it is remembered.
 
-use crate::replicated_state::{Command, Name};
+use crate::ids::Name;
 use gradepin_config::change::{Commit, MAX_TEXT_BYTES, Proposal, Revision};
 use gradepin_config::digest::Version;
 use gradepin_config::validation::Invalid;
@@ -13,14 +13,14 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Commits remembered at the most, whatever the setting: they travel in the group's snapshot with the roster.
+/// Commits remembered at most, whatever the setting: they are in the group's snapshot with the roster.
 pub const MAX_HISTORY: u32 = 1_024;
-/// Bytes of texts remembered at the most. With a roster of 4,096 a snapshot stays under the longest message between servers.
+/// Bytes of texts remembered at most. With a roster of 4,096 a snapshot fits into the longest message between servers.
 pub const MAX_HISTORY_BYTES: usize = 48 * 1024;
 /// The longest entry that a setting may allow; one entry and the next fit into what may wait to be committed.
 pub const MAX_ENTRY_BYTES: u32 = 32 * 1024;
 
-/// What an operator sets of the order of changes.
+/// What an operator sets for configuration changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConfigurationSettings {
     /// Commits whose author, reason and request id are remembered; at most [`MAX_HISTORY`].
@@ -35,19 +35,20 @@
     }
 }
 
-/// A proposal as it goes from the server that took it to the leader.
+/// A proposal on its way from the server that accepted it to the leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationRequest {
-    /// What is asked for.
+    /// The change.
     pub proposal: Proposal,
-    /// The newest revision known where it was first asked for, kept when it is asked again: a request id that was committed
-    /// later than this and is no longer remembered refuses the request, instead of committing it twice.
+    /// The newest revision known where it was first requested, the same on retries: a request is rejected if its id may have been
+    /// committed since and forgotten, instead of being committed twice.
     pub seen: Revision,
-    /// Unix time in ms at which it was first asked for.
-    pub asked_at_ms: u64,
+    /// Unix time in ms at which it was first requested.
+    #[serde(rename = "asked_at_ms")]
+    pub requested_at_ms: u64,
 }
 
-/// Why a change is not committed. Nothing was changed, unless said otherwise.
+/// Why a change isn't committed. Nothing was changed, unless said otherwise.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum ConfigurationRejected {
     /// The author saw another revision than the one in force.
@@ -62,43 +63,44 @@
     #[error(transparent)]
     Invalid(#[from] Invalid),
     /// The transaction is too long for one entry.
-    #[error("expected a transaction of at most {limit} bytes, got {came}; split it")]
+    #[error("expected a transaction of at most {limit} bytes, got {got}; split it")]
     TooLong {
         /// The setting.
         limit: u32,
-        /// Its length.
-        came: usize,
+        /// Its length in bytes.
+        #[serde(rename = "came")]
+        got: usize,
     },
-    /// The request is older than what is remembered, so whether it was committed already can't be told.
+    /// The request is older than what is remembered, so that it may be committed already.
     #[error(
         "first asked for at revision {seen}, request ids are known since {known_since}; see the history, then ask anew"
     )]
     Forgotten {
-        /// The newest revision known where it was first asked for.
+        /// The newest revision known where it was first requested.
         seen: Revision,
         /// Request ids committed after this revision are remembered.
         known_since: Revision,
     },
-    /// The leader hasn't got the content of the last revision yet.
+    /// The leader doesn't have the content of the last revision yet.
     #[error(
         "the leader has the configuration of revision {has:?} and {committed} is committed; ask again once it has caught up"
     )]
     Behind {
-        /// What it has.
+        /// The revision that it has.
         has: Option<Revision>,
-        /// What is committed.
+        /// The revision that is committed.
         committed: Revision,
     },
-    /// Too much waits to be committed.
+    /// Too many changes aren't committed yet.
     #[error("too many changes wait to be committed; ask again")]
     Busy,
-    /// No voter that was reached knows a leader.
+    /// No voter that replied knows a leader.
     #[error("no leader is heard; nothing can be changed from here, serving goes on")]
     NoLeader,
-    /// No voter answered.
+    /// No voter replied.
     #[error("no voter is heard; nothing can be changed from here, serving goes on")]
     NoVoter,
-    /// A leader took it and too few voters confirmed it in time. It may still be committed.
+    /// A leader proposed it and too few voters acknowledged it in time. It may still be committed.
     #[error("too few voters are heard to commit it; it may still be: ask again with the same request id")]
     Unconfirmed,
     /// The configuration service is off here.
@@ -107,9 +109,9 @@
 }
 
 impl From<gradepin_config::configuration::CommitRejected> for ConfigurationRejected {
-    fn from(refused: gradepin_config::configuration::CommitRejected) -> Self {
+    fn from(rejected: gradepin_config::configuration::CommitRejected) -> Self {
         use gradepin_config::configuration::CommitRejected;
-        match refused {
+        match rejected {
             CommitRejected::Moved { expected, in_force } => Self::Moved { expected, in_force },
             CommitRejected::Invalid(invalid) => Self::Invalid(invalid),
         }
@@ -119,38 +121,32 @@
 /// One change as an entry of the group's log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationEntry {
-    /// The state that the leader validated it against.
+    /// The content that the leader validated it against.
     pub base: Version,
-    /// The state after it.
+    /// The content after it.
     pub result: Version,
     /// See [`ConfigurationRequest::seen`].
     pub seen: Revision,
     /// Commits to remember from here on: the leader's setting, so that all voters remember the same.
     pub history: u32,
-    /// What is committed.
+    /// The commit.
     pub commit: Arc<Commit>,
 }
 
-impl ConfigurationEntry {
-    /// The command of the group's log.
-    pub fn command(self) -> Command {
-        Command::Configuration(Box::new(self))
-    }
-}
-
 /// A commit without its content.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommitHistoryEntry {
     /// Its revision.
     pub revision: Revision,
-    /// The id under which it was asked for.
+    /// The id of its request.
     pub request_id: Name,
-    /// Who.
+    /// Its author.
     pub author: Name,
-    /// Why.
+    /// Its reason.
     pub reason: Name,
-    /// Unix time in ms at which it was asked for.
-    pub asked_at_ms: u64,
+    /// Unix time in ms at which it was requested.
+    #[serde(rename = "asked_at_ms")]
+    pub requested_at_ms: u64,
 }
 
 impl CommitHistoryEntry {
@@ -160,7 +156,7 @@
             request_id: commit.request_id.clone(),
             author: commit.author.clone(),
             reason: commit.reason.clone(),
-            asked_at_ms: commit.proposed_at_ms,
+            requested_at_ms: commit.proposed_at_ms,
         }
     }
 
@@ -169,7 +165,7 @@
     }
 }
 
-/// The order as all voters know it.
+/// The order of changes, the same on all voters.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicatedConfiguration {
     version: Version,
@@ -180,7 +176,7 @@
 }
 
 impl ReplicatedConfiguration {
-    /// The last committed revision and the digest of its content. Before the first commit the digest says nothing.
+    /// The last committed revision and the digest of its content. Before the first commit the digest is unset.
     pub fn version(&self) -> Version {
         self.version
     }
@@ -195,29 +191,30 @@
         self.forgotten
     }
 
-    /// The revision that a request id was given.
+    /// The revision of a request id.
     pub fn revision_of(&self, request_id: &str) -> Option<Revision> {
-        self.history().find(|record| &*record.request_id == request_id).map(|record| record.revision)
+        self.history().find(|entry| &*entry.request_id == request_id).map(|entry| entry.revision)
     }
 
-    /// Refuses a request so old that its id may be forgotten.
-    pub fn knows_since(&self, seen: Revision) -> Result<(), ConfigurationRejected> {
+    /// Rejects a request so old that its id may be forgotten.
+    pub fn check_seen(&self, seen: Revision) -> Result<(), ConfigurationRejected> {
         if seen < self.forgotten {
             return Err(ConfigurationRejected::Forgotten { seen, known_since: self.forgotten });
         }
         Ok(())
     }
 
-    /// Applies an entry: the revision of its request id, which is a new one if the entry follows what was committed.
+    /// Applies an entry; the revision of its request id, which is a new one if the entry follows the last commit.
     pub fn apply(&mut self, entry: &ConfigurationEntry) -> Result<Revision, ConfigurationRejected> {
         let commit = &entry.commit;
         if let Some(revision) = self.revision_of(&commit.request_id) {
             return Ok(revision);
         }
-        self.knows_since(entry.seen)?;
-        // The content that the very first commit goes by is each server's start file, which no entry names.
-        let first = self.version.revision == Revision(0);
-        let follows = entry.base.revision == self.version.revision && (first || entry.base == self.version);
+        self.check_seen(entry.seen)?;
+        // The content before the first commit is each server's start file, whose digest no entry names.
+        let is_first = self.version.revision == Revision(0);
+        let follows =
+            entry.base.revision == self.version.revision && (is_first || entry.base == self.version);
         if !follows || commit.revision != self.version.revision.next() {
             let (expected, in_force) = (entry.base.revision, self.version.revision);
             return Err(ConfigurationRejected::Moved { expected, in_force });
@@ -227,11 +224,11 @@
         Ok(commit.revision)
     }
 
-    fn remember(&mut self, record: CommitHistoryEntry, limit: u32) {
-        debug_assert!(record.request_id.len() <= MAX_TEXT_BYTES);
+    fn remember(&mut self, entry: CommitHistoryEntry, limit: u32) {
+        debug_assert!(entry.request_id.len() <= MAX_TEXT_BYTES);
         let limit = limit.clamp(1, MAX_HISTORY) as usize;
-        self.history_bytes += record.bytes();
-        self.history.push_back(record);
+        self.history_bytes += entry.bytes();
+        self.history.push_back(entry);
         while self.history.len() > limit || self.history_bytes > MAX_HISTORY_BYTES {
             let Some(oldest) = self.history.pop_front() else { return };
             self.history_bytes -= oldest.bytes();
--- a/crates/coordination/src/consensus/configuration.rs
+++ b/crates/coordination/src/consensus/configuration.rs
@@ -1,141 +1,163 @@
-//! What a voter does about configuration changes: the leader validates a request against the content and proposes it; every
-//! voter brings its copy of the content forward by what is applied.
+//! Configuration changes on a voter: the leader validates a request against the content and proposes it; every voter applies
+//! what is committed to its copy of the content.
 //!
-//! The content is not in the group's log snapshots: it is had from the voter's own durable copy, which the host makes when it
-//! is asked to before the log is compacted, or from peers. A voter without the content of the last revision refuses requests.
+//! The content isn't in the log's snapshots: it comes from the voter's own durable copy, which the host makes when asked before
+//! the log is compacted, or from peers. Invariant: a leader proposes only against the content of the last committed revision
+//! with all that it has proposed in its term on top; a voter without that content rejects requests.
 
-use super::{ConsensusVoter, StateRole, VoterEffect, VoterId};
+use super::{ConsensusVoter, NO_VOTER, StateRole, VoterEffect, VoterId};
 use crate::configuration_log::{
     ConfigurationEntry, ConfigurationRejected, ConfigurationRequest, ConfigurationSettings, MAX_ENTRY_BYTES,
 };
+use crate::ids::{Name, Term, Ticket};
+use crate::replicated_state::Command;
 use gradepin_config::change::{Commit, Revision};
 use gradepin_config::configuration::Configuration;
 use gradepin_config::digest::Version;
 use gradepin_config::log::{CommitLog, LogLimits};
+use slog::Level;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Nobody waits for the number of such a proposal: its answer goes by the request id.
-const UNNUMBERED: u64 = 0;
+/// The number of these proposals: their outcome is matched by request id.
+const UNNUMBERED: Ticket = 0;
 
-/// What becomes of a request at a voter.
+/// What a voter does with a request that it accepts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProposalAccepted {
-    /// It is committed.
+    /// It is committed already.
     Committed(Revision),
-    /// It waits to be committed, under this revision if it is.
+    /// It is proposed, and has this revision if it is committed.
     Proposed(Revision),
 }
 
-/// Why a voter doesn't take a request.
+/// Why a voter rejects a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProposalRejected {
-    /// Another voter leads, or nobody that is heard here.
+    /// Another voter leads, or none that is known here.
     NotLeader(Option<VoterId>),
-    /// It is refused.
+    /// The change is rejected.
     Rejected(ConfigurationRejected),
 }
 
-/// What a leader has proposed on top of the content, in its term.
+/// The content with what a leader has proposed in its term and isn't committed yet.
 #[derive(Debug)]
-struct Ahead {
-    term: u64,
-    state: Configuration,
-    /// Revisions by request id.
-    proposed: BTreeMap<Arc<str>, Revision>,
+struct ProposedContent {
+    term: Term,
+    content: Configuration,
+    /// The revisions of uncommitted proposals, by request id.
+    revisions: BTreeMap<Name, Revision>,
+}
+
+/// A committed change couldn't be applied: this voter's copy of the content isn't the group's.
+#[derive(Debug, thiserror::Error)]
+#[error(
+    "the configuration here at revision {revision} is not the group's; it is left out until it was fetched from peers"
+)]
+struct ContentDiverged {
+    revision: Revision,
 }
 
 /// A voter's copy of the content.
 #[derive(Debug)]
 pub(super) struct Content {
-    set: ConfigurationSettings,
-    state: Option<Configuration>,
-    /// Commits applied by this process: they bring a copy forward that the host hands in late.
+    settings: ConfigurationSettings,
+    current: Option<Configuration>,
+    /// Commits applied by this process, which bring a copy up to date that the host provides late.
     recent: CommitLog,
-    ahead: Option<Ahead>,
+    proposed: Option<ProposedContent>,
+    /// The revision of the host's durable copy.
     durable: Revision,
-    asked_durable: Revision,
+    /// The last revision that the host was asked to make durable.
+    requested_durable: Revision,
 }
 
 impl Default for Content {
     fn default() -> Self {
         Self {
-            set: ConfigurationSettings::default(),
-            state: None,
+            settings: ConfigurationSettings::default(),
+            current: None,
             recent: CommitLog::after_revision(Revision(0), LogLimits::default()),
-            ahead: None,
+            proposed: None,
             durable: Revision(0),
-            asked_durable: Revision(0),
+            requested_durable: Revision(0),
         }
     }
 }
 
 impl Content {
     fn revision(&self) -> Option<Revision> {
-        self.state.as_ref().map(Configuration::revision)
+        self.current.as_ref().map(Configuration::revision)
     }
 
-    /// The replicated state was read from a snapshot: what was applied before it is not known here.
+    /// The replicated state was loaded from a snapshot: commits before it aren't known here.
     pub(super) fn restart(&mut self, committed: Version) {
         self.recent.restart(committed.revision);
-        self.ahead = None;
+        self.proposed = None;
     }
 
-    /// A commit was applied. Says so if the copy is found to be another content than the group's.
-    fn committed(&mut self, entry: &ConfigurationEntry) -> Option<String> {
+    /// Applies a commit. A copy that turns out to differ from the group's content is dropped.
+    fn apply(&mut self, entry: &ConfigurationEntry) -> Result<(), ContentDiverged> {
         let commit = &entry.commit;
         if self.recent.push(Arc::clone(commit)).is_err() {
             self.recent.restart(commit.revision);
         }
-        let state = self.state.as_mut().filter(|state| state.revision() == entry.base.revision)?;
-        let same = state.version() == entry.base;
-        if same && state.apply(commit).is_ok() && state.version() == entry.result {
-            return None;
+        let is_base = |content: &&mut Configuration| content.revision() == entry.base.revision;
+        let Some(content) = self.current.as_mut().filter(is_base) else { return Ok(()) };
+        let is_same_base = content.version() == entry.base;
+        if is_same_base && content.apply(commit).is_ok() && content.version() == entry.result {
+            return Ok(());
         }
-        self.state = None;
-        Some(format!(
-            "the configuration here at revision {} is not the group's; it is left out until it was fetched from peers",
-            entry.base.revision
-        ))
+        self.current = None;
+        Err(ContentDiverged { revision: entry.base.revision })
     }
 
-    /// A copy of the content from the host; one that is older than what is here changes nothing.
-    fn hold(&mut self, configuration: &Configuration, committed: Version) {
+    /// Takes a copy of the content from the host, unless it is older than what is here or isn't the group's.
+    fn offer(&mut self, configuration: &Configuration, committed: Version) {
         if self.revision().is_some_and(|revision| revision >= configuration.revision()) {
             return;
         }
-        let mut state = configuration.clone();
-        let missing = self.recent.after(state.revision()).into_iter().flatten();
-        for commit in missing {
-            if state.apply(commit).is_err() {
+        let mut content = configuration.clone();
+        let later_commits = self.recent.after(content.revision()).into_iter().flatten();
+        for commit in later_commits {
+            if content.apply(commit).is_err() {
                 return;
             }
         }
-        if state.revision() == committed.revision
-            && committed.revision > Revision(0)
-            && state.version() != committed
-        {
+        let is_committed_revision =
+            committed.revision > Revision(0) && content.revision() == committed.revision;
+        if is_committed_revision && content.version() != committed {
             return;
         }
-        self.state = Some(state);
+        self.current = Some(content);
+    }
+
+    /// Removes a committed request from the proposals.
+    fn forget_proposal(&mut self, request_id: &Name) {
+        let Some(proposed) = &mut self.proposed else { return };
+        proposed.revisions.remove(request_id);
+        // Without uncommitted proposals the current content is what to validate against again.
+        if proposed.revisions.is_empty() {
+            self.proposed = None;
+        }
     }
 }
 
 impl ConsensusVoter {
-    /// How changes are committed here when this voter leads.
-    pub fn set_configuration(&mut self, mut set: ConfigurationSettings) {
-        set.entry_bytes = set.entry_bytes.min(MAX_ENTRY_BYTES);
-        self.content.set = set;
+    /// Sets how this voter commits changes when it leads.
+    pub fn set_configuration(&mut self, mut settings: ConfigurationSettings) {
+        settings.entry_bytes = settings.entry_bytes.min(MAX_ENTRY_BYTES);
+        self.content.settings = settings;
     }
 
-    /// The host holds this content: from its durable copy, its start file or its peers.
-    pub fn hold_configuration(&mut self, configuration: &Configuration) {
-        self.content.hold(configuration, self.record.configuration.version());
+    /// The host provides the content: its durable copy, its start file or its peers'.
+    pub fn offer_configuration(&mut self, configuration: &Configuration) {
+        self.content.offer(configuration, self.state.configuration.version());
     }
 
-    /// The content that this voter holds; a clone of it shares its entries.
+    /// This voter's copy of the content; a clone of it shares its entries.
     pub fn configuration(&self) -> Option<&Configuration> {
-        self.content.state.as_ref()
+        self.content.current.as_ref()
     }
 
     /// The host's durable copy has this revision.
@@ -143,52 +165,60 @@
         self.content.durable = revision.max(self.content.durable);
     }
 
-    /// Whether the log may be compacted as of now; if not, the host is asked for a durable copy.
+    /// Whether the log may be compacted now; if not, the host is asked for a durable copy.
     pub(super) fn may_compact(&mut self) -> bool {
-        let committed = self.record.configuration.version().revision;
+        let committed = self.state.configuration.version().revision;
         if self.content.durable >= committed {
             return true;
         }
-        if self.content.asked_durable < committed {
-            self.content.asked_durable = committed;
+        if self.content.requested_durable < committed {
+            self.content.requested_durable = committed;
             self.effects.push(VoterEffect::MakeDurable(committed));
         }
         false
     }
 
-    /// Asks for a change here: on the leader it is validated and proposed; [`VoterEffect::Committed`] tells of its commit.
-    pub fn request(&mut self, request: &ConfigurationRequest) -> Result<ProposalAccepted, ProposalRejected> {
+    /// Requests a change: a leader validates and proposes it, and [`VoterEffect::Committed`] reports its commit.
+    pub fn propose_configuration(
+        &mut self,
+        request: &ConfigurationRequest,
+    ) -> Result<ProposalAccepted, ProposalRejected> {
         let id = &request.proposal.request_id;
-        if let Some(revision) = self.record.configuration.revision_of(id) {
+        if let Some(revision) = self.state.configuration.revision_of(id) {
             return Ok(ProposalAccepted::Committed(revision));
         }
-        let term = self.leads_and_is_current()?;
-        if self.content.ahead.as_ref().is_none_or(|ahead| ahead.term != term) {
-            self.content.ahead = Some(self.start_ahead(term).map_err(ProposalRejected::Rejected)?);
+        let term = self.current_leader_term()?;
+        if self.content.proposed.as_ref().is_none_or(|proposed| proposed.term != term) {
+            self.content.proposed = Some(self.start_proposing(term).map_err(ProposalRejected::Rejected)?);
         }
-        if let Some(revision) = self.content.ahead.as_ref().and_then(|ahead| ahead.proposed.get(id)) {
+        if let Some(revision) = self.content.proposed.as_ref().and_then(|proposed| proposed.revisions.get(id))
+        {
             return Ok(ProposalAccepted::Proposed(*revision));
         }
         self.validate_and_propose(request).map_err(ProposalRejected::Rejected)
     }
 
     /// The term, if this voter leads and has applied an entry of it: only then does it know all that was committed before.
-    fn leads_and_is_current(&self) -> Result<u64, ProposalRejected> {
+    fn current_leader_term(&self) -> Result<Term, ProposalRejected> {
         let Some(node) = &self.node else { return Err(ProposalRejected::NotLeader(None)) };
         if node.raft.state != StateRole::Leader {
-            return Err(ProposalRejected::NotLeader(Some(node.raft.leader_id).filter(|id| *id != 0)));
+            let leader = Some(node.raft.leader_id).filter(|id| *id != NO_VOTER);
+            return Err(ProposalRejected::NotLeader(leader));
         }
         let term = node.raft.term;
-        let applied = node.raft.raft_log.term(self.record.index).unwrap_or(0);
-        if applied == term { Ok(term) } else { Err(ProposalRejected::NotLeader(None)) }
+        let applied_term = node.raft.raft_log.term(self.state.index).unwrap_or(0);
+        if applied_term == term { Ok(term) } else { Err(ProposalRejected::NotLeader(None)) }
     }
 
-    fn start_ahead(&self, term: u64) -> Result<Ahead, ConfigurationRejected> {
-        let committed = self.record.configuration.version().revision;
-        let current = self.content.state.as_ref().filter(|state| state.revision() == committed);
-        let state = current.cloned();
-        let state = state.ok_or(ConfigurationRejected::Behind { has: self.content.revision(), committed })?;
-        Ok(Ahead { term, state, proposed: BTreeMap::new() })
+    fn start_proposing(&self, term: Term) -> Result<ProposedContent, ConfigurationRejected> {
+        let committed = self.state.configuration.version().revision;
+        let current = self.content.current.as_ref().filter(|content| content.revision() == committed);
+        match current {
+            Some(content) => {
+                Ok(ProposedContent { term, content: content.clone(), revisions: BTreeMap::new() })
+            }
+            None => Err(ConfigurationRejected::Behind { has: self.content.revision(), committed }),
+        }
     }
 
     fn validate_and_propose(
@@ -196,47 +226,53 @@
         request: &ConfigurationRequest,
     ) -> Result<ProposalAccepted, ConfigurationRejected> {
         let proposal = &request.proposal;
-        self.record.configuration.knows_since(request.seen)?;
-        let set = self.content.set;
-        let Some(ahead) = &self.content.ahead else { return Err(ConfigurationRejected::Busy) };
-        ahead.state.check(proposal)?;
-        let base = ahead.state.version();
-        let commit = Arc::new(Commit {
-            revision: base.revision.next(),
-            author: proposal.author.clone(),
-            reason: proposal.reason.clone(),
-            request_id: proposal.request_id.clone(),
-            proposed_at_ms: request.asked_at_ms,
-            transaction: proposal.transaction.clone(),
-        });
-        let came = postcard::to_stdvec(&*commit).map_or(usize::MAX, |bytes| bytes.len());
-        if came > set.entry_bytes as usize {
-            return Err(ConfigurationRejected::TooLong { limit: set.entry_bytes, came });
-        }
-        let mut state = ahead.state.clone();
-        state.apply(&commit).map_err(|_| ConfigurationRejected::Busy)?;
-        let (result, revision) = (state.version(), commit.revision);
-        let entry = ConfigurationEntry { base, result, seen: request.seen, history: set.history, commit };
-        self.propose(UNNUMBERED, entry.command()).map_err(|_| ConfigurationRejected::Busy)?;
-        if let Some(ahead) = &mut self.content.ahead {
-            ahead.state = state;
-            ahead.proposed.insert(proposal.request_id.clone(), revision);
+        self.state.configuration.check_seen(request.seen)?;
+        let settings = self.content.settings;
+        let Some(proposed) = &self.content.proposed else { return Err(ConfigurationRejected::Busy) };
+        proposed.content.check(proposal)?;
+        let base = proposed.content.version();
+        let commit = commit_of(request, base.revision.next());
+        check_length(&commit, settings.entry_bytes)?;
+        let mut content = proposed.content.clone();
+        content.apply(&commit).map_err(|_| ConfigurationRejected::Busy)?;
+        let (result, revision) = (content.version(), commit.revision);
+        let entry =
+            ConfigurationEntry { base, result, seen: request.seen, history: settings.history, commit };
+        self.propose(UNNUMBERED, Command::Configuration(Box::new(entry)))
+            .map_err(|_| ConfigurationRejected::Busy)?;
+        if let Some(proposed) = &mut self.content.proposed {
+            proposed.content = content;
+            proposed.revisions.insert(proposal.request_id.clone(), revision);
         }
         Ok(ProposalAccepted::Proposed(revision))
     }
 
     /// An entry was applied and gave a new revision.
     pub(super) fn configuration_committed(&mut self, entry: &ConfigurationEntry) {
-        if let Some(why) = self.content.committed(entry) {
-            self.effects.push(VoterEffect::Log(true, why));
-        }
-        if let Some(ahead) = &mut self.content.ahead {
-            ahead.proposed.remove(&entry.commit.request_id);
-            // With nothing under way the content itself is the state to go by again.
-            if ahead.proposed.is_empty() {
-                self.content.ahead = None;
-            }
+        if let Err(diverged) = self.content.apply(entry) {
+            self.log(Level::Warning, diverged.to_string());
         }
+        self.content.forget_proposal(&entry.commit.request_id);
         self.effects.push(VoterEffect::Committed(Arc::clone(&entry.commit)));
     }
 }
+
+fn commit_of(request: &ConfigurationRequest, revision: Revision) -> Arc<Commit> {
+    let proposal = &request.proposal;
+    Arc::new(Commit {
+        revision,
+        author: proposal.author.clone(),
+        reason: proposal.reason.clone(),
+        request_id: proposal.request_id.clone(),
+        proposed_at_ms: request.requested_at_ms,
+        transaction: proposal.transaction.clone(),
+    })
+}
+
+fn check_length(commit: &Commit, limit: u32) -> Result<(), ConfigurationRejected> {
+    let entry_bytes = postcard::to_stdvec(commit).map_or(usize::MAX, |bytes| bytes.len());
+    if entry_bytes > limit as usize {
+        return Err(ConfigurationRejected::TooLong { limit, got: entry_bytes });
+    }
+    Ok(())
+}
--- a/crates/coordination/src/controller/permits.rs
+++ b/crates/coordination/src/controller/permits.rs
@@ -1,110 +1,110 @@
-//! When permits end: by a holder that is back and stable, by a right to begin that is over, or freed by an operator once
-//! that is safe.
+//! The end of permits: when a holder is back and stable, when a right to begin has expired, and when a released permit may be
+//! removed safely.
 //!
-//! A permit's right to begin counts by the holder's clock from its request ([`BEGIN_TIMEOUT`]); here it counts as over only
-//! by the slowest and the fastest clock. A later incarnation has none of the right that an earlier one was given.
+//! A holder's right to begin lasts [`BEGIN_TIMEOUT`] from its request by its own clock; here it counts as expired only by the
+//! slowest and the fastest clock that the settings allow. A later incarnation has none of the rights of an earlier one.
 
-use super::requests::AGREED_WITHIN;
-use super::servers::HeardServer;
-use super::{Context, KeyedCommand, MS};
+use super::requests::MAX_COMMIT_LATENCY;
+use super::servers::ReportingServer;
+use super::{Context, KeyedCommand, NANOS_PER_MS};
+use crate::ids::{Epoch, Incarnation, Name};
 use crate::messages::BEGIN_TIMEOUT;
-use crate::replicated_state::{
-    Command, Name, Permit, PermitEnd, PermitStage, Purpose, ReplicatedState, Target,
-};
+use crate::replicated_state::{Command, Permit, PermitEnd, PermitStage, Purpose, ReplicatedState, Target};
 use gradepin_admission::{Span, Time, time_after};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A permit that was reserved and never begun is over after this, if its server is ready all the while.
-const UNUSED_AFTER: Span = Span(30_000 * MS);
-/// Incarnations of one server with the new version after which it counts as one that crashes.
+/// A reserved permit that isn't begun ends after this, if its server is ready all the while.
+const UNUSED_TIMEOUT: Span = Span(30_000 * NANOS_PER_MS);
+/// Incarnations of one server within a step after which its process counts as crashing.
 pub(super) const MAX_INCARNATIONS: usize = 3;
+const PARTS_PER_MILLION: u64 = 1_000_000;
 
-/// What was observed of a permit since this term began.
+/// What this leader observed of a permit in its term.
 #[derive(Debug)]
 pub(super) struct ObservedPermit {
     stage: PermitStage,
-    begins: u32,
-    /// Since when it is as it is.
+    begin_grants: u32,
+    /// Since when stage and grants are as they are.
     pub since: Time,
-    /// The incarnation that it began in, as far as it was heard.
-    first: Option<u64>,
-    /// Those that were heard since.
-    pub incarnations: BTreeSet<u64>,
-    /// When its server was last told that it is its turn.
-    pub turn_sent_at: Option<Time>,
+    /// The incarnation that has the right to begin, as far as it reported.
+    first_incarnation: Option<Incarnation>,
+    /// The incarnations that reported since; at most one more than [`MAX_INCARNATIONS`].
+    pub incarnations: BTreeSet<Incarnation>,
+    /// When its server was last sent the step.
+    pub assigned_at: Option<Time>,
 }
 
 impl ObservedPermit {
     fn new(now: Time, permit: &Permit) -> Self {
         Self {
             stage: permit.stage.clone(),
-            begins: permit.begins,
+            begin_grants: permit.begin_grants,
             since: now,
-            first: None,
+            first_incarnation: None,
             incarnations: BTreeSet::new(),
-            turn_sent_at: None,
+            assigned_at: None,
         }
     }
 
     fn update(&mut self, now: Time, permit: &Permit) {
-        if self.stage == permit.stage && self.begins == permit.begins {
+        if self.stage == permit.stage && self.begin_grants == permit.begin_grants {
             return;
         }
         self.stage = permit.stage.clone();
-        self.begins = permit.begins;
+        self.begin_grants = permit.begin_grants;
         self.since = now;
-        // Its right is of the incarnation that was heard by then, or of a later one.
-        self.first = None;
+        // The new right is that of the incarnation that reported by then, or of a later one.
+        self.first_incarnation = None;
     }
 
-    /// The time in which a step may be taken counts from now.
+    /// Restarts the time in which the step is to be taken.
     pub(super) fn restart(&mut self, now: Time) {
         self.since = now;
         self.incarnations.clear();
     }
 }
 
-/// The permits of the replicated state as this leader observed them.
+/// The permits of the replicated state as this leader observes them.
 #[derive(Debug, Default)]
 pub(super) struct PermitController {
-    observed: BTreeMap<u64, ObservedPermit>,
+    observed: BTreeMap<Epoch, ObservedPermit>,
 }
 
 impl PermitController {
-    /// A server reported.
-    pub(super) fn reported(&mut self, record: &ReplicatedState, name: &Name, incarnation: u64) {
+    /// Records the incarnation of a server that reported.
+    pub(super) fn record_report(&mut self, state: &ReplicatedState, name: &Name, incarnation: Incarnation) {
         for (epoch, observed) in &mut self.observed {
-            let target = record.permits.get(epoch).map(|permit| &permit.target);
-            let is_its = matches!(target, Some(Target::Server(of)) if of == name);
-            if is_its && observed.incarnations.len() <= MAX_INCARNATIONS {
+            let target = state.permits.get(epoch).map(|permit| &permit.target);
+            let is_for_server = matches!(target, Some(Target::Server(server)) if server == name);
+            if is_for_server && observed.incarnations.len() <= MAX_INCARNATIONS {
                 observed.incarnations.insert(incarnation);
             }
         }
     }
 
     /// What was observed of a permit.
-    pub(super) fn get_mut(&mut self, epoch: u64) -> Option<&mut ObservedPermit> {
+    pub(super) fn get_mut(&mut self, epoch: Epoch) -> Option<&mut ObservedPermit> {
         self.observed.get_mut(&epoch)
     }
 
-    /// The rollout goes the other way: what was observed before says nothing of it.
+    /// The rollout changed its direction: steps are assigned and timed anew.
     pub(super) fn restart_all(&mut self, now: Time) {
         for observed in self.observed.values_mut() {
             observed.restart(now);
-            observed.turn_sent_at = None;
+            observed.assigned_at = None;
         }
     }
 
-    /// Commands that end permits which are over.
+    /// Commands for permits that have ended.
     pub(super) fn ended(&mut self, context: &Context<'_>) -> Vec<KeyedCommand> {
-        let record = context.record;
-        self.observed.retain(|epoch, _| record.permits.contains_key(epoch));
+        let state = context.state;
+        self.observed.retain(|epoch, _| state.permits.contains_key(epoch));
         let mut commands = Vec::new();
-        for (epoch, permit) in &record.permits {
+        for (epoch, permit) in &state.permits {
             let new = || ObservedPermit::new(context.now, permit);
             let observed = self.observed.entry(*epoch).or_insert_with(new);
             observed.update(context.now, permit);
-            if let Some(command) = end_of(context, *epoch, permit, observed) {
+            if let Some(command) = end_command(context, *epoch, permit, observed) {
                 commands.push(KeyedCommand { key: format!("permit {epoch}"), command });
             }
         }
@@ -112,10 +112,10 @@
     }
 }
 
-/// The command that ends a permit, if it is over.
-fn end_of(
+/// The command for a permit that has ended.
+fn end_command(
     context: &Context<'_>,
-    epoch: u64,
+    epoch: Epoch,
     permit: &Permit,
     observed: &mut ObservedPermit,
 ) -> Option<Command> {
@@ -124,48 +124,56 @@
         Target::Server(name) => context.servers.get(name),
         _ => None,
     };
-    if observed.first.is_none() {
-        observed.first = holder.map(|heard| heard.incarnation);
-    }
-    let restarted = holder.is_some_and(|heard| observed.first.is_some_and(|first| heard.incarnation > first));
-    let right_is_over = restarted
-        || has_wanted_version(context, permit, holder)
-        || now >= time_after(observed.since, right_to_begin(context));
-    let stable = |name: &Name, span: Span| context.servers.is_stable(now, name, span);
-    let by = PermitEnd::Stable(permit.begins);
+    let may_still_begin = has_right_to_begin(context, permit, observed, holder);
+    let is_stable = |name: &Name, span: Span| context.servers.is_stable(now, name, span);
+    let end = Command::End { epoch, observed: PermitEnd::Stable(permit.begin_grants) };
     match (&permit.stage, &permit.target) {
-        (PermitStage::Released, _) if right_is_over => Some(Command::PermitExpired { epoch }),
+        (PermitStage::Released, _) if !may_still_begin => Some(Command::PermitExpired { epoch }),
         (PermitStage::Begun, Target::Server(name))
-            if right_is_over && stable(name, context.settings.stabilization) =>
+            if !may_still_begin && is_stable(name, context.settings.stabilization) =>
         {
-            Some(Command::End { epoch, by })
+            Some(end)
         }
         (PermitStage::Reserved, Target::Server(name))
-            if now >= time_after(observed.since, UNUSED_AFTER) && stable(name, UNUSED_AFTER) =>
+            if now >= time_after(observed.since, UNUSED_TIMEOUT) && is_stable(name, UNUSED_TIMEOUT) =>
         {
-            Some(Command::End { epoch, by })
+            Some(end)
         }
         _ => None,
     }
 }
 
-/// Whether a holder has what its permit was for: then it has no right to begin once more.
-fn has_wanted_version(context: &Context<'_>, permit: &Permit, holder: Option<&HeardServer>) -> bool {
+/// Whether a holder may still act on a grant to begin.
+fn has_right_to_begin(
+    context: &Context<'_>,
+    permit: &Permit,
+    observed: &mut ObservedPermit,
+    holder: Option<&ReportingServer>,
+) -> bool {
+    if observed.first_incarnation.is_none() {
+        observed.first_incarnation = holder.map(|server| server.incarnation);
+    }
+    let has_restarted = holder
+        .is_some_and(|server| observed.first_incarnation.is_some_and(|first| server.incarnation > first));
+    let has_expired = context.now >= time_after(observed.since, right_to_begin(context));
+    !(has_restarted || has_expired || has_target_version(context, permit, holder))
+}
+
+/// Whether a holder runs what its permit was for: then it has no reason to begin again.
+fn has_target_version(context: &Context<'_>, permit: &Permit, holder: Option<&ReportingServer>) -> bool {
     let Purpose::Release(number) = &permit.purpose else { return false };
     let Target::Server(name) = &permit.target else { return false };
-    let release = context.record.release.as_ref().filter(|release| release.number == *number);
-    let (Some(release), Some(heard)) = (release, holder) else { return false };
-    release
-        .servers
-        .get(name)
-        .is_some_and(|server| *heard.report.version(release.plan.kind) == release.wanted(server))
+    let rollout = context.state.rollout.as_ref().filter(|rollout| rollout.number == *number);
+    let (Some(rollout), Some(holder)) = (rollout, holder) else { return false };
+    let runs = holder.report.version(rollout.plan.kind);
+    rollout.servers.get(name).is_some_and(|server| *runs == rollout.target_version(server))
 }
 
-/// How long a right to begin may last by the slowest and the fastest clock.
+/// The longest time for which a right to begin may last, by the slowest and the fastest clock.
 fn right_to_begin(context: &Context<'_>) -> Span {
-    let drift = context.settings.max_drift_ppm;
-    let fast = 1_000_000 + drift;
-    let slow = 1_000_000 - drift.min(999_999);
-    let span = u128::from(BEGIN_TIMEOUT.0) * u128::from(fast) / u128::from(slow);
-    Span(span as u64 + AGREED_WITHIN.0)
+    let drift_ppm = context.settings.max_drift_ppm;
+    let fastest = PARTS_PER_MILLION + drift_ppm;
+    let slowest = PARTS_PER_MILLION - drift_ppm.min(PARTS_PER_MILLION - 1);
+    let nanos = u128::from(BEGIN_TIMEOUT.0) * u128::from(fastest) / u128::from(slowest);
+    Span(nanos as u64 + MAX_COMMIT_LATENCY.0)
 }
--- a/crates/coordination/src/controller/requests.rs
+++ b/crates/coordination/src/controller/requests.rs
@@ -1,139 +1,138 @@
-//! Requests of servers for permits, and the replies to them.
+//! Permit requests of servers: the command that each is proposed as, and the reply once it is applied.
 
 use super::proposals::{PendingProposal, Waiter};
-use super::{Controller, ControllerEffect, MS};
+use super::{Controller, ControllerEffect, NANOS_PER_MS};
 use crate::consensus::{ConsensusVoter, ProposalError};
-use crate::messages::{OperatorCommandReply, PermitAction, PermitReply, PermitRequest};
+use crate::ids::{Epoch, Incarnation, Name, Ticket};
+use crate::messages::{CommandFailure, CommandResult, PermitAction, PermitReply, PermitRequest};
 use crate::replicated_state::{
-    Command, CommandOutcome, DenialReason, Name, PermitEnd, Purpose, ReplicatedState, Target,
+    Command, CommandOutcome, DenialReason, PermitEnd, Purpose, ReplicatedState, Target,
 };
 use crate::rollout::Rollout;
 use gradepin_admission::{Span, Time};
 use std::sync::Arc;
 
-/// A reply to begin goes by who was heard no longer ago than this when it was proposed and agreed on.
-pub(super) const AGREED_WITHIN: Span = Span(1_000 * MS);
+/// A grant to begin counts only if it was committed within this: the reports that it was checked against have aged by then.
+pub(super) const MAX_COMMIT_LATENCY: Span = Span(1_000 * NANOS_PER_MS);
+
+/// The proposal for a request.
+struct RequestProposal {
+    command: Command,
+    /// What is to be out, where the request is to begin.
+    begin_target: Option<Target>,
+}
 
 impl Controller {
-    /// A server asks; the reply comes as [`ControllerEffect::Reply`].
+    /// Handles a server's request; the reply is a [`ControllerEffect::Reply`].
     pub fn request(
         &mut self,
         now: Time,
-        council: &mut ConsensusVoter,
+        consensus: &mut ConsensusVoter,
         from: &Name,
-        incarnation: u64,
+        incarnation: Incarnation,
         request: PermitRequest,
     ) {
         let number = request.number;
-        let (command, begins) = match self.command_for(now, council, from, incarnation, request.action) {
-            Ok(proposed) => proposed,
+        let proposal = match self.proposal_for(now, consensus, from, incarnation, request.action) {
+            Ok(proposal) => proposal,
             Err(reply) => return self.reply(from, number, reply),
         };
-        let waiter = Waiter::Server { name: Arc::clone(from), number, begins };
-        if let Err(why) = self.proposals.propose(now, council, command, waiter) {
-            let leader = match why {
-                ProposalError::NotLeader(id) => council.record().voters.get(&id).cloned(),
+        let RequestProposal { command, begin_target } = proposal;
+        let waiter = Waiter::Server { name: Arc::clone(from), number, begin_target };
+        if let Err(error) = self.proposals.propose(now, consensus, command, waiter) {
+            let leader = match error {
+                ProposalError::NotLeader(leader) => consensus.state().voters.get(&leader).cloned(),
                 ProposalError::Busy
                 | ProposalError::NoLeader
                 | ProposalError::NotVoter
                 | ProposalError::TooLong => None,
             };
-            self.reply(from, number, PermitReply::Redirect(leader));
+            self.reply(from, number, PermitReply::Redirect { leader });
         }
     }
 
-    /// The command that a request comes to, with a target where it asks to begin; or the reply where nothing is proposed.
-    fn command_for(
+    /// The proposal for a request, or the reply where nothing is proposed.
+    fn proposal_for(
         &self,
         now: Time,
-        council: &ConsensusVoter,
+        consensus: &ConsensusVoter,
         from: &Name,
-        incarnation: u64,
+        incarnation: Incarnation,
         action: PermitAction,
-    ) -> Result<(Command, Option<Target>), PermitReply> {
-        let record = council.record();
-        let leads = council.leads().is_some();
+    ) -> Result<RequestProposal, PermitReply> {
+        let state = consensus.state();
+        let is_leader = consensus.leader_term().is_some();
         let target = Target::Server(Arc::clone(from));
         let holder = Arc::clone(from);
         match action {
             PermitAction::Reserve => {
-                if leads {
-                    self.context(now, record).fits(&target).map_err(PermitReply::Wait)?;
+                if is_leader {
+                    self.context(now, state).fits(&target).map_err(PermitReply::Wait)?;
                 }
-                let purpose = Purpose::Drain;
-                Ok((Command::Reserve { target, holder, life: incarnation, purpose }, None))
+                let command = Command::Reserve { target, holder, incarnation, purpose: Purpose::Drain };
+                Ok(RequestProposal { command, begin_target: None })
             }
-            PermitAction::Begin(epoch) => {
-                if leads && record.permits.contains_key(&epoch) {
-                    self.may_begin(now, record, epoch, &target).map_err(PermitReply::Wait)?;
+            PermitAction::Begin { epoch } => {
+                if is_leader && state.permits.contains_key(&epoch) {
+                    self.may_begin(now, state, epoch, &target).map_err(PermitReply::Wait)?;
                 }
-                Ok((Command::Begin { epoch, holder, life: incarnation }, Some(target)))
+                let command = Command::Begin { epoch, holder, incarnation };
+                Ok(RequestProposal { command, begin_target: Some(target) })
             }
-            PermitAction::Cancel(epoch) => {
-                let is_its = record.permits.get(&epoch).is_none_or(|permit| permit.holder == *from);
-                if !is_its {
+            PermitAction::Cancel { epoch } => {
+                if state.permits.get(&epoch).is_some_and(|permit| permit.holder != *from) {
                     return Err(PermitReply::Ended);
                 }
-                Ok((Command::End { epoch, by: PermitEnd::HolderCancelled(incarnation) }, None))
+                let observed = PermitEnd::HolderCancelled(incarnation);
+                Ok(RequestProposal { command: Command::End { epoch, observed }, begin_target: None })
             }
         }
     }
 
-    /// Whether a step may begin: it fits, and its release was not halted here.
+    /// Whether a holder may begin: it fits, and the rollout that its permit is for isn't halted here.
     fn may_begin(
         &self,
         now: Time,
-        record: &ReplicatedState,
-        epoch: u64,
+        state: &ReplicatedState,
+        epoch: Epoch,
         target: &Target,
     ) -> Result<(), DenialReason> {
-        if let Some(Purpose::Release(number)) = record.permits.get(&epoch).map(|permit| &permit.purpose)
-            && let Some(release) = record.release.as_ref().filter(|release| release.number == *number)
+        if let Some(Purpose::Release(number)) = state.permits.get(&epoch).map(|permit| &permit.purpose)
+            && let Some(rollout) = state.rollout.as_ref().filter(|rollout| rollout.number == *number)
         {
-            self.goes_on(record, release)?;
+            self.rollout_may_step(state, rollout)?;
         }
-        self.context(now, record).fits(target)
+        self.context(now, state).fits(target)
     }
 
-    /// Whether a release that is open may take a further step.
-    fn goes_on(&self, record: &ReplicatedState, release: &Rollout) -> Result<(), DenialReason> {
-        let name = &release.plan.name;
-        if self.rollout.is_halted(record) {
+    fn rollout_may_step(&self, state: &ReplicatedState, rollout: &Rollout) -> Result<(), DenialReason> {
+        let name = &rollout.plan.name;
+        if self.rollout.is_halted(state) {
             return Err(DenialReason::Release(format!("{name} is ordered to halt")));
         }
-        match self.rollout.fall_from_outside(&self.servers, release) {
-            Some(fall) => Err(DenialReason::Release(fall.hold(name))),
+        match self.rollout.external_fall(&self.servers, rollout) {
+            Some(fall) => Err(DenialReason::Release(fall.hold_text(name))),
             None => Ok(()),
         }
     }
 
-    fn reply(&mut self, to: &Name, number: u64, reply: PermitReply) {
+    fn reply(&mut self, to: &Name, number: Ticket, reply: PermitReply) {
         self.effects.push(ControllerEffect::Reply { to: Arc::clone(to), number, reply });
     }
 
-    /// A proposal of this controller was applied.
-    pub fn applied(&mut self, now: Time, record: &ReplicatedState, number: u64, outcome: CommandOutcome) {
-        let Some(PendingProposal { at, waiter }) = self.proposals.take(number) else { return };
+    /// A proposal of this controller was applied: passes its outcome to whom it is for.
+    pub fn applied(&mut self, now: Time, state: &ReplicatedState, number: Ticket, outcome: CommandOutcome) {
+        let Some(PendingProposal { proposed_at, waiter }) = self.proposals.take(number) else { return };
         match waiter {
             Waiter::Nobody => {}
-            Waiter::Operator(ticket) => {
-                let result = match outcome {
-                    CommandOutcome::Done => Ok("done".to_string()),
-                    CommandOutcome::Permit(epoch, _) => Ok(format!("permit {epoch}")),
-                    CommandOutcome::Denied(why) => Err(why.to_string()),
-                    CommandOutcome::Revision(revision) => Ok(format!("revision {revision}")),
-                    CommandOutcome::NotCommitted(why) => Err(why.to_string()),
-                };
-                self.effects
-                    .push(ControllerEffect::OrderReply { ticket, reply: OperatorCommandReply::Done(result) });
-            }
-            Waiter::Server { name, number, begins } => {
-                let reply = match (outcome, begins) {
-                    (CommandOutcome::Denied(why), _) => PermitReply::Wait(why),
-                    (CommandOutcome::Permit(epoch, _), Some(target)) => {
-                        self.reply_to_begin(now, at, record, epoch, &target)
+            Waiter::Operator { ticket } => self.finish_command(ticket, command_result(outcome)),
+            Waiter::Server { name, number, begin_target } => {
+                let reply = match (outcome, begin_target) {
+                    (CommandOutcome::Denied(reason), _) => PermitReply::Wait(reason),
+                    (CommandOutcome::Permit { epoch, .. }, Some(target)) => {
+                        self.reply_to_begin(now, proposed_at, state, epoch, &target)
                     }
-                    (CommandOutcome::Permit(epoch, _), None) => PermitReply::Reserved(epoch),
+                    (CommandOutcome::Permit { epoch, .. }, None) => PermitReply::Reserved { epoch },
                     (
                         CommandOutcome::Done | CommandOutcome::Revision(_) | CommandOutcome::NotCommitted(_),
                         _,
@@ -144,20 +143,31 @@
         }
     }
 
-    /// Looks once more at who is heard, now that it is agreed on.
+    /// Checks the reports again, now that the begin is committed.
     fn reply_to_begin(
         &self,
         now: Time,
         proposed_at: Time,
-        record: &ReplicatedState,
-        epoch: u64,
+        state: &ReplicatedState,
+        epoch: Epoch,
         target: &Target,
     ) -> PermitReply {
-        let is_late = now.0.saturating_sub(proposed_at.0) > AGREED_WITHIN.0;
-        match self.may_begin(now, record, epoch, target) {
-            Ok(()) if !is_late => PermitReply::Begin(epoch),
+        let is_late = now.0.saturating_sub(proposed_at.0) > MAX_COMMIT_LATENCY.0;
+        match self.may_begin(now, state, epoch, target) {
+            Ok(()) if !is_late => PermitReply::Begin { epoch },
             Ok(()) => PermitReply::Wait(DenialReason::Invalid("it took too long to agree; ask again".into())),
-            Err(why) => PermitReply::Wait(why),
+            Err(reason) => PermitReply::Wait(reason),
         }
     }
 }
+
+/// What an operator is shown of an outcome.
+fn command_result(outcome: CommandOutcome) -> CommandResult {
+    match outcome {
+        CommandOutcome::Done => Ok("done".to_string()),
+        CommandOutcome::Permit { epoch, .. } => Ok(format!("permit {epoch}")),
+        CommandOutcome::Denied(reason) => Err(CommandFailure(reason.to_string())),
+        CommandOutcome::Revision(revision) => Ok(format!("revision {revision}")),
+        CommandOutcome::NotCommitted(reason) => Err(CommandFailure(reason.to_string())),
+    }
+}
--- a/crates/coordination/src/controller/rollout_controller.rs
+++ b/crates/coordination/src/controller/rollout_controller.rs
@@ -1,76 +1,74 @@
-//! The rollout of a release: whose turn it is, when a batch is over, and when the release stops or rolls back.
+//! The rollout on the leader: when the next batch starts, when the rollout ends, and when it is halted or rolled back because
+//! service falls.
 //!
-//! Each step is a command; nothing here moves the release by itself. A server has its turn by a permit, changes, and counts
-//! once it is stable with the wanted version.
+//! Input: reports and the replicated state. Output: commands to propose and effects. Each step is a command; nothing here
+//! changes the rollout by itself. What is due with one server is [`server_step`]'s.
 
-use super::permits::{MAX_INCARNATIONS, PermitController};
-use super::servers::{HeardServer, ServerTable};
-use super::{Context, ControllerEffect, KeyedCommand, MS};
-use crate::messages::{ServerReport, StepAssignment};
-use crate::replicated_state::{
-    Command, MAX_TEXT_BYTES, Name, Permit, PermitStage, Purpose, ReplicatedState, Target,
-};
-use crate::rollback::RegressionDetector;
+mod server_step;
+
+use super::permits::PermitController;
+use super::servers::ServerTable;
+use super::{Context, ControllerEffect, KeyedCommand, NANOS_PER_MS};
+use crate::ids::{Incarnation, Name, RolloutNumber};
+use crate::messages::ServerReport;
+use crate::replicated_state::{Command, ReplicatedState};
+use crate::rollback::{FleetFall, RegressionDetector, Version};
 use crate::rollout::{Batch, Rollout, RolloutCommand, RolloutServer, RolloutState, ServerProgress};
 use gradepin_admission::{Span, Time, time_after};
+use server_step::{ServerStepResult, step_server};
+use slog::Level;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A server is told of its turn so often.
-const TURN_INTERVAL: Span = Span(500 * MS);
-/// Between steps of the watch on the whole fleet's service.
-const WATCH_STEP: Span = Span(5_000 * MS);
-/// So many servers that are gone without a permit are a fault of their own, and a hundredth of a large fleet.
-const SEVERAL: usize = 2;
-/// The part of a large fleet, as a divisor.
-const SEVERAL_OF_FLEET: usize = 100;
-/// A fall of the whole fleet's service by less than this stops nothing.
+/// Between intervals by which the fleet's service is compared.
+const SERVICE_INTERVAL: Span = Span(5_000 * NANOS_PER_MS);
+/// A fall of the fleet's served fraction by less than this halts nothing.
 const MIN_FLEET_FALL: f64 = 0.05;
-/// Who stops a release where nobody did by hand.
-const AUTOMATIC: &str = "the council";
+/// The operator of an automatic halt, as the operator actions show it.
+const AUTOMATIC_OPERATOR: &str = "the council";
 
-/// What one step of the rollout comes to.
+/// The result of one step of the rollout.
 #[derive(Debug, Default)]
 pub(super) struct RolloutStep {
+    /// Commands to propose.
     pub commands: Vec<KeyedCommand>,
+    /// Effects, in order.
     pub effects: Vec<ControllerEffect>,
 }
 
 impl RolloutStep {
-    fn order(&mut self, key: &str, order: RolloutCommand) {
-        self.commands.push(KeyedCommand { key: format!("release {key}"), command: Command::Release(order) });
+    fn propose(&mut self, key: &str, command: RolloutCommand) {
+        let command = Command::Release(command);
+        self.commands.push(KeyedCommand { key: format!("release {key}"), command });
     }
 
-    fn server_stepped(&mut self, number: u64, name: &Name, step: ServerProgress) {
+    fn record_progress(&mut self, number: RolloutNumber, name: &Name, progress: ServerProgress) {
         let server = Arc::clone(name);
-        self.order(&format!("step {name}"), RolloutCommand::Stepped { number, server, step });
+        self.propose(&format!("step {name}"), RolloutCommand::RecordProgress { number, server, progress });
     }
 
-    /// Halts the release, and rolls it back if the plan says so.
-    fn stop(&mut self, release: &Rollout, why: String) {
-        let name = release.plan.name.clone();
-        let by: Name = Arc::from(AUTOMATIC);
-        let rolls_back = release.plan.goes_back && release.state == RolloutState::Running;
-        self.effects.push(ControllerEffect::Log(true, format!("release {name} stops: {why}")));
-        let order = if rolls_back {
-            RolloutCommand::Back { name, by, why }
+    /// Rolls the rollout back where its plan says so, and halts it otherwise.
+    fn stop(&mut self, rollout: &Rollout, reason: String) {
+        let name = rollout.plan.name.clone();
+        let operator: Name = Arc::from(AUTOMATIC_OPERATOR);
+        self.log(Level::Warning, format!("release {name} stops: {reason}"));
+        let rolls_back = rollout.plan.rolls_back && rollout.state == RolloutState::Running;
+        let command = if rolls_back {
+            RolloutCommand::RollBack { name, operator, reason }
         } else {
-            RolloutCommand::Halt { name, by, why }
+            RolloutCommand::Halt { name, operator, reason }
         };
-        self.order("stop", order);
+        self.propose("stop", command);
     }
-}
 
-/// A fall of the whole fleet's service, as parts of all tries.
-#[derive(Debug, Clone, Copy)]
-pub(super) struct FleetFall {
-    before: f64,
-    since: f64,
+    fn log(&mut self, level: Level, text: String) {
+        self.effects.push(ControllerEffect::Log { level, text });
+    }
 }
 
 impl FleetFall {
-    /// Why a release waits that no server has begun.
-    pub(super) fn hold(self, name: &str) -> String {
+    /// Why a rollout is held that no server has begun.
+    pub(super) fn hold_text(self, name: &str) -> String {
         format!("release {name} waits: {self}, and no server has the version")
     }
 }
@@ -81,164 +79,186 @@
     }
 }
 
-/// What this leader knows of the rollout beside the replicated state.
+/// What this leader knows of the rollout beyond the replicated state.
 #[derive(Debug)]
 pub(super) struct RolloutController {
-    watch: RegressionDetector,
-    /// The release that is watched.
-    watched: Option<u64>,
-    /// Whether the release goes forward or back.
-    forward: Option<bool>,
-    next_watch_step: Time,
-    /// Since when all of the batch are whole.
-    batch_whole_since: Option<Time>,
-    /// Whether the open release waits for a fall of service that it can't have caused.
+    detector: RegressionDetector,
+    /// The rollout whose service is compared.
+    compared: Option<RolloutNumber>,
+    /// Whether the last step updated servers, or rolled them back.
+    was_running: Option<bool>,
+    next_interval: Time,
+    /// Since when all servers of the batch are updated.
+    batch_updated_since: Option<Time>,
+    /// Whether the open rollout is held because of a fall of service that it can't have caused.
     is_held: bool,
-    /// Releases that were ordered to halt here, agreed or not, with the halts known then.
+    /// Rollouts that were halted here, committed or not, with the number of halts that was known then.
     halted: BTreeMap<String, u32>,
 }
 
 impl RolloutController {
+    /// Without a rollout.
     pub(super) fn new(now: Time) -> Self {
         Self {
-            watch: RegressionDetector::default(),
-            watched: None,
-            forward: None,
-            next_watch_step: now,
-            batch_whole_since: None,
+            detector: RegressionDetector::default(),
+            compared: None,
+            was_running: None,
+            next_interval: now,
+            batch_updated_since: None,
             is_held: false,
             halted: BTreeMap::new(),
         }
     }
 
-    /// A new term begins, or this one is over.
-    pub(super) fn begin_term(&mut self) {
-        self.watch = RegressionDetector::default();
-        self.watched = None;
-        self.batch_whole_since = None;
+    /// The term of this leader starts or ends.
+    pub(super) fn start_term(&mut self) {
+        self.detector = RegressionDetector::default();
+        self.compared = None;
+        self.batch_updated_since = None;
     }
 
-    /// A server reported: what it counted is its old or its new version's.
-    pub(super) fn reported(
+    /// Counts a server's totals for the version that it runs.
+    pub(super) fn record_report(
         &mut self,
-        record: &ReplicatedState,
+        state: &ReplicatedState,
         name: &Name,
-        incarnation: u64,
+        incarnation: Incarnation,
         report: &ServerReport,
     ) {
-        let release = record.release.as_ref().filter(|release| self.watched == Some(release.number));
-        let Some(release) = release else { return };
-        let Some(server) = release.servers.get(name) else { return };
-        let has = report.version(release.plan.kind);
-        let is_new =
-            if *has == release.plan.version { Some(true) } else { (*has == server.before).then_some(false) };
-        self.watch.told(name, incarnation, is_new, &report.totals);
+        let rollout = state.rollout.as_ref().filter(|rollout| self.compared == Some(rollout.number));
+        let Some(rollout) = rollout else { return };
+        let Some(server) = rollout.servers.get(name) else { return };
+        let runs = report.version(rollout.plan.kind);
+        let version = if *runs == rollout.plan.version {
+            Some(Version::New)
+        } else if *runs == server.previous_version {
+            Some(Version::Old)
+        } else {
+            None
+        };
+        self.detector.record_totals(name, incarnation, version, &report.totals);
     }
 
-    /// Whether a halt was ordered here that the replicated state doesn't know yet.
-    pub(super) fn is_halted(&self, record: &ReplicatedState) -> bool {
-        record.release.as_ref().is_some_and(|release| {
-            self.halted.get(&release.plan.name).is_some_and(|halts| release.halts <= *halts)
+    /// Whether the rollout was halted here and the replicated state doesn't have that halt yet.
+    pub(super) fn is_halted(&self, state: &ReplicatedState) -> bool {
+        state.rollout.as_ref().is_some_and(|rollout| {
+            self.halted.get(&rollout.plan.name).is_some_and(|halts| rollout.halt_count <= *halts)
         })
     }
 
-    /// A halt was ordered somewhere: no further step here, agreed or not.
-    pub(super) fn halt(&mut self, record: &ReplicatedState, name: &str) {
-        if let Some(release) = record.release.as_ref().filter(|release| release.plan.name == name) {
-            self.halted.insert(name.to_string(), release.halts);
+    /// An operator halted the rollout: no further step here, committed or not.
+    pub(super) fn halt(&mut self, state: &ReplicatedState, name: &str) {
+        if let Some(rollout) = state.rollout.as_ref().filter(|rollout| rollout.plan.name == name) {
+            self.halted.insert(name.to_string(), rollout.halt_count);
         }
     }
 
-    /// Moves the release that is open.
+    /// Takes the next step of the open rollout.
     pub(super) fn step(&mut self, context: &Context<'_>, permits: &mut PermitController) -> RolloutStep {
-        let mut out = RolloutStep::default();
-        let Some(release) = context.record.release.as_ref().filter(|release| release.is_open()) else {
-            self.watched = None;
-            self.forward = None;
-            return out;
+        let mut step = RolloutStep::default();
+        let Some(rollout) = context.state.rollout.as_ref().filter(|rollout| rollout.is_open()) else {
+            self.compared = None;
+            self.was_running = None;
+            return step;
         };
-        self.step_watch(context.now, release.number);
-        if matches!(release.state, RolloutState::Halted(_)) || self.is_halted(context.record) {
-            return out;
+        self.step_detector(context.now, rollout.number);
+        if matches!(rollout.state, RolloutState::Halted(_)) || self.is_halted(context.state) {
+            return step;
         }
-        let forward = release.state == RolloutState::Running;
-        if self.forward != Some(forward) {
-            // What was seen of the way forward says nothing of the way back.
+        let is_running = rollout.state == RolloutState::Running;
+        if self.was_running != Some(is_running) {
+            // What was observed before the direction changed says nothing of the steps in this one.
             permits.restart_all(context.now);
-            self.forward = Some(forward);
+            self.was_running = Some(is_running);
         }
-        if forward && let Some(worse) = self.worse_cell(context, release) {
-            out.stop(release, worse);
-            return out;
+        if is_running && self.service_forbids_step(context, rollout, &mut step) {
+            return step;
         }
-        if forward && self.hold(context.servers, release, &mut out) {
-            return out;
+        for name in rollout.servers_due() {
+            if step_server(context, permits, rollout, name, &mut step) == ServerStepResult::Stopped {
+                return step;
+            }
         }
-        if forward && let Some(fall) = self.fleet_fall(release) {
-            out.stop(release, fall.to_string());
-            return out;
+        self.step_batch(context.now, rollout, &mut step);
+        step
+    }
+
+    /// Stops or holds the rollout where service falls; whether it does.
+    fn service_forbids_step(
+        &mut self,
+        context: &Context<'_>,
+        rollout: &Rollout,
+        step: &mut RolloutStep,
+    ) -> bool {
+        if let Some(regression) = self.regression(context, rollout) {
+            step.stop(rollout, regression);
+            return true;
+        }
+        if self.hold(context.servers, rollout, step) {
+            return true;
         }
-        for name in release.turns() {
-            if step_server(context, permits, release, name, &mut out) == Progress::Stops {
-                return out;
+        match self.fleet_fall(rollout) {
+            Some(fall) => {
+                step.stop(rollout, fall.to_string());
+                true
             }
+            None => false,
         }
-        self.step_batch(context.now, release, &mut out);
-        out
     }
 
-    fn step_watch(&mut self, now: Time, number: u64) {
-        if self.watched != Some(number) {
-            self.watch = RegressionDetector::default();
-            self.watched = Some(number);
-            self.next_watch_step = now;
+    fn step_detector(&mut self, now: Time, number: RolloutNumber) {
+        if self.compared != Some(number) {
+            self.detector = RegressionDetector::default();
+            self.compared = Some(number);
+            self.next_interval = now;
             self.is_held = false;
         }
-        if now >= self.next_watch_step {
-            self.watch.next_step();
-            self.next_watch_step = time_after(now, WATCH_STEP);
+        if now >= self.next_interval {
+            self.detector.next_interval();
+            self.next_interval = time_after(now, SERVICE_INTERVAL);
         }
     }
 
-    /// Why the release is to stop by what servers of its version count beside those of the old one, if it is.
-    fn worse_cell(&self, context: &Context<'_>, release: &Rollout) -> Option<String> {
-        let worse = self.watch.worse(release.plan.worse)?;
-        let name = context.settings.cell_names.get(&worse.cell).cloned();
-        let name = name.unwrap_or_else(|| format!("cell {:x}", worse.cell));
+    /// The cell in which the new version serves less than the old one, in words.
+    fn regression(&self, context: &Context<'_>, rollout: &Rollout) -> Option<String> {
+        let worst = self.detector.worst_regression(rollout.plan.tolerated_regression)?;
+        let name = context.settings.cell_names.get(&worst.cell).cloned();
+        let name = name.unwrap_or_else(|| format!("cell {:x}", worst.cell));
         Some(format!(
             "{name} is served to {:.3} by the new version and to {:.3} by the old, by {} tries",
-            worse.new, worse.old, worse.tries
+            worst.new, worst.old, worst.attempts
         ))
     }
 
-    fn fleet_fall(&self, release: &Rollout) -> Option<FleetFall> {
-        let least = release.plan.worse.max(MIN_FLEET_FALL);
-        self.watch.fleet_falls(least).map(|(before, since)| FleetFall { before, since })
+    fn fleet_fall(&self, rollout: &Rollout) -> Option<FleetFall> {
+        let tolerated = rollout.plan.tolerated_regression.max(MIN_FLEET_FALL);
+        self.detector.fleet_fall(tolerated)
     }
 
-    /// The fall of the fleet's service while no server has the release's version: nothing of the release can be the cause,
-    /// and there is nothing to roll back.
-    pub(super) fn fall_from_outside(&self, servers: &ServerTable, release: &Rollout) -> Option<FleetFall> {
-        let plan = &release.plan;
-        let has_begun = release.servers.values().any(|server| server.step != ServerProgress::Pending);
-        if self.watched != Some(release.number) || release.state != RolloutState::Running || has_begun {
+    /// The fall of the fleet's service while no server has the new version: the rollout can't be the cause, and there is
+    /// nothing to roll back.
+    pub(super) fn external_fall(&self, servers: &ServerTable, rollout: &Rollout) -> Option<FleetFall> {
+        let plan = &rollout.plan;
+        let is_compared = self.compared == Some(rollout.number) && rollout.state == RolloutState::Running;
+        let has_begun = rollout.servers.values().any(|server| server.progress != ServerProgress::Pending);
+        if !is_compared || has_begun {
             return None;
         }
         if servers.reports().any(|(_, report)| *report.version(plan.kind) == plan.version) {
             return None;
         }
-        self.fleet_fall(release)
+        self.fleet_fall(rollout)
     }
 
-    /// Holds the release while the fleet's service falls from outside, and says so once; whether it is held.
-    fn hold(&mut self, servers: &ServerTable, release: &Rollout, out: &mut RolloutStep) -> bool {
-        let fall = self.fall_from_outside(servers, release);
-        let name = &release.plan.name;
+    /// Holds the rollout while the fleet's service falls for another cause, and logs it once; whether it is held.
+    fn hold(&mut self, servers: &ServerTable, rollout: &Rollout, step: &mut RolloutStep) -> bool {
+        let fall = self.external_fall(servers, rollout);
+        let name = &rollout.plan.name;
         match fall {
-            Some(fall) if !self.is_held => out.effects.push(ControllerEffect::Log(true, fall.hold(name))),
+            Some(fall) if !self.is_held => step.log(Level::Warning, fall.hold_text(name)),
             None if self.is_held => {
                 let text = format!("release {name} waits no longer: the fleet serves as before");
-                out.effects.push(ControllerEffect::Log(false, text));
+                step.log(Level::Info, text);
             }
             _ => {}
         }
@@ -246,152 +266,28 @@
         self.is_held
     }
 
-    /// Ends the release where all are there, or begins the next batch where this one has been whole for its pause.
-    fn step_batch(&mut self, now: Time, release: &Rollout, out: &mut RolloutStep) {
-        let number = release.number;
-        let forward = release.state == RolloutState::Running;
-        let is_done = |server: &RolloutServer| match server.step {
-            ServerProgress::Updated => forward,
-            ServerProgress::Pending | ServerProgress::RolledBack => !forward,
+    /// Finishes the rollout where all servers are in their final state, or starts the next batch where this one has been
+    /// updated for its pause.
+    fn step_batch(&mut self, now: Time, rollout: &Rollout, step: &mut RolloutStep) {
+        let number = rollout.number;
+        let is_running = rollout.state == RolloutState::Running;
+        let is_final = |server: &RolloutServer| match server.progress {
+            ServerProgress::Updated => is_running,
+            ServerProgress::Pending | ServerProgress::RolledBack => !is_running,
             _ => false,
         };
-        if release.servers.values().all(is_done) {
-            return out.order("over", RolloutCommand::Over { number });
+        if rollout.servers.values().all(is_final) {
+            return step.propose("over", RolloutCommand::Finish { number });
         }
-        if !forward || !release.wave_is_whole() {
-            self.batch_whole_since = None;
+        if !is_running || !rollout.is_batch_updated() {
+            self.batch_updated_since = None;
             return;
         }
-        let since = *self.batch_whole_since.get_or_insert(now);
-        let pause = release.plan.waves.get(release.wave as usize).map_or(Span(0), Batch::pause);
+        let since = *self.batch_updated_since.get_or_insert(now);
+        let pause = rollout.plan.batches.get(rollout.batch as usize).map_or(Span(0), Batch::pause);
         if now >= time_after(since, pause) {
-            self.batch_whole_since = None;
-            out.order("wave", RolloutCommand::Wave { number, wave: release.wave + 1 });
-        }
-    }
-}
-
-/// Whether the rollout goes on after a look at one server.
-#[derive(Debug, PartialEq, Eq)]
-enum Progress {
-    GoesOn,
-    Stops,
-}
-
-/// What is due with one server whose turn it is.
-fn step_server(
-    context: &Context<'_>,
-    permits: &mut PermitController,
-    release: &Rollout,
-    name: &Name,
-    out: &mut RolloutStep,
-) -> Progress {
-    let Some(server) = release.servers.get(name) else { return Progress::GoesOn };
-    let (now, plan) = (context.now, &release.plan);
-    let forward = release.state == RolloutState::Running;
-    let wanted = if forward { &plan.version } else { &server.before };
-    let heard = context.servers.get_fresh(now, name);
-    let has_wanted = heard.is_some_and(|heard| heard.report.version(plan.kind) == wanted);
-    if has_wanted && context.servers.is_stable(now, name, plan.steady()) {
-        out.server_stepped(
-            release.number,
-            name,
-            if forward { ServerProgress::Updated } else { ServerProgress::RolledBack },
-        );
-        return Progress::GoesOn;
-    }
-    let permit = context.record.permit_of(&Target::Server(Arc::clone(name)));
-    let permit = permit.filter(|(_, permit)| permit.purpose == Purpose::Release(release.number));
-    let Some((epoch, permit)) = permit else {
-        reserve(context, release, name, heard, out);
-        return Progress::GoesOn;
-    };
-    let Some(observed) = permits.get_mut(epoch) else { return Progress::GoesOn };
-    let incarnations = observed.incarnations.len();
-    if let Some(why) = failure(context, release, permit, observed.since, incarnations, heard) {
-        if others_are_gone(context, name) {
-            // More is lost than it: that is no fault of the version, whose time counts from when they are back.
-            observed.restart(now);
-            return Progress::GoesOn;
-        }
-        let text = format!("{name}: {why}");
-        let step = if forward { ServerProgress::Failed(why) } else { ServerProgress::RollbackFailed(why) };
-        out.server_stepped(release.number, name, step);
-        out.stop(release, text);
-        return Progress::Stops;
-    }
-    let is_due = observed.turn_sent_at.is_none_or(|at| now >= time_after(at, TURN_INTERVAL));
-    if is_due && heard.is_some() && !has_wanted {
-        observed.turn_sent_at = Some(now);
-        let turn =
-            StepAssignment { release: release.number, epoch, kind: plan.kind, version: wanted.clone() };
-        out.effects.push(ControllerEffect::Turn { to: Arc::clone(name), turn });
-    }
-    Progress::GoesOn
-}
-
-/// Reserves a permit for a server whose turn it is. Who isn't there can't be told; who is there and doesn't fit waits.
-fn reserve(
-    context: &Context<'_>,
-    release: &Rollout,
-    name: &Name,
-    heard: Option<&HeardServer>,
-    out: &mut RolloutStep,
-) {
-    let Some(heard) = heard else { return };
-    let target = Target::Server(Arc::clone(name));
-    if context.fits(&target).is_err() {
-        return;
-    }
-    let command = Command::Reserve {
-        target,
-        holder: Arc::clone(name),
-        life: heard.incarnation,
-        purpose: Purpose::Release(release.number),
-    };
-    out.commands.push(KeyedCommand { key: format!("reserve {name}"), command });
-}
-
-/// Why a server's step failed, if it did: by its own word, by a process that ends again and again, or by time.
-fn failure(
-    context: &Context<'_>,
-    release: &Rollout,
-    permit: &Permit,
-    since: Time,
-    incarnations: usize,
-    heard: Option<&HeardServer>,
-) -> Option<String> {
-    let reported = heard.and_then(|heard| heard.report.failed.as_ref());
-    if let Some((_, why)) = reported.filter(|(of, _)| *of == release.number) {
-        // In the record as in the acts: a reason of any length would be an entry that no message can carry.
-        return Some(why[..why.floor_char_boundary(MAX_TEXT_BYTES)].to_string());
-    }
-    if permit.stage != PermitStage::Begun {
-        return None;
-    }
-    if incarnations > MAX_INCARNATIONS {
-        return Some("its process ends again and again".into());
-    }
-    let is_late = context.now >= time_after(since, release.plan.ready());
-    is_late.then(|| format!("not ready within {} ms", release.plan.ready_ms))
-}
-
-/// Whether more is gone than one server, which nobody agreed on: all of its zone, or several of the fleet. It may have lost
-/// its power, or be cut off, with them.
-fn others_are_gone(context: &Context<'_>, name: &Name) -> bool {
-    let record = context.record;
-    let Some(zone) = record.roster.get(name).map(|member| &member.zone) else { return false };
-    let (planned, unplanned) = (record.out_by_permit(), context.unplanned());
-    let others = record.roster.iter().filter(|(other, _)| *other != name && !planned.contains(*other));
-    let (mut zone_there, mut zone_gone, mut all_gone) = (0, 0, 0);
-    for (other, member) in others {
-        let is_gone = unplanned.contains(other);
-        all_gone += usize::from(is_gone);
-        if member.zone == *zone {
-            zone_there += usize::from(!is_gone);
-            zone_gone += usize::from(is_gone);
+            self.batch_updated_since = None;
+            step.propose("wave", RolloutCommand::StartBatch { number, batch: rollout.batch + 1 });
         }
     }
-    let zone_is_gone = zone_there == 0 && zone_gone > 0;
-    zone_is_gone || all_gone >= SEVERAL.max(record.roster.len() / SEVERAL_OF_FLEET)
 }
--- a/crates/coordination/src/controller/servers.rs
+++ b/crates/coordination/src/controller/servers.rs
@@ -1,104 +1,115 @@
-//! What is heard of the servers: their last reports, and since when each has been ready without a break.
+//! The servers that report to this voter: their last reports, and since when each has been ready without a break.
 
+use crate::ids::{Incarnation, Name};
 use crate::messages::ServerReport;
-use crate::replicated_state::{MAX_SERVERS, Name, ReplicatedState};
+use crate::replicated_state::{MAX_SERVERS, ReplicatedState};
 use gradepin_admission::{Span, Time, time_after};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 /// A server's last report.
 #[derive(Debug, Clone)]
-pub(super) struct HeardServer {
-    at: Time,
-    pub incarnation: u64,
+pub(super) struct ReportingServer {
+    received_at: Time,
+    /// The incarnation that sent it.
+    pub incarnation: Incarnation,
+    /// The report.
     pub report: ServerReport,
-    /// Since when it has been ready without a break.
+    /// Since when the server has been ready without a break.
     ready_since: Option<Time>,
 }
 
-/// The servers that reported, of at most [`MAX_SERVERS`].
+/// The servers that reported, at most [`MAX_SERVERS`].
 #[derive(Debug)]
 pub(super) struct ServerTable {
-    heard: BTreeMap<Name, HeardServer>,
+    servers: BTreeMap<Name, ReportingServer>,
     fresh_for: Span,
 }
 
 impl ServerTable {
+    /// With the age up to which a report counts.
     pub(super) fn new(fresh_for: Span) -> Self {
-        Self { heard: BTreeMap::new(), fresh_for }
+        Self { servers: BTreeMap::new(), fresh_for }
     }
 
-    /// Whether a report is taken: there is room, and it is of no earlier incarnation.
-    pub(super) fn accepts(&self, name: &Name, incarnation: u64) -> bool {
-        match self.heard.get(name) {
+    /// Whether a report is accepted: there is capacity, and it isn't of an earlier incarnation.
+    pub(super) fn accepts(&self, name: &Name, incarnation: Incarnation) -> bool {
+        match self.servers.get(name) {
             Some(known) => known.incarnation <= incarnation,
-            None => self.heard.len() < MAX_SERVERS,
+            None => self.servers.len() < MAX_SERVERS,
         }
     }
 
-    /// A server reported.
-    pub(super) fn reported(&mut self, now: Time, name: &Name, incarnation: u64, report: ServerReport) {
-        let known = self.heard.get(name);
-        let unbroken = known.filter(|known| known.incarnation == incarnation && self.is_fresh(now, known));
-        let ready_since = unbroken.and_then(|known| known.ready_since).unwrap_or(now);
+    /// Records a report.
+    pub(super) fn record_report(
+        &mut self,
+        now: Time,
+        name: &Name,
+        incarnation: Incarnation,
+        report: ServerReport,
+    ) {
+        let last = self.servers.get(name);
+        let unbroken = last.filter(|last| last.incarnation == incarnation && self.is_fresh(now, last));
+        let ready_since = unbroken.and_then(|last| last.ready_since).unwrap_or(now);
         let ready_since = report.ready.then_some(ready_since);
-        self.heard.insert(Arc::clone(name), HeardServer { at: now, incarnation, report, ready_since });
+        let server = ReportingServer { received_at: now, incarnation, report, ready_since };
+        self.servers.insert(Arc::clone(name), server);
     }
 
-    /// A server is struck off.
+    /// Drops a server that is removed from the roster.
     pub(super) fn remove(&mut self, name: &Name) {
-        self.heard.remove(name);
+        self.servers.remove(name);
     }
 
-    /// Nobody counts as stable by what was heard before now.
+    /// Counts stability of all servers from now on.
     pub(super) fn restart_stabilization(&mut self, now: Time) {
-        for heard in self.heard.values_mut() {
-            heard.ready_since = heard.ready_since.map(|_| now);
+        for server in self.servers.values_mut() {
+            server.ready_since = server.ready_since.map(|_| now);
         }
     }
 
-    /// What a server last reported, and how long ago.
+    /// A server's last report, and its age.
     pub(super) fn report(&self, now: Time, name: &str) -> Option<(&ServerReport, Span)> {
-        let heard = self.heard.get(name)?;
-        Some((&heard.report, Span(now.0.saturating_sub(heard.at.0))))
+        let server = self.servers.get(name)?;
+        Some((&server.report, Span(now.0.saturating_sub(server.received_at.0))))
     }
 
-    /// Everybody that ever reported.
+    /// The last reports of all servers, however old.
     pub(super) fn reports(&self) -> impl Iterator<Item = (&Name, &ServerReport)> {
-        self.heard.iter().map(|(name, heard)| (name, &heard.report))
+        self.servers.iter().map(|(name, server)| (name, &server.report))
     }
 
     /// What is known of a server, however old.
-    pub(super) fn get(&self, name: &Name) -> Option<&HeardServer> {
-        self.heard.get(name)
+    pub(super) fn get(&self, name: &Name) -> Option<&ReportingServer> {
+        self.servers.get(name)
     }
 
-    /// What is known of a server, if it was heard lately.
-    pub(super) fn get_fresh(&self, now: Time, name: &Name) -> Option<&HeardServer> {
-        self.heard.get(name).filter(|heard| self.is_fresh(now, heard))
+    /// What is known of a server, if its report is fresh.
+    pub(super) fn get_fresh(&self, now: Time, name: &Name) -> Option<&ReportingServer> {
+        self.servers.get(name).filter(|server| self.is_fresh(now, server))
     }
 
-    /// Reports of all that were heard lately.
+    /// Fresh reports.
     pub(super) fn fresh(&self, now: Time) -> impl Iterator<Item = (&Name, &ServerReport)> {
-        self.heard
+        self.servers
             .iter()
-            .filter(move |(_, heard)| self.is_fresh(now, heard))
-            .map(|(name, heard)| (name, &heard.report))
+            .filter(move |(_, server)| self.is_fresh(now, server))
+            .map(|(name, server)| (name, &server.report))
     }
 
-    fn is_fresh(&self, now: Time, heard: &HeardServer) -> bool {
-        now.0.saturating_sub(heard.at.0) <= self.fresh_for.0
+    fn is_fresh(&self, now: Time, server: &ReportingServer) -> bool {
+        now.0.saturating_sub(server.received_at.0) <= self.fresh_for.0
     }
 
-    /// Servers of the roster that aren't heard to be ready.
-    pub(super) fn unplanned(&self, now: Time, record: &ReplicatedState) -> BTreeSet<Name> {
-        let is_ready = |name: &Name| self.get_fresh(now, name).is_some_and(|heard| heard.report.ready);
-        record.roster.keys().filter(|name| !is_ready(name)).cloned().collect()
+    /// Servers of the roster without a fresh report that says ready: they count as out of service.
+    pub(super) fn not_ready(&self, now: Time, state: &ReplicatedState) -> BTreeSet<Name> {
+        let is_ready = |name: &Name| self.get_fresh(now, name).is_some_and(|server| server.report.ready);
+        state.roster.keys().filter(|name| !is_ready(name)).cloned().collect()
     }
 
     /// Whether a server has been ready for so long without a break.
     pub(super) fn is_stable(&self, now: Time, name: &Name, span: Span) -> bool {
-        let heard = self.get_fresh(now, name);
-        heard.and_then(|heard| heard.ready_since).is_some_and(|since| now >= time_after(since, span))
+        let server = self.get_fresh(now, name);
+        server.and_then(|server| server.ready_since).is_some_and(|since| now >= time_after(since, span))
     }
 }
--- a/crates/coordination/src/controller/settings.rs
+++ b/crates/coordination/src/controller/settings.rs
@@ -1,6 +1,6 @@
-//! How the leader's controller goes by what it hears.
+//! The settings of the leader's controller.
 
-use super::MS;
+use super::NANOS_PER_MS;
 use crate::replicated_state::Limits;
 use crate::rollback::Cell;
 use gradepin_admission::Span;
@@ -9,17 +9,17 @@
 /// What an operator sets of the controller.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ControllerSettings {
-    /// The most that may be out.
+    /// How much may be out of service at a time.
     pub limits: Limits,
-    /// How long a server must have been ready before its permit is over.
+    /// How long a server must have been ready before its permit ends.
     pub stabilization: Span,
-    /// A server that wasn't heard for so long counts as out.
+    /// A server whose last report is older than this counts as out of service.
     pub fresh_for: Span,
-    /// How far a clock may be off its rate, in millionths.
+    /// The largest deviation of a clock's rate, in parts per million.
     pub max_drift_ppm: u64,
-    /// For drills alone: everybody may always be out.
+    /// For drills alone: the leader checks no limits.
     pub ignore_limits: bool,
-    /// What cells of the counts are called.
+    /// The names of the cells that service is counted by, for log lines.
     pub cell_names: BTreeMap<Cell, String>,
 }
 
@@ -27,8 +27,8 @@
     fn default() -> Self {
         Self {
             limits: Limits::default(),
-            stabilization: Span(3_000 * MS),
-            fresh_for: Span(2_000 * MS),
+            stabilization: Span(3_000 * NANOS_PER_MS),
+            fresh_for: Span(2_000 * NANOS_PER_MS),
             max_drift_ppm: 10_000,
             ignore_limits: false,
             cell_names: BTreeMap::new(),
--- a/crates/coordination/src/founding.rs
+++ b/crates/coordination/src/founding.rs
@@ -1,29 +1,29 @@
-//! The founding of the consensus group: which voters it begins with, and what a request to found it is answered.
+//! The founding of the consensus group: which voters it starts with, and the response to a request to found it.
 //!
-//! Founding may be asked for again, at any voter and at any time: an answer may be lost, and a voter may be heard late. The
-//! same voters give the same answer. Invariant: a group that has committed an entry is never founded anew, as a voter that
-//! was founded twice could have forgotten a vote; whoever is late learns of such a group from its leader.
+//! Founding may be requested again, at any voter and at any time: a response may be lost, and a voter's report may be late. The
+//! same voters give the same response. Invariant: a group that has committed an entry is never founded again, as a voter that
+//! was founded twice could have forgotten a vote; a late voter learns of such a group from its leader.
 
 use crate::consensus::{ConsensusVoter, VoterId};
-use crate::replicated_state::Name;
+use crate::ids::{LogIndex, Name};
 use gradepin_admission::{Span, Time, span_seconds, time_after};
 use std::collections::BTreeMap;
 
-/// How long the founding is sent to voters that have not taken it. Asking again sends it for as long again.
-const SENT_FOR: Span = Span(10_000_000_000);
-/// The index that every voter is founded with; a greater one means that a leader has committed something.
-const FOUNDING_INDEX: u64 = 1;
+/// How long the founding is sent to voters that haven't accepted it. Another request sends it for as long again.
+const SEND_TIMEOUT: Span = Span(10_000_000_000);
+/// The index that every voter is founded with; a greater one means that a leader has committed an entry.
+const FOUNDING_INDEX: LogIndex = 1;
 
-/// Why the group is not founded.
+/// Why the group isn't founded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FoundingError {
-    /// This server can't be a voter.
+    /// This server has no voter state.
     #[error("this server has no folder for a council")]
     NoFolder,
-    /// A voter of the settings has not been heard lately.
+    /// A voter of the settings has not reported lately.
     #[error("{0} isn't heard; ask again once it is")]
     NotHeard(Name),
-    /// A voter of the settings can't be one.
+    /// A voter of the settings has no voter state.
     #[error("{0} has no folder for a council")]
     NoFolderAt(Name),
     /// This server belongs to no group and another voter does.
@@ -39,29 +39,29 @@
         /// The voters of the settings.
         configured: String,
     },
-    /// The settings name no usable number of voters.
+    /// The settings name an unsupported number of voters.
     #[error("expected 3 or 5 voters, or 1, got {0}")]
     Count(usize),
 }
 
-/// What another server reported of its voter's folder.
+/// What another server reported of its voter state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedVoter {
-    /// The identity of the folder, if it has one.
+    /// The identity, if it has one.
     pub id: Option<VoterId>,
     /// Whether it belongs to a group.
     pub founded: bool,
 }
 
-/// What the founding has to do now.
+/// What is due.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FoundingStep {
     /// Nothing.
     Idle,
     /// Send the founding to the other voters.
     Send(BTreeMap<VoterId, Name>),
-    /// Not all voters took it within this time; asking again goes on with it.
-    GivenUp(Span),
+    /// Not all voters accepted it within this time; another request continues it.
+    TimedOut(Span),
 }
 
 #[derive(Debug)]
@@ -70,7 +70,7 @@
     since: Time,
 }
 
-/// The founding as one server knows it.
+/// The founding, on one server.
 #[derive(Debug)]
 pub struct Founding {
     /// The voters that the settings name, sorted.
@@ -78,16 +78,16 @@
     sending: Option<Sending>,
 }
 
-/// Names for a message, sorted.
-fn list<'a>(names: impl IntoIterator<Item = &'a Name>) -> String {
+/// Lists names, sorted.
+fn list_names<'a>(names: impl IntoIterator<Item = &'a Name>) -> String {
     let mut names: Vec<&str> = names.into_iter().map(|name| &**name).collect();
     names.sort_unstable();
     names.join(", ")
 }
 
-/// What a founding is answered, each time it is asked for.
-pub fn answer(voters: &BTreeMap<VoterId, Name>) -> String {
-    format!("a council of {} is founded", list(voters.values()))
+/// The response to each request of a founding that succeeded.
+pub fn response(voters: &BTreeMap<VoterId, Name>) -> String {
+    format!("a council of {} is founded", list_names(voters.values()))
 }
 
 impl Founding {
@@ -98,38 +98,41 @@
         Self { configured, sending: None }
     }
 
-    /// Somebody asks for the founding here. Gives the voters of the group, to be founded here if it is not yet.
-    pub fn ask(
+    /// Requests the founding here. The voters of the group, which is to be founded here if it isn't yet.
+    pub fn request(
         &mut self,
         now: Time,
         own: &Name,
-        council: &ConsensusVoter,
+        consensus: &ConsensusVoter,
         reported: impl Fn(&Name) -> Option<ReportedVoter>,
     ) -> Result<BTreeMap<VoterId, Name>, FoundingError> {
-        let voters = if council.is_founded() {
-            let voters = council.record().voters.clone();
-            self.accepts(&voters)?;
+        let voters = if consensus.is_founded() {
+            let voters = consensus.state().voters.clone();
+            self.check(&voters)?;
             voters
         } else {
-            self.gather(own, council.id(), reported)?
+            self.reported_voters(own, consensus.id(), reported)?
         };
-        if council.record().index <= FOUNDING_INDEX {
+        if consensus.state().index <= FOUNDING_INDEX {
             self.sending = Some(Sending { voters: voters.clone(), since: now });
         }
         Ok(voters)
     }
 
-    /// Whether these are the voters that the settings name.
-    pub fn accepts(&self, voters: &BTreeMap<VoterId, Name>) -> Result<(), FoundingError> {
+    /// Checks that these are the voters that the settings name.
+    pub fn check(&self, voters: &BTreeMap<VoterId, Name>) -> Result<(), FoundingError> {
         let mut named: Vec<&Name> = voters.values().collect();
         named.sort();
         if named.into_iter().eq(&self.configured) {
             return Ok(());
         }
-        Err(FoundingError::OtherVoters { runs: list(voters.values()), configured: list(&self.configured) })
+        Err(FoundingError::OtherVoters {
+            runs: list_names(voters.values()),
+            configured: list_names(&self.configured),
+        })
     }
 
-    fn gather(
+    fn reported_voters(
         &self,
         own: &Name,
         own_id: VoterId,
@@ -154,25 +157,25 @@
         Ok(voters)
     }
 
-    /// What is due; `founded` tells whether a server reported that it belongs to a group.
-    pub fn step(&mut self, now: Time, own: &Name, founded: impl Fn(&Name) -> bool) -> FoundingStep {
+    /// What is due; `is_founded` says whether a server reported that it belongs to a group.
+    pub fn step(&mut self, now: Time, own: &Name, is_founded: impl Fn(&Name) -> bool) -> FoundingStep {
         let Some(sending) = &self.sending else { return FoundingStep::Idle };
-        if sending.voters.values().all(|voter| voter == own || founded(voter)) {
+        if sending.voters.values().all(|voter| voter == own || is_founded(voter)) {
             self.sending = None;
             return FoundingStep::Idle;
         }
-        if now < time_after(sending.since, SENT_FOR) {
+        if now < time_after(sending.since, SEND_TIMEOUT) {
             return FoundingStep::Send(sending.voters.clone());
         }
         self.sending = None;
-        FoundingStep::GivenUp(SENT_FOR)
+        FoundingStep::TimedOut(SEND_TIMEOUT)
     }
 }
 
 impl FoundingStep {
     /// What to log, if anything.
-    pub fn note(&self) -> Option<String> {
-        let Self::GivenUp(span) = self else { return None };
+    pub fn warning(&self) -> Option<String> {
+        let Self::TimedOut(span) = self else { return None };
         Some(format!(
             "not all voters founded the council within {:.0} s; it may be asked for again",
             span_seconds(*span)
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,25 +1,30 @@
-//! Who may be out, and when: agreed by a group of servers, without I/O and without a clock: `(now, inputs) -> effects`.
+//! Coordination of outages across the fleet: who may be out of service and when, agreed by a consensus group of servers.
+//! State machines without I/O and without a clock: `(now, inputs) -> effects`.
 //!
-//! - [`replicated_state`]: the replicated state: roster, permits with their epochs; changed by the log's commands alone.
-//! - [`rollout`]: the release in it: plan, batches, where each server stands, the rollback.
-//! - [`consensus`]: one voter, on the `raft` library: what must be durable before what leaves, and when it may vote.
+//! - [`ids`]: names and numbers that the modules share.
+//! - [`rollout`]: a rollout's plan, batches, the progress of its servers, halt and rollback.
 //! - [`configuration_log`]: the order of configuration changes: revisions, request ids, history.
-//! - [`proposal_client`]: requests for such changes, from any server to the leader.
+//! - [`replicated_state`]: roster, limits, permits, rollout, configuration order; changed by the log's commands alone.
 //! - [`replicated_snapshot`]: the encoding of the replicated state in snapshots.
-//! - [`founding`]: the voters that the group begins with, the same for everybody who asks.
-//! - [`messages`]: what servers say to each other about permits, rollouts and orders.
-//! - [`controller`]: what the leader does: permits, operators' orders, the rollout.
-//! - [`permit_client`]: one server that wants out: which voter it asks, and until when it may begin.
+//! - [`consensus`]: one voter, on the `raft` library: what must be durable before what is sent, and when it may vote.
+//! - [`founding`]: the voters that the group starts with, the same at each request.
+//! - [`messages`]: messages between servers about permits, rollouts and operator commands.
+//! - [`controller`]: what the leader does: permits, operator commands, the rollout.
 //! - [`rollback`]: whether a new version serves worse, by more than noise.
-//! - [`server_agent`]: the parts together, as the reducer of one server holds them.
+//! - [`permit_client`]: one server's permit requests: which voter gets them, and until when it may begin.
+//! - [`proposal_client`]: one server's requests for configuration changes, and who waits at a voter for a commit.
+//! - [`server_agent`]: all of these together, for one server.
 //!
-//! The invariant that all of it keeps: agreed outages plus those that are known to have happened never pass the most that
-//! the settings allow, whatever is cut, paused, killed or restarted. The argument is in `docs/design/releases.md`.
+//! The invariant that all of it keeps: agreed outages plus those that are known to have happened never exceed the limits of the
+//! settings, whatever is partitioned, paused, killed or restarted. The argument is in `docs/design/releases.md`.
+
+#![warn(missing_docs)]
 
 pub mod configuration_log;
 pub mod consensus;
 pub mod controller;
 pub mod founding;
+pub mod ids;
 pub mod messages;
 pub mod permit_client;
 pub mod proposal_client;
--- a/crates/coordination/src/messages.rs
+++ b/crates/coordination/src/messages.rs
@@ -1,76 +1,101 @@
-//! What servers say to each other about permits, rollouts and operators' orders. The order of variants and fields is the
-//! wire format.
+//! Messages between servers about permits, rollouts and operator commands. The order of variants and fields is the wire
+//! format; the serde names of [`OperatorCommand`] are the admin endpoint's.
 
 use crate::consensus::VoterId;
-use crate::replicated_state::{DenialReason, Name, Target};
+use crate::ids::{Epoch, Name, RolloutNumber, Ticket};
+use crate::replicated_state::{DenialReason, Target};
 use crate::rollback::{Cell, ServiceTotal};
 use crate::rollout::{ReleaseKind, RolloutCommand, RolloutPlan};
 use gradepin_admission::Span;
 use serde::{Deserialize, Serialize};
 
-/// How long the holder of a permit may begin after it asked, by its own clock.
+/// How long the holder of a permit may begin after its request, by its own clock.
 pub const BEGIN_TIMEOUT: Span = Span(5_000_000_000);
 
-/// What a server asks for.
+/// What a server requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitAction {
-    /// A permit for this server to be out.
+    /// A permit to be out of service.
     Reserve,
     /// To begin by a permit.
-    Begin(u64),
-    /// Nothing any more: the permit may end.
-    Cancel(u64),
+    Begin {
+        /// The permit.
+        epoch: Epoch,
+    },
+    /// The end of a permit that it no longer wants.
+    Cancel {
+        /// The permit.
+        epoch: Epoch,
+    },
 }
 
-/// A request to a voter. Its number tells which of them a reply is to.
+/// A request to a voter.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitRequest {
-    /// Greater with each one of this incarnation.
-    pub number: u64,
-    /// What is asked for.
+    /// Matches the reply; greater with each request, also than those of an earlier incarnation.
+    pub number: Ticket,
+    /// What is requested.
     pub action: PermitAction,
 }
 
-/// What a voter replies.
+/// The reply of a voter.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitReply {
-    /// Ask this one, or if nobody is named, another.
-    Redirect(Option<Name>),
+    /// This voter doesn't lead: ask the leader, or if none is known another voter.
+    Redirect {
+        /// The leader, as far as it is known.
+        leader: Option<Name>,
+    },
     /// Not now.
     Wait(DenialReason),
-    /// The permit of this epoch is reserved for you: ask to begin when you do.
-    Reserved(u64),
-    /// Begin, within [`BEGIN_TIMEOUT`] of your request.
-    Begin(u64),
-    /// It is over.
+    /// The permit is reserved: ask to begin when that is wanted.
+    Reserved {
+        /// The permit.
+        epoch: Epoch,
+    },
+    /// Begin, within [`BEGIN_TIMEOUT`] of the request.
+    Begin {
+        /// The permit.
+        epoch: Epoch,
+    },
+    /// The permit has ended.
     Ended,
 }
 
-/// What a server reports of itself to the voters, again and again.
+/// A rollout step that failed on the server that reports it.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct FailedStep {
+    /// The rollout.
+    pub rollout: RolloutNumber,
+    /// Why.
+    pub reason: String,
+}
+
+/// What a server reports to the voters, periodically and on a change of readiness.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServerReport {
     /// Its zone.
     pub zone: String,
-    /// Whether it is ready to serve: not draining, its processor there.
+    /// Whether it is ready to serve: not draining, and its processor is connected.
     pub ready: bool,
     /// The program that it runs.
     pub program: String,
     /// The settings that it runs.
     pub settings: String,
-    /// Settings that are staged here and whole, by their digests.
+    /// The digests of settings that are staged here completely.
     pub staged: Vec<String>,
-    /// The identity of its voter's folder, if it has one.
+    /// The identity of its voter state, if it has one.
     pub voter: Option<VoterId>,
-    /// Whether that folder belongs to a consensus group.
+    /// Whether that state belongs to a consensus group.
     pub founded: bool,
-    /// The release whose step it couldn't take, and why.
-    pub failed: Option<(u64, String)>,
-    /// What it counted in its incarnation.
+    /// The last rollout step that failed here.
+    pub failed: Option<FailedStep>,
+    /// Requests that it counted in its incarnation, by cell.
     pub totals: Vec<(Cell, ServiceTotal)>,
 }
 
 impl ServerReport {
-    /// What the server runs of a kind.
+    /// The version that the server runs.
     pub fn version(&self, kind: ReleaseKind) -> &String {
         match kind {
             ReleaseKind::Program => &self.program,
@@ -79,80 +104,105 @@
     }
 }
 
-/// What an operator orders.
+/// A command of an operator.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum OperatorCommand {
-    /// A permit for a zone or a member of a service.
+    /// Grants a permit for a zone or a member of a service.
+    #[serde(rename = "Out")]
     GrantPermit {
-        /// What.
+        /// What may be out of service.
         target: Target,
-        /// Who.
-        by: Name,
+        /// The operator.
+        #[serde(rename = "by")]
+        operator: Name,
     },
-    /// Such a permit is over.
+    /// Ends such a permit.
+    #[serde(rename = "In")]
     EndPermit {
-        /// What.
+        /// What is back in service.
         target: Target,
-        /// Who.
-        by: Name,
+        /// The operator.
+        #[serde(rename = "by")]
+        operator: Name,
     },
-    /// A permit's holder won't come back.
+    /// Releases a permit whose holder won't come back.
+    #[serde(rename = "Free")]
     ReleasePermit {
         /// The permit.
-        epoch: u64,
-        /// Who.
-        by: Name,
+        epoch: Epoch,
+        /// The operator.
+        #[serde(rename = "by")]
+        operator: Name,
         /// Why.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
-    /// A server won't come back.
+    /// Removes a server that won't come back.
+    #[serde(rename = "Strike")]
     RemoveServer {
-        /// Which.
+        /// The server.
         name: Name,
-        /// Who.
-        by: Name,
+        /// The operator.
+        #[serde(rename = "by")]
+        operator: Name,
         /// Why.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
-    /// A server becomes a voter, by what it reports of its folder; or one that was is none any more.
+    /// Adds a server to the voters, with the identity that it reports, or removes it from them.
+    #[serde(rename = "Voter")]
     ChangeVoter {
-        /// Which.
+        /// The server.
         name: Name,
-        /// In, or out.
-        puts_in: bool,
-        /// Who.
-        by: Name,
+        /// Whether it is added.
+        #[serde(rename = "puts_in")]
+        add: bool,
+        /// The operator.
+        #[serde(rename = "by")]
+        operator: Name,
     },
-    /// A release begins.
+    /// Starts a rollout.
+    #[serde(rename = "Start")]
     StartRollout {
-        /// What and how.
+        /// What is rolled out, and how.
         plan: Box<RolloutPlan>,
-        /// Who.
-        by: Name,
+        /// The operator.
+        #[serde(rename = "by")]
+        operator: Name,
     },
-    /// Something about the release that is there.
+    /// Changes the rollout in progress.
+    #[serde(rename = "Release")]
     Rollout(RolloutCommand),
 }
 
-/// What an order came to.
+/// Why a command failed, in the leader's words.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
+#[error("{0}")]
+#[serde(transparent)]
+pub struct CommandFailure(pub String);
+
+/// The result of a command: what was done, in words, or why it failed.
+pub type CommandResult = Result<String, CommandFailure>;
+
+/// The reply of a voter to a command.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum OperatorCommandReply {
-    /// Send it to this one, or if nobody is named, to another.
+    /// Send it to the leader, or if none is known to another voter.
     Redirect(Option<Name>),
-    /// It is done, or why not.
-    Done(Result<String, String>),
+    /// Its result.
+    Done(CommandResult),
 }
 
-/// A server's turn in a release.
+/// A step of a rollout that a server is to take.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StepAssignment {
-    /// The release.
-    pub release: u64,
-    /// The permit to ask to begin by.
-    pub epoch: u64,
-    /// What is changed.
+    /// The rollout.
+    pub rollout: RolloutNumber,
+    /// The permit by which to begin.
+    pub epoch: Epoch,
+    /// What changes.
     pub kind: ReleaseKind,
-    /// What it shall have then.
+    /// The version to run then.
     pub version: String,
 }
 
--- a/crates/coordination/src/messages/tests.rs
+++ b/crates/coordination/src/messages/tests.rs
@@ -13,12 +13,12 @@
 fn permit_messages_keep_their_bytes() {
     let request = |action| PermitRequest { number: 300, action };
     assert_eq!(hex(&request(PermitAction::Reserve)), "ac0200");
-    assert_eq!(hex(&request(PermitAction::Begin(7))), "ac020107");
-    assert_eq!(hex(&request(PermitAction::Cancel(7))), "ac020207");
-    assert_eq!(hex(&PermitReply::Redirect(Some(Arc::from("n1")))), "0001026e31");
+    assert_eq!(hex(&request(PermitAction::Begin { epoch: 7 })), "ac020107");
+    assert_eq!(hex(&request(PermitAction::Cancel { epoch: 7 })), "ac020207");
+    assert_eq!(hex(&PermitReply::Redirect { leader: Some(Arc::from("n1")) }), "0001026e31");
     assert_eq!(hex(&PermitReply::Wait(DenialReason::Stale(7)))[..2], *"01");
-    assert_eq!(hex(&PermitReply::Reserved(7)), "0207");
-    assert_eq!(hex(&PermitReply::Begin(7)), "0307");
+    assert_eq!(hex(&PermitReply::Reserved { epoch: 7 }), "0207");
+    assert_eq!(hex(&PermitReply::Begin { epoch: 7 }), "0307");
     assert_eq!(hex(&PermitReply::Ended), "04");
 }
 
@@ -32,8 +32,8 @@
         staged: vec!["t".into()],
         voter: Some(300),
         founded: true,
-        failed: Some((5, "no".into())),
-        totals: vec![(1, ServiceTotal { came: 2, served: 1 })],
+        failed: Some(FailedStep { rollout: 5, reason: "no".into() }),
+        totals: vec![(1, ServiceTotal { received: 2, served: 1 })],
     };
     assert_eq!(hex(&report), "017a01027631017301017401ac02010105026e6f01010201");
 }
@@ -42,25 +42,32 @@
 fn orders_and_turns_keep_their_bytes() {
     let by: Name = Arc::from("k");
     let target = Target::Zone(Arc::from("z"));
-    assert_eq!(hex(&OperatorCommand::GrantPermit { target: target.clone(), by: by.clone() }), "0001017a016b");
-    assert_eq!(hex(&OperatorCommand::EndPermit { target, by: by.clone() }), "0101017a016b");
     assert_eq!(
-        hex(&OperatorCommand::ReleasePermit { epoch: 7, by: by.clone(), why: "x".into() }),
+        hex(&OperatorCommand::GrantPermit { target: target.clone(), operator: by.clone() }),
+        "0001017a016b"
+    );
+    assert_eq!(hex(&OperatorCommand::EndPermit { target, operator: by.clone() }), "0101017a016b");
+    assert_eq!(
+        hex(&OperatorCommand::ReleasePermit { epoch: 7, operator: by.clone(), reason: "x".into() }),
         "0207016b0178"
     );
     assert_eq!(
-        hex(&OperatorCommand::RemoveServer { name: Arc::from("n1"), by: by.clone(), why: "x".into() }),
+        hex(&OperatorCommand::RemoveServer {
+            name: Arc::from("n1"),
+            operator: by.clone(),
+            reason: "x".into()
+        }),
         "03026e31016b0178"
     );
     assert_eq!(
-        hex(&OperatorCommand::ChangeVoter { name: Arc::from("n1"), puts_in: true, by: by.clone() }),
+        hex(&OperatorCommand::ChangeVoter { name: Arc::from("n1"), add: true, operator: by.clone() }),
         "04026e3101016b"
     );
-    let halt = RolloutCommand::Halt { name: "r".into(), by, why: "x".into() };
+    let halt = RolloutCommand::Halt { name: "r".into(), operator: by, reason: "x".into() };
     assert_eq!(hex(&OperatorCommand::Rollout(halt)), "06010172016b0178");
     assert_eq!(hex(&OperatorCommandReply::Redirect(None)), "0000");
     assert_eq!(hex(&OperatorCommandReply::Done(Ok("done".into()))), "010004646f6e65");
-    assert_eq!(hex(&OperatorCommandReply::Done(Err("no".into()))), "0101026e6f");
-    let turn = StepAssignment { release: 20, epoch: 21, kind: ReleaseKind::Settings, version: "v2".into() };
+    assert_eq!(hex(&OperatorCommandReply::Done(Err(CommandFailure("no".into())))), "0101026e6f");
+    let turn = StepAssignment { rollout: 20, epoch: 21, kind: ReleaseKind::Settings, version: "v2".into() };
     assert_eq!(hex(&turn), "141501027632");
 }
--- a/crates/coordination/src/proposal_client.rs
+++ b/crates/coordination/src/proposal_client.rs
@@ -1,88 +1,104 @@
-//! Requests for configuration changes that were handed in at this server: which voter each is sent to, when it is sent to the
-//! next one, and what it is answered at the latest.
+//! Requests for configuration changes that were submitted at this server: which voter gets each, when it is retried at the
+//! next one, and its result; on a voter, who waits for the commit of a request id.
 //!
-//! Invariant: each request is answered once, within [`PROPOSAL_TIMEOUT`]. Sending a request again is safe by its id.
+//! Invariant: each request has one result, within [`PROPOSAL_TIMEOUT`]. Requests are idempotent by their ids.
 
 use crate::configuration_log::{ConfigurationRejected, ConfigurationRequest};
-use crate::replicated_state::Name;
+use crate::ids::{Name, Ticket};
 use gradepin_admission::{Span, Time, time_after};
 use gradepin_config::change::Revision;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-const MS: u64 = 1_000_000;
-/// A request is answered after so long whatever happens: inside the 2 s that its caller is promised.
-pub const PROPOSAL_TIMEOUT: Span = Span(1_800 * MS);
-/// A voter that doesn't answer is passed over for the next after this. A commit takes two writes and a round trip.
-const AGAIN: Span = Span(350 * MS);
-/// Before another voter is asked because one knows no leader: an election takes a second or two.
-const LEADERLESS: Span = Span(150 * MS);
-/// Requests under way at the most; each holds at most one transaction.
+const NANOS_PER_MS: u64 = 1_000_000;
+/// Each request has a result by then: within the 2 s that its caller is promised.
+pub const PROPOSAL_TIMEOUT: Span = Span(1_800 * NANOS_PER_MS);
+/// Without a reply within this the next voter is asked. A commit takes two writes and a round trip.
+const REPLY_TIMEOUT: Span = Span(350 * NANOS_PER_MS);
+/// Before another voter is asked where one knows no leader: an election takes a second or two.
+const NO_LEADER_DELAY: Span = Span(150 * NANOS_PER_MS);
+/// Requests in flight at most; each has one transaction.
 const MAX_REQUESTS: usize = 64;
+/// Servers that wait at a voter at most.
+const MAX_COMMIT_WAITERS: usize = 4 * MAX_REQUESTS;
 
-/// What a request came to.
+/// The result of a request.
 pub type ProposalResult = Result<Revision, ConfigurationRejected>;
 
-/// What a voter says to a request.
+/// A voter's reply to a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum VoterReply {
-    /// This voter leads; nobody, if none is known.
+    /// Another voter leads: this one, if it is known.
     NotLeader(Option<Name>),
-    /// It is proposed; what it came to follows.
+    /// It is proposed; the result follows.
     Proposed,
-    /// What it came to.
+    /// Its result.
     Finished(ProposalResult),
 }
 
-/// An answer to whoever handed a request in.
+/// The result of a request, for whoever submitted it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProposalResponse {
-    /// The ticket under which it was handed in.
-    pub ticket: u64,
-    /// What it came to.
-    pub answer: ProposalResult,
+    /// The ticket of the request.
+    pub ticket: Ticket,
+    /// Its result.
+    pub result: ProposalResult,
 }
 
 /// A request to be sent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OutgoingProposal {
-    /// To which voter.
+    /// The voter.
     pub to: Name,
-    /// Under which ticket.
-    pub ticket: u64,
-    /// What.
+    /// Its ticket.
+    pub ticket: Ticket,
+    /// The request.
     pub request: ConfigurationRequest,
 }
 
+/// A request in flight.
 #[derive(Debug)]
-struct Waiting {
+struct PendingRequest {
     request: ConfigurationRequest,
-    since: Time,
-    next: Time,
-    turn: usize,
-    /// What it is answered if nothing better is heard in time.
-    otherwise: ConfigurationRejected,
+    submitted_at: Time,
+    next_send: Time,
+    /// The position of the voter that is asked next, modulo their number.
+    target: usize,
+    /// Its result if no other is received in time.
+    result_on_timeout: ConfigurationRejected,
+}
+
+impl PendingRequest {
+    fn expires_at(&self) -> Time {
+        time_after(self.submitted_at, PROPOSAL_TIMEOUT)
+    }
 }
 
-/// The requests of one server.
+/// The requests of one server, at most [`MAX_REQUESTS`].
 #[derive(Debug, Default)]
 pub struct ProposalClient {
-    waiting: BTreeMap<u64, Waiting>,
+    pending: BTreeMap<Ticket, PendingRequest>,
 }
 
 impl ProposalClient {
-    /// Takes a request under a ticket; its answer comes from [`ProposalClient::answered`] or [`ProposalClient::expired`].
-    pub fn ask(
+    /// Submits a request; its result comes from [`ProposalClient::receive`] or [`ProposalClient::expired`].
+    pub fn submit(
         &mut self,
         now: Time,
-        ticket: u64,
+        ticket: Ticket,
         request: ConfigurationRequest,
     ) -> Result<(), ConfigurationRejected> {
-        if self.waiting.len() >= MAX_REQUESTS {
+        if self.pending.len() >= MAX_REQUESTS {
             return Err(ConfigurationRejected::Busy);
         }
-        let otherwise = ConfigurationRejected::NoVoter;
-        self.waiting.insert(ticket, Waiting { request, since: now, next: now, turn: 0, otherwise });
+        let pending = PendingRequest {
+            request,
+            submitted_at: now,
+            next_send: now,
+            target: 0,
+            result_on_timeout: ConfigurationRejected::NoVoter,
+        };
+        self.pending.insert(ticket, pending);
         Ok(())
     }
 
@@ -92,45 +108,51 @@
             return Vec::new();
         }
         let mut due = Vec::new();
-        for (ticket, waiting) in self.waiting.iter_mut().filter(|(_, waiting)| now >= waiting.next) {
-            let to = voters[waiting.turn % voters.len()].clone();
-            waiting.turn += 1;
-            waiting.next = time_after(now, AGAIN);
-            due.push(OutgoingProposal { to, ticket: *ticket, request: waiting.request.clone() });
+        for (ticket, pending) in self.pending.iter_mut().filter(|(_, pending)| now >= pending.next_send) {
+            let to = voters[pending.target % voters.len()].clone();
+            pending.target += 1;
+            pending.next_send = time_after(now, REPLY_TIMEOUT);
+            due.push(OutgoingProposal { to, ticket: *ticket, request: pending.request.clone() });
         }
         due
     }
 
-    /// Requests whose time is up.
+    /// The results of requests that time out.
     pub fn expired(&mut self, now: Time) -> Vec<ProposalResponse> {
-        let over =
-            self.waiting.extract_if(.., |_, waiting| now >= time_after(waiting.since, PROPOSAL_TIMEOUT));
-        over.map(|(ticket, waiting)| ProposalResponse { ticket, answer: Err(waiting.otherwise) }).collect()
+        let expired = self.pending.extract_if(.., |_, pending| now >= pending.expires_at());
+        let response = |(ticket, pending): (Ticket, PendingRequest)| ProposalResponse {
+            ticket,
+            result: Err(pending.result_on_timeout),
+        };
+        expired.map(response).collect()
     }
 
-    /// A voter answered.
-    pub fn answered(
+    /// Receives a voter's reply; the result of the request, if that is it.
+    pub fn receive(
         &mut self,
         now: Time,
-        ticket: u64,
-        answer: VoterReply,
+        ticket: Ticket,
+        reply: VoterReply,
         voters: &[Name],
     ) -> Option<ProposalResponse> {
-        let waiting = self.waiting.get_mut(&ticket)?;
-        match answer {
-            VoterReply::Finished(answer) => {
-                self.waiting.remove(&ticket);
-                return Some(ProposalResponse { ticket, answer });
+        let pending = self.pending.get_mut(&ticket)?;
+        match reply {
+            VoterReply::Finished(result) => {
+                self.pending.remove(&ticket);
+                return Some(ProposalResponse { ticket, result });
             }
-            VoterReply::Proposed => waiting.otherwise = ConfigurationRejected::Unconfirmed,
+            VoterReply::Proposed => pending.result_on_timeout = ConfigurationRejected::Unconfirmed,
             VoterReply::NotLeader(leader) => {
-                // Once a leader took it, that nobody leads now doesn't say that it won't be committed.
-                if waiting.otherwise == ConfigurationRejected::NoVoter {
-                    waiting.otherwise = ConfigurationRejected::NoLeader;
+                // Once a leader proposed it, it may be committed though no leader is known now.
+                if pending.result_on_timeout == ConfigurationRejected::NoVoter {
+                    pending.result_on_timeout = ConfigurationRejected::NoLeader;
                 }
                 match leader.and_then(|leader| voters.iter().position(|voter| *voter == leader)) {
-                    Some(place) => (waiting.turn, waiting.next) = (place, now),
-                    None => waiting.next = time_after(now, LEADERLESS),
+                    Some(position) => {
+                        pending.target = position;
+                        pending.next_send = now;
+                    }
+                    None => pending.next_send = time_after(now, NO_LEADER_DELAY),
                 }
             }
         }
@@ -139,47 +161,48 @@
 
     /// When [`ProposalClient::due`] or [`ProposalClient::expired`] has something.
     pub fn wake_at(&self) -> Option<Time> {
-        self.waiting
-            .values()
-            .map(|waiting| waiting.next.min(time_after(waiting.since, PROPOSAL_TIMEOUT)))
-            .min()
+        self.pending.values().map(|pending| pending.next_send.min(pending.expires_at())).min()
     }
 }
 
-/// Those who wait at a voter for the commit of a request id.
+/// The servers that wait at a voter for the commit of a request id, at most [`MAX_COMMIT_WAITERS`].
 #[derive(Debug, Default)]
-pub struct Waiters {
-    waiting: Vec<Waiter>,
+pub struct CommitWaiters {
+    waiters: Vec<CommitWaiter>,
 }
 
-/// Who waits for a request id.
+/// A server that waits for the commit of a request id.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Waiter {
+pub struct CommitWaiter {
     /// The request id.
     pub request_id: Name,
-    /// Which server.
+    /// The server.
     pub server: Name,
-    /// Its ticket.
-    pub ticket: u64,
-    /// Since when.
+    /// The server's ticket of the request.
+    pub ticket: Ticket,
+    /// Since when it waits.
     pub since: Time,
 }
 
-impl Waiters {
-    /// Somebody waits. Past [`MAX_REQUESTS`] a server the oldest gives way: it asks again by itself.
-    pub fn wait(&mut self, waiter: Waiter) {
-        let same = |other: &Waiter| other.server == waiter.server && other.ticket == waiter.ticket;
-        self.waiting.retain(|other| {
-            !same(other) && other.since >= Time(waiter.since.0.saturating_sub(PROPOSAL_TIMEOUT.0))
-        });
-        if self.waiting.len() >= 4 * MAX_REQUESTS {
-            self.waiting.remove(0);
+impl CommitWaiter {
+    fn is_same_request(&self, other: &Self) -> bool {
+        self.server == other.server && self.ticket == other.ticket
+    }
+}
+
+impl CommitWaiters {
+    /// Adds a waiter. At [`MAX_COMMIT_WAITERS`] the oldest is dropped: its server retries by itself.
+    pub fn add(&mut self, waiter: CommitWaiter) {
+        let oldest_since = Time(waiter.since.0.saturating_sub(PROPOSAL_TIMEOUT.0));
+        self.waiters.retain(|other| !other.is_same_request(&waiter) && other.since >= oldest_since);
+        if self.waiters.len() >= MAX_COMMIT_WAITERS {
+            self.waiters.remove(0);
         }
-        self.waiting.push(waiter);
+        self.waiters.push(waiter);
     }
 
-    /// A request id was committed: who waited for it.
-    pub fn committed(&mut self, request_id: &str) -> Vec<Waiter> {
-        self.waiting.extract_if(.., |waiter| &*waiter.request_id == request_id).collect()
+    /// Removes and returns those that wait for a request id that was committed.
+    pub fn committed(&mut self, request_id: &str) -> Vec<CommitWaiter> {
+        self.waiters.extract_if(.., |waiter| &*waiter.request_id == request_id).collect()
     }
 }
--- a/crates/coordination/src/rollback/tests.rs
+++ b/crates/coordination/src/rollback/tests.rs
@@ -1,88 +1,93 @@
-//! Sound versions are kept, worse ones are seen.
+//! Sound versions are rarely halted, regressions are detected.
 
 use super::*;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 
-/// Plays so many reports of three new and six old servers; when the halt came, in tries of the new ones.
+/// Simulates this many reports of three new and six old servers; the detection, in attempts of the new ones.
 fn play(seed: u64, old: f64, new: f64, uneven: f64, reports: u32) -> Option<u64> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut unit = move || (rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64;
-    let mut watch = RegressionDetector::default();
+    let mut detector = RegressionDetector::default();
     let mut totals = [ServiceTotal::default(); 9];
     let own: Vec<f64> = (0..9).map(|_| (unit() - 0.5) * 2.0 * uneven).collect();
     for _ in 0..reports {
         for n in 0..9 {
             let share = if n < 3 { new } else { old } + own[n];
             for _ in 0..10 {
-                totals[n].came += 1;
+                totals[n].received += 1;
                 totals[n].served += u32::from(unit() < share);
             }
-            watch.told(&Arc::from(format!("n{n}")), 1, Some(n < 3), &[(5, totals[n])]);
+            detector.record_totals(
+                &Arc::from(format!("n{n}")),
+                1,
+                Some(if n < 3 { Version::New } else { Version::Old }),
+                &[(5, totals[n])],
+            );
         }
-        if let Some(worse) = watch.worse(0.02) {
-            assert_eq!(worse.cell, 5);
-            return Some(worse.tries);
+        if let Some(worst) = detector.worst_regression(0.02) {
+            assert_eq!(worst.cell, 5);
+            return Some(worst.attempts);
         }
     }
     None
 }
 
-/// Guards sound releases: looked at a thousand times each, few are halted in vain, also where servers differ among
+/// Guards sound rollouts: compared a thousand times each, few are halted in vain, also where servers differ among
 /// themselves.
 #[test]
-fn sound_versions_are_hardly_ever_halted() {
+fn sound_versions_are_rarely_halted() {
     let vain: usize = (0..200).filter(|seed| play(*seed, 0.93, 0.93, 0.0, 300).is_some()).count();
     assert!(vain <= 1, "{vain} of 200");
     let vain: usize = (0..100).filter(|seed| play(*seed, 0.9, 0.9, 0.02, 300).is_some()).count();
     assert!(vain <= 2, "{vain} of 100 where servers differ by 2%");
 }
 
-/// Guards the other side: a class that is turned away is seen after some ten to twenty tries, one that is served 5% worse after
-/// some thousand; about as `needed` says.
+/// A class that is rejected is detected after some ten to twenty attempts, one that is served 5% less after some thousand: about
+/// as many as [`attempts_needed`] gives.
 #[test]
-fn falls_are_seen_after_as_many_tries_as_told() {
+fn detects_falls_after_about_the_attempts_needed() {
     let middle = |new: f64| {
-        let mut tries: Vec<u64> =
+        let mut attempts: Vec<u64> =
             (0..21).map(|seed| play(seed, 0.97, new, 0.0, 2_000).unwrap_or(u64::MAX)).collect();
-        tries.sort_unstable();
-        tries[10]
+        attempts.sort_unstable();
+        attempts[10]
     };
     let away = middle(0.0);
-    assert!((10..=60).contains(&away), "{away} tries for one that serves nothing");
+    assert!((10..=60).contains(&away), "{away} attempts for one that serves nothing");
     let slight = middle(0.92);
-    let told = needed(0.97, 0.05, 0.02).expect("it can be seen");
-    assert!(slight > told / 4 && slight < told * 4, "{slight} tries, {told} told");
-    assert_eq!(needed(0.97, 0.02, 0.02), None);
-    assert!(needed(0.97, 0.97, 0.02).is_some_and(|tries| tries < 60));
+    let expected = attempts_needed(0.97, 0.05, 0.02).expect("it can be detected");
+    assert!(slight > expected / 4 && slight < expected * 4, "{slight} attempts, {expected} expected");
+    assert_eq!(attempts_needed(0.97, 0.02, 0.02), None);
+    assert!(attempts_needed(0.97, 0.97, 0.02).is_some_and(|attempts| attempts < 60));
 }
 
-/// Guards against counts of an earlier life, and against those that no version can be told of.
+/// Guards against counts of an earlier incarnation, and against those that belong to no version.
 #[test]
-fn a_new_life_counts_from_nothing() {
-    let mut watch = RegressionDetector::default();
+fn counts_of_an_earlier_incarnation_are_not_subtracted() {
+    let mut detector = RegressionDetector::default();
     let name: Name = Arc::from("n0");
-    let total = |came, served| [(1, ServiceTotal { came, served })];
-    watch.told(&name, 1, Some(false), &total(1_000, 900));
-    watch.told(&name, 1, None, &total(2_000, 900));
-    watch.told(&name, 2, Some(true), &total(30, 30));
-    let sums = &watch.servers[&name].sums;
-    assert_eq!(sums[&(false, 1)], Sum { came: 1_000.0, served: 900.0 });
-    assert_eq!(sums[&(true, 1)], Sum { came: 30.0, served: 30.0 });
+    let total = |received, served| [(1, ServiceTotal { received, served })];
+    detector.record_totals(&name, 1, Some(Version::Old), &total(1_000, 900));
+    detector.record_totals(&name, 1, None, &total(2_000, 900));
+    detector.record_totals(&name, 2, Some(Version::New), &total(30, 30));
+    let sums = &detector.servers[&name].sums;
+    assert_eq!(sums[&(Version::Old, 1)], Sum { received: 1_000.0, served: 900.0 });
+    assert_eq!(sums[&(Version::New, 1)], Sum { received: 30.0, served: 30.0 });
 }
 
-/// Guards the fleet: service that falls everywhere halts whoever is at fault.
+/// Guards the fleet: service that falls everywhere halts the rollout whatever the cause.
 #[test]
-fn a_fall_of_the_whole_fleet_is_seen() {
-    let mut watch = RegressionDetector::default();
+fn detects_a_fall_of_the_whole_fleet() {
+    let mut detector = RegressionDetector::default();
     let name: Name = Arc::from("n0");
-    let (mut came, mut served) = (0, 0);
+    let (mut received, mut served) = (0, 0);
     for step in 0..6 {
-        watch.next_step();
-        (came, served) = (came + 500, served + if step < 4 { 480 } else { 330 });
-        watch.told(&name, 1, Some(false), &[(1, ServiceTotal { came, served })]);
-        let falls = watch.fleet_falls(0.05);
+        detector.next_interval();
+        (received, served) = (received + 500, served + if step < 4 { 480 } else { 330 });
+        detector.record_totals(&name, 1, Some(Version::Old), &[(1, ServiceTotal { received, served })]);
+        let falls = detector.fleet_fall(0.05);
         assert_eq!(falls.is_some(), step == 5, "step {step}: {falls:?}");
     }
-    assert_eq!(watch.worse(0.02), None, "there is nothing to hold it against");
+    assert_eq!(detector.worst_regression(0.02), None, "there is no new version to compare");
 }
--- a/crates/coordination/tests/common/fleet.rs
+++ b/crates/coordination/tests/common/fleet.rs
@@ -43,16 +43,16 @@
             let found = VoterState { id: 100 + n as u64, records: Vec::new() };
             let set = AgentSettings {
                 name: name(n),
-                life: 1,
+                incarnation: 1,
                 zone: format!("z{n}"),
                 voters: voters.iter().copied().map(name).collect(),
-                folder: (n < 3).then_some(found),
+                voter_state: (n < 3).then_some(found),
                 controller: ControllerSettings::default(),
-                waits: true,
+                waits_for_permit: true,
                 seed: 5 + n as u64,
             };
             let mut part = ServerAgent::new(set, now).with_configuration(ConfigurationSettings::default());
-            part.holds_configuration(&base::base());
+            part.offer_configuration(&base::base());
             part
         };
         Self {
@@ -88,11 +88,11 @@
         let mut effects = Vec::new();
         let program = self.programs[n].clone();
         let report = ServerReport { zone: format!("z{n}"), ready: true, program, ..ServerReport::default() };
-        self.parts[n].tells(self.now, report);
+        self.parts[n].set_report(self.now, report);
         self.parts[n].step(self.now, &mut effects);
         for effect in effects {
             match effect {
-                AgentEffect::Send(to, bytes) => {
+                AgentEffect::Send { to, message: bytes } => {
                     // Other services mark their messages by a first byte of 0x80 and above.
                     assert!(bytes[0] < 0x80, "a consensus message began with {:#x}", bytes[0]);
                     // Odd words name servers that aren't there.
@@ -104,12 +104,12 @@
                         sent.push((to, bytes.clone()));
                     }
                     if !self.cut.contains(&n) && !self.cut.contains(&to) {
-                        self.parts[to].word(self.now, &name(n), 1, &bytes);
+                        self.parts[to].receive(self.now, &name(n), 1, &bytes);
                     }
                 }
                 AgentEffect::Configuration(effect) => self.told.push((n, self.now, effect)),
-                AgentEffect::Write(number, _) => self.parts[n].written(number),
-                AgentEffect::StepGranted(turn, _) => self.programs[n] = turn.version,
+                AgentEffect::Write { number, .. } => self.parts[n].write_completed(number),
+                AgentEffect::StepGranted { assignment, .. } => self.programs[n] = assignment.version,
                 _ => {}
             }
         }
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -148,7 +148,7 @@
             for (_, to, from, bytes) in due {
                 let voter = &mut self.voters[to];
                 if let Some(council) = voter.council.as_mut().filter(|_| !voter.stopped) {
-                    council.heard_from(self.now, from, &bytes);
+                    council.receive(self.now, from, &bytes);
                 }
             }
             for n in 0..self.voters.len() {
@@ -168,32 +168,35 @@
                 // The write fails: what was behind it fails too, and the voter goes on from what it has.
                 voter.pending.clear();
                 let found = voter.found();
-                voter.council.as_mut().unwrap().failed(found, now);
+                voter.council.as_mut().unwrap().write_failed(found, now);
                 break;
             }
             voter.put(records);
             voter.writes += 1;
-            voter.council.as_mut().unwrap().written(number);
+            voter.council.as_mut().unwrap().write_completed(number);
         }
         let mut effects = Vec::new();
         self.voters[n].council.as_mut().unwrap().step(now, &mut effects);
         for effect in effects {
             match effect {
-                VoterEffect::Send(to, bytes) => self.send(n, to, bytes),
-                VoterEffect::Write(number, records) => {
+                VoterEffect::Send { to, message: bytes } => self.send(n, to, bytes),
+                VoterEffect::Write { number, records } => {
                     let at = time_after(now, Span(self.sync_ms * MS));
                     self.voters[n].pending.push_back((at, number, records));
                 }
-                VoterEffect::Applied { index, by, number, outcome } => {
-                    let before = self.applied.insert(index, (by, number));
-                    assert!(before.is_none_or(|before| before == (by, number)), "two entries at {index}");
-                    if by == self.voters[n].id {
-                        self.told.insert((by, number), outcome);
+                VoterEffect::Applied { index, proposer, number, outcome } => {
+                    let before = self.applied.insert(index, (proposer, number));
+                    assert!(
+                        before.is_none_or(|before| before == (proposer, number)),
+                        "two entries at {index}"
+                    );
+                    if proposer == self.voters[n].id {
+                        self.told.insert((proposer, number), outcome);
                     }
                 }
                 VoterEffect::Committed(commit) => self.voters[n].commits.push(commit),
                 VoterEffect::MakeDurable(revision) => self.voters[n].asked_durable = Some(revision),
-                VoterEffect::Log(_, text) => self.notes.push(format!("{}: {text}", name(n))),
+                VoterEffect::Log { text, .. } => self.notes.push(format!("{}: {text}", name(n))),
             }
         }
     }
@@ -266,7 +269,7 @@
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |voter: &Voter| voter.council.as_ref().and_then(ConsensusVoter::leads);
+        let leads = |voter: &Voter| voter.council.as_ref().and_then(ConsensusVoter::leader_term);
         let all = self.voters.iter().enumerate().filter(|(_, voter)| !voter.stopped);
         all.filter_map(|(n, voter)| Some((leads(voter)?, n))).max().map(|(_, n)| n)
     }
@@ -291,8 +294,8 @@
         self.council(leader).propose(number, command).ok().map(|()| (id, number))
     }
 
-    pub fn record(&self, n: usize) -> &ReplicatedState {
-        self.voters[n].council.as_ref().expect("it runs").record()
+    pub fn state(&self, n: usize) -> &ReplicatedState {
+        self.voters[n].council.as_ref().expect("it runs").state()
     }
 }
 
--- a/crates/coordination/tests/configuration.rs
+++ b/crates/coordination/tests/configuration.rs
@@ -29,7 +29,7 @@
     let (request_id, expected) = (Arc::from(id), expected.map(Revision));
     let transaction = Transaction { changes };
     let proposal = Proposal { request_id, author, reason, expected, transaction };
-    ConfigurationRequest { proposal, seen: Revision(0), asked_at_ms: 7 }
+    ConfigurationRequest { proposal, seen: Revision(0), requested_at_ms: 7 }
 }
 
 fn refused(result: Result<ProposalAccepted, ProposalRejected>) -> ConfigurationRejected {
@@ -43,7 +43,7 @@
 fn world(count: usize, seed: u64) -> World {
     println!("seed {seed}");
     let mut world = World::new(count, seed);
-    (0..count).for_each(|n| world.council(n).hold_configuration(&base()));
+    (0..count).for_each(|n| world.council(n).offer_configuration(&base()));
     world.led(6_000).expect("a leader");
     world.run(500);
     world
@@ -53,7 +53,8 @@
 fn commit(world: &mut World, request: &ConfigurationRequest) -> Revision {
     for _ in 0..1_000 {
         if let Some(leader) = world.led(10_000)
-            && let Ok(ProposalAccepted::Committed(revision)) = world.council(leader).request(request)
+            && let Ok(ProposalAccepted::Committed(revision)) =
+                world.council(leader).propose_configuration(request)
         {
             return revision;
         }
@@ -63,7 +64,7 @@
 }
 
 fn version(world: &World, n: usize) -> Version {
-    world.record(n).configuration.version()
+    world.state(n).configuration.version()
 }
 
 /// Hard case 2: the leader is killed at each point between the proposal and the answer; asked again elsewhere with the same id.
@@ -73,9 +74,12 @@
         let mut world = world(3, seed);
         let leader = world.leader().expect("it leads still");
         let ask = request("id-1", Some(0), vec![put("a", 1.0)]);
-        assert_eq!(world.council(leader).request(&ask), Ok(ProposalAccepted::Proposed(Revision(1))));
         assert_eq!(
-            world.council(leader).request(&ask),
+            world.council(leader).propose_configuration(&ask),
+            Ok(ProposalAccepted::Proposed(Revision(1)))
+        );
+        assert_eq!(
+            world.council(leader).propose_configuration(&ask),
             Ok(ProposalAccepted::Proposed(Revision(1))),
             "asked twice"
         );
@@ -85,7 +89,7 @@
         assert_eq!(commit(&mut world, &ask), Revision(1));
         assert_eq!(commit(&mut world, &request("id-2", None, vec![put("b", 1.0)])), Revision(2));
         let now = world.leader().expect("another leads");
-        let ids: Vec<&str> = world.record(now).configuration.history().map(|r| &*r.request_id).collect();
+        let ids: Vec<&str> = world.state(now).configuration.history().map(|r| &*r.request_id).collect();
         assert_eq!(ids, ["id-2", "id-1"]);
     }
 }
@@ -105,7 +109,7 @@
             let leader = world.led(10_000).expect("a leader");
             let ask =
                 request(&format!("id-{last}"), Some(last), vec![put(&format!("t{}", last % 7), last as f64)]);
-            match world.council(leader).request(&ask) {
+            match world.council(leader).propose_configuration(&ask) {
                 Ok(ProposalAccepted::Proposed(revision) | ProposalAccepted::Committed(revision)) => {
                     last = revision.0
                 }
@@ -125,7 +129,7 @@
         let leader = world.led(6_000).expect("a leader");
         let in_force = version(&world, leader).revision;
         let moved = ConfigurationRejected::Moved { expected: Revision(39), in_force };
-        assert_eq!(refused(world.council(leader).request(&late)), moved);
+        assert_eq!(refused(world.council(leader).propose_configuration(&late)), moved);
         for n in 0..5 {
             assert_eq!(version(&world, n), version(&world, leader));
             assert_eq!(
@@ -144,21 +148,25 @@
     let mut world = world(3, 11);
     commit(&mut world, &request("first", None, vec![put("a", 1.0)]));
     world.run(500);
-    let before: Vec<(u64, Version)> = (0..3).map(|n| (world.record(n).index, version(&world, n))).collect();
+    let before: Vec<(u64, Version)> = (0..3).map(|n| (world.state(n).index, version(&world, n))).collect();
     let leader = world.leader().expect("it leads");
     let unknown = request("second", None, vec![Change::RemoveTenant("nobody".into())]);
-    let ConfigurationRejected::Invalid(invalid) = refused(world.council(leader).request(&unknown)) else {
+    let ConfigurationRejected::Invalid(invalid) =
+        refused(world.council(leader).propose_configuration(&unknown))
+    else {
         panic!()
     };
     assert!(invalid.path.starts_with("changes[0].tenant"), "{invalid}");
     assert!(!invalid.expected.is_empty() && !invalid.came.is_empty());
     let long = request("third", None, (0..1_000).map(|n| put(&format!("{n:0>100}"), 1.0)).collect());
-    let ConfigurationRejected::TooLong { limit, came } = refused(world.council(leader).request(&long)) else {
+    let ConfigurationRejected::TooLong { limit, got } =
+        refused(world.council(leader).propose_configuration(&long))
+    else {
         panic!()
     };
-    assert!(limit == MAX_ENTRY_BYTES && came > 100_000);
+    assert!(limit == MAX_ENTRY_BYTES && got > 100_000);
     world.run(500);
-    let after: Vec<(u64, Version)> = (0..3).map(|n| (world.record(n).index, version(&world, n))).collect();
+    let after: Vec<(u64, Version)> = (0..3).map(|n| (world.state(n).index, version(&world, n))).collect();
     assert_eq!(before, after);
 }
 
@@ -171,7 +179,7 @@
     let mut taken = 0;
     let busy = (0..40).find_map(|n| {
         let changes = (0..100).map(|m| put(&format!("{n}-{m:0>60}"), 1.0)).collect();
-        let result = world.council(leader).request(&request(&format!("id-{n}"), None, changes));
+        let result = world.council(leader).propose_configuration(&request(&format!("id-{n}"), None, changes));
         taken += usize::from(result.is_ok());
         result.err()
     });
@@ -184,7 +192,8 @@
 #[test]
 fn a_snapshot_carries_no_content_and_its_taker_is_no_leader_for_changes() {
     let mut world = world(3, 13);
-    let (leader, term) = (world.leader().unwrap(), |world: &mut World, n: usize| world.council(n).leads());
+    let (leader, term) =
+        (world.leader().unwrap(), |world: &mut World, n: usize| world.council(n).leader_term());
     let led = term(&mut world, leader);
     let behind = (leader + 1) % 3;
     world.isolate(&[behind]);
@@ -199,7 +208,7 @@
     (0..3).for_each(|n| world.council(n).configuration_durable(Revision(201)));
     commit(&mut world, &request("most", None, vec![put("most", 1.0)]));
     assert!(world.voters[leader].durable.len() < 50, "{}", world.voters[leader].durable.len());
-    let bytes = replicated_snapshot::encode(world.record(leader)).len();
+    let bytes = replicated_snapshot::encode(world.state(leader)).len();
     assert!(bytes < 32 * 1024, "{bytes} bytes for 40,000 tenants");
     // The first snapshot that is sent is lost whole: it comes again.
     let silent: Vec<(usize, usize)> = (0..3).filter(|n| *n != behind).map(|n| (n, behind)).collect();
@@ -217,8 +226,11 @@
     let leader = world.led(10_000).expect("one of two without the content leads");
     world.run(500);
     let ask = request("next", None, vec![put("next", 1.0)]);
-    assert!(matches!(refused(world.council(leader).request(&ask)), ConfigurationRejected::Behind { .. }));
-    world.council(leader).hold_configuration(&content);
+    assert!(matches!(
+        refused(world.council(leader).propose_configuration(&ask)),
+        ConfigurationRejected::Behind { .. }
+    ));
+    world.council(leader).offer_configuration(&content);
     assert_eq!(commit(&mut world, &ask), Revision(203));
 }
 
@@ -236,14 +248,14 @@
     world.start(behind, Disk::Empty);
     let fresh = world.voters[behind].id;
     // Heartbeats and what answers them pass; from then on all that the leader sends is lost, the snapshot too.
-    world.council(leader).change(fresh, Some(&common::name(behind))).expect("one change");
+    world.council(leader).change_membership(fresh, Some(&common::name(behind))).expect("one change");
     world.run(60);
     world.cut.insert((leader, behind));
     world.run(800);
     world.cut.clear();
     world.run(4_000);
     assert_eq!(world.leader(), Some(leader));
-    assert_eq!(world.record(behind).roster.len(), world.record(leader).roster.len());
+    assert_eq!(world.state(behind).roster.len(), world.state(leader).roster.len());
 }
 
 /// A voter whose start file differs from the group's doesn't go on with a mixture.
@@ -264,12 +276,12 @@
     let leader = world.led(6_000).expect("a leader");
     world.run(500);
     for n in (0..3).filter(|n| *n != (leader + 1) % 3) {
-        world.council(n).hold_configuration(&base());
+        world.council(n).offer_configuration(&base());
     }
     commit(&mut world, &request("first", None, vec![put("a", 1.0)]));
     world.run(500);
     other.apply(&made).expect("valid");
-    world.council((leader + 1) % 3).hold_configuration(&other);
+    world.council((leader + 1) % 3).offer_configuration(&other);
     assert!(world.council((leader + 1) % 3).configuration().is_none(), "same revision, other digest");
 }
 
--- a/crates/coordination/tests/council.rs
+++ b/crates/coordination/tests/council.rs
@@ -36,8 +36,8 @@
         assert_eq!(agree(&mut world, &enrol(1)), CommandOutcome::Done);
         world.start(first, Disk::Kept);
         world.run(4_000);
-        assert_eq!(world.record(first), world.record(second));
-        assert_eq!(world.record(first).roster.len(), 2);
+        assert_eq!(world.state(first), world.state(second));
+        assert_eq!(world.state(first).roster.len(), 2);
     }
 }
 
@@ -57,15 +57,15 @@
     };
     world.run(6_000);
     assert_eq!(world.told.get(&ticket), None);
-    assert_eq!(world.council(old).leads(), None, "it hears no majority");
+    assert_eq!(world.council(old).leader_term(), None, "it hears no majority");
     assert!(world.council(old).propose(78, enrol(2)).is_err());
     let new = world.leader().expect("the others have one");
     assert!(new != old && new != with);
     agree(&mut world, &enrol(3));
     world.cut.clear();
     world.run(4_000);
-    assert_eq!(world.record(old), world.record(new));
-    assert!(!world.record(new).roster.contains_key(&name(1)));
+    assert_eq!(world.state(old), world.state(new));
+    assert!(!world.state(new).roster.contains_key(&name(1)));
 }
 
 /// Hard case 9: all are killed and come back; one of three never does.
@@ -88,7 +88,7 @@
         world.led(10_000).expect("two of three are enough");
         agree(&mut world, &enrol(10));
         let leader = world.leader().unwrap();
-        assert_eq!(world.record(leader).roster.len(), 11, "seed {seed}");
+        assert_eq!(world.state(leader).roster.len(), 11, "seed {seed}");
     }
 }
 
@@ -115,14 +115,14 @@
     assert_eq!(world.leader(), None);
     world.cut.clear();
     let leader = world.led(6_000).unwrap();
-    world.council(leader).change(fresh, Some(&name(lost))).expect("one change");
-    assert!(world.council(leader).change(old, None).is_err(), "not two at a time");
+    world.council(leader).change_membership(fresh, Some(&name(lost))).expect("one change");
+    assert!(world.council(leader).change_membership(old, None).is_err(), "not two at a time");
     world.run(3_000);
     let leader = world.led(6_000).unwrap();
-    world.council(leader).change(old, None).expect("the next one");
+    world.council(leader).change_membership(old, None).expect("the next one");
     world.run(3_000);
-    assert_eq!(world.record(lost), world.record(leader), "by a snapshot, as the log was cut");
-    let voters: Vec<u64> = world.record(leader).voters.keys().copied().collect();
+    assert_eq!(world.state(lost), world.state(leader), "by a snapshot, as the log was cut");
+    let voters: Vec<u64> = world.state(leader).voters.keys().copied().collect();
     assert!(voters.len() == 3 && voters.contains(&fresh) && !voters.contains(&old));
     // Now it counts.
     world.isolate(&[third]);
@@ -165,7 +165,7 @@
         }
         world.run(8_000);
         let now = world.led(6_000).expect("two of three have all");
-        assert_eq!(world.record(now).roster.len(), 8, "seed {seed}: {:?}", world.notes);
+        assert_eq!(world.state(now).roster.len(), 8, "seed {seed}: {:?}", world.notes);
         agree(&mut world, &enrol(9));
     }
 }
@@ -192,7 +192,7 @@
     }
     world.voters[leader].full = false;
     world.run(5_000);
-    assert_eq!(world.record(leader), world.record(other));
+    assert_eq!(world.state(leader), world.state(other));
 }
 
 /// Guards the size of what is kept: after ten thousand entries the files hold a snapshot and some entries.
@@ -209,7 +209,7 @@
         most = most.max(world.voters.iter().map(|voter| voter.durable.len()).max().unwrap());
     }
     world.run(2_000);
-    assert!(world.record(0).index > 5_000 && most < 800, "{} entries, {most} records", world.record(0).index);
+    assert!(world.state(0).index > 5_000 && most < 800, "{} entries, {most} records", world.state(0).index);
 }
 
 /// Hard case 1: the leader dies between the grant's commit and its answer; the asker asks again, elsewhere: one permit.
@@ -224,7 +224,7 @@
         agree(&mut world, &enrol(1));
         let reserve = |n: usize| {
             let (target, holder) = (Target::Server(name(n)), name(n));
-            Command::Reserve { target, holder, life: 1, purpose: Purpose::Drain }
+            Command::Reserve { target, holder, incarnation: 1, purpose: Purpose::Drain }
         };
         let ticket = world.propose(reserve(0)).expect("it leads");
         // At any point between the proposal and the answer.
@@ -234,7 +234,7 @@
         let first = agree(&mut world, &reserve(0));
         let again = agree(&mut world, &reserve(0));
         assert!(
-            matches!(first, CommandOutcome::Permit(_, PermitStage::Reserved)) && first == again,
+            matches!(first, CommandOutcome::Permit { stage: PermitStage::Reserved, .. }) && first == again,
             "{first:?}, {again:?}"
         );
         if let Some(told) = world.told.get(&ticket) {
@@ -245,7 +245,7 @@
             "seed {seed}: two permits"
         );
         let now = world.leader().unwrap();
-        assert_eq!(world.record(now).permits.len(), 1);
+        assert_eq!(world.state(now).permits.len(), 1);
     }
 }
 
@@ -295,8 +295,8 @@
         agree(&mut world, &enrol(901));
         world.run(2_000);
         for n in 0..count {
-            assert_eq!(world.record(n), world.record(leader), "seed {seed}");
+            assert_eq!(world.state(n), world.state(leader), "seed {seed}");
         }
-        assert!(world.council(leader).lost().is_none());
+        assert!(world.council(leader).excluded().is_none());
     }
 }
--- a/crates/coordination/tests/drawn_members.rs
+++ b/crates/coordination/tests/drawn_members.rs
@@ -40,7 +40,7 @@
                 // Anybody, the leader and those that are voters already among them.
                 let (id, puts_in) = (world.voters[n].id, world.draw(2) == 0);
                 if let Some(leader) = world.leader() {
-                    let _ = world.council(leader).change(id, puts_in.then(|| name(n)).as_ref());
+                    let _ = world.council(leader).change_membership(id, puts_in.then(|| name(n)).as_ref());
                 }
             }
             _ => {}
@@ -51,10 +51,11 @@
             let pause = 5 + world.draw(150);
             world.run(pause);
             for voter in &world.voters {
-                let Some(council) = voter.council.as_ref().filter(|council| council.lost().is_none()) else {
+                let Some(council) = voter.council.as_ref().filter(|council| council.excluded().is_none())
+                else {
                     continue;
                 };
-                let record = council.record();
+                let record = council.state();
                 if record.index > 1 {
                     let known = states.entry(record.index).or_insert_with(|| record.clone());
                     assert_eq!(known, record, "seed {seed}: two states of entry {}", record.index);
--- a/crates/coordination/tests/founding.rs
+++ b/crates/coordination/tests/founding.rs
@@ -21,12 +21,12 @@
     }
     fleet.run(Span(8 * SECOND.0));
     assert!(fleet.leader(0).is_some());
-    let index = fleet.parts[0].record().expect("a record").index;
+    let index = fleet.parts[0].state().expect("a record").index;
     for n in 0..3 {
         assert_eq!(fleet.found(n), Ok(lost.clone()), "at n{n} of the group that runs");
     }
     fleet.run(SECOND);
-    assert_eq!(fleet.parts[0].record().map(|record| record.index), Some(index), "and nothing began anew");
+    assert_eq!(fleet.parts[0].state().map(|record| record.index), Some(index), "and nothing began anew");
 }
 
 /// A voter isn't heard: refused by its name until it is. Voters are cut off right after the answer, for longer than the founding
--- a/crates/coordination/tests/leader_leaves.rs
+++ b/crates/coordination/tests/leader_leaves.rs
@@ -14,7 +14,7 @@
         let old = world.led(6_000).expect("a leader");
         world.run(500);
         let id = world.voters[old].id;
-        world.council(old).change(id, None).expect("one change");
+        world.council(old).change_membership(id, None).expect("one change");
         // What is proposed behind it, at any moment until the removal is agreed on.
         for ms in 0..30 {
             if ms == later {
@@ -28,7 +28,7 @@
         let ticket = world.propose(enrol(2)).expect("it takes proposals");
         world.run(1_000);
         assert_eq!(world.told.get(&ticket), Some(&CommandOutcome::Done), "proposed after {later} turns");
-        assert!(!world.record(new).voters.contains_key(&id));
+        assert!(!world.state(new).voters.contains_key(&id));
     }
 }
 
@@ -41,13 +41,13 @@
             let leader = world.led(10_000).expect("somebody leads");
             world.run(500);
             let id = world.voters[leader].id;
-            let _ = world.council(leader).change(id, None);
+            let _ = world.council(leader).change_membership(id, None);
             world.run(3_000);
         }
         let last = world.led(10_000).expect("the last one leads");
         let ticket = world.propose(enrol(1)).expect("it takes proposals");
         world.run(1_000);
         assert_eq!(world.told.get(&ticket), Some(&CommandOutcome::Done), "of {count}");
-        assert_eq!(world.record(last).voters.len(), 1, "of {count}");
+        assert_eq!(world.state(last).voters.len(), 1, "of {count}");
     }
 }
--- a/crates/coordination/tests/odd_agents.rs
+++ b/crates/coordination/tests/odd_agents.rs
@@ -34,9 +34,9 @@
     let mut fleet = Fleet::new(&[ALL; 3]);
     fleet.run(SECOND);
     let word = founding(&[(0, "n1"), (100, "n0"), (102, "n2")]);
-    fleet.parts[0].word(fleet.now, &name(1), 1, &word);
+    fleet.parts[0].receive(fleet.now, &name(1), 1, &word);
     fleet.run(SECOND);
-    assert!(!fleet.parts[0].status(fleet.now).voter, "it belongs to no council");
+    assert!(!fleet.parts[0].status(fleet.now).is_voter, "it belongs to no council");
     fleet.found(0).expect("all are heard, and it can still be founded");
     fleet.run(Span(8 * SECOND.0));
     assert!(fleet.leader(0).is_some());
@@ -68,31 +68,31 @@
     fleet.run(SECOND);
     fleet.found(0).expect("all are heard");
     fleet.run(Span(6 * SECOND.0));
-    let waves = [0.0, 1.0].map(|share| Batch { share, pause_ms: 200 }).into();
+    let batches = [0.0, 1.0].map(|share| Batch { share, pause_ms: 200 }).into();
     let plan = RolloutPlan {
         name: "one".into(),
         kind: ReleaseKind::Program,
         version: "v2".into(),
-        waves,
+        batches,
         zone_by_zone: false,
-        ready_ms: 2_000,
-        steady_ms: 100,
-        worse: 0.1,
-        goes_back: true,
+        ready_timeout_ms: 2_000,
+        stabilization_ms: 100,
+        tolerated_regression: 0.1,
+        rolls_back: true,
     };
     let by: Name = "ada".into();
     let target = Target::Zone(Arc::from("z1"));
     let orders = [
-        OperatorCommand::GrantPermit { target, by: by.clone() },
-        OperatorCommand::StartRollout { plan: Box::new(plan), by: by.clone() },
-        OperatorCommand::RemoveServer { name: name(9), by: by.clone(), why: "gone".into() },
-        OperatorCommand::ChangeVoter { name: name(4), puts_in: true, by },
+        OperatorCommand::GrantPermit { target, operator: by.clone() },
+        OperatorCommand::StartRollout { plan: Box::new(plan), operator: by.clone() },
+        OperatorCommand::RemoveServer { name: name(9), operator: by.clone(), reason: "gone".into() },
+        OperatorCommand::ChangeVoter { name: name(4), add: true, operator: by },
     ];
     for (ticket, order) in orders.into_iter().enumerate() {
-        fleet.parts[ticket % 5].order(fleet.now, ticket as u64, order).expect("there is room");
+        fleet.parts[ticket % 5].submit(fleet.now, ticket as u64, order).expect("there is room");
         fleet.run(Span(SECOND.0 / 5));
     }
-    fleet.parts[3].leave(fleet.now);
+    fleet.parts[3].request_permit(fleet.now);
     let tenant = Tenant { name: "t".into(), quota_rps: 1.0, portion: 0.1 };
     let transaction = Transaction { changes: vec![Change::PutTenant(Arc::new(tenant))] };
     let proposal = Proposal {
@@ -102,8 +102,8 @@
         expected: None,
         transaction,
     };
-    let request = ConfigurationRequest { proposal, seen: Revision(0), asked_at_ms: 0 };
-    fleet.parts[4].request(fleet.now, 7, request).expect("taken");
+    let request = ConfigurationRequest { proposal, seen: Revision(0), requested_at_ms: 0 };
+    fleet.parts[4].submit_change(fleet.now, 7, request).expect("taken");
     fleet.run(Span(4 * SECOND.0));
     fleet
 }
@@ -125,7 +125,7 @@
             fleet.sent = Some(sent);
             let (from, life) =
                 (rng.next_u64() as usize % 6, [1, 1, 1, 2, u64::MAX][rng.next_u64() as usize % 5]);
-            fleet.parts[to].word(fleet.now, &name(from), life, &word);
+            fleet.parts[to].receive(fleet.now, &name(from), life, &word);
             if n % 5 == 0 {
                 fleet.run(Span(SECOND.0 / 50));
             }
--- a/crates/coordination/tests/odd_orders.rs
+++ b/crates/coordination/tests/odd_orders.rs
@@ -18,18 +18,18 @@
 /// What one message between servers may hold (`gradepin_cluster::fragments::MAX_MESSAGE_BYTES`).
 const LONGEST_MESSAGE: usize = 259_000;
 
-fn plan(pause_ms: u64, ready_ms: u64, steady_ms: u64) -> RolloutPlan {
-    let waves = [0.0, 1.0].map(|share| Batch { share, pause_ms }).into();
+fn plan(pause_ms: u64, ready_timeout_ms: u64, stabilization_ms: u64) -> RolloutPlan {
+    let batches = [0.0, 1.0].map(|share| Batch { share, pause_ms }).into();
     RolloutPlan {
         name: "odd".into(),
         kind: ReleaseKind::Program,
         version: "v2".into(),
-        waves,
+        batches,
         zone_by_zone: false,
-        ready_ms,
-        steady_ms,
-        worse: 0.1,
-        goes_back: true,
+        ready_timeout_ms,
+        stabilization_ms,
+        tolerated_regression: 0.1,
+        rolls_back: true,
     }
 }
 
@@ -49,13 +49,13 @@
         fleet.run(Span(8 * SECOND.0));
         let start = OperatorCommand::StartRollout {
             plan: Box::new(plan(pause_ms, ready_ms, steady_ms)),
-            by: "ada".into(),
+            operator: "ada".into(),
         };
         let now = fleet.now;
-        fleet.parts[1].order(now, 1, start).expect("there is room");
+        fleet.parts[1].submit(now, 1, start).expect("there is room");
         fleet.run(Span(20 * SECOND.0));
         assert_eq!(
-            fleet.parts[1].became(1),
+            fleet.parts[1].command_status(1),
             CommandStatus::Finished(Ok("done".into())),
             "{pause_ms} {ready_ms} {steady_ms}"
         );
@@ -75,7 +75,7 @@
     world.run(500);
     let strike = |bytes: usize| {
         let why = "x".repeat(bytes);
-        Command::RemoveServer { name: name(7), by: Arc::from("ada"), why }
+        Command::RemoveServer { name: name(7), operator: Arc::from("ada"), reason: why }
     };
     let leader = world.leader().expect("it leads");
     for bytes in [200_000, 260_000, 1 << 20] {
--- a/crates/coordination/tests/odd_words.rs
+++ b/crates/coordination/tests/odd_words.rs
@@ -10,6 +10,7 @@
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
+use slog::Level;
 
 #[derive(Clone, Copy, Serialize, Deserialize)]
 struct Place {
@@ -152,11 +153,14 @@
         let snapshot = DurableRecord::Snapshot { index, term, voters: voters.clone(), data };
         let records = std::iter::once(snapshot).chain(records[1..].iter().cloned()).collect();
         let mut council = ConsensusVoter::new(VoterState { id: 101, records }, 1, world.now);
-        assert!(council.lost().is_some() && !council.is_founded());
+        assert!(council.excluded().is_some() && !council.is_founded());
         let mut effects = Vec::new();
         council.step(world.now, &mut effects);
-        assert!(effects.iter().any(|effect| matches!(effect, VoterEffect::Log(true, _))), "{effects:?}");
-        assert!(!effects.iter().any(|effect| matches!(effect, VoterEffect::Write(..))), "{effects:?}");
+        assert!(
+            effects.iter().any(|effect| matches!(effect, VoterEffect::Log { level: Level::Warning, .. })),
+            "{effects:?}"
+        );
+        assert!(!effects.iter().any(|effect| matches!(effect, VoterEffect::Write { .. })), "{effects:?}");
     }
 }
 
@@ -181,19 +185,19 @@
         world.kill(behind);
         world.start(behind, Disk::Empty);
         let (leader, fresh) = (world.leader().unwrap_or(0), world.voters[behind].id);
-        let _ = world.council(leader).change(fresh, Some(&common::name(behind)));
+        let _ = world.council(leader).change_membership(fresh, Some(&common::name(behind)));
         world.run(3_000);
         for n in 0..250 {
             let sent = world.sent.take().unwrap_or_default();
             if let Some((to, from, bytes)) = odd_message(&mut rng, &sent) {
                 let to = if rng.next_u64().is_multiple_of(20) { newcomer } else { to };
                 let now = world.now;
-                if world.council(to).lost().is_some() {
+                if world.council(to).excluded().is_some() {
                     // One that believed that it lost something is out until it starts again.
                     world.start(to, Disk::Kept);
                 }
                 heard += u64::from(world.council(to).is_founded());
-                world.council(to).heard_from(now, from, &bytes);
+                world.council(to).receive(now, from, &bytes);
             }
             world.sent = Some(sent);
             led += u64::from(world.leader().is_some());
--- a/crates/coordination/tests/requests.rs
+++ b/crates/coordination/tests/requests.rs
@@ -16,7 +16,7 @@
     let transaction = Transaction { changes: vec![Change::PutTenant(Arc::new(tenant))] };
     let (request_id, author, reason) = (Arc::from(id), Arc::from("an operator"), Arc::from("a test"));
     let proposal = Proposal { request_id, author, reason, expected: None, transaction };
-    ConfigurationRequest { proposal, seen: Revision(0), asked_at_ms: 0 }
+    ConfigurationRequest { proposal, seen: Revision(0), requested_at_ms: 0 }
 }
 
 /// Five servers, three of them voters of a group that runs, n0 its leader or not.
@@ -33,14 +33,14 @@
 /// Hands it in, lets 2 s pass and gives the one answer.
 fn answer(fleet: &mut Fleet, server: usize, id: &str) -> ProposalResult {
     let (begin, ticket) = (fleet.now, fleet.now.0);
-    fleet.parts[server].request(begin, ticket, request(id)).expect("taken");
+    fleet.parts[server].submit_change(begin, ticket, request(id)).expect("taken");
     fleet.run(Span(5 * SECOND.0));
     let answers: Vec<(Time, ProposalResult)> = fleet
         .told
         .iter()
         .filter_map(|(n, at, effect)| match effect {
             ConfigurationEffect::Answered(answered) if *n == server && answered.ticket == ticket => {
-                Some((*at, answered.answer.clone()))
+                Some((*at, answered.result.clone()))
             }
             _ => None,
         })
@@ -80,6 +80,6 @@
     fleet.run(Span(8 * SECOND.0));
     let first = answer(&mut fleet, 3, "one").expect("a quorum");
     assert_eq!(answer(&mut fleet, 4, "one"), Ok(first));
-    let order = fleet.parts[0].configuration_order().expect("a voter").history().count();
+    let order = fleet.parts[0].replicated_configuration().expect("a voter").history().count();
     assert_eq!(order as u64, first.0, "and nothing of what was refused");
 }
--- a/crates/core/src/reducer/agreed.rs
+++ b/crates/core/src/reducer/agreed.rs
@@ -10,7 +10,7 @@
 use gradepin_admission::{Span, Time, time_after};
 use gradepin_cluster::counters::CellId;
 use gradepin_coordination::consensus::VoterState;
-use gradepin_coordination::messages::ServerReport;
+use gradepin_coordination::messages::{FailedStep, ServerReport};
 use gradepin_coordination::rollback::ServiceTotal;
 use gradepin_coordination::rollout::ReleaseKind;
 use gradepin_coordination::server_agent::{AgentEffect, ServerAgent};
@@ -61,14 +61,14 @@
     /// A server said something, in this life of its.
     pub(super) fn agreed_word(&mut self, from: &Arc<str>, life: u64, word: &[u8]) {
         if let Some(part) = &mut self.agreed.part {
-            part.word(self.moment.now, from, life, word);
+            part.receive(self.moment.now, from, life, word);
         }
     }
 
     /// What was written in the council's folder is durable.
     pub(super) fn council_written(&mut self, number: u64) {
         if let Some(part) = &mut self.agreed.part {
-            part.written(number);
+            part.write_completed(number);
         }
     }
 
@@ -76,7 +76,7 @@
     pub(super) fn council_failed(&mut self, found: VoterState, why: &str) {
         self.agreed.generation += 1;
         if let Some(part) = &mut self.agreed.part {
-            part.failed(self.moment.now, found);
+            part.write_failed(self.moment.now, found);
             self.log(Level::Error, format!("the council's folder failed: {why}; it was read anew"));
         }
     }
@@ -108,7 +108,7 @@
         for cell in [Some(whole), office, of_office].into_iter().flatten() {
             if totals.len() < MOST_CELLS || totals.contains_key(&cell) {
                 let total = totals.entry(cell).or_default();
-                total.came = total.came.saturating_add(came);
+                total.received = total.received.saturating_add(came);
                 total.served = total.served.saturating_add(served);
             }
         }
@@ -118,7 +118,7 @@
     pub(super) fn asks_to_leave(&mut self) -> bool {
         let now = self.moment.now;
         let Some(part) = &mut self.agreed.part else { return false };
-        part.leave(now);
+        part.request_permit(now);
         self.log(Level::Info, "asking the fleet for a permit to leave".into());
         true
     }
@@ -126,7 +126,7 @@
     /// An operator wants it to stay.
     pub(super) fn asks_to_stay(&mut self) {
         if let Some(part) = &mut self.agreed.part {
-            part.stay(self.moment.now);
+            part.cancel_permit(self.moment.now);
         }
     }
 
@@ -146,12 +146,12 @@
                 program: agreed.program.clone(),
                 settings: agreed.settings.clone(),
                 staged: agreed.staged.clone(),
-                failed: agreed.failed.clone(),
+                failed: agreed.failed.clone().map(|(rollout, reason)| FailedStep { rollout, reason }),
                 totals: agreed.totals.iter().map(|(cell, total)| (cell.0, *total)).collect(),
                 ..ServerReport::default()
             };
             if let Some(part) = &mut agreed.part {
-                part.tells(now, report);
+                part.set_report(now, report);
             }
         }
         let mut asked = Vec::new();
@@ -166,11 +166,11 @@
     fn agreed_effect(&mut self, effect: AgentEffect) {
         let now = self.moment.now;
         match effect {
-            AgentEffect::Send(to, word) => self.fleet_post(&to, &word),
-            AgentEffect::Write(number, records) => {
+            AgentEffect::Send { to, message } => self.fleet_post(&to, &message),
+            AgentEffect::Write { number, records } => {
                 self.effects.push(Effect::WriteVoterState(self.agreed.generation, number, records));
             }
-            AgentEffect::PermitGranted(epoch, until) => {
+            AgentEffect::PermitGranted { epoch, expires_at: until } => {
                 if now < until {
                     self.log(Level::Info, format!("leaving by permit {epoch}"));
                     self.take_out();
@@ -179,13 +179,15 @@
                     self.asks_to_leave();
                 }
             }
-            AgentEffect::PermitDenied(why) => self.log(Level::Warning, format!("not leaving: {why}")),
-            AgentEffect::StepGranted(turn, until) => {
+            AgentEffect::PermitDenied { reason } => {
+                self.log(Level::Warning, format!("not leaving: {reason}"))
+            }
+            AgentEffect::StepGranted { assignment: turn, expires_at: until } => {
                 let (kind, version) = (turn.kind, turn.version.clone());
                 if now >= until {
                     self.log(Level::Warning, format!("the turn for {version} came too late to begin"));
                     if let Some(part) = &mut self.agreed.part {
-                        part.missed();
+                        part.step_expired();
                     }
                     return;
                 }
@@ -194,9 +196,7 @@
                 self.effects.push(Effect::StartRolloutStep(Box::new(turn), until));
             }
             AgentEffect::Configuration(effect) => self.configuration_agreed(effect),
-            AgentEffect::Log(bad, text) => {
-                self.log(if bad { Level::Warning } else { Level::Info }, text);
-            }
+            AgentEffect::Log { level, text } => self.log(level, text),
         }
     }
 
@@ -209,17 +209,19 @@
             AgreementRequest::Command(order) => {
                 self.agreed.tickets += 1;
                 let ticket = self.agreed.tickets;
-                match part.order(now, ticket, *order) {
+                match part.submit(now, ticket, *order) {
                     Ok(()) => AgreementResponse::Ticket(ticket),
-                    Err(why) => AgreementResponse::Completed(Err(why)),
+                    Err(why) => AgreementResponse::Completed(Err(why.to_string())),
                 }
             }
-            AgreementRequest::CommandStatus(ticket) => AgreementResponse::CommandStatus(part.became(ticket)),
+            AgreementRequest::CommandStatus(ticket) => {
+                AgreementResponse::CommandStatus(part.command_status(ticket))
+            }
             AgreementRequest::FoundGroup => {
                 AgreementResponse::Completed(part.found(now).map_err(|why| why.to_string()))
             }
             AgreementRequest::TargetVersion(name) => {
-                AgreementResponse::TargetVersion(part.record().and_then(|record| record.program_for(&name)))
+                AgreementResponse::TargetVersion(part.state().and_then(|state| state.program_for(&name)))
             }
             AgreementRequest::Leave => {
                 self.asks_to_leave();
--- a/crates/core/src/reducer/configuration.rs
+++ b/crates/core/src/reducer/configuration.rs
@@ -148,7 +148,7 @@
     pub fn with_configuration(mut self, start: ConfigurationStart, now: Time) -> Self {
         self.changes.set_committed();
         if let Some(part) = &mut self.agreed.part {
-            part.holds_configuration(&start.state);
+            part.offer_configuration(&start.state);
         }
         let own = start.own.clone();
         let spread =
@@ -274,7 +274,7 @@
 
     fn hold_and_save(&mut self, state: Snapshot, commit: Option<Arc<Commit>>) {
         if let Some(part) = &mut self.agreed.part {
-            part.holds_configuration(state.configuration());
+            part.offer_configuration(state.configuration());
         }
         if let Some(service) = &mut self.committed.0 {
             service.source = Source::Fleet;
@@ -312,7 +312,7 @@
     fn look_at_members(&mut self) {
         let now = self.moment.now;
         let Some(view) = self.fleet.view(now) else { return };
-        let record = self.agreed.part.as_ref().and_then(|part| part.record());
+        let record = self.agreed.part.as_ref().and_then(|part| part.state());
         let Some(service) = &mut self.committed.0 else { return };
         service.next_look = time_after(now, LOOK);
         let votes = |name: &Name| match record {
--- a/crates/core/src/reducer/configuration_calls.rs
+++ b/crates/core/src/reducer/configuration_calls.rs
@@ -22,7 +22,7 @@
 struct Known {
     ticket: u64,
     request_id: Name,
-    /// See [`ConfigurationRequest::seen`] and [`ConfigurationRequest::asked_at_ms`].
+    /// See [`ConfigurationRequest::seen`] and [`ConfigurationRequest::requested_at_ms`].
     seen: Revision,
     asked_at_ms: u64,
     since: Time,
@@ -43,7 +43,7 @@
     pub(super) fn answered(&mut self, now: Time, answered: ProposalResponse) {
         if let Some(known) = self.known.iter_mut().find(|known| known.ticket == answered.ticket) {
             known.since = now;
-            known.end = Some(answered.answer.map_err(refusal));
+            known.end = Some(answered.result.map_err(refusal));
         }
     }
 
@@ -84,7 +84,7 @@
             end: None,
             repeated,
         });
-        Ok((ticket, ConfigurationRequest { proposal, seen, asked_at_ms }))
+        Ok((ticket, ConfigurationRequest { proposal, seen, requested_at_ms: asked_at_ms }))
     }
 
     fn forget(&mut self, ticket: u64) {
@@ -97,7 +97,7 @@
     match why {
         ConfigurationRejected::Moved { expected, in_force } => AdminError::Stale { expected, in_force },
         ConfigurationRejected::Invalid(invalid) => AdminError::Invalid(invalid),
-        ConfigurationRejected::TooLong { limit, came } => {
+        ConfigurationRejected::TooLong { limit, got: came } => {
             let expected = format!("at most {limit} bytes");
             AdminError::Invalid(Invalid::new("transaction", expected, format!("{came} bytes")))
         }
@@ -163,7 +163,7 @@
         let request_id = Arc::clone(&request.proposal.request_id);
         let seen = service.spread.state().revision();
         let (ticket, request) = service.requests.take(now, request.proposal, seen, unix_ms)?;
-        if let Err(why) = part.request(now, ticket, request) {
+        if let Err(why) = part.submit_change(now, ticket, request) {
             service.requests.forget(ticket);
             return Err(refusal(why));
         }
--- a/crates/gradepin/src/fleet.rs
+++ b/crates/gradepin/src/fleet.rs
@@ -210,21 +210,23 @@
         FleetCommand::Stay { at } => admin_client::call(at.door, "POST", "/fleet/stay", "")?.taken()?,
         FleetCommand::Out { at, what } => admin_client::order(
             at.door,
-            &OperatorCommand::GrantPermit { target: what.target()?, by: at.by() },
+            &OperatorCommand::GrantPermit { target: what.target()?, operator: at.by() },
+        )?,
+        FleetCommand::In { at, what } => admin_client::order(
+            at.door,
+            &OperatorCommand::EndPermit { target: what.target()?, operator: at.by() },
+        )?,
+        FleetCommand::Free { at, epoch, why } => admin_client::order(
+            at.door,
+            &OperatorCommand::ReleasePermit { epoch, operator: at.by(), reason: why },
         )?,
-        FleetCommand::In { at, what } => {
-            admin_client::order(at.door, &OperatorCommand::EndPermit { target: what.target()?, by: at.by() })?
-        }
-        FleetCommand::Free { at, epoch, why } => {
-            admin_client::order(at.door, &OperatorCommand::ReleasePermit { epoch, by: at.by(), why })?
-        }
         FleetCommand::Strike { at, name, why } => admin_client::order(
             at.door,
-            &OperatorCommand::RemoveServer { name: Arc::from(name), by: at.by(), why },
+            &OperatorCommand::RemoveServer { name: Arc::from(name), operator: at.by(), reason: why },
         )?,
         FleetCommand::Voter { at, name, out } => admin_client::order(
             at.door,
-            &OperatorCommand::ChangeVoter { name: Arc::from(name), puts_in: !out, by: at.by() },
+            &OperatorCommand::ChangeVoter { name: Arc::from(name), add: !out, operator: at.by() },
         )?,
     };
     println!("{text}");
@@ -240,7 +242,7 @@
         }
         ReleaseCommand::Start { at, file } => admin_client::order(
             at.door,
-            &OperatorCommand::StartRollout { plan: Box::new(plan(&file)?), by: at.by() },
+            &OperatorCommand::StartRollout { plan: Box::new(plan(&file)?), operator: at.by() },
         )?,
         ReleaseCommand::Status { door, json } => {
             let status = status(door)?;
@@ -248,19 +250,23 @@
         }
         ReleaseCommand::Halt { at, name, why } => admin_client::order(
             at.door,
-            &OperatorCommand::Rollout(RolloutCommand::Halt { name, by: at.by(), why }),
+            &OperatorCommand::Rollout(RolloutCommand::Halt { name, operator: at.by(), reason: why }),
         )?,
         ReleaseCommand::Resume { at, name } => {
             let status = status(at.door)?;
             let halts = status["release"]["halts"].as_u64().ok_or("there is no release")? as u32;
             admin_client::order(
                 at.door,
-                &OperatorCommand::Rollout(RolloutCommand::Resume { name, halts, by: at.by() }),
+                &OperatorCommand::Rollout(RolloutCommand::Resume {
+                    name,
+                    halt_count: halts,
+                    operator: at.by(),
+                }),
             )?
         }
         ReleaseCommand::Back { at, name, why } => admin_client::order(
             at.door,
-            &OperatorCommand::Rollout(RolloutCommand::Back { name, by: at.by(), why }),
+            &OperatorCommand::Rollout(RolloutCommand::RollBack { name, operator: at.by(), reason: why }),
         )?,
     };
     println!("{text}");
@@ -291,12 +297,12 @@
         name: word(node)?,
         kind: ReleaseKind::Program,
         version: String::new(),
-        waves: Vec::new(),
+        batches: Vec::new(),
         zone_by_zone: false,
-        ready_ms: 60_000,
-        steady_ms: 3_000,
-        worse: 0.02,
-        goes_back: true,
+        ready_timeout_ms: 60_000,
+        stabilization_ms: 3_000,
+        tolerated_regression: 0.02,
+        rolls_back: true,
     };
     for node in node.children().map(KdlDocument::nodes).unwrap_or_default() {
         match node.name().value() {
@@ -312,17 +318,17 @@
                     None => 10_000,
                     Some(value) => whole(value.as_integer(), "pause-ms")?,
                 };
-                plan.waves.push(Batch { share: number(node)?, pause_ms });
+                plan.batches.push(Batch { share: number(node)?, pause_ms });
             }
             "zone-by-zone" => plan.zone_by_zone = truth(node)?,
-            "goes-back" => plan.goes_back = truth(node)?,
+            "goes-back" => plan.rolls_back = truth(node)?,
             "ready-ms" => {
-                plan.ready_ms = whole(node.get(0).and_then(|value| value.as_integer()), "ready-ms")?
+                plan.ready_timeout_ms = whole(node.get(0).and_then(|value| value.as_integer()), "ready-ms")?
             }
             "steady-ms" => {
-                plan.steady_ms = whole(node.get(0).and_then(|value| value.as_integer()), "steady-ms")?
+                plan.stabilization_ms = whole(node.get(0).and_then(|value| value.as_integer()), "steady-ms")?
             }
-            "worse" => plan.worse = number(node)?,
+            "worse" => plan.tolerated_regression = number(node)?,
             other => return Err(format!("an unknown node '{other}'").into()),
         }
     }
@@ -353,7 +359,7 @@
 fn told(plan: &RolloutPlan) -> String {
     let what = if plan.kind == ReleaseKind::Program { "program" } else { "settings" };
     let mut text = format!("{}: {what} {}", plan.name, plan.version);
-    for (n, wave) in plan.waves.iter().enumerate() {
+    for (n, wave) in plan.batches.iter().enumerate() {
         let upto = if wave.share > 0.0 {
             format!("up to {:.0}% of the servers", 100.0 * wave.share)
         } else {
@@ -361,13 +367,13 @@
         };
         text += &format!("\n  wave {n}: {upto}, then {:.1} s of looking", wave.pause_ms as f64 / 1e3);
     }
-    let back = if plan.goes_back { "goes back by itself" } else { "stands still" };
+    let back = if plan.rolls_back { "goes back by itself" } else { "stands still" };
     text + &format!(
         "\n  a server may take {:.1} s to be ready and has to be so for {:.1} s; service worse by more than {:.0}%, and by more than \
          noise, halts it, and it {back}",
-        plan.ready_ms as f64 / 1e3,
-        plan.steady_ms as f64 / 1e3,
-        100.0 * plan.worse
+        plan.ready_timeout_ms as f64 / 1e3,
+        plan.stabilization_ms as f64 / 1e3,
+        100.0 * plan.tolerated_regression
     )
 }
 
@@ -464,7 +470,7 @@
     fn a_plan_is_read_and_one_that_makes_no_sense_says_why() {
         let text = include_str!("../../../deploy/release.kdl");
         let plan = parse(text).unwrap();
-        assert_eq!((plan.check(), plan.kind, plan.waves.len()), (Ok(()), ReleaseKind::Program, 3));
+        assert_eq!((plan.check(), plan.kind, plan.batches.len()), (Ok(()), ReleaseKind::Program, 3));
         assert!(told(&plan).contains("wave 0: one server"));
         for (text, expected) in [
             ("", "expected one release"),
--- a/crates/model/src/agreed/days.rs
+++ b/crates/model/src/agreed/days.rs
@@ -53,7 +53,7 @@
     fleet.slight = SOUND - day.worse_by;
     let mut plan = plan(version, ReleaseKind::Program);
     let waves = [(0.0, day.looks_ms), (0.1, day.looks_ms), (1.0, 0)];
-    plan.waves = waves.map(|(share, pause_ms)| Batch { share, pause_ms }).into();
+    plan.batches = waves.map(|(share, pause_ms)| Batch { share, pause_ms }).into();
     let begin = fleet.now;
     let started = fleet.release(plan);
     // A zone without power for some seconds, and a cut of some servers, one after the other, in the middle of it.
--- a/crates/model/src/agreed/mod.rs
+++ b/crates/model/src/agreed/mod.rs
@@ -11,7 +11,7 @@
 use gradepin_admission::{Span, Time, time_after};
 use gradepin_coordination::consensus::{DurableRecord, VoterState};
 use gradepin_coordination::controller::ControllerSettings;
-use gradepin_coordination::messages::{OperatorCommand, ServerReport};
+use gradepin_coordination::messages::{FailedStep, OperatorCommand, ServerReport};
 use gradepin_coordination::replicated_state::{Limits, Name};
 use gradepin_coordination::rollback::{Cell, ServiceTotal};
 use gradepin_coordination::rollout::{Batch, ReleaseKind, RolloutCommand, RolloutPlan, RolloutState};
@@ -126,12 +126,12 @@
         name: format!("to {version}"),
         kind,
         version: version.into(),
-        waves: waves.into(),
+        batches: waves.into(),
         zone_by_zone: false,
-        ready_ms: 8_000,
-        steady_ms: 1_000,
-        worse: 0.02,
-        goes_back: true,
+        ready_timeout_ms: 8_000,
+        stabilization_ms: 1_000,
+        tolerated_regression: 0.02,
+        rolls_back: true,
     }
 }
 
@@ -199,12 +199,12 @@
             (n < self.voters).then(|| VoterState { id: 1_000 + n as u64, records: server.durable.clone() });
         let set = AgentSettings {
             name: Arc::clone(&server.name),
-            life,
+            incarnation: life,
             zone: format!("z{}", n % 3),
             voters,
-            folder,
+            voter_state: folder,
             controller: self.controller.clone(),
-            waits: true,
+            waits_for_permit: true,
             seed: life ^ n as u64,
         };
         server.part = Some(ServerAgent::new(set, now));
@@ -240,7 +240,7 @@
     fn wanted(&self, n: usize) -> String {
         let name = &self.servers[n].name;
         let all = self.servers.iter().filter(|server| !server.stopped && server.ready);
-        let records = all.filter_map(|server| server.part.as_ref()?.record());
+        let records = all.filter_map(|server| server.part.as_ref()?.state());
         let newest = records.max_by_key(|record| record.index);
         let wanted = newest.and_then(|record| record.program_for(name));
         wanted.filter(|_| self.supervised).unwrap_or_else(|| self.servers[n].program.clone())
@@ -304,7 +304,7 @@
                 };
                 let served = (0..COME).filter(|_| self.unit() < share).count() as u32;
                 let total = self.servers[n].totals.entry(cell).or_default();
-                (total.came, total.served) = (total.came + COME, total.served + served);
+                (total.received, total.served) = (total.received + COME, total.served + served);
             }
         }
     }
@@ -342,10 +342,10 @@
             } else {
                 server.durable.extend(records);
             }
-            part.written(number);
+            part.write_completed(number);
         }
         for (from, life, bytes) in std::mem::take(&mut server.inbox) {
-            part.word(now, &from, life, &bytes);
+            part.receive(now, &from, life, &bytes);
         }
         let due =
             server.told.is_none_or(|(at, ready)| now >= time_after(at, COUNTS) || ready != server.ready);
@@ -357,38 +357,42 @@
                 program: server.program.clone(),
                 settings: server.settings.clone(),
                 staged: server.staged.clone(),
-                failed: server.failed.clone(),
+                failed: server.failed.clone().map(|(rollout, reason)| FailedStep { rollout, reason }),
                 totals: server.totals.iter().map(|(cell, total)| (*cell, *total)).collect(),
                 ..ServerReport::default()
             };
-            part.tells(now, report);
+            part.set_report(now, report);
         }
         let mut effects = Vec::new();
         part.step(now, &mut effects);
         let life = server.life;
         for effect in effects {
             match effect {
-                AgentEffect::Send(to, bytes) => self.send(n, &to, life, bytes),
-                AgentEffect::Write(number, records) => {
+                AgentEffect::Send { to, message } => self.send(n, &to, life, message),
+                AgentEffect::Write { number, records } => {
                     self.servers[n].pending.push_back((time_after(now, Span(4 * MS)), number, records));
                 }
-                AgentEffect::PermitGranted(_, until) if now < until => self.leaves(n, None),
-                AgentEffect::PermitGranted(..) => self.servers[n].part.as_mut().unwrap().leave(now),
-                AgentEffect::StepGranted(turn, until) if now < until => match turn.kind {
-                    ReleaseKind::Program => self.leaves(n, Some(turn.version)),
-                    ReleaseKind::Settings if turn.version == "s-broken" => {
-                        self.servers[n].failed = Some((turn.release, "it can't be read".into()));
-                        self.servers[n].told = None;
-                    }
-                    ReleaseKind::Settings => {
-                        self.servers[n].settings = turn.version;
-                        self.servers[n].told = None;
+                AgentEffect::PermitGranted { expires_at, .. } if now < expires_at => self.leaves(n, None),
+                AgentEffect::PermitGranted { .. } => {
+                    self.servers[n].part.as_mut().unwrap().request_permit(now)
+                }
+                AgentEffect::StepGranted { assignment: turn, expires_at } if now < expires_at => {
+                    match turn.kind {
+                        ReleaseKind::Program => self.leaves(n, Some(turn.version)),
+                        ReleaseKind::Settings if turn.version == "s-broken" => {
+                            self.servers[n].failed = Some((turn.rollout, "it can't be read".into()));
+                            self.servers[n].told = None;
+                        }
+                        ReleaseKind::Settings => {
+                            self.servers[n].settings = turn.version;
+                            self.servers[n].told = None;
+                        }
                     }
-                },
-                AgentEffect::StepGranted(..) => self.servers[n].part.as_mut().unwrap().missed(),
-                AgentEffect::PermitDenied(why) => self.notes.push(format!("n{n}: refused: {why}")),
+                }
+                AgentEffect::StepGranted { .. } => self.servers[n].part.as_mut().unwrap().step_expired(),
+                AgentEffect::PermitDenied { reason } => self.notes.push(format!("n{n}: refused: {reason}")),
                 AgentEffect::Configuration(_) => {}
-                AgentEffect::Log(_, text) => self.notes.push(format!("n{n}: {text}")),
+                AgentEffect::Log { text, .. } => self.notes.push(format!("n{n}: {text}")),
             }
         }
     }
@@ -426,13 +430,18 @@
     pub fn order(&mut self, n: usize, order: OperatorCommand) -> Result<String, String> {
         self.ticket += 1;
         let (now, ticket) = (self.now, self.ticket);
-        self.servers[n].part.as_mut().expect("it runs").order(now, ticket, order)?;
+        self.servers[n]
+            .part
+            .as_mut()
+            .expect("it runs")
+            .submit(now, ticket, order)
+            .map_err(|why| why.to_string())?;
         for _ in 0..1_000 {
             self.run(10);
             if let CommandStatus::Finished(answer) =
-                self.servers[n].part.as_ref().expect("it runs").became(ticket)
+                self.servers[n].part.as_ref().expect("it runs").command_status(ticket)
             {
-                return answer;
+                return answer.map_err(|why| why.to_string());
             }
         }
         panic!("no answer");
@@ -441,35 +450,35 @@
     /// A server is told to leave once it may.
     pub fn leave(&mut self, n: usize) {
         let now = self.now;
-        self.servers[n].part.as_mut().expect("it runs").leave(now);
+        self.servers[n].part.as_mut().expect("it runs").request_permit(now);
     }
 
     /// Starts a release, ordered at n4.
     pub fn release(&mut self, plan: RolloutPlan) -> Result<String, String> {
-        self.order(4, OperatorCommand::StartRollout { plan: Box::new(plan), by: Arc::from("kaisa") })
+        self.order(4, OperatorCommand::StartRollout { plan: Box::new(plan), operator: Arc::from("kaisa") })
     }
 
     /// An order to halt.
     pub fn halt(&self, name: &str) -> OperatorCommand {
         let (by, why) = (Arc::from("kaisa"), "by hand".into());
-        OperatorCommand::Rollout(RolloutCommand::Halt { name: name.into(), by, why })
+        OperatorCommand::Rollout(RolloutCommand::Halt { name: name.into(), operator: by, reason: why })
     }
 
     /// An order to go back.
     pub fn back(&self, name: &str) -> OperatorCommand {
         let (by, why) = (Arc::from("kaisa"), "by hand".into());
-        OperatorCommand::Rollout(RolloutCommand::Back { name: name.into(), by, why })
+        OperatorCommand::Rollout(RolloutCommand::RollBack { name: name.into(), operator: by, reason: why })
     }
 
     /// The newest record that anybody who runs has.
     pub fn record(&self) -> &gradepin_coordination::replicated_state::ReplicatedState {
-        let records = self.servers.iter().filter_map(|server| server.part.as_ref()?.record());
+        let records = self.servers.iter().filter_map(|server| server.part.as_ref()?.state());
         records.max_by_key(|record| record.index).expect("somebody has one")
     }
 
     /// Where the release stands.
     pub fn state(&self) -> RolloutState {
-        self.record().release.as_ref().expect("a release").state.clone()
+        self.record().rollout.as_ref().expect("a release").state.clone()
     }
 
     /// Runs until the release is over, halted, or the time is up.
