--- a/crates/model/tests/agreed.rs
+++ b/crates/model/tests/agreed.rs
@@ -57,8 +57,8 @@
     fleet.leave(5);
     fleet.run(8_000);
     assert!(fleet.began.is_empty());
-    let waits = fleet.servers[5].part.as_ref().unwrap().status(fleet.now).waits.expect("it waits");
-    assert!(waits.for_s > 7.0 && !waits.why.is_empty(), "{waits:?}");
+    let waits = fleet.servers[5].part.as_ref().unwrap().status(fleet.now).waiting_request.expect("it waits");
+    assert!(waits.waiting_s > 7.0 && !waits.reason.is_empty(), "{waits:?}");
     fleet.cut.clear();
     assert!(fleet.until(20_000, |fleet| fleet.began.len() == 1));
     // Out and cut off: nobody else may go until it is back and was steady.
@@ -93,8 +93,8 @@
             assert!(fleet.began.is_empty(), "seed {seed}: the place is kept");
             let free = OperatorCommand::ReleasePermit {
                 epoch,
-                by: Arc::from("kaisa"),
-                why: "its board is dead".into(),
+                operator: Arc::from("kaisa"),
+                reason: "its board is dead".into(),
             };
             fleet.order(4, free).expect("it is freed");
             assert!(fleet.began.is_empty(), "seed {seed}: it counts until the holder's time is over");
@@ -133,7 +133,7 @@
     assert!(
         fleet.until(200_000, |fleet| fleet.state() == RolloutState::Done),
         "{:?}",
-        fleet.record().release
+        fleet.record().rollout
     );
     assert!(all_have(&fleet, "v2"));
     fleet.latency_objective(&most).unwrap();
@@ -154,7 +154,7 @@
     assert!(
         fleet.until(120_000, |fleet| fleet.state() == RolloutState::Done),
         "{:?}",
-        fleet.record().release
+        fleet.record().rollout
     );
     assert!(all_have(&fleet, "v2") && fleet.began.len() == 9);
     fleet.latency_objective(&most).unwrap();
@@ -176,7 +176,7 @@
         let mut plan = plan(version, ReleaseKind::Program);
         if version == "v-slight" {
             // Long looks: a slight fall takes some thousand tries.
-            plan.waves.iter_mut().for_each(|wave| wave.pause_ms = 60_000);
+            plan.batches.iter_mut().for_each(|wave| wave.pause_ms = 60_000);
         }
         fleet.release(plan).expect("it starts");
         let goes = |fleet: &Fleet| {
@@ -186,7 +186,7 @@
         let had = fleet.servers.iter().filter(|server| server.program == version).count();
         assert!(had <= most_had, "{version}: {had} had it");
         let undone = |fleet: &Fleet| matches!(fleet.state(), RolloutState::RolledBack(_));
-        assert!(fleet.until(120_000, undone), "{version}: {:?} {:?}", fleet.record().release, fleet.notes);
+        assert!(fleet.until(120_000, undone), "{version}: {:?} {:?}", fleet.record().rollout, fleet.notes);
         assert!(fleet.until(10_000, |fleet| all_have(fleet, "v1")), "{version}");
         fleet.latency_objective(&most).unwrap();
     }
@@ -234,7 +234,7 @@
     let missing = fleet.release(plan("s-nowhere", ReleaseKind::Settings)).unwrap_err();
     assert!(missing.contains("aren't staged on n0"), "{missing}");
     fleet.release(plan("s2", ReleaseKind::Settings)).expect("it starts");
-    assert!(fleet.until(60_000, |fleet| fleet.state() == RolloutState::Done), "{:?}", fleet.record().release);
+    assert!(fleet.until(60_000, |fleet| fleet.state() == RolloutState::Done), "{:?}", fleet.record().rollout);
     assert!(fleet.servers.iter().all(|server| server.settings == "s2") && fleet.began.is_empty());
     // Valid, and starves saves: seen, halted, taken back.
     fleet.release(plan("s-bad", ReleaseKind::Settings)).expect("it starts");
@@ -271,8 +271,8 @@
     let resume = |halts| {
         OperatorCommand::Rollout(RolloutCommand::Resume {
             name: "to v2".into(),
-            halts,
-            by: Arc::from("kaisa"),
+            halt_count: halts,
+            operator: Arc::from("kaisa"),
         })
     };
     assert!(fleet.order(6, resume(0)).is_err(), "it names another halt");
@@ -314,11 +314,11 @@
     assert!(
         fleet.until(120_000, |fleet| matches!(fleet.state(), RolloutState::RolledBack(_))),
         "{:?}",
-        fleet.record().release
+        fleet.record().rollout
     );
     assert!(fleet.until(10_000, |fleet| all_have(fleet, "v1")));
     let steps: Vec<&ServerProgress> =
-        fleet.record().release.as_ref().unwrap().servers.values().map(|s| &s.step).collect();
+        fleet.record().rollout.as_ref().unwrap().servers.values().map(|s| &s.progress).collect();
     assert!(steps.iter().all(|step| matches!(step, ServerProgress::Pending | ServerProgress::RolledBack)));
     fleet.latency_objective(&most).unwrap();
 }
@@ -342,12 +342,15 @@
     // The one that never comes back is struck from the roster, and its place is free.
     let by = Arc::from("kaisa");
     fleet
-        .order(5, OperatorCommand::RemoveServer { name: Arc::from("n1"), by, why: "burnt".into() })
+        .order(
+            5,
+            OperatorCommand::RemoveServer { name: Arc::from("n1"), operator: by, reason: "burnt".into() },
+        )
         .expect("it is struck");
     let rest = |fleet: &Fleet| {
         fleet.servers.iter().enumerate().all(|(n, server)| n == 1 || server.ready && server.program == "v2")
     };
-    assert!(fleet.until(200_000, rest), "{:?} {:?}", fleet.record().release, fleet.notes);
+    assert!(fleet.until(200_000, rest), "{:?} {:?}", fleet.record().rollout, fleet.notes);
     fleet.latency_objective(&most).unwrap();
 }
 
@@ -391,13 +394,13 @@
         fleet.run(20_000);
         // A release that was halted or went back for the faults is put through by hand.
         for _ in 0..4 {
-            if fleet.record().release.is_none() {
+            if fleet.record().rollout.is_none() {
                 let _ = fleet.release(plan("v2", ReleaseKind::Program));
             }
-            let halts = fleet.record().release.as_ref().map_or(0, |release| release.halts);
-            if matches!(fleet.record().release.as_ref().map(|r| &r.state), Some(RolloutState::Halted(_))) {
+            let halts = fleet.record().rollout.as_ref().map_or(0, |release| release.halt_count);
+            if matches!(fleet.record().rollout.as_ref().map(|r| &r.state), Some(RolloutState::Halted(_))) {
                 let by = Arc::from("kaisa");
-                let resume = RolloutCommand::Resume { name: "to v2".into(), halts, by };
+                let resume = RolloutCommand::Resume { name: "to v2".into(), halt_count: halts, operator: by };
                 let _ = fleet.order(5, OperatorCommand::Rollout(resume));
             }
             fleet.run(40_000);
--- a/crates/node/src/admin/agreements.rs
+++ b/crates/node/src/admin/agreements.rs
@@ -12,7 +12,7 @@
 use super::http::Response;
 use gradepin_coordination::replicated_state::{Limits, PermitStage, Purpose, Target};
 use gradepin_coordination::rollout::{Rollout, ServerProgress};
-use gradepin_coordination::server_agent::{AgentStatus, CommandStatus};
+use gradepin_coordination::server_agent::{AgentStatus, CommandStatus, KnownState, RunningVersions};
 use gradepin_core::admin::AgreementResponse;
 use serde_json::{Value, json};
 
@@ -36,8 +36,9 @@
         AgreementResponse::CommandStatus(CommandStatus::Unknown) => {
             Response::text(404, "no order of this ticket is known here\n")
         }
-        AgreementResponse::CommandStatus(CommandStatus::Finished(answer))
-        | AgreementResponse::Completed(answer) => said(answer),
+        AgreementResponse::CommandStatus(CommandStatus::Finished(Ok(text))) => said(&Ok(text.clone())),
+        AgreementResponse::CommandStatus(CommandStatus::Finished(Err(why))) => said(&Err(why.to_string())),
+        AgreementResponse::Completed(answer) => said(answer),
         AgreementResponse::TargetVersion(Some(version)) => Response::text(200, format!("{version}\n")),
         AgreementResponse::TargetVersion(None) => {
             Response::text(404, "no release says which version it shall have\n")
@@ -71,30 +72,34 @@
 
 fn release(release: &Rollout) -> Value {
     json!({
-        "name": release.plan.name, "number": release.number, "version": release.plan.version, "by": &*release.by,
-        "state": release.state.to_string(), "open": release.is_open(), "wave": release.wave,
-        "waves": release.plan.waves.len(), "halts": release.halts,
+        "name": release.plan.name, "number": release.number, "version": release.plan.version, "by": &*release.operator,
+        "state": release.state.to_string(), "open": release.is_open(), "wave": release.batch,
+        "waves": release.plan.batches.len(), "halts": release.halt_count,
     })
 }
 
 fn value(status: &AgentStatus) -> Value {
     let mut value = json!({
-        "leader": status.leader.as_deref(), "voter": status.voter, "lost": status.lost, "unsure": status.unsure,
+        "leader": status.leader.as_deref(), "voter": status.is_voter, "lost": status.exclusion,
+        "unsure": status.restricts_votes,
     });
-    value["waits"] = status.waits.as_ref().map_or(Value::Null, |w| json!({"for_s": w.for_s, "why": w.why}));
-    let Some((record, age_s)) = &status.record else { return value };
+    value["waits"] = status
+        .waiting_request
+        .as_ref()
+        .map_or(Value::Null, |request| json!({"for_s": request.waiting_s, "why": request.reason}));
+    let Some(KnownState { state: record, age_s }) = &status.known_state else { return value };
     value["age_s"] = if age_s.is_finite() { json!(age_s) } else { Value::Null };
     value["index"] = json!(record.index);
     value["voters"] = json!(record.voters.values().map(|name| &**name).collect::<Vec<_>>());
     value["limits"] = limits(&record.limits);
     let servers = record.roster.iter().map(|(name, member)| {
         let permit = record.permit_of(&Target::Server(name.clone())).map(|(epoch, _)| epoch);
-        let (program, settings) = status.versions.get(name).cloned().unwrap_or_default();
-        let of = record.release.as_ref().and_then(|release| release.servers.get(name));
+        let RunningVersions { program, settings } = status.versions.get(name).cloned().unwrap_or_default();
+        let of = record.rollout.as_ref().and_then(|release| release.servers.get(name));
         // Who isn't heard to be ready is known to voters alone.
-        let heard = status.voter.then(|| !status.unheard.contains(name));
+        let heard = status.is_voter.then(|| !status.not_ready.contains(name));
         json!({"name": &**name, "zone": &*member.zone, "ready": heard, "permit": permit, "program": program,
-               "settings": settings, "step": of.map(|server| step(&server.step))})
+               "settings": settings, "step": of.map(|server| step(&server.progress))})
     });
     value["servers"] = servers.collect();
     let permits = record.permits.iter().map(|(epoch, permit)| {
@@ -106,10 +111,10 @@
                "stage": stage(&permit.stage)})
     });
     value["permits"] = permits.collect();
-    value["release"] = record.release.as_ref().map_or(Value::Null, release);
-    let acts = record.acts.iter().rev().take(8);
+    value["release"] = record.rollout.as_ref().map_or(Value::Null, release);
+    let acts = record.operator_actions.iter().rev().take(8);
     value["acts"] = acts
-        .map(|act| json!({"index": act.index, "by": &*act.by, "what": act.what, "why": act.why}))
+        .map(|act| json!({"index": act.index, "by": &*act.operator, "what": act.action, "why": act.reason}))
         .collect();
     value
 }
--- a/crates/node/src/fleet_start.rs
+++ b/crates/node/src/fleet_start.rs
@@ -41,12 +41,12 @@
     };
     AgentSettings {
         name: own.name,
-        life: own.incarnation.0,
+        incarnation: own.incarnation.0,
         zone: own.zone.to_string(),
         voters: set.voters.clone(),
-        folder,
+        voter_state: folder,
         controller,
-        waits: set.waits,
+        waits_for_permit: set.waits,
         seed: seed ^ own.incarnation.0,
     }
 }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -374,7 +374,7 @@
                     }
                 }
                 Effect::StartRolloutStep(turn, until) => {
-                    let release = turn.release;
+                    let release = turn.rollout;
                     let changed = match &stage {
                         Some(stage) => stage
                             .change(*turn, until, clock, changes.clone(), reloads.clone())
--- a/crates/node/src/staging.rs
+++ b/crates/node/src/staging.rs
@@ -120,7 +120,7 @@
     ) -> io::Result<()> {
         let stage = Arc::clone(self);
         let run = move || {
-            let release = turn.release;
+            let release = turn.rollout;
             let done = if clock.read().now >= until {
                 Err("it came too late to begin".to_string())
             } else {
--- a/crates/testkit/src/bench/council.rs
+++ b/crates/testkit/src/bench/council.rs
@@ -43,16 +43,16 @@
             let limits = Limits { fleet: 1, zone: 1, ..Limits::default() };
             let set = AgentSettings {
                 name: Arc::clone(name),
-                life: 1 << 20,
+                incarnation: 1 << 20,
                 zone: format!("z{n}"),
                 voters: names.clone(),
-                folder: Some(found.clone()),
+                voter_state: Some(found.clone()),
                 controller: ControllerSettings {
                     limits,
                     stabilization: Span(MS),
                     ..ControllerSettings::default()
                 },
-                waits: true,
+                waits_for_permit: true,
                 seed: n as u64,
             };
             voters.push(Voter { name: Arc::clone(name), part: ServerAgent::new(set, Time(MS)), log, found });
@@ -69,30 +69,31 @@
         let mut busy = !self.net.is_empty();
         for (from, to, bytes) in std::mem::take(&mut self.net) {
             let (now, name) = (self.now(), Arc::clone(&self.voters[from].name));
-            self.voters[to].part.word(now, &name, 1 << 20, &bytes);
+            self.voters[to].part.receive(now, &name, 1 << 20, &bytes);
         }
         for n in 0..self.voters.len() {
             let now = self.now();
             let voter = &mut self.voters[n];
-            voter
-                .part
-                .tells(now, ServerReport { zone: format!("z{n}"), ready: true, ..ServerReport::default() });
+            voter.part.set_report(
+                now,
+                ServerReport { zone: format!("z{n}"), ready: true, ..ServerReport::default() },
+            );
             let mut effects = Vec::new();
             voter.part.step(now, &mut effects);
             for effect in effects {
                 busy = true;
                 match effect {
-                    AgentEffect::Send(to, bytes) => {
+                    AgentEffect::Send { to, message: bytes } => {
                         let to = self.voters.iter().position(|voter| voter.name == to);
                         self.net.extend(to.map(|to| (n, to, bytes)));
                     }
-                    AgentEffect::Write(number, records) => {
+                    AgentEffect::Write { number, records } => {
                         let voter = &mut self.voters[n];
                         voter.log.write(&voter.found, &records).map_err(io::Error::other)?;
                         self.syncs += 1;
-                        voter.part.written(number);
+                        voter.part.write_completed(number);
                     }
-                    AgentEffect::PermitGranted(..) => self.may = Some(n),
+                    AgentEffect::PermitGranted { .. } => self.may = Some(n),
                     _ => {}
                 }
             }
@@ -147,7 +148,7 @@
     let now = world.now();
     world.voters[0].part.found(now).map_err(io::Error::other)?;
     let whole = |world: &World| {
-        let record = world.voters[0].part.record();
+        let record = world.voters[0].part.state();
         record.is_some_and(|record| record.roster.len() == world.voters.len() && record.limits.fleet == 1)
     };
     if !world.until(slow, whole)? {
@@ -159,19 +160,19 @@
         let n = grant as usize % count;
         let (asked, now) = (Instant::now(), world.now());
         world.may = None;
-        world.voters[n].part.leave(now);
+        world.voters[n].part.request_permit(now);
         if !world.until(slow, |world| world.may == Some(n))? {
-            let why = world.voters[n].part.status(world.now()).waits;
+            let why = world.voters[n].part.status(world.now()).waiting_request;
             return Err(io::Error::other(format!("grant {grant} was not given: {why:?}")));
         }
         times.record(asked.elapsed().as_micros() as u64).map_err(io::Error::other)?;
         let now = world.now();
-        world.voters[n].part.stay(now);
+        world.voters[n].part.cancel_permit(now);
         let over = |world: &World| {
             world
                 .voters
                 .iter()
-                .all(|voter| voter.part.record().is_some_and(|record| record.permits.is_empty()))
+                .all(|voter| voter.part.state().is_some_and(|record| record.permits.is_empty()))
         };
         world.until(slow, over)?;
     }
--- a/crates/testkit/src/drill/release/mod.rs
+++ b/crates/testkit/src/drill/release/mod.rs
@@ -87,12 +87,12 @@
         name: format!("to {version}"),
         kind: ReleaseKind::Program,
         version: version.into(),
-        waves: waves.into(),
+        batches: waves.into(),
         zone_by_zone: false,
-        ready_ms: 15_000,
-        steady_ms: 1_000,
-        worse: 0.05,
-        goes_back: true,
+        ready_timeout_ms: 15_000,
+        stabilization_ms: 1_000,
+        tolerated_regression: 0.05,
+        rolls_back: true,
     }
 }
 
--- a/crates/testkit/src/drill/release/session.rs
+++ b/crates/testkit/src/drill/release/session.rs
@@ -115,7 +115,7 @@
         self.starts += 1;
         let mut plan = plan(version);
         plan.name = format!("{}: to {version}", self.starts);
-        self.order(&OperatorCommand::StartRollout { plan: Box::new(plan), by: Arc::from("the drill") })
+        self.order(&OperatorCommand::StartRollout { plan: Box::new(plan), operator: Arc::from("the drill") })
     }
 
     /// Sees a release through to its end; one that stood still for a fault is resumed, one that went back is started again.
@@ -135,7 +135,11 @@
                 let by = Arc::from("the drill");
                 let halts = status["release"]["halts"].as_u64().unwrap_or(0) as u32;
                 println!("  {state}; resumed");
-                let _ = self.order(&OperatorCommand::Rollout(RolloutCommand::Resume { name, halts, by }))?;
+                let _ = self.order(&OperatorCommand::Rollout(RolloutCommand::Resume {
+                    name,
+                    halt_count: halts,
+                    operator: by,
+                }))?;
             } else if state.starts_with("undone") || !is_it {
                 println!("  {state}; started again");
                 let _ = self.start(&version)?;
--- a/crates/testkit/src/explore/permits.rs
+++ b/crates/testkit/src/explore/permits.rs
@@ -62,7 +62,7 @@
 impl Hash for Agreed {
     fn hash<H: Hasher>(&self, state: &mut H) {
         for (epoch, permit) in &self.0.permits {
-            (epoch, &permit.target, &permit.holder, stage(&permit.stage), permit.begins).hash(state);
+            (epoch, &permit.target, &permit.holder, stage(&permit.stage), permit.begin_grants).hash(state);
         }
         (self.0.index, self.0.roster.len()).hash(state);
     }
@@ -194,15 +194,16 @@
             Proposal::Reserve(n) => {
                 let (target, holder) = (Target::Server(name(*n)), name(*n));
                 let purpose = Purpose::Drain;
-                let outcome = record.apply(index, Command::Reserve { target, holder, life: 1, purpose });
-                if let (CommandOutcome::Permit(epoch, _), true) = (outcome, answers) {
+                let outcome =
+                    record.apply(index, Command::Reserve { target, holder, incarnation: 1, purpose });
+                if let (CommandOutcome::Permit { epoch, .. }, true) = (outcome, answers) {
                     state.net.insert(Word::Kept(*n, epoch));
                 }
             }
             Proposal::Begin(n, epoch, era) => {
                 let outcome =
-                    record.apply(index, Command::Begin { epoch: *epoch, holder: name(*n), life: 1 });
-                if let CommandOutcome::Permit(epoch, PermitStage::Begun) = outcome {
+                    record.apply(index, Command::Begin { epoch: *epoch, holder: name(*n), incarnation: 1 });
+                if let CommandOutcome::Permit { epoch, stage: PermitStage::Begun } = outcome {
                     state.since.insert(epoch, state.era);
                     // Looked at once more by who answers.
                     if answers && (self.without == Without::TheSecondLook || self.fits(state, *n)) {
@@ -215,21 +216,21 @@
             }
             Proposal::End(epoch, begins) => {
                 let by = PermitEnd::Stable(if self.without == Without::TheEndsLook {
-                    record.permits.get(epoch).map_or(0, |permit| permit.begins)
+                    record.permits.get(epoch).map_or(0, |permit| permit.begin_grants)
                 } else {
                     *begins
                 });
-                drop(record.apply(index, Command::End { epoch: *epoch, by }));
+                drop(record.apply(index, Command::End { epoch: *epoch, observed: by }));
             }
             Proposal::Free(epoch) => {
                 let (by, why) = (Arc::from("kaisa"), String::new());
-                if record.apply(index, Command::ReleasePermit { epoch: *epoch, by, why })
+                if record.apply(index, Command::ReleasePermit { epoch: *epoch, operator: by, reason: why })
                     == CommandOutcome::Done
                 {
                     state.since.insert(*epoch, state.era);
                 }
                 // What operators did doesn't tell states apart.
-                record.acts.clear();
+                record.operator_actions.clear();
             }
             Proposal::Gone(epoch) => drop(record.apply(index, Command::PermitExpired { epoch: *epoch })),
         }
@@ -362,7 +363,7 @@
                 state.pending.insert((Proposal::Free(epoch), false));
             }
             Action::End(epoch) => {
-                let begins = state.record.0.permits.get(&epoch).map_or(0, |permit| permit.begins);
+                let begins = state.record.0.permits.get(&epoch).map_or(0, |permit| permit.begin_grants);
                 state.pending.insert((Proposal::End(epoch, begins), false));
             }
             Action::Gone(epoch) => drop(state.pending.insert((Proposal::Gone(epoch), false))),
