--- a/crates/coordination/src/consensus.rs
+++ b/crates/coordination/src/consensus.rs
@@ -242,3 +242,6 @@
         self.effects.push(VoterEffect::Log { level, text });
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/coordination/src/consensus/proposals.rs
+++ b/crates/coordination/src/consensus/proposals.rs
@@ -14,10 +14,13 @@
 
 /// The content of an entry. The order of fields is the log's format.
 #[derive(Serialize, Deserialize)]
-struct Proposal {
-    proposer: VoterId,
-    number: Ticket,
-    command: Command,
+pub(super) struct Proposal {
+    /// The voter that proposed it.
+    pub proposer: VoterId,
+    /// The proposer's number of it.
+    pub number: Ticket,
+    /// What is proposed.
+    pub command: Command,
 }
 
 /// Why a proposal is rejected here.
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -33,3 +33,10 @@
 pub mod rollback;
 pub mod rollout;
 pub mod server_agent;
+
+// Tests beside private items share files and values with those in `tests/`, which name this crate.
+#[cfg(test)]
+extern crate self as gradepin_coordination;
+#[cfg(test)]
+#[path = "../tests/golden/mod.rs"]
+mod golden;
--- a/crates/coordination/src/server_agent.rs
+++ b/crates/coordination/src/server_agent.rs
@@ -213,3 +213,6 @@
         self.effects.push(AgentEffect::Log { level, text });
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/gradepin/src/fleet.rs
+++ b/crates/gradepin/src/fleet.rs
@@ -484,3 +484,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod golden_tests;
--- a/crates/node/src/admin/agreements.rs
+++ b/crates/node/src/admin/agreements.rs
@@ -118,3 +118,6 @@
         .collect();
     value
 }
+
+#[cfg(test)]
+mod tests;
