--- a/crates/coordination/src/consensus.rs
+++ b/crates/coordination/src/consensus.rs
@@ -25,6 +25,8 @@
 pub use proposals::ProposalError;
 pub use vote_safety::VOTE_DELAY_AFTER_START;
 
+pub use crate::ids::VoterId;
+
 use crate::ids::{LogIndex, Term, Ticket};
 use crate::replicated_state::{CommandOutcome, ReplicatedState};
 use configuration::Content;
@@ -48,12 +50,9 @@
 const HEARTBEAT_TICKS: usize = 3;
 /// Ticks made up for after the process was stopped.
 const MAX_LATE_TICKS: u64 = 5;
-/// The library's identity of nobody.
+/// The identity that the library uses for no voter.
 const NO_VOTER: VoterId = raft::INVALID_ID;
 
-/// A voter: the random identity of its voter state.
-pub type VoterId = u64;
-
 /// What a voter wants done.
 #[derive(Debug, Clone, PartialEq)]
 pub enum VoterEffect {
@@ -115,7 +114,7 @@
     trust: VoteTrust,
     /// Why it takes no part any more: it lacks what it once acknowledged.
     excluded: Option<ExclusionReason>,
-    leader_heard_at: Option<Time>,
+    last_heartbeat_at: Option<Time>,
     next_tick: Time,
     /// The election timeout that was drawn last, in ticks.
     election_timeout: usize,
@@ -137,7 +136,7 @@
             membership_changed: false,
             trust: VoteTrust::Full,
             excluded: None,
-            leader_heard_at: None,
+            last_heartbeat_at: None,
             next_tick: now,
             election_timeout: 0,
             rng: Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ stored.id),
@@ -191,7 +190,7 @@
         if self.leader_term().is_some() {
             return Some(Span(0));
         }
-        self.leader_heard_at.map(|at| Span(now.0.saturating_sub(at.0)))
+        self.last_heartbeat_at.map(|at| Span(now.0.saturating_sub(at.0)))
     }
 
     fn other_voters(&self) -> Vec<VoterId> {
--- a/crates/coordination/src/consensus/transport.rs
+++ b/crates/coordination/src/consensus/transport.rs
@@ -66,7 +66,7 @@
                 return self.exclude(ExclusionReason::ForgottenEntry { acknowledged: message.commit, last });
             }
             self.trust = VoteTrust::Full;
-            self.leader_heard_at = Some(now);
+            self.last_heartbeat_at = Some(now);
         }
         // The library rejects what is stale.
         let _ = node.step(message);
--- a/crates/coordination/src/controller/proposals.rs
+++ b/crates/coordination/src/controller/proposals.rs
@@ -9,7 +9,7 @@
 
 /// Proposals in flight at most.
 const MAX_PENDING: usize = 1_024;
-/// A proposal that isn't committed within this is answered by nobody; its submitter retries.
+/// A proposal that isn't committed within this has no outcome; its submitter retries.
 const PENDING_TIMEOUT: Span = Span(10_000 * NANOS_PER_MS);
 
 /// Who gets the outcome of a proposal.
--- a/crates/coordination/src/ids.rs
+++ b/crates/coordination/src/ids.rs
@@ -7,6 +7,8 @@
 
 /// The name of a server, zone, service or person.
 pub type Name = Arc<str>;
+/// A voter: the random identity of its disk's voter state.
+pub type VoterId = u64;
 /// The index of an entry in the consensus group's log, from 1 on.
 pub type LogIndex = u64;
 /// A Raft term.
--- a/crates/coordination/src/messages.rs
+++ b/crates/coordination/src/messages.rs
@@ -1,8 +1,7 @@
 //! Messages between servers about permits, rollouts and operator commands. The order of variants and fields is the wire
 //! format; the serde names of [`OperatorCommand`] are the admin endpoint's.
 
-use crate::consensus::VoterId;
-use crate::ids::{Epoch, Name, RolloutNumber, Ticket};
+use crate::ids::{Epoch, Name, RolloutNumber, Ticket, VoterId};
 use crate::replicated_state::{DenialReason, Target};
 use crate::rollback::{Cell, ServiceTotal};
 use crate::rollout::{ReleaseKind, RolloutCommand, RolloutPlan};
--- a/crates/coordination/src/replicated_state.rs
+++ b/crates/coordination/src/replicated_state.rs
@@ -21,7 +21,7 @@
 pub use crate::ids::{MAX_TEXT_BYTES, Name};
 
 use crate::configuration_log::ReplicatedConfiguration;
-use crate::ids::{Epoch, LogIndex};
+use crate::ids::{Epoch, LogIndex, VoterId};
 use crate::rollout::Rollout;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -32,7 +32,7 @@
     /// The last entry that was applied.
     pub index: LogIndex,
     /// The voters: the identities of their disks, and the servers that they belong to.
-    pub voters: BTreeMap<u64, Name>,
+    pub voters: BTreeMap<VoterId, Name>,
     /// The limits in force.
     pub limits: Limits,
     /// The servers that belong to the fleet, at most [`MAX_SERVERS`].
--- a/crates/coordination/src/rollback.rs
+++ b/crates/coordination/src/rollback.rs
@@ -1,7 +1,7 @@
 //! Whether service by a new version is worse than by the old one, by more than noise.
 //!
 //! Input: first attempts and how many of them were served, by server and cell (a tenant's part of a class), as servers report
-//! them. Output: the worst regression of a cell, and a fall of the whole fleet. Servers with the new version are compared with
+//! them. Output: the worst regression of a cell, and a fall of the fleet's service. Servers with the new version are compared with
 //! those that run the old one at the same time, by a test that stays valid however often it is evaluated: its bound grows with
 //! the logarithm of the logarithm of the count (the law of the iterated logarithm, as in Howard, Ramdas, McAuliffe and Sekhon,
 //! "Time-uniform, nonparametric, nonasymptotic confidence sequences", 2021), where noise would pass a fixed bound sooner or
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The chance that noise halts a sound rollout, over its whole length and all cells.
+/// The chance that noise halts a sound rollout, over all its comparisons and all cells.
 const ALPHA: f64 = 0.001;
 /// Cells that are compared; the bound counts them all.
 const CELLS: f64 = 64.0;
--- a/crates/coordination/src/server_agent/configuration_requests.rs
+++ b/crates/coordination/src/server_agent/configuration_requests.rs
@@ -49,7 +49,7 @@
     }
 
     /// The host provides the content: its durable copy, its start file or its peers'. To be called at the start, and when
-    /// peers sent a newer one; what came by [`ConfigurationEffect::Committed`] is known here already.
+    /// peers sent a newer one; what was in a [`ConfigurationEffect::Committed`] is known here already.
     pub fn offer_configuration(&mut self, configuration: &Configuration) {
         if let Some(voter) = &mut self.voter {
             voter.offer_configuration(configuration);
--- a/crates/coordination/tests/common/fleet.rs
+++ b/crates/coordination/tests/common/fleet.rs
@@ -1,4 +1,4 @@
-//! Servers whose parts reach each other at once and whose writes are durable at once. Who is cut off neither sends nor receives.
+//! Servers whose messages arrive at once and whose writes are durable at once. One that is partitioned neither sends nor receives.
 #![allow(dead_code)]
 
 #[path = "base.rs"]
@@ -25,21 +25,21 @@
 
 pub struct Fleet {
     pub now: Time,
-    pub parts: Vec<ServerAgent>,
+    pub agents: Vec<ServerAgent>,
     pub cut: BTreeSet<usize>,
     /// The program of each server; a turn changes it at once.
     pub programs: Vec<String>,
     /// What was sent, if it is kept: to whom, and what.
     pub sent: Option<Vec<(usize, Vec<u8>)>>,
     /// What servers were told about the configuration.
-    pub told: Vec<(usize, Time, ConfigurationEffect)>,
+    pub events: Vec<(usize, Time, ConfigurationEffect)>,
 }
 
 impl Fleet {
     /// Server `n` names these voters in its settings; the first three have a folder.
     pub fn new(voters_of: &[&[usize]]) -> Self {
         let now = Time(SECOND.0);
-        let part = |(n, voters): (usize, &&[usize])| {
+        let agent = |(n, voters): (usize, &&[usize])| {
             let found = VoterState { id: 100 + n as u64, records: Vec::new() };
             let set = AgentSettings {
                 name: name(n),
@@ -51,17 +51,17 @@
                 waits_for_permit: true,
                 seed: 5 + n as u64,
             };
-            let mut part = ServerAgent::new(set, now).with_configuration(ConfigurationSettings::default());
-            part.offer_configuration(&base::base());
-            part
+            let mut agent = ServerAgent::new(set, now).with_configuration(ConfigurationSettings::default());
+            agent.offer_configuration(&base::base());
+            agent
         };
         Self {
             now,
-            parts: voters_of.iter().enumerate().map(part).collect(),
+            agents: voters_of.iter().enumerate().map(agent).collect(),
             cut: BTreeSet::new(),
             sent: None,
             programs: vec![String::new(); voters_of.len()],
-            told: Vec::new(),
+            events: Vec::new(),
         }
     }
 
@@ -69,15 +69,15 @@
         let until = time_after(self.now, span);
         while self.now < until {
             self.now = time_after(self.now, TURN);
-            (0..self.parts.len()).for_each(|n| self.step(n));
+            (0..self.agents.len()).for_each(|n| self.step(n));
         }
     }
 
     /// Gives everybody turns at this moment until nobody wants another one.
     pub fn settle(&mut self) {
         for _ in 0..50 {
-            (0..self.parts.len()).for_each(|n| self.step(n));
-            if self.parts.iter().all(|part| part.wake_at() > self.now) {
+            (0..self.agents.len()).for_each(|n| self.step(n));
+            if self.agents.iter().all(|agent| agent.wake_at() > self.now) {
                 return;
             }
         }
@@ -88,15 +88,15 @@
         let mut effects = Vec::new();
         let program = self.programs[n].clone();
         let report = ServerReport { zone: format!("z{n}"), ready: true, program, ..ServerReport::default() };
-        self.parts[n].set_report(self.now, report);
-        self.parts[n].step(self.now, &mut effects);
+        self.agents[n].set_report(self.now, report);
+        self.agents[n].step(self.now, &mut effects);
         for effect in effects {
             match effect {
                 AgentEffect::Send { to, message: bytes } => {
                     // Other services mark their messages by a first byte of 0x80 and above.
                     assert!(bytes[0] < 0x80, "a consensus message began with {:#x}", bytes[0]);
                     // Odd words name servers that aren't there.
-                    let Some(to) = (0..self.parts.len()).find(|other| name(*other) == to) else {
+                    let Some(to) = (0..self.agents.len()).find(|other| name(*other) == to) else {
                         assert!(self.sent.is_some(), "expected a server, got {to}");
                         continue;
                     };
@@ -104,11 +104,11 @@
                         sent.push((to, bytes.clone()));
                     }
                     if !self.cut.contains(&n) && !self.cut.contains(&to) {
-                        self.parts[to].receive(self.now, &name(n), 1, &bytes);
+                        self.agents[to].receive(self.now, &name(n), 1, &bytes);
                     }
                 }
-                AgentEffect::Configuration(effect) => self.told.push((n, self.now, effect)),
-                AgentEffect::Write { number, .. } => self.parts[n].write_completed(number),
+                AgentEffect::Configuration(effect) => self.events.push((n, self.now, effect)),
+                AgentEffect::Write { number, .. } => self.agents[n].write_completed(number),
                 AgentEffect::StepGranted { assignment, .. } => self.programs[n] = assignment.version,
                 _ => {}
             }
@@ -116,10 +116,10 @@
     }
 
     pub fn found(&mut self, n: usize) -> Result<String, FoundingError> {
-        self.parts[n].found(self.now)
+        self.agents[n].found(self.now)
     }
 
     pub fn leader(&self, n: usize) -> Option<Name> {
-        self.parts[n].status(self.now).leader
+        self.agents[n].status(self.now).leader
     }
 }
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Voters in virtual time, on a net that loses, doubles, delays and cuts, with disks that forget what wasn't synced.
+//! Voters in virtual time, on a network that loses, duplicates, delays and partitions, with disks that lose what wasn't synced.
 #![allow(dead_code)]
 
 use gradepin_admission::{Span, Time, time_after};
@@ -29,7 +29,7 @@
 
 pub struct Voter {
     pub id: VoterId,
-    pub council: Option<ConsensusVoter>,
+    pub consensus: Option<ConsensusVoter>,
     /// What the disk holds, what is under way to it, and an old copy.
     pub durable: Vec<DurableRecord>,
     pending: VecDeque<(Time, u64, Vec<DurableRecord>)>,
@@ -39,7 +39,7 @@
     pub writes: u64,
     /// Configuration commits that were told, and the revision that was to be made durable last.
     pub commits: Vec<Arc<Commit>>,
-    pub asked_durable: Option<Revision>,
+    pub requested_durable: Option<Revision>,
 }
 
 impl Voter {
@@ -63,7 +63,7 @@
     net: Vec<(Time, usize, VoterId, Vec<u8>)>,
     pub cut: BTreeSet<(usize, usize)>,
     pub loss: f64,
-    pub doubled: f64,
+    pub duplicated: f64,
     pub slow_ms: u64,
     pub sync_ms: u64,
     /// What is longer doesn't get through.
@@ -73,7 +73,7 @@
     /// What was applied by whom, by index: the same everywhere, for ever.
     pub applied: BTreeMap<u64, (VoterId, u64)>,
     /// What proposers were told came of their numbers.
-    pub told: BTreeMap<(VoterId, u64), CommandOutcome>,
+    pub outcomes: BTreeMap<(VoterId, u64), CommandOutcome>,
     pub notes: Vec<String>,
     pub number: u64,
     next_id: VoterId,
@@ -90,13 +90,13 @@
             net: Vec::new(),
             cut: BTreeSet::new(),
             loss: 0.0,
-            doubled: 0.0,
+            duplicated: 0.0,
             slow_ms: 5,
             sync_ms: 3,
             longest: usize::MAX,
             sent: None,
             applied: BTreeMap::new(),
-            told: BTreeMap::new(),
+            outcomes: BTreeMap::new(),
             notes: Vec::new(),
             number: 0,
             next_id: 101,
@@ -107,7 +107,7 @@
         let voters: BTreeMap<VoterId, Name> =
             world.voters.iter().enumerate().map(|(n, voter)| (voter.id, name(n))).collect();
         for voter in &mut world.voters {
-            voter.council.as_mut().unwrap().found(&voters).unwrap();
+            voter.consensus.as_mut().unwrap().found(&voters).unwrap();
         }
         world
     }
@@ -116,10 +116,10 @@
     pub fn add(&mut self) -> usize {
         let id = self.next_id;
         self.next_id += 1;
-        let council = ConsensusVoter::new(VoterState { id, records: Vec::new() }, 7, self.now);
+        let consensus = ConsensusVoter::new(VoterState { id, records: Vec::new() }, 7, self.now);
         self.voters.push(Voter {
             id,
-            council: Some(council),
+            consensus: Some(consensus),
             durable: Vec::new(),
             pending: VecDeque::new(),
             copy: None,
@@ -127,7 +127,7 @@
             stopped: false,
             writes: 0,
             commits: Vec::new(),
-            asked_durable: None,
+            requested_durable: None,
         });
         self.voters.len() - 1
     }
@@ -147,8 +147,8 @@
             let due: Vec<_> = self.net.extract_if(.., |(at, ..)| *at <= self.now).collect();
             for (_, to, from, bytes) in due {
                 let voter = &mut self.voters[to];
-                if let Some(council) = voter.council.as_mut().filter(|_| !voter.stopped) {
-                    council.receive(self.now, from, &bytes);
+                if let Some(consensus) = voter.consensus.as_mut().filter(|_| !voter.stopped) {
+                    consensus.receive(self.now, from, &bytes);
                 }
             }
             for n in 0..self.voters.len() {
@@ -159,7 +159,7 @@
 
     fn turn(&mut self, n: usize) {
         let now = self.now;
-        if self.voters[n].stopped || self.voters[n].council.is_none() {
+        if self.voters[n].stopped || self.voters[n].consensus.is_none() {
             return;
         }
         while let Some((_, number, records)) = self.voters[n].pending.pop_front_if(|(at, ..)| *at <= now) {
@@ -168,15 +168,15 @@
                 // The write fails: what was behind it fails too, and the voter goes on from what it has.
                 voter.pending.clear();
                 let found = voter.found();
-                voter.council.as_mut().unwrap().write_failed(found, now);
+                voter.consensus.as_mut().unwrap().write_failed(found, now);
                 break;
             }
             voter.put(records);
             voter.writes += 1;
-            voter.council.as_mut().unwrap().write_completed(number);
+            voter.consensus.as_mut().unwrap().write_completed(number);
         }
         let mut effects = Vec::new();
-        self.voters[n].council.as_mut().unwrap().step(now, &mut effects);
+        self.voters[n].consensus.as_mut().unwrap().step(now, &mut effects);
         for effect in effects {
             match effect {
                 VoterEffect::Send { to, message: bytes } => self.send(n, to, bytes),
@@ -191,11 +191,11 @@
                         "two entries at {index}"
                     );
                     if proposer == self.voters[n].id {
-                        self.told.insert((proposer, number), outcome);
+                        self.outcomes.insert((proposer, number), outcome);
                     }
                 }
                 VoterEffect::Committed(commit) => self.voters[n].commits.push(commit),
-                VoterEffect::MakeDurable(revision) => self.voters[n].asked_durable = Some(revision),
+                VoterEffect::MakeDurable(revision) => self.voters[n].requested_durable = Some(revision),
                 VoterEffect::Log { text, .. } => self.notes.push(format!("{}: {text}", name(n))),
             }
         }
@@ -209,7 +209,7 @@
         if let Some(sent) = &mut self.sent {
             sent.push((to, self.voters[from].id, bytes.clone()));
         }
-        let copies = if self.chance(self.doubled) { 2 } else { 1 };
+        let copies = if self.chance(self.duplicated) { 2 } else { 1 };
         for _ in 0..copies {
             let late = 1 + self.draw(self.slow_ms);
             if !self.chance(self.loss) && !self.cut.contains(&(from, to)) {
@@ -231,7 +231,7 @@
     }
 
     pub fn kill(&mut self, n: usize) {
-        self.voters[n].council = None;
+        self.voters[n].consensus = None;
         self.voters[n].stopped = false;
     }
 
@@ -261,15 +261,15 @@
         }
         let voter = &mut self.voters[n];
         voter.pending.clear();
-        voter.council = Some(ConsensusVoter::new(voter.found(), 11 + n as u64, now));
+        voter.consensus = Some(ConsensusVoter::new(voter.found(), 11 + n as u64, now));
     }
 
-    pub fn council(&mut self, n: usize) -> &mut ConsensusVoter {
-        self.voters[n].council.as_mut().expect("it runs")
+    pub fn consensus(&mut self, n: usize) -> &mut ConsensusVoter {
+        self.voters[n].consensus.as_mut().expect("it runs")
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |voter: &Voter| voter.council.as_ref().and_then(ConsensusVoter::leader_term);
+        let leads = |voter: &Voter| voter.consensus.as_ref().and_then(ConsensusVoter::leader_term);
         let all = self.voters.iter().enumerate().filter(|(_, voter)| !voter.stopped);
         all.filter_map(|(n, voter)| Some((leads(voter)?, n))).max().map(|(_, n)| n)
     }
@@ -291,11 +291,11 @@
         self.number += 1;
         let number = self.number;
         let id = self.voters[leader].id;
-        self.council(leader).propose(number, command).ok().map(|()| (id, number))
+        self.consensus(leader).propose(number, command).ok().map(|()| (id, number))
     }
 
     pub fn state(&self, n: usize) -> &ReplicatedState {
-        self.voters[n].council.as_ref().expect("it runs").state()
+        self.voters[n].consensus.as_ref().expect("it runs").state()
     }
 }
 
--- a/crates/coordination/tests/configuration.rs
+++ b/crates/coordination/tests/configuration.rs
@@ -43,7 +43,7 @@
 fn world(count: usize, seed: u64) -> World {
     println!("seed {seed}");
     let mut world = World::new(count, seed);
-    (0..count).for_each(|n| world.council(n).offer_configuration(&base()));
+    (0..count).for_each(|n| world.consensus(n).offer_configuration(&base()));
     world.led(6_000).expect("a leader");
     world.run(500);
     world
@@ -54,7 +54,7 @@
     for _ in 0..1_000 {
         if let Some(leader) = world.led(10_000)
             && let Ok(ProposalAccepted::Committed(revision)) =
-                world.council(leader).propose_configuration(request)
+                world.consensus(leader).propose_configuration(request)
         {
             return revision;
         }
@@ -67,19 +67,19 @@
     world.state(n).configuration.version()
 }
 
-/// Hard case 2: the leader is killed at each point between the proposal and the answer; asked again elsewhere with the same id.
+/// The leader is killed at each point between the proposal and the reply; the request is retried elsewhere with the same id.
 #[test]
-fn a_change_whose_answer_is_lost_has_one_revision() {
+fn retried_change_after_a_lost_reply_has_one_revision() {
     for seed in 0..24 {
         let mut world = world(3, seed);
         let leader = world.leader().expect("it leads still");
         let ask = request("id-1", Some(0), vec![put("a", 1.0)]);
         assert_eq!(
-            world.council(leader).propose_configuration(&ask),
+            world.consensus(leader).propose_configuration(&ask),
             Ok(ProposalAccepted::Proposed(Revision(1)))
         );
         assert_eq!(
-            world.council(leader).propose_configuration(&ask),
+            world.consensus(leader).propose_configuration(&ask),
             Ok(ProposalAccepted::Proposed(Revision(1))),
             "asked twice"
         );
@@ -97,10 +97,10 @@
 /// Changes that are proposed one on top of the other are committed in their order, with the same content on all voters; an old
 /// expected revision is refused before and by the log.
 #[test]
-fn changes_on_top_of_each_other_are_the_same_everywhere() {
+fn consecutive_changes_are_the_same_on_all_voters() {
     for seed in 0..6 {
         let mut world = world(5, seed);
-        (world.loss, world.doubled) = (0.1, 0.1);
+        (world.loss, world.duplicated) = (0.1, 0.1);
         let mut last = 0;
         for _ in 0..4_000 {
             if last >= 40 {
@@ -109,7 +109,7 @@
             let leader = world.led(10_000).expect("a leader");
             let ask =
                 request(&format!("id-{last}"), Some(last), vec![put(&format!("t{}", last % 7), last as f64)]);
-            match world.council(leader).propose_configuration(&ask) {
+            match world.consensus(leader).propose_configuration(&ask) {
                 Ok(ProposalAccepted::Proposed(revision) | ProposalAccepted::Committed(revision)) => {
                     last = revision.0
                 }
@@ -122,29 +122,29 @@
             world.run(pause);
         }
         assert!(last >= 40, "{last}");
-        (world.loss, world.doubled) = (0.0, 0.0);
+        (world.loss, world.duplicated) = (0.0, 0.0);
         let late = request("late", Some(39), vec![put("late", 1.0)]);
         commit(&mut world, &request("last", None, vec![put("last", 1.0)]));
         world.run(4_000);
         let leader = world.led(6_000).expect("a leader");
         let in_force = version(&world, leader).revision;
         let moved = ConfigurationRejected::Moved { expected: Revision(39), in_force };
-        assert_eq!(refused(world.council(leader).propose_configuration(&late)), moved);
+        assert_eq!(refused(world.consensus(leader).propose_configuration(&late)), moved);
         for n in 0..5 {
             assert_eq!(version(&world, n), version(&world, leader));
             assert_eq!(
-                world.council(n).configuration().map(Configuration::version),
+                world.consensus(n).configuration().map(Configuration::version),
                 Some(version(&world, n))
             );
-            let told: Vec<u64> = world.voters[n].commits.iter().map(|commit| commit.revision.0).collect();
-            assert!(told.iter().copied().eq(1..=in_force.0), "n{n}: {told:?}");
+            let outcomes: Vec<u64> = world.voters[n].commits.iter().map(|commit| commit.revision.0).collect();
+            assert!(outcomes.iter().copied().eq(1..=in_force.0), "n{n}: {outcomes:?}");
         }
     }
 }
 
-/// Hard case 8, the group's part: what is not valid or too long is refused before it is proposed, and changes no digest.
+/// A change that is invalid or too long is rejected before it is proposed, and changes no digest.
 #[test]
-fn what_is_not_valid_is_not_proposed() {
+fn rejects_invalid_or_long_changes_before_proposing() {
     let mut world = world(3, 11);
     commit(&mut world, &request("first", None, vec![put("a", 1.0)]));
     world.run(500);
@@ -152,7 +152,7 @@
     let leader = world.leader().expect("it leads");
     let unknown = request("second", None, vec![Change::RemoveTenant("nobody".into())]);
     let ConfigurationRejected::Invalid(invalid) =
-        refused(world.council(leader).propose_configuration(&unknown))
+        refused(world.consensus(leader).propose_configuration(&unknown))
     else {
         panic!()
     };
@@ -160,7 +160,7 @@
     assert!(!invalid.expected.is_empty() && !invalid.came.is_empty());
     let long = request("third", None, (0..1_000).map(|n| put(&format!("{n:0>100}"), 1.0)).collect());
     let ConfigurationRejected::TooLong { limit, got } =
-        refused(world.council(leader).propose_configuration(&long))
+        refused(world.consensus(leader).propose_configuration(&long))
     else {
         panic!()
     };
@@ -170,16 +170,17 @@
     assert_eq!(before, after);
 }
 
-/// Without a quorum a leader takes no more than may wait to be committed, whatever is asked.
+/// Without a quorum a leader accepts no more than may be uncommitted, whatever is requested.
 #[test]
-fn what_waits_to_be_committed_is_bounded() {
+fn uncommitted_changes_are_bounded() {
     let mut world = world(3, 12);
     let leader = world.leader().expect("it leads");
     world.isolate(&[leader]);
     let mut taken = 0;
     let busy = (0..40).find_map(|n| {
         let changes = (0..100).map(|m| put(&format!("{n}-{m:0>60}"), 1.0)).collect();
-        let result = world.council(leader).propose_configuration(&request(&format!("id-{n}"), None, changes));
+        let result =
+            world.consensus(leader).propose_configuration(&request(&format!("id-{n}"), None, changes));
         taken += usize::from(result.is_ok());
         result.err()
     });
@@ -187,13 +188,13 @@
     assert!(taken < 10, "{taken}");
 }
 
-/// The content is not in the group's snapshots: they stay small, the log isn't compacted before the content is durable, and a
-/// voter that took such a snapshot refuses changes until the host brings the content. No heartbeat is late meanwhile.
+/// The content isn't in the group's snapshots: they stay small, the log isn't compacted before the content is durable, and a
+/// voter that loaded such a snapshot rejects changes until the host provides the content. No heartbeat is late meanwhile.
 #[test]
-fn a_snapshot_carries_no_content_and_its_taker_is_no_leader_for_changes() {
+fn voter_without_content_after_a_snapshot_rejects_changes() {
     let mut world = world(3, 13);
     let (leader, term) =
-        (world.leader().unwrap(), |world: &mut World, n: usize| world.council(n).leader_term());
+        (world.leader().unwrap(), |world: &mut World, n: usize| world.consensus(n).leader_term());
     let led = term(&mut world, leader);
     let behind = (leader + 1) % 3;
     world.isolate(&[behind]);
@@ -202,10 +203,10 @@
         commit(&mut world, &request(&format!("id-{n}"), None, changes));
     }
     assert!(world.voters[leader].durable.len() > 200, "not compacted before the content is durable");
-    assert!(world.voters[leader].asked_durable.is_some());
-    (0..3).for_each(|n| world.council(n).configuration_durable(Revision(200)));
+    assert!(world.voters[leader].requested_durable.is_some());
+    (0..3).for_each(|n| world.consensus(n).configuration_durable(Revision(200)));
     commit(&mut world, &request("more", None, vec![put("more", 1.0)]));
-    (0..3).for_each(|n| world.council(n).configuration_durable(Revision(201)));
+    (0..3).for_each(|n| world.consensus(n).configuration_durable(Revision(201)));
     commit(&mut world, &request("most", None, vec![put("most", 1.0)]));
     assert!(world.voters[leader].durable.len() < 50, "{}", world.voters[leader].durable.len());
     let bytes = replicated_snapshot::encode(world.state(leader)).len();
@@ -218,7 +219,7 @@
     world.run(5_000);
     assert_eq!(term(&mut world, leader), led, "the leader was heard all the while");
     assert_eq!(version(&world, behind), version(&world, leader));
-    let content = world.council(leader).configuration().expect("it applied all").clone();
+    let content = world.consensus(leader).configuration().expect("it applied all").clone();
     world.kill(leader);
     let other = 3 - leader - behind;
     world.kill(other);
@@ -227,16 +228,16 @@
     world.run(500);
     let ask = request("next", None, vec![put("next", 1.0)]);
     assert!(matches!(
-        refused(world.council(leader).propose_configuration(&ask)),
+        refused(world.consensus(leader).propose_configuration(&ask)),
         ConfigurationRejected::Behind { .. }
     ));
-    world.council(leader).offer_configuration(&content);
+    world.consensus(leader).offer_configuration(&content);
     assert_eq!(commit(&mut world, &ask), Revision(203));
 }
 
-/// A snapshot that is lost on its way is sent again, though the leader stays the same.
+/// A snapshot that was lost is sent again by the same leader.
 #[test]
-fn a_lost_snapshot_is_sent_again() {
+fn resends_a_lost_snapshot() {
     let mut world = world(3, 14);
     let leader = world.leader().unwrap();
     let behind = (leader + 1) % 3;
@@ -248,7 +249,7 @@
     world.start(behind, Disk::Empty);
     let fresh = world.voters[behind].id;
     // Heartbeats and what answers them pass; from then on all that the leader sends is lost, the snapshot too.
-    world.council(leader).change_membership(fresh, Some(&common::name(behind))).expect("one change");
+    world.consensus(leader).change_membership(fresh, Some(&common::name(behind))).expect("one change");
     world.run(60);
     world.cut.insert((leader, behind));
     world.run(800);
@@ -258,9 +259,9 @@
     assert_eq!(world.state(behind).roster.len(), world.state(leader).roster.len());
 }
 
-/// A voter whose start file differs from the group's doesn't go on with a mixture.
+/// A voter whose start file differs from the group's doesn't apply changes to it.
 #[test]
-fn another_start_file_is_found_by_its_digest() {
+fn differing_start_file_is_detected_by_its_digest() {
     let mut world = World::new(3, 15);
     let mut other = base();
     let transaction = Transaction { changes: vec![put("own", 1.0)] };
@@ -276,13 +277,13 @@
     let leader = world.led(6_000).expect("a leader");
     world.run(500);
     for n in (0..3).filter(|n| *n != (leader + 1) % 3) {
-        world.council(n).offer_configuration(&base());
+        world.consensus(n).offer_configuration(&base());
     }
     commit(&mut world, &request("first", None, vec![put("a", 1.0)]));
     world.run(500);
     other.apply(&made).expect("valid");
-    world.council((leader + 1) % 3).offer_configuration(&other);
-    assert!(world.council((leader + 1) % 3).configuration().is_none(), "same revision, other digest");
+    world.consensus((leader + 1) % 3).offer_configuration(&other);
+    assert!(world.consensus((leader + 1) % 3).configuration().is_none(), "same revision, other digest");
 }
 
 fn entry(base: Version, id: &str, seen: u64, history: u32) -> ConfigurationEntry {
@@ -294,9 +295,9 @@
     ConfigurationEntry { base, result, seen: Revision(seen), history, commit }
 }
 
-/// The log itself guards against a lost update, and against an id that was asked for so long ago that it is forgotten.
+/// The log itself rejects a lost update, and a request so old that its id may be forgotten.
 #[test]
-fn the_log_refuses_what_does_not_follow_and_what_it_may_have_forgotten() {
+fn log_rejects_stale_bases_and_forgotten_requests() {
     let mut order = ReplicatedConfiguration::default();
     for n in 0..10 {
         let entry = entry(order.version(), &format!("id-{n}"), n, 4);
@@ -318,7 +319,7 @@
 
 /// A snapshot and an entry as the version before this one wrote them.
 #[test]
-fn a_log_of_the_version_before_still_opens() {
+fn loads_a_log_of_the_previous_version() {
     // Index 9; voter 101 "n0"; limits 1, 1, 0 and no service; "n0" of zone "z"; no permits, acts or release.
     let snapshot: Vec<u8> =
         [&[9, 1, 101, 2][..], b"n0", &[1, 1, 0, 0, 1, 2], b"n0", &[1], b"z", &[0, 0, 0]].concat();
--- a/crates/coordination/tests/requests.rs
+++ b/crates/coordination/tests/configuration_requests.rs
@@ -1,4 +1,4 @@
-//! Requests for configuration changes from any server: each is answered once, within 2 s, whatever is cut off.
+//! Requests for configuration changes from any server: each has one result, within 2 s, whatever is partitioned.
 
 #[path = "common/fleet.rs"]
 mod fleet;
@@ -19,24 +19,24 @@
     ConfigurationRequest { proposal, seen: Revision(0), requested_at_ms: 0 }
 }
 
-/// Five servers, three of them voters of a group that runs, n0 its leader or not.
+/// Five servers, three of them voters of a running group, n0 its leader or not.
 fn fleet() -> Fleet {
     let mut fleet = Fleet::new(&[ALL; 5]);
     fleet.run(SECOND);
     fleet.found(0).expect("all are heard");
     fleet.run(Span(8 * SECOND.0));
     assert!(fleet.leader(0).is_some());
-    fleet.told.clear();
+    fleet.events.clear();
     fleet
 }
 
-/// Hands it in, lets 2 s pass and gives the one answer.
+/// Submits a request, and returns its one result after 2 s.
 fn answer(fleet: &mut Fleet, server: usize, id: &str) -> ProposalResult {
     let (begin, ticket) = (fleet.now, fleet.now.0);
-    fleet.parts[server].submit_change(begin, ticket, request(id)).expect("taken");
+    fleet.agents[server].submit_change(begin, ticket, request(id)).expect("taken");
     fleet.run(Span(5 * SECOND.0));
     let answers: Vec<(Time, ProposalResult)> = fleet
-        .told
+        .events
         .iter()
         .filter_map(|(n, at, effect)| match effect {
             ConfigurationEffect::Answered(answered) if *n == server && answered.ticket == ticket => {
@@ -51,23 +51,23 @@
 }
 
 #[test]
-fn any_server_hands_a_request_to_the_leader() {
+fn any_server_forwards_a_request_to_the_leader() {
     let mut fleet = fleet();
     for server in 0..5 {
         assert_eq!(answer(&mut fleet, server, &format!("from {server}")), Ok(Revision(server as u64 + 1)));
     }
     assert_eq!(answer(&mut fleet, 4, "from 0"), Ok(Revision(1)), "the same id elsewhere");
     let committed = |n: usize| {
-        let mine = fleet.told.iter().filter(|(of, ..)| *of == n);
+        let mine = fleet.events.iter().filter(|(of, ..)| *of == n);
         mine.filter(|(.., effect)| matches!(effect, ConfigurationEffect::Committed(_))).count()
     };
     assert_eq!((0..5).map(committed).collect::<Vec<_>>(), [5, 5, 5, 0, 0], "on voters, once each");
 }
 
-/// Hard case 1: on the side without a quorum a change is refused with a reason; what a leader took there may still be committed
-/// and says so; afterwards the same id gives one revision.
+/// On the side without a quorum a change is rejected with a reason; one that a leader proposed there may still be committed,
+/// which the result says; afterwards the same id has one revision.
 #[test]
-fn without_a_quorum_a_change_is_refused_within_two_seconds() {
+fn rejects_changes_without_a_quorum_within_two_seconds() {
     let mut fleet = fleet();
     let leader = (0..3).find(|n| fleet.leader(0) == Some(name(*n))).expect("a voter leads");
     fleet.cut.extend((0..3).filter(|n| *n != leader));
@@ -80,6 +80,6 @@
     fleet.run(Span(8 * SECOND.0));
     let first = answer(&mut fleet, 3, "one").expect("a quorum");
     assert_eq!(answer(&mut fleet, 4, "one"), Ok(first));
-    let order = fleet.parts[0].replicated_configuration().expect("a voter").history().count();
+    let order = fleet.agents[0].replicated_configuration().expect("a voter").history().count();
     assert_eq!(order as u64, first.0, "and nothing of what was refused");
 }
--- a/crates/coordination/tests/council.rs
+++ b/crates/coordination/tests/consensus.rs
@@ -1,4 +1,5 @@
-//! The council as a whole, by seeds: what was told as agreed stays agreed, whatever is lost, killed or forgotten.
+//! The consensus group under random faults, by seeds: what was reported as committed stays committed, whatever is lost, killed or
+//! forgotten.
 
 mod common;
 
@@ -13,7 +14,7 @@
         if let Some(ticket) = world.propose(command.clone()) {
             for _ in 0..100 {
                 world.run(10);
-                if let Some(outcome) = world.told.get(&ticket) {
+                if let Some(outcome) = world.outcomes.get(&ticket) {
                     return outcome.clone();
                 }
             }
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn a_council_elects_agrees_and_outlives_its_leader() {
+fn elects_commits_and_survives_its_leader() {
     for count in [3, 5] {
         let mut world = World::new(count, 4);
         let first = world.led(6_000).expect("a leader");
@@ -41,10 +42,9 @@
     }
 }
 
-/// Hard case 2, the council's part: a leader with the minority agrees on nothing and steps down; what it had proposed is
-/// gone or done, and the same for all.
+/// A leader with the minority commits nothing and steps down; what it had proposed is dropped or committed, the same for all.
 #[test]
-fn a_leader_in_a_minority_agrees_on_nothing() {
+fn leader_in_a_minority_commits_nothing() {
     let mut world = World::new(5, 9);
     let old = world.led(6_000).expect("a leader");
     agree(&mut world, &enrol(0));
@@ -52,13 +52,13 @@
     world.isolate(&[old, with]);
     let ticket = {
         let id = world.voters[old].id;
-        world.council(old).propose(77, enrol(1)).expect("it leads still");
+        world.consensus(old).propose(77, enrol(1)).expect("it leads still");
         (id, 77)
     };
     world.run(6_000);
-    assert_eq!(world.told.get(&ticket), None);
-    assert_eq!(world.council(old).leader_term(), None, "it hears no majority");
-    assert!(world.council(old).propose(78, enrol(2)).is_err());
+    assert_eq!(world.outcomes.get(&ticket), None);
+    assert_eq!(world.consensus(old).leader_term(), None, "it hears no majority");
+    assert!(world.consensus(old).propose(78, enrol(2)).is_err());
     let new = world.leader().expect("the others have one");
     assert!(new != old && new != with);
     agree(&mut world, &enrol(3));
@@ -68,9 +68,9 @@
     assert!(!world.state(new).roster.contains_key(&name(1)));
 }
 
-/// Hard case 9: all are killed and come back; one of three never does.
+/// All are killed and restart; one of three never does.
 #[test]
-fn a_council_that_was_down_comes_back_without_one_of_three() {
+fn group_restarts_without_one_of_three() {
     for seed in 0..10 {
         let mut world = World::new(3, seed);
         world.led(6_000).expect("a leader");
@@ -92,9 +92,9 @@
     }
 }
 
-/// Hard case 4: an empty disk is nobody; an operator's command puts it in, one change at a time, and takes the old one out.
+/// An empty disk is no voter; an operator's command adds it, one change at a time, and removes the old one.
 #[test]
-fn an_empty_disk_has_no_vote_until_it_is_put_in() {
+fn empty_disk_has_no_vote_until_it_is_added() {
     let mut world = World::new(3, 5);
     world.led(6_000).expect("a leader");
     for n in 0..200 {
@@ -106,7 +106,7 @@
     world.start(lost, Disk::Empty);
     let fresh = world.voters[lost].id;
     world.run(5_000);
-    assert!(!world.council(lost).is_founded(), "it is nobody");
+    assert!(!world.consensus(lost).is_founded(), "it is nobody");
     // With it and one of the others there is no majority.
     let leader = world.leader().unwrap();
     let third = 3 - leader - lost;
@@ -115,11 +115,11 @@
     assert_eq!(world.leader(), None);
     world.cut.clear();
     let leader = world.led(6_000).unwrap();
-    world.council(leader).change_membership(fresh, Some(&name(lost))).expect("one change");
-    assert!(world.council(leader).change_membership(old, None).is_err(), "not two at a time");
+    world.consensus(leader).change_membership(fresh, Some(&name(lost))).expect("one change");
+    assert!(world.consensus(leader).change_membership(old, None).is_err(), "not two at a time");
     world.run(3_000);
     let leader = world.led(6_000).unwrap();
-    world.council(leader).change_membership(old, None).expect("the next one");
+    world.consensus(leader).change_membership(old, None).expect("the next one");
     world.run(3_000);
     assert_eq!(world.state(lost), world.state(leader), "by a snapshot, as the log was cut");
     let voters: Vec<u64> = world.state(leader).voters.keys().copied().collect();
@@ -131,10 +131,10 @@
     agree(&mut world, &enrol(300));
 }
 
-/// Hard case 4: an old copy of a disk has forgotten entries that it had acknowledged. It is found by what the leader knows of
-/// it, and is out; and until then its votes go to nobody who lacks what others have.
+/// An old copy of a disk has forgotten entries that it acknowledged. The leader's heartbeat excludes it; until then it votes for
+/// no candidate whose log is behind.
 #[test]
-fn an_old_copy_of_a_disk_is_found_and_is_out() {
+fn old_copy_of_a_disk_is_excluded() {
     for seed in 0..40 {
         let mut world = World::new(3, seed);
         let leader = world.led(6_000).expect("a leader");
@@ -170,19 +170,19 @@
     }
 }
 
-/// Hard case 4: a disk that is full. Nothing that depends on it leaves, the others go on, and it is back when there is room.
+/// A full disk: no message that depends on it leaves, the others continue, and the voter is back once there is space.
 #[test]
-fn a_full_disk_holds_its_voter_back_and_nobody_else() {
+fn full_disk_stops_only_its_voter() {
     let mut world = World::new(3, 8);
     let leader = world.led(6_000).expect("a leader");
     agree(&mut world, &enrol(0));
     world.voters[leader].full = true;
-    let told = world.told.len();
+    let outcomes = world.outcomes.len();
     if let Some(ticket) = world.propose(enrol(1)) {
         world.run(300);
         let durable = world.voters[leader].durable.len();
         world.run(3_000);
-        assert!(!world.told.contains_key(&ticket) || world.told.len() > told);
+        assert!(!world.outcomes.contains_key(&ticket) || world.outcomes.len() > outcomes);
         assert_eq!(world.voters[leader].durable.len(), durable);
     }
     let other = world.led(8_000).expect("another leads");
@@ -195,9 +195,9 @@
     assert_eq!(world.state(leader), world.state(other));
 }
 
-/// Guards the size of what is kept: after ten thousand entries the files hold a snapshot and some entries.
+/// After ten thousand entries the files hold a snapshot and some entries.
 #[test]
-fn what_is_kept_is_bounded() {
+fn stored_records_are_bounded() {
     let mut world = World::new(3, 3);
     world.led(6_000).expect("a leader");
     let mut most = 0;
@@ -212,9 +212,9 @@
     assert!(world.state(0).index > 5_000 && most < 800, "{} entries, {most} records", world.state(0).index);
 }
 
-/// Hard case 1: the leader dies between the grant's commit and its answer; the asker asks again, elsewhere: one permit.
+/// The leader is killed between a grant's commit and its reply; the holder retries at another voter: one permit.
 #[test]
-fn a_grant_whose_answer_is_lost_is_the_same_when_asked_again() {
+fn repeated_request_after_a_lost_reply_gets_the_same_permit() {
     for seed in 0..20 {
         let mut world = World::new(3, seed);
         let leader = world.led(6_000).expect("a leader");
@@ -230,15 +230,15 @@
         // At any point between the proposal and the answer.
         world.run(5 * (1 + seed % 8));
         world.kill(leader);
-        assert!(!world.told.contains_key(&ticket) || seed % 8 > 2);
+        assert!(!world.outcomes.contains_key(&ticket) || seed % 8 > 2);
         let first = agree(&mut world, &reserve(0));
         let again = agree(&mut world, &reserve(0));
         assert!(
             matches!(first, CommandOutcome::Permit { stage: PermitStage::Reserved, .. }) && first == again,
             "{first:?}, {again:?}"
         );
-        if let Some(told) = world.told.get(&ticket) {
-            assert_eq!(*told, first);
+        if let Some(outcomes) = world.outcomes.get(&ticket) {
+            assert_eq!(*outcomes, first);
         }
         assert!(
             matches!(agree(&mut world, &reserve(1)), CommandOutcome::Denied(_)),
@@ -249,16 +249,16 @@
     }
 }
 
-/// Drawn faults on three and five voters: cuts, loss, copies, kills with whole and torn disks, full disks, stops. All that was
-/// told as done is in the record of whoever leads at the end, and in one order.
+/// Random faults on three and five voters: partitions, loss, duplicates, kills with intact and torn disks, full disks, stops. All
+/// that was reported as done is in the state of the last leader, and in one order.
 #[test]
-fn whatever_happens_what_was_agreed_stays() {
+fn committed_outcomes_survive_random_faults() {
     let seeds = std::env::var("SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(60);
     for seed in 0..seeds {
         println!("seed {seed}");
         let count = if seed % 3 == 0 { 5 } else { 3 };
         let mut world = World::new(count, seed);
-        (world.loss, world.doubled) = (world.draw(20) as f64 / 100.0, world.draw(20) as f64 / 100.0);
+        (world.loss, world.duplicated) = (world.draw(20) as f64 / 100.0, world.draw(20) as f64 / 100.0);
         (world.slow_ms, world.sync_ms) = (1 + world.draw(80), 1 + world.draw(40));
         let mut proposed = 0;
         for _ in 0..60 {
@@ -266,8 +266,8 @@
             match world.draw(8) {
                 0 => world.isolate(&[n]),
                 1 => world.cut.clear(),
-                2 if world.voters[n].council.is_some() => world.kill(n),
-                2 | 3 if world.voters[n].council.is_none() => {
+                2 if world.voters[n].consensus.is_some() => world.kill(n),
+                2 | 3 if world.voters[n].consensus.is_none() => {
                     let disk = if world.draw(2) == 0 { Disk::Kept } else { Disk::Torn };
                     world.start(n, disk);
                 }
@@ -283,10 +283,10 @@
             }
         }
         world.cut.clear();
-        (world.loss, world.doubled) = (0.0, 0.0);
+        (world.loss, world.duplicated) = (0.0, 0.0);
         for n in 0..count {
             (world.voters[n].full, world.voters[n].stopped) = (false, false);
-            if world.voters[n].council.is_none() {
+            if world.voters[n].consensus.is_none() {
                 world.start(n, Disk::Kept);
             }
         }
@@ -297,6 +297,6 @@
         for n in 0..count {
             assert_eq!(world.state(n), world.state(leader), "seed {seed}");
         }
-        assert!(world.council(leader).excluded().is_none());
+        assert!(world.consensus(leader).excluded().is_none());
     }
 }
--- a/crates/coordination/tests/odd_orders.rs
+++ b/crates/coordination/tests/extreme_commands.rs
@@ -1,4 +1,4 @@
-//! Orders with figures and texts at their ends: whatever an operator says, the voters go on and agree on what comes next.
+//! Operator commands with extreme numbers and texts: the voters continue to commit.
 
 #[path = "common/mod.rs"]
 mod common;
@@ -33,10 +33,10 @@
     }
 }
 
-/// Guards every voter that leads against a plan with times that don't fit their type in nanoseconds: it is in the record, so the
-/// next one that leads meets it too.
+/// A plan with times that don't fit their type in nanoseconds: it is in the replicated state, so that the next leader reads it
+/// too.
 #[test]
-fn a_plan_with_endless_times_ends_no_leader() {
+fn plan_with_unrepresentable_times_stops_no_leader() {
     for (pause_ms, ready_ms, steady_ms) in [
         (u64::MAX, 1_000, 100),
         (0, u64::MAX, 100),
@@ -52,10 +52,10 @@
             operator: "ada".into(),
         };
         let now = fleet.now;
-        fleet.parts[1].submit(now, 1, start).expect("there is room");
+        fleet.agents[1].submit(now, 1, start).expect("there is room");
         fleet.run(Span(20 * SECOND.0));
         assert_eq!(
-            fleet.parts[1].command_status(1),
+            fleet.agents[1].command_status(1),
             CommandStatus::Finished(Ok("done".into())),
             "{pause_ms} {ready_ms} {steady_ms}"
         );
@@ -65,10 +65,9 @@
     }
 }
 
-/// Guards the council against an entry that no message can carry: no other voter could acknowledge it, and nothing behind it
-/// would ever be agreed on.
+/// An entry that no message can carry could be acknowledged by no other voter, and would block all entries behind it.
 #[test]
-fn a_command_too_long_to_be_sent_is_refused_and_the_council_goes_on() {
+fn rejects_a_command_too_long_to_be_sent() {
     let mut world = World::new(3, 6);
     world.longest = LONGEST_MESSAGE;
     world.led(6_000).expect("a leader");
@@ -80,7 +79,7 @@
     let leader = world.leader().expect("it leads");
     for bytes in [200_000, 260_000, 1 << 20] {
         assert_eq!(
-            world.council(leader).propose(900, strike(bytes)),
+            world.consensus(leader).propose(900, strike(bytes)),
             Err(ProposalError::TooLong),
             "{bytes} bytes"
         );
@@ -88,9 +87,9 @@
     for (n, bytes) in [10_000, 100_000, 199_000].into_iter().enumerate() {
         let ticket = world.propose(strike(bytes)).expect("it is taken");
         world.run(1_000);
-        assert!(world.told.contains_key(&ticket), "{bytes} bytes");
+        assert!(world.outcomes.contains_key(&ticket), "{bytes} bytes");
         let ticket = world.propose(enrol(n)).expect("it is taken");
         world.run(1_000);
-        assert_eq!(world.told.get(&ticket), Some(&CommandOutcome::Done), "behind {bytes} bytes");
+        assert_eq!(world.outcomes.get(&ticket), Some(&CommandOutcome::Done), "behind {bytes} bytes");
     }
 }
--- a/crates/coordination/tests/founding.rs
+++ b/crates/coordination/tests/founding.rs
@@ -1,4 +1,4 @@
-//! Founding the consensus group is safe to ask for again: an answer is lost, a voter is heard late, settings differ.
+//! Founding the consensus group is idempotent: after a lost response, with a voter that reports late, with differing settings.
 
 #[path = "common/fleet.rs"]
 mod fleet;
@@ -7,9 +7,9 @@
 use gradepin_admission::Span;
 use gradepin_coordination::founding::FoundingError;
 
-/// Whoever asked doesn't learn that it is founded and asks again: at once, at another voter, and when the group has long run.
+/// The response is lost and the request repeated: at once, at another voter, and when the group has been running for long.
 #[test]
-fn a_founding_whose_answer_is_lost_is_answered_the_same_again() {
+fn repeated_founding_has_the_same_response() {
     let mut fleet = Fleet::new(&[ALL; 3]);
     fleet.run(SECOND);
     let lost = fleet.found(1).expect("all are heard");
@@ -21,18 +21,18 @@
     }
     fleet.run(Span(8 * SECOND.0));
     assert!(fleet.leader(0).is_some());
-    let index = fleet.parts[0].state().expect("a record").index;
+    let index = fleet.agents[0].state().expect("a record").index;
     for n in 0..3 {
         assert_eq!(fleet.found(n), Ok(lost.clone()), "at n{n} of the group that runs");
     }
     fleet.run(SECOND);
-    assert_eq!(fleet.parts[0].state().map(|record| record.index), Some(index), "and nothing began anew");
+    assert_eq!(fleet.agents[0].state().map(|record| record.index), Some(index), "and nothing began anew");
 }
 
-/// A voter isn't heard: refused by its name until it is. Voters are cut off right after the answer, for longer than the founding
-/// is sent: asking again founds the same group.
+/// A voter that doesn't report is named in the error until it does. Voters are partitioned right after the response, for longer
+/// than the founding is sent: another request founds the same group.
 #[test]
-fn a_voter_that_is_heard_late_is_founded_by_asking_again() {
+fn late_voter_is_founded_by_another_request() {
     let mut fleet = Fleet::new(&[ALL; 3]);
     fleet.cut.insert(2);
     fleet.run(SECOND);
@@ -53,9 +53,9 @@
     }
 }
 
-/// Other voters, and a server that has no folder, get an error that says what is and what was expected.
+/// Other voters, and a server without voter state, get an error with what was expected and what there is.
 #[test]
-fn a_founding_with_other_voters_says_which_group_runs() {
+fn founding_with_other_voters_names_the_running_group() {
     let mut fleet = Fleet::new(&[&[0, 1, 2], &[0, 1, 2], &[0, 2, 3], &[0, 1, 2]]);
     fleet.run(SECOND);
     assert_eq!(fleet.found(3), Err(FoundingError::NoFolder));
--- a/crates/coordination/tests/golden_bytes.rs
+++ b/crates/coordination/tests/golden_bytes.rs
@@ -94,7 +94,7 @@
 
 /// A voter alone, with its disk: writes are durable at once.
 struct Voter {
-    council: ConsensusVoter,
+    consensus: ConsensusVoter,
     now: Time,
     disk: Vec<DurableRecord>,
     applied: Vec<u64>,
@@ -102,18 +102,18 @@
 
 impl Voter {
     fn start(disk: Vec<DurableRecord>) -> Self {
-        let council = ConsensusVoter::new(VoterState { id: VOTER, records: disk.clone() }, 1, Time(0));
-        Self { council, now: Time(0), disk, applied: Vec::new() }
+        let consensus = ConsensusVoter::new(VoterState { id: VOTER, records: disk.clone() }, 1, Time(0));
+        Self { consensus, now: Time(0), disk, applied: Vec::new() }
     }
 
     fn step(&mut self) {
         let mut effects = Vec::new();
-        self.council.step(self.now, &mut effects);
+        self.consensus.step(self.now, &mut effects);
         for effect in effects {
             match effect {
                 VoterEffect::Write { number, records } => {
                     self.disk.extend(records);
-                    self.council.write_completed(number);
+                    self.consensus.write_completed(number);
                 }
                 VoterEffect::Applied { number, .. } => self.applied.push(number),
                 _ => {}
@@ -138,29 +138,29 @@
 #[test]
 fn a_voter_writes_a_golden_log_and_starts_from_it() {
     let mut voter = Voter::start(Vec::new());
-    voter.council.found(&[(VOTER, name("n1"))].into()).expect("a new folder");
-    voter.until(|voter| voter.council.leader_term().is_some());
+    voter.consensus.found(&[(VOTER, name("n1"))].into()).expect("a new folder");
+    voter.until(|voter| voter.consensus.leader_term().is_some());
     let enrol = |server: &str| Command::AddServer { name: name(server), zone: name("z1") };
     let commands = values::commands().into_iter().map(|(_, command)| command);
     let more = [enrol("n1"), enrol("n2"), values::configuration_command(1), values::configuration_command(2)];
     let releases = values::release_orders().into_iter().map(|(_, order)| Command::Release(order));
     for (number, command) in (1..).zip(commands.chain(more).chain(releases)) {
-        voter.council.propose(number, command).expect("it leads");
+        voter.consensus.propose(number, command).expect("it leads");
         voter.until(|voter| voter.applied.contains(&number));
     }
     let labels: Vec<String> = (0..voter.disk.len()).map(|at| format!("record {at}")).collect();
     let records = labels.iter().map(String::as_str).zip(voter.disk.iter().cloned());
     assert_golden_values(golden_file!("log.txt"), &records.collect::<Vec<_>>());
-    let state = replicated_snapshot::encode(voter.council.state());
+    let state = replicated_snapshot::encode(voter.consensus.state());
     assert_golden(golden_file!("log-state.txt"), &[("state", state.clone())]);
 
     let stored = cases(golden_file!("log.txt")).into_iter();
     let stored = stored.map(|(_, bytes)| postcard::from_bytes(&bytes).expect("a record"));
     let mut again = Voter::start(stored.collect());
-    let index = voter.council.state().index;
-    again.until(|again| again.council.state().index >= index);
+    let index = voter.consensus.state().index;
+    again.until(|again| again.consensus.state().index >= index);
     // Its own first entry as a leader comes behind the log.
-    let mut record = again.council.state().clone();
+    let mut record = again.consensus.state().clone();
     record.index = index;
     assert_eq!(replicated_snapshot::encode(&record), state);
 }
--- a/crates/coordination/tests/odd_agents.rs
+++ b/crates/coordination/tests/malformed_agent_messages.rs
@@ -1,6 +1,5 @@
-//! What servers hear from one that has the fleet's key and says what none of ours would, about permits, releases, the founding
-//! and the configuration: words with bytes changed, cut, doubled and of other words. None of it ends a server's part, and its
-//! next turn is never in the past for ever.
+//! Malformed messages between agents, with a valid tag: about permits, rollouts, the founding and the configuration, with bytes
+//! changed, truncated, duplicated and spliced. None of them stops an agent, and none makes it want to step at once for ever.
 
 #[path = "common/fleet.rs"]
 mod fleet;
@@ -16,7 +15,7 @@
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::sync::Arc;
 
-/// The words' kinds, as they are encoded: the founding, by the identities of disks.
+/// The variant of a founding message, as it is encoded.
 const FOUND: u8 = 8;
 
 fn founding(voters: &[(u8, &str)]) -> Vec<u8> {
@@ -28,15 +27,15 @@
     bytes
 }
 
-/// Guards a voter against a founding that names a disk which there can't be.
+/// A founding that names the library's unset identity is rejected.
 #[test]
-fn a_founding_with_the_disk_of_nobody_is_not_taken() {
+fn rejects_a_founding_with_an_unset_identity() {
     let mut fleet = Fleet::new(&[ALL; 3]);
     fleet.run(SECOND);
     let word = founding(&[(0, "n1"), (100, "n0"), (102, "n2")]);
-    fleet.parts[0].receive(fleet.now, &name(1), 1, &word);
+    fleet.agents[0].receive(fleet.now, &name(1), 1, &word);
     fleet.run(SECOND);
-    assert!(!fleet.parts[0].status(fleet.now).is_voter, "it belongs to no council");
+    assert!(!fleet.agents[0].status(fleet.now).is_voter, "it belongs to no council");
     fleet.found(0).expect("all are heard, and it can still be founded");
     fleet.run(Span(8 * SECOND.0));
     assert!(fleet.leader(0).is_some());
@@ -61,7 +60,7 @@
     }
 }
 
-/// A fleet with a release, permits and changes under way, whose words are kept.
+/// A fleet with a rollout, permits and changes in progress, whose messages are kept.
 fn busy_fleet() -> Fleet {
     let mut fleet = Fleet::new(&[ALL; 5]);
     fleet.sent = Some(Vec::new());
@@ -89,10 +88,10 @@
         OperatorCommand::ChangeVoter { name: name(4), add: true, operator: by },
     ];
     for (ticket, order) in orders.into_iter().enumerate() {
-        fleet.parts[ticket % 5].submit(fleet.now, ticket as u64, order).expect("there is room");
+        fleet.agents[ticket % 5].submit(fleet.now, ticket as u64, order).expect("there is room");
         fleet.run(Span(SECOND.0 / 5));
     }
-    fleet.parts[3].request_permit(fleet.now);
+    fleet.agents[3].request_permit(fleet.now);
     let tenant = Tenant { name: "t".into(), quota_rps: 1.0, portion: 0.1 };
     let transaction = Transaction { changes: vec![Change::PutTenant(Arc::new(tenant))] };
     let proposal = Proposal {
@@ -103,13 +102,13 @@
         transaction,
     };
     let request = ConfigurationRequest { proposal, seen: Revision(0), requested_at_ms: 0 };
-    fleet.parts[4].submit_change(fleet.now, 7, request).expect("taken");
+    fleet.agents[4].submit_change(fleet.now, 7, request).expect("taken");
     fleet.run(Span(4 * SECOND.0));
     fleet
 }
 
 #[test]
-fn odd_words_end_no_servers_part() {
+fn malformed_messages_stop_no_agent() {
     let seeds = std::env::var("SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(12);
     let mut led = 0;
     for seed in 0..seeds {
@@ -125,7 +124,7 @@
             fleet.sent = Some(sent);
             let (from, life) =
                 (rng.next_u64() as usize % 6, [1, 1, 1, 2, u64::MAX][rng.next_u64() as usize % 5]);
-            fleet.parts[to].receive(fleet.now, &name(from), life, &word);
+            fleet.agents[to].receive(fleet.now, &name(from), life, &word);
             if n % 5 == 0 {
                 fleet.run(Span(SECOND.0 / 50));
             }
--- a/crates/coordination/tests/odd_words.rs
+++ b/crates/coordination/tests/malformed_messages.rs
@@ -1,5 +1,5 @@
-//! What voters hear from one that has the fleet's key and says what none of ours would: messages of the group's log with
-//! numbers at their ends, entries with gaps, snapshots of nobody. None of it ends a voter's process.
+//! Malformed messages between voters, with a valid tag: extreme numbers, entries with gaps, snapshots without voters. None of
+//! them stops a voter's process.
 
 mod common;
 
@@ -137,10 +137,10 @@
     Some((*to, *from, postcard::to_stdvec(&said).ok()?))
 }
 
-/// Guards what the fleet agreed on against a voter whose snapshot says it in a way that this program can't read: with nothing in its
-/// place it would grant what others have granted, and call the same entry something else.
+/// A voter whose snapshot can't be decoded: with an empty state in its place it would grant permits that others hold, and give
+/// the same entry another outcome.
 #[test]
-fn a_voter_that_cannot_read_its_own_state_is_out_and_says_so() {
+fn voter_with_an_unreadable_snapshot_is_excluded() {
     let mut world = World::new(3, 3);
     world.led(6_000).expect("a leader");
     world.propose(enrol(1));
@@ -152,10 +152,10 @@
     for data in [Vec::new(), vec![0xff; 40], vec![1]] {
         let snapshot = DurableRecord::Snapshot { index, term, voters: voters.clone(), data };
         let records = std::iter::once(snapshot).chain(records[1..].iter().cloned()).collect();
-        let mut council = ConsensusVoter::new(VoterState { id: 101, records }, 1, world.now);
-        assert!(council.excluded().is_some() && !council.is_founded());
+        let mut consensus = ConsensusVoter::new(VoterState { id: 101, records }, 1, world.now);
+        assert!(consensus.excluded().is_some() && !consensus.is_founded());
         let mut effects = Vec::new();
-        council.step(world.now, &mut effects);
+        consensus.step(world.now, &mut effects);
         assert!(
             effects.iter().any(|effect| matches!(effect, VoterEffect::Log { level: Level::Warning, .. })),
             "{effects:?}"
@@ -164,9 +164,9 @@
     }
 }
 
-/// 60,000 messages as voters send them, with fields changed, to voters of every role: founded, leading, behind, started again.
+/// 60,000 messages as voters send them, with fields changed, to voters of every role: founded, leading, behind, restarted.
 #[test]
-fn odd_messages_of_the_log_end_no_voter() {
+fn malformed_log_messages_stop_no_voter() {
     let seeds = std::env::var("SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(240);
     let (mut heard, mut led) = (0, 0);
     for seed in 0..seeds {
@@ -185,19 +185,19 @@
         world.kill(behind);
         world.start(behind, Disk::Empty);
         let (leader, fresh) = (world.leader().unwrap_or(0), world.voters[behind].id);
-        let _ = world.council(leader).change_membership(fresh, Some(&common::name(behind)));
+        let _ = world.consensus(leader).change_membership(fresh, Some(&common::name(behind)));
         world.run(3_000);
         for n in 0..250 {
             let sent = world.sent.take().unwrap_or_default();
             if let Some((to, from, bytes)) = odd_message(&mut rng, &sent) {
                 let to = if rng.next_u64().is_multiple_of(20) { newcomer } else { to };
                 let now = world.now;
-                if world.council(to).excluded().is_some() {
+                if world.consensus(to).excluded().is_some() {
                     // One that believed that it lost something is out until it starts again.
                     world.start(to, Disk::Kept);
                 }
-                heard += u64::from(world.council(to).is_founded());
-                world.council(to).receive(now, from, &bytes);
+                heard += u64::from(world.consensus(to).is_founded());
+                world.consensus(to).receive(now, from, &bytes);
             }
             world.sent = Some(sent);
             led += u64::from(world.leader().is_some());
--- a/crates/coordination/tests/drawn_members.rs
+++ b/crates/coordination/tests/random_membership.rs
@@ -1,5 +1,5 @@
-//! Drawn faults with voters that come and go: disks that are old copies, empty or torn, kills, cuts, loss and doubles, the leader
-//! among those that are taken out. No process ends, and where two voters have applied the same entry they have the same state.
+//! Random faults with changes of the membership: disks that are old copies, empty or torn, kills, partitions, lost and duplicated
+//! messages, also removal of the leader. No process stops, and voters that applied the same entry have the same state.
 
 mod common;
 
@@ -11,7 +11,7 @@
 fn play(seed: u64) {
     let count = if seed.is_multiple_of(3) { 5 } else { 3 };
     let mut world = World::new(count, seed);
-    (world.loss, world.doubled) = (world.draw(20) as f64 / 100.0, world.draw(20) as f64 / 100.0);
+    (world.loss, world.duplicated) = (world.draw(20) as f64 / 100.0, world.draw(20) as f64 / 100.0);
     (world.slow_ms, world.sync_ms) = (1 + world.draw(80), 1 + world.draw(40));
     for _ in 0..2 {
         world.add();
@@ -24,8 +24,8 @@
         match world.draw(12) {
             0 => world.isolate(&[n]),
             1 => world.cut.clear(),
-            2 if world.voters[n].council.is_some() => world.kill(n),
-            2 | 3 if world.voters[n].council.is_none() => {
+            2 if world.voters[n].consensus.is_some() => world.kill(n),
+            2 | 3 if world.voters[n].consensus.is_none() => {
                 let disk = match world.draw(8) {
                     1 => Disk::Empty,
                     2 | 3 => Disk::Torn,
@@ -40,7 +40,7 @@
                 // Anybody, the leader and those that are voters already among them.
                 let (id, puts_in) = (world.voters[n].id, world.draw(2) == 0);
                 if let Some(leader) = world.leader() {
-                    let _ = world.council(leader).change_membership(id, puts_in.then(|| name(n)).as_ref());
+                    let _ = world.consensus(leader).change_membership(id, puts_in.then(|| name(n)).as_ref());
                 }
             }
             _ => {}
@@ -51,11 +51,12 @@
             let pause = 5 + world.draw(150);
             world.run(pause);
             for voter in &world.voters {
-                let Some(council) = voter.council.as_ref().filter(|council| council.excluded().is_none())
+                let Some(consensus) =
+                    voter.consensus.as_ref().filter(|consensus| consensus.excluded().is_none())
                 else {
                     continue;
                 };
-                let record = council.state();
+                let record = consensus.state();
                 if record.index > 1 {
                     let known = states.entry(record.index).or_insert_with(|| record.clone());
                     assert_eq!(known, record, "seed {seed}: two states of entry {}", record.index);
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn voters_that_come_and_go_end_no_process() {
+fn random_membership_changes_stop_no_process() {
     let seeds = std::env::var("SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(60);
     for seed in 0..seeds {
         println!("seed {seed}");
--- a/crates/testkit/src/explore/permits.rs
+++ b/crates/testkit/src/explore/permits.rs
@@ -1,6 +1,6 @@
 //! Permits, explored exhaustively: three voters, four servers, of which one may be out; the record is the daemon's own.
 //!
-//! What is assumed, as `crates/coordination/tests/council.rs` attacks it by seeds: entries that are agreed on have one order and
+//! What is assumed, as `crates/coordination/tests/consensus.rs` attacks it by seeds: entries that are agreed on have one order and
 //! stay. All else is left open, and more than the library allows: any voter may propose at any time by the record, a proposal may be
 //! agreed on whenever, or never, or after its proposer died, and then nobody answers. Words are lost, doubled and reordered: they stay on
 //! the net and come any number of times, or never. Servers crash and come back; an operator frees a permit at any time.
