--- a/crates/coordination/src/consensus.rs
+++ b/crates/coordination/src/consensus.rs
@@ -208,7 +208,7 @@
                 self.tick();
             }
             self.resend_snapshots();
-            self.request_positions();
+            self.request_log_ends();
         }
         self.process_ready();
         effects.append(&mut self.effects);
--- a/crates/coordination/src/consensus/transport.rs
+++ b/crates/coordination/src/consensus/transport.rs
@@ -72,6 +72,17 @@
         let _ = node.step(message);
     }
 
+    /// Asks the others where their logs end, until this voter trusts its disk again.
+    pub(super) fn request_log_ends(&mut self) {
+        if self.trust == VoteTrust::Full {
+            return;
+        }
+        let Some(end) = self.log_end() else { return };
+        for id in self.other_voters() {
+            self.send_message(id, &VoterMessage::LogEndRequest(end));
+        }
+    }
+
     /// Sends messages of the library.
     pub(super) fn send_raft(&mut self, messages: Vec<Message>) {
         for message in messages {
--- a/crates/coordination/src/consensus/vote_safety.rs
+++ b/crates/coordination/src/consensus/vote_safety.rs
@@ -4,7 +4,6 @@
 //! [`VOTE_DELAY_AFTER_START`] has passed. After that it votes only for logs that reach the furthest known end, until a leader's
 //! heartbeat shows that nothing is missing. The argument is in `docs/design/releases.md`.
 
-use super::transport::VoterMessage;
 use super::{ConsensusVoter, NANOS_PER_MS, VoterId};
 use crate::ids::{LogIndex, Term};
 use gradepin_admission::{Span, Time, time_after};
@@ -101,15 +100,4 @@
             self.trust = VoteTrust::Bounded { furthest };
         }
     }
-
-    /// Asks the others where their logs end, until this voter trusts its disk again.
-    pub(super) fn request_positions(&mut self) {
-        if self.trust == VoteTrust::Full {
-            return;
-        }
-        let Some(end) = self.log_end() else { return };
-        for id in self.other_voters() {
-            self.send_message(id, &VoterMessage::LogEndRequest(end));
-        }
-    }
 }
--- a/crates/coordination/src/replicated_state.rs
+++ b/crates/coordination/src/replicated_state.rs
@@ -6,6 +6,7 @@
 //! Not here: which servers report to be ready ([`crate::controller`]), and how commands are committed ([`crate::consensus`]).
 
 mod commands;
+mod denial;
 mod limits;
 mod operator_actions;
 mod permits;
@@ -13,7 +14,8 @@
 mod roster;
 
 pub use commands::{Command, CommandOutcome};
-pub use limits::{DenialReason, Limits};
+pub use denial::DenialReason;
+pub use limits::Limits;
 pub use operator_actions::OperatorAction;
 pub use permits::{Permit, PermitEnd, PermitStage, Purpose, Target};
 pub use roster::{MAX_SERVERS, Member};
@@ -37,7 +39,7 @@
     pub limits: Limits,
     /// The servers that belong to the fleet, at most [`MAX_SERVERS`].
     pub roster: BTreeMap<Name, Member>,
-    /// Permits by epoch. Bounded: by the roster, the limits and [`limits`]' bound on services.
+    /// Permits by epoch; their number is bounded by the limits, and by a bound on those for services.
     pub permits: BTreeMap<Epoch, Permit>,
     /// The last operator actions, the newest at the back.
     #[serde(rename = "acts")]
--- a/crates/coordination/src/replicated_state/limits.rs
+++ b/crates/coordination/src/replicated_state/limits.rs
@@ -3,8 +3,8 @@
 //! Invariant: servers out by permit, together with those known to be out without one, never exceed the limits of the fleet, of
 //! a zone or of a service at the time of a grant.
 
-use super::{Permit, ReplicatedState, Target};
-use crate::ids::{Epoch, Name};
+use super::{DenialReason, Permit, ReplicatedState, Target};
+use crate::ids::Name;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -33,77 +33,6 @@
     }
 }
 
-/// Why a command is denied.
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-pub enum DenialReason {
-    /// The limit of the fleet.
-    #[error("{out} servers of the fleet would be out, {max} may be: {who}")]
-    Fleet {
-        /// How many servers would be out.
-        out: u32,
-        /// How many may be.
-        #[serde(rename = "most")]
-        max: u32,
-        /// The servers that are out already.
-        who: String,
-    },
-    /// The limit of a zone.
-    #[error("{out} servers of zone {zone} would be out, {max} may be: {who}")]
-    Zone {
-        /// The zone.
-        zone: Name,
-        /// How many of its servers would be out.
-        out: u32,
-        /// How many may be.
-        #[serde(rename = "most")]
-        max: u32,
-        /// The servers that are out already.
-        who: String,
-    },
-    /// The limit of zones.
-    #[error("{out} zones would be out, {max} may be")]
-    Zones {
-        /// How many zones would be out.
-        out: u32,
-        /// How many may be.
-        #[serde(rename = "most")]
-        max: u32,
-    },
-    /// The limit of a service.
-    #[error("{out} members of service {group} would be out, {max} may be")]
-    Service {
-        /// The service.
-        group: Name,
-        /// How many of its members would be out.
-        out: u32,
-        /// How many may be.
-        #[serde(rename = "most")]
-        max: u32,
-    },
-    /// No server or zone of this name belongs to the fleet.
-    #[error("expected a server or zone of the roster, got {0}")]
-    Unknown(String),
-    /// The permit has ended.
-    #[error("permit {0} is over or was freed; ask anew")]
-    Stale(Epoch),
-    /// Another holder has the permit.
-    #[error("permit {epoch} is {holder}'s")]
-    #[serde(rename = "Other")]
-    OtherHolder {
-        /// The permit.
-        epoch: Epoch,
-        /// Its holder.
-        holder: Name,
-    },
-    /// The rollout doesn't move.
-    #[error("the release is {0}")]
-    Release(String),
-    /// The command doesn't fit the state.
-    #[error("{0}")]
-    #[serde(rename = "Sense")]
-    Invalid(String),
-}
-
 /// Lists names for a denial.
 fn list_names<'a>(names: impl Iterator<Item = &'a Name>) -> String {
     let names: Vec<&str> = names.map(|name| &**name).collect();
