--- a/crates/coordination/tests/golden/values.rs
+++ b/crates/coordination/tests/golden/values.rs
@@ -8,8 +8,8 @@
 };
 use gradepin_coordination::consensus::DurableRecord;
 use gradepin_coordination::messages::{
-    OperatorCommand, OperatorCommandReply, PermitAction, PermitReply, PermitRequest, ServerReport,
-    StepAssignment,
+    FailedStep, OperatorCommand, OperatorCommandReply, PermitAction, PermitReply, PermitRequest,
+    ServerReport, StepAssignment,
 };
 use gradepin_coordination::proposal_client::VoterReply;
 use gradepin_coordination::replicated_state::{
@@ -86,6 +86,10 @@
     }
 }
 
+pub fn configuration_command(revision: u64) -> Command {
+    Command::Configuration(Box::new(entry(revision)))
+}
+
 pub fn request() -> ConfigurationRequest {
     let proposal = Proposal {
         request_id: name("r9"),
@@ -94,7 +98,7 @@
         expected: Some(Revision(300)),
         transaction: transaction(),
     };
-    ConfigurationRequest { proposal, seen: Revision(299), asked_at_ms: 1_700_000_000_001 }
+    ConfigurationRequest { proposal, seen: Revision(299), requested_at_ms: 1_700_000_000_001 }
 }
 
 pub fn plan() -> RolloutPlan {
@@ -102,12 +106,12 @@
         name: "r-1".into(),
         kind: ReleaseKind::Program,
         version: "v2".into(),
-        waves: vec![Batch { share: 0.25, pause_ms: 1_000 }, Batch { share: 1.0, pause_ms: 2_000 }],
+        batches: vec![Batch { share: 0.25, pause_ms: 1_000 }, Batch { share: 1.0, pause_ms: 2_000 }],
         zone_by_zone: true,
-        ready_ms: 30_000,
-        steady_ms: 5_000,
-        worse: 0.125,
-        goes_back: true,
+        ready_timeout_ms: 30_000,
+        stabilization_ms: 5_000,
+        tolerated_regression: 0.125,
+        rolls_back: true,
     }
 }
 
@@ -150,35 +154,36 @@
     let before = vec![(name("n1"), "v1".to_string()), (name("n2"), "v0".to_string())];
     let stepped = ServerProgress::Failed("no".into());
     vec![
-        ("start", RolloutCommand::Start { plan: Box::new(plan()), by: by.clone(), before }),
-        ("halt", RolloutCommand::Halt { name: r.clone(), by: by.clone(), why: why.clone() }),
-        ("resume", RolloutCommand::Resume { name: r.clone(), halts: 300, by: by.clone() }),
-        ("back", RolloutCommand::Back { name: r, by, why }),
-        ("stepped", RolloutCommand::Stepped { number: 300, server: name("n1"), step: stepped }),
-        ("wave", RolloutCommand::Wave { number: 300, wave: 2 }),
-        ("over", RolloutCommand::Over { number: 300 }),
+        ("start", RolloutCommand::Start { plan: Box::new(plan()), operator: by.clone(), versions: before }),
+        ("halt", RolloutCommand::Halt { name: r.clone(), operator: by.clone(), reason: why.clone() }),
+        ("resume", RolloutCommand::Resume { name: r.clone(), halt_count: 300, operator: by.clone() }),
+        ("back", RolloutCommand::RollBack { name: r, operator: by, reason: why }),
+        ("stepped", RolloutCommand::RecordProgress { number: 300, server: name("n1"), progress: stepped }),
+        ("wave", RolloutCommand::StartBatch { number: 300, batch: 2 }),
+        ("over", RolloutCommand::Finish { number: 300 }),
     ]
 }
 
 /// Every command, those about releases apart.
 pub fn commands() -> Vec<(&'static str, Command)> {
     let (n1, z1, by, why) = (name("n1"), name("z1"), name("kaisa"), "gone".to_string());
-    let reserve = |target, purpose| Command::Reserve { target, holder: name("n2"), life: 70_000, purpose };
+    let reserve =
+        |target, purpose| Command::Reserve { target, holder: name("n2"), incarnation: 70_000, purpose };
     let service = targets().remove(2).1;
     vec![
         ("limits", Command::Limits(limits())),
         ("enrol", Command::AddServer { name: n1.clone(), zone: z1.clone() }),
-        ("strike", Command::RemoveServer { name: n1.clone(), by: by.clone(), why: why.clone() }),
+        ("strike", Command::RemoveServer { name: n1.clone(), operator: by.clone(), reason: why.clone() }),
         ("reserve a server to drain", reserve(Target::Server(n1.clone()), Purpose::Drain)),
         ("reserve a zone for a release", reserve(Target::Zone(z1), Purpose::Release(300))),
         ("reserve a member of a service", reserve(service, Purpose::Drain)),
-        ("begin", Command::Begin { epoch: 300, holder: n1, life: 70_000 }),
-        ("end by steadiness", Command::End { epoch: 300, by: PermitEnd::Stable(2) }),
-        ("end by word", Command::End { epoch: 300, by: PermitEnd::HolderCancelled(70_000) }),
-        ("free", Command::ReleasePermit { epoch: 300, by, why }),
+        ("begin", Command::Begin { epoch: 300, holder: n1, incarnation: 70_000 }),
+        ("end by steadiness", Command::End { epoch: 300, observed: PermitEnd::Stable(2) }),
+        ("end by word", Command::End { epoch: 300, observed: PermitEnd::HolderCancelled(70_000) }),
+        ("free", Command::ReleasePermit { epoch: 300, operator: by, reason: why }),
         ("gone", Command::PermitExpired { epoch: 300 }),
-        ("release", Command::Release(RolloutCommand::Over { number: 300 })),
-        ("configuration", entry(2).command()),
+        ("release", Command::Release(RolloutCommand::Finish { number: 300 })),
+        ("configuration", configuration_command(2)),
     ]
 }
 
@@ -195,24 +200,28 @@
     ]
 }
 
-fn permit(target: Target, purpose: Purpose, stage: PermitStage, begins: u32) -> Permit {
-    Permit { target, holder: name("n2"), purpose, stage, begins, life: 70_000 }
+fn permit(target: Target, purpose: Purpose, stage: PermitStage, begin_grants: u32) -> Permit {
+    Permit { target, holder: name("n2"), purpose, stage, begin_grants, incarnation: 70_000 }
 }
 
 pub fn release(state: RolloutState) -> Rollout {
-    let server = |(at, (_, step)): (usize, (_, ServerProgress))| {
-        let server = RolloutServer { wave: at as u32, before: format!("v{at}"), step };
+    let server = |(at, (_, progress)): (usize, (_, ServerProgress))| {
+        let server = RolloutServer { batch: at as u32, previous_version: format!("v{at}"), progress };
         (name(&format!("n{at}")), server)
     };
     let servers = steps().into_iter().enumerate().map(server).collect();
-    Rollout { number: 300, plan: plan(), by: name("kaisa"), state, wave: 1, halts: 2, servers }
+    Rollout { number: 300, plan: plan(), operator: name("kaisa"), state, batch: 1, halt_count: 2, servers }
 }
 
 /// All that a record may hold, with an order of three configuration changes of which two are remembered.
 pub fn record() -> ReplicatedState {
     let [server, zone, service] = [0, 1, 2].map(|at| targets().remove(at).1);
-    let act =
-        OperatorAction { index: 9, by: name("kaisa"), what: "permit 3 freed".into(), why: "gone".into() };
+    let act = OperatorAction {
+        index: 9,
+        operator: name("kaisa"),
+        action: "permit 3 freed".into(),
+        reason: "gone".into(),
+    };
     let mut record = ReplicatedState {
         index: 1,
         voters: [(7, name("n1")), (1 << 40, name("n2"))].into(),
@@ -224,22 +233,22 @@
             (5, permit(service, Purpose::Drain, PermitStage::Released, 2)),
         ]
         .into(),
-        acts: [act].into(),
-        release: Some(release(RolloutState::Halted("slow".into()))),
+        operator_actions: [act].into(),
+        rollout: Some(release(RolloutState::Halted("slow".into()))),
         ..ReplicatedState::default()
     };
     for revision in 1..=3 {
-        record.apply(310 + revision, entry(revision).command());
+        record.apply(310 + revision, configuration_command(revision));
     }
     record
 }
 
 pub fn reasons() -> Vec<(&'static str, DenialReason)> {
     vec![
-        ("fleet", DenialReason::Fleet { out: 3, most: 2, who: "n1".into() }),
-        ("zone", DenialReason::Zone { zone: name("z1"), out: 3, most: 2, who: "n1".into() }),
-        ("zones", DenialReason::Zones { out: 3, most: 2 }),
-        ("service", DenialReason::Service { group: name("ledger"), out: 3, most: 2 }),
+        ("fleet", DenialReason::Fleet { out: 3, max: 2, who: "n1".into() }),
+        ("zone", DenialReason::Zone { zone: name("z1"), out: 3, max: 2, who: "n1".into() }),
+        ("zones", DenialReason::Zones { out: 3, max: 2 }),
+        ("service", DenialReason::Service { group: name("ledger"), out: 3, max: 2 }),
         ("unknown", DenialReason::Unknown("n9".into())),
         ("stale", DenialReason::Stale(300)),
         ("other", DenialReason::OtherHolder { epoch: 300, holder: name("n1") }),
@@ -253,7 +262,7 @@
     vec![
         ("moved", ConfigurationRejected::Moved { expected: old, in_force: new }),
         ("invalid", ConfigurationRejected::Invalid(Invalid::new("changes[0]", "a name", "none"))),
-        ("too long", ConfigurationRejected::TooLong { limit: 300, came: 301 }),
+        ("too long", ConfigurationRejected::TooLong { limit: 300, got: 301 }),
         ("forgotten", ConfigurationRejected::Forgotten { seen: old, known_since: new }),
         ("behind", ConfigurationRejected::Behind { has: Some(old), committed: new }),
         ("behind with nothing", ConfigurationRejected::Behind { has: None, committed: new }),
@@ -276,7 +285,7 @@
 }
 
 pub fn permit_request() -> PermitRequest {
-    PermitRequest { number: 300, action: PermitAction::Begin(7) }
+    PermitRequest { number: 300, action: PermitAction::Begin { epoch: 7 } }
 }
 
 pub fn permit_reply() -> PermitReply {
@@ -292,25 +301,25 @@
         staged: vec!["t".into()],
         voter: Some(300),
         founded: true,
-        failed: Some((5, "no".into())),
-        totals: vec![(1, ServiceTotal { came: 2, served: 1 })],
+        failed: Some(FailedStep { rollout: 5, reason: "no".into() }),
+        totals: vec![(1, ServiceTotal { received: 2, served: 1 })],
     }
 }
 
 pub fn turn() -> StepAssignment {
-    StepAssignment { release: 20, epoch: 21, kind: ReleaseKind::Program, version: "v2".into() }
+    StepAssignment { rollout: 20, epoch: 21, kind: ReleaseKind::Program, version: "v2".into() }
 }
 
 pub fn orders() -> Vec<(&'static str, OperatorCommand)> {
     let (target, by, why) = (targets().remove(2).1, name("kaisa"), "gone".to_string());
     let halt = release_orders().remove(1).1;
     vec![
-        ("out", OperatorCommand::GrantPermit { target: target.clone(), by: by.clone() }),
-        ("in", OperatorCommand::EndPermit { target, by: by.clone() }),
-        ("free", OperatorCommand::ReleasePermit { epoch: 300, by: by.clone(), why: why.clone() }),
-        ("strike", OperatorCommand::RemoveServer { name: name("n1"), by: by.clone(), why }),
-        ("voter", OperatorCommand::ChangeVoter { name: name("n1"), puts_in: true, by: by.clone() }),
-        ("start", OperatorCommand::StartRollout { plan: Box::new(plan()), by }),
+        ("out", OperatorCommand::GrantPermit { target: target.clone(), operator: by.clone() }),
+        ("in", OperatorCommand::EndPermit { target, operator: by.clone() }),
+        ("free", OperatorCommand::ReleasePermit { epoch: 300, operator: by.clone(), reason: why.clone() }),
+        ("strike", OperatorCommand::RemoveServer { name: name("n1"), operator: by.clone(), reason: why }),
+        ("voter", OperatorCommand::ChangeVoter { name: name("n1"), add: true, operator: by.clone() }),
+        ("start", OperatorCommand::StartRollout { plan: Box::new(plan()), operator: by }),
         ("release", OperatorCommand::Rollout(halt)),
     ]
 }
--- a/crates/core/src/admin.rs
+++ b/crates/core/src/admin.rs
@@ -6,7 +6,7 @@
 use crate::request_metrics::MetricsSnapshot;
 use gradepin_admission::Time;
 use gradepin_cluster::cluster::FleetView;
-use gradepin_coordination::messages::OperatorCommand;
+use gradepin_coordination::messages::{CommandResult, OperatorCommand};
 use gradepin_coordination::server_agent::{AgentStatus as Agreements, CommandStatus};
 
 /// Names a request of the admin endpoint until it is answered; never used again.
@@ -68,7 +68,7 @@
     /// Status of a command.
     CommandStatus(CommandStatus),
     /// Done, with a text for the operator; or why not.
-    Completed(Result<String, String>),
+    Completed(CommandResult),
     /// The version, if a release has one for the server.
     TargetVersion(Option<String>),
 }
--- a/crates/core/src/reducer/agreements.rs
+++ b/crates/core/src/reducer/agreements.rs
@@ -11,7 +11,7 @@
 use gradepin_admission::{Span, Time, time_after};
 use gradepin_cluster::counters::CellId;
 use gradepin_coordination::consensus::VoterState;
-use gradepin_coordination::messages::{ServerReport, StepAssignment};
+use gradepin_coordination::messages::{CommandFailure, FailedStep, ServerReport, StepAssignment};
 use gradepin_coordination::rollback::ServiceTotal;
 use gradepin_coordination::rollout::ReleaseKind;
 use gradepin_coordination::server_agent::{AgentEffect, ServerAgent};
@@ -36,8 +36,8 @@
     settings_digest: String,
     /// Digests of the staged settings.
     staged_digests: Vec<String>,
-    /// The release whose step failed here last, and the reason.
-    failed_step: Option<(u64, String)>,
+    /// The rollout step that failed here last.
+    failed_step: Option<FailedStep>,
     /// Requests of this process by cell, for the comparison of versions.
     service_totals: BTreeMap<CellId, ServiceTotal>,
     reported_ready: bool,
@@ -92,14 +92,14 @@
     /// A message of another server's agent or voter came in.
     pub(super) fn consensus_message_received(&mut self, from: &Arc<str>, incarnation: u64, message: &[u8]) {
         if let Some(agent) = &mut self.agreements.agent {
-            agent.word(self.timestamp.now, from, incarnation, message);
+            agent.receive(self.timestamp.now, from, incarnation, message);
         }
     }
 
     /// Records of the voter state up to this number are durable.
     pub(super) fn voter_state_written(&mut self, number: u64) {
         if let Some(agent) = &mut self.agreements.agent {
-            agent.written(number);
+            agent.write_completed(number);
         }
     }
 
@@ -107,7 +107,7 @@
     pub(super) fn voter_state_failed(&mut self, recovered: VoterState, reason: &str) {
         self.agreements.voter_state_generation += 1;
         if let Some(agent) = &mut self.agreements.agent {
-            agent.failed(self.timestamp.now, recovered);
+            agent.write_failed(self.timestamp.now, recovered);
             let text = format!("writing the voter state failed: {reason}; it was read again");
             self.log(Level::Error, text);
         }
@@ -125,7 +125,7 @@
     /// This server could not take a step of a rollout.
     pub(super) fn rollout_step_failed(&mut self, release: u64, reason: String) {
         self.log(Level::Error, format!("this server's step of release {release} failed: {reason}"));
-        self.agreements.failed_step = Some((release, reason));
+        self.agreements.failed_step = Some(FailedStep { rollout: release, reason });
         self.agreements.next_report_at = self.timestamp.now;
     }
 
@@ -148,7 +148,7 @@
         for cell in [Some(class_cell), tenant_cell, tenant_class_cell].into_iter().flatten() {
             if totals.len() < MAX_REPORTED_CELLS || totals.contains_key(&cell) {
                 let total = totals.entry(cell).or_default();
-                total.came = total.came.saturating_add(arrived);
+                total.received = total.received.saturating_add(arrived);
                 total.served = total.served.saturating_add(served);
             }
         }
@@ -157,7 +157,7 @@
     /// Asks for a permit to leave; false if there is no consensus group to ask.
     pub(super) fn request_permit_to_leave(&mut self) -> bool {
         let Some(agent) = &mut self.agreements.agent else { return false };
-        agent.leave(self.timestamp.now);
+        agent.request_permit(self.timestamp.now);
         self.log(Level::Info, "asking the fleet for a permit to leave".into());
         true
     }
@@ -165,7 +165,7 @@
     /// An operator wants the server to stay.
     pub(super) fn withdraw_permit_request(&mut self) {
         if let Some(agent) = &mut self.agreements.agent {
-            agent.stay(self.timestamp.now);
+            agent.cancel_permit(self.timestamp.now);
         }
     }
 
@@ -181,7 +181,7 @@
             self.agreements.reported_ready = ready;
             let report = self.agreements.report(ready);
             if let Some(agent) = &mut self.agreements.agent {
-                agent.tells(now, report);
+                agent.set_report(now, report);
             }
         }
         let mut effects = Vec::new();
@@ -195,12 +195,12 @@
 
     fn agent_effect(&mut self, effect: AgentEffect) {
         match effect {
-            AgentEffect::Send(to, message) => self.send_to_peer(&to, &message),
-            AgentEffect::Write(number, records) => {
+            AgentEffect::Send { to, message } => self.send_to_peer(&to, &message),
+            AgentEffect::Write { number, records } => {
                 let generation = self.agreements.voter_state_generation;
                 self.effects.push(Effect::WriteVoterState { generation, number, records });
             }
-            AgentEffect::PermitGranted(epoch, expires_at) => {
+            AgentEffect::PermitGranted { epoch, expires_at } => {
                 if self.timestamp.now < expires_at {
                     self.log(Level::Info, format!("leaving by permit {epoch}"));
                     self.take_out_of_service();
@@ -212,12 +212,14 @@
                     self.request_permit_to_leave();
                 }
             }
-            AgentEffect::PermitDenied(reason) => self.log(Level::Warning, format!("not leaving: {reason}")),
-            AgentEffect::StepGranted(step, expires_at) => self.start_rollout_step(step, expires_at),
-            AgentEffect::Configuration(effect) => self.consensus_configuration_effect(effect),
-            AgentEffect::Log(is_warning, text) => {
-                self.log(if is_warning { Level::Warning } else { Level::Info }, text);
+            AgentEffect::PermitDenied { reason } => {
+                self.log(Level::Warning, format!("not leaving: {reason}"))
+            }
+            AgentEffect::StepGranted { assignment, expires_at } => {
+                self.start_rollout_step(assignment, expires_at);
             }
+            AgentEffect::Configuration(effect) => self.consensus_configuration_effect(effect),
+            AgentEffect::Log { level, text } => self.log(level, text),
         }
     }
 
@@ -226,7 +228,7 @@
         if self.timestamp.now >= start_before {
             self.log(Level::Warning, format!("the rollout step to {version} was granted too late to start"));
             if let Some(agent) = &mut self.agreements.agent {
-                agent.missed();
+                agent.step_expired();
             }
             return;
         }
@@ -244,19 +246,19 @@
             AgreementRequest::Command(command) => {
                 self.agreements.last_ticket += 1;
                 let ticket = self.agreements.last_ticket;
-                match agent.order(now, ticket, *command) {
+                match agent.submit(now, ticket, *command) {
                     Ok(()) => AgreementResponse::Ticket(ticket),
-                    Err(error) => AgreementResponse::Completed(Err(error)),
+                    Err(error) => AgreementResponse::Completed(Err(CommandFailure(error.to_string()))),
                 }
             }
             AgreementRequest::CommandStatus { ticket } => {
-                AgreementResponse::CommandStatus(agent.became(ticket))
-            }
-            AgreementRequest::FoundGroup => {
-                AgreementResponse::Completed(agent.found(now).map_err(|error| error.to_string()))
+                AgreementResponse::CommandStatus(agent.command_status(ticket))
             }
+            AgreementRequest::FoundGroup => AgreementResponse::Completed(
+                agent.found(now).map_err(|error| CommandFailure(error.to_string())),
+            ),
             AgreementRequest::TargetVersion { server } => {
-                let version = agent.record().and_then(|record| record.program_for(&server));
+                let version = agent.state().and_then(|state| state.program_for(&server));
                 AgreementResponse::TargetVersion(version)
             }
             AgreementRequest::Leave => {
--- a/crates/core/src/reducer/configuration.rs
+++ b/crates/core/src/reducer/configuration.rs
@@ -199,7 +199,7 @@
     pub fn with_configuration(mut self, start: ConfigurationStart, now: Time) -> Self {
         self.settings_changes.set_committed();
         if let Some(agent) = &mut self.agreements.agent {
-            agent.holds_configuration(&start.state);
+            agent.offer_configuration(&start.state);
         }
         if start.source == Source::StartFile {
             let state = Snapshot::of(&start.state);
@@ -307,7 +307,7 @@
     /// Has a state of the cluster made durable, and reports to the agent that it is held here.
     fn save_configuration(&mut self, state: Snapshot, commit: Option<Arc<Commit>>) {
         if let Some(agent) = &mut self.agreements.agent {
-            agent.holds_configuration(state.configuration());
+            agent.offer_configuration(state.configuration());
         }
         if let Some(service) = &mut self.configuration.service {
             service.source = Source::Fleet;
@@ -346,7 +346,7 @@
     fn update_members(&mut self) {
         let now = self.timestamp.now;
         let Some(view) = self.cluster.view(now) else { return };
-        let record = self.agreements.agent.as_ref().and_then(|agent| agent.record());
+        let record = self.agreements.agent.as_ref().and_then(|agent| agent.state());
         let Some(service) = &mut self.configuration.service else { return };
         service.next_check = time_after(now, CHECK_INTERVAL);
         let votes = |name: &Name| match record {
--- a/crates/core/src/reducer/configuration_admin.rs
+++ b/crates/core/src/reducer/configuration_admin.rs
@@ -28,8 +28,8 @@
     request_id: Name,
     /// See [`ConfigurationRequest::seen`].
     seen: Revision,
-    /// See [`ConfigurationRequest::asked_at_ms`].
-    asked_at_ms: u64,
+    /// See [`ConfigurationRequest::requested_at_ms`].
+    requested_at_ms: u64,
     /// When it was proposed, or when its outcome came.
     since: Time,
     /// None while it is under way.
@@ -57,7 +57,7 @@
         let proposal = self.proposals.iter_mut().find(|proposal| proposal.ticket == response.ticket);
         if let Some(proposal) = proposal {
             proposal.since = now;
-            proposal.outcome = Some(response.answer.map_err(admin_error));
+            proposal.outcome = Some(response.result.map_err(admin_error));
         }
     }
 
@@ -72,15 +72,15 @@
         now: Time,
         proposal: Proposal,
         seen: Revision,
-        asked_at_ms: u64,
+        requested_at_ms: u64,
     ) -> Result<TicketedRequest, AdminError> {
         let before = self.take(&proposal.request_id);
-        let (seen, asked_at_ms, is_repeated) = match &before {
+        let (seen, requested_at_ms, is_repeated) = match &before {
             Some(before) => {
                 let was_committed = matches!(before.outcome, Some(Ok(_)));
-                (before.seen, before.asked_at_ms, before.is_repeated || was_committed)
+                (before.seen, before.requested_at_ms, before.is_repeated || was_committed)
             }
-            None => (seen, asked_at_ms, false),
+            None => (seen, requested_at_ms, false),
         };
         self.drop_oldest_if_full(now)?;
         self.last_ticket += 1;
@@ -89,12 +89,12 @@
             ticket,
             request_id: Arc::clone(&proposal.request_id),
             seen,
-            asked_at_ms,
+            requested_at_ms,
             since: now,
             outcome: None,
             is_repeated,
         });
-        let request = ConfigurationRequest { proposal, seen, asked_at_ms };
+        let request = ConfigurationRequest { proposal, seen, requested_at_ms };
         Ok(TicketedRequest { ticket, request })
     }
 
@@ -126,9 +126,9 @@
     match rejected {
         ConfigurationRejected::Moved { expected, in_force } => AdminError::Stale { expected, in_force },
         ConfigurationRejected::Invalid(invalid) => AdminError::Invalid(invalid),
-        ConfigurationRejected::TooLong { limit, came } => {
+        ConfigurationRejected::TooLong { limit, got } => {
             let expected = format!("at most {limit} bytes");
-            AdminError::Invalid(Invalid::new("transaction", expected, format!("{came} bytes")))
+            AdminError::Invalid(Invalid::new("transaction", expected, format!("{got} bytes")))
         }
         ConfigurationRejected::Busy | ConfigurationRejected::Behind { .. } => {
             AdminError::TooBusy { retry_ms: BUSY_RETRY_AFTER_MS }
@@ -193,7 +193,7 @@
         let seen = service.dissemination.state().revision();
         let TicketedRequest { ticket, request } =
             service.proposals.add(now, request.proposal, seen, unix_ms)?;
-        if let Err(rejected) = agent.request(now, ticket, request) {
+        if let Err(rejected) = agent.submit_change(now, ticket, request) {
             service.proposals.remove(ticket);
             return Err(admin_error(rejected));
         }
--- a/crates/gradepin/src/fleet.rs
+++ b/crates/gradepin/src/fleet.rs
@@ -147,24 +147,25 @@
         FleetCommand::Leave { caller } => post(caller.address, "/fleet/leave")?,
         FleetCommand::Stay { caller } => post(caller.address, "/fleet/stay")?,
         FleetCommand::Out { caller, subject } => {
-            let order = OperatorCommand::GrantPermit { target: subject.target()?, by: caller.by() };
+            let order = OperatorCommand::GrantPermit { target: subject.target()?, operator: caller.by() };
             admin_client::order(caller.address, &order)?
         }
         FleetCommand::In { caller, subject } => {
-            let order = OperatorCommand::EndPermit { target: subject.target()?, by: caller.by() };
+            let order = OperatorCommand::EndPermit { target: subject.target()?, operator: caller.by() };
             admin_client::order(caller.address, &order)?
         }
         FleetCommand::Free { caller, epoch, why } => {
-            let order = OperatorCommand::ReleasePermit { epoch, by: caller.by(), why };
+            let order = OperatorCommand::ReleasePermit { epoch, operator: caller.by(), reason: why };
             admin_client::order(caller.address, &order)?
         }
         FleetCommand::Strike { caller, name, why } => {
-            let order = OperatorCommand::RemoveServer { name: Arc::from(name), by: caller.by(), why };
+            let order =
+                OperatorCommand::RemoveServer { name: Arc::from(name), operator: caller.by(), reason: why };
             admin_client::order(caller.address, &order)?
         }
         FleetCommand::Voter { caller, name, out } => {
             let name = Arc::from(name);
-            let order = OperatorCommand::ChangeVoter { name, puts_in: !out, by: caller.by() };
+            let order = OperatorCommand::ChangeVoter { name, add: !out, operator: caller.by() };
             admin_client::order(caller.address, &order)?
         }
     };
--- a/crates/gradepin/src/release.rs
+++ b/crates/gradepin/src/release.rs
@@ -82,21 +82,22 @@
             admin_client::call(address, "POST", "/fleet/stage", &read(&file)?)?.into_success()?
         }
         ReleaseCommand::Start { caller, file } => {
-            let order = OperatorCommand::StartRollout { plan: Box::new(plan::load(&file)?), by: caller.by() };
+            let order =
+                OperatorCommand::StartRollout { plan: Box::new(plan::load(&file)?), operator: caller.by() };
             admin_client::order(caller.address, &order)?
         }
         ReleaseCommand::Status { address, json: true } => fleet::status(address)?["release"].to_string(),
         ReleaseCommand::Status { address, json: false } => table::render(&fleet::status(address)?),
         ReleaseCommand::Halt { caller, name, why } => {
-            order(&caller, RolloutCommand::Halt { name, by: caller.by(), why })?
+            order(&caller, RolloutCommand::Halt { name, operator: caller.by(), reason: why })?
         }
         ReleaseCommand::Resume { caller, name } => {
             let status = fleet::status(caller.address)?;
-            let halts = status["release"]["halts"].as_u64().ok_or("there is no release")? as u32;
-            order(&caller, RolloutCommand::Resume { name, halts, by: caller.by() })?
+            let halt_count = status["release"]["halts"].as_u64().ok_or("there is no release")? as u32;
+            order(&caller, RolloutCommand::Resume { name, halt_count, operator: caller.by() })?
         }
         ReleaseCommand::Back { caller, name, why } => {
-            order(&caller, RolloutCommand::Back { name, by: caller.by(), why })?
+            order(&caller, RolloutCommand::RollBack { name, operator: caller.by(), reason: why })?
         }
     };
     println!("{text}");
--- a/crates/gradepin/src/release/plan.rs
+++ b/crates/gradepin/src/release/plan.rs
@@ -28,12 +28,12 @@
         name: word(node)?,
         kind: ReleaseKind::Program,
         version: String::new(),
-        waves: Vec::new(),
+        batches: Vec::new(),
         zone_by_zone: false,
-        ready_ms: 60_000,
-        steady_ms: 3_000,
-        worse: 0.02,
-        goes_back: true,
+        ready_timeout_ms: 60_000,
+        stabilization_ms: 3_000,
+        tolerated_regression: 0.02,
+        rolls_back: true,
     };
     for node in node.children().map(KdlDocument::nodes).unwrap_or_default() {
         match node.name().value() {
@@ -49,17 +49,19 @@
                     None => 10_000,
                     Some(value) => whole_number(value.as_integer(), "pause-ms")?,
                 };
-                plan.waves.push(Batch { share: number(node)?, pause_ms });
+                plan.batches.push(Batch { share: number(node)?, pause_ms });
             }
             "zone-by-zone" => plan.zone_by_zone = boolean(node)?,
-            "goes-back" => plan.goes_back = boolean(node)?,
+            "goes-back" => plan.rolls_back = boolean(node)?,
             "ready-ms" => {
-                plan.ready_ms = whole_number(node.get(0).and_then(|value| value.as_integer()), "ready-ms")?
+                plan.ready_timeout_ms =
+                    whole_number(node.get(0).and_then(|value| value.as_integer()), "ready-ms")?
             }
             "steady-ms" => {
-                plan.steady_ms = whole_number(node.get(0).and_then(|value| value.as_integer()), "steady-ms")?
+                plan.stabilization_ms =
+                    whole_number(node.get(0).and_then(|value| value.as_integer()), "steady-ms")?
             }
-            "worse" => plan.worse = number(node)?,
+            "worse" => plan.tolerated_regression = number(node)?,
             other => return Err(format!("an unknown node '{other}'").into()),
         }
     }
@@ -92,21 +94,21 @@
 pub fn describe(plan: &RolloutPlan) -> String {
     let what = if plan.kind == ReleaseKind::Program { "program" } else { "settings" };
     let mut text = format!("{}: {what} {}", plan.name, plan.version);
-    for (n, wave) in plan.waves.iter().enumerate() {
-        let upto = if wave.share > 0.0 {
-            format!("up to {:.0}% of the servers", 100.0 * wave.share)
+    for (n, batch) in plan.batches.iter().enumerate() {
+        let upto = if batch.share > 0.0 {
+            format!("up to {:.0}% of the servers", 100.0 * batch.share)
         } else {
             "one server".into()
         };
-        text += &format!("\n  wave {n}: {upto}, then {:.1} s of looking", wave.pause_ms as f64 / 1e3);
+        text += &format!("\n  wave {n}: {upto}, then {:.1} s of looking", batch.pause_ms as f64 / 1e3);
     }
-    let back = if plan.goes_back { "goes back by itself" } else { "stands still" };
+    let back = if plan.rolls_back { "goes back by itself" } else { "stands still" };
     text + &format!(
         "\n  a server may take {:.1} s to be ready and has to be so for {:.1} s; service worse by more than {:.0}%, and by more than \
          noise, halts it, and it {back}",
-        plan.ready_ms as f64 / 1e3,
-        plan.steady_ms as f64 / 1e3,
-        100.0 * plan.worse
+        plan.ready_timeout_ms as f64 / 1e3,
+        plan.stabilization_ms as f64 / 1e3,
+        100.0 * plan.tolerated_regression
     )
 }
 
--- a/crates/gradepin/src/release/plan/tests.rs
+++ b/crates/gradepin/src/release/plan/tests.rs
@@ -4,7 +4,7 @@
 fn parses_a_plan_and_names_the_fault_of_an_invalid_one() {
     let text = include_str!("../../../../../deploy/release.kdl");
     let plan = parse(text).unwrap();
-    assert_eq!((plan.check(), plan.kind, plan.waves.len()), (Ok(()), ReleaseKind::Program, 3));
+    assert_eq!((plan.check(), plan.kind, plan.batches.len()), (Ok(()), ReleaseKind::Program, 3));
     assert!(describe(&plan).contains("wave 0: one server"));
     for (text, expected) in [
         ("", "expected one release"),
--- a/crates/node/src/admin/agreements.rs
+++ b/crates/node/src/admin/agreements.rs
@@ -15,7 +15,7 @@
     Limits, Member, Name, Permit, PermitStage, Purpose, ReplicatedState, Target,
 };
 use gradepin_coordination::rollout::{Rollout, ServerProgress};
-use gradepin_coordination::server_agent::{AgentStatus, CommandStatus};
+use gradepin_coordination::server_agent::{AgentStatus, CommandStatus, KnownState, RunningVersions};
 use gradepin_core::admin::AgreementResponse;
 use serde_json::{Value, json};
 
@@ -36,8 +36,8 @@
         }
         AgreementResponse::CommandStatus(CommandStatus::Finished(Ok(result)))
         | AgreementResponse::Completed(Ok(result)) => Response::text(200, format!("{result}\n")),
-        AgreementResponse::CommandStatus(CommandStatus::Finished(Err(reason)))
-        | AgreementResponse::Completed(Err(reason)) => Response::text(409, format!("{reason}\n")),
+        AgreementResponse::CommandStatus(CommandStatus::Finished(Err(failure)))
+        | AgreementResponse::Completed(Err(failure)) => Response::text(409, format!("{failure}\n")),
         AgreementResponse::TargetVersion(Some(version)) => Response::text(200, format!("{version}\n")),
         AgreementResponse::TargetVersion(None) => {
             Response::text(404, "no release says which version it shall have\n")
@@ -48,15 +48,15 @@
 fn status_json(status: &AgentStatus) -> Value {
     let mut value = json!({
         "leader": status.leader.as_deref(),
-        "voter": status.voter,
-        "lost": status.lost,
-        "unsure": status.unsure,
+        "voter": status.is_voter,
+        "lost": status.exclusion,
+        "unsure": status.restricts_votes,
     });
-    value["waits"] = match &status.waits {
-        Some(waiting) => json!({"for_s": waiting.for_s, "why": waiting.why}),
+    value["waits"] = match &status.waiting_request {
+        Some(waiting) => json!({"for_s": waiting.waiting_s, "why": waiting.reason}),
         None => Value::Null,
     };
-    let Some((state, age_s)) = &status.record else { return value };
+    let Some(KnownState { state, age_s }) = &status.known_state else { return value };
     value["age_s"] = if age_s.is_finite() { json!(age_s) } else { Value::Null };
     value["index"] = json!(state.index);
     value["voters"] = json!(state.voters.values().map(|name| &**name).collect::<Vec<_>>());
@@ -64,11 +64,11 @@
     let servers = state.roster.iter().map(|(name, member)| server_json(name, member, state, status));
     value["servers"] = servers.collect();
     value["permits"] = state.permits.iter().map(|(epoch, permit)| permit_json(*epoch, permit)).collect();
-    value["release"] = state.release.as_ref().map_or(Value::Null, rollout_json);
-    let actions = state.acts.iter().rev().take(MAX_ACTIONS);
+    value["release"] = state.rollout.as_ref().map_or(Value::Null, rollout_json);
+    let actions = state.operator_actions.iter().rev().take(MAX_ACTIONS);
     value["acts"] = actions
         .map(|action| {
-            json!({"index": action.index, "by": &*action.by, "what": action.what, "why": action.why})
+            json!({"index": action.index, "by": &*action.operator, "what": action.action, "why": action.reason})
         })
         .collect();
     value
@@ -85,10 +85,10 @@
 
 fn server_json(name: &Name, member: &Member, state: &ReplicatedState, status: &AgentStatus) -> Value {
     let permit = state.permit_of(&Target::Server(name.clone())).map(|(epoch, _)| epoch);
-    let (program, settings) = status.versions.get(name).cloned().unwrap_or_default();
-    let in_rollout = state.release.as_ref().and_then(|rollout| rollout.servers.get(name));
+    let RunningVersions { program, settings } = status.versions.get(name).cloned().unwrap_or_default();
+    let in_rollout = state.rollout.as_ref().and_then(|rollout| rollout.servers.get(name));
     // Only voters know which servers don't report that they are ready.
-    let ready = status.voter.then(|| !status.unheard.contains(name));
+    let ready = status.is_voter.then(|| !status.not_ready.contains(name));
     json!({
         "name": &**name,
         "zone": &*member.zone,
@@ -96,7 +96,7 @@
         "permit": permit,
         "program": program,
         "settings": settings,
-        "step": in_rollout.map(|server| progress_label(&server.step)),
+        "step": in_rollout.map(|server| progress_label(&server.progress)),
     })
 }
 
@@ -119,12 +119,12 @@
         "name": rollout.plan.name,
         "number": rollout.number,
         "version": rollout.plan.version,
-        "by": &*rollout.by,
+        "by": &*rollout.operator,
         "state": rollout.state.to_string(),
         "open": rollout.is_open(),
-        "wave": rollout.wave,
-        "waves": rollout.plan.waves.len(),
-        "halts": rollout.halts,
+        "wave": rollout.batch,
+        "waves": rollout.plan.batches.len(),
+        "halts": rollout.halt_count,
     })
 }
 
--- a/crates/node/src/admin/agreements/tests.rs
+++ b/crates/node/src/admin/agreements/tests.rs
@@ -29,27 +29,28 @@
         holder: name("n1"),
         purpose,
         stage,
-        begins: 1,
-        life: 70_000,
+        begin_grants: 1,
+        incarnation: 70_000,
     };
     let service = Target::Service { group: name("ledger"), member: name("m1") };
     let plan = RolloutPlan {
         name: "r-1".into(),
         kind: ReleaseKind::Program,
         version: "v2".into(),
-        waves: vec![Batch { share: 1.0, pause_ms: 1_000 }],
+        batches: vec![Batch { share: 1.0, pause_ms: 1_000 }],
         zone_by_zone: true,
-        ready_ms: 30_000,
-        steady_ms: 5_000,
-        worse: 0.125,
-        goes_back: true,
+        ready_timeout_ms: 30_000,
+        stabilization_ms: 5_000,
+        tolerated_regression: 0.125,
+        rolls_back: true,
     };
-    let server = |(at, step): (usize, ServerProgress)| {
-        (name(&format!("n{at}")), RolloutServer { wave: 0, before: "v1".into(), step })
+    let server = |(at, progress): (usize, ServerProgress)| {
+        (name(&format!("n{at}")), RolloutServer { batch: 0, previous_version: "v1".into(), progress })
     };
     let servers = steps().into_iter().enumerate().map(server).collect();
-    let by = name("kaisa");
-    let release = Rollout { number: 300, plan, by: by.clone(), state, wave: 0, halts: 2, servers };
+    let operator = name("kaisa");
+    let release =
+        Rollout { number: 300, plan, operator: operator.clone(), state, batch: 0, halt_count: 2, servers };
     let member = |at: usize| (name(&format!("n{at}")), Member { zone: name("z1") });
     ReplicatedState {
         index: 313,
@@ -62,22 +63,28 @@
             (5, permit(service, Purpose::Drain, PermitStage::Released)),
         ]
         .into(),
-        acts: [OperatorAction { index: 9, by, what: "what".into(), why: "why".into() }].into(),
-        release: Some(release),
+        operator_actions: [OperatorAction {
+            index: 9,
+            operator,
+            action: "what".into(),
+            reason: "why".into(),
+        }]
+        .into(),
+        rollout: Some(release),
         ..ReplicatedState::default()
     }
 }
 
 fn status(record: Option<(ReplicatedState, f64)>, voter: bool) -> AgentStatus {
     AgentStatus {
-        record,
+        known_state: record.map(|(state, age_s)| KnownState { state, age_s }),
         leader: Some(name("n0")),
-        voter,
-        lost: Some("lost".into()),
-        unsure: true,
-        waits: Some(WaitingRequest { for_s: 1.5, why: "w".into() }),
-        unheard: vec![name("n2")],
-        versions: [(name("n0"), ("v1".to_string(), "s1".to_string()))].into(),
+        is_voter: voter,
+        exclusion: Some("lost".into()),
+        restricts_votes: true,
+        waiting_request: Some(WaitingRequest { waiting_s: 1.5, reason: "w".into() }),
+        not_ready: vec![name("n2")],
+        versions: [(name("n0"), RunningVersions { program: "v1".into(), settings: "s1".into() })].into(),
     }
 }
 
--- a/crates/node/src/effects.rs
+++ b/crates/node/src/effects.rs
@@ -179,7 +179,7 @@
 
     /// Starts a rollout step in a thread of its own; returns its failure where it can't be started.
     fn start_rollout_step(&self, step: StepAssignment, start_before: Time) -> Option<Input> {
-        let release = step.release;
+        let release = step.rollout;
         let reason = match &self.staging {
             Some(staging) => staging
                 .start_step(step, start_before, self.clock, self.urgent_inputs.clone(), self.reloader.clone())
--- a/crates/node/src/staging.rs
+++ b/crates/node/src/staging.rs
@@ -164,7 +164,7 @@
             };
             if let Err(error) = result {
                 let reason = error.to_string();
-                let _ = inputs.send(Input::RolloutStepFailed { release: step.release, reason });
+                let _ = inputs.send(Input::RolloutStepFailed { release: step.rollout, reason });
             }
         };
         thread::Builder::new().name("change".into()).stack_size(STACK_BYTES).spawn(run).map(drop)
--- a/crates/node/src/startup/fleet_identity.rs
+++ b/crates/node/src/startup/fleet_identity.rs
@@ -43,12 +43,12 @@
     };
     AgentSettings {
         name: own.name,
-        life: own.incarnation.0,
+        incarnation: own.incarnation.0,
         zone: own.zone.to_string(),
         voters: consensus.voters.clone(),
-        folder: voter_state,
+        voter_state,
         controller,
-        waits: consensus.waits_for_permit,
+        waits_for_permit: consensus.waits_for_permit,
         seed: seed ^ own.incarnation.0,
     }
 }
--- a/crates/node/tests/golden_edges/admin.rs
+++ b/crates/node/tests/golden_edges/admin.rs
@@ -9,7 +9,7 @@
 };
 use gradepin_config::change::Revision;
 use gradepin_config::validation::Invalid;
-use gradepin_coordination::messages::OperatorCommand;
+use gradepin_coordination::messages::{CommandFailure, OperatorCommand};
 use gradepin_coordination::permit_client::WaitingRequest;
 use gradepin_coordination::replicated_state::{
     Limits, Member, OperatorAction, Permit, PermitStage, Purpose, ReplicatedState, Target,
@@ -101,12 +101,12 @@
         name: "tiles 0.3".into(),
         kind: ReleaseKind::Program,
         version: "0.3.0".into(),
-        waves: vec![wave(0.25, 1), wave(1.0, 2)],
+        batches: vec![wave(0.25, 1), wave(1.0, 2)],
         zone_by_zone: true,
-        ready_ms: 3,
-        steady_ms: 4,
-        worse: 0.5,
-        goes_back: true,
+        ready_timeout_ms: 3,
+        stabilization_ms: 4,
+        tolerated_regression: 0.5,
+        rolls_back: true,
     };
     let steps = [
         ServerProgress::Pending,
@@ -117,9 +117,17 @@
         ServerProgress::RolledBack,
         ServerProgress::RollbackFailed("lost".into()),
     ];
-    let server = |step| RolloutServer { wave: 1, before: "0.2.0".into(), step };
+    let server = |progress| RolloutServer { batch: 1, previous_version: "0.2.0".into(), progress };
     let servers = steps.into_iter().enumerate().map(|(n, step)| (name(&format!("n{n}")), server(step)));
-    Rollout { number: 61, plan, by: name("kaisa"), state, wave: 1, halts: 2, servers: servers.collect() }
+    Rollout {
+        number: 61,
+        plan,
+        operator: name("kaisa"),
+        state,
+        batch: 1,
+        halt_count: 2,
+        servers: servers.collect(),
+    }
 }
 
 fn record(state: RolloutState) -> ReplicatedState {
@@ -128,8 +136,8 @@
         holder: name("holder"),
         purpose,
         stage,
-        begins: 1,
-        life: 2,
+        begin_grants: 1,
+        incarnation: 2,
     };
     let service = Target::Service { group: name("ledger"), member: name("l2") };
     let permits = [
@@ -137,8 +145,12 @@
         (72, permit(Target::Zone(name("z2")), Purpose::Release(61), PermitStage::Begun)),
         (73, permit(service, Purpose::Drain, PermitStage::Released)),
     ];
-    let act =
-        |index| OperatorAction { index, by: name("kaisa"), what: format!("act {index}"), why: "need".into() };
+    let act = |index| OperatorAction {
+        index,
+        operator: name("kaisa"),
+        action: format!("act {index}"),
+        reason: "need".into(),
+    };
     let roster = (0..8).map(|n| (name(&format!("n{n}")), Member { zone: name("z1") }));
     ReplicatedState {
         index: 81,
@@ -146,23 +158,27 @@
         limits: Limits { fleet: 5, zone: 3, zones: 2, services: [(name("ledger"), 4)].into() },
         roster: roster.collect(),
         permits: permits.into(),
-        acts: (1..=9).map(act).collect(),
-        release: Some(release(state)),
+        operator_actions: (1..=9).map(act).collect(),
+        rollout: Some(release(state)),
         ..ReplicatedState::default()
     }
 }
 
+fn versions(program: &str, settings: &str) -> server_agent::RunningVersions {
+    server_agent::RunningVersions { program: program.into(), settings: settings.into() }
+}
+
 fn agreements(record: Option<(ReplicatedState, f64)>, voter: bool) -> AdminResponse {
     let full = record.is_some();
     AdminResponse::Agreement(AgreementResponse::Status(Box::new(server_agent::AgentStatus {
-        record,
+        known_state: record.map(|(state, age_s)| server_agent::KnownState { state, age_s }),
         leader: full.then(|| name("n1")),
-        voter,
-        lost: full.then(|| "disk".to_string()),
-        unsure: full,
-        waits: full.then(|| WaitingRequest { for_s: 1.5, why: "one is out".into() }),
-        unheard: vec![name("n2")],
-        versions: [(name("n1"), ("0.2.0".to_string(), "9f".to_string()))].into(),
+        is_voter: voter,
+        exclusion: full.then(|| "disk".to_string()),
+        restricts_votes: full,
+        waiting_request: full.then(|| WaitingRequest { waiting_s: 1.5, reason: "one is out".into() }),
+        not_ready: vec![name("n2")],
+        versions: [(name("n1"), versions("0.2.0", "9f"))].into(),
     })))
 }
 
@@ -296,9 +312,9 @@
         ("pending", became(CommandStatus::Pending)),
         ("unknown ticket", became(CommandStatus::Unknown)),
         ("order done", became(CommandStatus::Finished(Ok("done".into())))),
-        ("order failed", became(CommandStatus::Finished(Err("not now".into())))),
+        ("order failed", became(CommandStatus::Finished(Err(CommandFailure("not now".into()))))),
         ("said", said(Ok("done".into()))),
-        ("said not", said(Err("not now".into()))),
+        ("said not", said(Err(CommandFailure("not now".into())))),
         ("wanted", wanted(Some("0.3.0".into()))),
         ("nothing wanted", wanted(None)),
     ]);
