--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -312,7 +312,7 @@
             let left = remaining(&clocks, entry.incarnation, entry.end_ms)?;
             let (key, id) = (key.into_string(), entry.id.into_string());
             Some(SavedRun {
-                key: key,
+                key,
                 fingerprint: entry.fingerprint,
                 id,
                 window_left: left,
