--- a/crates/config/src/chunk.rs
+++ b/crates/config/src/chunk.rs
@@ -5,7 +5,7 @@
 
 use crate::change::{ClassDefinition, Name};
 use crate::digest::{Digest, Entry};
-use crate::validation;
+use crate::well_formed;
 use gradepin_admission::Tenant;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -163,12 +163,12 @@
             if ChunkNumber::of(&place.1) != number || last.as_ref().is_some_and(|last| *last >= place) {
                 return Err(ChunkError::Order(place.1.into()));
             }
-            let may_hold = match &entry {
-                Entry::Class(class) => validation::may_hold_class(class),
-                Entry::Tenant(tenant) => validation::may_hold_tenant(tenant),
+            let well_formed = match &entry {
+                Entry::Class(class) => well_formed::is_well_formed_class(class),
+                Entry::Tenant(tenant) => well_formed::is_well_formed_tenant(tenant),
                 Entry::Rule(_) => false,
             };
-            if !may_hold {
+            if !well_formed {
                 return Err(ChunkError::Entry(place.1.into()));
             }
             match entry {
--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -9,7 +9,7 @@
 use crate::chunk::{CHUNKS, Chunk, ChunkNumber};
 use crate::digest::{Digest, Entry, Version};
 use crate::rules::RuleSet;
-use crate::validation::{self, Invalid};
+use crate::validation::{self, EntryIndex, Invalid};
 use gradepin_admission::{Settings, Tenant};
 use std::sync::Arc;
 
@@ -82,12 +82,12 @@
         }
         for class in definitions(settings) {
             let path = format!("settings.profiles.{}", class.profile.name);
-            validation::room(&configuration, &path, &class.profile.name)?;
+            validation::check_chunk_capacity(&configuration, &path, &class.profile.name)?;
             configuration.put_class(Arc::new(class));
         }
         for tenant in &settings.customers {
             let path = format!("settings.customers.{}", tenant.name);
-            validation::room(&configuration, &path, &tenant.name)?;
+            validation::check_chunk_capacity(&configuration, &path, &tenant.name)?;
             configuration.put_tenant(Arc::new(tenant.clone()));
         }
         if configuration.classes < classes || configuration.tenants < tenants {
@@ -265,6 +265,28 @@
     }
 }
 
+impl EntryIndex for Configuration {
+    fn class_count(&self) -> usize {
+        self.classes
+    }
+
+    fn tenant_count(&self) -> usize {
+        self.tenants
+    }
+
+    fn has_class(&self, name: &str) -> bool {
+        self.class(name).is_some()
+    }
+
+    fn has_tenant(&self, name: &str) -> bool {
+        self.tenant(name).is_some()
+    }
+
+    fn chunk_entries(&self, number: ChunkNumber) -> usize {
+        self.chunk(number).map_or(0, |chunk| chunk.len())
+    }
+}
+
 /// The classes of settings, each with what the settings keep beside it by its place.
 pub(crate) fn definitions(settings: &Settings) -> impl Iterator<Item = ClassDefinition> + '_ {
     let specifics = &settings.specifics;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -25,6 +25,7 @@
 pub mod rules;
 pub mod snapshot;
 pub mod validation;
+mod well_formed;
 
 pub use change::{Change, ClassDefinition, Commit, Name, Proposal, Revision, Rule, Transaction};
 pub use configuration::{ApplyError, CommitRejected, Configuration};
--- a/crates/config/src/snapshot.rs
+++ b/crates/config/src/snapshot.rs
@@ -9,7 +9,7 @@
 use crate::configuration::Configuration;
 use crate::digest::{Digest, Version};
 use crate::rules::RuleSet;
-use crate::validation;
+use crate::well_formed;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -152,7 +152,7 @@
         if !ascending || !in_range || rules.iter().count() != self.rules.len() {
             return Err(SnapshotError::Order);
         }
-        if let Some(rule) = self.rules.iter().find(|rule| !validation::may_hold_rule(rule)) {
+        if let Some(rule) = self.rules.iter().find(|rule| !well_formed::is_well_formed_rule(rule)) {
             return Err(SnapshotError::Rule(rule.name()));
         }
         if self.version.revision > MAX_REVISION {
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -9,7 +9,6 @@
     Rule, Transaction,
 };
 use crate::chunk::{ChunkNumber, MAX_CHUNK_ENTRIES};
-use crate::configuration::Configuration;
 use gradepin_admission::{Span, Tenant};
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
@@ -43,6 +42,20 @@
     }
 }
 
+/// What validation reads of the state that a transaction would change.
+pub(crate) trait EntryIndex {
+    /// Classes in force.
+    fn class_count(&self) -> usize;
+    /// Tenants in force.
+    fn tenant_count(&self) -> usize;
+    /// Whether a class of this name is in force.
+    fn has_class(&self, name: &str) -> bool;
+    /// Whether a tenant of this name is in force.
+    fn has_tenant(&self, name: &str) -> bool;
+    /// Entries, classes and tenants together, in one chunk.
+    fn chunk_entries(&self, number: ChunkNumber) -> usize;
+}
+
 type Checked = Result<(), Invalid>;
 
 /// A bound on a number of things.
@@ -53,10 +66,10 @@
     Err(Invalid::new(path, format!("at most {most} {what}"), count.to_string()))
 }
 
-/// Whether the chunk of a new name has room.
-pub(crate) fn room(state: &Configuration, path: &str, name: &str) -> Checked {
-    let held = state.chunk(ChunkNumber::of(name)).map_or(0, |chunk| chunk.len());
-    at_most(path, held + 1, MAX_CHUNK_ENTRIES, "entries whose names hash alike")
+/// Checks that the chunk of a new name has capacity for one more entry.
+pub(crate) fn check_chunk_capacity(entries: &dyn EntryIndex, path: &str, name: &str) -> Checked {
+    let present = entries.chunk_entries(ChunkNumber::of(name));
+    at_most(path, present + 1, MAX_CHUNK_ENTRIES, "entries whose names hash alike")
 }
 
 /// Author, reason and request id of a proposal.
@@ -66,53 +79,23 @@
     text("request_id", &proposal.request_id, MAX_TEXT_BYTES)
 }
 
-/// Whether a class may stand in a state, whatever way it came: named by one word, as a line to the processor needs it, with
-/// times above 0 and figures that are numbers. A start file is held to the same, a change to more.
-pub(crate) fn may_hold_class(class: &ClassDefinition) -> bool {
-    let ClassDefinition { profile, skip_weight, .. } = class;
-    let figures = [profile.late_value, profile.priority_weight, profile.objective_stretch, *skip_weight];
-    is_word(&profile.name)
-        && profile.latency_objective.0 > 0
-        && profile.deadline.0 > 0
-        && figures.into_iter().all(f64::is_finite)
-}
-
-/// The same for a tenant.
-pub(crate) fn may_hold_tenant(tenant: &Tenant) -> bool {
-    tenant.quota_rps.is_finite() && tenant.portion.is_finite()
-}
-
-/// The same for a rule.
-pub(crate) fn may_hold_rule(rule: &Rule) -> bool {
-    match rule {
-        Rule::AnswerSlack(_) | Rule::Cold(_) | Rule::DrainGrace(_) | Rule::Fall(_) => true,
-        Rule::ColdShare(figure) | Rule::OverShareWorth(figure) | Rule::TipMultiple(figure) => {
-            figure.is_finite()
-        }
-    }
-}
-
-fn is_word(name: &str) -> bool {
-    !name.is_empty() && !name.contains(|c: char| c.is_whitespace() || c.is_control())
-}
-
 /// A transaction against a state.
-pub(crate) fn transaction(state: &Configuration, transaction: &Transaction) -> Checked {
+pub(crate) fn transaction(entries: &dyn EntryIndex, transaction: &Transaction) -> Checked {
     let changes = &transaction.changes;
     if changes.is_empty() {
         return Err(Invalid::new("changes", "at least one change", "none"));
     }
     at_most("changes", changes.len(), MAX_CHANGES, "changes")?;
-    let mut tally = Tally::new(state);
-    for (place, change) in changes.iter().enumerate() {
-        tally.take(place, change)?;
+    let mut counter = ChangeCounter::new(entries);
+    for (index, change) in changes.iter().enumerate() {
+        counter.count(index, change)?;
     }
-    tally.totals()
+    counter.check_totals()
 }
 
 /// What a transaction does to the numbers of entries.
-struct Tally<'a> {
-    state: &'a Configuration,
+struct ChangeCounter<'a> {
+    entries: &'a dyn EntryIndex,
     seen: HashSet<(&'static str, &'a str)>,
     classes: usize,
     tenants: usize,
@@ -120,13 +103,13 @@
     added: HashMap<ChunkNumber, usize>,
 }
 
-impl<'a> Tally<'a> {
-    fn new(state: &'a Configuration) -> Self {
-        let (classes, tenants) = (state.class_count(), state.tenant_count());
-        Self { state, seen: HashSet::new(), classes, tenants, added: HashMap::new() }
+impl<'a> ChangeCounter<'a> {
+    fn new(entries: &'a dyn EntryIndex) -> Self {
+        let (classes, tenants) = (entries.class_count(), entries.tenant_count());
+        Self { entries, seen: HashSet::new(), classes, tenants, added: HashMap::new() }
     }
 
-    fn take(&mut self, place: usize, change: &'a Change) -> Checked {
+    fn count(&mut self, index: usize, change: &'a Change) -> Checked {
         let (kind, name) = match change {
             Change::PutClass(class) => ("class", class.profile.name.as_str()),
             Change::RemoveClass(name) => ("class", &**name),
@@ -134,31 +117,31 @@
             Change::RemoveTenant(name) => ("tenant", &**name),
             Change::PutRule(rule) => ("rule", rule.name()),
         };
-        let path = format!("changes[{place}].{kind}.{}", shown(name));
+        let path = format!("changes[{index}].{kind}.{}", shown(name));
         if !self.seen.insert((kind, name)) {
             return Err(Invalid::new(path, "each name once in a transaction", "the name twice"));
         }
         match change {
             Change::PutClass(new) => {
                 class(&path, new)?;
-                if self.state.class(name).is_none() {
+                if !self.entries.has_class(name) {
                     self.classes += 1;
                     self.added(&path, name)?;
                 }
             }
             Change::RemoveClass(_) => {
-                known(&path, self.state.class(name).is_some(), "class")?;
+                known(&path, self.entries.has_class(name), "class")?;
                 self.classes -= 1;
             }
             Change::PutTenant(new) => {
                 tenant(&path, new)?;
-                if self.state.tenant(name).is_none() {
+                if !self.entries.has_tenant(name) {
                     self.tenants += 1;
                     self.added(&path, name)?;
                 }
             }
             Change::RemoveTenant(_) => {
-                known(&path, self.state.tenant(name).is_some(), "tenant")?;
+                known(&path, self.entries.has_tenant(name), "tenant")?;
                 self.tenants -= 1;
             }
             Change::PutRule(new) => rule(&path, new)?,
@@ -170,11 +153,11 @@
         let number = ChunkNumber::of(name);
         let added = self.added.entry(number).or_default();
         *added += 1;
-        let held = self.state.chunk(number).map_or(0, |chunk| chunk.len());
-        at_most(path, held + *added, MAX_CHUNK_ENTRIES, "entries whose names hash alike")
+        let present = self.entries.chunk_entries(number);
+        at_most(path, present + *added, MAX_CHUNK_ENTRIES, "entries whose names hash alike")
     }
 
-    fn totals(&self) -> Checked {
+    fn check_totals(&self) -> Checked {
         if self.classes == 0 {
             return Err(Invalid::new("changes", "at least one class left", "the last class removed"));
         }
