--- a/crates/config/src/dissemination/budget.rs
+++ b/crates/config/src/dissemination/budget.rs
@@ -1,53 +1,51 @@
-//! Bytes a second, as a token bucket.
+//! A bound on bytes per second, as a token bucket.
 
-use gradepin_admission::{Span, Time, span_from_seconds, span_seconds, time_after};
+use gradepin_admission::{Span, Time, span_seconds};
 
-/// A bucket of bytes.
+/// The part of the capacity at which the bucket counts as full, so that rounding does not hold back a large message.
+const FULL_FRACTION: f64 = 0.999;
+
+/// A token bucket whose tokens are bytes.
 #[derive(Debug, Clone)]
 pub struct Budget {
-    rate: f64,
-    most: f64,
-    left: f64,
-    at: Time,
+    bytes_per_second: f64,
+    capacity_bytes: f64,
+    available_bytes: f64,
+    refilled_at: Time,
 }
 
 impl Budget {
-    /// A full bucket: `rate` bytes a second, `seconds` of them at once at the most.
-    pub fn new(rate: f64, seconds: f64, now: Time) -> Self {
-        Self { rate, most: rate * seconds, left: rate * seconds, at: now }
+    /// A full bucket with a capacity of `burst_seconds` of its rate.
+    pub fn new(bytes_per_second: f64, burst_seconds: f64, now: Time) -> Self {
+        let capacity_bytes = bytes_per_second * burst_seconds;
+        Self { bytes_per_second, capacity_bytes, available_bytes: capacity_bytes, refilled_at: now }
     }
 
     fn refill(&mut self, now: Time) {
-        if now > self.at {
-            self.left = (self.left + self.rate * span_seconds(Span(now.0 - self.at.0))).min(self.most);
-            self.at = now;
+        if now > self.refilled_at {
+            let refill = self.bytes_per_second * span_seconds(Span(now.0 - self.refilled_at.0));
+            self.available_bytes = (self.available_bytes + refill).min(self.capacity_bytes);
+            self.refilled_at = now;
         }
     }
 
-    /// Takes so many bytes, if a part of the bucket stays: what can wait leaves some for what can't.
+    /// Takes bytes if `reserve`, a fraction of the capacity, is still available after. Traffic that can wait leaves a reserve
+    /// for traffic that can't. False where nothing was taken.
     pub fn take(&mut self, now: Time, bytes: usize, reserve: f64) -> bool {
         self.refill(now);
-        let fits = self.left - bytes as f64 >= reserve * self.most;
-        // One message that is larger than the bucket goes when the bucket is full, and is paid for after.
-        let large = bytes as f64 > self.most * (1.0 - reserve) && self.left >= self.most * 0.999;
-        if fits || large {
-            self.left -= bytes as f64;
+        let is_available = self.available_bytes - bytes as f64 >= reserve * self.capacity_bytes;
+        // A message larger than the bucket may go when the bucket is full, and leaves a debt; it could never be sent otherwise.
+        let exceeds_capacity = bytes as f64 > self.capacity_bytes * (1.0 - reserve);
+        let is_full = self.available_bytes >= self.capacity_bytes * FULL_FRACTION;
+        let taken = is_available || exceeds_capacity && is_full;
+        if taken {
+            self.available_bytes -= bytes as f64;
         }
-        fits || large
+        taken
     }
 
-    /// Gives back what was taken for something that came to less.
+    /// Gives back bytes that were taken and not used.
     pub fn give_back(&mut self, bytes: usize) {
-        self.left = (self.left + bytes as f64).min(self.most);
-    }
-
-    /// When so many bytes can be taken.
-    pub fn ready_at(&self, bytes: usize, reserve: f64) -> Time {
-        let missing = bytes as f64 + reserve * self.most - self.left;
-        if missing <= 0.0 || self.rate <= 0.0 {
-            self.at
-        } else {
-            time_after(self.at, span_from_seconds(missing / self.rate))
-        }
+        self.available_bytes = (self.available_bytes + bytes as f64).min(self.capacity_bytes);
     }
 }
--- /dev/null
+++ b/crates/config/src/dissemination/commit_requests.rs
@@ -0,0 +1,204 @@
+//! The peers that are known to be ahead, and the one request for commits that is in flight.
+//!
+//! Nearer peers come first: those farther away are asked only after this server has been behind for longer. So after a
+//! partition few servers of a zone fetch from afar, and the others fetch from them.
+
+use super::cooldown::Cooldowns;
+use super::in_flight::InFlight;
+use super::peer_view::PeerView;
+use super::peers::{Distance, random_below};
+use super::settings::{DisseminationSettings, Selection};
+use crate::change::{Name, Revision};
+use crate::digest::Version;
+use gradepin_admission::{Span, Time, time_after};
+use rand_pcg::Pcg64Mcg;
+use std::collections::BTreeMap;
+
+const MS: u64 = 1_000_000;
+/// Peers ahead that are remembered; the one of the lowest revision is replaced.
+const MAX_PEERS_AHEAD: usize = 64;
+/// Peers that failed lately that are remembered.
+const MAX_FAILED_PEERS: usize = 64;
+/// Wait before the first request of a server that is behind: a push may be in flight.
+const ZONE_DELAY: Span = Span(100 * MS);
+/// Wait before a request to another zone of the region.
+const REGION_DELAY: Span = Span(300 * MS);
+/// Wait before a request to another region.
+const FAR_DELAY: Span = Span(600 * MS);
+/// Upper bound of the random part of the two longer delays, so that the servers of a zone don't send requests together.
+const MAX_JITTER: Span = Span(300 * MS);
+/// How long a peer that did not answer is asked last.
+const FAILURE_COOLDOWN: Span = Span(3_000 * MS);
+/// The longest gap between two messages of one reply.
+const MAX_REPLY_GAP: Span = Span(300 * MS);
+/// The request timeout is divided by this for the first backoff after a rejection.
+const FIRST_BACKOFF_DIVISOR: u64 = 8;
+/// Doublings of the backoff.
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
+
+/// Requests for commits: whom to ask and when.
+#[derive(Debug, Default)]
+pub struct CommitRequests {
+    peers_ahead: BTreeMap<Name, Version>,
+    failed_peers: Cooldowns,
+    in_flight: Option<InFlight>,
+    /// Since when a newer revision is known, or when the last progress was made, if later.
+    behind_since: Option<Time>,
+    jitter: Span,
+    /// Rejections since the last progress.
+    rejections: u32,
+    next_request_at: Time,
+}
+
+impl CommitRequests {
+    /// Records that a peer is at a version past the one of this server.
+    pub fn record_peer_ahead(&mut self, now: Time, peer: &Name, version: Version, rng: &mut Pcg64Mcg) {
+        if self.peers_ahead.len() >= MAX_PEERS_AHEAD && !self.peers_ahead.contains_key(peer) {
+            let lowest = self.peers_ahead.iter().min_by_key(|(_, version)| version.revision);
+            let Some(name) = lowest.map(|(name, _)| name.clone()) else { return };
+            self.peers_ahead.remove(&name);
+        }
+        self.peers_ahead.insert(peer.clone(), version);
+        if self.behind_since.is_none() {
+            self.behind_since = Some(now);
+            self.jitter = Span(random_below(rng, MAX_JITTER.0 as usize) as u64);
+        }
+    }
+
+    /// Records that this server is now at a higher revision.
+    pub fn record_progress(&mut self, now: Time, in_force: Revision) {
+        self.peers_ahead.retain(|_, version| version.revision > in_force);
+        self.rejections = 0;
+        // After progress the delays of peers farther away begin again.
+        self.behind_since = if self.peers_ahead.is_empty() { None } else { Some(now) };
+    }
+
+    /// Forgets a peer that is not ahead, is down, or is quarantined.
+    pub fn forget_peer(&mut self, name: &str) {
+        self.peers_ahead.remove(name);
+        if self.in_flight.as_ref().is_some_and(|request| request.is_to(name)) {
+            self.in_flight = None;
+        }
+        if self.peers_ahead.is_empty() {
+            self.behind_since = None;
+        }
+    }
+
+    /// The newest revision that a peer reported, if it is past the one of this server.
+    pub fn newest(&self) -> Option<Revision> {
+        self.peers_ahead.values().map(|version| version.revision).max()
+    }
+
+    /// Since when this server is behind without progress.
+    pub fn behind_since(&self) -> Option<Time> {
+        self.behind_since
+    }
+
+    /// Records one message of a reply; `last` where the reply is complete.
+    pub fn record_reply(&mut self, now: Time, peer: &Name, last: bool) {
+        if let Some(request) = self.in_flight.as_mut().filter(|request| request.is_to(peer)) {
+            request.deadline = time_after(now, MAX_REPLY_GAP);
+            if last {
+                self.in_flight = None;
+            }
+        }
+    }
+
+    /// Records that the peer rejected the request. The next request to any peer waits for a backoff that doubles.
+    pub fn record_rejection(&mut self, now: Time, peer: &Name, settings: &DisseminationSettings) {
+        if self.in_flight.as_ref().is_some_and(|request| request.is_to(peer)) {
+            self.fail_in_flight(now);
+            let first = settings.request_timeout.0 / FIRST_BACKOFF_DIVISOR;
+            let backoff =
+                Span(first << self.rejections.min(MAX_BACKOFF_DOUBLINGS)).min(settings.most_backoff);
+            self.rejections += 1;
+            self.next_request_at = time_after(now, backoff);
+        }
+    }
+
+    /// The peer that was asked is asked last for a time. After a timeout the next peer is asked without backoff: most likely a
+    /// datagram was lost. Only rejections, which mean that bandwidth is short, lead to backoff.
+    fn fail_in_flight(&mut self, now: Time) {
+        let Some(request) = self.in_flight.take() else { return };
+        self.failed_peers.add(now, request.peer, time_after(now, FAILURE_COOLDOWN), MAX_FAILED_PEERS);
+    }
+
+    /// Fails the request in flight if it has timed out. Returns whether one is still in flight.
+    fn has_request_in_flight(&mut self, now: Time) -> bool {
+        match &self.in_flight {
+            Some(request) if !request.has_expired(now) => true,
+            Some(_) => {
+                self.fail_in_flight(now);
+                false
+            }
+            None => false,
+        }
+    }
+
+    fn delay(&self, settings: &DisseminationSettings, distance: Distance) -> Span {
+        let delay = match distance {
+            _ if settings.selection != Selection::Epidemic => return Span(0),
+            Distance::Zone => return ZONE_DELAY,
+            Distance::Region => REGION_DELAY,
+            Distance::Far => FAR_DELAY,
+        };
+        Span(delay.0 + self.jitter.0)
+    }
+
+    /// The peer to send a request to now, if any: one of the nearest at random. Peers that failed lately come last, and among
+    /// equally near ones voters come first.
+    pub fn choose_peer(&mut self, view: &PeerView<'_>, rng: &mut Pcg64Mcg) -> Option<Name> {
+        let PeerView { now, settings, peers, .. } = *view;
+        if self.has_request_in_flight(now) || now < self.next_request_at {
+            return None;
+        }
+        let behind_since = self.behind_since?;
+        let rank = |name: &Name| {
+            (self.failed_peers.contains(now, name), peers.distance(name), !peers.is_voter(name))
+        };
+        let may_ask = |name: &&Name| {
+            let delay = self.delay(settings, peers.distance(name));
+            let is_due = now >= time_after(behind_since, delay);
+            is_due && peers.may_fetch(settings, name) && !view.is_quarantined(name)
+        };
+        let best = self.peers_ahead.keys().filter(may_ask).map(rank).min()?;
+        let candidates: Vec<&Name> =
+            self.peers_ahead.keys().filter(may_ask).filter(|name| rank(name) == best).collect();
+        Some(candidates[random_below(rng, candidates.len())].clone())
+    }
+
+    /// One of the nearest peers that are ahead, to fetch a snapshot from.
+    pub fn nearest_peer_ahead(&self, view: &PeerView<'_>, rng: &mut Pcg64Mcg) -> Option<Name> {
+        let PeerView { now, peers, .. } = *view;
+        let may_ask = |name: &&Name| !view.is_quarantined(name) && !self.failed_peers.contains(now, name);
+        let distance = |name: &Name| peers.distance(name);
+        let nearest = self.peers_ahead.keys().filter(may_ask).map(distance).min()?;
+        let candidates: Vec<&Name> =
+            self.peers_ahead.keys().filter(may_ask).filter(|name| distance(name) == nearest).collect();
+        Some(candidates[random_below(rng, candidates.len())].clone())
+    }
+
+    /// Delays the next request: this one could not be sent for the bounds on bytes.
+    pub fn postpone(&mut self, now: Time) {
+        self.next_request_at = time_after(now, ZONE_DELAY);
+    }
+
+    /// Records that a request was sent.
+    pub fn record_sent(&mut self, now: Time, peer: &Name, settings: &DisseminationSettings) {
+        let deadline = time_after(now, settings.request_timeout);
+        self.in_flight = Some(InFlight { peer: peer.clone(), deadline });
+    }
+
+    /// When [`CommitRequests::choose_peer`] may have another result without new input.
+    pub fn wake_at(&self, now: Time, settings: &DisseminationSettings) -> Option<Time> {
+        if let Some(request) = &self.in_flight {
+            return Some(request.deadline);
+        }
+        let behind_since = self.behind_since?;
+        let distances = [Distance::Zone, Distance::Region, Distance::Far];
+        let due = distances.map(|distance| time_after(behind_since, self.delay(settings, distance)));
+        let next = due.into_iter().find(|due| *due > now);
+        // All delays are over and no peer fits: one that is quarantined may be taken back later.
+        Some(next.unwrap_or(time_after(now, REGION_DELAY)).max(self.next_request_at))
+    }
+}
--- a/crates/config/src/dissemination/history.rs
+++ b/crates/config/src/dissemination/history.rs
@@ -1,4 +1,4 @@
-//! What peers that are behind may ask for: the last commits, and the digests of the last states.
+//! What peers that are behind may fetch: the last commits, and the digests of the last states.
 
 use super::messages::CommitRecord;
 use crate::change::{Commit, Revision};
@@ -7,10 +7,10 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Digests kept, at the most: 128 KB. They outlast the commits, so that old snapshots can still be confirmed.
-const MOST_DIGESTS: usize = 8_192;
+/// Digests retained, 128 KB. They reach back farther than the commits, so that old snapshots can still be confirmed.
+const MAX_DIGESTS: usize = 8_192;
 
-/// The last commits and digests. The last digest is the one of the state.
+/// The last commits and digests. Invariant: the last digest is that of the state in force.
 #[derive(Debug)]
 pub struct History {
     log: CommitLog,
@@ -19,45 +19,46 @@
 }
 
 impl History {
-    /// Empty, at a state.
+    /// A history without commits that begins at a state.
     pub fn new(version: Version, limits: LogLimits) -> Self {
         let log = CommitLog::after_revision(version.revision, limits);
         Self { log, limits, digests: VecDeque::from([version.digest]) }
     }
 
-    /// Begins anew at another state.
+    /// Begins again at another state, without commits.
     pub fn restart(&mut self, version: Version) {
         *self = Self::new(version, self.limits);
     }
 
-    /// Adds the commit that was applied; the oldest ones go where there are too many.
+    /// Adds a commit that was applied and the digest after it; drops the oldest past the bounds. A commit that does not follow
+    /// the last one is ignored.
     pub fn push(&mut self, commit: Arc<Commit>, digest: Digest) {
         if self.log.push(commit).is_err() {
             return;
         }
         self.digests.push_back(digest);
-        if self.digests.len() > MOST_DIGESTS {
+        if self.digests.len() > MAX_DIGESTS {
             self.digests.pop_front();
         }
     }
 
-    /// The digest of the state at a revision, where it is known.
+    /// The digest of the state at a revision, if it is retained.
     pub fn digest_at(&self, revision: Revision) -> Option<Digest> {
-        let back = usize::try_from(self.log.last().0.checked_sub(revision.0)?).ok()?;
-        let place = self.digests.len().checked_sub(back + 1)?;
-        self.digests.get(place).copied()
+        let distance_from_last = usize::try_from(self.log.last().0.checked_sub(revision.0)?).ok()?;
+        let index = self.digests.len().checked_sub(distance_from_last + 1)?;
+        self.digests.get(index).copied()
     }
 
-    /// The record of a revision, if it is kept.
+    /// The record of a revision, if it is retained.
     pub fn get(&self, revision: Revision) -> Option<CommitRecord> {
         let commit = self.log.get(revision)?;
         Some(CommitRecord::new(Arc::clone(commit), self.digest_at(revision)?))
     }
 
-    /// The records after a revision, in order; none if some of them are gone or the revision is yet to come.
+    /// The records after a revision, in order. `None` if some of them are dropped already or the revision is in the future.
     pub fn after(&self, revision: Revision) -> Option<impl Iterator<Item = CommitRecord> + '_> {
-        let records = self.log.after(revision)?;
-        Some(records.filter_map(|commit| {
+        let commits = self.log.after(revision)?;
+        Some(commits.filter_map(|commit| {
             let digest = self.digest_at(commit.revision)?;
             Some(CommitRecord::new(Arc::clone(commit), digest))
         }))
--- /dev/null
+++ b/crates/config/src/dissemination/machine/mod.rs
@@ -0,0 +1,272 @@
+//! The state machine of dissemination at one server.
+//!
+//! This file dispatches messages, compares versions with peers and decides when each activity is due. Commits, snapshots and
+//! responses to peers are in the files beside it.
+
+mod commits;
+mod push_queue;
+mod serve;
+mod snapshots;
+mod status;
+
+use super::commit_requests::CommitRequests;
+use super::history::History;
+use super::messages::Message;
+use super::outbox::{DisseminationEffect, Outbox, Traffic};
+use super::peer_digests::PeerDigests;
+use super::peers::{Member, Peers, random_below};
+use super::pending_commits::{CommitSource, PendingCommits};
+use super::quarantine::Quarantine;
+use super::responses::ServedSnapshots;
+use super::settings::DisseminationSettings;
+use super::transfer::Transfer;
+use crate::change::{Name, Revision};
+use crate::configuration::Configuration;
+use crate::digest::Version;
+use gradepin_admission::{Span, Time, time_after};
+use push_queue::PushQueue;
+use rand_pcg::Pcg64Mcg;
+use rand_pcg::rand_core::SeedableRng;
+pub use status::Status;
+use std::sync::Arc;
+
+/// Mixed into the seed, so that other state machines of the same seed draw other numbers.
+const SEED_SALT: u64 = 0x7370_7265_6164;
+
+/// A committed revision that could not be applied.
+#[derive(Debug, Clone, Copy)]
+struct FailedApply {
+    revision: Revision,
+    retry_at: Time,
+}
+
+/// Dissemination at one server.
+#[derive(Debug)]
+pub struct Dissemination {
+    settings: DisseminationSettings,
+    /// The configuration in force.
+    state: Configuration,
+    history: History,
+    peers: Peers,
+    pending: PendingCommits,
+    requests: CommitRequests,
+    transfer: Option<Transfer>,
+    served: ServedSnapshots,
+    quarantine: Quarantine,
+    peer_digests: PeerDigests,
+    outbox: Outbox,
+    rng: Pcg64Mcg,
+    next_advert_at: Time,
+    push_queue: PushQueue,
+    /// When the state was last known to be the newest.
+    confirmed_at: Option<Time>,
+    failed_apply: Option<FailedApply>,
+    /// Snapshots installed.
+    installed: u64,
+}
+
+impl Dissemination {
+    /// A server that starts at a state: its last good snapshot, or its start file at revision 0. `seed` determines all random
+    /// choices.
+    pub fn new(
+        settings: DisseminationSettings,
+        own: Member,
+        state: Configuration,
+        seed: u64,
+        now: Time,
+    ) -> Self {
+        Self {
+            history: History::new(state.version(), settings.kept),
+            peers: Peers::new(own),
+            pending: PendingCommits::default(),
+            requests: CommitRequests::default(),
+            transfer: None,
+            served: ServedSnapshots::default(),
+            quarantine: Quarantine::default(),
+            peer_digests: PeerDigests::default(),
+            outbox: Outbox::new(&settings, now),
+            rng: Pcg64Mcg::seed_from_u64(seed ^ SEED_SALT),
+            next_advert_at: now,
+            push_queue: PushQueue::new(now),
+            confirmed_at: None,
+            failed_apply: None,
+            installed: 0,
+            settings,
+            state,
+        }
+    }
+
+    /// The configuration in force.
+    pub fn state(&self) -> &Configuration {
+        &self.state
+    }
+
+    /// The status of this server, for operators.
+    pub fn status(&self) -> Status {
+        Status {
+            version: self.state.version(),
+            newest: self.requests.newest(),
+            behind_since: self.requests.behind_since(),
+            confirmed_at: self.confirmed_at,
+            cannot_apply: self.failed_apply.map(|failed| failed.revision),
+            transfers: self.transfer.is_some(),
+            installed: self.installed,
+            quarantined: self.quarantine.total(),
+            sent: self.outbox.sent(),
+        }
+    }
+
+    /// Whether a source is left out now, after bad data.
+    pub fn is_quarantined(&self, now: Time, name: &str) -> bool {
+        self.quarantine.contains(now, name)
+    }
+
+    /// A server is up, or its zone, region or vote changed.
+    pub fn member_up(&mut self, member: Arc<Member>) {
+        self.peers.add(member);
+    }
+
+    /// A server is down.
+    pub fn member_down(&mut self, name: &str) {
+        self.peers.remove(name);
+        self.requests.forget_peer(name);
+    }
+
+    /// A message was received from a server that the cluster has authenticated. Bytes that are not a message are ignored.
+    pub fn receive(&mut self, now: Time, from: &Name, bytes: &[u8]) {
+        let Some(message) = Message::decode(bytes) else { return };
+        match message {
+            Message::Fetch(theirs) => self.serve_commits(now, from, theirs),
+            Message::FetchManifest(min_revision) => self.serve_manifest(now, from, min_revision),
+            Message::FetchChunk(requested) => self.serve_chunk(now, from, requested),
+            Message::FetchVersion(revision) => self.serve_version(now, from, revision),
+            Message::Advert(theirs) => self.receive_advert(now, from, theirs),
+            // Data of a quarantined source is dropped; its requests, above, are served.
+            _ if self.quarantine.contains(now, from) && !self.settings.plain => {}
+            Message::Push(records) => {
+                self.receive_records(now, from, records, &CommitSource::Push(from.clone()));
+            }
+            Message::Commits { records, last } => {
+                self.requests.record_reply(now, from, last);
+                self.receive_records(now, from, records, &CommitSource::Fetch(from.clone()));
+            }
+            Message::Compacted => {
+                self.requests.record_rejection(now, from, &self.settings);
+                self.begin_transfer(now, self.state.revision().next());
+            }
+            Message::Busy => {
+                self.requests.record_rejection(now, from, &self.settings);
+                self.update_transfer(now, |transfer| transfer.receive_rejection(now, from));
+            }
+            Message::Manifest(manifest) => {
+                let is_voter = self.peers.is_voter(from);
+                let needs_confirmation = !self.settings.plain;
+                self.update_transfer(now, |transfer| {
+                    transfer.receive_manifest(now, from, manifest, is_voter, needs_confirmation);
+                });
+            }
+            Message::Version(revision, digest) => {
+                self.update_transfer(now, |transfer| transfer.receive_version(now, from, revision, digest));
+            }
+            Message::Chunk { number, bytes } => {
+                self.update_transfer(now, |transfer| transfer.receive_chunk(now, from, number, &bytes));
+            }
+            Message::NoChunk(number) => {
+                self.update_transfer(now, |transfer| transfer.receive_no_chunk(now, from, number));
+            }
+        }
+    }
+
+    /// Compares the version of a peer with the own one.
+    fn receive_advert(&mut self, now: Time, from: &Name, theirs: Version) {
+        let own = self.state.version();
+        if theirs.revision > own.revision {
+            if !self.quarantine.contains(now, from) {
+                self.requests.record_peer_ahead(now, from, theirs, &mut self.rng);
+            }
+            return;
+        }
+        self.requests.forget_peer(from);
+        // At revision 0 servers may have read different start files, so a difference there is no fault.
+        let known = self.history.digest_at(theirs.revision).filter(|_| theirs.revision > Revision(0));
+        match known {
+            Some(digest) if digest != theirs.digest && !self.settings.plain => {
+                self.receive_contradiction(now, from);
+            }
+            Some(_) => self.peer_digests.confirm(now, from),
+            None => {}
+        }
+        if theirs.revision < own.revision {
+            self.send(now, from, &Message::Advert(own), Traffic::Control);
+        } else if theirs == own {
+            self.confirmed_at = Some(now);
+        }
+    }
+
+    fn receive_contradiction(&mut self, now: Time, from: &Name) {
+        if self.peer_digests.contradict(now, from) {
+            let revision = self.state.revision();
+            self.outbox
+                .warn(format!("peers contradict the digest of revision {revision}: fetching a snapshot"));
+            self.replace_doubtful_state(now);
+        } else {
+            self.quarantine_source(now, from, "it has another digest for a known revision");
+        }
+    }
+
+    /// Leaves a source of bad data out for a time, and drops what it sent.
+    fn quarantine_source(&mut self, now: Time, name: &Name, reason: &str) {
+        if !self.quarantine.contains(now, name) {
+            self.outbox.warn(format!("source {name} quarantined: {reason}"));
+        }
+        self.quarantine.add(now, name, self.settings.quarantine);
+        self.requests.forget_peer(name);
+        self.pending.drop_from_peer(name);
+        if let Some(transfer) = &mut self.transfer {
+            transfer.drop_source(now, name);
+        }
+    }
+
+    /// Sends a message if the bound on bytes allows it; false where it was dropped.
+    fn send(&mut self, now: Time, to: &Name, message: &Message, traffic: Traffic) -> bool {
+        self.outbox.send(now, &self.settings, to, message, traffic)
+    }
+
+    /// Does what is due, and appends all effects since the last step to `effects`.
+    pub fn step(&mut self, now: Time, effects: &mut Vec<DisseminationEffect>) {
+        self.retry_failed_apply(now);
+        if now >= self.next_advert_at {
+            self.advertise(now);
+        }
+        if self.push_queue.is_due(now) {
+            self.push_commits(now);
+        }
+        self.fetch_commits(now);
+        self.step_transfer(now);
+        self.outbox.drain(effects);
+    }
+
+    fn advertise(&mut self, now: Time) {
+        // 10% shorter or longer, so that servers that started together do not send adverts together.
+        let interval = self.settings.advert_every.0;
+        let jitter = random_below(&mut self.rng, (interval / 5) as usize) as u64;
+        self.next_advert_at = time_after(now, Span(interval - interval / 10 + jitter));
+        let advert = Message::Advert(self.state.version());
+        for peer in self.peers.advert_targets(&self.settings, &mut self.rng) {
+            self.send(now, &peer, &advert, Traffic::Control);
+        }
+    }
+
+    /// When [`Dissemination::step`] must be called again without new input.
+    pub fn wake_at(&self, now: Time) -> Time {
+        if !self.outbox.is_empty() {
+            return now;
+        }
+        let push = self.push_queue.due_at();
+        let transfer = self.transfer.as_ref().map(Transfer::wake_at);
+        let retry = self.failed_apply.map(|failed| failed.retry_at);
+        let fetch = self.requests.wake_at(now, &self.settings);
+        let due_times = [push, transfer, retry, fetch].into_iter().flatten();
+        due_times.fold(self.next_advert_at, Time::min).max(now)
+    }
+}
--- /dev/null
+++ b/crates/config/src/dissemination/machine/snapshots.rs
@@ -0,0 +1,77 @@
+//! Snapshots: when one is fetched, and how it is installed.
+
+use super::Dissemination;
+use crate::change::Revision;
+use crate::dissemination::outbox::{DisseminationEffect, Traffic};
+use crate::dissemination::peer_view::PeerView;
+use crate::dissemination::transfer::{Transfer, TransferContext};
+use crate::snapshot::Snapshot;
+use gradepin_admission::Time;
+
+impl Dissemination {
+    /// Fetches a snapshot of this revision or a later one, unless such a transfer is in progress.
+    pub(super) fn begin_transfer(&mut self, now: Time, min_revision: Revision) {
+        if self.transfer.as_ref().is_none_or(|transfer| transfer.min_revision() < min_revision) {
+            self.transfer = Some(Transfer::new(now, min_revision));
+        }
+    }
+
+    /// The state of this server is most likely wrong: fetches a snapshot of the same revision or a later one.
+    pub(super) fn replace_doubtful_state(&mut self, now: Time) {
+        self.begin_transfer(now, self.state.revision());
+    }
+
+    /// Passes input to the transfer in progress, if any, and takes its results: bad sources, unused bytes, the snapshot.
+    pub(super) fn update_transfer(&mut self, now: Time, update: impl FnOnce(&mut Transfer)) {
+        let Some(transfer) = &mut self.transfer else { return };
+        update(transfer);
+        let bad_sources = transfer.take_bad_sources();
+        self.outbox.give_back_request_bytes(transfer.take_unused_request_bytes());
+        let snapshot = transfer.take_finished(now);
+        for name in bad_sources {
+            self.quarantine_source(now, &name, "data of a snapshot failed a check");
+        }
+        if let Some(snapshot) = snapshot {
+            self.install(now, snapshot);
+        }
+    }
+
+    fn install(&mut self, now: Time, snapshot: Snapshot) {
+        self.transfer = None;
+        let (in_force, new) = (self.state.version(), snapshot.version());
+        if new.revision < in_force.revision || new == in_force {
+            // Commits were applied in the meantime.
+            return;
+        }
+        self.state = snapshot.configuration().clone();
+        self.history.restart(new);
+        self.served.clear();
+        self.peer_digests.clear();
+        self.push_queue.clear();
+        self.failed_apply = None;
+        self.installed += 1;
+        self.outbox.push(DisseminationEffect::Install(snapshot));
+        self.requests.record_progress(now, new.revision);
+        self.apply_pending(now);
+    }
+
+    /// Sends the requests of the transfer in progress that are due.
+    pub(super) fn step_transfer(&mut self, now: Time) {
+        let Some(transfer) = &mut self.transfer else { return };
+        let view = PeerView::new(now, &self.settings, &self.peers, &self.quarantine);
+        let peer_ahead = self.requests.nearest_peer_ahead(&view, &mut self.rng);
+        let mut context = TransferContext {
+            view,
+            peer_ahead,
+            state: &self.state,
+            outbox: &mut self.outbox,
+            rng: &mut self.rng,
+        };
+        let requests = transfer.step(&mut context);
+        for request in requests {
+            self.send(now, &request.to, &request.message, Traffic::Control);
+        }
+        // The state in force may have held all chunks already.
+        self.update_transfer(now, |_| {});
+    }
+}
--- a/crates/config/src/dissemination/messages.rs
+++ b/crates/config/src/dissemination/messages.rs
@@ -1,5 +1,7 @@
-//! Messages between servers. They carry no time and no state of a conversation, so one that is lost, doubled, reordered or
-//! late is harmless: each is a fact about a revision, or a request that may be answered again.
+//! Messages between servers, encoded as postcard.
+//!
+//! A message carries no time and no session state: it is a fact about a revision, or an idempotent request. So a message that
+//! is lost, duplicated, reordered or delayed is harmless.
 
 use crate::change::{Commit, Revision};
 use crate::chunk::ChunkNumber;
@@ -8,31 +10,35 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A commit with the digest of the state after it, as the voter that applied it first computed it. Peers pass it on
-/// unchanged.
+/// A commit as servers send it to each other: with the digest of the state after it, computed by the server that applied it
+/// first. Peers forward it unchanged.
+///
+/// The receiver checks both fields before the commit takes effect: the checksum when the record is received, the digest when
+/// the commit is applied.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CommitRecord {
-    /// The commit.
+    /// The commit; its revision is the one after the state that it applies to.
     pub commit: Arc<Commit>,
-    /// The digest of the state after it.
+    /// The digest of the state after the commit.
     pub digest: Digest,
-    /// Of the whole commit: the digest of the state says nothing of its author and reason.
+    /// The first 8 bytes of the BLAKE3 hash of the encoded commit, little-endian. It covers author, reason and time, which the
+    /// digest of the state does not.
     pub checksum: u64,
 }
 
 impl CommitRecord {
-    /// Of a commit that was applied here.
+    /// The record of a commit that was applied here; `digest` is that of the state after it.
     pub fn new(commit: Arc<Commit>, digest: Digest) -> Self {
         let checksum = checksum(&commit);
         Self { commit, digest, checksum }
     }
 
-    /// Whether the commit is as it was when the checksum was made.
+    /// Whether the commit matches its checksum.
     pub fn is_intact(&self) -> bool {
         self.checksum == checksum(&self.commit)
     }
 
-    /// The state after the commit.
+    /// Revision and digest of the state after the commit.
     pub fn version(&self) -> Version {
         Version { revision: self.commit.revision, digest: self.digest }
     }
@@ -40,59 +46,60 @@
 
 fn checksum(commit: &Commit) -> u64 {
     let bytes = postcard::to_stdvec(commit).unwrap_or_default();
-    let mut short = [0; 8];
-    short.copy_from_slice(&blake3::hash(&bytes).as_bytes()[..8]);
-    u64::from_le_bytes(short)
+    let mut prefix = [0; 8];
+    prefix.copy_from_slice(&blake3::hash(&bytes).as_bytes()[..8]);
+    u64::from_le_bytes(prefix)
 }
 
-/// A message.
+/// A message between two servers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// The state that the sender is in.
     Advert(Version),
-    /// Fresh commits, to be passed on.
+    /// New commits, to be applied and forwarded.
     Push(Vec<CommitRecord>),
-    /// Asks for the commits after the sender's state.
+    /// Requests the commits after the sender's state. Replies: [`Message::Commits`], [`Message::Compacted`],
+    /// [`Message::Busy`], or [`Message::Advert`] if the receiver is not ahead.
     Fetch(Version),
-    /// Commits that were asked for; the last message of the answer says so.
+    /// Requested commits; one reply may take several messages.
     Commits {
         /// In the order of their revisions.
         records: Vec<CommitRecord>,
-        /// Whether the answer ends here.
+        /// Whether this is the last message of the reply.
         last: bool,
     },
-    /// The commits that were asked for are compacted: a snapshot is needed.
+    /// The requested commits are no longer retained: the receiver needs a snapshot.
     Compacted,
-    /// Not now: the bytes of this second are spent.
+    /// The request is rejected because the sender's bytes per second are used up.
     Busy,
-    /// Asks for the parts of the receiver's state, if its revision is this one at the least.
+    /// Requests the manifest of the receiver's state, if that is at this revision or a later one.
     FetchManifest(Revision),
-    /// The parts of the sender's state.
+    /// The manifest of the sender's state.
     Manifest(Manifest),
-    /// Asks for the digest of the state at a revision.
+    /// Requests the digest of the state at a revision.
     FetchVersion(Revision),
-    /// The state at the revision that was asked for; none if the sender doesn't know it.
+    /// The requested digest of the state at a revision; `None` if the sender does not know it.
     Version(Revision, Option<Digest>),
-    /// Asks for a chunk with this content.
+    /// Requests a chunk with this digest.
     FetchChunk(ChunkDigest),
-    /// A chunk.
+    /// A requested chunk.
     Chunk {
-        /// Which one.
+        /// Which chunk.
         number: ChunkNumber,
         /// Its encoding.
         bytes: Vec<u8>,
     },
-    /// The chunk has another content at the sender.
+    /// The sender has no chunk with the requested digest.
     NoChunk(ChunkNumber),
 }
 
 impl Message {
-    /// As bytes.
+    /// The encoding as postcard.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// From bytes; none if they are no message.
+    /// Reads a message; `None` if the bytes are not one.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
--- a/crates/config/src/dissemination/outbox.rs
+++ b/crates/config/src/dissemination/outbox.rs
@@ -1,4 +1,4 @@
-//! What is to be sent and done, within the bounds on bytes a second.
+//! The effects of a step, and the bounds on bytes sent and requested per second.
 
 use super::budget::Budget;
 use super::messages::Message;
@@ -8,81 +8,84 @@
 use gradepin_admission::Time;
 use std::sync::Arc;
 
-/// Seconds' worth of bytes that a burst may take.
-const BURST_S: f64 = 4.0;
-/// The part of the bytes that is left for adverts and requests when commits are sent.
-const RESERVE: f64 = 0.25;
+/// A burst may take the bytes of so many seconds.
+const BURST_SECONDS: f64 = 4.0;
+/// The fraction of the message budget that commits leave for adverts and requests.
+const CONTROL_RESERVE: f64 = 0.25;
 
-/// What is to be done by the host.
+/// What the host of the state machine must do, in the order given.
+///
+/// `Apply` and `Install` report what is in force already inside the state machine: the host can't reject them, and applies
+/// each exactly once.
 #[derive(Debug, Clone)]
 pub enum DisseminationEffect {
-    /// Send a message to a server, over the cluster's datagrams.
+    /// Send a message to a server over the cluster's datagrams. It may be lost.
     Send {
-        /// The server.
+        /// The name of the receiver.
         to: Name,
-        /// The message.
+        /// The encoded [`Message`].
         bytes: Vec<u8>,
     },
-    /// A commit is in force: the one after what was in force before.
+    /// Apply a commit; it follows the state of the effect before.
     Apply(Arc<Commit>),
-    /// A whole state is in force; its revision is not below the one before.
+    /// Replace the state by a snapshot, whose revision is not below the one before.
     Install(Snapshot),
-    /// Write this to the log.
+    /// Write a line to the log.
     Note {
-        /// Whether an operator should look at it.
+        /// Whether it is a warning, for an operator to look at.
         bad: bool,
-        /// What happened.
+        /// The text of the line.
         text: String,
     },
 }
 
-/// Whose bytes a message takes.
+/// The kind of a message, by which its bytes are charged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Traffic {
-    /// Adverts, requests and refusals.
-    Small,
+    /// Adverts, requests and rejections.
+    Control,
     /// Commits.
     Commits,
-    /// Parts of snapshots.
+    /// Manifests and chunks.
     Snapshot,
 }
 
-/// Bytes sent since the start, as they go over the wire.
+/// Bytes sent since the start, with the overhead of datagrams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Sent {
-    /// Adverts, requests and refusals.
+    /// Bytes of adverts, requests and rejections.
     pub small: u64,
-    /// Commits.
+    /// Bytes of commits.
     pub commits: u64,
-    /// Parts of snapshots.
+    /// Bytes of manifests and chunks.
     pub snapshots: u64,
-    /// Messages that were not sent for the bound.
+    /// Messages, not bytes, that were dropped because their budget was used up.
     pub withheld: u64,
 }
 
-/// Effects that wait for the host, and the budgets.
+/// The effects that the host has not taken yet, and the budgets. A step drains it, and each input adds few effects.
 #[derive(Debug)]
 pub struct Outbox {
     effects: Vec<DisseminationEffect>,
-    messages: Budget,
-    snapshots: Budget,
-    requests: Budget,
+    message_budget: Budget,
+    snapshot_budget: Budget,
+    request_budget: Budget,
     sent: Sent,
 }
 
 impl Outbox {
-    /// Empty.
+    /// No effects, and full budgets.
     pub fn new(settings: &DisseminationSettings, now: Time) -> Self {
         Self {
             effects: Vec::new(),
-            messages: Budget::new(settings.send_bytes_s, BURST_S, now),
-            snapshots: Budget::new(settings.snapshot_bytes_s, BURST_S, now),
-            requests: Budget::new(settings.request_bytes_s, BURST_S, now),
+            message_budget: Budget::new(settings.send_bytes_s, BURST_SECONDS, now),
+            snapshot_budget: Budget::new(settings.snapshot_bytes_s, BURST_SECONDS, now),
+            request_budget: Budget::new(settings.request_bytes_s, BURST_SECONDS, now),
             sent: Sent::default(),
         }
     }
 
-    /// Sends a message if its bytes may go now.
+    /// Sends a message if its budget allows it; false where it was dropped.
     pub fn send(
         &mut self,
         now: Time,
@@ -92,52 +95,52 @@
         traffic: Traffic,
     ) -> bool {
         let bytes = message.encode();
-        let wire = settings.wire_bytes(bytes.len());
+        let wire_bytes = settings.wire_bytes(bytes.len());
         let (budget, reserve, counter) = match traffic {
-            Traffic::Small => (&mut self.messages, 0.0, &mut self.sent.small),
-            Traffic::Commits => (&mut self.messages, RESERVE, &mut self.sent.commits),
-            Traffic::Snapshot => (&mut self.snapshots, 0.0, &mut self.sent.snapshots),
+            Traffic::Control => (&mut self.message_budget, 0.0, &mut self.sent.small),
+            Traffic::Commits => (&mut self.message_budget, CONTROL_RESERVE, &mut self.sent.commits),
+            Traffic::Snapshot => (&mut self.snapshot_budget, 0.0, &mut self.sent.snapshots),
         };
-        if !budget.take(now, wire, reserve) {
+        if !budget.take(now, wire_bytes, reserve) {
             self.sent.withheld += 1;
             return false;
         }
-        *counter += wire as u64;
+        *counter += wire_bytes as u64;
         self.effects.push(DisseminationEffect::Send { to: to.clone(), bytes });
         true
     }
 
-    /// Whether so many bytes may be asked of others now.
-    pub fn may_request(&mut self, now: Time, bytes: usize) -> bool {
-        self.requests.take(now, bytes, 0.0)
+    /// Takes the expected bytes of a response from the request budget; false where it is used up.
+    pub fn take_request_bytes(&mut self, now: Time, bytes: usize) -> bool {
+        self.request_budget.take(now, bytes, 0.0)
     }
 
-    /// Bytes that were asked for and that don't come.
-    pub fn request_unspent(&mut self, bytes: usize) {
-        self.requests.give_back(bytes);
+    /// Gives back bytes of the request budget by which responses were shorter than expected.
+    pub fn give_back_request_bytes(&mut self, bytes: usize) {
+        self.request_budget.give_back(bytes);
     }
 
-    /// Something for the host.
+    /// Adds an effect.
     pub fn push(&mut self, effect: DisseminationEffect) {
         self.effects.push(effect);
     }
 
-    /// Something for the log.
-    pub fn note(&mut self, bad: bool, text: String) {
-        self.effects.push(DisseminationEffect::Note { bad, text });
+    /// Adds a warning for the log.
+    pub fn warn(&mut self, text: String) {
+        self.effects.push(DisseminationEffect::Note { bad: true, text });
     }
 
-    /// Hands over what waits.
+    /// Moves all effects to `effects`.
     pub fn drain(&mut self, effects: &mut Vec<DisseminationEffect>) {
         effects.append(&mut self.effects);
     }
 
-    /// Whether something waits.
+    /// Whether there are no effects.
     pub fn is_empty(&self) -> bool {
         self.effects.is_empty()
     }
 
-    /// Bytes sent.
+    /// Bytes sent so far.
     pub fn sent(&self) -> Sent {
         self.sent
     }
--- a/crates/config/src/dissemination/peers.rs
+++ b/crates/config/src/dissemination/peers.rs
@@ -1,4 +1,7 @@
-//! Who is up, by zone and region, and which of them are talked to.
+//! The servers that are up, by zone and region, and the selection of peers among them.
+//!
+//! Invariant: a server that is up is in exactly one zone list, in at most one of the lists of the region and of other regions,
+//! and in the voter list if it votes. All lists are sorted by name, so that every server divides the zones alike.
 
 use super::settings::{DisseminationSettings, Selection};
 use crate::change::Name;
@@ -7,166 +10,180 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Relays of each zone in [`Selection::Relays`]: one may be down.
-const RELAYS: usize = 2;
+/// Relays of each zone in [`Selection::Relays`], so that one may be down.
+const RELAYS_PER_ZONE: usize = 2;
+/// Draws per wanted peer, after which fewer peers than wanted are accepted.
+const MAX_DRAWS_PER_PEER: usize = 4;
+/// Peers of the zone that a snapshot is fetched from.
+const SNAPSHOT_ZONE_PEERS: usize = 3;
+/// Peers of other zones of the region that a snapshot is fetched from.
+const SNAPSHOT_REGION_PEERS: usize = 2;
+/// Peers of other regions that a snapshot is fetched from.
+const SNAPSHOT_FAR_PEERS: usize = 1;
+/// Voters that a snapshot is fetched from.
+const SNAPSHOT_VOTERS: usize = 2;
 
-/// A server.
+/// A server of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Its name.
+    /// The name, unique in the fleet.
     pub name: Name,
-    /// Servers that may fail together.
+    /// The zone: servers that may fail together.
     pub zone: Name,
-    /// Zones that are near each other.
+    /// The region: zones that are near each other.
     pub region: Name,
-    /// Whether it is of the consensus group.
+    /// Whether the server is a member of the consensus group.
     pub voter: bool,
 }
 
-/// How far away a server is.
+/// How far away a server is, nearest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
-    /// In the own zone.
+    /// In the same zone.
     Zone,
-    /// In another zone of the own region.
+    /// In another zone of the same region.
     Region,
     /// In another region.
     Far,
 }
 
-/// The servers that are believed to be up, without the own one.
+/// The servers that the cluster membership reports as up, without this one.
 #[derive(Debug)]
 pub struct Peers {
     own: Member,
-    known: BTreeMap<Name, Arc<Member>>,
-    /// Names in order, by zone; the own server is in its zone.
+    members: BTreeMap<Name, Arc<Member>>,
+    /// Names by zone, with this server in its zone.
     zones: BTreeMap<Name, Vec<Name>>,
+    /// Servers of other zones of this region.
     region: Vec<Name>,
+    /// Servers of other regions.
     far: Vec<Name>,
-    /// The own server among them, if it is one.
+    /// All voters, with this server if it votes.
     voters: Vec<Name>,
 }
 
-fn insert(list: &mut Vec<Name>, name: &Name) {
-    if let Err(place) = list.binary_search(name) {
-        list.insert(place, name.clone());
+fn insert_sorted(list: &mut Vec<Name>, name: &Name) {
+    if let Err(index) = list.binary_search(name) {
+        list.insert(index, name.clone());
     }
 }
 
-fn remove(list: &mut Vec<Name>, name: &str) {
-    if let Ok(place) = list.binary_search_by(|other| other.as_ref().cmp(name)) {
-        list.remove(place);
+fn remove_sorted(list: &mut Vec<Name>, name: &str) {
+    if let Ok(index) = list.binary_search_by(|other| other.as_ref().cmp(name)) {
+        list.remove(index);
     }
 }
 
-/// A number below `count`.
-pub fn below(rng: &mut Pcg64Mcg, count: usize) -> usize {
+/// A random number below `count`; 0 where `count` is 0, which draws from `rng` too.
+pub fn random_below(rng: &mut Pcg64Mcg, count: usize) -> usize {
     (rng.next_u64() % count.max(1) as u64) as usize
 }
 
 impl Peers {
-    /// The own server alone.
+    /// Only this server is known.
     pub fn new(own: Member) -> Self {
         let zones = BTreeMap::from([(own.zone.clone(), vec![own.name.clone()])]);
         let voters = if own.voter { vec![own.name.clone()] } else { Vec::new() };
-        Self { own, known: BTreeMap::new(), zones, region: Vec::new(), far: Vec::new(), voters }
+        Self { own, members: BTreeMap::new(), zones, region: Vec::new(), far: Vec::new(), voters }
     }
 
-    /// The own server.
+    /// This server.
     pub fn own(&self) -> &Member {
         &self.own
     }
 
-    /// Others that are up.
+    /// How many other servers are up.
     pub fn count(&self) -> usize {
-        self.known.len()
+        self.members.len()
     }
 
-    /// A server is up.
-    pub fn up(&mut self, member: Arc<Member>) {
-        if member.name == self.own.name || self.known.get(&member.name) == Some(&member) {
+    /// Adds a server that is up, or one whose zone, region or vote changed.
+    pub fn add(&mut self, member: Arc<Member>) {
+        if member.name == self.own.name || self.members.get(&member.name) == Some(&member) {
             return;
         }
-        self.down(&member.name);
-        insert(self.zones.entry(member.zone.clone()).or_default(), &member.name);
+        self.remove(&member.name);
+        insert_sorted(self.zones.entry(member.zone.clone()).or_default(), &member.name);
         if member.region != self.own.region {
-            insert(&mut self.far, &member.name);
+            insert_sorted(&mut self.far, &member.name);
         } else if member.zone != self.own.zone {
-            insert(&mut self.region, &member.name);
+            insert_sorted(&mut self.region, &member.name);
         }
         if member.voter {
-            insert(&mut self.voters, &member.name);
+            insert_sorted(&mut self.voters, &member.name);
         }
-        self.known.insert(member.name.clone(), member);
+        self.members.insert(member.name.clone(), member);
     }
 
-    /// A server is down.
-    pub fn down(&mut self, name: &str) {
-        let Some(member) = self.known.remove(name) else { return };
+    /// Removes a server that is down.
+    pub fn remove(&mut self, name: &str) {
+        let Some(member) = self.members.remove(name) else { return };
         if let Some(zone) = self.zones.get_mut(&member.zone) {
-            remove(zone, name);
+            remove_sorted(zone, name);
             if zone.is_empty() {
                 self.zones.remove(&member.zone);
             }
         }
-        [&mut self.region, &mut self.far, &mut self.voters].into_iter().for_each(|list| remove(list, name));
+        [&mut self.region, &mut self.far, &mut self.voters]
+            .into_iter()
+            .for_each(|list| remove_sorted(list, name));
     }
 
-    /// How far away a server is; one that isn't known counts as far.
+    /// How far away a server is; an unknown one counts as far.
     pub fn distance(&self, name: &str) -> Distance {
-        match self.known.get(name) {
+        match self.members.get(name) {
             Some(member) if member.zone == self.own.zone => Distance::Zone,
             Some(member) if member.region == self.own.region => Distance::Region,
             _ => Distance::Far,
         }
     }
 
-    /// Whether a server is of the consensus group.
+    /// Whether a server is a member of the consensus group.
     pub fn is_voter(&self, name: &str) -> bool {
         self.voters.binary_search_by(|voter| voter.as_ref().cmp(name)).is_ok()
     }
 
-    fn zone_of(&self, zone: &str) -> &[Name] {
+    fn zone_members(&self, zone: &str) -> &[Name] {
         self.zones.get(zone).map_or(&[], Vec::as_slice)
     }
 
     fn relays(&self, zone: &str) -> &[Name] {
-        let all = self.zone_of(zone);
-        &all[..all.len().min(RELAYS)]
+        let members = self.zone_members(zone);
+        &members[..members.len().min(RELAYS_PER_ZONE)]
     }
 
-    /// Whether the own server is a relay of its zone.
+    /// Whether this server is a relay of its zone.
     fn is_relay(&self) -> bool {
         self.relays(&self.own.zone).contains(&self.own.name)
     }
 
-    /// Adds up to `count` of a list, drawn at random, that are not chosen yet and not the own server.
+    /// Adds up to `count` random names of `list` to `chosen`, without this server and without duplicates.
     fn draw(&self, rng: &mut Pcg64Mcg, list: &[Name], count: usize, chosen: &mut Vec<Name>) {
-        let all = list.iter().filter(|name| **name != self.own.name).count();
-        let want = chosen.len() + count.min(all);
-        // A few tries are enough where few of many are drawn.
-        for _ in 0..4 * count {
-            if chosen.len() >= want {
+        let candidates = list.iter().filter(|name| **name != self.own.name).count();
+        let wanted = chosen.len() + count.min(candidates);
+        // Few of many are drawn, so few draws repeat a name.
+        for _ in 0..MAX_DRAWS_PER_PEER * count {
+            if chosen.len() >= wanted {
                 return;
             }
-            let name = &list[below(rng, list.len())];
+            let name = &list[random_below(rng, list.len())];
             if *name != self.own.name && !chosen.contains(name) {
                 chosen.push(name.clone());
             }
         }
     }
 
-    /// Whom the revision is told to now.
+    /// The peers that the next advert goes to.
     pub fn advert_targets(&self, settings: &DisseminationSettings, rng: &mut Pcg64Mcg) -> Vec<Name> {
         let mut chosen = Vec::new();
         match settings.selection {
             Selection::Epidemic => {
-                self.draw(rng, self.zone_of(&self.own.zone), 1, &mut chosen);
-                let alone = chosen.is_empty();
-                if alone || below(rng, settings.region_part as usize) == 0 {
+                self.draw(rng, self.zone_members(&self.own.zone), 1, &mut chosen);
+                let is_alone_in_zone = chosen.is_empty();
+                if is_alone_in_zone || random_below(rng, settings.region_part as usize) == 0 {
                     self.draw(rng, &self.region, 1, &mut chosen);
                 }
-                if chosen.is_empty() || below(rng, settings.far_part as usize) == 0 {
+                if chosen.is_empty() || random_below(rng, settings.far_part as usize) == 0 {
                     self.draw(rng, &self.far, 1, &mut chosen);
                 }
             }
@@ -177,69 +194,70 @@
         chosen
     }
 
-    /// Whom fresh commits are pushed to; `origin` where the own server, a voter, learned them from the consensus group.
+    /// The peers that new commits are pushed to, in random order. `is_origin` where this server is a voter, which receives commits
+    /// from the consensus group; only such a server pushes to other zones.
     pub fn push_targets(
         &self,
         settings: &DisseminationSettings,
-        origin: bool,
+        is_origin: bool,
         rng: &mut Pcg64Mcg,
     ) -> Vec<Name> {
         let mut chosen = Vec::new();
         if settings.selection == Selection::Voters {
             return chosen;
         }
-        let relays = settings.selection == Selection::Relays;
-        if origin {
+        let uses_relays = settings.selection == Selection::Relays;
+        if is_origin {
             let rank = self.voters.iter().position(|voter| *voter == self.own.name).unwrap_or(0);
             let others = self.zones.iter().enumerate().filter(|(_, (zone, _))| **zone != self.own.zone);
-            for (_, (zone, names)) in others.filter(|(place, _)| place % self.voters.len().max(1) == rank) {
-                let list = if relays { self.relays(zone) } else { names };
+            for (_, (zone, names)) in others.filter(|(index, _)| index % self.voters.len().max(1) == rank) {
+                let list = if uses_relays { self.relays(zone) } else { names };
                 self.draw(rng, list, settings.push_entry, &mut chosen);
             }
         }
-        let zone = self.zone_of(&self.own.zone);
-        match relays {
+        let zone = self.zone_members(&self.own.zone);
+        match uses_relays {
             false => self.draw(rng, zone, settings.push_zone, &mut chosen),
             true if self.is_relay() => {
                 chosen.extend(zone.iter().filter(|name| **name != self.own.name).cloned());
             }
-            true if origin => self.draw(rng, self.relays(&self.own.zone), RELAYS, &mut chosen),
+            true if is_origin => self.draw(rng, self.relays(&self.own.zone), RELAYS_PER_ZONE, &mut chosen),
             true => {}
         }
-        // The bytes of a second may be spent before the end: at random, so that no zone comes last each time.
+        // The byte budget may be used up before the last peer: random order keeps the same zone from being last each time.
         for last in (1..chosen.len()).rev() {
-            chosen.swap(last, below(rng, last + 1));
+            chosen.swap(last, random_below(rng, last + 1));
         }
         chosen
     }
 
-    /// Peers of the own zone, at random.
+    /// Up to `count` random peers of the same zone.
     pub fn zone_peers(&self, rng: &mut Pcg64Mcg, count: usize) -> Vec<Name> {
         let mut chosen = Vec::new();
-        self.draw(rng, self.zone_of(&self.own.zone), count, &mut chosen);
+        self.draw(rng, self.zone_members(&self.own.zone), count, &mut chosen);
         chosen
     }
 
-    /// Peers of which a snapshot may be had, nearest first: some of the zone, of the region, and a voter.
+    /// Random peers to fetch a snapshot from, nearest first: some of the zone, of the region, of other regions, and voters.
     pub fn snapshot_peers(&self, settings: &DisseminationSettings, rng: &mut Pcg64Mcg) -> Vec<Name> {
         let mut chosen = Vec::new();
         if settings.selection != Selection::Voters {
-            self.draw(rng, self.zone_of(&self.own.zone), 3, &mut chosen);
-            self.draw(rng, &self.region, 2, &mut chosen);
-            self.draw(rng, &self.far, 1, &mut chosen);
+            self.draw(rng, self.zone_members(&self.own.zone), SNAPSHOT_ZONE_PEERS, &mut chosen);
+            self.draw(rng, &self.region, SNAPSHOT_REGION_PEERS, &mut chosen);
+            self.draw(rng, &self.far, SNAPSHOT_FAR_PEERS, &mut chosen);
         }
-        self.draw(rng, &self.voters, 2, &mut chosen);
+        self.draw(rng, &self.voters, SNAPSHOT_VOTERS, &mut chosen);
         chosen
     }
 
-    /// Whether commits may be fetched from a server.
+    /// Whether the selection allows fetching commits from a server.
     pub fn may_fetch(&self, settings: &DisseminationSettings, name: &str) -> bool {
         match settings.selection {
             Selection::Epidemic => true,
             Selection::Voters => self.is_voter(name),
             Selection::Relays => {
-                let near = self.relays(&self.own.zone).iter().any(|relay| relay.as_ref() == name);
-                near || self.is_voter(name)
+                let is_relay_of_zone = self.relays(&self.own.zone).iter().any(|relay| relay.as_ref() == name);
+                is_relay_of_zone || self.is_voter(name)
             }
         }
     }
--- a/crates/config/src/dissemination/settings.rs
+++ b/crates/config/src/dissemination/settings.rs
@@ -1,14 +1,14 @@
-//! What an operator may set of dissemination.
+//! Settings of dissemination. Times are in nanoseconds, as [`Span`] is.
 
 use crate::log::LogLimits;
 use gradepin_admission::Span;
 
 const MS: u64 = 1_000_000;
 
-/// Which peers a server adverts to, pushes to and fetches from.
+/// How a server selects the peers that it sends adverts and commits to and fetches from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Selection {
-    /// Push to a few, adverts to random peers, zone first (Demers et al., "Epidemic algorithms for replicated database
+    /// Pushes to a few random peers and adverts to random peers, zone first (Demers et al., "Epidemic algorithms for replicated database
     /// maintenance", PODC 1987).
     #[default]
     Epidemic,
@@ -18,42 +18,42 @@
     Voters,
 }
 
-/// Settings of one server.
+/// Dissemination settings of one server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DisseminationSettings {
-    /// Which peers are talked to.
+    /// How peers are selected.
     pub selection: Selection,
-    /// Between adverts.
+    /// Interval between adverts; each is 10% shorter or longer at random.
     pub advert_every: Span,
-    /// Commits that come within this long are pushed together.
+    /// How long a commit waits for others to be pushed in the same datagrams.
     pub push_every: Span,
-    /// Peers of the own zone that a fresh commit is pushed to.
+    /// Peers of the same zone that a new commit is pushed to.
     pub push_zone: usize,
-    /// Peers of each other zone that a voter pushes to; voters share the zones between them.
+    /// Peers of each other zone that a voter pushes to. The zones are divided among the voters.
     pub push_entry: usize,
-    /// One advert of so many goes to another zone of the region also.
+    /// One in this many adverts goes to another zone of the region too.
     pub region_part: u32,
-    /// One advert of so many goes to another region also.
+    /// One in this many adverts goes to another region too.
     pub far_part: u32,
-    /// An answer to a request is awaited for so long.
+    /// How long a response to a request is awaited.
     pub request_timeout: Span,
-    /// The longest pause after refusals.
+    /// The longest backoff after rejected requests.
     pub most_backoff: Span,
-    /// A bad source is left out for so long at first; doubled each time.
+    /// How long a source of bad data is left out the first time; doubled each further time.
     pub quarantine: Span,
-    /// Commits kept for peers.
+    /// Commits retained for peers.
     pub kept: LogLimits,
-    /// Bytes a second sent, snapshots aside; a burst is four seconds' worth.
+    /// Bytes sent per second, without snapshots. A burst takes four seconds' worth at most.
     pub send_bytes_s: f64,
-    /// Bytes a second of snapshots served.
+    /// Bytes of snapshots sent per second.
     pub snapshot_bytes_s: f64,
-    /// Bytes a second that are asked of others.
+    /// Bytes requested of peers per second.
     pub request_bytes_s: f64,
-    /// What each datagram costs beside its content, in bytes.
+    /// Overhead of each datagram, in bytes.
     pub envelope_bytes: usize,
-    /// What fits into one datagram; longer messages take several.
+    /// Payload of one datagram, in bytes; longer messages take several.
     pub piece_bytes: usize,
-    /// Without the checks of digests and of order: the control of the model, which must break there.
+    /// Turns off the checks of digests and of order. For a control run of the model only, whose invariants must fail then.
     pub plain: bool,
 }
 
@@ -82,9 +82,9 @@
 }
 
 impl DisseminationSettings {
-    /// What a message of this length takes on the wire.
-    pub fn wire_bytes(&self, length: usize) -> usize {
-        let pieces = length.div_ceil(self.piece_bytes).max(1);
-        length + pieces * self.envelope_bytes
+    /// Bytes on the wire of a message of this length, with the overhead of its datagrams.
+    pub fn wire_bytes(&self, message_bytes: usize) -> usize {
+        let datagrams = message_bytes.div_ceil(self.piece_bytes).max(1);
+        message_bytes + datagrams * self.envelope_bytes
     }
 }
--- /dev/null
+++ b/crates/config/src/dissemination/transfer/download.rs
@@ -0,0 +1,258 @@
+//! The chunks of a confirmed manifest, downloaded from several peers at a time.
+
+use super::{Request, TransferContext};
+use crate::change::Name;
+use crate::chunk::ChunkNumber;
+use crate::configuration::Configuration;
+use crate::digest::Digest;
+use crate::dissemination::cooldown::Cooldowns;
+use crate::dissemination::in_flight::InFlight;
+use crate::dissemination::messages::Message;
+use crate::dissemination::peer_view::PeerView;
+use crate::dissemination::settings::Selection;
+use crate::snapshot::{Assembly, ChunkDigest};
+use gradepin_admission::{Span, Time, time_after};
+use rand_pcg::Pcg64Mcg;
+use std::collections::{BTreeMap, BTreeSet};
+
+const MS: u64 = 1_000_000;
+/// Peers that chunks are downloaded from at a time.
+const MAX_SOURCES: usize = 6;
+/// Chunks in flight per source. The cluster bounds the partly received messages of one sender, so large chunks come few at a
+/// time.
+const MIN_WINDOW_CHUNKS: usize = 2;
+/// More chunks are in flight where they are small, so that the loss of one delays few bytes.
+const WINDOW_BYTES: usize = MIN_WINDOW_CHUNKS * EXPECTED_CHUNK_BYTES;
+/// Chunks in flight per source where chunks are small.
+const MAX_WINDOW_CHUNKS: usize = 32;
+/// Requests in a row that may time out before a source cools down.
+const MAX_FAILURES: u32 = 3;
+/// Without a new chunk for so long another manifest is fetched.
+const MAX_STALL: Span = Span(3_000 * MS);
+/// Interval between searches for more sources, and the cooldown of a source that failed.
+const REFILL_INTERVAL: Span = Span(500 * MS);
+/// Bytes that a chunk is charged in the request budget before it is received: the mean of a full table.
+const EXPECTED_CHUNK_BYTES: usize = 6_500;
+
+#[derive(Debug)]
+struct Source {
+    name: Name,
+    /// Requests that timed out since the last valid chunk.
+    failures: u32,
+}
+
+/// What a received chunk amounts to.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct ReceivedChunk {
+    /// Bytes that were charged for it and not used.
+    pub(super) unused_request_bytes: usize,
+    /// Whether a requested chunk failed its check.
+    pub(super) is_source_bad: bool,
+}
+
+/// The download of one snapshot.
+#[derive(Debug)]
+pub(super) struct Download {
+    assembly: Assembly,
+    sources: Vec<Source>,
+    in_flight: BTreeMap<ChunkNumber, InFlight>,
+    /// Chunks that a source does not have.
+    absent: BTreeSet<(Name, ChunkNumber)>,
+    /// Sources that failed. As many as there are servers at most.
+    cooldowns: Cooldowns,
+    /// The peer that served the manifest. Once it lacks a chunk of it, the manifest is outdated.
+    manifest_source: Name,
+    is_outdated: bool,
+    next_refill_at: Time,
+    progress_at: Time,
+    /// A moving average of the length of received chunks.
+    mean_chunk_bytes: usize,
+}
+
+impl Download {
+    /// Nothing requested yet; `manifest_source` served the manifest, and `confirmed_by` confirmed it.
+    pub(super) fn new(
+        now: Time,
+        assembly: Assembly,
+        manifest_source: Name,
+        confirmed_by: BTreeSet<Name>,
+    ) -> Self {
+        let names = std::iter::once(manifest_source.clone()).chain(confirmed_by);
+        let source = |name| Source { name, failures: 0 };
+        Self {
+            assembly,
+            sources: names.take(MAX_SOURCES).map(source).collect(),
+            in_flight: BTreeMap::new(),
+            absent: BTreeSet::new(),
+            cooldowns: Cooldowns::default(),
+            manifest_source,
+            is_outdated: false,
+            next_refill_at: now,
+            progress_at: now,
+            mean_chunk_bytes: EXPECTED_CHUNK_BYTES,
+        }
+    }
+
+    /// Whether all chunks were received.
+    pub(super) fn is_complete(&self) -> bool {
+        self.assembly.missing_count() == 0
+    }
+
+    /// The chunks received so far.
+    pub(super) fn into_assembly(self) -> Assembly {
+        self.assembly
+    }
+
+    /// Reuses the chunks of a state that are the same.
+    pub(super) fn adopt_chunks_of(&mut self, state: &Configuration) {
+        self.assembly.adopt(state);
+    }
+
+    /// Whether the download makes no progress, or the manifest is outdated.
+    pub(super) fn needs_other_manifest(&self, now: Time) -> bool {
+        now >= time_after(self.progress_at, MAX_STALL) || self.is_outdated
+    }
+
+    /// Checks a chunk and adds it; drops the source of a requested chunk that fails the check.
+    pub(super) fn receive_chunk(
+        &mut self,
+        now: Time,
+        from: &Name,
+        number: ChunkNumber,
+        bytes: &[u8],
+    ) -> ReceivedChunk {
+        let mut received = ReceivedChunk { unused_request_bytes: 0, is_source_bad: false };
+        let is_requested = self.remove_in_flight(from, number);
+        if is_requested {
+            received.unused_request_bytes = EXPECTED_CHUNK_BYTES.saturating_sub(bytes.len());
+            self.mean_chunk_bytes = (self.mean_chunk_bytes * 3 + bytes.len()) / 4;
+        }
+        match self.assembly.add(number, bytes) {
+            Ok(()) => {
+                self.progress_at = now;
+                if let Some(source) = self.sources.iter_mut().find(|source| source.name == *from) {
+                    source.failures = 0;
+                }
+            }
+            // A delayed response to a request for an older manifest may have another content; a requested one may not.
+            Err(_) if is_requested => {
+                self.drop_source(from);
+                received.is_source_bad = true;
+            }
+            Err(_) => {}
+        }
+        received
+    }
+
+    /// Records that a source lacks a chunk. Returns the bytes that were charged for it.
+    pub(super) fn receive_no_chunk(&mut self, from: &Name, number: ChunkNumber) -> usize {
+        let is_requested = self.remove_in_flight(from, number);
+        self.absent.insert((from.clone(), number));
+        self.is_outdated |= self.manifest_source == *from;
+        if is_requested { EXPECTED_CHUNK_BYTES } else { 0 }
+    }
+
+    fn remove_in_flight(&mut self, from: &Name, number: ChunkNumber) -> bool {
+        let is_requested = self.in_flight.get(&number).is_some_and(|request| request.is_to(from));
+        if is_requested {
+            self.in_flight.remove(&number);
+        }
+        is_requested
+    }
+
+    /// Drops a source and the requests to it.
+    pub(super) fn drop_source(&mut self, name: &str) {
+        self.sources.retain(|source| source.name.as_ref() != name);
+        self.in_flight.retain(|_, request| !request.is_to(name));
+    }
+
+    /// Drops a source for a while.
+    pub(super) fn cool_down_source(&mut self, now: Time, name: &Name) {
+        self.drop_source(name);
+        self.cooldowns.add(now, name.clone(), time_after(now, REFILL_INTERVAL), usize::MAX);
+    }
+
+    fn fail_expired_requests(&mut self, now: Time) {
+        let expired = self.in_flight.iter().filter(|(_, request)| request.has_expired(now));
+        let expired: Vec<ChunkNumber> = expired.map(|(number, _)| *number).collect();
+        for number in expired {
+            let Some(request) = self.in_flight.remove(&number) else { continue };
+            let source = self.sources.iter_mut().find(|source| request.is_to(&source.name));
+            let Some(source) = source else { continue };
+            source.failures += 1;
+            if source.failures >= MAX_FAILURES {
+                self.cool_down_source(now, &request.peer);
+            }
+        }
+    }
+
+    /// Adds sources. The one that served the manifest comes first and is always taken: it retains the chunks of the manifest,
+    /// while others have only those that no commit has changed since.
+    fn refill_sources(&mut self, view: &PeerView<'_>, rng: &mut Pcg64Mcg) {
+        let now = view.now;
+        if now < self.next_refill_at && !self.sources.is_empty() {
+            return;
+        }
+        self.next_refill_at = time_after(now, REFILL_INTERVAL);
+        let others = view.peers.snapshot_peers(view.settings, rng);
+        for name in std::iter::once(self.manifest_source.clone()).chain(others) {
+            let is_source = self.sources.iter().any(|source| source.name == name);
+            let is_excluded = view.is_quarantined(&name) || self.cooldowns.contains(now, &name);
+            let has_capacity = self.sources.len() < MAX_SOURCES || self.manifest_source == name;
+            if has_capacity && !is_source && !is_excluded {
+                self.sources.push(Source { name, failures: 0 });
+            }
+        }
+    }
+
+    /// Chunks that may be in flight to one source.
+    fn window_chunks(&self, selection: Selection) -> usize {
+        let window = WINDOW_BYTES / self.mean_chunk_bytes.max(1);
+        let window = window.clamp(MIN_WINDOW_CHUNKS, MAX_WINDOW_CHUNKS);
+        if selection == Selection::Voters { 2 * window } else { window }
+    }
+
+    /// Fails requests that timed out, and returns requests for missing chunks, each to the source with the fewest in flight.
+    pub(super) fn step(&mut self, context: &mut TransferContext<'_>) -> Vec<Request> {
+        let TransferContext { view, outbox, rng, .. } = context;
+        let now = view.now;
+        self.fail_expired_requests(now);
+        self.refill_sources(view, rng);
+        let deadline = time_after(now, view.settings.request_timeout);
+        let window = self.window_chunks(view.settings.selection);
+        let mut requests = Vec::new();
+        let missing: Vec<ChunkNumber> = self.assembly.missing().collect();
+        for number in missing {
+            if self.in_flight.len() >= window * self.sources.len() {
+                break;
+            }
+            if self.in_flight.contains_key(&number) {
+                continue;
+            }
+            let Some(to) = self.least_loaded_source(number, window) else { continue };
+            let Some(digest) = self.digest_of(number) else { continue };
+            if !outbox.take_request_bytes(now, EXPECTED_CHUNK_BYTES) {
+                break;
+            }
+            let message = Message::FetchChunk(ChunkDigest { number, digest });
+            self.in_flight.insert(number, InFlight { peer: to.clone(), deadline });
+            requests.push(Request { to, message });
+        }
+        requests
+    }
+
+    fn least_loaded_source(&self, number: ChunkNumber, window: usize) -> Option<Name> {
+        let load =
+            |source: &Source| self.in_flight.values().filter(|request| request.is_to(&source.name)).count();
+        let may_serve =
+            |source: &&Source| load(source) < window && !self.absent.contains(&(source.name.clone(), number));
+        let source = self.sources.iter().filter(may_serve).min_by_key(|source| load(source))?;
+        Some(source.name.clone())
+    }
+
+    fn digest_of(&self, number: ChunkNumber) -> Option<Digest> {
+        let chunks = &self.assembly.manifest().chunks;
+        let index = chunks.binary_search_by_key(&number, |chunk| chunk.number).ok()?;
+        Some(chunks[index].digest)
+    }
+}
--- /dev/null
+++ b/crates/config/src/dissemination/transfer/mod.rs
@@ -0,0 +1,292 @@
+//! Fetching a snapshot: first a manifest that other peers confirm, then its chunks from several peers.
+//!
+//! Chunks are named by the digest of their content, so any peer whose state has the same chunk can serve it, and chunks that
+//! were downloaded for one manifest are reused for the next. A chunk that does not match its digest is dropped and its source
+//! is reported in [`Transfer::take_bad_sources`].
+
+mod candidate;
+mod download;
+
+use super::in_flight::InFlight;
+use super::messages::Message;
+use super::outbox::Outbox;
+use super::peer_view::PeerView;
+use super::peers::random_below;
+use crate::change::{Name, Revision};
+use crate::chunk::ChunkNumber;
+use crate::configuration::Configuration;
+use crate::digest::Digest;
+use crate::snapshot::{Assembly, Manifest, Snapshot};
+use candidate::{Candidate, ConfirmedManifest, Verdict};
+use download::Download;
+use gradepin_admission::{Span, Time, time_after};
+use rand_pcg::Pcg64Mcg;
+
+const MS: u64 = 1_000_000;
+/// Interval between the rounds of confirmation, and before another peer is asked for a manifest.
+const CONFIRM_INTERVAL: Span = Span(300 * MS);
+/// Interval between steps while chunks are in flight.
+const DOWNLOAD_STEP_INTERVAL: Span = Span(50 * MS);
+/// Bytes that a manifest is charged in the request budget before it is received.
+const EXPECTED_MANIFEST_BYTES: usize = 20_000;
+
+/// What a step of a transfer reads and writes outside the transfer.
+pub struct TransferContext<'a> {
+    /// The time and the peers.
+    pub view: PeerView<'a>,
+    /// One of the nearest peers that are known to be ahead.
+    pub peer_ahead: Option<Name>,
+    /// The state in force, whose chunks are reused.
+    pub state: &'a Configuration,
+    /// Holds the request budget.
+    pub outbox: &'a mut Outbox,
+    /// The source of all random choices.
+    pub rng: &'a mut Pcg64Mcg,
+}
+
+/// A message that the transfer asks the caller to send.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Request {
+    /// The name of the receiver.
+    pub to: Name,
+    /// The request.
+    pub message: Message,
+}
+
+#[derive(Debug)]
+enum Phase {
+    /// No manifest yet; the request for one, if one was sent.
+    FindingManifest(Option<InFlight>),
+    Confirming(Box<Candidate>),
+    Downloading(Box<Download>),
+}
+
+/// A snapshot that is being fetched.
+#[derive(Debug)]
+pub struct Transfer {
+    min_revision: Revision,
+    phase: Phase,
+    next_step_at: Time,
+    /// Chunks that were downloaded for an earlier manifest.
+    previous: Option<Assembly>,
+    bad_sources: Vec<Name>,
+    unused_request_bytes: usize,
+}
+
+impl Transfer {
+    /// Begins to fetch a snapshot of this revision or a later one.
+    pub fn new(now: Time, min_revision: Revision) -> Self {
+        Self {
+            min_revision,
+            phase: Phase::FindingManifest(None),
+            next_step_at: now,
+            previous: None,
+            bad_sources: Vec::new(),
+            unused_request_bytes: 0,
+        }
+    }
+
+    /// Takes the sources whose data failed a check since the last call.
+    pub fn take_bad_sources(&mut self) -> Vec<Name> {
+        std::mem::take(&mut self.bad_sources)
+    }
+
+    /// Takes the bytes by which the responses since the last call were shorter than charged.
+    pub fn take_unused_request_bytes(&mut self) -> usize {
+        std::mem::take(&mut self.unused_request_bytes)
+    }
+
+    /// The lowest revision that the snapshot may have.
+    pub fn min_revision(&self) -> Revision {
+        self.min_revision
+    }
+
+    /// Looks for another manifest; downloaded chunks are kept for it.
+    fn restart(&mut self, now: Time) {
+        let phase = std::mem::replace(&mut self.phase, Phase::FindingManifest(None));
+        if let Phase::Downloading(download) = phase {
+            self.previous = Some(download.into_assembly());
+        }
+        self.next_step_at = now;
+    }
+
+    /// A manifest was received. Without `needs_confirmation` it is used at once.
+    pub fn receive_manifest(
+        &mut self,
+        now: Time,
+        from: &Name,
+        manifest: Manifest,
+        is_from_voter: bool,
+        needs_confirmation: bool,
+    ) {
+        let Phase::FindingManifest(Some(request)) = &self.phase else { return };
+        if !request.is_to(from) || manifest.revision() < self.min_revision {
+            return;
+        }
+        if manifest.check().is_err() {
+            self.bad_sources.push(from.clone());
+            return self.restart(now);
+        }
+        let candidate = Candidate::new(manifest, from, is_from_voter, now);
+        self.next_step_at = now;
+        if !needs_confirmation {
+            return self.begin_download(now, candidate);
+        }
+        self.phase = Phase::Confirming(Box::new(candidate));
+    }
+
+    /// A peer reported the digest that it knows for a revision, or that it knows none.
+    pub fn receive_version(&mut self, now: Time, from: &Name, revision: Revision, digest: Option<Digest>) {
+        let Phase::Confirming(candidate) = &mut self.phase else { return };
+        match candidate.receive_version(from, revision, digest) {
+            Verdict::Open => {}
+            Verdict::Confirmed => {
+                self.bad_sources.extend(candidate.disagreeing().cloned());
+                self.accept_candidate(now);
+            }
+            Verdict::Contradicted => {
+                self.bad_sources.push(candidate.source().clone());
+                self.bad_sources.extend(candidate.agreeing().cloned());
+                self.restart(now);
+            }
+        }
+    }
+
+    fn accept_candidate(&mut self, now: Time) {
+        let phase = std::mem::replace(&mut self.phase, Phase::FindingManifest(None));
+        if let Phase::Confirming(candidate) = phase {
+            self.begin_download(now, *candidate);
+        }
+    }
+
+    fn begin_download(&mut self, now: Time, candidate: Candidate) {
+        let ConfirmedManifest { manifest, source, confirmed_by } = candidate.into_confirmed();
+        let Ok(mut assembly) = Assembly::new(manifest) else { return self.restart(now) };
+        if let Some(previous) = self.previous.take() {
+            assembly.adopt_from(&previous);
+        }
+        self.phase = Phase::Downloading(Box::new(Download::new(now, assembly, source, confirmed_by)));
+        self.next_step_at = now;
+    }
+
+    /// A chunk was received.
+    pub fn receive_chunk(&mut self, now: Time, from: &Name, number: ChunkNumber, bytes: &[u8]) {
+        let Phase::Downloading(download) = &mut self.phase else { return };
+        let received = download.receive_chunk(now, from, number, bytes);
+        self.unused_request_bytes += received.unused_request_bytes;
+        if received.is_source_bad {
+            self.bad_sources.push(from.clone());
+        }
+        self.next_step_at = now;
+    }
+
+    /// A source has no chunk with the requested digest.
+    pub fn receive_no_chunk(&mut self, now: Time, from: &Name, number: ChunkNumber) {
+        if let Phase::Downloading(download) = &mut self.phase {
+            self.unused_request_bytes += download.receive_no_chunk(from, number);
+            self.next_step_at = now;
+        }
+    }
+
+    /// A peer rejected a request because its byte budget is used up; another peer is asked.
+    pub fn receive_rejection(&mut self, now: Time, from: &Name) {
+        match &mut self.phase {
+            Phase::FindingManifest(Some(request)) if request.is_to(from) => request.deadline = now,
+            Phase::Downloading(download) => download.cool_down_source(now, from),
+            _ => {}
+        }
+        self.next_step_at = now;
+    }
+
+    /// Drops a source that was quarantined.
+    pub fn drop_source(&mut self, now: Time, name: &str) {
+        match &mut self.phase {
+            Phase::FindingManifest(Some(request)) if request.is_to(name) => self.restart(now),
+            Phase::Downloading(download) => download.drop_source(name),
+            _ => {}
+        }
+    }
+
+    /// Does what is due, and returns the requests to send.
+    pub fn step(&mut self, context: &mut TransferContext<'_>) -> Vec<Request> {
+        let now = context.view.now;
+        if now < self.next_step_at {
+            return Vec::new();
+        }
+        match &mut self.phase {
+            Phase::FindingManifest(_) => self.find_manifest(context),
+            Phase::Confirming(_) => self.confirm(context),
+            Phase::Downloading(download) => {
+                download.adopt_chunks_of(context.state);
+                if download.needs_other_manifest(now) {
+                    self.restart(now);
+                    return self.find_manifest(context);
+                }
+                self.next_step_at = time_after(now, DOWNLOAD_STEP_INTERVAL);
+                download.step(context)
+            }
+        }
+    }
+
+    fn find_manifest(&mut self, context: &mut TransferContext<'_>) -> Vec<Request> {
+        let TransferContext { view, peer_ahead, outbox, rng, .. } = context;
+        let now = view.now;
+        if let Phase::FindingManifest(Some(request)) = &self.phase
+            && !request.has_expired(now)
+        {
+            self.next_step_at = request.deadline;
+            return Vec::new();
+        }
+        let peer = peer_ahead.clone().or_else(|| {
+            let peers = view.peers.snapshot_peers(view.settings, rng);
+            let allowed: Vec<Name> = peers.into_iter().filter(|name| !view.is_quarantined(name)).collect();
+            allowed.get(random_below(rng, allowed.len())).cloned()
+        });
+        let Some(to) = peer.filter(|_| outbox.take_request_bytes(now, EXPECTED_MANIFEST_BYTES)) else {
+            self.next_step_at = time_after(now, CONFIRM_INTERVAL);
+            return Vec::new();
+        };
+        let deadline = time_after(now, view.settings.request_timeout);
+        self.phase = Phase::FindingManifest(Some(InFlight { peer: to.clone(), deadline }));
+        self.next_step_at = deadline;
+        let message = Message::FetchManifest(self.min_revision);
+        vec![Request { to, message }]
+    }
+
+    fn confirm(&mut self, context: &mut TransferContext<'_>) -> Vec<Request> {
+        let Phase::Confirming(candidate) = &mut self.phase else { return Vec::new() };
+        let now = context.view.now;
+        if now < candidate.next_round_at() {
+            self.next_step_at = candidate.next_round_at();
+            return Vec::new();
+        }
+        let is_only_source = context.view.peers.count() <= 1;
+        if is_only_source || candidate.has_used_all_rounds() {
+            if is_only_source || candidate.is_from_uncontradicted_voter() {
+                self.accept_candidate(now);
+            } else {
+                self.restart(now);
+            }
+            return Vec::new();
+        }
+        self.next_step_at = time_after(now, CONFIRM_INTERVAL);
+        candidate.next_round(&context.view, context.rng, self.next_step_at)
+    }
+
+    /// Takes the snapshot once all of its chunks were received.
+    pub fn take_finished(&mut self, now: Time) -> Option<Snapshot> {
+        let is_complete = matches!(&self.phase, Phase::Downloading(download) if download.is_complete());
+        if !is_complete {
+            return None;
+        }
+        let phase = std::mem::replace(&mut self.phase, Phase::FindingManifest(None));
+        let Phase::Downloading(download) = phase else { return None };
+        self.next_step_at = now;
+        download.into_assembly().finish().ok()
+    }
+
+    /// When [`Transfer::step`] must be called without new input.
+    pub fn wake_at(&self) -> Time {
+        self.next_step_at
+    }
+}
