--- a/crates/config/src/admin/query.rs
+++ b/crates/config/src/admin/query.rs
@@ -50,22 +50,22 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum BadQuery {
     /// A word that the call doesn't have, or one twice.
-    #[error("expected each of {known} once at the most, came '{came}'")]
+    #[error("expected each of {known} once at the most, came '{actual}'")]
     Word {
         /// The words of the call.
         known: &'static str,
         /// What came.
-        came: String,
+        actual: String,
     },
     /// A value of the wrong form.
-    #[error("expected {word} to be {expected}, came '{came}'")]
+    #[error("expected {word} to be {expected}, came '{actual}'")]
     Value {
         /// Of which word.
         word: &'static str,
         /// The form.
         expected: String,
         /// What came.
-        came: String,
+        actual: String,
     },
     /// A word that is missing.
     #[error("expected {0}")]
@@ -103,10 +103,10 @@
             Some("tenant") => name().map(Self::Tenant),
             Some("classes") => page().map(Self::Classes),
             Some("tenants") => page().map(Self::Tenants),
-            Some(came) => Err(BadQuery::Value {
+            Some(actual) => Err(BadQuery::Value {
                 word: "kind",
                 expected: "class, tenant, classes or tenants".into(),
-                came: came.into(),
+                actual: actual.into(),
             }),
         }
     }
@@ -159,7 +159,7 @@
     within.ok_or_else(|| BadQuery::Value {
         word,
         expected: format!("from 1 to {most}"),
-        came: value.to_string(),
+        actual: value.to_string(),
     })
 }
 
@@ -170,7 +170,7 @@
     fn read(query: &str, known: &[&'static str], listed: &'static str) -> Result<Self, BadQuery> {
         let mut words: Vec<(&'static str, String)> = Vec::new();
         for pair in query.split('&').filter(|pair| !pair.is_empty()) {
-            let bad = || BadQuery::Word { known: listed, came: pair.into() };
+            let bad = || BadQuery::Word { known: listed, actual: pair.into() };
             let (word, value) = pair.split_once('=').ok_or_else(bad)?;
             let word = known.iter().copied().find(|known| *known == word).ok_or_else(bad)?;
             if words.iter().any(|(present, _)| *present == word) {
@@ -187,7 +187,7 @@
 
     fn number(&self, word: &'static str) -> Result<Option<u64>, BadQuery> {
         let Some(text) = self.get(word) else { return Ok(None) };
-        let bad = || BadQuery::Value { word, expected: "a whole number".into(), came: text.into() };
+        let bad = || BadQuery::Value { word, expected: "a whole number".into(), actual: text.into() };
         text.parse().map(Some).map_err(|_| bad())
     }
 }
--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -1,6 +1,6 @@
 //! Typed changes of the configuration and the commit that carries them.
 //!
-//! A [`Transaction`] is applied whole or not at all. A [`Commit`] is a transaction that the consensus group has given a
+//! A [`Transaction`] is applied completely or not at all. A [`Commit`] is a transaction that the consensus group has given a
 //! [`Revision`]; commits are applied in the order of their revisions, without gaps.
 
 pub use gradepin_admission::ClassDefinition;
@@ -8,21 +8,21 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Classes in force at a time, at the most. Bounds the tables of every server.
+/// Classes in force at a time. Bounds the tables of every server.
 pub const MAX_CLASSES: usize = 16_384;
-/// Tenants in force at a time, at the most. Bounds the tables of every server.
+/// Tenants in force at a time. Bounds the tables of every server.
 pub const MAX_TENANTS: usize = 131_072;
-/// Changes in one transaction, at the most. A larger file is split by its author into several transactions.
+/// Changes in one transaction. The author splits a larger file into several transactions.
 pub const MAX_CHANGES: usize = 1_024;
 /// The longest name of a class, tenant or author, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 /// The longest reason or request id, in bytes.
 pub const MAX_TEXT_BYTES: usize = 200;
 
-/// The name of a class, a tenant, a server or a person.
+/// A shared text: the name of a class, tenant, server or author, a request id or a reason.
 pub type Name = Arc<str>;
 
-/// The number of a commit. The empty configuration has revision 0, the first commit revision 1, each next one more.
+/// The number of a commit. The base has revision 0, the first commit revision 1, each next commit one more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Revision(pub u64);
 
@@ -39,27 +39,29 @@
     }
 }
 
-/// One of the rules of the configuration file (`settings.rules`), with its value.
+/// One rule of the configuration file (`settings.rules`) with its value. Variants are encoded by their order and, in JSON, by
+/// their names.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// Time that an answer may be late.
+    /// How late a response may be.
     AnswerSlack(Span),
-    /// A cold server is warm within this long.
+    /// Duration of the slow start of a server.
     Cold(Span),
-    /// The share of its speed that a cold server begins with, above 0 and at most 1.
+    /// The fraction of its capacity that a server begins its slow start with, above 0 and at most 1.
     ColdShare(f64),
-    /// After a notice to leave nothing starts past this long.
+    /// How long requests may still start once a server drains.
     DrainGrace(Span),
-    /// Span over which the concurrency is averaged.
+    /// Duration over which the concurrency is averaged.
     Fall(Span),
-    /// Requests a core that a warm server survives.
+    /// Maximum concurrent requests per core after the slow start.
     TipMultiple(f64),
-    /// Worth of a request over its tenant's share, as a part of its class's worth; `settings.over_share_worth`.
+    /// Priority weight of a request over its tenant's quota, as a fraction of the weight of its class
+    /// (`settings.over_share_worth`).
     OverShareWorth(f64),
 }
 
-/// One change.
+/// One change of a configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Change {
     /// Adds a class, or replaces the one of this name.
@@ -74,41 +76,41 @@
     PutRule(Rule),
 }
 
-/// Changes that are applied together, in this order.
+/// Changes that are applied together, in order.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
     /// The changes.
     pub changes: Vec<Change>,
 }
 
-/// What an author asks the consensus group to commit.
+/// A request of an author to commit a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// Chosen by the caller; the same id again gives the same revision.
+    /// Chosen by the caller. Proposals are idempotent: the same id gives the same revision.
     pub request_id: Name,
-    /// Who.
+    /// The person or program that requested the change.
     pub author: Name,
-    /// Why.
+    /// The reason for the change, for the history.
     pub reason: Name,
-    /// The revision that the author saw; another one in force refuses the proposal.
+    /// The revision that the author expects in force; the proposal is rejected if another one is.
     pub expected: Option<Revision>,
-    /// What.
+    /// The changes.
     pub transaction: Transaction,
 }
 
 /// A committed transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Commit {
-    /// Its place in the order.
+    /// The position in the committed log.
     pub revision: Revision,
-    /// Who.
+    /// The person or program that requested the change.
     pub author: Name,
-    /// Why.
+    /// The reason for the change, for the history.
     pub reason: Name,
-    /// The id under which it was asked for.
+    /// The request id of the proposal.
     pub request_id: Name,
     /// Unix time in ms at which the leader proposed it.
     pub proposed_at_ms: u64,
-    /// What.
+    /// The changes.
     pub transaction: Transaction,
 }
--- a/crates/config/src/chunk.rs
+++ b/crates/config/src/chunk.rs
@@ -1,7 +1,9 @@
-//! A chunk: the classes and tenants whose names hash to one number.
+//! A chunk: the classes and tenants whose names hash to the same number.
 //!
-//! A configuration is a table of chunks that copies share until one of them changes a chunk. So a state may be kept for
-//! a snapshot while later commits are applied, and a chunk that no commit touched is the same in both.
+//! A configuration is a table of chunks that copies share until one of them changes a chunk. So a snapshot can retain a state
+//! while later commits are applied, and a chunk that no commit changed exists once for both.
+//!
+//! Invariants: the entries of a kind are sorted by name; the digest of a chunk is the sum of the digests of its entries.
 
 use crate::change::{ClassDefinition, Name};
 use crate::digest::{Digest, Entry};
@@ -10,12 +12,12 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Chunks of a table. With 10,000 classes and 110,000 tenants one holds about 117 entries, some 6 KB.
+/// Chunks of a configuration. With 10,000 classes and 110,000 tenants one has about 117 entries, some 6 KB.
 pub const CHUNKS: u16 = 1_024;
-/// Entries of one chunk at the most, so that its encoding is bounded whatever names are chosen: seven times the mean of
-/// a full table, which random names never reach.
+/// Entries of one chunk, so that its encoding is bounded whatever names are chosen. Seven times the mean of a full table, which
+/// random names do not reach.
 pub const MAX_CHUNK_ENTRIES: usize = 1_024;
-/// The longest encoding of a chunk: each entry has one name and under 120 bytes of figures.
+/// The longest encoding of a chunk: each entry has one name and under 120 bytes of numbers.
 pub const MAX_CHUNK_BYTES: usize = MAX_CHUNK_ENTRIES * (crate::change::MAX_NAME_BYTES + 120);
 
 /// The number of a chunk, below [`CHUNKS`].
@@ -31,8 +33,9 @@
     }
 }
 
-/// Something that has a name of its own among its kind.
+/// An entry with a name that is unique among the entries of its kind.
 pub(crate) trait Named {
+    /// The name.
     fn name(&self) -> &str;
 }
 
@@ -48,43 +51,48 @@
     }
 }
 
-/// Entries of one kind in the order of their names.
+/// Entries of one kind, sorted by name.
 #[derive(Debug, Clone)]
-pub(crate) struct Sorted<T>(Vec<Arc<T>>);
+pub(crate) struct SortedEntries<T>(Vec<Arc<T>>);
 
-impl<T> Default for Sorted<T> {
+impl<T> Default for SortedEntries<T> {
     fn default() -> Self {
         Self(Vec::new())
     }
 }
 
-impl<T: Named> Sorted<T> {
-    fn place(&self, name: &str) -> Result<usize, usize> {
+impl<T: Named> SortedEntries<T> {
+    fn index_of(&self, name: &str) -> Result<usize, usize> {
         self.0.binary_search_by(|entry| entry.name().cmp(name))
     }
 
+    /// The entry of a name.
     pub fn get(&self, name: &str) -> Option<&Arc<T>> {
-        self.place(name).ok().map(|place| &self.0[place])
+        self.index_of(name).ok().map(|index| &self.0[index])
     }
 
+    /// Adds an entry; returns the one of the same name that it replaced.
     pub fn put(&mut self, entry: Arc<T>) -> Option<Arc<T>> {
-        match self.place(entry.name()) {
-            Ok(place) => Some(std::mem::replace(&mut self.0[place], entry)),
-            Err(place) => {
-                self.0.insert(place, entry);
+        match self.index_of(entry.name()) {
+            Ok(index) => Some(std::mem::replace(&mut self.0[index], entry)),
+            Err(index) => {
+                self.0.insert(index, entry);
                 None
             }
         }
     }
 
+    /// Removes the entry of a name; returns it if there was one.
     pub fn remove(&mut self, name: &str) -> Option<Arc<T>> {
-        self.place(name).ok().map(|place| self.0.remove(place))
+        self.index_of(name).ok().map(|index| self.0.remove(index))
     }
 
+    /// All entries, by name.
     pub fn iter(&self) -> std::slice::Iter<'_, Arc<T>> {
         self.0.iter()
     }
 
+    /// How many entries there are.
     pub fn len(&self) -> usize {
         self.0.len()
     }
@@ -93,56 +101,61 @@
 /// The entries of one chunk.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Chunk {
+    /// The sum over the entries.
     pub digest: Digest,
-    pub classes: Sorted<ClassDefinition>,
-    pub tenants: Sorted<Tenant>,
+    /// Classes by name.
+    pub classes: SortedEntries<ClassDefinition>,
+    /// Tenants by name.
+    pub tenants: SortedEntries<Tenant>,
 }
 
-/// Why the bytes of a chunk are not taken.
+/// Why the bytes of a chunk are rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ChunkError {
-    /// They are no encoding of entries.
+    /// The bytes are not the encoding of entries.
     #[error("expected the encoding of entries")]
     Form,
-    /// They are longer than any chunk may be.
+    /// The bytes are longer than any chunk may be.
     #[error("expected at most {MAX_CHUNK_BYTES} bytes, got {0}")]
     Long(usize),
-    /// An entry is of another chunk, twice, or not in the canonical order.
+    /// An entry belongs to another chunk, is there twice, or is not in canonical order.
     #[error("expected entries of this chunk in canonical order, got '{0}'")]
     Order(Name),
-    /// An entry that no start file and no change could have set.
+    /// An entry is not well-formed, so neither a start file nor a commit can have set it.
     #[error("expected names of one word and figures that are numbers, got '{0}'")]
     Entry(Name),
-    /// The entries are not those that the manifest names.
-    #[error("expected digest {expected}, got {came}")]
+    /// The entries do not have the digest in the manifest.
+    #[error("expected digest {expected}, got {actual}")]
     Digest {
-        /// Of the manifest.
+        /// The digest in the manifest.
         expected: Digest,
-        /// Of the bytes.
-        came: Digest,
+        /// The digest of the received entries.
+        actual: Digest,
     },
-    /// The manifest has no such chunk.
+    /// The manifest has no chunk of this number.
     #[error("expected the number of a chunk in the manifest, got {0}")]
     Unknown(u16),
 }
 
 impl Chunk {
+    /// How many classes and tenants there are.
     pub fn len(&self) -> usize {
         self.classes.len() + self.tenants.len()
     }
 
-    /// Classes by name, then tenants by name.
+    /// The entries in canonical order: classes by name, then tenants by name.
     pub fn entries(&self) -> impl Iterator<Item = Entry> + '_ {
         let classes = self.classes.iter().cloned().map(Entry::Class);
         classes.chain(self.tenants.iter().cloned().map(Entry::Tenant))
     }
 
+    /// The encoding: all entries as postcard, in canonical order.
     pub fn encode(&self) -> Vec<u8> {
         let entries: Vec<Entry> = self.entries().collect();
         postcard::to_stdvec(&entries).unwrap_or_default()
     }
 
-    /// Reads a chunk and checks that each entry stands in its one place.
+    /// Reads a chunk. Rejects bytes that are not the canonical encoding of well-formed entries of this chunk.
     pub fn decode(number: ChunkNumber, bytes: &[u8]) -> Result<Self, ChunkError> {
         if bytes.len() > MAX_CHUNK_BYTES {
             return Err(ChunkError::Long(bytes.len()));
@@ -152,24 +165,16 @@
             return Err(ChunkError::Form);
         }
         let mut chunk = Self::default();
-        let mut last: Option<(bool, String)> = None;
+        let mut last: Option<CanonicalPosition> = None;
         for entry in entries {
             let digest = entry.digest();
-            let place = match &entry {
-                Entry::Class(class) => (false, class.name().to_string()),
-                Entry::Tenant(tenant) => (true, tenant.name().to_string()),
-                Entry::Rule(_) => return Err(ChunkError::Form),
-            };
-            if ChunkNumber::of(&place.1) != number || last.as_ref().is_some_and(|last| *last >= place) {
-                return Err(ChunkError::Order(place.1.into()));
+            let position = CanonicalPosition::of(&entry).ok_or(ChunkError::Form)?;
+            let is_ascending = last.as_ref().is_none_or(|last| *last < position);
+            if ChunkNumber::of(&position.name) != number || !is_ascending {
+                return Err(ChunkError::Order(position.name.into()));
             }
-            let well_formed = match &entry {
-                Entry::Class(class) => well_formed::is_well_formed_class(class),
-                Entry::Tenant(tenant) => well_formed::is_well_formed_tenant(tenant),
-                Entry::Rule(_) => false,
-            };
-            if !well_formed {
-                return Err(ChunkError::Entry(place.1.into()));
+            if !is_well_formed(&entry) {
+                return Err(ChunkError::Entry(position.name.into()));
             }
             match entry {
                 Entry::Class(class) => chunk.classes.0.push(class),
@@ -177,8 +182,34 @@
                 Entry::Rule(_) => {}
             }
             chunk.digest = chunk.digest.plus(digest);
-            last = Some(place);
+            last = Some(position);
         }
         Ok(chunk)
     }
 }
+
+/// The position of an entry in the canonical order: all classes come before all tenants.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct CanonicalPosition {
+    is_tenant: bool,
+    name: String,
+}
+
+impl CanonicalPosition {
+    /// `None` for rules, which are not in chunks.
+    fn of(entry: &Entry) -> Option<Self> {
+        match entry {
+            Entry::Class(class) => Some(Self { is_tenant: false, name: class.name().to_string() }),
+            Entry::Tenant(tenant) => Some(Self { is_tenant: true, name: tenant.name().to_string() }),
+            Entry::Rule(_) => None,
+        }
+    }
+}
+
+fn is_well_formed(entry: &Entry) -> bool {
+    match entry {
+        Entry::Class(class) => well_formed::is_well_formed_class(class),
+        Entry::Tenant(tenant) => well_formed::is_well_formed_tenant(tenant),
+        Entry::Rule(_) => false,
+    }
+}
--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -1,7 +1,7 @@
 //! The state: all classes, tenants and rules in force after a prefix of the committed log.
 //!
-//! Copies are cheap and share what they have in common. A commit costs the size of its transaction.
-//! Invariant: the digest is the sum over the entries, however the state was reached.
+//! A copy shares all chunks with its original, so it is cheap; a commit costs the size of its transaction.
+//! Invariant: the digest is the sum over the entries, whichever commits led to them.
 
 use crate::change::{
     Change, ClassDefinition, Commit, MAX_CLASSES, MAX_TENANTS, Proposal, Revision, Rule, Transaction,
@@ -13,45 +13,46 @@
 use gradepin_admission::{Settings, Tenant};
 use std::sync::Arc;
 
-/// All classes, tenants and rules at one revision.
+/// All classes, tenants and rules at one revision. The default is revision 0 without any.
 #[derive(Debug, Clone)]
 pub struct Configuration {
     revision: Revision,
     digest: Digest,
-    classes: usize,
-    tenants: usize,
+    class_count: usize,
+    tenant_count: usize,
     pub(crate) rules: RuleSet,
+    /// By chunk number, [`CHUNKS`] of them; `None` where a chunk is empty.
     pub(crate) chunks: Arc<Vec<Option<Arc<Chunk>>>>,
 }
 
-/// Why a commit can't be applied. The state is unchanged.
+/// Why a commit can't be applied. The state is unchanged then.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
-    /// It does not follow what was applied before.
-    #[error("expected revision {expected}, got {came}")]
+    /// The commit does not follow the last one applied.
+    #[error("expected revision {expected}, got {actual}")]
     Gap {
-        /// The one that would follow.
+        /// The revision that follows the state.
         expected: Revision,
-        /// The one of the commit.
-        came: Revision,
+        /// The revision of the commit.
+        actual: Revision,
     },
-    /// Its transaction is not valid here.
+    /// The transaction is not valid in this state.
     #[error(transparent)]
     Invalid(#[from] Invalid),
 }
 
-/// Why a proposal is refused before it is proposed.
+/// Why a proposal is rejected before it is proposed to the consensus group.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CommitRejected {
-    /// The author saw another revision than the one in force.
+    /// Another revision is in force than the author expected.
     #[error("expected revision {expected} in force, got {in_force}")]
     Moved {
-        /// What the author saw.
+        /// The revision that the author expected.
         expected: Revision,
-        /// What is in force.
+        /// The revision in force.
         in_force: Revision,
     },
-    /// It is not valid.
+    /// The proposal is not valid.
     #[error(transparent)]
     Invalid(#[from] Invalid),
 }
@@ -61,8 +62,8 @@
         Self {
             revision: Revision(0),
             digest: Digest::default(),
-            classes: 0,
-            tenants: 0,
+            class_count: 0,
+            tenant_count: 0,
             rules: RuleSet::default(),
             chunks: Arc::new(vec![None; usize::from(CHUNKS)]),
         }
@@ -70,8 +71,8 @@
 }
 
 impl Configuration {
-    /// The classes, tenants and rules of the start file, at revision 0. Servers that start from the same entries have
-    /// the same digest, in whichever order the file names them.
+    /// The classes, tenants and rules of the start file, at revision 0. Servers that start from the same entries have the same
+    /// digest, whatever their order in the file. An error if the bounds are exceeded or a name is there twice.
     pub fn from_settings(settings: &Settings) -> Result<Self, Invalid> {
         let (classes, tenants) = (settings.profiles.len(), settings.customers.len());
         validation::at_most("settings.profiles", classes, MAX_CLASSES, "classes")?;
@@ -90,26 +91,26 @@
             validation::check_chunk_capacity(&configuration, &path, &tenant.name)?;
             configuration.put_tenant(Arc::new(tenant.clone()));
         }
-        if configuration.classes < classes || configuration.tenants < tenants {
+        if configuration.class_count < classes || configuration.tenant_count < tenants {
             return Err(Invalid::new("settings", "each name once", "a name twice"));
         }
         Ok(configuration)
     }
 
-    /// From the parts of a snapshot.
-    pub(crate) fn assembled(revision: Revision, rules: RuleSet, chunks: Vec<Option<Arc<Chunk>>>) -> Self {
-        let there = || chunks.iter().flatten();
+    /// The state of a snapshot whose chunks were checked.
+    pub(crate) fn from_chunks(revision: Revision, rules: RuleSet, chunks: Vec<Option<Arc<Chunk>>>) -> Self {
+        let non_empty = || chunks.iter().flatten();
         Self {
             revision,
-            digest: there().fold(rules.digest(), |sum, chunk| sum.plus(chunk.digest)),
-            classes: there().map(|chunk| chunk.classes.len()).sum(),
-            tenants: there().map(|chunk| chunk.tenants.len()).sum(),
+            digest: non_empty().fold(rules.digest(), |sum, chunk| sum.plus(chunk.digest)),
+            class_count: non_empty().map(|chunk| chunk.classes.len()).sum(),
+            tenant_count: non_empty().map(|chunk| chunk.tenants.len()).sum(),
             rules,
             chunks: Arc::new(chunks),
         }
     }
 
-    /// The last commit applied.
+    /// The revision of the last commit applied.
     pub fn revision(&self) -> Revision {
         self.revision
     }
@@ -119,19 +120,19 @@
         self.digest
     }
 
-    /// Revision and digest, to be compared with another server's.
+    /// Revision and digest, to compare with those of another server.
     pub fn version(&self) -> Version {
         Version { revision: self.revision, digest: self.digest }
     }
 
     /// How many classes there are.
     pub fn class_count(&self) -> usize {
-        self.classes
+        self.class_count
     }
 
     /// How many tenants there are.
     pub fn tenant_count(&self) -> usize {
-        self.tenants
+        self.tenant_count
     }
 
     /// The class of a name.
@@ -144,7 +145,7 @@
         self.chunk(ChunkNumber::of(name))?.tenants.get(name)
     }
 
-    /// The rules that are set.
+    /// The rules that are set, in the order of their kinds.
     pub fn rules(&self) -> impl Iterator<Item = Rule> + '_ {
         self.rules.iter()
     }
@@ -159,16 +160,17 @@
         self.chunks.iter().flatten().flat_map(|chunk| chunk.tenants.iter())
     }
 
+    /// A chunk; `None` if it is empty.
     pub(crate) fn chunk(&self, number: ChunkNumber) -> Option<&Arc<Chunk>> {
         self.chunks.get(usize::from(number.0))?.as_ref()
     }
 
-    /// Whether a transaction can be applied to this state. Servers and the check before a proposal use this.
+    /// Checks that a transaction can be applied to this state. The same check is made before a proposal and at the commit.
     pub fn validate(&self, transaction: &Transaction) -> Result<(), Invalid> {
         validation::transaction(self, transaction)
     }
 
-    /// Whether a proposal may be committed next.
+    /// Checks that a proposal may be committed next.
     pub fn check(&self, proposal: &Proposal) -> Result<(), CommitRejected> {
         validation::texts(proposal)?;
         match proposal.expected {
@@ -179,19 +181,19 @@
         }
     }
 
-    /// Applies a commit that follows the ones before; on an error nothing changes.
+    /// Applies the next commit; on an error nothing changes.
     pub fn apply(&mut self, commit: &Commit) -> Result<(), ApplyError> {
         let expected = self.revision.next();
         if commit.revision != expected {
-            return Err(ApplyError::Gap { expected, came: commit.revision });
+            return Err(ApplyError::Gap { expected, actual: commit.revision });
         }
         self.validate(&commit.transaction)?;
-        commit.transaction.changes.iter().for_each(|change| self.change(change));
+        commit.transaction.changes.iter().for_each(|change| self.apply_change(change));
         self.revision = commit.revision;
         Ok(())
     }
 
-    fn change(&mut self, change: &Change) {
+    fn apply_change(&mut self, change: &Change) {
         match change {
             Change::PutClass(class) => self.put_class(Arc::clone(class)),
             Change::RemoveClass(name) => self.remove_class(name),
@@ -201,59 +203,59 @@
         }
     }
 
-    /// The chunk of a name, for writing: a copy where another holder shares it.
+    /// The chunk of a name, for writing: a copy of it where another state shares it.
     fn chunk_mut(&mut self, name: &str) -> &mut Chunk {
-        let place = usize::from(ChunkNumber::of(name).0);
-        Arc::make_mut(Arc::make_mut(&mut self.chunks)[place].get_or_insert_default())
+        let index = usize::from(ChunkNumber::of(name).0);
+        Arc::make_mut(Arc::make_mut(&mut self.chunks)[index].get_or_insert_default())
     }
 
-    /// Counts an entry that came and one that went, where there were such.
-    fn account(&mut self, name: &str, came: Option<Entry>, gone: Option<Entry>) {
+    /// Updates the digests after an entry was added, removed or replaced, and drops the chunk if it is empty now.
+    fn update_digests(&mut self, name: &str, added: Option<Entry>, removed: Option<Entry>) {
         let digest = |entry: Option<Entry>| entry.map_or(Digest::default(), |entry| entry.digest());
-        let (came, gone) = (digest(came), digest(gone));
-        self.digest = self.digest.plus(came).minus(gone);
+        let (added, removed) = (digest(added), digest(removed));
+        self.digest = self.digest.plus(added).minus(removed);
         let chunk = self.chunk_mut(name);
-        chunk.digest = chunk.digest.plus(came).minus(gone);
+        chunk.digest = chunk.digest.plus(added).minus(removed);
         if chunk.len() == 0 {
-            // An empty chunk and none are the same state.
+            // Equal states must have equal tables, so an empty chunk is always `None`.
             Arc::make_mut(&mut self.chunks)[usize::from(ChunkNumber::of(name).0)] = None;
         }
     }
 
     fn put_class(&mut self, class: Arc<ClassDefinition>) {
         let name = class.profile.name.clone();
-        let before = self.chunk_mut(&name).classes.put(Arc::clone(&class));
-        self.classes += usize::from(before.is_none());
-        self.account(&name, Some(Entry::Class(class)), before.map(Entry::Class));
+        let replaced = self.chunk_mut(&name).classes.put(Arc::clone(&class));
+        self.class_count += usize::from(replaced.is_none());
+        self.update_digests(&name, Some(Entry::Class(class)), replaced.map(Entry::Class));
     }
 
     fn remove_class(&mut self, name: &str) {
-        let before = self.chunk_mut(name).classes.remove(name);
-        self.classes -= usize::from(before.is_some());
-        self.account(name, None, before.map(Entry::Class));
+        let replaced = self.chunk_mut(name).classes.remove(name);
+        self.class_count -= usize::from(replaced.is_some());
+        self.update_digests(name, None, replaced.map(Entry::Class));
     }
 
     fn put_tenant(&mut self, tenant: Arc<Tenant>) {
         let name = tenant.name.clone();
-        let before = self.chunk_mut(&name).tenants.put(Arc::clone(&tenant));
-        self.tenants += usize::from(before.is_none());
-        self.account(&name, Some(Entry::Tenant(tenant)), before.map(Entry::Tenant));
+        let replaced = self.chunk_mut(&name).tenants.put(Arc::clone(&tenant));
+        self.tenant_count += usize::from(replaced.is_none());
+        self.update_digests(&name, Some(Entry::Tenant(tenant)), replaced.map(Entry::Tenant));
     }
 
     fn remove_tenant(&mut self, name: &str) {
-        let before = self.chunk_mut(name).tenants.remove(name);
-        self.tenants -= usize::from(before.is_some());
-        self.account(name, None, before.map(Entry::Tenant));
+        let replaced = self.chunk_mut(name).tenants.remove(name);
+        self.tenant_count -= usize::from(replaced.is_some());
+        self.update_digests(name, None, replaced.map(Entry::Tenant));
     }
 
     fn put_rule(&mut self, rule: Rule) {
-        if let Some(before) = self.rules.put(rule) {
-            self.digest = self.digest.minus(Entry::Rule(before).digest());
+        if let Some(replaced) = self.rules.put(rule) {
+            self.digest = self.digest.minus(Entry::Rule(replaced).digest());
         }
         self.digest = self.digest.plus(Entry::Rule(rule).digest());
     }
 
-    /// These entries over the rest of some settings: what a server goes by. Costs the size of the whole.
+    /// Settings with the entries of this state, and all else from `rest`. Costs the size of the state.
     pub fn over(&self, rest: &Settings) -> Settings {
         let mut settings = rest.clone();
         self.rules().for_each(|rule| rule.write(&mut settings));
@@ -267,11 +269,11 @@
 
 impl EntryIndex for Configuration {
     fn class_count(&self) -> usize {
-        self.classes
+        self.class_count
     }
 
     fn tenant_count(&self) -> usize {
-        self.tenants
+        self.tenant_count
     }
 
     fn has_class(&self, name: &str) -> bool {
@@ -287,13 +289,13 @@
     }
 }
 
-/// The classes of settings, each with what the settings keep beside it by its place.
+/// The classes of settings, each with its values from the lists that settings have beside the profiles.
 pub(crate) fn definitions(settings: &Settings) -> impl Iterator<Item = ClassDefinition> + '_ {
     let specifics = &settings.specifics;
-    settings.profiles.iter().enumerate().map(|(place, profile)| ClassDefinition {
+    settings.profiles.iter().enumerate().map(|(index, profile)| ClassDefinition {
         profile: profile.clone(),
-        // The decision module takes a class that the list is too short for as one that calls.
-        calls: specifics.calls_by_class.get(place).copied().unwrap_or(true),
-        skip_weight: specifics.class_skip_weights.get(place).copied().unwrap_or(0.0),
+        // As the admission module does, a class past the end of the list counts as one that makes upstream calls.
+        calls: specifics.calls_by_class.get(index).copied().unwrap_or(true),
+        skip_weight: specifics.class_skip_weights.get(index).copied().unwrap_or(0.0),
     })
 }
--- a/crates/config/src/difference.rs
+++ b/crates/config/src/difference.rs
@@ -1,7 +1,7 @@
-//! What turns one state into another: the transactions for a whole file, and for going back.
+//! The transactions that turn one state into another: for applying a complete file, and for rollbacks.
 //!
-//! A removal and an addition of one kind are paired and never parted by the end of a transaction, so that no
-//! transaction in between takes the last class or goes past the bounds where both ends are within them.
+//! A removal and an addition of the same kind are paired and always in one transaction. So no transaction in between removes
+//! the last class or exceeds the bounds, where both states are within them.
 
 use crate::change::{Change, MAX_CHANGES, Rule, Transaction};
 use crate::configuration::Configuration;
@@ -11,54 +11,55 @@
 use std::sync::Arc;
 
 impl Configuration {
-    /// The transactions that make this state's entries those of some settings. Deterministic; none where nothing differs.
+    /// The transactions that turn the entries of this state into those of settings. Deterministic; empty where nothing differs.
     pub fn difference(&self, settings: &Settings) -> Result<Vec<Transaction>, Invalid> {
         Ok(self.difference_to(&Self::from_settings(settings)?))
     }
 
-    /// The transactions that make this state's entries those of another state. Chunks that both share cost nothing.
+    /// The transactions that turn the entries of this state into those of `target`. Chunks with equal digests are skipped.
     pub fn difference_to(&self, target: &Self) -> Vec<Transaction> {
-        let mut parts = Parts::default();
+        let mut changes = ChangesByKind::default();
         for (ours, theirs) in self.chunks.iter().zip(target.chunks.iter()) {
             if ours.as_ref().map(|chunk| chunk.digest) == theirs.as_ref().map(|chunk| chunk.digest) {
                 continue;
             }
             if let Some(chunk) = theirs {
-                chunk.entries().for_each(|entry| parts.put(self, entry));
+                chunk.entries().for_each(|entry| changes.add_put(self, entry));
             }
             if let Some(chunk) = ours {
-                chunk.entries().for_each(|entry| parts.remove(target, &entry));
+                chunk.entries().for_each(|entry| changes.add_removal(target, &entry));
             }
         }
         let digest = |rule: Rule| Entry::Rule(rule).digest();
-        let same = |rule: &Rule| self.rules.same_kind(rule).map(digest) == Some(digest(*rule));
-        let rules = target.rules().filter(|rule| !same(rule));
-        let rules: Vec<Group> = rules.map(|rule| vec![Change::PutRule(rule)]).collect();
-        let classes = paired(parts.put_classes, parts.removed_classes);
-        let tenants = paired(parts.put_tenants, parts.removed_tenants);
-        packed(rules.into_iter().chain(classes).chain(tenants))
+        let is_in_force = |rule: &Rule| self.rules.same_kind(rule).map(digest) == Some(digest(*rule));
+        let changed_rules = target.rules().filter(|rule| !is_in_force(rule));
+        let rules: Vec<Group> = changed_rules.map(|rule| vec![Change::PutRule(rule)]).collect();
+        let classes = pair(changes.put_classes, changes.removed_classes);
+        let tenants = pair(changes.put_tenants, changes.removed_tenants);
+        pack(rules.into_iter().chain(classes).chain(tenants))
     }
 }
 
-/// Changes that belong into one transaction.
+/// Changes that must be in the same transaction.
 type Group = Vec<Change>;
 
+/// The changes of classes and tenants.
 #[derive(Default)]
-struct Parts {
+struct ChangesByKind {
     put_classes: Vec<Change>,
     removed_classes: Vec<Change>,
     put_tenants: Vec<Change>,
     removed_tenants: Vec<Change>,
 }
 
-impl Parts {
-    fn put(&mut self, from: &Configuration, entry: Entry) {
+impl ChangesByKind {
+    fn add_put(&mut self, from: &Configuration, entry: Entry) {
         let before = match &entry {
             Entry::Class(class) => from.class(&class.profile.name).cloned().map(Entry::Class),
             Entry::Tenant(tenant) => from.tenant(&tenant.name).cloned().map(Entry::Tenant),
             Entry::Rule(_) => None,
         };
-        // By the encoding: 0 and -0 are equal as numbers, and not as states.
+        // Compared by digest, that is by encoding: 0 and -0 are equal as numbers and different as states.
         if before.is_some_and(|before| before.digest() == entry.digest()) {
             return;
         }
@@ -69,7 +70,7 @@
         }
     }
 
-    fn remove(&mut self, target: &Configuration, entry: &Entry) {
+    fn add_removal(&mut self, target: &Configuration, entry: &Entry) {
         match entry {
             Entry::Class(class) if target.class(&class.profile.name).is_none() => {
                 self.removed_classes.push(Change::RemoveClass(Arc::from(class.profile.name.as_str())));
@@ -82,15 +83,17 @@
     }
 }
 
-fn paired(put: Vec<Change>, removed: Vec<Change>) -> Vec<Group> {
+/// Pairs each addition with a removal, as long as there are removals.
+fn pair(put: Vec<Change>, removed: Vec<Change>) -> Vec<Group> {
     let mut removed = removed.into_iter();
     let mut groups: Vec<Group> =
         put.into_iter().map(|put| removed.next().into_iter().chain(std::iter::once(put)).collect()).collect();
-    groups.extend(removed.map(|one| vec![one]));
+    groups.extend(removed.map(|removal| vec![removal]));
     groups
 }
 
-fn packed(groups: impl Iterator<Item = Group>) -> Vec<Transaction> {
+/// Packs groups into as few transactions as their order allows.
+fn pack(groups: impl Iterator<Item = Group>) -> Vec<Transaction> {
     let mut transactions: Vec<Transaction> = Vec::new();
     for group in groups {
         match transactions.last_mut().filter(|last| last.changes.len() + group.len() <= MAX_CHANGES) {
--- a/crates/config/src/digest.rs
+++ b/crates/config/src/digest.rs
@@ -1,15 +1,15 @@
 //! Digests of entries and of states.
 //!
-//! The digest of a state is the sum modulo 2^128 of keyed BLAKE3 hashes of its entries. A sum does not depend on the
-//! order, and putting or removing one entry costs one hash. It finds faults, also malicious bytes of one entry; that
-//! peers do not construct whole colliding states is left to the authentication of the messages between them.
+//! The digest of a state is the sum modulo 2^128 of keyed BLAKE3 hashes of its entries. A sum does not depend on the order,
+//! and adding or removing one entry costs one hash. It detects faults, and forged bytes of one entry. It does not withstand a
+//! peer that constructs a colliding state of many entries; against that messages between servers are authenticated.
 
 use crate::change::{ClassDefinition, Revision, Rule};
 use gradepin_admission::Tenant;
 use serde::{Deserialize, Serialize};
 use std::sync::{Arc, LazyLock};
 
-/// Separates these hashes from all other uses of BLAKE3.
+/// Separates these hashes from all other uses of BLAKE3. A change of it changes every digest.
 const CONTEXT: &str = "gradepin configuration entry, version 1";
 static KEY: LazyLock<[u8; 32]> = LazyLock::new(|| blake3::derive_key(CONTEXT, &[]));
 
@@ -18,12 +18,12 @@
 pub struct Digest(pub u128);
 
 impl Digest {
-    /// With the entries of another digest too.
+    /// The digest with the entries of another digest added.
     pub fn plus(self, other: Self) -> Self {
         Self(self.0.wrapping_add(other.0))
     }
 
-    /// Without the entries of another digest.
+    /// The digest with the entries of another digest removed.
     pub fn minus(self, other: Self) -> Self {
         Self(self.0.wrapping_sub(other.0))
     }
@@ -35,12 +35,12 @@
     }
 }
 
-/// Which state a server is in: two servers of the same revision and another digest are not in the same state.
+/// The state of a server. Two servers at the same revision with different digests are not in the same state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 pub struct Version {
-    /// The last commit applied.
+    /// The revision of the last commit applied.
     pub revision: Revision,
-    /// All entries in force.
+    /// The digest of all entries in force.
     pub digest: Digest,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// One entry of a state, in the form that is hashed and put into snapshots.
+/// One entry of a state, in the form that is hashed and that snapshots contain.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Entry {
     /// A class.
@@ -65,12 +65,12 @@
     /// The digest of this entry alone.
     pub fn digest(&self) -> Digest {
         let mut hasher = blake3::Hasher::new_keyed(&KEY);
-        // A hasher takes all that is written to it, and entries have no part that postcard can't encode.
+        // Entries have no part that postcard can't encode, so this is never skipped.
         if let Ok(bytes) = postcard::to_stdvec(self) {
             hasher.update(&bytes);
         }
-        let mut short = [0; 16];
-        hasher.finalize_xof().fill(&mut short);
-        Digest(u128::from_le_bytes(short))
+        let mut prefix = [0; 16];
+        hasher.finalize_xof().fill(&mut prefix);
+        Digest(u128::from_le_bytes(prefix))
     }
 }
--- a/crates/config/src/log.rs
+++ b/crates/config/src/log.rs
@@ -1,113 +1,115 @@
-//! The commits that are kept: for those who are a little behind, and for people.
+//! The last commits, for servers that are a little behind and for operators.
 //!
-//! Bounded by number and by bytes; the oldest go first. Revisions in it are without gaps.
+//! Bounded by number and by bytes; the oldest are dropped first. Invariant: the revisions have no gaps.
 
 use crate::change::{Commit, Revision};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// How much a [`CommitLog`] keeps.
+/// The bounds of a [`CommitLog`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogLimits {
-    /// Commits at the most.
+    /// Commits retained.
     pub commits: usize,
-    /// Bytes of their encodings at the most. The newest commit is kept whatever it takes.
+    /// Bytes of the encodings of the commits retained. The newest commit is retained whatever its size.
     pub bytes: usize,
 }
 
 impl Default for LogLimits {
-    /// Some hours of 1,900 changes a day, in at most 1 MB.
+    /// Some hours of 1,900 changes a day, in 1 MB.
     fn default() -> Self {
         Self { commits: 256, bytes: 1 << 20 }
     }
 }
 
-/// A commit that does not follow the one before.
+/// A commit does not follow the last one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("expected revision {expected}, got {came}")]
+#[error("expected revision {expected}, got {actual}")]
 pub struct Gap {
-    /// The one that would follow.
+    /// The revision that follows the last one.
     pub expected: Revision,
-    /// The one that came.
-    pub came: Revision,
+    /// The revision of the commit.
+    pub actual: Revision,
 }
 
 #[derive(Debug, Clone)]
-struct Kept {
+struct Entry {
     commit: Arc<Commit>,
     bytes: usize,
 }
 
-/// The last commits.
+/// The last commits, without gaps.
 #[derive(Debug, Clone)]
 pub struct CommitLog {
     limits: LogLimits,
-    kept: VecDeque<Kept>,
+    entries: VecDeque<Entry>,
+    /// Of all entries.
     bytes: usize,
     last: Revision,
 }
 
 impl CommitLog {
-    /// Nothing kept yet, after a revision.
+    /// An empty log that continues after a revision.
     pub fn after_revision(last: Revision, limits: LogLimits) -> Self {
-        Self { limits, kept: VecDeque::new(), bytes: 0, last }
+        Self { limits, entries: VecDeque::new(), bytes: 0, last }
     }
 
-    /// The last revision.
+    /// The revision of the last commit.
     pub fn last(&self) -> Revision {
         self.last
     }
 
-    /// The revision after which all commits are kept.
+    /// The revision after which all commits are retained.
     pub fn base(&self) -> Revision {
-        Revision(self.last.0 - self.kept.len() as u64)
+        Revision(self.last.0 - self.entries.len() as u64)
     }
 
-    /// Bytes of the commits that are kept.
+    /// Bytes of the encodings of the commits retained.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Takes the next commit, and lets go of the oldest past the limits.
+    /// Adds the next commit, and drops the oldest past the limits.
     pub fn push(&mut self, commit: Arc<Commit>) -> Result<(), Gap> {
         let expected = self.last.next();
         if commit.revision != expected {
-            return Err(Gap { expected, came: commit.revision });
+            return Err(Gap { expected, actual: commit.revision });
         }
         let bytes = postcard::to_stdvec(&*commit).map_or(0, |bytes| bytes.len());
         self.last = commit.revision;
         self.bytes += bytes;
-        self.kept.push_back(Kept { commit, bytes });
+        self.entries.push_back(Entry { commit, bytes });
         self.compact();
         Ok(())
     }
 
     fn compact(&mut self) {
-        let over = |log: &Self| log.kept.len() > log.limits.commits.max(1) || log.bytes > log.limits.bytes;
-        while self.kept.len() > 1 && over(self) {
-            self.bytes -= self.kept.pop_front().map_or(0, |kept| kept.bytes);
+        let is_over_limits =
+            |log: &Self| log.entries.len() > log.limits.commits.max(1) || log.bytes > log.limits.bytes;
+        while self.entries.len() > 1 && is_over_limits(self) {
+            self.bytes -= self.entries.pop_front().map_or(0, |entry| entry.bytes);
         }
     }
 
-    /// A snapshot was installed: what came before it is no history of this log.
+    /// Drops all commits and continues after another revision: a snapshot was installed.
     pub fn restart(&mut self, last: Revision) {
         *self = Self::after_revision(last, self.limits);
     }
 
-    /// All commits after a revision, in order; none if some are no longer kept, or the revision is yet to come.
+    /// All commits after a revision, in order. `None` if some are dropped already, or the revision is in the future.
     pub fn after(&self, revision: Revision) -> Option<impl Iterator<Item = &Arc<Commit>>> {
         let skipped = revision.0.checked_sub(self.base().0).filter(|_| revision <= self.last)?;
-        Some(self.kept.iter().skip(skipped as usize).map(|kept| &kept.commit))
+        Some(self.entries.iter().skip(skipped as usize).map(|entry| &entry.commit))
     }
 
-    /// The commit of a revision, if it is kept.
+    /// The commit of a revision, if it is retained.
     pub fn get(&self, revision: Revision) -> Option<&Arc<Commit>> {
-        let place = revision.0.checked_sub(self.base().0 + 1)?;
-        self.kept.get(place as usize).map(|kept| &kept.commit)
+        let index = revision.0.checked_sub(self.base().0 + 1)?;
+        self.entries.get(index as usize).map(|entry| &entry.commit)
     }
 
-    /// What is kept, the newest first.
+    /// The commits retained, the newest first.
     pub fn history(&self) -> impl Iterator<Item = &Arc<Commit>> {
-        self.kept.iter().rev().map(|kept| &kept.commit)
+        self.entries.iter().rev().map(|entry| &entry.commit)
     }
 }
--- a/crates/config/src/rules.rs
+++ b/crates/config/src/rules.rs
@@ -1,16 +1,17 @@
-//! The rules of a configuration: at most one value of each kind.
+//! The rules of a configuration: at most one value of each kind, in a fixed order of kinds.
 
 use crate::change::Rule;
 use crate::digest::{Digest, Entry};
 use gradepin_admission::Settings;
 
-/// The kinds of rules.
-const KINDS: usize = 7;
+/// Kinds of rules.
+const KIND_COUNT: usize = 7;
 
 /// The rules that are set.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RuleSet {
-    set: [Option<Rule>; KINDS],
+    /// By the index of the kind.
+    rules: [Option<Rule>; KIND_COUNT],
 }
 
 impl Rule {
@@ -27,8 +28,8 @@
         }
     }
 
-    /// The place of the rule among all kinds.
-    fn place(&self) -> usize {
+    /// The index of the kind of rule.
+    fn kind_index(&self) -> usize {
         match self {
             Self::AnswerSlack(_) => 0,
             Self::Cold(_) => 1,
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Sets this rule in settings of the decision module.
+    /// Writes this rule into settings of the admission module.
     pub fn write(&self, settings: &mut Settings) {
         match *self {
             Self::AnswerSlack(span) => settings.rules.answer_slack = span,
@@ -49,7 +50,7 @@
             Self::DrainGrace(span) => settings.rules.drain_grace = span,
             Self::Fall(span) => settings.rules.fall = span,
             Self::TipMultiple(multiple) => settings.rules.max_concurrency_per_core = multiple,
-            Self::OverShareWorth(part) => settings.over_quota_weight = part,
+            Self::OverShareWorth(fraction) => settings.over_quota_weight = fraction,
         }
     }
 }
@@ -67,25 +68,25 @@
             Rule::TipMultiple(rules.max_concurrency_per_core),
             Rule::OverShareWorth(settings.over_quota_weight),
         ];
-        Self { set: all.map(Some) }
+        Self { rules: all.map(Some) }
     }
 
-    /// Sets a rule; gives the value before.
+    /// Sets a rule; returns the value that it replaced.
     pub fn put(&mut self, rule: Rule) -> Option<Rule> {
-        self.set[rule.place()].replace(rule)
+        self.rules[rule.kind_index()].replace(rule)
     }
 
-    /// The value of the kind of this rule.
+    /// The rule in force of the same kind.
     pub fn same_kind(&self, rule: &Rule) -> Option<Rule> {
-        self.set[rule.place()]
+        self.rules[rule.kind_index()]
     }
 
-    /// Those that are set, in the order of their kinds.
+    /// The rules that are set, in the order of their kinds.
     pub fn iter(&self) -> impl Iterator<Item = Rule> + '_ {
-        self.set.iter().flatten().copied()
+        self.rules.iter().flatten().copied()
     }
 
-    /// The digest of all rules.
+    /// The sum of the digests of all rules.
     pub fn digest(&self) -> Digest {
         self.iter().fold(Digest::default(), |sum, rule| sum.plus(Entry::Rule(rule).digest()))
     }
--- a/crates/config/src/snapshot.rs
+++ b/crates/config/src/snapshot.rs
@@ -1,8 +1,8 @@
 //! Snapshots: a state at one revision, in chunks that are checked one by one.
 //!
-//! A [`Manifest`] names the digest of each chunk. Their sum is the digest of the state, so a manifest is checked
-//! against the [`Version`] that servers tell each other, and each chunk against the manifest. A server that has a state
-//! already takes over the chunks that are the same there; so does one whose source went on to a later revision.
+//! A [`Manifest`] lists the digest of each chunk. Their sum is the digest of the state, so a manifest is checked against the
+//! [`Version`] that servers exchange, and each chunk against the manifest. An [`Assembly`] reuses the chunks of another state or
+//! of an earlier, incomplete assembly that are the same.
 
 use crate::change::{Revision, Rule};
 use crate::chunk::{CHUNKS, Chunk, ChunkError, ChunkNumber};
@@ -13,80 +13,79 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The last revision that a state may have: no group of voters gets there, and there is one after each. Nothing but this bound
-/// holds a state that comes whole to it, as its digest is of its entries.
+/// The highest revision of a snapshot. No consensus group reaches it. The digest does not cover the revision, so without this
+/// bound a forged manifest could set a revision after which there is no next one.
 const MAX_REVISION: Revision = Revision(1 << 62);
 
-/// The digest of one chunk.
+/// The number and digest of one chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkDigest {
-    /// Which chunk.
+    /// The chunk.
     pub number: ChunkNumber,
-    /// Of its entries.
+    /// The digest of its entries.
     pub digest: Digest,
 }
 
-/// What a snapshot consists of: at most 20 KB.
+/// The parts of a snapshot, 20 KB at most.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Manifest {
-    /// The revision and digest of the whole.
+    /// Revision and digest of the state.
     pub version: Version,
-    /// The rules, which are few.
+    /// All rules, each kind once.
     pub rules: Vec<Rule>,
-    /// The chunks that hold anything, by number.
+    /// The chunks that are not empty, by number.
     pub chunks: Vec<ChunkDigest>,
 }
 
-/// Why a manifest or a whole snapshot is not taken.
+/// Why a manifest or a snapshot is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// The bytes are no snapshot.
+    /// The bytes are not a snapshot.
     #[error("expected the encoding of a snapshot")]
     Form,
-    /// The numbers of chunks are out of range, not ascending, or rules stand twice.
+    /// The chunk numbers are out of range or not ascending, or a rule is there twice.
     #[error("expected each chunk and rule once and in order")]
     Order,
-    /// A rule that no start file and no change could have set.
+    /// A rule is not well-formed, so neither a start file nor a commit can have set it.
     #[error("expected rules whose figures are numbers, got {0}")]
     Rule(&'static str),
-    /// No state has this revision.
+    /// No state can have this revision.
     #[error("expected a revision that a group of voters gets to, got {0}")]
     Revision(Revision),
-    /// The parts do not sum to the whole.
-    #[error("expected digest {expected}, got {came}")]
+    /// The digests of the parts do not sum to the digest of the state.
+    #[error("expected digest {expected}, got {actual}")]
     Digest {
-        /// What the whole is said to be.
+        /// The digest in the manifest.
         expected: Digest,
-        /// What the parts sum to.
-        came: Digest,
+        /// The sum over the parts.
+        actual: Digest,
     },
-    /// A chunk is wrong.
-    #[error("chunk {number}: {why}")]
+    /// A chunk is rejected.
+    #[error("chunk {number}: {reason}")]
     Chunk {
         /// Its number.
         number: u16,
-        /// What is wrong with it.
-        why: ChunkError,
+        /// The reason.
+        reason: ChunkError,
     },
-    /// Not all chunks are there.
+    /// Some chunks were not added yet.
     #[error("expected all chunks, {0} are missing")]
     Missing(usize),
 }
 
-/// A state kept for reading. Making one costs nothing that grows with the state; each chunk is encoded when it is asked
-/// for.
+/// A state at one revision, for reading. It is made without copying entries; a chunk is encoded when it is requested.
 #[derive(Debug, Clone)]
 pub struct Snapshot {
     state: Configuration,
 }
 
 impl Snapshot {
-    /// Of a state.
+    /// The snapshot of a state.
     pub fn of(state: &Configuration) -> Self {
         Self { state: state.clone() }
     }
 
-    /// The state itself.
+    /// The state.
     pub fn configuration(&self) -> &Configuration {
         &self.state
     }
@@ -96,7 +95,7 @@
         self.state.version()
     }
 
-    /// What it consists of.
+    /// Its manifest.
     pub fn manifest(&self) -> Manifest {
         let numbered = (0..CHUNKS).map(ChunkNumber).zip(self.state.chunks.iter());
         let chunks = numbered.filter_map(|(number, chunk)| {
@@ -105,35 +104,39 @@
         Manifest { version: self.version(), rules: self.state.rules().collect(), chunks: chunks.collect() }
     }
 
-    /// The bytes of one chunk; none if it is empty.
+    /// The encoding of one chunk; `None` if it is empty.
     pub fn chunk(&self, number: ChunkNumber) -> Option<Vec<u8>> {
         self.state.chunk(number).map(|chunk| chunk.encode())
     }
 
-    /// The whole in one piece, for files.
+    /// The encoding of manifest and chunks together, for files.
     pub fn encode(&self) -> Vec<u8> {
         let manifest = self.manifest();
         let chunks = manifest.chunks.iter().filter_map(|chunk| self.chunk(chunk.number)).collect();
-        postcard::to_stdvec(&Whole { manifest, chunks }).unwrap_or_default()
+        postcard::to_stdvec(&EncodedSnapshot { manifest, chunks }).unwrap_or_default()
     }
 
-    /// Reads the whole and checks each part of it.
+    /// Reads an encoded snapshot and checks each part of it.
     pub fn decode(bytes: &[u8]) -> Result<Self, SnapshotError> {
-        let (whole, rest) = postcard::take_from_bytes::<Whole>(bytes).map_err(|_| SnapshotError::Form)?;
-        if !rest.is_empty() || whole.chunks.len() != whole.manifest.chunks.len() {
+        let (encoded, rest) =
+            postcard::take_from_bytes::<EncodedSnapshot>(bytes).map_err(|_| SnapshotError::Form)?;
+        if !rest.is_empty() || encoded.chunks.len() != encoded.manifest.chunks.len() {
             return Err(SnapshotError::Form);
         }
-        let numbers: Vec<ChunkNumber> = whole.manifest.chunks.iter().map(|chunk| chunk.number).collect();
-        let mut assembly = Assembly::new(whole.manifest)?;
-        for (number, bytes) in numbers.into_iter().zip(&whole.chunks) {
-            assembly.add(number, bytes).map_err(|why| SnapshotError::Chunk { number: number.0, why })?;
+        let numbers: Vec<ChunkNumber> = encoded.manifest.chunks.iter().map(|chunk| chunk.number).collect();
+        let mut assembly = Assembly::new(encoded.manifest)?;
+        for (number, bytes) in numbers.into_iter().zip(&encoded.chunks) {
+            assembly
+                .add(number, bytes)
+                .map_err(|reason| SnapshotError::Chunk { number: number.0, reason })?;
         }
         assembly.finish()
     }
 }
 
+/// The encoding of a snapshot in a file; the chunks are in the order of the manifest.
 #[derive(Serialize, Deserialize)]
-struct Whole {
+struct EncodedSnapshot {
     manifest: Manifest,
     chunks: Vec<Vec<u8>>,
 }
@@ -144,7 +147,7 @@
         self.version.revision
     }
 
-    /// Whether its parts make up the whole that it names.
+    /// Checks order, rules and revision, and that the digests of the parts sum to the digest of the state.
     pub fn check(&self) -> Result<(), SnapshotError> {
         let ascending = self.chunks.windows(2).all(|pair| pair[0].number < pair[1].number);
         let in_range = self.chunks.last().is_none_or(|last| last.number.0 < CHUNKS);
@@ -158,112 +161,116 @@
         if self.version.revision > MAX_REVISION {
             return Err(SnapshotError::Revision(self.version.revision));
         }
-        let came = self.chunks.iter().fold(rules.digest(), |sum, chunk| sum.plus(chunk.digest));
+        let actual = self.chunks.iter().fold(rules.digest(), |sum, chunk| sum.plus(chunk.digest));
         let expected = self.version.digest;
-        if came == expected { Ok(()) } else { Err(SnapshotError::Digest { expected, came }) }
+        if actual == expected { Ok(()) } else { Err(SnapshotError::Digest { expected, actual }) }
     }
 
     fn rule_set(&self) -> RuleSet {
-        let mut set = RuleSet::default();
+        let mut rules = RuleSet::default();
         for rule in &self.rules {
-            set.put(*rule);
+            rules.put(*rule);
         }
-        set
+        rules
     }
 }
 
-/// A snapshot that is being put together, from any sources and in any order.
+/// A snapshot that is put together from chunks of any sources, in any order.
 #[derive(Debug, Clone)]
 pub struct Assembly {
     manifest: Manifest,
-    /// By place in the manifest.
-    there: Vec<Option<Arc<Chunk>>>,
+    /// By index in the manifest; `None` where the chunk is missing.
+    chunks: Vec<Option<Arc<Chunk>>>,
     missing: usize,
 }
 
 impl Assembly {
-    /// Nothing yet of a snapshot whose manifest is consistent.
+    /// An assembly without chunks. An error if the manifest is inconsistent.
     pub fn new(manifest: Manifest) -> Result<Self, SnapshotError> {
         manifest.check()?;
         let missing = manifest.chunks.len();
-        Ok(Self { manifest, there: vec![None; missing], missing })
+        Ok(Self { manifest, chunks: vec![None; missing], missing })
     }
 
-    /// What is put together.
+    /// The manifest of the snapshot.
     pub fn manifest(&self) -> &Manifest {
         &self.manifest
     }
 
-    /// Its revision and digest.
+    /// Revision and digest of the snapshot.
     pub fn version(&self) -> Version {
         self.manifest.version
     }
 
-    /// Takes over the chunks that a state has already.
+    /// Reuses the chunks of a state that are the same.
     pub fn adopt(&mut self, state: &Configuration) {
-        for place in 0..self.there.len() {
-            let wanted = self.manifest.chunks[place];
+        for index in 0..self.chunks.len() {
+            let wanted = self.manifest.chunks[index];
             let same = state.chunk(wanted.number).filter(|chunk| chunk.digest == wanted.digest);
-            self.set(place, same.cloned());
+            self.set(index, same.cloned());
         }
     }
 
-    /// Takes over the chunks of an assembly of another revision that are the same here.
+    /// Reuses the chunks of another assembly that are the same.
     pub fn adopt_from(&mut self, other: &Assembly) {
-        for place in 0..self.there.len() {
-            let wanted = self.manifest.chunks[place];
+        for index in 0..self.chunks.len() {
+            let wanted = self.manifest.chunks[index];
             let found = other.manifest.chunks.binary_search_by_key(&wanted.number, |chunk| chunk.number);
             let same = found.ok().filter(|found| other.manifest.chunks[*found].digest == wanted.digest);
-            self.set(place, same.and_then(|found| other.there[found].clone()));
+            self.set(index, same.and_then(|found| other.chunks[found].clone()));
         }
     }
 
-    fn set(&mut self, place: usize, chunk: Option<Arc<Chunk>>) {
-        if self.there[place].is_none() && chunk.is_some() {
-            self.there[place] = chunk;
+    fn set(&mut self, index: usize, chunk: Option<Arc<Chunk>>) {
+        if self.chunks[index].is_none() && chunk.is_some() {
+            self.chunks[index] = chunk;
             self.missing -= 1;
         }
     }
 
-    /// Checks and takes a chunk. One that is there already is not looked at again.
+    /// Checks a chunk and adds it. Bytes for a chunk that is there already are ignored.
     pub fn add(&mut self, number: ChunkNumber, bytes: &[u8]) -> Result<(), ChunkError> {
-        let place = self.manifest.chunks.binary_search_by_key(&number, |chunk| chunk.number);
-        let place = place.map_err(|_| ChunkError::Unknown(number.0))?;
-        if self.there[place].is_some() {
+        let index = self.manifest.chunks.binary_search_by_key(&number, |chunk| chunk.number);
+        let index = index.map_err(|_| ChunkError::Unknown(number.0))?;
+        if self.chunks[index].is_some() {
             return Ok(());
         }
         let chunk = Chunk::decode(number, bytes)?;
-        let expected = self.manifest.chunks[place].digest;
+        let expected = self.manifest.chunks[index].digest;
         if chunk.digest != expected {
-            return Err(ChunkError::Digest { expected, came: chunk.digest });
+            return Err(ChunkError::Digest { expected, actual: chunk.digest });
         }
-        self.set(place, Some(Arc::new(chunk)));
+        self.set(index, Some(Arc::new(chunk)));
         Ok(())
     }
 
-    /// How many chunks are not there yet.
+    /// How many chunks are missing.
     pub fn missing_count(&self) -> usize {
         self.missing
     }
 
-    /// The chunks that are not there yet, by number.
+    /// The missing chunks, by number.
     pub fn missing(&self) -> impl Iterator<Item = ChunkNumber> + '_ {
-        let places = self.there.iter().zip(&self.manifest.chunks);
-        places.filter(|(there, _)| there.is_none()).map(|(_, chunk)| chunk.number)
+        let slots = self.chunks.iter().zip(&self.manifest.chunks);
+        slots.filter(|(chunk, _)| chunk.is_none()).map(|(_, chunk)| chunk.number)
     }
 
-    /// The snapshot, once all chunks are there.
+    /// The snapshot. An error if chunks are missing.
     pub fn finish(self) -> Result<Snapshot, SnapshotError> {
         if self.missing > 0 {
             return Err(SnapshotError::Missing(self.missing));
         }
         let mut chunks = vec![None; usize::from(CHUNKS)];
-        for (named, chunk) in self.manifest.chunks.iter().zip(self.there) {
-            chunks[usize::from(named.number.0)] = chunk;
+        for (listed, chunk) in self.manifest.chunks.iter().zip(self.chunks) {
+            chunks[usize::from(listed.number.0)] = chunk;
         }
         let rules = self.manifest.rule_set();
-        let state = Configuration::assembled(self.manifest.revision(), rules, chunks);
-        let (expected, came) = (self.manifest.version.digest, state.digest());
-        if came == expected { Ok(Snapshot { state }) } else { Err(SnapshotError::Digest { expected, came }) }
+        let state = Configuration::from_chunks(self.manifest.revision(), rules, chunks);
+        let (expected, actual) = (self.manifest.version.digest, state.digest());
+        if actual == expected {
+            Ok(Snapshot { state })
+        } else {
+            Err(SnapshotError::Digest { expected, actual })
+        }
     }
 }
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -1,8 +1,10 @@
-//! The one check of transactions: before a proposal, at its commit, and on every server.
+//! The check of transactions: the same one before a proposal, at its commit, and on every server.
 //!
-//! It costs the size of the transaction. What the daemon takes in its configuration file is taken here too, but for a
-//! deadline under the latency target, figures out of any sensible range, and texts past the bounds. That the portions
-//! of all tenants sum to 1 is not asked, as the daemon does not ask it of a file.
+//! It costs the size of the transaction. It accepts what the daemon accepts in its configuration file, except for a deadline
+//! below the latency objective, numbers out of any sensible range, and texts past the bounds. The portions of all tenants need
+//! not sum to 1, as in the file.
+//!
+//! Each error names the path in the transaction, what was expected there and what was found.
 
 use crate::change::{
     Change, ClassDefinition, MAX_CHANGES, MAX_CLASSES, MAX_NAME_BYTES, MAX_TENANTS, MAX_TEXT_BYTES, Proposal,
@@ -14,31 +16,31 @@
 use std::collections::{HashMap, HashSet};
 use std::ops::RangeInclusive;
 
-/// The longest span of any kind: a day. Longer ones are units mixed up.
+/// The longest time of any kind: a day. A longer one means that units were confused.
 pub const MAX_SPAN: Span = Span(86_400_000_000_000);
-/// The greatest worth of a class.
-pub const MAX_WORTH: f64 = 1e9;
-/// The greatest quota of a tenant, in requests a second.
+/// The highest priority weight of a class.
+pub const MAX_PRIORITY_WEIGHT: f64 = 1e9;
+/// The highest quota of a tenant, in requests per second.
 pub const MAX_QUOTA_RPS: f64 = 1e9;
-/// The greatest stretch of a latency target, and of the concurrency that a server survives.
+/// The highest objective stretch of a class, and the highest concurrency per core.
 pub const MAX_MULTIPLE: f64 = 1e6;
 
-/// Why a transaction is not valid.
+/// Why a transaction or a start file is not valid.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{path}: expected {expected}, got {came}")]
 pub struct Invalid {
-    /// Where, as in `changes[3].class.label-save.deadline`.
+    /// The path, as in `changes[3].class.label-save.deadline`.
     pub path: String,
-    /// What may stand there.
+    /// What is allowed there.
     pub expected: String,
-    /// What stands there.
+    /// What was found there.
     pub came: String,
 }
 
 impl Invalid {
-    /// An error at a place.
-    pub fn new(path: impl Into<String>, expected: impl Into<String>, came: impl Into<String>) -> Self {
-        Self { path: path.into(), expected: expected.into(), came: came.into() }
+    /// An error at a path.
+    pub fn new(path: impl Into<String>, expected: impl Into<String>, actual: impl Into<String>) -> Self {
+        Self { path: path.into(), expected: expected.into(), came: actual.into() }
     }
 }
 
@@ -56,14 +58,15 @@
     fn chunk_entries(&self, number: ChunkNumber) -> usize;
 }
 
+/// The result of a check.
 type Checked = Result<(), Invalid>;
 
-/// A bound on a number of things.
-pub(crate) fn at_most(path: &str, count: usize, most: usize, what: &str) -> Checked {
-    if count <= most {
+/// Checks that there are at most `max` of something.
+pub(crate) fn at_most(path: &str, count: usize, max: usize, what: &str) -> Checked {
+    if count <= max {
         return Ok(());
     }
-    Err(Invalid::new(path, format!("at most {most} {what}"), count.to_string()))
+    Err(Invalid::new(path, format!("at most {max} {what}"), count.to_string()))
 }
 
 /// Checks that the chunk of a new name has capacity for one more entry.
@@ -72,14 +75,14 @@
     at_most(path, present + 1, MAX_CHUNK_ENTRIES, "entries whose names hash alike")
 }
 
-/// Author, reason and request id of a proposal.
+/// Checks author, reason and request id of a proposal.
 pub(crate) fn texts(proposal: &Proposal) -> Checked {
-    text("author", &proposal.author, MAX_NAME_BYTES)?;
-    text("reason", &proposal.reason, MAX_TEXT_BYTES)?;
-    text("request_id", &proposal.request_id, MAX_TEXT_BYTES)
+    check_text("author", &proposal.author, MAX_NAME_BYTES)?;
+    check_text("reason", &proposal.reason, MAX_TEXT_BYTES)?;
+    check_text("request_id", &proposal.request_id, MAX_TEXT_BYTES)
 }
 
-/// A transaction against a state.
+/// Checks a transaction against the entries of a state.
 pub(crate) fn transaction(entries: &dyn EntryIndex, transaction: &Transaction) -> Checked {
     let changes = &transaction.changes;
     if changes.is_empty() {
@@ -93,13 +96,15 @@
     counter.check_totals()
 }
 
-/// What a transaction does to the numbers of entries.
+/// Checks changes one by one and counts the entries after them.
 struct ChangeCounter<'a> {
     entries: &'a dyn EntryIndex,
     seen: HashSet<(&'static str, &'a str)>,
+    /// Classes after the changes so far.
     classes: usize,
+    /// Tenants after the changes so far.
     tenants: usize,
-    /// New entries by chunk; those removed are not taken off, as the bound is far from any real state.
+    /// New entries by chunk. Removed ones are not subtracted, as the bound is far from any real state.
     added: HashMap<ChunkNumber, usize>,
 }
 
@@ -117,39 +122,39 @@
             Change::RemoveTenant(name) => ("tenant", &**name),
             Change::PutRule(rule) => ("rule", rule.name()),
         };
-        let path = format!("changes[{index}].{kind}.{}", shown(name));
+        let path = format!("changes[{index}].{kind}.{}", printable(name));
         if !self.seen.insert((kind, name)) {
             return Err(Invalid::new(path, "each name once in a transaction", "the name twice"));
         }
         match change {
             Change::PutClass(new) => {
-                class(&path, new)?;
+                check_class(&path, new)?;
                 if !self.entries.has_class(name) {
                     self.classes += 1;
-                    self.added(&path, name)?;
+                    self.check_added(&path, name)?;
                 }
             }
             Change::RemoveClass(_) => {
-                known(&path, self.entries.has_class(name), "class")?;
+                check_in_force(&path, self.entries.has_class(name), "class")?;
                 self.classes -= 1;
             }
             Change::PutTenant(new) => {
-                tenant(&path, new)?;
+                check_tenant(&path, new)?;
                 if !self.entries.has_tenant(name) {
                     self.tenants += 1;
-                    self.added(&path, name)?;
+                    self.check_added(&path, name)?;
                 }
             }
             Change::RemoveTenant(_) => {
-                known(&path, self.entries.has_tenant(name), "tenant")?;
+                check_in_force(&path, self.entries.has_tenant(name), "tenant")?;
                 self.tenants -= 1;
             }
-            Change::PutRule(new) => rule(&path, new)?,
+            Change::PutRule(new) => check_rule(&path, new)?,
         }
         Ok(())
     }
 
-    fn added(&mut self, path: &str, name: &str) -> Checked {
+    fn check_added(&mut self, path: &str, name: &str) -> Checked {
         let number = ChunkNumber::of(name);
         let added = self.added.entry(number).or_default();
         *added += 1;
@@ -166,73 +171,77 @@
     }
 }
 
-fn known(path: &str, known: bool, kind: &str) -> Checked {
-    if known { Ok(()) } else { Err(Invalid::new(path, format!("a {kind} in force"), "an unknown name")) }
+fn check_in_force(path: &str, is_in_force: bool, kind: &str) -> Checked {
+    if is_in_force {
+        Ok(())
+    } else {
+        Err(Invalid::new(path, format!("a {kind} in force"), "an unknown name"))
+    }
 }
 
-/// A name as it can stand in a path: cut where it is too long.
-fn shown(name: &str) -> String {
+/// A name for error texts: cut where it is too long, without control characters.
+fn printable(name: &str) -> String {
     name.chars().take(MAX_NAME_BYTES).filter(|c| !c.is_control()).collect()
 }
 
-fn class(path: &str, class: &ClassDefinition) -> Checked {
+fn check_class(path: &str, class: &ClassDefinition) -> Checked {
     let profile = &class.profile;
-    text(path, &profile.name, MAX_NAME_BYTES)?;
+    check_text(path, &profile.name, MAX_NAME_BYTES)?;
     if profile.name.contains(char::is_whitespace) {
-        // A class is a word of a line to the processor.
-        return Err(Invalid::new(path, "a name without spaces", format!("'{}'", shown(&profile.name))));
+        // The processor reads a class name as one word of a line.
+        return Err(Invalid::new(path, "a name without spaces", format!("'{}'", printable(&profile.name))));
     }
     let at = |field: &str| format!("{path}.{field}");
-    span(&at("promise"), profile.latency_objective, Span(1))?;
-    span(&at("deadline"), profile.deadline, Span(1))?;
+    check_span(&at("promise"), profile.latency_objective, Span(1))?;
+    check_span(&at("deadline"), profile.deadline, Span(1))?;
     if profile.deadline < profile.latency_objective {
         let expected = format!("at least the promise of {} ns", profile.latency_objective.0);
         return Err(Invalid::new(at("deadline"), expected, format!("{} ns", profile.deadline.0)));
     }
-    span(&at("window"), profile.window, Span(0))?;
-    number(&at("late_value"), profile.late_value, 0.0..=1.0)?;
-    number(&at("worth"), profile.priority_weight, 0.0..=MAX_WORTH)?;
-    number(&at("aim_stretch"), profile.objective_stretch, 0.0..=MAX_MULTIPLE)?;
-    number(&at("skip_worth"), class.skip_weight, 0.0..=1.0)
+    check_span(&at("window"), profile.window, Span(0))?;
+    check_number(&at("late_value"), profile.late_value, 0.0..=1.0)?;
+    check_number(&at("worth"), profile.priority_weight, 0.0..=MAX_PRIORITY_WEIGHT)?;
+    check_number(&at("aim_stretch"), profile.objective_stretch, 0.0..=MAX_MULTIPLE)?;
+    check_number(&at("skip_worth"), class.skip_weight, 0.0..=1.0)
 }
 
-fn tenant(path: &str, tenant: &Tenant) -> Checked {
-    text(path, &tenant.name, MAX_NAME_BYTES)?;
-    number(&format!("{path}.quota_rps"), tenant.quota_rps, 0.0..=MAX_QUOTA_RPS)?;
-    number(&format!("{path}.portion"), tenant.portion, 0.0..=1.0)
+fn check_tenant(path: &str, tenant: &Tenant) -> Checked {
+    check_text(path, &tenant.name, MAX_NAME_BYTES)?;
+    check_number(&format!("{path}.quota_rps"), tenant.quota_rps, 0.0..=MAX_QUOTA_RPS)?;
+    check_number(&format!("{path}.portion"), tenant.portion, 0.0..=1.0)
 }
 
-fn rule(path: &str, rule: &Rule) -> Checked {
+fn check_rule(path: &str, rule: &Rule) -> Checked {
     match *rule {
         Rule::AnswerSlack(value) | Rule::Cold(value) | Rule::DrainGrace(value) | Rule::Fall(value) => {
-            span(path, value, Span(0))
+            check_span(path, value, Span(0))
         }
-        Rule::ColdShare(share) => number(path, share, f64::MIN_POSITIVE..=1.0),
-        Rule::TipMultiple(multiple) => number(path, multiple, f64::MIN_POSITIVE..=MAX_MULTIPLE),
-        Rule::OverShareWorth(part) => number(path, part, 0.0..=1.0),
+        Rule::ColdShare(share) => check_number(path, share, f64::MIN_POSITIVE..=1.0),
+        Rule::TipMultiple(multiple) => check_number(path, multiple, f64::MIN_POSITIVE..=MAX_MULTIPLE),
+        Rule::OverShareWorth(fraction) => check_number(path, fraction, 0.0..=1.0),
     }
 }
 
-fn text(path: &str, text: &str, most: usize) -> Checked {
+fn check_text(path: &str, text: &str, max_bytes: usize) -> Checked {
     if text.is_empty() {
         return Err(Invalid::new(path, "a text", "an empty one"));
     }
-    at_most(path, text.len(), most, "bytes of text")?;
+    at_most(path, text.len(), max_bytes, "bytes of text")?;
     if text.contains(char::is_control) {
         return Err(Invalid::new(path, "no control characters", "one or more"));
     }
     Ok(())
 }
 
-fn span(path: &str, span: Span, least: Span) -> Checked {
-    if (least..=MAX_SPAN).contains(&span) {
+fn check_span(path: &str, span: Span, min: Span) -> Checked {
+    if (min..=MAX_SPAN).contains(&span) {
         return Ok(());
     }
-    let expected = format!("from {} to {} ns", least.0, MAX_SPAN.0);
+    let expected = format!("from {} to {} ns", min.0, MAX_SPAN.0);
     Err(Invalid::new(path, expected, format!("{} ns", span.0)))
 }
 
-fn number(path: &str, number: f64, range: RangeInclusive<f64>) -> Checked {
+fn check_number(path: &str, number: f64, range: RangeInclusive<f64>) -> Checked {
     if range.contains(&number) {
         return Ok(());
     }
--- a/crates/config/tests/parts.rs
+++ b/crates/config/tests/parts.rs
@@ -90,7 +90,7 @@
     let limits = LogLimits { commits: 3, bytes: 1 << 20 };
     let mut log = CommitLog::after_revision(base().revision(), limits);
     (1..=5).for_each(|n| log.push(one(n)).expect("the next"));
-    assert_eq!(log.push(one(7)), Err(Gap { expected: Revision(6), came: Revision(7) }));
+    assert_eq!(log.push(one(7)), Err(Gap { expected: Revision(6), actual: Revision(7) }));
     assert_eq!((log.base(), log.last()), (Revision(2), Revision(5)));
     let revisions = |from| Some(log.after(Revision(from))?.map(|c| c.revision.0).collect::<Vec<_>>());
     assert_eq!(revisions(1), None, "compacted");
--- a/crates/config/tests/validation.rs
+++ b/crates/config/tests/validation.rs
@@ -88,9 +88,9 @@
         ),
         (ok(), "tenant.other", "each name once in a transaction", "the name twice"),
     ];
-    for (change, path, expected, came) in cases {
+    for (change, path, expected, actual) in cases {
         let found = refusal(&base(), vec![ok(), change]);
-        assert_eq!(found, Invalid::new(format!("changes[1].{path}"), expected, came));
+        assert_eq!(found, Invalid::new(format!("changes[1].{path}"), expected, actual));
     }
     let long = "x".repeat(129);
     let found = refusal(&base(), vec![put_tenant(tenant(&long, 0.1))]);
@@ -147,7 +147,7 @@
     let mut state = base();
     let change = || vec![put_tenant(tenant("acme", 0.1))];
     for wrong in [0, 2] {
-        let gap = ApplyError::Gap { expected: Revision(1), came: Revision(wrong) };
+        let gap = ApplyError::Gap { expected: Revision(1), actual: Revision(wrong) };
         assert_eq!(state.apply(&commit(wrong, change())), Err(gap));
     }
     state.apply(&commit(1, change())).expect("the next one");
