--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -27,20 +27,21 @@
 
 /// Why a transaction or a start file is not valid.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-#[error("{path}: expected {expected}, got {came}")]
+#[error("{path}: expected {expected}, got {actual}")]
 pub struct Invalid {
     /// The path, as in `changes[3].class.label-save.deadline`.
     pub path: String,
     /// What is allowed there.
     pub expected: String,
     /// What was found there.
-    pub came: String,
+    #[serde(rename = "came")]
+    pub actual: String,
 }
 
 impl Invalid {
     /// An error at a path.
     pub fn new(path: impl Into<String>, expected: impl Into<String>, actual: impl Into<String>) -> Self {
-        Self { path: path.into(), expected: expected.into(), came: actual.into() }
+        Self { path: path.into(), expected: expected.into(), actual: actual.into() }
     }
 }
 
--- a/crates/config/tests/validation.rs
+++ b/crates/config/tests/validation.rs
@@ -94,7 +94,7 @@
     }
     let long = "x".repeat(129);
     let found = refusal(&base(), vec![put_tenant(tenant(&long, 0.1))]);
-    assert_eq!((found.expected.as_str(), found.came.as_str()), ("at most 128 bytes of text", "129"));
+    assert_eq!((found.expected.as_str(), found.actual.as_str()), ("at most 128 bytes of text", "129"));
 }
 
 #[test]
--- a/crates/coordination/tests/configuration.rs
+++ b/crates/coordination/tests/configuration.rs
@@ -151,7 +151,7 @@
         panic!()
     };
     assert!(invalid.path.starts_with("changes[0].tenant"), "{invalid}");
-    assert!(!invalid.expected.is_empty() && !invalid.came.is_empty());
+    assert!(!invalid.expected.is_empty() && !invalid.actual.is_empty());
     let long = request("third", None, (0..1_000).map(|n| put(&format!("{n:0>100}"), 1.0)).collect());
     let ConfigurationRejected::TooLong { limit, came } = refused(world.council(leader).request(&long)) else {
         panic!()
