--- a/crates/config/src/dissemination/machine/mod.rs
+++ b/crates/config/src/dissemination/machine/mod.rs
@@ -217,7 +217,8 @@
     /// Leaves a source of bad data out for a time, and drops what it sent.
     fn quarantine_source(&mut self, now: Time, name: &Name, reason: &str) {
         if !self.quarantine.contains(now, name) {
-            self.outbox.warn(format!("source {name} quarantined: {reason}"));
+            // The model reads the name of the source in this text.
+            self.outbox.warn(format!("{name} quarantined: {reason}"));
         }
         self.quarantine.add(now, name, self.settings.quarantine);
         self.requests.forget_peer(name);
--- a/crates/config/tests/dissemination.rs
+++ b/crates/config/tests/dissemination.rs
@@ -51,6 +51,23 @@
     assert_eq!(server.state().revision(), Revision(1));
 }
 
+/// Guards the model, which counts quarantined sources by this text.
+#[test]
+fn notes_a_quarantine_with_the_name_of_the_source() {
+    let bad: Name = "b".into();
+    let (_, mut record) = first(0.25);
+    Arc::make_mut(&mut record.commit).author = "somebody else".into();
+    let mut server = server(base());
+    server.receive(Time(0), &bad, &Message::Push(vec![record]).encode());
+    let mut effects = Vec::new();
+    server.step(Time(0), &mut effects);
+    let noted = effects.iter().any(|effect| {
+        matches!(effect, DisseminationEffect::Note { bad: true, text }
+            if text == "b quarantined: the checksum of a commit does not match")
+    });
+    assert!(noted, "{effects:?}");
+}
+
 /// Two peers name another digest for the revision of a snapshot that is consistent in itself.
 #[test]
 fn a_snapshot_that_others_contradict_is_not_taken() {
--- a/crates/model/src/config/world.rs
+++ b/crates/model/src/config/world.rs
@@ -424,10 +424,11 @@
         }
     }
 
-    /// Counts sources that are left out though nothing is wrong with them.
+    /// Counts sources that are quarantined though nothing is wrong with them.
     fn note(&mut self, text: &str) {
-        let left_out = text.contains("left out").then(|| text.get(1..6)?.parse::<usize>().ok()).flatten();
-        if left_out.is_some_and(|n| !self.is_bad(n)) {
+        let is_quarantine = text.contains(" quarantined: ");
+        let quarantined = is_quarantine.then(|| text.get(1..6)?.parse::<usize>().ok()).flatten();
+        if quarantined.is_some_and(|n| !self.is_bad(n)) {
             self.out.left_out_wrongly += 1;
         }
     }
