--- a/crates/config/src/admin.rs
+++ b/crates/config/src/admin.rs
@@ -1,5 +1,7 @@
-//! What the admin endpoints of the configuration take and give, as JSON: one set of types for the server and for the
-//! command line. The calls, statuses and bounds are in `docs/design/configuration-admin.md`.
+//! Requests and responses of the admin endpoints of the configuration, as JSON: one set of types for server and command line.
+//!
+//! Names of fields and variants are part of the interface; one that is renamed here keeps its name in JSON. The calls, statuses
+//! and bounds are in `docs/design/configuration-admin.md`.
 
 use crate::change::{Change, ClassDefinition, Name, Proposal, Revision, Rule};
 use crate::validation::Invalid;
@@ -9,154 +11,157 @@
 
 pub mod query;
 
-/// Entries of one page of [`ShowReply`], at the most: a page stays below the answer bound of the endpoint.
+/// Entries in one page of [`ShowReply`], so that a page fits into one response of the endpoint.
 pub const MAX_PAGE: u32 = 500;
-/// Commits of one page of [`HistoryReply`], at the most.
+/// Commits in one page of [`HistoryReply`].
 pub const MAX_HISTORY_PAGE: u32 = 200;
-/// Servers named in [`StatusReply::lagging`], at the most; [`StatusReply::lagging_servers`] counts them all.
+/// Servers listed in [`StatusReply::lagging`]; [`StatusReply::lagging_servers`] counts all of them.
 pub const MAX_LAGGING_NAMED: usize = 100;
-/// Revisions listed in [`StatusReply::revisions`], the newest first, at the most.
+/// Revisions listed in [`StatusReply::revisions`], the newest first.
 pub const MAX_STATUS_REVISIONS: usize = 20;
 
-/// `POST /config/apply`.
+/// The body of `POST /config/apply`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ApplyRequest {
-    /// What is to be committed.
+    /// The proposal to commit.
     pub proposal: Proposal,
-    /// Whether it is only validated against what is in force at the server that is asked.
+    /// Whether the proposal is only validated, against the state in force at the receiving server.
     #[serde(default)]
     pub dry_run: bool,
 }
 
-/// `POST /config/rollback`: commits a new revision whose content is that of an earlier one.
+/// The body of `POST /config/rollback`, which commits a new revision with the content of an earlier one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RollbackRequest {
-    /// The revision whose content is to be in force again.
+    /// The revision whose content is restored.
     pub to: Revision,
-    /// Chosen by the caller; the same id again gives the same revision.
+    /// Chosen by the caller. Calls are idempotent: the same id gives the same revision.
     pub request_id: Name,
-    /// Who.
+    /// The person or program that requested the change.
     pub author: Name,
-    /// Why.
+    /// The reason for the change, for the history.
     pub reason: Name,
-    /// The revision that the author saw; another one in force refuses the rollback.
+    /// The revision that the author expects in force; the rollback is rejected if another one is.
     pub expected: Option<Revision>,
-    /// Whether it is only worked out and validated.
+    /// Whether the changes are only computed and validated.
     #[serde(default)]
     pub dry_run: bool,
 }
 
-/// What came of an apply or a rollback that was not refused.
+/// The response to an apply or rollback that was not rejected.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum ApplyReply {
-    /// Under way: `GET /config/apply?request-id=ID` tells what came of it.
+    /// Not decided yet: `GET /config/apply?request-id=ID` returns the outcome.
     Pending {
-        /// The id under which it was asked for.
+        /// The request id of the proposal.
         request_id: Name,
     },
-    /// A majority of the voters has it.
+    /// Committed: a majority of the voters has it.
     Committed {
-        /// Its place in the order.
+        /// The position in the committed log.
         revision: Revision,
-        /// Whether this id was committed by an earlier call.
+        /// Whether an earlier call with this request id was committed.
         repeated: bool,
     },
-    /// A dry run: valid against this revision.
+    /// The dry run found the proposal valid.
     Valid {
-        /// The revision in force at the server that was asked.
+        /// The revision in force at the receiving server.
         against: Revision,
-        /// How many entries of the configuration would change.
+        /// Entries of the configuration that would change.
         changes: u32,
     },
 }
 
-/// Why a call changed nothing.
+/// Why a call was rejected. Nothing was changed then.
 #[derive(Debug, Clone, PartialEq, thiserror::Error, Serialize, Deserialize)]
 #[serde(tag = "refused", rename_all = "snake_case")]
 pub enum AdminError {
-    /// Somebody else committed a change since.
+    /// Another change was committed in the meantime.
     #[error("expected revision {expected} to be in force, revision {in_force} is")]
     Stale {
-        /// What the author saw.
+        /// The revision that the author expected.
         expected: Revision,
-        /// What is in force.
+        /// The revision in force.
         in_force: Revision,
     },
-    /// The transaction is not valid. Nothing of it was proposed.
+    /// The transaction is not valid.
     #[error(transparent)]
     Invalid(#[from] Invalid),
-    /// The request id was used for another content.
+    /// The request id was used for another change.
     #[error("request id {request_id} was used for another change, committed as revision {revision}")]
     RequestIdReused {
-        /// The id.
+        /// The request id.
         request_id: Name,
-        /// What it was used for.
+        /// The revision of that change.
         revision: Revision,
     },
-    /// No leader is known, or it did not answer in time; asking again under the same id is safe.
+    /// No leader is known, or it did not respond in time. A retry with the same request id is safe.
     #[error("no leader: {reason}")]
     NoLeader {
-        /// What is known of it.
+        /// Details.
         reason: String,
     },
-    /// Too many proposals are under way; asking again under the same id is safe.
+    /// Too many proposals are in progress. A retry with the same request id is safe.
     #[error("too busy, ask again in {retry_ms} ms")]
     TooBusy {
-        /// After this long.
+        /// When to retry, in milliseconds.
         retry_ms: u64,
     },
-    /// The revision is not kept, or was never committed.
+    /// The revision is no longer retained, or was never committed.
     #[error("revision {revision} is not kept: the oldest is {oldest}, the newest {newest}")]
     UnknownRevision {
-        /// The one that was asked for.
+        /// The requested revision.
         revision: Revision,
-        /// The oldest that is kept.
+        /// The oldest revision retained.
         oldest: Revision,
-        /// The newest one.
+        /// The newest revision.
         newest: Revision,
     },
-    /// More servers than the settings allow can't apply a committed change; an operator has to acknowledge it.
-    #[error("{servers} servers can't apply revision {revision}, {most} may be: changes wait for an operator")]
+    /// More servers than the settings allow can't apply a committed change; an operator must acknowledge it.
+    #[error(
+        "{servers} servers can't apply revision {revision}, {max_servers} may be: changes wait for an operator"
+    )]
     ServersFail {
-        /// How many.
+        /// Servers that can't apply it.
         servers: u32,
-        /// How many may be.
-        most: u32,
-        /// Which revision.
+        /// Servers that the settings allow.
+        #[serde(rename = "most")]
+        max_servers: u32,
+        /// The revision of the change.
         revision: Revision,
     },
-    /// No entry of this name.
+    /// There is no entry of this name.
     #[error("there is no {kind} '{name}' in revision {revision}")]
     UnknownEntry {
         /// `class` or `tenant`.
         kind: String,
-        /// The name.
+        /// The requested name.
         name: Name,
-        /// In force here.
+        /// The revision in force at this server.
         revision: Revision,
     },
-    /// No request of this id is known at this server; it may be known at another one.
+    /// This server knows no request of this id; another one may.
     #[error("no request {request_id} is known here")]
     UnknownRequest {
-        /// The id.
+        /// The request id.
         request_id: Name,
     },
-    /// The call itself makes no sense.
+    /// The call is malformed.
     #[error("{reason}")]
     BadCall {
-        /// Why.
+        /// The reason for the change, for the history.
         reason: String,
     },
-    /// This server has no `config` block in its settings.
+    /// The settings of this server have no `config` block.
     #[error("the configuration service is off at this server")]
     Off,
 }
 
 impl AdminError {
-    /// The HTTP status that it goes with.
+    /// The HTTP status of the response.
     pub fn status(&self) -> u16 {
         match self {
             Self::BadCall { .. } => 400,
@@ -169,149 +174,149 @@
         }
     }
 
-    /// Whether the same call, under the same request id, may well be taken a moment later or by another server.
+    /// Whether a retry of the same call with the same request id, later or at another server, may succeed.
     pub fn is_transient(&self) -> bool {
         matches!(self, Self::NoLeader { .. } | Self::TooBusy { .. } | Self::UnknownRequest { .. })
     }
 }
 
-/// `GET /config/status`: this server's revision, and the fleet's as far as this server hears of it.
+/// The response to `GET /config/status`: the revision of this server, and of the fleet as far as this server knows it.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct StatusReply {
-    /// The server that answers.
+    /// The name of this server.
     pub server: Option<Name>,
-    /// In force here.
+    /// The revision in force at this server.
     pub revision: Revision,
-    /// Its digest, in hexadecimal.
+    /// The digest of the state, in hexadecimal.
     pub digest: String,
-    /// The newest revision that this server has heard of.
+    /// The newest revision that this server knows of.
     pub newest: Revision,
-    /// The leader of the consensus group, where one is known.
+    /// The leader of the consensus group, if known.
     pub leader: Option<Name>,
-    /// Seconds since this server last heard from a peer or a voter that its revision is the newest.
+    /// Seconds since a peer or voter last confirmed that the revision of this server is the newest.
     pub age_s: Option<f64>,
-    /// Whether that is longer than the settings allow. It serves on.
+    /// Whether `age_s` is above the bound in the settings. The server continues to serve then.
     pub stale: bool,
-    /// Where the configuration in force came from.
+    /// The source of the configuration in force.
     pub source: Source,
-    /// Why the next committed change can't be applied here, if it can't.
+    /// Why this server can't apply the next committed change, if so.
     pub cannot_apply: Option<String>,
     /// The latest revisions, the newest first.
     pub revisions: Vec<RevisionSpread>,
-    /// Servers that lag, those first that have lagged the longest; [`MAX_LAGGING_NAMED`] at the most.
+    /// Lagging servers, the longest lagging first; up to [`MAX_LAGGING_NAMED`].
     pub lagging: Vec<Lagging>,
-    /// How many lag in all.
+    /// How many servers lag.
     pub lagging_servers: u32,
 }
 
-/// Where the configuration in force came from.
+/// The source of a configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Source {
-    /// The file of the start.
+    /// The start file.
     #[default]
     StartFile,
-    /// The last good snapshot on this server's disk.
+    /// The last good snapshot on the disk of this server.
     Snapshot,
     /// Committed changes, or a snapshot, from peers or voters.
     Fleet,
 }
 
-/// How far one revision has come.
+/// How many servers and zones have a revision.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RevisionSpread {
-    /// Which.
+    /// The revision.
     pub revision: Revision,
     /// Unix time in ms at which it was proposed.
     pub proposed_at_ms: u64,
-    /// Servers that have it or a later one.
+    /// Servers at this revision or a later one.
     pub servers: u32,
-    /// Servers that are known.
+    /// Servers of the fleet.
     pub of_servers: u32,
-    /// Zones all of whose reachable servers have it.
+    /// Zones whose reachable servers are all at this revision or a later one.
     pub zones: u32,
-    /// Zones that are known.
+    /// Zones of the fleet.
     pub of_zones: u32,
-    /// From the proposal until half of the servers that have it had it in force, in ms.
+    /// Median time from the proposal until a server had the revision in force, over the servers that have it, in milliseconds.
     pub p50_ms: Option<u64>,
-    /// The same for 99 in 100.
+    /// The 99th percentile of the same, in milliseconds.
     pub p99_ms: Option<u64>,
 }
 
-/// A server that does not have the newest revision.
+/// A server that is not at the newest revision.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Lagging {
-    /// Which.
+    /// The name of the server.
     pub server: Name,
     /// Its zone.
     pub zone: Name,
-    /// What it has, where it was ever heard.
+    /// The last revision that the server reported, if it ever did.
     pub revision: Option<Revision>,
-    /// Seconds since the first revision that it lacks was committed.
+    /// Seconds since the first revision that the server lacks was committed.
     pub since_s: f64,
-    /// Whether it is heard now.
+    /// Whether the server is reachable now.
     pub reachable: bool,
-    /// What it says of why it can't apply the next one.
+    /// The reason that the server reported for not applying the next revision.
     pub cannot_apply: Option<String>,
 }
 
-/// `GET /config/history`: commits, the newest first.
+/// The response to `GET /config/history`.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct HistoryReply {
     /// The newest revision.
     pub newest: Revision,
-    /// The oldest whose change is kept.
+    /// The oldest revision whose commit is retained.
     pub oldest: Revision,
-    /// This page.
+    /// The commits of this page, the newest first.
     pub commits: Vec<CommitLine>,
 }
 
-/// One commit of the history.
+/// One commit in the history.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CommitLine {
-    /// Its place in the order.
+    /// The position in the committed log.
     pub revision: Revision,
-    /// Who.
+    /// The person or program that requested the change.
     pub author: Name,
-    /// Why.
+    /// The reason for the change, for the history.
     pub reason: Name,
-    /// The id under which it was asked for.
+    /// The request id of the proposal.
     pub request_id: Name,
     /// Unix time in ms at which it was proposed.
     pub proposed_at_ms: u64,
-    /// How many changes it holds.
+    /// Number of changes.
     pub changes: u32,
 }
 
-/// `GET /config/diff?from=A&to=B`: the changes that make the content of `to` out of that of `from`.
+/// The response to `GET /config/diff?from=A&to=B`: the changes that turn the content of `from` into that of `to`.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct DiffReply {
-    /// From which revision.
+    /// The first revision.
     pub from: Revision,
-    /// To which.
+    /// The second revision.
     pub to: Revision,
-    /// The changes; [`crate::change::MAX_CHANGES`] at the most.
+    /// The changes, up to [`crate::change::MAX_CHANGES`].
     pub changes: Vec<Change>,
-    /// How many more there are.
+    /// Number of changes past the bound, which are omitted.
     pub left_out: u32,
 }
 
-/// `GET /config/show`: what is in force at the server that is asked.
+/// The response to `GET /config/show`: the state in force at the receiving server.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct ShowReply {
-    /// In force here.
+    /// The revision in force at this server.
     pub revision: Revision,
-    /// Its digest, in hexadecimal.
+    /// The digest of the state, in hexadecimal.
     pub digest: String,
-    /// How many classes are in force.
+    /// Number of classes in force.
     pub classes: u32,
-    /// How many tenants are in force.
+    /// Number of tenants in force.
     pub tenants: u32,
     /// All rules.
     pub rules: Vec<Rule>,
-    /// The entries of this page, by name.
+    /// The entries of this page, sorted by name.
     pub entries: Vec<Entry>,
-    /// The name after which the next page begins, if there is one.
+    /// The last name of this page, if there is another page; the next page begins after it.
     pub next: Option<Name>,
 }
 
--- a/crates/config/src/admin/query.rs
+++ b/crates/config/src/admin/query.rs
@@ -1,10 +1,15 @@
-//! Queries of the `GET` calls, written and read by the same code. Names are percent-encoded; unknown words are refused.
+//! Query strings of the `GET` calls, written and parsed by the same code.
+//!
+//! Values are percent-encoded. Unknown or repeated parameters are rejected.
 
 use super::{MAX_HISTORY_PAGE, MAX_PAGE};
 use crate::change::{Name, Revision};
 use std::sync::Arc;
 
-/// What `GET /config/show` asks for.
+/// Commits in a page of the history where the query has no limit.
+const DEFAULT_HISTORY_PAGE: u64 = 20;
+
+/// The query of `GET /config/show`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Show {
     /// Revision, digest, counts and rules.
@@ -19,63 +24,63 @@
     Tenants(Page),
 }
 
-/// A part of a list that is sorted by name.
+/// A page of a list that is sorted by name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Page {
-    /// Begins after this name; at the first one without it.
+    /// The name after which the page begins; without it, the page begins at the first entry.
     pub after: Option<Name>,
-    /// Entries, from 1 to [`MAX_PAGE`].
+    /// Number of entries, from 1 to [`MAX_PAGE`].
     pub limit: u32,
 }
 
-/// What `GET /config/history` asks for.
+/// The query of `GET /config/history`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct History {
     /// Only commits before this revision.
     pub before: Option<Revision>,
-    /// Commits, from 1 to [`MAX_HISTORY_PAGE`].
+    /// Number of commits, from 1 to [`MAX_HISTORY_PAGE`].
     pub limit: u32,
 }
 
-/// What `GET /config/diff` asks for.
+/// The query of `GET /config/diff`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Diff {
-    /// From which revision.
+    /// The first revision.
     pub from: Revision,
-    /// To which; the one in force without it.
+    /// The second revision; without it, the one in force.
     pub to: Option<Revision>,
 }
 
-/// A query that makes no sense.
+/// Why a query is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum BadQuery {
-    /// A word that the call doesn't have, or one twice.
+    /// A parameter is unknown, repeated, or not percent-encoded correctly.
     #[error("expected each of {known} once at the most, came '{actual}'")]
-    Word {
-        /// The words of the call.
+    Parameter {
+        /// The parameters of the call.
         known: &'static str,
-        /// What came.
+        /// The rejected part of the query.
         actual: String,
     },
-    /// A value of the wrong form.
-    #[error("expected {word} to be {expected}, came '{actual}'")]
+    /// The value of a parameter has the wrong form.
+    #[error("expected {parameter} to be {expected}, came '{actual}'")]
     Value {
-        /// Of which word.
-        word: &'static str,
-        /// The form.
+        /// The parameter.
+        parameter: &'static str,
+        /// The expected form.
         expected: String,
-        /// What came.
+        /// The rejected part of the query.
         actual: String,
     },
-    /// A word that is missing.
+    /// A parameter is missing.
     #[error("expected {0}")]
     Missing(&'static str),
 }
 
 impl Show {
-    /// The query, without its question mark.
+    /// Writes the query string, without the question mark.
     pub fn to_query(&self) -> String {
-        let page = |kind: &str, page: &Page| {
+        let page_query = |kind: &str, page: &Page| {
             let after = page.after.as_ref().map(|name| format!("&after={}", encode(name)));
             format!("kind={kind}&limit={}{}", page.limit, after.unwrap_or_default())
         };
@@ -83,28 +88,29 @@
             Self::Summary => String::new(),
             Self::Class(name) => format!("kind=class&name={}", encode(name)),
             Self::Tenant(name) => format!("kind=tenant&name={}", encode(name)),
-            Self::Classes(of) => page("classes", of),
-            Self::Tenants(of) => page("tenants", of),
+            Self::Classes(page) => page_query("classes", page),
+            Self::Tenants(page) => page_query("tenants", page),
         }
     }
 
-    /// Reads it again.
+    /// Parses a query string.
     pub fn from_query(query: &str) -> Result<Self, BadQuery> {
-        let words = Words::read(query, &["kind", "name", "after", "limit"], "kind, name, after, limit")?;
+        let parameters =
+            Parameters::parse(query, &["kind", "name", "after", "limit"], "kind, name, after, limit")?;
         let page = || -> Result<Page, BadQuery> {
-            let limit = words.number("limit")?.unwrap_or(u64::from(MAX_PAGE));
+            let limit = parameters.number("limit")?.unwrap_or(u64::from(MAX_PAGE));
             let limit = bounded("limit", limit, MAX_PAGE)?;
-            Ok(Page { after: words.get("after").map(Arc::from), limit })
+            Ok(Page { after: parameters.get("after").map(Arc::from), limit })
         };
-        let name = || words.get("name").map(Arc::from).ok_or(BadQuery::Missing("name=NAME"));
-        match words.get("kind") {
+        let name = || parameters.get("name").map(Arc::from).ok_or(BadQuery::Missing("name=NAME"));
+        match parameters.get("kind") {
             None => Ok(Self::Summary),
             Some("class") => name().map(Self::Class),
             Some("tenant") => name().map(Self::Tenant),
             Some("classes") => page().map(Self::Classes),
             Some("tenants") => page().map(Self::Tenants),
             Some(actual) => Err(BadQuery::Value {
-                word: "kind",
+                parameter: "kind",
                 expected: "class, tenant, classes or tenants".into(),
                 actual: actual.into(),
             }),
@@ -113,81 +119,82 @@
 }
 
 impl History {
-    /// The query, without its question mark.
+    /// Writes the query string, without the question mark.
     pub fn to_query(self) -> String {
         let before = self.before.map(|revision| format!("&before={revision}")).unwrap_or_default();
         format!("limit={}{before}", self.limit)
     }
 
-    /// Reads it again.
+    /// Parses a query string.
     pub fn from_query(query: &str) -> Result<Self, BadQuery> {
-        let words = Words::read(query, &["before", "limit"], "before, limit")?;
-        let limit = words.number("limit")?.unwrap_or(20);
+        let parameters = Parameters::parse(query, &["before", "limit"], "before, limit")?;
+        let limit = parameters.number("limit")?.unwrap_or(DEFAULT_HISTORY_PAGE);
         let limit = bounded("limit", limit, MAX_HISTORY_PAGE)?;
-        Ok(Self { before: words.number("before")?.map(Revision), limit })
+        Ok(Self { before: parameters.number("before")?.map(Revision), limit })
     }
 }
 
 impl Diff {
-    /// The query, without its question mark.
+    /// Writes the query string, without the question mark.
     pub fn to_query(self) -> String {
         let to = self.to.map(|revision| format!("&to={revision}")).unwrap_or_default();
         format!("from={}{to}", self.from)
     }
 
-    /// Reads it again.
+    /// Parses a query string.
     pub fn from_query(query: &str) -> Result<Self, BadQuery> {
-        let words = Words::read(query, &["from", "to"], "from, to")?;
-        let from = words.number("from")?.map(Revision).ok_or(BadQuery::Missing("from=REVISION"))?;
-        Ok(Self { from, to: words.number("to")?.map(Revision) })
+        let parameters = Parameters::parse(query, &["from", "to"], "from, to")?;
+        let from = parameters.number("from")?.map(Revision).ok_or(BadQuery::Missing("from=REVISION"))?;
+        Ok(Self { from, to: parameters.number("to")?.map(Revision) })
     }
 }
 
-/// The query of `GET /config/apply`, without its question mark.
+/// Writes the query string of `GET /config/apply`, without the question mark.
 pub fn request_query(request_id: &str) -> String {
     format!("request-id={}", encode(request_id))
 }
 
-/// Reads it again.
+/// Parses a query string.
 pub fn request_id(query: &str) -> Result<Name, BadQuery> {
-    let words = Words::read(query, &["request-id"], "request-id")?;
-    words.get("request-id").map(Arc::from).ok_or(BadQuery::Missing("request-id=ID"))
+    let parameters = Parameters::parse(query, &["request-id"], "request-id")?;
+    parameters.get("request-id").map(Arc::from).ok_or(BadQuery::Missing("request-id=ID"))
 }
 
-fn bounded(word: &'static str, value: u64, most: u32) -> Result<u32, BadQuery> {
-    let within = u32::try_from(value).ok().filter(|value| (1..=most).contains(value));
+/// Checks that a number is from 1 to `max`.
+fn bounded(parameter: &'static str, value: u64, max: u32) -> Result<u32, BadQuery> {
+    let within = u32::try_from(value).ok().filter(|value| (1..=max).contains(value));
     within.ok_or_else(|| BadQuery::Value {
-        word,
-        expected: format!("from 1 to {most}"),
+        parameter,
+        expected: format!("from 1 to {max}"),
         actual: value.to_string(),
     })
 }
 
-/// The words of a query with their values, decoded.
-struct Words(Vec<(&'static str, String)>);
+/// The parameters of a query with their values, decoded.
+struct Parameters(Vec<(&'static str, String)>);
 
-impl Words {
-    fn read(query: &str, known: &[&'static str], listed: &'static str) -> Result<Self, BadQuery> {
-        let mut words: Vec<(&'static str, String)> = Vec::new();
+impl Parameters {
+    fn parse(query: &str, known: &[&'static str], listed: &'static str) -> Result<Self, BadQuery> {
+        let mut parameters: Vec<(&'static str, String)> = Vec::new();
         for pair in query.split('&').filter(|pair| !pair.is_empty()) {
-            let bad = || BadQuery::Word { known: listed, actual: pair.into() };
-            let (word, value) = pair.split_once('=').ok_or_else(bad)?;
-            let word = known.iter().copied().find(|known| *known == word).ok_or_else(bad)?;
-            if words.iter().any(|(present, _)| *present == word) {
+            let bad = || BadQuery::Parameter { known: listed, actual: pair.into() };
+            let (parameter, value) = pair.split_once('=').ok_or_else(bad)?;
+            let parameter = known.iter().copied().find(|known| *known == parameter).ok_or_else(bad)?;
+            if parameters.iter().any(|(present, _)| *present == parameter) {
                 return Err(bad());
             }
-            words.push((word, decode(value).ok_or_else(bad)?));
+            parameters.push((parameter, decode(value).ok_or_else(bad)?));
         }
-        Ok(Self(words))
+        Ok(Self(parameters))
     }
 
-    fn get(&self, word: &str) -> Option<&str> {
-        self.0.iter().find(|(known, _)| *known == word).map(|(_, value)| value.as_str())
+    fn get(&self, parameter: &str) -> Option<&str> {
+        self.0.iter().find(|(known, _)| *known == parameter).map(|(_, value)| value.as_str())
     }
 
-    fn number(&self, word: &'static str) -> Result<Option<u64>, BadQuery> {
-        let Some(text) = self.get(word) else { return Ok(None) };
-        let bad = || BadQuery::Value { word, expected: "a whole number".into(), actual: text.into() };
+    fn number(&self, parameter: &'static str) -> Result<Option<u64>, BadQuery> {
+        let Some(text) = self.get(parameter) else { return Ok(None) };
+        let bad = || BadQuery::Value { parameter, expected: "a whole number".into(), actual: text.into() };
         text.parse().map(Some).map_err(|_| bad())
     }
 }
@@ -204,7 +211,7 @@
     encoded
 }
 
-/// None where it isn't well-formed, or not UTF-8.
+/// Decodes percent-encoding; `None` if it is malformed or not UTF-8.
 fn decode(text: &str) -> Option<String> {
     let mut bytes = text.bytes();
     let mut decoded = Vec::with_capacity(text.len());
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,14 +1,14 @@
-//! A transaction as people write it, with the keys of the configuration file.
+//! A transaction as operators write it, with the keys of the configuration file.
 //!
-//! The order of a document has no meaning: each name stands once in it. A class or tenant that is put replaces the one
-//! of its name whole.
+//! The order in a document has no meaning, as each name is in it once. A class or tenant in a document replaces the one of the
+//! same name completely. Names of fields are part of the interface; one that is renamed here keeps its name in JSON.
 
 use crate::change::{Change, ClassDefinition, Name, Rule, Transaction};
 use gradepin_admission::{ClassProfile, Idempotency, Span, Tenant};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The whole document. Unknown keys are refused: a key typed wrongly must not keep a default silently.
+/// A document. Unknown keys are rejected, so that a mistyped key does not silently leave a default in place.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Document {
@@ -29,7 +29,7 @@
     pub rules: RuleEntries,
 }
 
-/// A class. Times are in nanoseconds.
+/// A class, with the fields of [`ClassProfile`]. Times are in nanoseconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[allow(missing_docs)]
@@ -48,16 +48,16 @@
     #[serde(default)]
     #[serde(rename = "aim_stretch")]
     pub objective_stretch: f64,
-    /// As `specifics.calls_by_class` of the configuration file has it for this class.
-    #[serde(default = "yes")]
+    /// Whether requests of the class make upstream calls; `specifics.calls_by_class` in the configuration file.
+    #[serde(default = "default_calls")]
     pub calls: bool,
-    /// As `specifics.class_skip_worth` of the configuration file has it for this class.
+    /// The value of a skipped request; `specifics.class_skip_worth` in the configuration file.
     #[serde(default)]
     #[serde(rename = "skip_worth")]
     pub skip_weight: f64,
 }
 
-/// A tenant.
+/// A tenant, with the fields of [`Tenant`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[allow(missing_docs)]
@@ -69,7 +69,7 @@
     pub portion: f64,
 }
 
-/// Rules; those that are absent stay as they are.
+/// Rules, one field per variant of [`Rule`]; rules that are absent are not changed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[allow(missing_docs)]
@@ -93,7 +93,7 @@
     pub over_quota_weight: Option<f64>,
 }
 
-fn yes() -> bool {
+fn default_calls() -> bool {
     true
 }
 
@@ -124,7 +124,7 @@
             Rule::DrainGrace(span) => self.drain_grace = Some(span),
             Rule::Fall(span) => self.fall = Some(span),
             Rule::TipMultiple(multiple) => self.max_concurrency_per_core = Some(multiple),
-            Rule::OverShareWorth(part) => self.over_quota_weight = Some(part),
+            Rule::OverShareWorth(fraction) => self.over_quota_weight = Some(fraction),
         }
     }
 }
@@ -176,7 +176,7 @@
 }
 
 impl From<Document> for Transaction {
-    /// Rules first, then classes, then tenants; removals behind what is put.
+    /// Rules first, then classes, then tenants; of each, removals come last.
     fn from(document: Document) -> Self {
         let class = |entry| Change::PutClass(Arc::new(ClassDefinition::from(entry)));
         let tenant = |entry| Change::PutTenant(Arc::new(Tenant::from(entry)));
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,17 +1,19 @@
-//! Revisions of the fleet's configuration, without I/O and without a clock.
+//! Revisions of the configuration of the fleet: changes, validation, digests, snapshots and dissemination. No I/O, no clock.
+//!
+//! A configuration is the result of applying a prefix of the committed log to the base, which is revision 0. Invariant: every
+//! server has the result of such a prefix in force, and its revision never falls.
 //!
-//! - [`admin`]: what the admin endpoints take and give.
 //! - [`change`]: typed changes of classes, tenants and rules, and the commit that carries them under one revision.
-//! - [`configuration`]: the state that commits are applied to, with its [`digest`], in [`chunk`]s; the [`rules`].
-//! - [`validation`]: the one check of transactions.
+//! - [`document`]: a transaction as operators write it.
+//! - [`configuration`]: the state that commits are applied to, with its [`digest`], in [`chunk`]s, and its [`rules`].
+//! - [`validation`]: the check of transactions.
 //! - [`snapshot`]: a state in chunks that are checked one by one.
 //! - [`log`]: the last commits.
-//! - [`difference`]: what turns one state into another.
-//! - [`dissemination`]: how commits and snapshots reach every server.
-//! - [`document`]: a transaction as people write it.
-//!
-//! A configuration is the result of applying a prefix of the committed log to the one base, revision 0. Every server of
-//! the fleet holds such a prefix, and never anything else.
+//! - [`difference`]: the transactions that turn one state into another.
+//! - [`dissemination`]: the state machine by which commits and snapshots reach every server.
+//! - [`admin`]: requests and responses of the admin endpoints.
+
+#![warn(missing_docs)]
 
 pub mod admin;
 pub mod change;
--- a/crates/config/tests/golden_bytes.rs
+++ b/crates/config/tests/golden_bytes.rs
@@ -174,7 +174,7 @@
             "unknown revision",
             AdminError::UnknownRevision { revision: Revision(1), oldest: expected, newest: in_force },
         ),
-        ("servers fail", AdminError::ServersFail { servers: 3, most: 2, revision: expected }),
+        ("servers fail", AdminError::ServersFail { servers: 3, max_servers: 2, revision: expected }),
         (
             "unknown entry",
             AdminError::UnknownEntry { kind: "class".into(), name: name("c1"), revision: expected },
