--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -75,8 +75,8 @@
     /// digest, whatever their order in the file. An error if the bounds are exceeded or a name is there twice.
     pub fn from_settings(settings: &Settings) -> Result<Self, Invalid> {
         let (classes, tenants) = (settings.profiles.len(), settings.customers.len());
-        validation::at_most("settings.profiles", classes, MAX_CLASSES, "classes")?;
-        validation::at_most("settings.customers", tenants, MAX_TENANTS, "tenants")?;
+        validation::check_max("settings.profiles", classes, MAX_CLASSES, "classes")?;
+        validation::check_max("settings.customers", tenants, MAX_TENANTS, "tenants")?;
         let mut configuration = Self::default();
         for rule in RuleSet::of(settings).iter() {
             configuration.put_rule(rule);
--- a/crates/config/src/dissemination/commit_requests.rs
+++ b/crates/config/src/dissemination/commit_requests.rs
@@ -156,25 +156,25 @@
         let rank = |name: &Name| {
             (self.failed_peers.contains(now, name), peers.distance(name), !peers.is_voter(name))
         };
-        let may_ask = |name: &&Name| {
+        let is_eligible = |name: &&Name| {
             let delay = self.delay(settings, peers.distance(name));
             let is_due = now >= time_after(behind_since, delay);
             is_due && peers.may_fetch(settings, name) && !view.is_quarantined(name)
         };
-        let best = self.peers_ahead.keys().filter(may_ask).map(rank).min()?;
+        let best = self.peers_ahead.keys().filter(is_eligible).map(rank).min()?;
         let candidates: Vec<&Name> =
-            self.peers_ahead.keys().filter(may_ask).filter(|name| rank(name) == best).collect();
+            self.peers_ahead.keys().filter(is_eligible).filter(|name| rank(name) == best).collect();
         Some(candidates[random_below(rng, candidates.len())].clone())
     }
 
     /// One of the nearest peers that are ahead, to fetch a snapshot from.
     pub fn nearest_peer_ahead(&self, view: &PeerView<'_>, rng: &mut Pcg64Mcg) -> Option<Name> {
         let PeerView { now, peers, .. } = *view;
-        let may_ask = |name: &&Name| !view.is_quarantined(name) && !self.failed_peers.contains(now, name);
+        let is_eligible = |name: &&Name| !view.is_quarantined(name) && !self.failed_peers.contains(now, name);
         let distance = |name: &Name| peers.distance(name);
-        let nearest = self.peers_ahead.keys().filter(may_ask).map(distance).min()?;
+        let nearest = self.peers_ahead.keys().filter(is_eligible).map(distance).min()?;
         let candidates: Vec<&Name> =
-            self.peers_ahead.keys().filter(may_ask).filter(|name| distance(name) == nearest).collect();
+            self.peers_ahead.keys().filter(is_eligible).filter(|name| distance(name) == nearest).collect();
         Some(candidates[random_below(rng, candidates.len())].clone())
     }
 
--- a/crates/config/src/dissemination/peer_digests.rs
+++ b/crates/config/src/dissemination/peer_digests.rs
@@ -59,7 +59,7 @@
     }
 
     /// A peer sent a record for the next revision whose digest does not match here. Where two peers sent the same record, this
-    /// server's own state is in doubt, and these peers are returned; otherwise nobody.
+    /// server's own state is in doubt, and these peers are returned; otherwise the result is empty.
     pub fn record_mismatch(&mut self, version: Version, name: &Name) -> Vec<Name> {
         self.mismatches.retain(|other| other.version.revision == version.revision);
         let mismatch = Mismatch { version, source: name.clone() };
--- a/crates/config/src/dissemination/settings.rs
+++ b/crates/config/src/dissemination/settings.rs
@@ -43,7 +43,7 @@
     pub quarantine: Span,
     /// Commits retained for peers.
     pub kept: LogLimits,
-    /// Bytes sent per second, without snapshots. A burst takes four seconds' worth at most.
+    /// Bytes sent per second, without snapshots. A burst takes the bytes of four seconds at most.
     pub send_bytes_s: f64,
     /// Bytes of snapshots sent per second.
     pub snapshot_bytes_s: f64,
--- a/crates/config/src/dissemination/transfer/candidate.rs
+++ b/crates/config/src/dissemination/transfer/candidate.rs
@@ -25,7 +25,7 @@
     is_from_voter: bool,
     agreeing: BTreeSet<Name>,
     disagreeing: BTreeSet<Name>,
-    asked: BTreeSet<Name>,
+    requested_from: BTreeSet<Name>,
     rounds: u32,
     next_round_at: Time,
 }
@@ -52,7 +52,7 @@
 }
 
 impl Candidate {
-    /// A manifest that nobody has confirmed yet; the first round is due at once.
+    /// A manifest without votes; the first round is due at once.
     pub(super) fn new(manifest: Manifest, source: &Name, is_from_voter: bool, now: Time) -> Self {
         Self {
             manifest,
@@ -60,7 +60,7 @@
             is_from_voter,
             agreeing: BTreeSet::new(),
             disagreeing: BTreeSet::new(),
-            asked: BTreeSet::from([source.clone()]),
+            requested_from: BTreeSet::from([source.clone()]),
             rounds: 0,
             next_round_at: now,
         }
@@ -132,12 +132,13 @@
         self.rounds += 1;
         self.next_round_at = next_round_at;
         let revision = self.manifest.revision();
-        let may_ask = |name: &Name| *name != self.source && !view.is_quarantined(name);
-        let allowed = view.peers.snapshot_peers(view.settings, rng).into_iter().filter(may_ask);
-        let (asked, mut peers): (Vec<Name>, Vec<Name>) = allowed.partition(|name| self.asked.contains(name));
-        peers.extend(asked);
+        let is_eligible = |name: &Name| *name != self.source && !view.is_quarantined(name);
+        let allowed = view.peers.snapshot_peers(view.settings, rng).into_iter().filter(is_eligible);
+        let (requested_from, mut peers): (Vec<Name>, Vec<Name>) =
+            allowed.partition(|name| self.requested_from.contains(name));
+        peers.extend(requested_from);
         peers.truncate(PEERS_PER_ROUND);
-        self.asked.extend(peers.iter().cloned());
+        self.requested_from.extend(peers.iter().cloned());
         let request = |to: Name| Request { to, message: Message::FetchVersion(revision) };
         peers.into_iter().map(request).collect()
     }
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -63,7 +63,7 @@
 type Checked = Result<(), Invalid>;
 
 /// Checks that there are at most `max` of something.
-pub(crate) fn at_most(path: &str, count: usize, max: usize, what: &str) -> Checked {
+pub(crate) fn check_max(path: &str, count: usize, max: usize, what: &str) -> Checked {
     if count <= max {
         return Ok(());
     }
@@ -73,7 +73,7 @@
 /// Checks that the chunk of a new name has capacity for one more entry.
 pub(crate) fn check_chunk_capacity(entries: &dyn EntryIndex, path: &str, name: &str) -> Checked {
     let present = entries.chunk_entries(ChunkNumber::of(name));
-    at_most(path, present + 1, MAX_CHUNK_ENTRIES, "entries whose names hash alike")
+    check_max(path, present + 1, MAX_CHUNK_ENTRIES, "entries whose names hash alike")
 }
 
 /// Checks author, reason and request id of a proposal.
@@ -89,7 +89,7 @@
     if changes.is_empty() {
         return Err(Invalid::new("changes", "at least one change", "none"));
     }
-    at_most("changes", changes.len(), MAX_CHANGES, "changes")?;
+    check_max("changes", changes.len(), MAX_CHANGES, "changes")?;
     let mut counter = ChangeCounter::new(entries);
     for (index, change) in changes.iter().enumerate() {
         counter.count(index, change)?;
@@ -160,15 +160,15 @@
         let added = self.added.entry(number).or_default();
         *added += 1;
         let present = self.entries.chunk_entries(number);
-        at_most(path, present + *added, MAX_CHUNK_ENTRIES, "entries whose names hash alike")
+        check_max(path, present + *added, MAX_CHUNK_ENTRIES, "entries whose names hash alike")
     }
 
     fn check_totals(&self) -> Checked {
         if self.classes == 0 {
             return Err(Invalid::new("changes", "at least one class left", "the last class removed"));
         }
-        at_most("changes", self.classes, MAX_CLASSES, "classes in force")?;
-        at_most("changes", self.tenants, MAX_TENANTS, "tenants in force")
+        check_max("changes", self.classes, MAX_CLASSES, "classes in force")?;
+        check_max("changes", self.tenants, MAX_TENANTS, "tenants in force")
     }
 }
 
@@ -227,7 +227,7 @@
     if text.is_empty() {
         return Err(Invalid::new(path, "a text", "an empty one"));
     }
-    at_most(path, text.len(), max_bytes, "bytes of text")?;
+    check_max(path, text.len(), max_bytes, "bytes of text")?;
     if text.contains(char::is_control) {
         return Err(Invalid::new(path, "no control characters", "one or more"));
     }
--- a/crates/config/src/well_formed.rs
+++ b/crates/config/src/well_formed.rs
@@ -10,7 +10,7 @@
 pub(crate) fn is_well_formed_class(class: &ClassDefinition) -> bool {
     let ClassDefinition { profile, skip_weight, .. } = class;
     let numbers = [profile.late_value, profile.priority_weight, profile.objective_stretch, *skip_weight];
-    is_one_word(&profile.name)
+    is_single_token(&profile.name)
         && profile.latency_objective.0 > 0
         && profile.deadline.0 > 0
         && numbers.into_iter().all(f64::is_finite)
@@ -31,6 +31,6 @@
     }
 }
 
-fn is_one_word(name: &str) -> bool {
+fn is_single_token(name: &str) -> bool {
     !name.is_empty() && !name.contains(|c: char| c.is_whitespace() || c.is_control())
 }
--- a/crates/config/tests/admin.rs
+++ b/crates/config/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The JSON of the admin endpoints as the design page states it, and queries that are read as they were written.
+//! The JSON of the admin endpoints in the form of the design page, and query strings.
 
 use gradepin_admission::Span;
 use gradepin_config::admin::query::{self, Diff, History, Page, Show};
@@ -8,7 +8,7 @@
 
 /// The examples of `docs/design/configuration-admin.md`.
 #[test]
-fn the_examples_of_the_design_page_are_read() {
+fn parses_the_examples_of_the_design_page() {
     let text = r#"{"proposal": {"request_id": "r-1", "author": "kaisa", "reason": "more for osm", "expected": 41,
         "transaction": {"changes": [{"PutTenant": {"name": "osm", "quota_rps": 0.0, "portion": 0.2}},
             {"RemoveClass": "old-tiles"}, {"PutRule": {"cold": 30000000000}}]}}, "dry_run": false}"#;
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn replies_and_refusals_have_the_stated_form_and_status() {
+fn writes_replies_and_errors_in_the_stated_form_and_status() {
     let cases = [
         (ApplyReply::Pending { request_id: Arc::from("r") }, r#"{"state":"pending","request_id":"r"}"#),
         (
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn queries_are_read_as_they_were_written() {
+fn parses_queries_as_they_were_written() {
     let name: Arc<str> = Arc::from("Järvi & co=1/2 %");
     let page = |after: Option<Arc<str>>| Page { after, limit: 50 };
     let shows = [
@@ -87,13 +87,16 @@
 }
 
 #[test]
-fn a_query_that_makes_no_sense_says_why() {
-    let why = |query| Show::from_query(query).unwrap_err().to_string();
-    assert_eq!(why("kind=classes&limit=501"), "expected limit to be from 1 to 500, came '501'");
-    assert_eq!(why("kind=classes&limit=0"), "expected limit to be from 1 to 500, came '0'");
-    assert_eq!(why("kind=rule"), "expected kind to be class, tenant, classes or tenants, came 'rule'");
-    assert_eq!(why("kind=class"), "expected name=NAME");
-    assert_eq!(why("name=%4"), "expected each of kind, name, after, limit once at the most, came 'name=%4'");
+fn rejects_malformed_query_with_what_was_expected() {
+    let error_text = |query| Show::from_query(query).unwrap_err().to_string();
+    assert_eq!(error_text("kind=classes&limit=501"), "expected limit to be from 1 to 500, came '501'");
+    assert_eq!(error_text("kind=classes&limit=0"), "expected limit to be from 1 to 500, came '0'");
+    assert_eq!(error_text("kind=rule"), "expected kind to be class, tenant, classes or tenants, came 'rule'");
+    assert_eq!(error_text("kind=class"), "expected name=NAME");
+    assert_eq!(
+        error_text("name=%4"),
+        "expected each of kind, name, after, limit once at the most, came 'name=%4'"
+    );
     assert!(Diff::from_query("to=4").is_err() && Diff::from_query("from=1&from=2").is_err());
     assert!(Diff::from_query("from=-1").is_err() && query::request_id("id=1").is_err());
 }
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -67,7 +67,7 @@
 }
 
 fn name() -> impl Strategy<Value = String> {
-    // Few names, so that changes meet; enough for several chunks.
+    // Few names, so that changes collide; enough for several chunks.
     (0..12u8).prop_map(|n| format!("name-{n}"))
 }
 
@@ -83,7 +83,7 @@
     ]
 }
 
-/// Transactions, some of which are not valid where they come.
+/// Transactions, some of which are not valid at their position.
 pub fn transactions() -> impl Strategy<Value = Vec<Vec<Change>>> {
     prop::collection::vec(prop::collection::vec(change(), 0..5), 1..40)
 }
@@ -103,8 +103,8 @@
     })
 }
 
-/// The digest as a sum over all entries, told again from nothing.
-pub fn digest_anew(state: &Configuration) -> gradepin_config::Digest {
+/// The digest as a sum over all entries, computed without the state's own digest.
+pub fn recomputed_digest(state: &Configuration) -> gradepin_config::Digest {
     use gradepin_config::digest::Entry;
     let classes = state.classes().cloned().map(Entry::Class);
     let tenants = state.tenants().cloned().map(Entry::Tenant);
--- a/crates/config/tests/dissemination.rs
+++ b/crates/config/tests/dissemination.rs
@@ -1,4 +1,4 @@
-//! Sources that serve bad data, message by message: what they say is not taken, and they are left out for a time.
+//! Sources that serve bad data: their data is rejected, and they are quarantined.
 
 mod common;
 
@@ -16,7 +16,7 @@
     Member { name: name.into(), zone: "zone".into(), region: "region".into(), voter: false }
 }
 
-/// A server that knows three peers.
+/// A server with three peers that are up.
 fn server(state: Configuration) -> Dissemination {
     println!("SEED={SEED}");
     let mut server =
@@ -25,7 +25,7 @@
     server
 }
 
-/// The state after the first commit, which sets this portion, and the record of it.
+/// The state after the first commit, which sets this portion, and its record.
 fn first(portion: f64) -> (Configuration, CommitRecord) {
     let commit = commit(1, vec![put_tenant(tenant("acme", portion))]);
     let mut state = base();
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_source_that_is_left_out_is_not_believed_until_its_time_is_over() {
+fn ignores_commits_of_quarantined_source_until_quarantine_ends() {
     let bad: Name = "b".into();
     let (_, record) = first(0.25);
     let mut changed = record.clone();
@@ -43,11 +43,11 @@
     let mut server = server(base());
     server.receive(Time(0), &bad, &Message::Push(vec![changed]).encode());
     assert!(server.is_quarantined(Time(0), "b"));
-    let whole = Message::Push(vec![record]).encode();
-    server.receive(Time(1), &bad, &whole);
+    let valid = Message::Push(vec![record]).encode();
+    server.receive(Time(1), &bad, &valid);
     assert_eq!(server.state().revision(), Revision(0));
     let later = time_after(Time(0), DisseminationSettings::default().quarantine);
-    server.receive(later, &bad, &whole);
+    server.receive(later, &bad, &valid);
     assert_eq!(server.state().revision(), Revision(1));
 }
 
@@ -68,9 +68,9 @@
     assert!(noted, "{effects:?}");
 }
 
-/// Two peers name another digest for the revision of a snapshot that is consistent in itself.
+/// Two peers report another digest for the revision of a snapshot that is consistent in itself.
 #[test]
-fn a_snapshot_that_others_contradict_is_not_taken() {
+fn rejects_snapshot_that_two_peers_contradict() {
     let (bad, peers): (Name, [Name; 2]) = ("b".into(), ["c".into(), "d".into()]);
     let (forged, _) = first(0.75);
     let (committed, _) = first(0.25);
@@ -83,7 +83,7 @@
         server.step(now, &mut effects);
         for effect in effects {
             let DisseminationEffect::Send { to, bytes } = effect else { continue };
-            let answer = match Message::decode(&bytes) {
+            let response = match Message::decode(&bytes) {
                 Some(Message::FetchManifest(_)) if to == bad => {
                     Message::Manifest(Snapshot::of(&forged).manifest())
                 }
@@ -97,10 +97,10 @@
                 }
                 _ => continue,
             };
-            server.receive(now, &to, &answer.encode());
+            server.receive(now, &to, &response.encode());
         }
         now = time_after(now, Span(10_000_000));
-        assert!(now < Time(60_000_000_000), "nobody was asked for the digest of the revision");
+        assert!(now < Time(60_000_000_000), "no peer was asked for the digest of the revision");
         assert_ne!(server.state().digest(), forged.digest());
     }
     assert!(server.is_quarantined(now, "b"));
--- a/crates/config/tests/odd_messages.rs
+++ b/crates/config/tests/malformed_messages.rs
@@ -1,6 +1,5 @@
-//! What a server hears of the configuration from one that has the fleet's key and says what none of ours would: messages with
-//! bytes changed, cut, doubled and of other messages. None of it ends the server or keeps its turn in the past, and what comes
-//! into force is what somebody could have set.
+//! Malformed messages from a server that has the key of the fleet: with bytes that are changed, cut, repeated, or taken from
+//! other messages. None of them may end a server, make it step forever at one time, or change the state in force.
 
 mod common;
 
@@ -44,8 +43,8 @@
         Self { now: Time(0), servers: (0..SERVERS).map(server).collect(), sent: Vec::new() }
     }
 
-    /// Gives everybody turns at this moment until nobody wants another one.
-    fn settle(&mut self, keeps: bool) {
+    /// Steps all servers at this time until none is due any more.
+    fn settle(&mut self, records_messages: bool) {
         for _ in 0..100 {
             for n in 0..SERVERS {
                 let mut effects = Vec::new();
@@ -54,7 +53,7 @@
                     let DisseminationEffect::Send { to, bytes } = effect else { continue };
                     let Some(to) = (0..SERVERS).find(|other| name(*other) == to) else { continue };
                     self.servers[to].receive(self.now, &name(n), &bytes);
-                    if keeps {
+                    if records_messages {
                         self.sent.push((to, bytes));
                     }
                 }
@@ -63,18 +62,18 @@
                 return;
             }
         }
-        panic!("somebody wants a turn at {} again and again", self.now.0);
+        panic!("a server is due at {} after 100 rounds", self.now.0);
     }
 
-    fn run(&mut self, ms: u64, keeps: bool) {
+    fn run(&mut self, ms: u64, records_messages: bool) {
         for _ in 0..ms / 20 {
             self.now = time_after(self.now, Span(20 * MS));
-            self.settle(keeps);
+            self.settle(records_messages);
         }
     }
 }
 
-/// A fleet in which commits are under way, and one server fetches a snapshot.
+/// A fleet that has spread commits, and in which one server has fetched a snapshot; all messages are recorded.
 fn busy_fleet(seed: u64) -> Fleet {
     let mut fleet = Fleet::new(seed);
     for revision in 1..=30 {
@@ -87,8 +86,8 @@
         fleet.servers[1].committed(fleet.now, commit);
         fleet.run(40, true);
     }
-    let fresh = DisseminationSettings::default();
-    fleet.servers[3] = Dissemination::new(fresh, member(3), base(), seed, fleet.now);
+    let settings = DisseminationSettings::default();
+    fleet.servers[3] = Dissemination::new(settings, member(3), base(), seed, fleet.now);
     (0..3).for_each(|other| fleet.servers[3].member_up(Arc::new(member(other))));
     fleet.servers[3].receive(fleet.now, &name(0), &Message::Compacted.encode());
     fleet.run(6_000, true);
@@ -96,7 +95,7 @@
     fleet
 }
 
-fn change(rng: &mut Pcg64Mcg, bytes: &mut Vec<u8>, other: &[u8]) {
+fn corrupt(rng: &mut Pcg64Mcg, bytes: &mut Vec<u8>, other: &[u8]) {
     for _ in 0..1 + rng.next_u64() % 3 {
         let place = rng.next_u64() as usize % bytes.len().max(1);
         match rng.next_u64() % 7 {
@@ -115,10 +114,10 @@
     }
 }
 
-/// Guards a server against a state after which no revision comes: the digest says nothing of the revision, so a whole state is all
-/// it takes where only one peer is known.
+/// Guards a server against a state after which there is no next revision: the digest does not cover the revision, and where only
+/// one peer is up a snapshot needs no confirmation.
 #[test]
-fn a_state_at_the_last_revision_there_is_is_not_taken() {
+fn rejects_snapshot_past_the_highest_revision() {
     for revision in [u64::MAX, u64::MAX - 1, 1 << 63] {
         let mut server = Dissemination::new(DisseminationSettings::default(), member(0), base(), 1, Time(0));
         let peer = name(1);
@@ -143,7 +142,7 @@
 }
 
 #[test]
-fn odd_messages_end_no_server_and_change_nothing() {
+fn survives_malformed_messages_without_change_of_state() {
     let seeds = std::env::var("SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(8);
     for seed in 0..seeds {
         println!("seed {seed}");
@@ -155,7 +154,7 @@
             let (to, bytes) = &sent[rng.next_u64() as usize % sent.len()];
             let (_, other) = &sent[rng.next_u64() as usize % sent.len()];
             let mut bytes = bytes.clone();
-            change(&mut rng, &mut bytes, other);
+            corrupt(&mut rng, &mut bytes, other);
             let from = name(rng.next_u64() as usize % (SERVERS + 1));
             fleet.servers[*to].receive(fleet.now, &from, &bytes);
             fleet.settle(false);
--- a/crates/config/tests/properties.rs
+++ b/crates/config/tests/properties.rs
@@ -3,14 +3,14 @@
 
 mod common;
 
-use common::{base, commit, digest_anew, some_settings, transactions};
+use common::{base, commit, recomputed_digest, some_settings, transactions};
 use gradepin_config::{ApplyError, Change, Configuration, Snapshot, Transaction};
 use gradepin_config::{Assembly, Commit};
 use proptest::prelude::*;
 use proptest::sample::Index;
 
-/// The state and the valid commits of a history, in order.
-fn play(history: Vec<Vec<Change>>) -> (Configuration, Vec<Commit>) {
+/// Applies the valid commits of a history; returns the state and these commits, in order.
+fn apply_valid(history: Vec<Vec<Change>>) -> (Configuration, Vec<Commit>) {
     let (mut state, mut commits) = (base(), Vec::new());
     for changes in history {
         let commit = commit(state.revision().0 + 1, changes);
@@ -26,55 +26,55 @@
 
     /// Snapshot plus later commits is the same state as all commits, wherever the snapshot was taken.
     #[test]
-    fn a_snapshot_plus_later_commits_equals_all_commits(history in transactions(), cut in any::<Index>()) {
-        let (whole, commits) = play(history);
+    fn snapshot_plus_later_commits_equals_all_commits(history in transactions(), cut in any::<Index>()) {
+        let (last, commits) = apply_valid(history);
         let cut = cut.index(commits.len() + 1);
         let mut early = base();
         commits[..cut].iter().for_each(|commit| early.apply(commit).expect("a prefix"));
         let snapshot = Snapshot::of(&early);
-        // Later commits don't reach into a snapshot that was taken before.
+        // Later commits must not change a snapshot that was taken before.
         commits[cut..].iter().for_each(|commit| early.apply(commit).expect("the rest"));
         let read = Snapshot::decode(&snapshot.encode()).expect("own snapshot");
         prop_assert_eq!(read.version(), snapshot.version());
         let mut late = read.configuration().clone();
         commits[cut..].iter().for_each(|commit| late.apply(commit).expect("the rest"));
-        prop_assert_eq!(late.version(), whole.version());
-        prop_assert_eq!(early.version(), whole.version());
-        prop_assert_eq!(late.class_count(), whole.class_count());
-        prop_assert_eq!(late.tenant_count(), whole.tenant_count());
-        prop_assert!(late.classes().eq(whole.classes()) && late.tenants().eq(whole.tenants()));
+        prop_assert_eq!(late.version(), last.version());
+        prop_assert_eq!(early.version(), last.version());
+        prop_assert_eq!(late.class_count(), last.class_count());
+        prop_assert_eq!(late.tenant_count(), last.tenant_count());
+        prop_assert!(late.classes().eq(last.classes()) && late.tenants().eq(last.tenants()));
     }
 
-    /// The incremental digest is the sum over the entries, however the state was reached.
+    /// The incremental digest is the sum over the entries, whichever commits led to them.
     #[test]
-    fn the_digest_is_that_of_the_entries(history in transactions()) {
-        let (state, _) = play(history);
-        prop_assert_eq!(state.digest(), digest_anew(&state));
+    fn digest_equals_sum_over_entries(history in transactions()) {
+        let (state, _) = apply_valid(history);
+        prop_assert_eq!(state.digest(), recomputed_digest(&state));
         let again = Configuration::from_settings(&state.over(&common::settings(&[], &[])));
         let again = again.expect("the entries of a state");
         prop_assert_eq!(again.digest(), state.digest());
     }
 
-    /// A commit that is refused changes nothing.
+    /// A commit that is rejected changes nothing.
     #[test]
-    fn what_is_not_valid_changes_nothing(history in transactions()) {
+    fn rejected_commit_changes_nothing(history in transactions()) {
         let mut state = base();
         for changes in history {
             let commit = commit(state.revision().0 + 1, changes);
             let before = state.clone();
-            if let Err(why) = state.apply(&commit) {
-                prop_assert!(matches!(why, ApplyError::Invalid(_)));
+            if let Err(error) = state.apply(&commit) {
+                prop_assert!(matches!(error, ApplyError::Invalid(_)));
                 prop_assert_eq!(state.version(), before.version());
-                prop_assert_eq!(digest_anew(&state), before.digest());
+                prop_assert_eq!(recomputed_digest(&state), before.digest());
                 prop_assert!(state.classes().eq(before.classes()) && state.tenants().eq(before.tenants()));
             }
         }
     }
 
-    /// The difference to a file, applied, gives the file's entries, and what it gives is the same each time.
+    /// The difference to a file, applied, gives the entries of the file, and it is deterministic.
     #[test]
-    fn the_difference_leads_to_its_target(history in transactions(), target in some_settings()) {
-        let (mut state, _) = play(history);
+    fn difference_leads_to_its_target(history in transactions(), target in some_settings()) {
+        let (mut state, _) = apply_valid(history);
         let wanted = Configuration::from_settings(&target).expect("a valid file");
         let difference = state.difference(&target).expect("a valid file");
         prop_assert_eq!(&difference, &state.difference(&target).expect("a valid file"));
@@ -86,18 +86,18 @@
         prop_assert!(state.difference(&target).expect("a valid file").is_empty());
     }
 
-    /// Chunks may come in any order, and what a state has already need not come.
+    /// Chunks may be added in any order, and those of a state at hand need not be added.
     #[test]
-    fn an_assembly_takes_chunks_in_any_order(
+    fn assembly_accepts_chunks_in_any_order(
         history in transactions(),
         cut in any::<Index>(),
         order in any::<prop::sample::Selector>(),
     ) {
-        let (whole, commits) = play(history);
+        let (last, commits) = apply_valid(history);
         let mut early = base();
         let cut = cut.index(commits.len() + 1);
         commits[..cut].iter().for_each(|commit| early.apply(commit).expect("a prefix"));
-        let source = Snapshot::of(&whole);
+        let source = Snapshot::of(&last);
         let mut assembly = Assembly::new(source.manifest()).expect("own manifest");
         assembly.adopt(&early);
         while assembly.missing_count() > 0 {
@@ -106,7 +106,7 @@
             assembly.add(number, &bytes).expect("its own chunk");
         }
         let read = assembly.finish().expect("all chunks");
-        prop_assert_eq!(read.version(), whole.version());
-        prop_assert_eq!(digest_anew(read.configuration()), whole.digest());
+        prop_assert_eq!(read.version(), last.version());
+        prop_assert_eq!(recomputed_digest(read.configuration()), last.digest());
     }
 }
--- a/crates/config/tests/parts.rs
+++ b/crates/config/tests/snapshots_and_log.rs
@@ -1,4 +1,4 @@
-//! Damaged and foreign parts of snapshots are found, and the log keeps what it is told to.
+//! Damaged and foreign parts of snapshots are rejected, and the log keeps its bounds.
 
 mod common;
 
@@ -10,23 +10,23 @@
 use gradepin_config::{Assembly, ClassDefinition, CommitLog, Configuration, LogLimits, Revision, Snapshot};
 use std::sync::Arc;
 
-fn some(first_promise: u64) -> Snapshot {
-    let classes: Vec<_> = (0..30).map(|n| class(&format!("c{n}"), first_promise + n)).collect();
+fn snapshot(first_objective_ms: u64) -> Snapshot {
+    let classes: Vec<_> = (0..30).map(|n| class(&format!("c{n}"), first_objective_ms + n)).collect();
     let tenants: Vec<_> = (0..30).map(|n| tenant(&format!("t{n}"), 0.0)).collect();
     Snapshot::of(&Configuration::from_settings(&settings(&classes, &tenants)).expect("valid"))
 }
 
 #[test]
-fn a_flipped_bit_anywhere_is_found() {
-    let whole = some(10);
-    let bytes = whole.encode();
+fn rejects_snapshot_with_flipped_bit_or_cut() {
+    let valid = snapshot(10);
+    let bytes = valid.encode();
     for at in 0..bytes.len() {
         let mut wrong = bytes.clone();
         wrong[at] ^= 1 << (at % 8);
         match Snapshot::decode(&wrong) {
             Err(_) => {}
-            // The revision is the one thing that the digest does not cover; it is compared together with it.
-            Ok(read) => assert_ne!(read.version(), whole.version(), "byte {at}"),
+            // The digest does not cover the revision; a version is compared by both.
+            Ok(read) => assert_ne!(read.version(), valid.version(), "byte {at}"),
         }
     }
     for length in 0..bytes.len() {
@@ -35,28 +35,28 @@
 }
 
 #[test]
-fn a_chunk_of_another_state_or_place_is_not_taken() {
-    let (ours, theirs) = (some(10), some(11));
+fn rejects_chunk_of_other_state_or_number() {
+    let (ours, theirs) = (snapshot(10), snapshot(11));
     let mut assembly = Assembly::new(ours.manifest()).expect("own manifest");
     let number = ChunkNumber::of("c3");
     let other = ChunkNumber::of("c4");
     assert_ne!(number, other);
     let all = assembly.missing_count();
-    let foreign = theirs.chunk(number).expect("there");
+    let foreign = theirs.chunk(number).expect("a chunk of it");
     assert!(matches!(assembly.add(number, &foreign), Err(ChunkError::Digest { .. })));
-    let misplaced = ours.chunk(other).expect("there");
+    let misplaced = ours.chunk(other).expect("a chunk of it");
     assert!(matches!(assembly.add(number, &misplaced), Err(ChunkError::Order(_))));
     let empty = (0..u16::MAX).map(ChunkNumber).find(|n| ours.chunk(*n).is_none()).expect("one");
     assert_eq!(assembly.add(empty, &misplaced), Err(ChunkError::Unknown(empty.0)));
     assert_eq!(assembly.missing_count(), all);
-    assembly.add(number, &ours.chunk(number).expect("there")).expect("its own");
+    assembly.add(number, &ours.chunk(number).expect("a chunk of it")).expect("its own");
     assert_eq!(assembly.missing_count(), all - 1);
     assert_eq!(assembly.finish().err(), Some(SnapshotError::Missing(all - 1)));
 }
 
 #[test]
-fn a_manifest_that_does_not_sum_to_its_digest_is_not_taken() {
-    let (ours, theirs) = (some(10), some(11));
+fn rejects_manifest_that_does_not_sum_to_its_digest() {
+    let (ours, theirs) = (snapshot(10), snapshot(11));
     let mut manifest = ours.manifest();
     manifest.chunks = theirs.manifest().chunks;
     assert!(matches!(Assembly::new(manifest), Err(SnapshotError::Digest { .. })));
@@ -69,13 +69,13 @@
 }
 
 #[test]
-fn an_assembly_goes_on_when_its_source_has_moved_on() {
-    let old = some(10);
+fn reuses_chunks_of_assembly_at_earlier_revision() {
+    let old = snapshot(10);
     let mut state = old.configuration().clone();
     let mut first = Assembly::new(old.manifest()).expect("own manifest");
     let numbers: Vec<_> = first.missing().collect();
     for number in numbers {
-        first.add(number, &old.chunk(number).expect("there")).expect("its own");
+        first.add(number, &old.chunk(number).expect("a chunk of it")).expect("its own");
     }
     state.apply(&commit(1, vec![put_class(class("c3", 99))])).expect("valid");
     let new = Snapshot::of(&state);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn the_log_is_gapless_and_bounded() {
+fn keeps_log_without_gaps_and_within_bounds() {
     let one = |n: u64| Arc::new(commit(n, vec![put_tenant(tenant("acme", 0.1))]));
     let limits = LogLimits { commits: 3, bytes: 1 << 20 };
     let mut log = CommitLog::after_revision(base().revision(), limits);
@@ -111,10 +111,10 @@
     assert_eq!((log.base(), log.last(), log.bytes()), (Revision(90), Revision(90), 0));
 }
 
-/// Guards the line to the processor, which names a class as one word, and the arithmetic of the module: whatever a peer or a
-/// file brings, a state that no start file and no change could have made is not read.
+/// Guards the line to the processor, in which a class name is one word, and the arithmetic of the admission module: entries that
+/// neither a start file nor a commit can have set are rejected, from a peer or a file.
 #[test]
-fn a_snapshot_with_entries_that_nobody_could_have_set_is_not_read() {
+fn rejects_snapshot_with_entries_that_are_not_well_formed() {
     let good = class("c", 10);
     let with = |change: fn(&mut ClassDefinition)| {
         let mut class = good.clone();
@@ -143,12 +143,13 @@
     (other.rules.cold_capacity, other.rules.max_concurrency_per_core) = (0.5, f64::INFINITY);
     bad.push(other);
     for settings in bad {
-        let snapshot =
-            Snapshot::of(&Configuration::from_settings(&settings).expect("counted, not looked at"));
+        let snapshot = Snapshot::of(
+            &Configuration::from_settings(&settings).expect("a start file is checked for bounds only"),
+        );
         assert!(Snapshot::decode(&snapshot.encode()).is_err(), "{settings:?}");
     }
-    // What a start file may say and a change may not is read.
-    let odd = with(|class| class.profile.deadline = Span(1));
-    let snapshot = Snapshot::of(&Configuration::from_settings(&odd).expect("valid"));
+    // An entry that is valid in a start file but not in a change is accepted.
+    let invalid_for_a_change = with(|class| class.profile.deadline = Span(1));
+    let snapshot = Snapshot::of(&Configuration::from_settings(&invalid_for_a_change).expect("valid"));
     assert!(Snapshot::decode(&snapshot.encode()).is_ok());
 }
--- a/crates/config/tests/validation.rs
+++ b/crates/config/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Each kind of invalid transaction is refused with its place, what was expected and what came, and changes nothing.
+//! Each kind of invalid transaction is rejected with its path, what was expected and what was found, and changes nothing.
 
 mod common;
 
@@ -10,12 +10,12 @@
     Transaction,
 };
 
-/// The refusal of changes by a state, which stays as it is.
-fn refusal(state: &Configuration, changes: Vec<Change>) -> Invalid {
+/// The error by which a state rejects changes; checks that the state is unchanged.
+fn rejection(state: &Configuration, changes: Vec<Change>) -> Invalid {
     let mut after = state.clone();
     let commit = commit(state.revision().0 + 1, changes);
     let Err(ApplyError::Invalid(invalid)) = after.apply(&commit) else {
-        panic!("expected a refusal of {commit:?}")
+        panic!("expected a rejection of {commit:?}")
     };
     assert_eq!(after.version(), state.version(), "{invalid}");
     assert_eq!(state.validate(&commit.transaction), Err(invalid.clone()), "one check for all");
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn each_wrong_figure_is_told_with_its_place() {
+fn rejects_each_invalid_value_with_its_path() {
     let ok = || put_tenant(tenant("other", 0.1));
     let ms = |n: u64| Span(n * 1_000_000);
     let cases: Vec<(Change, &str, &str, &str)> = vec![
@@ -89,28 +89,28 @@
         (ok(), "tenant.other", "each name once in a transaction", "the name twice"),
     ];
     for (change, path, expected, actual) in cases {
-        let found = refusal(&base(), vec![ok(), change]);
+        let found = rejection(&base(), vec![ok(), change]);
         assert_eq!(found, Invalid::new(format!("changes[1].{path}"), expected, actual));
     }
     let long = "x".repeat(129);
-    let found = refusal(&base(), vec![put_tenant(tenant(&long, 0.1))]);
+    let found = rejection(&base(), vec![put_tenant(tenant(&long, 0.1))]);
     assert_eq!((found.expected.as_str(), found.actual.as_str()), ("at most 128 bytes of text", "129"));
 }
 
 #[test]
-fn the_numbers_of_changes_and_entries_are_bounded() {
-    assert_eq!(refusal(&base(), vec![]), Invalid::new("changes", "at least one change", "none"));
+fn rejects_changes_and_entries_past_the_bounds() {
+    assert_eq!(rejection(&base(), vec![]), Invalid::new("changes", "at least one change", "none"));
     let many = (0..=MAX_CHANGES).map(|n| put_tenant(tenant(&format!("t{n}"), 0.0))).collect();
-    assert_eq!(refusal(&base(), many), Invalid::new("changes", "at most 1024 changes", "1025"));
-    let last = refusal(&base(), vec![Change::RemoveClass("label-save".into())]);
+    assert_eq!(rejection(&base(), many), Invalid::new("changes", "at most 1024 changes", "1025"));
+    let last = rejection(&base(), vec![Change::RemoveClass("label-save".into())]);
     assert_eq!(last, Invalid::new("changes", "at least one class left", "the last class removed"));
 
     let classes: Vec<_> = (0..MAX_CLASSES).map(|n| class(&format!("c{n}"), 10)).collect();
     let tenants: Vec<_> = (0..MAX_TENANTS).map(|n| tenant(&format!("t{n}"), 0.0)).collect();
     let full = Configuration::from_settings(&settings(&classes, &tenants)).expect("a full table");
-    let found = refusal(&full, vec![put_class(class("more", 10))]);
+    let found = rejection(&full, vec![put_class(class("more", 10))]);
     assert_eq!(found, Invalid::new("changes", "at most 16384 classes in force", "16385"));
-    let found = refusal(&full, vec![put_tenant(tenant("more", 0.0))]);
+    let found = rejection(&full, vec![put_tenant(tenant("more", 0.0))]);
     assert_eq!(found, Invalid::new("changes", "at most 131072 tenants in force", "131073"));
     let exchange = vec![put_class(class("more", 10)), Change::RemoveClass("c0".into())];
     full.validate(&Transaction { changes: exchange }).expect("one for another");
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_proposal_is_checked_for_its_texts_and_what_its_author_saw() {
+fn rejects_proposal_with_empty_reason_or_unexpected_revision() {
     let state = base();
     let proposal = |reason: &str, expected| Proposal {
         request_id: "1".into(),
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_gap_is_no_commit_to_apply() {
+fn rejects_commit_that_leaves_a_gap() {
     let mut state = base();
     let change = || vec![put_tenant(tenant("acme", 0.1))];
     for wrong in [0, 2] {
