--- a/crates/config/src/dissemination/commit_requests.rs
+++ b/crates/config/src/dissemination/commit_requests.rs
@@ -109,8 +109,7 @@
         if self.in_flight.as_ref().is_some_and(|request| request.is_to(peer)) {
             self.fail_in_flight(now);
             let first = settings.request_timeout.0 / FIRST_BACKOFF_DIVISOR;
-            let backoff =
-                Span(first << self.rejections.min(MAX_BACKOFF_DOUBLINGS)).min(settings.most_backoff);
+            let backoff = Span(first << self.rejections.min(MAX_BACKOFF_DOUBLINGS)).min(settings.max_backoff);
             self.rejections += 1;
             self.next_request_at = time_after(now, backoff);
         }
--- a/crates/config/src/dissemination/machine/commits.rs
+++ b/crates/config/src/dissemination/machine/commits.rs
@@ -49,7 +49,7 @@
     ) {
         let in_force = self.state.revision();
         let newest = records.last().map(CommitRecord::version);
-        if !self.settings.plain && !records.iter().all(CommitRecord::is_intact) {
+        if !self.settings.skip_checks && !records.iter().all(CommitRecord::is_intact) {
             return self.quarantine_source(now, from, "the checksum of a commit does not match");
         }
         for record in records {
@@ -65,7 +65,7 @@
 
     fn take_next_pending(&mut self) -> Option<PendingCommit> {
         let in_force = self.state.revision();
-        if !self.settings.plain {
+        if !self.settings.skip_checks {
             return self.pending.take_next(in_force);
         }
         // The control run of the model takes any commit as if it were the next one.
@@ -115,7 +115,7 @@
         next.apply(&pending.commit)?;
         let actual = next.digest();
         match pending.expected_digest {
-            Some(expected) if expected != actual && !self.settings.plain => {
+            Some(expected) if expected != actual && !self.settings.skip_checks => {
                 Err(CommitError::DigestMismatch { expected, actual })
             }
             _ => Ok(next),
--- a/crates/config/src/dissemination/machine/mod.rs
+++ b/crates/config/src/dissemination/machine/mod.rs
@@ -76,7 +76,7 @@
         now: Time,
     ) -> Self {
         Self {
-            history: History::new(state.version(), settings.kept),
+            history: History::new(state.version(), settings.history_limits),
             peers: Peers::new(own),
             pending: PendingCommits::default(),
             requests: CommitRequests::default(),
@@ -142,7 +142,7 @@
             Message::FetchVersion(revision) => self.serve_version(now, from, revision),
             Message::Advert(theirs) => self.receive_advert(now, from, theirs),
             // Data of a quarantined source is dropped; its requests, above, are served.
-            _ if self.quarantine.contains(now, from) && !self.settings.plain => {}
+            _ if self.quarantine.contains(now, from) && !self.settings.skip_checks => {}
             Message::Push(records) => {
                 self.receive_records(now, from, records, &CommitSource::Push(from.clone()));
             }
@@ -160,7 +160,7 @@
             }
             Message::Manifest(manifest) => {
                 let is_voter = self.peers.is_voter(from);
-                let needs_confirmation = !self.settings.plain;
+                let needs_confirmation = !self.settings.skip_checks;
                 self.update_transfer(now, |transfer| {
                     transfer.receive_manifest(now, from, manifest, is_voter, needs_confirmation);
                 });
@@ -190,7 +190,7 @@
         // At revision 0 servers may have read different start files, so a difference there is no fault.
         let known = self.history.digest_at(theirs.revision).filter(|_| theirs.revision > Revision(0));
         match known {
-            Some(digest) if digest != theirs.digest && !self.settings.plain => {
+            Some(digest) if digest != theirs.digest && !self.settings.skip_checks => {
                 self.receive_contradiction(now, from);
             }
             Some(_) => self.peer_digests.confirm(now, from),
--- a/crates/config/src/dissemination/responses.rs
+++ b/crates/config/src/dissemination/responses.rs
@@ -59,7 +59,7 @@
     }
     // Commits can't continue a state that is not in the history of this server.
     let is_other_history = history.digest_at(theirs.revision).is_some_and(|digest| digest != theirs.digest);
-    if is_other_history && !settings.plain {
+    if is_other_history && !settings.skip_checks {
         return vec![Message::Compacted];
     }
     let Some(records) = history.after(theirs.revision) else { return vec![Message::Compacted] };
--- a/crates/config/src/dissemination/settings.rs
+++ b/crates/config/src/dissemination/settings.rs
@@ -38,11 +38,11 @@
     /// How long a response to a request is awaited.
     pub request_timeout: Span,
     /// The longest backoff after rejected requests.
-    pub most_backoff: Span,
+    pub max_backoff: Span,
     /// How long a source of bad data is left out the first time; doubled each further time.
     pub quarantine: Span,
     /// Commits retained for peers.
-    pub kept: LogLimits,
+    pub history_limits: LogLimits,
     /// Bytes sent per second, without snapshots. A burst takes the bytes of four seconds at most.
     pub send_bytes_s: f64,
     /// Bytes of snapshots sent per second.
@@ -54,7 +54,7 @@
     /// Payload of one datagram, in bytes; longer messages take several.
     pub piece_bytes: usize,
     /// Turns off the checks of digests and of order. For a control run of the model only, whose invariants must fail then.
-    pub plain: bool,
+    pub skip_checks: bool,
 }
 
 impl Default for DisseminationSettings {
@@ -68,15 +68,15 @@
             region_part: 4,
             far_part: 8,
             request_timeout: Span(500 * MS),
-            most_backoff: Span(2_000 * MS),
+            max_backoff: Span(2_000 * MS),
             quarantine: Span(60_000 * MS),
-            kept: LogLimits { commits: 1_024, bytes: 4 << 20 },
+            history_limits: LogLimits { commits: 1_024, bytes: 4 << 20 },
             send_bytes_s: 32_000.0,
             snapshot_bytes_s: 64_000.0,
             request_bytes_s: 256_000.0,
             envelope_bytes: 106,
             piece_bytes: 1_280,
-            plain: false,
+            skip_checks: false,
         }
     }
 }
--- a/crates/model/tests/config.rs
+++ b/crates/model/tests/config.rs
@@ -76,7 +76,7 @@
     for seed in seeds(2) {
         let mut spec = spec(seed, 50.0, Kind::Burst);
         spec.bad = 4;
-        spec.settings.plain = true;
+        spec.settings.skip_checks = true;
         let outcome = play(&spec);
         assert!(outcome.broken > 0 && !outcome.kept(), "seed {seed}");
     }
@@ -88,7 +88,7 @@
     for seed in seeds(4) {
         let mut spec = spec(seed, 45.0, Kind::Burst);
         // Commits reach back less far than the newcomers need, so it takes snapshots.
-        spec.settings.kept.commits = 64;
+        spec.settings.history_limits.commits = 64;
         let outcome = play(&spec);
         assert_eq!(outcome.changes, 202);
         assert!(outcome.installed >= (SERVERS / 10) as u64, "seed {seed}: {}", outcome.installed);
--- a/crates/node/src/configuration_service.rs
+++ b/crates/node/src/configuration_service.rs
@@ -93,7 +93,7 @@
             state: self.state.clone(),
             source: self.source,
             dissemination: DisseminationSettings {
-                kept: LogLimits { commits: set.history, bytes: KEPT_BYTES },
+                history_limits: LogLimits { commits: set.history, bytes: KEPT_BYTES },
                 send_bytes_s: f64::from(set.bytes_per_second),
                 snapshot_bytes_s: f64::from(set.snapshot_bytes_per_second),
                 ..DisseminationSettings::default()
--- a/crates/node/tests/golden_edges/admin.rs
+++ b/crates/node/tests/golden_edges/admin.rs
@@ -209,7 +209,7 @@
         AdminError::NoLeader { reason: "none heard".into() },
         AdminError::TooBusy { retry_ms: 500 },
         AdminError::UnknownRevision { revision, oldest: Revision(1), newest: Revision(41) },
-        AdminError::ServersFail { servers: 3, most: 2, revision },
+        AdminError::ServersFail { servers: 3, max_servers: 2, revision },
         AdminError::UnknownEntry { kind: "class".into(), name: name("save"), revision },
         AdminError::UnknownRequest { request_id: id },
         AdminError::BadCall { reason: "no id".into() },
--- a/crates/testkit/src/model/config.rs
+++ b/crates/testkit/src/model/config.rs
@@ -78,7 +78,7 @@
         spec.loss = self.loss;
         spec.voters = self.voters.unwrap_or(spec.voters).min(self.servers);
         spec.bad = self.bad.unwrap_or(spec.bad);
-        spec.settings.plain = self.plain;
+        spec.settings.skip_checks = self.plain;
         spec.settings.snapshot_bytes_s = self.snapshot_bytes.unwrap_or(spec.settings.snapshot_bytes_s);
         spec.ordinary = !self.calm;
         if self.calm || self.no_incidents {
