--- a/crates/config/src/chunk.rs
+++ b/crates/config/src/chunk.rs
@@ -116,8 +116,11 @@
     #[error("expected the encoding of entries")]
     Form,
     /// The bytes are longer than any chunk may be.
-    #[error("expected at most {MAX_CHUNK_BYTES} bytes, got {0}")]
-    Long(usize),
+    #[error("expected at most {MAX_CHUNK_BYTES} bytes, got {bytes}")]
+    TooLong {
+        /// The length in bytes.
+        bytes: usize,
+    },
     /// An entry belongs to another chunk, is there twice, or is not in canonical order.
     #[error("expected entries of this chunk in canonical order, got '{0}'")]
     Order(Name),
@@ -133,8 +136,11 @@
         actual: Digest,
     },
     /// The manifest has no chunk of this number.
-    #[error("expected the number of a chunk in the manifest, got {0}")]
-    Unknown(u16),
+    #[error("expected the number of a chunk in the manifest, got {number}")]
+    UnknownNumber {
+        /// The number of the received chunk.
+        number: u16,
+    },
 }
 
 impl Chunk {
@@ -158,7 +164,7 @@
     /// Reads a chunk. Rejects bytes that are not the canonical encoding of well-formed entries of this chunk.
     pub fn decode(number: ChunkNumber, bytes: &[u8]) -> Result<Self, ChunkError> {
         if bytes.len() > MAX_CHUNK_BYTES {
-            return Err(ChunkError::Long(bytes.len()));
+            return Err(ChunkError::TooLong { bytes: bytes.len() });
         }
         let (entries, rest) = postcard::take_from_bytes::<Vec<Entry>>(bytes).map_err(|_| ChunkError::Form)?;
         if !rest.is_empty() || entries.len() > MAX_CHUNK_ENTRIES {
--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -167,12 +167,12 @@
 
     /// Checks that a transaction can be applied to this state. The same check is made before a proposal and at the commit.
     pub fn validate(&self, transaction: &Transaction) -> Result<(), Invalid> {
-        validation::transaction(self, transaction)
+        validation::check_transaction(self, transaction)
     }
 
     /// Checks that a proposal may be committed next.
     pub fn check(&self, proposal: &Proposal) -> Result<(), CommitRejected> {
-        validation::texts(proposal)?;
+        validation::check_proposal_texts(proposal)?;
         match proposal.expected {
             Some(expected) if expected != self.revision => {
                 Err(CommitRejected::Moved { expected, in_force: self.revision })
--- a/crates/config/src/snapshot.rs
+++ b/crates/config/src/snapshot.rs
@@ -69,8 +69,11 @@
         reason: ChunkError,
     },
     /// Some chunks were not added yet.
-    #[error("expected all chunks, {0} are missing")]
-    Missing(usize),
+    #[error("expected all chunks, {missing} are missing")]
+    Incomplete {
+        /// Chunks that are missing.
+        missing: usize,
+    },
 }
 
 /// A state at one revision, for reading. It is made without copying entries; a chunk is encoded when it is requested.
@@ -231,7 +234,7 @@
     /// Checks a chunk and adds it. Bytes for a chunk that is there already are ignored.
     pub fn add(&mut self, number: ChunkNumber, bytes: &[u8]) -> Result<(), ChunkError> {
         let index = self.manifest.chunks.binary_search_by_key(&number, |chunk| chunk.number);
-        let index = index.map_err(|_| ChunkError::Unknown(number.0))?;
+        let index = index.map_err(|_| ChunkError::UnknownNumber { number: number.0 })?;
         if self.chunks[index].is_some() {
             return Ok(());
         }
@@ -258,7 +261,7 @@
     /// The snapshot. An error if chunks are missing.
     pub fn finish(self) -> Result<Snapshot, SnapshotError> {
         if self.missing > 0 {
-            return Err(SnapshotError::Missing(self.missing));
+            return Err(SnapshotError::Incomplete { missing: self.missing });
         }
         let mut chunks = vec![None; usize::from(CHUNKS)];
         for (listed, chunk) in self.manifest.chunks.iter().zip(self.chunks) {
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -60,10 +60,10 @@
 }
 
 /// The result of a check.
-type Checked = Result<(), Invalid>;
+type CheckResult = Result<(), Invalid>;
 
 /// Checks that there are at most `max` of something.
-pub(crate) fn check_max(path: &str, count: usize, max: usize, what: &str) -> Checked {
+pub(crate) fn check_max(path: &str, count: usize, max: usize, what: &str) -> CheckResult {
     if count <= max {
         return Ok(());
     }
@@ -71,35 +71,36 @@
 }
 
 /// Checks that the chunk of a new name has capacity for one more entry.
-pub(crate) fn check_chunk_capacity(entries: &dyn EntryIndex, path: &str, name: &str) -> Checked {
+pub(crate) fn check_chunk_capacity(entries: &dyn EntryIndex, path: &str, name: &str) -> CheckResult {
     let present = entries.chunk_entries(ChunkNumber::of(name));
     check_max(path, present + 1, MAX_CHUNK_ENTRIES, "entries whose names hash alike")
 }
 
 /// Checks author, reason and request id of a proposal.
-pub(crate) fn texts(proposal: &Proposal) -> Checked {
+pub(crate) fn check_proposal_texts(proposal: &Proposal) -> CheckResult {
     check_text("author", &proposal.author, MAX_NAME_BYTES)?;
     check_text("reason", &proposal.reason, MAX_TEXT_BYTES)?;
     check_text("request_id", &proposal.request_id, MAX_TEXT_BYTES)
 }
 
 /// Checks a transaction against the entries of a state.
-pub(crate) fn transaction(entries: &dyn EntryIndex, transaction: &Transaction) -> Checked {
+pub(crate) fn check_transaction(entries: &dyn EntryIndex, transaction: &Transaction) -> CheckResult {
     let changes = &transaction.changes;
     if changes.is_empty() {
         return Err(Invalid::new("changes", "at least one change", "none"));
     }
     check_max("changes", changes.len(), MAX_CHANGES, "changes")?;
-    let mut counter = ChangeCounter::new(entries);
+    let mut checker = TransactionChecker::new(entries);
     for (index, change) in changes.iter().enumerate() {
-        counter.count(index, change)?;
+        checker.check_change(index, change)?;
     }
-    counter.check_totals()
+    checker.check_totals()
 }
 
 /// Checks changes one by one and counts the entries after them.
-struct ChangeCounter<'a> {
+struct TransactionChecker<'a> {
     entries: &'a dyn EntryIndex,
+    /// Kind and name of the changes so far.
     seen: HashSet<(&'static str, &'a str)>,
     /// Classes after the changes so far.
     classes: usize,
@@ -109,13 +110,13 @@
     added: HashMap<ChunkNumber, usize>,
 }
 
-impl<'a> ChangeCounter<'a> {
+impl<'a> TransactionChecker<'a> {
     fn new(entries: &'a dyn EntryIndex) -> Self {
         let (classes, tenants) = (entries.class_count(), entries.tenant_count());
         Self { entries, seen: HashSet::new(), classes, tenants, added: HashMap::new() }
     }
 
-    fn count(&mut self, index: usize, change: &'a Change) -> Checked {
+    fn check_change(&mut self, index: usize, change: &'a Change) -> CheckResult {
         let (kind, name) = match change {
             Change::PutClass(class) => ("class", class.profile.name.as_str()),
             Change::RemoveClass(name) => ("class", &**name),
@@ -155,7 +156,7 @@
         Ok(())
     }
 
-    fn check_added(&mut self, path: &str, name: &str) -> Checked {
+    fn check_added(&mut self, path: &str, name: &str) -> CheckResult {
         let number = ChunkNumber::of(name);
         let added = self.added.entry(number).or_default();
         *added += 1;
@@ -163,7 +164,7 @@
         check_max(path, present + *added, MAX_CHUNK_ENTRIES, "entries whose names hash alike")
     }
 
-    fn check_totals(&self) -> Checked {
+    fn check_totals(&self) -> CheckResult {
         if self.classes == 0 {
             return Err(Invalid::new("changes", "at least one class left", "the last class removed"));
         }
@@ -172,7 +173,7 @@
     }
 }
 
-fn check_in_force(path: &str, is_in_force: bool, kind: &str) -> Checked {
+fn check_in_force(path: &str, is_in_force: bool, kind: &str) -> CheckResult {
     if is_in_force {
         Ok(())
     } else {
@@ -185,7 +186,7 @@
     name.chars().take(MAX_NAME_BYTES).filter(|c| !c.is_control()).collect()
 }
 
-fn check_class(path: &str, class: &ClassDefinition) -> Checked {
+fn check_class(path: &str, class: &ClassDefinition) -> CheckResult {
     let profile = &class.profile;
     check_text(path, &profile.name, MAX_NAME_BYTES)?;
     if profile.name.contains(char::is_whitespace) {
@@ -206,13 +207,13 @@
     check_number(&at("skip_worth"), class.skip_weight, 0.0..=1.0)
 }
 
-fn check_tenant(path: &str, tenant: &Tenant) -> Checked {
+fn check_tenant(path: &str, tenant: &Tenant) -> CheckResult {
     check_text(path, &tenant.name, MAX_NAME_BYTES)?;
     check_number(&format!("{path}.quota_rps"), tenant.quota_rps, 0.0..=MAX_QUOTA_RPS)?;
     check_number(&format!("{path}.portion"), tenant.portion, 0.0..=1.0)
 }
 
-fn check_rule(path: &str, rule: &Rule) -> Checked {
+fn check_rule(path: &str, rule: &Rule) -> CheckResult {
     match *rule {
         Rule::AnswerSlack(value) | Rule::Cold(value) | Rule::DrainGrace(value) | Rule::Fall(value) => {
             check_span(path, value, Span(0))
@@ -223,7 +224,7 @@
     }
 }
 
-fn check_text(path: &str, text: &str, max_bytes: usize) -> Checked {
+fn check_text(path: &str, text: &str, max_bytes: usize) -> CheckResult {
     if text.is_empty() {
         return Err(Invalid::new(path, "a text", "an empty one"));
     }
@@ -234,7 +235,7 @@
     Ok(())
 }
 
-fn check_span(path: &str, span: Span, min: Span) -> Checked {
+fn check_span(path: &str, span: Span, min: Span) -> CheckResult {
     if (min..=MAX_SPAN).contains(&span) {
         return Ok(());
     }
@@ -242,7 +243,7 @@
     Err(Invalid::new(path, expected, format!("{} ns", span.0)))
 }
 
-fn check_number(path: &str, number: f64, range: RangeInclusive<f64>) -> Checked {
+fn check_number(path: &str, number: f64, range: RangeInclusive<f64>) -> CheckResult {
     if range.contains(&number) {
         return Ok(());
     }
--- a/crates/config/tests/snapshots_and_log.rs
+++ b/crates/config/tests/snapshots_and_log.rs
@@ -47,11 +47,11 @@
     let misplaced = ours.chunk(other).expect("a chunk of it");
     assert!(matches!(assembly.add(number, &misplaced), Err(ChunkError::Order(_))));
     let empty = (0..u16::MAX).map(ChunkNumber).find(|n| ours.chunk(*n).is_none()).expect("one");
-    assert_eq!(assembly.add(empty, &misplaced), Err(ChunkError::Unknown(empty.0)));
+    assert_eq!(assembly.add(empty, &misplaced), Err(ChunkError::UnknownNumber { number: empty.0 }));
     assert_eq!(assembly.missing_count(), all);
     assembly.add(number, &ours.chunk(number).expect("a chunk of it")).expect("its own");
     assert_eq!(assembly.missing_count(), all - 1);
-    assert_eq!(assembly.finish().err(), Some(SnapshotError::Missing(all - 1)));
+    assert_eq!(assembly.finish().err(), Some(SnapshotError::Incomplete { missing: all - 1 }));
 }
 
 #[test]
