--- a/crates/config/src/well_formed.rs
+++ b/crates/config/src/well_formed.rs
@@ -1,7 +1,7 @@
 //! The minimum that every entry of a state fulfils, from whatever source it came: start file, commit, snapshot or peer.
 //!
 //! The processor reads a class name as one word of a line, and the admission module computes with the numbers, so a name with
-//! white space or a number that is not finite must never get into a state. [`crate::validation`] asks more of a change.
+//! white space or a number that is not finite must never get into a state. Changes are held to more than this by validation.
 
 use crate::change::{ClassDefinition, Rule};
 use gradepin_admission::Tenant;
