--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -1,132 +1,122 @@
-//! The one check of transactions: before a proposal, at its commit, and on every server.
+//! The check of transactions: the same one before a proposal, at its commit, and on every server.
 //!
-//! It costs the size of the transaction. What the daemon takes in its configuration file is taken here too, but for a
-//! deadline under the latency target, figures out of any sensible range, and texts past the bounds. That the portions
-//! of all tenants sum to 1 is not asked, as the daemon does not ask it of a file.
+//! It costs the size of the transaction. It accepts what the daemon accepts in its configuration file, except for a deadline
+//! below the latency objective, numbers out of any sensible range, and texts past the bounds. The portions of all tenants need
+//! not sum to 1, as in the file.
+//!
+//! Each error names the path in the transaction, what was expected there and what was found.
 
 use crate::change::{
     Change, ClassDefinition, MAX_CHANGES, MAX_CLASSES, MAX_NAME_BYTES, MAX_TENANTS, MAX_TEXT_BYTES, Proposal,
     Rule, Transaction,
 };
 use crate::chunk::{ChunkNumber, MAX_CHUNK_ENTRIES};
-use crate::configuration::Configuration;
 use gradepin_admission::{Span, Tenant};
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
 use std::ops::RangeInclusive;
 
-/// The longest span of any kind: a day. Longer ones are units mixed up.
+/// The longest time of any kind: a day. A longer one means that units were confused.
 pub const MAX_SPAN: Span = Span(86_400_000_000_000);
-/// The greatest worth of a class.
-pub const MAX_WORTH: f64 = 1e9;
-/// The greatest quota of a tenant, in requests a second.
+/// The highest priority weight of a class.
+pub const MAX_PRIORITY_WEIGHT: f64 = 1e9;
+/// The highest quota of a tenant, in requests per second.
 pub const MAX_QUOTA_RPS: f64 = 1e9;
-/// The greatest stretch of a latency target, and of the concurrency that a server survives.
+/// The highest objective stretch of a class, and the highest concurrency per core.
 pub const MAX_MULTIPLE: f64 = 1e6;
 
-/// Why a transaction is not valid.
+/// Why a transaction or a start file is not valid.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-#[error("{path}: expected {expected}, got {came}")]
+#[error("{path}: expected {expected}, got {actual}")]
 pub struct Invalid {
-    /// Where, as in `changes[3].class.label-save.deadline`.
+    /// The path, as in `changes[3].class.label-save.deadline`.
     pub path: String,
-    /// What may stand there.
+    /// What is allowed there.
     pub expected: String,
-    /// What stands there.
-    pub came: String,
+    /// What was found there.
+    #[serde(rename = "came")]
+    pub actual: String,
 }
 
 impl Invalid {
-    /// An error at a place.
-    pub fn new(path: impl Into<String>, expected: impl Into<String>, came: impl Into<String>) -> Self {
-        Self { path: path.into(), expected: expected.into(), came: came.into() }
-    }
-}
-
-type Checked = Result<(), Invalid>;
-
-/// A bound on a number of things.
-pub(crate) fn at_most(path: &str, count: usize, most: usize, what: &str) -> Checked {
-    if count <= most {
-        return Ok(());
+    /// An error at a path.
+    pub fn new(path: impl Into<String>, expected: impl Into<String>, actual: impl Into<String>) -> Self {
+        Self { path: path.into(), expected: expected.into(), actual: actual.into() }
     }
-    Err(Invalid::new(path, format!("at most {most} {what}"), count.to_string()))
 }
 
-/// Whether the chunk of a new name has room.
-pub(crate) fn room(state: &Configuration, path: &str, name: &str) -> Checked {
-    let held = state.chunk(ChunkNumber::of(name)).map_or(0, |chunk| chunk.len());
-    at_most(path, held + 1, MAX_CHUNK_ENTRIES, "entries whose names hash alike")
+/// What validation reads of the state that a transaction would change.
+pub(crate) trait EntryIndex {
+    /// Classes in force.
+    fn class_count(&self) -> usize;
+    /// Tenants in force.
+    fn tenant_count(&self) -> usize;
+    /// Whether a class of this name is in force.
+    fn has_class(&self, name: &str) -> bool;
+    /// Whether a tenant of this name is in force.
+    fn has_tenant(&self, name: &str) -> bool;
+    /// Entries, classes and tenants together, in one chunk.
+    fn chunk_entries(&self, number: ChunkNumber) -> usize;
 }
 
-/// Author, reason and request id of a proposal.
-pub(crate) fn texts(proposal: &Proposal) -> Checked {
-    text("author", &proposal.author, MAX_NAME_BYTES)?;
-    text("reason", &proposal.reason, MAX_TEXT_BYTES)?;
-    text("request_id", &proposal.request_id, MAX_TEXT_BYTES)
-}
+/// The result of a check.
+type CheckResult = Result<(), Invalid>;
 
-/// Whether a class may stand in a state, whatever way it came: named by one word, as a line to the processor needs it, with
-/// times above 0 and figures that are numbers. A start file is held to the same, a change to more.
-pub(crate) fn may_hold_class(class: &ClassDefinition) -> bool {
-    let ClassDefinition { profile, skip_weight, .. } = class;
-    let figures = [profile.late_value, profile.priority_weight, profile.objective_stretch, *skip_weight];
-    is_word(&profile.name)
-        && profile.latency_objective.0 > 0
-        && profile.deadline.0 > 0
-        && figures.into_iter().all(f64::is_finite)
-}
-
-/// The same for a tenant.
-pub(crate) fn may_hold_tenant(tenant: &Tenant) -> bool {
-    tenant.quota_rps.is_finite() && tenant.portion.is_finite()
+/// Checks that there are at most `max` of something.
+pub(crate) fn check_max(path: &str, count: usize, max: usize, what: &str) -> CheckResult {
+    if count <= max {
+        return Ok(());
+    }
+    Err(Invalid::new(path, format!("at most {max} {what}"), count.to_string()))
 }
 
-/// The same for a rule.
-pub(crate) fn may_hold_rule(rule: &Rule) -> bool {
-    match rule {
-        Rule::AnswerSlack(_) | Rule::Cold(_) | Rule::DrainGrace(_) | Rule::Fall(_) => true,
-        Rule::ColdShare(figure) | Rule::OverShareWorth(figure) | Rule::TipMultiple(figure) => {
-            figure.is_finite()
-        }
-    }
+/// Checks that the chunk of a new name has capacity for one more entry.
+pub(crate) fn check_chunk_capacity(entries: &dyn EntryIndex, path: &str, name: &str) -> CheckResult {
+    let present = entries.chunk_entries(ChunkNumber::of(name));
+    check_max(path, present + 1, MAX_CHUNK_ENTRIES, "entries whose names hash alike")
 }
 
-fn is_word(name: &str) -> bool {
-    !name.is_empty() && !name.contains(|c: char| c.is_whitespace() || c.is_control())
+/// Checks author, reason and request id of a proposal.
+pub(crate) fn check_proposal_texts(proposal: &Proposal) -> CheckResult {
+    check_text("author", &proposal.author, MAX_NAME_BYTES)?;
+    check_text("reason", &proposal.reason, MAX_TEXT_BYTES)?;
+    check_text("request_id", &proposal.request_id, MAX_TEXT_BYTES)
 }
 
-/// A transaction against a state.
-pub(crate) fn transaction(state: &Configuration, transaction: &Transaction) -> Checked {
+/// Checks a transaction against the entries of a state.
+pub(crate) fn check_transaction(entries: &dyn EntryIndex, transaction: &Transaction) -> CheckResult {
     let changes = &transaction.changes;
     if changes.is_empty() {
         return Err(Invalid::new("changes", "at least one change", "none"));
     }
-    at_most("changes", changes.len(), MAX_CHANGES, "changes")?;
-    let mut tally = Tally::new(state);
-    for (place, change) in changes.iter().enumerate() {
-        tally.take(place, change)?;
+    check_max("changes", changes.len(), MAX_CHANGES, "changes")?;
+    let mut checker = TransactionChecker::new(entries);
+    for (index, change) in changes.iter().enumerate() {
+        checker.check_change(index, change)?;
     }
-    tally.totals()
+    checker.check_totals()
 }
 
-/// What a transaction does to the numbers of entries.
-struct Tally<'a> {
-    state: &'a Configuration,
+/// Checks changes one by one and counts the entries after them.
+struct TransactionChecker<'a> {
+    entries: &'a dyn EntryIndex,
+    /// Kind and name of the changes so far.
     seen: HashSet<(&'static str, &'a str)>,
+    /// Classes after the changes so far.
     classes: usize,
+    /// Tenants after the changes so far.
     tenants: usize,
-    /// New entries by chunk; those removed are not taken off, as the bound is far from any real state.
+    /// New entries by chunk. Removed ones are not subtracted, as the bound is far from any real state.
     added: HashMap<ChunkNumber, usize>,
 }
 
-impl<'a> Tally<'a> {
-    fn new(state: &'a Configuration) -> Self {
-        let (classes, tenants) = (state.class_count(), state.tenant_count());
-        Self { state, seen: HashSet::new(), classes, tenants, added: HashMap::new() }
+impl<'a> TransactionChecker<'a> {
+    fn new(entries: &'a dyn EntryIndex) -> Self {
+        let (classes, tenants) = (entries.class_count(), entries.tenant_count());
+        Self { entries, seen: HashSet::new(), classes, tenants, added: HashMap::new() }
     }
 
-    fn take(&mut self, place: usize, change: &'a Change) -> Checked {
+    fn check_change(&mut self, index: usize, change: &'a Change) -> CheckResult {
         let (kind, name) = match change {
             Change::PutClass(class) => ("class", class.profile.name.as_str()),
             Change::RemoveClass(name) => ("class", &**name),
@@ -134,122 +124,126 @@
             Change::RemoveTenant(name) => ("tenant", &**name),
             Change::PutRule(rule) => ("rule", rule.name()),
         };
-        let path = format!("changes[{place}].{kind}.{}", shown(name));
+        let path = format!("changes[{index}].{kind}.{}", printable(name));
         if !self.seen.insert((kind, name)) {
             return Err(Invalid::new(path, "each name once in a transaction", "the name twice"));
         }
         match change {
             Change::PutClass(new) => {
-                class(&path, new)?;
-                if self.state.class(name).is_none() {
+                check_class(&path, new)?;
+                if !self.entries.has_class(name) {
                     self.classes += 1;
-                    self.added(&path, name)?;
+                    self.check_added(&path, name)?;
                 }
             }
             Change::RemoveClass(_) => {
-                known(&path, self.state.class(name).is_some(), "class")?;
+                check_in_force(&path, self.entries.has_class(name), "class")?;
                 self.classes -= 1;
             }
             Change::PutTenant(new) => {
-                tenant(&path, new)?;
-                if self.state.tenant(name).is_none() {
+                check_tenant(&path, new)?;
+                if !self.entries.has_tenant(name) {
                     self.tenants += 1;
-                    self.added(&path, name)?;
+                    self.check_added(&path, name)?;
                 }
             }
             Change::RemoveTenant(_) => {
-                known(&path, self.state.tenant(name).is_some(), "tenant")?;
+                check_in_force(&path, self.entries.has_tenant(name), "tenant")?;
                 self.tenants -= 1;
             }
-            Change::PutRule(new) => rule(&path, new)?,
+            Change::PutRule(new) => check_rule(&path, new)?,
         }
         Ok(())
     }
 
-    fn added(&mut self, path: &str, name: &str) -> Checked {
+    fn check_added(&mut self, path: &str, name: &str) -> CheckResult {
         let number = ChunkNumber::of(name);
         let added = self.added.entry(number).or_default();
         *added += 1;
-        let held = self.state.chunk(number).map_or(0, |chunk| chunk.len());
-        at_most(path, held + *added, MAX_CHUNK_ENTRIES, "entries whose names hash alike")
+        let present = self.entries.chunk_entries(number);
+        check_max(path, present + *added, MAX_CHUNK_ENTRIES, "entries whose names hash alike")
     }
 
-    fn totals(&self) -> Checked {
+    fn check_totals(&self) -> CheckResult {
         if self.classes == 0 {
             return Err(Invalid::new("changes", "at least one class left", "the last class removed"));
         }
-        at_most("changes", self.classes, MAX_CLASSES, "classes in force")?;
-        at_most("changes", self.tenants, MAX_TENANTS, "tenants in force")
+        check_max("changes", self.classes, MAX_CLASSES, "classes in force")?;
+        check_max("changes", self.tenants, MAX_TENANTS, "tenants in force")
     }
 }
 
-fn known(path: &str, known: bool, kind: &str) -> Checked {
-    if known { Ok(()) } else { Err(Invalid::new(path, format!("a {kind} in force"), "an unknown name")) }
+fn check_in_force(path: &str, is_in_force: bool, kind: &str) -> CheckResult {
+    if is_in_force {
+        Ok(())
+    } else {
+        Err(Invalid::new(path, format!("a {kind} in force"), "an unknown name"))
+    }
 }
 
-/// A name as it can stand in a path: cut where it is too long.
-fn shown(name: &str) -> String {
+/// A name for error texts: cut where it is too long, without control characters.
+fn printable(name: &str) -> String {
     name.chars().take(MAX_NAME_BYTES).filter(|c| !c.is_control()).collect()
 }
 
-fn class(path: &str, class: &ClassDefinition) -> Checked {
+fn check_class(path: &str, class: &ClassDefinition) -> CheckResult {
     let profile = &class.profile;
-    text(path, &profile.name, MAX_NAME_BYTES)?;
+    check_text(path, &profile.name, MAX_NAME_BYTES)?;
     if profile.name.contains(char::is_whitespace) {
-        // A class is a word of a line to the processor.
-        return Err(Invalid::new(path, "a name without spaces", format!("'{}'", shown(&profile.name))));
+        // The processor reads a class name as one word of a line.
+        return Err(Invalid::new(path, "a name without spaces", format!("'{}'", printable(&profile.name))));
     }
     let at = |field: &str| format!("{path}.{field}");
-    span(&at("promise"), profile.latency_objective, Span(1))?;
-    span(&at("deadline"), profile.deadline, Span(1))?;
+    check_span(&at("promise"), profile.latency_objective, Span(1))?;
+    check_span(&at("deadline"), profile.deadline, Span(1))?;
     if profile.deadline < profile.latency_objective {
         let expected = format!("at least the promise of {} ns", profile.latency_objective.0);
         return Err(Invalid::new(at("deadline"), expected, format!("{} ns", profile.deadline.0)));
     }
-    span(&at("window"), profile.window, Span(0))?;
-    number(&at("late_value"), profile.late_value, 0.0..=1.0)?;
-    number(&at("worth"), profile.priority_weight, 0.0..=MAX_WORTH)?;
-    number(&at("aim_stretch"), profile.objective_stretch, 0.0..=MAX_MULTIPLE)?;
-    number(&at("skip_worth"), class.skip_weight, 0.0..=1.0)
+    check_span(&at("window"), profile.window, Span(0))?;
+    check_number(&at("late_value"), profile.late_value, 0.0..=1.0)?;
+    check_number(&at("worth"), profile.priority_weight, 0.0..=MAX_PRIORITY_WEIGHT)?;
+    check_number(&at("aim_stretch"), profile.objective_stretch, 0.0..=MAX_MULTIPLE)?;
+    check_number(&at("skip_worth"), class.skip_weight, 0.0..=1.0)
 }
 
-fn tenant(path: &str, tenant: &Tenant) -> Checked {
-    text(path, &tenant.name, MAX_NAME_BYTES)?;
-    number(&format!("{path}.quota_rps"), tenant.quota_rps, 0.0..=MAX_QUOTA_RPS)?;
-    number(&format!("{path}.portion"), tenant.portion, 0.0..=1.0)
+fn check_tenant(path: &str, tenant: &Tenant) -> CheckResult {
+    check_text(path, &tenant.name, MAX_NAME_BYTES)?;
+    check_number(&format!("{path}.quota_rps"), tenant.quota_rps, 0.0..=MAX_QUOTA_RPS)?;
+    check_number(&format!("{path}.portion"), tenant.portion, 0.0..=1.0)
 }
 
-fn rule(path: &str, rule: &Rule) -> Checked {
+fn check_rule(path: &str, rule: &Rule) -> CheckResult {
     match *rule {
         Rule::AnswerSlack(value) | Rule::Cold(value) | Rule::DrainGrace(value) | Rule::Fall(value) => {
-            span(path, value, Span(0))
+            check_span(path, value, Span(0))
         }
-        Rule::ColdShare(share) => number(path, share, f64::MIN_POSITIVE..=1.0),
-        Rule::TipMultiple(multiple) => number(path, multiple, f64::MIN_POSITIVE..=MAX_MULTIPLE),
-        Rule::OverShareWorth(part) => number(path, part, 0.0..=1.0),
+        Rule::ColdShare(share) => check_number(path, share, f64::MIN_POSITIVE..=1.0),
+        Rule::TipMultiple(multiple) => check_number(path, multiple, f64::MIN_POSITIVE..=MAX_MULTIPLE),
+        Rule::OverShareWorth(fraction) => check_number(path, fraction, 0.0..=1.0),
     }
 }
 
-fn text(path: &str, text: &str, most: usize) -> Checked {
+fn check_text(path: &str, text: &str, max_bytes: usize) -> CheckResult {
     if text.is_empty() {
         return Err(Invalid::new(path, "a text", "an empty one"));
     }
-    at_most(path, text.len(), most, "bytes of text")?;
+    check_max(path, text.len(), max_bytes, "bytes of text")?;
     if text.contains(char::is_control) {
         return Err(Invalid::new(path, "no control characters", "one or more"));
     }
     Ok(())
 }
 
-fn span(path: &str, span: Span, least: Span) -> Checked {
-    if (least..=MAX_SPAN).contains(&span) {
+fn check_span(path: &str, span: Span, min: Span) -> CheckResult {
+    if (min..=MAX_SPAN).contains(&span) {
         return Ok(());
     }
-    let expected = format!("from {} to {} ns", least.0, MAX_SPAN.0);
+    let expected = format!("from {} to {} ns", min.0, MAX_SPAN.0);
     Err(Invalid::new(path, expected, format!("{} ns", span.0)))
 }
 
-fn number(path: &str, number: f64, range: RangeInclusive<f64>) -> Checked {
+fn check_number(path: &str, number: f64, range: RangeInclusive<f64>) -> CheckResult {
     if range.contains(&number) {
         return Ok(());
     }
--- a/crates/coordination/tests/configuration.rs
+++ b/crates/coordination/tests/configuration.rs
@@ -157,7 +157,7 @@
         panic!()
     };
     assert!(invalid.path.starts_with("changes[0].tenant"), "{invalid}");
-    assert!(!invalid.expected.is_empty() && !invalid.came.is_empty());
+    assert!(!invalid.expected.is_empty() && !invalid.actual.is_empty());
     let long = request("third", None, (0..1_000).map(|n| put(&format!("{n:0>100}"), 1.0)).collect());
     let ConfigurationRejected::TooLong { limit, got } =
         refused(world.consensus(leader).propose_configuration(&long))
--- a/crates/node/src/configuration_service.rs
+++ b/crates/node/src/configuration_service.rs
@@ -95,7 +95,7 @@
             state: self.state.clone(),
             source: self.source,
             dissemination: DisseminationSettings {
-                kept: LogLimits { commits: settings.history, bytes: MAX_HISTORY_BYTES },
+                history_limits: LogLimits { commits: settings.history, bytes: MAX_HISTORY_BYTES },
                 send_bytes_s: f64::from(settings.bytes_per_second),
                 snapshot_bytes_s: f64::from(settings.snapshot_bytes_per_second),
                 ..DisseminationSettings::default()
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -311,13 +311,7 @@
         let past = self.entries.into_iter().filter_map(|(key, entry)| {
             let left = remaining(&clocks, entry.incarnation, entry.end_ms)?;
             let (key, id) = (key.into_string(), entry.id.into_string());
-            Some(SavedRun {
-                key,
-                fingerprint: entry.fingerprint,
-                id,
-                window_left: left,
-                outcome: entry.end,
-            })
+            Some(SavedRun { key, fingerprint: entry.fingerprint, id, window_left: left, outcome: entry.end })
         });
         let mut past: Vec<SavedRun> = past.collect();
         past.sort_by(|a, b| a.key.cmp(&b.key));
