--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -33,7 +33,7 @@
 //! controller.handle(Time(1_000_000), &[Event::Arrived(request)], &mut actions);
 //! assert!(actions.contains(&Action::Run(RequestId::new("r1"))));
 //! ```
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub, clippy::too_many_lines)]
 
 mod actions;
 mod advice;
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -12,7 +12,7 @@
 //! The invariant that all of it keeps: a server that receives nothing never uses more than its own share, and
 //! the sum over the fleet never passes the bound. The argument is in `docs/design/cluster.md`, and terms are in
 //! `docs/GLOSSARY.md`.
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub, clippy::too_many_lines)]
 
 pub mod authentication;
 pub mod circuit_breaker;
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/members.rs
@@ -250,7 +250,7 @@
                     }
                 }
                 OwnedNotification::Rejoin(own) => {
-                    self.changes.push(MembershipChange::Rejoined(own.incarnation))
+                    self.changes.push(MembershipChange::Rejoined(own.incarnation));
                 }
                 OwnedNotification::Active | OwnedNotification::Idle | OwnedNotification::Defunct => {}
             }
--- a/crates/config/src/chunk.rs
+++ b/crates/config/src/chunk.rs
@@ -67,12 +67,12 @@
     }
 
     /// The entry of a name.
-    pub fn get(&self, name: &str) -> Option<&Arc<T>> {
+    pub(crate) fn get(&self, name: &str) -> Option<&Arc<T>> {
         self.index_of(name).ok().map(|index| &self.0[index])
     }
 
     /// Adds an entry; returns the one of the same name that it replaced.
-    pub fn put(&mut self, entry: Arc<T>) -> Option<Arc<T>> {
+    pub(crate) fn put(&mut self, entry: Arc<T>) -> Option<Arc<T>> {
         match self.index_of(entry.name()) {
             Ok(index) => Some(std::mem::replace(&mut self.0[index], entry)),
             Err(index) => {
@@ -83,17 +83,17 @@
     }
 
     /// Removes the entry of a name; returns it if there was one.
-    pub fn remove(&mut self, name: &str) -> Option<Arc<T>> {
+    pub(crate) fn remove(&mut self, name: &str) -> Option<Arc<T>> {
         self.index_of(name).ok().map(|index| self.0.remove(index))
     }
 
     /// All entries, by name.
-    pub fn iter(&self) -> std::slice::Iter<'_, Arc<T>> {
+    pub(crate) fn iter(&self) -> std::slice::Iter<'_, Arc<T>> {
         self.0.iter()
     }
 
     /// How many entries there are.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.0.len()
     }
 }
@@ -145,24 +145,24 @@
 
 impl Chunk {
     /// How many classes and tenants there are.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.classes.len() + self.tenants.len()
     }
 
     /// The entries in canonical order: classes by name, then tenants by name.
-    pub fn entries(&self) -> impl Iterator<Item = Entry> + '_ {
+    pub(crate) fn entries(&self) -> impl Iterator<Item = Entry> + '_ {
         let classes = self.classes.iter().cloned().map(Entry::Class);
         classes.chain(self.tenants.iter().cloned().map(Entry::Tenant))
     }
 
     /// The encoding: all entries as postcard, in canonical order.
-    pub fn encode(&self) -> Vec<u8> {
+    pub(crate) fn encode(&self) -> Vec<u8> {
         let entries: Vec<Entry> = self.entries().collect();
         postcard::to_stdvec(&entries).unwrap_or_default()
     }
 
     /// Reads a chunk. Rejects bytes that are not the canonical encoding of well-formed entries of this chunk.
-    pub fn decode(number: ChunkNumber, bytes: &[u8]) -> Result<Self, ChunkError> {
+    pub(crate) fn decode(number: ChunkNumber, bytes: &[u8]) -> Result<Self, ChunkError> {
         if bytes.len() > MAX_CHUNK_BYTES {
             return Err(ChunkError::TooLong { bytes: bytes.len() });
         }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -13,7 +13,7 @@
 //! - [`dissemination`]: the state machine by which commits and snapshots reach every server.
 //! - [`admin`]: requests and responses of the admin endpoints.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub, clippy::too_many_lines)]
 
 pub mod admin;
 pub mod change;
--- a/crates/coordination/src/consensus/raft_log.rs
+++ b/crates/coordination/src/consensus/raft_log.rs
@@ -34,12 +34,12 @@
 
 impl RaftLog {
     /// The index of the last entry.
-    pub fn last_index(&self) -> LogIndex {
+    pub(super) fn last_index(&self) -> LogIndex {
         self.entries.last().map_or(self.before.index, |entry| entry.index)
     }
 
     /// Appends entries; they replace those from the index of the first one on.
-    pub fn append(&mut self, entries: &[Entry]) {
+    pub(super) fn append(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
         let kept = first.index.saturating_sub(self.before.index + 1) as usize;
         self.entries.truncate(kept);
@@ -47,7 +47,7 @@
     }
 
     /// Starts anew from a snapshot.
-    pub fn restore(&mut self, snapshot: Snapshot) {
+    pub(super) fn restore(&mut self, snapshot: Snapshot) {
         let meta = snapshot.get_metadata();
         self.before = EntryId { index: meta.index, term: meta.term };
         self.conf_state = meta.get_conf_state().clone();
@@ -56,7 +56,7 @@
     }
 
     /// Takes a snapshot at an entry that was applied; [`MAX_KEPT_ENTRIES`] before it stay.
-    pub fn compact(&mut self, index: LogIndex, data: Vec<u8>) {
+    pub(super) fn compact(&mut self, index: LogIndex, data: Vec<u8>) {
         let term = self.term(index).unwrap_or(self.before.term);
         self.snapshot = snapshot(index, term, self.conf_state.clone(), data);
         let new_before = index.saturating_sub(MAX_KEPT_ENTRIES);
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -18,7 +18,7 @@
 //! The invariant that all of it keeps: agreed outages plus those that are known to have happened never exceed the limits of the
 //! settings, whatever is partitioned, paused, killed or restarted. The argument is in `docs/design/releases.md`.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub, clippy::too_many_lines)]
 
 pub mod configuration_log;
 pub mod consensus;
@@ -39,4 +39,5 @@
 extern crate self as gradepin_coordination;
 #[cfg(test)]
 #[path = "../tests/golden/mod.rs"]
+#[allow(unreachable_pub, reason = "shared with the integration tests")]
 mod golden;
--- a/crates/core/src/config/address.rs
+++ b/crates/core/src/config/address.rs
@@ -5,12 +5,12 @@
 use std::net::SocketAddr;
 
 /// An address and port.
-pub fn required<'de, D: Deserializer<'de>>(input: D) -> Result<SocketAddr, D::Error> {
+pub(super) fn required<'de, D: Deserializer<'de>>(input: D) -> Result<SocketAddr, D::Error> {
     parsed(&String::deserialize(input)?)
 }
 
 /// An address and port, or none.
-pub fn optional<'de, D: Deserializer<'de>>(input: D) -> Result<Option<SocketAddr>, D::Error> {
+pub(super) fn optional<'de, D: Deserializer<'de>>(input: D) -> Result<Option<SocketAddr>, D::Error> {
     Option::<String>::deserialize(input)?.map(|text| parsed(&text)).transpose()
 }
 
--- a/crates/core/src/config/place.rs
+++ b/crates/core/src/config/place.rs
@@ -10,7 +10,7 @@
 
 /// The keys that lead to a place of the text, as in `settings.profiles[2].window`, or `the top` if none does. `line` and
 /// `column` count from 1; the text must be well-formed up to there.
-pub fn path(text: &str, line: usize, column: usize) -> String {
+pub(super) fn path(text: &str, line: usize, column: usize) -> String {
     let start: usize = text.split_inclusive('\n').take(line.saturating_sub(1)).map(str::len).sum();
     let end = (start + column.saturating_sub(1)).min(text.len());
     let bytes = text.as_bytes();
--- a/crates/core/src/idle_connections.rs
+++ b/crates/core/src/idle_connections.rs
@@ -13,7 +13,7 @@
 
 /// A connection that became idle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct IdleEntry {
+pub(crate) struct IdleEntry {
     /// Since when.
     pub since: Time,
     /// Which one.
@@ -22,7 +22,7 @@
 
 /// The connections that are idle for longest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LongestIdle {
+pub(crate) struct LongestIdle {
     /// Of those that have sent a message.
     pub with_messages: Option<IdleEntry>,
     /// Of those that never have.
@@ -31,7 +31,7 @@
 
 /// Idle connections, each queue in the order in which they became idle.
 #[derive(Debug, Default)]
-pub struct IdleConnections {
+pub(crate) struct IdleConnections {
     /// Those that have sent a message.
     with_messages: VecDeque<IdleEntry>,
     /// Those that never have.
@@ -40,13 +40,13 @@
 
 impl IdleConnections {
     /// A connection became idle. Times must not go back.
-    pub fn add(&mut self, entry: IdleEntry, sent_message: bool) {
+    pub(crate) fn add(&mut self, entry: IdleEntry, sent_message: bool) {
         if sent_message { &mut self.with_messages } else { &mut self.silent }.push_back(entry);
     }
 
     /// The connections that are idle for longest. `holds` says whether an entry of a connection that did or didn't send a
     /// message is still true; `skip` leaves a connection out for now.
-    pub fn longest(
+    pub(crate) fn longest(
         &mut self,
         holds: impl Fn(IdleEntry, bool) -> bool,
         skip: impl Fn(ConnectionId) -> bool,
@@ -58,7 +58,7 @@
     }
 
     /// Sweeps stale entries out once they outnumber the connections.
-    pub fn drop_stale(&mut self, connections: usize, holds: impl Fn(IdleEntry, bool) -> bool) {
+    pub(crate) fn drop_stale(&mut self, connections: usize, holds: impl Fn(IdleEntry, bool) -> bool) {
         for (queue, sent_message) in [(&mut self.with_messages, true), (&mut self.silent, false)] {
             if queue.len() > 2 * connections + MIN_SWEPT_ENTRIES {
                 queue.retain(|entry| holds(*entry, sent_message));
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,7 +5,7 @@
 //! the inputs and carry out the effects. The other modules each own a part of the reducer's state, and can be tested without
 //! it.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub, clippy::too_many_lines)]
 
 pub mod admin;
 pub mod buffer_pool;
--- a/crates/core/src/reducer/agreements.rs
+++ b/crates/core/src/reducer/agreements.rs
@@ -213,7 +213,7 @@
                 }
             }
             AgentEffect::PermitDenied { reason } => {
-                self.log(Level::Warning, format!("not leaving: {reason}"))
+                self.log(Level::Warning, format!("not leaving: {reason}"));
             }
             AgentEffect::StepGranted { assignment, expires_at } => {
                 self.start_rollout_step(assignment, expires_at);
--- a/crates/core/src/reducer/cluster.rs
+++ b/crates/core/src/reducer/cluster.rs
@@ -231,7 +231,7 @@
             match decision {
                 CallDecision::Proceed(slot) => self.send_with_slot(&call, slot),
                 CallDecision::Rejected if is_needed => {
-                    self.complete_upstream_call(&call.id, None, Outcome::Rejected, None)
+                    self.complete_upstream_call(&call.id, None, Outcome::Rejected, None);
                 }
                 CallDecision::Rejected | CallDecision::Wait => {}
             }
@@ -318,7 +318,7 @@
     fn cluster_effect(&mut self, effect: ClusterEffect) {
         match effect {
             ClusterEffect::Send { to, datagram } => {
-                self.effects.push(Effect::SendPeerDatagram { to, datagram })
+                self.effects.push(Effect::SendPeerDatagram { to, datagram });
             }
             ClusterEffect::Post { from, incarnation, content } => {
                 if !self.configuration_message(&from, &content) {
--- a/crates/core/src/reducer/configuration/tests.rs
+++ b/crates/core/src/reducer/configuration/tests.rs
@@ -2,6 +2,7 @@
 //! directly.
 
 #[path = "../../../../admission/tests/common/mod.rs"]
+#[allow(unreachable_pub, reason = "shared with the integration tests")]
 mod common;
 
 use super::*;
--- a/crates/core/src/reducer/connections.rs
+++ b/crates/core/src/reducer/connections.rs
@@ -308,7 +308,7 @@
         match drained_at {
             None if is_idle => self.request_drain(connection),
             Some(drained_at) if is_idle && drained_at <= now && !self.drain.is_draining() => {
-                self.close_if_idle(connection)
+                self.close_if_idle(connection);
             }
             _ => {}
         }
--- a/crates/core/src/reducer/mod.rs
+++ b/crates/core/src/reducer/mod.rs
@@ -271,13 +271,13 @@
             Input::ConnectionLate(connection) => self.connection_late(connection),
             Input::ConnectionClosed(connection) => self.connection_closed(connection),
             Input::ConnectionThrottled { connection, duration } => {
-                self.connections.throttled(connection, time_after(now, duration))
+                self.connections.throttled(connection, time_after(now, duration));
             }
             Input::Request { connection, sequence, request } => {
-                self.receive_request(connection, sequence, *request)
+                self.receive_request(connection, sequence, *request);
             }
             Input::InvalidRequest { connection, sequence, error, text } => {
-                self.reject_invalid(connection, sequence, None, error, text)
+                self.reject_invalid(connection, sequence, None, error, text);
             }
             Input::Cancel { connection, sequence } => self.cancel_request(connection, sequence),
             Input::HealthCheck { connection, sequence } => self.answer_health_check(connection, sequence),
@@ -285,13 +285,13 @@
             Input::LinkDown => self.link_down(),
             Input::ProcessorRestarted => self.processor_restarted(),
             Input::RunCompleted { notice, id, end, took, result } => {
-                self.run_completed(notice, &id, end, took, result)
+                self.run_completed(notice, &id, end, took, result);
             }
             Input::UpstreamCallRequested { notice, id, body } => {
-                self.upstream_call_requested(notice, &id, body)
+                self.upstream_call_requested(notice, &id, body);
             }
             Input::UpstreamCallEnded { id, call, outcome, reply } => {
-                self.upstream_call_ended(&id, call, outcome, reply)
+                self.upstream_call_ended(&id, call, outcome, reply);
             }
             Input::RunClaimed { id, claim } => self.run_claimed(&id, claim),
             Input::RunsShared { salt } => self.runs_shared(salt),
--- a/crates/core/src/reducer/request_intake.rs
+++ b/crates/core/src/reducer/request_intake.rs
@@ -115,10 +115,10 @@
         match self.validate(origin, request) {
             Ok(valid) => self.register(connection, sequence, valid),
             Err(IntakeError::Invalid { class, error, text }) => {
-                self.reject_invalid(connection, sequence, class, error, text)
+                self.reject_invalid(connection, sequence, class, error, text);
             }
             Err(IntakeError::Rejected { class, retry_after }) => {
-                self.reject(connection, sequence, class, retry_after)
+                self.reject(connection, sequence, class, retry_after);
             }
         }
     }
--- a/crates/core/src/request_metrics.rs
+++ b/crates/core/src/request_metrics.rs
@@ -63,7 +63,7 @@
             Response::Served(_) => counts.fulfilled += 1,
             Response::Rejected { .. } => counts.throttled += 1,
             Response::Failed { .. } | Response::OutcomeUnknown | Response::Invalid { .. } => {
-                counts.faulted += 1
+                counts.faulted += 1;
             }
             Response::Health { .. } => {}
         }
--- a/crates/gradepin/src/admin_client.rs
+++ b/crates/gradepin/src/admin_client.rs
@@ -17,14 +17,14 @@
 
 /// A response: status and body.
 #[derive(Debug)]
-pub struct Response {
+pub(crate) struct Response {
     pub status: u16,
     pub body: String,
 }
 
 /// Why there is no response.
 #[derive(Debug, thiserror::Error)]
-pub enum ClientError {
+pub(crate) enum ClientError {
     /// No connection was made: the server has not seen the request.
     #[error("the admin endpoint at {address}: {cause}")]
     Connect { address: SocketAddr, cause: std::io::Error },
@@ -38,14 +38,19 @@
 
 impl Response {
     /// The body on success; otherwise the body is the error.
-    pub fn into_success(self) -> Result<String, Box<dyn Error>> {
+    pub(crate) fn into_success(self) -> Result<String, Box<dyn Error>> {
         let text = self.body.trim().to_string();
         if (200..300).contains(&self.status) { Ok(text) } else { Err(text.into()) }
     }
 }
 
 /// Sends a request to an admin endpoint.
-pub fn call(address: SocketAddr, method: &str, path: &str, body: &str) -> Result<Response, ClientError> {
+pub(crate) fn call(
+    address: SocketAddr,
+    method: &str,
+    path: &str,
+    body: &str,
+) -> Result<Response, ClientError> {
     let stream = TcpStream::connect_timeout(&address, TIMEOUT);
     let stream = stream.map_err(|cause| ClientError::Connect { address, cause })?;
     let length = body.len();
@@ -73,7 +78,7 @@
 }
 
 /// Sends an order to the consensus group and waits for its end.
-pub fn order(address: SocketAddr, order: &impl serde::Serialize) -> Result<String, Box<dyn Error>> {
+pub(crate) fn order(address: SocketAddr, order: &impl serde::Serialize) -> Result<String, Box<dyn Error>> {
     let ticket = call(address, "POST", "/fleet/order", &serde_json::to_string(order)?)?.into_success()?;
     let started = Instant::now();
     loop {
--- a/crates/gradepin/src/check.rs
+++ b/crates/gradepin/src/check.rs
@@ -8,7 +8,7 @@
 };
 
 /// Prints the report of files that are valid; the authentication keys of the fleet are read here.
-pub fn print_report(files: &LoadedFiles) -> Result<(), KeysError> {
+pub(crate) fn print_report(files: &LoadedFiles) -> Result<(), KeysError> {
     let (config, operator) = (&files.config, &files.operator);
     for warning in &operator.warnings {
         println!("warning: {warning}");
--- a/crates/gradepin/src/config/client.rs
+++ b/crates/gradepin/src/config/client.rs
@@ -18,7 +18,7 @@
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Calls servers in turn.
-pub struct ConfigClient<'a> {
+pub(super) struct ConfigClient<'a> {
     /// Admin endpoints.
     pub addresses: &'a [SocketAddr],
     /// How long a change is retried.
@@ -37,7 +37,7 @@
 
 impl ConfigClient<'_> {
     /// Reads at the first server that answers.
-    pub fn get<T: DeserializeOwned>(&self, path: &str, query: &str) -> Result<T, ConfigError> {
+    pub(super) fn get<T: DeserializeOwned>(&self, path: &str, query: &str) -> Result<T, ConfigError> {
         let separator = if query.is_empty() { "" } else { "?" };
         let path = format!("{path}{separator}{query}");
         let mut why = Vec::new();
@@ -52,7 +52,12 @@
     }
 
     /// Posts a change to each server in turn, under its request id, until an answer is final or the time is up.
-    pub fn commit(&self, path: &str, body: &str, request_id: &Name) -> Result<ApplyReply, ConfigError> {
+    pub(super) fn commit(
+        &self,
+        path: &str,
+        body: &str,
+        request_id: &Name,
+    ) -> Result<ApplyReply, ConfigError> {
         let deadline = Instant::now() + self.timeout;
         let mut may_have_committed = false;
         for &address in self.addresses.iter().cycle() {
--- a/crates/gradepin/src/config/mod.rs
+++ b/crates/gradepin/src/config/mod.rs
@@ -23,7 +23,7 @@
 
 /// Which servers are called, and how long a change may take.
 #[derive(Debug, Args)]
-pub struct Servers {
+pub(crate) struct Servers {
     /// The admin endpoint of a server; several are tried in turn
     #[arg(long = "door", value_name = "IP:PORT", required = true)]
     addresses: Vec<SocketAddr>,
@@ -34,7 +34,7 @@
 
 /// Who changes the configuration, and why.
 #[derive(Debug, Args)]
-pub struct ChangeArguments {
+pub(crate) struct ChangeArguments {
     #[command(flatten)]
     servers: Servers,
     /// The reason, for the history
@@ -56,7 +56,7 @@
 
 /// Queries and changes of the configuration.
 #[derive(Debug, Subcommand)]
-pub enum ConfigCommand {
+pub(crate) enum ConfigCommand {
     /// Commit the changes of a document
     Apply {
         /// The document: KDL, or JSON where its name ends in .json
@@ -122,7 +122,7 @@
 /// Which entries to show.
 #[derive(Debug, Args)]
 #[group(multiple = false)]
-pub struct EntrySelection {
+pub(crate) struct EntrySelection {
     /// One class
     #[arg(long, value_name = "NAME")]
     class: Option<String>,
@@ -139,7 +139,7 @@
 
 /// Why a command failed.
 #[derive(Debug, thiserror::Error)]
-pub enum ConfigError {
+pub(crate) enum ConfigError {
     /// A server rejected it. Nothing was changed.
     #[error("refused: {0}")]
     Refused(#[from] AdminError),
@@ -159,7 +159,7 @@
 impl ConfigError {
     /// 1 rejected or invalid; 3 another revision is active than expected; 4 not accepted now, retry later; 5 not known whether it
     /// was committed, retry with the same request id. (0 done, 2 an invalid command line.)
-    pub fn exit_status(&self) -> u8 {
+    pub(crate) fn exit_status(&self) -> u8 {
         match self {
             Self::Refused(AdminError::Stale { .. }) => 3,
             Self::Refused(error) if error.is_transient() => 4,
@@ -173,7 +173,7 @@
 type Result<T> = std::result::Result<T, ConfigError>;
 
 /// Carries out a command and prints the answer.
-pub fn run(command: ConfigCommand) -> Result<()> {
+pub(crate) fn run(command: ConfigCommand) -> Result<()> {
     match command {
         ConfigCommand::Apply { file, change } => apply(&file, change),
         ConfigCommand::Rollback { revision, change } => rollback(Revision(revision), change),
--- a/crates/gradepin/src/config/render.rs
+++ b/crates/gradepin/src/config/render.rs
@@ -9,7 +9,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// `status`.
-pub fn status(reply: &StatusReply) -> String {
+pub(super) fn status(reply: &StatusReply) -> String {
     let source = match reply.source {
         Source::StartFile => "the start file",
         Source::Snapshot => "the snapshot on disk",
@@ -65,7 +65,7 @@
 }
 
 /// `history`.
-pub fn history(reply: &HistoryReply) -> String {
+pub(super) fn history(reply: &HistoryReply) -> String {
     let line = |commit: &CommitLine| {
         format!(
             "{:<8} {:<14} {:<16} {:>5} changes  {}  ({})",
@@ -83,7 +83,7 @@
 }
 
 /// `diff`.
-pub fn diff(reply: &DiffReply) -> String {
+pub(super) fn diff(reply: &DiffReply) -> String {
     let mut lines = vec![format!("from revision {} to revision {}:", reply.from, reply.to)];
     lines.extend(reply.changes.iter().map(change));
     if reply.left_out > 0 {
@@ -115,7 +115,7 @@
 }
 
 /// `show` without entries.
-pub fn summary(reply: &ShowReply) -> String {
+pub(super) fn summary(reply: &ShowReply) -> String {
     let mut lines = vec![format!(
         "revision {} (digest {}): {} classes, {} tenants",
         reply.revision, reply.digest, reply.classes, reply.tenants
@@ -125,7 +125,7 @@
 }
 
 /// A page of `show`.
-pub fn entries(reply: &ShowReply) -> String {
+pub(super) fn entries(reply: &ShowReply) -> String {
     reply.entries.iter().map(entry).collect::<Vec<String>>().join("\n")
 }
 
--- a/crates/gradepin/src/fleet.rs
+++ b/crates/gradepin/src/fleet.rs
@@ -1,6 +1,6 @@
 //! `gradepin fleet`: queries and orders of the fleet, at the admin endpoint of any server.
 
-pub mod table;
+pub(crate) mod table;
 
 use crate::admin_client;
 use clap::{Args, Subcommand};
@@ -15,7 +15,7 @@
 
 /// Which server is called, and who calls.
 #[derive(Debug, Args)]
-pub struct Caller {
+pub(crate) struct Caller {
     /// The admin endpoint of a server
     #[arg(long = "door", value_name = "IP:PORT")]
     pub address: SocketAddr,
@@ -26,7 +26,7 @@
 
 impl Caller {
     /// Who calls, for the record.
-    pub fn by(&self) -> Name {
+    pub(crate) fn by(&self) -> Name {
         let user = || std::env::var("USER").ok().filter(|user| !user.is_empty());
         Arc::from(self.by.clone().or_else(user).unwrap_or_else(|| "somebody".into()))
     }
@@ -34,7 +34,7 @@
 
 /// Queries and orders of the fleet.
 #[derive(Debug, Subcommand)]
-pub enum FleetCommand {
+pub(crate) enum FleetCommand {
     /// Servers, permits, release and consensus group, and how old this view of them is
     Status {
         /// The admin endpoint of a server
@@ -107,7 +107,7 @@
 
 /// What a permit is for.
 #[derive(Debug, Subcommand)]
-pub enum Subject {
+pub(crate) enum Subject {
     /// All servers of a zone
     Zone {
         /// Its name
@@ -133,12 +133,12 @@
 }
 
 /// The status of the fleet as one server sees it.
-pub fn status(address: SocketAddr) -> Result<Value> {
+pub(crate) fn status(address: SocketAddr) -> Result<Value> {
     Ok(serde_json::from_str(&admin_client::call(address, "GET", "/fleet/status", "")?.into_success()?)?)
 }
 
 /// Carries out a command and prints the answer.
-pub fn run(command: FleetCommand) -> Result<()> {
+pub(crate) fn run(command: FleetCommand) -> Result<()> {
     let post = |address, path| admin_client::call(address, "POST", path, "")?.into_success();
     let text = match command {
         FleetCommand::Status { address, json: true } => status(address)?.to_string(),
--- a/crates/gradepin/src/fleet/table.rs
+++ b/crates/gradepin/src/fleet/table.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 
 /// One text of all: the consensus group and the age of this view, servers, limits, permits, release, the last operator acts.
-pub fn render(status: &Value) -> String {
+pub(crate) fn render(status: &Value) -> String {
     let mut lines = consensus(status);
     lines.extend(servers(status));
     lines.push(limits(&status["limits"]));
--- a/crates/gradepin/src/main.rs
+++ b/crates/gradepin/src/main.rs
@@ -1,4 +1,5 @@
 //! The program `gradepin`: its command line, and the exit status of each command.
+#![warn(missing_docs, unreachable_pub, clippy::too_many_lines)]
 
 mod admin_client;
 mod check;
--- a/crates/gradepin/src/release.rs
+++ b/crates/gradepin/src/release.rs
@@ -15,7 +15,7 @@
 
 /// Queries and orders of releases.
 #[derive(Debug, Subcommand)]
-pub enum ReleaseCommand {
+pub(crate) enum ReleaseCommand {
     /// Read a plan and print what it would do
     Plan {
         /// The plan
@@ -75,7 +75,7 @@
 }
 
 /// Carries out a command and prints the answer.
-pub fn run(command: ReleaseCommand) -> Result<()> {
+pub(crate) fn run(command: ReleaseCommand) -> Result<()> {
     let text = match command {
         ReleaseCommand::Plan { file } => plan::describe(&plan::load(&file)?),
         ReleaseCommand::Stage { address, file } => {
--- a/crates/gradepin/src/release/plan.rs
+++ b/crates/gradepin/src/release/plan.rs
@@ -9,7 +9,7 @@
 type Result<T> = std::result::Result<T, Box<dyn Error>>;
 
 /// Reads and checks a plan.
-pub fn load(path: &Path) -> Result<RolloutPlan> {
+pub(super) fn load(path: &Path) -> Result<RolloutPlan> {
     let plan = parse(&super::read(path)?).map_err(|why| format!("{}: {why}", path.display()))?;
     plan.check().map_err(|why| format!("{}: {why}", path.display()))?;
     Ok(plan)
@@ -55,11 +55,11 @@
             "goes-back" => plan.rolls_back = boolean(node)?,
             "ready-ms" => {
                 plan.ready_timeout_ms =
-                    whole_number(node.get(0).and_then(|value| value.as_integer()), "ready-ms")?
+                    whole_number(node.get(0).and_then(|value| value.as_integer()), "ready-ms")?;
             }
             "steady-ms" => {
                 plan.stabilization_ms =
-                    whole_number(node.get(0).and_then(|value| value.as_integer()), "steady-ms")?
+                    whole_number(node.get(0).and_then(|value| value.as_integer()), "steady-ms")?;
             }
             "worse" => plan.tolerated_regression = number(node)?,
             other => return Err(format!("an unknown node '{other}'").into()),
@@ -91,7 +91,7 @@
 }
 
 /// What a plan would do, for a terminal.
-pub fn describe(plan: &RolloutPlan) -> String {
+pub(super) fn describe(plan: &RolloutPlan) -> String {
     let what = if plan.kind == ReleaseKind::Program { "program" } else { "settings" };
     let mut text = format!("{}: {what} {}", plan.name, plan.version);
     for (n, batch) in plan.batches.iter().enumerate() {
@@ -112,7 +112,5 @@
     )
 }
 
-#[cfg(test)]
-mod golden_tests;
 #[cfg(test)]
 mod tests;
--- a/crates/gradepin/src/release/plan/tests.rs
+++ b/crates/gradepin/src/release/plan/tests.rs
@@ -1,3 +1,5 @@
+mod golden;
+
 use super::*;
 
 #[test]
--- a/crates/gradepin/src/store.rs
+++ b/crates/gradepin/src/store.rs
@@ -22,7 +22,7 @@
 
 /// Commands on a folder.
 #[derive(clap::Subcommand)]
-pub enum StoreCommand {
+pub(crate) enum StoreCommand {
     /// Read every segment, and print what it holds and what is damaged; status 1 if anything is
     Check {
         /// The folder
@@ -41,7 +41,7 @@
 }
 
 /// Carries out a command; false if something is damaged.
-pub fn run(command: StoreCommand) -> Result<bool, Box<dyn Error>> {
+pub(crate) fn run(command: StoreCommand) -> Result<bool, Box<dyn Error>> {
     match command {
         StoreCommand::Check { folder } => check(&folder),
         StoreCommand::Dump { folder } => dump(&folder),
--- a/crates/node/src/admin/exposition.rs
+++ b/crates/node/src/admin/exposition.rs
@@ -41,7 +41,7 @@
 use std::sync::atomic::AtomicU64;
 
 /// MIME type of the text, as OpenMetrics defines it; Prometheus reads it too.
-pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+pub(super) const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 type Labels = Vec<(&'static str, String)>;
 type FloatGauge = Gauge<f64, AtomicU64>;
--- a/crates/node/src/descriptors.rs
+++ b/crates/node/src/descriptors.rs
@@ -13,7 +13,7 @@
 
 /// Raises the system's limit to `limits.sockets` as far as the system lets it, and lowers `limits.sockets` to what is
 /// allowed then.
-pub fn apply_system_limit(limits: &mut Limits, log: &Logger) {
+pub(crate) fn apply_system_limit(limits: &mut Limits, log: &Logger) {
     let allowed = usize::try_from(raise(limits.sockets as u64)).unwrap_or(usize::MAX);
     if allowed < limits.sockets {
         warn!(log, "the system allows fewer descriptors than limits.sockets; using the system's limit";
--- a/crates/node/src/frontend/scgi/response.rs
+++ b/crates/node/src/frontend/scgi/response.rs
@@ -69,7 +69,7 @@
 
 /// Encodes a response, with the capacity hint if there is one; `draining` adds `Connection: close`. `None` if it doesn't
 /// fit into a buffer.
-pub fn encode(
+pub(super) fn encode(
     response: &Response,
     capacity_hint: Option<f64>,
     draining: bool,
--- a/crates/node/src/frontend/throttle.rs
+++ b/crates/node/src/frontend/throttle.rs
@@ -11,7 +11,7 @@
 
 /// What became of a message, for its cost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum MessageOutcome {
+pub(super) enum MessageOutcome {
     /// It was served.
     Served,
     /// It was rejected, or its run failed.
@@ -22,7 +22,7 @@
 
 impl MessageOutcome {
     /// The outcome that a response states for its request.
-    pub fn of(response: &Response) -> Self {
+    pub(super) fn of(response: &Response) -> Self {
         match response {
             Response::Served(_) | Response::Health { .. } => Self::Served,
             Response::Rejected { .. } | Response::Failed { .. } | Response::OutcomeUnknown => Self::Failed,
@@ -31,7 +31,7 @@
     }
 
     /// Cost in tokens, beside the one token for reading the message.
-    pub fn cost(self) -> usize {
+    pub(super) fn cost(self) -> usize {
         match self {
             Self::Served => 1,
             Self::Failed => 10,
@@ -43,7 +43,7 @@
 /// Guards against a client that sends rejected or invalid messages at full speed: reading, answering and logging them
 /// would take the core from all other clients. Reading from the connection pauses; nothing that it sent is dropped.
 #[derive(Debug)]
-pub struct TokenBucket {
+pub(super) struct TokenBucket {
     /// Below 0 after a message that cost more than was left.
     tokens: f64,
     updated_at: Instant,
@@ -51,12 +51,12 @@
 
 impl TokenBucket {
     /// A full bucket.
-    pub fn new(now: Instant) -> Self {
+    pub(super) fn new(now: Instant) -> Self {
         Self { tokens: MAX_BURST_TOKENS, updated_at: now }
     }
 
     /// Takes tokens; if none are left, returns how long to pause until there are.
-    pub fn take(&mut self, cost: usize, now: Instant) -> Option<Duration> {
+    pub(super) fn take(&mut self, cost: usize, now: Instant) -> Option<Duration> {
         let gained = now.saturating_duration_since(self.updated_at).as_secs_f64() * TOKENS_PER_SECOND;
         self.tokens = (self.tokens + gained).min(MAX_BURST_TOKENS) - cost as f64;
         self.updated_at = now;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -6,6 +6,8 @@
 //! [`staging`] and [`configuration_writer`] each own one folder. [`settings`] and [`config`] read the files that a server is
 //! started with. Threads send [`gradepin_core::messages::Input`]s to the main thread and never call it.
 
+#![warn(missing_docs, unreachable_pub, clippy::too_many_lines)]
+
 pub mod admin;
 pub mod claims;
 pub mod clock;
--- a/crates/node/src/outgoing.rs
+++ b/crates/node/src/outgoing.rs
@@ -16,7 +16,7 @@
 const STACK_BYTES: usize = 64 * 1024;
 
 /// A socket and the frames that wait for it. Unbounded here: the sender bounds what it sends.
-pub struct Outgoing {
+pub(crate) struct Outgoing {
     /// The socket; its write timeout is how long the peer may accept nothing.
     pub stream: OwnedFd,
     sending: Mutex<Sending>,
@@ -34,7 +34,7 @@
 
 impl Outgoing {
     /// For a connected socket.
-    pub fn new(stream: OwnedFd) -> Self {
+    pub(crate) fn new(stream: OwnedFd) -> Self {
         Self { stream, sending: Mutex::default() }
     }
 
@@ -49,12 +49,12 @@
     }
 
     /// Shuts the socket down both ways at once; frames that wait, and all later ones, are dropped.
-    pub fn shut(&self) {
+    pub(crate) fn shut(&self) {
         self.close(&mut self.sending());
     }
 
     /// Sends a frame: what the socket accepts at once is written here, the rest by the thread.
-    pub fn send(self: &Arc<Self>, mut frame: Buffer) {
+    pub(crate) fn send(self: &Arc<Self>, mut frame: Buffer) {
         let mut sending = self.sending();
         if sending.closed {
             return;
--- a/crates/node/src/processor/lines.rs
+++ b/crates/node/src/processor/lines.rs
@@ -15,7 +15,7 @@
 const REMARK: &[u8] = b"remark ";
 
 /// The bytes of a link that were not parsed yet.
-pub struct Lines {
+pub(super) struct Lines {
     pool: Arc<BufferPool>,
     buffer: Buffer,
     /// Bytes at the front of the buffer that were parsed.
@@ -26,12 +26,12 @@
 
 impl Lines {
     /// For a new link.
-    pub fn new(pool: &Arc<BufferPool>) -> Self {
+    pub(super) fn new(pool: &Arc<BufferPool>) -> Self {
         Self { pool: Arc::clone(pool), buffer: pool.take(), parsed_bytes: 0, long_remark: None }
     }
 
     /// Parses the next line, with the body that follows it; None while it is incomplete. An error where it is invalid.
-    pub fn next(&mut self) -> io::Result<Option<Line>> {
+    pub(super) fn next(&mut self) -> io::Result<Option<Line>> {
         let bytes = &self.buffer[self.parsed_bytes..];
         let Some(notice) = self.long_remark else {
             let Some(parsed) = parse(bytes, &self.pool)? else { return Ok(None) };
@@ -46,7 +46,7 @@
 
     /// Space for more bytes, at least one; [`Lines::filled`] then says how many were received. An error where a line is
     /// longer than any line may be.
-    pub fn space(&mut self) -> io::Result<&mut [u8]> {
+    pub(super) fn space(&mut self) -> io::Result<&mut [u8]> {
         self.buffer.consume(std::mem::take(&mut self.parsed_bytes));
         if self.buffer.space().is_empty() {
             // Guards against a link that is lost over a long remark, and over the same one again after each hello.
@@ -59,14 +59,14 @@
     }
 
     /// Counts bytes that were received into [`Lines::space`].
-    pub fn filled(&mut self, bytes: usize) {
+    pub(super) fn filled(&mut self, bytes: usize) {
         self.buffer.filled(bytes);
     }
 }
 
 /// A line of the processor.
 #[derive(Debug)]
-pub enum Line {
+pub(super) enum Line {
     /// The greeting of a link.
     Hello {
         /// Whether the processor started with cold caches.
--- a/crates/node/src/settings/kdl_reader.rs
+++ b/crates/node/src/settings/kdl_reader.rs
@@ -13,14 +13,14 @@
 use std::ops::RangeInclusive;
 
 /// Spans are in nanoseconds, most settings in milliseconds.
-pub const NANOSECONDS_PER_MS: u64 = 1_000_000;
+pub(super) const NANOSECONDS_PER_MS: u64 = 1_000_000;
 
 const TIME: &str = "nanoseconds, or a time as in \"250ms\" or \"4s\"";
 const BOOLEAN: &str = "#true or #false";
 
 /// A node's name of an earlier version, which is accepted for one more version.
 #[derive(Debug, Clone, Copy)]
-pub struct OldName {
+pub(super) struct OldName {
     /// Name of the earlier version.
     pub old: &'static str,
     /// Name of this version.
@@ -28,7 +28,7 @@
 }
 
 /// The nodes of a document, or the children of a node.
-pub struct Block<'p> {
+pub(super) struct Block<'p> {
     nodes: Vec<KdlNode>,
     /// Indexes of the nodes that were read.
     read: BTreeSet<usize>,
@@ -38,7 +38,7 @@
 }
 
 /// A node that may occur several times, with one text and properties.
-pub struct Repeated<'p> {
+pub(super) struct Repeated<'p> {
     node: KdlNode,
     /// Names of the properties that were read.
     read: BTreeSet<String>,
@@ -62,7 +62,7 @@
 
 impl<'p> Block<'p> {
     /// The nodes of a document; `None` if the text is no KDL.
-    pub fn document(text: &str, problems: &'p Problems<'p>) -> Option<Self> {
+    pub(super) fn document(text: &str, problems: &'p Problems<'p>) -> Option<Self> {
         match kdl_text::parse(text) {
             Ok(document) => Some(Self::new(document.nodes().to_vec(), 0, problems)),
             Err(errors) => {
@@ -79,13 +79,13 @@
     }
 
     /// Adds a problem of the block itself.
-    pub fn problem(&self, text: impl Into<String>) {
+    pub(super) fn problem(&self, text: impl Into<String>) {
         self.problems.add(self.offset, ProblemKind::Invalid(text.into()));
     }
 
     /// Accepts nodes by their names of an earlier version too, each with a warning; must be called before anything is
     /// read. Both names of one node in a block are a problem, as either value could be meant.
-    pub fn accept_old_names(&mut self, names: &[OldName]) {
+    pub(super) fn accept_old_names(&mut self, names: &[OldName]) {
         for &OldName { old, new } in names {
             let has_new = self.has(new);
             for node in self.nodes.iter_mut().filter(|node| node.name().value() == old) {
@@ -102,7 +102,7 @@
     }
 
     /// Whether the block has a node of this name, valid or not.
-    pub fn has(&self, name: &str) -> bool {
+    pub(super) fn has(&self, name: &str) -> bool {
         self.nodes.iter().any(|node| node.name().value() == name)
     }
 
@@ -152,7 +152,7 @@
     }
 
     /// An integer in a range.
-    pub fn integer(&mut self, name: &str, range: RangeInclusive<u64>) -> Option<u64> {
+    pub(super) fn integer(&mut self, name: &str, range: RangeInclusive<u64>) -> Option<u64> {
         let argument = self.argument(name, "one whole number")?;
         let number = self.check_value(name, "a whole number", &argument, argument.value.as_integer())?;
         let in_range = u64::try_from(number).ok().filter(|number| range.contains(number));
@@ -165,14 +165,14 @@
     }
 
     /// A text that is not empty.
-    pub fn text(&mut self, name: &str) -> Option<String> {
+    pub(super) fn text(&mut self, name: &str) -> Option<String> {
         let argument = self.argument(name, "one word")?;
         let text = argument.value.as_string().filter(|text| !text.is_empty()).map(String::from);
         self.check_value(name, "a word", &argument, text)
     }
 
     /// One of some words, by its index among them.
-    pub fn choice(&mut self, name: &str, words: &[&str]) -> Option<usize> {
+    pub(super) fn choice(&mut self, name: &str, words: &[&str]) -> Option<usize> {
         let argument = self.argument(name, "one word")?;
         let index = argument.value.as_string().and_then(|text| words.iter().position(|word| *word == text));
         if index.is_none() {
@@ -185,17 +185,17 @@
     }
 
     /// A time in milliseconds.
-    pub fn milliseconds(&mut self, name: &str, range: RangeInclusive<u64>) -> Option<Span> {
+    pub(super) fn milliseconds(&mut self, name: &str, range: RangeInclusive<u64>) -> Option<Span> {
         self.integer(name, range).map(|ms| Span(ms * NANOSECONDS_PER_MS))
     }
 
     /// A fraction, from 0 to 1.
-    pub fn fraction(&mut self, name: &str) -> Option<f64> {
+    pub(super) fn fraction(&mut self, name: &str) -> Option<f64> {
         self.number(name, 0.0..=1.0)
     }
 
     /// A number in a range.
-    pub fn number(&mut self, name: &str, range: RangeInclusive<f64>) -> Option<f64> {
+    pub(super) fn number(&mut self, name: &str, range: RangeInclusive<f64>) -> Option<f64> {
         let argument = self.argument(name, "one number")?;
         let number = argument.value.as_float().or(argument.value.as_integer().map(|integer| integer as f64));
         let number = self.check_value(name, "a number", &argument, number)?;
@@ -209,7 +209,7 @@
     }
 
     /// A time: an integer in nanoseconds, or a text with a unit, as in "250ms".
-    pub fn time(&mut self, name: &str) -> Option<Span> {
+    pub(super) fn time(&mut self, name: &str) -> Option<Span> {
         let argument = self.argument(name, TIME)?;
         let nanoseconds = argument.value.as_integer().and_then(|number| u64::try_from(number).ok());
         let time = nanoseconds.map(Span).or_else(|| argument.value.as_string().and_then(time_with_unit));
@@ -217,20 +217,20 @@
     }
 
     /// A boolean.
-    pub fn boolean(&mut self, name: &str) -> Option<bool> {
+    pub(super) fn boolean(&mut self, name: &str) -> Option<bool> {
         let argument = self.argument(name, BOOLEAN)?;
         self.check_value(name, BOOLEAN, &argument, argument.value.as_bool())
     }
 
     /// An address with a port.
-    pub fn address(&mut self, name: &str) -> Option<SocketAddr> {
+    pub(super) fn address(&mut self, name: &str) -> Option<SocketAddr> {
         let argument = self.argument(name, "one address")?;
         let address = argument.value.as_string().and_then(|text| text.parse().ok());
         self.check_value(name, "IP:PORT", &argument, address)
     }
 
     /// A node with children.
-    pub fn block(&mut self, name: &str) -> Option<Block<'p>> {
+    pub(super) fn block(&mut self, name: &str) -> Option<Block<'p>> {
         let node = self.node(name)?;
         let offset = offset(&node);
         if !node.entries().is_empty() {
@@ -240,7 +240,7 @@
     }
 
     /// All nodes of a name, each with its one argument, a text.
-    pub fn each(&mut self, name: &str) -> Vec<(String, Repeated<'p>)> {
+    pub(super) fn each(&mut self, name: &str) -> Vec<(String, Repeated<'p>)> {
         let mut all = Vec::new();
         for (index, node) in self.nodes.iter().enumerate().filter(|(_, node)| node.name().value() == name) {
             self.read.insert(index);
@@ -257,17 +257,17 @@
     }
 
     /// The names of all nodes, each once.
-    pub fn names(&self) -> BTreeSet<String> {
+    pub(super) fn names(&self) -> BTreeSet<String> {
         self.nodes.iter().map(|node| node.name().value().to_string()).collect()
     }
 
     /// All nodes as names with one text each.
-    pub fn texts_by_name(&mut self) -> Vec<(String, String)> {
+    pub(super) fn texts_by_name(&mut self) -> Vec<(String, String)> {
         self.names().into_iter().filter_map(|name| Some((name.clone(), self.text(&name)?))).collect()
     }
 
     /// Ends reading: nodes that were not read are unknown.
-    pub fn end(self) {
+    pub(super) fn end(self) {
         for (index, node) in self.nodes.iter().enumerate() {
             if !self.read.contains(&index) {
                 let name = node.name().value().to_string();
@@ -279,19 +279,19 @@
 
 impl<'p> Repeated<'p> {
     /// Its children.
-    pub fn block(&self) -> Block<'p> {
+    pub(super) fn block(&self) -> Block<'p> {
         Block::new(children(&self.node), offset(&self.node), self.problems)
     }
 
     /// Adds a problem if it has children.
-    pub fn no_block(&self) {
+    pub(super) fn no_block(&self) {
         if self.node.children().is_some() {
             self.problems.add(offset(&self.node), ProblemKind::Children);
         }
     }
 
     /// A property that is a text.
-    pub fn property(&mut self, name: &str) -> Option<String> {
+    pub(super) fn property(&mut self, name: &str) -> Option<String> {
         self.read.insert(name.to_string());
         let value = self.node.get(name)?;
         let text = value.as_string().map(String::from);
@@ -304,12 +304,12 @@
     }
 
     /// Adds a problem of the node.
-    pub fn problem(&self, text: impl Into<String>) {
+    pub(super) fn problem(&self, text: impl Into<String>) {
         self.problems.add(offset(&self.node), ProblemKind::Invalid(text.into()));
     }
 
     /// Ends reading: properties that were not read are unknown.
-    pub fn end(self) {
+    pub(super) fn end(self) {
         for name in self.node.entries().iter().filter_map(|entry| entry.name()) {
             if !self.read.contains(name.value()) {
                 let kind = ProblemKind::UnknownProperty(name.value().to_string());
--- a/crates/node/src/settings/problem.rs
+++ b/crates/node/src/settings/problem.rs
@@ -105,7 +105,7 @@
 type Found = RefCell<Vec<(usize, ProblemKind)>>;
 
 /// Problems and warnings by their offset in the text.
-pub struct Problems<'t> {
+pub(super) struct Problems<'t> {
     text: &'t str,
     problems: Found,
     warnings: Found,
@@ -113,27 +113,27 @@
 
 impl<'t> Problems<'t> {
     /// None yet, of this text.
-    pub fn new(text: &'t str) -> Self {
+    pub(super) fn new(text: &'t str) -> Self {
         Self { text, problems: RefCell::default(), warnings: RefCell::default() }
     }
 
     /// Adds a problem: the file can't be used.
-    pub fn add(&self, offset: usize, kind: ProblemKind) {
+    pub(super) fn add(&self, offset: usize, kind: ProblemKind) {
         self.problems.borrow_mut().push((offset, kind));
     }
 
     /// Adds a warning: the file can be used.
-    pub fn warn(&self, offset: usize, kind: ProblemKind) {
+    pub(super) fn warn(&self, offset: usize, kind: ProblemKind) {
         self.warnings.borrow_mut().push((offset, kind));
     }
 
     /// The warnings, in the order of the text.
-    pub fn warnings(&self) -> Vec<Problem> {
+    pub(super) fn warnings(&self) -> Vec<Problem> {
         self.sorted(&self.warnings)
     }
 
     /// The problems, in the order of the text.
-    pub fn into_sorted(self) -> Vec<Problem> {
+    pub(super) fn into_sorted(self) -> Vec<Problem> {
         self.sorted(&self.problems)
     }
 
@@ -148,7 +148,7 @@
 }
 
 /// A problem at an offset of a text, in bytes.
-pub fn problem(text: &str, offset: usize, kind: ProblemKind) -> Problem {
+pub(super) fn problem(text: &str, offset: usize, kind: ProblemKind) -> Problem {
     let before = text.get(..offset.min(text.len())).unwrap_or(text);
     let line = before.matches('\n').count() + 1;
     let column = before.rsplit('\n').next().unwrap_or("").chars().count() + 1;
--- a/crates/node/src/startup/predecessor_wait.rs
+++ b/crates/node/src/startup/predecessor_wait.rs
@@ -21,7 +21,7 @@
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Acquires the resources of a start, all within the same [`MAX_WAIT`].
-pub struct PredecessorWait<'s> {
+pub(super) struct PredecessorWait<'s> {
     started: Instant,
     signals: &'s Signals,
     log: &'s Logger,
@@ -29,18 +29,22 @@
 
 impl<'s> PredecessorWait<'s> {
     /// Starts the time of all waits.
-    pub fn new(signals: &'s Signals, log: &'s Logger) -> Self {
+    pub(super) fn new(signals: &'s Signals, log: &'s Logger) -> Self {
         Self { started: Instant::now(), signals, log }
     }
 
     /// Listens for client connections on a TCP address.
-    pub fn listen_tcp(&self, address: SocketAddr) -> Result<Listener, StartAborted> {
+    pub(super) fn listen_tcp(&self, address: SocketAddr) -> Result<Listener, StartAborted> {
         self.acquire(&format!("listening on {address}"), || Listener::tcp(address))
     }
 
     /// Calls `acquire` until it succeeds, fails otherwise than with an address in use, or the time is up. `resource` names
     /// it in the log and in errors.
-    pub fn acquire<T>(&self, resource: &str, acquire: impl Fn() -> io::Result<T>) -> Result<T, StartAborted> {
+    pub(super) fn acquire<T>(
+        &self,
+        resource: &str,
+        acquire: impl Fn() -> io::Result<T>,
+    ) -> Result<T, StartAborted> {
         let mut is_logged = false;
         loop {
             match acquire() {
@@ -56,7 +60,7 @@
 
     /// Waits until no other process holds these folders, or the time is up. Whoever opens a folder next reports what is
     /// wrong with it.
-    pub fn wait_for_folders<'p>(
+    pub(super) fn wait_for_folders<'p>(
         &self,
         folders: impl IntoIterator<Item = &'p Path>,
     ) -> Result<(), StartAborted> {
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -9,7 +9,7 @@
 //!
 //! The protocol is that of the public REST operations of Eureka 1.x (`/eureka/v2/apps`, or `/eureka/apps` in other
 //! distributions); the fields and their spelling follow what its servers send.
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub, clippy::too_many_lines)]
 
 pub mod backoff;
 pub mod instance;
--- a/crates/registry/src/wire/json.rs
+++ b/crates/registry/src/wire/json.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// Parses a message into a tree.
-pub fn parse(bytes: &[u8]) -> Result<Node, WireError> {
+pub(super) fn parse(bytes: &[u8]) -> Result<Node, WireError> {
     let syntax = |why: String| WireError::Syntax { format: "JSON", why };
     // The library bounds the nesting itself, at 128.
     let value: Value = serde_json::from_slice(bytes).map_err(|e| syntax(e.to_string()))?;
@@ -106,7 +106,7 @@
 }
 
 /// Writes one instance.
-pub fn instance(instance: &Instance) -> Vec<u8> {
+pub(super) fn instance(instance: &Instance) -> Vec<u8> {
     json!({"instance": instance_value(instance)}).to_string().into_bytes()
 }
 
@@ -115,12 +115,12 @@
 }
 
 /// Writes one application.
-pub fn application(name: &str, instances: &[&Instance]) -> Vec<u8> {
+pub(super) fn application(name: &str, instances: &[&Instance]) -> Vec<u8> {
     json!({"application": application_value(name, instances)}).to_string().into_bytes()
 }
 
 /// Writes all applications.
-pub fn applications(all: &Applications, apps: &BTreeMap<&str, Vec<&Instance>>) -> Vec<u8> {
+pub(super) fn applications(all: &Applications, apps: &BTreeMap<&str, Vec<&Instance>>) -> Vec<u8> {
     let apps: Vec<Value> = apps.iter().map(|(name, instances)| application_value(name, instances)).collect();
     json!({"applications": {
         "versions__delta": all.version, "apps__hashcode": all.hash_code, "application": apps
--- a/crates/registry/src/wire/xml.rs
+++ b/crates/registry/src/wire/xml.rs
@@ -12,7 +12,7 @@
 }
 
 /// Parses a message into a tree.
-pub fn parse(bytes: &[u8]) -> Result<Node, WireError> {
+pub(super) fn parse(bytes: &[u8]) -> Result<Node, WireError> {
     let mut reader = Reader::from_reader(bytes);
     reader.config_mut().check_end_names = true;
     let mut open: Vec<Node> = Vec::new();
@@ -189,17 +189,17 @@
 }
 
 /// Writes one instance.
-pub fn instance(instance: &Instance) -> Vec<u8> {
+pub(super) fn instance(instance: &Instance) -> Vec<u8> {
     document(|out| out.instance(instance))
 }
 
 /// Writes one application.
-pub fn application(name: &str, instances: &[&Instance]) -> Vec<u8> {
+pub(super) fn application(name: &str, instances: &[&Instance]) -> Vec<u8> {
     document(|out| out.application(name, instances))
 }
 
 /// Writes all applications.
-pub fn applications(all: &Applications, apps: &BTreeMap<&str, Vec<&Instance>>) -> Vec<u8> {
+pub(super) fn applications(all: &Applications, apps: &BTreeMap<&str, Vec<&Instance>>) -> Vec<u8> {
     document(|out| {
         out.within("applications", &[], |out| {
             out.text("versions__delta", &[], &all.version);
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -8,7 +8,7 @@
 //!   tests.
 //!
 //! File formats and the guarantees after a crash are in `docs/design/recovery.md`.
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub, clippy::too_many_lines)]
 
 pub mod configuration;
 pub mod disk;
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -146,7 +146,7 @@
             }
             Err(HeaderError::Short(_)) => reading.add_unwritten(number, bytes.len() as u64),
             Err(why @ HeaderError::Damaged) => {
-                reading.add_unreadable(number, bytes.len() as u64, &why.to_string())
+                reading.add_unreadable(number, bytes.len() as u64, &why.to_string());
             }
         }
     }
