--- a/crates/testkit/src/drill/faults/client.rs
+++ b/crates/testkit/src/drill/faults/client.rs
@@ -333,7 +333,8 @@
             }
             return;
         };
-        if self.target.drops_answer.swap(false, Ordering::SeqCst) {
+        // Of a run that began: a rejected request counts as crossed, and is sent again, where the connection drains meanwhile.
+        if matches!(answer, Answer::Served(..)) && self.target.drops_answer.swap(false, Ordering::SeqCst) {
             return;
         }
         self.target.record.entries().requests[*place].answers.push((Instant::now(), answer));
