--- a/crates/cluster/src/circuit_breaker.rs
+++ b/crates/cluster/src/circuit_breaker.rs
@@ -105,7 +105,7 @@
     }
 
     /// A call ended here.
-    pub fn called(&mut self, now: Time, outcome: Outcome, took: Span, random: f64) {
+    pub fn call_ended(&mut self, now: Time, outcome: Outcome, took: Span, random: f64) {
         // Turned away without a look: the upstream is there, and full.
         if outcome == Outcome::Rejected {
             return;
--- a/crates/cluster/src/circuit_breaker/tests.rs
+++ b/crates/cluster/src/circuit_breaker/tests.rs
@@ -6,27 +6,27 @@
     Time(ms * MS)
 }
 
-fn fail(circuit_breaker: &mut CircuitBreaker, from: u64, times: u64) {
+fn fail(breaker: &mut CircuitBreaker, from: u64, times: u64) {
     for n in 0..times {
-        circuit_breaker.called(ms(from + 50 * n), Outcome::ConnectFailed, Span(MS), 0.5);
+        breaker.call_ended(ms(from + 50 * n), Outcome::ConnectFailed, Span(MS), 0.5);
     }
 }
 
-fn circuit_breaker() -> CircuitBreaker {
+fn breaker() -> CircuitBreaker {
     CircuitBreaker::new(2.0, 8)
 }
 
 /// Guards against one server whose own network is ill: it stops its own calls, and nobody else's.
 #[test]
 fn one_that_sees_it_dead_convinces_nobody() {
-    let (mut ill, mut idle, mut busy) = (circuit_breaker(), circuit_breaker(), circuit_breaker());
+    let (mut ill, mut idle, mut busy) = (breaker(), breaker(), breaker());
     fail(&mut ill, 1_000, 6);
     assert!(!ill.is_closed());
     let mut others = PeerObservations::default();
     others.add(&ill.observation(ms(1_300)), Span(0));
-    for circuit_breaker in [&mut idle, &mut busy] {
-        circuit_breaker.observed_by_others(ms(1_400), others, 0.5);
-        assert_eq!(circuit_breaker.call(ms(1_400), 0.5), Admission::Call);
+    for breaker in [&mut idle, &mut busy] {
+        breaker.observed_by_others(ms(1_400), others, 0.5);
+        assert_eq!(breaker.call(ms(1_400), 0.5), Admission::Call);
     }
     // It answers the others all along: the ill one tries now and then, and no more than that.
     let mut calls = 0;
@@ -34,7 +34,7 @@
         ill.observed_by_others(ms(at), PeerObservations { answered: 7, dead: 0 }, 0.5);
         if ill.call(ms(at), 0.5) != Admission::Rejected {
             calls += 1;
-            ill.called(ms(at), Outcome::ConnectFailed, Span(MS), 0.5);
+            ill.call_ended(ms(at), Outcome::ConnectFailed, Span(MS), 0.5);
         }
     }
     assert!((5..30).contains(&calls), "{calls} calls in 40 s");
@@ -51,7 +51,7 @@
         ill.observed_by_others(ms(at), PeerObservations { answered: 250, dead: 1 }, 0.5);
         if ill.call(ms(at), 0.5) != Admission::Rejected {
             calls.push(at);
-            ill.called(ms(at), Outcome::ConnectFailed, Span(MS), 0.5);
+            ill.call_ended(ms(at), Outcome::ConnectFailed, Span(MS), 0.5);
         }
     }
     assert!((8..25).contains(&calls.len()), "{} calls in 200 s: {calls:?}", calls.len());
@@ -59,7 +59,7 @@
     let back = (201_500..230_000).step_by(100).find(|at| {
         ill.observed_by_others(ms(*at), PeerObservations { answered: 250, dead: 0 }, 0.5);
         if ill.call(ms(*at), 0.5) == Admission::Call {
-            ill.called(ms(*at), Outcome::Success, Span(50 * MS), 0.5);
+            ill.call_ended(ms(*at), Outcome::Success, Span(50 * MS), 0.5);
         }
         ill.is_closed()
     });
@@ -69,19 +69,19 @@
 /// Guards a server for which the dependency works against a fleet that sees it dead.
 #[test]
 fn all_but_one_that_see_it_dead_dont_convince_the_one() {
-    let (mut works, mut idle) = (circuit_breaker(), circuit_breaker());
+    let (mut works, mut idle) = (breaker(), breaker());
     let others = PeerObservations { answered: 0, dead: 7 };
     for n in 0..40 {
-        works.called(ms(1_000 + 100 * n), Outcome::Success, Span(80 * MS), 0.5);
+        works.call_ended(ms(1_000 + 100 * n), Outcome::Success, Span(80 * MS), 0.5);
         works.observed_by_others(ms(1_000 + 100 * n), others, 0.5);
         assert_eq!(works.call(ms(1_000 + 100 * n), 0.5), Admission::Call);
     }
     idle.observed_by_others(ms(5_000), others, 0.5);
     assert_ne!(idle.call(ms(5_000), 0.9), Admission::Call, "one that knows nothing itself goes by them");
-    let mut two = circuit_breaker();
+    let mut two = breaker();
     two.observed_by_others(ms(5_000), PeerObservations { answered: 0, dead: 2 }, 0.5);
     assert_eq!(two.call(ms(5_000), 0.5), Admission::Call, "two are not enough");
-    let mut one_good = circuit_breaker();
+    let mut one_good = breaker();
     one_good.observed_by_others(ms(5_000), PeerObservations { answered: 1, dead: 6 }, 0.5);
     assert_eq!(one_good.call(ms(5_000), 0.5), Admission::Call, "nor many, while it answers one");
 }
@@ -89,38 +89,37 @@
 /// Guards against a dependency that is slow and taken for dead.
 #[test]
 fn one_that_answers_slowly_is_not_dead() {
-    let mut circuit_breaker = circuit_breaker();
+    let mut breaker = breaker();
     for n in 0..100 {
         let outcome = if n % 8 == 0 { Outcome::Success } else { Outcome::TimedOut };
-        circuit_breaker.called(ms(1_000 + 100 * n), outcome, Span(900 * MS), 0.5);
-        assert_eq!(circuit_breaker.call(ms(1_000 + 100 * n), 0.5), Admission::Call, "{n}");
+        breaker.call_ended(ms(1_000 + 100 * n), outcome, Span(900 * MS), 0.5);
+        assert_eq!(breaker.call(ms(1_000 + 100 * n), 0.5), Admission::Call, "{n}");
     }
-    assert_eq!(circuit_breaker.observation(ms(11_000)).mean_ms, 900);
-    let mut full = self::circuit_breaker();
-    (0..50).for_each(|n| full.called(ms(n), Outcome::Rejected, Span(MS), 0.5));
+    assert_eq!(breaker.observation(ms(11_000)).mean_ms, 900);
+    let mut full = self::breaker();
+    (0..50).for_each(|n| full.call_ended(ms(n), Outcome::Rejected, Span(MS), 0.5));
     assert!(full.is_closed(), "one that turns calls away is there");
 }
 
 /// Guards a dependency that comes back from a fleet that probes it together, and from full load at once.
 #[test]
 fn probes_are_the_fleets_and_the_way_opens_in_steps() {
-    let mut fleet: Vec<CircuitBreaker> = (0..8).map(|_| circuit_breaker()).collect();
+    let mut fleet: Vec<CircuitBreaker> = (0..8).map(|_| breaker()).collect();
     let mut seed = 7_u64;
     let mut random = || {
         seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
         (seed >> 33) as f64 / (1_u64 << 31) as f64
     };
-    for circuit_breaker in &mut fleet {
-        (0..5)
-            .for_each(|n| circuit_breaker.called(ms(1_000 + n), Outcome::ConnectFailed, Span(MS), random()));
+    for breaker in &mut fleet {
+        (0..5).for_each(|n| breaker.call_ended(ms(1_000 + n), Outcome::ConnectFailed, Span(MS), random()));
     }
     let mut probes = Vec::new();
     for at in (1_100..61_100).step_by(20) {
-        for circuit_breaker in &mut fleet {
-            circuit_breaker.observed_by_others(ms(at), PeerObservations { answered: 0, dead: 7 }, random());
-            if circuit_breaker.call(ms(at), random()) != Admission::Rejected {
+        for breaker in &mut fleet {
+            breaker.observed_by_others(ms(at), PeerObservations { answered: 0, dead: 7 }, random());
+            if breaker.call(ms(at), random()) != Admission::Rejected {
                 probes.push(at);
-                circuit_breaker.called(ms(at), Outcome::ConnectFailed, Span(MS), random());
+                breaker.call_ended(ms(at), Outcome::ConnectFailed, Span(MS), random());
             }
         }
     }
@@ -129,24 +128,24 @@
     let most = probes.iter().map(|at| probes.iter().filter(|p| (at - 1_000..=*at).contains(p)).count()).max();
     assert!(most.unwrap() <= 6, "{most:?} probes in one second");
     // It is back: one probe opens the door, and the part of calls that are made grows step by step.
-    let circuit_breaker = &mut fleet[0];
+    let breaker = &mut fleet[0];
     let mut at = 61_100;
-    while circuit_breaker.call(ms(at), 0.5) == Admission::Rejected {
+    while breaker.call(ms(at), 0.5) == Admission::Rejected {
         at += 20;
     }
-    circuit_breaker.called(ms(at), Outcome::Success, Span(50 * MS), 0.5);
+    breaker.call_ended(ms(at), Outcome::Success, Span(50 * MS), 0.5);
     let mut made = Vec::new();
     for _ in 0..4 {
         let mut part = 0;
         for n in 0..40 {
-            if circuit_breaker.call(ms(at + 12 * n), 0.5) == Admission::Call {
+            if breaker.call(ms(at + 12 * n), 0.5) == Admission::Call {
                 part += 1;
-                circuit_breaker.called(ms(at + 12 * n), Outcome::Success, Span(50 * MS), 0.5);
+                breaker.call_ended(ms(at + 12 * n), Outcome::Success, Span(50 * MS), 0.5);
             }
         }
         made.push(part);
         at += 520;
     }
     assert!(made.is_sorted() && made[0] <= 6 && made[3] == 40, "{made:?}");
-    assert!(circuit_breaker.is_closed());
+    assert!(breaker.is_closed());
 }
--- a/crates/cluster/src/cluster/upstream.rs
+++ b/crates/cluster/src/cluster/upstream.rs
@@ -54,14 +54,14 @@
     }
 
     /// Releases the slot of a call that ended, and records its outcome.
-    pub fn called(&mut self, now: Time, outcome: Outcome, took: Span) {
+    pub fn call_ended(&mut self, now: Time, outcome: Outcome, took: Span) {
         let given_up = matches!(outcome, Outcome::TimedOut | Outcome::Aborted);
-        self.leases.called(now, given_up);
+        self.leases.call_ended(now, given_up);
         if self.leases.has_queued_requests() {
             self.next_lease_step = self.next_lease_step.min(now);
         }
         let random = self.random();
-        self.circuit_breaker.called(now, outcome, took, random);
+        self.circuit_breaker.call_ended(now, outcome, took, random);
     }
 
     /// Slots that may be used here now; none where slots aren't lent.
--- a/crates/cluster/src/leases.rs
+++ b/crates/cluster/src/leases.rs
@@ -185,7 +185,7 @@
     }
 
     /// A call has ended, or was never made; whether it was given up while the upstream may go on with it.
-    pub fn called(&mut self, now: Time, given_up: bool) {
+    pub fn call_ended(&mut self, now: Time, given_up: bool) {
         self.measure_demand(now);
         self.calls = self.calls.saturating_sub(1);
         self.lingering.retain(|until| now < *until);
--- a/crates/cluster/src/leases/tests.rs
+++ b/crates/cluster/src/leases/tests.rs
@@ -59,7 +59,7 @@
     assert_eq!(slot, Some(Slot::Borrowed { until: ms(12_000), max_call: Span(1_500 * MS) }));
     a.set_waiting(now, 0);
     // Nothing under way, nothing needed for a while: it goes back.
-    (0..5).for_each(|_| a.called(now, false));
+    (0..5).for_each(|_| a.call_ended(now, false));
     for at in [10_600, 11_200, 11_800] {
         deal(ms(at), &mut a, &mut b);
     }
@@ -78,7 +78,7 @@
     deal(now, &mut a, &mut b);
     assert_eq!(a.limit(now), 2_000);
     assert!(a.call(ms(11_999)).is_some(), "the last moment");
-    a.called(ms(11_999), false);
+    a.call_ended(ms(11_999), false);
     assert_eq!(a.call(ms(12_000)), None, "looked at by the clock of the call, with no step between");
     assert_eq!(b.retained(ms(12_000)), 3_000, "a call made at the last moment may still be out");
     let hold = LeaseSettings::default().hold();
@@ -161,7 +161,7 @@
     let now = ms(10_000);
     a.call(now);
     a.call(now);
-    a.called(ms(10_500), true);
+    a.call_ended(ms(10_500), true);
     assert_eq!(a.call(ms(10_600)), None);
     assert_eq!(a.call(ms(10_703)), Some(Slot::Own), "linger, by a clock that is fast by a hundredth");
 }
@@ -196,7 +196,7 @@
     assert_eq!(a.call(ms(at)), None, "no more calls by it");
     deal(ms(at + 50), &mut a, &mut b);
     assert_eq!(b.retained(ms(at + 50)), 3_000, "its call is still out");
-    a.called(ms(at + 100), false);
+    a.call_ended(ms(at + 100), false);
     deal(ms(at + 100), &mut a, &mut b);
     assert_eq!(b.call(ms(at + 100)), Some(Slot::Own), "back as soon as the call ended");
 }
--- a/crates/cluster/src/rate_limit.rs
+++ b/crates/cluster/src/rate_limit.rs
@@ -18,7 +18,7 @@
 
 impl RateLimiter {
     /// Whether one more is taken now.
-    pub fn takes(&mut self, now: Time) -> bool {
+    pub fn admits(&mut self, now: Time) -> bool {
         if now >= time_after(self.since, WINDOW) {
             self.since = now;
             self.taken = 0;
--- a/crates/cluster/tests/odd_content.rs
+++ b/crates/cluster/tests/odd_content.rs
@@ -108,7 +108,7 @@
                     now = time_after(now, Span(100 * MS));
                     server.set_waiting(now, 1_000);
                     let _ = server.call(now);
-                    server.called(now, Outcome::TimedOut, Span(u64::MAX));
+                    server.call_ended(now, Outcome::TimedOut, Span(u64::MAX));
                     turn(&mut server, now);
                 }
             }
@@ -203,7 +203,7 @@
                 0 => now = time_after(now, Span(rng.next_u64() % (8_000 * MS))),
                 1 => server.set_waiting(now, rng.next_u64() as usize % 20),
                 2 => drop(server.call(now)),
-                3 => server.called(now, Outcome::TimedOut, Span(MS)),
+                3 => server.call_ended(now, Outcome::TimedOut, Span(MS)),
                 4..10 => now = time_after(now, Span(20 * MS)),
                 _ => {}
             }
--- a/crates/core/src/reducer/cluster.rs
+++ b/crates/core/src/reducer/cluster.rs
@@ -295,7 +295,7 @@
             && let Some(cluster) = &mut self.cluster.cluster
         {
             let now = self.timestamp.now;
-            cluster.called(now, outcome, Span(now.0.saturating_sub(since.0)));
+            cluster.call_ended(now, outcome, Span(now.0.saturating_sub(since.0)));
         }
     }
 
--- a/crates/model/src/peers/world.rs
+++ b/crates/model/src/peers/world.rs
@@ -675,7 +675,7 @@
         server.calls = server.calls.saturating_sub(1);
         let local = server.local(self.now);
         if let Some(cluster) = server.cluster.as_mut().filter(|_| server.life > 0) {
-            cluster.called(local, how, took);
+            cluster.call_ended(local, how, took);
         }
     }
 
--- a/crates/node/src/peer_datagrams.rs
+++ b/crates/node/src/peer_datagrams.rs
@@ -105,7 +105,7 @@
     /// Waits for a datagram and authenticates it; None where none came in time.
     fn receive(&mut self, buffer: &mut [u8]) -> Option<Result<Envelope, DropReason>> {
         match self.socket.recv_from(buffer) {
-            Ok((length, _)) if self.limiter.takes(self.clock.read().now) => {
+            Ok((length, _)) if self.limiter.admits(self.clock.read().now) => {
                 let keys = self.keys.read().unwrap_or_else(PoisonError::into_inner);
                 Some(Envelope::open(&keys, &buffer[..length]))
             }
--- a/crates/testkit/src/scale/fleet/server.rs
+++ b/crates/testkit/src/scale/fleet/server.rs
@@ -224,7 +224,7 @@
 
     fn open(&mut self, around: &mut Surroundings, datagram: &[u8], from: SocketAddr) {
         let Some((_, keys)) = &around.fleet else { return };
-        let opened = if self.limiter.takes(around.clock.read().now) {
+        let opened = if self.limiter.admits(around.clock.read().now) {
             Envelope::open(keys, datagram)
         } else {
             Err(DropReason::RateLimited)
