--- a/crates/cluster/src/authentication.rs
+++ b/crates/cluster/src/authentication.rs
@@ -1,51 +1,54 @@
-//! Authentication of datagrams: the header names the sender, the receiver and its incarnation, the sequence number and
-//! the send time by the sender's clock. A tag made with a key that all servers of the fleet share covers header and content.
-//! A datagram without a valid tag is dropped before anything else of it is read.
+//! Authentication of datagrams: the header holds the sender's name and incarnation, the receiver's
+//! incarnation, the sequence number and the send time by the sender's clock. A tag made with a key that all
+//! servers of the fleet share covers header and content. A datagram without a valid tag is dropped before
+//! anything else of it is read.
 //!
-//! The tag is BLAKE3 in its keyed mode, cut to 16 bytes. It says that the sender has the key, and no more: nothing is
-//! hidden, and nothing is agreed on. Whether a datagram is a replay or too old is [`crate::replay_window`]'s to say.
+//! The tag is BLAKE3 in keyed mode, truncated to 16 bytes. It proves only that the sender has the key:
+//! content isn't encrypted, and no session is negotiated. Replays and delayed datagrams are dropped by
+//! [`crate::replay_window`].
 //!
 //! ```text
 //! version | length of name | name | incarnation | to | number | sent | content | tag
-//!    1    |       1        | 1-48 |  8   | 8  |   8    |  8   |                 |  16     bytes, big-endian
+//!    1    |       1        | 1-48 |      8      | 8  |   8    |  8   |         | 16      bytes, big-endian
 //! ```
 
 use crate::peer::{Incarnation, MAX_NAME_BYTES};
 use std::fmt;
 
-/// The longest datagram, in bytes: one that no path of 1,500 bytes cuts.
+/// Maximum length of a datagram, in bytes. It fits an MTU of 1,500 bytes without IP fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// What the envelope takes of it at the most.
+/// Maximum length of header and tag, in bytes.
 pub const MAX_OVERHEAD_BYTES: usize = 2 + MAX_NAME_BYTES + 4 * 8 + TAG_BYTES;
 const VERSION: u8 = 1;
 const TAG_BYTES: usize = 16;
 
-/// Why a datagram is dropped. Each kind is counted.
+/// Why a datagram is dropped. Dropped datagrams are counted by reason.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum DropReason {
-    /// Its length or version is not that of an envelope.
+    /// The length, version or header is not that of an envelope.
     #[error("expected a datagram of 52 to 1400 bytes, version 1")]
     MalformedEnvelope,
-    /// Its tag was made with none of the keys in force.
-    #[error("expected a tag by one of the keys in force")]
+    /// The tag was made with none of the keys in force.
+    #[error("datagram with a tag by none of the keys in force")]
     WrongTag,
     /// A datagram with this number was accepted before.
-    #[error("a datagram that came before")]
+    #[error("replayed datagram")]
     Replay,
-    /// It took longer than [`crate::replay_window::MAX_DELAY`], on the network or unread here.
-    #[error("a datagram that was under way for too long")]
+    /// It was delayed for longer than [`crate::replay_window::MAX_DELAY`], on the network or unread in the
+    /// socket.
+    #[error("datagram delayed for too long")]
     Delayed,
-    /// A later incarnation of its sender is known.
-    #[error("a datagram of an earlier incarnation of its sender")]
+    /// A later incarnation of the sender is known.
+    #[error("datagram of an earlier incarnation of its sender")]
     EarlierIncarnation,
-    /// It is for another incarnation of this server, or for another server.
-    #[error("a datagram for another incarnation")]
+    /// It is addressed to another incarnation of this server or to another server.
+    #[error("datagram for another incarnation of this server")]
     OtherIncarnation,
-    /// Its content can't be decoded.
-    #[error("a datagram whose content can't be read")]
+    /// The content can't be decoded.
+    #[error("datagram with malformed content")]
     MalformedContent,
     /// The rate limit for received datagrams was exceeded.
-    #[error("more datagrams than are taken in a second")]
+    #[error("rate limit for received datagrams exceeded")]
     RateLimited,
 }
 
@@ -65,18 +68,19 @@
     }
 }
 
-/// Why a text holds no keys.
+/// Why a text can't be parsed as keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidKeys {
-    /// A line is no key.
+    /// The line of this number, counted from 1, is no key.
     #[error("line {0}: expected 64 hex digits")]
     Line(usize),
-    /// There is none, or there are more than two.
+    /// The text holds this number of keys: none or more than two.
     #[error("expected one key, or two while one is replaced, got {0}")]
     Number(usize),
 }
 
-/// The keys of the fleet: the first one tags what is sent, both are accepted.
+/// One or two keys that the servers of the fleet share: the first one tags sent datagrams, all are accepted
+/// on receipt.
 #[derive(Clone, PartialEq, Eq)]
 pub struct AuthenticationKeys {
     keys: Vec<[u8; 32]>,
@@ -84,13 +88,13 @@
 
 impl fmt::Debug for AuthenticationKeys {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // Keys don't belong in a log.
+        // Keys must not appear in a log.
         write!(f, "{} keys", self.keys.len())
     }
 }
 
 impl AuthenticationKeys {
-    /// Reads keys, a line each; blank lines and those that begin with `#` are skipped.
+    /// Parses keys of 64 hex digits, one per line; blank lines and lines that start with `#` are skipped.
     pub fn parse(text: &str) -> Result<Self, InvalidKeys> {
         let mut keys = Vec::new();
         for (n, line) in text.lines().enumerate() {
@@ -105,12 +109,12 @@
         Ok(Self { keys })
     }
 
-    /// One key of these bytes, for a fleet in a model.
+    /// A single key, for tests and simulations.
     pub fn of(key: [u8; 32]) -> Self {
         Self { keys: vec![key] }
     }
 
-    /// A datagram with its tag.
+    /// Encodes header and body, and appends the tag.
     pub fn authenticate(&self, header: &Header<'_>, body: &[u8]) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(MAX_OVERHEAD_BYTES + body.len());
         bytes.extend([VERSION, header.name.len() as u8]);
@@ -124,7 +128,7 @@
         bytes
     }
 
-    /// The envelope and what it holds, if its tag is by one of the keys.
+    /// Checks the tag of a datagram; returns its header and body.
     pub fn verify<'d>(&self, datagram: &'d [u8]) -> Result<(Header<'d>, &'d [u8]), DropReason> {
         if datagram.len() > MAX_DATAGRAM_BYTES || datagram.first() != Some(&VERSION) {
             return Err(DropReason::MalformedEnvelope);
@@ -132,11 +136,11 @@
         let (tagged, found) =
             datagram.split_last_chunk::<TAG_BYTES>().ok_or(DropReason::MalformedEnvelope)?;
         // Constant-time comparison: its duration must not reveal how many bytes of the tag were right.
-        let good = |key: &[u8; 32]| {
+        let has_valid_tag = |key: &[u8; 32]| {
             let tag = tag(key, tagged);
             tag.iter().zip(found).fold(0, |differ, (a, b)| differ | (a ^ b)) == 0
         };
-        if !self.keys.iter().any(good) {
+        if !self.keys.iter().any(has_valid_tag) {
             return Err(DropReason::WrongTag);
         }
         let (&length, rest) = tagged[1..].split_first().ok_or(DropReason::MalformedEnvelope)?;
@@ -158,16 +162,16 @@
     }
 }
 
-/// What an envelope says beside what it carries.
+/// The header of a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Header<'d> {
     /// The sender's name.
     pub name: &'d str,
-    /// And its incarnation.
+    /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// The incarnation of the one that it is for; 0 where that isn't known.
+    /// The receiver's incarnation; 0 if the sender doesn't know it.
     pub to: Incarnation,
-    /// Counts the datagrams of an incarnation.
+    /// Sequence number of the datagram, greater with each datagram of an incarnation of the sender.
     pub number: u64,
     /// Send time in microseconds since the sender's incarnation started, by its monotonic clock.
     pub sent_us: u64,
--- a/crates/cluster/src/authentication/tests.rs
+++ b/crates/cluster/src/authentication/tests.rs
@@ -1,4 +1,4 @@
-//! What the tag covers, and keys that are replaced.
+//! The bytes that the tag covers, and the replacement of a key.
 
 use super::*;
 
@@ -7,15 +7,15 @@
 }
 
 #[test]
-fn what_is_tagged_is_taken_and_any_other_byte_is_not() {
+fn a_tagged_datagram_is_accepted_and_any_change_of_it_is_rejected() {
     let keys = AuthenticationKeys::of([5; 32]);
     let datagram = keys.authenticate(&header("n1"), b"rows");
     assert_eq!(keys.verify(&datagram), Ok((header("n1"), &b"rows"[..])));
-    for place in 0..datagram.len() {
+    for index in 0..datagram.len() {
         let mut changed = datagram.clone();
-        changed[place] ^= 1;
+        changed[index] ^= 1;
         let dropped = keys.verify(&changed).unwrap_err();
-        assert!(matches!(dropped, DropReason::WrongTag | DropReason::MalformedEnvelope), "{place}");
+        assert!(matches!(dropped, DropReason::WrongTag | DropReason::MalformedEnvelope), "{index}");
     }
     for length in 0..datagram.len() {
         assert!(keys.verify(&datagram[..length]).is_err());
@@ -23,7 +23,8 @@
     assert_eq!(AuthenticationKeys::of([6; 32]).verify(&datagram), Err(DropReason::WrongTag));
 }
 
-/// Guards the change of a key under load: both are taken while the file has both, and one alone after that.
+/// While the file holds both keys, datagrams by either key are accepted; after that only those by the new
+/// key.
 #[test]
 fn two_keys_are_accepted_while_one_is_replaced() {
     let (old, new) = ("0a".repeat(32), "0b".repeat(32));
@@ -31,7 +32,10 @@
     let during = AuthenticationKeys::parse(&format!("# new first\n{new}\n{old}\n")).unwrap();
     let after = AuthenticationKeys::parse(&new).unwrap();
     assert!(during.verify(&before.authenticate(&header("a"), b"")).is_ok());
-    assert!(after.verify(&during.authenticate(&header("a"), b"")).is_ok(), "the first one tags");
+    assert!(
+        after.verify(&during.authenticate(&header("a"), b"")).is_ok(),
+        "the first key tags sent datagrams"
+    );
     assert_eq!(after.verify(&before.authenticate(&header("a"), b"")), Err(DropReason::WrongTag));
     assert_eq!(AuthenticationKeys::parse(""), Err(InvalidKeys::Number(0)));
     assert_eq!(AuthenticationKeys::parse(&format!("{old}\nno key")), Err(InvalidKeys::Line(2)));
--- a/crates/cluster/src/circuit_breaker.rs
+++ b/crates/cluster/src/circuit_breaker.rs
@@ -1,12 +1,14 @@
-//! A circuit breaker for the shared upstream, fed by this server's own calls and by what other servers observed.
+//! A circuit breaker for the shared upstream, fed by this server's own calls and by the observations of other
+//! servers.
 //!
-//! Observations of this server come first. Those of others open the circuit here only if several of them recently found the
-//! upstream dead, none got a response, and this server has no observation of its own. So a server whose own network is
-//! broken doesn't open the circuit of others, and a server that reaches the upstream keeps calling it. An open circuit is
-//! probed at a rate that the fleet shares, and closes in steps.
+//! This server's own observations take precedence. Those of other servers open the circuit only if several of
+//! them recently found the upstream dead, none got a response, and this server has no observation of its own.
+//! So a server whose own network is broken doesn't open the circuit of others, and a server that reaches the
+//! upstream keeps calling it. The whole fleet probes a dead upstream at a bounded rate, and a circuit closes
+//! in steps.
 //!
-//! As in Nygard's "Release It!": closed means that calls go through, open that they are rejected, half open that a part of
-//! them goes through. What was seen is counted in [`observation`].
+//! The states are those of Nygard's "Release It!": closed (calls go through), open (calls are rejected) and
+//! half open (a fraction of the calls goes through). Outcomes are counted in [`observation`].
 
 pub mod observation;
 
@@ -16,32 +18,33 @@
 use gradepin_admission::{Outcome, Span, Time, span_from_seconds, time_after};
 use observation::{MAX_OBSERVATION_AGE, ObservationWindow};
 
-/// Other servers that must have seen the upstream dead before the circuit opens without an own observation.
+/// Minimum number of other servers that find the upstream dead for the circuit to open without an observation
+/// of its own.
 const MIN_OBSERVERS: usize = 3;
-/// The part of calls that goes through a half open circuit, in eighths: a step each time that enough went well.
+/// The fraction of calls that goes through a half-open circuit in each of its steps, in eighths.
 const HALF_OPEN_EIGHTHS: [u32; 3] = [1, 2, 4];
-/// All of the calls, in the same unit.
+/// All calls, in eighths.
 const ALL_EIGHTHS: u32 = 8;
-/// A step of a half open circuit lasts at least so long.
+/// Minimum duration of a step of a half-open circuit.
 const HALF_OPEN_STEP: Span = Span(500 * MS);
-/// A circuit that opened again while it was half open stays open for so long, doubled each time up to a bound, unless an
-/// own probe goes well.
+/// Base of the time for which a circuit that failed while half open stays open unless a probe of this server
+/// succeeds. The time doubles with each failure, the first one included.
 const RELAPSE_HOLD: Span = Span(1_000 * MS);
-/// The bound.
+/// Maximum time for which a circuit that failed while half open stays open.
 const MAX_RELAPSE_HOLD: Span = Span(16_000 * MS);
-/// The largest power of two by which the hold is multiplied.
+/// Maximum number of doublings of [`RELAPSE_HOLD`].
 const MAX_RELAPSE_DOUBLINGS: u32 = 5;
-/// The least rate of probes, so that a gap between two is finite.
+/// Minimum rate of probes, so that the interval between two probes is finite.
 const MIN_PROBES_PER_SECOND: f64 = 0.01;
 
 /// Whether a call may be made now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It may.
+    /// A regular call may be made.
     Call,
-    /// It may, as one of the few probes that an open circuit lets through.
+    /// The call may be made as one of the few probes of an open circuit.
     Probe,
-    /// It may not.
+    /// No call may be made: the circuit is open, or half open and this call is not in the permitted fraction.
     Rejected,
 }
 
@@ -50,16 +53,16 @@
     Closed,
     Open {
         since: Time,
-        /// When the next probe may be made.
+        /// The earliest time of the next probe.
         next_probe: Time,
     },
     HalfOpen {
         step: usize,
         since: Time,
-        /// Calls that went well in this step.
+        /// Successful calls in this step.
         succeeded: u16,
-        /// What is saved up for the next call, in eighths of one.
-        saved: u32,
+        /// Accumulated fractions of the next call, in eighths.
+        credit: u32,
     },
 }
 
@@ -69,17 +72,19 @@
     window: ObservationWindow,
     state: State,
     probes_per_second: f64,
-    /// Servers that share the probes.
+    /// The number of servers that share the rate of probes.
     servers: f64,
     others: PeerObservations,
-    /// Opened while half open so many times in a row, and until when others' good observations close nothing.
+    /// Consecutive failures while half open.
     relapses: u32,
+    /// Until this time a response that other servers got doesn't make the circuit half open.
     ignore_others_until: Time,
-    notes: Vec<String>,
+    log_lines: Vec<String>,
 }
 
 impl CircuitBreaker {
-    /// For a fleet of so many servers that may probe a dead upstream so many times a second together.
+    /// A closed circuit. `probes_per_second` is the rate at which the `servers` of the fleet together may
+    /// probe a dead upstream.
     pub fn new(probes_per_second: f64, servers: usize) -> Self {
         Self {
             window: ObservationWindow::default(),
@@ -89,42 +94,42 @@
             others: PeerObservations::default(),
             relapses: 0,
             ignore_others_until: Time(0),
-            notes: Vec::new(),
+            log_lines: Vec::new(),
         }
     }
 
-    /// What was seen here within the window.
+    /// This server's own observation over the window.
     pub fn observation(&self, now: Time) -> Observation {
         self.window.sum(now)
     }
 
-    /// What others saw, as it stands now. `random` is drawn evenly from 0 to 1.
-    pub fn observed_by_others(&mut self, now: Time, others: PeerObservations, random: f64) {
+    /// Replaces the observations of other servers. `random` is uniform between 0 and 1.
+    pub fn update_peer_observations(&mut self, now: Time, others: PeerObservations, random: f64) {
         self.others = others;
         self.update(now, random);
     }
 
-    /// A call ended here.
+    /// Records a call of this server that ended after `took`. `random` is uniform between 0 and 1.
     pub fn call_ended(&mut self, now: Time, outcome: Outcome, took: Span, random: f64) {
-        // Turned away without a look: the upstream is there, and full.
+        // The upstream rejected the call because it is full, so it is up.
         if outcome == Outcome::Rejected {
             return;
         }
         self.window.add(now, outcome, took);
-        let went_well = outcome == Outcome::Success;
+        let is_success = outcome == Outcome::Success;
         match &mut self.state {
-            State::HalfOpen { succeeded, .. } if went_well => *succeeded = succeeded.saturating_add(1),
+            State::HalfOpen { succeeded, .. } if is_success => *succeeded = succeeded.saturating_add(1),
             State::HalfOpen { .. } => self.relapse(now, random),
-            State::Open { .. } if went_well => {
+            State::Open { .. } if is_success => {
                 self.relapses = 0;
-                self.half_open(now, "a probe went well");
+                self.half_open(now, "a probe succeeded");
             }
             State::Open { .. } | State::Closed => {}
         }
         self.update(now, random);
     }
 
-    /// Whether a call may be made now; a probe that may counts as made.
+    /// Whether a call may be made now. A permitted probe counts as made. `random` is uniform between 0 and 1.
     pub fn call(&mut self, now: Time, random: f64) -> Admission {
         self.update(now, random);
         let following = self.following_probe(now, random);
@@ -135,58 +140,60 @@
                 Admission::Probe
             }
             State::Open { .. } => Admission::Rejected,
-            State::HalfOpen { step, saved, .. } => {
-                *saved += HALF_OPEN_EIGHTHS[*step];
-                if *saved < ALL_EIGHTHS {
+            State::HalfOpen { step, credit, .. } => {
+                *credit += HALF_OPEN_EIGHTHS[*step];
+                if *credit < ALL_EIGHTHS {
                     return Admission::Rejected;
                 }
-                *saved -= ALL_EIGHTHS;
+                *credit -= ALL_EIGHTHS;
                 Admission::Call
             }
         }
     }
 
-    /// Whether all calls go through.
+    /// Whether the circuit is closed, so that all calls go through.
     pub fn is_closed(&self) -> bool {
         self.state == State::Closed
     }
 
-    /// What changed since the last call, for the log.
-    pub fn take_notes(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.notes)
+    /// Log lines about changes of the state since the last call.
+    pub fn take_log_lines(&mut self) -> Vec<String> {
+        std::mem::take(&mut self.log_lines)
     }
 
-    /// Seconds between two probes of one server, on average.
+    /// Mean interval between two probes of one server, in seconds.
     fn probe_gap_s(&self) -> f64 {
         self.servers / self.probes_per_second
     }
 
-    /// The probe after this one: at random around this server's part of what the fleet may probe, so that they don't all
-    /// probe at once.
+    /// The time of the probe after this one: a random 0.5 to 1.5 times the mean interval, so that servers
+    /// don't probe in step.
     fn following_probe(&self, now: Time, random: f64) -> Time {
         time_after(now, span_from_seconds(self.probe_gap_s() * (0.5 + random)))
     }
 
+    /// Opens a half-open circuit again, for longer with each failure.
     fn relapse(&mut self, now: Time, random: f64) {
         self.relapses += 1;
         let factor = 1 << self.relapses.min(MAX_RELAPSE_DOUBLINGS);
         let hold = RELAPSE_HOLD.0.saturating_mul(factor).min(MAX_RELAPSE_HOLD.0);
         self.ignore_others_until = time_after(now, Span(hold));
-        self.open(now, random, "it failed again while the circuit was half open");
+        self.open(now, random, "a call failed while the circuit was half open");
     }
 
     fn open(&mut self, now: Time, random: f64, why: &str) {
-        self.notes.push(format!("the circuit to the upstream opens, calls are rejected: {why}"));
-        // The first probe at any point of the gap, or all that saw it die together would probe together.
+        self.log_lines.push(format!("the circuit to the upstream opens, calls are rejected: {why}"));
+        // The first probe is at a random point of the interval; otherwise all servers that detected the
+        // failure at the same time would probe at the same time.
         let next_probe = time_after(now, span_from_seconds(self.probe_gap_s() * random));
         self.state = State::Open { since: now, next_probe };
     }
 
     fn half_open(&mut self, now: Time, why: &str) {
-        self.notes
+        self.log_lines
             .push(format!("the circuit to the upstream is half open, few calls go through at first: {why}"));
         self.window.clear();
-        self.state = State::HalfOpen { step: 0, since: now, succeeded: 0, saved: ALL_EIGHTHS - 1 };
+        self.state = State::HalfOpen { step: 0, since: now, succeeded: 0, credit: ALL_EIGHTHS - 1 };
     }
 
     fn update(&mut self, now: Time, random: f64) {
@@ -197,12 +204,14 @@
                 }
             }
             State::Open { since, .. } => {
-                // Not at once: what others saw may be from before. Where only the way from here is broken, the circuit opens
-                // again with the first call, and what others see closes it ever later.
+                // The circuit stays open for a minimum time, because observations of other servers may
+                // predate the failure. If only the path from this server is broken, the first call opens the
+                // circuit again, and each such failure lengthens the time for which responses to other
+                // servers are ignored.
                 let old_enough =
                     now >= self.ignore_others_until && now >= time_after(since, MAX_OBSERVATION_AGE);
                 if self.others.answered > 0 && old_enough {
-                    let why = format!("it answers {} other servers", self.others.answered);
+                    let why = format!("the upstream responds to {} other servers", self.others.answered);
                     self.half_open(now, &why);
                 }
             }
@@ -214,29 +223,30 @@
         }
     }
 
-    /// Why a closed circuit is to open, if it is.
+    /// Why a closed circuit must open, if it must.
     fn reason_to_open(&self, now: Time) -> Option<String> {
         let own = self.observation(now);
         let PeerObservations { answered, dead } = self.others;
         if own.is_dead() {
             let calls = own.failed + own.timed_out;
             return Some(format!(
-                "none of the last {calls} calls went well here; it answers {answered} other servers, and is dead for {dead}"
+                "all of the last {calls} calls of this server failed; the upstream responds to {answered} other servers and is dead for {dead}"
             ));
         }
         let nothing_known = own == Observation::default();
         let others_agree = dead >= MIN_OBSERVERS && answered == 0;
         (nothing_known && others_agree)
-            .then(|| format!("{dead} other servers saw it dead, and none saw it answer"))
+            .then(|| format!("{dead} other servers found the upstream dead, and none got a response"))
     }
 
+    /// Starts the next step of a half-open circuit, or closes it after the last one.
     fn next_step(&mut self, now: Time, step: usize) {
         if step < HALF_OPEN_EIGHTHS.len() {
-            self.state = State::HalfOpen { step, since: now, succeeded: 0, saved: 0 };
+            self.state = State::HalfOpen { step, since: now, succeeded: 0, credit: 0 };
             return;
         }
         self.relapses = 0;
-        self.notes.push("the circuit to the upstream is closed, all calls go through".into());
+        self.log_lines.push("the circuit to the upstream is closed, all calls go through".into());
         self.state = State::Closed;
     }
 }
--- a/crates/cluster/src/cluster.rs
+++ b/crates/cluster/src/cluster.rs
@@ -1,8 +1,10 @@
-//! The cluster as the reducer of one server holds it: datagrams in, datagrams out, and what the server may do.
+//! The cluster state of one server, as owned by its reducer. It takes received datagrams and returns
+//! datagrams to send, and answers whether calls, retries and quotas are permitted.
 //!
-//! Owns the order in which its components run, the bound on bytes per second and the content of datagrams; every decision
-//! is made by a component. Received datagrams are handled in `receive`, sent ones in `send`, calls to the shared upstream in
-//! `upstream`, quotas and the retry budget in `quota`, the operators' view in `status`.
+//! This module determines the order in which the components run, the bound on bytes per second and the
+//! content of datagrams; every other decision is made by a component. Received datagrams are handled in
+//! `receive`, sent ones in `send`, calls to the shared upstream in `upstream`, quotas and the retry budget in
+//! `quota`, and the operators' view is in `status`.
 
 mod envelope;
 mod message;
@@ -36,11 +38,12 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Interval at which rows are gossiped and leases maintained.
+/// Interval at which rows are gossiped and leases are maintained.
 const TICK: Span = Span(100 * MS);
-/// Maximum interval between two writes of the own row; a change of the spare slots is written at once.
+/// Maximum interval between two writes of the own row; a change in the number of whole spare slots is written
+/// at the next tick.
 const WRITE_INTERVAL: Span = Span(1_000 * MS);
-/// Separates these random numbers from those of the membership, which has the same seed.
+/// Separates these random numbers from those of the membership, which uses the same seed.
 const RNG_STREAM: u64 = 0x636c_7573;
 
 /// The severity of a log line.
@@ -52,30 +55,30 @@
     Warning,
 }
 
-/// What the shell is to do.
+/// An effect for the shell to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClusterEffect {
     /// Send a datagram.
     Send {
-        /// Where to.
+        /// The receiver's address.
         to: SocketAddr,
-        /// Its bytes.
+        /// The authenticated datagram.
         datagram: Vec<u8>,
     },
-    /// Another server posted something that isn't the cluster's own.
+    /// Deliver a message that another server sent with [`Cluster::post`].
     Post {
-        /// The sender.
+        /// The name of the sender.
         from: Arc<str>,
-        /// Its incarnation.
+        /// The incarnation of the sender.
         incarnation: Incarnation,
-        /// What was posted.
+        /// The message, opaque to the cluster.
         content: Vec<u8>,
     },
-    /// Write a line into the log.
+    /// Write a log line.
     Log(Severity, String),
 }
 
-/// One server's part of the fleet.
+/// The cluster state of one server.
 pub struct Cluster {
     settings: ClusterSettings,
     started_at: Time,
@@ -85,25 +88,25 @@
     leases: LeaseTable,
     circuit_breaker: CircuitBreaker,
     rng: Pcg64Mcg,
-    /// The number of the last datagram sent.
+    /// The sequence number of the last datagram sent.
     number: u64,
     next_tick: Time,
     next_lease_step: Time,
     next_write: Time,
-    /// The spare slots in the own row, in thousandths.
+    /// The spare amount in the own row, in thousandths of a slot.
     published_spare: u32,
     budget: SendBudget,
-    /// When each server was last sent a notice that it knows an outdated incarnation.
+    /// When each server was last notified of a greater incarnation; only recent entries are kept.
     notified: BTreeMap<Arc<str>, Time>,
     reassembly: Reassembly,
-    /// The number of the last post.
+    /// The message number of the last post.
     posts: u32,
     effects: Vec<ClusterEffect>,
     status: ClusterStatus,
 }
 
 impl Cluster {
-    /// A server that starts.
+    /// The state of a server that starts now.
     pub fn new(settings: ClusterSettings, now: Time) -> Self {
         let (own, seeds) = (settings.own.clone(), settings.seeds.clone());
         let name = Arc::clone(&own.name);
@@ -131,19 +134,19 @@
         }
     }
 
-    /// New keys, read at a reload.
+    /// Replaces the authentication keys after a reload.
     pub fn set_keys(&mut self, keys: AuthenticationKeys) {
         self.settings.keys = keys;
     }
 
-    /// A new size of the fleet and a new share, after a reload.
+    /// Sets the size of the fleet and the own share, in slots, after a reload. No share: slots aren't lent.
     pub fn reconfigure(&mut self, servers: usize, share: Option<f64>) {
         self.settings.servers = servers;
         self.settings.share = share;
         self.leases.set_share(share.unwrap_or(0.0));
     }
 
-    /// Does what is due, and appends what is to be done.
+    /// Runs all tasks that are due, and appends their effects.
     pub fn step(&mut self, now: Time, effects: &mut Vec<ClusterEffect>) {
         if self.members.wake_at(now) <= now || now >= self.next_tick {
             self.members.step(now);
@@ -160,8 +163,8 @@
         for (peer, data) in self.members.sends() {
             self.send(now, &peer, MessageKind::Membership, &data);
         }
-        for note in self.circuit_breaker.take_notes() {
-            self.effects.push(ClusterEffect::Log(Severity::Info, note));
+        for line in self.circuit_breaker.take_log_lines() {
+            self.effects.push(ClusterEffect::Log(Severity::Info, line));
         }
         effects.append(&mut self.effects);
     }
@@ -169,40 +172,44 @@
     fn membership_changed(&mut self, now: Time, change: MembershipChange) {
         let (severity, text) = match change {
             MembershipChange::Up(peer) => {
-                (Severity::Info, format!("{} is up, in zone '{}'", peer.name, peer.zone))
+                (Severity::Info, format!("server {} is up, in zone '{}'", peer.name, peer.zone))
             }
-            MembershipChange::Down(peer) => (Severity::Warning, format!("{} is believed dead", peer.name)),
+            MembershipChange::Down(peer) => (Severity::Warning, format!("server {} is down", peer.name)),
             MembershipChange::Rejoined(incarnation) => {
-                let text = format!("believed dead by others; back as incarnation {:x}", incarnation.0);
+                let text = format!(
+                    "other servers considered this one dead; it rejoins as incarnation {:x}",
+                    incarnation.0
+                );
                 (Severity::Warning, text)
             }
             MembershipChange::Paused(paused) => {
                 let seconds = span_seconds(paused);
-                let text =
-                    format!("this process did not run for {seconds:.1} s; it doubts itself before others");
+                let text = format!(
+                    "this process did not run for {seconds:.1} s; its failure detector skips that time"
+                );
                 (Severity::Warning, text)
             }
         };
         self.effects.push(ClusterEffect::Log(severity, text));
-        // The own incarnation may have changed, and the own row with it.
+        // The own row holds the own incarnation, which may have changed.
         self.next_write = self.next_write.min(now);
     }
 
     fn tick(&mut self, now: Time) {
         self.next_tick = time_after(now, TICK);
-        self.counters.forget(now);
+        self.counters.drop_expired(now);
         self.write_own_row(now);
         let random = self.random();
         let others = self.peer_observations(now);
-        self.circuit_breaker.observed_by_others(now, others, random);
+        self.circuit_breaker.update_peer_observations(now, others, random);
         self.gossip(now);
     }
 
-    /// Writes this server's row when it is due, or when the number of complete spare slots has changed.
+    /// Writes this server's row when it is due, or when the number of whole spare slots has changed.
     fn write_own_row(&mut self, now: Time) {
         let spare = if self.settings.share.is_some() { self.leases.spare(now) } else { 0 };
-        let has_moved = spare / SLOT != self.published_spare / SLOT;
-        if now < self.next_write && !has_moved {
+        let has_changed = spare / SLOT != self.published_spare / SLOT;
+        if now < self.next_write && !has_changed {
             return;
         }
         let own = self.members.own().clone();
@@ -212,12 +219,12 @@
         self.published_spare = spare;
     }
 
-    /// Evenly from 0 to 1.
+    /// A uniform random number from 0 to below 1.
     fn random(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    /// When [`Cluster::step`] must be called again though nothing came.
+    /// When [`Cluster::step`] must run next if nothing is received before.
     pub fn wake_at(&self, now: Time) -> Time {
         self.members.wake_at(now).min(self.next_tick).min(self.next_lease_step)
     }
@@ -227,7 +234,7 @@
         self.members.leave(now);
     }
 
-    /// The members.
+    /// The membership of the fleet as seen by this server.
     pub fn members(&self) -> &Members {
         &self.members
     }
--- a/crates/cluster/src/cluster/envelope.rs
+++ b/crates/cluster/src/cluster/envelope.rs
@@ -1,11 +1,11 @@
-//! A datagram whose tag was checked: what shells pass on to the reducer.
+//! A datagram whose tag was verified, which the shell passes on to the reducer.
 
 use super::message::MessageKind;
 use crate::authentication::{AuthenticationKeys, DropReason, Header};
 use crate::leases::LeaseMessage;
 use crate::peer::Incarnation;
 
-/// An authenticated datagram: its header and its content.
+/// The header and content of an authenticated datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Envelope {
     pub(super) name: String,
@@ -17,14 +17,14 @@
 }
 
 impl Envelope {
-    /// Opens a datagram; the error says why it is dropped.
+    /// Verifies and decodes a datagram; the error is the reason to drop it.
     pub fn open(keys: &AuthenticationKeys, datagram: &[u8]) -> Result<Self, DropReason> {
         let (header, content) = keys.verify(datagram)?;
         let Header { name, incarnation, to, number, sent_us } = header;
         Ok(Self { name: name.to_string(), incarnation, to, number, sent_us, content: content.to_vec() })
     }
 
-    /// The message about a lease, if that is what it carries; for observers.
+    /// The lease message that the datagram carries, if it does; for tests and the test kit.
     pub fn lease_message(&self) -> Option<LeaseMessage> {
         match self.message()? {
             (MessageKind::Lease, content) => postcard::from_bytes(content).ok(),
@@ -32,12 +32,12 @@
         }
     }
 
-    /// The kind of its content, for those who count; none where no kind has its byte.
+    /// The kind of the content, for statistics; none if it is empty or of an unknown kind.
     pub fn kind(&self) -> Option<MessageKind> {
         self.message().map(|(kind, _)| kind)
     }
 
-    /// The header, borrowed.
+    /// The header of the datagram.
     pub(super) fn header(&self) -> Header<'_> {
         Header {
             name: &self.name,
@@ -48,12 +48,12 @@
         }
     }
 
-    /// Whether it carries no content.
+    /// Whether the datagram carries no content.
     pub(super) fn is_empty(&self) -> bool {
         self.content.is_empty()
     }
 
-    /// The kind of its content, and the rest of it.
+    /// The kind of the content, and the content after the byte of the kind.
     pub(super) fn message(&self) -> Option<(MessageKind, &[u8])> {
         let (&kind, content) = self.content.split_first()?;
         Some((MessageKind::from_byte(kind)?, content))
--- a/crates/cluster/src/cluster/quota.rs
+++ b/crates/cluster/src/cluster/quota.rs
@@ -1,4 +1,5 @@
-//! Uses of the fleet's counters: the part of a tenant's quota that this server may use, and the retry budget.
+//! Decisions by the fleet's counters: the fraction of a tenant's quota that this server may use, and the
+//! retry budget.
 
 use super::Cluster;
 use crate::MS;
@@ -18,7 +19,7 @@
         self.counters.count(now, cell, work);
     }
 
-    /// Counts a served request with the core time that it took.
+    /// Counts a served request in its cell, with the core time that it took.
     pub fn served(&mut self, now: Time, cell: CellId, took: Span) {
         let served_ms = (took.0 / MS) as u32;
         self.counters.count(now, cell, WorkCount { served_ms, ..WorkCount::default() });
@@ -29,9 +30,9 @@
         self.counters.read(now, wanted)
     }
 
-    /// A tenant's fleet-wide quota, scaled for this server. The admission module compares its own demand with an even
-    /// part of the quota, so the quota grows or shrinks as this server sees more or less than an even part of the
-    /// demand. Without peers, the configured quota.
+    /// A tenant's fleet-wide quota, scaled for this server. The admission module compares this server's
+    /// demand with an even fraction of the quota, so the quota is scaled up or down if this server receives
+    /// more or less than an even fraction of the demand. Without peers, the configured quota.
     pub fn quota(&self, now: Time, quota: f64, wanted: impl Fn(CellId) -> bool) -> f64 {
         let reading = self.counters.read(now, &wanted);
         let own = self.counters.local(&wanted);
@@ -43,9 +44,9 @@
         quota * part * reading.servers.min(self.settings.servers) as f64
     }
 
-    /// The fraction of its fleet-wide quota that each key may use on this server: the work requested here over the work
-    /// requested at all servers whose counters are known. `key_of` maps a cell to its key. One pass over the counters,
-    /// whatever the number of keys.
+    /// The fraction of its fleet-wide quota that each key may use on this server: the work requested here
+    /// over the work requested at all servers whose counters are known. `key_of` maps a cell to its key. One
+    /// pass over the counters, whatever the number of keys.
     pub fn quota_parts<K: Ord + Copy>(
         &self,
         now: Time,
@@ -62,14 +63,14 @@
         local.into_iter().filter(|(_, own)| own.requested_ms > 0).map(part).collect()
     }
 
-    /// Whether a retry is within the fleet's retry budget: always while retries are few, otherwise a random part that the
-    /// budget allows. Without peers, by the requests of this server alone.
+    /// Whether a retry is within the fleet's retry budget: always while retries are few, otherwise a random
+    /// part that the budget allows. Without peers, by the requests of this server alone.
     pub fn admits_retry(&mut self, now: Time) -> bool {
         let Some(ratio) = self.settings.retry_ratio else { return true };
         let fleet = self.counters.read(now, |_| true).sum;
         let own = self.counters.local(|_| true);
         let counted = if own.retries > fleet.retries { own } else { fleet };
-        // Some are always taken: of few requests a rate says nothing.
+        // A minimum of retries is always admitted, because a ratio of few requests is not meaningful.
         let allowed_retries = ratio * f64::from(counted.first_attempts) + ratio * span_seconds(WINDOW);
         let retries = f64::from(counted.retries);
         retries <= allowed_retries || self.random() * retries < allowed_retries
--- a/crates/cluster/src/cluster/receive.rs
+++ b/crates/cluster/src/cluster/receive.rs
@@ -1,4 +1,4 @@
-//! Received datagrams: whether each is accepted, and which component handles it.
+//! Received datagrams: which are accepted, and which component handles them.
 
 use super::envelope::Envelope;
 use super::message::MessageKind;
@@ -11,31 +11,32 @@
 use gradepin_admission::{Span, Time, time_after};
 use std::sync::Arc;
 
-/// Minimum interval between two notices to one server of which a greater incarnation is known.
-const NOTICE_INTERVAL: Span = Span(500 * MS);
+/// Minimum interval between two notifications of one server about its incarnation.
+const NOTIFICATION_INTERVAL: Span = Span(500 * MS);
 /// The incarnation in datagrams that are addressed to any process at an address, such as a seed.
 const ANY_INCARNATION: Incarnation = Incarnation(0);
 
 impl Cluster {
-    /// Counts datagrams that the shell dropped before they were handed in.
-    pub fn dropped(&mut self, why: DropReason, times: u64) {
-        *self.status.dropped.entry(why).or_default() += times;
+    /// Counts datagrams that were dropped, by the shell or by [`Cluster::receive`].
+    pub fn dropped(&mut self, reason: DropReason, times: u64) {
+        *self.status.dropped.entry(reason).or_default() += times;
     }
 
-    /// Takes a datagram whose tag was verified.
+    /// Handles a datagram whose tag was verified, and counts it as received or dropped.
     pub fn receive(&mut self, now: Time, envelope: &Envelope) {
         match self.take(now, envelope) {
             Ok(()) => self.status.received += 1,
-            Err(why) => self.dropped(why, 1),
+            Err(reason) => self.dropped(reason, 1),
         }
     }
 
     fn take(&mut self, now: Time, envelope: &Envelope) -> Result<(), DropReason> {
         if envelope.name == *self.members.own().name {
-            // Another incarnation of ours, at an address where this one is taken for a peer.
+            // Sent by another incarnation of this server, to an address at which it expects a peer.
             return Err(DropReason::OtherIncarnation);
         }
-        // The window goes on before the content is looked at; an unknown kind is dropped after it.
+        // The replay window is updated before the content is read, so a datagram of an unknown kind is
+        // dropped after it.
         if envelope.is_empty() {
             return Err(DropReason::MalformedContent);
         }
@@ -53,7 +54,8 @@
         }
     }
 
-    /// Drops replays, and notifies a sender of which a greater incarnation is known.
+    /// Drops replays, delayed datagrams and those of an earlier incarnation; notifies the sender of the
+    /// latter.
     fn check_replay(&mut self, now: Time, envelope: &Envelope) -> Result<Span, DropReason> {
         let checked = self.replay_window.check(now, &envelope.header());
         if checked == Err(DropReason::EarlierIncarnation) {
@@ -68,11 +70,12 @@
         let kind = envelope.message().map(|(kind, _)| kind);
         let to = envelope.to;
         if to > own || (kind == Some(MessageKind::KnownIncarnation) && to < own) {
-            // It is meant for a greater incarnation of this name: this one comes back past it.
+            // A greater incarnation of this server is known elsewhere: this server takes one above it.
             self.members.raise_incarnation(now, to);
             return Err(DropReason::OtherIncarnation);
         }
-        // Datagrams to any incarnation are announcements only; they change no counters or leases.
+        // Of the datagrams to any incarnation only membership messages are accepted, so none changes counters
+        // or leases.
         let is_membership = kind == Some(MessageKind::Membership);
         if to == own || (to == ANY_INCARNATION && is_membership) {
             return Ok(());
@@ -103,7 +106,7 @@
         if let Some(reply) = self.leases.receive(now, &from, envelope.incarnation, message) {
             self.send_lease(now, &from, reply);
         }
-        // What was recalled goes as soon as it may.
+        // A recalled lease must be returned as soon as possible.
         self.next_lease_step = self.next_lease_step.min(now);
         Ok(())
     }
@@ -117,7 +120,8 @@
         Ok(())
     }
 
-    /// Notifies a server that a greater incarnation of it is known; most likely its wall clock was set back.
+    /// Notifies a server that a greater incarnation of it is known. Most likely its wall clock was set back
+    /// before a restart.
     fn notify_of_incarnation(&mut self, now: Time, name: &str) {
         let Some(known) = self.members.find(name) else { return };
         let mut peer = known.peer.clone();
@@ -128,9 +132,10 @@
         }
     }
 
-    /// Whether a notice of a greater incarnation may be sent now: at most one per server and [`NOTICE_INTERVAL`].
+    /// Whether this server may be notified now: at most once per [`NOTIFICATION_INTERVAL`]. If so, the
+    /// notification counts as sent.
     fn may_notify(&mut self, now: Time, name: &str) -> bool {
-        self.notified.retain(|_, at| now < time_after(*at, NOTICE_INTERVAL));
+        self.notified.retain(|_, at| now < time_after(*at, NOTIFICATION_INTERVAL));
         let may = !self.notified.contains_key(name);
         if may {
             self.notified.insert(Arc::from(name), now);
--- a/crates/cluster/src/cluster/send.rs
+++ b/crates/cluster/src/cluster/send.rs
@@ -16,9 +16,10 @@
 const MAX_CONTENT_BYTES: usize = MAX_DATAGRAM_BYTES - MAX_OVERHEAD_BYTES - 1;
 /// Maximum age of a gossiped row of another server; an older one would expire soon after it arrives.
 const MAX_GOSSIP_AGE: Span = Span(6_000 * MS);
-/// The longest encoded message about a lease.
+/// Maximum length of an encoded lease message, in bytes.
 const MAX_LEASE_BYTES: usize = 32;
-/// Rates below this many datagrams per second are too low for a reserve.
+/// A send budget below this many datagrams of maximum length per second keeps no reserve, since deferrable
+/// messages would rarely fit beside it.
 const MIN_DATAGRAMS_FOR_RESERVE: f64 = 4.0;
 
 /// A token bucket of bytes that holds at most what one second refills.
@@ -30,7 +31,7 @@
 }
 
 impl SendBudget {
-    /// A full bucket that refills at this rate.
+    /// A full bucket that is refilled at this rate.
     pub(super) fn new(bytes_per_second: u32, now: Time) -> Self {
         let rate = f64::from(bytes_per_second);
         Self { rate, available: rate, at: now }
@@ -42,13 +43,13 @@
         self.at = now;
     }
 
-    /// Whether this many bytes of deferrable messages may be sent. Half of the bucket stays reserved for messages that
-    /// can't wait, such as replies to probes and lease messages.
+    /// Whether this many bytes of deferrable messages may be sent. Half of the bucket stays reserved for
+    /// messages that can't wait, such as replies to probes and lease messages.
     fn allows_deferrable(&mut self, now: Time, bytes: usize) -> bool {
         self.refill(now);
         let bytes = bytes as f64;
-        let is_small = self.rate < MIN_DATAGRAMS_FOR_RESERVE * MAX_DATAGRAM_BYTES as f64;
-        self.available >= self.rate / 2.0 + bytes || is_small && self.available >= bytes
+        let has_no_reserve = self.rate < MIN_DATAGRAMS_FOR_RESERVE * MAX_DATAGRAM_BYTES as f64;
+        self.available >= self.rate / 2.0 + bytes || has_no_reserve && self.available >= bytes
     }
 
     fn allows(&mut self, now: Time, bytes: usize) -> bool {
@@ -61,7 +62,7 @@
     }
 }
 
-/// Rows encoded one after the other, as many as fit into a datagram.
+/// Encoded rows, one after the other, as many as fit into a datagram.
 struct RowsContent {
     content: Vec<u8>,
     buffer: [u8; MAX_DATAGRAM_BYTES],
@@ -72,7 +73,7 @@
         Self { content: Vec::with_capacity(MAX_DATAGRAM_BYTES), buffer: [0; MAX_DATAGRAM_BYTES] }
     }
 
-    /// Adds a row, if it fits.
+    /// Adds a row; returns whether it fitted.
     fn add(&mut self, now: Time, stored: &StoredRow) -> bool {
         let age_ms = stored.age(now).0.div_ceil(MS).min(u64::from(u32::MAX)) as u32;
         let gossiped = GossipedRow { row: stored.row.clone(), age_ms };
@@ -93,8 +94,8 @@
         if up == 0 || !self.budget.allows_deferrable(now, MAX_DATAGRAM_BYTES) {
             return;
         }
-        let place = self.rng.next_u64() as usize % up;
-        let Some(peer) = self.members.up().nth(place).cloned() else { return };
+        let index = self.rng.next_u64() as usize % up;
+        let Some(peer) = self.members.up().nth(index).cloned() else { return };
         let own = Arc::clone(&self.members.own().name);
         let mut content = RowsContent::new();
         if let Some(stored) = self.counters.row(&own) {
@@ -106,7 +107,7 @@
         };
         let young: Vec<&StoredRow> = self.counters.rows().filter(is_passed_on).collect();
         let from = if young.is_empty() { 0 } else { self.rng.next_u64() as usize % young.len() };
-        // From a place drawn at random on: each row has the same chance, and no list is shuffled for it.
+        // Starts at a random row, so that all rows have the same chance without a shuffle.
         for stored in young[from..].iter().chain(&young[..from]) {
             if !content.add(now, stored) {
                 break;
@@ -115,8 +116,8 @@
         self.send(now, &peer, MessageKind::Rows, &content.content);
     }
 
-    /// Sends a message to another server by name, in as many datagrams as needed, each of which may be lost. The receiver's
-    /// cluster passes it on as [`ClusterEffect::Post`]; the content is opaque here.
+    /// Sends a message to another server by name, in as many datagrams as needed, each of which may be lost.
+    /// At the receiver it becomes [`ClusterEffect::Post`]; the content is opaque to the cluster.
     pub fn post(&mut self, now: Time, to: &str, content: &[u8]) {
         let Some(peer) = self.members.find(to).map(|known| known.peer.clone()) else { return };
         self.posts = self.posts.wrapping_add(1);
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Sends a message about a lease to a member.
+    /// Sends a lease message to a member.
     pub(super) fn send_lease(&mut self, now: Time, to: &str, message: LeaseMessage) {
         let Some(peer) = self.members.find(to).map(|known| known.peer.clone()) else { return };
         let mut buffer = [0_u8; MAX_LEASE_BYTES];
--- a/crates/cluster/src/cluster/status.rs
+++ b/crates/cluster/src/cluster/status.rs
@@ -12,68 +12,68 @@
 /// Metrics of the cluster.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ClusterStatus {
-    /// Other servers that are believed to be up.
+    /// Number of other servers that are considered up.
     pub up: usize,
-    /// Other servers that are believed dead.
+    /// Number of other servers that are considered dead.
     pub down: usize,
-    /// Servers whose counts are young enough, this one among them.
+    /// Number of servers with recent counters, including this one.
     pub reporting: usize,
-    /// The age of the oldest of these counts in seconds.
+    /// The age of the oldest of these counters, in seconds.
     pub oldest_report_s: f64,
-    /// Slots of the own share that may be used here.
+    /// Slots of the own share that this server may use.
     pub retained_slots: f64,
-    /// Slots lent to others.
+    /// Slots lent to other servers.
     pub lent_slots: f64,
-    /// Slots borrowed from others.
+    /// Slots borrowed from other servers.
     pub borrowed_slots: f64,
-    /// Slots taken by calls.
+    /// Slots in use by calls, including abandoned calls that the upstream may still process.
     pub taken_slots: u32,
-    /// Runs that wait for a slot.
+    /// Number of runs that wait for a call to the shared upstream.
     pub waiting_runs: u32,
-    /// Whether all calls to the upstream go through.
+    /// Whether the circuit to the upstream is closed, so that all calls go through.
     pub circuit_closed: bool,
-    /// Bytes sent.
+    /// Total bytes of the datagrams sent.
     pub bytes_sent: u64,
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub sent: u64,
-    /// Datagrams received and taken.
+    /// Number of datagrams received and accepted.
     pub received: u64,
-    /// Datagrams dropped, by reason.
+    /// Number of received datagrams that were dropped, by reason.
     pub dropped: BTreeMap<DropReason, u64>,
-    /// Datagrams not sent for the bound on bytes.
+    /// Number of datagrams not sent because of the bound on bytes per second.
     pub suppressed: u64,
 }
 
 /// Another server as this one knows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberView {
-    /// Its name.
+    /// The name of the server.
     pub name: Arc<str>,
-    /// Its zone.
+    /// The zone of the server.
     pub zone: Arc<str>,
-    /// Its incarnation.
+    /// The last known incarnation of the server.
     pub incarnation: Incarnation,
-    /// Whether it is believed to be up.
+    /// Whether the server is considered up.
     pub up: bool,
-    /// For how long that is so, in ms.
+    /// Time since the server was last reported up or down, in ms.
     pub for_ms: u64,
 }
 
 /// The fleet as this server sees it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FleetView {
-    /// This server.
+    /// The name of this server.
     pub name: Arc<str>,
-    /// Its incarnation.
+    /// The current incarnation of this server.
     pub incarnation: Incarnation,
-    /// The others, by name.
+    /// The other servers, in the order of their names.
     pub members: Vec<MemberView>,
-    /// The figures.
+    /// The metrics of this server's cluster state.
     pub status: ClusterStatus,
 }
 
 impl Cluster {
-    /// The fleet as it is seen from here.
+    /// The fleet as this server sees it now.
     pub fn view(&self, now: Time) -> FleetView {
         let own = self.members.own();
         let member = |known: &crate::members::KnownMember| MemberView {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The figures.
+    /// The current metrics.
     pub fn status(&self, now: Time) -> ClusterStatus {
         let reading = self.counters.read(now, |_| true);
         let slots = |thousandths: u32| f64::from(thousandths) / f64::from(SLOT);
--- a/crates/cluster/src/cluster/upstream.rs
+++ b/crates/cluster/src/cluster/upstream.rs
@@ -1,4 +1,5 @@
-//! Calls to the shared upstream: whether one may be made now, by the leases on its slots and by the circuit breaker.
+//! Calls to the shared upstream: whether one may be made now, by the leases on its slots and by the circuit
+//! breaker.
 
 use super::{Cluster, TICK};
 use crate::MS;
@@ -8,8 +9,8 @@
 use rand_pcg::rand_core::Rng;
 use std::sync::Arc;
 
-/// Interval at which leases are maintained while runs wait for a slot.
-const SHORT_TICK: Span = Span(20 * MS);
+/// Interval at which leases are maintained while slots are short.
+const SHORTAGE_TICK: Span = Span(20 * MS);
 /// Maximum age of a lender's advertised spare slots.
 const OFFER_VALID_FOR: Span = Span(3_000 * MS);
 /// Maximum number of lenders considered in one step.
@@ -18,11 +19,11 @@
 /// Whether a call to the shared upstream may be made now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallDecision {
-    /// It may, with this slot, which is now in use.
+    /// The call may be made with this slot, which is now in use.
     Proceed(Slot),
-    /// Not now: all slots are in use.
+    /// The call must wait: all slots are in use.
     Wait,
-    /// It must not: the circuit is open.
+    /// The call must not be made, because the circuit breaker rejects it.
     Rejected,
 }
 
@@ -31,7 +32,7 @@
     pub fn set_waiting(&mut self, now: Time, waiting: usize) {
         self.leases.set_waiting(now, waiting as u32);
         if self.leases.is_short(now) {
-            self.next_lease_step = self.next_lease_step.min(time_after(now, SHORT_TICK));
+            self.next_lease_step = self.next_lease_step.min(time_after(now, SHORTAGE_TICK));
         }
     }
 
@@ -45,7 +46,7 @@
         }
         match self.circuit_breaker.call(now, random) {
             Admission::Rejected => CallDecision::Rejected,
-            // Where slots aren't lent, how many calls are out is the module's alone.
+            // If slots aren't lent, the admission module alone bounds the number of calls.
             Admission::Call | Admission::Probe if !lends => CallDecision::Proceed(Slot::Own),
             Admission::Call | Admission::Probe => {
                 self.leases.call(now).map_or(CallDecision::Wait, CallDecision::Proceed)
@@ -64,7 +65,7 @@
         self.circuit_breaker.call_ended(now, outcome, took, random);
     }
 
-    /// Slots that may be used here now; none where slots aren't lent.
+    /// The number of slots that this server may use now; none if slots aren't lent.
     pub fn limit(&self, now: Time) -> Option<f64> {
         self.settings.share.map(|_| f64::from(self.leases.limit(now)) / f64::from(SLOT))
     }
@@ -74,7 +75,7 @@
         self.leases.wake_at(now)
     }
 
-    /// Expires, requests and recalls leases.
+    /// Maintains the leases, and sends the lease messages that result.
     pub(super) fn step_leases(&mut self, now: Time) {
         self.next_lease_step = time_after(now, TICK);
         if self.settings.share.is_none() {
@@ -88,12 +89,12 @@
             self.send_lease(now, &outgoing.to, outgoing.message);
         }
         if is_short {
-            self.next_lease_step = time_after(now, SHORT_TICK);
+            self.next_lease_step = time_after(now, SHORTAGE_TICK);
         }
     }
 
-    /// Members that may lend, shuffled for each call: first those that advertised complete spare slots. Advertisements may
-    /// be out of date either way, so the other members follow.
+    /// Members that may lend, shuffled for each call: first those that advertised complete spare slots.
+    /// Advertisements may be out of date either way, so the other members follow.
     fn lenders(&mut self, now: Time) -> Vec<LenderOffer> {
         let own = Arc::clone(&self.members.own().name);
         let recent = |stored: &&crate::counters::StoredRow| {
@@ -104,19 +105,20 @@
             spare: stored.row.spare,
         };
         let mut offers: Vec<LenderOffer> = self.counters.rows().filter(recent).map(offer).collect();
-        for place in (1..offers.len()).rev() {
-            offers.swap(place, self.rng.next_u64() as usize % (place + 1));
+        for index in (1..offers.len()).rev() {
+            offers.swap(index, self.rng.next_u64() as usize % (index + 1));
         }
         offers.sort_by_key(|offer| offer.spare < SLOT);
         offers.iter_mut().for_each(|offer| offer.spare = offer.spare.max(SLOT));
-        // More than are asked at once, as some may be left alone; few, as each is looked up among the members.
+        // More lenders than are asked at once, since some may be backed off from; but few, since each is
+        // looked up among the members.
         offers.truncate(MAX_LENDERS);
         offers.retain(|offer| self.members.healthy(&offer.name).is_some());
         offers
     }
 
-    /// Observations of others, by their age on the own clock: a server that was stopped has none that counts until it
-    /// receives some anew.
+    /// Summary of the recent observations of other servers. Ages are by this server's clock, so after it was
+    /// stopped no earlier observation counts.
     pub(super) fn peer_observations(&self, now: Time) -> PeerObservations {
         let mut others = PeerObservations::default();
         let own = &self.members.own().name;
--- a/crates/cluster/src/counters.rs
+++ b/crates/cluster/src/counters.rs
@@ -1,10 +1,10 @@
-//! Work requested and served, by tenant and class, counted over the fleet without counting anything twice.
+//! Work requested and served, by tenant and class, summed over the fleet without counting anything twice.
 //!
-//! Each server writes only its own row; a row is gossiped unchanged, with its version and its age. Rows
-//! are merged by the later incarnation, then the later version, then the greater age: that is a join (a state-based CRDT),
-//! so it makes no difference how often, in which order and by whom a row comes. A row counts while it is young, so nothing
-//! of a dead server counts for long, and a reader learns how many servers a figure covers, how old each part is and which
-//! zones it includes.
+//! Each server writes only its own row, and a row is gossiped unchanged, with its version and its age. Of two
+//! rows of a server the one with the later incarnation, then the later version, then the greater age is kept.
+//! This merge is a join (a state-based CRDT), so it doesn't matter how often, in which order and from whom a
+//! row is received. Old rows are ignored, so the counts of a dead server expire. A reading includes the
+//! number of servers that it covers, the age of its rows and their zones.
 
 mod local;
 mod row;
@@ -19,47 +19,48 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What a row counts: the last so many seconds of its server.
+/// The period that a row covers, up to the time at which it was written.
 pub const WINDOW: Span = Span(10_000 * MS);
-/// A row older than this says nothing of now.
+/// Maximum age of a row; older ones are ignored.
 pub const MAX_AGE: Span = Span(10_000 * MS);
-/// Rows stored, those of the dead too until they are too old.
+/// Maximum number of stored rows, including those of dead servers that haven't expired.
 const MAX_ROWS: usize = 4_096;
-/// Cells of one row: tenants by classes. What more there is, is counted in one cell.
+/// Maximum number of cells of a row, each for a tenant and a class. Further ones are counted together in one
+/// cell.
 pub const MAX_CELLS: usize = 48;
 
-/// A figure of the fleet with what it rests on: never a bare number.
+/// A sum over the fleet, with the number, age and zones of the rows that it covers.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Reading {
-    /// What the reporting servers counted together.
+    /// The work counted by the reporting servers.
     pub sum: WorkCount,
-    /// How many servers that is, this one among them.
+    /// The number of reporting servers, including this one.
     pub servers: usize,
-    /// The age of the oldest part that counts.
+    /// The age of the oldest row in the sum.
     pub oldest: Span,
-    /// The age of the median part.
+    /// The median age of the rows in the sum.
     pub median: Span,
-    /// How many servers report in each zone.
+    /// The number of reporting servers in each zone.
     pub zones: BTreeMap<Arc<str>, usize>,
 }
 
 impl Reading {
-    /// The share of a fleet of so many servers that the figure speaks for, from 0 to 1.
+    /// The fraction of a fleet of `servers` servers that the sum covers, from 0 to 1.
     pub fn coverage(&self, servers: usize) -> f64 {
         (self.servers as f64 / servers.max(1) as f64).min(1.0)
     }
 }
 
-/// What several keys come to over the fleet.
+/// The sums of several keys over the fleet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FleetSums<K> {
-    /// How many servers report, this one among them.
+    /// The number of reporting servers, including this one.
     pub servers: usize,
-    /// What they counted together, by key.
+    /// The work counted by the reporting servers, by key.
     pub sums: BTreeMap<K, WorkCount>,
 }
 
-/// The rows of the fleet as this server has them, and its own counts.
+/// The stored rows of the fleet, and the counts of this server.
 #[derive(Debug)]
 pub struct Counters {
     rows: BTreeMap<Arc<str>, StoredRow>,
@@ -69,17 +70,17 @@
 }
 
 impl Counters {
-    /// Nothing counted yet by a server of this name.
+    /// Empty counters of the server of this name.
     pub fn new(name: Arc<str>) -> Self {
         Self { rows: BTreeMap::new(), local: LocalCounters::default(), name, version: 0 }
     }
 
-    /// Something was requested or served here.
+    /// Counts work that was requested or served at this server.
     pub fn count(&mut self, now: Time, cell: CellId, work: WorkCount) {
         self.local.count(now, cell, work);
     }
 
-    /// Writes the own row anew.
+    /// Writes a new version of this server's own row, with the spare slots in thousandths.
     pub fn write(
         &mut self,
         now: Time,
@@ -101,13 +102,14 @@
         self.rows.insert(Arc::clone(&self.name), StoredRow { row, at: now });
     }
 
-    /// Takes in a row of another server that was under way for `delay`; whether it was news.
+    /// Merges a received row of another server that took `delay` to arrive; returns whether it was newer than
+    /// the stored row.
     pub fn merge(&mut self, now: Time, gossiped: GossipedRow, delay: Span) -> bool {
         let at = time_before(now, Span(u64::from(gossiped.age_ms) * MS + delay.0));
         self.join(now, StoredRow { row: gossiped.row, at })
     }
 
-    /// Joins a received row with the stored one: the greater of the two stays.
+    /// Joins a received row with the stored one: the newer of the two is kept.
     fn join(&mut self, now: Time, received: StoredRow) -> bool {
         let too_old = received.age(now) > MAX_AGE;
         if received.row.name == self.name || too_old || received.row.cells.len() > MAX_CELLS {
@@ -121,7 +123,7 @@
             return is_news;
         }
         if self.rows.len() >= MAX_ROWS {
-            self.forget(now);
+            self.drop_expired(now);
         }
         let has_capacity = self.rows.len() < MAX_ROWS;
         if has_capacity {
@@ -130,32 +132,32 @@
         has_capacity
     }
 
-    /// Forgets what is too old to count.
-    pub fn forget(&mut self, now: Time) {
+    /// Drops the rows older than [`MAX_AGE`].
+    pub fn drop_expired(&mut self, now: Time) {
         self.rows.retain(|_, stored| stored.age(now) <= MAX_AGE);
     }
 
-    /// All rows, the own one among them.
+    /// All stored rows, including this server's own.
     pub fn rows(&self) -> impl Iterator<Item = &StoredRow> {
         self.rows.values()
     }
 
-    /// The row of a server.
+    /// The stored row of the server of this name.
     pub fn row(&self, name: &str) -> Option<&StoredRow> {
         self.rows.get(name)
     }
 
-    /// How many rows are stored.
+    /// The number of stored rows.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Whether none is.
+    /// Whether no row is stored.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// What these cells come to over the fleet.
+    /// Sums the wanted cells over all rows that are recent enough.
     pub fn read(&self, now: Time, wanted: impl Fn(CellId) -> bool) -> Reading {
         let mut reading = Reading::default();
         let mut ages = Vec::new();
@@ -187,12 +189,12 @@
         fleet
     }
 
-    /// What was counted here alone, by key.
+    /// Sums the cells of each key at this server only; `key_of` maps a cell to its key.
     pub fn local_sums<K: Ord>(&self, key_of: impl Fn(CellId) -> Option<K>) -> BTreeMap<K, WorkCount> {
         self.local.sums(key_of)
     }
 
-    /// What was counted here alone.
+    /// Sums the wanted cells at this server only.
     pub fn local(&self, wanted: impl Fn(CellId) -> bool) -> WorkCount {
         self.local.sum(wanted)
     }
--- a/crates/cluster/src/counters/local.rs
+++ b/crates/cluster/src/counters/local.rs
@@ -1,4 +1,4 @@
-//! This server's own counts, by cell, over a sliding window.
+//! The counts of this server by cell, over a sliding window.
 
 use super::row::{CellId, CounterCell, WorkCount};
 use super::{MAX_CELLS, WINDOW};
@@ -6,9 +6,9 @@
 use gradepin_admission::{Span, Time, time_after};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The window moves in steps of this.
+/// The step by which the window moves.
 const STEP: Span = Span(500 * MS);
-/// The cell of all that found no other.
+/// The cell that counts all work beyond the maximum number of cells.
 const OVERFLOW: CellId = CellId(0);
 
 #[derive(Debug)]
@@ -17,7 +17,7 @@
     work: WorkCount,
 }
 
-/// One cell: a sum over the window, and the steps that leave it one after the other.
+/// The count of one cell: the sum over the window, and the steps that it consists of.
 #[derive(Debug, Default)]
 struct WindowedCount {
     steps: VecDeque<WindowStep>,
@@ -40,28 +40,28 @@
     }
 }
 
-/// All cells of this server, [`MAX_CELLS`] at the most.
+/// All cells of this server, at most [`MAX_CELLS`].
 #[derive(Debug, Default)]
 pub(super) struct LocalCounters {
     cells: BTreeMap<CellId, WindowedCount>,
 }
 
 impl LocalCounters {
-    /// Counts into a cell, or into the one of the rest where there is no room for another.
+    /// Counts work in its cell, or in [`OVERFLOW`] if there is no room for another cell.
     pub(super) fn count(&mut self, now: Time, cell: CellId, work: WorkCount) {
         let has_capacity = self.cells.contains_key(&cell) || self.cells.len() < MAX_CELLS - 1;
         let cell = if has_capacity { cell } else { OVERFLOW };
         self.cells.entry(cell).or_default().add(now, work);
     }
 
-    /// What lies within the window; cells with nothing in it are dropped.
+    /// The cells with their sums over the window; cells without work in the window are dropped.
     pub(super) fn cells(&mut self, now: Time) -> Vec<CounterCell> {
         self.cells.values_mut().for_each(|count| count.expire(now));
         self.cells.retain(|_, count| !count.steps.is_empty());
         self.cells.iter().map(|(id, count)| CounterCell { id: *id, work: count.sum }).collect()
     }
 
-    /// The sum of some cells.
+    /// Sums the wanted cells.
     pub(super) fn sum(&self, wanted: impl Fn(CellId) -> bool) -> WorkCount {
         let mut sum = WorkCount::default();
         self.cells.iter().filter(|(id, _)| wanted(**id)).for_each(|(_, count)| sum.add(&count.sum));
--- a/crates/cluster/src/counters/row.rs
+++ b/crates/cluster/src/counters/row.rs
@@ -1,4 +1,4 @@
-//! The rows that servers gossip. The order of their fields is the wire format.
+//! The counter rows that servers gossip. The order of the fields is the wire format.
 
 use crate::circuit_breaker::Observation;
 use crate::peer::Incarnation;
@@ -7,13 +7,14 @@
 use std::cmp::Ordering;
 use std::sync::Arc;
 
-/// Names a tenant's part of a class: a hash of both names, since the order of a settings file may differ from server to
-/// server while settings change.
+/// Identifies a pair of tenant and class by a hash of both names. An index would be ambiguous, because the
+/// order in the settings file may differ from server to server while settings change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CellId(pub u32);
 
 impl CellId {
-    /// Of a tenant and a class by their names; of no tenant by an empty one. Never 0, which is the cell of the rest.
+    /// The cell of a tenant, empty for requests without one, and a class. Never 0, which is the overflow
+    /// cell.
     pub fn of(tenant: &str, class: &str) -> Self {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&(tenant.len() as u64).to_be_bytes());
@@ -28,13 +29,13 @@
 /// Work within a window.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct WorkCount {
-    /// Core time that was requested, as the class estimates say, in ms.
+    /// Core time requested, as estimated by class, in ms.
     pub requested_ms: u32,
-    /// Core time of what was served, in ms.
+    /// Core time of the requests served, in ms.
     pub served_ms: u32,
-    /// First attempts that came.
+    /// Number of first attempts received.
     pub first_attempts: u32,
-    /// Retries that came.
+    /// Number of retries received.
     pub retries: u32,
 }
 
@@ -59,66 +60,66 @@
 /// The work of one cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CounterCell {
-    /// Which cell.
+    /// The tenant and class of the work.
     pub id: CellId,
-    /// Its work.
+    /// The work of the tenant and class within the window.
     pub work: WorkCount,
 }
 
-/// What one server reports of itself.
+/// The report of one server, which only that server writes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CounterRow {
-    /// Whose it is.
+    /// The name of the server that wrote the row.
     pub name: Arc<str>,
-    /// Of which incarnation.
+    /// The incarnation of the server that wrote the row.
     pub incarnation: Incarnation,
-    /// Greater with each change.
+    /// Greater with each write by the same incarnation.
     pub version: u32,
     /// The server's zone.
     pub zone: Arc<str>,
-    /// Thousandths of slots of the shared upstream that it would lend now.
+    /// The amount of the shared upstream's slots that the server would lend, in thousandths of a slot.
     pub spare: u32,
-    /// What it saw of the shared upstream.
+    /// The server's own observation of the shared upstream.
     pub observation: Observation,
-    /// What it counted.
+    /// The work counted at the server within the window.
     pub cells: Vec<CounterCell>,
 }
 
 impl CounterRow {
-    /// Which of two rows of one server is the later one.
+    /// Orders the rows of one server from earlier to later.
     pub(super) fn order(&self) -> (Incarnation, u32) {
         (self.incarnation, self.version)
     }
 }
 
-/// A row on its way, with its age where it left.
+/// A row in a datagram, with its age at the time of sending.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipedRow {
-    /// The row.
+    /// The row, as its server wrote it.
     pub row: CounterRow,
-    /// Its age in ms.
+    /// The age of the row when the datagram was sent, in ms.
     pub age_ms: u32,
 }
 
-/// A row as it is stored.
+/// A row in the table of a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredRow {
-    /// The row.
+    /// The row, as its server wrote it.
     pub row: CounterRow,
-    /// When it was true, by the own clock, and no later than that.
+    /// The latest time, by this server's clock, at which the row may have been written.
     pub at: Time,
 }
 
 impl StoredRow {
-    /// Whether this row replaces another of the same server: it has the later incarnation, then the later version, then the
-    /// greater age.
+    /// Whether this row replaces another of the same server: by the later incarnation, then the later
+    /// version, then the greater age.
     pub(super) fn is_newer_than(&self, other: &Self) -> bool {
         let order = self.row.incarnation.cmp(&other.row.incarnation);
         let order = order.then(self.row.version.cmp(&other.row.version));
         order.then(other.at.cmp(&self.at)) == Ordering::Greater
     }
 
-    /// How old it is.
+    /// The age of the row, by this server's clock.
     pub fn age(&self, now: Time) -> Span {
         Span(now.0.saturating_sub(self.at.0))
     }
--- a/crates/cluster/src/counters/tests.rs
+++ b/crates/cluster/src/counters/tests.rs
@@ -1,4 +1,4 @@
-//! Merging as a join, and the bounds of rows and cells.
+//! Merging of rows as a join, the age of a reading, and the bounds on rows and cells.
 
 use super::*;
 use gradepin_admission::time_after;
@@ -26,10 +26,10 @@
 
 const NOW: Time = Time(100_000 * MS);
 
-/// Guards against a datagram that comes twice, late, or after a newer one, and against a past incarnation that counts beside
-/// the present one.
+/// A row that is received twice, late or after a newer one counts once, and an earlier incarnation doesn't
+/// count in addition to the current one.
 #[test]
-fn nothing_counts_twice() {
+fn repeated_and_outdated_rows_are_counted_once() {
     let mut counters = Counters::new(Arc::from("own"));
     for gossiped in [
         gossiped("a", 1, 1, 10, 0),
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_reading_tells_its_age_and_where_it_comes_from_and_forgets_the_dead() {
+fn a_reading_has_servers_ages_and_zones_and_omits_expired_rows() {
     let mut counters = Counters::new(Arc::from("own"));
     counters.count(NOW, CellId(7), WorkCount { requested_ms: 100, ..WorkCount::default() });
     counters.write(NOW, Incarnation(1), &Arc::from("y"), 0, Observation::default());
@@ -58,14 +58,14 @@
     assert_eq!((reading.oldest, reading.median), (Span(4_000 * MS), Span(1_500 * MS)));
     assert_eq!(reading.zones.values().copied().collect::<Vec<_>>(), [1, 2]);
     let later = time_after(NOW, Span(7_000 * MS));
-    assert_eq!(requested(&counters, later), 120, "the older row no longer counters");
-    counters.forget(time_after(NOW, Span(60_000 * MS)));
+    assert_eq!(requested(&counters, later), 120, "the older row is no longer counted");
+    counters.drop_expired(time_after(NOW, Span(60_000 * MS)));
     assert!(counters.is_empty());
     counters.write(time_after(NOW, WINDOW), Incarnation(1), &Arc::from("y"), 0, Observation::default());
-    assert_eq!(requested(&counters, time_after(NOW, WINDOW)), 0, "what was counted here leaves the window");
+    assert_eq!(requested(&counters, time_after(NOW, WINDOW)), 0, "the own count has left the window");
 }
 
-/// Guards memory: cells and rows are bounded whatever names come.
+/// Cells and rows take bounded memory, whatever names are received.
 #[test]
 fn cells_and_rows_are_bounded() {
     let mut counters = Counters::new(Arc::from("own"));
@@ -83,15 +83,15 @@
 }
 
 proptest! {
-    /// Merging is commutative, associative and idempotent: whatever order, grouping and repetition rows come in, the
-    /// same is stored.
+    /// Merging is commutative, associative and idempotent: the order, grouping and repetition of rows doesn't
+    /// change what is stored.
     #[test]
     fn merging_is_a_join(
         rows in prop::collection::vec((0_u8..4, 0_u64..3, 0_u32..4, 0_u32..3), 0..24),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..60),
     ) {
-        // What a row holds is its writer's: a function of name, incarnation and version.
-        let made: Vec<GossipedRow> = rows
+        // Only its server writes a row, so its content is a function of name, incarnation and version.
+        let all_rows: Vec<GossipedRow> = rows
             .iter()
             .map(|&(name, incarnation, version, age)| {
                 let content = u32::from(name) * 100 + incarnation as u32 * 10 + version;
@@ -105,17 +105,18 @@
             }
             counters.rows
         };
-        let once = merged(&mut made.iter());
-        let back = merged(&mut made.iter().rev());
-        prop_assert_eq!(&once, &back, "commutative");
-        let mut shuffled: Vec<&GossipedRow> = made.iter().collect();
-        if !made.is_empty() {
-            shuffled.extend(order.iter().map(|index| &made[index.index(made.len())]));
-            shuffled.rotate_left(order.len() % made.len().max(1));
+        let once = merged(&mut all_rows.iter());
+        let reversed = merged(&mut all_rows.iter().rev());
+        prop_assert_eq!(&once, &reversed, "commutative");
+        let mut shuffled: Vec<&GossipedRow> = all_rows.iter().collect();
+        if !all_rows.is_empty() {
+            shuffled.extend(order.iter().map(|index| &all_rows[index.index(all_rows.len())]));
+            shuffled.rotate_left(order.len() % all_rows.len().max(1));
         }
         prop_assert_eq!(&once, &merged(&mut shuffled.into_iter()), "idempotent");
-        // Two parts merged on their own, then into each other, by way of what each would tell on.
-        let (left, right) = made.split_at(made.len() / 2);
+        // Two halves are merged separately, then their stored rows are joined, as after gossip between two
+        // servers.
+        let (left, right) = all_rows.split_at(all_rows.len() / 2);
         let mut counters = Counters::new(Arc::from("own"));
         for part in [merged(&mut right.iter()), merged(&mut left.iter())] {
             for stored in part.into_values() {
--- a/crates/cluster/src/fragments.rs
+++ b/crates/cluster/src/fragments.rs
@@ -1,11 +1,11 @@
-//! Messages that are longer than a datagram: split into fragments, and reassembled where all of them came.
+//! Messages that are longer than a datagram are split into fragments and reassembled by the receiver.
 //!
-//! A message whose fragments don't all come is lost, as a datagram may be; its sender sends it again. What is incomplete
-//! here is bounded in number, bytes and time, for each sender and in all.
+//! A message is lost if any of its fragments is lost, and its sender must send it again. The incomplete
+//! messages of a receiver are bounded in number, bytes and time, and in number also for each sender.
 //!
 //! ```text
-//! number of the message | index of the fragment | fragments in all | bytes
-//!           4           |           1           |        1         |         big-endian
+//! number of the message | index of the fragment | number of fragments | bytes
+//!           4           |           1           |          1          |        big-endian
 //! ```
 
 use crate::MS;
@@ -16,22 +16,23 @@
 use std::collections::btree_map::Entry;
 use std::sync::Arc;
 
-/// What one fragment carries at the most, beside its index.
+/// Maximum content of a fragment, in bytes.
 const FRAGMENT_BYTES: usize = MAX_DATAGRAM_BYTES - MAX_OVERHEAD_BYTES - 1 - FRAGMENT_HEADER_BYTES;
-/// Number of the message, index of the fragment, fragments in all.
+/// Length of a fragment's header: number of the message, index of the fragment and number of fragments.
 const FRAGMENT_HEADER_BYTES: usize = 4 + 1 + 1;
-/// The longest message, in bytes: 200 kB.
+/// Maximum length of a message, in bytes: 259 kB.
 pub const MAX_MESSAGE_BYTES: usize = 200 * FRAGMENT_BYTES;
-/// Messages of one sender that are incomplete here.
+/// Maximum number of incomplete messages of one sender.
 const MAX_PARTIAL_PER_SENDER: usize = 4;
-/// Bytes of all that is incomplete here.
+/// Maximum total length of the fragments of incomplete messages, in bytes.
 const MAX_PARTIAL_BYTES: usize = 4 << 20;
-/// Messages that are incomplete here in all: each is looked at with every fragment that comes.
+/// Maximum number of incomplete messages of all senders. It bounds CPU time, as all of them are checked for
+/// expiry with every received fragment.
 const MAX_PARTIAL_MESSAGES: usize = 2_048;
-/// Time after which a message that lacks fragments is dropped.
+/// Time after which an incomplete message is dropped.
 const REASSEMBLY_TIMEOUT: Span = Span(3_000 * MS);
 
-/// Splits a message; none if it is too long.
+/// Splits a message into encoded fragments; none if it is longer than [`MAX_MESSAGE_BYTES`].
 pub fn split(number: u32, message: &[u8]) -> Vec<Vec<u8>> {
     if message.len() > MAX_MESSAGE_BYTES {
         return Vec::new();
@@ -73,7 +74,7 @@
 struct PartialMessage {
     since: Time,
     number: u32,
-    /// How many fragments it is said to have; those that came are kept, and no place for the others.
+    /// The number of fragments according to their headers. Memory is used only for those that were received.
     count: usize,
     parts: BTreeMap<usize, Vec<u8>>,
 }
@@ -88,25 +89,25 @@
     }
 }
 
-/// A sender's numbers begin anew with each of its incarnations.
+/// A sender of messages. Each incarnation numbers its messages anew.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct SenderKey {
     name: Arc<str>,
     incarnation: Incarnation,
 }
 
-/// Messages that are incomplete here.
+/// The incomplete messages of all senders.
 #[derive(Debug, Default)]
 pub struct Reassembly {
     partial: BTreeMap<SenderKey, Vec<PartialMessage>>,
-    /// Of all of them.
+    /// Total length of the received fragments, in bytes.
     bytes: usize,
-    /// How many they are.
+    /// Number of incomplete messages.
     messages: usize,
 }
 
 impl Reassembly {
-    /// Takes a received fragment; returns the message if it is complete now.
+    /// Handles a received fragment; returns the message if it is complete now.
     pub fn take(
         &mut self,
         now: Time,
@@ -118,7 +119,7 @@
         if fragment.count == 1 {
             return Ok(Some(fragment.bytes.to_vec()));
         }
-        self.forget(now);
+        self.drop_expired(now);
         if self.bytes + fragment.bytes.len() > MAX_PARTIAL_BYTES {
             return Ok(None);
         }
@@ -133,11 +134,11 @@
         self.add(&key, &fragment)
     }
 
-    /// A message of which nothing came before.
+    /// Starts to reassemble a message with its first received fragment.
     fn begin(&mut self, now: Time, key: SenderKey, fragment: &Fragment<'_>) {
         let partials = self.partial.entry(key).or_default();
         if partials.len() >= MAX_PARTIAL_PER_SENDER {
-            // The oldest gives way: it waits for what was lost, most likely.
+            // The oldest message is dropped: most likely it waits for a lost fragment.
             self.bytes -= partials.remove(0).bytes();
             self.messages -= 1;
         }
@@ -155,8 +156,8 @@
         if partial.count != fragment.count {
             return Err(DropReason::MalformedContent);
         }
-        if let Entry::Vacant(place) = partial.parts.entry(fragment.index) {
-            place.insert(fragment.bytes.to_vec());
+        if let Entry::Vacant(vacant) = partial.parts.entry(fragment.index) {
+            vacant.insert(fragment.bytes.to_vec());
             self.bytes += fragment.bytes.len();
         }
         if !partial.is_complete() {
@@ -168,16 +169,16 @@
         Ok(Some(complete.parts.into_values().flatten().collect()))
     }
 
-    fn forget(&mut self, now: Time) {
+    fn drop_expired(&mut self, now: Time) {
         let Self { partial, bytes, messages } = self;
         partial.retain(|_, partials| {
             partials.retain(|partial| {
-                let stays = now < time_after(partial.since, REASSEMBLY_TIMEOUT);
-                if !stays {
+                let is_recent = now < time_after(partial.since, REASSEMBLY_TIMEOUT);
+                if !is_recent {
                     *bytes -= partial.bytes();
                     *messages -= 1;
                 }
-                stays
+                is_recent
             });
             !partials.is_empty()
         });
--- a/crates/cluster/src/leases.rs
+++ b/crates/cluster/src/leases.rs
@@ -1,13 +1,15 @@
 //! Leases on slots of the shared upstream, lent from server to server.
 //!
-//! Each server has a share of its own, of which it lends at the most a part. What is lent counts as spent with the lender
-//! until the borrower can't use it any more, by whichever clock is slower; the borrower counts from when it sent its
-//! request. So at every moment each slot is used by at most one server, whatever messages are lost, delayed or duplicated and
-//! whatever processes are paused or killed. A server that receives nothing has its own share less what it lent.
+//! Each server has its own share of the slots and may lend up to a fixed fraction of it. The borrower counts
+//! the duration of a lease from when it sent the request. The lender doesn't use a lent slot until the
+//! borrower's lease and its last call are certainly over, even if the borrower's clock runs slower. So each
+//! slot is used by at most one server at any time, whatever messages are lost, delayed or duplicated and
+//! whatever processes are paused or killed. A server that receives nothing has its own share less what it
+//! lent.
 //!
-//! Amounts are in thousandths of a slot; a call takes a complete one. The lender's rules are in `lender`, the borrower's in
-//! `borrower`, their messages in `message`. Not here: which calls are made (the admission module's), and who
-//! is a member.
+//! Amounts are in thousandths of a slot; a call takes one whole slot. The lender's rules are in `lender`, the
+//! borrower's in `borrower`, their messages in `message`. Which runs make calls is decided by the admission
+//! module, and membership by [`crate::members`].
 
 mod borrower;
 mod lender;
@@ -27,24 +29,24 @@
 
 /// One slot, in thousandths.
 pub const SLOT: u32 = 1_000;
-/// What is borrowed is kept while the mean demand over about this time wants it.
-const DEMAND_OVER: Span = Span(500 * MS);
+/// Time constant of the mean demand. Borrowed slots are kept while the mean demand needs them.
+const DEMAND_TIME_CONSTANT: Span = Span(500 * MS);
 
-/// Which slot a call is made with.
+/// The slot that a call uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Slot {
-    /// One of the own share.
+    /// A slot of this server's own share.
     Own,
-    /// A borrowed one: the call must leave here by the lease's end.
+    /// A borrowed slot: the call must be sent before the lease ends.
     Borrowed {
-        /// When the lease ends.
+        /// The end of the lease, by this server's clock.
         until: Time,
-        /// How long the call may take.
+        /// Maximum duration of the call.
         max_call: Span,
     },
 }
 
-/// The slots that are needed here: now, and in the mean of late.
+/// The number of slots that this server needs: the current value, and its exponentially weighted mean.
 #[derive(Debug)]
 struct Demand {
     mean: f64,
@@ -52,46 +54,48 @@
     since: Time,
 }
 
-/// What one server has lent and borrowed.
+/// The leases that one server has lent and borrowed, and its calls to the shared upstream.
 #[derive(Debug)]
 pub struct LeaseTable {
     settings: LeaseSettings,
     own_share: u32,
-    /// Nothing may be called before this: calls from before a restart may still be with the upstream.
-    calls_from: Time,
-    /// Until then what may have been lent before a restart counts as lent.
+    /// No call is made before this time, because the upstream may still process calls from before a restart.
+    calls_allowed_from: Time,
+    /// Until this time all lendable slots count as lent, because they may have been lent before a restart.
     restart_hold_until: Time,
     lent: BTreeMap<LeaseKey, LentLease>,
     borrowed: Vec<BorrowedLease>,
-    /// Own requests that are not answered yet.
+    /// Requests of this server without a reply so far.
     pending: Vec<PendingRequest>,
-    /// Others' requests that can't be granted yet.
+    /// Requests of other servers that wait for free slots.
     requests: RequestQueue,
-    /// Lenders that are not to be asked before this.
+    /// The time before which each of these lenders is not asked again.
     backoff: BTreeMap<Arc<str>, Time>,
     last_number: u64,
-    /// Calls under way, and runs that wait for one.
+    /// Calls in flight.
     calls: u32,
+    /// Runs that wait for a call.
     waiting: u32,
-    /// Since when runs wait without a break.
+    /// Start of the current uninterrupted shortage of slots.
     short_since: Option<Time>,
-    /// Until when the upstream may go on with calls that were given up: they hold their slots for so long.
+    /// For each abandoned call, the time until which the upstream may still process it. The call occupies its
+    /// slot until then.
     lingering: VecDeque<Time>,
     demand: Demand,
 }
 
 impl LeaseTable {
-    /// A server that starts: it has lent and borrowed nothing that it can spend, and what it may have lent before a
-    /// restart is held back until that is certainly over.
+    /// A table without leases for a server that has just started. Leases from before a restart are unknown,
+    /// so the lendable slots are held back until any such lease is certainly over.
     pub fn new(settings: LeaseSettings, share: f64, now: Time) -> Self {
-        let (calls_from, restart_hold_until) = if settings.ignore_expiry {
+        let (calls_allowed_from, restart_hold_until) = if settings.ignore_expiry {
             (now, now)
         } else {
             (time_after(now, settings.upstream_linger), time_after(now, settings.hold()))
         };
         Self {
             own_share: thousandths(share),
-            calls_from,
+            calls_allowed_from,
             restart_hold_until,
             lent: BTreeMap::new(),
             borrowed: Vec::new(),
@@ -108,42 +112,43 @@
         }
     }
 
-    /// A new share, after a reload.
+    /// Sets this server's own share, in slots, after a reload.
     pub fn set_share(&mut self, share: f64) {
         self.own_share = thousandths(share);
     }
 
-    /// What of the own share may be used here, in thousandths of a slot.
+    /// The part of the own share that this server may use, in thousandths of a slot.
     pub fn retained(&self, now: Time) -> u32 {
-        if now < self.calls_from {
+        if now < self.calls_allowed_from {
             return 0;
         }
         let held_back = if now < self.restart_hold_until { self.lendable() } else { 0 };
         self.own_share.saturating_sub(held_back + self.lent(now))
     }
 
-    /// What may be used here in all, in thousandths of a slot.
+    /// The own and borrowed slots that this server may use, in thousandths of a slot.
     pub fn limit(&self, now: Time) -> u32 {
         self.retained(now) + self.borrowed(now)
     }
 
-    /// Slots taken: by calls under way, and by those given up that the upstream may go on with.
+    /// Slots in use, by calls in flight and by abandoned calls that the upstream may still process.
     pub fn taken(&self, now: Time) -> u32 {
         self.calls + self.lingering.iter().filter(|until| now < **until).count() as u32
     }
 
-    /// Whether runs wait because all slots are taken. Runs that wait while one is free do so for the module's reasons, as
-    /// where it takes the upstream to be overloaded, and more slots would not help them.
+    /// Whether runs wait because all slots are in use. Runs that wait although a slot is free are held back
+    /// by the admission module, for example because it considers the upstream overloaded; more slots would
+    /// not help them.
     pub fn is_short(&self, now: Time) -> bool {
         self.waiting > 0 && (self.taken(now) + 1) * SLOT > self.limit(now)
     }
 
-    /// Runs that wait for a call.
+    /// The number of runs that wait for a call.
     pub fn waiting_runs(&self) -> u32 {
         self.waiting
     }
 
-    /// So many runs wait for a call.
+    /// Sets the number of runs that wait for a call.
     pub fn set_waiting(&mut self, now: Time, waiting: u32) {
         self.waiting = waiting;
         self.short_since = if self.is_short(now) { self.short_since.or(Some(now)) } else { None };
@@ -151,18 +156,18 @@
     }
 
     fn measure_demand(&mut self, now: Time) {
-        let passed = now.0.saturating_sub(self.demand.since.0) as f64 / DEMAND_OVER.0 as f64;
+        let passed = now.0.saturating_sub(self.demand.since.0) as f64 / DEMAND_TIME_CONSTANT.0 as f64;
         self.demand.mean += (1.0 - (-passed).exp()) * (f64::from(self.demand.now) - self.demand.mean);
         self.demand.since = now;
         self.demand.now = self.taken(now) + if self.is_short(now) { self.waiting } else { 0 };
     }
 
-    /// Slots that are needed here, now or in the mean of late.
+    /// The number of slots that this server needs: the greater of the current and the mean demand.
     fn demand(&self, now: Time) -> u32 {
         self.demand.now.max(self.taken(now)).max(self.demand.mean.round().max(0.0) as u32)
     }
 
-    /// Takes a slot for a call, if one is free.
+    /// Takes a free slot for a call, an own one if possible; none if all are in use.
     pub fn call(&mut self, now: Time) -> Option<Slot> {
         let next = (self.taken(now) + 1) * SLOT;
         let slot = if next <= self.retained(now) { Slot::Own } else { self.borrowed_slot(now, next)? };
@@ -171,7 +176,8 @@
         Some(slot)
     }
 
-    /// A slot by the leases that last longest: the call must leave before the first of those that are needed ends.
+    /// A borrowed slot, using the leases that last longest. If it takes several leases, the call must be sent
+    /// before the first of them ends.
     fn borrowed_slot(&self, now: Time, next: u32) -> Option<Slot> {
         let mut leases: Vec<&BorrowedLease> = self.valid_leases(now).filter(|lease| !lease.ending).collect();
         leases.sort_by_key(|lease| std::cmp::Reverse(lease.until));
@@ -184,7 +190,8 @@
         Some(Slot::Borrowed { until, max_call: self.settings.max_call })
     }
 
-    /// A call has ended, or was never made; whether it was given up while the upstream may go on with it.
+    /// Releases the slot of a call that ended or was never made. `given_up`: the call was abandoned and the
+    /// upstream may still process it, so its slot stays in use for the linger time.
     pub fn call_ended(&mut self, now: Time, given_up: bool) {
         self.measure_demand(now);
         self.calls = self.calls.saturating_sub(1);
@@ -194,8 +201,9 @@
         }
     }
 
-    /// Leases that are over go, those that are needed are extended, and what is missing is asked for. `lenders` are
-    /// members that are healthy, with what they would lend, in an order of the caller's.
+    /// Drops expired leases, extends and returns borrowed ones, recalls and grants lent ones, and requests
+    /// missing slots. `lenders` are healthy members with the amounts that they offer, in the order in which
+    /// to ask them.
     pub fn step(&mut self, now: Time, lenders: &[LenderOffer], out: &mut Vec<OutgoingLeaseMessage>) {
         self.measure_demand(now);
         self.lent.retain(|_, lease| now < lease.until);
@@ -208,7 +216,7 @@
         self.request_missing(now, lenders, out);
     }
 
-    /// A message of another server in this incarnation of it; the reply, if there is one.
+    /// Handles a message from this incarnation of another server; returns the reply, if there is one.
     pub fn receive(
         &mut self,
         now: Time,
@@ -234,16 +242,18 @@
         None
     }
 
-    /// When the next lease or hold expires.
+    /// The next time at which slots may become free without a message: the end of a lease, a hold or a
+    /// linger.
     pub fn wake_at(&self, now: Time) -> Option<Time> {
-        let expiries = self.borrowed.iter().map(|lease| lease.until);
-        let back = self.lent.values().map(|lease| lease.until).filter(|_| self.waiting > 0);
-        let starts = [self.restart_hold_until, self.calls_from].into_iter();
-        let held = starts.chain(self.lingering.iter().copied());
-        expiries.chain(back).chain(held).filter(|at| *at > now).min()
+        let borrowed_ends = self.borrowed.iter().map(|lease| lease.until);
+        let lent_ends = self.lent.values().map(|lease| lease.until).filter(|_| self.waiting > 0);
+        let restart_ends = [self.restart_hold_until, self.calls_allowed_from].into_iter();
+        let hold_ends = restart_ends.chain(self.lingering.iter().copied());
+        borrowed_ends.chain(lent_ends).chain(hold_ends).filter(|at| *at > now).min()
     }
 }
 
+/// Slots in thousandths, from 0 to 1,000,000 slots.
 fn thousandths(share: f64) -> u32 {
     (share.clamp(0.0, 1e6) * f64::from(SLOT)).floor() as u32
 }
--- a/crates/cluster/src/leases/borrower.rs
+++ b/crates/cluster/src/leases/borrower.rs
@@ -1,4 +1,5 @@
-//! The borrower's side: when slots are asked for, extended and given back, and until when they may be used.
+//! The borrower's side of leases: when slots are requested, extended and returned, and until when they may be
+//! used.
 
 use super::lender::MAX_LENT;
 use super::message::{LeaseMessage, LenderOffer, OutgoingLeaseMessage};
@@ -7,22 +8,23 @@
 use gradepin_admission::{Span, Time, time_after};
 use std::sync::Arc;
 
-/// Leases taken at a time.
+/// Maximum number of leases that a server borrows at the same time.
 const MAX_BORROWED: usize = 16;
-/// Lenders asked at a time.
+/// Maximum number of pending requests for new leases.
 const MAX_PENDING: usize = 6;
-/// A request for a lease that isn't answered is given up after this.
+/// A request for a new lease without a reply is dropped after this time.
 const REQUEST_TIMEOUT: Span = Span(600 * MS);
-/// One for an extension is sent again sooner, as a lost datagram is no reason to lose a lease.
+/// A request for an extension without a reply is dropped, and sent again, after this time. It is shorter than
+/// [`REQUEST_TIMEOUT`] so that a lost datagram doesn't cost a lease.
 const EXTENSION_TIMEOUT: Span = Span(250 * MS);
-/// Who didn't answer is not asked again so soon.
+/// A lender that didn't reply is not asked again for this time.
 const SILENT_BACKOFF: Span = Span(1_500 * MS);
-/// Nor who refused.
+/// A lender that refused is not asked again for this time.
 const REFUSED_BACKOFF: Span = Span(250 * MS);
-/// More is borrowed once runs waited for so long.
+/// Slots are borrowed once runs have waited for this time.
 pub(super) const BORROW_AFTER: Span = Span(20 * MS);
 
-/// A lease as its borrower keeps it.
+/// A lease in the borrower's table.
 #[derive(Debug, Clone)]
 pub(super) struct BorrowedLease {
     pub lender: Arc<str>,
@@ -30,23 +32,23 @@
     round: u32,
     pub amount: u32,
     pub until: Time,
-    /// Recalled by the lender or no longer needed: no new call uses it.
+    /// Recalled, expired or no longer needed: no new call uses it.
     pub ending: bool,
 }
 
-/// A request of this server's that is not answered yet.
+/// A request of this server without a reply so far.
 #[derive(Debug, Clone)]
 pub(super) struct PendingRequest {
     lender: Arc<str>,
     number: u64,
     round: u32,
-    /// What was asked for, in thousandths of a slot.
+    /// The requested amount, in thousandths of a slot.
     amount: u32,
     sent_at: Time,
 }
 
 impl PendingRequest {
-    /// Whether it is for a lease that doesn't exist yet, and not for an extension.
+    /// Whether it requests a new lease, not an extension.
     fn is_first(&self) -> bool {
         self.round == 0
     }
@@ -57,7 +59,7 @@
     }
 }
 
-/// What a lender granted, as it came.
+/// A grant as received from a lender, not yet checked against the request.
 pub(super) struct Grant {
     pub number: u64,
     pub round: u32,
@@ -71,12 +73,13 @@
         self.borrowed.iter().filter(move |lease| now < lease.until || self.settings.ignore_expiry)
     }
 
-    /// What is borrowed and may be used, in thousandths of a slot.
+    /// The borrowed amount that new calls may use, in thousandths of a slot.
     pub fn borrowed(&self, now: Time) -> u32 {
         self.valid_leases(now).filter(|lease| !lease.ending).map(|lease| lease.amount).sum()
     }
 
-    /// Expired leases are given back too, once no call is out by them: else the lender would wait for its own clock.
+    /// Marks expired leases as ending. They are returned like others once no call uses them; otherwise the
+    /// lender would wait until its own hold expires.
     pub(super) fn end_expired(&mut self, now: Time) {
         if self.settings.ignore_expiry {
             return;
@@ -84,18 +87,19 @@
         self.borrowed.iter_mut().filter(|lease| now >= lease.until).for_each(|lease| lease.ending = true);
     }
 
-    /// Drops requests without a reply, and backs off from their lenders.
+    /// Drops requests that timed out, and backs off from lenders that didn't reply to a request for a new
+    /// lease.
     pub(super) fn expire_pending(&mut self, now: Time) {
         self.backoff.retain(|_, until| now < *until);
-        let mut silent = Vec::new();
+        let mut silent_lenders = Vec::new();
         self.pending.retain(|request| {
             let is_pending = request.is_pending(now);
             if !is_pending && request.is_first() {
-                silent.push(Arc::clone(&request.lender));
+                silent_lenders.push(Arc::clone(&request.lender));
             }
             is_pending
         });
-        silent.into_iter().for_each(|name| self.back_off(now, name, SILENT_BACKOFF));
+        silent_lenders.into_iter().for_each(|name| self.back_off(now, name, SILENT_BACKOFF));
     }
 
     fn back_off(&mut self, now: Time, name: Arc<str>, span: Span) {
@@ -104,7 +108,7 @@
         }
     }
 
-    /// What isn't used is given back once all calls under way fit without it.
+    /// Returns leases that aren't needed, once the calls in flight fit into the remaining slots.
     pub(super) fn give_back(&mut self, now: Time, out: &mut Vec<OutgoingLeaseMessage>) {
         let needed = self.demand(now) * SLOT;
         let mut rest = self.limit(now);
@@ -120,7 +124,7 @@
         let pending = &mut self.pending;
         self.borrowed.retain(|lease| {
             if lease.ending {
-                // A grant of it that is still under way is not to bring it back.
+                // Without its pending request, a grant that is still in transit can't restore the lease.
                 pending.retain(|request| request.number != lease.number);
                 let message = LeaseMessage::Return { number: lease.number };
                 out.push(OutgoingLeaseMessage { to: Arc::clone(&lease.lender), message });
@@ -129,13 +133,13 @@
         });
     }
 
-    /// Leases that are used are extended from half of their duration on.
+    /// Requests extensions of the leases in use once half of their duration has passed.
     pub(super) fn request_extensions(&mut self, now: Time, out: &mut Vec<OutgoingLeaseMessage>) {
-        let half = Span(self.settings.duration.0 / 2);
+        let half_duration = Span(self.settings.duration.0 / 2);
         for lease in self.borrowed.iter_mut().filter(|lease| !lease.ending) {
             let must_wait = self.pending.iter().any(|request| request.number == lease.number)
                 || self.backoff.contains_key(&lease.lender);
-            if now >= lease.until || time_after(now, half) < lease.until || must_wait {
+            if now >= lease.until || time_after(now, half_duration) < lease.until || must_wait {
                 continue;
             }
             lease.round += 1;
@@ -147,21 +151,21 @@
         }
     }
 
-    /// Asks lenders for what is missing.
+    /// Requests missing slots from lenders.
     pub(super) fn request_missing(
         &mut self,
         now: Time,
         lenders: &[LenderOffer],
         out: &mut Vec<OutgoingLeaseMessage>,
     ) {
-        // A server that lends and needs is to recall, not to borrow.
+        // A server that has lent slots recalls them instead of borrowing.
         let is_short = self.short_since.is_some_and(|since| now >= time_after(since, BORROW_AFTER));
-        if !is_short || !self.lent.is_empty() || now < self.calls_from {
+        if !is_short || !self.lent.is_empty() || now < self.calls_allowed_from {
             return;
         }
-        let coming = self.first_requests() as u32 * SLOT;
+        let already_requested = self.first_requests() as u32 * SLOT;
         let wanted = (self.taken(now) + self.waiting) * SLOT;
-        let mut missing = wanted.saturating_sub(self.limit(now) + coming);
+        let mut missing = wanted.saturating_sub(self.limit(now) + already_requested);
         for offer in lenders {
             let new = self.first_requests();
             if missing == 0 || new >= MAX_PENDING || self.borrowed.len() + new >= MAX_BORROWED {
@@ -170,7 +174,7 @@
             if !self.may_request(offer) {
                 continue;
             }
-            // Whole slots where there are any; parts of one add up with those of the own share.
+            // Whole slots if the lender has any. Fractions of a slot add up with those of the own share.
             let amount = match offer.spare {
                 spare if spare >= SLOT => (missing.div_ceil(SLOT) * SLOT).min(spare / SLOT * SLOT),
                 part => part,
@@ -195,17 +199,19 @@
         offer.spare > 0 && !known && !self.backoff.contains_key(&offer.name)
     }
 
-    /// A lender granted something; it counts if it was asked for and has not expired on the way.
+    /// Applies a grant. It is ignored if it answers no pending request or expired in transit.
     pub(super) fn granted(&mut self, now: Time, from: &Arc<str>, grant: Grant) {
         let Grant { number, round, amount, duration } = grant;
-        let place = self.pending.iter().position(|request| {
+        let index = self.pending.iter().position(|request| {
             request.number == number && request.round == round && request.lender == *from
         });
-        let Some(place) = place else { return };
-        let request = self.pending.swap_remove(place);
-        // No lender that keeps to the protocol grants more than it was asked for, and what is borrowed is summed up.
+        let Some(index) = index else { return };
+        let request = self.pending.swap_remove(index);
+        // A lender that follows the protocol never grants more than was requested. The borrowed amounts are
+        // summed, so a greater one could overflow the sum.
         let amount = amount.min(request.amount);
-        // From when it was asked, and no longer than the own settings say.
+        // The lease counts from when the request was sent, and lasts no longer than this server's own
+        // settings allow.
         let until = time_after(request.sent_at, duration.min(self.settings.duration));
         if until <= now {
             return;
@@ -223,7 +229,7 @@
         }
     }
 
-    /// A lender refused.
+    /// Handles a refusal: drops the request and backs off from the lender.
     pub(super) fn refused(&mut self, now: Time, from: &Arc<str>, number: u64) {
         let known = self.pending.iter().any(|request| request.number == number && request.lender == *from);
         if known {
@@ -232,7 +238,7 @@
         }
     }
 
-    /// A lender wants a lease back: no new call goes by it.
+    /// Handles a recall: no new call uses the lease.
     pub(super) fn recalled(&mut self, from: &Arc<str>, number: u64) {
         let lease = self.borrowed.iter_mut().find(|lease| lease.number == number && lease.lender == *from);
         if let Some(lease) = lease {
--- a/crates/cluster/src/leases/message.rs
+++ b/crates/cluster/src/leases/message.rs
@@ -10,9 +10,9 @@
     Request {
         /// The borrower's number of the lease.
         number: u64,
-        /// 0 for a new lease, greater with each extension.
+        /// 0 for a new lease, one more with each extension.
         round: u32,
-        /// The amount asked for.
+        /// The requested amount.
         amount: u32,
     },
     /// The lender grants a lease or an extension.
@@ -26,7 +26,7 @@
         /// The duration of the lease, counted from the time at which the request was sent.
         duration_ms: u32,
     },
-    /// The lender rejects a request.
+    /// The lender refuses a lease or an extension.
     Refuse {
         /// The borrower's number of the lease.
         number: u64,
@@ -43,20 +43,21 @@
     },
 }
 
-/// A message and the server that it is for.
+/// A message to send to another server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutgoingLeaseMessage {
-    /// The receiver's name.
+    /// The name of the receiving server.
     pub to: Arc<str>,
-    /// The message.
+    /// The message to send.
     pub message: LeaseMessage,
 }
 
-/// A member that may lend, with the spare amount that it advertised.
+/// A member that may lend, with the amount to count on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LenderOffer {
-    /// Its name.
+    /// The name of the lender.
     pub name: Arc<str>,
-    /// The spare amount, in thousandths of a slot.
+    /// The amount that may be requested, in thousandths of a slot: as advertised, or at least a whole slot in
+    /// case the advertisement is out of date.
     pub spare: u32,
 }
--- a/crates/cluster/src/leases/settings.rs
+++ b/crates/cluster/src/leases/settings.rs
@@ -1,23 +1,23 @@
-//! What an operator sets of leases, and how long a lender holds back what it lent.
+//! The operator's settings of leases, and how long a lender holds back what it lent.
 
 use crate::MS;
 use gradepin_admission::Span;
 
-/// How leases are made.
+/// The duration and bounds of leases.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LeaseSettings {
-    /// How long the borrower may use what it borrowed, counted from when it sent the request.
+    /// How long the borrower may use the slots, counted from when it sent the request.
     pub duration: Span,
-    /// How long one call may take that is made with a borrowed slot.
+    /// Maximum duration of a call that uses a borrowed slot.
     pub max_call: Span,
-    /// How long the upstream goes on with a call whose caller has hung up.
+    /// How long the upstream may go on with a call after the caller has closed the connection.
     pub upstream_linger: Span,
-    /// How far a clock may be off its rate, in millionths.
+    /// Maximum deviation of a server's clock rate, in millionths.
     pub max_drift_ppm: u64,
-    /// The part of the own share that may be lent, in thousandths.
+    /// The fraction of the own share that may be lent, in thousandths.
     pub lendable_permille: u32,
-    /// For drills alone: leases are used past their expiry, and what was lent before a restart is not held back. It
-    /// shows what the rules are for, and must break the bound.
+    /// For drills only: uses leases past their expiry and holds nothing back after a restart. This violates
+    /// the bound on slots in use, which shows that the drill detects a violation.
     pub ignore_expiry: bool,
 }
 
@@ -35,8 +35,9 @@
 }
 
 impl LeaseSettings {
-    /// How long a lender counts what it lent as spent, on its own clock: the duration, the last call and its linger,
-    /// stretched from a borrower's slowest clock to a lender's fastest.
+    /// How long an amount counts as lent, by the lender's clock: the duration of the lease, of the last call
+    /// and of its linger, scaled for the slowest permitted borrower's clock and the fastest permitted
+    /// lender's clock.
     pub fn hold(&self) -> Span {
         if self.ignore_expiry {
             return self.duration;
@@ -48,19 +49,19 @@
         nanos((total * u128::from(fast)).div_ceil(u128::from(slow)))
     }
 
-    /// How long an abandoned call holds its slot here, by a clock that may be fast.
+    /// How long an abandoned call occupies its slot, by this server's clock, which may run fast.
     pub(super) fn linger(&self) -> Span {
         let linger = u128::from(self.upstream_linger.0);
         nanos(linger + linger * u128::from(self.max_drift_ppm) / 1_000_000 + 1)
     }
 
-    /// The duration as it is written into a grant, in ms.
+    /// The duration of a lease in ms, for the grant message.
     pub(super) fn duration_ms(&self) -> u32 {
         (self.duration.0 / MS) as u32
     }
 }
 
-/// A span, capped at the longest that fits: the platform's file may name an upstream linger of any length.
+/// A span of at most `u64::MAX` nanoseconds, since the platform's file doesn't bound the upstream linger.
 fn nanos(nanos: u128) -> Span {
     Span(u64::try_from(nanos).unwrap_or(u64::MAX))
 }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,17 +1,21 @@
-//! What tile servers share with each other, without I/O and without a clock: `(now, inputs) -> effects`.
+//! Coordination between tile servers, as a pure state machine: `(now, inputs) -> effects`, without I/O and
+//! without a clock.
 //!
-//! - [`authentication`] and [`rate_limit`]: the keyed tag of each datagram, and how many are looked at.
-//! - [`replay_window`]: what is a replay, delayed for too long, or of an earlier incarnation.
-//! - [`peer`] and [`members`]: membership and failure detection, by SWIM.
-//! - [`counters`]: work requested and served by tenant and class, counted over the fleet, each figure with its age.
-//! - [`leases`]: slots of the shared upstream that one server lends to another for a time.
-//! - [`circuit_breaker`]: whether the shared upstream answers, by own observations first and others' where they are fresh.
+//! - [`authentication`] and [`rate_limit`]: the keyed tag of each datagram, and the limit on datagrams per
+//!   second.
+//! - [`replay_window`]: drops replays, delayed datagrams and datagrams of an earlier incarnation.
+//! - [`peer`] and [`members`]: membership and failure detection with SWIM.
+//! - [`counters`]: work requested and served by tenant and class, summed over the fleet, with the age of
+//!   each figure.
+//! - [`leases`]: slots of the shared upstream that one server lends to another for a limited time.
+//! - [`circuit_breaker`]: whether the shared upstream responds, by this server's observations first and by
+//!   recent ones of other servers second.
 //! - [`fragments`]: messages that are longer than a datagram.
-//! - [`cluster`]: the parts together, as the reducer holds them.
+//! - [`cluster`]: combines the other modules for the reducer.
 //!
-//! The invariant that all of it keeps: a server that receives nothing never uses more than its own share, and
-//! the sum over the fleet never passes the bound. The argument is in `docs/design/cluster.md`, and terms are in
-//! `docs/GLOSSARY.md`.
+//! Invariant: a server that receives nothing never uses more slots of the shared upstream than its own share,
+//! and the slots in use over the fleet never exceed the upstream's limit. The argument is in
+//! `docs/design/cluster.md`, and the terms are in `docs/GLOSSARY.md`.
 #![warn(missing_docs, unreachable_pub, clippy::too_many_lines)]
 
 pub mod authentication;
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/members.rs
@@ -1,12 +1,13 @@
-//! Membership and failure detection: SWIM with suspicion and incarnations (Das, Gupta and Motivala, 2002), by the library
-//! `foca`. Its time is the time in which this process was running.
+//! Membership and failure detection: SWIM with suspicion and incarnations (Das, Gupta and Motivala, 2002),
+//! implemented by the library `foca`.
 //!
-//! Added to the library here: its timers, a clock that leaves out the time in which this process was stopped or starved,
-//! names beside addresses, and announcements by which two halves of a fleet that each consider the other dead find each
-//! other again. Not here: envelopes and replays ([`crate::authentication`], [`crate::replay_window`]).
+//! This module runs the library's timers on a clock that excludes the time in which this process was stopped
+//! or starved, keeps members by name in addition to their address, and sends announcements by which two parts
+//! of a fleet that consider each other dead merge again. Envelopes and replay protection are in
+//! [`crate::authentication`] and [`crate::replay_window`].
 
 mod awake_clock;
-mod library;
+mod library_adapter;
 mod settings;
 
 pub use settings::FailureDetection;
@@ -16,54 +17,56 @@
 use awake_clock::AwakeClock;
 use foca::{Codec, Foca, OwnedNotification, PostcardCodec, State, Timer};
 use gradepin_admission::{Span, Time, time_after};
-use library::LibraryRequests;
+use library_adapter::FocaRequests;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Minimum time between announcements to seeds while no member is known.
+/// Mean interval between announcements to all seeds while no other member is up.
 const ANNOUNCE_INTERVAL: Span = Span(500 * MS);
-/// Between announcements to one seed that isn't a member otherwise: two parts that forgot each other find back by it.
+/// Mean interval between announcements to a seed that isn't a member, by which two parts of a fleet that have
+/// forgotten each other merge again.
 const SEED_INTERVAL: Span = Span(5_000 * MS);
-/// Names of the past that are kept for their last incarnation.
-const MAX_DOWN_MEMBERS: usize = 4_096;
+/// Maximum number of servers that are remembered, up or down.
+const MAX_KNOWN_MEMBERS: usize = 4_096;
 
-/// What is known of a server.
+/// Another server, with its last known state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KnownMember {
-    /// Who it is, in the last incarnation that is known.
+    /// The server, in its last known incarnation.
     pub peer: Peer,
-    /// Whether it is believed to be up.
+    /// Whether it is considered up, which includes suspected members.
     pub up: bool,
-    /// Since when that is so.
+    /// The time at which the server was last reported up or down.
     pub since: Time,
 }
 
-/// What changed, for the log and for those who act on members.
+/// A change of the membership, for the log and for modules that depend on the members.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// Somebody is there, for the first time or again.
+    /// The server is up, for the first time or again.
     Up(Peer),
-    /// Somebody is believed dead.
+    /// The server is considered dead.
     Down(Peer),
-    /// This server was believed dead, and is back as a later incarnation.
+    /// This server was considered dead by others and has taken this later incarnation.
     Rejoined(Incarnation),
-    /// This process didn't run for so long.
+    /// This process was stopped or starved for this time.
     Paused(Span),
 }
 
-/// The members as this server knows them.
+/// The membership of the fleet as seen by this server.
 pub struct Members {
     foca: Foca<Peer, PostcardCodec, Pcg64Mcg, foca::NoCustomBroadcast>,
-    requests: LibraryRequests,
-    /// By when they are due, on the clock of the time awake, and in the order in which they were asked for.
+    requests: FocaRequests,
+    /// The library's timers, by the awake time at which they are due and the order in which they were set.
     timers: BTreeMap<(Time, u64), Timer<Peer>>,
-    timer_no: u64,
+    last_timer_number: u64,
     seeds: Vec<SocketAddr>,
-    next_seed: Time,
-    /// All that are or were there, by name. Those that are not stay for their last incarnation, up to a bound.
+    next_announcement: Time,
+    /// All servers that are or were members, by name, at most [`MAX_KNOWN_MEMBERS`]. Those that are down are
+    /// remembered for their last incarnation.
     known: BTreeMap<Arc<str>, KnownMember>,
     changes: Vec<MembershipChange>,
     clock: AwakeClock,
@@ -71,7 +74,8 @@
 }
 
 impl Members {
-    /// A server that knows no other member yet.
+    /// A membership without other members. `seed` is the seed of its random choices, `seeds` are the
+    /// addresses of servers to join by.
     pub fn new(
         own: Peer,
         seeds: Vec<SocketAddr>,
@@ -83,15 +87,15 @@
         Self {
             foca: Foca::new(
                 own,
-                library::config(failure_detection),
+                library_adapter::config(failure_detection),
                 Pcg64Mcg::seed_from_u64(seed),
                 PostcardCodec,
             ),
-            requests: LibraryRequests::default(),
+            requests: FocaRequests::default(),
             timers: BTreeMap::new(),
-            timer_no: 0,
+            last_timer_number: 0,
             seeds,
-            next_seed: now,
+            next_announcement: now,
             known: BTreeMap::new(),
             changes: Vec::new(),
             clock: AwakeClock::new(now),
@@ -99,24 +103,24 @@
         }
     }
 
-    /// This server.
+    /// This server, in its current incarnation.
     pub fn own(&self) -> &Peer {
         self.foca.identity()
     }
 
-    /// Something came from a member.
+    /// Handles a membership message.
     pub fn receive(&mut self, now: Time, data: &[u8]) -> Result<(), foca::Error> {
         let result = self.foca.handle_data(data, &mut self.requests);
         self.take_requests(now);
         match result {
-            // Addressed to an incarnation of ours that is over, or by one: nothing is wrong with it.
+            // Sent to or by an earlier incarnation of this server: the message itself is valid.
             Err(foca::Error::DataFromOurselves | foca::Error::IndirectForOurselves) => Ok(()),
             other => other,
         }
     }
 
-    /// Answers a message to an earlier incarnation of this server with the current one, so that its sender need not
-    /// first suspect the earlier one.
+    /// Answers a message to an earlier incarnation of this server with the current one, so that its sender
+    /// need not first suspect the earlier one.
     pub fn announce_to_sender(&mut self, now: Time, data: &[u8]) {
         if let Ok(header) = PostcardCodec.decode_header(data) {
             let _ = self.foca.announce(header.src, &mut self.requests);
@@ -124,13 +128,14 @@
         }
     }
 
-    /// Somebody knows this server in a greater incarnation: it comes back past that one.
+    /// Takes an incarnation above `known`, in which another server knows this one, unless the current one is
+    /// greater.
     pub fn raise_incarnation(&mut self, now: Time, known: Incarnation) {
         let own = self.own();
         if known < own.incarnation {
             return;
         }
-        let raised = Peer { incarnation: own.incarnation.past(known), ..own.clone() };
+        let raised = Peer { incarnation: own.incarnation.next_above(known), ..own.clone() };
         let incarnation = raised.incarnation;
         if self.foca.change_identity(raised, &mut self.requests).is_ok() {
             self.changes.push(MembershipChange::Rejoined(incarnation));
@@ -138,7 +143,9 @@
         self.take_requests(now);
     }
 
-    /// Runs the timers that are due. Received datagrams are to be handed in first.
+    /// Runs the timers that are due, and announces this server to seeds. Datagrams that were already received
+    /// must be passed to [`Members::receive`] before, because they may hold replies that the timers check
+    /// for.
     pub fn step(&mut self, now: Time) {
         if let Some(paused) = self.clock.resume(now) {
             self.changes.push(MembershipChange::Paused(paused));
@@ -146,17 +153,19 @@
         loop {
             let awake = self.clock.awake(now);
             let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= awake) else { break };
-            // A look that never ended because of a pause is the one error here, and the library begins it anew.
+            // The only possible error is a probe round that was left incomplete by a pause; the library
+            // starts a new one.
             let _ = self.foca.handle_timer(entry.remove(), &mut self.requests);
             self.take_requests(now);
         }
-        if now >= self.next_seed {
+        if now >= self.next_announcement {
             self.announce_to_seeds(now);
         }
         self.clock.expect_at(self.wake_at(now));
     }
 
-    /// Announces this server to seeds: to all while it is alone, else to one that isn't a member.
+    /// Announces this server to all seeds while it has no other member, otherwise to a random seed that isn't
+    /// a member.
     fn announce_to_seeds(&mut self, now: Time) {
         let alone = self.foca.num_members() == 0;
         let missing: Vec<SocketAddr> = self
@@ -165,59 +174,60 @@
             .filter(|seed| !self.foca.iter_members().any(|member| member.id().address == **seed))
             .copied()
             .collect();
-        let some = if alone || missing.is_empty() {
+        let chosen = if alone || missing.is_empty() {
             missing
         } else {
             vec![missing[self.rng.next_u64() as usize % missing.len()]]
         };
-        for seed in some {
+        for seed in chosen {
             let _ = self.foca.announce(Peer::unknown(seed), &mut self.requests);
         }
         let pause = if alone { ANNOUNCE_INTERVAL } else { SEED_INTERVAL };
-        // Spread, or a fleet that starts at once would ask its seeds at once for ever.
+        // Jitter: otherwise servers that start at the same time would announce themselves at the same time
+        // for ever.
         let pause = pause.0 / 2 + self.rng.next_u64() % pause.0;
-        self.next_seed = time_after(now, Span(pause));
+        self.next_announcement = time_after(now, Span(pause));
         self.take_requests(now);
     }
 
-    /// When there is something to do though nothing came in.
+    /// When [`Members::step`] must run next if nothing is received before.
     pub fn wake_at(&self, now: Time) -> Time {
         let timer = self.timers.first_key_value().map(|((due, _), _)| self.clock.real(*due));
-        timer.map_or(self.next_seed, |timer| timer.min(self.next_seed)).max(now)
+        timer.map_or(self.next_announcement, |timer| timer.min(self.next_announcement)).max(now)
     }
 
-    /// What is to be sent since the last call.
+    /// Takes the messages to send, with their receivers, that were queued since the last call.
     pub fn sends(&mut self) -> Vec<(Peer, Vec<u8>)> {
         std::mem::take(&mut self.requests.send)
     }
 
-    /// What changed since the last call.
+    /// Takes the changes since the last call.
     pub fn changes(&mut self) -> Vec<MembershipChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// All others that are believed to be up.
+    /// All other servers that are considered up, which includes suspected ones.
     pub fn up(&self) -> impl Iterator<Item = &Peer> {
         self.foca.iter_members().map(|member| member.id())
     }
 
-    /// How many others are believed to be up.
+    /// The number of other servers that are considered up.
     pub fn up_count(&self) -> usize {
         self.foca.num_members()
     }
 
-    /// The member, if it is up and not suspected.
+    /// The member of this name, if it is up and not suspected.
     pub fn healthy(&self, name: &str) -> Option<&Peer> {
         let found = self.foca.iter_members().find(|member| &*member.id().name == name)?;
         (found.state() == State::Alive).then_some(found.id())
     }
 
-    /// All that are or were there, by name.
+    /// All servers that are or were members, in the order of their names.
     pub fn known(&self) -> impl Iterator<Item = &KnownMember> {
         self.known.values()
     }
 
-    /// What is known of a server.
+    /// The server of this name, if it is or was a member.
     pub fn find(&self, name: &str) -> Option<&KnownMember> {
         self.known.get(name)
     }
@@ -228,18 +238,18 @@
         self.take_requests(now);
     }
 
-    /// Takes over what the library asked for.
+    /// Sets the timers that the library requested, and applies its notifications.
     fn take_requests(&mut self, now: Time) {
         let awake = self.clock.awake(now);
         for (wait, timer) in self.requests.timers.drain(..) {
-            self.timer_no += 1;
+            self.last_timer_number += 1;
             let due = time_after(awake, Span(wait.as_nanos() as u64));
-            self.timers.insert((due, self.timer_no), timer);
+            self.timers.insert((due, self.last_timer_number), timer);
         }
         for notification in std::mem::take(&mut self.requests.notifications) {
             match notification {
-                OwnedNotification::MemberUp(peer) => self.set_up(now, peer, true),
-                OwnedNotification::MemberDown(peer) => self.set_up(now, peer, false),
+                OwnedNotification::MemberUp(peer) => self.update_known_member(now, peer, true),
+                OwnedNotification::MemberDown(peer) => self.update_known_member(now, peer, false),
                 OwnedNotification::Rename(_, peer) => {
                     if let Some(known) = self
                         .known
@@ -257,14 +267,15 @@
         }
     }
 
-    fn set_up(&mut self, now: Time, peer: Peer, up: bool) {
+    /// Records that a member is up or down, unless a later incarnation of it is known.
+    fn update_known_member(&mut self, now: Time, peer: Peer, up: bool) {
         if let Some(known) = self.known.get(&peer.name)
             && known.peer.incarnation > peer.incarnation
         {
-            // Of an incarnation at another address: the later one is there.
+            // News of an earlier incarnation at another address.
             return;
         }
-        if !self.known.contains_key(&peer.name) && self.known.len() >= MAX_DOWN_MEMBERS {
+        if !self.known.contains_key(&peer.name) && self.known.len() >= MAX_KNOWN_MEMBERS {
             let oldest_down = self.known.values().filter(|known| !known.up).min_by_key(|known| known.since);
             let Some(name) = oldest_down.map(|known| Arc::clone(&known.peer.name)) else { return };
             self.known.remove(&name);
--- a/crates/cluster/src/members/awake_clock.rs
+++ b/crates/cluster/src/members/awake_clock.rs
@@ -1,23 +1,23 @@
-//! The time that this process was awake, which the failure detector's timers run on.
+//! A clock of the time in which this process was awake. The timers of the failure detector run on it.
 //!
-//! A process that was stopped finds all its timers overdue; by this clock none is, so that it never suspects others for the
-//! time that it was stopped itself (the idea of Lifeguard's local health, Dadgar, Phillips and Currey, 2017).
+//! After a process was stopped, all its timers are overdue by the real clock but not by this one. So it
+//! doesn't suspect other servers because of its own pause (the idea of Lifeguard's local health, Dadgar,
+//! Phillips and Currey, 2017).
 
 use crate::MS;
 use gradepin_admission::{Span, Time, time_after, time_before};
 
-/// Time beyond this between the wake that was asked for and the one that came was not this process's: it was stopped, or
-/// starved.
+/// Lateness of a wake-up beyond this counts as a pause, in which the process was stopped or starved.
 const MAX_LATENESS: Span = Span(40 * MS);
-/// A pause of this length is written into the log.
+/// Minimum length of a pause that is logged.
 const REPORTED_PAUSE: Span = Span(1_000 * MS);
 
-/// A clock that stands still while the process does.
+/// A clock that stops while the process is paused.
 #[derive(Debug)]
 pub(super) struct AwakeClock {
-    /// The time that it was paused so far, in ns.
+    /// Total length of all pauses, in ns.
     paused: u64,
-    /// When the process is to run again.
+    /// The time of the next wake-up that the process requested.
     expected_at: Time,
 }
 
@@ -27,24 +27,24 @@
         Self { paused: 0, expected_at: now }
     }
 
-    /// The process runs now; how long it was paused, if for long.
+    /// Records a wake-up; returns the length of the pause before it, if it is to be logged.
     pub(super) fn resume(&mut self, now: Time) -> Option<Span> {
         let lateness = now.0.saturating_sub(time_after(self.expected_at, MAX_LATENESS).0);
         self.paused += lateness;
         (lateness >= REPORTED_PAUSE.0).then_some(Span(lateness))
     }
 
-    /// It asks to run again then.
+    /// Records the time of the next wake-up that the process requests.
     pub(super) fn expect_at(&mut self, at: Time) {
         self.expected_at = at;
     }
 
-    /// The time awake at a time of the real clock.
+    /// The awake time at this time of the real clock.
     pub(super) fn awake(&self, now: Time) -> Time {
         time_before(now, Span(self.paused))
     }
 
-    /// The time of the real clock at a time awake, if no pause is to come.
+    /// The time of the real clock at this awake time, if no further pause occurs.
     pub(super) fn real(&self, awake: Time) -> Time {
         time_after(awake, Span(self.paused))
     }
--- a/crates/cluster/src/members/settings.rs
+++ b/crates/cluster/src/members/settings.rs
@@ -1,16 +1,16 @@
-//! How quickly the fleet notices a failure.
+//! Settings that determine how quickly the fleet detects a failure.
 
 use crate::MS;
 use gradepin_admission::Span;
 
-/// The periods of SWIM's failure detector.
+/// The period and timeouts of SWIM's failure detector.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FailureDetection {
-    /// Between probes, of one member each.
+    /// Interval between probes of one member each.
     pub probe_period: Span,
-    /// How long an answer may take before others are asked to probe.
+    /// Time without a reply to a probe after which other members are asked to probe.
     pub probe_timeout: Span,
-    /// How long a suspect has to refute the suspicion.
+    /// Time in which a suspected member must refute the suspicion, otherwise it is declared dead.
     pub suspicion_timeout: Span,
 }
 
--- a/crates/cluster/src/peer.rs
+++ b/crates/cluster/src/peer.rs
@@ -1,29 +1,31 @@
-//! A server as the others know it: its name, its incarnation, where it is reached and the zone it runs in.
+//! The identity of a server: its name, incarnation, address and zone.
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Longest name of a server or a zone, in bytes: with two of each a datagram still has room for what it carries.
+/// Maximum length of the name of a server or a zone, in bytes. A datagram with two names of each still has
+/// room for its content.
 pub const MAX_NAME_BYTES: usize = 48;
 
-/// One incarnation of a process. A later one of the same name is greater, whatever its machine's wall clock
-/// says: a process that receives a greater one of its own name raises its own past it.
+/// One incarnation of a server. A later incarnation is greater even if the wall clock was set back: a server
+/// that learns of a greater incarnation of its own name raises its own above it.
 ///
-/// The upper 48 bits begin as the Unix time in ms at the start, the lower 16 as random ones, so that no incarnation
-/// comes again though nothing was kept on a disk.
+/// The initial upper 48 bits are the Unix time in ms at the start, the lower 16 bits are random. So no
+/// incarnation is repeated although none is stored on disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// The incarnation of a process that starts now, by a clock that may be wrong and a number drawn at random.
+    /// The incarnation of a server that starts now, by its wall clock, which may be wrong, and a random
+    /// number.
     pub fn starting(unix_ms: u64, random: u64) -> Self {
         Self(unix_ms << 16 | random & 0xffff)
     }
 
-    /// One that wins over both.
-    pub fn past(self, other: Self) -> Self {
+    /// The lowest incarnation greater than both.
+    pub fn next_above(self, other: Self) -> Self {
         Self(self.0.max(other.0).saturating_add(1))
     }
 }
@@ -31,18 +33,18 @@
 /// A server in one of its incarnations.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Peer {
-    /// Its name; empty while only its address is known, as of a seed.
+    /// The server's name; empty if only its address is known, as for a seed.
     pub name: Arc<str>,
-    /// Which of its incarnations.
+    /// The server's incarnation; 0 if it is unknown.
     pub incarnation: Incarnation,
-    /// Where datagrams reach it.
+    /// The address at which it receives datagrams.
     pub address: SocketAddr,
-    /// Its group: servers that may fail together.
+    /// The server's zone; servers of one zone may fail together.
     pub zone: Arc<str>,
 }
 
 impl Peer {
-    /// Somebody at an address of whom nothing else is known.
+    /// A server of which only the address is known.
     pub fn unknown(address: SocketAddr) -> Self {
         Self { name: Arc::from(""), incarnation: Incarnation(0), address, zone: Arc::from("") }
     }
@@ -51,9 +53,9 @@
 impl Identity for Peer {
     type Addr = SocketAddr;
 
-    /// Declared dead though it is alive: it comes back as a later incarnation.
+    /// A later incarnation, with which a live server that was declared dead rejoins.
     fn renew(&self) -> Option<Self> {
-        Some(Self { incarnation: self.incarnation.past(self.incarnation), ..self.clone() })
+        Some(Self { incarnation: self.incarnation.next_above(self.incarnation), ..self.clone() })
     }
 
     fn addr(&self) -> SocketAddr {
--- a/crates/cluster/src/rate_limit.rs
+++ b/crates/cluster/src/rate_limit.rs
@@ -1,30 +1,30 @@
-//! Holds datagrams to so many in a second before anything of them is looked at: a tag takes a microsecond to check, and a
-//! stranger may send any number.
+//! Limits the rate of received datagrams before any of them is parsed: verifying a tag takes a microsecond of
+//! CPU time, and anyone may send any number of datagrams.
 
 use crate::MS;
 use gradepin_admission::{Span, Time, time_after};
 
-/// The span over which datagrams are counted.
+/// The window over which datagrams are counted.
 const WINDOW: Span = Span(100 * MS);
-/// Datagrams taken in one window.
+/// Maximum number of datagrams admitted in one window.
 pub(crate) const MAX_PER_WINDOW: u32 = 400;
 
-/// A fixed window limiter of received datagrams.
+/// A fixed-window limiter of received datagrams.
 #[derive(Debug, Default)]
 pub struct RateLimiter {
     since: Time,
-    taken: u32,
+    received: u32,
 }
 
 impl RateLimiter {
-    /// Whether one more is taken now.
+    /// Counts a received datagram; returns whether it is within the limit.
     pub fn admits(&mut self, now: Time) -> bool {
         if now >= time_after(self.since, WINDOW) {
             self.since = now;
-            self.taken = 0;
+            self.received = 0;
         }
-        self.taken += 1;
-        self.taken <= MAX_PER_WINDOW
+        self.received += 1;
+        self.received <= MAX_PER_WINDOW
     }
 }
 
--- a/crates/cluster/src/rate_limit/tests.rs
+++ b/crates/cluster/src/rate_limit/tests.rs
@@ -1,12 +1,12 @@
-//! The bound on datagrams that are looked at.
+//! The limit on received datagrams.
 
 use super::*;
 
-/// Guards the CPU of a server from a stranger's flood, and the fleet from being shut out once it is over.
+/// Guards a server's CPU against a flood of datagrams, and checks that datagrams are admitted again after it.
 #[test]
-fn a_flood_is_held_to_its_rate() {
+fn a_flood_is_limited_and_later_datagrams_are_admitted() {
     let mut limiter = RateLimiter::default();
-    let taken = (0..100_000_u64).filter(|n| limiter.admits(Time(1_000 * MS + n * 10_000))).count();
-    assert_eq!(taken, 10 * MAX_PER_WINDOW as usize, "in a second");
+    let admitted = (0..100_000_u64).filter(|n| limiter.admits(Time(1_000 * MS + n * 10_000))).count();
+    assert_eq!(admitted, 10 * MAX_PER_WINDOW as usize, "in a second");
     assert!(limiter.admits(Time(2_100 * MS)));
 }
--- a/crates/cluster/src/replay_window.rs
+++ b/crates/cluster/src/replay_window.rs
@@ -1,10 +1,11 @@
-//! Replay protection: a datagram that is tagged is taken once, not after too long a delay, and not from an earlier
-//! incarnation of its sender.
+//! Replay protection: an authenticated datagram is accepted once, not after too long a delay, and not from an
+//! earlier incarnation of its sender.
 //!
-//! Numbers are held in a sliding bitmap, as in IPsec (RFC 4303, 3.4.3). No wall clock is used, as one may jump by an hour.
-//! A datagram says when it left by its sender's own clock; the least offset to the own clock that was seen lately is the
-//! baseline, and what is later than that by more than a bound was under way for too long, or waited unread while this
-//! process was stopped.
+//! Sequence numbers are tracked in a sliding bitmap, as in IPsec (RFC 4303, 3.4.3). Wall clocks are not used,
+//! because one may jump by an hour. A datagram holds its send time by the sender's monotonic clock. The
+//! minimum recent offset between the receiver's and the sender's clock is the baseline; a datagram whose
+//! offset exceeds it by more than a bound was delayed on the network, or waited unread while this process was
+//! stopped.
 
 use crate::MS;
 use crate::authentication::{DropReason, Header};
@@ -13,20 +14,23 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// What is later than a quick datagram by more than this is dropped.
+/// Maximum delay of a datagram beyond the fastest recent one of its sender; later ones are dropped.
 pub const MAX_DELAY: Span = Span(3_000 * MS);
-/// Numbers behind the highest that are tracked; an older one counts as a replay.
+/// Number of sequence numbers that are tracked, up to the highest; an older one counts as a replay.
 const WINDOW_NUMBERS: u64 = 1_024;
-/// Words of the bitmap.
+/// Length of the bitmap in words.
 const WINDOW_WORDS: usize = (WINDOW_NUMBERS / 64) as usize;
-/// For so long the least difference is taken before the next one counts: clocks drift by a few ms in that time.
-const BASELINE_SPAN: Span = Span(10_000 * MS);
-/// If everything is too late for so long, the way has grown longer, or the sender's clock has stood still.
+/// How long the baseline is in force before it is replaced by the minimum offset of this period. Clocks drift
+/// by a few ms in that time.
+const BASELINE_PERIOD: Span = Span(10_000 * MS);
+/// Once all datagrams of a sender have been late for this time, the baseline is set anew, because the network
+/// path has become slower or the sender's clock stood still.
 const REBASE_AFTER: Span = Span(20_000 * MS);
-/// The greatest time of sending that is taken, in microseconds: 285 years. No process runs for so long, and differences of
-/// times up to it fit their type, whatever a sender says.
+/// Maximum accepted send time, in microseconds: 285 years. No process runs for that long, and the differences
+/// between accepted send times can't overflow, whatever a sender claims.
 const MAX_SENT_US: u64 = 1 << 53;
-/// Senders remembered; with more, the one that was silent for longest goes.
+/// Maximum number of senders that are remembered; beyond it the one that was silent for the longest time is
+/// evicted.
 const MAX_SENDERS: usize = 8_192;
 
 /// A period in which every datagram of a sender arrived too late.
@@ -36,18 +40,20 @@
     min_offset_us: i64,
 }
 
-/// One sender's numbers and clock.
+/// The sequence numbers and clock offsets of one sender.
 #[derive(Debug)]
 struct Sender {
     incarnation: Incarnation,
     highest: u64,
-    /// A bit for each of the numbers up to the highest.
+    /// One bit for each of the last [`WINDOW_NUMBERS`] sequence numbers up to the highest, set if it was
+    /// received.
     seen: [u64; WINDOW_WORDS],
     last_received: Time,
-    /// The least own time less sender's time, in microseconds: in force, and in the span that runs.
+    /// The baseline in force: the minimum of the own time less the send time, in microseconds.
     baseline_us: i64,
+    /// The same minimum over the current period.
     next_baseline_us: i64,
-    /// When the span that runs began.
+    /// Start of the current period of [`BASELINE_PERIOD`].
     since: Time,
     /// Set while all datagrams of the sender arrive too late.
     delayed: Option<DelayedPeriod>,
@@ -60,7 +66,7 @@
 }
 
 impl ReplayWindow {
-    /// Whether a datagram is taken, and how much later it came than a quick one would have.
+    /// Accepts or drops a datagram; returns its delay beyond the baseline.
     pub fn check(&mut self, now: Time, header: &Header<'_>) -> Result<Span, DropReason> {
         if header.sent_us > MAX_SENT_US {
             return Err(DropReason::MalformedContent);
@@ -96,26 +102,27 @@
         if delay > MAX_DELAY {
             return Err(DropReason::Delayed);
         }
-        sender.take(header.number);
+        sender.mark_received(header.number);
         sender.last_received = now;
         Ok(delay)
     }
 
-    /// The last known incarnation of a server.
+    /// The last incarnation of which a datagram was received from this server.
     pub fn incarnation(&self, name: &str) -> Option<Incarnation> {
         self.senders.get(name).map(|sender| sender.incarnation)
     }
 
-    /// How many senders are remembered.
+    /// The number of senders that are remembered.
     pub fn len(&self) -> usize {
         self.senders.len()
     }
 
-    /// Whether no sender is known yet.
+    /// Whether no sender is remembered.
     pub fn is_empty(&self) -> bool {
         self.senders.is_empty()
     }
 
+    /// Evicts the sender that was silent for the longest time, if there is no room for another one.
     fn evict_oldest(&mut self) {
         if self.senders.len() >= MAX_SENDERS {
             let oldest =
@@ -132,13 +139,14 @@
         if number > self.highest {
             return true;
         }
-        let back = self.highest - number;
-        back < WINDOW_NUMBERS && self.seen[(number % WINDOW_NUMBERS / 64) as usize] & 1 << (number % 64) == 0
+        let distance = self.highest - number;
+        distance < WINDOW_NUMBERS
+            && self.seen[(number % WINDOW_NUMBERS / 64) as usize] & 1 << (number % 64) == 0
     }
 
-    fn take(&mut self, number: u64) {
+    fn mark_received(&mut self, number: u64) {
         if number > self.highest {
-            // The numbers in between were not seen; past the length of the window all old bits are cleared.
+            // The numbers in between were not received. A jump beyond the window clears all bits.
             let from = self.highest.max(number.saturating_sub(WINDOW_NUMBERS)) + 1;
             for between in from..=number {
                 self.seen[(between % WINDOW_NUMBERS / 64) as usize] &= !(1 << (between % 64));
@@ -148,9 +156,9 @@
         self.seen[(number % WINDOW_NUMBERS / 64) as usize] |= 1 << (number % 64);
     }
 
-    /// How much later than a quick datagram one is with this offset of clocks.
+    /// The delay beyond the baseline of a datagram with this clock offset; updates the baseline.
     fn delay(&mut self, now: Time, offset_us: i64) -> Span {
-        if now >= time_after(self.since, BASELINE_SPAN) {
+        if now >= time_after(self.since, BASELINE_PERIOD) {
             self.rebase(now, self.next_baseline_us.min(offset_us), offset_us);
         }
         self.next_baseline_us = self.next_baseline_us.min(offset_us);
--- a/crates/cluster/src/replay_window/tests.rs
+++ b/crates/cluster/src/replay_window/tests.rs
@@ -1,3 +1,5 @@
+//! Replays, delayed datagrams, clocks that stop or drift, and restarts of a sender.
+
 use super::*;
 
 fn header(incarnation: u64, number: u64, sent_ms: u64) -> Header<'static> {
@@ -14,9 +16,9 @@
     Time(ms * MS)
 }
 
-/// Guards against a datagram that is recorded and sent again, in whatever order the first ones came.
+/// A recorded datagram that is sent again is dropped, in whatever order the originals arrived.
 #[test]
-fn each_number_is_taken_once_in_any_order() {
+fn each_sequence_number_is_accepted_once_in_any_order() {
     let mut window = ReplayWindow::default();
     for number in [5, 2, 9, 3, 1_000, 700, 701, 1_001] {
         assert!(window.check(ms(1_000), &header(1, number, 0)).is_ok(), "{number}");
@@ -24,33 +26,37 @@
     for number in [5, 2, 9, 3, 1_000, 700, 701, 1_001] {
         assert_eq!(window.check(ms(1_001), &header(1, number, 0)), Err(DropReason::Replay), "{number}");
     }
-    assert!(window.check(ms(1_002), &header(1, 4, 0)).is_ok(), "a hole is still open");
+    assert!(window.check(ms(1_002), &header(1, 4, 0)).is_ok(), "a skipped number is still accepted");
     assert!(window.check(ms(1_002), &header(1, 9_000, 0)).is_ok());
-    assert_eq!(window.check(ms(1_002), &header(1, 6, 0)), Err(DropReason::Replay), "out of the window");
+    assert_eq!(window.check(ms(1_002), &header(1, 6, 0)), Err(DropReason::Replay), "older than the window");
     assert_eq!(window.check(ms(1_002), &header(1, 9_000, 0)), Err(DropReason::Replay));
-    assert!(window.check(ms(1_002), &header(1, 8_500, 0)).is_ok(), "not mistaken for an old bit");
+    assert!(window.check(ms(1_002), &header(1, 8_500, 0)).is_ok(), "no stale bit of the bitmap counts");
 }
 
-/// Guards against what a stopped process finds in its socket, and against what a relay held back.
+/// Datagrams that waited in the socket of a stopped process, or that a relay delayed, are dropped.
 #[test]
-fn what_was_under_way_for_too_long_is_dropped() {
+fn a_datagram_delayed_beyond_the_bound_is_dropped() {
     let mut window = ReplayWindow::default();
-    // The sender's clock began elsewhere.
+    // The sender's clock has a different origin.
     for n in 0..50 {
         assert_eq!(window.check(ms(10_000 + 100 * n), &header(1, n + 1, 500_000 + 100 * n)), Ok(Span(0)));
     }
     assert_eq!(window.check(ms(15_400), &header(1, 60, 505_000)), Ok(Span(400 * MS)));
     assert_eq!(window.check(ms(20_000), &header(1, 61, 505_000)), Err(DropReason::Delayed));
-    assert_eq!(window.check(ms(20_000), &header(1, 62, 510_000)), Ok(Span(0)), "the next one is quick again");
+    assert_eq!(
+        window.check(ms(20_000), &header(1, 62, 510_000)),
+        Ok(Span(0)),
+        "the next datagram is on time"
+    );
 }
 
-/// Guards against a sender cut off for ever because its clock stood still with its machine, and against clocks that
-/// drift by a hundredth for hours.
+/// A sender whose clock stood still while its machine slept must not be cut off for ever, nor one whose clock
+/// drifts by 1 % for hours.
 #[test]
-fn a_clock_may_stand_still_or_drift() {
+fn a_sender_whose_clock_stood_still_or_drifts_is_accepted() {
     let mut window = ReplayWindow::default();
     assert!(window.check(ms(0), &header(1, 1, 0)).is_ok());
-    // The machine slept for a minute, and its clock with it.
+    // The sender's machine slept for a minute, and its clock stood still.
     let mut dropped = 0;
     for n in 0..300 {
         dropped += u64::from(window.check(ms(60_000 + 100 * n), &header(1, 2 + n, 100 * n)).is_err());
@@ -63,18 +69,21 @@
     }
 }
 
-/// Guards against a datagram of an earlier incarnation that arrives after the restart.
+/// A datagram of an earlier incarnation that arrives after the restart of its sender is dropped.
 #[test]
-fn an_earlier_life_is_over_once_a_later_one_was_heard() {
+fn an_earlier_incarnation_is_rejected_once_a_later_one_was_received() {
     let mut window = ReplayWindow::default();
     assert!(window.check(ms(0), &header(4, 90, 90)).is_ok());
-    assert!(window.check(ms(10), &header(5, 1, 0)).is_ok(), "numbers and clock begin anew");
+    assert!(
+        window.check(ms(10), &header(5, 1, 0)).is_ok(),
+        "a new incarnation restarts its numbers and clock"
+    );
     assert_eq!(window.check(ms(20), &header(4, 91, 100)), Err(DropReason::EarlierIncarnation));
     assert_eq!(window.incarnation("n1"), Some(Incarnation(5)));
 }
 
 #[test]
-fn senders_are_bounded() {
+fn the_number_of_remembered_senders_is_bounded() {
     let mut window = ReplayWindow::default();
     for n in 0..MAX_SENDERS + 5 {
         let name = format!("n{n}");
--- a/crates/cluster/tests/common/mod.rs
+++ b/crates/cluster/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Two servers that talk, in virtual time.
+//! Two servers that exchange datagrams in virtual time.
 #![allow(dead_code)]
 
 use gradepin_admission::{Span, Time, time_after};
@@ -12,13 +12,13 @@
 
 pub const MS: u64 = 1_000_000;
 
-/// A server of two, with a slot budget of its own and a budget of repeats.
+/// One of two servers, with an own share of 4 slots and a retry budget.
 pub fn cluster(n: u16, incarnation: u64, now: Time) -> Cluster {
-    cluster_that(n, incarnation, now, |_| ())
+    cluster_with(n, incarnation, now, |_| ())
 }
 
-/// The same with settings that differ in something.
-pub fn cluster_that(
+/// The same, with settings changed by `change`.
+pub fn cluster_with(
     n: u16,
     incarnation: u64,
     now: Time,
@@ -48,21 +48,28 @@
     Cluster::new(settings, now)
 }
 
-/// Two servers that talk; what passed between them.
-pub struct Two {
+/// Two servers, and the datagrams that they exchanged.
+pub struct TwoServers {
     pub servers: [Cluster; 2],
     pub now: Time,
-    pub passed: Vec<(usize, Vec<u8>)>,
-    /// Whether nothing passes.
-    pub cut: bool,
+    /// All delivered datagrams, each with the index of the receiver.
+    pub delivered: Vec<(usize, Vec<u8>)>,
+    /// Whether all datagrams are lost.
+    pub is_cut: bool,
 }
 
-impl Two {
+impl TwoServers {
     pub fn new() -> Self {
         let now = Time(1_000 * MS);
-        Self { servers: [cluster(1, 10, now), cluster(2, 20, now)], now, passed: Vec::new(), cut: false }
+        Self {
+            servers: [cluster(1, 10, now), cluster(2, 20, now)],
+            now,
+            delivered: Vec::new(),
+            is_cut: false,
+        }
     }
 
+    /// Runs for this time in steps of 10 ms.
     pub fn run(&mut self, ms: u64) {
         let keys = AuthenticationKeys::of([3; 32]);
         for _ in 0..ms / 10 {
@@ -72,11 +79,12 @@
                 self.servers[n].step(self.now, &mut effects);
                 for effect in effects {
                     if let ClusterEffect::Send { datagram, .. } = effect
-                        && !self.cut
+                        && !self.is_cut
                     {
-                        let envelope = Envelope::open(&keys, &datagram).expect("what we send is tagged");
+                        let envelope =
+                            Envelope::open(&keys, &datagram).expect("a sent datagram has a valid tag");
                         self.servers[1 - n].receive(self.now, &envelope);
-                        self.passed.push((1 - n, datagram));
+                        self.delivered.push((1 - n, datagram));
                     }
                 }
             }
--- a/crates/cluster/tests/wire.rs
+++ b/crates/cluster/tests/wire.rs
@@ -1,9 +1,9 @@
-//! The bytes of every kind of datagram, written down: a rename or a move must not change what servers of another version
-//! read. If one of these has to change, the version byte of the envelope goes up with it.
+//! The encoded bytes of every kind of datagram, which servers of other versions must be able to read. If one
+//! of them has to change, the version byte of the envelope must be raised too.
 
 mod common;
 
-use common::{MS, Two};
+use common::{MS, TwoServers};
 use gradepin_admission::{Span, Time};
 use gradepin_cluster::authentication::{AuthenticationKeys, Header};
 use gradepin_cluster::circuit_breaker::Observation;
@@ -44,13 +44,13 @@
         observation,
         cells,
     };
-    let bytes = postcard::to_allocvec(&GossipedRow { row, age_ms: 150 }).expect("a row is encoded");
+    let bytes = postcard::to_allocvec(&GossipedRow { row, age_ms: 150 }).expect("a row can be encoded");
     assert_eq!(hex(&bytes), "026e3180804004017ad00f09020182010107ac02c80105019601");
 }
 
 #[test]
-fn words_about_leases_keep_their_bytes() {
-    let words = [
+fn lease_messages_keep_their_bytes() {
+    let messages = [
         (LeaseMessage::Request { number: 300, round: 2, amount: 1_000 }, "00ac0202e807"),
         (
             LeaseMessage::Grant { number: 300, round: 2, amount: 1_000, duration_ms: 2_000 },
@@ -60,29 +60,34 @@
         (LeaseMessage::Recall { number: 300 }, "03ac02"),
         (LeaseMessage::Return { number: 300 }, "04ac02"),
     ];
-    for (word, expected) in words {
-        assert_eq!(hex(&postcard::to_allocvec(&word).expect("a word is encoded")), expected, "{word:?}");
+    for (message, expected) in messages {
+        assert_eq!(
+            hex(&postcard::to_allocvec(&message).expect("a message can be encoded")),
+            expected,
+            "{message:?}"
+        );
     }
 }
 
 #[test]
-fn a_peer_and_a_piece_keep_their_bytes() {
+fn a_peer_and_a_fragment_keep_their_bytes() {
     let address = "127.0.0.1:7947".parse().expect("an address");
     let peer = Peer { name: Arc::from("n1"), incarnation: Incarnation(300), address, zone: Arc::from("z") };
     assert_eq!(
-        hex(&postcard::to_allocvec(&peer).expect("a peer is encoded")),
+        hex(&postcard::to_allocvec(&peer).expect("a peer can be encoded")),
         "026e31ac02007f0000018b3e017a"
     );
     let fragments = fragments::split(0x0102_0304, b"word");
     assert_eq!(fragments.iter().map(|fragment| hex(fragment)).collect::<Vec<_>>(), ["010203040001776f7264"]);
 }
 
-/// All that two servers send each other in ten seconds of everything: looks, rows, leases, a post in several fragments. The same seeds
-/// give the same datagrams, so their digest tells whether any behaviour or any byte has changed. A later version of the membership library may change it too, and
-/// then the new one is written down here with that.
+/// Two servers exchange probes, rows, lease messages and a post in several fragments for ten seconds. The
+/// same seeds give the same datagrams, so the digest changes with any change of behaviour or encoding. If a
+/// new version of the membership library changes it, the expected digest is updated together with the
+/// library.
 #[test]
-fn a_whole_exchange_keeps_its_bytes() {
-    let mut two = Two::new();
+fn a_complete_exchange_keeps_its_bytes() {
+    let mut two = TwoServers::new();
     two.run(3_000);
     let now = two.now;
     two.servers[0].arrived(now, CellId(7), false, Span(10 * MS));
@@ -95,13 +100,16 @@
     two.run(7_000);
     let mut kinds = [0_usize; 5];
     let mut digest = blake3::Hasher::new();
-    for (to, datagram) in &two.passed {
-        let (_, body) = AuthenticationKeys::of([3; 32]).verify(datagram).expect("what we send is tagged");
+    for (to, datagram) in &two.delivered {
+        let (_, body) =
+            AuthenticationKeys::of([3; 32]).verify(datagram).expect("a sent datagram has a valid tag");
         kinds[usize::from(body[0])] += 1;
         digest.update(&[*to as u8]);
         digest.update(datagram);
     }
-    assert!(Envelope::open(&AuthenticationKeys::of([3; 32]), &two.passed[0].1).is_ok() && two.now > Time(0));
+    assert!(
+        Envelope::open(&AuthenticationKeys::of([3; 32]), &two.delivered[0].1).is_ok() && two.now > Time(0)
+    );
     assert_eq!(
         (kinds, digest.finalize().to_hex().as_str()),
         ([54, 198, 6, 0, 3], "2206be44508ed878f44cb6f164c252aa45c2cfcc80d7d2fcc1c8a210b242df75")
