--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -1,19 +1,20 @@
-//! Keyed runs that the two processes of an upgrade share: before a run of an idempotency key begins, its process makes a
-//! file for the key in a folder that both have. The process that makes the file runs the request; the other one gets the
-//! run's outcome, or runs it where that run never began.
+//! Shares keyed runs between the two processes of an upgrade: before a process starts a run of an idempotency key, it
+//! creates a file for the key in a folder that both can use. The process that creates the file runs the request; the
+//! other one gets the run's outcome, or runs the request itself if that run never started.
 //!
-//! The thread here decides nothing about requests: it reports who runs a key and how that ended.
+//! The thread here makes no decisions about requests: it reports which process runs a key and the outcome.
 //!
 //! | file | meaning |
 //! | --- | --- |
-//! | `NAME`, empty, mode 0600 | claimed; the run goes on |
+//! | `NAME`, empty, mode 0600 | claimed; the run is in progress |
 //! | `NAME` with a fingerprint and bytes | the run ended with this result |
 //! | `NAME`, empty, mode 0400 | the run ended without a result, or the result was dropped |
-//! | `alive.SEED` | locked by a process until it ends |
-//! | `salt` | keys the names and the fingerprints of all processes |
+//! | `alive.SEED` | locked by a process until it exits |
+//! | `salt` | hash key of the file names and fingerprints of all processes |
 //!
-//! `NAME` is 32 hex digits, a keyed hash of the idempotency key, so that no client can choose a file's name. The files count
-//! as memory of the process: an empty one takes about 1 kB, results take pages, up to a fraction of the memory.
+//! `NAME` is a keyed hash of the idempotency key as 32 hex digits, so that no client can choose a file name. The files
+//! count as memory of the process: an empty one takes about 1 kB, results take whole pages, up to a fraction of the
+//! memory.
 
 mod folder;
 #[cfg(test)]
@@ -21,7 +22,7 @@
 
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, unbounded};
 use folder::ClaimFolder;
-pub use folder::Place;
+pub use folder::ClaimsSettings;
 use gradepin_admission::{RequestId, Span};
 use gradepin_core::buffer_pool::BufferPool;
 use gradepin_core::idempotency_table::{Fingerprint, RunOutcome};
@@ -33,11 +34,11 @@
 use std::time::{Duration, Instant, SystemTime};
 
 const STACK_BYTES: usize = 64 * 1024;
-/// The pause between checks of the other process's claims that runs here wait for.
+/// Interval between checks of the other process's claims for which requests wait here.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The pause between removals of expired files and of what dead processes left.
+/// Interval between removals of expired files and of files of dead processes.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(2);
-/// The pause between attempts to open a folder that can't be used.
+/// Interval between attempts to open a folder that can't be used.
 const REOPEN_INTERVAL: Duration = Duration::from_millis(500);
 
 enum Job {
@@ -46,35 +47,35 @@
     SetWindow(Duration),
 }
 
-/// A claim that waits for an answer.
+/// A claim that is not answered yet.
 struct PendingClaim {
     id: RequestId,
     key: Arc<str>,
     fingerprint: Fingerprint,
-    /// How long it waits for the end of another process's run.
+    /// End of the wait for another process's run.
     deadline: Instant,
 }
 
-/// The thread of claims, as the main thread uses it. End it by [`Claims::close`].
+/// The main thread's handle to the claims thread. [`Claims::close`] ends the thread.
 pub struct Claims {
-    // Unbounded: one job for each keyed request that the reducer holds open, and those are bounded.
+    // Unbounded: there is at most one job per open keyed request, and the reducer bounds those.
     jobs: Sender<Job>,
     thread: JoinHandle<()>,
     salt: Option<u64>,
 }
 
 impl Claims {
-    /// Starts the thread on a folder; `window` is the longest time in which a key may be repeated. While the folder can't
-    /// be used, every claim is answered by [`RunClaim::Unknown`] and the folder is tried again.
+    /// Starts the thread; `window` is the longest time during which a key may be repeated. While the folder can't be
+    /// used, every claim is answered with [`RunClaim::Unknown`], and opening the folder is retried.
     pub fn start(
-        place: Place,
+        settings: ClaimsSettings,
         window: Span,
         inputs: Sender<Input>,
         pool: Arc<BufferPool>,
         log: Logger,
     ) -> io::Result<Self> {
         let window = Duration::from_nanos(window.0);
-        let opened = ClaimFolder::open(&place, window, Arc::clone(&pool));
+        let opened = ClaimFolder::open(&settings, window, Arc::clone(&pool));
         let salt = opened.as_ref().ok().map(|folder| folder.salt);
         let (jobs, queue) = unbounded();
         let run = move || {
@@ -82,8 +83,8 @@
                 Ok(folder) => Some(folder),
                 Err(e) => {
                     warn!(log, "can't use the folder of keyed runs; keyed requests are rejected until it can be used";
-                          "folder" => %place.folder.display(), "error" => %e);
-                    open_until_done(&place, window, &pool, &queue, &inputs)
+                          "folder" => %settings.folder.display(), "error" => %e);
+                    open_until_done(&settings, window, &pool, &queue, &inputs)
                 }
             };
             if let Some(folder) = folder {
@@ -94,30 +95,30 @@
         Ok(Self { jobs, thread, salt })
     }
 
-    /// The key of the fingerprints of all processes that share the folder. None while the folder can't be used; then
-    /// [`Input::RunsShared`] follows.
+    /// The hash key of the fingerprints of all processes that share the folder. `None` if the folder can't be used;
+    /// [`Input::RunsShared`] is sent when it can be.
     pub fn salt(&self) -> Option<u64> {
         self.salt
     }
 
-    /// Asks who runs a key; [`Input::RunClaimed`] follows, after at most `timeout` where another process runs it.
+    /// Claims a key. [`Input::RunClaimed`] follows; if another process runs the key, after at most `timeout`.
     pub fn claim(&self, id: RequestId, key: Arc<str>, fingerprint: Fingerprint, timeout: Span) {
         let deadline = Instant::now() + Duration::from_nanos(timeout.0);
         let _ = self.jobs.send(Job::Claim(PendingClaim { id, key, fingerprint, deadline }));
     }
 
-    /// Shares the outcome of a run that was claimed here; None where the run never began.
+    /// Shares the outcome of a run that this process claimed; `None` if the run never started.
     pub fn release(&self, key: Arc<str>, fingerprint: Fingerprint, outcome: Option<RunOutcome>) {
         let _ = self.jobs.send(Job::Release { key, fingerprint, outcome });
     }
 
-    /// Changes the longest time in which a key may be repeated.
+    /// Changes the longest time during which a key may be repeated.
     pub fn set_longest_window(&self, window: Span) {
         let _ = self.jobs.send(Job::SetWindow(Duration::from_nanos(window.0)));
     }
 
-    /// Writes all outcomes and ends the thread; without it the other process waits for outcomes that never come. `inputs`
-    /// is closed first: with no reader left, the thread would wait forever for space in it.
+    /// Writes all queued outcomes and ends the thread; otherwise the other process would wait for outcomes that are
+    /// never written. `inputs` is closed first: nobody reads it any more, so the thread could block on it forever.
     pub fn close(self, inputs: Receiver<Input>) {
         drop(inputs);
         drop(self.jobs);
@@ -125,10 +126,10 @@
     }
 }
 
-/// Tries until the folder can be used, and reports that; claims are answered by [`RunClaim::Unknown`] meanwhile. None if
-/// the queue of jobs is closed.
+/// Retries until the folder can be used, and reports that; meanwhile claims are answered with [`RunClaim::Unknown`].
+/// `None` if the queue of jobs is closed.
 fn open_until_done(
-    place: &Place,
+    settings: &ClaimsSettings,
     mut window: Duration,
     pool: &Arc<BufferPool>,
     queue: &Receiver<Job>,
@@ -140,12 +141,12 @@
             Ok(Job::Claim(PendingClaim { id, .. })) => {
                 inputs.send(Input::RunClaimed { id, claim: RunClaim::Unknown }).ok()?;
             }
-            // Nothing was claimed here that could end.
+            // No claim was granted here that could be released.
             Ok(Job::Release { .. }) => {}
             Ok(Job::SetWindow(new)) => window = new,
             Err(RecvTimeoutError::Disconnected) => return None,
             Err(RecvTimeoutError::Timeout) => {
-                if let Ok(folder) = ClaimFolder::open(place, window, Arc::clone(pool)) {
+                if let Ok(folder) = ClaimFolder::open(settings, window, Arc::clone(pool)) {
                     inputs.send(Input::RunsShared { salt: folder.salt }).ok()?;
                     return Some(folder);
                 }
@@ -155,15 +156,15 @@
     }
 }
 
-/// The state of the thread while the folder can be used.
+/// State of the thread while the folder can be used.
 struct ClaimServer {
     folder: ClaimFolder,
     inputs: Sender<Input>,
-    /// Claims of keys that another process runs.
+    /// Claims of keys that another process is running.
     waiting: Vec<PendingClaim>,
     last_poll: Instant,
     last_cleanup: Instant,
-    /// Whether a failure was logged; only the first one is.
+    /// Whether a failure was logged; only the first one is logged.
     failure_logged: bool,
     log: Logger,
 }
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Serves jobs until their queue is closed.
+    /// Processes jobs until their queue is closed.
     fn run(mut self, queue: &Receiver<Job>) {
         loop {
             let timeout = if self.waiting.is_empty() { CLEANUP_INTERVAL } else { POLL_INTERVAL };
@@ -215,14 +216,15 @@
             }
             Job::Release { key, fingerprint, outcome } => {
                 if let Err(e) = self.folder.release(&key, fingerprint, outcome) {
-                    warn!(self.log, "can't share the outcome of a keyed run"; "error" => %e);
+                    warn!(self.log, "can't share the outcome of a keyed run; requests for it at the other process fail";
+                          "error" => %e);
                 }
             }
             Job::SetWindow(window) => self.folder.window = window,
         }
     }
 
-    /// Tries all waiting claims again.
+    /// Retries all waiting claims.
     fn poll(&mut self) {
         let mut waiting = std::mem::take(&mut self.waiting);
         waiting.retain(|claim| !self.is_answered(claim));
@@ -230,7 +232,8 @@
         self.last_poll = Instant::now();
     }
 
-    /// Tries a claim, and answers it unless another process's run goes on and there is time to wait for it.
+    /// Tries a claim and answers it, unless another process's run is in progress and the claim's deadline has not
+    /// passed.
     fn is_answered(&mut self, pending: &PendingClaim) -> bool {
         let claim = match self.folder.claim(&pending.key, pending.fingerprint) {
             Ok(Some(claim)) => claim,
@@ -241,7 +244,7 @@
                 RunClaim::Unknown
             }
         };
-        // Where the queue of inputs is closed, the queue of jobs will be too.
+        // If the queue of inputs is closed, the queue of jobs will be closed too.
         let _ = self.inputs.send(Input::RunClaimed { id: pending.id.clone(), claim });
         true
     }
--- a/crates/node/src/claims/folder.rs
+++ b/crates/node/src/claims/folder.rs
@@ -1,6 +1,6 @@
-//! The folder of claims: makes, reads and removes its files. The meaning of each file is in the table of [`super`].
+//! The folder of claims: creates, reads and removes its files, whose meaning is in the table of [`super`].
 //!
-//! Invariant: the content of a name changes atomically, from one meaning of the table to the next.
+//! Invariant: the content of a file changes atomically from one state of that table to the next.
 
 use gradepin_core::buffer_pool::{BUFFER_BYTES, BufferPool};
 use gradepin_core::idempotency_table::{Fingerprint, READ_LATE, RunOutcome};
@@ -15,13 +15,13 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-/// The memory that an empty file takes.
+/// Memory that an empty file uses.
 pub(super) const FILE_BYTES: usize = 1024;
-/// Files grow by pages.
+/// Unit in which files with content use memory.
 const PAGE_BYTES: usize = 4096;
-/// Claims take at most this fraction of the memory, as its denominator.
+/// Claims use at most the memory divided by this number.
 pub(super) const CLAIMS_MEMORY_DIVISOR: usize = 16;
-/// The same of results.
+/// Results use at most the memory divided by this number.
 const RESULTS_MEMORY_DIVISOR: usize = 16;
 const OPEN_MODE: u32 = 0o600;
 const ENDED_MODE: u32 = 0o400;
@@ -29,24 +29,24 @@
 const SALT_FILE: &str = "salt";
 const ALIVE_PREFIX: &str = "alive.";
 const DRAFT_PREFIX: &str = "draft.";
-/// A longer server name is replaced by its digest in the folder's name.
+/// In the name of the folder, a longer server name is replaced by its digest.
 const MAX_PLAIN_NAME_BYTES: usize = 64;
 
-/// The folder of claims of one process.
+/// Settings of the claims of one process.
 #[derive(Debug, Clone)]
-pub struct Place {
-    /// The folder, made if it isn't there.
+pub struct ClaimsSettings {
+    /// The folder, which is created if it doesn't exist.
     pub folder: PathBuf,
     /// Identifies this process among those that share the folder.
     pub seed: u64,
-    /// The memory of the process, in bytes.
+    /// Memory limit of the process, in bytes.
     pub memory: usize,
 }
 
-impl Place {
-    /// The folder of a server below a folder that both processes have. A name that is no plain file name, or too long for
-    /// one, is replaced by its digest: the folder of a server called `../n1` would be elsewhere, and one of 250 bytes could
-    /// not be made, so that no keyed run would ever be claimed.
+impl ClaimsSettings {
+    /// Settings of the server `name`, whose folder is created in `shared`, a folder that both processes can use. A name
+    /// that is no plain file name, or too long for one, is replaced by its digest: a server called `../n1` would use a
+    /// folder elsewhere, and a folder for a name of 250 bytes could not be created, so every claim would fail.
     pub fn new(shared: &Path, name: &str, seed: u64, memory: usize) -> Self {
         let is_plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
         let name = if name.len() <= MAX_PLAIN_NAME_BYTES && name.bytes().all(is_plain) {
@@ -61,39 +61,43 @@
 /// A result that this process wrote.
 struct WrittenResult {
     file_name: String,
-    /// Rounded up to pages.
+    /// Size of the result, rounded up to pages.
     bytes: usize,
 }
 
-/// The open folder, and the claims of this process in it. Its drop removes the `alive` file.
+/// The open folder and the claims of this process in it. Dropping it removes the `alive` file.
 pub(super) struct ClaimFolder {
     folder: PathBuf,
-    /// Locked until this process ends.
+    /// The `alive` file, locked until this process exits.
     _alive_lock: File,
     alive_name: String,
-    /// Keys the names and the fingerprints of all processes.
+    /// Hash key of the file names and fingerprints of all processes.
     pub(super) salt: u64,
-    /// The longest time in which a key may be repeated.
+    /// The longest time during which a key may be repeated.
     pub(super) window: Duration,
-    /// Claims of this process by file name, with their times.
+    /// Claims of this process by file name, with the time of each.
     pub(super) own: HashMap<String, SystemTime>,
     max_claims: usize,
     /// Results of this process, oldest first.
     results: VecDeque<WrittenResult>,
-    /// Bytes of `results`.
+    /// Total size of `results`.
     pub(super) result_bytes: usize,
     pub(super) max_result_bytes: usize,
     pool: Arc<BufferPool>,
 }
 
 impl ClaimFolder {
-    /// Opens the folder, makes it if it isn't there, and removes what has expired in it.
-    pub(super) fn open(place: &Place, window: Duration, pool: Arc<BufferPool>) -> io::Result<Self> {
-        let Place { folder, seed, memory } = place.clone();
+    /// Opens the folder, creating it if needed, and removes expired files.
+    pub(super) fn open(
+        settings: &ClaimsSettings,
+        window: Duration,
+        pool: Arc<BufferPool>,
+    ) -> io::Result<Self> {
+        let ClaimsSettings { folder, seed, memory } = settings.clone();
         fs::create_dir_all(&folder)?;
         let salt = salt(&folder, seed)?;
         let alive_name = format!("{ALIVE_PREFIX}{seed:016x}");
-        // Locked before it has its name: the other process would take this one for dead otherwise.
+        // The file is locked before it gets its final name: otherwise the other process could consider this one dead.
         let draft = folder.join(format!("{DRAFT_PREFIX}{alive_name}"));
         let lock = File::create(&draft)?;
         lock.try_lock().map_err(io::Error::from)?;
@@ -122,11 +126,11 @@
         format!("{:032x}", hasher.finish128().as_u128())
     }
 
-    /// Claims a key, or finds who runs it; None while another process's run goes on.
+    /// Claims a key, or reads the other process's claim of it; `None` while the other process's run is in progress.
     pub(super) fn claim(&mut self, key: &str, fingerprint: Fingerprint) -> io::Result<Option<RunClaim>> {
         let name = self.file_name(key);
         if self.own.contains_key(&name) {
-            // It ran here, and its window is over: the reducer would have answered from that run otherwise.
+            // The key ran here and its window has passed: otherwise the reducer would have answered with that outcome.
             self.forget(&name)?;
         }
         if self.own.len() >= self.max_claims {
@@ -145,12 +149,12 @@
         self.read_claim(&path, fingerprint)
     }
 
-    /// Reads another process's claim; None while its run goes on.
+    /// Reads another process's claim; `None` while its run is in progress.
     fn read_claim(&self, path: &Path, fingerprint: Fingerprint) -> io::Result<Option<RunClaim>> {
         let read = fs::metadata(path).and_then(|meta| Ok((meta, fs::read(path)?)));
         let (meta, bytes) = match read {
             Ok(read) => read,
-            // Its run never began, and the file was removed just now: the next attempt claims the key.
+            // The run never started, and the file was just removed: the next attempt claims the key.
             Err(e) if e.kind() == ErrorKind::NotFound => return Ok(None),
             Err(e) => return Err(e),
         };
@@ -158,7 +162,7 @@
         let Some((written_fingerprint, result)) = bytes.split_first_chunk() else {
             return Ok(has_ended.then_some(RunClaim::Ended(RunOutcome::Failed)));
         };
-        // Guards against a client that learnt another's key: its request would be served the other's result.
+        // A client that knows another client's key must not get the result of that client's request.
         let is_same_request = Fingerprint::from_le_bytes(*written_fingerprint) == fingerprint;
         let is_usable = is_same_request && result.len() <= BUFFER_BYTES;
         let result = is_usable.then(|| self.pool.exact(result)).flatten();
@@ -175,8 +179,8 @@
         }
     }
 
-    /// Writes the outcome of a run; None where it never began. Does nothing for a key that this process did not claim: the
-    /// other one writes its outcome itself.
+    /// Writes the outcome of a run; `None` if the run never started. Does nothing for a key that this process did not
+    /// claim: the other process writes that outcome.
     pub(super) fn release(
         &mut self,
         key: &str,
@@ -207,7 +211,7 @@
         self.drop_oldest_results()
     }
 
-    /// Drops results until the rest keeps to its fraction of the memory.
+    /// Drops the oldest results until the rest is within its memory limit.
     fn drop_oldest_results(&mut self) -> io::Result<()> {
         while self.result_bytes > self.max_result_bytes {
             let Some(oldest) = self.results.pop_front() else { break };
@@ -219,7 +223,7 @@
         Ok(())
     }
 
-    /// Removes files whose window is over, and ends claims that dead processes left open.
+    /// Removes files whose window has passed, and ends the open claims of dead processes.
     pub(super) fn clean_up(&mut self, now: SystemTime) -> io::Result<()> {
         let retention = self.window + Duration::from_nanos(READ_LATE.0);
         let has_expired = |at: SystemTime| now.duration_since(at).is_ok_and(|age| age > retention);
@@ -246,7 +250,8 @@
             }
         }
         self.forget_removed_results();
-        // A process that started since then may have claimed: it locked its `alive` file before, so it was seen.
+        // The claims of a process that started meanwhile are not affected: it locked its `alive` file before it claimed
+        // anything, so it was counted above.
         if is_alone {
             open_claims.iter().try_for_each(|path| end_without_result(path))?;
         }
@@ -267,28 +272,28 @@
     }
 }
 
-/// Leaves a claim as ended without a result.
+/// Marks a claim as ended without a result.
 fn end_without_result(path: &Path) -> io::Result<()> {
-    // The mode first: an empty file of mode 0600 means that its run goes on.
+    // The mode is set first, because an empty file of mode 0600 means that the run is in progress.
     let ended = OpenOptions::new().write(true).open(path).and_then(|file| {
         file.set_permissions(Permissions::from_mode(ENDED_MODE))?;
         file.set_len(0)
     });
     match ended {
-        // It was removed, or has ended already.
+        // The claim was removed or has already ended.
         Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::PermissionDenied) => Ok(()),
         result => result,
     }
 }
 
-/// Whether the process of an `alive` file is dead; its file is removed then.
+/// Whether the process of an `alive` file is dead; if so, removes the file.
 fn remove_if_dead(path: &Path) -> io::Result<bool> {
     let file = match File::open(path) {
         Ok(file) => file,
         Err(e) if e.kind() == ErrorKind::NotFound => return Ok(true),
         Err(e) => return Err(e),
     };
-    // A shared lock, so that two processes that check at once don't take each other for the living owner.
+    // A shared lock, so that two processes that check at the same time don't take each other for the live owner.
     if file.try_lock_shared().is_err() {
         return Ok(false);
     }
@@ -296,12 +301,12 @@
     Ok(true)
 }
 
-/// The folder's salt, made by the first process.
+/// Reads the folder's salt, which the first process creates.
 fn salt(folder: &Path, seed: u64) -> io::Result<u64> {
     let path = folder.join(SALT_FILE);
     let draft = folder.join(format!("{DRAFT_PREFIX}{SALT_FILE}.{seed:016x}"));
     fs::write(&draft, seed.to_le_bytes())?;
-    // Atomic, and fails where another process was first.
+    // Atomic, and fails if another process created the salt first.
     let linked = fs::hard_link(&draft, &path);
     fs::remove_file(&draft)?;
     match linked {
--- a/crates/node/src/claims/tests.rs
+++ b/crates/node/src/claims/tests.rs
@@ -10,7 +10,7 @@
 const WINDOW: Duration = Duration::from_secs(12);
 const MEMORY_BYTES: usize = 64 << 20;
 
-/// A folder of the test's own, removed at its end.
+/// A temporary folder of one test, removed when dropped.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -20,12 +20,12 @@
         Self(std::env::temp_dir().join(format!("gradepin-claims-{}-{n}", std::process::id())))
     }
 
-    fn place(&self, seed: u64, memory: usize) -> Place {
-        Place { folder: self.0.clone(), seed, memory }
+    fn settings(&self, seed: u64, memory: usize) -> ClaimsSettings {
+        ClaimsSettings { folder: self.0.clone(), seed, memory }
     }
 
     fn process(&self, seed: u64, memory: usize) -> ClaimFolder {
-        ClaimFolder::open(&self.place(seed, memory), WINDOW, BufferPool::new(4)).expect("a folder")
+        ClaimFolder::open(&self.settings(seed, memory), WINDOW, BufferPool::new(4)).expect("a folder")
     }
 }
 
@@ -41,55 +41,55 @@
 
 fn claim(folder: &mut ClaimFolder, key: &str, fingerprint: Fingerprint) -> String {
     match folder.claim(key, fingerprint).expect("a claim") {
-        None => "goes on".into(),
+        None => "in progress".into(),
         Some(RunClaim::Ours) => "ours".into(),
         Some(RunClaim::Ended(RunOutcome::Served(result))) => String::from_utf8_lossy(&result).into_owned(),
         Some(claim) => format!("{claim:?}"),
     }
 }
 
-/// Guards the rule on runs with effects across an upgrade: a key runs in one of the two processes; the other one gets the
-/// outcome, takes the key over where the run never began, and gets no result for another body.
+/// Guards against a second run of a key during an upgrade: one of the two processes runs it. The other one gets the
+/// outcome, can claim the key if the run never started, and gets no result for a different body.
 #[test]
 fn runs_a_key_in_one_process_and_gives_the_other_its_outcome() {
     let folder = Folder::new();
     let (mut old, mut new) = (folder.process(1, MEMORY_BYTES), folder.process(2, MEMORY_BYTES));
     assert_eq!(old.salt, new.salt);
-    assert_eq!((claim(&mut old, "t", 7), claim(&mut new, "t", 7)), ("ours".into(), "goes on".into()));
+    assert_eq!((claim(&mut old, "t", 7), claim(&mut new, "t", 7)), ("ours".into(), "in progress".into()));
     new.release("t", 7, None).expect("not its own");
-    assert_eq!(claim(&mut new, "t", 7), "goes on");
+    assert_eq!(claim(&mut new, "t", 7), "in progress");
     old.release("t", 7, served("done")).expect("written");
     assert_eq!(claim(&mut new, "t", 7), "done");
     assert_eq!(claim(&mut new, "t", 8), "Ended(Failed)");
-    assert_eq!((claim(&mut old, "u", 7), claim(&mut new, "u", 7)), ("ours".into(), "goes on".into()));
-    old.release("u", 7, None).expect("given back");
-    assert_eq!((claim(&mut new, "u", 7), claim(&mut old, "u", 7)), ("ours".into(), "goes on".into()));
+    assert_eq!((claim(&mut old, "u", 7), claim(&mut new, "u", 7)), ("ours".into(), "in progress".into()));
+    old.release("u", 7, None).expect("removed");
+    assert_eq!((claim(&mut new, "u", 7), claim(&mut old, "u", 7)), ("ours".into(), "in progress".into()));
     new.release("u", 7, Some(RunOutcome::Failed)).expect("written");
     assert_eq!(claim(&mut old, "u", 7), "Ended(Failed)");
 }
 
-/// Guards against claims that outlive their process: nobody reports the end of a killed process's runs, and they must end
-/// here without a second run; claims of a living process are left alone.
+/// Guards against claims that outlive their process: nobody reports the outcomes of a killed process's runs, so the
+/// other process must end the claims without a second run. Claims of a live process are kept.
 #[test]
-fn ends_open_claims_of_a_dead_process_but_not_of_a_living_one() {
+fn ends_open_claims_of_a_dead_process_but_not_of_a_live_one() {
     let folder = Folder::new();
     let (mut old, mut new) = (folder.process(1, MEMORY_BYTES), folder.process(2, MEMORY_BYTES));
     assert_eq!(claim(&mut old, "t", 7), "ours");
     new.clean_up(SystemTime::now()).expect("cleaned up");
-    assert_eq!(claim(&mut new, "t", 7), "goes on");
+    assert_eq!(claim(&mut new, "t", 7), "in progress");
     drop(old);
     new.clean_up(SystemTime::now()).expect("cleaned up");
     assert_eq!(claim(&mut new, "t", 7), "Ended(Failed)");
 }
 
-/// Guards the memory: files are removed once no attempt can ask for them, results keep to their fraction of it, and past
-/// the bound a claim is rejected and not made.
+/// Guards against unbounded memory use: files are removed when no retry can ask for them any more, results are limited
+/// to their fraction of the memory, and claims beyond the limit are rejected.
 #[test]
 fn bounds_claims_and_results_and_removes_them_after_their_window() {
     let folder = Folder::new();
     let (mut old, mut new) = (folder.process(1, 1 << 20), folder.process(2, 1 << 20));
-    let most = (1 << 20) / CLAIMS_MEMORY_DIVISOR / FILE_BYTES;
-    for n in 0..most {
+    let max_claims = (1 << 20) / CLAIMS_MEMORY_DIVISOR / FILE_BYTES;
+    for n in 0..max_claims {
         let key = format!("t{n}");
         assert_eq!(claim(&mut old, &key, 7), "ours");
         old.release(&key, 7, served(&"x".repeat(3_000))).expect("written");
@@ -101,24 +101,26 @@
         old.result_bytes,
         old.max_result_bytes
     );
-    assert_eq!(claim(&mut new, "t0", 7), "Ended(Failed)", "the oldest results went first");
-    assert_eq!(claim(&mut new, &format!("t{}", most - 1), 7).len(), 3_000);
+    assert_eq!(claim(&mut new, "t0", 7), "Ended(Failed)", "the oldest results are dropped first");
+    assert_eq!(claim(&mut new, &format!("t{}", max_claims - 1), 7).len(), 3_000);
     let late = Duration::from_nanos(READ_LATE.0);
     old.clean_up(SystemTime::now() + WINDOW + late - Duration::from_secs(1)).expect("cleaned up");
-    assert_eq!(old.own.len(), most);
+    assert_eq!(old.own.len(), max_claims);
     old.clean_up(SystemTime::now() + WINDOW + late + Duration::from_secs(1)).expect("cleaned up");
     assert_eq!((old.own.len(), old.result_bytes), (0, 0));
     assert_eq!(claim(&mut new, "t0", 7), "ours");
 }
 
-/// Guards against a process that never ends: claims are still queued at its end, and nobody reads their answers.
+/// Guards against a process that never exits: claims can still be queued at the shutdown, when nobody reads the
+/// answers.
 #[test]
 fn close_returns_though_nobody_empties_the_full_input_queue() {
     let folder = Folder::new();
     let (inputs, queue) = bounded(1);
     let log = Logger::root(Discard, o!());
-    let claims = Claims::start(folder.place(1, MEMORY_BYTES), Span(1_000), inputs, BufferPool::new(4), log)
-        .expect("it starts");
+    let claims =
+        Claims::start(folder.settings(1, MEMORY_BYTES), Span(1_000), inputs, BufferPool::new(4), log)
+            .expect("a claims thread");
     for n in 0..8 {
         claims.claim(RequestId::new(&n.to_string()), format!("t{n}").into(), 7, Span(1_000));
     }
@@ -127,11 +129,11 @@
         claims.close(queue);
         let _ = done.send(());
     });
-    is_done.recv_timeout(Duration::from_secs(20)).expect("it ends");
+    is_done.recv_timeout(Duration::from_secs(20)).expect("close returns");
 }
 
-/// Guards against keyed requests that are never answered, or run unclaimed, while the folder can't be used; and against a
-/// folder that stays unused once it can be.
+/// Guards against keyed requests that are never answered, or run without a claim, while the folder can't be used; and
+/// against a folder that stays unused after it becomes usable.
 #[test]
 fn rejects_claims_until_an_unusable_folder_can_be_used() {
     const MAX_WAIT: Duration = Duration::from_secs(20);
@@ -139,34 +141,35 @@
     fs::write(&folder.0, "a file in its place").expect("a file");
     let (inputs, reported) = bounded(8);
     let log = Logger::root(Discard, o!());
-    let claims = Claims::start(folder.place(1, MEMORY_BYTES), Span(1_000), inputs, BufferPool::new(4), log)
-        .expect("it starts");
+    let claims =
+        Claims::start(folder.settings(1, MEMORY_BYTES), Span(1_000), inputs, BufferPool::new(4), log)
+            .expect("a claims thread");
     assert_eq!(claims.salt(), None);
-    let asked = |n: u64| {
+    let claim_answer = |n: u64| {
         claims.claim(RequestId::new(&n.to_string()), "t".into(), 7, Span(1_000));
         reported.recv_timeout(MAX_WAIT).expect("an answer")
     };
-    assert!(matches!(asked(1), Input::RunClaimed { claim: RunClaim::Unknown, .. }));
-    fs::remove_file(&folder.0).expect("it goes");
+    assert!(matches!(claim_answer(1), Input::RunClaimed { claim: RunClaim::Unknown, .. }));
+    fs::remove_file(&folder.0).expect("removed");
     assert!(matches!(reported.recv_timeout(MAX_WAIT), Ok(Input::RunsShared { salt: 1 })));
-    assert!(matches!(asked(2), Input::RunClaimed { claim: RunClaim::Ours, .. }));
+    assert!(matches!(claim_answer(2), Input::RunClaimed { claim: RunClaim::Ours, .. }));
 }
 
-/// Guards against a server whose keyed requests are all rejected in an upgrade, or claimed outside of the shared folder,
-/// because of its name: each valid name has a folder of its own in the shared one.
+/// Guards against a server name for which all claims fail during an upgrade, or are made outside of the shared folder:
+/// each valid name has a separate folder in the shared one.
 #[test]
 fn makes_a_folder_for_every_server_name() {
     let shared = Folder::new();
     let names = ["n1", "a/b", "a/c", "../n1", "/", "..", ".", "%s", &"x".repeat(251), &"x".repeat(252)];
     let mut folders: Vec<PathBuf> = Vec::new();
     for name in names {
-        let place = Place::new(&shared.0, name, 1, MEMORY_BYTES);
-        let mut files = ClaimFolder::open(&place, WINDOW, BufferPool::new(4)).expect(name);
+        let settings = ClaimsSettings::new(&shared.0, name, 1, MEMORY_BYTES);
+        let mut files = ClaimFolder::open(&settings, WINDOW, BufferPool::new(4)).expect(name);
         assert_eq!(claim(&mut files, "t", 7), "ours", "{name}");
-        assert_eq!(place.folder.parent(), Some(shared.0.as_path()), "{name}");
-        assert!(!folders.contains(&place.folder), "{name}");
-        folders.push(place.folder);
+        assert_eq!(settings.folder.parent(), Some(shared.0.as_path()), "{name}");
+        assert!(!folders.contains(&settings.folder), "{name}");
+        folders.push(settings.folder);
     }
-    assert_eq!(fs::read_dir(&shared.0).expect("it stands").count(), names.len());
-    assert!(folders[0].ends_with("gradepin.n1.keys"), "the two versions of an upgrade have one folder");
+    assert_eq!(fs::read_dir(&shared.0).expect("the shared folder").count(), names.len());
+    assert!(folders[0].ends_with("gradepin.n1.keys"), "both versions of an upgrade use the same folder");
 }
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,28 +1,29 @@
-//! The system's clocks, read in one place.
+//! The clock of the reducer; the only module that reads the system clocks for it.
 
 use gradepin_admission::Time;
 use gradepin_core::timestamp::Timestamp;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The clock's time at its start.
+/// Reading of a new clock, in nanoseconds.
 const ORIGIN_NANOS: u64 = 1_000_000_000_000;
 
-/// A monotonic clock that starts at 1,000 s, so that it has room for earlier times. With each reading comes the Unix time.
+/// A monotonic clock that starts at 1,000 s, so that times before its start can be represented. Each reading also has
+/// the Unix time.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock(Instant);
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock at the current instant.
     pub fn start() -> Self {
         Self(Instant::now())
     }
 
-    /// Converts a time of this clock for threads that use the system's monotonic clock.
+    /// Converts a time of this clock to an [`Instant`], for threads that use the system's monotonic clock.
     pub fn instant(&self, time: Time) -> Instant {
         self.0 + Duration::from_nanos(time.0.saturating_sub(ORIGIN_NANOS))
     }
 
-    /// Reads both clocks.
+    /// Reads the monotonic clock and the Unix time.
     pub fn read(&self) -> Timestamp {
         let nanos = u64::try_from(self.0.elapsed().as_nanos()).unwrap_or(u64::MAX);
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/crates/node/src/descriptors.rs
+++ b/crates/node/src/descriptors.rs
@@ -1,28 +1,29 @@
-//! The number of file descriptors that the process may hold, by its configuration and by the system.
+//! Reconciles the configured limit of file descriptors with the limit of the system.
 //!
-//! The limit of client connections is `limits.sockets` less a reserve for all else. Where the system allows fewer, idle
-//! clients would take the reserve too: no connection would be accepted, no lost link made again, no operator answered.
+//! Client connections may use `limits.sockets` minus a reserve for everything else. If the system allows fewer
+//! descriptors than configured, idle clients would use up the reserve: the server could not accept connections,
+//! reconnect to the processor or answer operators.
 
 use gradepin_core::config::Limits;
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use slog::{Logger, warn};
 
-/// The reserve, with those of operators' requests and upstream calls, and some client connections: a server assumes no fewer,
-/// whatever the system allows.
+/// Lower bound of `limits.sockets`, whatever the system allows: the reserve, operators' requests, upstream calls and
+/// some client connections.
 const MIN_DESCRIPTORS: usize = 96;
 
-/// Raises the system's limit to `limits.sockets` as far as the system lets it, and lowers `limits.sockets` to what is
-/// allowed then.
+/// Raises the process's descriptor limit to `limits.sockets` as far as the hard limit allows, and lowers
+/// `limits.sockets` to the resulting limit.
 pub(crate) fn apply_system_limit(limits: &mut Limits, log: &Logger) {
     let allowed = usize::try_from(raise(limits.sockets as u64)).unwrap_or(usize::MAX);
     if allowed < limits.sockets {
-        warn!(log, "the system allows fewer descriptors than limits.sockets; using the system's limit";
+        warn!(log, "the system allows fewer descriptors than limits.sockets; accepting fewer client connections";
             "allowed" => allowed, "configured" => limits.sockets);
         limits.sockets = allowed.max(MIN_DESCRIPTORS);
     }
 }
 
-/// Raises the soft limit towards `wanted`, as far as the hard limit lets it; returns the limit then in force.
+/// Raises the soft limit to `wanted`, or to the hard limit if that is lower; returns the limit in force afterwards.
 fn raise(wanted: u64) -> u64 {
     let limit = getrlimit(Resource::Nofile);
     let current = limit.current.unwrap_or(u64::MAX);
@@ -30,7 +31,7 @@
         return current;
     }
     let raised = limit.maximum.map_or(wanted, |max| max.min(wanted));
-    // Where that is denied, the limit is as it was.
+    // If the system denies the change, the previous limit stays in force.
     match setrlimit(Resource::Nofile, Rlimit { current: Some(raised), maximum: limit.maximum }) {
         Ok(()) => raised,
         Err(_) => current,
--- a/crates/node/src/effects.rs
+++ b/crates/node/src/effects.rs
@@ -1,8 +1,8 @@
-//! Carries out the effects that the reducer asks for, each by one call of the part that it is for.
+//! Executes the effects of the reducer, each by one call to the part that is responsible for it.
 //!
-//! Nothing here blocks the main thread or decides anything. What an effect has to say at once becomes an input of the next
-//! step ([`EffectExecutor::execute`]) and not an entry of a queue: the main thread, which empties the queues, would wait
-//! for itself where one is full.
+//! Nothing here blocks the main thread or makes decisions. Immediate results of an effect become inputs of the next
+//! step ([`EffectExecutor::execute`]) and are not queued: the main thread empties the queues, so it would wait for
+//! itself if one were full.
 
 use crate::admin::Admin;
 use crate::claims::Claims;
@@ -28,13 +28,13 @@
 use std::ops::ControlFlow;
 use std::sync::Arc;
 
-/// All running parts of a server. Dropped in this order: the part that was started last first.
+/// All running parts of a server. Fields are dropped in the order of declaration: the part started last comes first.
 pub(crate) struct EffectExecutor {
     /// The link to the processor.
     pub processor: Processor,
-    /// Calls to the shared upstream, where there is one.
+    /// Calls to the shared upstream, if one is configured.
     pub upstream: Option<UpstreamClient>,
-    /// Starts [`Self::upstream`] where a reload is the first to name an address.
+    /// Starts [`Self::upstream`] if a reload is the first to configure an address.
     pub upstream_starter: UpstreamStarter,
     /// Requests to the registry.
     pub registry: Option<Registry>,
@@ -46,23 +46,23 @@
     pub store: Option<Store>,
     /// Applies staged settings.
     pub reloader: ConfigReloader,
-    /// Lets the reload thread go on to the next file.
+    /// Notifies the reload thread that it may compare the next file.
     pub reload_finished: Sender<()>,
-    /// Writes the last good configuration; its drop waits for the disk.
+    /// Writes the last good configuration; dropping it waits for the disk.
     pub configuration_writer: Option<ConfigurationWriter>,
     /// Datagrams to other servers.
     pub peers: Option<PeerDatagrams>,
     /// Writes a voter's state.
     pub voter_storage: Option<VoterStorage>,
-    /// Takes the steps of rollouts.
+    /// Executes rollout steps on this server.
     pub staging: Option<Arc<StagingArea>>,
     /// Reports to the control plane.
     pub control: Control,
     /// Keyed runs shared with the other process of an upgrade.
     pub claims: Option<Claims>,
-    /// Names that requests may use.
+    /// Classes and tenants by name, as the front ends look them up.
     pub names: ActiveSettings,
-    /// Urgent inputs to the reducer, for threads that effects start.
+    /// Sender of urgent inputs, for threads that effects start.
     pub urgent_inputs: Sender<Input>,
     /// The reducer's clock.
     pub clock: Clock,
@@ -70,12 +70,13 @@
     pub log: Logger,
 }
 
-/// Upstream calls at a time where a reload is the first to name an upstream: the descriptors reserved at the start have room
-/// for no more.
+/// Concurrent upstream calls if a reload is the first to configure an upstream; the descriptors reserved at the start
+/// suffice for no more.
 const MAX_CALLS_OF_ADDED_UPSTREAM: usize = 4;
 
 impl EffectExecutor {
-    /// Carries out one effect; appends what it says at once to the inputs of the next step. Breaks at [`Effect::Exit`].
+    /// Executes one effect and appends its immediate results to the inputs of the next step. Breaks at
+    /// [`Effect::Exit`].
     pub(crate) fn execute(&mut self, effect: Effect, arrived: &mut Vec<Input>) -> ControlFlow<()> {
         match effect {
             Effect::Respond { connection, sequence, response, capacity_hint } => {
@@ -141,8 +142,8 @@
         ControlFlow::Continue(())
     }
 
-    /// Hands a call to the upstream threads; returns its end where it can't be made. Without that input the run would wait
-    /// until its caller gives up.
+    /// Hands a call to the upstream threads; if that is not possible, returns the input that ends the call. Without
+    /// that input the run would wait until its client gives up.
     fn call_upstream(
         &self,
         id: RequestId,
@@ -167,7 +168,7 @@
         }
         match self.upstream_starter.start(address, MAX_CALLS_OF_ADDED_UPSTREAM) {
             Ok(upstream) => self.upstream = Some(upstream),
-            Err(e) => error!(self.log, "can't start the threads of upstream calls"; "error" => %e),
+            Err(e) => error!(self.log, "can't start upstream threads; upstream calls fail"; "error" => %e),
         }
     }
 
@@ -177,7 +178,7 @@
         }
     }
 
-    /// Starts a rollout step in a thread of its own; returns its failure where it can't be started.
+    /// Starts a rollout step on a separate thread; if that fails, returns the input that reports the failed step.
     fn start_rollout_step(&self, step: StepAssignment, start_before: Time) -> Option<Input> {
         let release = step.rollout;
         let reason = match &self.staging {
@@ -185,12 +186,12 @@
                 .start_step(step, start_before, self.clock, self.urgent_inputs.clone(), self.reloader.clone())
                 .err()?
                 .to_string(),
-            None => "the settings name no staging area".to_string(),
+            None => "no staging area is configured".to_string(),
         };
         Some(Input::RolloutStepFailed { release, reason })
     }
 
-    /// Lets the reload thread go on; a full queue means that it was notified already.
+    /// Notifies the reload thread that a reload is finished; if the queue is full, it was already notified.
     fn notify_reload_finished(&self) {
         let _ = self.reload_finished.try_send(());
     }
@@ -204,7 +205,7 @@
     }
 }
 
-/// Calls a part where it runs; without it the effect has no receiver.
+/// Calls a part if it is running; otherwise the effect is ignored.
 fn if_present<P>(part: &Option<P>, call: impl FnOnce(&P)) {
     if let Some(part) = part {
         call(part);
--- a/crates/node/src/frontend/acceptor.rs
+++ b/crates/node/src/frontend/acceptor.rs
@@ -1,9 +1,9 @@
 //! The listeners of all front ends and the connection slots that they share.
 //!
-//! Accepts one connection at a time and says why none was accepted; what follows from it is decided in
-//! [`super::event_loop`]. Bounds: all front ends together have `max_connections`, plus `RESERVED_CONNECTIONS` on the
-//! first one; each front end but the first has at most half of the slots, since its clients open a connection for
-//! each request and must not close the others out.
+//! Accepts one connection at a time, or reports why none was accepted; [`super::event_loop`] acts on the result.
+//! Limits: all front ends together have `max_connections` slots, plus `RESERVED_CONNECTIONS` on the first one. Every
+//! other front end has at most half of the slots, because its clients open a connection for each request and must not
+//! crowd out those of the first.
 
 use super::connection::Connection;
 use super::listener::Listener;
@@ -15,12 +15,12 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Before accepting is retried where the system had no descriptor or no memory.
+/// Pause before accepting is retried after the system had no descriptor or no memory.
 const SHORTAGE_BACKOFF: Duration = Duration::from_millis(50);
-/// Each front end but the first may use the slots divided by this.
+/// Every front end but the first may use all slots divided by this number.
 const SECONDARY_SLOT_DIVISOR: usize = 2;
 
-/// A listener and its share of the slots.
+/// A listener and its quota of the slots.
 struct ListenerEntry {
     /// `None` once accepting has stopped.
     listener: Option<Listener>,
@@ -29,20 +29,20 @@
     open_connections: Arc<AtomicUsize>,
     /// Whether connections may be queued on the listener.
     may_have_queued: bool,
-    /// Until when accepting pauses after a shortage.
+    /// End of the pause after a shortage of descriptors or memory.
     paused_until: Option<Instant>,
 }
 
-/// Result of one accept.
+/// Result of one attempt to accept a connection.
 pub(super) enum Accepted {
-    /// A connection.
+    /// A connection was accepted.
     Connection {
-        /// Its socket.
+        /// The connection's socket.
         stream: OwnedFd,
-        /// Whether all regular slots were taken, so that it would use a reserved one.
+        /// Whether all regular slots were in use, so that this connection would use a reserved one.
         slots_full: bool,
     },
-    /// The attempt was interrupted, or the connection reset before it was accepted: try again.
+    /// The attempt was interrupted, or the connection was reset before it was accepted: retry.
     Interrupted,
     /// No connection is queued, or accepting has stopped.
     NoneQueued,
@@ -50,19 +50,19 @@
     NoSlot,
     /// The system has no descriptor or no memory; accepting pauses.
     Shortage {
-        /// The error of the system; `None` if it was returned before and the shortage persists.
+        /// Error of the system; `None` if an earlier attempt already returned one and the shortage persists.
         error: Option<io::Error>,
     },
 }
 
-/// The listeners of all front ends, by their index.
+/// The listeners of all front ends, by index.
 pub(super) struct Acceptor {
     entries: Vec<ListenerEntry>,
     max_connections: usize,
 }
 
 impl Acceptor {
-    /// For these front ends; the first one receives the health checks.
+    /// Creates an acceptor of these front ends; the first one receives the health checks.
     ///
     /// # Errors
     /// If a listener can't be made non-blocking.
@@ -107,40 +107,40 @@
         self.entries.iter().any(|entry| entry.may_have_queued)
     }
 
-    /// Connections may be queued on a listener, by an event; false if there is no such listener.
+    /// Records an event of a listener: connections may be queued. False if there is no listener with this index.
     pub(super) fn set_ready(&mut self, index: usize) -> bool {
         let Some(entry) = self.entries.get_mut(index) else { return false };
         entry.may_have_queued = entry.listener.is_some();
         true
     }
 
-    /// Connections may be queued on every listener though no event said so.
+    /// Marks every listener as possibly having queued connections, without an event.
     pub(super) fn set_all_ready(&mut self) {
         for entry in &mut self.entries {
             entry.may_have_queued = entry.listener.is_some();
         }
     }
 
-    /// Connections of all front ends.
+    /// Number of open connections of all front ends.
     pub(super) fn open_connections(&self) -> usize {
         self.entries.iter().map(|entry| entry.open_connections.load(Ordering::Relaxed)).sum()
     }
 
-    /// Whether no regular slot is free.
+    /// Whether all regular slots are in use.
     pub(super) fn is_full(&self) -> bool {
         self.open_connections() >= self.max_connections
     }
 
-    /// Whether accepting on a listener pauses after a shortage.
+    /// Whether accepting on a listener is paused after a shortage.
     pub(super) fn is_paused(&self, index: usize, now: Instant) -> bool {
         self.entries[index].paused_until.is_some_and(|until| now < until)
     }
 
-    /// Accepts one connection of a listener, if one is queued and a slot is free.
+    /// Accepts one connection from a listener, if one is queued and a slot is free.
     pub(super) fn accept(&mut self, index: usize, now: Instant) -> Accepted {
         let all_connections = self.open_connections();
         let slots_full = all_connections >= self.max_connections;
-        // Health checks come to the first front end: only it has the reserved slots.
+        // Only the first front end has reserved slots, because it receives the health checks.
         let reserved_slots = if index == 0 { RESERVED_CONNECTIONS } else { 0 };
         let entry = &mut self.entries[index];
         if !entry.may_have_queued {
@@ -173,13 +173,13 @@
         }
     }
 
-    /// A connection accepted on a listener; it takes one of its slots until it is dropped.
+    /// Wraps a socket accepted on a listener; the connection uses one of the listener's slots until it is dropped.
     pub(super) fn connection(&self, index: usize, stream: OwnedFd) -> Connection {
         let entry = &self.entries[index];
         Connection::new(stream, Arc::clone(&entry.protocol), &entry.open_connections)
     }
 
-    /// Prepares a listener for its last accepts: whether connections queued on it would be lost by its close, so that
+    /// Prepares a listener for its close. Returns whether the close would lose the connections queued on it, so that
     /// they must be accepted first.
     pub(super) fn must_empty_queue(&mut self, index: usize) -> bool {
         let entry = &mut self.entries[index];
@@ -191,14 +191,14 @@
         is_exclusive
     }
 
-    /// Takes a listener, which accepts no more.
+    /// Removes a listener, so that it accepts no more connections.
     pub(super) fn take_listener(&mut self, index: usize) -> Option<Listener> {
         let entry = &mut self.entries[index];
         entry.may_have_queued = false;
         entry.listener.take()
     }
 
-    /// Forgets that connections may be queued on a listener, as when an accept was interrupted.
+    /// Clears the mark that connections may be queued on a listener, as an interrupted accept does.
     #[cfg(test)]
     pub(super) fn clear_ready(&mut self, index: usize) {
         self.entries[index].may_have_queued = false;
--- a/crates/node/src/frontend/connection.rs
+++ b/crates/node/src/frontend/connection.rs
@@ -1,10 +1,10 @@
-//! One client connection: its state, the frames that wait to be written, and how it is closed.
+//! One client connection: its state, its queue of unsent frames, and how it is closed.
 //!
 //! The reading thread and the main thread share it. Every transition happens under one lock, so that no byte, end of
-//! file or response comes between a check and the action that depends on it. The states only move forward, in the order
-//! of [`ConnectionState`]; a connection that is open is active, mid-message or idle ([`ReadActivity`]). Nothing here
-//! blocks: frames that the socket doesn't take are queued until the socket is writable. That queue is bounded by the
-//! reader, which reads nothing more past [`MAX_UNSENT_FRAMES`].
+//! file or response can arrive between a check and the action that depends on it. States only advance, in the order of
+//! [`ConnectionState`]; an open connection is active, mid-message or idle ([`ReadActivity`]). Nothing here blocks:
+//! frames that the socket doesn't accept are queued until it is writable. The reader bounds that queue: it stops
+//! reading at [`MAX_UNSENT_FRAMES`].
 
 use super::protocol::Protocol;
 use gradepin_core::buffer_pool::Buffer;
@@ -16,14 +16,14 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Frames that a peer may leave unread before nothing more is read from it.
+/// Unsent frames of a connection at which reading from it stops.
 pub(super) const MAX_UNSENT_FRAMES: usize = 64;
-/// A peer that takes none of its queued frames for this long is considered dead.
+/// A peer that accepts no bytes of its queued frames for this long is considered dead.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Lingering close: how long the peer has to end its half after this server ended its own.
+/// Lingering close: how long the peer has to shut down its half after this server shut down its own.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One of the bounded number of connections of a front end; freed when it is dropped.
+/// One of the limited connection slots of a front end; dropping it frees the slot.
 struct ConnectionSlot(Arc<AtomicUsize>);
 
 impl Drop for ConnectionSlot {
@@ -32,46 +32,46 @@
     }
 }
 
-/// State of a connection. It only moves down this list.
+/// State of a connection. It only advances, in this order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ConnectionState {
-    /// It is read, and responses are written to it.
+    /// Messages are read and responses are written.
     Open,
-    /// Queued frames are still written. Nothing that arrives is delivered any more, and no frame is added.
+    /// Queued frames are still written, but received messages are not delivered and no frame is added.
     Flushing,
-    /// This server's half is shut. What arrives is discarded until the peer's end, so that no byte is unread at the
-    /// close: that would reset the connection, and lose responses that the peer hasn't read yet.
+    /// This server's half is shut down. Received bytes are discarded until the peer's end of file: closing a socket
+    /// with unread bytes would reset the connection, and the peer would lose responses that it hasn't read yet.
     Lingering {
-        /// When the half was shut.
+        /// When this server's half was shut down.
         since: Instant,
     },
-    /// Both halves are shut.
+    /// Both halves are shut down.
     Closed,
 }
 
-/// What the reading thread holds of an open connection.
+/// Activity of the reading thread on an open connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ReadActivity {
-    /// It is reading: it may hold anything.
+    /// The thread is reading and may have undelivered messages.
     Active,
-    /// It waits for the rest of a message.
+    /// The thread waits for the rest of a message.
     MidMessage,
-    /// It holds nothing and waits for more.
+    /// The thread has no undelivered bytes and waits for more.
     Idle,
 }
 
-/// Which read activity a pending close accepts.
+/// The read activity that a pending close requires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CloseCondition {
     /// The connection must be idle.
     Idle,
-    /// It may also hold an incomplete message: that one is past its timeout.
+    /// The connection may also have an incomplete message, which has exceeded its timeout.
     IdleOrMidMessage,
 }
 
-/// A close that is carried out once its condition holds and no byte is unread; void once another message is delivered.
+/// A close that takes effect when its condition holds and no byte is unread; cancelled if another message is delivered.
 struct PendingClose {
-    /// Messages delivered to the reducer when the close was requested.
+    /// Number of messages delivered to the reducer when the close was requested.
     messages_delivered: u64,
     condition: CloseCondition,
 }
@@ -86,14 +86,14 @@
     }
 }
 
-/// What the lock of a connection guards.
+/// The part of a connection that its lock protects.
 struct Inner {
     state: ConnectionState,
-    /// Frames that the socket didn't take, in order.
+    /// Frames that the socket didn't accept yet, in order.
     unsent: VecDeque<Buffer>,
-    /// Since when the socket takes none of them.
+    /// Since when the socket accepts no bytes.
     stalled_since: Option<Instant>,
-    /// Messages delivered to the reducer.
+    /// Number of messages delivered to the reducer.
     messages_delivered: u64,
     activity: ReadActivity,
     pending_close: Option<PendingClose>,
@@ -103,7 +103,7 @@
     fn abort(&mut self, socket: &OwnedFd) {
         self.state = ConnectionState::Closed;
         self.unsent.clear();
-        // The reading thread learns of it by an event of the socket.
+        // The reading thread is notified by an event of the socket.
         let _ = shutdown(socket, Shutdown::Both);
     }
 
@@ -117,22 +117,22 @@
         }
     }
 
-    /// Carries out a pending close if its condition holds and no byte is unread. Bytes that arrive after this check are
-    /// never decoded, and their sender sees the end of the connection instead of a response.
+    /// Executes a pending close if its condition holds and no byte is unread. Bytes that arrive after this check are
+    /// never decoded; their sender sees the end of the connection instead of a response.
     fn try_pending_close(&mut self, socket: &OwnedFd) {
         let Some(pending) = &self.pending_close else { return };
         if self.messages_delivered != pending.messages_delivered {
             self.pending_close = None;
             return;
         }
-        // If bytes are unread, the reading thread gets an event for them, and this is tried again afterwards.
+        // If bytes are unread, the reading thread gets an event for them and retries the close afterwards.
         if pending.accepts(self.activity) && has_no_unread_bytes(socket) {
             self.pending_close = None;
             self.close(socket);
         }
     }
 
-    /// Writes as much of a frame as the socket takes; returns false if a part is left.
+    /// Writes as much of a frame as the socket accepts; returns false if a part is left.
     fn write(&mut self, socket: &OwnedFd, frame: &mut Buffer) -> bool {
         while !frame.is_empty() {
             match send(socket, frame, SendFlags::DONTWAIT | SendFlags::NOSIGNAL) {
@@ -155,26 +155,26 @@
     }
 }
 
-/// Whether the socket holds no unread byte. False at the end of file, which only a read consumes.
+/// Whether the socket has no unread bytes. False at the end of file, which only a read consumes.
 fn has_no_unread_bytes(socket: &OwnedFd) -> bool {
     let flags = RecvFlags::DONTWAIT | RecvFlags::PEEK;
     recv(socket, &mut [0_u8; 1][..], flags) == Err(Errno::WOULDBLOCK)
 }
 
-/// A connection, shared by the reading thread and the main thread. It occupies its slot until both dropped it.
+/// A connection, shared by the reading thread and the main thread. It uses its slot until both have dropped it.
 pub(super) struct Connection {
-    /// The socket; read by the reading thread alone.
+    /// The socket; only the reading thread reads from it.
     pub(super) socket: OwnedFd,
     /// The protocol that the peer speaks.
     pub(super) protocol: Arc<dyn Protocol>,
     inner: Mutex<Inner>,
-    /// Throttling cost of the responses sent since the reader last took it, in tokens.
+    /// Throttling cost, in tokens, of the responses sent since the reader last took it.
     response_cost: AtomicUsize,
     _slot: ConnectionSlot,
 }
 
 impl Connection {
-    /// An accepted connection; `open_connections` counts it until it is dropped.
+    /// Wraps an accepted socket; `open_connections` counts the connection until it is dropped.
     pub(super) fn new(
         socket: OwnedFd,
         protocol: Arc<dyn Protocol>,
@@ -202,20 +202,20 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes as much of a frame as the socket takes at once, and queues the rest. The frame is dropped unless the
-    /// connection is open.
+    /// Writes as much of a frame as the socket accepts immediately and queues the rest. The frame is dropped if the
+    /// connection is not open.
     pub(super) fn send(&self, mut frame: Buffer) {
         let mut inner = self.inner();
         if inner.state != ConnectionState::Open {
             return;
         }
         if !inner.unsent.is_empty() || !inner.write(&self.socket, &mut frame) {
-            // A frame may stay queued for long: it is copied into a buffer of its own size.
+            // A frame may stay queued for long, so it is copied into a buffer of its own size.
             inner.unsent.push_back(frame.exact());
         }
     }
 
-    /// Writes queued frames as far as the socket takes them; returns how many are left.
+    /// Writes queued frames as far as the socket accepts them; returns the number of remaining ones.
     pub(super) fn flush(&self) -> usize {
         let mut inner = self.inner();
         while let Some(mut frame) = inner.unsent.pop_front() {
@@ -230,19 +230,20 @@
         inner.unsent.len()
     }
 
-    /// The reading thread begins to read: the connection isn't idle from here on. Returns its state.
+    /// Records that the reading thread starts a read, so the connection is no longer idle. Returns the connection's
+    /// state.
     pub(super) fn begin_read(&self) -> ConnectionState {
         let mut inner = self.inner();
         inner.activity = ReadActivity::Active;
         inner.state
     }
 
-    /// The reading thread holds nothing of the connection and waits for more.
+    /// Records that the reading thread has no undelivered bytes and waits for more.
     pub(super) fn set_idle(&self) {
         self.set_activity(ReadActivity::Idle);
     }
 
-    /// The reading thread holds an incomplete message and waits for its rest.
+    /// Records that the reading thread waits for the rest of a message.
     pub(super) fn set_mid_message(&self) {
         self.set_activity(ReadActivity::MidMessage);
     }
@@ -253,18 +254,18 @@
         inner.try_pending_close(&self.socket);
     }
 
-    /// Whether no byte of the peer is unread in the socket.
+    /// Whether the socket has no unread bytes.
     pub(super) fn has_no_unread_bytes(&self) -> bool {
         has_no_unread_bytes(&self.socket)
     }
 
-    /// How many frames wait to be written.
+    /// Number of queued frames.
     pub(super) fn unsent_frames(&self) -> usize {
         self.inner().unsent.len()
     }
 
-    /// Counts a message that is about to be delivered to the reducer; false if none may be delivered any more. Guards
-    /// against a request that is read while the connection is closed: it would run, and its response be lost.
+    /// Counts a message that is about to be delivered to the reducer; false if the connection is no longer open and the
+    /// message must not be delivered: its request would run, but the response would be lost.
     pub(super) fn count_delivery(&self) -> bool {
         let mut inner = self.inner();
         let is_open = inner.state == ConnectionState::Open;
@@ -277,21 +278,22 @@
         self.response_cost.fetch_add(tokens, Ordering::Relaxed);
     }
 
-    /// Takes the throttling cost of the responses sent since the last call, in tokens.
+    /// Returns the throttling cost, in tokens, of the responses sent since the last call.
     pub(super) fn take_response_cost(&self) -> usize {
         self.response_cost.swap(0, Ordering::Relaxed)
     }
 
-    /// Closes once all queued frames are written: this server's half first, the rest when the peer has ended its own.
+    /// Closes the connection after all queued frames are written: this server's half first, then the rest after the
+    /// peer has shut down its own half.
     pub(super) fn close(&self) {
         self.inner().close(&self.socket);
     }
 
-    /// Closes as soon as the connection is idle, unless another message than these is delivered before. Guards against a
-    /// close that is requested just before the reading thread finishes, and would be forgotten.
+    /// Closes the connection when it is idle, unless a message beyond `messages_delivered` is delivered first. The
+    /// request stays pending, so that it is not lost if it arrives just before the reading thread finishes.
     pub(super) fn close_when_idle(&self, messages_delivered: u64) {
         let mut inner = self.inner();
-        // A pending close of a timed-out connection with the same count accepts more: keep it.
+        // A pending close of a timed-out connection with the same count has the weaker condition, so it is kept.
         let already_covered = inner.pending_close.as_ref().is_some_and(|pending| {
             pending.condition == CloseCondition::IdleOrMidMessage
                 && pending.messages_delivered == messages_delivered
@@ -302,8 +304,8 @@
         inner.try_pending_close(&self.socket);
     }
 
-    /// The same for a connection whose message timed out: an incomplete message doesn't keep it open. Guards against a
-    /// message that is completed at the moment of the timeout: it is delivered, and never read only to be discarded.
+    /// Like [`Self::close_when_idle`], but an incomplete message, which has timed out, doesn't keep the connection
+    /// open. A message that is completed at the moment of the timeout is still delivered instead of discarded.
     pub(super) fn close_timed_out(&self, messages_delivered: u64) {
         let mut inner = self.inner();
         inner.pending_close =
@@ -311,12 +313,13 @@
         inner.try_pending_close(&self.socket);
     }
 
-    /// Shuts both halves at once and drops what is queued.
+    /// Shuts down both halves immediately and drops all queued frames.
     pub(super) fn abort(&self) {
         self.inner().abort(&self.socket);
     }
 
-    /// Whether the peer took no queued frame, or didn't end its half of a lingering connection, within the timeout.
+    /// Whether the peer accepted no bytes of queued frames, or didn't shut down its half of a lingering connection,
+    /// within the timeout.
     pub(super) fn is_timed_out(&self, now: Instant) -> bool {
         let inner = self.inner();
         let has_elapsed = |since: Instant, timeout| now.saturating_duration_since(since) >= timeout;
@@ -326,12 +329,12 @@
         }
     }
 
-    /// Whether the last write was denied and no queued frame has moved since.
+    /// Whether the last write was denied and no queued bytes have been written since.
     pub(super) fn is_stalled(&self) -> bool {
         self.inner().stalled_since.is_some()
     }
 
-    /// Queues a frame as if its write had been denied, as when the system has no memory for it.
+    /// Queues a frame as if the system had denied its write for want of memory.
     #[cfg(test)]
     pub(super) fn simulate_denied_write(&self, frame: Buffer) {
         let mut inner = self.inner();
@@ -339,7 +342,7 @@
         inner.stalled_since = Some(Instant::now());
     }
 
-    /// Since when it lingers; `None` in any other state.
+    /// Since when the connection has been lingering; `None` in any other state.
     pub(super) fn lingering_since(&self) -> Option<Instant> {
         match self.inner().state {
             ConnectionState::Lingering { since } => Some(since),
--- a/crates/node/src/frontend/connection/tests.rs
+++ b/crates/node/src/frontend/connection/tests.rs
@@ -5,7 +5,7 @@
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
-/// A connection and its peer.
+/// Opens a connection and returns it with the client's socket.
 fn pair() -> (Connection, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -14,7 +14,7 @@
 }
 
 /// Waits until a byte of the peer has arrived, without reading it.
-fn arrived(conn: &Connection) {
+fn wait_for_byte(conn: &Connection) {
     recv(&conn.socket, &mut [0_u8; 1][..], RecvFlags::PEEK).unwrap();
 }
 
@@ -22,8 +22,8 @@
     conn.inner().state == ConnectionState::Open
 }
 
-/// Guards against closing a connection with a request in the socket, with its reader or in the queue, of which the
-/// reducer doesn't know yet: it would be lost without a response.
+/// Guards against closing a connection whose request is still in the socket, in the reader or in the queue: the reducer
+/// doesn't know it yet, and it would be lost without a response.
 #[test]
 fn closes_an_idle_connection_only_while_nothing_is_in_progress() {
     let (conn, mut peer) = pair();
@@ -36,18 +36,18 @@
     conn.close_when_idle(0);
     assert!(is_open(&conn), "a message is in the queue");
     peer.write_all(&[0]).unwrap();
-    arrived(&conn);
+    wait_for_byte(&conn);
     conn.close_when_idle(1);
     assert!(is_open(&conn), "a byte is unread");
-    // The reader finds no message in it, and waits for more.
+    // The reader consumes the byte without a complete message and waits for more.
     conn.begin_read();
     recv(&conn.socket, &mut [0_u8; 1][..], RecvFlags::empty()).unwrap();
     conn.set_idle();
     assert!(matches!(conn.inner().state, ConnectionState::Lingering { .. }));
 }
 
-/// Guards against a connection that stays open because its close was requested just before its reader finished with
-/// the message that was just answered.
+/// Guards against a connection that stays open because its close was requested after a message was answered, but just
+/// before its reader became idle.
 #[test]
 fn close_requested_during_a_read_is_carried_out_when_idle() {
     let (conn, _peer) = pair();
@@ -59,29 +59,29 @@
     assert!(matches!(conn.inner().state, ConnectionState::Lingering { .. }));
 }
 
-/// Guards against a request that arrives at the moment of the close: read before it and delivered after it, it would run
-/// and its response be lost. Whichever of the two is first wins.
+/// Guards against a request that is read before a close and delivered after it: it would run, but its response would be
+/// lost. Either the read comes first and the close waits, or the close comes first and the request is not delivered.
 #[test]
 fn message_read_during_a_close_is_delivered_or_never_counted() {
     let (conn, mut peer) = pair();
     conn.set_idle();
-    // The read begins before the close: the close waits, and the request is delivered.
+    // The read starts before the close: the close waits, and the request is delivered.
     peer.write_all(b"request").unwrap();
-    arrived(&conn);
+    wait_for_byte(&conn);
     assert_eq!(conn.begin_read(), ConnectionState::Open);
     recv(&conn.socket, &mut [0_u8; 16][..], RecvFlags::empty()).unwrap();
     conn.close_when_idle(0);
     assert!(conn.count_delivery());
-    // The close is first: what the reader finds then is not delivered.
+    // The close comes first: a message read afterwards is not delivered.
     conn.set_idle();
     conn.close_when_idle(1);
     peer.write_all(b"request").unwrap();
-    arrived(&conn);
+    wait_for_byte(&conn);
     assert!(matches!(conn.begin_read(), ConnectionState::Lingering { .. }));
     assert!(!conn.count_delivery());
 }
 
-/// Guards against frames that overtake one another when the socket is full, and against a close that loses queued frames.
+/// Guards against frames reordered when the socket is full, and against a close that loses queued frames.
 #[test]
 fn frames_keep_their_order_through_a_full_socket_and_a_close_flushes_them() {
     let (conn, mut peer) = pair();
@@ -109,7 +109,7 @@
     assert!(numbers.into_iter().eq(0..count));
 }
 
-/// Guards against a reset that loses a response: bytes of the peer that are unread at a close reset the connection.
+/// Guards against lost responses: closing a socket with unread bytes resets the connection.
 #[test]
 fn written_response_survives_bytes_that_arrive_after_the_close() {
     let (conn, mut peer) = pair();
@@ -117,8 +117,8 @@
     conn.send(BufferPool::new(1).copy(b"answer").unwrap());
     conn.close_when_idle(0);
     peer.write_all(b"half a li").unwrap();
-    arrived(&conn);
-    // As the reader does, up to the end of the peer's half.
+    wait_for_byte(&conn);
+    // Reads up to the peer's end of file, as the reader does.
     peer.shutdown(std::net::Shutdown::Write).unwrap();
     while recv(&conn.socket, &mut [0_u8; 4][..], RecvFlags::empty()).unwrap().0 > 0 {}
     drop(conn);
@@ -127,12 +127,12 @@
     assert_eq!(all, b"answer");
 }
 
-/// Guards against peers that read nothing, or never end their half, and hold their slots forever.
+/// Guards against peers that read nothing or never shut down their half, and occupy their slots forever.
 #[test]
 fn times_out_a_peer_that_reads_nothing_or_never_ends_its_half() {
     let (conn, _peer) = pair();
     let start = Instant::now();
-    assert!(!conn.is_timed_out(start + WRITE_TIMEOUT * 9), "it is idle");
+    assert!(!conn.is_timed_out(start + WRITE_TIMEOUT * 9), "the connection is idle");
     let pool = BufferPool::new(4);
     while conn.unsent_frames() == 0 {
         let mut frame = pool.take();
@@ -145,35 +145,35 @@
     assert!(!conn.is_timed_out(start) && conn.is_timed_out(Instant::now() + LINGER_TIMEOUT));
 }
 
-/// Guards against a message that is completed at the moment of its timeout and discarded without a response; and against
-/// an incomplete message that holds its slot forever.
+/// Guards against a message that is completed at the moment of its timeout but discarded without a response, and
+/// against an incomplete message that occupies its slot forever.
 #[test]
 fn closes_a_timed_out_connection_mid_message_but_with_no_byte_unread() {
-    for idle_too in [false, true] {
+    for also_close_when_idle in [false, true] {
         let (conn, mut peer) = pair();
         peer.write_all(b"half").unwrap();
-        arrived(&conn);
+        wait_for_byte(&conn);
         conn.begin_read();
         recv(&conn.socket, &mut [0_u8; 4][..], RecvFlags::empty()).unwrap();
         conn.close_timed_out(0);
         assert!(is_open(&conn), "the reader is active");
         peer.write_all(b"m").unwrap();
-        arrived(&conn);
+        wait_for_byte(&conn);
         conn.set_mid_message();
         assert!(is_open(&conn), "a byte is unread");
-        if idle_too {
+        if also_close_when_idle {
             conn.close_when_idle(0);
         }
         conn.begin_read();
         recv(&conn.socket, &mut [0_u8; 1][..], RecvFlags::empty()).unwrap();
         conn.set_mid_message();
-        assert!(matches!(conn.inner().state, ConnectionState::Lingering { .. }), "{idle_too}");
+        assert!(matches!(conn.inner().state, ConnectionState::Lingering { .. }), "{also_close_when_idle}");
     }
     let (conn, _peer) = pair();
     conn.begin_read();
     conn.set_mid_message();
     conn.close_when_idle(0);
-    assert!(is_open(&conn), "an incomplete message keeps it open, unless it timed out");
+    assert!(is_open(&conn), "an incomplete message that has not timed out keeps the connection open");
     assert!(conn.count_delivery());
     conn.close_timed_out(0);
     conn.set_idle();
--- a/crates/node/src/frontend/connection_reader.rs
+++ b/crates/node/src/frontend/connection_reader.rs
@@ -1,8 +1,8 @@
-//! Reads one connection: bytes are decoded into messages, and messages delivered to the reducer as inputs; after the
-//! last message, bytes are discarded.
+//! Reads one connection: decodes bytes into messages and delivers them to the reducer as inputs. After the last
+//! message, further bytes are discarded.
 //!
-//! Each call of [`ConnectionReader::read`] does a bounded amount of work and says what the event loop must do next.
-//! Which connection is read when, and which timed out, is decided in [`super::event_loop`].
+//! Each call of [`ConnectionReader::read`] does a bounded amount of work and returns what the event loop must do next.
+//! [`super::event_loop`] decides when each connection is read and acts on timeouts.
 
 use super::connection::{Connection, ConnectionState, MAX_UNSENT_FRAMES};
 use super::protocol::{DecodedMessage, FirstMessageTimeout, FrameDecoder, ReadTimeouts};
@@ -16,51 +16,51 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Bytes discarded of a peer whose bytes are no messages, or whose connection is being closed. More stays unread, so
-/// that TCP holds its sender back.
+/// Bytes discarded from a connection that sent malformed bytes or is being closed. Further bytes stay unread, so that
+/// TCP flow control stops the sender.
 const MAX_DISCARDED_BYTES: usize = 256 * 1024;
-/// Reads of one call that discards.
+/// Reads per call while discarding.
 const MAX_DISCARDING_READS: usize = 8;
-/// Reads of one call that decodes: the second finds out that the socket is empty, as a read that didn't fill its buffer
-/// doesn't prove it.
+/// Reads per call while decoding. The second one detects that the socket is empty, which a read that doesn't fill its
+/// buffer doesn't prove.
 const MAX_READS: usize = 2;
 /// Cost of reading one message, in tokens.
 const READ_COST: usize = 1;
 
-/// What is done with the bytes of a connection.
+/// How received bytes of a connection are handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Intake {
-    /// They are decoded, and the messages delivered.
+    /// Bytes are decoded and messages delivered.
     Decoding,
-    /// They are discarded, as earlier ones were malformed. Responses that are owed are still sent.
+    /// Bytes are discarded because earlier ones were malformed. Outstanding responses are still sent.
     Discarding,
-    /// There are no more: the peer has shut its half. Responses that are owed are still sent.
+    /// The peer has shut down its half. Outstanding responses are still sent.
     EndOfFile,
 }
 
-/// What the event loop must do with a connection after a read.
+/// The action that the event loop must take after a read.
 pub(super) enum ReadOutcome {
     /// The socket is empty: wait for an event.
     Empty,
-    /// There may be more: read again.
+    /// The socket may have more bytes: read again.
     MoreToRead,
-    /// The connection spent its tokens: read again after this time.
+    /// The connection has no tokens left: read again after this time.
     Throttled(Duration),
-    /// The peer leaves too many responses unread: read again once they are written.
+    /// The peer leaves too many responses unread: read again after they are written.
     WriteBlocked,
-    /// No more messages are delivered; what is owed is still answered.
+    /// No more messages are delivered; outstanding requests are still answered.
     HalfClosed {
-        /// Why, if the peer sent malformed bytes.
+        /// The error, if the peer sent malformed bytes; `None` at its end of file.
         malformed: Option<String>,
     },
-    /// The connection is unusable.
+    /// The connection is unusable: close it.
     Closed {
         /// Error of the system, if there was one.
         error: Option<io::Error>,
     },
 }
 
-/// Result of decoding a buffer, for the timeouts.
+/// Result of decoding a buffer, from which the message deadline follows.
 #[derive(Debug, Clone, Copy, Default)]
 struct DecodeProgress {
     consumed_bytes: usize,
@@ -70,29 +70,30 @@
 /// The reading side of a connection.
 pub(super) struct ConnectionReader {
     pub(super) connection: Arc<Connection>,
-    /// Received bytes of messages that are incomplete or not delivered yet.
+    /// Received bytes of incomplete or undelivered messages.
     buffer: Option<Buffer>,
     decoder: Box<dyn FrameDecoder>,
     timeouts: ReadTimeouts,
     intake: Intake,
-    /// Whether the decoder ever took bytes without an error: not after a malformed first message.
+    /// Whether the decoder has ever accepted bytes; false if the first message is malformed.
     has_accepted_bytes: bool,
-    /// The system reported that both halves are shut, or an error.
+    /// Whether the system reported an error, or that both halves are shut down.
     hung_up: bool,
-    /// When the current or the first message must be complete; `None` between later messages.
+    /// Deadline of the first or the current message; `None` between later messages.
     message_deadline: Option<Instant>,
     /// Whether the reducer was notified that the deadline passed. It closes the connection when no byte is unread.
     timeout_reported: bool,
     throttle: TokenBucket,
-    /// Whether it is queued to be read: there may be bytes.
+    /// Whether the connection is queued to be read because it may have unread bytes.
     pub(super) is_scheduled: bool,
-    /// Whether reading is stopped until the peer has read some of its responses.
+    /// Whether reading is paused until the peer has read some of its responses.
     pub(super) is_write_blocked: bool,
     discarded_bytes: usize,
 }
 
 impl ConnectionReader {
-    /// For a connection accepted now, which is scheduled to be read; `first_timeout` replaces that of the protocol.
+    /// Creates the reader of a connection accepted at `now`, which is scheduled to be read; `first_timeout` overrides
+    /// the first timeout of the protocol.
     pub(super) fn new(
         connection: Arc<Connection>,
         decoder: Box<dyn FrameDecoder>,
@@ -118,15 +119,15 @@
         }
     }
 
-    /// Delivers the messages in the buffer, reads a bounded number of times, and delivers what arrived.
+    /// Delivers buffered messages, then reads a bounded number of times and delivers the received messages.
     ///
     /// # Errors
-    /// An error of the socket: the connection is unusable.
+    /// If the socket fails; the connection is unusable.
     pub(super) fn read(&mut self, id: ConnectionId, shared: &Shared) -> io::Result<ReadOutcome> {
         match self.connection.begin_read() {
             ConnectionState::Closed => return Ok(ReadOutcome::Closed { error: None }),
             ConnectionState::Open if self.intake == Intake::Decoding => {}
-            // Nothing is delivered any more: what arrives can only be discarded.
+            // No more messages are delivered, so received bytes are discarded.
             _ => return self.discard(shared),
         }
         let mut buffer = self.buffer.take().unwrap_or_else(|| shared.pool.take());
@@ -138,7 +139,7 @@
         }
         for _ in 0..MAX_READS {
             match recv(&self.connection.socket, buffer.space(), RecvFlags::DONTWAIT) {
-                // An incomplete message is lost with its connection; complete ones before it are owed a response.
+                // An incomplete message is dropped; complete messages before it are still answered.
                 Ok((0, _)) => return Ok(ReadOutcome::HalfClosed { malformed: None }),
                 Ok((received_bytes, _)) => {
                     buffer.filled(received_bytes);
@@ -156,8 +157,8 @@
         Ok(ReadOutcome::MoreToRead)
     }
 
-    /// Ends a read: the system reported that the socket is empty. A short read is no such report: at an urgent mark, for
-    /// example, it leaves bytes behind for which no event comes, since events are edge-triggered.
+    /// Ends a read after the system reported that the socket is empty. A short read would not prove that: at an urgent
+    /// mark, for example, it leaves bytes for which no further edge-triggered event arrives.
     fn wait_for_bytes(&mut self, buffer: Buffer) -> ReadOutcome {
         self.buffer = (!buffer.is_empty()).then_some(buffer);
         if self.is_mid_message() {
@@ -168,50 +169,50 @@
         ReadOutcome::Empty
     }
 
-    /// Whether a part of a message has arrived.
+    /// Whether the reader or its decoder has a part of an incomplete message.
     pub(super) fn is_mid_message(&self) -> bool {
         self.buffer.is_some() || self.decoder.is_mid_message()
     }
 
-    /// Whether the decoder ever took bytes without an error.
+    /// Whether the decoder has ever accepted bytes without an error.
     pub(super) fn has_accepted_bytes(&self) -> bool {
         self.has_accepted_bytes
     }
 
-    /// Whether the deadline of its message has passed and wasn't reported yet. One that is scheduled hasn't timed out:
-    /// its bytes may be here.
+    /// Whether the message deadline has passed without a report. A scheduled connection has not timed out, because the
+    /// missing bytes may have arrived.
     pub(super) fn message_timed_out(&self, now: Instant) -> bool {
         let is_past_deadline = self.message_deadline.is_some_and(|deadline| deadline <= now);
         let awaits_message = self.intake == Intake::Decoding && !self.is_scheduled;
         awaits_message && is_past_deadline && !self.timeout_reported
     }
 
-    /// The reducer is notified of the timeout.
+    /// Records that the reducer was notified of the timeout.
     pub(super) fn set_timeout_reported(&mut self) {
         self.timeout_reported = true;
     }
 
-    /// The system reported that both halves are shut, or an error.
+    /// Records that the system reported an error, or that both halves are shut down.
     pub(super) fn set_hung_up(&mut self) {
         self.hung_up = true;
     }
 
-    /// Delivers no more messages; further bytes are discarded if earlier ones were malformed.
+    /// Stops delivering messages; if earlier bytes were malformed, further ones are discarded.
     pub(super) fn stop_decoding(&mut self, malformed: bool) {
         self.message_deadline = None;
         self.buffer = None;
         self.intake = if malformed { Intake::Discarding } else { Intake::EndOfFile };
     }
 
-    /// Whether both halves are shut: the peer's by its end of file, this server's by a lingering close.
+    /// Whether both halves are shut down: the peer's by end of file, this server's by a lingering close.
     pub(super) fn is_fully_closed(&self) -> bool {
         self.intake == Intake::EndOfFile && self.connection.lingering_since().is_some()
     }
 
-    /// Reads and discards, up to the end of the peer's half.
+    /// Reads and discards a bounded number of bytes, at most up to the peer's end of file.
     ///
     /// # Errors
-    /// An error of the socket: the connection is unusable.
+    /// If the socket fails; the connection is unusable.
     pub(super) fn discard(&mut self, shared: &Shared) -> io::Result<ReadOutcome> {
         self.buffer = None;
         let mut buffer = shared.pool.take();
@@ -231,12 +232,12 @@
         if self.hung_up || self.is_fully_closed() {
             return Ok(ReadOutcome::Closed { error: None });
         }
-        // A peer that sends more than the bound stays unread until its responses are written and it times out.
+        // Bytes of a peer that sends more than the limit stay unread until its responses are written and it times out.
         let is_done = self.intake == Intake::EndOfFile || self.discarded_bytes >= MAX_DISCARDED_BYTES;
         Ok(if is_done { ReadOutcome::Empty } else { ReadOutcome::MoreToRead })
     }
 
-    /// Delivers the complete messages of a buffer; returns an outcome if the read ends with them.
+    /// Delivers the complete messages of a buffer; returns an outcome if the read must end.
     fn deliver_messages(
         &mut self,
         id: ConnectionId,
@@ -277,10 +278,11 @@
         outcome
     }
 
-    /// Delivers one input; returns an outcome if the connection or the server takes none any more.
+    /// Delivers one input; returns an outcome if the connection is closed or the reducer accepts no more inputs.
     fn deliver(&self, input: Input, shared: &Shared) -> Option<ReadOutcome> {
         if !self.connection.count_delivery() {
-            // Closed meanwhile: the message is discarded, and its sender sees the end instead of a response.
+            // The connection was closed meanwhile: the message is dropped, and its sender sees the end of the
+            // connection.
             return Some(ReadOutcome::MoreToRead);
         }
         match shared.inputs.send(input) {
@@ -310,7 +312,7 @@
     }
 }
 
-/// The input that a message becomes; `None` if it is skipped.
+/// Converts a message to an input of the reducer; `None` if it is skipped.
 fn input(connection: ConnectionId, message: DecodedMessage) -> Option<Input> {
     match message {
         DecodedMessage::Request { sequence, request } => {
--- a/crates/node/src/frontend/event_loop.rs
+++ b/crates/node/src/frontend/event_loop.rs
@@ -1,9 +1,8 @@
-//! The reading thread: waits for events of all sockets, accepts connections, reads them in a fair order, and closes
-//! those that time out.
+//! The reading thread: waits for socket events, accepts connections, reads them in a fair order and closes those that
+//! time out.
 //!
-//! Inputs are the events of epoll, outputs the inputs of the reducer. Every scheduled connection is read once in each
-//! round, a bounded amount, so that a client at full speed doesn't keep the others waiting. What one read does is in
-//! [`super::connection_reader`], which listeners accept in [`super::acceptor`].
+//! Every scheduled connection is read once per round, a bounded amount, so that a client at full speed doesn't delay
+//! the others. [`super::connection_reader`] implements one read, [`super::acceptor`] one accept.
 
 use super::acceptor::{Accepted, Acceptor};
 use super::connection::MAX_UNSENT_FRAMES;
@@ -23,41 +22,42 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// Between checks of the timeouts, and the longest wait for events.
+/// Interval between checks of timeouts, and the longest wait for events.
 const TICK: Duration = Duration::from_millis(100);
-/// Between attempts to accept connections for which no event came.
+/// Interval between attempts to accept connections without an event.
 const ACCEPT_PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Before accepting is retried where no slot was free.
+/// Pause before accepting is retried after no slot was free.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// Events taken from the system at once.
+/// Events received per wait.
 const MAX_EVENTS: usize = 128;
 /// Connections accepted from one listener before the next one is served.
 const MAX_ACCEPTS_PER_LISTENER: usize = 16;
-/// Sent to a peer that didn't complete its message in time, and logged.
+/// Logged, and sent to a peer that didn't complete its message in time.
 const MESSAGE_TIMEOUT_TEXT: &str = "no whole frame in its time";
-/// How long a connection in a reserved slot may take for its one message.
+/// First message timeout of a connection in a reserved slot, in place of that of its protocol.
 const RESERVED_SLOT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The state of the reading thread.
 pub(super) struct EventLoop {
     epoll: OwnedFd,
     acceptor: Acceptor,
-    /// Ids of connections follow the indexes of the listeners: both are keys of events.
+    /// Ids of connections start after the indexes of the listeners, because both are keys of events.
     next_id: ConnectionId,
     shared: Shared,
     readers: HashMap<ConnectionId, ConnectionReader>,
     /// Connections to be read, in order.
     scheduled: VecDeque<ConnectionId>,
-    /// Connections that are not read until a time, as their tokens are spent.
+    /// Connections without tokens, with the time at which each is read again.
     throttled: HashMap<ConnectionId, Instant>,
     next_accept_probe: Instant,
 }
 
 impl EventLoop {
-    /// For these front ends, with at most `max_connections` together and `RESERVED_CONNECTIONS` more on the first.
+    /// Creates the event loop of these front ends, with at most `max_connections` in total and `RESERVED_CONNECTIONS`
+    /// more on the first.
     ///
     /// # Errors
-    /// If epoll can't be set up for the listeners.
+    /// If epoll can't be set up or a listener can't be registered.
     pub(super) fn new(
         frontends: Vec<(Arc<dyn Protocol>, Listener)>,
         max_connections: usize,
@@ -80,7 +80,7 @@
         })
     }
 
-    /// Runs until the reducer takes no more inputs.
+    /// Runs until the reducer accepts no more inputs.
     pub(super) fn run(&mut self) {
         let mut events = Vec::with_capacity(MAX_EVENTS);
         let mut next_tick = Instant::now();
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Waits until there is an event or something else to do.
+    /// Waits for events until other work is due.
     fn wait_for_events(&self, events: &mut Vec<epoll::Event>) {
         let timeout = self.wait_timeout();
         let timeout = Timespec { tv_sec: 0, tv_nsec: i64::from(timeout.subsec_nanos()) };
@@ -110,14 +110,15 @@
         match epoll::wait(&self.epoll, rustix::buffer::spare_capacity(events), Some(&timeout)) {
             Ok(_) | Err(Errno::INTR) => {}
             Err(e) => {
-                // No cause is known; without a pause a persistent error would take the core.
-                warn!(self.shared.log, "waiting for sockets failed"; "error" => %e);
+                // Without a pause, a persistent error would cause a busy loop.
+                warn!(self.shared.log, "waiting for events of client sockets failed; retrying after a pause, clients wait";
+                      "error" => %e);
                 std::thread::sleep(TICK);
             }
         }
     }
 
-    /// How long to wait for events: under a second.
+    /// How long to wait for events: at most [`TICK`].
     fn wait_timeout(&self) -> Duration {
         let mut timeout = if self.scheduled.is_empty() { TICK } else { Duration::ZERO };
         if self.acceptor.may_have_queued() {
@@ -135,7 +136,7 @@
         }
     }
 
-    /// A connection is readable, writable or has ended.
+    /// Handles an event of a connection: it is readable, writable or has ended.
     fn handle_connection_event(&mut self, id: ConnectionId, flags: epoll::EventFlags) {
         let Some(reader) = self.readers.get_mut(&id) else { return };
         let hung_up = flags.intersects(epoll::EventFlags::HUP | epoll::EventFlags::ERR);
@@ -156,20 +157,20 @@
         }
     }
 
-    /// Writes queued frames of a connection, and reads it again once few are left.
+    /// Writes queued frames of a connection and resumes reading it when few enough are left.
     fn flush(&mut self, id: ConnectionId) {
         let Some(reader) = self.readers.get_mut(&id) else { return };
         let unsent_frames = reader.connection.flush();
         if reader.is_write_blocked && unsent_frames < MAX_UNSENT_FRAMES {
-            // Requests sent meanwhile waited for their own client, not for this server: the reducer must not count that
-            // time as theirs.
+            // Requests sent meanwhile waited because of their own client and not of this server, so the reducer must
+            // not count that time as their waiting time.
             let _ = self.shared.inputs.send(Input::ConnectionThrottled { connection: id, duration: Span(0) });
             reader.is_write_blocked = false;
             self.scheduled.push_back(id);
         }
     }
 
-    /// Schedules the connections whose throttling ended.
+    /// Schedules the connections whose throttling has ended.
     fn resume_throttled(&mut self, now: Instant) {
         let scheduled = &mut self.scheduled;
         self.throttled.retain(|&id, until| {
@@ -181,7 +182,7 @@
         });
     }
 
-    /// Reads each scheduled connection once; returns false once the reducer takes no more inputs.
+    /// Reads each scheduled connection once; returns false if the reducer accepts no more inputs.
     fn read_scheduled(&mut self) -> bool {
         for _ in 0..self.scheduled.len() {
             if let Some(id) = self.scheduled.pop_front()
@@ -193,7 +194,7 @@
         true
     }
 
-    /// Accepts queued connections while slots are free, some of each listener in turn.
+    /// Accepts queued connections while slots are free, a batch from each listener in turn.
     fn accept(&mut self) {
         if !self.shared.accepting.load(Ordering::SeqCst) {
             if self.acceptor.is_accepting() {
@@ -212,23 +213,23 @@
         }
     }
 
-    /// Closes the listeners. Connections queued on a listener that is this process's alone are accepted first: the close
-    /// would reset them.
+    /// Closes the listeners. Connections queued on an exclusive listener are accepted first, because closing it would
+    /// reset them.
     fn stop_accepting(&mut self) {
         for index in 0..self.acceptor.len() {
             if self.acceptor.must_empty_queue(index) {
                 while self.accept_batch(index) {}
             }
             if let Some(listener) = self.acceptor.take_listener(index) {
-                // Guards against an event for each connection that another process accepts from now on.
+                // Otherwise each connection for the other process would cause an event here.
                 let _ = epoll::delete(&self.epoll, &listener);
             }
         }
-        // Follows every accepted connection in the same queue.
+        // In the same queue as the accepted connections, so that it arrives after all of them.
         let _ = self.shared.inputs.send(Input::StoppedAccepting);
     }
 
-    /// Accepts some connections of a listener; returns whether there may be more.
+    /// Accepts a batch of connections from a listener; returns whether there may be more.
     fn accept_batch(&mut self, index: usize) -> bool {
         let now = Instant::now();
         if self.acceptor.is_paused(index, now) {
@@ -241,16 +242,19 @@
                     self.next_id += 1;
                     let uses_reserved_slot = slots_full && !self.free_slot();
                     if let Err(e) = self.open(id, index, stream, uses_reserved_slot) {
-                        warn!(self.shared.log, "a connection could not be served"; "error" => %e);
+                        warn!(self.shared.log, "can't watch a client's connection for events; closing it";
+                              "error" => %e);
                     }
                 }
                 Accepted::Interrupted => {}
                 Accepted::NoneQueued => return false,
-                // A lingering connection is only waiting for its peer to end its half: it gives up its slot.
+                // A lingering connection only waits for its peer to shut down its half, so it can be closed for its
+                // slot.
                 Accepted::NoSlot => return self.close_longest_lingering(),
                 Accepted::Shortage { error } => {
                     if let Some(error) = error {
-                        warn!(self.shared.log, "accepting failed, and is tried again"; "error" => %error);
+                        warn!(self.shared.log, "accepting failed on a client listener; new clients wait until a retry succeeds";
+                              "error" => %error);
                     }
                     return false;
                 }
@@ -268,7 +272,8 @@
     ) -> io::Result<()> {
         watch(&self.epoll, &stream, id)?;
         let connection = Arc::new(self.acceptor.connection(index, stream));
-        // Made before the reducer is notified, which may block: the connection keeps the settings of its accept.
+        // Created before the notification of the reducer, which may block: the connection keeps the settings at its
+        // accept.
         let decoder = connection.protocol.decoder();
         self.shared.connections().insert(id, Arc::clone(&connection));
         let _ = self.shared.inputs.send(Input::ConnectionOpened(id));
@@ -279,7 +284,7 @@
         Ok(())
     }
 
-    /// Reads a connection once; returns false once the reducer takes no more inputs.
+    /// Reads a connection once; returns false if the reducer accepts no more inputs.
     fn read(&mut self, id: ConnectionId) -> bool {
         let Some(reader) = self.readers.get_mut(&id) else { return true };
         let outcome = reader.read(id, &self.shared);
@@ -294,7 +299,7 @@
                 return self.shared.inputs.send(input).is_ok();
             }
             ReadOutcome::HalfClosed { malformed } => {
-                // The next read discards what is left, or finds the end.
+                // The next read discards the remaining bytes or reaches the end of file.
                 self.scheduled.push_back(id);
                 return self.half_close(id, malformed);
             }
@@ -303,13 +308,14 @@
         true
     }
 
-    /// No more messages of a connection are delivered. The reducer is notified after all that were, and closes the
-    /// connection once every response that is owed was sent.
+    /// Stops delivering messages of a connection. The reducer gets this input after all messages, and closes the
+    /// connection when all outstanding responses are sent.
     fn half_close(&mut self, id: ConnectionId, malformed: Option<String>) -> bool {
         let Some(reader) = self.readers.get_mut(&id) else { return true };
         reader.stop_decoding(malformed.is_some());
         if let Some(reason) = malformed {
-            info!(self.shared.log, "a client's connection can't go on"; "conn" => id, "reason" => %reason);
+            info!(self.shared.log, "a client's connection can't go on after malformed bytes; closing it after open responses";
+                  "conn" => id, "reason" => %reason);
             if reader.has_accepted_bytes() {
                 send_malformed_response(reader, &reason, &self.shared);
             }
@@ -317,30 +323,32 @@
         self.shared.inputs.send(Input::ConnectionHalfClosed(id)).is_ok()
     }
 
-    /// A connection completed no message in its time. What still arrives is decoded as ever: the reducer closes it at a
-    /// moment at which no byte is unread, so that no request is read only to be discarded.
+    /// Reports that a connection didn't complete a message in time. Bytes that still arrive are decoded as usual: the
+    /// reducer closes the connection only while no byte is unread, so that no request is read and then discarded.
     fn report_message_timeout(&mut self, id: ConnectionId) {
         let Some(reader) = self.readers.get_mut(&id) else { return };
         if !reader.connection.has_no_unread_bytes() {
-            // They arrived after the last wait for events, and are read next.
+            // The bytes arrived after the last wait for events, so they are read next.
             reader.is_scheduled = true;
             return self.scheduled.push_back(id);
         }
         reader.set_timeout_reported();
-        info!(self.shared.log, "a client's connection can't go on"; "conn" => id, "reason" => MESSAGE_TIMEOUT_TEXT);
+        info!(self.shared.log, "a client's connection can't go on after a message timeout; closing it when idle";
+              "conn" => id, "reason" => MESSAGE_TIMEOUT_TEXT);
         if reader.is_mid_message() {
             send_malformed_response(reader, MESSAGE_TIMEOUT_TEXT, &self.shared);
         }
         let _ = self.shared.inputs.send(Input::ConnectionLate(id));
     }
 
-    /// Closes a connection for good and frees its slot; returns false once the reducer takes no more inputs.
+    /// Closes a connection immediately and frees its slot; returns false if the reducer accepts no more inputs.
     fn remove(&mut self, id: ConnectionId, error: Option<io::Error>) -> bool {
         if let Some(error) = error {
-            info!(self.shared.log, "closing a client's connection"; "conn" => id, "reason" => %error);
+            info!(self.shared.log, "closing a client's connection after a socket error";
+                  "conn" => id, "reason" => %error);
         }
         if let Some(mut reader) = self.readers.remove(&id) {
-            // Bytes left unread would make the close a reset.
+            // Unread bytes would turn the close into a reset.
             let _ = reader.discard(&self.shared);
             let _ = epoll::delete(&self.epoll, &reader.connection.socket);
             reader.connection.abort();
@@ -349,15 +357,15 @@
         self.shared.inputs.send(Input::ConnectionClosed(id)).is_ok()
     }
 
-    /// Periodic work: probes the listeners, retries denied writes, removes connections whose peer neither reads nor ends
-    /// its half, and reports messages that timed out.
+    /// Periodic work: probes the listeners, retries denied writes, removes connections whose peer neither reads nor
+    /// shuts down its half, and reports message timeouts.
     fn tick(&mut self, now: Instant) {
         if now >= self.next_accept_probe {
             self.next_accept_probe = now + ACCEPT_PROBE_INTERVAL;
-            // An interrupted accept may leave connections queued for which no event comes.
+            // An interrupted accept may leave connections queued for which no event arrives.
             self.acceptor.set_all_ready();
         }
-        // No event follows a write that was denied for want of memory instead of space in the socket.
+        // No event follows a write that was denied for want of memory rather than for a full socket.
         for id in self.matching(|reader| reader.connection.is_stalled()) {
             self.flush(id);
         }
@@ -373,14 +381,15 @@
         }
     }
 
-    /// Connections that fulfil a condition.
+    /// Ids of the connections whose reader fulfils a condition.
     fn matching(&self, condition: impl Fn(&ConnectionReader) -> bool) -> Vec<ConnectionId> {
         let readers = self.readers.iter().filter(|(_, reader)| condition(reader));
         readers.map(|(&id, _)| id).collect()
     }
 
-    /// Closes lingering connections until a regular slot is free; returns whether one is. Guards against rejecting new
-    /// connections for as long as many arrive, since each one leaves one more lingering connection than it closes.
+    /// Closes lingering connections until a regular slot is free; returns whether one is. Closing only one per new
+    /// connection would not keep up while many arrive: each leaves one more lingering connection than it closes, and
+    /// new connections would be rejected.
     fn free_slot(&mut self) -> bool {
         while self.acceptor.is_full() {
             if !self.close_longest_lingering() {
@@ -390,7 +399,7 @@
         true
     }
 
-    /// Closes the connection that has lingered longest; returns false if none lingers.
+    /// Closes the connection that has lingered longest; returns false if there is none.
     fn close_longest_lingering(&mut self) -> bool {
         let lingering = |(&id, reader): (&ConnectionId, &ConnectionReader)| {
             Some((reader.connection.lingering_since()?, id))
@@ -400,14 +409,14 @@
     }
 }
 
-/// Sends the protocol's response to malformed bytes, if it has one.
+/// Sends the protocol's response to malformed or incomplete messages, if it has one.
 fn send_malformed_response(reader: &ConnectionReader, reason: &str, shared: &Shared) {
     if let Some(frame) = reader.connection.protocol.malformed_response(reason, &shared.pool) {
         reader.connection.send(frame);
     }
 }
 
-/// Registers a socket for edge-triggered events of both directions, under a key.
+/// Registers a socket for edge-triggered events in both directions; `key` identifies it in events.
 fn watch(epoll: &OwnedFd, socket: impl AsFd, key: u64) -> io::Result<()> {
     use epoll::EventFlags;
     let flags = EventFlags::IN | EventFlags::OUT | EventFlags::RDHUP | EventFlags::ET;
--- a/crates/node/src/frontend/event_loop/tests.rs
+++ b/crates/node/src/frontend/event_loop/tests.rs
@@ -10,7 +10,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::AtomicBool;
 
-/// An event loop that has not run, with so many connection slots, its address and the inputs that it sends.
+/// Creates an event loop that is not running; returns it with the address of its listener and the queue of its inputs.
 fn event_loop(max_connections: usize, shared: bool) -> (EventLoop, SocketAddr, Receiver<Input>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -28,8 +28,8 @@
     (EventLoop::new(vec![(protocol, listener)], max_connections, shared).unwrap(), address, received)
 }
 
-/// Guards against connections that the system queued for this process and resets when it ends: they are accepted before
-/// the listener is closed. A listener that another process shares keeps its queue.
+/// Guards against resets of connections queued on an exclusive listener: they are accepted before it is closed. A
+/// shared listener keeps its queue for the other process.
 #[test]
 fn accepts_queued_connections_before_closing_an_exclusive_listener() {
     for shared in [false, true] {
@@ -41,13 +41,13 @@
         let opened = inputs.iter().filter(|input| matches!(input, Input::ConnectionOpened(_))).count();
         assert_eq!(opened, if shared { 0 } else { 40 });
         assert!(matches!(inputs.last(), Some(Input::StoppedAccepting)), "{inputs:?}");
-        assert!(TcpStream::connect(address).is_err(), "nobody listens any more");
+        assert!(TcpStream::connect(address).is_err(), "the listener is closed");
         event_loop.accept();
-        assert!(received.is_empty(), "it is told once");
+        assert!(received.is_empty(), "StoppedAccepting is sent once");
     }
 }
 
-/// Guards against slots that are never freed, and against lingering peers that keep new connections out.
+/// Guards against slots that are never freed, and against lingering connections that block new ones.
 #[test]
 fn accepts_into_reserved_slots_when_full_and_replaces_a_lingering_connection() {
     let (mut event_loop, address, received) = event_loop(4, false);
@@ -65,26 +65,26 @@
     assert!(matches!(inputs[..], [Input::ConnectionClosed(2), Input::ConnectionOpened(_)]), "{inputs:?}");
 }
 
-/// A health check as a client proxy frames it.
+/// The Thrift frame of a health check.
 fn health(seq: i32) -> Vec<u8> {
     let head = [&[0x80, 1, 0, 1][..], &6_u32.to_be_bytes(), b"health", &seq.to_be_bytes()].concat();
     let message = [&head[..], &[2, 0, 1, 0, 0]].concat();
     [&(message.len() as u32).to_be_bytes()[..], &message].concat()
 }
 
-/// Unread bytes of the server's end of a connection, from /proc/net/tcp.
+/// Unread bytes at the server's end of a connection, from /proc/net/tcp.
 fn unread(peer: &TcpStream) -> usize {
     let word = |address: SocketAddr| format!(":{:04X}", address.port());
     let (server, client) = (word(peer.peer_addr().unwrap()), word(peer.local_addr().unwrap()));
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let line = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
     let mut line = line.filter(|words| words[1].ends_with(&server) && words[2].ends_with(&client));
-    let words = line.next().expect("the connection stands");
+    let words = line.next().expect("an open connection");
     usize::from_str_radix(words[4].split_once(':').unwrap().1, 16).unwrap()
 }
 
-/// Waits until so many bytes of a peer are unread.
-fn arrived(peer: &TcpStream, bytes: usize) {
+/// Waits until at least `bytes` bytes of a peer are unread.
+fn wait_until_unread(peer: &TcpStream, bytes: usize) {
     let start = Instant::now();
     while unread(peer) < bytes {
         assert!(start.elapsed() < Duration::from_secs(20), "{} of {bytes} bytes arrived", unread(peer));
@@ -92,7 +92,7 @@
     }
 }
 
-/// Handles all pending events, as the loop does, until nothing is scheduled.
+/// Handles all pending events, as the running loop does, until no connection is scheduled.
 fn run_all_events(event_loop: &mut EventLoop) {
     event_loop.accept();
     loop {
@@ -120,46 +120,46 @@
         .collect()
 }
 
-/// Guards against a connection that hangs with requests unread: a read may be cut short though more bytes are there, as
-/// at an urgent mark, and no new event comes for them.
+/// Guards against a connection that hangs with unread requests: a read can be short although more bytes are available,
+/// for example at an urgent mark, and no further event arrives for them.
 #[test]
-fn reads_everything_after_a_read_that_was_cut_short() {
+fn reads_everything_after_a_short_read() {
     let (mut event_loop, address, received) = event_loop(4, false);
     let mut peer = TcpStream::connect(address).unwrap();
     peer.write_all(&health(1)).unwrap();
     send(&peer, b"!", SendFlags::OOB).unwrap();
     peer.write_all(&health(2)).unwrap();
-    arrived(&peer, 2 * health(1).len() + 1);
+    wait_until_unread(&peer, 2 * health(1).len() + 1);
     run_all_events(&mut event_loop);
     assert_eq!(health_checks(&received), [1, 2]);
 }
 
-/// Guards against a request that is discarded without a response, since it arrived at the moment of its timeout: after
-/// the last wait for events, and before the close.
+/// Guards against a request that is discarded without a response because it arrives at the moment of its timeout: after
+/// the last wait for events and before the close.
 #[test]
 fn delivers_a_request_that_arrives_at_the_moment_of_its_timeout() {
-    for before_the_look in [true, false] {
+    for before_tick in [true, false] {
         let (mut event_loop, address, received) = event_loop(4, false);
         let mut peer = TcpStream::connect(address).unwrap();
         run_all_events(&mut event_loop);
         let late = Instant::now() + Duration::from_secs(3);
-        if before_the_look {
+        if before_tick {
             peer.write_all(&health(1)).unwrap();
-            arrived(&peer, health(1).len());
+            wait_until_unread(&peer, health(1).len());
         }
         event_loop.tick(late);
-        if !before_the_look {
-            // The main thread has not closed it yet.
+        if !before_tick {
+            // The main thread has not closed the connection yet.
             peer.write_all(&health(1)).unwrap();
-            arrived(&peer, health(1).len());
+            wait_until_unread(&peer, health(1).len());
         }
         run_all_events(&mut event_loop);
-        assert_eq!(health_checks(&received), [1], "{before_the_look}");
+        assert_eq!(health_checks(&received), [1], "{before_tick}");
     }
 }
 
-/// Guards against frames that stay queued: no event follows a write that was denied for want of memory instead of space
-/// in the socket, and its connection would be closed 5 s later.
+/// Guards against frames that stay queued: no event follows a write that was denied for want of memory rather than for
+/// a full socket, and the connection would be closed 5 s later.
 #[test]
 fn retries_a_write_that_was_denied() {
     let (mut event_loop, address, _received) = event_loop(4, false);
@@ -169,15 +169,15 @@
     connection.simulate_denied_write(event_loop.shared.pool.copy(b"answer").unwrap());
     run_all_events(&mut event_loop);
     event_loop.tick(Instant::now());
-    assert!(!connection.is_stalled() && connection.unsent_frames() == 0, "it waits yet");
+    assert!(!connection.is_stalled() && connection.unsent_frames() == 0, "the frame is still queued");
     peer.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     let mut answer = [0; 6];
     peer.read_exact(&mut answer).unwrap();
     assert_eq!(&answer, b"answer");
 }
 
-/// Guards against connections that stay queued until another one arrives: after an interrupted accept no event comes for
-/// them.
+/// Guards against connections that stay queued until another one arrives: after an interrupted accept, no event arrives
+/// for them.
 #[test]
 fn accepts_queued_connections_without_an_event() {
     let (mut event_loop, address, received) = event_loop(4, false);
--- a/crates/node/src/frontend/listener.rs
+++ b/crates/node/src/frontend/listener.rs
@@ -1,4 +1,4 @@
-//! Listening sockets of the front ends: TCP, TCP shared with another process, and UNIX sockets.
+//! Listening sockets of the front ends: TCP sockets, TCP sockets shared with another process, and UNIX sockets.
 
 use rustix::net::sockopt::set_socket_reuseaddr;
 use rustix::net::{AddressFamily, SocketFlags, SocketType, bind, listen, socket_with};
@@ -9,56 +9,56 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::{Path, PathBuf};
 
-/// Connections that the system queues for the accept: about as many as a server has slots. With the standard library's
-/// 128 the system drops part of the client proxies that reconnect at once while this process doesn't run, and those
-/// retry only after a second or more.
+/// Connections that the system queues until they are accepted: about the number of connection slots of a server. With
+/// the standard library's 128, the system drops some connections when all client proxies reconnect while this process
+/// is suspended, and those retry only after a second or more.
 const BACKLOG: i32 = 1024;
 
-/// Where a front end listens.
+/// A listening socket of a front end.
 pub enum Listener {
-    /// An address of this process alone.
+    /// A TCP socket of this process alone.
     Tcp(TcpListener),
-    /// An address whose socket another process holds too.
+    /// A TCP socket that another process has open too.
     Shared(TcpListener),
-    /// A UNIX socket and its path, which is removed when the listener is dropped.
+    /// A UNIX socket and its path; dropping the listener removes the path.
     Unix(UnixListener, PathBuf),
 }
 
 impl Listener {
-    /// Listens on an address.
+    /// Listens on a TCP address.
     ///
     /// # Errors
-    /// If the socket can't be made or bound.
+    /// If the socket can't be created or bound.
     pub fn tcp(address: SocketAddr) -> io::Result<Self> {
         let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
         let listener = socket_with(family, SocketType::STREAM, SocketFlags::CLOEXEC, None)?;
-        // As the standard library does: connections of an earlier process may still be in TIME_WAIT on the address.
+        // As in the standard library: connections of an earlier process may still be in TIME_WAIT on the address.
         set_socket_reuseaddr(&listener, true)?;
         bind(&listener, &address)?;
         listen(&listener, BACKLOG)?;
         Ok(Self::Tcp(listener.into()))
     }
 
-    /// Listens on a path. A socket file that no process listens on any more is removed first.
+    /// Listens on a UNIX socket. If its path is a socket that no process listens on any more, that is removed first.
     ///
     /// # Errors
-    /// If another process listens there, or the path can't be bound, as where a file that is no socket has it.
+    /// If another process listens on the path, or it can't be bound, for example because it is a file of another type.
     pub fn unix(path: &Path) -> io::Result<Self> {
         if std::fs::symlink_metadata(path).is_ok_and(|file| file.file_type().is_socket()) {
             if UnixStream::connect(path).is_ok() {
-                return Err(io::Error::new(ErrorKind::AddrInUse, "another process listens there"));
+                return Err(io::Error::new(ErrorKind::AddrInUse, "another process listens on this path"));
             }
             std::fs::remove_file(path)?;
         }
         Ok(Self::Unix(UnixListener::bind(path)?, path.into()))
     }
 
-    /// Whether the socket belongs to this process alone, so that connections queued on it are lost when it is closed.
+    /// Whether only this process has the socket open, so that closing it loses the connections queued on it.
     pub(super) fn is_exclusive(&self) -> bool {
         !matches!(self, Self::Shared(_))
     }
 
-    /// Lets [`Self::accept`] return `WouldBlock` where no connection is queued.
+    /// Makes [`Self::accept`] return `WouldBlock` if no connection is queued.
     pub(super) fn set_nonblocking(&self) -> io::Result<()> {
         match self {
             Self::Tcp(listener) | Self::Shared(listener) => listener.set_nonblocking(true),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Accepts a queued connection; on TCP without Nagle's delay, as responses are written at once.
+    /// Accepts a queued connection. Nagle's algorithm is disabled on TCP because responses are written as a whole.
     pub(super) fn accept(&self) -> io::Result<OwnedFd> {
         match self {
             Self::Tcp(listener) | Self::Shared(listener) => {
--- a/crates/node/src/frontend/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -1,17 +1,17 @@
-//! Front ends for clients: one thread accepts and reads all connections of every protocol, and the main thread writes.
+//! Front ends for clients: one thread accepts and reads the connections of all protocols, and the main thread writes.
 //!
-//! Inputs are bytes of clients, which become inputs of the reducer; outputs are the responses and closes of the
-//! reducer's effects, through [`Frontend`]. A protocol is a folder with a [`Protocol`], which does no I/O; descriptors,
-//! buffers, throttling, fair reading, connection slots and draining are here once, for all protocols:
+//! Bytes of clients become inputs of the reducer; the reducer's effects send responses and close connections through
+//! [`Frontend`]. Each protocol has a submodule with an implementation of [`Protocol`], which does no I/O. Descriptors,
+//! buffers, throttling, fair reading, connection slots and draining are implemented once, for all protocols:
 //!
-//! - `event_loop` waits for sockets and reads connections in turn, `acceptor` accepts them within their bounds;
-//! - `connection_reader` decodes the bytes of one connection, `throttle` bounds its rate;
+//! - `event_loop` waits for socket events and reads connections in turn, `acceptor` accepts them within their limits;
+//! - `connection_reader` decodes the bytes of one connection, `throttle` limits its rate;
 //! - `connection` is the state that both threads share, under one lock.
 //!
-//! A connection takes one descriptor and no thread: a thread for each would be stopped and continued one by one when
-//! the process is held to its share of the core. Nothing blocks the caller of [`Frontend`]: frames that a socket doesn't
-//! take at once are queued until it is writable. That queue is bounded, since nothing is read from a peer that leaves
-//! `MAX_UNSENT_FRAMES` unread.
+//! A connection uses one descriptor and no thread: with a thread per connection, a process limited to its share of a
+//! core would have its threads suspended and resumed one by one. Callers of [`Frontend`] never block: frames that a
+//! socket doesn't accept immediately are queued until it is writable. The queue is bounded because the reader stops
+//! reading from a peer that leaves `MAX_UNSENT_FRAMES` unread.
 
 mod acceptor;
 mod connection;
@@ -43,23 +43,23 @@
 use std::thread;
 use throttle::MessageOutcome;
 
-/// Stack of the reading thread: its buffers are on the heap.
+/// Stack size of the reading thread, whose buffers are on the heap.
 const STACK_BYTES: usize = 64 * 1024;
-/// The connections of all front ends, for the effects of the reducer. Ids of connections that are gone are ignored.
+/// The main thread's handle to the connections of all front ends. Ids of closed connections are ignored.
 pub struct Frontend {
     connections: Arc<Connections>,
     pool: Arc<BufferPool>,
-    /// Whether clients were asked to drain, which responses may state.
+    /// Whether clients were asked to drain; some protocols state this in responses.
     draining: AtomicBool,
     accepting: Arc<AtomicBool>,
 }
 
 impl Frontend {
-    /// Starts the reading thread, which accepts connections of these protocols, at most `max_connections` at a time, and
-    /// sends what they receive as inputs. Health checks are expected on the first listener.
+    /// Starts the reading thread, which accepts at most `max_connections` concurrent connections of these protocols and
+    /// sends their messages as inputs. Health checks are expected on the first listener.
     ///
     /// # Errors
-    /// If a listener can't be watched, or the thread not be started.
+    /// If a listener can't be registered for events or the thread can't be started.
     pub fn listen(
         frontends: Vec<(Arc<dyn Protocol>, Listener)>,
         max_connections: usize,
@@ -82,9 +82,9 @@
         Ok(Self { connections, pool, draining: AtomicBool::new(false), accepting })
     }
 
-    /// Accepts no more connections; those that were accepted are read and answered as before. Connections queued on a
-    /// listener of this process alone are accepted first, and the listener is then closed; those queued on a shared
-    /// listener are left to the process that shares it.
+    /// Stops accepting connections; accepted ones are still read and answered. Connections that are queued on an
+    /// exclusive listener are accepted before it is closed; those queued on a shared listener are left to the other
+    /// process.
     pub fn stop_accepting(&self) {
         self.accepting.store(false, Ordering::SeqCst);
     }
@@ -93,8 +93,8 @@
         self.connections.lock().unwrap_or_else(PoisonError::into_inner).get(&id).cloned()
     }
 
-    /// Sends a response. If it can't be encoded, a failure is sent instead; if that can't be either, the connection is
-    /// closed.
+    /// Sends a response. If it can't be encoded, a failure response is sent instead; if that can't be encoded either,
+    /// the connection is closed.
     pub fn respond(
         &self,
         connection: ConnectionId,
@@ -118,7 +118,7 @@
     }
 
     /// Asks a peer to send no more requests. If the protocol has no such message, the connection is closed unless it
-    /// has delivered a request.
+    /// has already delivered a request.
     pub fn request_drain(&self, connection: ConnectionId) {
         self.draining.store(true, Ordering::Relaxed);
         let Some(connection) = self.connection(connection) else { return };
@@ -128,24 +128,25 @@
         }
     }
 
-    /// Closes a connection once it is idle, unless it delivers more messages than these before; its end is reported as
-    /// an input. Guards against a request in the socket or in the queue of which the reducer doesn't know yet: its
-    /// response would be lost.
+    /// Closes a connection when it is idle, unless it delivers a message beyond `messages_received` first; the end is
+    /// reported as an input. The count protects requests that are still in the socket or the queue, unknown to the
+    /// reducer: their responses would be lost.
     pub fn close_when_idle(&self, connection: ConnectionId, messages_received: u64) {
         if let Some(connection) = self.connection(connection) {
             connection.close_when_idle(messages_received);
         }
     }
 
-    /// Closes a connection whose message timed out, on the same terms; an incomplete message doesn't keep it open.
+    /// Closes a connection whose message timed out, as [`Self::close_when_idle`] does, but even if a message is
+    /// incomplete.
     pub fn close_timed_out(&self, connection: ConnectionId, messages_received: u64) {
         if let Some(connection) = self.connection(connection) {
             connection.close_timed_out(messages_received);
         }
     }
 
-    /// Closes a connection once all its frames are written; its end is reported as an input once the peer has ended its
-    /// half too.
+    /// Closes a connection after all its queued frames are written; the end is reported as an input after the peer has
+    /// shut down its half too.
     pub fn close(&self, connection: ConnectionId) {
         if let Some(connection) = self.connection(connection) {
             connection.close();
--- a/crates/node/src/frontend/scgi/codec/client.rs
+++ b/crates/node/src/frontend/scgi/codec/client.rs
@@ -1,4 +1,4 @@
-//! The client's side of SCGI, for load generators and tests: requests to bytes and bytes to responses.
+//! The client's side of SCGI, for load generators and tests: encodes requests and decodes responses.
 
 /// Encodes a request as a client sends it: `CONTENT_LENGTH` and `SCGI` first, then these headers.
 pub fn encode(headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
@@ -12,19 +12,19 @@
     [format!("{}:", head.len()).as_bytes(), &head, b",", body].concat()
 }
 
-/// A response as a client reads it.
+/// A response as a client receives it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ScgiResponse {
     /// HTTP status code.
     pub status: u16,
-    /// Names in lower case, with their values, in the order sent.
+    /// Names in lower case and their values, in the order sent.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// The body, as long as `Content-Length` says.
     pub body: Vec<u8>,
 }
 
 impl ScgiResponse {
-    /// Parses everything received up to the end of the connection; `None` if that is no complete response.
+    /// Parses all bytes received on a connection; `None` if they are no complete response.
     pub fn read(bytes: &[u8]) -> Option<Self> {
         let end = bytes.windows(4).position(|four| four == b"\r\n\r\n")?;
         let head = std::str::from_utf8(&bytes[..end]).ok()?;
--- a/crates/node/src/frontend/scgi/codec/decoder.rs
+++ b/crates/node/src/frontend/scgi/codec/decoder.rs
@@ -1,29 +1,29 @@
 //! Decodes one SCGI 1 request: a netstring of headers, then a body (<https://python.ca/scgi/protocol.txt>).
 //!
-//! Bytes are fed in pieces of any size. Only the headers that the server requires are kept, so a connection holds at
-//! most [`MAX_RETAINED_BYTES`] of headers and [`MAX_BODY_BYTES`] of body, however long its header block is.
+//! Bytes are fed in pieces of any size. Only headers that the server needs are retained, so a connection uses at most
+//! [`MAX_RETAINED_BYTES`] for headers and [`MAX_BODY_BYTES`] for the body, however long its header block is.
 
 use std::collections::BTreeSet;
 
-/// Bytes of the header block, as its netstring states them, at most.
+/// Maximum length of the header block, as stated by its netstring.
 pub const MAX_HEADERS_BYTES: usize = 16 * 1024;
-/// Bytes of the body at most.
+/// Maximum length of the body.
 pub const MAX_BODY_BYTES: usize = 2048;
-/// Bytes of header values kept of one request at most.
+/// Maximum total length of the retained header values of a request.
 pub const MAX_RETAINED_BYTES: usize = 4096;
-/// A header with a longer name is none that is required, and is skipped.
+/// Longer header names are none of the required ones; their headers are skipped.
 pub(super) const MAX_NAME_BYTES: usize = 128;
 
-/// What is wrong with the bytes of a request. The texts are sent to the client.
+/// An error in the bytes of a request. The messages are sent to the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ScgiError {
     /// The netstring's length is no number, negative, or has leading zeros.
     #[error("expected a length of digits before the headers")]
     NetstringLength,
-    /// The header block, or the part of it that is kept, exceeds its limit.
+    /// The header block, or its retained part, exceeds the limit.
     #[error("expected no more than {MAX_HEADERS_BYTES} bytes of headers")]
     HeadersTooLong,
-    /// The header block doesn't end where its length says, or not with a comma.
+    /// The header block doesn't end at its stated length, or not with a comma.
     #[error("expected headers of names and values that end with NUL, and a comma")]
     Headers,
     /// `CONTENT_LENGTH` is not the first header.
@@ -43,38 +43,38 @@
     BodyTooLong,
 }
 
-/// A request with the headers that were required.
+/// A complete request with its retained headers.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Request {
-    /// Names and values, in the order sent.
+    /// Names and values of the retained headers, in the order sent.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// The body.
+    /// The body, as long as `CONTENT_LENGTH` says.
     pub body: Vec<u8>,
 }
 
 impl Request {
-    /// The value of a header that was kept.
+    /// The value of a retained header.
     pub fn header(&self, name: &str) -> Option<&[u8]> {
         self.headers.iter().find(|(header, _)| header == name).map(|(_, value)| &value[..])
     }
 }
 
-/// Result of feeding bytes.
+/// Result of [`Decoder::feed`].
 #[derive(Debug)]
-pub struct Fed {
-    /// Bytes that were consumed; those after a request are not.
+pub struct FeedResult {
+    /// Number of consumed bytes; bytes after a complete request are not consumed.
     pub consumed_bytes: usize,
-    /// The request, once it is complete.
+    /// The request, if these bytes complete it.
     pub request: Option<Request>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// Reads the length of the netstring: digits so far, and their value.
+    /// Reads the length of the netstring; `digits` and `value` are those read so far.
     Length { digits: usize, value: usize },
-    /// Reads the name of a header; bytes of the header block that are left.
+    /// Reads the name of a header; `remaining_bytes` of the header block are left.
     Name { remaining_bytes: usize },
-    /// Reads the value of a header; bytes of the header block that are left.
+    /// Reads the value of a header; `remaining_bytes` of the header block are left.
     Value { remaining_bytes: usize },
     /// Expects the comma after the header block.
     Comma,
@@ -84,27 +84,27 @@
     Done,
 }
 
-/// Decodes one request, piece by piece.
+/// Decodes one request incrementally.
 #[derive(Debug)]
 pub struct Decoder {
     state: State,
     required_headers: BTreeSet<String>,
-    /// Name and value of the current header so far.
+    /// Name and value of the current header, as far as read.
     name: Vec<u8>,
     value: Vec<u8>,
     keeps_current_header: bool,
-    /// Bytes of all kept values.
+    /// Total length of the retained values.
     retained_bytes: usize,
     is_first_header: bool,
     has_version: bool,
     content_length: usize,
-    /// Names of kept headers, to find duplicates.
+    /// Names of retained headers, to detect duplicates.
     seen_headers: BTreeSet<String>,
     request: Request,
 }
 
 impl Decoder {
-    /// For a request of which these headers are kept.
+    /// Creates a decoder that retains these headers.
     pub fn new(required_headers: impl IntoIterator<Item = String>) -> Self {
         Self {
             state: State::Length { digits: 0, value: 0 },
@@ -121,16 +121,16 @@
         }
     }
 
-    /// Whether a part of a request was fed.
+    /// Whether a part of a request, but not all of it, was fed.
     pub fn is_mid_request(&self) -> bool {
         !matches!(self.state, State::Length { digits: 0, .. } | State::Done)
     }
 
-    /// Takes bytes, up to the end of the request.
+    /// Consumes bytes, at most up to the end of the request.
     ///
     /// # Errors
-    /// What is wrong with the request; the decoder must not be fed any more.
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<Fed, ScgiError> {
+    /// If the request is invalid. The decoder can't be used afterwards.
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<FeedResult, ScgiError> {
         for (index, &byte) in bytes.iter().enumerate() {
             match self.state {
                 State::Length { digits, value } => self.state = length_byte(digits, value, byte)?,
@@ -139,15 +139,15 @@
                 State::Comma if byte != b',' => return Err(ScgiError::Headers),
                 State::Comma => self.state = State::Body,
                 State::Body => self.request.body.push(byte),
-                State::Done => return Ok(Fed { consumed_bytes: index, request: None }),
+                State::Done => return Ok(FeedResult { consumed_bytes: index, request: None }),
             }
             if self.state == State::Body && self.request.body.len() == self.content_length {
                 self.state = State::Done;
                 let request = Some(std::mem::take(&mut self.request));
-                return Ok(Fed { consumed_bytes: index + 1, request });
+                return Ok(FeedResult { consumed_bytes: index + 1, request });
             }
         }
-        Ok(Fed { consumed_bytes: bytes.len(), request: None })
+        Ok(FeedResult { consumed_bytes: bytes.len(), request: None })
     }
 
     fn name_byte(&mut self, remaining_bytes: usize, byte: u8) -> Result<(), ScgiError> {
@@ -157,7 +157,7 @@
             if is_last {
                 return Err(ScgiError::Headers);
             }
-            // A longer name can't be that of a required header.
+            // A longer name is none of the required ones, so its further bytes are not needed.
             if self.name.len() <= MAX_NAME_BYTES {
                 self.name.push(byte);
             }
@@ -208,7 +208,7 @@
         Ok(())
     }
 
-    /// The current header is complete.
+    /// Processes the current header, which is complete.
     fn end_header(&mut self) -> Result<(), ScgiError> {
         let (name, value) = (std::mem::take(&mut self.name), std::mem::take(&mut self.value));
         if !self.keeps_current_header {
@@ -226,7 +226,7 @@
         Ok(())
     }
 
-    /// Bytes of the request that it holds.
+    /// Number of bytes of the request in memory.
     #[cfg(test)]
     pub(super) fn held_bytes(&self) -> usize {
         let headers: usize = self.request.headers.iter().map(|(name, value)| name.len() + value.len()).sum();
@@ -234,7 +234,7 @@
     }
 }
 
-/// The state after a byte of the netstring's length.
+/// The state after one byte of the netstring's length.
 fn length_byte(digits: usize, value: usize, byte: u8) -> Result<State, ScgiError> {
     match byte {
         b'0'..=b'9' => {
--- a/crates/node/src/frontend/scgi/codec/tests.rs
+++ b/crates/node/src/frontend/scgi/codec/tests.rs
@@ -6,7 +6,7 @@
     Decoder::new(["A".to_string(), "B".to_string()]).feed(bytes).map(|fed| fed.request)
 }
 
-/// Netstring of a header block that is given with `|` for NUL.
+/// The netstring of a header block in which `|` stands for NUL.
 fn block(text: &str) -> Vec<u8> {
     [format!("{}:", text.len()).as_bytes(), text.replace('|', "\0").as_bytes(), b","].concat()
 }
@@ -40,8 +40,8 @@
         (&block("CONTENT_LENGTH|0|SCGI|2|"), ScgiError::Version),
         (&block("CONTENT_LENGTH|0|A|1|"), ScgiError::Version),
     ];
-    for (bytes, bad) in cases {
-        assert_eq!(decode(bytes), Err(bad), "{}", String::from_utf8_lossy(bytes));
+    for (bytes, error) in cases {
+        assert_eq!(decode(bytes), Err(error), "{}", String::from_utf8_lossy(bytes));
     }
     for text in [
         "CONTENT_LENGTH|0|SCGI|1",
@@ -57,7 +57,7 @@
     let long = format!("CONTENT_LENGTH|0|SCGI|1|A|{}|", "x".repeat(MAX_RETAINED_BYTES));
     assert_eq!(decode(&block(&long)), Err(ScgiError::HeadersTooLong));
     let skipped = format!("CONTENT_LENGTH|0|SCGI|1|OTHER|{}|", "x".repeat(MAX_RETAINED_BYTES));
-    assert!(decode(&block(&skipped)).unwrap().is_some(), "what is not kept may be long");
+    assert!(decode(&block(&skipped)).unwrap().is_some(), "skipped headers may be long");
 }
 
 fn fed(bytes: &[u8], cuts: &[usize]) -> (Result<Option<Request>, ScgiError>, usize) {
@@ -66,9 +66,9 @@
     for to in cuts.iter().map(|cut| cut % (bytes.len() + 1)).chain([bytes.len()]) {
         let to = to.max(from);
         match decoder.feed(&bytes[from..to]) {
-            Ok(Fed { request: Some(request), .. }) => return (Ok(Some(request)), held),
-            Ok(Fed { request: None, .. }) => {}
-            Err(bad) => return (Err(bad), held),
+            Ok(FeedResult { request: Some(request), .. }) => return (Ok(Some(request)), held),
+            Ok(FeedResult { request: None, .. }) => {}
+            Err(error) => return (Err(error), held),
         }
         held = held.max(decoder.held_bytes());
         from = to;
@@ -77,22 +77,22 @@
 }
 
 proptest! {
-    /// However the stream is split, the result is the same.
+    /// The result doesn't depend on how the stream is split into pieces.
     #[test]
     fn decodes_the_same_in_any_pieces(
         a in "[ -~]{0,40}", other in "[ -~]{0,200}", body in prop::collection::vec(any::<u8>(), 0..300),
         noise in prop::option::of((0_usize..400, any::<u8>())), mut cuts in prop::collection::vec(0_usize..800, 0..12),
     ) {
         let mut bytes = encode(&[("A", &a), ("OTHER", &other)], &body);
-        if let Some((place, byte)) = noise {
-            let place = place % bytes.len();
-            bytes[place] = byte;
+        if let Some((offset, byte)) = noise {
+            let offset = offset % bytes.len();
+            bytes[offset] = byte;
         }
         cuts.sort_unstable();
         prop_assert_eq!(fed(&bytes, &cuts).0, fed(&bytes, &[]).0);
     }
 
-    /// Arbitrary bytes never panic, and no more than the limits is held.
+    /// Arbitrary bytes never cause a panic or memory use beyond the limits.
     #[test]
     fn neither_panics_nor_holds_more_than_its_limits(
         bytes in prop::collection::vec(any::<u8>(), 0..600), start in prop::sample::select(vec!["", "500:", "500:CONTENT_LENGTH\0"]),
--- a/crates/node/src/frontend/scgi/mod.rs
+++ b/crates/node/src/frontend/scgi/mod.rs
@@ -1,7 +1,7 @@
-//! SCGI front end, for web servers: one request on each connection, over TCP or a UNIX socket.
+//! The SCGI front end, for web servers: one request on each connection, over TCP or a UNIX socket.
 //!
-//! Headers become requests by the routes and header names of the settings ([`routes`]); the bytes are in [`codec`] and
-//! `response`. A connection is closed after its response, as SCGI has no keep-alive.
+//! [`routes`] converts headers to requests with the routes and header names of the settings; [`codec`] decodes requests
+//! and `response` encodes responses. A connection is closed after its response, as SCGI has no keep-alive.
 
 pub mod codec;
 mod response;
@@ -19,21 +19,21 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// From the accept to the first byte.
+/// Limit from the accept to the first byte.
 const FIRST_BYTE_TIMEOUT: Duration = Duration::from_secs(3);
-/// From the first byte of the request to its last.
+/// Limit from the first byte of the request to its last.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Number of the one request of a connection.
+/// Sequence number of the only request of a connection.
 const SEQUENCE: SequenceId = 1;
 
-/// The SCGI protocol.
+/// The SCGI protocol of web servers.
 pub struct Scgi {
-    /// The routes in force; a connection keeps those of its accept.
+    /// The routes in force; a connection keeps those at its accept.
     routes: Mutex<Arc<Routes>>,
     request_ids: Arc<RequestIdGenerator>,
 }
 
-/// Generates ids for requests that bring none: unique in this process, and not predictable from one another.
+/// Generates ids for requests without one: unique in this process, and not obvious from one another.
 struct RequestIdGenerator {
     counter: AtomicU64,
     seed: u64,
@@ -44,7 +44,7 @@
         Self { counter: AtomicU64::new(0), seed }
     }
 
-    /// The next id: a bijection of a counter (the finalizer of SplitMix64), so that no id comes twice.
+    /// Returns the next id: a bijection of a counter (the finalizer of SplitMix64), so that no id repeats.
     fn next(&self) -> u64 {
         let counter = self.counter.fetch_add(1, Ordering::Relaxed).wrapping_add(self.seed);
         let mixed = (counter ^ (counter >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -54,12 +54,12 @@
 }
 
 impl Scgi {
-    /// With these routes; the seed keys the ids of requests that bring none.
+    /// Creates the protocol with these routes; the seed determines the generated ids of requests without one.
     pub fn new(routes: Routes, seed: u64) -> Self {
         Self { routes: Mutex::new(Arc::new(routes)), request_ids: Arc::new(RequestIdGenerator::new(seed)) }
     }
 
-    /// Replaces the routes, for connections that are accepted from now on.
+    /// Replaces the routes for connections accepted from now on.
     pub fn reload(&self, routes: Routes) {
         *self.routes.lock().unwrap_or_else(PoisonError::into_inner) = Arc::new(routes);
     }
@@ -97,7 +97,7 @@
     }
 
     fn malformed_response(&self, _: &str, _: &Arc<BufferPool>) -> Option<Buffer> {
-        // The web server could take a response to something that is no request for that of another request.
+        // The web server could mistake a response to malformed bytes for the response to another request.
         None
     }
 
@@ -106,7 +106,7 @@
     }
 }
 
-/// Decodes the one request of a connection; bytes after it are skipped.
+/// Decodes the only request of a connection; bytes after it are skipped.
 struct RequestDecoder {
     routes: Arc<Routes>,
     decoder: Decoder,
@@ -127,7 +127,7 @@
         let fed = match self.decoder.feed(bytes) {
             Ok(fed) => fed,
             Err(error) => {
-                // The client gets the error; nothing more of its request is read.
+                // The client gets the error; the rest of its request is skipped.
                 self.finished = true;
                 let message = invalid(InvalidRequest::new(request_error(error), error.to_string()));
                 return Ok(Some(DecodedFrame { consumed_bytes: bytes.len(), message }));
--- a/crates/node/src/frontend/scgi/response.rs
+++ b/crates/node/src/frontend/scgi/response.rs
@@ -4,15 +4,15 @@
 use gradepin_core::messages::{RequestError, Response, UNKNOWN_OUTCOME_TEXT};
 use std::sync::Arc;
 
-/// Status line and body of a response, with the headers that depend on its kind.
-struct Content<'a> {
+/// Status, body and kind-specific headers of a response.
+struct ResponseParts<'a> {
     status: u16,
     reason: &'static str,
     body: &'a [u8],
     headers: Vec<String>,
 }
 
-impl<'a> Content<'a> {
+impl<'a> ResponseParts<'a> {
     fn new(status: u16, reason: &'static str, body: &'a [u8]) -> Self {
         Self { status, reason, body, headers: Vec::new() }
     }
@@ -21,27 +21,27 @@
         match response {
             Response::Served(result) => Self::new(200, "OK", result),
             Response::Health { healthy, store } => {
-                let mut content = if *healthy {
+                let mut parts = if *healthy {
                     Self::new(200, "OK", b"good\n")
                 } else {
                     Self::new(503, "Service Unavailable", b"bad\n")
                 };
-                content.headers.extend(store.map(|state| format!("X-Gradepin-Store: {state}")));
-                content
+                parts.headers.extend(store.map(|state| format!("X-Gradepin-Store: {state}")));
+                parts
             }
             Response::Rejected { retry_after, no_failover } => {
-                let mut content = Self::new(503, "Service Unavailable", b"refused: it never ran\n");
+                let mut parts = Self::new(503, "Service Unavailable", b"refused: it never ran\n");
                 if retry_after.0 > 0 {
-                    // The standard header takes full seconds only; the other one states the time in ms.
+                    // The standard header has whole seconds only; the other one has the time in ms.
                     let (seconds, ms) =
                         (retry_after.0.div_ceil(1_000_000_000), retry_after.0.div_ceil(1_000_000));
-                    content.headers.push(format!("Retry-After: {seconds}"));
-                    content.headers.push(format!("X-Gradepin-Retry-After-Ms: {ms}"));
+                    parts.headers.push(format!("Retry-After: {seconds}"));
+                    parts.headers.push(format!("X-Gradepin-Retry-After-Ms: {ms}"));
                 }
                 if *no_failover {
-                    content.headers.push("X-Gradepin-Final: 1".into());
+                    parts.headers.push("X-Gradepin-Final: 1".into());
                 }
-                content
+                parts
             }
             Response::OutcomeUnknown => Self::new(502, "Bad Gateway", UNKNOWN_OUTCOME_TEXT.as_bytes()),
             Response::Failed { timed_out: false } => Self::new(502, "Bad Gateway", b"failed\n"),
@@ -67,15 +67,15 @@
     }
 }
 
-/// Encodes a response, with the capacity hint if there is one; `draining` adds `Connection: close`. `None` if it doesn't
-/// fit into a buffer.
+/// Encodes a response, with the capacity hint if there is one; `draining` adds `Connection: close`. `None` if the
+/// response doesn't fit into a buffer.
 pub(super) fn encode(
     response: &Response,
     capacity_hint: Option<f64>,
     draining: bool,
     pool: &Arc<BufferPool>,
 ) -> Option<Buffer> {
-    let Content { status, reason, body, mut headers } = Content::of(response);
+    let ResponseParts { status, reason, body, mut headers } = ResponseParts::of(response);
     headers.extend(capacity_hint.map(|hint| format!("X-Gradepin-Hint: {hint}")));
     if draining {
         headers.push("Connection: close".into());
--- a/crates/node/src/frontend/scgi/routes.rs
+++ b/crates/node/src/frontend/scgi/routes.rs
@@ -1,5 +1,5 @@
-//! Routes of the SCGI front end: from the method, path and headers of a request to a request of a class, by the settings
-//! alone. No I/O.
+//! Routes of the SCGI front end: convert the method, path and headers of an SCGI request to a request of a class, as
+//! the settings say. No I/O.
 
 use super::codec::Request;
 use crate::frontend::protocol::InvalidRequest;
@@ -14,61 +14,61 @@
 use std::sync::Arc;
 
 const NANOSECONDS_PER_MS: u64 = 1_000_000;
-/// Bytes of an idempotency key at most, as on the Thrift front end.
+/// Maximum size of an idempotency key, the same as on the Thrift front end.
 const MAX_KEY_BYTES: usize = 64;
-/// Memory that a client may state for its request, in kB.
+/// Range of the memory that a client may state for its request.
 const SIZE_KB: Range<f64> = 0.001..2_000.0;
-/// Ranks that a client may state.
+/// Range of the rank that a client may state.
 const RANKS: Range<f64> = 0.0..1.0;
-/// Headers in which web servers state the path; the first that is present counts.
+/// Headers in which web servers send the path; the first non-empty one is used.
 const PATH_HEADERS: [&str; 3] = ["DOCUMENT_URI", "PATH_INFO", "REQUEST_URI"];
 const METHOD_HEADER: &str = "REQUEST_METHOD";
 
-/// What is wrong with the routes of the settings.
+/// An error in the routes of the settings.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
     /// The configuration has no class of this name.
     #[error("expected a class of the configuration, got '{0}'")]
     UnknownClass(String),
-    /// The pattern is invalid, or overlaps with that of another route.
+    /// The pattern is invalid or overlaps with that of another route.
     #[error("the route {method} {path}: {reason}")]
     InvalidPattern {
         /// Method of the route.
         method: String,
         /// Pattern of the route.
         path: String,
-        /// What is wrong with it.
+        /// Error of the router.
         reason: String,
     },
 }
 
-/// Where a route leads.
+/// The target of a route.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Target {
-    /// A class. By its name, which each request looks up: its slot may be another class's later.
+    /// A class, by name. Each request looks the name up, because the slot of the class may be reused for another one.
     Class(Arc<str>),
     HealthCheck,
 }
 
-/// What a request is.
+/// The result of routing a request.
 #[derive(Debug)]
 pub enum Routed {
-    /// A request of a class.
+    /// The request is of a class.
     Request(Box<ClientRequest>),
-    /// A health check.
+    /// The request is a health check.
     HealthCheck,
 }
 
-/// What the server adds to a request.
+/// Values that the server adds to a request.
 #[derive(Debug, Clone, Copy)]
 pub struct Arrival {
-    /// When it was read, in Unix milliseconds.
+    /// Time at which the request was read, in Unix milliseconds.
     pub unix_ms: u64,
-    /// Its id, unless it brings one.
+    /// Id of the request if it has none of its own.
     pub generated_id: u64,
 }
 
-/// The routes of one settings file, to the classes in force.
+/// The routes of a settings file to the classes in force.
 #[derive(Debug)]
 pub struct Routes {
     routers_by_method: BTreeMap<String, matchit::Router<Target>>,
@@ -79,10 +79,10 @@
 }
 
 impl Routes {
-    /// Builds and checks the routes; `is_class` says whether the configuration that they go with has a class of a name.
+    /// Builds and checks the routes; `is_class` tells whether the configuration has a class of this name.
     ///
     /// # Errors
-    /// The first route with an unknown class, or with a pattern that is invalid or overlaps with another.
+    /// For the first route with an unknown class, or with a pattern that is invalid or overlaps with another.
     pub fn new(
         settings: &ScgiSettings,
         active: ActiveSettings,
@@ -115,7 +115,7 @@
         })
     }
 
-    /// The headers that a decoder must keep.
+    /// Names of the headers that the decoder must retain.
     pub fn required_headers(&self) -> Vec<String> {
         let of_routes = [METHOD_HEADER].into_iter().chain(PATH_HEADERS);
         of_routes.chain(self.header_names.all()).map(String::from).collect()
@@ -148,7 +148,7 @@
     /// Routes a request.
     ///
     /// # Errors
-    /// If no route leads anywhere, or a header has an invalid value.
+    /// If no route matches, or a header has an invalid value.
     pub fn route(
         &self,
         request: &Request,
@@ -197,8 +197,8 @@
     }
 }
 
-/// The id that a request brings, or the generated one. Only hex digits are taken: it is written into the lines to the
-/// processor.
+/// The id in the request's header, or the generated one. Only hex digits are accepted because the id is written into
+/// lines to the processor.
 fn request_id(headers: HeaderValues<'_>, name: &str, generated_id: u64) -> Result<RequestId, InvalidRequest> {
     match headers.text(name)? {
         None => Ok(RequestId::new(&format!("{generated_id:016x}"))),
@@ -215,7 +215,7 @@
     name: &str,
     class: &ClassDefinition,
 ) -> Result<Option<Arc<str>>, InvalidRequest> {
-    // The IETF draft of Idempotency-Key has it as a quoted string; bare ones are common.
+    // The IETF draft of Idempotency-Key defines a quoted string, but unquoted keys are common.
     let unquoted = |key: &str| key.strip_prefix('"').and_then(|key| key.strip_suffix('"')).map(Arc::from);
     let key: Option<Arc<str>> =
         headers.text(name)?.map(|key| unquoted(key).unwrap_or_else(|| Arc::from(key)));
@@ -227,12 +227,12 @@
     Ok(key)
 }
 
-/// Reads the values of headers; an empty one counts as absent.
+/// Reads the values of headers; an empty value counts as absent.
 #[derive(Clone, Copy)]
 struct HeaderValues<'r>(&'r Request);
 
 impl<'r> HeaderValues<'r> {
-    /// A text without control characters, which could end a line of the log or of the processor's link.
+    /// Reads a text. Control characters are rejected because they could end a line of the log or of the processor link.
     fn text(self, name: &str) -> Result<Option<&'r str>, InvalidRequest> {
         match self.0.header(name) {
             None | Some(b"") => Ok(None),
--- a/crates/node/src/frontend/scgi/routes/tests.rs
+++ b/crates/node/src/frontend/scgi/routes/tests.rs
@@ -39,18 +39,18 @@
 #[test]
 fn routes_methods_and_paths_to_classes_health_checks_and_errors() {
     let of = |method: &str, path: &str| routed(&[("REQUEST_METHOD", method), ("DOCUMENT_URI", path)]);
-    let Ok(Routed::Request(call)) = of("GET", "/sheets/9?zoom=1") else { panic!("a call") };
+    let Ok(Routed::Request(call)) = of("GET", "/sheets/9?zoom=1") else { panic!("expected a request") };
     assert_eq!(
         (call.class.slot(), call.budget_ms, call.arrived_unix_ms, &*call.id.0),
         (0, 4000, 17, "00000000000000ff")
     );
     assert!(matches!(of("GET", "/health"), Ok(Routed::HealthCheck)));
-    for (method, path, misuse) in [
+    for (method, path, error) in [
         ("GET", "/nothing", RequestError::NotFound),
         ("DELETE", "/sheets/9", RequestError::MethodNotAllowed),
         ("PUT", "/labels/1", RequestError::Malformed),
     ] {
-        assert_eq!(of(method, path).unwrap_err().error, misuse, "{method} {path}");
+        assert_eq!(of(method, path).unwrap_err().error, error, "{method} {path}");
     }
     assert_eq!(routed(&[("DOCUMENT_URI", "/sheets/9")]).unwrap_err().error, RequestError::Malformed);
 }
@@ -65,9 +65,9 @@
             (name, value),
         ])
     };
-    let Ok(Routed::Request(call)) = with("HTTP_X_WAIT_MS", "900") else { panic!("a call") };
+    let Ok(Routed::Request(call)) = with("HTTP_X_WAIT_MS", "900") else { panic!("expected a request") };
     assert_eq!((call.idempotency_key.as_deref(), call.budget_ms, call.retry), (Some("k1"), 900, false));
-    let Ok(Routed::Request(call)) = with("HTTP_X_RETRY", "1") else { panic!("a call") };
+    let Ok(Routed::Request(call)) = with("HTTP_X_RETRY", "1") else { panic!("expected a request") };
     assert!(call.retry);
     for (name, value) in [
         ("HTTP_X_TENANT", "nobody"),
@@ -88,7 +88,10 @@
     assert!(matches!(two("/a/{x}", "/a/{y}"), Err(RouteError::InvalidPattern { .. })));
     assert!(matches!(two("/a", "/a"), Err(RouteError::InvalidPattern { .. })));
     assert!(matches!(two("/a/{", "/b"), Err(RouteError::InvalidPattern { .. })));
-    assert!(matches!(two("/health", "/b"), Err(RouteError::InvalidPattern { .. })), "health has that path");
-    assert!(two("/a/{x}", "/a/b").is_ok(), "a fixed path beside a pattern is told apart");
+    assert!(
+        matches!(two("/health", "/b"), Err(RouteError::InvalidPattern { .. })),
+        "the health check has this path"
+    );
+    assert!(two("/a/{x}", "/a/b").is_ok(), "a fixed path takes precedence over a pattern");
     assert_eq!(routes(&[("GET", "/a", "none")]).unwrap_err(), RouteError::UnknownClass("none".into()));
 }
--- a/crates/node/src/frontend/scgi/tests.rs
+++ b/crates/node/src/frontend/scgi/tests.rs
@@ -4,8 +4,11 @@
 use gradepin_admission::Span;
 
 fn decoded(response: &Response, draining: bool) -> ScgiResponse {
-    ScgiResponse::read(&encode(response, Some(0.5), draining, &BufferPool::new(1)).expect("it fits"))
-        .expect("a response")
+    ScgiResponse::read(
+        &encode(response, Some(0.5), draining, &BufferPool::new(1))
+            .expect("a response that fits into a buffer"),
+    )
+    .expect("a response")
 }
 
 #[test]
--- a/crates/node/src/frontend/shared.rs
+++ b/crates/node/src/frontend/shared.rs
@@ -1,4 +1,4 @@
-//! What the reading thread shares with the rest of the server.
+//! State that the reading thread shares with the rest of the server.
 
 use super::connection::Connection;
 use crossbeam_channel::Sender;
@@ -12,22 +12,22 @@
 /// The connections of all front ends, by id.
 pub(super) type Connections = Mutex<HashMap<ConnectionId, Arc<Connection>>>;
 
-/// The queue, pool, flags and connections that the reading thread uses.
+/// Handles of the reading thread to the queue, pool, flag and connections of the server.
 pub(super) struct Shared {
     /// Open connections, also read by the main thread.
     pub(super) connections: Arc<Connections>,
-    /// Whether connections are still accepted; it never becomes true again.
+    /// Whether connections are still accepted; never becomes true again.
     pub(super) accepting: Arc<AtomicBool>,
-    /// Queue of the reducer, which is bounded: sending may block.
+    /// The reducer's queue of client messages. It is bounded, so sending can block.
     pub(super) inputs: Sender<Input>,
     /// Buffers for received bytes.
     pub(super) pool: Arc<BufferPool>,
-    /// Log of the server.
+    /// The server's log.
     pub(super) log: Logger,
 }
 
 impl Shared {
-    /// The open connections, locked.
+    /// Locks the map of open connections.
     pub(super) fn connections(&self) -> MutexGuard<'_, HashMap<ConnectionId, Arc<Connection>>> {
         self.connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/node/src/frontend/thrift/call_fields.rs
+++ b/crates/node/src/frontend/thrift/call_fields.rs
@@ -1,4 +1,4 @@
-//! The string fields of a Thrift `call`, and the request that they make. The protocol's field names are mapped here.
+//! Converts the string fields of a Thrift `call` to a request. The protocol's field names are mapped here.
 
 use super::wire::{STRING, WireReader};
 use crate::frontend::protocol::{InvalidRequest, MalformedFrame};
@@ -10,17 +10,17 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// Bytes of a body at most.
+/// Maximum size of a request body.
 pub(super) const MAX_BODY_BYTES: usize = 2048;
-/// Bytes of an idempotency key at most.
+/// Maximum size of an idempotency key.
 const MAX_KEY_BYTES: usize = 64;
-/// Memory of a request, in kB: more than 0 and less than this.
+/// Exclusive upper bound of the memory of a request, which must also be more than 0.
 const MAX_SIZE_KB: f64 = 2000.0;
-/// Characters of a client's text that an error quotes at most.
+/// An error quotes at most this part of a client's text.
 const MAX_QUOTED_CHARS: usize = 40;
 const NANOSECONDS_PER_MS: u64 = 1_000_000;
 
-/// The known fields of a call, by their names in the protocol.
+/// The known fields of a call, under their names in the protocol.
 #[derive(Default)]
 pub(super) struct CallFields<'a> {
     method: Option<&'a str>,
@@ -37,7 +37,7 @@
 }
 
 impl<'a> CallFields<'a> {
-    /// Reads a map of strings; unknown names are skipped, and the last value of a name counts.
+    /// Reads a map of strings; unknown names are skipped, and the last value of a repeated name is used.
     pub(super) fn read(&mut self, reader: &mut WireReader<'a>) -> Result<(), MalformedFrame> {
         let (key_type, value_type, count) = (reader.u8()?, reader.u8()?, reader.count()?);
         if count > 0 && (key_type, value_type) != (STRING, STRING) {
@@ -65,7 +65,7 @@
         Ok(())
     }
 
-    /// The request that the fields and a body make.
+    /// Builds the request from the fields and a body.
     pub(super) fn request(
         &self,
         body: &[u8],
@@ -93,7 +93,7 @@
             tenant,
             client_proxy: parse_or("peer", self.peer, 0)?,
             arrived_unix_ms: parse("t0", self.t0)?,
-            // Absent where clients don't pass their remaining time on: the deadline of the class counts then.
+            // Clients that don't propagate their remaining time omit it; the deadline of the class applies then.
             budget_ms: parse_or("budget", self.budget, default_budget_ms)?,
             retry: self.again == Some("1"),
             size_kb,
@@ -117,7 +117,8 @@
         }
     }
 
-    /// The request's id. It is written into the lines to the processor, which anything but hex digits could forge.
+    /// The id of the request. Only hex digits are accepted because the id is written into lines to the processor, which
+    /// other characters could forge.
     fn id(&self) -> Result<RequestId, InvalidRequest> {
         let is_hex = |id: &&str| id.len() == 16 && id.bytes().all(|byte| byte.is_ascii_hexdigit());
         match self.rid.filter(is_hex) {
@@ -135,12 +136,12 @@
     }
 }
 
-/// The error for a method or message that the server doesn't know.
+/// The error for an unknown method or message.
 pub(super) fn unknown_method(name: &str) -> InvalidRequest {
     InvalidRequest::new(RequestError::NotFound, format!("unknown method {}", quoted(name)))
 }
 
-/// A client's text for an error: short and on one line whatever it holds, since the error is logged too.
+/// Quotes a client's text for an error. The result is short and on one line, because errors are logged too.
 fn quoted(text: &str) -> String {
     format!("{:?}", text.chars().take(MAX_QUOTED_CHARS).collect::<String>())
 }
--- a/crates/node/src/frontend/thrift/codec.rs
+++ b/crates/node/src/frontend/thrift/codec.rs
@@ -1,4 +1,4 @@
-//! Thrift messages of clients: frames to messages and responses to frames. No I/O.
+//! Decodes Thrift frames of clients to messages and encodes responses to frames. No I/O.
 
 use super::call_fields::{CallFields, unknown_method};
 use super::wire::{
@@ -10,14 +10,14 @@
 use gradepin_core::messages::{RequestError, Response, SequenceId, UNKNOWN_OUTCOME_TEXT};
 use std::sync::Arc;
 
-/// Bytes of the length before a frame.
+/// Size of the length prefix of a frame.
 pub const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// Types of an application exception, by the Thrift specification.
+/// Types of an application exception in the Thrift specification.
 const UNKNOWN_METHOD: i32 = 1;
 const PROTOCOL_ERROR: i32 = 7;
 
-/// Length of the first frame in bytes with its length prefix; `None` while the prefix is incomplete.
+/// Length of the first frame in bytes, including its length prefix; `None` while the prefix is incomplete.
 ///
 /// # Errors
 /// If the frame exceeds the size of a buffer.
@@ -33,7 +33,7 @@
 /// Decodes the message in a frame, given without its length prefix.
 ///
 /// # Errors
-/// If the frame holds no message, or bytes follow it.
+/// If the frame is no valid message, or bytes follow the message.
 pub fn decode(
     frame: &[u8],
     active: &ActiveSettings,
@@ -147,7 +147,7 @@
     }
 }
 
-/// A result: `0: struct { 1: binary body, 2: map<string, string> fields, 3: bool good }`.
+/// Encodes a result: `0: struct { 1: binary body, 2: map<string, string> fields, 3: bool good }`.
 fn encode_result(
     mut writer: WireWriter,
     body: &[u8],
@@ -164,7 +164,7 @@
     writer.finish()
 }
 
-/// A declared exception, a struct with nothing but fields.
+/// Encodes a declared exception: a struct whose only field is a map.
 fn encode_exception(mut writer: WireWriter, id: i16, fields: &[(&str, String)]) -> Option<Buffer> {
     writer.field(STRUCT, id);
     writer.map(1, fields);
@@ -172,7 +172,7 @@
     writer.finish()
 }
 
-/// Thrift's own exception, for a message that is no valid request.
+/// Encodes Thrift's application exception, for a message that is no valid request.
 fn encode_application_exception(
     sequence: SequenceId,
     error: RequestError,
--- a/crates/node/src/frontend/thrift/codec/tests.rs
+++ b/crates/node/src/frontend/thrift/codec/tests.rs
@@ -13,7 +13,7 @@
     [&(bytes.len() as u32).to_be_bytes()[..], bytes].concat()
 }
 
-/// A message without its frame's length.
+/// A message without the length prefix of its frame.
 fn message(kind: u8, name: &str, seq: i32, arguments: &[u8]) -> Vec<u8> {
     let head = (VERSION | u32::from(kind)).to_be_bytes();
     [&head[..], &string(name.as_bytes()), &seq.to_be_bytes(), arguments, &[0]].concat()
@@ -37,7 +37,7 @@
     ActiveSettings::new(&settings)
 }
 
-const USUAL: [(&str, &[u8]); 6] = [
+const USUAL_FIELDS: [(&str, &[u8]); 6] = [
     ("method", b"read"),
     ("rid", b"00000000000000ab"),
     ("t0", b"17"),
@@ -46,7 +46,7 @@
     ("prio", b"0.625"),
 ];
 
-/// Number, id and body of a call, if these bytes are a valid one.
+/// Sequence number, id and body of a call, if these bytes are a valid one.
 fn decoded_call(bytes: &[u8]) -> Option<(SequenceId, String, Vec<u8>)> {
     match decode(bytes, &active_settings(), &BufferPool::new(1)) {
         Ok(DecodedMessage::Request { sequence, request }) => {
@@ -56,47 +56,53 @@
     }
 }
 
-/// Runs a test on as much stack as the reading thread has.
-fn on_the_readers_stack(test: impl FnOnce() + Send + 'static) {
-    thread::Builder::new().stack_size(STACK_BYTES).spawn(test).unwrap().join().expect("it ends");
+/// Runs a test on a thread with the stack size of the reading thread.
+fn run_with_reading_thread_stack(test: impl FnOnce() + Send + 'static) {
+    thread::Builder::new()
+        .stack_size(STACK_BYTES)
+        .spawn(test)
+        .unwrap()
+        .join()
+        .expect("the test doesn't panic");
 }
 
-/// Nested containers of one kind, to some depth.
+/// Nested containers of one kind; `depth` is 0 for a single one.
 fn nested(kind: u8, depth: usize) -> Vec<u8> {
     let inner = |kind| if depth == 0 { vec![0; 4] } else { nested(kind, depth - 1) };
-    let of = if depth == 0 { I32 } else { kind };
+    let element = if depth == 0 { I32 } else { kind };
     match kind {
-        STRUCT => [&[of, 0, 1][..], &inner(kind), &[0]].concat(),
-        MAP => [&[2, of, 0, 0, 0, 1, 1][..], &inner(kind)].concat(),
-        _ => [&[of, 0, 0, 0, 1][..], &inner(kind)].concat(),
+        STRUCT => [&[element, 0, 1][..], &inner(kind), &[0]].concat(),
+        MAP => [&[2, element, 0, 0, 0, 1, 1][..], &inner(kind)].concat(),
+        _ => [&[element, 0, 0, 0, 1][..], &inner(kind)].concat(),
     }
 }
 
-/// Guards against a stack overflow of the reading thread: values nested as deeply as a frame holds are rejected, and those
-/// nested a little are skipped.
+/// Guards against a stack overflow of the reading thread: values nested up to the limit are skipped, deeper ones, up to
+/// what fits in a frame, are rejected.
 #[test]
 fn skips_or_rejects_nested_values_on_the_stack_of_the_reading_thread() {
     let mut cases = Vec::new();
     for kind in [STRUCT, MAP, 14, LIST] {
         for depth in 0..700 {
             let extra = [&[kind, 0, 9][..], &nested(kind, depth)].concat();
-            let bytes = message(CALL, "call", 7, &[&extra[..], &map(&USUAL), &body(b"in")].concat());
+            let bytes = message(CALL, "call", 7, &[&extra[..], &map(&USUAL_FIELDS), &body(b"in")].concat());
             cases.extend((bytes.len() <= BUFFER_BYTES).then_some((kind, depth, bytes)));
         }
     }
-    on_the_readers_stack(move || {
+    run_with_reading_thread_stack(move || {
         for (kind, depth, bytes) in cases {
-            let taken = decoded_call(&bytes).is_some();
-            assert_eq!(taken, depth + 1 < MAX_NESTING, "kind {kind}, {depth} deep");
+            let accepted = decoded_call(&bytes).is_some();
+            assert_eq!(accepted, depth + 1 < MAX_NESTING, "kind {kind}, depth {depth}");
         }
     });
 }
 
-/// Guards against rejecting or misreading a valid call for what the protocol leaves open: the order of its fields,
-/// unknown fields, and an empty body or none.
+/// Guards against rejecting or misreading a valid call because of the freedom that the protocol leaves: the order of
+/// fields, unknown fields, and an empty or absent body.
 #[test]
 fn decodes_a_call_in_every_form_that_the_protocol_allows() {
-    let (fields, more) = (map(&USUAL), [USUAL.as_slice(), &[("novel", b"\0\xc3\xa9\n"), ("", b"")]].concat());
+    let (fields, more) =
+        (map(&USUAL_FIELDS), [USUAL_FIELDS.as_slice(), &[("novel", b"\0\xc3\xa9\n"), ("", b"")]].concat());
     let extra =
         [&[I32, 0, 8, 0, 0, 0, 1, 10, 0, 9][..], &[0; 8], &[LIST, 0, 10, STRING, 0, 0, 0, 1], &string(b"x")]
             .concat();
@@ -130,14 +136,15 @@
     );
 }
 
-/// Guards against trusting a length: each one in a message is replaced by a negative, a huge and a slightly larger one.
+/// Guards against trusting a length: every four bytes of a message are replaced by negative, huge and too large
+/// lengths.
 #[test]
 fn rejects_wrong_lengths() {
-    let whole = message(CALL, "call", 1, &[&map(&USUAL)[..], &body(b"in")].concat());
-    for place in 0..whole.len() - 4 {
-        for lie in [-1, i32::MIN, i32::MAX, 4_604, 1 << 24] {
-            let mut bytes = whole.clone();
-            bytes[place..place + 4].copy_from_slice(&lie.to_be_bytes());
+    let valid = message(CALL, "call", 1, &[&map(&USUAL_FIELDS)[..], &body(b"in")].concat());
+    for offset in 0..valid.len() - 4 {
+        for length in [-1, i32::MIN, i32::MAX, 4_604, 1 << 24] {
+            let mut bytes = valid.clone();
+            bytes[offset..offset + 4].copy_from_slice(&length.to_be_bytes());
             if let Some((_, id, body)) = decoded_call(&bytes) {
                 assert!(id.len() == 16 && body.len() <= MAX_BODY_BYTES);
             }
@@ -154,8 +161,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    /// Guards against a panic on arbitrary bytes and against a body that isn't the one sent, also for a call with some bytes
-    /// changed, removed or inserted.
+    /// Guards against a panic on arbitrary bytes or on a corrupted call, and against a body that differs from the one
+    /// sent.
     #[test]
     fn decodes_or_rejects_arbitrary_bytes(
         noise in prop::collection::vec(any::<u8>(), 0..200),
@@ -165,15 +172,15 @@
         let _ = decode(&noise, &active_settings(), &BufferPool::new(1));
         let headed = message(CALL, "call", 1, &noise);
         let _ = decode(&headed, &active_settings(), &BufferPool::new(1));
-        let usual = message(CALL, "call", 1, &[&map(&USUAL)[..], &body(&sent)].concat());
+        let usual = message(CALL, "call", 1, &[&map(&USUAL_FIELDS)[..], &body(&sent)].concat());
         prop_assert_eq!(decoded_call(&usual).map(|(.., body)| body), Some(sent));
         let mut bytes = usual;
-        for (place, byte, how) in changes {
-            let place = place.index(bytes.len());
-            match how {
-                0 => bytes[place] = byte,
-                1 => bytes.insert(place, byte),
-                _ if bytes.len() > 1 => drop(bytes.remove(place)),
+        for (offset, byte, operation) in changes {
+            let offset = offset.index(bytes.len());
+            match operation {
+                0 => bytes[offset] = byte,
+                1 => bytes.insert(offset, byte),
+                _ if bytes.len() > 1 => drop(bytes.remove(offset)),
                 _ => {}
             }
         }
--- a/crates/node/src/frontend/thrift/mod.rs
+++ b/crates/node/src/frontend/thrift/mod.rs
@@ -1,6 +1,7 @@
-//! Thrift front end, for client proxies: framed transport, many open requests on each connection.
+//! The Thrift front end, for client proxies: framed transport with many open requests on each connection.
 //!
-//! [`codec`] decodes and encodes messages. A connection stays open until its peer closes it or it is idle.
+//! [`codec`] decodes and encodes messages. A connection stays open until its peer closes it or it has been idle too
+//! long.
 
 mod call_fields;
 pub mod codec;
@@ -15,20 +16,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// From the accept to the end of the first frame. Guards against silent connections that hold their slots.
+/// Limit from the accept to the end of the first frame, so that silent connections don't occupy slots.
 const FIRST_FRAME_TIMEOUT: Duration = Duration::from_secs(2);
-/// From the first byte of any later frame to its last.
+/// Limit from the first byte of a later frame to its last.
 const FRAME_TIMEOUT: Duration = Duration::from_secs(5);
-/// Sequence number of a response to no request: clients count from 1.
+/// Sequence number of a response that answers no request; clients number requests from 1.
 const NO_REQUEST: SequenceId = 0;
 
-/// The Thrift protocol.
+/// The Thrift protocol of client proxies.
 pub struct Thrift {
     active: ActiveSettings,
 }
 
 impl Thrift {
-    /// For the classes and tenants in force.
+    /// Creates the protocol; requests are resolved against the classes and tenants in force.
     pub fn new(active: ActiveSettings) -> Self {
         Self { active }
     }
@@ -68,7 +69,7 @@
     }
 }
 
-/// Decodes complete frames; the bytes of an incomplete one stay in the caller's buffer.
+/// Decodes complete frames; bytes of an incomplete frame stay in the caller's buffer.
 struct ThriftDecoder {
     active: ActiveSettings,
 }
--- a/crates/node/src/frontend/thrift/wire.rs
+++ b/crates/node/src/frontend/thrift/wire.rs
@@ -1,22 +1,22 @@
-//! Thrift's strict binary protocol in framed transport: values off the front of a frame, and frames being written.
+//! Thrift's strict binary protocol in framed transport: a reader and a writer of values.
 
 use crate::frontend::protocol::MalformedFrame;
 use gradepin_core::buffer_pool::{Buffer, BufferPool};
 use gradepin_core::messages::SequenceId;
 use std::sync::Arc;
 
-/// Version word of the strict binary protocol; its low byte is the kind of the message.
+/// Version word of the strict binary protocol; its low byte is the message kind.
 pub(super) const VERSION: u32 = 0x8001_0000;
-/// Values within values at most; more would overflow the stack of the reading thread.
+/// Maximum nesting of values; deeper nesting could overflow the stack of the reading thread.
 pub(super) const MAX_NESTING: usize = 16;
 
-/// Message kind: a call that is owed a reply.
+/// Message kind: a call that gets a reply.
 pub(super) const CALL: u8 = 1;
 /// Message kind: the reply to a call, with a result or a declared exception.
 pub(super) const REPLY: u8 = 2;
 /// Message kind: an application exception in place of a reply.
 pub(super) const EXCEPTION: u8 = 3;
-/// Message kind: a call without a reply.
+/// Message kind: a call that gets no reply.
 pub(super) const ONEWAY: u8 = 4;
 
 /// Ends the fields of a struct.
@@ -29,9 +29,9 @@
 /// Value type: four bytes, big-endian.
 pub(super) const I32: u8 = 8;
 const I64: u8 = 10;
-/// Value type: a length and as many bytes, text or binary.
+/// Value type: a length and that number of bytes, text or binary.
 pub(super) const STRING: u8 = 11;
-/// Value type: fields with type and id, up to a stop byte.
+/// Value type: fields with type and id, terminated by a stop byte.
 pub(super) const STRUCT: u8 = 12;
 /// Value type: types of key and value, a count, and the entries.
 pub(super) const MAP: u8 = 13;
@@ -40,7 +40,7 @@
 
 const TRUNCATED: MalformedFrame = MalformedFrame("a message cut short");
 
-/// Reads values off the front of a frame. Each read fails if the frame is too short for its value.
+/// Reads values from the start of a frame. Each read fails if the frame is too short for its value.
 pub(super) struct WireReader<'a>(pub(super) &'a [u8]);
 
 impl<'a> WireReader<'a> {
@@ -54,35 +54,36 @@
         self.bytes(N)?.try_into().map_err(|_| TRUNCATED)
     }
 
-    /// One byte.
+    /// Reads one byte.
     pub(super) fn u8(&mut self) -> Result<u8, MalformedFrame> {
         self.array::<1>().map(|[byte]| byte)
     }
 
-    /// Four bytes, big-endian.
+    /// Reads four bytes, big-endian.
     pub(super) fn u32(&mut self) -> Result<u32, MalformedFrame> {
         self.array().map(u32::from_be_bytes)
     }
 
-    /// Four bytes, big-endian, signed.
+    /// Reads four bytes, big-endian, signed.
     pub(super) fn i32(&mut self) -> Result<i32, MalformedFrame> {
         self.array().map(i32::from_be_bytes)
     }
 
-    /// A number of elements, of at least one byte each.
+    /// Reads the number of elements of a container or bytes of a string. Fails if it exceeds the remaining bytes, since
+    /// each element has at least one byte.
     pub(super) fn count(&mut self) -> Result<usize, MalformedFrame> {
         let count = usize::try_from(self.i32()?).map_err(|_| MalformedFrame("a negative length"))?;
         if count > self.0.len() { Err(TRUNCATED) } else { Ok(count) }
     }
 
-    /// A length and as many bytes.
+    /// Reads a length and that number of bytes.
     pub(super) fn string(&mut self) -> Result<&'a [u8], MalformedFrame> {
         let length = self.count()?;
         self.bytes(length)
     }
 
-    /// Visits the fields of a struct by id and type; the visitor returns whether it read the value, which is skipped
-    /// otherwise.
+    /// Calls `visit` with the id and type of each field of a struct. It returns whether it read the value, which is
+    /// skipped otherwise.
     pub(super) fn each_field<F>(&mut self, mut visit: F) -> Result<(), MalformedFrame>
     where
         F: FnMut(&mut Self, i16, u8) -> Result<bool, MalformedFrame>,
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Skips a value with at most so many levels of nesting.
+    /// Skips a value with at most `max_nesting` levels of nesting.
     fn skip(&mut self, value_type: u8, max_nesting: usize) -> Result<(), MalformedFrame> {
         let max_nesting = max_nesting.checked_sub(1).ok_or(MalformedFrame("a message nested too deeply"))?;
         match value_type {
@@ -133,17 +134,17 @@
     }
 }
 
-/// Writes one message as a frame into a pooled buffer. Whether it fitted is known at the end.
+/// Writes one message as a frame into a pooled buffer. [`Self::finish`] reports whether it fitted.
 pub(super) struct WireWriter {
     buffer: Buffer,
     fits: bool,
 }
 
 impl WireWriter {
-    /// Begins a message.
+    /// Starts a message.
     pub(super) fn message(pool: &Arc<BufferPool>, kind: u8, name: &str, sequence: SequenceId) -> Self {
         let mut writer = Self { buffer: pool.take(), fits: true };
-        // Space for the length of the frame.
+        // Reserves space for the length of the frame.
         writer.put(&[0; 4]);
         writer.put(&(VERSION | u32::from(kind)).to_be_bytes());
         writer.string(name.as_bytes());
@@ -162,13 +163,13 @@
         self.put(bytes);
     }
 
-    /// Begins a field of a struct; its value follows.
+    /// Starts a field of a struct; the caller writes its value next.
     pub(super) fn field(&mut self, field_type: u8, id: i16) {
         self.put(&[field_type]);
         self.put(&id.to_be_bytes());
     }
 
-    /// A field that is a map of strings.
+    /// Writes a field that is a map from strings to strings.
     pub(super) fn map(&mut self, id: i16, entries: &[(&str, String)]) {
         self.field(MAP, id);
         self.put(&[STRING, STRING]);
--- a/crates/node/src/frontend/throttle.rs
+++ b/crates/node/src/frontend/throttle.rs
@@ -1,27 +1,27 @@
-//! A token bucket for each connection that bounds the rate of its messages, by what they cost the server.
+//! A token bucket per connection that limits the rate of its messages by their cost to the server.
 
 use gradepin_core::messages::Response;
 use std::time::{Duration, Instant};
 
-/// Tokens that a connection gains per second. A served request costs one when it is read and one when it is answered,
-/// so usual client proxies stay far below.
+/// Tokens that a connection gains per second. A served request costs one token when it is read and one when it is
+/// answered, so normal client proxies stay far below the limit.
 const TOKENS_PER_SECOND: f64 = 2000.0;
-/// Tokens that a bucket holds at most.
+/// Capacity of a bucket.
 const MAX_BURST_TOKENS: f64 = 1000.0;
 
-/// What became of a message, for its cost.
+/// The outcome of a message, which determines its cost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum MessageOutcome {
-    /// It was served.
+    /// A result was sent, or a health check answered.
     Served,
-    /// It was rejected, or its run failed.
+    /// The request was rejected, or its run failed.
     Failed,
-    /// It was no valid message.
+    /// The message was invalid.
     Invalid,
 }
 
 impl MessageOutcome {
-    /// The outcome that a response states for its request.
+    /// The outcome of the request that a response answers.
     pub(super) fn of(response: &Response) -> Self {
         match response {
             Response::Served(_) | Response::Health { .. } => Self::Served,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Cost in tokens, beside the one token for reading the message.
+    /// Cost in tokens, in addition to the one token for reading the message.
     pub(super) fn cost(self) -> usize {
         match self {
             Self::Served => 1,
@@ -40,22 +40,22 @@
     }
 }
 
-/// Guards against a client that sends rejected or invalid messages at full speed: reading, answering and logging them
-/// would take the core from all other clients. Reading from the connection pauses; nothing that it sent is dropped.
+/// Limits clients that send rejected or invalid messages at full speed: reading, answering and logging them would use
+/// up the CPU time of all other clients. Reading from the connection pauses; no message is dropped.
 #[derive(Debug)]
 pub(super) struct TokenBucket {
-    /// Below 0 after a message that cost more than was left.
+    /// Negative after a message that cost more than was left.
     tokens: f64,
     updated_at: Instant,
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(super) fn new(now: Instant) -> Self {
         Self { tokens: MAX_BURST_TOKENS, updated_at: now }
     }
 
-    /// Takes tokens; if none are left, returns how long to pause until there are.
+    /// Takes tokens; if the balance becomes negative, returns the pause until it is 0 again.
     pub(super) fn take(&mut self, cost: usize, now: Instant) -> Option<Duration> {
         let gained = now.saturating_duration_since(self.updated_at).as_secs_f64() * TOKENS_PER_SECOND;
         self.tokens = (self.tokens + gained).min(MAX_BURST_TOKENS) - cost as f64;
--- a/crates/node/src/frontend/throttle/tests.rs
+++ b/crates/node/src/frontend/throttle/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Messages a second that get through when each is sent as soon as the one before allows it.
+/// Messages per second that a connection gets through if each is sent as soon as the previous one allows it.
 fn messages_per_second(cost: usize) -> usize {
     let start = Instant::now();
     let (mut bucket, mut now, mut sent) = (TokenBucket::new(start), start, 0);
@@ -11,7 +11,7 @@
     sent / 10
 }
 
-/// Guards against invalid messages at full speed, and against a bucket that holds back a busy client proxy.
+/// Guards against invalid messages at full speed, and against a bucket that throttles a busy client proxy.
 #[test]
 fn throttles_invalid_messages_and_not_served_ones() {
     let (invalid, failed, served) = [MessageOutcome::Invalid, MessageOutcome::Failed, MessageOutcome::Served]
--- a/crates/node/src/inherited_listener.rs
+++ b/crates/node/src/inherited_listener.rs
@@ -1,8 +1,8 @@
-//! The environment of a process: during an upgrade `$GW_ACCEPT_FD` names an inherited descriptor, the clients' listening
-//! socket that the old and the new process share, and `$TMPDIR` a folder that both have; `$GW_ADMIN_ADDR` names the admin
-//! address.
+//! The environment variables of an upgrade: `$GW_ACCEPT_FD` is the descriptor of the inherited listening socket for
+//! clients, shared by the old and the new process; `$TMPDIR` is a folder that both can use; `$GW_ADMIN_ADDR` is the
+//! admin address.
 //!
-//! Only reads and checks them: when to stop accepting on the listener is the reducer's decision.
+//! This module only reads and checks them. The reducer decides when to stop accepting on the listener.
 
 use rustix::fd::OwnedFd;
 use rustix::net::sockopt::{socket_acceptconn, socket_domain, socket_type};
@@ -11,53 +11,53 @@
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 
-/// The variable that names the inherited descriptor.
+/// The variable with the number of the inherited descriptor.
 pub const ACCEPT_FD: &str = "GW_ACCEPT_FD";
-/// The variable that names the admin address, in place of `admin_addr` of the configuration.
+/// The variable with the admin address, which overrides `admin_addr` of the configuration.
 pub const ADMIN_ADDR: &str = "GW_ADMIN_ADDR";
-/// The variable that names the folder that both processes of an upgrade have.
+/// The variable with the folder that both processes of an upgrade can use.
 pub const SHARED_FOLDER: &str = "TMPDIR";
 
 /// Why a variable can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum InheritedListenerError {
-    /// The variable holds no descriptor number.
+    /// The variable is no descriptor number.
     #[error("expected ${ACCEPT_FD} to be a descriptor number of 0 or more, got '{0}'")]
     Number(String),
-    /// The descriptor can't be duplicated.
+    /// The descriptor can't be duplicated, usually because it is not open.
     #[error("descriptor {fd} of ${ACCEPT_FD} can't be duplicated: {source}")]
     Missing {
-        /// Its number.
+        /// Number of the descriptor.
         fd: i32,
-        /// The system's reason.
+        /// Error of the system.
         source: std::io::Error,
     },
-    /// The variable holds no address.
+    /// The variable is no address with a port.
     #[error("expected ${ADMIN_ADDR} to be an address and port such as 127.0.0.1:9000, got '{0}'")]
     Address(String),
     /// The descriptor is no listening TCP socket.
     #[error("expected descriptor {fd} of ${ACCEPT_FD} to be a listening TCP socket, but it is {found}")]
     Kind {
-        /// Its number.
+        /// Number of the descriptor.
         fd: i32,
-        /// What it is instead.
+        /// Kind of the descriptor, as a phrase for the message.
         found: &'static str,
     },
 }
 
-/// What the environment hands this process.
+/// Settings that the environment passes to this process.
 #[derive(Debug, Clone, Default)]
 pub struct InheritedListener {
-    /// The clients' listening socket, where it is inherited.
+    /// Descriptor of the inherited listening socket for clients, if there is one.
     pub accept_fd: Option<i32>,
-    /// The admin address, where the environment names one.
+    /// The admin address, if the environment sets one.
     pub admin_addr: Option<SocketAddr>,
-    /// The folder that both processes of an upgrade have; None unless the listener is inherited.
+    /// The folder that both processes of an upgrade can use; `None` unless the listener is inherited.
     pub shared_folder: Option<PathBuf>,
 }
 
 impl InheritedListener {
-    /// Reads the environment of this process.
+    /// Reads and checks the environment variables of this process.
     pub fn from_env() -> Result<Self, InheritedListenerError> {
         let value = std::env::var(ACCEPT_FD).ok();
         let admin = std::env::var(ADMIN_ADDR).ok();
@@ -69,21 +69,21 @@
     }
 }
 
-/// Parses the value of [`ADMIN_ADDR`]; None where it is not set or blank.
+/// Parses the value of [`ADMIN_ADDR`]; `None` if it is unset or blank.
 pub fn admin_addr(value: Option<&str>) -> Result<Option<SocketAddr>, InheritedListenerError> {
     let Some(value) = value.filter(|value| !value.trim().is_empty()) else { return Ok(None) };
     value.trim().parse().map(Some).map_err(|_| InheritedListenerError::Address(value.into()))
 }
 
-/// Parses the value of [`ACCEPT_FD`]; None where it is not set.
+/// Parses the value of [`ACCEPT_FD`]; `None` if it is unset.
 pub fn accept_fd(value: Option<&str>) -> Result<Option<i32>, InheritedListenerError> {
     let Some(value) = value else { return Ok(None) };
     let number = value.trim().parse::<i32>().ok().filter(|fd| *fd >= 0);
     number.map(Some).ok_or_else(|| InheritedListenerError::Number(value.into()))
 }
 
-/// The listening socket behind an inherited descriptor number. The descriptor is duplicated through the process's own
-/// pidfd, which needs no unsafe code; the original stays open and is never used.
+/// Returns the listening socket of an inherited descriptor number. The descriptor is duplicated through the process's
+/// own pidfd, which needs no unsafe code; the original stays open and unused.
 pub fn listener(fd: i32) -> Result<TcpListener, InheritedListenerError> {
     let missing = |errno: rustix::io::Errno| InheritedListenerError::Missing { fd, source: errno.into() };
     let process = pidfd_open(getpid(), PidfdFlags::empty()).map_err(missing)?;
@@ -92,8 +92,8 @@
     Ok(TcpListener::from(socket))
 }
 
-/// Guards against a descriptor that is a file, a pipe, a connected socket or a Unix one: accepting on it would fail
-/// at the first client, long after the start, or take connections of another kind.
+/// Rejects files, pipes, connected sockets and Unix sockets at the start: accepting on them would fail only at the
+/// first client, or accept connections of another kind.
 fn check_is_listening_tcp(fd: i32, socket: &OwnedFd) -> Result<(), InheritedListenerError> {
     let kind = |found| InheritedListenerError::Kind { fd, found };
     let domain = socket_domain(socket).map_err(|_| kind("no socket"))?;
--- a/crates/node/src/inherited_listener/tests.rs
+++ b/crates/node/src/inherited_listener/tests.rs
@@ -2,7 +2,7 @@
 use std::net::{TcpStream, UdpSocket};
 use std::os::fd::AsRawFd;
 
-/// Guards the start of an upgrade: an invalid value is rejected with the variable's name.
+/// Guards the start of an upgrade: an invalid value is rejected with an error that names the variable.
 #[test]
 fn reads_variables_or_names_the_invalid_one() {
     assert_eq!(accept_fd(None).unwrap(), None);
@@ -17,15 +17,15 @@
     assert!(error.contains(ADMIN_ADDR), "{error}");
 }
 
-/// Guards against serving on a descriptor that is no listening TCP socket, and against losing one that is.
+/// Guards against serving on a descriptor that is no listening TCP socket, and against rejecting one that is.
 #[test]
 fn accepts_only_a_listening_tcp_socket() {
     let listening = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listening.local_addr().unwrap();
-    let taken = listener(listening.as_raw_fd()).unwrap();
-    assert_eq!(taken.local_addr().unwrap(), address);
+    let inherited = listener(listening.as_raw_fd()).unwrap();
+    assert_eq!(inherited.local_addr().unwrap(), address);
     let _client = TcpStream::connect(address).unwrap();
-    taken.accept().unwrap();
+    inherited.accept().unwrap();
 
     let datagram = UdpSocket::bind("127.0.0.1:0").unwrap();
     let error = listener(datagram.as_raw_fd()).unwrap_err().to_string();
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,10 +1,12 @@
-//! The shell of one tile server: its sockets, files, threads and clocks around `gradepin-core`, which makes all decisions.
+//! The shell of one tile server: sockets, files, threads and clocks around the reducer of `gradepin-core`, which makes
+//! all decisions.
 //!
-//! [`serve`] is the entry: `startup` starts all parts in a fixed order, `main_loop` steps the reducer, and `effects` has its
-//! effects carried out. [`frontend`], [`processor`], [`control`], [`registry`], [`upstream_client`] and [`peer_datagrams`]
-//! each communicate with one kind of peer and know nothing of the others; [`store`], [`claims`], [`voter_storage`],
-//! [`staging`] and [`configuration_writer`] each own one folder. [`settings`] and [`config`] read the files that a server is
-//! started with. Threads send [`gradepin_core::messages::Input`]s to the main thread and never call it.
+//! [`serve`] is the entry point: `startup` starts all parts in a fixed order, `main_loop` steps the reducer, and
+//! `effects` executes the effects that the reducer returns. [`frontend`], [`processor`], [`control`], [`registry`],
+//! [`upstream_client`] and [`peer_datagrams`] each communicate with one kind of peer and don't depend on each other;
+//! [`store`], [`claims`], [`voter_storage`], [`staging`] and [`configuration_writer`] each own one folder. [`settings`]
+//! and [`config`] read the files that a server is started with. Threads send [`gradepin_core::messages::Input`]s to the
+//! main thread and never call it.
 
 #![warn(missing_docs, unreachable_pub, clippy::too_many_lines)]
 
