--- a/crates/node/src/main_loop.rs
+++ b/crates/node/src/main_loop.rs
@@ -1,6 +1,6 @@
-//! The main loop of a tile server: it owns the reducer, hands it what arrives, and has its effects carried out.
+//! The main loop of a tile server: owns the reducer, passes it the inputs that arrive and executes its effects.
 //!
-//! It waits for its queues and for nothing else, and never sends to them.
+//! The main thread blocks only on its input queues and never sends to them, so it can't deadlock with itself.
 
 use crate::effects::EffectExecutor;
 use crate::queues::InputQueues;
@@ -9,20 +9,20 @@
 use slog::info;
 use std::time::Duration;
 
-/// The longest pause between two steps.
+/// The longest time between two steps of the reducer when it asks for no earlier one.
 const MAX_STEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A server whose parts all run. Fields are dropped in this order: the parts before the queues that they send to.
+/// A running server. Fields are dropped in the order of declaration: parts before the queues that they send to.
 pub(crate) struct Server {
     executor: EffectExecutor,
     queues: InputQueues,
     reducer: Reducer,
-    /// Inputs of the next step.
+    /// Inputs of the next step, in order of arrival.
     arrived: Vec<Input>,
 }
 
 impl Server {
-    /// A server whose first step has these inputs.
+    /// Creates the main loop; `arrived` are the inputs of the first step.
     pub(crate) fn new(
         executor: EffectExecutor,
         queues: InputQueues,
@@ -32,7 +32,7 @@
         Self { executor, queues, reducer, arrived }
     }
 
-    /// Steps the reducer until it asks for the end of the process.
+    /// Steps the reducer until it returns [`Effect::Exit`], then shuts all parts down.
     pub(crate) fn run(mut self) {
         let mut effects: Vec<Effect> = Vec::new();
         loop {
@@ -53,11 +53,11 @@
         Duration::from_nanos(wake_at.0.saturating_sub(now.0))
     }
 
-    /// Ends the parts: claims first, since the other process of an upgrade waits for what they write. Their thread may
-    /// itself wait for room in the urgent queue, so that queue ends with them.
+    /// Shuts all parts down. Claims come first because the other process of an upgrade waits for the outcomes that they
+    /// write. Their thread may be blocked on a full urgent queue, so they close that queue too.
     fn shut_down(self) {
         let Self { mut executor, queues, .. } = self;
-        info!(executor.log, "leaving");
+        info!(executor.log, "server shutting down: closing all parts, then the process exits");
         if let Some(claims) = executor.claims.take() {
             claims.close(queues.urgent);
         }
--- a/crates/node/src/outgoing.rs
+++ b/crates/node/src/outgoing.rs
@@ -1,8 +1,9 @@
-//! Writes to the processor: at once where the socket accepts a frame completely, and by a thread where it doesn't.
+//! Non-blocking writes to the processor: directly if the socket accepts the complete frame, otherwise on a thread.
 //!
-//! Nothing here blocks a caller, and frames leave in the order of the calls. The thread is started when the socket first
-//! accepts only a part of a frame, and ends when nothing waits. Where it can't be started the link is closed, and the
-//! reducer settles on the next one what was under way. Connections of clients have no such thread: see `frontend/conn.rs`.
+//! Callers never block, and frames are sent in the order of the calls. The thread starts when the socket accepts only a
+//! part of a frame, and ends when no frame is queued. If the thread can't be started, the link is closed, and the
+//! reducer resolves the open runs on the next link. Client connections use no such thread: see
+//! `frontend/connection.rs`.
 
 use gradepin_core::buffer_pool::Buffer;
 use rustix::io::Errno;
@@ -15,80 +16,80 @@
 
 const STACK_BYTES: usize = 64 * 1024;
 
-/// A socket and the frames that wait for it. Unbounded here: the sender bounds what it sends.
-pub(crate) struct Outgoing {
-    /// The socket; its write timeout is how long the peer may accept nothing.
+/// A socket and its queue of frames. The queue itself is unbounded; the caller bounds what it sends.
+pub(crate) struct FrameWriter {
+    /// The socket; its write timeout bounds how long the peer may accept no bytes.
     pub stream: OwnedFd,
-    sending: Mutex<Sending>,
+    queue: Mutex<WriteQueue>,
 }
 
 #[derive(Default)]
-struct Sending {
-    /// Frames that the socket didn't accept, in order; the thread writes them.
+struct WriteQueue {
+    /// Frames that the socket didn't accept, in order; the writing thread sends them.
     waiting: VecDeque<Buffer>,
-    /// Whether the thread runs.
+    /// Whether the writing thread is running.
     has_writer: bool,
-    /// Whether the socket is shut down: frames are dropped.
+    /// Whether the socket is shut down; frames are dropped from then on.
     closed: bool,
 }
 
-impl Outgoing {
-    /// For a connected socket.
+impl FrameWriter {
+    /// Wraps a connected socket.
     pub(crate) fn new(stream: OwnedFd) -> Self {
-        Self { stream, sending: Mutex::default() }
+        Self { stream, queue: Mutex::default() }
     }
 
-    fn sending(&self) -> MutexGuard<'_, Sending> {
-        self.sending.lock().unwrap_or_else(PoisonError::into_inner)
+    fn queue(&self) -> MutexGuard<'_, WriteQueue> {
+        self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn close(&self, sending: &mut Sending) {
-        sending.closed = true;
-        sending.waiting.clear();
+    fn close(&self, queue: &mut WriteQueue) {
+        queue.closed = true;
+        queue.waiting.clear();
         let _ = shutdown(&self.stream, Shutdown::Both);
     }
 
-    /// Shuts the socket down both ways at once; frames that wait, and all later ones, are dropped.
+    /// Shuts the socket down in both directions immediately; queued and later frames are dropped.
     pub(crate) fn shut(&self) {
-        self.close(&mut self.sending());
+        self.close(&mut self.queue());
     }
 
-    /// Sends a frame: what the socket accepts at once is written here, the rest by the thread.
+    /// Sends a frame: writes as much as the socket accepts immediately and queues the rest for the writing thread.
     pub(crate) fn send(self: &Arc<Self>, mut frame: Buffer) {
-        let mut sending = self.sending();
-        if sending.closed {
+        let mut queue = self.queue();
+        if queue.closed {
             return;
         }
-        if !sending.has_writer {
+        if !queue.has_writer {
             match send(&self.stream, &frame, SendFlags::DONTWAIT | SendFlags::NOSIGNAL) {
                 Ok(sent) if sent == frame.len() => return,
                 Ok(sent) => frame.consume(sent),
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {}
-                Err(_) => return self.close(&mut sending),
+                Err(_) => return self.close(&mut queue),
             }
             let writer = Arc::clone(self);
             let thread = thread::Builder::new().name("write".into()).stack_size(STACK_BYTES);
             if thread.spawn(move || writer.write_waiting()).is_err() {
-                return self.close(&mut sending);
+                return self.close(&mut queue);
             }
-            sending.has_writer = true;
+            queue.has_writer = true;
         }
-        // It may wait for long, so it takes no more memory than its bytes.
-        sending.waiting.push_back(frame.exact());
+        // A frame may stay queued for long, so it is copied into a buffer of its own size.
+        queue.waiting.push_back(frame.exact());
     }
 
-    /// The thread: writes the frames that wait, and ends when there are none.
+    /// Body of the writing thread: sends the queued frames and returns when there are none.
     fn write_waiting(&self) {
         loop {
             let frame = {
-                let mut sending = self.sending();
-                let Some(frame) = sending.waiting.pop_front() else {
-                    sending.has_writer = false;
+                let mut queue = self.queue();
+                let Some(frame) = queue.waiting.pop_front() else {
+                    queue.has_writer = false;
                     return;
                 };
                 frame
             };
-            // Blocks at most for the socket's write timeout.
+            // Each send blocks at most for the socket's write timeout.
             let mut remaining = &frame[..];
             while !remaining.is_empty() {
                 match send(&self.stream, remaining, SendFlags::NOSIGNAL) {
--- a/crates/node/src/peer_datagrams.rs
+++ b/crates/node/src/peer_datagrams.rs
@@ -1,7 +1,7 @@
-//! The UDP socket between servers of a fleet. The main thread sends; a thread of its own receives, authenticates each
-//! datagram, and passes on only authentic ones. It counts what it drops, by reason.
+//! The UDP socket for datagrams between servers of a fleet. The main thread sends; a receiving thread authenticates
+//! each datagram, forwards authentic ones to the reducer and counts dropped ones by reason.
 //!
-//! Decides nothing: the rate limit is [`RateLimiter`]'s, authentication [`Envelope`]'s.
+//! No policy is implemented here: [`RateLimiter`] limits the rate and [`Envelope`] authenticates.
 
 use crate::clock::Clock;
 use crossbeam_channel::{Sender, TrySendError};
@@ -18,10 +18,10 @@
 use std::time::{Duration, Instant};
 
 const STACK_BYTES: usize = 128 * 1024;
-/// The pause between reports of dropped datagrams, and the longest wait for a datagram.
+/// Interval between reports of dropped datagrams, and the read timeout of the socket.
 const DROP_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The pause after an error of the socket.
+/// Pause after a receive error, so that a persistent error doesn't cause a busy loop.
 const SOCKET_ERROR_PAUSE: Duration = Duration::from_millis(1);
 
 /// The sending side of the socket.
@@ -31,12 +31,12 @@
     log: Logger,
 }
 
-/// The keys that datagrams are authenticated with; a reload replaces them.
+/// The authentication keys of the fleet's datagrams; a reload replaces them.
 pub type SharedKeys = Arc<RwLock<AuthenticationKeys>>;
 
 impl PeerDatagrams {
-    /// Starts the receiving thread. The queue of `inputs` is for datagrams alone: a datagram that finds it full is dropped, so
-    /// that a flood of them delays nothing else.
+    /// Starts the receiving thread. The queue `inputs` must be used for datagrams only: a datagram is dropped if it is
+    /// full, so that a flood delays nothing else.
     pub fn start(
         socket: UdpSocket,
         keys: SharedKeys,
@@ -60,10 +60,10 @@
         Ok(Self { socket, log })
     }
 
-    /// Sends a datagram; never blocks. A lost datagram is made up for by later ones.
+    /// Sends a datagram; never blocks. The protocol tolerates loss: later datagrams replace a lost one.
     pub fn send(&self, to: SocketAddr, datagram: &[u8]) {
         if let Err(why) = self.socket.send_to(datagram, to) {
-            info!(self.log, "can't send a datagram to a peer"; "to" => %to, "error" => %why);
+            info!(self.log, "can't send a datagram to a peer; it is dropped"; "to" => %to, "error" => %why);
         }
     }
 }
@@ -80,16 +80,16 @@
     last_report: Instant,
 }
 
-/// Nobody receives inputs any more.
+/// The queue of inputs is closed because the main thread has ended.
 struct Disconnected;
 
 impl Receiver {
     fn run(&mut self) {
-        // One byte more than a datagram may have: a longer one would look like a complete one otherwise.
+        // One byte more than the longest valid datagram: otherwise a longer one would be truncated to a valid length.
         let mut buffer = [0_u8; MAX_DATAGRAM_BYTES + 1];
         loop {
             match self.receive(&mut buffer) {
-                Some(Ok(envelope)) => match self.pass_on(envelope) {
+                Some(Ok(envelope)) => match self.forward(envelope) {
                     Ok(()) => {}
                     Err(Disconnected) => return,
                 },
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Waits for a datagram and authenticates it; None where none came in time.
+    /// Waits for a datagram and authenticates it; `None` if none arrives before the read timeout.
     fn receive(&mut self, buffer: &mut [u8]) -> Option<Result<Envelope, DropReason>> {
         match self.socket.recv_from(buffer) {
             Ok((length, _)) if self.limiter.takes(self.clock.read().now) => {
@@ -111,7 +111,7 @@
             }
             Ok(_) => Some(Err(DropReason::RateLimited)),
             Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => None,
-            // An ICMP error of an earlier datagram. The pause guards against a busy loop where an error persists.
+            // Usually an ICMP error caused by an earlier datagram.
             Err(_) => {
                 thread::sleep(SOCKET_ERROR_PAUSE);
                 None
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Passes on an authentic datagram; drops it where the queue is full.
-    fn pass_on(&mut self, envelope: Envelope) -> Result<(), Disconnected> {
+    /// Forwards an authentic datagram to the reducer; drops it if the queue is full.
+    fn forward(&mut self, envelope: Envelope) -> Result<(), Disconnected> {
         match self.inputs.try_send(Input::PeerDatagram(Box::new(envelope))) {
             Ok(()) => Ok(()),
             Err(TrySendError::Full(_)) => {
@@ -135,7 +135,7 @@
         *self.dropped.entry(reason).or_default() += 1;
     }
 
-    /// Reports the counts of dropped datagrams; kept for the next report where the queue is full.
+    /// Reports the counts of dropped datagrams; keeps them for the next report if the queue is full.
     fn report_dropped(&mut self) {
         let counts = self.dropped.iter().map(|(reason, count)| (*reason, *count)).collect();
         if self.inputs.try_send(Input::PeerDatagramsDropped(counts)).is_ok() {
--- a/crates/node/src/processor.rs
+++ b/crates/node/src/processor.rs
@@ -1,13 +1,13 @@
-//! The link to the processor: commands out, lines in, over one TCP connection that is made again whenever it is lost.
+//! The link to the processor: commands out and lines in, over one TCP connection that is reopened whenever it is lost.
 //!
-//! [`Processor`] is the main thread's handle; a thread of its own connects, reads, and sends each line as an input. Commands
-//! for a link that has ended are dropped: the reducer settles on the next link what was under way on the one before.
+//! [`Processor`] is the main thread's handle; a separate thread connects, reads, and sends each line as an input.
+//! Commands for a link that has ended are dropped: the reducer resolves open runs on the next link.
 
 mod lines;
 mod link;
 mod notice_progress;
 
-use crate::outgoing::Outgoing;
+use crate::outgoing::FrameWriter;
 use crossbeam_channel::{Receiver, Sender, bounded};
 use gradepin_admission::{RequestId, Time};
 use gradepin_core::buffer_pool::BufferPool;
@@ -25,33 +25,33 @@
 use std::time::{Duration, Instant};
 
 const STACK_BYTES: usize = 64 * 1024;
-/// The pause between attempts to connect, and after a link.
+/// Pause between attempts to connect, and the shortest pause after a link ends.
 const MIN_RECONNECT_PAUSE: Duration = Duration::from_millis(20);
 const MAX_RECONNECT_PAUSE: Duration = Duration::from_secs(1);
-/// A link that lasted so long does not lengthen the pause, though it brought no notice.
+/// A link that lasted at least this long doesn't lengthen the pause, even if it received no notice.
 const STABLE_LINK_DURATION: Duration = Duration::from_millis(500);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long the processor may take nothing from a full socket before the link is closed.
+/// The link is closed if the processor reads nothing from a full socket for this long.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Where the processor is, and the link to it while there is one.
+/// The address of the processor, and the current link if there is one.
 struct Target {
     address: SocketAddr,
     link: Option<Link>,
 }
 
-/// The link to the processor, as the main thread uses it.
+/// The main thread's handle to the processor link.
 pub struct Processor {
     target: Arc<Mutex<Target>>,
     pool: Arc<BufferPool>,
-    /// Ends the pause before the next attempt to connect.
+    /// A message ends the pause before the next attempt to connect.
     skip_pause: Sender<()>,
-    /// Whether the next link is to ask for all notices that the processor keeps.
+    /// Whether the next link asks for all notices that the processor still has.
     replay: Arc<AtomicBool>,
 }
 
 impl Processor {
-    /// Starts the thread, which keeps a link to `address` and sends what the processor says to `inputs`.
+    /// Starts the thread that maintains a link to `address` and sends received lines to `inputs`.
     pub fn connect(
         address: SocketAddr,
         inputs: Sender<Input>,
@@ -61,7 +61,7 @@
         let target = Arc::new(Mutex::new(Target { address, link: None }));
         let replay = Arc::<AtomicBool>::default();
         let (skip_pause, pause_skips) = bounded(1);
-        let mut keeper = LinkKeeper {
+        let mut link_thread = LinkThread {
             target: Arc::clone(&target),
             replay: Arc::clone(&replay),
             pause_skips,
@@ -73,23 +73,23 @@
         thread::Builder::new()
             .name("processor".into())
             .stack_size(STACK_BYTES)
-            .spawn(move || keeper.run())?;
+            .spawn(move || link_thread.run())?;
         Ok(Self { target, pool, skip_pause, replay })
     }
 
-    /// Keeps the link to another address from now on. The old link is closed at once; what was under way on it is
-    /// settled on the new one, as after any loss.
+    /// Changes the address of the processor. The current link is closed immediately; open runs are resolved on the next
+    /// one, as after any loss of the link.
     pub fn retarget(&self, address: SocketAddr) {
         let mut target = lock(&self.target);
         target.address = address;
         if let Some(link) = &target.link {
             link.out.shut();
         }
-        // Full: the pause ends already.
+        // If the queue is full, a message that ends the pause is already queued.
         let _ = self.skip_pause.try_send(());
     }
 
-    /// Acts on the link of this number, if it is the one in use.
+    /// Calls `act` with the link of this number, if it is the current one.
     fn on_link(&self, number: u64, act: impl FnOnce(&mut Link)) {
         let mut target = lock(&self.target);
         if let Some(link) = target.link.as_mut().filter(|link| link.number == number) {
@@ -97,38 +97,38 @@
         }
     }
 
-    /// The command to run a request; it leaves with the next [`Processor::flush`].
+    /// Adds the command that starts a run; [`Processor::flush`] sends it.
     pub fn begin(&self, link: u64, id: &RequestId, class: &str, body: &[u8]) {
         let line = format!("begin {} {class} {}\r\n", id.0, body.len());
         self.on_link(link, |link| link.command(&self.pool, &[line.as_bytes(), body, b"\r\n"]));
     }
 
-    /// The reply to the upstream call that a run waits for; it leaves with the next [`Processor::flush`].
+    /// Adds the command that delivers the reply to a run's upstream call; [`Processor::flush`] sends it.
     pub fn answer(&self, link: u64, id: &RequestId, reply: &[u8]) {
         let line = format!("answer {} {}\r\n", id.0, reply.len());
         self.on_link(link, |link| link.command(&self.pool, &[line.as_bytes(), reply, b"\r\n"]));
     }
 
-    /// The command to stop a run; it leaves with the next [`Processor::flush`].
+    /// Adds the command that stops a run; [`Processor::flush`] sends it.
     pub fn interrupt(&self, link: u64, id: &RequestId) {
         let line = format!("interrupt {}\r\n", id.0);
         self.on_link(link, |link| link.command(&self.pool, &[line.as_bytes()]));
     }
 
-    /// The request for the gauges, whose answer carries `number`; it leaves with the next [`Processor::flush`].
+    /// Adds the request for the gauges, whose response has the same `number`; [`Processor::flush`] sends it.
     pub fn usage(&self, link: u64, number: u64) {
         let line = format!("usage {number}\r\n");
         self.on_link(link, |link| link.command(&self.pool, &[line.as_bytes()]));
     }
 
-    /// Sends the commands of this step.
+    /// Sends the commands of this step of the reducer.
     pub fn flush(&self) {
         if let Some(link) = &mut lock(&self.target).link {
             link.flush();
         }
     }
 
-    /// Closes the link; the next one asks for all notices that the processor keeps.
+    /// Closes the link; the next one asks for all notices that the processor still has.
     pub fn replay_notices(&self) {
         self.replay.store(true, Ordering::SeqCst);
         if let Some(link) = &lock(&self.target).link {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Closes the link of this number; a new one follows.
+    /// Closes the link of this number, if it is the current one; the thread then opens a new one.
     pub fn reconnect(&self, link: u64) {
         self.on_link(link, |link| link.out.shut());
     }
@@ -146,8 +146,8 @@
     target.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The state of the thread.
-struct LinkKeeper {
+/// State of the thread that maintains the link.
+struct LinkThread {
     target: Arc<Mutex<Target>>,
     replay: Arc<AtomicBool>,
     pause_skips: Receiver<()>,
@@ -157,18 +157,18 @@
     log: Logger,
 }
 
-/// A connection that was made, before the `hello`.
+/// An open connection before its `hello`.
 struct Connection {
-    /// The number that its link is to have.
+    /// Number of the link that the connection becomes.
     link: u64,
     socket: TcpStream,
     address: SocketAddr,
-    /// When the attempt to connect began.
+    /// When the attempt to connect started.
     connecting: Time,
 }
 
-impl LinkKeeper {
-    /// Connects, reads until the link ends, and starts again; returns once the queue of inputs is closed.
+impl LinkThread {
+    /// Connects, reads until the link ends, and repeats; returns when the queue of inputs is closed.
     fn run(&mut self) {
         let mut pause = MIN_RECONNECT_PAUSE;
         for number in 1.. {
@@ -177,24 +177,24 @@
             let last_notice = self.progress.start_link(self.replay.swap(false, Ordering::SeqCst));
             let started = Instant::now();
             let ended = self.use_connection(connection, last_notice);
-            let has_moved = self.remove_link(address);
+            let address_changed = self.remove_link(address);
             match ended {
                 Err(e) => warn!(self.log, "lost the link to the processor"; "link" => number, "reason" => %e),
-                Ok(()) => info!(self.log, "the processor closed the link"; "link" => number),
+                Ok(()) => info!(self.log, "the processor closed the link; reconnecting"; "link" => number),
             }
             if self.inputs.send(Input::LinkDown).is_err() {
                 return;
             }
             self.progress.end_link();
-            let brought_notices = self.progress.last_notice() != last_notice;
-            pause = next_pause(pause, brought_notices, started.elapsed());
-            if !has_moved {
+            let received_notices = self.progress.last_notice() != last_notice;
+            pause = next_pause(pause, received_notices, started.elapsed());
+            if !address_changed {
                 let _ = self.pause_skips.recv_timeout(pause);
             }
         }
     }
 
-    /// Tries until a connection is made.
+    /// Retries until a connection is open.
     fn connect(&self, link: u64) -> Connection {
         loop {
             let (address, connecting) = (lock(&self.target).address, self.progress.now());
@@ -205,14 +205,15 @@
         }
     }
 
-    /// Says hello, has the link used by the main thread, and reads until it ends: Ok where the processor closed it.
+    /// Sends `hello`, makes the link available to the main thread, and reads until it ends; `Ok` if the processor
+    /// closed it.
     fn use_connection(&mut self, connection: Connection, last_notice: u64) -> io::Result<()> {
         let Connection { link, socket, address, connecting } = connection;
-        let out = say_hello(socket, last_notice, &self.pool)?;
+        let out = send_hello(socket, last_notice, &self.pool)?;
         {
             let mut target = lock(&self.target);
             if target.address != address {
-                return Err(io::Error::other("the processor's address has changed"));
+                return Err(io::Error::other("the configured address of the processor has changed"));
             }
             target.link = Some(Link::new(link, Arc::clone(&out)));
         }
@@ -221,14 +222,14 @@
         ended
     }
 
-    /// Takes the link out of use; whether the processor's address has changed meanwhile.
+    /// Removes the current link; returns whether the address of the processor has changed since it was opened.
     fn remove_link(&self, address: SocketAddr) -> bool {
         let mut target = lock(&self.target);
         target.link = None;
         target.address != address
     }
 
-    fn read(&mut self, link: u64, connecting: Time, out: &Outgoing) -> io::Result<()> {
+    fn read(&mut self, link: u64, connecting: Time, out: &FrameWriter) -> io::Result<()> {
         let mut lines = Lines::new(&self.pool);
         loop {
             while let Some(line) = lines.next()? {
@@ -246,7 +247,7 @@
         }
     }
 
-    /// What a line means to the reducer; None where nothing follows from it. An error ends the link.
+    /// Converts a line to an input of the reducer; `None` for lines without one. An error ends the link.
     fn input_of(&mut self, line: Line, link: u64, connecting: Time) -> io::Result<Option<Input>> {
         let input = match line {
             Line::Hello { cold, age } => {
@@ -279,24 +280,24 @@
     }
 
     fn send(&self, input: Input) -> io::Result<()> {
-        self.inputs.send(input).map_err(|_| io::Error::other("the server has ended"))
+        self.inputs.send(input).map_err(|_| io::Error::other("the server is shutting down"))
     }
 }
 
-/// The pause after a link. It doubles only after links that were short and brought no notice: an invalid line that comes
-/// again on each link would fill the log. A link that lasted is no such sign, though it was quiet.
-fn next_pause(pause: Duration, brought_notices: bool, lasted: Duration) -> Duration {
-    if brought_notices || lasted >= STABLE_LINK_DURATION {
+/// The pause after a link ends. It doubles only after short links without notices, so that an invalid line that is
+/// repeated on every link doesn't fill the log. A long link without notices was merely quiet.
+fn next_pause(pause: Duration, received_notices: bool, lasted: Duration) -> Duration {
+    if received_notices || lasted >= STABLE_LINK_DURATION {
         MIN_RECONNECT_PAUSE
     } else {
         (pause * 2).min(MAX_RECONNECT_PAUSE)
     }
 }
 
-fn say_hello(socket: TcpStream, last_notice: u64, pool: &Arc<BufferPool>) -> io::Result<Arc<Outgoing>> {
+fn send_hello(socket: TcpStream, last_notice: u64, pool: &Arc<BufferPool>) -> io::Result<Arc<FrameWriter>> {
     socket.set_nodelay(true)?;
     socket.set_write_timeout(Some(WRITE_TIMEOUT))?;
-    let out = Arc::new(Outgoing::new(socket.into()));
+    let out = Arc::new(FrameWriter::new(socket.into()));
     let mut hello = pool.take();
     hello.extend(format!("hello {last_notice}\r\n").as_bytes());
     out.send(hello);
--- a/crates/node/src/processor/lines.rs
+++ b/crates/node/src/processor/lines.rs
@@ -1,5 +1,7 @@
-//! Parses the lines of the processor out of the bytes that a link brings. Owns the bytes that were received and not parsed
-//! yet: at most one buffer. No line with a meaning is longer than that; a remark may be, and is skipped as it comes.
+//! Parses the lines of the processor from the bytes received on a link.
+//!
+//! Received bytes that are not parsed yet occupy at most one buffer. Remarks may be longer than that and are skipped
+//! piece by piece; no other line may be longer.
 
 use gradepin_admission::{RequestId, Span, span_from_seconds};
 use gradepin_core::buffer_pool::{Buffer, BufferPool};
@@ -9,28 +11,28 @@
 
 /// The longest result that the protocol allows.
 const MAX_RESULT_BYTES: usize = 4096;
-/// The part of an invalid line that its error quotes.
+/// An error quotes at most this part of an invalid line.
 const MAX_QUOTED_BYTES: usize = 80;
 const LINE_END: &[u8] = b"\r\n";
 const REMARK: &[u8] = b"remark ";
 
-/// The bytes of a link that were not parsed yet.
+/// The received bytes of a link that are not parsed yet.
 pub(super) struct Lines {
     pool: Arc<BufferPool>,
     buffer: Buffer,
-    /// Bytes at the front of the buffer that were parsed.
+    /// Bytes at the start of the buffer that are already parsed.
     parsed_bytes: usize,
-    /// The notice of a remark longer than the buffer, whose end is still to come.
+    /// Notice number of a remark longer than the buffer, while its end has not arrived.
     long_remark: Option<u64>,
 }
 
 impl Lines {
-    /// For a new link.
+    /// Creates the parser of a new link.
     pub(super) fn new(pool: &Arc<BufferPool>) -> Self {
         Self { pool: Arc::clone(pool), buffer: pool.take(), parsed_bytes: 0, long_remark: None }
     }
 
-    /// Parses the next line, with the body that follows it; None while it is incomplete. An error where it is invalid.
+    /// Parses the next line with the body that follows it; `None` while it is incomplete, an error if it is invalid.
     pub(super) fn next(&mut self) -> io::Result<Option<Line>> {
         let bytes = &self.buffer[self.parsed_bytes..];
         let Some(notice) = self.long_remark else {
@@ -44,12 +46,12 @@
         Ok(Some(Line::Remark { notice }))
     }
 
-    /// Space for more bytes, at least one; [`Lines::filled`] then says how many were received. An error where a line is
-    /// longer than any line may be.
+    /// Space for at least one more byte; the caller reports with [`Lines::filled`] how many it received. Fails if the
+    /// buffer is full of an incomplete line that is no remark.
     pub(super) fn space(&mut self) -> io::Result<&mut [u8]> {
         self.buffer.consume(std::mem::take(&mut self.parsed_bytes));
         if self.buffer.space().is_empty() {
-            // Guards against a link that is lost over a long remark, and over the same one again after each hello.
+            // An error here would end the link, and the processor would send the same remark again on each new one.
             let notice = self.long_remark.or_else(|| remark_notice(&self.buffer));
             self.long_remark = Some(notice.ok_or_else(|| invalid(&self.buffer))?);
             // The last byte may be the first half of the line end.
@@ -58,7 +60,7 @@
         Ok(self.buffer.space())
     }
 
-    /// Counts bytes that were received into [`Lines::space`].
+    /// Records the number of bytes received into [`Lines::space`].
     pub(super) fn filled(&mut self, bytes: usize) {
         self.buffer.filled(bytes);
     }
@@ -71,44 +73,44 @@
     Hello {
         /// Whether the processor started with cold caches.
         cold: bool,
-        /// How long ago it started.
+        /// Time since the processor started.
         age: Span,
     },
     /// A run has ended.
     Completed {
         /// Number of the notice.
         notice: u64,
-        /// The request.
+        /// Id of the run's request.
         id: RequestId,
         /// How the run ended.
         end: RunEnd,
-        /// How long it took.
+        /// Duration of the run.
         took: Span,
-        /// Its result; empty unless it ended well.
+        /// Result of the run; empty unless it succeeded.
         result: Buffer,
     },
     /// A run waits for an upstream call.
     UpstreamCall {
         /// Number of the notice.
         notice: u64,
-        /// The request.
+        /// Id of the run's request.
         id: RequestId,
         /// The body of the call.
         body: Buffer,
     },
-    /// The gauges.
+    /// A response to a request for the gauges.
     Gauges {
-        /// The number of the request that they answer.
+        /// Number of the request for the gauges.
         number: u64,
-        /// In the order of the settings; NaN where the processor has no number for one.
+        /// In the order of the settings; NaN if the processor has no number for a gauge.
         values: Vec<f64>,
     },
-    /// A run was not started.
+    /// The processor didn't start a run.
     RunRejected {
-        /// The request.
+        /// Id of the run's request.
         id: RequestId,
     },
-    /// A notice without a meaning.
+    /// A notice that is only counted; its text is ignored.
     Remark {
         /// Number of the notice.
         notice: u64,
@@ -129,36 +131,37 @@
     io::Error::new(io::ErrorKind::InvalidData, format!("expected a line of the processor, got '{text}'"))
 }
 
-/// Where the first line ends.
+/// Offset of the first line end.
 fn line_end(bytes: &[u8]) -> Option<usize> {
     bytes.windows(LINE_END.len()).position(|window| window == LINE_END)
 }
 
-/// The notice of a remark, whose text may be incomplete.
+/// Notice number of a remark whose text may be incomplete.
 fn remark_notice(line: &[u8]) -> Option<u64> {
     let digits = line.strip_prefix(REMARK)?.split(|&b| b == b' ').next()?;
     std::str::from_utf8(digits).ok()?.parse().ok()
 }
 
-/// Parses the first line with the body that follows it; None while it is incomplete.
+/// Parses the first line with the body that follows it; `None` while it is incomplete.
 fn parse(bytes: &[u8], pool: &Arc<BufferPool>) -> io::Result<Option<ParsedLine>> {
     let Some(end) = line_end(bytes) else { return Ok(None) };
     let (line, after_line) = (&bytes[..end], end + LINE_END.len());
     if line.starts_with(REMARK) {
-        // Its text need not be UTF-8. Guards against a link that is lost again and again over the same remark.
+        // The text need not be UTF-8. An error here would end the link, and the processor would send the same remark
+        // again on each new one.
         let notice = remark_notice(line).ok_or_else(|| invalid(line))?;
         return Ok(Some(ParsedLine { bytes: after_line, line: Line::Remark { notice } }));
     }
     LineParser { bytes, line, parsed_bytes: after_line, pool }.parse()
 }
 
-/// Parses one complete line that is no remark.
+/// Parses one complete line other than a remark.
 struct LineParser<'b> {
-    /// The line and all that was received after it.
+    /// The line and all bytes received after it.
     bytes: &'b [u8],
-    /// Without its line end.
+    /// The line without its line end.
     line: &'b [u8],
-    /// Bytes of the line, and of the body once that was parsed.
+    /// Length of the line, and of its body once that is parsed.
     parsed_bytes: usize,
     pool: &'b Arc<BufferPool>,
 }
@@ -183,8 +186,8 @@
                 Line::UpstreamCall { notice, id: RequestId::new(id), body }
             }
             ["used", number, ref values @ ..] => {
-                // The module has its own estimate for a gauge that is no number. Guards against a link that is lost over
-                // each answer where the settings name gauges that this processor doesn't have, or none at all.
+                // The admission controller has its own estimate for a gauge that is no number. An error here would end
+                // the link at each response if the settings name gauges that this processor doesn't have, or none.
                 let values = values.iter().map(|value| value.parse().unwrap_or(f64::NAN));
                 Line::Gauges { number: self.number(number)?, values: values.collect() }
             }
@@ -199,7 +202,7 @@
         text.parse().map_err(|_| invalid(self.line))
     }
 
-    /// Milliseconds come with a decimal point as well as without one.
+    /// Parses milliseconds, with or without a decimal point.
     fn milliseconds(&self, text: &str) -> io::Result<Span> {
         match text.parse::<f64>() {
             Ok(ms) if ms >= 0.0 && ms.is_finite() => Ok(span_from_seconds(ms / 1e3)),
@@ -217,7 +220,7 @@
         }
     }
 
-    /// The body of this length after the line; None while it is incomplete.
+    /// Parses the body of this length that follows the line; `None` while it is incomplete.
     fn body(&mut self, length: &str) -> io::Result<Option<Buffer>> {
         let length = usize::try_from(self.number(length)?).unwrap_or(usize::MAX);
         if length > MAX_RESULT_BYTES {
--- a/crates/node/src/processor/lines/tests.rs
+++ b/crates/node/src/processor/lines/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-/// All lines of these bytes, which are received in pieces of `piece` bytes.
+/// Parses all lines of these bytes, received in pieces of `piece` bytes.
 fn lines(bytes: &[u8], piece: usize) -> io::Result<Vec<Line>> {
     let (mut lines, mut all) = (Lines::new(&BufferPool::new(1)), Vec::new());
-    let mut left = bytes;
-    while !left.is_empty() {
+    let mut remaining = bytes;
+    while !remaining.is_empty() {
         let space = lines.space()?;
-        let len = left.len().min(space.len()).min(piece);
-        space[..len].copy_from_slice(&left[..len]);
+        let len = remaining.len().min(space.len()).min(piece);
+        space[..len].copy_from_slice(&remaining[..len]);
         lines.filled(len);
-        left = &left[len..];
+        remaining = &remaining[len..];
         while let Some(line) = lines.next()? {
             all.push(line);
         }
@@ -17,7 +17,7 @@
     Ok(all)
 }
 
-/// Guards against a link that is lost again and again over the text of a remark.
+/// Guards against a link that ends at a remark whose text is not UTF-8, and again when the remark is repeated.
 #[test]
 fn skips_a_remark_with_any_bytes() {
     let parsed = parse(b"remark 7 \xff\xfe 12\r\nused 1 0.5\r\n", &BufferPool::new(1)).expect("a remark");
@@ -25,7 +25,7 @@
     assert!(parse(b"remark x \r\n", &BufferPool::new(1)).is_err());
 }
 
-/// Guards against a remark of any length, in pieces of any size, that ends the link or swallows the line after it.
+/// Guards against a remark that ends the link or hides the next line, whatever its length and the size of the pieces.
 #[test]
 fn skips_a_remark_of_any_length() {
     for length in (0..3).chain(4_595..4_612).chain([9_200, 70_000]) {
@@ -39,7 +39,7 @@
             );
         }
     }
-    // Nothing else may be so long, and a remark has its number.
+    // Other lines may not be longer than a buffer, and a remark needs a number.
     for start in ["remark seven ", "remark ", "used 1 "] {
         assert!(lines(format!("{start}{}\r\n", "9".repeat(5_000)).as_bytes(), 100).is_err(), "{start}");
     }
--- a/crates/node/src/processor/tests.rs
+++ b/crates/node/src/processor/tests.rs
@@ -4,7 +4,7 @@
 use std::io::Read;
 use std::net::TcpListener;
 
-/// Guards against growing pauses after links that were only quiet.
+/// Guards against growing reconnect pauses after long links that merely had no notices.
 #[test]
 fn lengthens_the_pause_only_after_short_links_without_notices() {
     let short = Duration::from_millis(3);
@@ -14,8 +14,8 @@
     assert_eq!(next_pause(MAX_RECONNECT_PAUSE, true, short), MIN_RECONNECT_PAUSE);
 }
 
-/// Accepts the processor's end of a link, which starts with `hello 0`.
-fn accepted(listener: &TcpListener) -> TcpStream {
+/// Accepts a link at the processor's end and reads its `hello 0`.
+fn accept_link(listener: &TcpListener) -> TcpStream {
     let (mut socket, _) = listener.accept().unwrap();
     socket.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     let mut hello = [0; 9];
@@ -24,8 +24,8 @@
     socket
 }
 
-/// Guards against commands that are truncated, repeated or reordered, whatever their lengths, in steps of any size and
-/// with a full socket, and against commands for a link that has ended on the next one.
+/// Guards against commands that are truncated, repeated or reordered, whatever their length and the size of a step,
+/// with a full socket too; and against commands of an ended link that are sent on the next one.
 #[test]
 fn sends_commands_of_any_length_in_order_on_their_own_link() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -33,8 +33,8 @@
     let log = Logger::root(slog::Discard, slog::o!());
     let (address, pool) = (listener.local_addr().unwrap(), BufferPool::new(8));
     let processor = Processor::connect(address, inputs, pool, log).unwrap();
-    let mut first = accepted(&listener);
-    // A command would be dropped before the link is in use on this side too.
+    let mut first = accept_link(&listener);
+    // Commands are dropped until this side has installed the link too.
     while processor.target.lock().unwrap().link.is_none() {
         thread::yield_now();
     }
@@ -59,10 +59,10 @@
     processor.flush();
     let mut received = vec![0; expected.len()];
     first.read_exact(&mut received).unwrap();
-    assert!(received == expected, "another command than was given");
+    assert!(received == expected, "the received commands differ from the sent ones");
     processor.begin(1, &RequestId::new("late"), "c", b"never flushed");
     drop(first);
-    let mut second = accepted(&listener);
+    let mut second = accept_link(&listener);
     while processor.target.lock().unwrap().link.as_ref().is_none_or(|link| link.number != 2) {
         thread::yield_now();
     }
@@ -74,8 +74,8 @@
     assert_eq!(&received, b"usage 7\r\n");
 }
 
-/// Guards against lost results of a processor that replaces another during a replay: its `hello` named a notice of the
-/// one before.
+/// Guards against lost results if a new processor answers a replay: it would omit notices up to the number in the
+/// `hello`, which is one of its predecessor.
 #[test]
 fn forgets_the_last_notice_when_another_processor_answers_a_replay() {
     let up = Span(10_000_000_000);
--- a/crates/node/src/queues.rs
+++ b/crates/node/src/queues.rs
@@ -1,36 +1,36 @@
-//! The queues between the threads of the shell and the main thread, which owns the reducer.
+//! The input queues from the threads of the shell to the main thread, which owns the reducer.
 
 use crossbeam_channel::{Receiver, Sender, bounded, never, select};
 use gradepin_core::messages::Input;
 use std::time::Duration;
 
-/// Messages of clients that may wait for the reducer; while the queue is full, the reader thread waits. It is short, so that
-/// a client that sends at full speed delays the others by little.
+/// Client messages that can wait for the reducer; the reading thread blocks while the queue is full. It is short, so
+/// that a client that sends at full speed adds little delay to the others.
 const CLIENT_QUEUE_CAPACITY: usize = 128;
-/// Inputs of the processor, of signals and of operators; no client fills this queue.
+/// Inputs from the processor, from signals and from operators; no client can fill this queue.
 const URGENT_QUEUE_CAPACITY: usize = 1024;
-/// Datagrams of other servers; a datagram that finds the queue full is dropped.
+/// Datagrams of other servers; when the queue is full, further datagrams are dropped.
 const PEER_QUEUE_CAPACITY: usize = 512;
 
-/// The ends of the queues that the shell's threads send to.
+/// The sending ends of the input queues, for the shell's threads.
 pub(crate) struct InputSenders {
-    /// For messages of clients.
+    /// Messages of clients.
     pub client: Sender<Input>,
-    /// For everything that no client causes.
+    /// Inputs that no client causes.
     pub urgent: Sender<Input>,
-    /// For datagrams of other servers.
+    /// Datagrams of other servers.
     pub peer: Sender<Input>,
 }
 
-/// The ends of the queues that the main thread reads.
+/// The receiving ends of the input queues, for the main thread.
 pub(crate) struct InputQueues {
-    /// Everything that no client causes; read first.
+    /// Inputs that no client causes; read first.
     pub urgent: Receiver<Input>,
     client: Receiver<Input>,
     peer: Receiver<Input>,
 }
 
-/// Makes the three queues.
+/// Creates the three input queues.
 pub(crate) fn input_queues() -> (InputSenders, InputQueues) {
     let (client_sender, client) = bounded(CLIENT_QUEUE_CAPACITY);
     let (urgent_sender, urgent) = bounded(URGENT_QUEUE_CAPACITY);
@@ -40,15 +40,16 @@
 }
 
 impl InputQueues {
-    /// For a server without peers: a queue without senders counts as closed, and would end each wait at once.
+    /// Replaces the peer queue of a server without peers: a queue without senders counts as closed, so every wait would
+    /// return immediately.
     pub(crate) fn without_peers(self) -> Self {
         Self { peer: never(), ..self }
     }
 
-    /// Waits for an input for at most `timeout`, and appends all that are queued by then: urgent ones first, at most a
-    /// queue's capacity of each.
+    /// Waits at most `timeout` for an input, then appends all queued inputs to `arrived`: urgent ones first, and from
+    /// each queue at most its capacity.
     pub(crate) fn wait(&self, timeout: Duration, arrived: &mut Vec<Input>) {
-        // The senders are held by threads that last as long as the process, so a closed queue is treated as a timeout.
+        // The threads that hold the senders run as long as the process, so a closed queue is treated as a timeout.
         select! {
             recv(self.urgent) -> input => arrived.extend(input),
             recv(self.client) -> input => arrived.extend(input),
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serves as one tile server: starts its parts, then runs the main loop on the calling thread.
+//! Entry point of a tile server: starts all parts, then runs the main loop on the calling thread.
 
 pub use crate::config::ServerFiles;
 use crate::inherited_listener::InheritedListener;
@@ -9,8 +9,8 @@
 use gradepin_core::config::Config;
 use slog::Logger;
 
-/// Serves until the reducer ends the process: after SIGTERM, once all is answered or the time for that is up. Returns
-/// without an error also where SIGTERM came while the start waited for a predecessor.
+/// Starts a server and serves until the reducer ends the process: after SIGTERM, once all requests are answered or the
+/// shutdown timeout has passed. Also returns `Ok` if SIGTERM arrives while the start waits for the predecessor process.
 pub fn serve(
     config: Config,
     operator: OperatorSettings,
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -1,8 +1,8 @@
-//! Signals of the process, by the self-pipe pattern: a handler sets the signal's flag and wakes a reader of a pipe. A
-//! thread turns them into inputs of the reducer and reloads.
+//! Signals of the process, handled with the self-pipe pattern: a handler sets the signal's flag and wakes the reader of
+//! a pipe. A thread turns signals into reloads and inputs of the reducer.
 //!
-//! A pipe and not `signal_hook::iterator`, whose self-pipe is a pair of Unix sockets: platforms that allow only TCP and
-//! UDP sockets refuse those, and the server would not start.
+//! `signal_hook::iterator` is not used because its self-pipe is a pair of Unix sockets: platforms that allow only TCP
+//! and UDP sockets deny those, and the server would not start.
 
 use crate::reload::ConfigReloader;
 use crossbeam_channel::Sender;
@@ -17,14 +17,14 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 
-/// The flags are checked at this interval though nothing came through the pipe: a handler does not repeat its write where the
-/// system interrupts it, and the signal would never be reported.
+/// Interval at which the flags are checked even if nothing arrived through the pipe: a handler doesn't retry a write
+/// that the system interrupts, so the signal would never be reported.
 const FLAG_CHECK_INTERVAL: Timespec = Timespec { tv_sec: 0, tv_nsec: 200_000_000 };
-/// Bytes read from the pipe at a time; the rest stays for the next read, since the flags are what counts.
+/// Bytes read from the pipe at a time. Leftover bytes only cause another check; the flags say which signals arrived.
 const PIPE_READ_BYTES: usize = 64;
 const STACK_BYTES: usize = 64 * 1024;
 
-/// Signals that this process takes instead of their default actions.
+/// The signals that this process handles in place of their default actions.
 pub struct Signals {
     pipe: PipeReader,
     flags: Vec<(c_int, Arc<AtomicBool>)>,
@@ -45,17 +45,17 @@
         Ok(Self { pipe: reader, flags })
     }
 
-    /// Whether a signal came that [`Signals::wait`] has not returned yet; it is still returned there.
+    /// Whether a signal arrived that [`Signals::wait`] has not returned yet; `wait` still returns it.
     pub fn is_pending(&self, signal: c_int) -> bool {
         self.flags.iter().any(|(known, flag)| *known == signal && flag.load(Ordering::SeqCst))
     }
 
-    /// Waits until at least one signal came, and returns those that did, in the order of [`Signals::new`]. A signal that
-    /// came twice meanwhile is returned once.
+    /// Waits until at least one signal arrives and returns the received ones, in the order given to [`Signals::new`]. A
+    /// signal that arrived several times since the last call is returned once.
     pub fn wait(&mut self) -> io::Result<Vec<c_int>> {
         loop {
             self.drain_pipe()?;
-            // The pipe is read before the flags, so that a signal that comes in between wakes the next wait.
+            // The pipe is read before the flags, so that a signal that arrives in between wakes the next wait.
             let received: Vec<c_int> = self
                 .flags
                 .iter()
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Waits for a byte for at most [`FLAG_CHECK_INTERVAL`], and reads what there is.
+    /// Waits at most [`FLAG_CHECK_INTERVAL`] for a byte and reads the available ones.
     fn drain_pipe(&mut self) -> io::Result<()> {
         let mut pipe = [PollFd::new(&self.pipe, PollFlags::IN)];
         match poll(&mut pipe, Some(&FLAG_CHECK_INTERVAL)) {
@@ -86,17 +86,17 @@
     }
 }
 
-/// Takes the signals that a server acts on in place of their default actions, from before any file is read: SIGTERM during
-/// the start must not end a process for which requests already wait in a socket, nor SIGHUP, SIGUSR1 or SIGUSR2 one that
-/// is still reading its settings. SIGXFSZ is taken too, so that a write past the limit of file sizes fails as on a full
+/// Installs the handlers of a server before any file is read: SIGTERM during the start must not kill a process for
+/// which requests are already queued on a socket, and SIGHUP, SIGUSR1 and SIGUSR2 must not kill one that is still
+/// reading its settings. SIGXFSZ is handled too, so that a write past the file size limit fails like a write to a full
 /// disk.
 pub fn install() -> io::Result<Signals> {
     signal_hook::flag::register(SIGXFSZ, Arc::default())?;
     Signals::new(&[SIGTERM, SIGHUP, SIGUSR1, SIGUSR2])
 }
 
-/// Starts the thread that turns signals into inputs: SIGTERM begins the shutdown, SIGUSR1 takes the server out of service,
-/// SIGUSR2 returns it; SIGHUP has the files read again.
+/// Starts the thread that turns signals into inputs: SIGTERM begins the shutdown, SIGUSR1 takes the server out of
+/// service, SIGUSR2 returns it to service; SIGHUP reloads the files.
 pub(crate) fn forward_signals(
     mut signals: Signals,
     reloader: ConfigReloader,
--- a/crates/node/src/signals/tests.rs
+++ b/crates/node/src/signals/tests.rs
@@ -2,8 +2,8 @@
 use signal_hook::consts::{SIGUSR1, SIGUSR2, SIGWINCH};
 use signal_hook::low_level::raise;
 
-/// Guards the reload and the planned leave: a signal that comes is told, one that didn't is not, and one that came
-/// while nobody waited is told at the next wait.
+/// Guards the reload and the planned leave: a received signal is returned, no other one is, and a signal that arrives
+/// while nobody waits is returned by the next wait.
 #[test]
 fn returns_each_received_signal_once() {
     let mut signals = Signals::new(&[SIGUSR1, SIGUSR2]).unwrap();
@@ -11,28 +11,28 @@
     assert_eq!(signals.wait().unwrap(), vec![SIGUSR2]);
     raise(SIGUSR1).unwrap();
     raise(SIGUSR2).unwrap();
-    let mut came = signals.wait().unwrap();
-    if came.len() < 2 {
-        came.extend(signals.wait().unwrap());
+    let mut received = signals.wait().unwrap();
+    if received.len() < 2 {
+        received.extend(signals.wait().unwrap());
     }
-    assert_eq!(came, vec![SIGUSR1, SIGUSR2]);
+    assert_eq!(received, vec![SIGUSR1, SIGUSR2]);
 }
 
-/// Guards against a process that never hears its notice to leave: the handler's write of the waking byte was interrupted, as
-/// fault injection does to it, so that only the flag tells of the signal.
+/// Guards against a process that never notices SIGTERM: the handler's write to the pipe can be interrupted, as fault
+/// injection does, so that only the flag records the signal.
 #[test]
 fn returns_a_signal_whose_pipe_byte_was_lost() {
-    // One that no other test here raises.
+    // No other test of this process raises this signal.
     let mut signals = Signals::new(&[SIGWINCH]).unwrap();
     signals.flags[0].1.store(true, Ordering::SeqCst);
-    let (sender, told) = std::sync::mpsc::channel();
+    let (sender, returned) = std::sync::mpsc::channel();
     std::thread::spawn(move || sender.send(signals.wait().unwrap()));
-    assert_eq!(told.recv_timeout(std::time::Duration::from_secs(20)).expect("it is told"), vec![SIGWINCH]);
+    assert_eq!(returned.recv_timeout(std::time::Duration::from_secs(20)).expect("a signal"), vec![SIGWINCH]);
 }
 
-/// Guards the start on platforms that refuse Unix sockets: what is opened for signals is pipes, no socket.
+/// Guards the start on platforms that deny Unix sockets: signal handling opens pipes and no socket.
 #[test]
-fn signals_take_no_socket() {
+fn signal_handling_opens_no_unix_socket() {
     let links = || -> Vec<String> {
         let folder = std::fs::read_dir("/proc/self/fd").unwrap();
         let links = folder.filter_map(|entry| std::fs::read_link(entry.ok()?.path()).ok());
@@ -41,7 +41,7 @@
     let before = links();
     let _signals = Signals::new(&[SIGUSR1]).unwrap();
     let new: Vec<String> = links().into_iter().filter(|link| !before.contains(link)).collect();
-    // Tests beside this one open files and TCP sockets of their own; none has Unix sockets.
+    // Concurrent tests open files and TCP sockets, but no Unix sockets.
     let unix = std::fs::read_to_string("/proc/self/net/unix").unwrap();
     let is_unix = |link: &String| {
         let inode = link.strip_prefix("socket:[").and_then(|link| link.strip_suffix(']'));
--- a/crates/node/src/startup/context.rs
+++ b/crates/node/src/startup/context.rs
@@ -1,4 +1,4 @@
-//! The last steps of a start: the threads of all parts, from the writer of the configuration to the link to the processor.
+//! The last steps of a start: starts the threads of all parts, from the configuration writer to the processor link.
 
 use super::error::{StartAborted, StartError};
 use super::fleet::FleetParts;
@@ -7,7 +7,7 @@
 use super::start_optional;
 use super::state::ServerState;
 use crate::admin::Admin;
-use crate::claims::{Claims, Place};
+use crate::claims::{Claims, ClaimsSettings};
 use crate::config::ServerFiles;
 use crate::configuration_service::ConfigurationService;
 use crate::configuration_writer::ConfigurationWriter;
@@ -32,44 +32,45 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long the start waits for the store to be read before all else is served; requests wait in the sockets meanwhile.
+/// How long the start waits for the recovery of the store before it serves; requests are queued in the sockets
+/// meanwhile.
 const MAX_STORE_RECOVERY_WAIT: Duration = Duration::from_millis(500);
 
-/// What every step of a start uses.
+/// Shared inputs of the steps of a start.
 pub(super) struct StartContext<'s> {
-    /// The server's configuration; its classes and tenants are the reducer's.
+    /// The server's configuration; its classes and tenants were moved into the reducer.
     pub config: &'s Config,
     /// The operators' settings.
     pub operator: &'s OperatorSettings,
     /// The files that both were read from.
     pub files: &'s ServerFiles,
-    /// The clients' listener, where the platform hands one over.
+    /// The listener for clients, if the platform passes one, and other settings of the environment.
     pub inherited: &'s InheritedListener,
-    /// The settings of the fleet that apply.
+    /// The fleet settings that apply to this process.
     pub roles: FleetRoles<'s>,
-    /// Urgent inputs to the reducer.
+    /// Sender of urgent inputs to the reducer.
     pub urgent_inputs: &'s Sender<Input>,
-    /// The log.
+    /// The server's log.
     pub log: &'s Logger,
 }
 
-/// What is there before the last threads are started.
+/// The state and parts that exist before the remaining threads are started.
 pub(super) struct StartedState {
-    /// The reducer and what was derived from the configuration.
+    /// The reducer and values derived from the configuration.
     pub state: ServerState,
     /// Keyed runs shared with the other process of an upgrade.
     pub claims: Option<Claims>,
-    /// All sockets, bound and not served yet.
+    /// All sockets, bound but not served yet.
     pub sockets: Sockets,
-    /// The parts of a fleet's server.
+    /// The parts that only a fleet member has.
     pub fleet: FleetParts,
-    /// The configuration service, whose folder is open.
+    /// The configuration service with its open folder.
     pub configuration_service: Option<ConfigurationService>,
 }
 
 impl StartContext<'_> {
-    /// Shares keyed runs with the other process of an upgrade. Not beside a store, which has one owner: there a process
-    /// rejects keyed requests until it has taken the store over.
+    /// Starts sharing keyed runs with the other process of an upgrade, unless there is a store. A store has one owner:
+    /// the new process rejects keyed requests until it has taken the store over.
     pub(super) fn share_keyed_runs(&self, state: &ServerState) -> Result<Option<Claims>, StartError> {
         if self.operator.store.is_some() {
             return Ok(None);
@@ -78,14 +79,15 @@
             warn!(self.log, "no $TMPDIR: keyed runs are not shared with the other process of an upgrade");
         }
         start_optional(self.inherited.shared_folder.as_ref(), |folder| {
-            let place = Place::new(folder, &self.config.name, state.seed, self.config.memory(1));
+            let settings = ClaimsSettings::new(folder, &self.config.name, state.seed, self.config.memory(1));
             let (inputs, pool) = (self.urgent_inputs.clone(), Arc::clone(&state.pool));
-            Claims::start(place, state.longest_window, inputs, pool, self.log.clone())
+            Claims::start(settings, state.longest_window, inputs, pool, self.log.clone())
                 .map_err(StartError::system("the thread of keyed runs"))
         })
     }
 
-    /// Starts the remaining threads, the reader of clients among the last, and hands all parts to the main loop.
+    /// Starts the remaining threads, the one that reads client connections among the last, and passes all parts to the
+    /// main loop.
     pub(super) fn start_threads(
         &self,
         started: StartedState,
@@ -105,7 +107,7 @@
         let store = self.start_store(&state)?;
         let mut arrived = Vec::new();
         if store.is_some() {
-            // Recovery mostly takes some milliseconds; waiting for it spares keyed requests a rejection.
+            // Recovery usually takes a few milliseconds. Keyed requests would be rejected until it is complete.
             arrived.extend(queues.urgent.recv_timeout(MAX_STORE_RECOVERY_WAIT).ok());
         }
         let admin = self.start_admin(sockets.admin, &fleet)?;
--- a/crates/node/src/startup/error.rs
+++ b/crates/node/src/startup/error.rs
@@ -1,4 +1,4 @@
-//! Why a start did not lead to a serving process.
+//! Errors and other reasons that end a start before the server serves.
 
 use crate::configuration_service::ConfigurationStartError;
 use crate::frontend::scgi::routes::RouteError;
@@ -29,21 +29,21 @@
     /// The configuration service can't start.
     #[error(transparent)]
     Configuration(#[from] ConfigurationStartError),
-    /// The inherited listener, or what else the environment names, can't be used.
+    /// The inherited listener, or another setting of the environment, can't be used.
     #[error(transparent)]
     Inherited(#[from] InheritedListenerError),
-    /// The system denies a resource: an address, a folder, a thread.
+    /// The system denies a resource: an address, a folder or a thread.
     #[error("{resource}: {source}")]
     System {
-        /// Which resource.
+        /// Name of the resource, for the message.
         resource: String,
-        /// The system's reason.
+        /// Error of the system.
         source: io::Error,
     },
 }
 
 impl StartError {
-    /// Turns the system's reason for denying a resource into an error that names the resource.
+    /// Returns a function that wraps an error of the system with the name of the resource.
     pub(crate) fn system(resource: &str) -> impl FnOnce(io::Error) -> Self {
         let resource = resource.to_string();
         move |source| Self::System { resource, source }
@@ -53,9 +53,10 @@
 /// Why a start ended before the server served anything.
 #[derive(Debug)]
 pub(crate) enum StartAborted {
-    /// SIGTERM came while the start waited for a resource that another process holds: the process ends with status 0.
+    /// SIGTERM arrived while the start waited for a resource that another process holds: the process exits with status
+    /// 0.
     ShutdownRequested,
-    /// The start failed: the process ends with status 1.
+    /// The start failed: the process exits with status 1.
     Failed(StartError),
 }
 
--- a/crates/node/src/startup/fleet.rs
+++ b/crates/node/src/startup/fleet.rs
@@ -1,5 +1,5 @@
-//! Starts the parts that only a server of a fleet has: the staging area, the voter's storage, membership in the
-//! cluster, the server agent, and the thread that receives datagrams.
+//! Starts the parts that only a fleet member has: the staging area, the voter storage, the cluster membership, the
+//! server agent, and the thread that receives datagrams.
 
 use super::context::StartContext;
 use super::error::StartError;
@@ -25,38 +25,39 @@
 use std::net::UdpSocket;
 use std::sync::{Arc, PoisonError, RwLock};
 
-/// The running parts of a fleet's server; dropped in this order, the last started first.
+/// The running parts of a fleet member. Fields are dropped in the order of declaration: the part started last comes
+/// first.
 pub(super) struct FleetParts {
-    /// What the reducer is to be given.
+    /// Membership state for the reducer.
     pub member: Option<FleetMember>,
-    /// Sends and receives datagrams of other servers.
+    /// Exchanges datagrams with other servers.
     pub peers: Option<PeerDatagrams>,
-    /// The keys that datagrams are authenticated with; a reload replaces them.
+    /// The authentication keys of datagrams; a reload replaces them.
     pub keys: Option<SharedKeys>,
-    /// Writes what a voter must not forget.
+    /// Makes the state of a voter durable.
     pub voter_storage: Option<VoterStorage>,
     /// Settings staged for rollouts.
     pub staging: Option<Arc<StagingArea>>,
 }
 
-/// What makes a reducer a member of the fleet.
+/// State that the reducer of a fleet member needs in addition.
 pub(super) struct FleetMember {
     cluster: Cluster,
     agent: Option<Agent>,
 }
 
-/// The server agent, and what it reports.
+/// The server agent, and the values that it reports.
 struct Agent {
     agent: ServerAgent,
     zone: String,
     program_version: String,
-    /// The digest of the configuration file; empty where this server has no staging area.
+    /// Digest of the configuration file; empty without a staging area.
     settings_digest: String,
     configuration: Option<ConfigurationStart>,
 }
 
 impl FleetMember {
-    /// Gives the reducer the cluster, the agent and the configuration service, in this order.
+    /// Adds the cluster, the agent and the configuration service to the reducer, in this order.
     pub(super) fn join(self, mut reducer: Reducer, clock: Clock) -> Reducer {
         reducer = reducer.with_cluster(self.cluster);
         let Some(Agent { agent, zone, program_version, settings_digest, configuration }) = self.agent else {
@@ -70,18 +71,19 @@
     }
 }
 
-/// What the folders of a fleet's server held.
+/// State read from the folders of a fleet member.
 struct FleetFolders<'s> {
-    /// The voter's, if this server has a folder for it.
+    /// The voter state, if this server has a folder for it.
     voter_state: Option<VoterState>,
-    /// Where settings are staged.
+    /// The folder of staged settings.
     staging: Option<&'s StagingArea>,
-    /// The last good configuration.
+    /// The configuration service with the last good configuration.
     configuration_service: Option<&'s ConfigurationService>,
 }
 
 impl StartContext<'_> {
-    /// Starts the parts; `socket` is bound to the fleet address.
+    /// Starts the parts of a fleet member; `socket` is bound to the fleet address, `datagrams` is the queue of the
+    /// reducer for received datagrams.
     pub(super) fn start_fleet(
         &self,
         state: &mut ServerState,
@@ -119,7 +121,7 @@
     fn start_voter_storage(&self) -> Result<Option<(VoterStorage, VoterState)>, StartError> {
         let folder = self.roles.consensus.and_then(|consensus| consensus.folder.clone());
         start_optional(folder, |folder| {
-            // The identity of a new folder, which must never be 0 and never be used again.
+            // The identity of a new folder must be unique and not 0.
             let new_identity = system_random() | 1;
             VoterStorage::start(folder, new_identity, self.urgent_inputs.clone())
                 .map_err(StartError::system("the voter storage"))
--- a/crates/node/src/startup/fleet_identity.rs
+++ b/crates/node/src/startup/fleet_identity.rs
@@ -1,4 +1,4 @@
-//! What a server is in the cluster and in the consensus group, made of its settings at the start.
+//! The identity of a server in the cluster and in the consensus group, derived from its settings at the start.
 
 use super::error::StartError;
 use crate::clock::Clock;
@@ -16,14 +16,14 @@
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::sync::Arc;
 
-/// A number from the system's own randomness, for identities that must differ between processes: a seed may be in a file
-/// that outlives them.
+/// A random number of the system, for identities that must differ between processes. The configured seed can't be used:
+/// it may be in a file that several processes read in succession.
 pub(super) fn system_random() -> u64 {
     RandomState::new().build_hasher().finish()
 }
 
-/// Settings of this server's agent. `own` is its identity in the cluster, `voter_state` what its folder held if it is a
-/// voter, and `cell_names` names cells for operators.
+/// Builds the settings of this server's agent. `own` is its identity in the cluster, `voter_state` the state read from
+/// its folder if it is a voter, and `cell_names` are the names of cells for operators.
 pub(super) fn agent_settings(
     consensus: &ConsensusSettings,
     cell_names: BTreeMap<u32, String>,
@@ -53,15 +53,15 @@
     }
 }
 
-/// Limits of a drill in which any number of servers may be out.
+/// Limits of a drill in which any number of servers may be out of service.
 fn unlimited(limits: &Limits) -> Limits {
     let any = u32::MAX;
     let services = limits.services.keys().map(|name| (Arc::clone(name), any)).collect();
     Limits { fleet: any, zone: any, zones: any, services }
 }
 
-/// Settings of a server's membership in the cluster, with a new incarnation. Also for programs that host a reducer
-/// themselves. Fails where the server's name is too long for a datagram.
+/// Builds the settings of a server's cluster membership, with a new incarnation; also used by programs that host a
+/// reducer themselves. Fails if the server's name is too long for a datagram.
 pub fn cluster_settings(
     fleet: &FleetSettings,
     config: &Config,
--- a/crates/node/src/startup/listeners.rs
+++ b/crates/node/src/startup/listeners.rs
@@ -1,7 +1,7 @@
-//! Acquires the addresses of a server, in the order in which a predecessor closes them.
+//! Binds the addresses of a server, in the order in which a predecessor closes them.
 //!
-//! The admin and fleet addresses come before those of clients: a client that connects is served at once, so its
-//! address is taken last.
+//! The clients' addresses come after the admin and fleet addresses, because clients that connect must be served
+//! immediately.
 
 use super::context::StartContext;
 use super::error::{StartAborted, StartError};
@@ -17,17 +17,17 @@
 use std::net::{TcpListener, UdpSocket};
 use std::sync::Arc;
 
-/// The sockets of a server, bound and not served yet.
+/// The sockets of a server, bound but not served yet.
 pub(super) struct Sockets {
-    /// Clients' listeners with the protocol that each speaks, in the order of their binding.
+    /// The listeners for clients with their protocols, in the order in which they were bound.
     pub client_listeners: Vec<(Arc<dyn Protocol>, Listener)>,
     /// The SCGI front end, whose routes a reload replaces.
     pub scgi: Option<Arc<Scgi>>,
-    /// Reports to the control plane.
+    /// Sends reports to the control plane.
     pub control: Control,
-    /// Datagrams of other servers.
+    /// Socket for datagrams of other servers.
     pub peers: Option<UdpSocket>,
-    /// Operators' requests.
+    /// Listener for operators' requests.
     pub admin: Option<TcpListener>,
 }
 
@@ -68,7 +68,7 @@
 
     fn client_listener(&self, wait: &PredecessorWait<'_>) -> Result<Listener, StartAborted> {
         match self.inherited.accept_fd {
-            // The platform holds it, and the predecessor may still accept on it.
+            // The platform keeps this socket open, and the predecessor may still accept on it.
             Some(fd) => Ok(Listener::Shared(inherited_listener::listener(fd)?)),
             None => wait.listen_tcp(self.config.listen),
         }
--- a/crates/node/src/startup/mod.rs
+++ b/crates/node/src/startup/mod.rs
@@ -1,9 +1,10 @@
-//! Starts a server: from the settings to a [`Server`] whose parts all run.
+//! Starts a server: turns its settings into a running [`Server`].
 //!
-//! The order of the steps is an invariant that upgrades and operators rely on: folders of the predecessor first, then the
-//! admin and fleet addresses, the clients' address last; nothing is read from a client before the store was given its
-//! time. While another process holds a resource the start waits ([`predecessor_wait`]), and SIGTERM ends it
-//! ([`StartAborted::ShutdownRequested`]). Parts that were started are dropped in reverse order where a later one fails.
+//! Upgrades and operators rely on the order of the steps: folders of the predecessor first, then the admin and fleet
+//! addresses, the clients' addresses last; nothing is read from a client before the store has had time to recover.
+//! While another process holds a resource, the start waits ([`predecessor_wait`]), and SIGTERM ends it
+//! ([`StartAborted::ShutdownRequested`]). If a part fails to start, those started before it are dropped in reverse
+//! order.
 
 mod context;
 mod error;
@@ -33,7 +34,7 @@
 use slog::{Logger, warn};
 use state::ServerState;
 
-/// What a process is started with.
+/// The inputs of a start.
 pub(crate) struct StartArguments<'a> {
     /// The server's configuration.
     pub config: Config,
@@ -41,15 +42,15 @@
     pub operator: OperatorSettings,
     /// The files that both were read from.
     pub files: ServerFiles,
-    /// The clients' listener, where the platform hands one over.
+    /// The listener for clients, if the platform passes one, and other settings of the environment.
     pub inherited: InheritedListener,
-    /// Signals that came since the process began.
+    /// Signals received since the start of the process.
     pub signals: Signals,
-    /// The log.
+    /// The server's log.
     pub log: &'a Logger,
 }
 
-/// Starts a part where the settings ask for it.
+/// Starts a part if its settings are present.
 fn start_optional<S, T, E>(
     settings: Option<S>,
     start: impl FnOnce(S) -> Result<T, E>,
@@ -60,7 +61,7 @@
 /// Starts all parts of a server.
 pub(crate) fn start(arguments: StartArguments<'_>) -> Result<Server, StartAborted> {
     let StartArguments { mut config, operator, files, inherited, signals, log } = arguments;
-    settle_config(&mut config, &operator, &inherited, log);
+    apply_overrides(&mut config, &operator, &inherited, log);
     let roles = FleetRoles::new(&operator, &inherited);
     roles.warn_if_no_configuration_service(&operator, log);
     PredecessorWait::new(&signals, log).wait_for_folders(roles.exclusive_folders())?;
@@ -96,8 +97,8 @@
     context.start_threads(started, signals, senders.client, queues)
 }
 
-/// Applies what the environment, the system and the operators' settings say about the configuration.
-fn settle_config(
+/// Applies overrides of the configuration by the environment, the system and the operators' settings.
+fn apply_overrides(
     config: &mut Config,
     operator: &OperatorSettings,
     inherited: &InheritedListener,
--- a/crates/node/src/startup/predecessor_wait.rs
+++ b/crates/node/src/startup/predecessor_wait.rs
@@ -1,8 +1,8 @@
 //! Waits at the start for addresses and folders that the predecessor process still holds.
 //!
-//! A predecessor closes its addresses in its own order, some of them and all its folders only with its end. So every
-//! address and every folder with one owner is acquired through here: while another process holds it, acquiring it is
-//! retried for [`MAX_WAIT`], and SIGTERM ends the wait.
+//! A predecessor closes its addresses one after another, and releases its folders and some addresses only when it
+//! exits. Every address and every folder with one owner is acquired here: while another process holds it, the attempt
+//! is repeated for at most [`MAX_WAIT`], and SIGTERM ends the wait.
 
 use super::error::{StartAborted, StartError};
 use crate::frontend::Listener;
@@ -16,11 +16,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long another process may hold a resource, counted from the creation of the [`PredecessorWait`].
+/// Upper bound of all waits together, counted from the creation of the [`PredecessorWait`].
 const MAX_WAIT: Duration = Duration::from_secs(10);
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Acquires the resources of a start, all within the same [`MAX_WAIT`].
+/// Acquires the resources of a start within a common limit of [`MAX_WAIT`].
 pub(super) struct PredecessorWait<'s> {
     started: Instant,
     signals: &'s Signals,
@@ -28,7 +28,7 @@
 }
 
 impl<'s> PredecessorWait<'s> {
-    /// Starts the time of all waits.
+    /// Starts the common limit of all waits.
     pub(super) fn new(signals: &'s Signals, log: &'s Logger) -> Self {
         Self { started: Instant::now(), signals, log }
     }
@@ -38,8 +38,8 @@
         self.acquire(&format!("listening on {address}"), || Listener::tcp(address))
     }
 
-    /// Calls `acquire` until it succeeds, fails otherwise than with an address in use, or the time is up. `resource` names
-    /// it in the log and in errors.
+    /// Calls `acquire` until it succeeds, fails with an error other than an address in use, or the limit is reached.
+    /// `resource` is the name in the log and in errors.
     pub(super) fn acquire<T>(
         &self,
         resource: &str,
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Waits until no other process holds these folders, or the time is up. Whoever opens a folder next reports what is
-    /// wrong with it.
+    /// Waits until no other process holds these folders, or the limit is reached. Errors are ignored here: the part
+    /// that opens a folder next reports them.
     pub(super) fn wait_for_folders<'p>(
         &self,
         folders: impl IntoIterator<Item = &'p Path>,
@@ -89,7 +89,7 @@
         requested
     }
 
-    /// Pauses before the next attempt; only the first pause for a resource is logged.
+    /// Pauses before the next attempt; logs only the first pause for a resource.
     fn pause(&self, kind: &str, resource: &str, is_logged: &mut bool) {
         if !std::mem::replace(is_logged, true) {
             warn!(self.log, "another process holds the {}; retrying", kind; "resource" => resource);
--- a/crates/node/src/startup/state.rs
+++ b/crates/node/src/startup/state.rs
@@ -1,4 +1,5 @@
-//! Builds the reducer, and what is derived from the configuration before the reducer takes over its classes and tenants.
+//! Builds the reducer and the values derived from the configuration before its classes and tenants move into the
+//! reducer.
 
 use crate::clock::Clock;
 use crate::inherited_listener::InheritedListener;
@@ -14,35 +15,35 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Free buffers kept, some 9 MB.
+/// Maximum number of free buffers in the pool, about 9 MB.
 const MAX_POOLED_BUFFERS: usize = 2048;
-/// The free buffers take at most this fraction of the memory, as its denominator.
+/// Free buffers use at most the memory divided by this number.
 const POOL_MEMORY_DIVISOR: usize = 16;
 
-/// The reducer and what the start of other parts needs beside it.
+/// The reducer, and the values that the start of other parts needs.
 pub(super) struct ServerState {
-    /// Owns all state of the server.
+    /// The reducer, which owns all state of the server.
     pub reducer: Reducer,
-    /// Classes and tenants by name, for the front ends; shared with the reducer.
+    /// Classes and tenants by name, for the front ends; the definitions are shared with the reducer.
     pub names: ActiveSettings,
     /// Names of the cells of leases and counters, for operators.
     pub cell_names: BTreeMap<u32, String>,
-    /// Bounds of the idempotency store, where there is one.
+    /// Limits of the idempotency store, if there is one.
     pub store_limits: Option<Limits>,
     /// The longest idempotency window of any class.
     pub longest_window: Span,
     /// The id of this server's instance in the registry; empty without a registry.
     pub instance_id: String,
-    /// Buffers of bodies, results and frames.
+    /// Buffers for bodies, results and frames.
     pub pool: Arc<BufferPool>,
-    /// The clock of the reducer; starts here.
+    /// The clock of the reducer.
     pub clock: Clock,
-    /// Seeds everything random that need not differ between processes.
+    /// The configured seed, for random numbers that need not differ between processes.
     pub seed: u64,
 }
 
 impl ServerState {
-    /// Builds the reducer. Classes and tenants move out of `config` into it, so that they are in memory once.
+    /// Builds the reducer. Classes and tenants are moved from `config` into it, so that they are in memory only once.
     pub(super) fn build(
         config: &mut Config,
         operator: &OperatorSettings,
@@ -73,7 +74,7 @@
     }
 }
 
-/// The longest time in which a keyed request may be repeated.
+/// The longest time during which a keyed request may be repeated, over all classes.
 fn longest_window(settings: &Settings) -> Span {
     settings.profiles.iter().map(|profile| profile.window).max().unwrap_or_default()
 }
--- a/crates/node/src/upstream_client.rs
+++ b/crates/node/src/upstream_client.rs
@@ -1,15 +1,15 @@
-//! Calls to the upstream, the dependency that all servers share: `POST /post` over HTTP/1.1, one call at a time on a
-//! connection, on threads of their own. When a call is made and how long it may take is the module's decision; a thread
-//! carries the call and reports its outcome.
+//! Calls to the upstream, the dependency that all servers share: `POST /post` over HTTP/1.1, one call at a time on each
+//! connection, on separate threads. The admission controller decides when a call is made and how long it may take; a
+//! thread makes the call and reports its outcome.
 //!
 //! | reply | outcome |
 //! | --- | --- |
-//! | 200 with a body | `Success`, the body goes to the run |
-//! | 503 or 409 with `X-Untouched: 1`, a call that was not sent | `Rejected`: it had no effect |
-//! | a connection that was not made | `ConnectFailed`: it had no effect |
-//! | 500, or 503 and 409 without that header | `Failure`: it may have had its effect |
-//! | 504, or no reply in time (the connection is closed, which cancels the call) | `TimedOut` |
-//! | a connection that broke during the call | `Aborted` |
+//! | 200 with a body | `Success`; the body is delivered to the run |
+//! | 503 or 409 with `X-Untouched: 1`, or the call was not sent | `Rejected`: the call had no effect |
+//! | connecting failed | `ConnectFailed`: the call had no effect |
+//! | 500, or 503 and 409 without that header | `Failure`: the call may have had its effect |
+//! | 504, or no reply in time (closing the connection cancels the call) | `TimedOut` |
+//! | the connection broke during the call | `Aborted` |
 
 use crossbeam_channel::{Receiver, Sender, bounded};
 use gradepin_admission::{Outcome, RequestId, Span};
@@ -24,31 +24,31 @@
 use ureq::http::Response;
 use ureq::{Agent, Body};
 
-/// The HTTP library nests its calls deeply.
+/// The HTTP library uses deep call stacks.
 const STACK_BYTES: usize = 1024 * 1024;
-/// Calls that wait for a thread; more are rejected here, which proves that they had no effect.
+/// Calls that can wait for a thread; further ones are rejected before they are sent, so they had no effect.
 const QUEUE_CAPACITY: usize = 256;
-/// A connection idle for so long is not used again: the upstream closes connections idle for 10 s, and a call on a closed
-/// one would break unread, and count as one that may have had its effect.
+/// A connection idle for longer is not reused: the upstream closes connections that are idle for 10 s. A call on a
+/// closed connection would fail without being read, but would count as one that may have had its effect.
 const MAX_IDLE_AGE: Duration = Duration::from_secs(4);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A call in the queue.
+/// A queued upstream call.
 struct Call {
     id: RequestId,
     number: UpstreamCallId,
     body: Arc<Vec<u8>>,
     timeout: Duration,
-    /// The call and its wait in the queue end here.
+    /// End of the timeout, which includes the wait in the queue.
     deadline: Instant,
-    /// The call must not be sent at this time or later.
+    /// The call must be sent before this time, if set.
     leave_before: Option<Instant>,
 }
 
-/// The address that calls go to; a reload changes it.
+/// URL of the calls; a reload changes it.
 type SharedUrl = Arc<RwLock<Arc<str>>>;
 
-/// The threads of upstream calls, as the main thread uses them.
+/// The main thread's handle to the threads of upstream calls.
 pub struct UpstreamClient {
     calls: Sender<Call>,
     url: SharedUrl,
@@ -60,7 +60,7 @@
 }
 
 impl UpstreamClient {
-    /// Starts `max_calls` threads, each with one call at a time; the end of each call becomes an input.
+    /// Starts `max_calls` threads that make one call at a time each; the end of each call is sent to `inputs`.
     pub fn start(
         address: SocketAddr,
         max_calls: usize,
@@ -79,27 +79,28 @@
         let url = Arc::new(RwLock::new(url(address)));
         let (calls, queue) = bounded::<Call>(QUEUE_CAPACITY);
         for n in 0..max_calls {
-            let caller = Caller {
+            let worker = CallWorker {
                 agent: agent.clone(),
                 url: Arc::clone(&url),
                 queue: queue.clone(),
                 inputs: inputs.clone(),
                 pool: Arc::clone(&pool),
             };
-            let run = move || caller.run();
+            let run = move || worker.run();
             thread::Builder::new().name(format!("ledger-{n}")).stack_size(STACK_BYTES).spawn(run)?;
         }
         Ok(Self { calls, url, log })
     }
 
-    /// Sends calls to another address from now on; calls under way end at the old one.
+    /// Changes the address of later calls; calls in flight complete at the old one.
     pub fn retarget(&self, address: SocketAddr) {
         *self.url.write().unwrap_or_else(PoisonError::into_inner) = url(address);
     }
 
-    /// Queues a call for a request, under a number; never blocks. A full queue rejects it, and its end is returned: the
-    /// caller is the thread that empties the inputs, and would wait for itself where those are full.
-    /// At `leave_before` or later the call must not be sent: the lease that it is made under has expired.
+    /// Queues a call of the request `id` under `number`; never blocks. If the queue is full, the call is rejected and
+    /// the input that ends it is returned instead of sent: the main thread empties the queue of inputs, so it would
+    /// wait for itself if that queue were full. The call is not sent at `leave_before` or later, when its lease has
+    /// expired.
     pub fn call(
         &self,
         (id, number): (RequestId, UpstreamCallId),
@@ -118,8 +119,8 @@
     }
 }
 
-/// Starts upstream clients that report to the same reducer. Kept while serving, since a reload may be the first to name an
-/// upstream.
+/// Starts upstream clients that report to the same reducer. Needed while serving because a reload can be the first to
+/// configure an upstream.
 pub struct UpstreamStarter {
     inputs: Sender<Input>,
     pool: Arc<BufferPool>,
@@ -127,12 +128,12 @@
 }
 
 impl UpstreamStarter {
-    /// For clients that send the ends of calls to `inputs`, with replies in buffers of `pool`.
+    /// Creates a starter of clients that send the ends of calls to `inputs`, with replies in buffers of `pool`.
     pub fn new(inputs: Sender<Input>, pool: Arc<BufferPool>, log: Logger) -> Self {
         Self { inputs, pool, log }
     }
 
-    /// Starts a client; see [`UpstreamClient::start`].
+    /// Starts a client with `max_calls` threads.
     pub fn start(&self, address: SocketAddr, max_calls: usize) -> io::Result<UpstreamClient> {
         let (inputs, pool) = (self.inputs.clone(), Arc::clone(&self.pool));
         UpstreamClient::start(address, max_calls, inputs, pool, self.log.clone())
@@ -140,7 +141,7 @@
 }
 
 /// One thread of upstream calls.
-struct Caller {
+struct CallWorker {
     agent: Agent,
     url: SharedUrl,
     queue: Receiver<Call>,
@@ -148,7 +149,7 @@
     pool: Arc<BufferPool>,
 }
 
-/// How a call ended, with its reply on success.
+/// The outcome of a call, with its reply on success.
 struct CallEnd {
     outcome: Outcome,
     reply: Option<Buffer>,
@@ -160,7 +161,7 @@
     }
 }
 
-impl Caller {
+impl CallWorker {
     fn run(&self) {
         for call in &self.queue {
             let url = Arc::clone(&self.url.read().unwrap_or_else(PoisonError::into_inner));
@@ -172,12 +173,12 @@
         }
     }
 
-    /// Makes a call, unless its time ran out in the queue.
+    /// Makes a call, unless its timeout passed in the queue.
     fn call(&self, url: &str, call: &Call) -> CallEnd {
         let Some(remaining) = call.deadline.checked_duration_since(Instant::now()) else {
             return CallEnd::without_reply(Outcome::Rejected);
         };
-        // Checked last: this thread may have been stopped since the call was decided.
+        // Checked last, because this thread may have been suspended since the call was queued.
         if call.leave_before.is_some_and(|leave_before| Instant::now() >= leave_before) {
             return CallEnd::without_reply(Outcome::Rejected);
         }
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Reads the body of a success; one longer than a buffer makes the call a failure.
+    /// Reads the body of a successful reply. A body longer than a buffer is an error of the call.
     fn read_reply(&self, response: &mut Response<Body>) -> CallEnd {
         match response.body_mut().with_config().limit(BUFFER_BYTES as u64).read_to_vec() {
             Ok(body) => match self.pool.copy(&body) {
--- a/crates/node/src/upstream_client/tests.rs
+++ b/crates/node/src/upstream_client/tests.rs
@@ -2,7 +2,7 @@
 use std::io::{Read, Write};
 use std::net::TcpListener;
 
-/// A stand-in upstream that answers each call with the next of these replies, or never where there is none.
+/// Starts a stand-in upstream that sends the next of these replies to each call; `None` sends no reply.
 fn upstream(replies: Vec<Option<&'static str>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -48,8 +48,8 @@
     }
 }
 
-/// Guards each reply's meaning for the module: which prove that the call never ran, which may have had an
-/// effect, and the body that goes to the run.
+/// Guards the mapping of replies to outcomes: which ones prove that the call never ran, which ones may have had an
+/// effect, and the body that is delivered to the run.
 #[test]
 fn maps_each_reply_to_its_outcome() {
     let replies = [
@@ -59,8 +59,8 @@
         ("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", Outcome::Failure),
         ("HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n", Outcome::Failure),
         ("HTTP/1.1 504 Late\r\nContent-Length: 0\r\n\r\n", Outcome::TimedOut),
-        // It breaks off: in the head, in the body, before a byte. It is longer than a reply may be, or none at all. Each
-        // may have had its effect, and none of it goes to the run.
+        // Truncated in the head, in the body or before the first byte, or no HTTP at all: the call may have had its
+        // effect, and nothing is delivered to the run.
         ("HTTP/1.1 200 OK\r\nContent-Le", Outcome::Aborted),
         ("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhalf", Outcome::Aborted),
         ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", Outcome::Aborted),
@@ -73,14 +73,14 @@
         assert_eq!(body.is_some(), expected == Outcome::Success, "{reply}");
     }
     assert_eq!(outcome(upstream(vec![Some(replies[0].0)]), 2_000).1.as_deref(), Some(&b"ok"[..]));
-    // No reply within the limit: the call is given up, and may have had its effect.
+    // No reply within the timeout: the call is cancelled and may have had its effect.
     assert_eq!(outcome(upstream(vec![None]), 200).0, Outcome::TimedOut);
-    // Nobody listens: it never ran.
-    let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    assert_eq!(outcome(gone, 2_000).0, Outcome::ConnectFailed);
+    // No listener: the call never ran.
+    let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    assert_eq!(outcome(closed, 2_000).0, Outcome::ConnectFailed);
 }
 
-/// Guards against a reply longer than a result may be, taken for a whole one or kept in memory as it comes.
+/// Guards against an oversized reply that is delivered truncated, or buffered without a bound.
 #[test]
 fn drops_a_reply_longer_than_a_result() {
     let reply = format!(
@@ -92,36 +92,36 @@
     assert_eq!(outcome(upstream(vec![Some(reply)]), 2_000), (Outcome::Aborted, None));
 }
 
-/// Guards against a deadlock: the thread that makes calls is the one that empties the inputs, so a call that finds no
-/// room must not be told to a queue that is full.
+/// Guards against a deadlock: the thread that queues calls also empties the inputs, so the end of a rejected call must
+/// not be sent to a full queue of inputs.
 #[test]
-fn returns_a_call_that_finds_the_queue_full_while_inputs_are_full() {
+fn returns_a_rejected_call_while_the_queue_of_inputs_is_full() {
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (inputs, _came) = bounded(1);
+    let (inputs, _unread) = bounded(1);
     inputs.send(Input::LinkDown).unwrap();
     let log = Logger::root(slog::Discard, slog::o!());
     let address = silent.local_addr().unwrap();
     let client = UpstreamClient::start(address, 4, inputs, BufferPool::new(4), log).unwrap();
-    let (told, tells) = bounded(1);
+    let (done, results) = bounded(1);
     thread::spawn(move || {
         let rejected = (0..QUEUE_CAPACITY + 4 + 1).filter_map(|n| {
             client.call((RequestId::new(&format!("{n:016x}")), 1), b"form", Span(60_000_000_000), None).err()
         });
         let all = rejected.collect::<Vec<_>>();
-        told.send(all).unwrap();
+        done.send(all).unwrap();
     });
-    let rejected = tells.recv_timeout(Duration::from_secs(20)).expect("no call waits for the inputs");
+    let rejected = results.recv_timeout(Duration::from_secs(20)).expect("no call waits for the inputs");
     assert!(!rejected.is_empty());
-    let shed = |input: &Input| {
+    let is_rejected = |input: &Input| {
         matches!(input, Input::UpstreamCallEnded { outcome: Outcome::Rejected, reply: None, .. })
     };
-    assert!(rejected.iter().all(shed));
+    assert!(rejected.iter().all(is_rejected));
 }
 
-/// Guards against a call that breaks, and may have run as far as anyone knows, only because its connection was closed
-/// as idle before: that is seen before anything is written, and another connection is made.
+/// Guards against a call that fails with an unknown effect only because the upstream closed the idle connection: the
+/// close is detected before anything is written, and another connection is made.
 #[test]
-fn uses_another_connection_where_the_idle_one_was_closed() {
+fn uses_another_connection_if_the_idle_one_was_closed() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (closed, closes) = bounded(2);
@@ -144,55 +144,55 @@
     for n in 0..2 {
         let id = RequestId::new(&format!("{n:016x}"));
         assert!(client.call((id, n), b"form", Span(10_000_000_000), None).is_ok());
-        let came = received.recv_timeout(Duration::from_secs(10)).unwrap();
-        assert!(matches!(came, Input::UpstreamCallEnded { outcome: Outcome::Success, .. }), "call {n}");
+        let ended = received.recv_timeout(Duration::from_secs(10)).unwrap();
+        assert!(matches!(ended, Input::UpstreamCallEnded { outcome: Outcome::Success, .. }), "call {n}");
         closes.recv_timeout(Duration::from_secs(10)).unwrap();
     }
 }
 
-/// Numbers that a seed gives, the same on each machine.
-struct Draws(u64);
+/// Pseudo-random numbers that depend on the seed alone, so that failures are reproducible.
+struct SeededRng(u64);
 
-impl Draws {
+impl SeededRng {
     fn below(&mut self, bound: usize) -> usize {
-        // Knuth's generator (MMIX); the high bits are the good ones.
+        // Knuth's linear congruential generator (MMIX), of which only the high bits are random enough.
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) as usize % bound
     }
 }
 
-/// A reply with some bytes of it changed, left out, doubled or put in.
-fn spoilt(whole: &[u8], draws: &mut Draws) -> Vec<u8> {
-    let mut reply = whole.to_vec();
-    for _ in 0..=draws.below(4) {
-        let at = draws.below(reply.len().max(1));
-        match draws.below(5) {
-            0 if !reply.is_empty() => reply[at] = draws.below(256) as u8,
+/// A reply with some bytes changed, removed, inserted, truncated or duplicated.
+fn corrupted(complete: &[u8], rng: &mut SeededRng) -> Vec<u8> {
+    let mut reply = complete.to_vec();
+    for _ in 0..=rng.below(4) {
+        let at = rng.below(reply.len().max(1));
+        match rng.below(5) {
+            0 if !reply.is_empty() => reply[at] = rng.below(256) as u8,
             1 if !reply.is_empty() => drop(reply.remove(at)),
-            2 => reply.insert(at, b"\r\n :0f;\0\xff"[draws.below(9)]),
+            2 => reply.insert(at, b"\r\n :0f;\0\xff"[rng.below(9)]),
             3 => reply.truncate(at.max(1)),
-            _ => reply.extend_from_slice(&whole[at % whole.len()..]),
+            _ => reply.extend_from_slice(&complete[at % complete.len()..]),
         }
     }
     reply
 }
 
-/// Guards against a call that never ends, ends twice or takes its thread along, and against a reply cut short that is taken
-/// for a whole one, whatever the upstream sends and wherever that breaks off.
+/// Guards against calls that never end, end twice or panic their thread, and against truncated replies that are taken
+/// for complete ones: replies are cut at every byte or randomly corrupted.
 #[test]
 fn ends_each_call_once_whatever_the_reply() {
-    let whole: [&[u8]; 4] = [
+    let complete: [&[u8]; 4] = [
         b"HTTP/1.1 200 OK\r\nContent-Length: 12\r\nX-A: b\r\n\r\nhello\r\n\r\nyou",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n7\r\n\r\n\r\nyou\r\n0\r\n\r\n",
         b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
         b"HTTP/1.1 503 Busy\r\nX-Untouched: 1\r\nContent-Encoding: gzip\r\nContent-Length: 3\r\n\r\nbye",
     ];
     let (seed, mut replies) = (11, Vec::new());
-    let mut draws = Draws(seed);
-    replies.extend((0..whole[0].len()).map(|cut| whole[0][..cut].to_vec()));
+    let mut rng = SeededRng(seed);
+    replies.extend((0..complete[0].len()).map(|cut| complete[0][..cut].to_vec()));
     let cuts = replies.len();
-    replies.extend((0..400).map(|n| spoilt(whole[n % 4], &mut draws)));
-    replies.extend((0..8).map(|_| whole[0].to_vec()));
+    replies.extend((0..400).map(|n| corrupted(complete[n % 4], &mut rng)));
+    replies.extend((0..8).map(|_| complete[0].to_vec()));
     let (count, sent) = (replies.len(), replies.clone());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -217,12 +217,12 @@
     let mut ends = vec![None; count];
     for n in 0..count {
         let id = RequestId::new(&format!("{n:016x}"));
-        // In time, however slow the machine: no verdict here hangs on how long a call takes.
+        // The timeout is long enough for a slow machine: the test doesn't depend on the duration of a call.
         assert!(client.call((id, n as u64), b"form", Span(60_000_000_000), None).is_ok(), "seed {seed}, {n}");
         let Input::UpstreamCallEnded { call: number, outcome, reply, .. } =
             received.recv_timeout(Duration::from_secs(30)).unwrap_or_else(|_| {
                 panic!(
-                    "seed {seed}: call {n} never ends, answered with {:?}",
+                    "seed {seed}: call {n} never ended after the reply {:?}",
                     String::from_utf8_lossy(&sent[n])
                 )
             })
@@ -237,9 +237,13 @@
     assert!(received.try_recv().is_err(), "a call ended twice");
     for (n, end) in ends.iter().flatten().enumerate() {
         if n < cuts {
-            assert_eq!(*end, (Outcome::Aborted, None), "cut at byte {n}");
+            assert_eq!(*end, (Outcome::Aborted, None), "reply truncated at byte {n}");
         } else if n >= count - 8 {
-            assert_eq!(*end, (Outcome::Success, Some(b"hello\r\n\r\nyou".to_vec())), "a thread is gone");
+            assert_eq!(
+                *end,
+                (Outcome::Success, Some(b"hello\r\n\r\nyou".to_vec())),
+                "a calling thread has ended"
+            );
         }
     }
 }
--- a/crates/node/tests/hold.rs
+++ b/crates/node/tests/change_duration.rs
@@ -1,4 +1,4 @@
-//! How long one change holds the reducer at the target size. A measurement: nothing here fails by a time.
+//! Measures how long a change of classes or tenants blocks the reducer at the target size. No duration makes it fail.
 
 #[path = "../../admission/tests/common/mod.rs"]
 mod common;
@@ -30,54 +30,54 @@
 
 fn step(reducer: &mut Reducer, ms: u64, inputs: Vec<Input>) -> (Duration, Vec<Effect>) {
     let mut effects = Vec::new();
-    let began = Instant::now();
+    let started = Instant::now();
     reducer.step(Timestamp { now: Time(ms * MS), unix_ms: ms }, inputs, &mut effects);
-    (began.elapsed(), effects)
+    (started.elapsed(), effects)
 }
 
-/// Prints the longest hold by one change, a batch of 100 and a file that replaces all tenants.
+/// Prints how long the reducer is blocked by one change, by a batch of 100 and by a file that replaces all tenants.
 #[test]
 #[ignore = "a measurement"]
-fn longest_holds() {
+fn measures_how_long_changes_block_the_reducer() {
     for (classes, tenants) in [(4, 4), (10_000, 110_000)] {
         let mut settings = common::base();
         settings["specifics"]["below"] = json!("off");
         let address = "127.0.0.1:1";
         let config = json!({"name": "n1", "listen": address, "processor": address, "control": address,
             "seed": "7", "stop_ms": 2000, "limits": {"sockets": 128}, "settings": settings});
-        let mut config = Config::parse(&config.to_string()).expect("a whole configuration");
+        let mut config = Config::parse(&config.to_string()).expect("a valid configuration");
         config.settings = std::mem::take(&mut config.settings).split().rest;
         let of_classes = (0..classes).map(|n| class(n, 1.0)).collect();
         let of_tenants = (0..tenants).map(|n| tenant(n, 1.0)).collect();
         let mut reducer = Reducer::with_definitions(&config, of_classes, of_tenants, Registration::default())
-            .expect("whole");
+            .expect("a reducer");
         step(&mut reducer, 9_000, vec![Input::LinkUp { link: 1, cold: false, age: Span(0) }]);
-        let mut hold = |changes: Vec<Change>, ms: u64| {
-            let began = Instant::now();
-            reducer.apply_transaction(&Transaction { changes }).expect("applied");
+        let mut apply = |changes: Vec<Change>, ms: u64| {
+            let started = Instant::now();
+            reducer.apply_transaction(&Transaction { changes }).expect("a valid transaction");
             let (took, _) = step(&mut reducer, ms, Vec::new());
-            (began.elapsed(), took)
+            (started.elapsed(), took)
         };
-        let one = hold(vec![Change::PutTenant(tenant(0, 2.0))], 9_050).0;
-        let put_class = hold(vec![Change::PutClass(class(1, 2.0))], 9_060).0;
+        let put_tenant = apply(vec![Change::PutTenant(tenant(0, 2.0))], 9_050).0;
+        let put_class = apply(vec![Change::PutClass(class(1, 2.0))], 9_060).0;
         let batch = (0..50).flat_map(|n| {
             [Change::PutClass(class(n % classes, 3.0)), Change::PutTenant(tenant(n % tenants, 3.0))]
         });
-        let batch = hold(batch.collect(), 9_070).0;
+        let batch = apply(batch.collect(), 9_070).0;
         let changes = (0..tenants).map(|n| Change::PutTenant(tenant(n, 4.0))).collect();
         let reload =
             Reload { config: config.clone(), changes, new_classes: 0, new_tenants: 0, compared_at: 3 };
         let (mut longest, effects) = step(&mut reducer, 9_080, vec![Input::Reload(Box::new(reload))]);
-        let (mut whole, mut pieces) = (longest, 1);
-        let mut over = effects.iter().any(|effect| matches!(effect, Effect::ReloadFinished));
-        while !over {
+        let (mut total, mut steps) = (longest, 1);
+        let mut finished = effects.iter().any(|effect| matches!(effect, Effect::ReloadFinished));
+        while !finished {
             let (took, effects) = step(&mut reducer, 9_081, Vec::new());
-            (longest, whole, pieces) = (longest.max(took), whole + took, pieces + 1);
-            over = effects.iter().any(|effect| matches!(effect, Effect::ReloadFinished));
+            (longest, total, steps) = (longest.max(took), total + took, steps + 1);
+            finished = effects.iter().any(|effect| matches!(effect, Effect::ReloadFinished));
         }
         println!(
-            "{classes} classes, {tenants} tenants: a tenant {one:?}, a class {put_class:?}, 100 changes \
-             {batch:?}, a file {longest:?} at a time in {pieces} pieces of {whole:?}"
+            "{classes} classes, {tenants} tenants: one tenant {put_tenant:?}, one class {put_class:?}, 100 changes \
+             {batch:?}, a file at most {longest:?} per step, {total:?} in {steps} steps"
         );
     }
 }
--- a/crates/node/tests/golden_edges/admin.rs
+++ b/crates/node/tests/golden_edges/admin.rs
@@ -1,4 +1,5 @@
-//! Every answer of the admin endpoints with a value in each field, the calls that paths name, and the JSON bodies that are taken.
+//! Golden tests of the admin endpoint: every response with a value in each field, the request that each path names, and
+//! the accepted JSON bodies.
 
 use super::{assert_golden, line};
 use gradepin_cluster::authentication::DropReason;
@@ -95,13 +96,13 @@
     }
 }
 
-fn release(state: RolloutState) -> Rollout {
-    let wave = |share, pause_ms| Batch { share, pause_ms };
+fn rollout(state: RolloutState) -> Rollout {
+    let batch = |share, pause_ms| Batch { share, pause_ms };
     let plan = RolloutPlan {
         name: "tiles 0.3".into(),
         kind: ReleaseKind::Program,
         version: "0.3.0".into(),
-        batches: vec![wave(0.25, 1), wave(1.0, 2)],
+        batches: vec![batch(0.25, 1), batch(1.0, 2)],
         zone_by_zone: true,
         ready_timeout_ms: 3,
         stabilization_ms: 4,
@@ -130,7 +131,7 @@
     }
 }
 
-fn record(state: RolloutState) -> ReplicatedState {
+fn replicated_state(state: RolloutState) -> ReplicatedState {
     let permit = |target, purpose, stage| Permit {
         target,
         holder: name("holder"),
@@ -145,7 +146,7 @@
         (72, permit(Target::Zone(name("z2")), Purpose::Release(61), PermitStage::Begun)),
         (73, permit(service, Purpose::Drain, PermitStage::Released)),
     ];
-    let act = |index| OperatorAction {
+    let action = |index| OperatorAction {
         index,
         operator: name("kaisa"),
         action: format!("act {index}"),
@@ -158,8 +159,8 @@
         limits: Limits { fleet: 5, zone: 3, zones: 2, services: [(name("ledger"), 4)].into() },
         roster: roster.collect(),
         permits: permits.into(),
-        operator_actions: (1..=9).map(act).collect(),
-        rollout: Some(release(state)),
+        operator_actions: (1..=9).map(action).collect(),
+        rollout: Some(rollout(state)),
         ..ReplicatedState::default()
     }
 }
@@ -168,10 +169,10 @@
     server_agent::RunningVersions { program: program.into(), settings: settings.into() }
 }
 
-fn agreements(record: Option<(ReplicatedState, f64)>, voter: bool) -> AdminResponse {
-    let full = record.is_some();
+fn agreements(known_state: Option<(ReplicatedState, f64)>, voter: bool) -> AdminResponse {
+    let full = known_state.is_some();
     AdminResponse::Agreement(AgreementResponse::Status(Box::new(server_agent::AgentStatus {
-        known_state: record.map(|(state, age_s)| server_agent::KnownState { state, age_s }),
+        known_state: known_state.map(|(state, age_s)| server_agent::KnownState { state, age_s }),
         leader: full.then(|| name("n1")),
         is_voter: voter,
         exclusion: full.then(|| "disk".to_string()),
@@ -217,7 +218,7 @@
     }
 }
 
-fn refusals() -> Vec<AdminError> {
+fn admin_errors() -> Vec<AdminError> {
     let (revision, id) = (Revision(42), name("r-1"));
     vec![
         AdminError::Stale { expected: Revision(41), in_force: revision },
@@ -234,32 +235,32 @@
     ]
 }
 
-/// Each answer and its response as bytes.
+/// A line with the HTTP bytes of each response.
 fn responses(answers: impl IntoIterator<Item = (&'static str, AdminResponse)>) -> String {
     answers.into_iter().map(|(label, answer)| line(label, &response(answer).bytes(false))).collect()
 }
 
 #[test]
-fn health_and_orders_match_golden_bytes() {
-    let health = |why| AdminResponse::Health(Err(why));
-    let done = |draining, changed| AdminResponse::DrainState { draining, changed };
+fn health_and_drain_responses_match_golden_bytes() {
+    let not_ready = |reason| AdminResponse::Health(Err(reason));
+    let drain_state = |draining, changed| AdminResponse::DrainState { draining, changed };
     let answers = [
         ("ready", AdminResponse::Health(Ok(()))),
-        ("leaving", health(NotReadyReason::ShuttingDown)),
-        ("drained", health(NotReadyReason::OperatorDrain)),
-        ("no processor", health(NotReadyReason::NoProcessor)),
-        ("unwell", health(NotReadyReason::Unhealthy)),
-        ("drain begun", done(true, true)),
-        ("drain as before", done(true, false)),
-        ("drain ended", done(false, true)),
-        ("no drain as before", done(false, false)),
+        ("leaving", not_ready(NotReadyReason::ShuttingDown)),
+        ("drained", not_ready(NotReadyReason::OperatorDrain)),
+        ("no processor", not_ready(NotReadyReason::NoProcessor)),
+        ("unwell", not_ready(NotReadyReason::Unhealthy)),
+        ("drain begun", drain_state(true, true)),
+        ("drain as before", drain_state(true, false)),
+        ("drain ended", drain_state(false, true)),
+        ("no drain as before", drain_state(false, false)),
     ];
     let mut text = responses(answers);
     text += &line("head alone", &response(AdminResponse::Health(Ok(()))).bytes(true));
     assert_golden("admin_health.txt", text.as_bytes());
 }
 
-/// The text with samples that differ in their labels alone in one order: the library writes them in any.
+/// Sorts samples that differ only in their labels, because the metrics library writes them in any order.
 fn with_sorted_labels(text: &str) -> String {
     let lines: Vec<&str> = text.split_inclusive('\n').collect();
     let family = |line: &str| line.split_once('{').map(|(name, _)| name.to_string());
@@ -274,14 +275,14 @@
 
 #[test]
 fn metrics_match_golden_bytes() {
-    let alone = MetricsSnapshot { fleet: None, configuration: None, ..stats() };
-    let closed = ClusterStatus { circuit_closed: false, ..fleet() };
-    let open = MetricsSnapshot { fleet: Some(Box::new(closed)), ..stats() };
+    let without_fleet = MetricsSnapshot { fleet: None, configuration: None, ..stats() };
+    let circuit_open = ClusterStatus { circuit_closed: false, ..fleet() };
+    let with_open_circuit = MetricsSnapshot { fleet: Some(Box::new(circuit_open)), ..stats() };
     let text = |stats| {
         let bytes = response(AdminResponse::Stats(Box::new(stats))).bytes(false);
         with_sorted_labels(&String::from_utf8(bytes).expect("UTF-8"))
     };
-    let texts = [stats(), open, alone, MetricsSnapshot::default()].map(text);
+    let texts = [stats(), with_open_circuit, without_fleet, MetricsSnapshot::default()].map(text);
     assert_golden("admin_stats.txt", texts.concat().as_bytes());
 }
 
@@ -296,27 +297,36 @@
 
 #[test]
 fn agreements_match_golden_bytes() {
-    let why = || "late".to_string();
-    let said = |said| AdminResponse::Agreement(AgreementResponse::Completed(said));
-    let became = |became| AdminResponse::Agreement(AgreementResponse::CommandStatus(became));
-    let wanted = |version| AdminResponse::Agreement(AgreementResponse::TargetVersion(version));
+    let reason = || "late".to_string();
+    let completed = |result| AdminResponse::Agreement(AgreementResponse::Completed(result));
+    let command_status = |status| AdminResponse::Agreement(AgreementResponse::CommandStatus(status));
+    let target_version = |version| AdminResponse::Agreement(AgreementResponse::TargetVersion(version));
     let text = responses([
         ("off", AdminResponse::Agreement(AgreementResponse::Off)),
         ("unknown status", agreements(None, false)),
-        ("voter's status, running", agreements(Some((record(RolloutState::Running), 0.5)), true)),
-        ("status, halted", agreements(Some((record(RolloutState::Halted(why())), f64::INFINITY)), false)),
-        ("status, going back", agreements(Some((record(RolloutState::RollingBack(why())), 0.25)), false)),
-        ("status, done", agreements(Some((record(RolloutState::Done), 0.25)), false)),
-        ("status, undone", agreements(Some((record(RolloutState::RolledBack(why())), 0.25)), false)),
+        ("voter's status, running", agreements(Some((replicated_state(RolloutState::Running), 0.5)), true)),
+        (
+            "status, halted",
+            agreements(Some((replicated_state(RolloutState::Halted(reason())), f64::INFINITY)), false),
+        ),
+        (
+            "status, going back",
+            agreements(Some((replicated_state(RolloutState::RollingBack(reason())), 0.25)), false),
+        ),
+        ("status, done", agreements(Some((replicated_state(RolloutState::Done), 0.25)), false)),
+        (
+            "status, undone",
+            agreements(Some((replicated_state(RolloutState::RolledBack(reason())), 0.25)), false),
+        ),
         ("ticket", AdminResponse::Agreement(AgreementResponse::Ticket(7))),
-        ("pending", became(CommandStatus::Pending)),
-        ("unknown ticket", became(CommandStatus::Unknown)),
-        ("order done", became(CommandStatus::Finished(Ok("done".into())))),
-        ("order failed", became(CommandStatus::Finished(Err(CommandFailure("not now".into()))))),
-        ("said", said(Ok("done".into()))),
-        ("said not", said(Err(CommandFailure("not now".into())))),
-        ("wanted", wanted(Some("0.3.0".into()))),
-        ("nothing wanted", wanted(None)),
+        ("pending", command_status(CommandStatus::Pending)),
+        ("unknown ticket", command_status(CommandStatus::Unknown)),
+        ("order done", command_status(CommandStatus::Finished(Ok("done".into())))),
+        ("order failed", command_status(CommandStatus::Finished(Err(CommandFailure("not now".into()))))),
+        ("said", completed(Ok("done".into()))),
+        ("said not", completed(Err(CommandFailure("not now".into())))),
+        ("wanted", target_version(Some("0.3.0".into()))),
+        ("nothing wanted", target_version(None)),
     ]);
     assert_golden("admin_agreements.txt", text.as_bytes());
 }
@@ -336,32 +346,38 @@
         ("empty status", status(StatusReply::default())),
     ]);
     text += &responses(
-        refusals()
+        admin_errors()
             .into_iter()
-            .map(|refusal| ("refused", answer(ConfigurationAdminResponse::Rejected(refusal)))),
+            .map(|error| ("refused", answer(ConfigurationAdminResponse::Rejected(error)))),
     );
     assert_golden("admin_configuration.txt", text.as_bytes());
 }
 
-/// Guards each path, and the answers to requests that name no call.
+/// Guards the endpoint of each path, and the responses to requests that name none.
 #[test]
-fn paths_name_calls_or_match_golden_bytes() {
-    let (plain, agreed) = (Endpoint::Request, |call| Endpoint::Request(AdminRequest::Agreement(call)));
-    let configuration = |call| Endpoint::Request(AdminRequest::Configuration(call));
-    let calls = [
+fn paths_name_endpoints_and_errors_match_golden_bytes() {
+    let (plain, agreement) =
+        (Endpoint::Request, |request| Endpoint::Request(AdminRequest::Agreement(request)));
+    let configuration = |request| Endpoint::Request(AdminRequest::Configuration(request));
+    let endpoints = [
         ("GET", "/healthcheck", "", plain(AdminRequest::Health)),
         ("HEAD", "/stats", "", plain(AdminRequest::Stats)),
         ("GET", "/fleet", "", plain(AdminRequest::Fleet)),
         ("POST", "/healthcheck/fail", "", plain(AdminRequest::StartDrain)),
         ("POST", "/healthcheck/ok", "", plain(AdminRequest::EndDrain)),
-        ("GET", "/fleet/status", "", agreed(AgreementRequest::Status)),
-        ("GET", "/fleet/order", "ticket=7", agreed(AgreementRequest::CommandStatus { ticket: 7 })),
+        ("GET", "/fleet/status", "", agreement(AgreementRequest::Status)),
+        ("GET", "/fleet/order", "ticket=7", agreement(AgreementRequest::CommandStatus { ticket: 7 })),
         ("POST", "/fleet/order", "", Endpoint::SubmitCommand),
         ("POST", "/fleet/stage", "", Endpoint::StageSettings),
-        ("POST", "/fleet/found", "", agreed(AgreementRequest::FoundGroup)),
-        ("POST", "/fleet/leave", "", agreed(AgreementRequest::Leave)),
-        ("POST", "/fleet/stay", "", agreed(AgreementRequest::Stay)),
-        ("GET", "/fleet/wanted", "name=n3", agreed(AgreementRequest::TargetVersion { server: "n3".into() })),
+        ("POST", "/fleet/found", "", agreement(AgreementRequest::FoundGroup)),
+        ("POST", "/fleet/leave", "", agreement(AgreementRequest::Leave)),
+        ("POST", "/fleet/stay", "", agreement(AgreementRequest::Stay)),
+        (
+            "GET",
+            "/fleet/wanted",
+            "name=n3",
+            agreement(AgreementRequest::TargetVersion { server: "n3".into() }),
+        ),
         (
             "GET",
             "/config/apply",
@@ -371,8 +387,8 @@
         ("POST", "/config/apply", "", Endpoint::ApplyConfiguration),
         ("GET", "/config/status", "", configuration(ConfigurationAdminRequest::Status)),
     ];
-    for (method, path, query, call) in calls {
-        assert_eq!(route(method, path, query), Ok(call), "{method} {path}?{query}");
+    for (method, path, query, endpoint) in endpoints {
+        assert_eq!(route(method, path, query), Ok(endpoint), "{method} {path}?{query}");
     }
     let requests: [(&str, &[u8]); 12] = [
         ("no such path", b"GET /nothing HTTP/1.1\r\n\r\n"),
@@ -388,19 +404,19 @@
         ("body too long", b"POST /stats HTTP/1.1\r\nContent-Length: 262145\r\n\r\n"),
         ("head too long", &[b'a'; 8192]),
     ];
-    let refused = |bytes: &[u8]| {
-        let head = parse_head(bytes).map(|head| head.expect("a whole head"));
-        head.and_then(|head| route(&head.method, &head.path, &head.query)).expect_err("no call")
+    let error_response = |bytes: &[u8]| {
+        let head = parse_head(bytes).map(|head| head.expect("a complete head"));
+        head.and_then(|head| route(&head.method, &head.path, &head.query)).expect_err("an error response")
     };
     let mut text: String =
-        requests.iter().map(|(label, bytes)| line(label, &refused(bytes).bytes(false))).collect();
+        requests.iter().map(|(label, bytes)| line(label, &error_response(bytes).bytes(false))).collect();
     for status in [200, 202, 400, 404, 405, 408, 409, 410, 413, 422, 429, 503, 599] {
         text += &line("status", &Response::text(status, "").bytes(false));
     }
     assert_golden("admin_refused_requests.txt", text.as_bytes());
 }
 
-/// Guards bodies whose every line is read and written as it was.
+/// Asserts that each line of JSON is unchanged after it is read and written again.
 fn assert_same_json<T: Serialize + DeserializeOwned>(lines: &str) {
     for line in lines.lines() {
         let body: T = serde_json::from_str(line).unwrap_or_else(|e| panic!("{e}: {line}"));
--- a/crates/node/tests/golden_edges/answers.rs
+++ b/crates/node/tests/golden_edges/answers.rs
@@ -1,4 +1,5 @@
-//! The bytes of every kind of answer at both fronts, how requests are decoded, and the answers to invalid ones.
+//! Golden tests of both front ends: the bytes of every kind of response, decoded requests, and the responses to invalid
+//! requests.
 
 use super::{assert_golden, line};
 use gradepin_admission::{Settings, Span};
@@ -25,7 +26,7 @@
     rank 0.375
 }"#;
 
-fn names() -> ActiveSettings {
+fn active_settings() -> ActiveSettings {
     let settings = serde_json::json!({
         "granularity": 1, "customers": [{"name": "acme", "portion": 1.0, "quota_rps": 1.0}],
         "profiles": [{"name": "view", "promise": 1, "deadline": 4_000_000_000_u64, "effect": "repeatable", "worth": 1.0},
@@ -37,29 +38,29 @@
 }
 
 fn thrift() -> impl Protocol {
-    Thrift::new(names())
+    Thrift::new(active_settings())
 }
 
 fn scgi() -> impl Protocol {
-    let set = OperatorSettings::parse(SCGI_BLOCK).expect("settings").scgi.expect("a block");
-    Scgi::new(Routes::new(&set, names(), |_| true).expect("routes"), 7)
+    let settings = OperatorSettings::parse(SCGI_BLOCK).expect("settings").scgi.expect("a block");
+    Scgi::new(Routes::new(&settings, active_settings(), |_| true).expect("routes"), 7)
 }
 
-/// Each kind of answer, by its name in the golden files.
+/// Each kind of response, with its label in the golden files.
 fn answers() -> Vec<(&'static str, Response)> {
     let served = |bytes: &[u8]| {
         Response::Served(Arc::new(BufferPool::new(1).exact(bytes).expect("it fits in a buffer")))
     };
-    let refused =
+    let rejected =
         |retry_after, no_failover| Response::Rejected { retry_after: Span(retry_after), no_failover };
     let invalid = |error| Response::Invalid { error, text: "why not".into() };
     vec![
         ("served", served(b"tile \x00\xff\r\n")),
         ("served empty", served(b"")),
-        ("rejected", refused(0, false)),
-        ("rejected with retry-after", refused(1_200_000_001, false)),
-        ("rejected with retry-after, final", refused(250_000_000, true)),
-        ("rejected, final", refused(0, true)),
+        ("rejected", rejected(0, false)),
+        ("rejected with retry-after", rejected(1_200_000_001, false)),
+        ("rejected with retry-after, final", rejected(250_000_000, true)),
+        ("rejected, final", rejected(0, true)),
         ("failed", Response::Failed { timed_out: false }),
         ("failed late", Response::Failed { timed_out: true }),
         ("unknown outcome", Response::OutcomeUnknown),
@@ -77,38 +78,38 @@
     ]
 }
 
-/// All answers, without and with the free value, and while the server drains.
-fn encoded(front: &impl Protocol) -> String {
+/// Encodes all responses: without and with a capacity hint, and while the server drains.
+fn encoded(protocol: &impl Protocol) -> String {
     let pool = BufferPool::new(1);
     let mut text = String::new();
     for (label, answer) in answers() {
-        for (more, hint, leaving) in
+        for (suffix, hint, draining) in
             [("", None, false), (", hint", Some(0.625), false), (", draining", Some(3.0), true)]
         {
-            let bytes = front.encode(-2, &answer, hint, leaving, &pool).expect("it fits in a buffer");
-            text += &line(&format!("{label}{more}"), &bytes);
+            let bytes = protocol.encode(-2, &answer, hint, draining, &pool).expect("it fits in a buffer");
+            text += &line(&format!("{label}{suffix}"), &bytes);
         }
     }
     for (label, bytes) in [
-        ("draining", front.drain_request(&pool)),
-        ("malformed", front.malformed_response("no message", &pool)),
+        ("draining", protocol.drain_request(&pool)),
+        ("malformed", protocol.malformed_response("no message", &pool)),
     ] {
         text += &bytes.map_or(format!("{label} is empty\n"), |bytes| line(label, &bytes));
     }
     text
 }
 
-/// How a front decodes the first message in these bytes; for an invalid one, the bytes of its answer.
-fn decoded(front: &impl Protocol, bytes: &[u8]) -> String {
+/// Formats the first message decoded from these bytes; for an invalid one, the bytes of the response to it.
+fn decoded(protocol: &impl Protocol, bytes: &[u8]) -> String {
     let pool = BufferPool::new(1);
-    let message = match front.decoder().decode(bytes, &pool) {
+    let message = match protocol.decoder().decode(bytes, &pool) {
         Ok(Some(DecodedFrame { message, .. })) => message,
         Ok(None) => return "incomplete".to_string(),
         Err(malformed) => return format!("malformed: {malformed}"),
     };
     match message {
         DecodedMessage::Request { sequence: seq, request: call } => {
-            // SCGI requests carry no arrival time: it is the time at which they were read.
+            // SCGI requests have no arrival time of their own, so it is the time at which they are read.
             let t0 = if call.arrived_unix_ms == 17 { "17" } else { "now" };
             let times = format!("t0 {t0}, budget {}, retry {}", call.budget_ms, call.retry);
             let sizes = format!("size {}, rank {}, key {}", call.size_kb, call.precedence, call.has_subject);
@@ -125,7 +126,7 @@
         DecodedMessage::HealthCheck { sequence: seq } => format!("{seq}: health"),
         DecodedMessage::Cancel { sequence: seq } => format!("{seq}: cancel"),
         DecodedMessage::Invalid { sequence: seq, invalid } => {
-            let answer = front.encode(
+            let answer = protocol.encode(
                 seq,
                 &Response::Invalid { error: invalid.error, text: invalid.text },
                 None,
@@ -143,14 +144,14 @@
     [&(text.len() as u32).to_be_bytes()[..], text].concat()
 }
 
-/// A Thrift frame of this message type, with the number 9.
+/// A Thrift frame of this message kind with the sequence number 9.
 fn frame(kind: u8, name: &str, arguments: &[u8]) -> Vec<u8> {
     let message =
         [&[0x80, 1, 0, kind][..], &string(name.as_bytes()), &[0, 0, 0, 9], arguments, &[0]].concat();
     string(&message)
 }
 
-/// A Thrift call with every field, some of them changed or left out.
+/// A Thrift call with every field, some of them changed or omitted.
 fn call(changes: &[(&str, Option<&str>)], body: &[u8]) -> Vec<u8> {
     let mut fields = vec![
         ("method", "save"),
@@ -178,7 +179,7 @@
     frame(1, "call", &arguments)
 }
 
-/// An SCGI request with every header, some of them changed or left out.
+/// An SCGI request with every header, some of them changed or omitted.
 fn request(changes: &[(&str, Option<&str>)], body: &[u8]) -> Vec<u8> {
     let mut headers = vec![
         ("REQUEST_METHOD", "PUT"),
@@ -209,19 +210,19 @@
     assert_golden("scgi_answers.txt", encoded(&scgi()).as_bytes());
 }
 
-/// Each request to a front, and how it is decoded.
-fn outcomes<const N: usize>(front: &impl Protocol, cases: [(&str, Vec<u8>); N]) -> String {
-    cases.iter().map(|(label, bytes)| format!("{label}: {}\n", decoded(front, bytes))).collect()
+/// Formats the decoded message of each case.
+fn outcomes<const N: usize>(protocol: &impl Protocol, cases: [(&str, Vec<u8>); N]) -> String {
+    cases.iter().map(|(label, bytes)| format!("{label}: {}\n", decoded(protocol, bytes))).collect()
 }
 
 #[test]
 fn thrift_requests_and_answers_to_invalid_ones_match_golden_bytes() {
     let with = |name: &'static str, value: &'static str| call(&[(name, Some(value))], b"in");
     let without = |name: &'static str| call(&[(name, None)], b"in");
-    let least = ["peer", "acct", "budget", "again", "prio", "token", "obj"].map(|name| (name, None));
+    let optional = ["peer", "acct", "budget", "again", "prio", "token", "obj"].map(|name| (name, None));
     let cases = [
         ("every field", call(&[], b"in \x00\xff")),
-        ("required fields alone", call(&[&least[..], &[("method", Some("view"))]].concat(), b"")),
+        ("required fields alone", call(&[&optional[..], &[("method", Some("view"))]].concat(), b"")),
         ("health", frame(1, "health", b"")),
         ("cancel", frame(4, "cancel", &[8, 0, 1, 0, 0, 0, 5])),
         ("unknown oneway message", frame(4, "hello", b"")),
@@ -249,12 +250,12 @@
 fn scgi_requests_and_answers_to_invalid_ones_match_golden_bytes() {
     let with = |name: &'static str, value: &'static str| request(&[(name, Some(value))], b"in");
     let without = |name: &'static str| request(&[(name, None)], b"in");
-    let least = ["HTTP_X_A", "HTTP_X_B", "HTTP_X_C", "HTTP_X_D", "HTTP_X_E", "HTTP_X_F", "HTTP_X_H"]
+    let optional = ["HTTP_X_A", "HTTP_X_B", "HTTP_X_C", "HTTP_X_D", "HTTP_X_E", "HTTP_X_F", "HTTP_X_H"]
         .map(|name| (name, None));
     let view = [("REQUEST_METHOD", Some("GET")), ("DOCUMENT_URI", Some("/sheets/9"))];
     let cases = [
         ("every field", request(&[], b"in \x00\xff")),
-        ("required fields alone", request(&[&least[..], &view[..]].concat(), b"")),
+        ("required fields alone", request(&[&optional[..], &view[..]].concat(), b"")),
         ("health", request(&[view[0], ("DOCUMENT_URI", Some("/health"))], b"")),
         ("incomplete", request(&[], b"in")[..50].to_vec()),
         ("no netstring", b"GET / HTTP/1.1\r\n\r\n".to_vec()),
--- a/crates/node/tests/golden_edges/main.rs
+++ b/crates/node/tests/golden_edges/main.rs
@@ -1,5 +1,5 @@
-//! What leaves a server at its edges, byte for byte: each test compares with a file in `tests/golden`. Such a file changes
-//! only where a protocol, or a text that it carries, is meant to change.
+//! Golden tests of the external interfaces of a server: each compares bytes with a file in `tests/golden`. Such a file
+//! changes only with an intended change of a protocol or of a text in it.
 
 mod admin;
 mod answers;
@@ -10,7 +10,8 @@
 
 use std::path::Path;
 
-/// Compares with a file of `tests/golden`; if they differ, both are printed, with bytes that are no printable ASCII escaped.
+/// Compares bytes with a file of `tests/golden`; if they differ, prints both, with bytes other than printable ASCII
+/// escaped.
 fn assert_golden(name: &str, bytes: &[u8]) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
     let golden = std::fs::read(&path).unwrap_or_else(|e| panic!("{name}: {e}"));
@@ -21,7 +22,7 @@
     assert!(golden == bytes, "{name}\n--- expected\n{}\n--- found\n{}", lines(&golden), lines(bytes));
 }
 
-/// A line of a golden file: a label and the bytes, escaped so that different bytes give different lines.
+/// A line of a golden file: a label and the escaped bytes. Different bytes give different lines.
 fn line(label: &str, bytes: &[u8]) -> String {
     format!("{label}: {}\n", bytes.escape_ascii())
 }
--- a/crates/node/tests/golden_edges/processor.rs
+++ b/crates/node/tests/golden_edges/processor.rs
@@ -1,4 +1,4 @@
-//! The lines of both directions on the link to the processor.
+//! Golden lines in both directions on the link to the processor.
 
 use super::assert_golden;
 use crossbeam_channel::{Receiver, bounded};
@@ -11,10 +11,11 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// Everything that the processor may say. It started a day ago: only a stall as long could make its second greeting another's.
-const SAID: &[u8] = b"hi WARM 86400000.25\r\n\
+/// Every kind of line that the processor sends. Its start is a day ago, so that only a delay of that length could make
+/// the second greeting look like one of another processor.
+const PROCESSOR_LINES: &[u8] = b"hi WARM 86400000.25\r\n\
     complete 1 r1 OK 12.5 6\r\ntile\r\n\r\n\
     complete 2 r2 ERROR 0 0\r\n\r\n\
     complete 3 r3 STOPPED 7 1\r\n\xff\r\n\
@@ -26,29 +27,29 @@
     remark 6 any \xff thing\r\n\
     hi COLD 86400000.25\r\n";
 
-/// Where the processor listens, the link to it and what it tells the server.
+/// Starts a stand-in processor's listener and a link to it; returns both with the queue of the server's inputs.
 fn start() -> (TcpListener, Processor, Receiver<Input>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (inputs, received) = bounded(64);
     let address = listener.local_addr().expect("an address");
     let processor = Processor::connect(address, inputs, BufferPool::new(8), Logger::root(Discard, o!()));
-    (listener, processor.expect("it starts"), received)
+    (listener, processor.expect("a link thread"), received)
 }
 
 fn accept(listener: &TcpListener) -> TcpStream {
     let (socket, _) = listener.accept().expect("a link");
-    socket.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+    socket.set_read_timeout(Some(MAX_WAIT)).expect("a timeout");
     socket
 }
 
 /// Checks that exactly these bytes come next on the link.
 fn assert_sent(socket: &mut TcpStream, expected: &[u8]) {
     let mut sent = vec![0; expected.len()];
-    socket.read_exact(&mut sent).expect("all of it");
+    socket.read_exact(&mut sent).expect("the expected number of bytes");
     assert_eq!(sent.escape_ascii().to_string(), expected.escape_ascii().to_string());
 }
 
-/// An input as a line of a golden file.
+/// Formats an input as a line of a golden file.
 fn described(input: Input) -> String {
     let ended = |end| match end {
         RunEnd::Ok => "ok",
@@ -79,7 +80,7 @@
     assert_sent(&mut socket, b"hello 0\r\n");
     socket.write_all(b"hi COLD 0\r\ncomplete 40 r0 OK 1 0\r\n\r\n").expect("written");
     for _ in 0..2 {
-        received.recv_timeout(PATIENCE).expect("an input");
+        received.recv_timeout(MAX_WAIT).expect("an input");
     }
     let id = RequestId::new("00000000000000ab");
     processor.begin(1, &id, "label-save", b"in \x00\r\n");
@@ -103,11 +104,11 @@
     let (listener, _processor, received) = start();
     let mut socket = accept(&listener);
     assert_sent(&mut socket, b"hello 0\r\n");
-    socket.write_all(SAID).expect("written");
+    socket.write_all(PROCESSOR_LINES).expect("written");
     drop(socket);
     let mut text = String::new();
     while !text.ends_with("link down\n") {
-        text += &described(received.recv_timeout(PATIENCE).expect("an input"));
+        text += &described(received.recv_timeout(MAX_WAIT).expect("an input"));
     }
     assert_golden("processor_notices.txt", text.as_bytes());
     assert_sent(&mut accept(&listener), b"hello 6\r\n");
--- a/crates/node/tests/registry_answers.rs
+++ b/crates/node/tests/registry_answers.rs
@@ -1,5 +1,5 @@
-//! Responses of a registry that are truncated, endless, of the wrong length or garbage: each request gets a reply within its
-//! timeout, and its thread goes on.
+//! Guards against a registry that blocks a server: whether its responses are truncated, endless, of the wrong length or
+//! garbage, each request gets a reply within its timeout, and its thread survives.
 
 use gradepin_node::registry::Client;
 use gradepin_node::settings::ServiceUrl;
@@ -13,33 +13,33 @@
 use std::time::Duration;
 
 const TIMEOUT: Duration = Duration::from_millis(300);
-/// The test depends on whether a reply comes, and not on how soon.
+/// Upper bound of a wait for a reply. It only ends a test that hangs; replies may be slow.
 const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// How the registry responds on a connection.
+/// How the stand-in registry responds on a connection.
 #[derive(Clone)]
 enum Answer {
-    /// Sends these bytes and closes.
+    /// Sends these bytes and closes the connection.
     SendAndClose(Vec<u8>),
-    /// Sends these bytes, then nothing, and keeps the connection open.
+    /// Sends these bytes, then keeps the connection open without sending more.
     SendAndHold(Vec<u8>),
-    /// Sends the first bytes once, then the others again and again.
+    /// Sends the first bytes once, then repeats the others slowly and endlessly.
     Drip(Vec<u8>, &'static [u8]),
 }
 
-/// A registry that responds so on every connection, until the test is over.
+/// Starts a stand-in registry that responds the same way on every connection, and returns its URL.
 fn registry(answer: Answer) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     thread::spawn(move || {
-        let mut held = Vec::new();
+        let mut open_sockets = Vec::new();
         for mut socket in listener.incoming().flatten() {
             let _ = socket.read(&mut [0; 4_096]);
             match answer.clone() {
                 Answer::SendAndClose(bytes) => drop(socket.write_all(&bytes)),
                 Answer::SendAndHold(bytes) => {
                     let _ = socket.write_all(&bytes);
-                    held.push(socket);
+                    open_sockets.push(socket);
                 }
                 Answer::Drip(bytes, more) => drop(thread::spawn(move || {
                     let _ = socket.write_all(&bytes);
@@ -53,7 +53,7 @@
     format!("http://{address}/eureka")
 }
 
-/// Makes a request in a thread with the same stack as in the server.
+/// Makes a request on a thread with the stack size of the server's registry threads.
 fn ask(url: String, format: Format, op: RegistryOperation) -> Receiver<RegistryReply> {
     let (replies, replied) = channel();
     let run = move || {
@@ -74,7 +74,7 @@
     let deep_xml = "<a>".repeat(20_000);
     let wide_xml = format!("<instance {}/>", (0..5_000).map(|n| format!("a{n}='' ")).collect::<String>());
     let with_body = |lines: &str, body: &str| [head(lines), body.as_bytes().to_vec()].concat();
-    let says = [
+    let responses = [
         Vec::new(),
         b"\r\n".to_vec(),
         b"HTTP/1.1".to_vec(),
@@ -106,8 +106,8 @@
         with_body(&format!("Content-Length: {}\r\n", wide_xml.len()), &wide_xml),
         with_body("", &"x".repeat(1 << 20)),
     ];
-    let mut answers: Vec<Answer> = says.iter().cloned().map(Answer::SendAndClose).collect();
-    answers.extend(says.into_iter().map(Answer::SendAndHold));
+    let mut answers: Vec<Answer> = responses.iter().cloned().map(Answer::SendAndClose).collect();
+    answers.extend(responses.into_iter().map(Answer::SendAndHold));
     answers.push(Answer::Drip(Vec::new(), b"H"));
     answers.push(Answer::Drip(b"HTTP/1.1 200 OK\r\n".to_vec(), b"X: y\r\n"));
     answers.push(Answer::Drip(b"".to_vec(), b"HTTP/1.1 100 Continue\r\n\r\n"));
@@ -115,7 +115,7 @@
     answers.push(Answer::Drip(head("Transfer-Encoding: chunked\r\n"), b"1\r\n{\r\n"));
     answers.push(Answer::Drip(head("Transfer-Encoding: chunked\r\n"), b"1;x"));
     answers.push(Answer::Drip(head(""), b" "));
-    for (part, answers) in answers.chunks(8).enumerate() {
+    for (batch, answers) in answers.chunks(8).enumerate() {
         let mut waiting = Vec::new();
         for (n, answer) in answers.iter().enumerate() {
             for format in [Format::Json, Format::Xml] {
@@ -125,14 +125,14 @@
                     RegistryOperation::Heartbeat { status: InstanceStatus::Up, dirty_ms: 1 },
                     RegistryOperation::Cancel,
                 ] {
-                    let what = format!("answer {} to {op:?}, {format:?}", 8 * part + n);
-                    waiting.push((what, ask(url.clone(), format, op)));
+                    let label = format!("answer {} to {op:?}, {format:?}", 8 * batch + n);
+                    waiting.push((label, ask(url.clone(), format, op)));
                 }
             }
         }
-        for (what, replied) in waiting {
-            let reply = replied.recv_timeout(MAX_WAIT).unwrap_or_else(|why| panic!("{what}: {why}"));
-            assert!(!matches!(reply, RegistryReply::Record(_)), "{what}: {reply:?}");
+        for (label, replied) in waiting {
+            let reply = replied.recv_timeout(MAX_WAIT).unwrap_or_else(|error| panic!("{label}: {error}"));
+            assert!(!matches!(reply, RegistryReply::Record(_)), "{label}: {reply:?}");
         }
     }
 }
