--- a/crates/node/src/admin/agreements.rs
+++ b/crates/node/src/admin/agreements.rs
@@ -19,10 +19,10 @@
 use gradepin_core::admin::AgreementResponse;
 use serde_json::{Value, json};
 
-/// Operator actions shown, the latest first.
+/// Maximum number of operator actions in the status, latest first.
 const MAX_ACTIONS: usize = 8;
 
-/// The HTTP response for a response of the reducer.
+/// Converts a response of the reducer to an HTTP response.
 pub(super) fn response(answer: &AgreementResponse) -> Response {
     match answer {
         AgreementResponse::Off => {
@@ -87,7 +87,7 @@
     let permit = state.permit_of(&Target::Server(name.clone())).map(|(epoch, _)| epoch);
     let RunningVersions { program, settings } = status.versions.get(name).cloned().unwrap_or_default();
     let in_rollout = state.rollout.as_ref().and_then(|rollout| rollout.servers.get(name));
-    // Only voters know which servers don't report that they are ready.
+    // Only voters know which servers don't report readiness.
     let ready = status.is_voter.then(|| !status.not_ready.contains(name));
     json!({
         "name": &**name,
--- a/crates/node/src/admin/agreements/tests.rs
+++ b/crates/node/src/admin/agreements/tests.rs
@@ -1,5 +1,5 @@
-//! The JSON of `GET /fleet/status`, as a file of an earlier version has it: `gradepin fleet` of another version
-//! and the operators' scripts read it.
+//! Golden test of the JSON of `GET /fleet/status`, which `gradepin fleet` of other versions and operators' scripts
+//! read.
 
 use super::*;
 use gradepin_coordination::permit_client::WaitingRequest;
@@ -23,7 +23,7 @@
     ]
 }
 
-fn record(state: RolloutState) -> ReplicatedState {
+fn replicated_state(state: RolloutState) -> ReplicatedState {
     let permit = |target, purpose, stage| Permit {
         target,
         holder: name("n1"),
@@ -49,7 +49,7 @@
     };
     let servers = steps().into_iter().enumerate().map(server).collect();
     let operator = name("kaisa");
-    let release =
+    let rollout =
         Rollout { number: 300, plan, operator: operator.clone(), state, batch: 0, halt_count: 2, servers };
     let member = |at: usize| (name(&format!("n{at}")), Member { zone: name("z1") });
     ReplicatedState {
@@ -70,14 +70,14 @@
             reason: "why".into(),
         }]
         .into(),
-        rollout: Some(release),
+        rollout: Some(rollout),
         ..ReplicatedState::default()
     }
 }
 
-fn status(record: Option<(ReplicatedState, f64)>, voter: bool) -> AgentStatus {
+fn status(known_state: Option<(ReplicatedState, f64)>, voter: bool) -> AgentStatus {
     AgentStatus {
-        known_state: record.map(|(state, age_s)| KnownState { state, age_s }),
+        known_state: known_state.map(|(state, age_s)| KnownState { state, age_s }),
         leader: Some(name("n0")),
         is_voter: voter,
         exclusion: Some("lost".into()),
@@ -97,14 +97,16 @@
         RolloutState::Done,
         RolloutState::RolledBack("u".into()),
     ];
-    let mut shown: Vec<Value> =
-        states.into_iter().map(|state| status_json(&status(Some((record(state), 0.25)), true))).collect();
-    shown.push(status_json(&status(Some((record(RolloutState::Done), f64::INFINITY)), false)));
+    let mut shown: Vec<Value> = states
+        .into_iter()
+        .map(|state| status_json(&status(Some((replicated_state(state), 0.25)), true)))
+        .collect();
+    shown.push(status_json(&status(Some((replicated_state(RolloutState::Done), f64::INFINITY)), false)));
     shown.push(status_json(&AgentStatus::default()));
     let text: String = shown.iter().map(|value| format!("{value}\n")).collect();
     let golden = include_str!("../../../tests/golden/fleet-status.jsonl");
-    for (got, expected) in text.lines().zip(golden.lines()) {
-        assert_eq!(got, expected, "got, expected");
+    for (actual, expected) in text.lines().zip(golden.lines()) {
+        assert_eq!(actual, expected, "actual, expected");
     }
     assert_eq!(text, golden);
 }
--- a/crates/node/src/admin/configuration.rs
+++ b/crates/node/src/admin/configuration.rs
@@ -5,7 +5,7 @@
 use gradepin_core::configuration::ConfigurationAdminResponse;
 use serde::Serialize;
 
-/// The HTTP response for a response of the reducer.
+/// Converts a response of the reducer to an HTTP response.
 pub(super) fn response(answer: &ConfigurationAdminResponse) -> Response {
     match answer {
         ConfigurationAdminResponse::Apply(reply @ ApplyReply::Pending { .. }) => json(202, reply),
@@ -15,7 +15,7 @@
     }
 }
 
-/// The HTTP response for a request that changed nothing.
+/// Builds the HTTP response to a rejected or invalid request.
 pub(super) fn error_response(error: &AdminError) -> Response {
     json(error.status(), error)
 }
--- a/crates/node/src/admin/connection.rs
+++ b/crates/node/src/admin/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of the admin endpoint: a request, its response, the end.
+//! Serves one connection of the admin endpoint: reads a request, responds and closes.
 
 use super::configuration;
 use super::http::{self, MAX_BODY_BYTES, RequestHead, Response};
@@ -15,38 +15,38 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// How long a caller has to send a complete request, which is answered 408 then.
+/// Limit for receiving a complete request; after it the response is 408.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// Lingering close: how long the caller has to end the connection, so that the close doesn't reset the response.
+/// Lingering close: how long received bytes are discarded before the close, so that it doesn't reset the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What requests are handed to.
+/// The parts of the server that process requests.
 pub(super) struct Backends {
     /// The reducer, which answers most requests.
     pub(super) reducer: ReducerClient,
-    /// Where settings are staged for rollouts, if they are.
+    /// Folder of settings staged for rollouts, if there is one.
     pub(super) staging_area: Option<Arc<StagingArea>>,
 }
 
 /// A complete request.
 struct Request {
-    /// The endpoint, or the response that reports why there is none.
+    /// The endpoint, or the error response if the path, method or query is invalid.
     endpoint: Result<Endpoint, Response>,
-    /// Whether only the head of the response is wanted.
+    /// Whether the response must have no body.
     head_only: bool,
-    /// The body; incomplete if the endpoint takes none.
+    /// The body; incomplete if the endpoint uses none.
     body: Vec<u8>,
 }
 
 /// Why no request was read.
 enum ReadError {
-    /// It is invalid or came too slowly; the caller gets this response.
+    /// The request is invalid or was not complete in time; this is the response.
     Rejected(Response),
-    /// The connection ended or failed; nobody waits for a response.
+    /// The connection ended or failed, so no response is sent.
     Disconnected,
 }
 
-/// Reads one request, sets `request_complete` and answers it.
+/// Reads one request, sets `request_complete` and responds.
 pub(super) fn serve(stream: &TcpStream, request_complete: &AtomicBool, backends: &Backends) {
     let deadline = Instant::now() + READ_TIMEOUT;
     let request = match read(stream, deadline) {
@@ -95,7 +95,7 @@
         bytes.extend_from_slice(&chunk[..count]);
     };
     let endpoint = routes::route(&head.method, &head.path, &head.query);
-    // A body without use is read and dropped, so that the close doesn't reset the response.
+    // An unused body is read and dropped, so that the close doesn't reset the response.
     let takes_body = endpoint.as_ref().is_ok_and(Endpoint::takes_body);
     let mut body = bytes.split_off(head.head_bytes.min(bytes.len()));
     let mut received_bytes = body.len().min(MAX_BODY_BYTES);
@@ -110,7 +110,7 @@
     Ok(Request { endpoint, head_only: head.is_head_request(), body })
 }
 
-/// Reads some bytes before the deadline.
+/// Reads at least one byte, until the deadline at most.
 fn read_chunk(mut stream: &TcpStream, deadline: Instant, chunk: &mut [u8]) -> Result<usize, ReadError> {
     let timed_out = || {
         let text = format!("expected a whole request within {READ_TIMEOUT:?}\n");
@@ -135,7 +135,7 @@
 /// Checks and stages settings, and notifies the reducer.
 fn stage_settings(body: &[u8], backends: &Backends) -> Response {
     let Some(staging_area) = &backends.staging_area else {
-        return Response::text(404, "expected a stage in the settings' council block\n");
+        return Response::text(404, "expected a node 'stage' in the council block of the settings\n");
     };
     let text = match std::str::from_utf8(body) {
         Ok(text) => text,
@@ -145,7 +145,10 @@
         Ok(digest) => {
             let input = Input::StagedSettingsChanged { active: None, staged: staging_area.staged() };
             if !backends.reducer.notify(input) {
-                return Response::text(503, "the server did not take it in time; try again\n");
+                return Response::text(
+                    503,
+                    "the server did not accept the staged settings in time; try again\n",
+                );
             }
             Response::text(200, format!("{digest}\n"))
         }
@@ -153,14 +156,14 @@
     }
 }
 
-/// Writes a response and ends the connection once the caller has it.
+/// Writes a response and closes the connection after the operator's program has received it.
 pub(super) fn respond(mut stream: &TcpStream, response: &Response, head_only: bool) {
     let _ = stream.set_write_timeout(Some(READ_TIMEOUT));
     if stream.write_all(&response.bytes(head_only)).is_err() {
         return;
     }
     let _ = stream.shutdown(Shutdown::Write);
-    // What the caller still sends is read for a moment, so that the close doesn't reset the response.
+    // Bytes that still arrive are read for a short time, so that the close doesn't reset the response.
     let _ = stream.set_read_timeout(Some(LINGER_TIMEOUT));
     let mut discarded = [0_u8; 256];
     let deadline = Instant::now() + LINGER_TIMEOUT;
--- a/crates/node/src/admin/exposition.rs
+++ b/crates/node/src/admin/exposition.rs
@@ -1,4 +1,4 @@
-//! Metrics in the text format of Prometheus and OpenMetrics, written by `prometheus-client`. The published names and
+//! Encodes metrics in the text format of Prometheus and OpenMetrics with `prometheus-client`. The published names and
 //! labels are mapped here.
 //!
 //! | name | type | labels | meaning |
@@ -40,13 +40,13 @@
 use prometheus_client::registry::Registry;
 use std::sync::atomic::AtomicU64;
 
-/// MIME type of the text, as OpenMetrics defines it; Prometheus reads it too.
+/// MIME type of the text according to OpenMetrics; Prometheus accepts it too.
 pub(super) const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 type Labels = Vec<(&'static str, String)>;
 type FloatGauge = Gauge<f64, AtomicU64>;
 
-/// The text of a scrape.
+/// Encodes the response to a scrape.
 pub(super) fn text(metrics: &MetricsSnapshot) -> String {
     let mut registry = Registry::with_prefix("server");
     register_requests(&mut registry, metrics);
--- a/crates/node/src/admin/exposition/tests.rs
+++ b/crates/node/src/admin/exposition/tests.rs
@@ -2,7 +2,7 @@
 use gradepin_core::request_metrics::ResponseCounts;
 use std::sync::Arc;
 
-/// Guards the names and labels that scrapers read: one line for each metric, with its value.
+/// Guards the names and labels that scrapers read: there is one line with the value of each metric.
 #[test]
 fn metrics_have_their_published_names_and_labels() {
     let metrics = MetricsSnapshot {
--- a/crates/node/src/admin/fleet.rs
+++ b/crates/node/src/admin/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet as this server sees it, as JSON: the response of `GET /fleet`.
+//! Encodes this server's view of the fleet as JSON: the response to `GET /fleet`.
 //!
 //! ```text
 //! {"name": "n3", "life": "18c5..", "members": [{"name", "zone", "life", "up", "for_ms"}, ..],
@@ -6,14 +6,14 @@
 //!  "dropped": {"late": 3, ..}}
 //! ```
 //!
-//! `life` is the incarnation of a server, in hexadecimal; `heard` counts the servers whose reports are recent, and
-//! `oldest_s` is the age of the oldest of these; `slots` are those of the shared upstream, and `ledger_open` says that its
-//! circuit breaker is closed; `dropped` counts datagrams by reason.
+//! `life` is the incarnation of a server in hexadecimal; `heard` is the number of servers with recent reports and
+//! `oldest_s` the age of the oldest of these reports; `slots` are those of the shared upstream, and `ledger_open` is
+//! true while its circuit breaker is closed; `dropped` counts dropped datagrams by reason.
 
 use gradepin_cluster::cluster::{FleetView, MemberView};
 use serde_json::{Map, Value, json};
 
-/// The JSON text, on one line.
+/// Encodes the view as one line of JSON.
 pub(super) fn view_json(view: &FleetView) -> String {
     let status = &view.status;
     let members: Vec<Value> = view.members.iter().map(member).collect();
--- a/crates/node/src/admin/http.rs
+++ b/crates/node/src/admin/http.rs
@@ -1,38 +1,38 @@
-//! HTTP/1.1 of the admin endpoint, one request on each connection: request heads, parsed with `httparse`, and responses
-//! as bytes. No I/O.
+//! HTTP/1.1 of the admin endpoint, one request per connection: parses request heads with `httparse` and encodes
+//! responses. No I/O.
 
-/// Size of a request head at most, in bytes.
+/// Maximum size of a request head.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Size of a body at most, in bytes: a configuration, or a command.
+/// Maximum size of a body, which is a configuration or a command.
 pub const MAX_BODY_BYTES: usize = 256 * 1024;
-/// Headers of a request at most.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 32;
 
-/// A response.
+/// An HTTP response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
     /// Status code.
     pub status: u16,
-    /// The allowed methods, for a method that is not.
+    /// The allowed methods; only in the response to a method that is not allowed.
     pub allow: Option<&'static str>,
     /// MIME type of the body.
     pub content_type: &'static str,
-    /// The body.
+    /// The body, which is omitted in the response to HEAD.
     pub body: String,
 }
 
 impl Response {
-    /// A response with plain text.
+    /// Creates a response with plain text.
     pub fn text(status: u16, body: impl Into<String>) -> Self {
         Self { status, allow: None, content_type: "text/plain; charset=utf-8", body: body.into() }
     }
 
-    /// A response with JSON.
+    /// Creates a response with JSON.
     pub fn json(status: u16, body: impl Into<String>) -> Self {
         Self { status, allow: None, content_type: "application/json", body: body.into() }
     }
 
-    /// The bytes on the wire; a response to HEAD has no body. The connection is closed after it.
+    /// Encodes the response, without the body if `head_only`. The connection is closed after it.
     pub fn bytes(&self, head_only: bool) -> Vec<u8> {
         let mut head = format!("HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
         if let Some(allow) = self.allow {
@@ -72,20 +72,20 @@
 /// A complete request head.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestHead {
-    /// Its length in bytes, with the empty line.
+    /// Length of the head in bytes, including the empty line.
     pub head_bytes: usize,
     /// Length of the body that follows, in bytes.
     pub body_bytes: usize,
-    /// The method.
+    /// The method, as sent.
     pub method: String,
     /// The path without the query.
     pub path: String,
-    /// What follows the `?`; empty if there is none.
+    /// The query after the `?`; empty if there is none.
     pub query: String,
 }
 
 impl RequestHead {
-    /// Whether only the head of the response is wanted.
+    /// Whether the response must have no body.
     pub fn is_head_request(&self) -> bool {
         self.method == "HEAD"
     }
@@ -94,7 +94,7 @@
 /// Parses the request head at the start of these bytes; `None` while it is incomplete.
 ///
 /// # Errors
-/// The response for bytes that are no HTTP request, or that exceed a limit.
+/// The error response, if the bytes are no HTTP request or exceed a limit.
 pub fn parse_head(bytes: &[u8]) -> Result<Option<RequestHead>, Response> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -119,7 +119,7 @@
     }))
 }
 
-/// Length of the body by the headers, in bytes.
+/// Length of the body in bytes, according to the headers.
 fn body_length(headers: &[httparse::Header<'_>]) -> Result<usize, Response> {
     let value = |name: &str| {
         headers.iter().find(|header| header.name.eq_ignore_ascii_case(name)).map(|header| header.value)
--- a/crates/node/src/admin/http/tests.rs
+++ b/crates/node/src/admin/http/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Guards the wire: a status line, the length of the body, and the announced end of the connection.
+/// Guards the wire format: the status line, the length of the body, and the announced close of the connection.
 #[test]
 fn response_has_status_length_and_close() {
     let mut response = Response::text(405, "no\n");
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -1,10 +1,11 @@
-//! The admin endpoint: an HTTP listener for operators, apart from the clients' front ends, with a small thread for each
-//! connection, so that neither load on the front ends nor a slow caller delays another caller's response.
+//! The admin endpoint: an HTTP listener for operators, separate from the clients' front ends, with a small thread for
+//! each connection, so that neither load on the front ends nor a slow operator connection delays other responses.
 //!
-//! A request becomes an input of the reducer on the urgent queue, which no client fills, and is answered in its next
-//! step; if that takes too long, the endpoint answers 503 itself. `server` accepts and bounds the connections,
-//! `reducer_client` waits for the reducer, `connection` reads and answers one request, [`routes`] maps paths to requests, [`http`] is the wire, and
-//! `responses` maps the reducer's responses to it, with a module for each kind that is JSON or metrics. The meaning of requests is in `gradepin_core::admin`.
+//! A request becomes an input of the reducer on the urgent queue, which no client can fill, and is answered in the next
+//! step of the reducer; if that takes too long, the endpoint itself answers 503. `server` accepts connections and
+//! limits their number, `reducer_client` waits for the reducer, `connection` reads and answers one request, [`routes`]
+//! maps paths to requests, [`http`] is the wire format, and `responses` maps the reducer's responses to HTTP, with a
+//! module for each kind of JSON or metrics. `gradepin_core::admin` defines the meaning of requests.
 
 mod agreements;
 mod configuration;
--- a/crates/node/src/admin/responses.rs
+++ b/crates/node/src/admin/responses.rs
@@ -4,7 +4,7 @@
 use super::{agreements, configuration, exposition, fleet};
 use gradepin_core::admin::AdminResponse;
 
-/// The HTTP response for a response of the reducer.
+/// Converts a response of the reducer to an HTTP response.
 pub fn response(answer: AdminResponse) -> Response {
     match answer {
         AdminResponse::Health(Ok(())) => Response::text(200, "ready\n"),
--- a/crates/node/src/admin/routes.rs
+++ b/crates/node/src/admin/routes.rs
@@ -1,4 +1,4 @@
-//! The paths and methods of the admin endpoint, and the requests that they name.
+//! Maps the paths and methods of the admin endpoint to requests.
 
 use super::configuration;
 use super::http::Response;
@@ -10,7 +10,7 @@
 const WRITE: &str = "POST";
 const READ_OR_WRITE: &str = "GET, POST";
 
-/// What a method, a path and a query name.
+/// The endpoint named by a method, a path and a query.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Endpoint {
     /// A request without a body.
@@ -19,7 +19,7 @@
     SubmitCommand,
     /// A change of the committed configuration, with a JSON body.
     ApplyConfiguration,
-    /// Settings to be staged for a rollout, with a configuration as body.
+    /// Stages settings for a rollout, with a configuration as body.
     StageSettings,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// A path: its allowed methods, and what it names or why the query is invalid.
+/// A path with its allowed methods, and its endpoint or the error response to an invalid query.
 struct Resource {
     allow: &'static str,
     endpoint: Result<Endpoint, Response>,
@@ -58,7 +58,7 @@
     }
 }
 
-/// The endpoint that a method, a path and a query name.
+/// Returns the endpoint of a method, a path and a query.
 ///
 /// # Errors
 /// The response for an unknown path, a method that is not allowed, or an invalid query.
@@ -126,7 +126,7 @@
     Response::text(400, format!("expected {expected}, as in {path}?{expected}, got '{query}'\n"))
 }
 
-/// The value of a name in a query, as it is written: no valid value needs an escape.
+/// The unescaped value of a name in a query; no valid value needs escapes.
 fn query_value<'q>(query: &'q str, name: &str) -> Option<&'q str> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
--- a/crates/node/src/admin/routes/tests.rs
+++ b/crates/node/src/admin/routes/tests.rs
@@ -5,7 +5,7 @@
     route(&head.method, &head.path, &head.query)
 }
 
-/// Status of the response to these bytes; 200 for a valid request, 0 for an incomplete one.
+/// Status of the error response to these bytes; 200 for a valid request, 0 for an incomplete one.
 fn status(bytes: &[u8]) -> u16 {
     match parse_head(bytes) {
         Ok(Some(head)) => endpoint(&head).map_or_else(|response| response.status, |_| 200),
--- a/crates/node/src/admin/server.rs
+++ b/crates/node/src/admin/server.rs
@@ -1,7 +1,7 @@
 //! Accepts connections of the admin endpoint, at most [`MAX_CONNECTIONS`] at a time, and serves each on a thread.
 //!
-//! When all slots are taken, a new connection replaces the oldest one whose request is incomplete; if all requests are
-//! complete, it is answered 503: those are answered within their timeout anyway.
+//! If all slots are in use, a new connection replaces the oldest one whose request is incomplete. If all requests are
+//! complete, the new connection is answered 503; the others are answered within their timeout.
 
 use super::connection::{self, Backends};
 use super::http::Response;
@@ -18,25 +18,26 @@
 use std::thread;
 use std::time::Duration;
 
-/// Connections served at a time, each with a thread. Their descriptors are reserved, in addition to those of clients.
+/// Maximum number of concurrent connections, each with a thread. Their descriptors are reserved in addition to those of
+/// clients.
 pub const MAX_CONNECTIONS: usize = 32;
-/// Before accepting is retried after an error.
+/// Pause before accepting is retried after an error.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
-/// Stack of each thread: the buffers are on the heap.
+/// Stack size of each thread, whose buffers are on the heap.
 const STACK_BYTES: usize = 64 * 1024;
 
 /// A connection being served.
 struct ServedConnection {
     number: u64,
-    /// Shared with its thread, so that it takes one descriptor and can be shut from here.
+    /// Shared with the connection's thread, so that it uses one descriptor and the acceptor can shut it down.
     stream: Arc<TcpStream>,
-    /// Whether its request is complete.
+    /// Whether the request has been read completely.
     request_complete: Arc<AtomicBool>,
 }
 
-/// What the threads of the endpoint share.
+/// State shared by the threads of the endpoint.
 struct Shared {
-    /// At most [`MAX_CONNECTIONS`], the oldest first.
+    /// Connections being served, at most [`MAX_CONNECTIONS`], oldest first.
     connections: Mutex<Vec<ServedConnection>>,
     next_number: AtomicU64,
     backends: Backends,
@@ -52,7 +53,7 @@
         self.connections().retain(|connection| connection.number != number);
     }
 
-    /// Takes a slot for a connection; false if all are taken by connections whose requests are complete.
+    /// Allocates a slot for a connection; false if all slots are used by connections with complete requests.
     fn take_slot(&self, connection: ServedConnection) -> bool {
         let mut connections = self.connections();
         if connections.len() >= MAX_CONNECTIONS {
@@ -66,14 +67,14 @@
     }
 }
 
-/// The endpoint, for the main thread, which passes the reducer's responses to it.
+/// The main thread's handle to the endpoint, which receives the reducer's responses.
 pub struct Admin {
     shared: Arc<Shared>,
     address: SocketAddr,
 }
 
 impl Admin {
-    /// Starts to serve connections of the listener; requests become inputs of the reducer.
+    /// Starts serving connections of the listener; requests become inputs of the reducer.
     ///
     /// # Errors
     /// If the listener has no address, or the thread can't be started.
@@ -97,12 +98,12 @@
         Ok(Self { shared, address })
     }
 
-    /// Address that it listens on.
+    /// The address on which the endpoint listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Passes on the reducer's response to a request; dropped if the request timed out meanwhile.
+    /// Forwards the reducer's response to a request; dropped if the request has timed out meanwhile.
     pub fn answer(&self, id: AdminRequestId, answer: AdminResponse) {
         self.shared.backends.reducer.answer(id, answer);
     }
@@ -113,15 +114,15 @@
         match stream {
             Ok(stream) => start_serving(stream, shared),
             Err(e) => {
-                warn!(shared.log, "accepting an admin connection failed"; "error" => %e);
-                // Mostly for want of descriptors; without a pause this would take the core.
+                warn!(shared.log, "accepting a connection of the admin endpoint failed; retrying"; "error" => %e);
+                // Usually a shortage of descriptors. Without a pause it would cause a busy loop.
                 thread::sleep(ACCEPT_BACKOFF);
             }
         }
     }
 }
 
-/// Serves a connection on a thread of its own, if a slot is free.
+/// Serves a connection on a separate thread, if a slot is free.
 fn start_serving(stream: TcpStream, shared: &Arc<Shared>) {
     let number = shared.next_number.fetch_add(1, Ordering::Relaxed);
     let (stream, request_complete) = (Arc::new(stream), Arc::new(AtomicBool::new(false)));
@@ -139,7 +140,7 @@
         serving.forget(number);
     };
     if let Err(e) = thread::Builder::new().name("admin-call".into()).stack_size(STACK_BYTES).spawn(serve) {
-        warn!(shared.log, "an admin connection could not be served"; "error" => %e);
+        warn!(shared.log, "can't start a thread for a connection of the admin endpoint; closing it"; "error" => %e);
         shared.forget(number);
     }
 }
--- a/crates/node/src/configuration_service.rs
+++ b/crates/node/src/configuration_service.rs
@@ -1,5 +1,5 @@
-//! The configuration service at the start of a server: finds the configuration to start from, on disk or in the
-//! configuration file, and makes the reducer's settings of it.
+//! The configuration service at the start of a server: finds the initial configuration, on disk or in the configuration
+//! file, and builds the reducer's settings from it.
 
 use crate::configuration_writer::{ConfigurationWriter, RETRY_INTERVAL};
 use crate::settings::{ConfigurationSettings, ConsensusSettings};
@@ -19,29 +19,29 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long the writer waits for space to report a durable state; the report of the next one makes up for a lost one.
+/// How long the writer waits to report a durable state if the queue is full. A lost report is replaced by the next one.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes of commits kept for peers.
+/// Maximum size of the commits kept for peers.
 const MAX_HISTORY_BYTES: usize = 4 << 20;
 
 /// Why the configuration service can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigurationStartError {
-    /// The configuration file can't be the base.
+    /// The configuration file is no valid initial configuration.
     #[error("the configuration: {0}")]
     Base(#[from] Invalid),
     /// The folder can't be used.
     #[error("the folder of the configuration: {0}")]
     Store(#[from] ConfigurationStoreError),
-    /// The folder can't be opened, or another process has it.
+    /// The folder can't be opened, or another process has it open.
     #[error("the folder of the configuration: {0}")]
     Folder(#[from] FolderError),
-    /// A voter has no folder for the configurations that it voted for.
+    /// A voter has no folder in which configurations that it accepted become durable.
     #[error("expected a folder in config: this server is a voter of the consensus group")]
     VoterWithoutFolder,
 }
 
-/// The configuration that the service starts from, and its open folder.
+/// The initial configuration of the service, and its open folder.
 pub struct ConfigurationService {
     state: Configuration,
     source: Source,
@@ -49,8 +49,8 @@
 }
 
 impl ConfigurationService {
-    /// Finds the state to start from: the last good one where the folder has one, else that of the configuration file.
-    /// Replaces classes, tenants and rules of `config` by it.
+    /// Finds the initial state: the last good one in the folder, or else that of the configuration file. Replaces
+    /// classes, tenants and rules of `config` by those of this state.
     pub fn open(
         settings: &ConfigurationSettings,
         consensus: Option<&ConsensusSettings>,
@@ -77,7 +77,7 @@
         Ok(Self { state, source: Source::Snapshot, store: Some(store) })
     }
 
-    /// What the reducer starts the service with; `own` is this server's identity in the cluster.
+    /// Builds the state with which the reducer starts the service; `own` is this server's identity in the cluster.
     pub fn start(
         &self,
         settings: &ConfigurationSettings,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Starts the thread that writes committed configurations, where there is a folder.
+    /// Starts the thread that writes committed configurations, if there is a folder.
     pub fn start_writer(self, inputs: Sender<Input>) -> io::Result<Option<ConfigurationWriter>> {
         let report = move |result| {
             let _ = inputs.send_timeout(Input::ConfigurationWritten(result), REPORT_TIMEOUT);
@@ -117,7 +117,7 @@
     }
 }
 
-/// Settings of the configuration log in the consensus group.
+/// Builds the settings of the configuration log in the consensus group.
 pub fn log_settings(settings: &ConfigurationSettings) -> configuration_log::ConfigurationSettings {
     let history = u32::try_from(settings.history).unwrap_or(u32::MAX).min(configuration_log::MAX_HISTORY);
     configuration_log::ConfigurationSettings { history, ..Default::default() }
--- a/crates/node/src/configuration_writer.rs
+++ b/crates/node/src/configuration_writer.rs
@@ -1,8 +1,8 @@
 //! The thread that writes the last good configuration to disk; callers never wait for the disk.
 //!
-//! It holds the newest state and at most `MAX_PENDING_COMMITS` commits that led to it; where the disk is slower than
-//! commits, one snapshot replaces them. A failure is reported once for each reason and the write is retried: serving does
-//! not depend on it.
+//! It queues the newest state and at most `MAX_PENDING_COMMITS` commits that led to it; if the disk is slower than the
+//! commits, one snapshot replaces them. A failure is reported once per reason and the write is retried; serving doesn't
+//! depend on it.
 
 use gradepin_config::{Commit, Snapshot};
 use gradepin_core::configuration::ConfigurationSaveResult;
@@ -14,16 +14,16 @@
 use std::time::Duration;
 
 const STACK_BYTES: usize = 256 * 1024;
-/// Commits that wait for the disk; a snapshot replaces more.
+/// Commits that can wait for the disk; if there are more, a snapshot replaces them.
 const MAX_PENDING_COMMITS: usize = 256;
-/// The pause between attempts to write to a disk that fails.
+/// Pause between attempts to write to a failing disk.
 pub const RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
 #[derive(Default)]
 struct Pending {
-    /// The newest state; None once it is written.
+    /// The newest state; `None` after it is written.
     state: Option<Snapshot>,
-    /// The last commits that led to it, without gaps.
+    /// The last commits that led to the state, without gaps.
     commits: VecDeque<Arc<Commit>>,
     closed: bool,
 }
@@ -40,14 +40,14 @@
     }
 }
 
-/// The thread, as the main thread uses it. Its drop waits until the newest state is written, or its write has failed.
+/// The main thread's handle to the writer. Dropping it waits until the newest state is written or its write has failed.
 pub struct ConfigurationWriter {
     shared: Arc<Shared>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl ConfigurationWriter {
-    /// Starts the thread, which calls `report` with the result of each write.
+    /// Starts the thread, which calls `report` with each success and each new failure, and retries after `retry`.
     pub fn start(
         store: ConfigurationStore,
         retry: Duration,
@@ -60,7 +60,7 @@
         Ok(Self { shared, thread: Some(thread) })
     }
 
-    /// Queues a state, and the commit that led to it from the one before; None for a state that did not come by a commit.
+    /// Queues a state and the commit that led to it from the previous one; `None` if it was not reached by one commit.
     pub fn save(&self, state: Snapshot, commit: Option<Arc<Commit>>) {
         let mut pending = self.shared.pending();
         match commit {
@@ -123,7 +123,8 @@
     }
 }
 
-/// Waits before the write of a state is retried; a newer state replaces it meanwhile. False where the writer was dropped.
+/// Waits before the write of a state is retried; a newer state may replace it meanwhile. False if the writer was
+/// dropped.
 fn wait_to_retry(shared: &Shared, state: Snapshot, retry: Duration) -> bool {
     let mut pending = shared.pending();
     if pending.state.is_none() {
--- a/crates/node/src/configuration_writer/tests.rs
+++ b/crates/node/src/configuration_writer/tests.rs
@@ -1,4 +1,4 @@
-//! The writer on a disk that hangs, and on one that is full.
+//! The configuration writer on a disk that hangs and on a full disk.
 
 use super::*;
 use crossbeam_channel::{Receiver, unbounded};
@@ -6,7 +6,7 @@
 use gradepin_config::{Change, Configuration, Revision, Transaction};
 use gradepin_store::sim::{Fault, SimDisk};
 
-/// A wait that only ends a test which would hang.
+/// Only ends a test that would hang otherwise.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
 fn base() -> Configuration {
@@ -73,7 +73,7 @@
     let mut state = base();
     writer.save(Snapshot::of(&state), None);
     results_until(&results, Revision(0));
-    // The gate is closed until all is handed in: a writer that made its caller wait would never come to open it.
+    // Syncs hang until all commits are queued: if `save` blocked, the test would never reach the end of the hang.
     disk.fail(Fault::SyncHangs);
     for _ in 0..2 * MAX_PENDING_COMMITS + 3 {
         let commit = next(&mut state);
@@ -96,14 +96,18 @@
     disk.fail(Fault::Full(held));
     let commit = next(&mut state);
     writer.save(Snapshot::of(&state), Some(commit));
-    let why = results.recv_timeout(MAX_WAIT).expect("a result of the writer");
-    assert!(matches!(why, ConfigurationSaveResult::Failed { .. }), "{why:?}");
-    assert_eq!(found(&disk).map(|found| found.revision()), Some(Revision(0)), "the state before");
+    let result = results.recv_timeout(MAX_WAIT).expect("a result of the writer");
+    assert!(matches!(result, ConfigurationSaveResult::Failed { .. }), "{result:?}");
+    assert_eq!(found(&disk).map(|found| found.revision()), Some(Revision(0)), "the previous state");
     disk.fail(Fault::None);
     let all = results_until(&results, Revision(1));
-    assert!(all.len() <= 2, "each reason once: {all:?}");
+    assert!(all.len() <= 2, "each reason is reported once: {all:?}");
     let commit = next(&mut state);
     writer.save(Snapshot::of(&state), Some(commit));
     drop(writer);
-    assert_eq!(found(&disk).map(|found| found.version()), Some(state.version()), "written at the end");
+    assert_eq!(
+        found(&disk).map(|found| found.version()),
+        Some(state.version()),
+        "written before the drop returns"
+    );
 }
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,12 +1,12 @@
-//! The log: lines on standard error, written by a thread of its own so that a slow reader delays nobody. Lines past a rate
-//! limit, or past what the thread's queue holds, are dropped and counted.
+//! The log: lines on standard error, written by a separate thread so that a slow reader delays no other thread. Lines
+//! past a rate limit, or past the capacity of the thread's queue, are dropped and counted.
 
 use slog::{Drain, Level, Logger, Never, OwnedKVList, Record, o};
 use std::sync::{Mutex, PoisonError};
 use std::time::Instant;
 
 const MAX_LINES_PER_SECOND: u32 = 40;
-/// Lines that may wait for standard error.
+/// Lines that can wait for standard error.
 const QUEUE_CAPACITY: usize = 256;
 
 /// The format of log lines.
@@ -19,7 +19,7 @@
     Json,
 }
 
-/// The root logger of the server `name`, which every line carries as `server`.
+/// Creates the root logger of the server `name`; every line has the name as `server`.
 pub fn root(name: &str, format: LogFormat) -> Logger {
     let drain = match format {
         LogFormat::Text => {
@@ -37,8 +37,8 @@
     Logger::root(drain.filter_level(Level::Info).ignore_res(), o!("server" => name.to_string()))
 }
 
-/// Drops lines past the rate limit before they are formatted. Guards against a client at full speed whose every message
-/// causes a line: formatting them would take the core.
+/// Drops lines past the rate limit before they are formatted: if every message of a client at full speed caused a line,
+/// formatting would use up the CPU time.
 struct RateLimitedDrain<D> {
     inner: D,
     start: Instant,
@@ -53,17 +53,17 @@
     lines: u32,
 }
 
-/// What [`LineRateLimit::admit`] says of a line.
+/// Result of [`LineRateLimit::admit`] for a line.
 #[derive(Debug, PartialEq, Eq)]
 struct Admission {
-    /// Whether the line is written.
+    /// Whether the line may be written.
     written: bool,
-    /// Lines dropped in an earlier second, reported once.
+    /// Number of lines dropped in an earlier second, reported once.
     dropped_lines: u32,
 }
 
 impl LineRateLimit {
-    /// Counts a line of this second.
+    /// Counts a line of this second, and checks it against the limit.
     fn admit(&mut self, second: u64) -> Admission {
         let mut dropped_lines = 0;
         if second != self.second {
@@ -84,7 +84,9 @@
         let admission = self.limit.lock().unwrap_or_else(PoisonError::into_inner).admit(second);
         if admission.dropped_lines > 0 {
             let dropped_lines = admission.dropped_lines;
-            let text = format_args!("{dropped_lines} lines of an earlier second were dropped");
+            let text = format_args!(
+                "{dropped_lines} lines of an earlier second were dropped by the log's rate limit"
+            );
             self.inner.log(&slog::record!(Level::Warning, "", &text, slog::b!()), values)?;
         }
         if admission.written { self.inner.log(record, values) } else { Ok(()) }
--- a/crates/node/src/log/tests.rs
+++ b/crates/node/src/log/tests.rs
@@ -13,7 +13,7 @@
     }
 }
 
-/// Guards against a line for each bad message of a client at full speed, and against lines lost silently.
+/// Guards against a line for each invalid message of a client at full speed, and against lines that are lost silently.
 #[test]
 fn drops_and_counts_lines_past_the_rate_limit() {
     let lines = Arc::new(Mutex::new(Vec::new()));
@@ -25,7 +25,7 @@
     }
     let lines = lines.lock().unwrap();
     assert!(lines[0].starts_with("7 lines"), "{}", lines[0]);
-    // A slow machine may see several seconds here, and none sees all lines.
+    // On a slow machine the loop may take several seconds, but even there most lines are dropped.
     assert!(lines.len() > MAX_LINES_PER_SECOND as usize && lines.len() < 1000, "{}", lines.len());
     assert_eq!(LineRateLimit::default().admit(0), Admission { written: true, dropped_lines: 0 });
 }
--- a/crates/node/src/registry.rs
+++ b/crates/node/src/registry.rs
@@ -1,5 +1,6 @@
-//! HTTP exchanges with a service registry, one after another on each of two threads: a deregistration waits for no other
-//! request. Which request is made and when is decided by `gradepin-registry`; an exchange here is bounded in time and size.
+//! HTTP exchanges with a service registry on two threads, one at a time on each, so that a deregistration doesn't wait
+//! for other requests. `gradepin-registry` decides which request is made and when; each exchange is bounded in time and
+//! size.
 
 use crate::settings::{RegistrySettings, ServiceUrl};
 use base64::Engine;
@@ -16,25 +17,25 @@
 use ureq::http::Response;
 use ureq::{Agent, Body, RequestBuilder};
 
-/// The HTTP library nests its calls deeply.
+/// The HTTP library uses deep call stacks.
 const STACK_BYTES: usize = 1024 * 1024;
-/// Requests that wait for a thread; the state machine gives one at a time to each.
+/// Requests that can wait for a thread; the registration state machine sends one at a time to each.
 const QUEUE_CAPACITY: usize = 4;
-/// The largest response about one instance that is read.
+/// Maximum size of a response about one instance.
 const MAX_INSTANCE_BYTES: u64 = 64 * 1024;
-/// The largest response about all instances that is read: some 20,000 instances.
+/// Maximum size of a response about all instances: about 20,000 instances.
 const MAX_APPLICATIONS_BYTES: u64 = 32 << 20;
-/// The part of an error that is reported.
+/// At most this part of an error is reported.
 const MAX_ERROR_CHARS: usize = 200;
 
-/// Percent-encodes a path segment; `n3:8443` stays as it is.
-fn escape(text: &str) -> String {
+/// Percent-encodes a path segment; `n3:8443` stays unchanged.
+fn percent_encode(text: &str) -> String {
     let is_plain = |b: u8| b.is_ascii_alphanumeric() || b"-._~:".contains(&b);
     text.bytes().map(|b| if is_plain(b) { (b as char).to_string() } else { format!("%{b:02X}") }).collect()
 }
 
-/// A client of the registry API at one service URL. It resolves no names where the URL holds an address, follows no
-/// redirect and reads no response beyond its bound.
+/// A client of the registry API at one service URL. It resolves no name if the URL has an address, follows no redirects
+/// and reads no response beyond its limit.
 pub struct Client {
     agent: Agent,
     url: String,
@@ -45,7 +46,7 @@
 /// Why an exchange failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
-    /// The connection or the protocol failed, or the time ran out.
+    /// The connection or the protocol failed, or the request timed out.
     #[error("{0}")]
     Http(Box<ureq::Error>),
     /// The response is not one of the API.
@@ -63,7 +64,7 @@
 }
 
 impl Client {
-    /// A client of one service URL.
+    /// Creates a client of one service URL.
     pub fn new(url: &ServiceUrl, format: Format) -> Self {
         let config = Agent::config_builder()
             .http_status_as_error(false)
@@ -88,7 +89,7 @@
         }
     }
 
-    /// The body of a response with status 200, of at most `max_bytes`.
+    /// Reads the body of a response with status 200, of at most `max_bytes`.
     fn read(&self, mut response: Response<Body>, max_bytes: u64) -> Result<Vec<u8>, ExchangeError> {
         let status = response.status().as_u16();
         if status != 200 {
@@ -97,19 +98,19 @@
         Ok(response.body_mut().with_config().limit(max_bytes).read_to_vec()?)
     }
 
-    /// All applications, or the recent changes.
+    /// Fetches all applications or the recent changes.
     pub fn fetch(&self, fetch: Fetch, timeout: Duration) -> Result<Applications, ExchangeError> {
         self.applications(if fetch == Fetch::Full { "apps" } else { "apps/delta" }, timeout)
     }
 
-    /// The instances of one application.
+    /// Fetches the instances of one application.
     pub fn application(&self, app: &str, timeout: Duration) -> Result<Applications, ExchangeError> {
-        self.applications(&format!("apps/{}", escape(app)), timeout)
+        self.applications(&format!("apps/{}", percent_encode(app)), timeout)
     }
 
-    /// The instances under one VIP address.
+    /// Fetches the instances with one VIP address.
     pub fn vip(&self, vip: &str, timeout: Duration) -> Result<Applications, ExchangeError> {
-        self.applications(&format!("vips/{}", escape(vip)), timeout)
+        self.applications(&format!("vips/{}", percent_encode(vip)), timeout)
     }
 
     fn applications(&self, path: &str, timeout: Duration) -> Result<Applications, ExchangeError> {
@@ -127,12 +128,17 @@
         value: &str,
         timeout: Duration,
     ) -> Result<(), ExchangeError> {
-        let (app, id) = (escape(app), escape(id));
-        let url = format!("{}/apps/{app}/{id}/metadata?{}={}", self.url, escape(key), escape(value));
+        let (app, id) = (percent_encode(app), percent_encode(id));
+        let url = format!(
+            "{}/apps/{app}/{id}/metadata?{}={}",
+            self.url,
+            percent_encode(key),
+            percent_encode(value)
+        );
         self.read(self.prepare(self.agent.put(url), timeout).send_empty()?, MAX_INSTANCE_BYTES).map(drop)
     }
 
-    /// Carries out one operation on a server's own registration.
+    /// Executes one operation on the registration of the instance `id`.
     pub fn ask(&self, app: &str, id: &str, op: &RegistryOperation, timeout: Duration) -> RegistryReply {
         self.exchange(app, id, op, timeout).unwrap_or_else(|error| match error {
             ExchangeError::Status(404) => RegistryReply::NotFound,
@@ -148,8 +154,8 @@
         op: &RegistryOperation,
         timeout: Duration,
     ) -> Result<RegistryReply, ExchangeError> {
-        let (apps, agent) = (format!("{}/apps/{}", self.url, escape(app)), &self.agent);
-        let own = format!("{apps}/{}", escape(id));
+        let (apps, agent) = (format!("{}/apps/{}", self.url, percent_encode(app)), &self.agent);
+        let own = format!("{apps}/{}", percent_encode(id));
         let status_url = |status: &dyn std::fmt::Display, dirty: &u64| {
             format!("{own}/status?value={status}&lastDirtyTimestamp={dirty}")
         };
@@ -180,23 +186,23 @@
         if !(200..300).contains(&status) {
             return Err(ExchangeError::Status(status));
         }
-        // The body has no meaning, but the connection can't be used again before it is read.
+        // The body is ignored, but the connection can't be reused until it is read.
         let mut response = response;
         response.body_mut().with_config().limit(MAX_INSTANCE_BYTES).read_to_vec()?;
         Ok(RegistryReply::Done)
     }
 }
 
-/// The threads of the registry, as the main thread uses them.
+/// The main thread's handle to the registry threads.
 pub struct Registry {
     routine: Sender<RegistryRequest>,
-    /// For deregistrations.
+    /// Queue of deregistrations.
     urgent: Sender<RegistryRequest>,
     log: Logger,
 }
 
 impl Registry {
-    /// Starts the threads; each reply becomes an input. `instance_id` names this server's instance.
+    /// Starts the threads; each reply is sent to `inputs`. `instance_id` is the id of this server's instance.
     pub fn start(
         settings: &RegistrySettings,
         instance_id: &str,
@@ -207,11 +213,12 @@
         Ok(Self { routine: lane("registry")?, urgent: lane("registry-leave")?, log: log.clone() })
     }
 
-    /// Queues a request; never blocks. A request that finds its queue full is dropped, and made again later.
+    /// Queues a request; never blocks. If the queue is full, the request is dropped and repeated later.
     pub fn ask(&self, request: RegistryRequest) {
         let lane = if request.lane == RequestLane::Urgent { &self.urgent } else { &self.routine };
         if lane.try_send(request).is_err() {
-            warn!(self.log, "registry request dropped: queue is full"; "capacity" => QUEUE_CAPACITY);
+            warn!(self.log, "registry request dropped: queue is full; it is repeated later";
+                  "capacity" => QUEUE_CAPACITY);
         }
     }
 }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,8 +1,9 @@
-//! Reloads: a thread reads and checks the files again, compares them with the active settings and hands the difference to
-//! the reducer, so that neither the main thread nor the signal thread waits for a large file.
+//! Reloads: a thread reads and checks the files again, compares them with the active settings and sends the difference
+//! to the reducer, so that neither the main thread nor the signal thread waits for a large file.
 //!
-//! One reload at a time, in the order of the requests: a file is compared once the reducer has finished the reload before
-//! it ([`gradepin_core::messages::Effect::ReloadFinished`]), completely or not at all.
+//! Reloads are processed one at a time, in the order of the requests: a file is compared only after the reducer has
+//! finished the previous reload ([`gradepin_core::messages::Effect::ReloadFinished`]). A file is applied completely or
+//! not at all.
 
 use crate::config::{self, LoadError, ServerFiles};
 use crate::frontend::scgi::Scgi;
@@ -19,19 +20,19 @@
 use std::thread;
 use std::time::Duration;
 
-/// Configurations nest.
+/// Stack size of the reload thread; parsing nested configurations needs more than other threads.
 const STACK_BYTES: usize = 256 * 1024;
-/// Reloads that may wait. A request that finds the queue full is dropped: a reload that waits reads the files later and
-/// sees the same.
+/// Reloads that can be queued. If the queue is full, a request is dropped: a queued reload reads the files later and
+/// sees the same content.
 const QUEUE_CAPACITY: usize = 16;
-/// How long a reload waits for the end of the one before it. The reducer rejects one that is compared too early.
+/// How long a reload waits for the end of the previous one. The reducer rejects a reload that is compared too early.
 const MAX_WAIT_FOR_PREVIOUS: Duration = Duration::from_secs(10);
 
-/// What is to be applied.
+/// A reload request.
 enum Job {
-    /// The files that the process was started with.
+    /// Reads the files that the process was started with.
     Files,
-    /// A staged configuration, and an input that follows it.
+    /// Applies a staged configuration, then sends the input `then`.
     Staged { config: Box<Config>, then: Box<Input> },
 }
 
@@ -48,32 +49,32 @@
     Route(#[from] RouteError),
 }
 
-/// Files that were read and checked.
+/// Files after they were read and checked.
 struct ReadFiles {
     config: Config,
     keys: Option<AuthenticationKeys>,
 }
 
-/// Requests reloads of the thread.
+/// A handle to request reloads from the reload thread.
 #[derive(Clone)]
 pub struct ConfigReloader(Sender<Job>);
 
-/// What a reload reads and changes.
+/// The files and the state that a reload reads or changes.
 pub struct ReloadTargets {
-    /// The files.
+    /// The files to read.
     pub files: ServerFiles,
     /// The SCGI front end, whose routes are replaced.
     pub scgi: Option<Arc<Scgi>>,
     /// The authentication keys of the fleet, which are replaced.
     pub keys: Option<SharedKeys>,
-    /// The active settings, which a file is compared with.
+    /// The active settings, with which a file is compared.
     pub active: ActiveSettings,
-    /// Inputs of the reducer.
+    /// The reducer's queue for reloads and their errors.
     pub inputs: Sender<Input>,
 }
 
 impl ConfigReloader {
-    /// Starts the thread; `finished` receives the end of each reload.
+    /// Starts the thread; `finished` gets a message at the end of each reload.
     pub fn start(targets: ReloadTargets, finished: Receiver<()>) -> std::io::Result<Self> {
         let (jobs, queue) = bounded(QUEUE_CAPACITY);
         let run = move || {
@@ -96,7 +97,7 @@
 
     /// Requests that the files be read again; never blocks.
     pub fn reload_files(&self) {
-        // Dropped where the queue is full, or the process ends.
+        // The request is dropped if the queue is full or the process is exiting.
         let _ = self.0.try_send(Job::Files);
     }
 
@@ -131,8 +132,8 @@
         Input::Reload(Box::new(self.active.compare(config)))
     }
 
-    /// Reads all files again, and replaces the routes. Everything is checked before anything is replaced: an invalid file
-    /// changes nothing.
+    /// Reads all files again, and replaces the routes. Everything is checked before anything is replaced: an invalid
+    /// file changes nothing.
     fn read_files(&self) -> Result<ReadFiles, ReloadError> {
         let config = config::load(&self.files.config)?;
         let operator = match &self.files.operator_settings {
@@ -143,7 +144,7 @@
             Some(cluster) if self.keys.is_some() => Some(cluster::keys(&cluster.key_file)?),
             _ => None,
         };
-        // A change of listeners takes a restart; without the block the routes stay.
+        // Listeners can only change by a restart. Without the block, the current routes are kept.
         if let (Some(front), Some(settings)) = (&self.scgi, &operator.scgi) {
             let profiles = &config.settings.profiles;
             let classes: HashSet<&str> = profiles.iter().map(|class| class.name.as_str()).collect();
--- a/crates/node/src/settings/active.rs
+++ b/crates/node/src/settings/active.rs
@@ -1,8 +1,8 @@
-//! The classes and tenants in force, for the threads that decode requests: names to slots and definitions.
+//! The classes and tenants in force, for the threads that decode requests: maps names to slots and definitions.
 //!
-//! The reducer publishes changes; definitions are shared with it. A name table is divided into chunks with a lock each,
-//! so a change blocks readers of one chunk only, for the time of that change. A handle that was read before its slot was
-//! reused is rejected by the reducer ([`gradepin_core::slots`]), so decoding with a slightly old name is harmless.
+//! The reducer publishes changes and shares the definitions. A name table is divided into chunks with a lock each, so a
+//! change blocks readers of one chunk only, and only while it is made. The reducer rejects a handle that was read
+//! before its slot was reused ([`gradepin_core::slots`]), so decoding with slightly outdated names is harmless.
 
 use gradepin_admission::{ClassDefinition, Settings, SplitSettings, Tenant};
 use gradepin_config::change::Change;
@@ -18,18 +18,18 @@
 /// A chunk of a name table.
 type Chunk<D> = RwLock<HashMap<ByName<D>, Entry>>;
 
-/// The names of all classes or of all tenants, in chunks that are locked one by one.
+/// The names of all classes or of all tenants, in chunks that are locked separately.
 #[derive(Debug)]
 struct NameTable<D> {
     chunks: Vec<Chunk<D>>,
     hasher: RandomState,
 }
 
-/// What a name has beside its definition.
+/// The state of a name, in addition to its definition.
 #[derive(Debug, Clone, Copy)]
 struct Entry {
     handle: Handle,
-    /// False once it was removed: until it is forgotten, requests may still name it.
+    /// False after the name was removed; until it is forgotten, requests may still use it.
     in_force: bool,
 }
 
@@ -54,7 +54,7 @@
         chunk.insert(ByName(definition), Entry { handle, in_force: true });
     }
 
-    /// The name is not in force any more; requests may still name it until it is forgotten.
+    /// Marks a name as no longer in force; requests may still use it until it is forgotten.
     fn remove(&self, name: &str) {
         let mut chunk = self.chunk(name).write().unwrap_or_else(PoisonError::into_inner);
         if let Some(entry) = chunk.get_mut(name) {
@@ -66,7 +66,7 @@
         self.chunk(name).write().unwrap_or_else(PoisonError::into_inner).remove(name);
     }
 
-    /// Names in force that are not among these.
+    /// Names in force that are not among `names`.
     fn in_force_except(&self, names: &HashSet<&str>) -> Vec<Arc<str>> {
         let mut others = Vec::new();
         for chunk in &self.chunks {
@@ -90,13 +90,13 @@
 
 enum Difference {
     Unchanged,
-    /// The name has a slot; its definition differs, or was removed.
+    /// The name has a slot, but its definition differs or was removed.
     Changed,
-    /// The name has no slot.
+    /// The name has no slot yet.
     New,
 }
 
-/// A shared handle on the classes and tenants in force.
+/// A shared handle to the classes and tenants in force.
 #[derive(Debug, Clone)]
 pub struct ActiveSettings(Arc<Shared>);
 
@@ -104,18 +104,18 @@
 struct Shared {
     classes: NameTable<ClassDefinition>,
     tenants: NameTable<Tenant>,
-    /// Edition of the names that the reducer published last.
+    /// Edition of the names last published by the reducer.
     edition: AtomicU64,
 }
 
 impl ActiveSettings {
-    /// With the classes and tenants of the configuration file, in slots by their order.
+    /// Creates the tables from the classes and tenants of the configuration file, in slots by their order.
     pub fn new(settings: &Settings) -> Self {
         let SplitSettings { classes, tenants, .. } = settings.clone().split();
         Self::of(&classes, &tenants)
     }
 
-    /// With these classes and tenants, in slots by their order.
+    /// Creates the tables from these classes and tenants, in slots by their order.
     pub fn of(classes: &[Arc<ClassDefinition>], tenants: &[Arc<Tenant>]) -> Self {
         let shared =
             Shared { classes: NameTable::new(), tenants: NameTable::new(), edition: AtomicU64::new(0) };
@@ -128,17 +128,17 @@
         Self(Arc::new(shared))
     }
 
-    /// Slot and definition of a class, also of one that was removed and is not forgotten yet.
+    /// Slot and definition of a class, including one that was removed but is not forgotten yet.
     pub fn class(&self, name: &str) -> Option<(Handle, Arc<ClassDefinition>)> {
         self.0.classes.get(name).map(|(entry, class)| (entry.handle, class))
     }
 
-    /// Slot of a tenant, also of one that was removed and is not forgotten yet.
+    /// Slot of a tenant, including one that was removed but is not forgotten yet.
     pub fn tenant(&self, name: &str) -> Option<Handle> {
         self.0.tenants.get(name).map(|(entry, _)| entry.handle)
     }
 
-    /// Applies changes that the reducer published, in their order; `edition` is their number.
+    /// Applies changes published by the reducer, in their order; `edition` is their edition.
     pub fn publish(&self, edition: u64, changes: Vec<NameChange>) {
         for change in changes {
             match change {
@@ -153,8 +153,8 @@
         self.0.edition.store(edition, Ordering::Release);
     }
 
-    /// Compares a configuration file that was read again with what is in force. Takes time in proportion to the file: not
-    /// for the reducer's thread.
+    /// Compares a newly read configuration with the classes and tenants in force. Takes time proportional to the size
+    /// of the file, so it must not be called on the reducer's thread.
     pub fn compare(&self, mut config: Config) -> Reload {
         let compared_at = self.0.edition.load(Ordering::Acquire);
         let SplitSettings { rest, classes, tenants } = std::mem::take(&mut config.settings).split();
--- a/crates/node/src/settings/active/tests.rs
+++ b/crates/node/src/settings/active/tests.rs
@@ -25,9 +25,9 @@
     changes.iter().map(name).collect()
 }
 
-/// Guards a reload against changing what is equal, keeping what is absent, and removing names twice.
+/// Guards against a reload that changes equal definitions, keeps absent ones, or removes names twice.
 #[test]
-fn compares_a_file_with_what_is_in_force() {
+fn compares_a_file_with_the_definitions_in_force() {
     let active =
         ActiveSettings::new(&config(&[("view", 4), ("save", 4)], &[("a", 1.0), ("b", 1.0)]).settings);
     let new = config(&[("view", 4), ("save", 9), ("tag", 1)], &[("b", 2.0), ("c", 1.0)]);
@@ -47,7 +47,7 @@
     assert_eq!(
         (summary(&again.changes), again.compared_at),
         (Vec::new(), 5),
-        "a is removed already, b is as it is"
+        "a is already removed, b is unchanged"
     );
-    assert!(active.tenant("a").is_some(), "requests may still name it");
+    assert!(active.tenant("a").is_some(), "requests may still use the name");
 }
--- a/crates/node/src/settings/cluster.rs
+++ b/crates/node/src/settings/cluster.rs
@@ -1,4 +1,4 @@
-//! The `cluster` block: how the servers of a fleet reach each other, and what they share.
+//! The `cluster` block: how the servers of a fleet reach each other, detect failures and lend slots.
 
 use super::kdl_reader::{Block, NANOSECONDS_PER_MS, OldName};
 use gradepin_admission::Span;
@@ -9,13 +9,13 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Seeds of a fleet at most: more don't find more servers.
+/// Maximum number of seeds; more of them don't find more servers.
 const MAX_SEEDS: usize = 16;
-/// The largest clock drift that leases allow for, in millionths.
+/// The largest clock drift for which leases can be configured, in millionths.
 const MAX_DRIFT_PPM: u64 = 200_000;
 const DEFAULT_BYTES_PER_SECOND: u64 = 32_000;
 const DEFAULT_PROBES_PER_SECOND: f64 = 2.0;
-/// Names up to version 0.2 in the `cluster` block.
+/// Names in the `cluster` block up to version 0.2.
 const OLD_NAMES: [OldName; 7] = [
     OldName { old: "probe-ms", new: "probe-period-ms" },
     OldName { old: "answer-ms", new: "probe-timeout-ms" },
@@ -25,7 +25,7 @@
     OldName { old: "probes-a-second", new: "probes-per-second" },
     OldName { old: "slots", new: "leases" },
 ];
-/// Names up to version 0.2 in the `leases` block, which was called `slots`.
+/// Names in the `leases` block up to version 0.2, where the block was called `slots`.
 const OLD_LEASE_NAMES: [OldName; 5] = [
     OldName { old: "lease-ms", new: "duration-ms" },
     OldName { old: "call-ms", new: "max-call-ms" },
@@ -39,21 +39,21 @@
 pub struct FleetSettings {
     /// Address on which datagrams are received.
     pub listen: SocketAddr,
-    /// Address at which other servers reach it.
+    /// Address at which other servers reach this one.
     pub advertise: SocketAddr,
-    /// Zone: the servers that may fail together.
+    /// Name of the zone, whose servers can fail together.
     pub zone: String,
-    /// Addresses at which other servers may be found at the start.
+    /// Addresses of the servers that are contacted first at the start.
     pub seeds: Vec<SocketAddr>,
     /// File with the keys that authenticate datagrams.
     pub key_file: PathBuf,
     /// Timing of probes and suspicion.
     pub failure_detection: FailureDetection,
-    /// Bytes sent per second at most.
+    /// Limit of the bytes sent per second.
     pub max_bytes_per_second: u32,
-    /// Retries per first attempt that the fleet accepts.
+    /// Retries per first attempt that the fleet accepts; `None` for no limit.
     pub retry_ratio: Option<f64>,
-    /// Probes per second, of all servers together, to a shared upstream that looks down.
+    /// Health checks per second, of all servers together, to a shared upstream that seems to be down.
     pub probes_per_second: f64,
     /// Leases of slots of the shared upstream, if servers lend them; `upstream_linger` is set by
     /// [`FleetSettings::lease_settings`].
@@ -66,17 +66,17 @@
     /// The file can't be read.
     #[error("{}: {error}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// Error of the system.
         error: std::io::Error,
     },
-    /// It holds no valid keys.
+    /// The file has no valid keys.
     #[error("{}: {error}", path.display())]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with them.
+        /// The error and its line.
         error: InvalidKeys,
     },
 }
@@ -84,7 +84,7 @@
 /// Reads the keys that authenticate the fleet's datagrams.
 ///
 /// # Errors
-/// If the file can't be read or holds no valid keys.
+/// If the file can't be read or has no valid keys.
 pub fn keys(path: &Path) -> Result<AuthenticationKeys, KeysError> {
     let text = std::fs::read_to_string(path).map_err(|error| KeysError::Read { path: path.into(), error })?;
     AuthenticationKeys::parse(&text).map_err(|error| KeysError::Invalid { path: path.into(), error })
@@ -101,7 +101,7 @@
     let key_file = required(&mut block, "key-file", "key-file \"/etc/gradepin/fleet.keys\"", Block::text);
     let zone = block.text("zone").unwrap_or_default();
     if zone.len() > MAX_NAME_BYTES {
-        block.problem(format!("expected zone of {MAX_NAME_BYTES} bytes at the most"));
+        block.problem(format!("expected zone of at most {MAX_NAME_BYTES} bytes"));
     }
     let seeds = seeds(&mut block);
     let failure_detection = failure_detection(&mut block);
@@ -126,7 +126,7 @@
     })
 }
 
-/// Reads a node that has no default; it is a problem if it is missing.
+/// Reads a node without a default; adds a problem if it is missing.
 fn required<'p, T>(
     block: &mut Block<'p>,
     name: &str,
@@ -151,10 +151,11 @@
         node.end();
     }
     if seeds.is_empty() && !block.has("seed") {
-        block.problem("expected a seed, as in seed \"127.0.0.1:7947\"; the first server names itself");
+        block
+            .problem("expected a seed, as in seed \"127.0.0.1:7947\"; the first server uses its own address");
     }
     if seeds.len() > MAX_SEEDS {
-        block.problem(format!("expected {MAX_SEEDS} seeds at the most"));
+        block.problem(format!("expected at most {MAX_SEEDS} seeds"));
     }
     seeds
 }
@@ -170,12 +171,12 @@
     };
     if settings.probe_timeout.0 * 2 > settings.probe_period.0 {
         block.problem(
-            "expected probe-timeout-ms of half of probe-period-ms at the most: others are asked to probe meanwhile",
+            "expected probe-timeout-ms of at most half of probe-period-ms: in the rest other servers are asked to probe",
         );
     }
     if settings.suspicion_timeout < settings.probe_period {
         block.problem(
-            "expected suspicion-timeout-ms of probe-period-ms or more: a suspect must get to refute it",
+            "expected suspicion-timeout-ms of probe-period-ms or more: a suspected server needs time to refute it",
         );
     }
     settings
@@ -204,7 +205,7 @@
 }
 
 impl FleetSettings {
-    /// Settings of the leases; `linger` is how long the shared upstream works on an abandoned call.
+    /// Builds the settings of the leases; `linger` is how long the shared upstream still works on an abandoned call.
     pub fn lease_settings(&self, linger: Span) -> LeaseSettings {
         LeaseSettings {
             upstream_linger: linger.max(Span(NANOSECONDS_PER_MS)),
--- a/crates/node/src/settings/cluster/tests.rs
+++ b/crates/node/src/settings/cluster/tests.rs
@@ -1,4 +1,4 @@
-//! Names of an earlier version, which are accepted for one more.
+//! Names of the previous version, which this version still accepts.
 
 use super::super::OperatorSettings;
 
@@ -8,8 +8,8 @@
     format!("cluster {{\n{REQUIRED}{more}\n}}")
 }
 
-/// Guards a fleet whose settings were written for the previous version: each old name keeps its meaning, with a warning
-/// at its line.
+/// Guards fleets whose settings were written for the previous version: each old name keeps its meaning, and causes a
+/// warning with its line.
 #[test]
 fn accepts_old_names_with_a_warning() {
     let old = "probe-ms 2000\nanswer-ms 500\nsuspect-ms 5000\nbytes-a-second 16000\nrepeats 0.5\nprobes-a-second 3\n\
@@ -27,13 +27,13 @@
     assert_eq!(warnings.len(), 12, "{warnings:#?}");
     assert_eq!(
         warnings[0],
-        "line 5, column 1: 'probe-ms' is called 'probe-period-ms' now; the next version won't take the old name"
+        "line 5, column 1: 'probe-ms' was renamed to 'probe-period-ms'; the next version will reject the old name"
     );
-    assert!(warnings[6].starts_with("line 11, column 1: 'slots' is called 'leases' now"), "{}", warnings[6]);
+    assert!(warnings[6].starts_with("line 11, column 1: 'slots' was renamed to 'leases'"), "{}", warnings[6]);
     assert!(warnings[11].starts_with("line 16, column 1: 'drill-ignores-ends'"), "{}", warnings[11]);
 }
 
-/// Guards against a file with two values for one setting.
+/// Guards against a file with two values for the same setting.
 #[test]
 fn rejects_an_old_name_beside_its_new_one() {
     let both = "probe-period-ms 2000\nprobe-ms 1000";
@@ -41,7 +41,7 @@
     let first = problems[0].to_string();
     assert_eq!(
         first,
-        "line 6, column 1: 'probe-ms' is the old name of 'probe-period-ms', which stands here too"
+        "line 6, column 1: 'probe-ms' is the old name of 'probe-period-ms', which is present too"
     );
 }
 
--- a/crates/node/src/settings/configuration.rs
+++ b/crates/node/src/settings/configuration.rs
@@ -1,4 +1,4 @@
-//! The `config` block: where the configuration service keeps its last good state, and how changes are disseminated.
+//! The `config` block: the folder of the configuration service's last good state, and how changes are disseminated.
 
 use super::kdl_reader::{Block, NANOSECONDS_PER_MS};
 use gradepin_admission::Span;
@@ -6,28 +6,28 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-/// Several times the 14 s in which a change comes into force.
+/// Several times the 14 s after which a change is in force.
 const DEFAULT_STALE_AFTER: Span = Span(60_000 * NANOSECONDS_PER_MS);
-/// Commits kept for operators and for servers that are a little behind.
+/// Commits kept for operators and for servers that are only a few revisions behind.
 const DEFAULT_HISTORY_COMMITS: u64 = 1_024;
-/// Shared with membership on the same network.
+/// Low enough to share the network with the membership protocol.
 const DEFAULT_BYTES_PER_SECOND: u64 = 32_000;
 const DEFAULT_SNAPSHOT_BYTES_PER_SECOND: u64 = 64_000;
 
 /// This server's part in the configuration service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigurationSettings {
-    /// Folder of this server alone for the last good state; `None`: it starts from its configuration file.
+    /// Folder for the last good state, used by this server alone; `None` to start from the configuration file.
     pub folder: Option<PathBuf>,
-    /// Without a confirmation for this long the state is reported as stale.
+    /// A state without a confirmation for this long is reported as stale.
     pub stale_after: Span,
-    /// Commits kept, for operators and for servers that are a little behind.
+    /// Number of commits kept for operators and for servers that are only a few revisions behind.
     pub history: usize,
-    /// Bytes sent per second at most, snapshots aside.
+    /// Limit of the bytes sent per second, except for snapshots.
     pub bytes_per_second: u32,
-    /// Bytes of snapshots sent per second at most, to servers that are far behind.
+    /// Limit of the snapshot bytes sent per second to servers that are far behind.
     pub snapshot_bytes_per_second: u32,
-    /// Regions by zone, for the zones that are in one.
+    /// Region of each zone that is in one.
     pub regions: BTreeMap<String, String>,
 }
 
@@ -52,7 +52,7 @@
     settings
 }
 
-/// Reads which zones are in which region.
+/// Reads the zones of each region.
 fn regions(block: &mut Block<'_>) -> BTreeMap<String, String> {
     let mut regions: BTreeMap<String, String> = BTreeMap::new();
     for (region, node) in block.each("region") {
@@ -66,7 +66,7 @@
         }
         for (zone, node) in zones {
             if zone.len() > MAX_NAME_BYTES {
-                node.problem(format!("expected zone of {MAX_NAME_BYTES} bytes at the most"));
+                node.problem(format!("expected zone of at most {MAX_NAME_BYTES} bytes"));
             }
             if regions.contains_key(&zone) {
                 node.problem("the same zone twice");
@@ -82,7 +82,7 @@
 }
 
 impl ConfigurationSettings {
-    /// The region of a zone; the zone itself if it is in none.
+    /// The region of a zone, or the zone itself if it is in none.
     pub fn region<'a>(&'a self, zone: &'a str) -> &'a str {
         self.regions.get(zone).map_or(zone, String::as_str)
     }
--- a/crates/node/src/settings/configuration/tests.rs
+++ b/crates/node/src/settings/configuration/tests.rs
@@ -1,4 +1,4 @@
-//! The `config` block, right and wrong.
+//! Valid and invalid `config` blocks.
 
 use super::*;
 use crate::settings::OperatorSettings;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn reads_a_block_and_gives_an_empty_one_defaults() {
+fn reads_a_block_and_uses_defaults_for_an_empty_one() {
     let settings = OperatorSettings::parse(&file("")).expect("defaults");
     let configuration = settings.configuration.expect("a block");
     assert_eq!(
--- a/crates/node/src/settings/consensus.rs
+++ b/crates/node/src/settings/consensus.rs
@@ -1,4 +1,4 @@
-//! The `council` block: the consensus group of the fleet, its limits on servers out of service, and how a rollout changes
+//! The `council` block: the consensus group of the fleet, its limits of servers out of service, and how rollouts change
 //! this server.
 
 use super::kdl_reader::{Block, NANOSECONDS_PER_MS};
@@ -8,9 +8,9 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// Voters of the group at most: more are slower, and no safer in practice.
+/// Maximum number of voters; more would be slower but in practice not safer.
 const MAX_VOTERS: usize = 7;
-/// Upper bound of each limit on servers out of service.
+/// Upper bound of each limit of servers out of service.
 const MAX_LIMIT: u64 = 4_096;
 const DEFAULT_STABILIZATION: Span = Span(3_000 * NANOSECONDS_PER_MS);
 const DEFAULT_FRESH_FOR: Span = Span(2_000 * NANOSECONDS_PER_MS);
@@ -18,23 +18,23 @@
 /// The consensus group, and this server's part in permits and rollouts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConsensusSettings {
-    /// The voters, by the names of their servers.
+    /// Server names of the voters.
     pub voters: Vec<Name>,
     /// Folder of this server's voter state, if it may be a voter.
     pub folder: Option<PathBuf>,
     /// Folder in which settings are staged for rollouts.
     pub staging_folder: Option<PathBuf>,
-    /// Limits on servers out of service at a time.
+    /// Limits of servers that are out of service at the same time.
     pub limits: Limits,
     /// Stabilization period: how long a server must have been ready before its permit ends.
     pub stabilization: Span,
     /// A server without a message for this long counts as out of service.
     pub fresh_for: Span,
-    /// Whether a leave waits if no permit is granted; else it is rejected.
+    /// Whether a leave waits for a permit that is not granted immediately; otherwise it is rejected.
     pub waits_for_permit: bool,
     /// The command that replaces this server's program.
     pub replace_command: Option<PathBuf>,
-    /// Whether the limits are ignored; for drills only.
+    /// Whether the limits are ignored, in drills only.
     pub ignore_limits: bool,
 }
 
@@ -72,7 +72,9 @@
     if voters.is_empty() && !block.has("voter") {
         block.problem("expected a voter, as in voter \"n0\", for each of 3 or 5 servers");
     } else if voters.len().is_multiple_of(2) || voters.len() > MAX_VOTERS {
-        block.problem("expected 3 or 5 voters: of an even number the last one adds nothing");
+        block.problem(
+            "expected 3 or 5 voters: an even number tolerates no more failures than one voter fewer",
+        );
     }
     voters
 }
--- a/crates/node/src/settings/kdl_reader.rs
+++ b/crates/node/src/settings/kdl_reader.rs
@@ -1,8 +1,8 @@
-//! Reads typed values from the nodes of a KDL document, and collects what is wrong with them.
+//! Reads typed values from the nodes of a KDL document and collects problems.
 //!
-//! Each reader returns `None` where a node is absent or wrong; if it is wrong, a problem was added. Every node must be
-//! read by its name: what is left at [`Block::end`] is unknown, which is a problem too. Names of an earlier version are
-//! mapped by [`OldName`] before anything is read.
+//! Each reader returns `None` if a node is absent or invalid; an invalid node adds a problem. Every node must be read
+//! by its name: nodes that are left at [`Block::end`] are unknown, which is a problem too. Names of an earlier version
+//! are mapped with [`OldName`] before anything is read.
 
 use super::kdl_text;
 use super::problem::{ProblemKind, Problems};
@@ -12,18 +12,18 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// Spans are in nanoseconds, most settings in milliseconds.
+/// Spans have nanoseconds, most settings milliseconds.
 pub(super) const NANOSECONDS_PER_MS: u64 = 1_000_000;
 
 const TIME: &str = "nanoseconds, or a time as in \"250ms\" or \"4s\"";
 const BOOLEAN: &str = "#true or #false";
 
-/// A node's name of an earlier version, which is accepted for one more version.
+/// A name of the previous version, which this version still accepts.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct OldName {
-    /// Name of the earlier version.
+    /// Name in the previous version.
     pub old: &'static str,
-    /// Name of this version.
+    /// Name in this version.
     pub new: &'static str,
 }
 
@@ -32,12 +32,12 @@
     nodes: Vec<KdlNode>,
     /// Indexes of the nodes that were read.
     read: BTreeSet<usize>,
-    /// Offset of the block in the text, in bytes.
+    /// Byte offset of the block in the text.
     offset: usize,
     problems: &'p Problems<'p>,
 }
 
-/// A node that may occur several times, with one text and properties.
+/// A repeatable node with one text as argument, and properties.
 pub(super) struct Repeated<'p> {
     node: KdlNode,
     /// Names of the properties that were read.
@@ -45,13 +45,13 @@
     problems: &'p Problems<'p>,
 }
 
-/// The one argument of a node, and the offset of the node.
+/// The only argument of a node, and the offset of the node.
 struct Argument {
     offset: usize,
     value: KdlValue,
 }
 
-/// Offset of a node's name: the span of the node itself includes the space before it.
+/// Offset of a node's name. The span of the node itself includes the space before it.
 fn offset(node: &KdlNode) -> usize {
     node.name().span().offset()
 }
@@ -61,7 +61,7 @@
 }
 
 impl<'p> Block<'p> {
-    /// The nodes of a document; `None` if the text is no KDL.
+    /// Parses the nodes of a document; `None` if the text is no KDL.
     pub(super) fn document(text: &str, problems: &'p Problems<'p>) -> Option<Self> {
         match kdl_text::parse(text) {
             Ok(document) => Some(Self::new(document.nodes().to_vec(), 0, problems)),
@@ -78,13 +78,13 @@
         Self { nodes, read: BTreeSet::new(), offset, problems }
     }
 
-    /// Adds a problem of the block itself.
+    /// Adds a problem at the position of the block.
     pub(super) fn problem(&self, text: impl Into<String>) {
         self.problems.add(self.offset, ProblemKind::Invalid(text.into()));
     }
 
-    /// Accepts nodes by their names of an earlier version too, each with a warning; must be called before anything is
-    /// read. Both names of one node in a block are a problem, as either value could be meant.
+    /// Accepts nodes with names of the previous version too, each with a warning; must be called before anything is
+    /// read. The old and the new name in the same block are a problem, because either value could be intended.
     pub(super) fn accept_old_names(&mut self, names: &[OldName]) {
         for &OldName { old, new } in names {
             let has_new = self.has(new);
@@ -95,7 +95,7 @@
                 } else {
                     self.problems.warn(offset, ProblemKind::RenamedNode { old, new });
                 }
-                // The identifier keeps its place in the text.
+                // The identifier keeps its span in the text.
                 node.name_mut().set_value(new);
             }
         }
@@ -106,7 +106,7 @@
         self.nodes.iter().any(|node| node.name().value() == name)
     }
 
-    /// The node of a name, which may occur once.
+    /// The node of this name; adds a problem for each further one.
     fn node(&mut self, name: &str) -> Option<KdlNode> {
         let mut first = None;
         for (index, node) in self.nodes.iter().enumerate().filter(|(_, node)| node.name().value() == name) {
@@ -120,7 +120,7 @@
         first
     }
 
-    /// The one argument of a node.
+    /// The only argument of a node.
     fn argument(&mut self, name: &str, expected: &'static str) -> Option<Argument> {
         let node = self.node(name)?;
         let offset = offset(&node);
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Adds a problem if no value was made of an argument.
+    /// Adds a problem if an argument could not be converted to a value.
     fn check_value<T>(
         &self,
         name: &str,
@@ -151,7 +151,7 @@
         value
     }
 
-    /// An integer in a range.
+    /// Reads an integer in a range.
     pub(super) fn integer(&mut self, name: &str, range: RangeInclusive<u64>) -> Option<u64> {
         let argument = self.argument(name, "one whole number")?;
         let number = self.check_value(name, "a whole number", &argument, argument.value.as_integer())?;
@@ -164,14 +164,14 @@
         in_range
     }
 
-    /// A text that is not empty.
+    /// Reads a text that is not empty.
     pub(super) fn text(&mut self, name: &str) -> Option<String> {
         let argument = self.argument(name, "one word")?;
         let text = argument.value.as_string().filter(|text| !text.is_empty()).map(String::from);
         self.check_value(name, "a word", &argument, text)
     }
 
-    /// One of some words, by its index among them.
+    /// Reads one of `words` and returns its index among them.
     pub(super) fn choice(&mut self, name: &str, words: &[&str]) -> Option<usize> {
         let argument = self.argument(name, "one word")?;
         let index = argument.value.as_string().and_then(|text| words.iter().position(|word| *word == text));
@@ -184,17 +184,17 @@
         index
     }
 
-    /// A time in milliseconds.
+    /// Reads a time in milliseconds.
     pub(super) fn milliseconds(&mut self, name: &str, range: RangeInclusive<u64>) -> Option<Span> {
         self.integer(name, range).map(|ms| Span(ms * NANOSECONDS_PER_MS))
     }
 
-    /// A fraction, from 0 to 1.
+    /// Reads a fraction from 0 to 1.
     pub(super) fn fraction(&mut self, name: &str) -> Option<f64> {
         self.number(name, 0.0..=1.0)
     }
 
-    /// A number in a range.
+    /// Reads a number in a range.
     pub(super) fn number(&mut self, name: &str, range: RangeInclusive<f64>) -> Option<f64> {
         let argument = self.argument(name, "one number")?;
         let number = argument.value.as_float().or(argument.value.as_integer().map(|integer| integer as f64));
@@ -208,7 +208,7 @@
         Some(number)
     }
 
-    /// A time: an integer in nanoseconds, or a text with a unit, as in "250ms".
+    /// Reads a time: an integer in nanoseconds, or a text with a unit, as in "250ms".
     pub(super) fn time(&mut self, name: &str) -> Option<Span> {
         let argument = self.argument(name, TIME)?;
         let nanoseconds = argument.value.as_integer().and_then(|number| u64::try_from(number).ok());
@@ -216,20 +216,20 @@
         self.check_value(name, TIME, &argument, time)
     }
 
-    /// A boolean.
+    /// Reads a boolean.
     pub(super) fn boolean(&mut self, name: &str) -> Option<bool> {
         let argument = self.argument(name, BOOLEAN)?;
         self.check_value(name, BOOLEAN, &argument, argument.value.as_bool())
     }
 
-    /// An address with a port.
+    /// Reads an IP address with a port.
     pub(super) fn address(&mut self, name: &str) -> Option<SocketAddr> {
         let argument = self.argument(name, "one address")?;
         let address = argument.value.as_string().and_then(|text| text.parse().ok());
         self.check_value(name, "IP:PORT", &argument, address)
     }
 
-    /// A node with children.
+    /// Returns the children of a node, which must have nothing else.
     pub(super) fn block(&mut self, name: &str) -> Option<Block<'p>> {
         let node = self.node(name)?;
         let offset = offset(&node);
@@ -239,7 +239,7 @@
         Some(Self::new(children(&node), offset, self.problems))
     }
 
-    /// All nodes of a name, each with its one argument, a text.
+    /// All nodes of this name, each with its only argument, a text.
     pub(super) fn each(&mut self, name: &str) -> Vec<(String, Repeated<'p>)> {
         let mut all = Vec::new();
         for (index, node) in self.nodes.iter().enumerate().filter(|(_, node)| node.name().value() == name) {
@@ -256,17 +256,17 @@
         all
     }
 
-    /// The names of all nodes, each once.
+    /// The names of all nodes, without duplicates.
     pub(super) fn names(&self) -> BTreeSet<String> {
         self.nodes.iter().map(|node| node.name().value().to_string()).collect()
     }
 
-    /// All nodes as names with one text each.
+    /// Reads all nodes, each of which must have one text.
     pub(super) fn texts_by_name(&mut self) -> Vec<(String, String)> {
         self.names().into_iter().filter_map(|name| Some((name.clone(), self.text(&name)?))).collect()
     }
 
-    /// Ends reading: nodes that were not read are unknown.
+    /// Ends reading and adds a problem for each node that was not read.
     pub(super) fn end(self) {
         for (index, node) in self.nodes.iter().enumerate() {
             if !self.read.contains(&index) {
@@ -278,19 +278,19 @@
 }
 
 impl<'p> Repeated<'p> {
-    /// Its children.
+    /// Returns the children of the node.
     pub(super) fn block(&self) -> Block<'p> {
         Block::new(children(&self.node), offset(&self.node), self.problems)
     }
 
-    /// Adds a problem if it has children.
+    /// Adds a problem if the node has children.
     pub(super) fn no_block(&self) {
         if self.node.children().is_some() {
             self.problems.add(offset(&self.node), ProblemKind::Children);
         }
     }
 
-    /// A property that is a text.
+    /// Reads a property that is a text.
     pub(super) fn property(&mut self, name: &str) -> Option<String> {
         self.read.insert(name.to_string());
         let value = self.node.get(name)?;
@@ -303,12 +303,12 @@
         text
     }
 
-    /// Adds a problem of the node.
+    /// Adds a problem at the position of the node.
     pub(super) fn problem(&self, text: impl Into<String>) {
         self.problems.add(offset(&self.node), ProblemKind::Invalid(text.into()));
     }
 
-    /// Ends reading: properties that were not read are unknown.
+    /// Ends reading and adds a problem for each property that was not read.
     pub(super) fn end(self) {
         for name in self.node.entries().iter().filter_map(|entry| entry.name()) {
             if !self.read.contains(name.value()) {
@@ -319,7 +319,7 @@
     }
 }
 
-/// A time as in `4s`, `250ms`, `10us` or `7ns`, with an integer.
+/// Parses a time with an integer and a unit, as in `4s`, `250ms`, `10us` or `7ns`.
 fn time_with_unit(text: &str) -> Option<Span> {
     let digits = text.trim_end_matches(|c: char| c.is_ascii_alphabetic());
     let unit_ns = match &text[digits.len()..] {
@@ -332,7 +332,7 @@
     digits.parse::<u64>().ok()?.checked_mul(unit_ns).map(Span)
 }
 
-/// A value as it would be written in KDL.
+/// Formats a value in KDL.
 fn shown(value: &KdlValue) -> String {
     match value {
         KdlValue::String(text) => format!("{text:?}"),
--- a/crates/node/src/settings/kdl_text.rs
+++ b/crates/node/src/settings/kdl_text.rs
@@ -1,10 +1,10 @@
 //! Parses untrusted KDL text with a bounded stack.
 //!
-//! The parser of the `kdl` crate recurses for each level of nesting, for each `*`, `/` and run of other characters of a
-//! block comment, and after each error that it recovers from. A banner of stars or a file of another format is enough to
-//! overflow the stack of a thread, which would end the process. So block comments are blanked, nesting is bounded, and
-//! the text is parsed on a thread of its own, whose stack is proportional to the length of the text, which is bounded
-//! too.
+//! The parser of the `kdl` crate recurses for each level of nesting, for each `*`, `/` and run of other characters in a
+//! block comment, and after each error from which it recovers. A banner of stars or a file of another format is enough
+//! to overflow the stack of a thread, which would abort the process. Therefore block comments are replaced by spaces,
+//! nesting is bounded, and the text is parsed on a separate thread whose stack is proportional to the length of the
+//! text, which is bounded too.
 
 use super::problem::{Problem, ProblemKind, problem};
 use kdl::{KdlDocument, KdlError};
@@ -13,23 +13,23 @@
 use std::panic::resume_unwind;
 use std::thread;
 
-/// Size of a text at most; settings with all blocks take a tenth of it. The parser's time is quadratic in the number
-/// of errors: some seconds at this size.
+/// Maximum size of a text; settings with all blocks have a tenth of it. The parser's time is quadratic in the number of
+/// errors and takes a few seconds at this size.
 const MAX_BYTES: usize = 64 * 1024;
-/// Levels of nested blocks at most; settings have four.
+/// Maximum number of nested blocks; settings have four levels.
 const MAX_NESTING: usize = 16;
-/// Stack of the parser for [`MAX_NESTING`] levels, also in a debug build.
+/// Stack that the parser needs for [`MAX_NESTING`] levels, even in a debug build.
 const BASE_STACK_BYTES: usize = 2 << 20;
-/// Stack for each byte of the text: what the parser takes for an error from which it recovers. Memory is used only if there
-/// are that many errors.
+/// Additional stack for each byte of the text, since each could be an error from which the parser recovers. The memory
+/// is used only if there are that many errors.
 const STACK_BYTES_PER_BYTE: usize = 4 << 10;
 
 /// A syntax error at an offset of a text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SyntaxError {
-    /// From the start of the text, in bytes.
+    /// Offset from the start of the text, in bytes.
     pub offset: usize,
-    /// What was expected.
+    /// Description of what was expected.
     pub message: String,
 }
 
@@ -62,7 +62,7 @@
     })
 }
 
-/// Parses a text, with errors by line and column.
+/// Parses a text and returns errors with line and column.
 ///
 /// # Errors
 /// All syntax errors that the parser finds.
@@ -101,8 +101,8 @@
         Self { text, offset: 0, open_blocks: Vec::new(), comments: Vec::new() }
     }
 
-    /// The text with block comments replaced by spaces, which they are in KDL even if they hold new lines; each other byte
-    /// keeps its offset.
+    /// Replaces block comments by spaces, to which they are equivalent in KDL even if they include new lines. All other
+    /// bytes keep their offsets.
     fn blanked(mut self) -> Result<Cow<'t, str>, SyntaxError> {
         while let Some(first) = self.rest().chars().next() {
             match first {
@@ -137,7 +137,7 @@
         if self.open_blocks.len() >= MAX_NESTING {
             return Err(SyntaxError::new(
                 self.offset,
-                format!("expected blocks within {MAX_NESTING} others at the most"),
+                format!("expected at most {MAX_NESTING} nested blocks"),
             ));
         }
         self.open_blocks.push(self.offset);
@@ -157,7 +157,7 @@
         self.offset += self.rest().find(is_newline).unwrap_or(self.rest().len());
     }
 
-    /// Skips a block comment, which may hold others.
+    /// Skips a block comment, which may include others.
     fn block_comment(&mut self) -> Result<(), SyntaxError> {
         let (start, mut depth) = (self.offset, 0_usize);
         loop {
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Skips a raw string, with as many `#` on both sides; else the `#` of a keyword such as `#true`.
+    /// Skips a raw string, which has the same number of `#` on both sides, or the `#` of a keyword such as `#true`.
     fn raw_string(&mut self) {
         let marks = self.rest().len() - self.rest().trim_start_matches('#').len();
         self.offset += marks;
@@ -184,8 +184,8 @@
         }
     }
 
-    /// Skips a string from its first quote; it is raw if it has marks. One that doesn't end is left to the parser to report,
-    /// and what looks like a block in it counts as one.
+    /// Skips a string from its first quote; it is raw if `marks` is not 0. If the string has no end, only its opening
+    /// quote is skipped: braces in it count as blocks, and the parser reports the error.
     fn string(&mut self, marks: usize) {
         let rest = self.rest();
         let quotes = if rest.starts_with("\"\"\"") { 3 } else { 1 };
--- a/crates/node/src/settings/kdl_text/tests.rs
+++ b/crates/node/src/settings/kdl_text/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use proptest::prelude::*;
 
-/// More errors, or more of one comment, than a stack of 256 KiB held.
+/// More errors, or more runs of characters in a comment, than fit on a stack of 256 KiB.
 const ERRORS: usize = 4_000;
 
 fn first(text: &str) -> SyntaxError {
@@ -30,7 +30,7 @@
     );
 }
 
-/// Guards against a stack overflow: text with too much nesting or too many errors is rejected with its place.
+/// Guards against a stack overflow: text with too deep nesting or too many errors is rejected with a position.
 #[test]
 fn reports_text_that_would_overflow_the_stack() {
     assert!(parse(&format!("{}{}", "a {".repeat(MAX_NESTING), "}".repeat(MAX_NESTING))).is_ok());
@@ -47,18 +47,19 @@
 }
 
 proptest! {
-    /// Guards against a text that ends the parser's thread, and against one that parses differently when blanked.
+    /// Guards against text that panics the parser's thread, and against text that parses differently without its
+    /// comments.
     #[test]
     fn parses_or_rejects_any_text(words in prop::collection::vec(prop::sample::select(vec![
         "a", "b ", "\n", "{", "}", "\"", "\"\"\"", "#", "/*", "*/", "//", "/-", "\\", ";", "=", "(", ")", "[", "1", "é",
         "#true", " ", "\u{2028}", "-", ".", "0x",
     ]), 0..60)) {
         let text = words.concat();
-        if let (Ok(plain), Ok(ours)) = (KdlDocument::parse(&text), parse(&text)) {
+        if let (Ok(original), Ok(blanked)) = (KdlDocument::parse(&text), parse(&text)) {
             let names = |document: &KdlDocument| {
                 document.nodes().iter().map(|node| (node.name().value().to_string(), node.entries().len())).collect::<Vec<_>>()
             };
-            prop_assert_eq!(names(&plain), names(&ours));
+            prop_assert_eq!(names(&original), names(&blanked));
         }
     }
 }
--- a/crates/node/src/settings/mod.rs
+++ b/crates/node/src/settings/mod.rs
@@ -1,10 +1,10 @@
-//! Operator settings, a KDL file: what a server does beyond the platform's configuration. Without a file all of it is
-//! off.
+//! Operator settings: a KDL file that enables features beyond the platform's configuration. Without a file all of them
+//! are off.
 //!
 //! A file is checked completely: every unknown node, value out of range and contradiction is reported with its line and
-//! column ([`Problem`]), and a file with any of them is not used. Each block has a module, which maps the keys of the
-//! file; `kdl_reader` reads their values. `active` has the classes and tenants in force, which change at run time,
-//! and [`transaction`] reads changes of the configuration.
+//! column ([`Problem`]), and a file with any problem is rejected. Each block has a module, which maps the keys of the
+//! file; `kdl_reader` reads their values. `active` has the classes and tenants in force, which change at run time, and
+//! [`transaction`] reads changes of the configuration.
 
 mod active;
 pub mod cluster;
@@ -35,18 +35,18 @@
 /// Why a settings file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("{}: {error}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// Error of the system.
         error: std::io::Error,
     },
-    /// Its content is invalid.
+    /// The content of the file is invalid.
     #[error("{}", .problems.iter().map(|p| format!("{}: {p}", path.display())).collect::<Vec<_>>().join("\n"))]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// All problems, at least one.
         problems: Vec<Problem>,
@@ -56,7 +56,7 @@
 /// The operator settings of one server.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct OperatorSettings {
-    /// How long a planned leave waits, after it was published, before the drain begins.
+    /// Pause between the publication of a planned leave and the start of the drain.
     pub leave_hold: Span,
     /// The service registry, if there is one.
     pub registry: Option<RegistrySettings>,
@@ -64,13 +64,13 @@
     pub scgi: Option<ScgiSettings>,
     /// The store of keyed runs, if there is one.
     pub store: Option<StoreSettings>,
-    /// The fleet whose servers exchange datagrams, if this one is a member.
+    /// Membership in a fleet whose servers exchange datagrams, if this server is a member.
     pub cluster: Option<FleetSettings>,
     /// The consensus group of that fleet, if there is one.
     pub consensus: Option<ConsensusSettings>,
     /// The configuration service, if classes, tenants and rules come from committed revisions.
     pub configuration: Option<ConfigurationSettings>,
-    /// Names of an earlier version that the file still has, for the log and for `check`.
+    /// Names of an earlier version that the file still uses, for the log and for `check`.
     pub warnings: Vec<Problem>,
 }
 
@@ -78,7 +78,7 @@
     /// Reads and checks a file.
     ///
     /// # Errors
-    /// If the file can't be read, or with all problems of its text.
+    /// If the file can't be read or is invalid; all problems are returned.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| SettingsError::Read { path: path.into(), error })?;
@@ -111,7 +111,7 @@
         self.cluster = root.block("cluster").and_then(cluster::read);
         self.consensus = root.block("council").map(consensus::read);
         if self.consensus.is_some() && !root.has("cluster") {
-            root.problem("expected a cluster beside the council: its servers talk by that");
+            root.problem("expected a cluster beside the council: voters communicate through the cluster");
         }
         self.configuration = root.block("config").map(configuration::read);
         self.check_configuration(&root);
@@ -123,7 +123,7 @@
         let Some(configuration) = &self.configuration else { return };
         if !root.has("cluster") || !root.has("council") {
             root.problem(
-                "expected a cluster and a council beside the config: they spread and commit changes",
+                "expected a cluster and a council beside the config: they disseminate and commit changes",
             );
         }
         let voter_folder = self.consensus.as_ref().and_then(|consensus| consensus.folder.as_ref());
--- a/crates/node/src/settings/problem.rs
+++ b/crates/node/src/settings/problem.rs
@@ -1,23 +1,23 @@
-//! What is wrong in a settings file: errors with their place in the text, collected while the file is read.
+//! Problems of a settings file with their position in the text, collected while the file is read.
 
 use std::cell::RefCell;
 
-/// A problem at one place of a file.
+/// A problem at one position of a file.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}, column {column}: {kind}")]
 pub struct Problem {
-    /// From 1.
+    /// Number of the line, from 1.
     pub line: usize,
-    /// From 1, in characters.
+    /// Number of the character in the line, from 1.
     pub column: usize,
-    /// What is wrong.
+    /// Kind of the problem, with the expected and the actual value.
     pub kind: ProblemKind,
 }
 
-/// What is wrong at a place: what was expected, and what was found.
+/// A kind of problem, with the expected and the actual value.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ProblemKind {
-    /// The text is no KDL or JSON, or exceeds a bound of the parser.
+    /// The text is no KDL or JSON, or exceeds a limit of the parser.
     #[error("{0}")]
     Syntax(String),
     /// No node of this name is known here.
@@ -26,23 +26,23 @@
     /// No property of this name is known on this node.
     #[error("an unknown property '{0}'")]
     UnknownProperty(String),
-    /// A node occurs twice that may occur once.
-    #[error("'{0}' stands twice")]
+    /// A node that must be unique occurs twice.
+    #[error("'{0}' occurs twice")]
     DuplicateNode(String),
-    /// A node doesn't have the one argument that it needs.
+    /// A node doesn't have exactly one argument.
     #[error("expected {name} to be {expected}")]
     WrongArguments {
         /// Name of the node.
         name: String,
-        /// What it needs.
+        /// Description of the argument.
         expected: &'static str,
     },
-    /// A value has another type or form.
+    /// A value has the wrong type or format.
     #[error("expected {name} to be {expected}, got {got}")]
     WrongValue {
         /// Name of the node or property.
         name: String,
-        /// What it needs.
+        /// Description of a valid value.
         expected: &'static str,
         /// The value as written.
         got: String,
@@ -62,27 +62,27 @@
     OutOfRange {
         /// Name of the node.
         name: String,
-        /// The least value, inclusive.
+        /// The minimum, inclusive.
         min: String,
-        /// The greatest value, inclusive.
+        /// The maximum, inclusive.
         max: String,
         /// The value as written.
         got: String,
     },
-    /// A node has children that takes none.
+    /// A unique node must have no children, but has some.
     #[error("expected no children of {0}")]
     ChildrenOf(String),
-    /// The same, for a node that may occur several times.
+    /// A repeatable node must have no children, but has some.
     #[error("expected no children")]
     Children,
-    /// A node has arguments or properties that takes children only.
+    /// A node that may only have children has arguments or properties.
     #[error("expected {0} to have children only")]
     ChildrenOnly(String),
-    /// A node that may occur several times doesn't have one text.
+    /// A repeatable node doesn't have exactly one text as argument.
     #[error("expected {0} to have one text")]
     OneText(String),
-    /// A node has its name of an earlier version; a warning.
-    #[error("'{old}' is called '{new}' now; the next version won't take the old name")]
+    /// A node has the name of an earlier version; a warning.
+    #[error("'{old}' was renamed to '{new}'; the next version will reject the old name")]
     RenamedNode {
         /// Name of the earlier version.
         old: &'static str,
@@ -90,39 +90,39 @@
         new: &'static str,
     },
     /// Both names of a renamed node occur in one block.
-    #[error("'{old}' is the old name of '{new}', which stands here too")]
+    #[error("'{old}' is the old name of '{new}', which is present too")]
     OldAndNewName {
         /// Name of the earlier version.
         old: &'static str,
         /// Name of this version.
         new: &'static str,
     },
-    /// A value contradicts another, or can't be used for the reason given.
+    /// A value contradicts another one or is invalid for the given reason.
     #[error("{0}")]
     Invalid(String),
 }
 
-type Found = RefCell<Vec<(usize, ProblemKind)>>;
+type ProblemList = RefCell<Vec<(usize, ProblemKind)>>;
 
-/// Problems and warnings by their offset in the text.
+/// Problems and warnings with their offsets in the text.
 pub(super) struct Problems<'t> {
     text: &'t str,
-    problems: Found,
-    warnings: Found,
+    problems: ProblemList,
+    warnings: ProblemList,
 }
 
 impl<'t> Problems<'t> {
-    /// None yet, of this text.
+    /// Creates an empty collection for this text.
     pub(super) fn new(text: &'t str) -> Self {
         Self { text, problems: RefCell::default(), warnings: RefCell::default() }
     }
 
-    /// Adds a problem: the file can't be used.
+    /// Adds a problem, which makes the file unusable.
     pub(super) fn add(&self, offset: usize, kind: ProblemKind) {
         self.problems.borrow_mut().push((offset, kind));
     }
 
-    /// Adds a warning: the file can be used.
+    /// Adds a warning; the file can still be used.
     pub(super) fn warn(&self, offset: usize, kind: ProblemKind) {
         self.warnings.borrow_mut().push((offset, kind));
     }
@@ -137,7 +137,7 @@
         self.sorted(&self.problems)
     }
 
-    fn sorted(&self, found: &Found) -> Vec<Problem> {
+    fn sorted(&self, found: &ProblemList) -> Vec<Problem> {
         let mut found: Vec<(usize, String, ProblemKind)> =
             found.borrow().iter().map(|(offset, kind)| (*offset, kind.to_string(), kind.clone())).collect();
         found.sort_by(|a, b| (a.0, &a.1).cmp(&(b.0, &b.1)));
@@ -147,7 +147,7 @@
     }
 }
 
-/// A problem at an offset of a text, in bytes.
+/// Creates the problem at a byte offset of a text.
 pub(super) fn problem(text: &str, offset: usize, kind: ProblemKind) -> Problem {
     let before = text.get(..offset.min(text.len())).unwrap_or(text);
     let line = before.matches('\n').count() + 1;
--- a/crates/node/src/settings/scgi.rs
+++ b/crates/node/src/settings/scgi.rs
@@ -1,10 +1,10 @@
-//! The `scgi` block: where the SCGI front end listens, its routes, and the names of its headers.
+//! The `scgi` block: the addresses of the SCGI front end, its routes, and the names of its headers.
 
 use super::kdl_reader::Block;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The SCGI front end.
+/// Settings of the SCGI front end.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScgiSettings {
     /// Addresses to listen on.
@@ -17,9 +17,9 @@
     pub health: Option<String>,
     /// Names of the headers that are read.
     pub headers: Headers,
-    /// Memory of a request that doesn't state it, in kB.
+    /// Memory of requests without the header, in kB.
     pub memory_kb: f64,
-    /// Rank of a request that doesn't state it, from 0 to below 1.
+    /// Rank of requests without the header: at least 0 and less than 1.
     pub rank: f64,
 }
 
@@ -34,29 +34,29 @@
     pub class: String,
 }
 
-/// Names of headers as SCGI spells them: `HTTP_X_TENANT` for `X-Tenant`.
+/// Names of the headers in the spelling of SCGI: `HTTP_X_TENANT` for `X-Tenant`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Headers {
-    /// The tenant.
+    /// Header with the name of the tenant.
     pub tenant: String,
-    /// Number of the client.
+    /// Header with the number of the client.
     pub caller: String,
-    /// How long the client still waits, in milliseconds; if absent, the deadline of the class counts.
+    /// Header with the time that the client still waits, in milliseconds; without it the deadline of the class applies.
     pub wait_ms: String,
-    /// `1` for a retry.
+    /// Header that is `1` for a retry.
     pub retry: String,
-    /// The rank.
+    /// Header with the rank of the request.
     pub rank: String,
-    /// Memory of the request, in kB.
+    /// Header with the memory of the request, in kB.
     pub memory_kb: String,
-    /// Id of the request, 16 hex digits; if absent, one is generated.
+    /// Header with the id of the request, 16 hex digits; without it an id is generated.
     pub id: String,
-    /// Idempotency key, as a quoted string or bare; required by keyed classes.
+    /// Header with the idempotency key, quoted or not; required by keyed classes.
     pub token: String,
 }
 
 impl Headers {
-    /// All names.
+    /// The names of all headers.
     pub fn all(&self) -> [&str; 8] {
         let Self { tenant, caller, wait_ms, retry, rank, memory_kb, id, token } = self;
         [tenant, caller, wait_ms, retry, rank, memory_kb, id, token].map(String::as_str)
@@ -138,7 +138,7 @@
     routes
 }
 
-/// Reads the names that replace the usual ones.
+/// Reads the names that override the default ones.
 fn read_headers(headers: &mut Headers, mut block: Block<'_>) {
     for (node, name) in [
         ("tenant", &mut headers.tenant),
@@ -157,7 +157,7 @@
     let mut names = headers.all();
     names.sort_unstable();
     if names.windows(2).any(|pair| pair[0] == pair[1]) {
-        block.problem("one header can't tell two things");
+        block.problem("expected a different header for each value");
     }
     block.end();
 }
--- a/crates/node/src/settings/store.rs
+++ b/crates/node/src/settings/store.rs
@@ -1,4 +1,4 @@
-//! The `store` block: where keyed runs are kept beyond the process, and the bounds of that log.
+//! The `store` block: the folder in which keyed runs outlive the process, and the limits of that log.
 
 use super::kdl_reader::{Block, NANOSECONDS_PER_MS};
 use gradepin_admission::{Idempotency, Span};
@@ -7,30 +7,30 @@
 use std::path::PathBuf;
 
 const BYTES_PER_MIB: u64 = 1 << 20;
-/// Memory that a run takes while it is recovered, in bytes.
+/// Memory that one run uses during recovery.
 const RECOVERED_RUN_BYTES: usize = 600;
-/// Recovered runs may take the memory divided by this.
+/// Recovered runs may use the memory divided by this number.
 const RUNS_MEMORY_DIVISOR: usize = 2;
-/// Recovered results may take the memory divided by this: what the idempotency table keeps.
+/// Recovered results may use the memory divided by this number, as in the idempotency table.
 const RESULTS_MEMORY_DIVISOR: usize = 6;
 const DEFAULT_PERSIST_TIMEOUT: Span = Span(250 * NANOSECONDS_PER_MS);
 const DEFAULT_MAX_MIB: u64 = 512;
 const DEFAULT_SEGMENT_MIB: u64 = 4;
 
-/// The store of keyed runs.
+/// Settings of the store of keyed runs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreSettings {
-    /// Folder of this server alone, on a durable disk.
+    /// Folder on a durable disk, used by this server alone.
     pub path: PathBuf,
     /// How long an intent may take to become durable before its request is rejected.
     pub persist_timeout: Span,
-    /// Size of all segments together at most, in bytes.
+    /// Maximum total size of all segments, in bytes.
     pub max_bytes: u64,
     /// Size of one segment, in bytes.
     pub segment_bytes: u64,
 }
 
-/// Reads the block; `None` if it names no folder, which is a problem.
+/// Reads the block; `None` if it has no path, which adds a problem.
 pub(super) fn read(mut block: Block<'_>) -> Option<StoreSettings> {
     let path = block.text("path");
     if path.is_none() && !block.has("path") {
@@ -41,7 +41,7 @@
     let segment_mib = block.integer("segment-mb", 1..=1_024).unwrap_or(DEFAULT_SEGMENT_MIB);
     if max_mib < 2 * segment_mib {
         block.problem(
-            "expected most-mb of twice segment-mb or more: one segment is written while another ends",
+            "expected most-mb of twice segment-mb or more: one segment is written while the other one expires",
         );
     }
     block.end();
@@ -54,7 +54,7 @@
 }
 
 impl StoreSettings {
-    /// Bounds of the log of a server with this configuration.
+    /// Builds the limits of the log of a server with this configuration.
     pub fn limits(&self, config: &Config) -> Limits {
         let keyed = config.settings.profiles.iter().filter(|profile| profile.effect == Idempotency::Keyed);
         Limits {
--- a/crates/node/src/settings/tests.rs
+++ b/crates/node/src/settings/tests.rs
@@ -29,7 +29,7 @@
     assert_eq!(settings.leave_hold, Span(3_000 * NANOSECONDS_PER_MS));
     let near =
         ServiceUrl { url: "http://127.0.0.1:2/eureka/v2".into(), login: Some(("a".into(), "b".into())) };
-    assert_eq!(registry.urls[0], near, "the own zone comes first");
+    assert_eq!(registry.urls[0], near, "the URL of the server's own zone comes first");
     assert_eq!((registry.app.as_str(), registry.vip.as_str()), ("TILE-SERVER", "tiles"));
     assert_eq!(
         (registry.lease, registry.ready_share, registry.deregister),
@@ -38,7 +38,7 @@
     assert_eq!(registry.metadata, [("rack".to_string(), "b7".to_string())]);
 }
 
-/// Guards against shipping an example that the program rejects.
+/// Guards against shipping example settings that the program rejects.
 #[test]
 fn reads_the_deployed_examples() {
     let settings = OperatorSettings::parse(include_str!("../../../../deploy/registry.kdl")).unwrap();
@@ -57,9 +57,9 @@
     );
 }
 
-/// Guards against a partly used file, and against a typing error that silently keeps a default.
+/// Guards against a file of which only a part is used, and against a typing error that silently keeps a default.
 #[test]
-fn reports_every_problem_with_its_place() {
+fn reports_every_problem_with_its_position() {
     let text = "registry {\n    url \"ftp://x\"\n    url \"http://h:1/e\"\n    url \"http://h:1/e\"\n    app \"A\"\n    heartbeat-ms 10\n    heart 5\n    lease-ms \"long\"\n    ready-share 2.0\n    cancel 1\n    format \"yaml\"\n    app \"B\"\n}\nregistri {\n}\n";
     let expected = [
         "line 2, column 5: expected a URL that begins with http://",
@@ -70,7 +70,7 @@
         "line 9, column 5: expected ready-share from 0 to 1, got 2.0",
         "line 10, column 5: expected cancel to be #true or #false, got 1",
         "line 11, column 5: expected format",
-        "line 12, column 5: 'app' stands twice",
+        "line 12, column 5: 'app' occurs twice",
         "line 14, column 1: an unknown node 'registri'",
     ];
     let found = problems(text);
@@ -80,7 +80,7 @@
     assert_eq!(found.len(), expected.len(), "{found:#?}");
 }
 
-/// Guards a fleet against settings by which servers can't find each other or detect failures.
+/// Guards against cluster settings with which servers can't find each other or detect failures.
 #[test]
 fn reports_invalid_cluster_settings() {
     let with = |more: &str| {
@@ -105,7 +105,7 @@
     assert_eq!(problems("cluster {\n}").len(), 3, "no listen, no seed and no key-file");
 }
 
-/// Guards the consensus group against settings by which it can't work.
+/// Guards against council settings with which the consensus group can't work.
 #[test]
 fn reports_invalid_council_settings() {
     let with = |more: &str| {
--- a/crates/node/src/settings/transaction.rs
+++ b/crates/node/src/settings/transaction.rs
@@ -1,8 +1,7 @@
-//! Transactions of the configuration as KDL or JSON documents.
+//! Reads transactions of the configuration from KDL or JSON documents.
 //!
-//! Both forms have the keys of the configuration file, which are mapped here. In KDL times are nanoseconds too, or texts
-//! with a unit. Problems of the document have their line and column; whether the values are valid is checked by
-//! `gradepin_config`.
+//! Both forms use the keys of the configuration file, which are mapped here. In KDL, times are nanoseconds or texts
+//! with a unit. Problems of the document are reported with line and column; `gradepin_config` validates the values.
 
 use super::kdl_reader::{Block, Repeated};
 use super::problem::{Problem, ProblemKind, Problems};
@@ -11,9 +10,9 @@
 use gradepin_config::{Name, Transaction};
 use std::ops::RangeInclusive;
 
-/// Size of a document at most: a transaction with the maximum number of changes fits.
+/// Maximum size of a document; a transaction with the maximum number of changes fits.
 pub const MAX_DOCUMENT_BYTES: usize = 1 << 20;
-/// No bounds here, so that values are checked in one place, with one message.
+/// Unbounded, so that `gradepin_config` alone checks the values.
 const ANY: RangeInclusive<f64> = f64::NEG_INFINITY..=f64::INFINITY;
 const EFFECTS: [&str; 3] = ["repeatable", "by_key", "once"];
 
@@ -27,7 +26,7 @@
 }
 
 impl Form {
-    /// The form of a file, by its extension: JSON if that is `.json`, else KDL.
+    /// The form of a file according to its extension: JSON for `.json`, KDL otherwise.
     pub fn of(path: &std::path::Path) -> Self {
         let json = path.extension().is_some_and(|extension| extension.eq_ignore_ascii_case("json"));
         if json { Self::Json } else { Self::Kdl }
@@ -37,7 +36,7 @@
 /// Parses a document.
 ///
 /// # Errors
-/// All problems of a KDL document, the first one of a JSON document.
+/// All problems of a KDL document, or the first one of a JSON document.
 pub fn parse(text: &str, form: Form) -> Result<Transaction, Vec<Problem>> {
     if text.len() > MAX_DOCUMENT_BYTES {
         let message = format!("expected at most {MAX_DOCUMENT_BYTES} bytes, got {}", text.len());
@@ -85,7 +84,7 @@
     named.collect()
 }
 
-/// Adds a problem if a class lacks a node that has no default.
+/// Adds a problem if a node without a default is missing in a class.
 fn required<T>(block: &Block<'_>, name: &str, value: Option<T>) -> Option<T> {
     if value.is_none() && !block.has(name) {
         block.problem(format!("expected {name} in the class"));
--- a/crates/node/src/settings/transaction/tests.rs
+++ b/crates/node/src/settings/transaction/tests.rs
@@ -1,4 +1,4 @@
-//! Documents of both forms.
+//! Valid and invalid documents in KDL and JSON.
 
 use super::*;
 use gradepin_config::{Change, Rule};
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn reports_problems_with_their_place() {
+fn reports_problems_with_their_position() {
     let text = "class \"a\" {\n    promise \"1 s\"\n    deadline \"2s\"\n    effect \"twice\"\n    worht 1\n}\n\
                 tenant \"b\" { portion \"half\"; }\nremove-tenant \"c\" { x 1; }\nclas \"d\"\ntenant\n";
     let expected = [
--- a/crates/node/src/staging.rs
+++ b/crates/node/src/staging.rs
@@ -1,10 +1,10 @@
-//! The staging area: a folder with settings that operators staged for rollouts, and the steps of rollouts on this server.
+//! The staging area: a folder with settings that operators staged for rollouts, and the rollout steps on this server.
 //!
-//! A settings step puts a staged file in the place of the configuration file and applies it as SIGHUP would; the file
-//! before it is kept in the folder. A program step runs the operators' command, which is to replace this process.
+//! A settings step replaces the configuration file by a staged file and reloads it as SIGHUP does; the previous file is
+//! kept in the folder. A program step runs the operators' command, which must replace this process.
 //!
-//! Whether a step may begin is the consensus group's decision, and until when; the clock is only compared here.
-//! Invariants: a file `DIGEST.json` holds exactly the settings with this digest; files are replaced atomically.
+//! The consensus group decides whether a step may start and until when; this module only checks the time.
+//! Invariants: a file `DIGEST.json` has exactly the settings with this digest; files are replaced atomically.
 
 use crate::clock::Clock;
 use crate::config::{self, LoadError};
@@ -25,9 +25,9 @@
 
 const STACK_BYTES: usize = 256 * 1024;
 const STAGED_SUFFIX: &str = ".json";
-/// Staged settings that are kept; the oldest are removed.
+/// Maximum number of staged files; the oldest ones are removed.
 const MAX_STAGED_FILES: usize = 16;
-/// Bytes of a command's error output that are reported.
+/// At most this part of a command's error output is reported.
 const MAX_REPORTED_OUTPUT_BYTES: usize = 400;
 
 /// Why settings can't be staged.
@@ -36,17 +36,17 @@
     /// The settings are not valid.
     #[error(transparent)]
     Invalid(#[from] ConfigError),
-    /// The configuration file, which they are compared with, can't be read.
+    /// The configuration file, with which the settings are compared, can't be read.
     #[error(transparent)]
     CurrentConfig(#[from] LoadError),
-    /// They are another server's, or change what takes a restart.
+    /// The settings have another server's name or address, which a reload can't change.
     #[error(
         "expected the settings of {expected_name} at {expected_address}, got {found_name} at {found_address}"
     )]
     OtherServer {
         /// This server's name.
         expected_name: String,
-        /// The address that it listens on.
+        /// The address that this server listens on.
         expected_address: SocketAddr,
         /// The name in the staged settings.
         found_name: String,
@@ -61,9 +61,9 @@
 /// Why a step of a rollout failed on this server.
 #[derive(Debug, thiserror::Error)]
 enum StepError {
-    #[error("it came too late to begin")]
+    #[error("the step arrived after the time until which it could start")]
     StartTimeOver,
-    #[error("no command replaces programs here")]
+    #[error("no replace-command is configured on this server")]
     NoCommand,
     #[error("{}: {source}", command.display())]
     CommandNotRun { command: PathBuf, source: io::Error },
@@ -71,7 +71,7 @@
     CommandFailed { command: PathBuf, status: ExitStatus, output: String },
     #[error("settings {digest} aren't staged: {source}")]
     NotStaged { digest: String, source: io::Error },
-    #[error("the file staged as {digest} holds other settings")]
+    #[error("the content of the file staged as {digest} has another digest")]
     DigestMismatch { digest: String },
     #[error(transparent)]
     CurrentConfig(io::Error),
@@ -81,23 +81,23 @@
     NotReplaced { config: PathBuf, source: io::Error },
 }
 
-/// The folder of staged settings, and how this server takes a step.
+/// The folder of staged settings, and the means to execute rollout steps.
 #[derive(Debug, Clone)]
 pub struct StagingArea {
     folder: PathBuf,
     config: PathBuf,
-    /// The operators' command; its arguments are the version and this server's name.
+    /// The operators' command, called with the version and this server's name.
     replace_command: Option<PathBuf>,
     server_name: String,
 }
 
-/// The digest of settings: 16 hex digits of BLAKE3.
+/// The digest of settings: the first 16 hex digits of their BLAKE3 hash.
 pub fn digest(text: &str) -> String {
     blake3::hash(text.as_bytes()).to_hex()[..16].to_string()
 }
 
 impl StagingArea {
-    /// Opens the folder, makes it if it isn't there, and keeps a copy of the configuration file in it.
+    /// Opens the folder, creating it if needed, and stores a copy of the configuration file in it.
     pub fn open(
         folder: PathBuf,
         config: PathBuf,
@@ -107,16 +107,16 @@
         fs::create_dir_all(&folder)?;
         let area = Self { folder, config, replace_command, server_name };
         let text = fs::read_to_string(&area.config)?;
-        area.keep(&text)?;
+        area.write_staged(&text)?;
         Ok(area)
     }
 
-    /// The digest of the configuration file.
+    /// Reads the configuration file and returns its digest.
     pub fn active_digest(&self) -> io::Result<String> {
         Ok(digest(&fs::read_to_string(&self.config)?))
     }
 
-    /// The digests of all staged settings, sorted; empty where the folder can't be read.
+    /// The digests of all staged settings, sorted; empty if the folder can't be read.
     pub fn staged(&self) -> Vec<String> {
         let names = fs::read_dir(&self.folder).into_iter().flatten().flatten();
         let names = names.map(|entry| entry.file_name().to_string_lossy().into_owned());
@@ -126,8 +126,8 @@
         staged
     }
 
-    /// Stages settings, and returns their digest. They are checked completely first, and must keep the server's name and
-    /// address, which take a restart.
+    /// Stages settings and returns their digest. They are checked completely first and must keep the server's name and
+    /// address, which only a restart can change.
     pub fn put(&self, text: &str) -> Result<String, StageError> {
         let staged = Config::parse(text)?;
         let current = config::load(&self.config)?;
@@ -139,11 +139,11 @@
                 found_address: staged.listen,
             });
         }
-        Ok(self.keep(text)?)
+        Ok(self.write_staged(text)?)
     }
 
-    /// Takes a step in a thread of its own, since a command may take long. A failure becomes an input; nothing begins at
-    /// `start_before` or later.
+    /// Executes a step on a separate thread, because a command may take long. A failure is sent to `inputs`. The step
+    /// fails if it has not started before `start_before`.
     pub fn start_step(
         self: &Arc<Self>,
         step: StepAssignment,
@@ -190,8 +190,8 @@
             return Err(StepError::DigestMismatch { digest: version.to_string() });
         }
         let current = fs::read_to_string(&self.config).map_err(StepError::CurrentConfig)?;
-        self.keep(&current).map_err(StepError::CurrentConfig)?;
-        // Checked completely before the file is replaced.
+        self.write_staged(&current).map_err(StepError::CurrentConfig)?;
+        // The settings are checked completely before the file is replaced.
         let config = Config::parse(&text).map_err(StepError::Invalid)?;
         replace(&self.config, &text)
             .map_err(|source| StepError::NotReplaced { config: self.config.clone(), source })?;
@@ -205,8 +205,8 @@
         self.folder.join(format!("{digest}{STAGED_SUFFIX}"))
     }
 
-    /// Keeps settings under their digest, which is returned.
-    fn keep(&self, text: &str) -> io::Result<String> {
+    /// Writes settings to the folder under their digest, which is returned.
+    fn write_staged(&self, text: &str) -> io::Result<String> {
         let digest = digest(text);
         let path = self.path(&digest);
         if !path.exists() {
@@ -216,7 +216,7 @@
         Ok(digest)
     }
 
-    /// Makes room for one more file within [`MAX_STAGED_FILES`].
+    /// Removes the oldest files, so that one more is within [`MAX_STAGED_FILES`].
     fn remove_oldest(&self) -> io::Result<()> {
         let mut files = Vec::new();
         for entry in fs::read_dir(&self.folder)? {
@@ -234,7 +234,7 @@
     }
 }
 
-/// Replaces a file atomically: a reader finds the old text or the new one, also after a crash.
+/// Replaces a file atomically: a reader sees either the old or the new text, even after a crash.
 fn replace(path: &Path, text: &str) -> io::Result<()> {
     let new = path.with_extension("new");
     fs::write(&new, text)?;
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -1,8 +1,8 @@
-//! The thread of the idempotency store: it opens the store, writes batches of records with one sync for all that are
-//! queued, and reports what became of them.
+//! The thread of the idempotency store: opens the store, writes batches of records with one sync for all queued ones,
+//! and reports the results.
 //!
-//! It decides nothing: when a batch is written again, and what follows from a failure, is the reducer's decision.
-//! Invariant: [`Input::StorePersisted`] is sent only after the sync of its batch and all before it.
+//! The reducer decides when records are written again and how to react to a failure. Invariant:
+//! [`Input::StorePersisted`] is sent only after its batch and all earlier ones are synced.
 
 use crate::clock::Clock;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, unbounded};
@@ -18,30 +18,30 @@
 use std::time::{Duration, Instant};
 
 const STACK_BYTES: usize = 256 * 1024;
-/// The pause between attempts to open the store.
+/// Pause between attempts to open the store.
 const REOPEN_INTERVAL: Duration = Duration::from_millis(250);
 /// The longest pause between checks for expired segments.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
-/// Batches that share a sync.
+/// Maximum number of batches that share a sync.
 const MAX_BATCHES_PER_SYNC: usize = 1024;
 const NANOS_PER_MS: u64 = 1_000_000;
 
-/// The store, as the main thread uses it.
+/// The main thread's handle to the store thread.
 pub struct Store {
-    // Unbounded: the idempotency log sends nothing more while batches are late.
+    // Unbounded: the idempotency log stops sending while batches are late.
     jobs: Sender<WriteJob>,
 }
 
-/// A batch, and the number under which its end is reported.
+/// A batch, and the number under which its result is reported.
 struct WriteJob {
     number: u64,
     batch: RecordBatch,
 }
 
-/// Opens the disk of the store; called again until it succeeds.
+/// Opens the disk of the store; called repeatedly until it succeeds.
 pub type OpenDisk = Box<dyn FnMut() -> Result<Box<dyn Disk>, FolderError> + Send>;
 
-/// Opens a folder as the disk of the store.
+/// Returns a function that opens a folder as the disk of the store.
 pub fn open_folder(path: PathBuf) -> OpenDisk {
     Box::new(move || Ok(Box::new(Folder::open(&path)?) as Box<dyn Disk>))
 }
@@ -56,9 +56,9 @@
 }
 
 impl Store {
-    /// Starts the thread, which opens the store and then writes. `salt` keys the fingerprints of a new store. What the
-    /// store held is reported by [`Input::StoreRecovered`], each new reason why it can't be opened by
-    /// [`Input::StoreFailed`].
+    /// Starts the thread, which opens the store and then writes. `salt` is the hash key of the fingerprints of a new
+    /// store. The thread sends the recovered content as [`Input::StoreRecovered`], and each new reason why the store
+    /// can't be opened as [`Input::StoreFailed`].
     pub fn start(
         open_disk: OpenDisk,
         limits: Limits,
@@ -80,12 +80,13 @@
 
     /// Queues a batch; [`Input::StorePersisted`] or [`Input::StoreFailed`] follows.
     pub fn persist(&self, number: u64, batch: RecordBatch) {
-        // The thread ends only with the process.
+        // Can't fail: the thread runs as long as the process.
         let _ = self.jobs.send(WriteJob { number, batch });
     }
 }
 
-/// Tries until the store is open, and reports each new reason once. None if the queue of inputs is closed.
+/// Retries until the store is open, and reports each new reason of a failure once. `None` if the queue of inputs is
+/// closed.
 fn open_until_done(
     mut open_disk: OpenDisk,
     limits: Limits,
@@ -115,13 +116,13 @@
     }
 }
 
-/// The state of the thread while it writes.
+/// State of the thread while it writes.
 struct Writer {
     store: Log,
     clock: Clock,
-    /// The log's clock starts here: the time since then shortens the windows of records of earlier processes.
+    /// Origin of the log's clock. The time since then shortens the windows of records of earlier processes.
     started: Time,
-    /// Whether the last removal of expired segments failed; only the first failure in a row is logged.
+    /// Whether the last removal of expired segments failed; only the first of consecutive failures is logged.
     expiry_failed: bool,
     log: Logger,
 }
@@ -129,11 +130,11 @@
 /// Batches that are written with one sync.
 #[derive(Default)]
 struct BatchGroup {
-    /// The number of the last batch; 0 where there is none.
+    /// Number of the last batch; 0 without any.
     last_number: u64,
-    /// All records, where they are to be written again.
+    /// All records, if the group has a batch that rewrites the log.
     rewrite: Option<Vec<LogRecord>>,
-    /// Records to append, after the rewrite.
+    /// Records to append after the rewrite.
     append: Vec<LogRecord>,
 }
 
@@ -143,7 +144,7 @@
         match job.batch {
             RecordBatch::Append(records) => self.append.extend(records),
             RecordBatch::Rewrite(records) => {
-                // It has all that was queued before it.
+                // A rewrite includes all records queued before it.
                 self.append.clear();
                 self.rewrite = Some(records);
             }
@@ -192,7 +193,8 @@
         if let Err(e) = &result
             && !self.expiry_failed
         {
-            warn!(self.log, "can't remove an expired segment of the store"; "error" => %e);
+            warn!(self.log, "can't remove an expired segment of the store; retrying, its disk space stays in use";
+                  "error" => %e);
         }
         self.expiry_failed = result.is_err();
     }
--- a/crates/node/src/voter_storage.rs
+++ b/crates/node/src/voter_storage.rs
@@ -1,9 +1,9 @@
-//! The thread that makes a voter's state durable: it writes records in the order in which they are queued, and reads the
+//! The thread that makes a voter's state durable: writes records in the order in which they are queued, and reads the
 //! folder again after a failed write.
 //!
-//! It decides nothing: what waits for a write, and what follows from a failure, is the consensus group's. Records carry the
-//! generation of the state that they are based on; those from before a failure are dropped, since the voter goes on from
-//! what the folder held.
+//! The consensus group decides what waits for a write and how to react to a failure. Records have the generation of the
+//! state that they are based on; records of an earlier generation are dropped, because after a failure the voter
+//! continues from the state in the folder.
 
 use crossbeam_channel::{Receiver, Sender, unbounded};
 use gradepin_coordination::consensus::{DurableRecord, VoterState};
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 const STACK_BYTES: usize = 256 * 1024;
-/// The pause between attempts to open the folder after a failure, and after the one that succeeds.
+/// Pause after each attempt to open the folder again, including the successful one.
 const REOPEN_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Why the folder can't be opened.
@@ -33,27 +33,27 @@
 enum WriteError {
     #[error(transparent)]
     Log(#[from] VoterLogError),
-    #[error("the folder isn't open")]
+    #[error("the folder of the voter state isn't open")]
     NotOpen,
 }
 
 /// Records to make durable.
 struct WriteJob {
-    /// Counts the failures before the state that the records are based on.
+    /// Number of failures before the state that the records are based on.
     generation: u64,
-    /// Reported once the records are durable.
+    /// Number under which the records are reported as durable.
     number: u64,
     records: Vec<DurableRecord>,
 }
 
-/// The folder of a voter's state, as the main thread uses it.
+/// The main thread's handle to the voter storage thread.
 pub struct VoterStorage {
-    // Unbounded: a voter that waits for a write sends only a few more.
+    // Unbounded: a voter that waits for a write sends only a few more records.
     jobs: Sender<WriteJob>,
 }
 
 impl VoterStorage {
-    /// Opens the folder, makes it if it isn't there, and returns what it holds; `new_identity` is the identity of a new
+    /// Opens the folder, creating it if needed, and returns the state in it; `new_identity` is the identity of a new
     /// folder.
     pub fn start(path: PathBuf, new_identity: u64, inputs: Sender<Input>) -> io::Result<(Self, VoterState)> {
         let (log, state) = open(&path, new_identity).map_err(io::Error::other)?;
@@ -66,7 +66,7 @@
 
     /// Queues records for writing. [`Input::VoterStateWritten`] or [`Input::VoterStateFailed`] follows.
     pub fn write(&self, generation: u64, number: u64, records: Vec<DurableRecord>) {
-        // The thread ends only with the process.
+        // Can't fail: the thread runs as long as the process.
         let _ = self.jobs.send(WriteJob { generation, number, records });
     }
 }
@@ -76,14 +76,14 @@
     Ok(VoterLog::open(Box::new(folder) as Box<dyn Disk>, new_identity)?)
 }
 
-/// The state of the thread.
+/// State of the thread.
 struct Writer {
     path: PathBuf,
-    /// None only while the folder is opened again.
+    /// `None` only while the folder is being opened again.
     log: Option<VoterLog>,
-    /// What the folder held when it was opened last.
+    /// The state in the folder when it was last opened.
     state: VoterState,
-    /// Counts failed writes.
+    /// Number of failed writes.
     generation: u64,
 }
 
@@ -112,10 +112,10 @@
         Ok(log.write(&self.state, records)?)
     }
 
-    /// Opens the folder again, however long that takes, and starts the next generation from what it holds.
+    /// Retries until the folder is open again, and starts the next generation from the state in it.
     fn reopen(&mut self) {
         self.generation += 1;
-        // Its lock must be released before the folder is opened again.
+        // Dropping the log releases the folder's lock, which the next open needs.
         drop(self.log.take());
         let (log, state) = loop {
             match open(&self.path, self.state.id) {
@@ -124,7 +124,7 @@
             }
         };
         (self.log, self.state) = (Some(log), state);
-        // A full disk stays full for a while: guards against a voter that starts again in a tight loop.
+        // A full disk stays full for a while; without a pause the voter would restart in a busy loop.
         thread::sleep(REOPEN_INTERVAL);
     }
 }
