--- a/crates/node/src/admin/exposition.rs
+++ b/crates/node/src/admin/exposition.rs
@@ -9,7 +9,7 @@
 //! | `server_cfg_accepted_total` | counter | | configuration files accepted at SIGHUP |
 //! | `server_cfg_invalid_total` | counter | | configuration files rejected at SIGHUP |
 //!
-//! For members of a fleet also:
+//! In addition, for members of a fleet:
 //!
 //! | name | type | labels | meaning |
 //! | --- | --- | --- | --- |
@@ -23,7 +23,7 @@
 //! | `server_fleet_dropped_total` | counter | `why` | datagrams that were dropped |
 //! | `server_fleet_sent_bytes_total` | counter | | bytes sent to other servers |
 //!
-//! With the configuration service also:
+//! In addition, with the configuration service:
 //!
 //! | name | type | labels | meaning |
 //! | --- | --- | --- | --- |
--- a/crates/node/src/claims/tests.rs
+++ b/crates/node/src/claims/tests.rs
@@ -36,7 +36,9 @@
 }
 
 fn served(text: &str) -> Option<RunOutcome> {
-    Some(RunOutcome::Served(Arc::new(BufferPool::new(1).exact(text.as_bytes()).expect("it fits"))))
+    Some(RunOutcome::Served(Arc::new(
+        BufferPool::new(1).exact(text.as_bytes()).expect("it fits in a buffer"),
+    )))
 }
 
 fn claim(folder: &mut ClaimFolder, key: &str, fingerprint: Fingerprint) -> String {
--- a/crates/node/src/frontend/event_loop.rs
+++ b/crates/node/src/frontend/event_loop.rs
@@ -111,7 +111,7 @@
             Ok(_) | Err(Errno::INTR) => {}
             Err(e) => {
                 // Without a pause, a persistent error would cause a busy loop.
-                warn!(self.shared.log, "waiting for events of client sockets failed; retrying after a pause, clients wait";
+                warn!(self.shared.log, "waiting for client socket events failed; clients wait until a retry succeeds";
                       "error" => %e);
                 std::thread::sleep(TICK);
             }
--- a/crates/node/src/frontend/event_loop/tests.rs
+++ b/crates/node/src/frontend/event_loop/tests.rs
@@ -142,12 +142,12 @@
         let (mut event_loop, address, received) = event_loop(4, false);
         let mut peer = TcpStream::connect(address).unwrap();
         run_all_events(&mut event_loop);
-        let late = Instant::now() + Duration::from_secs(3);
+        let after_timeout = Instant::now() + Duration::from_secs(3);
         if before_tick {
             peer.write_all(&health(1)).unwrap();
             wait_until_unread(&peer, health(1).len());
         }
-        event_loop.tick(late);
+        event_loop.tick(after_timeout);
         if !before_tick {
             // The main thread has not closed the connection yet.
             peer.write_all(&health(1)).unwrap();
--- a/crates/node/src/frontend/thrift/codec.rs
+++ b/crates/node/src/frontend/thrift/codec.rs
@@ -68,7 +68,7 @@
     if reader.0.is_empty() { Ok(message) } else { Err(MalformedFrame("bytes behind a message")) }
 }
 
-/// `call(1: map<string, string> fields, 2: binary body)`
+/// Decodes the arguments of `call(1: map<string, string> fields, 2: binary body)`.
 fn decode_call(
     reader: &mut WireReader<'_>,
     sequence: SequenceId,
@@ -93,7 +93,7 @@
     })
 }
 
-/// `cancel(1: i32 sequence)`
+/// Decodes the arguments of `cancel(1: i32 sequence)`.
 fn decode_cancel(reader: &mut WireReader<'_>) -> Result<DecodedMessage, MalformedFrame> {
     let mut canceled = None;
     reader.each_field(|reader, id, field_type| match (id, field_type) {
--- a/crates/node/src/frontend/thrift/wire.rs
+++ b/crates/node/src/frontend/thrift/wire.rs
@@ -19,7 +19,7 @@
 /// Message kind: a call that gets no reply.
 pub(super) const ONEWAY: u8 = 4;
 
-/// Ends the fields of a struct.
+/// Marks the end of the fields of a struct.
 const STOP: u8 = 0;
 /// Value type: one byte, 0 or 1.
 pub(super) const BOOL: u8 = 2;
--- a/crates/node/src/processor/lines.rs
+++ b/crates/node/src/processor/lines.rs
@@ -115,11 +115,11 @@
         /// Number of the notice.
         notice: u64,
     },
-    /// A line from which nothing follows.
+    /// A line that has no effect on the server.
     Ignored,
 }
 
-/// A line, and the bytes that it takes with its body and line ends.
+/// A parsed line, and its length in bytes including the body and the line ends.
 #[derive(Debug)]
 struct ParsedLine {
     bytes: usize,
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -145,10 +145,10 @@
             _ => None,
         };
         // Listeners can only change by a restart. Without the block, the current routes are kept.
-        if let (Some(front), Some(settings)) = (&self.scgi, &operator.scgi) {
+        if let (Some(frontend), Some(settings)) = (&self.scgi, &operator.scgi) {
             let profiles = &config.settings.profiles;
             let classes: HashSet<&str> = profiles.iter().map(|class| class.name.as_str()).collect();
-            front.reload(Routes::new(settings, self.active.clone(), |class| classes.contains(class))?);
+            frontend.reload(Routes::new(settings, self.active.clone(), |class| classes.contains(class))?);
         }
         Ok(ReadFiles { config, keys })
     }
--- a/crates/node/src/settings/cluster/tests.rs
+++ b/crates/node/src/settings/cluster/tests.rs
@@ -49,6 +49,6 @@
 #[test]
 fn rejects_an_old_name_in_another_block() {
     let problems =
-        OperatorSettings::parse(&cluster("leases {\nprobe-ms 1000\n}")).expect_err("it is unknown there");
+        OperatorSettings::parse(&cluster("leases {\nprobe-ms 1000\n}")).expect_err("an unknown node");
     assert_eq!(problems[0].to_string(), "line 6, column 1: an unknown node 'probe-ms'");
 }
--- a/crates/node/src/settings/kdl_text.rs
+++ b/crates/node/src/settings/kdl_text.rs
@@ -196,7 +196,7 @@
                 self.offset += at + end.len();
                 return;
             }
-            // In the short form only an escaped new line is allowed.
+            // A string with one quote mark on each side may include a new line only after a backslash.
             if quotes == 1 && is_newline(next) {
                 break;
             }
--- a/crates/node/src/settings/transaction.rs
+++ b/crates/node/src/settings/transaction.rs
@@ -19,9 +19,9 @@
 /// The form of a document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Form {
-    /// KDL.
+    /// A KDL document, in which times may have a unit.
     Kdl,
-    /// JSON.
+    /// A JSON document, in which times are nanoseconds.
     Json,
 }
 
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -37,7 +37,7 @@
         let mut flags = Vec::with_capacity(signals.len());
         for &signal in signals {
             let flag = Arc::new(AtomicBool::new(false));
-            // The flag first: the reader wakes to the byte and must find the flag set by then.
+            // The flag is registered first, so that it is set before the byte in the pipe wakes the reader.
             signal_hook::flag::register(signal, Arc::clone(&flag))?;
             pipe::register(signal, writer.try_clone()?)?;
             flags.push((signal, flag));
