--- a/crates/admission/src/actions.rs
+++ b/crates/admission/src/actions.rs
@@ -17,7 +17,7 @@
         /// Retry-After: how long the caller should stay away; 0 for no advice.
         retry_after: Span,
         /// Whether the caller should not try another server.
-        last: bool,
+        is_final: bool,
     },
     /// Final response: failed, and may have run.
     Fail(RequestId),
--- a/crates/admission/src/advice.rs
+++ b/crates/admission/src/advice.rs
@@ -85,7 +85,7 @@
 
     /// The value to advertise, in the form that the site's callers understand; none where it hardly changed.
     pub(crate) fn advertise(&mut self, capacity: &Capacity, settings: &Settings) -> Option<f64> {
-        let value = match settings.specifics.advert {
+        let value = match settings.specifics.capacity_signal {
             CapacitySignal::Off => return None,
             CapacitySignal::ConcurrencyWindow => {
                 capacity.requests() / f64::from(settings.specifics.clients_total.max(1))
--- a/crates/admission/src/call_limiter.rs
+++ b/crates/admission/src/call_limiter.rs
@@ -64,8 +64,8 @@
 impl CallLimiter {
     /// No calls yet; the limit starts at a part of the share, or one call a core for a tier of servers.
     pub(crate) fn new(specifics: &Specifics) -> Self {
-        let limit = if specifics.below == UpstreamKind::Shared {
-            (specifics.calls_out * INITIAL_SHARE).max(1.0)
+        let limit = if specifics.upstream == UpstreamKind::Shared {
+            (specifics.call_share * INITIAL_SHARE).max(1.0)
         } else {
             f64::from(specifics.n_cores)
         };
@@ -114,7 +114,7 @@
 
     /// Most calls in flight: the share, or for a tier of servers the runs that may be here.
     fn ceiling(specifics: &Specifics, max_runs: f64) -> f64 {
-        if specifics.below == UpstreamKind::Shared { specifics.calls_out.max(1.0) } else { max_runs }
+        if specifics.upstream == UpstreamKind::Shared { specifics.call_share.max(1.0) } else { max_runs }
     }
 
     /// Ends a call in flight, however it ended.
--- a/crates/admission/src/call_share.rs
+++ b/crates/admission/src/call_share.rs
@@ -86,17 +86,17 @@
 
     /// Whether the share is below one call, so that it is a mean kept by pacing.
     pub(crate) fn is_below_one_call(specifics: &Specifics) -> bool {
-        specifics.below == UpstreamKind::Shared && specifics.calls_out < 1.0
+        specifics.upstream == UpstreamKind::Shared && specifics.call_share < 1.0
     }
 
     /// Adapts to new settings, which the times of past calls depend on.
     pub(crate) fn reconfigure(&mut self, previous: &Specifics, specifics: &Specifics, now: Time) {
         // A call scheduled by a share of nearly nothing would be due in days.
-        if specifics.calls_out != previous.calls_out {
+        if specifics.call_share != previous.call_share {
             self.next_call_at = Time(0);
         }
         let lingers_until = time_after(now, specifics.linger);
-        let leaves_span_at = time_after(lingers_until, specifics.share_span);
+        let leaves_span_at = time_after(lingers_until, specifics.call_share_window);
         self.lingering.iter_mut().for_each(|until| *until = lingers_until.min(*until));
         for call in &mut self.recent_calls {
             call.leaves_span_at = leaves_span_at.min(call.leaves_span_at);
@@ -125,7 +125,7 @@
         if is_given_up {
             self.lingering.push_back(released_at);
         }
-        let leaves_span_at = time_after(released_at, specifics.share_span);
+        let leaves_span_at = time_after(released_at, specifics.call_share_window);
         self.recent_calls.push_back(RecentCall { leaves_span_at, seconds });
         self.recent_call_seconds += seconds;
     }
@@ -145,17 +145,17 @@
         now: Time,
         random: &mut RandomSource,
     ) {
-        let gap_seconds = took_seconds / (specifics.calls_out * self.target_fraction).max(MIN_SHARE);
+        let gap_seconds = took_seconds / (specifics.call_share * self.target_fraction).max(MIN_SHARE);
         self.next_call_at = time_after(now, span_from_seconds(gap_seconds * random.unit_interval()));
     }
 
     /// How calls are to be spaced under the present share and latency.
     pub(crate) fn spacing(&self, settings: &Settings, latency: &CallLatency) -> CallSpacing {
         let specifics = &settings.specifics;
-        let share = specifics.calls_out;
+        let share = specifics.call_share;
         let is_paced = Self::is_below_one_call(specifics);
         let linger_seconds = span_seconds(specifics.linger);
-        let budget_seconds = span_seconds(specifics.share_span) * share;
+        let budget_seconds = span_seconds(specifics.call_share_window) * share;
         let longest = budget_seconds * MAX_CALL_BUDGET_SHARE - linger_seconds;
         let max_call_seconds = longest.max(budget_seconds * MIN_CALL_BUDGET_SHARE);
         let max_occupied_seconds = max_call_seconds + linger_seconds;
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -87,7 +87,7 @@
     pub fn new(mut settings: Settings, seed: u64, now: Time) -> Self {
         settings.specifics.n_cores = settings.specifics.n_cores.max(1);
         let cores = f64::from(settings.specifics.n_cores);
-        let SplitSettings { rest: settings, classes, tenants } = settings.split();
+        let SplitSettings { global: settings, classes, tenants } = settings.split();
         let mut controller = Self {
             random: RandomSource::seeded(seed),
             now,
@@ -100,7 +100,7 @@
             settings,
             ..Self::default()
         };
-        controller.cores_started(controller.settings.specifics.cold_start, now);
+        controller.restart_slow_start(controller.settings.specifics.cold_start, now);
         for (slot, class) in classes.into_iter().enumerate() {
             controller.put_class(slot, class);
         }
@@ -118,23 +118,23 @@
 
     /// The quota of the tenant in a slot, in requests a second; the counts of another tenant than before
     /// begin anew.
-    pub fn put_tenant(&mut self, slot: usize, quota_rps: f64, another: bool) {
-        self.tenants.put(slot, quota_rps, another);
+    pub fn put_tenant(&mut self, slot: usize, quota_rps: f64, is_other_tenant: bool) {
+        self.tenants.put(slot, quota_rps, is_other_tenant);
     }
 
     /// The cores started at a time, cold or not: with the server, or again beside one that goes on.
-    pub fn cores_started(&mut self, cold: bool, at: Time) {
+    pub fn restart_slow_start(&mut self, cold: bool, at: Time) {
         self.settings.specifics.cold_start = cold;
         self.slow_start.restart(at);
         self.advice.restart(if cold { self.settings.rules.cold_capacity } else { 1.0 });
     }
 
     /// All settings but classes and tenants.
-    pub fn set_rest(&mut self, mut rest: Settings) {
-        rest.specifics.n_cores = rest.specifics.n_cores.max(1);
+    pub fn set_global_settings(&mut self, mut settings: Settings) {
+        settings.specifics.n_cores = settings.specifics.n_cores.max(1);
         // Whether the cores began cold was learnt at their start, and is not in the file.
-        rest.specifics.cold_start = self.settings.specifics.cold_start;
-        let previous = std::mem::replace(&mut self.settings, rest);
+        settings.specifics.cold_start = self.settings.specifics.cold_start;
+        let previous = std::mem::replace(&mut self.settings, settings);
         let specifics = &self.settings.specifics;
         // What ends must release the figure that was reserved for it, or the difference would stay for good.
         let requests_kb = self.requests.reserved_kb(&self.settings);
@@ -227,7 +227,7 @@
 
     /// Removes entries of the table a batch after they expired: the host may still have answered from them.
     fn remove_expired_keys(&mut self) {
-        let expired_by = time_before(self.now, self.settings.granularity);
+        let expired_by = time_before(self.now, self.settings.min_batch_interval);
         while let Some(id) = self.keys.first_expired(expired_by) {
             self.remove_key(&id);
         }
--- a/crates/admission/src/controller/arrival.rs
+++ b/crates/admission/src/controller/arrival.rs
@@ -50,7 +50,7 @@
     }
 
     fn arrived_at(&self, request: &Request) -> Time {
-        time_before(self.now, request.queued_for)
+        time_before(self.now, request.unread_for)
     }
 
     fn open_request(&self, request: &Request, profile: &ClassProfile, timeout_fraction: f64) -> OpenRequest {
@@ -102,7 +102,7 @@
 
     fn count_arrival(&mut self, request: &Request, profile: &ClassProfile, timeout_fraction: f64) {
         self.demand.count_arrival(request.retry);
-        self.health.note_unread_wait(request.queued_for, profile.latency_objective);
+        self.health.note_unread_wait(request.unread_for, profile.latency_objective);
         if request.retry {
             return;
         }
@@ -131,7 +131,7 @@
         if earlier.is_some() && is_shared {
             return self.share_run(sequence, request, out);
         }
-        let needs_key = effect == Idempotency::Keyed || (is_shared && request.has_key);
+        let needs_key = effect == Idempotency::Keyed || (is_shared && request.has_subject);
         let key_kb = if needs_key { self.settings.specifics.idempotency_key_kb } else { 0.0 };
         if !self.evict_for(sequence, key_kb, out) {
             return self.reject(sequence, RejectionCause::Capacity, out);
@@ -149,7 +149,7 @@
 
     /// The earlier attempt that a request names, if it is held.
     fn held_earlier_attempt(&self, request: &Request) -> Option<Sequence> {
-        let earlier = self.requests.find(request.earlier.as_ref()?)?;
+        let earlier = self.requests.find(request.earlier_attempt.as_ref()?)?;
         self.requests.is_held(earlier).then_some(earlier)
     }
 
@@ -161,7 +161,7 @@
         request: &Request,
         held_before: Option<Sequence>,
     ) -> Option<EarlierAttempt> {
-        request.earlier.as_ref()?;
+        request.earlier_attempt.as_ref()?;
         let held = held_before.filter(|&earlier| self.requests.is_held(earlier));
         if held != held_before {
             return None;
@@ -210,7 +210,7 @@
     /// Joins a read to the earlier attempt that it names, which from now on serves both.
     fn share_run(&mut self, sequence: Sequence, request: &Request, out: &mut Vec<Action>) {
         let objective_at = self.requests.open(sequence).objective_at;
-        let earlier = request.earlier.as_ref().and_then(|id| self.requests.find(id));
+        let earlier = request.earlier_attempt.as_ref().and_then(|id| self.requests.find(id));
         if let Some(earlier) = earlier.and_then(|earlier| self.requests.get_mut(earlier)) {
             earlier.attempts_served += 1.0;
             earlier.objective_at = earlier.objective_at.max(objective_at).min(earlier.expires_at);
@@ -238,12 +238,12 @@
     fn remember_key(&mut self, sequence: Sequence, out: &mut Vec<Action>) {
         let request = self.requests.open(sequence);
         let profile = &self.class_of(request).definition().profile;
-        let granularity = self.settings.granularity;
+        let interval = self.settings.min_batch_interval;
         let expires_at = match profile.effect {
-            Idempotency::Keyed => time_after(time_after(request.arrived_at, profile.window), granularity),
+            Idempotency::Keyed => time_after(time_after(request.arrived_at, profile.window), interval),
             _ => time_after(request.objective_at.max(self.now), self.settings.specifics.fresh_for),
         };
-        let expires_at = expires_at.max(time_after(self.now, granularity));
+        let expires_at = expires_at.max(time_after(self.now, interval));
         let id = request.id.clone();
         self.remove_key(&id);
         self.memory.reserve(self.settings.specifics.idempotency_key_kb);
--- a/crates/admission/src/controller/endings.rs
+++ b/crates/admission/src/controller/endings.rs
@@ -33,9 +33,9 @@
         let is_closed = self.is_draining() || self.health.is_stalled();
         let is_past_objective = request.objective_at <= self.now;
         let would_fail_elsewhere = request.is_retry || self.is_fleet_overloaded() || is_past_objective;
-        let last = !is_closed && would_fail_elsewhere;
+        let is_final = !is_closed && would_fail_elsewhere;
         // What another server may still take is no sign that the fleet lacks capacity.
-        if (last || is_closed) && cause == RejectionCause::Capacity {
+        if (is_final || is_closed) && cause == RejectionCause::Capacity {
             self.advice.note_rejection();
         }
         self.demand.count_rejection();
@@ -43,7 +43,7 @@
         if self.remove_key(&request.id) {
             out.push(Action::ReleaseIdempotencyKey(request.id.clone()));
         }
-        out.push(Action::Reject { id: request.id, retry_after, last });
+        out.push(Action::Reject { id: request.id, retry_after, is_final });
     }
 
     /// How long a rejected caller is asked to stay away: as long as may be from a closed server, else for a
--- a/crates/admission/src/controller/sampling.rs
+++ b/crates/admission/src/controller/sampling.rs
@@ -72,7 +72,7 @@
             runs_on_cores: self.concurrency.runs_on_cores(),
             has_held_requests: !self.wait_queue.is_empty(),
             has_rejected: self.advice.has_rejected(),
-            callers_idle_timeout: self.settings.specifics.idle,
+            callers_idle_timeout: self.settings.specifics.client_idle_timeout,
         };
         if let Some(timeout) = self.idle_connections.sample(gauges, &load) {
             out.push(Action::SetIdleTimeout(timeout));
--- a/crates/admission/src/controller/upstream_calls.rs
+++ b/crates/admission/src/controller/upstream_calls.rs
@@ -150,7 +150,7 @@
     /// Seconds after which a call is given up: when the caller of its request stops waiting, or sooner.
     fn call_timeout_seconds(&self, request: &OpenRequest, spacing: &CallSpacing) -> f64 {
         let mut timeout_seconds =
-            request.seconds_to_expiry(self.now).max(span_seconds(self.settings.granularity));
+            request.seconds_to_expiry(self.now).max(span_seconds(self.settings.min_batch_interval));
         let class = self.class_of(request);
         if class.definition().profile.effect == Idempotency::Idempotent {
             let run_ratio = self.run_seconds(request) / class.core_seconds();
--- a/crates/admission/src/drain.rs
+++ b/crates/admission/src/drain.rs
@@ -20,7 +20,7 @@
 impl Drain {
     /// A shutdown that was announced now, with the process stopped so long from now.
     pub(crate) fn new(now: Time, time_to_stop: Span, settings: &Settings) -> Self {
-        let batches = settings.granularity.0.saturating_mul(STOP_MARGIN_BATCHES);
+        let batches = settings.min_batch_interval.0.saturating_mul(STOP_MARGIN_BATCHES);
         let margin = Span(batches.min(time_to_stop.0 / STOP_MARGIN_DIVISOR));
         Self {
             last_arrival: time_after(now, settings.rules.drain_grace),
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -75,7 +75,7 @@
     WeightBasis,
 };
 pub use specifics::{CapacitySignal, Specifics, StopMode, UpstreamKind};
-pub use throttling::throttling;
+pub use throttling::throttling_percent;
 pub use time::{Span, Time, seconds_until, span_from_seconds, span_seconds, time_after, time_before};
 
 /// The examples of README.md, compiled as doc tests.
--- a/crates/admission/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -30,7 +30,7 @@
     /// Index into [`Settings::profiles`].
     pub class: usize,
     /// Whether it names a subject, whose response may serve others.
-    pub has_key: bool,
+    pub has_subject: bool,
     /// Number of the caller.
     pub caller: u64,
     /// Estimated work in standard-core time.
@@ -46,9 +46,9 @@
     /// Whether it changes its subject.
     pub write: bool,
     /// The request in the table of idempotency keys that this one repeats.
-    pub earlier: Option<RequestId>,
+    pub earlier_attempt: Option<RequestId>,
     /// How long ago it reached the machine.
-    pub queued_for: Span,
+    pub unread_for: Span,
 }
 
 /// How a run or a call ended.
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -11,7 +11,8 @@
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct Settings {
     /// Shortest time between two batches.
-    pub granularity: Span,
+    #[serde(rename = "granularity")]
+    pub min_batch_interval: Span,
     /// Servers of this tier at this start.
     #[serde(default = "one", deserialize_with = "whole_number")]
     pub servers: u32,
@@ -22,7 +23,8 @@
     pub profiles: Vec<ClassProfile>,
     /// The tenants; their places are the indexes that [`crate::Request`] names.
     #[serde(default)]
-    pub customers: Vec<Tenant>,
+    #[serde(rename = "customers")]
+    pub tenants: Vec<Tenant>,
     /// How callers behave.
     #[serde(default)]
     pub callers: Callers,
@@ -96,7 +98,7 @@
 
     /// Index of the tenant with a name.
     pub fn tenant(&self, name: &str) -> Option<usize> {
-        self.customers.iter().position(|customer| customer.name == name)
+        self.tenants.iter().position(|tenant| tenant.name == name)
     }
 }
 
@@ -115,8 +117,8 @@
             })
         };
         let classes = std::mem::take(&mut self.profiles).into_iter().enumerate().map(define).collect();
-        let tenants = std::mem::take(&mut self.customers).into_iter().map(Arc::new).collect();
-        SplitSettings { rest: self, classes, tenants }
+        let tenants = std::mem::take(&mut self.tenants).into_iter().map(Arc::new).collect();
+        SplitSettings { global: self, classes, tenants }
     }
 }
 
@@ -124,7 +126,7 @@
 #[derive(Debug, Clone)]
 pub struct SplitSettings {
     /// The settings without classes and tenants.
-    pub rest: Settings,
+    pub global: Settings,
     /// The classes.
     pub classes: Vec<Arc<ClassDefinition>>,
     /// The tenants.
@@ -162,7 +164,8 @@
 #[serde(default)]
 pub struct Goal {
     /// Of the result over all requests.
-    pub whole: f64,
+    #[serde(rename = "whole")]
+    pub overall: f64,
     /// Of the weakest class.
     pub worst_class: f64,
     /// Of the weakest tenant, within its quota.
@@ -173,7 +176,7 @@
 
 impl Default for Goal {
     fn default() -> Self {
-        Self { whole: 1.0, worst_class: 0.0, worst_tenant: 0.0, worst_window: 0.0 }
+        Self { overall: 1.0, worst_class: 0.0, worst_tenant: 0.0, worst_window: 0.0 }
     }
 }
 
@@ -198,7 +201,8 @@
     /// For weight left unserved once its latency objective has passed.
     pub late_fail: f64,
     /// For upstream calls, per first attempt.
-    pub origin: f64,
+    #[serde(rename = "origin")]
+    pub upstream_call: f64,
     /// For work that served nothing, as a share of the work offered.
     pub waste: f64,
 }
@@ -222,7 +226,8 @@
     pub answer_slack: Span,
     /// Time within which cold cores are fully warm.
     #[serde(default)]
-    pub cold: Span,
+    #[serde(rename = "cold")]
+    pub warm_up_time: Span,
     /// Share of their full speed with which cold cores begin at least, from 0 to 1.
     #[serde(default = "full_share")]
     #[serde(rename = "cold_share")]
@@ -231,7 +236,8 @@
     pub drain_grace: Span,
     /// Time over which the runs on the cores are averaged, when their number is held against what a server
     /// survives.
-    pub fall: Span,
+    #[serde(rename = "fall")]
+    pub overload_window: Span,
     /// Runs at once per core that a warm server survives.
     #[serde(rename = "tip_multiple")]
     pub max_concurrency_per_core: f64,
--- a/crates/admission/src/slow_start.rs
+++ b/crates/admission/src/slow_start.rs
@@ -25,7 +25,7 @@
     /// Share of the cores' full speed that they have at least, 1 when warm.
     pub(crate) fn speed_share(&self, now: Time, settings: &Settings) -> f64 {
         let rules = &settings.rules;
-        let warming_seconds = span_seconds(rules.cold).max(MIN_WARMING_SECONDS);
+        let warming_seconds = span_seconds(rules.warm_up_time).max(MIN_WARMING_SECONDS);
         let warmed = (seconds_until(self.cores_started_at, now) / warming_seconds).clamp(0.0, 1.0);
         let warmed = if settings.specifics.cold_start { warmed } else { 1.0 };
         rules.cold_capacity + (1.0 - rules.cold_capacity) * warmed
--- a/crates/admission/src/specifics.rs
+++ b/crates/admission/src/specifics.rs
@@ -54,17 +54,20 @@
 pub struct Specifics {
     /// What callers make of the advertised value.
     #[serde(default)]
-    pub advert: CapacitySignal,
+    #[serde(rename = "advert")]
+    pub capacity_signal: CapacitySignal,
     /// What the runs of this server call.
     #[serde(default)]
-    pub below: UpstreamKind,
+    #[serde(rename = "below")]
+    pub upstream: UpstreamKind,
     /// By class: whether its requests may make upstream calls; where a class is left out, they may.
     #[serde(default)]
     pub calls_by_class: Vec<bool>,
     /// This server's share of the upstream calls that the shared dependency survives, as a mean number of
     /// calls in its hands; possibly below 1.
     #[serde(default)]
-    pub calls_out: f64,
+    #[serde(rename = "calls_out")]
+    pub call_share: f64,
     /// By class: part of the priority weight that is earned without the upstream call; where a class is
     /// left out, none.
     #[serde(default)]
@@ -84,10 +87,12 @@
     pub gauges: Vec<String>,
     /// How long a caller keeps an advertised value.
     #[serde(default)]
-    pub heeded: Span,
+    #[serde(rename = "heeded")]
+    pub signal_lifetime: Span,
     /// Time after which callers close idle connections themselves.
     #[serde(default)]
-    pub idle: Span,
+    #[serde(rename = "idle")]
+    pub client_idle_timeout: Span,
     /// Whether the cores start cold.
     #[serde(default)]
     #[serde(rename = "just_started")]
@@ -117,7 +122,8 @@
     pub run_factor: f64,
     /// Time over which the calls in the dependency's hands are averaged.
     #[serde(default)]
-    pub share_span: Span,
+    #[serde(rename = "share_span")]
+    pub call_share_window: Span,
     /// Whether running work can be stopped.
     #[serde(default)]
     pub stop_mode: StopMode,
--- a/crates/admission/src/throttling.rs
+++ b/crates/admission/src/throttling.rs
@@ -18,7 +18,7 @@
 
 /// Output of the control function for a utilization of the memory, in per cent of the arriving requests,
 /// before the danger zone is considered. A utilization of 1 or more gives 100.
-pub fn throttling(utilization: f64) -> f64 {
+pub fn throttling_percent(utilization: f64) -> f64 {
     if utilization >= 1.0 {
         100.0
     } else {
@@ -38,7 +38,7 @@
 impl Throttle {
     /// Takes in the utilization of one sampling period. Returns whether throttling starts with it.
     pub(crate) fn sample(&mut self, utilization: f64) -> bool {
-        self.smoothed_output += SAMPLE_WEIGHT * (throttling(utilization) - self.smoothed_output);
+        self.smoothed_output += SAMPLE_WEIGHT * (throttling_percent(utilization) - self.smoothed_output);
         let in_danger_zone = utilization > DANGER_ZONE_UTILIZATION;
         let rejected_percent = if in_danger_zone { self.smoothed_output } else { 0.0 };
         let starts = rejected_percent > 0.0 && self.rejected_percent == 0.0;
--- a/crates/admission/tests/customers.rs
+++ b/crates/admission/tests/arbitrary_settings.rs
@@ -1,10 +1,10 @@
 //! Drawn settings of other customers, through the module alone: a stream of events with odd gauges, and another customer's
 //! settings put in force in the middle of it. Arithmetic has to hold at every value that the pages allow.
 
-#[path = "common/customers.rs"]
-mod customers;
+#[path = "common/generated_settings.rs"]
+mod generated_settings;
 
-use customers::{MS, settings};
+use generated_settings::{MS, settings};
 use gradepin_admission::{
     Action, Controller, Event, Gauges, Outcome, Request, RequestId, Settings, Span, SplitSettings, Time,
 };
@@ -98,12 +98,12 @@
         let deadline = self.set.profiles[class].deadline.0;
         let wait = Span(self.below(deadline.min(60_000 * MS)) + 1);
         let told = self.below(4) > 0;
-        let queued_for = Span([0, 1, 50 * MS, 3_600_000 * MS, u64::MAX][self.below(5) as usize]);
+        let unread_for = Span([0, 1, 50 * MS, 3_600_000 * MS, u64::MAX][self.below(5) as usize]);
         // With nothing told the deadline counts, from when it came.
-        let whole = Time(self.now.0.saturating_sub(queued_for.0).saturating_add(deadline));
+        let whole = Time(self.now.0.saturating_sub(unread_for.0).saturating_add(deadline));
         let due = if told { Time(self.now.0 + wait.0) } else { whole.max(self.now) };
-        let tenants = self.set.customers.len() as u64;
-        let earlier = if self.below(3) == 0 { self.pick(|_| true) } else { None };
+        let tenants = self.set.tenants.len() as u64;
+        let earlier_attempt = if self.below(3) == 0 { self.pick(|_| true) } else { None };
         let work = [None, Some(Span(0)), Some(Span(1)), Some(Span(90 * MS)), Some(Span(u64::MAX))];
         self.tries.insert(id.clone(), Try { due, ..Try::default() });
         let sizes = [0.0, 1e-9, 20.0, 1_999.0, 1e300];
@@ -111,7 +111,7 @@
             id,
             expires_in: told.then_some(wait),
             class,
-            has_key: self.below(2) == 0,
+            has_subject: self.below(2) == 0,
             caller: self.below(9),
             work: work[self.below(5) as usize],
             tenant: (tenants > 0).then(|| self.below(tenants) as usize),
@@ -119,8 +119,8 @@
             precedence: self.below(100) as f64 / 100.0,
             retry: self.below(3) == 0,
             write: self.below(2) == 0,
-            earlier,
-            queued_for,
+            earlier_attempt,
+            unread_for,
         })
     }
 
@@ -219,21 +219,21 @@
     /// Another customer's file, as the reducer tells it: classes, tenants, then all else. Slots of open requests stay theirs.
     fn reload(&mut self, set: &Settings) {
         let open = self.set.profiles.len();
-        let SplitSettings { mut rest, classes, tenants } = set.clone().split();
+        let SplitSettings { mut global, classes, tenants } = set.clone().split();
         for (slot, class) in classes.iter().enumerate() {
             self.controller.put_class(open + slot, std::sync::Arc::clone(class));
         }
         for (slot, tenant) in tenants.iter().enumerate() {
             self.controller.put_tenant(slot, tenant.quota_rps, slot % 2 == 0);
         }
-        self.controller.set_rest(rest.clone());
+        self.controller.set_global_settings(global.clone());
         let mut profiles = self.set.profiles.clone();
         profiles.extend(set.profiles.iter().cloned());
-        rest.customers = set.customers.clone();
-        rest.specifics.class_skip_weights =
+        global.tenants = set.tenants.clone();
+        global.specifics.class_skip_weights =
             [&self.set, set].map(|s| s.specifics.class_skip_weights.clone()).concat();
-        rest.profiles = profiles;
-        self.set = rest;
+        global.profiles = profiles;
+        self.set = global;
     }
 }
 
--- a/crates/admission/tests/shares.rs
+++ b/crates/admission/tests/call_share.rs
@@ -36,7 +36,7 @@
 
     /// As a reload, or a lease, tells another share.
     fn reshare(&mut self, share: f64) {
-        self.module.set_rest(Self::settings(share).split().rest);
+        self.module.set_global_settings(Self::settings(share).split().global);
     }
 
     /// Some time in which a call that is made takes so long.
--- a/crates/admission/tests/cold_start.rs
+++ b/crates/admission/tests/cold_start.rs
@@ -94,7 +94,7 @@
             if let Some(&at) = sent.get(n).filter(|_| *work <= 0.0) {
                 let request = Request {
                     expires_in: Some(Span((at + WAIT_MS - now) * MS)),
-                    queued_for: Span((now - at) * MS),
+                    unread_for: Span((now - at) * MS),
                     ..read(&n.to_string())
                 };
                 events.push(Event::Arrived(request));
--- a/crates/admission/tests/common/mod.rs
+++ b/crates/admission/tests/common/mod.rs
@@ -50,7 +50,7 @@
 }
 
 pub fn claim(name: &str, earlier: Option<&str>) -> Request {
-    Request { class: 1, earlier: earlier.map(id), ..read(name) }
+    Request { class: 1, earlier_attempt: earlier.map(id), ..read(name) }
 }
 
 pub fn timer(heap: f64) -> Event {
--- a/crates/admission/tests/controller/advice.rs
+++ b/crates/admission/tests/controller/advice.rs
@@ -88,7 +88,7 @@
     let mut c = gradepin_admission::Controller::new(settings(value), 11, Time(0));
     let mut said = Vec::new();
     for n in 0..60_u64 {
-        let waited = Request { queued_for: Span(600 * MS), ..read(&format!("r{n}")) };
+        let waited = Request { unread_for: Span(600 * MS), ..read(&format!("r{n}")) };
         let events = if n == 0 { vec![] } else { vec![Event::Arrived(waited), timer(0.1)] };
         for action in at(&mut c, n * 20, events) {
             if let Action::AdvertiseCapacity(amount) = action {
@@ -109,7 +109,7 @@
         let mut level = 0.0;
         for n in 0..40 {
             let name = format!("r{n}");
-            let request = Request { queued_for: Span(wait * MS), ..read(&name) };
+            let request = Request { unread_for: Span(wait * MS), ..read(&name) };
             let mut out = arrive(&mut c, 1000 + 100 * n, vec![request]);
             let ends = Event::Completed { id: id(&name), outcome: Outcome::Success, took: Span(40 * MS) };
             out.extend(at(&mut c, 1050 + 100 * n, vec![ends, timer(0.1)]));
--- a/crates/admission/tests/controller/health.rs
+++ b/crates/admission/tests/controller/health.rs
@@ -16,7 +16,7 @@
     };
     let mut last = None;
     for n in 0..60_u64 {
-        let waited = Request { queued_for: Span(900 * MS), ..read(&format!("r{n}")) };
+        let waited = Request { unread_for: Span(900 * MS), ..read(&format!("r{n}")) };
         let out = at(&mut c, 10 + n * 20, vec![Event::Arrived(waited), timer(0.1)]);
         last = health(&out).or(last);
         for name in processed(&out) {
@@ -55,7 +55,7 @@
     }
     let retry = Request { retry: true, ..read("hung") };
     let out = arrive(&mut c, 2001, vec![retry]);
-    assert!(out.iter().any(|a| matches!(a, Action::Reject { last: false, .. })), "{out:?}");
+    assert!(out.iter().any(|a| matches!(a, Action::Reject { is_final: false, .. })), "{out:?}");
     let moved = (4..8).map(|n| done(&format!("r{n}"), Outcome::Success)).collect();
     at(&mut c, 2050, moved);
     at(&mut c, 2200, vec![timer(0.1)]);
--- a/crates/admission/tests/controller/memory_and_keys.rs
+++ b/crates/admission/tests/controller/memory_and_keys.rs
@@ -11,11 +11,11 @@
     low["specifics"]["fresh_for"] = json!(1000 * MS);
     let mut c = started(low);
     // Followers of one read count as well: they once went past the guard.
-    let first = Request { has_key: true, ..read("r0") };
+    let first = Request { has_subject: true, ..read("r0") };
     let mut requests = vec![first];
     requests.extend((1..20).map(|n| Request {
-        earlier: Some(id("r0")),
-        has_key: true,
+        earlier_attempt: Some(id("r0")),
+        has_subject: true,
         ..read(&format!("r{n}"))
     }));
     let out = arrive(&mut c, 1, requests);
@@ -60,7 +60,7 @@
 #[test]
 fn key_entry_covers_the_window_from_arrival() {
     let mut c = started(base());
-    let late = Request { queued_for: Span(500 * MS), ..claim("a", None) };
+    let late = Request { unread_for: Span(500 * MS), ..claim("a", None) };
     let out = arrive(&mut c, 1000, vec![late]);
     let kept = out.iter().find_map(|a| {
         if let Action::RetainIdempotencyKey { retain_for, .. } = a { Some(retain_for.0) } else { None }
@@ -74,7 +74,7 @@
     let mut c = started(base());
     arrive(&mut c, 900, (0..4).map(|n| read(&format!("x{n}"))).collect());
     arrive(&mut c, 1000, vec![claim("young", None)]);
-    let old = Request { queued_for: Span(800 * MS), ..claim("old", Some("young")) };
+    let old = Request { unread_for: Span(800 * MS), ..claim("old", Some("young")) };
     let out = arrive(&mut c, 1005, vec![old]);
     assert!(out.contains(&Action::Fail(id("old"))) && refused(&out).is_empty(), "{out:?}");
     assert_eq!(processed(&at(&mut c, 1100, vec![done("x0", Outcome::Success)])), ["young"]);
@@ -101,7 +101,7 @@
         value["specifics"]["kb_per_key"] = json!(key_kb);
         value["specifics"]["run_factor"] = json!(run_factor);
         value["profiles"] = json!([]);
-        c.set_rest(settings(value));
+        c.set_global_settings(settings(value));
         at(&mut c, 50, vec![Event::Completed { id: id("runs"), outcome: Outcome::Success, took: Span(MS) }]);
         // All windows are past: the whole memory is free, and no more than that.
         for n in 0..40 {
--- a/crates/admission/tests/controller/retry_patterns.rs
+++ b/crates/admission/tests/controller/retry_patterns.rs
@@ -70,7 +70,7 @@
         let out = at(&mut c, 10 + n * 100, ends.chain(arrived).chain([timer(0.1)]).collect());
         runs.extend(processed(&out).into_iter().map(String::from));
         for action in &out {
-            if let Action::Reject { last: l, .. } = action {
+            if let Action::Reject { is_final: l, .. } = action {
                 last = *l;
             }
         }
--- a/crates/admission/tests/controller/robustness.rs
+++ b/crates/admission/tests/controller/robustness.rs
@@ -13,7 +13,7 @@
     assert_eq!(processed(&arrive(&mut c, 1010, vec![read("in")])), ["in"]);
     let out = arrive(&mut c, 1011, vec![read("out")]);
     assert_eq!((processed(&out).len(), refused(&out)), (0, vec!["out"]));
-    let read_late = Request { queued_for: Span(100 * MS), ..read("unread") };
+    let read_late = Request { unread_for: Span(100 * MS), ..read("unread") };
     assert_eq!(
         processed(&arrive(&mut c, 1100, vec![read_late])),
         ["unread"],
@@ -70,8 +70,8 @@
         |s| s.servers = 0,
         |s| s.specifics.clients_total = 0,
         |s| s.specifics.n_cores = 0,
-        |s| s.specifics.calls_out = 0.0,
-        |s| s.specifics.calls_out = f64::NAN,
+        |s| s.specifics.call_share = 0.0,
+        |s| s.specifics.call_share = f64::NAN,
         |s| s.rules.max_concurrency_per_core = f64::NAN,
     ];
     for (which, spoil) in spoil.iter().enumerate() {
--- a/crates/admission/tests/controller/scheduling.rs
+++ b/crates/admission/tests/controller/scheduling.rs
@@ -30,7 +30,7 @@
 #[test]
 fn rejects_a_request_without_time_left_at_once() {
     let mut c = started(base());
-    let dead = Request { expires_in: Some(Span(MS)), queued_for: Span(3900 * MS), ..read("dead") };
+    let dead = Request { expires_in: Some(Span(MS)), unread_for: Span(3900 * MS), ..read("dead") };
     let out = arrive(&mut c, 1, vec![dead]);
     assert_eq!((processed(&out).len(), refused(&out)), (0, vec!["dead"]));
 }
@@ -120,8 +120,8 @@
     let mut c = started(shared_reads());
     arrive(&mut c, 1, (0..4).map(|n| read(&format!("r{n}"))).collect());
     arrive(&mut c, 2, vec![read("alone")]);
-    arrive(&mut c, 3, vec![Request { has_key: true, ..read("shared") }]);
-    let twin = Request { has_key: true, earlier: Some(id("shared")), ..read("twin") };
+    arrive(&mut c, 3, vec![Request { has_subject: true, ..read("shared") }]);
+    let twin = Request { has_subject: true, earlier_attempt: Some(id("shared")), ..read("twin") };
     let out = arrive(&mut c, 4, vec![twin]);
     assert!(out.contains(&Action::JoinRun(id("twin"))));
     let out = at(&mut c, 101, vec![done("r0", Outcome::Success)]);
@@ -132,9 +132,9 @@
 fn does_not_suspend_a_run_that_other_attempts_joined() {
     let stopped = |joined: bool| {
         let mut c = started(shared_reads());
-        arrive(&mut c, 1, vec![Request { has_key: true, ..read("first") }]);
+        arrive(&mut c, 1, vec![Request { has_subject: true, ..read("first") }]);
         if joined {
-            let twin = Request { has_key: true, earlier: Some(id("first")), ..read("twin") };
+            let twin = Request { has_subject: true, earlier_attempt: Some(id("first")), ..read("twin") };
             arrive(&mut c, 2, vec![twin]);
         }
         at(&mut c, 10, vec![Event::CallerGone(id("first"))]).contains(&Action::StopRun(id("first")))
--- a/crates/admission/tests/controller/throttling.rs
+++ b/crates/admission/tests/controller/throttling.rs
@@ -1,16 +1,16 @@
 //! Throttling by memory utilization.
 
 use crate::common::*;
-use gradepin_admission::{Outcome, throttling};
+use gradepin_admission::{Outcome, throttling_percent};
 
 #[test]
 fn control_function_gives_the_figures_of_its_source() {
-    assert!((throttling(0.5) - 2.0).abs() < 1e-9);
-    assert!((throttling(0.9) - 10.0).abs() < 1e-9);
-    assert!((throttling(0.95) - 20.0).abs() < 1e-9);
-    assert_eq!(throttling(0.995), 100.0);
-    assert_eq!(throttling(1.0), 100.0);
-    assert_eq!(throttling(1.7), 100.0);
+    assert!((throttling_percent(0.5) - 2.0).abs() < 1e-9);
+    assert!((throttling_percent(0.9) - 10.0).abs() < 1e-9);
+    assert!((throttling_percent(0.95) - 20.0).abs() < 1e-9);
+    assert_eq!(throttling_percent(0.995), 100.0);
+    assert_eq!(throttling_percent(1.0), 100.0);
+    assert_eq!(throttling_percent(1.7), 100.0);
 }
 
 /// Refusals among 600 arrivals under a steady gauge; runs end at once, so nothing else refuses.
--- a/crates/admission/tests/controller/upstream_calls.rs
+++ b/crates/admission/tests/controller/upstream_calls.rs
@@ -233,7 +233,7 @@
     value["specifics"]["linger"] = json!(200 * MS);
     value["specifics"]["share_span"] = json!(5_000 * MS);
     value["profiles"] = json!([]);
-    c.set_rest(settings(value));
+    c.set_global_settings(settings(value));
     // Whatever pace the call before has set: a minute has room for the next one.
     let asks = |c: &mut _, n: u64| {
         let (name, ms) = (format!("r{n}"), 5_000 + 1_000 * n);
--- a/crates/admission/tests/stream.rs
+++ b/crates/admission/tests/invariants.rs
@@ -174,13 +174,13 @@
                 id: id.clone(),
                 class,
                 expires_in: told.then_some(Span(wait)),
-                has_key: !keyed,
+                has_subject: !keyed,
                 size_kb: kb,
                 retry: dice.next_u64().is_multiple_of(5),
                 work: dice.next_u64().is_multiple_of(2).then_some(Span(dice.next_u64() % (900 * MS))),
                 tenant: Some((dice.next_u64() % 3) as usize),
-                earlier: earlier.clone(),
-                queued_for: Span(now - arrived),
+                earlier_attempt: earlier.clone(),
+                unread_for: Span(now - arrived),
                 ..Request::default()
             };
             let key = full;
--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -74,7 +74,7 @@
     /// The classes, tenants and rules of the start file, at revision 0. Servers that start from the same entries have the same
     /// digest, whatever their order in the file. An error if the bounds are exceeded or a name is there twice.
     pub fn from_settings(settings: &Settings) -> Result<Self, Invalid> {
-        let (classes, tenants) = (settings.profiles.len(), settings.customers.len());
+        let (classes, tenants) = (settings.profiles.len(), settings.tenants.len());
         validation::check_max("settings.profiles", classes, MAX_CLASSES, "classes")?;
         validation::check_max("settings.customers", tenants, MAX_TENANTS, "tenants")?;
         let mut configuration = Self::default();
@@ -86,7 +86,7 @@
             validation::check_chunk_capacity(&configuration, &path, &class.profile.name)?;
             configuration.put_class(Arc::new(class));
         }
-        for tenant in &settings.customers {
+        for tenant in &settings.tenants {
             let path = format!("settings.customers.{}", tenant.name);
             validation::check_chunk_capacity(&configuration, &path, &tenant.name)?;
             configuration.put_tenant(Arc::new(tenant.clone()));
@@ -262,7 +262,7 @@
         settings.profiles = self.classes().map(|class| class.profile.clone()).collect();
         settings.specifics.calls_by_class = self.classes().map(|class| class.calls).collect();
         settings.specifics.class_skip_weights = self.classes().map(|class| class.skip_weight).collect();
-        settings.customers = self.tenants().map(|tenant| Tenant::clone(tenant)).collect();
+        settings.tenants = self.tenants().map(|tenant| Tenant::clone(tenant)).collect();
         settings
     }
 }
--- a/crates/config/src/rules.rs
+++ b/crates/config/src/rules.rs
@@ -45,10 +45,10 @@
     pub fn write(&self, settings: &mut Settings) {
         match *self {
             Self::AnswerSlack(span) => settings.rules.answer_slack = span,
-            Self::Cold(span) => settings.rules.cold = span,
+            Self::Cold(span) => settings.rules.warm_up_time = span,
             Self::ColdShare(share) => settings.rules.cold_capacity = share,
             Self::DrainGrace(span) => settings.rules.drain_grace = span,
-            Self::Fall(span) => settings.rules.fall = span,
+            Self::Fall(span) => settings.rules.overload_window = span,
             Self::TipMultiple(multiple) => settings.rules.max_concurrency_per_core = multiple,
             Self::OverShareWorth(fraction) => settings.over_quota_weight = fraction,
         }
@@ -61,10 +61,10 @@
         let rules = &settings.rules;
         let all = [
             Rule::AnswerSlack(rules.answer_slack),
-            Rule::Cold(rules.cold),
+            Rule::Cold(rules.warm_up_time),
             Rule::ColdShare(rules.cold_capacity),
             Rule::DrainGrace(rules.drain_grace),
-            Rule::Fall(rules.fall),
+            Rule::Fall(rules.overload_window),
             Rule::TipMultiple(rules.max_concurrency_per_core),
             Rule::OverShareWorth(settings.over_quota_weight),
         ];
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -38,7 +38,7 @@
 pub fn settings(classes: &[ClassDefinition], tenants: &[Tenant]) -> Settings {
     let mut settings = Settings {
         profiles: classes.iter().map(|class| class.profile.clone()).collect(),
-        customers: tenants.to_vec(),
+        tenants: tenants.to_vec(),
         over_quota_weight: 1.0,
         ..Settings::default()
     };
@@ -98,7 +98,7 @@
         let tenants: Vec<_> =
             tenants.iter().map(|(name, part)| tenant(name, f64::from(*part) / 10.0)).collect();
         let mut settings = settings(&classes, &tenants);
-        settings.rules.cold = Span(cold * MS);
+        settings.rules.warm_up_time = Span(cold * MS);
         settings
     })
 }
--- a/crates/config/tests/snapshots_and_log.rs
+++ b/crates/config/tests/snapshots_and_log.rs
@@ -135,9 +135,9 @@
     ];
     let mut other = settings(std::slice::from_ref(&good), &[tenant("t", f64::NAN)]);
     bad.push(other.clone());
-    other.customers = vec![Tenant { quota_rps: f64::INFINITY, ..tenant("t", 0.5) }];
+    other.tenants = vec![Tenant { quota_rps: f64::INFINITY, ..tenant("t", 0.5) }];
     bad.push(other.clone());
-    other.customers = Vec::new();
+    other.tenants = Vec::new();
     other.rules.cold_capacity = f64::NAN;
     bad.push(other.clone());
     (other.rules.cold_capacity, other.rules.max_concurrency_per_core) = (0.5, f64::INFINITY);
--- a/crates/core/src/classes.rs
+++ b/crates/core/src/classes.rs
@@ -346,7 +346,7 @@
 pub fn check(settings: &Settings) -> Result<(), NamesError> {
     let classes = settings.profiles.iter().map(|profile| profile.name.as_str());
     check_names("profiles", MAX_CLASSES, classes)?;
-    let tenants = settings.customers.iter().map(|customer| customer.name.as_str());
+    let tenants = settings.tenants.iter().map(|customer| customer.name.as_str());
     check_names("customers", gradepin_config::change::MAX_TENANTS, tenants)
 }
 
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -164,10 +164,10 @@
     /// Most calls to the shared upstream at a time, each with a connection and a thread of its own. Their descriptors are
     /// reserved: a call that fails for want of one would count as one that may have run.
     pub fn calls(&self) -> usize {
-        if self.ledger.is_none() || self.settings.specifics.below != UpstreamKind::Shared {
+        if self.ledger.is_none() || self.settings.specifics.upstream != UpstreamKind::Shared {
             return 0;
         }
-        let share = self.settings.specifics.calls_out * if self.lends { BORROWED_MULTIPLE } else { 1.0 };
+        let share = self.settings.specifics.call_share * if self.lends { BORROWED_MULTIPLE } else { 1.0 };
         let max_calls = MAX_CALLS.min(self.limits.sockets / CALL_SOCKETS_DIVISOR);
         ((share * CALLS_PER_SHARE).ceil() as usize).clamp(MIN_CALLS, max_calls)
     }
--- a/crates/core/src/config/tests.rs
+++ b/crates/core/src/config/tests.rs
@@ -54,7 +54,7 @@
     let settings = &config.settings;
     let profile = &settings.profiles[0];
     assert_eq!((profile.deadline.0, profile.window.0), (4_000_000_000, 12_075_000_000));
-    assert_eq!((settings.granularity.0, settings.rules.fall.0), (2_000_000, 1_500_000_000));
+    assert_eq!((settings.min_batch_interval.0, settings.rules.overload_window.0), (2_000_000, 1_500_000_000));
     assert_eq!((settings.servers, settings.specifics.n_cores, settings.specifics.clients_total), (10, 6, 3));
 }
 
--- a/crates/core/src/reducer/admission_actions.rs
+++ b/crates/core/src/reducer/admission_actions.rs
@@ -31,8 +31,8 @@
     fn perform(&mut self, action: Action) {
         match action {
             Action::Run(id) => self.start_run(&id),
-            Action::Reject { id, retry_after, last } => {
-                self.respond_and_release(&id, Response::Rejected { retry_after, no_failover: last });
+            Action::Reject { id, retry_after, is_final } => {
+                self.respond_and_release(&id, Response::Rejected { retry_after, no_failover: is_final });
             }
             Action::Fail(id) => self.fail_request(&id),
             Action::RetainIdempotencyKey { id, retain_for } => self.retain_idempotency_key(&id, retain_for),
--- a/crates/core/src/reducer/cluster.rs
+++ b/crates/core/src/reducer/cluster.rs
@@ -105,11 +105,11 @@
 /// where all of those are within it.
 pub fn cell_names(settings: &Settings) -> BTreeMap<u32, String> {
     let classes = || settings.profiles.iter().map(|class| class.name.as_str());
-    let tenants = || settings.customers.iter().map(|tenant| tenant.name.as_str());
+    let tenants = || settings.tenants.iter().map(|tenant| tenant.name.as_str());
     let of_classes = classes().map(|class| (CellId::of("", class).0, class.to_string()));
     let of_tenants = tenants().map(|tenant| (CellId::of(tenant, "").0, tenant.to_string()));
     let mut names: BTreeMap<u32, String> = of_classes.chain(of_tenants).take(MAX_CELL_NAMES).collect();
-    if settings.profiles.len().saturating_mul(settings.customers.len()) <= MAX_CELL_NAMES {
+    if settings.profiles.len().saturating_mul(settings.tenants.len()) <= MAX_CELL_NAMES {
         for tenant in tenants() {
             let name = |class: &str| (CellId::of(tenant, class).0, format!("{class} of {tenant}"));
             names.extend(classes().map(name));
@@ -122,7 +122,8 @@
 /// keeps it as a mean over time, which leases don't move.
 pub fn lent_share(settings: &Settings) -> Option<f64> {
     let specifics = &settings.specifics;
-    (specifics.below == UpstreamKind::Shared && specifics.calls_out >= 1.0).then_some(specifics.calls_out)
+    (specifics.upstream == UpstreamKind::Shared && specifics.call_share >= 1.0)
+        .then_some(specifics.call_share)
 }
 
 impl Reducer {
@@ -348,14 +349,14 @@
     fn update_call_limit(&mut self) {
         let now = self.timestamp.now;
         let Some(cluster) = &self.cluster.cluster else { return };
-        let limit = cluster.limit(now).unwrap_or(self.settings.specifics.calls_out);
+        let limit = cluster.limit(now).unwrap_or(self.settings.specifics.call_share);
         if self.cluster.reported_limit == Some(limit) {
             return;
         }
         let Some(controller) = &mut self.controller else { return };
         let mut settings = Settings::clone(&self.settings);
-        settings.specifics.calls_out = limit;
-        controller.set_rest(settings);
+        settings.specifics.call_share = limit;
+        controller.set_global_settings(settings);
         self.cluster.reported_limit = Some(limit);
         self.cluster.next_limit_at = time_after(now, MIN_LIMIT_UPDATE_INTERVAL);
     }
--- a/crates/core/src/reducer/connections.rs
+++ b/crates/core/src/reducer/connections.rs
@@ -283,7 +283,7 @@
         let now = self.timestamp.now;
         let mut budget = MAX_IDLE_CHECKS;
         let idle_timeout = match self.connections.idle_timeout {
-            Some(timeout) if timeout.0 == 0 => Some(self.settings.specifics.idle),
+            Some(timeout) if timeout.0 == 0 => Some(self.settings.specifics.client_idle_timeout),
             timeout => timeout,
         };
         loop {
--- a/crates/core/src/reducer/mod.rs
+++ b/crates/core/src/reducer/mod.rs
@@ -138,8 +138,8 @@
         settings: Arc<Settings>,
         registration: Registration,
     ) -> Result<Self, ConfigError> {
-        let SplitSettings { rest, classes, tenants } = Arc::unwrap_or_clone(settings).split();
-        let config = Config { settings: rest, ..config.clone() };
+        let SplitSettings { global, classes, tenants } = Arc::unwrap_or_clone(settings).split();
+        let config = Config { settings: global, ..config.clone() };
         Self::with_definitions(&config, classes, tenants, registration)
     }
 
--- a/crates/core/src/reducer/processor_link.rs
+++ b/crates/core/src/reducer/processor_link.rs
@@ -137,7 +137,7 @@
             && let Some(controller) = self.controller.as_mut().filter(|_| !is_first)
         {
             // Guards against runs for a warm processor on one that starts cold, which overload it.
-            controller.cores_started(cold, started_at);
+            controller.restart_slow_start(cold, started_at);
         }
         self.processor.last_message_at = now;
         self.processor.number = Some(link);
--- a/crates/core/src/reducer/request_intake.rs
+++ b/crates/core/src/reducer/request_intake.rs
@@ -300,7 +300,7 @@
             id: request.id.clone(),
             expires_in: Some(Span(expires_in_ms.saturating_mul(MS))),
             class,
-            has_key: request.has_subject,
+            has_subject: request.has_subject,
             caller: request.client_proxy,
             work: None,
             tenant,
@@ -308,8 +308,8 @@
             precedence: request.precedence,
             retry: request.retry,
             write: request.idempotency_key.is_some(),
-            earlier: valid.earlier,
-            queued_for: valid.queued_for,
+            earlier_attempt: valid.earlier,
+            unread_for: valid.queued_for,
         }));
         let open = OpenRequest {
             connection,
--- a/crates/core/src/reducer/settings_changes.rs
+++ b/crates/core/src/reducer/settings_changes.rs
@@ -201,7 +201,7 @@
     pub(super) fn replace_settings(&mut self, settings: Settings) {
         self.settings = Arc::new(settings);
         if let Some(controller) = &mut self.controller {
-            controller.set_rest(Settings::clone(&self.settings));
+            controller.set_global_settings(Settings::clone(&self.settings));
         }
         self.cluster_settings_changed();
     }
@@ -296,10 +296,10 @@
     let rules = &mut settings.rules;
     match rule {
         Rule::AnswerSlack(span) => rules.answer_slack = span,
-        Rule::Cold(span) => rules.cold = span,
+        Rule::Cold(span) => rules.warm_up_time = span,
         Rule::ColdShare(share) => rules.cold_capacity = share,
         Rule::DrainGrace(span) => rules.drain_grace = span,
-        Rule::Fall(span) => rules.fall = span,
+        Rule::Fall(span) => rules.overload_window = span,
         Rule::TipMultiple(multiple) => rules.max_concurrency_per_core = multiple,
         Rule::OverShareWorth(priority_weight) => settings.over_quota_weight = priority_weight,
     }
--- a/crates/core/src/reducer/settings_reload.rs
+++ b/crates/core/src/reducer/settings_reload.rs
@@ -97,7 +97,7 @@
     /// The classes and tenants of a file are in force; brings the rest of it into force.
     fn finish_reload(&mut self, mut config: Config, summary: &ApplySummary) {
         self.metrics.count_reload(true);
-        let called_upstream = self.settings.specifics.below == UpstreamKind::Shared;
+        let called_upstream = self.settings.specifics.upstream == UpstreamKind::Shared;
         self.replace_file_settings(std::mem::take(&mut config.settings));
         self.log_summary(summary);
         if (&config.name, config.listen) != (&self.config.name, self.config.listen) {
@@ -132,7 +132,7 @@
         if config.control != self.config.control {
             self.effects.push(Effect::SetControlAddress(config.control));
         }
-        let calls_upstream = self.settings.specifics.below == UpstreamKind::Shared;
+        let calls_upstream = self.settings.specifics.upstream == UpstreamKind::Shared;
         let starts_to_call = calls_upstream && !called_upstream;
         let is_new = |upstream: &SocketAddr| Some(*upstream) != self.config.ledger || starts_to_call;
         if let Some(upstream) = config.ledger.filter(is_new) {
--- a/crates/core/tests/every_key.rs
+++ b/crates/core/tests/every_key.rs
@@ -30,15 +30,18 @@
 #[test]
 fn every_key_of_the_module_is_read() {
     let s = Config::parse(CONFIG).expect("a configuration").settings;
-    assert_eq!((s.granularity.0, s.servers, s.tier, s.over_quota_weight), (101, 12, 3, 0.125));
+    assert_eq!((s.min_batch_interval.0, s.servers, s.tier, s.over_quota_weight), (101, 12, 3, 0.125));
     assert!(s.callers.marks_retries);
-    assert_eq!((s.goal.whole, s.goal.worst_class), (0.5, 0.25));
+    assert_eq!((s.goal.overall, s.goal.worst_class), (0.5, 0.25));
     assert_eq!((s.goal.worst_tenant, s.goal.worst_window), (0.15, 0.1));
     assert_eq!((s.limits.max_retry_after.0, s.limits.retry_after), (102, true));
     assert_eq!((s.prices.connection, s.prices.handshake, s.prices.late_fail), (1.25, 1.5, 1.75));
-    assert_eq!((s.prices.origin, s.prices.waste), (2.25, 2.5));
-    assert_eq!((s.rules.answer_slack.0, s.rules.cold.0, s.rules.cold_capacity), (103, 104, 0.375));
-    assert_eq!((s.rules.drain_grace.0, s.rules.fall.0, s.rules.max_concurrency_per_core), (105, 106, 4.5));
+    assert_eq!((s.prices.upstream_call, s.prices.waste), (2.25, 2.5));
+    assert_eq!((s.rules.answer_slack.0, s.rules.warm_up_time.0, s.rules.cold_capacity), (103, 104, 0.375));
+    assert_eq!(
+        (s.rules.drain_grace.0, s.rules.overload_window.0, s.rules.max_concurrency_per_core),
+        (105, 106, 4.5)
+    );
     assert_eq!(s.weight_basis, WeightBasis::Work);
     let names: Vec<&str> = s.profiles.iter().map(|profile| profile.name.as_str()).collect();
     assert_eq!(names, ["view", "save", "post"]);
@@ -47,7 +50,7 @@
     let save = &s.profiles[1];
     assert_eq!((save.latency_objective.0, save.deadline.0, save.window.0), (107, 108, 109));
     assert_eq!((save.late_value, save.priority_weight, save.objective_stretch), (0.2, 4.25, 1.125));
-    let tenant = &s.customers[0];
+    let tenant = &s.tenants[0];
     assert_eq!((tenant.name.as_str(), tenant.quota_rps, tenant.portion), ("acme", 66.5, 0.42));
 }
 
@@ -55,13 +58,16 @@
 fn every_key_of_the_site_is_read() {
     let s = Config::parse(CONFIG).expect("a configuration").settings.specifics;
     assert_eq!(
-        (s.advert, s.below, s.stop_mode),
+        (s.capacity_signal, s.upstream, s.stop_mode),
         (CapacitySignal::PrecedenceThreshold, UpstreamKind::Shared, StopMode::Abort)
     );
     assert_eq!((s.calls_by_class, s.class_skip_weights), (vec![true, false, true], vec![0.5, 0.0, 0.75]));
-    assert_eq!((s.calls_out, s.clients_total, s.fresh_for.0, s.heeded.0), (4.75, 13, 110, 111));
+    assert_eq!((s.call_share, s.clients_total, s.fresh_for.0, s.signal_lifetime.0), (4.75, 13, 110, 111));
     assert_eq!(s.gauges, ["core_use", "on_cores", "heap_share", "links"]);
-    assert_eq!((s.idle.0, s.idempotency_key_kb, s.linger.0, s.share_span.0), (112, 10.5, 113, 114));
+    assert_eq!(
+        (s.client_idle_timeout.0, s.idempotency_key_kb, s.linger.0, s.call_share_window.0),
+        (112, 10.5, 113, 114)
+    );
     assert_eq!((s.memory_kb, s.n_cores, s.run_factor), (4000.5, 6, 8.5));
     assert!(
         s.full_checks
@@ -80,11 +86,11 @@
         ("off", CapacitySignal::Off),
     ] {
         let new = format!("\"advert\": \"{word}\"");
-        assert_eq!(with("\"advert\": \"threshold\"", &new).settings.specifics.advert, advert);
+        assert_eq!(with("\"advert\": \"threshold\"", &new).settings.specifics.capacity_signal, advert);
     }
     for (word, below) in [("tier", UpstreamKind::Tier), ("off", UpstreamKind::Off)] {
         let new = format!("\"below\": \"{word}\"");
-        assert_eq!(with("\"below\": \"shared\"", &new).settings.specifics.below, below);
+        assert_eq!(with("\"below\": \"shared\"", &new).settings.specifics.upstream, below);
     }
     for (word, mode) in [("suspend", StopMode::Pause), ("off", StopMode::Off)] {
         let new = format!("\"stop_mode\": \"{word}\"");
--- a/crates/gradepin/src/check.rs
+++ b/crates/gradepin/src/check.rs
@@ -13,7 +13,7 @@
     for warning in &operator.warnings {
         println!("warning: {warning}");
     }
-    let (classes, tenants) = (config.settings.profiles.len(), config.settings.customers.len());
+    let (classes, tenants) = (config.settings.profiles.len(), config.settings.tenants.len());
     println!("{}: listens on {}, {classes} classes, {tenants} tenants", config.name, config.listen);
     println!("registry: {}", operator.registry.as_ref().map_or_else(off, |it| registry(it, config)));
     println!("scgi: {}", operator.scgi.as_ref().map_or_else(off, scgi));
--- a/crates/gradepin/tests/customers/main.rs
+++ b/crates/gradepin/tests/customers/main.rs
@@ -1,12 +1,12 @@
 //! Drawn settings of other customers, through the reducer alone: start, serve, reload to another customer's under load,
 //! and drain. What is drawn is valid, so each is served with.
 
-#[path = "../../../admission/tests/common/customers.rs"]
-mod customers;
+#[path = "../../../admission/tests/common/generated_settings.rs"]
+mod generated_settings;
 mod process;
 mod world;
 
-use customers::{config, text};
+use generated_settings::{config, text};
 use gradepin_core::config::Config;
 use process::Process;
 use proptest::prelude::*;
--- a/crates/gradepin/tests/customers/process.rs
+++ b/crates/gradepin/tests/customers/process.rs
@@ -1,6 +1,6 @@
 //! One server process between a stand-in for its processor and one for its clients, on loopback sockets.
 
-use crate::customers::text;
+use crate::generated_settings::text;
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
--- a/crates/gradepin/tests/customers/world.rs
+++ b/crates/gradepin/tests/customers/world.rs
@@ -141,7 +141,7 @@
         self.classes.truncate(2);
         self.tenants.truncate(2);
         self.classes.extend(config.settings.profiles.iter().map(|class| class.name.clone()));
-        self.tenants.extend(config.settings.customers.iter().map(|tenant| tenant.name.clone()));
+        self.tenants.extend(config.settings.tenants.iter().map(|tenant| tenant.name.clone()));
     }
 
     fn below(&mut self, most: u64) -> u64 {
--- a/crates/model/src/policies/mod.rs
+++ b/crates/model/src/policies/mod.rs
@@ -172,7 +172,7 @@
 fn settings(day: &Day) -> Settings {
     let terms = day.terms();
     Settings {
-        granularity: ms(2),
+        min_batch_interval: ms(2),
         servers: day.machines.iter().filter(|machine| !machine.spare).count() as u32,
         tier: 0,
         profiles: terms
@@ -189,7 +189,7 @@
                 objective_stretch: 0.0,
             })
             .collect(),
-        customers: terms
+        tenants: terms
             .offices
             .iter()
             .map(|office| Tenant {
@@ -199,35 +199,35 @@
             })
             .collect(),
         callers: Callers { marks_retries: true },
-        goal: Goal { whole: 0.4, worst_class: 0.2, worst_tenant: 0.1, worst_window: 0.3 },
+        goal: Goal { overall: 0.4, worst_class: 0.2, worst_tenant: 0.1, worst_window: 0.3 },
         limits: Site { max_retry_after: ms(1_000), retry_after: true },
         prices: Prices { late_fail: 0.083, waste: 0.08, ..Prices::default() },
         weight_basis: WeightBasis::Request,
         over_quota_weight: terms.beyond,
         rules: Rules {
             answer_slack: ms(100),
-            cold: ms(18_000),
+            warm_up_time: ms(18_000),
             cold_capacity: 0.21,
             drain_grace: ms(1_800),
-            fall: ms(1_500),
+            overload_window: ms(1_500),
             max_concurrency_per_core: 8.0,
         },
         specifics: Specifics {
-            advert: CapacitySignal::PrecedenceThreshold,
-            below: UpstreamKind::Off,
+            capacity_signal: CapacitySignal::PrecedenceThreshold,
+            upstream: UpstreamKind::Off,
             calls_by_class: vec![false; terms.classes.len()],
             class_skip_weights: vec![0.0; terms.classes.len()],
             clients_total: day.proxies.len() as u32,
             gauges: ["core_use", "on_cores", "heap_share", "links"].map(str::to_string).to_vec(),
-            heeded: ms(1_000),
-            idle: ms(15_000),
+            signal_lifetime: ms(1_000),
+            client_idle_timeout: ms(15_000),
             idempotency_key_kb: day.key_kb,
             endpoint_list_follows_health: true,
             memory_kb: 1.0,
             n_cores: 1,
             propagates_deadline: true,
             run_factor: day.run_factor,
-            share_span: ms(5_000),
+            call_share_window: ms(5_000),
             stop_mode: StopMode::Off,
             reports_disconnects: true,
             ..Specifics::default()
--- a/crates/node/src/settings/active.rs
+++ b/crates/node/src/settings/active.rs
@@ -157,8 +157,8 @@
     /// for the reducer's thread.
     pub fn compare(&self, mut config: Config) -> Reload {
         let compared_at = self.0.edition.load(Ordering::Acquire);
-        let SplitSettings { rest, classes, tenants } = std::mem::take(&mut config.settings).split();
-        config.settings = rest;
+        let SplitSettings { global, classes, tenants } = std::mem::take(&mut config.settings).split();
+        config.settings = global;
         let mut reload = Reload { config, changes: Vec::new(), new_classes: 0, new_tenants: 0, compared_at };
         let names = classes.iter().map(|class| class.name()).collect();
         reload.changes.extend(self.0.classes.in_force_except(&names).into_iter().map(Change::RemoveClass));
--- a/crates/node/src/settings/active/tests.rs
+++ b/crates/node/src/settings/active/tests.rs
@@ -34,7 +34,7 @@
     let reload = active.compare(new.clone());
     assert_eq!(summary(&reload.changes), ["-@a", "+save", "+tag", "+@b", "+@c"]);
     assert_eq!((reload.new_classes, reload.new_tenants, reload.compared_at), (1, 1, 0));
-    assert!(reload.config.settings.profiles.is_empty() && reload.config.settings.customers.is_empty());
+    assert!(reload.config.settings.profiles.is_empty() && reload.config.settings.tenants.is_empty());
     let (_, tenants) = (active.tenant("b"), new.settings.split().tenants);
     active.publish(
         5,
--- a/crates/node/src/settings/registry.rs
+++ b/crates/node/src/settings/registry.rs
@@ -217,7 +217,7 @@
             stabilization_period: self.stabilization,
             ready_share: self.ready_share,
             cold_capacity: rules.cold_capacity,
-            cold: rules.cold,
+            cold: rules.warm_up_time,
             preferred_retry_interval: self.preferred_url_interval,
             cancel: self.deregister,
         }
--- a/crates/node/src/startup/context.rs
+++ b/crates/node/src/startup/context.rs
@@ -208,7 +208,7 @@
     }
 
     fn start_upstream(&self, starter: &UpstreamStarter) -> Result<Option<UpstreamClient>, StartError> {
-        let is_shared = self.config.settings.specifics.below == UpstreamKind::Shared;
+        let is_shared = self.config.settings.specifics.upstream == UpstreamKind::Shared;
         start_optional(self.config.ledger.filter(|_| is_shared), |address| {
             starter
                 .start(address, self.config.calls())
--- a/crates/node/src/startup/state.rs
+++ b/crates/node/src/startup/state.rs
@@ -51,8 +51,8 @@
         let cell_names = cell_names(&config.settings);
         let store_limits = operator.store.as_ref().map(|store| store.limits(config));
         let longest_window = longest_window(&config.settings);
-        let SplitSettings { rest, classes, tenants } = std::mem::take(&mut config.settings).split();
-        config.settings = rest;
+        let SplitSettings { global, classes, tenants } = std::mem::take(&mut config.settings).split();
+        config.settings = global;
         let names = ActiveSettings::of(&classes, &tenants);
         let clock = Clock::start();
         let seed = config.seed()?;
--- a/crates/node/tests/hold.rs
+++ b/crates/node/tests/hold.rs
@@ -46,7 +46,7 @@
         let config = json!({"name": "n1", "listen": address, "processor": address, "control": address,
             "seed": "7", "stop_ms": 2000, "limits": {"sockets": 128}, "settings": settings});
         let mut config = Config::parse(&config.to_string()).expect("a whole configuration");
-        config.settings = std::mem::take(&mut config.settings).split().rest;
+        config.settings = std::mem::take(&mut config.settings).split().global;
         let of_classes = (0..classes).map(|n| class(n, 1.0)).collect();
         let of_tenants = (0..tenants).map(|n| tenant(n, 1.0)).collect();
         let mut reducer = Reducer::with_definitions(&config, of_classes, of_tenants, Registration::default())
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -57,7 +57,7 @@
     let expires_in = parts.number::<u64>("expires_in")?.filter(|&ns| ns > 0).map(Span);
     let class = parts.some("service")?;
     let class = settings.class(class).ok_or("expected in 'req' a service that the settings list")?;
-    let has_key = parts.next().is_some();
+    let has_subject = parts.next().is_some();
     let caller = parts.number("who")?.unwrap_or(0);
     let work = parts.number("work")?.map(Span);
     let tenant = parts.next().and_then(|team| settings.tenant(team));
@@ -67,15 +67,15 @@
     }
     let precedence = parts.number("precedence")?.unwrap_or(0.0);
     let flags: u64 = parts.number("flags")?.unwrap_or(0);
-    let earlier = parts.next().filter(|&text| text != "0").map(RequestId::new);
-    let queued_for = Span(parts.number("queued_for")?.unwrap_or(0));
+    let earlier_attempt = parts.next().filter(|&text| text != "0").map(RequestId::new);
+    let unread_for = Span(parts.number("queued_for")?.unwrap_or(0));
     let work = work.filter(|_| flags & 1 != 0);
     let (retry, write) = (flags & 2 != 0, flags & 4 != 0);
     Ok(Request {
         id,
         expires_in,
         class,
-        has_key,
+        has_subject,
         caller,
         work,
         tenant,
@@ -83,8 +83,8 @@
         precedence,
         retry,
         write,
-        earlier,
-        queued_for,
+        earlier_attempt,
+        unread_for,
     })
 }
 
@@ -143,8 +143,8 @@
     let _ = match action {
         Action::Run(id) => writeln!(out, "process {name} {}", id.0),
         Action::StopRun(id) => writeln!(out, "suspend {name} {}", id.0),
-        Action::Reject { id, retry_after, last } => {
-            writeln!(out, "refuse {name} {} {} {}", id.0, retry_after.0, u8::from(*last))
+        Action::Reject { id, retry_after, is_final } => {
+            writeln!(out, "refuse {name} {} {} {}", id.0, retry_after.0, u8::from(*is_final))
         }
         Action::Fail(id) => writeln!(out, "error {name} {}", id.0),
         Action::CallUpstream { id, timeout } => writeln!(out, "ask_below {name} {} {}", id.0, timeout.0),
--- a/crates/simulator-adapter/tests/customers.rs
+++ b/crates/simulator-adapter/tests/arbitrary_settings.rs
@@ -1,10 +1,10 @@
 //! Drawn settings of other customers through the adapter's process: each instance starts with them, and says on the wire
 //! only what the wire has words for.
 
-#[path = "../../admission/tests/common/customers.rs"]
-mod customers;
+#[path = "../../admission/tests/common/generated_settings.rs"]
+mod generated_settings;
 
-use customers::{MS, settings, text};
+use generated_settings::{MS, settings, text};
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Runs, RngAlgorithm, TestRng, TestRunner};
 use serde_json::Value;
--- a/crates/store/tests/configuration.rs
+++ b/crates/store/tests/configuration.rs
@@ -31,7 +31,7 @@
 fn base() -> Configuration {
     let mut settings = Settings::default();
     settings.profiles.push(gradepin_config::ClassDefinition::from(class("c0")).profile);
-    settings.customers = (0..40)
+    settings.tenants = (0..40)
         .map(|n| TenantEntry { name: format!("tenant-{n:030}"), quota_rps: 1.0, portion: 0.0 }.into())
         .collect();
     Configuration::from_settings(&settings).expect("a valid base")
--- a/crates/store/tests/golden_files.rs
+++ b/crates/store/tests/golden_files.rs
@@ -159,7 +159,7 @@
     let tenant = |name: &str| Tenant { name: name.into(), quota_rps: 10.5, portion: 0.25 };
     let settings = Settings {
         profiles: ["old", "c0"].map(|name| class(name, Idempotency::Idempotent).profile).into(),
-        customers: ["gone", "acme"].map(tenant).into(),
+        tenants: ["gone", "acme"].map(tenant).into(),
         ..Settings::default()
     };
     Configuration::from_settings(&settings).expect("a valid base")
--- a/crates/testkit/src/scale/fleet/requests.rs
+++ b/crates/testkit/src/scale/fleet/requests.rs
@@ -130,7 +130,7 @@
             let profile = &settings.profiles[class];
             (profile.effect == gradepin_admission::Idempotency::Keyed, profile.deadline)
         };
-        let tenants = settings.customers.len();
+        let tenants = settings.tenants.len();
         let number = self.name << 40 | self.last_request;
         let Some(body) = pool.exact(number.to_string().as_bytes()) else { return };
         let call = ClientRequest {
--- a/crates/testkit/tests/shared.rs
+++ b/crates/testkit/tests/shared.rs
@@ -174,5 +174,5 @@
     assert!(begun > SERVERS, "it was called at all");
     assert!(mean <= SURVIVES, "{mean:.2} in the mean");
     // How many come in one instant depends here on how the machine runs twenty processes: that claim is proven in virtual
-    // time, by the decisions' tests/cold_fleet.rs.
+    // time, by the decisions' tests/cold_dependency.rs.
 }
