--- a/crates/admission/src/actions.rs
+++ b/crates/admission/src/actions.rs
@@ -1,59 +1,59 @@
-//! Actions: what the controller has the host carry out.
+//! Actions: the decisions of the controller, which the host carries out.
 
 use crate::request::RequestId;
 use crate::time::{Span, Time};
 
-/// What the host is to carry out.
+/// A decision of the controller, which the host carries out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Start a held request, or resume a paused one.
+    /// Start a queued request, or resume a paused one.
     Run(RequestId),
-    /// Stop a running request, which its response does not depend on any more.
+    /// Stop a running request whose response is no longer needed.
     StopRun(RequestId),
-    /// Final response: rejected, and never ran.
+    /// Respond that the request was rejected, which promises that it never ran.
     Reject {
-        /// Which request.
+        /// The rejected request.
         id: RequestId,
-        /// Retry-After: how long the caller should stay away; 0 for no advice.
+        /// Retry-After: time during which the caller should send nothing more; 0 for no advice.
         retry_after: Span,
-        /// Whether the caller should not try another server.
+        /// Whether the caller should not fail over to another server.
         is_final: bool,
     },
-    /// Final response: failed, and may have run.
+    /// Respond that the request failed; it may have run.
     Fail(RequestId),
-    /// Make the upstream call that a request waits for.
+    /// Make the upstream call that a run waits for.
     CallUpstream {
-        /// Which request.
+        /// The request whose run needs the call.
         id: RequestId,
-        /// Give the call up after this.
+        /// Time after which the host gives the call up.
         timeout: Span,
     },
-    /// Go on without the upstream call.
+    /// Resume a run without the upstream call that it waits for.
     SkipUpstreamCall(RequestId),
-    /// Enter a request into the table of idempotency keys.
+    /// Add a request to the table of idempotency keys, in place of an entry with the same key.
     RetainIdempotencyKey {
-        /// Which request.
+        /// The request whose key is retained.
         id: RequestId,
-        /// How long the entry lasts.
+        /// Time after which the entry expires.
         retain_for: Span,
     },
-    /// Remove the entry of a request from that table.
+    /// Remove a request from the table of idempotency keys.
     ReleaseIdempotencyKey(RequestId),
-    /// Answer a held request from the result of the one that it repeats.
+    /// Respond to a queued request with the result of the earlier attempt that it repeats.
     JoinRun(RequestId),
-    /// Set the answer to health checks.
+    /// Set the response to health checks.
     ReportHealth {
-        /// Checks are answered from this status alone, without real work.
+        /// Whether checks report this status alone, without doing real work.
         shallow: bool,
         /// Whether checks succeed.
         active: bool,
     },
-    /// Set the advertised value that goes with every response.
+    /// Set the value that is sent with every response; [`crate::CapacitySignal`] defines its meaning.
     AdvertiseCapacity(f64),
-    /// Close connections that were idle for this long.
+    /// Close client connections that have been idle for this long.
     SetIdleTimeout(Span),
-    /// Ask for a [`Event::Timer`] at this time.
+    /// Deliver an [`Event::Timer`](crate::Event::Timer) at this time.
     SetTimer(Time),
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/crates/admission/src/advice.rs
+++ b/crates/admission/src/advice.rs
@@ -1,30 +1,34 @@
-//! Advice to callers: the capacity that is advertised with every response, before anything must be rejected.
+//! Advice to callers: the capacity signal that is sent with every response.
+//!
+//! Callers that heed the signal reduce their load before this server has to reject requests.
 
 use crate::settings::Settings;
 use crate::specifics::CapacitySignal;
 
-/// Part of the shortest latency objective that held requests may take before the advertised share falls.
-const MAX_QUEUE_OBJECTIVES: f64 = 0.5;
-/// Share of that time below which the advertised share grows.
+/// Time to run the wait queue, as a fraction of the shortest latency objective, above which the accepted
+/// share shrinks.
+const MAX_QUEUE_OBJECTIVE_FRACTION: f64 = 0.5;
+/// Fraction of that time below which the accepted share grows.
 const LOW_QUEUE_FILL: f64 = 0.5;
-/// Part of the shortest latency objective that the windows of all callers may fill with held requests.
-const WINDOW_QUEUE_OBJECTIVES: f64 = 0.25;
-/// Per sampling period; factor by which the advertised share falls.
-const ACCEPTED_SHARE_FALL: f64 = 0.95;
-/// Per sampling period; what is added to the advertised share.
-const ACCEPTED_SHARE_GROWTH: f64 = 0.02;
-/// Least advertised share.
+/// Time to run the requests that the concurrency windows allow beyond the concurrency limit, as a fraction
+/// of the shortest latency objective.
+const WINDOW_QUEUE_OBJECTIVE_FRACTION: f64 = 0.25;
+/// Multiplicative decrease of the accepted share per sampling period.
+const ACCEPTED_SHARE_DECREASE: f64 = 0.95;
+/// Additive increase of the accepted share per sampling period.
+const ACCEPTED_SHARE_INCREASE: f64 = 0.02;
+/// Lower bound of the accepted share.
 const MIN_ACCEPTED_SHARE: f64 = 0.05;
-/// Relative change from which on a value is advertised anew.
+/// Relative change above which a new value is advertised.
 const MIN_RELATIVE_CHANGE: f64 = 0.1;
 /// Advertised values are rounded to a millionth.
-const VALUES_PER_UNIT: f64 = 1e6;
-/// Seconds; the least mean run, so that nothing is divided by 0.
+const STEPS_PER_UNIT: f64 = 1e6;
+/// Lower bound of the mean run time; avoids a division by 0.
 const MIN_MEAN_RUN_SECONDS: f64 = 1e-3;
 
-/// What capacity is computed from.
+/// The state of the server from which the capacity signal is computed.
 pub(crate) struct Capacity {
-    /// Share of the capacity that is open to callers, from 0 (closed) to 1.
+    /// Fraction of the capacity that is open to callers, from 0 (closed) to 1.
     pub(crate) open_share: f64,
     pub(crate) concurrency_limit: f64,
     pub(crate) mean_run_seconds: f64,
@@ -32,58 +36,59 @@
 }
 
 impl Capacity {
-    /// Requests that all callers together may have open here.
+    /// Number of requests that all callers together may have open on this server.
     fn requests(&self) -> f64 {
         let mean_run_seconds = self.mean_run_seconds.max(MIN_MEAN_RUN_SECONDS);
-        let held_per_run = WINDOW_QUEUE_OBJECTIVES * self.shortest_objective_seconds / mean_run_seconds;
-        self.open_share * self.concurrency_limit * (1.0 + held_per_run)
+        let queued_per_run =
+            WINDOW_QUEUE_OBJECTIVE_FRACTION * self.shortest_objective_seconds / mean_run_seconds;
+        self.open_share * self.concurrency_limit * (1.0 + queued_per_run)
     }
 }
 
-/// What callers were advised last, and what the next advice rests on.
+/// Computes the capacity signal and decides when it has changed enough to be advertised again.
 #[derive(Debug, Default)]
 pub(crate) struct Advice {
-    /// Share of the requests that callers would send here of their own accord.
+    /// Fraction of their requests that callers should send here, from [`MIN_ACCEPTED_SHARE`] to 1.
     accepted_share: f64,
-    /// Whether requests were rejected for lack of capacity in this sampling period.
+    /// Whether a request was rejected for lack of capacity in the current sampling period.
     has_rejected: bool,
     last_advertised: f64,
 }
 
 impl Advice {
-    /// Nothing advertised yet: a negative value differs from every value.
+    /// The negative `last_advertised` differs from every value, so the first one is always advertised.
     pub(crate) fn new() -> Self {
         Self { last_advertised: -1.0, ..Self::default() }
     }
 
-    /// Begins with a share of the requests: until its responses reach callers, a cold server gets all that
-    /// they would send to a warm one.
+    /// Starts again from the given share. A cold server needs a low one, because callers send it as much as a
+    /// warm server until its first responses reach them.
     pub(crate) fn restart(&mut self, accepted_share: f64) {
         self.accepted_share = accepted_share;
     }
 
-    /// Notes that a request was rejected for lack of capacity.
+    /// Records a rejection for lack of capacity.
     pub(crate) fn note_rejection(&mut self) {
         self.has_rejected = true;
     }
 
-    /// Whether requests were rejected for lack of capacity in this sampling period.
+    /// Whether a request was rejected for lack of capacity in the current sampling period.
     pub(crate) fn has_rejected(&self) -> bool {
         self.has_rejected
     }
 
-    /// Adapts the accepted share to the held requests and the rejections of one sampling period.
+    /// Adapts the accepted share to the length of the wait queue and the rejections of one sampling period.
     pub(crate) fn end_period(&mut self, queue_seconds: f64, shortest_objective_seconds: f64) {
-        let queue_fill = queue_seconds / (MAX_QUEUE_OBJECTIVES * shortest_objective_seconds);
+        let queue_fill = queue_seconds / (MAX_QUEUE_OBJECTIVE_FRACTION * shortest_objective_seconds);
         if self.has_rejected || queue_fill > 1.0 {
-            self.accepted_share = (self.accepted_share * ACCEPTED_SHARE_FALL).max(MIN_ACCEPTED_SHARE);
+            self.accepted_share = (self.accepted_share * ACCEPTED_SHARE_DECREASE).max(MIN_ACCEPTED_SHARE);
         } else if queue_fill < LOW_QUEUE_FILL {
-            self.accepted_share = (self.accepted_share + ACCEPTED_SHARE_GROWTH).min(1.0);
+            self.accepted_share = (self.accepted_share + ACCEPTED_SHARE_INCREASE).min(1.0);
         }
         self.has_rejected = false;
     }
 
-    /// The value to advertise, in the form that the site's callers understand; none where it hardly changed.
+    /// The value to advertise in the configured form, or `None` while it has hardly changed.
     pub(crate) fn advertise(&mut self, capacity: &Capacity, settings: &Settings) -> Option<f64> {
         let value = match settings.specifics.capacity_signal {
             CapacitySignal::Off => return None,
@@ -96,7 +101,7 @@
         let change = (value - self.last_advertised).abs();
         if change > MIN_RELATIVE_CHANGE * self.last_advertised.abs() {
             self.last_advertised = value;
-            Some((value * VALUES_PER_UNIT).round() / VALUES_PER_UNIT)
+            Some((value * STEPS_PER_UNIT).round() / STEPS_PER_UNIT)
         } else {
             None
         }
--- a/crates/admission/src/class_definition.rs
+++ b/crates/admission/src/class_definition.rs
@@ -1,23 +1,23 @@
-//! Request classes as the configuration defines them.
+//! Request classes as the configuration defines them: times, idempotency and priority weight.
 
 use crate::time::Span;
 use serde::{Deserialize, Serialize};
 
-/// A request class with those of its settings that are given by its place.
+/// A request class, together with the per-class lists of the settings at its index.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassDefinition {
-    /// Name, latency objective, deadline, effect and priority weight.
+    /// The entry of the class in `profiles`.
     pub profile: ClassProfile,
-    /// Whether its runs may make upstream calls; from `specifics.calls_by_class`.
+    /// Whether runs of the class may make upstream calls; from `specifics.calls_by_class`.
     pub calls: bool,
-    /// Part of the priority weight that is earned without the upstream call; from
+    /// Fraction of the priority weight that a request earns without its upstream call; from
     /// `specifics.class_skip_worth`.
     #[serde(rename = "skip_worth")]
     pub skip_weight: f64,
 }
 
 impl Default for ClassDefinition {
-    /// The class of a free slot, which no request is in.
+    /// The definition of a free slot, to which no request belongs.
     fn default() -> Self {
         let (name, none, never) = (String::new(), Span(0), Span(u64::MAX));
         let (effect, priority_weight) = (Idempotency::NonIdempotent, 0.0);
@@ -35,44 +35,44 @@
     }
 }
 
-/// The times, the effect and the priority weight of a request class.
+/// Times, idempotency and priority weight of a request class.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassProfile {
-    /// Its name; empty for the class of a free slot.
+    /// Name that requests give as their method; empty for a free slot.
     pub name: String,
-    /// Latency objective: a response within this time of the first attempt earns the full weight.
+    /// Latency objective: a response within this time of the first attempt earns the full priority weight.
     #[serde(rename = "promise")]
     pub latency_objective: Span,
-    /// How long a client waits, over all attempts.
+    /// Time that a client waits for a response, over all attempts.
     pub deadline: Span,
-    /// Whether a request may run again.
+    /// Whether a repeated request may run again.
     pub effect: Idempotency,
-    /// Part of the weight that a response after the objective and before the deadline still earns.
+    /// Fraction of the priority weight that a response after the objective and before the deadline earns.
     #[serde(default)]
     pub late_value: f64,
-    /// For requests with an idempotency key: time after its arrival within which one can arrive again.
+    /// For requests with an idempotency key: time after its arrival within which a request may be repeated.
     #[serde(default)]
     pub window: Span,
-    /// Priority weight of one request.
+    /// Priority weight of one request, or of one unit of work; see [`crate::WeightBasis`].
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// Times the request's own work by which the objective grows, up to the deadline.
+    /// Multiple of the request's declared work that is added to the objective, up to the deadline.
     #[serde(default)]
     #[serde(rename = "aim_stretch")]
     pub objective_stretch: f64,
 }
 
-/// Whether a request may run again.
+/// Whether a repeated request may run again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Idempotency {
-    /// Idempotent: may run any number of times.
+    /// May run any number of times.
     #[serde(rename = "repeatable")]
     Idempotent,
-    /// Idempotent by its key: runs once on a server within the window.
+    /// Idempotent by its key: runs at most once on a server within the window of its class.
     #[serde(rename = "by_key")]
     Keyed,
-    /// Not idempotent: runs once.
+    /// Must run at most once; repeats cannot be recognized.
     #[serde(rename = "once")]
     NonIdempotent,
 }
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -1,15 +1,16 @@
-//! The admission controller of one server: what becomes of each request, and what callers are advised.
+//! The admission controller of one server: decides what happens to each request and what callers are advised.
 //!
-//! A request's path through the modules below:
+//! The path of a request through the modules below:
 //!
-//! 1. `arrival`: it is read, gets its deadline and objective, and is held, joined to an earlier attempt, or
+//! 1. `arrival`: the request gets its deadline and objective, and is queued, joined to an earlier attempt, or
 //!    rejected (shutdown, throttling, lack of memory).
-//! 2. `scheduling`: while held, it is rejected once it cannot succeed in time; the held request with the most
-//!    priority weight per core second starts first, under the concurrency limit.
-//! 3. `upstream_calls`: its run waits for the limiter of upstream calls, makes its call, or goes on without.
-//! 4. `endings`: it completes, is rejected, expires, or its caller leaves.
+//! 2. `scheduling`: a queued request is rejected once it cannot succeed in time. Within the concurrency
+//!    limit, the queued request with the highest density starts first.
+//! 3. `upstream_calls`: a run that needs a call waits for the call limiter, then makes its call or goes on
+//!    without it.
+//! 4. `endings`: the request completes, is rejected, expires, or its caller disconnects.
 //!
-//! `sampling` adapts all limits to the host's gauges, once per sampling period.
+//! Once per sampling period, `sampling` adapts all limits to the gauges of the host.
 
 mod arrival;
 mod endings;
@@ -42,16 +43,17 @@
 use crate::wait_queue::WaitQueue;
 use std::sync::Arc;
 
-/// Least time from a batch to the next timer.
+/// Shortest delay of a timer: a timer is never due in the batch that sets it.
 const MIN_TIMER_DELAY: Span = Span(1);
 
-/// The controller of one server. It has no clock and does no I/O: the same seed, settings and events give the
-/// same actions.
+/// The admission controller of one server.
+///
+/// It has no clock and does no I/O: the same seed, settings and events produce the same actions.
 #[derive(Debug, Default)]
 pub struct Controller {
     settings: Settings,
     random: RandomSource,
-    /// Time of the batch that is handled; never goes back.
+    /// Time of the current batch; never goes back.
     now: Time,
     is_started: bool,
 
@@ -74,16 +76,16 @@
     advice: Advice,
     drain: Option<Drain>,
 
-    /// The latest gauges, until a sampling period takes them in.
+    /// The latest gauges that no sampling period has used yet.
     latest_gauges: Option<Gauges>,
     next_sampling_at: Time,
-    /// When the last timer that was asked for is due.
+    /// Time at which the last timer that was set is due.
     timer_at: Option<Time>,
 }
 
 impl Controller {
-    /// A controller for a server that starts now. `seed` decides all of its random draws. Fewer cores than
-    /// one count as one.
+    /// Creates the controller of a server that starts now. All random draws follow from `seed`. A core count
+    /// of 0 counts as 1.
     pub fn new(mut settings: Settings, seed: u64, now: Time) -> Self {
         settings.specifics.n_cores = settings.specifics.n_cores.max(1);
         let cores = f64::from(settings.specifics.n_cores);
@@ -110,40 +112,42 @@
         controller
     }
 
-    /// The class of a slot from now on, of no name where it is free. What was learnt stays with the name;
-    /// the host gives no slot away that an open request is in.
+    /// Sets the class of a slot; an empty class name frees the slot. Estimates are kept if the name stays the
+    /// same. The host must not reassign a slot while a request of its class is open.
     pub fn put_class(&mut self, slot: usize, definition: Arc<ClassDefinition>) {
         self.classes.put(slot, definition);
     }
 
-    /// The quota of the tenant in a slot, in requests a second; the counts of another tenant than before
-    /// begin anew.
+    /// Sets the quota of the tenant in a slot, in requests per second over all servers; 0 for no quota.
+    /// `is_other_tenant` tells that the slot had another tenant before, whose counts are reset.
     pub fn put_tenant(&mut self, slot: usize, quota_rps: f64, is_other_tenant: bool) {
         self.tenants.put(slot, quota_rps, is_other_tenant);
     }
 
-    /// The cores started at a time, cold or not: with the server, or again beside one that goes on.
+    /// Restarts slow start for a processor that started at the given time, with cold cores or with warm ones.
+    /// The processor may restart while this server continues to run.
     pub fn restart_slow_start(&mut self, cold: bool, at: Time) {
         self.settings.specifics.cold_start = cold;
         self.slow_start.restart(at);
         self.advice.restart(if cold { self.settings.rules.cold_capacity } else { 1.0 });
     }
 
-    /// All settings but classes and tenants.
+    /// Replaces all settings except classes and tenants.
     pub fn set_global_settings(&mut self, mut settings: Settings) {
         settings.specifics.n_cores = settings.specifics.n_cores.max(1);
-        // Whether the cores began cold was learnt at their start, and is not in the file.
+        // The processor reported at its start whether its cores were cold; the settings file does not say.
         settings.specifics.cold_start = self.settings.specifics.cold_start;
         let previous = std::mem::replace(&mut self.settings, settings);
         let specifics = &self.settings.specifics;
-        // What ends must release the figure that was reserved for it, or the difference would stay for good.
+        // Ending requests release memory by the new sizes, so open ones must be reserved by them as well.
+        // Otherwise the difference would stay reserved for good.
         let requests_kb = self.requests.reserved_kb(&self.settings);
         self.memory.set_reserved(requests_kb + self.keys.len() as f64 * specifics.idempotency_key_kb);
         self.call_limiter.reconfigure(&previous.specifics, specifics, self.now);
     }
 
-    /// Takes in all events of a batch, then decides once. Events of requests that it doesn't know change
-    /// nothing.
+    /// Handles all events of a batch, then makes the decisions for the batch and appends them to `out`.
+    /// Events of unknown requests have no effect.
     pub fn handle(&mut self, now: Time, events: &[Event], out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.start_once(out);
@@ -174,7 +178,7 @@
         }
     }
 
-    /// Answers health checks from the first batch on.
+    /// Reports good health in the first batch.
     fn start_once(&mut self, out: &mut Vec<Action>) {
         if !self.is_started {
             self.is_started = true;
@@ -183,8 +187,8 @@
         }
     }
 
-    /// Notes whether work moves on here: a run does, or a core is free. A free core is no progress while
-    /// reading alone fills the cores, and what it brings is lost.
+    /// Records progress if a run advances or a core has no run. A core without a run is no progress while
+    /// reading alone keeps the cores busy: the requests that it yields have expired.
     fn note_progress(&mut self, event: &Event) {
         let run_moves_on = matches!(event, Event::Completed { .. } | Event::UpstreamCallNeeded(_));
         let has_free_core = self.concurrency.has_free_core(self.settings.specifics.n_cores)
@@ -199,8 +203,7 @@
         self.concurrency.set_ceiling(speed_share, &self.settings);
     }
 
-    /// Starts the graceful shutdown. All requests that are open get their response before the process is
-    /// stopped.
+    /// Starts the graceful shutdown. All open requests get their response before the process is stopped.
     fn begin_drain(&mut self, time_to_stop: Span, out: &mut Vec<Action>) {
         if self.drain.is_some() {
             return;
@@ -216,7 +219,7 @@
         self.drain.is_some()
     }
 
-    /// Removes a request from the table of idempotency keys. False if it had no entry.
+    /// Removes a request from the table of idempotency keys. Returns false if it had no entry.
     fn remove_key(&mut self, id: &RequestId) -> bool {
         let was_present = self.keys.remove(id);
         if was_present {
@@ -225,7 +228,8 @@
         was_present
     }
 
-    /// Removes entries of the table a batch after they expired: the host may still have answered from them.
+    /// Removes expired entries from the table of idempotency keys, one batch interval after their expiry: the
+    /// host may have answered from them until then.
     fn remove_expired_keys(&mut self) {
         let expired_by = time_before(self.now, self.settings.min_batch_interval);
         while let Some(id) = self.keys.first_expired(expired_by) {
@@ -233,8 +237,8 @@
         }
     }
 
-    /// Asks for one timer: at the next deadline, sampling period or paced upstream call, whichever comes
-    /// first.
+    /// Sets a timer for the next deadline, sampling period or paced upstream call, whichever is first, unless
+    /// an earlier timer is pending.
     fn set_timer(&mut self, out: &mut Vec<Action>) {
         let next_call_at = self.call_limiter.next_call_at(self.now);
         let times = [Some(self.next_sampling_at), self.requests.next_deadline(), next_call_at];
--- a/crates/admission/src/controller/arrival.rs
+++ b/crates/admission/src/controller/arrival.rs
@@ -1,4 +1,4 @@
-//! The arrival of a request: its deadline and objective, and whether it is held, joined to an earlier
+//! The arrival of a request: its deadline and objective, and whether it is queued, joined to an earlier
 //! attempt, or rejected.
 
 use super::Controller;
@@ -11,30 +11,31 @@
 use crate::time::{Span, Time, seconds_until, span_from_seconds, span_seconds, time_after, time_before};
 use std::sync::Arc;
 
-/// Most of the memory that is kept free for held requests to run.
+/// Upper bound of the memory kept free for queued requests to run, as a fraction of the usable memory.
 const MAX_RUN_RESERVE_SHARE: f64 = 0.5;
 
-/// The earlier attempt that a request names, after others may have been evicted for the request.
+/// The earlier attempt that a request names, looked up after queued requests were evicted for the request.
 struct EarlierAttempt {
-    /// Its number, while it is held.
-    held: Option<Sequence>,
-    /// Whether it arrived after the request, though it was read before: the request may then fall into the
-    /// window of an older run.
+    /// The earlier attempt, if it is still in the wait queue.
+    queued: Option<Sequence>,
+    /// Whether the earlier attempt arrived after the request, although it was read before it. The request may
+    /// then fall into the idempotency window of an older run.
     arrived_later: bool,
 }
 
 impl EarlierAttempt {
-    /// Whether a run of the request could be a second run of the same operation.
+    /// Whether running the request could run the same operation a second time.
     fn may_have_run(&self) -> bool {
-        self.held.is_none() || self.arrived_later
+        self.queued.is_none() || self.arrived_later
     }
 }
 
 impl Controller {
-    /// Takes in a request. One whose id is open already, or whose class is not in force, changes nothing.
+    /// Handles the arrival of a request. Ignores a request whose id is already open or whose class is not
+    /// defined.
     pub(super) fn request_arrived(&mut self, request: &Request, out: &mut Vec<Action>) {
         let is_known = self.requests.find(&request.id).is_some();
-        if is_known || !self.classes.is_in_force(request.class) {
+        if is_known || !self.classes.is_defined(request.class) {
             return;
         }
         self.classes.note_arrival(request.class);
@@ -60,7 +61,7 @@
             id: request.id.clone(),
             class: request.class,
             tenant: request.tenant,
-            held_kb: request.size_kb,
+            queued_kb: request.size_kb,
             attempts_served: 1.0,
             arrived_at: self.arrived_at(request),
             expires_at,
@@ -71,8 +72,8 @@
         }
     }
 
-    /// When the caller stops waiting, as it said or by the class's deadline; sooner while draining, and
-    /// never before the request was read.
+    /// Time at which the caller stops waiting, as the request says or else by the deadline of the class.
+    /// Earlier while draining, and never before the request was read.
     fn expires_at(&self, request: &Request, profile: &ClassProfile) -> Time {
         let by_caller = request.expires_in.map(|wait| time_after(self.now, wait));
         let by_class = time_after(self.arrived_at(request), profile.deadline);
@@ -80,8 +81,8 @@
         self.drain.map_or(expires_at, |drain| expires_at.min(drain.answered_by())).max(self.now)
     }
 
-    /// Until when the first attempt's latency objective lasts; it counts from that attempt, so a retry has
-    /// less of it left.
+    /// Time at which the latency objective passes. It counts from the first attempt, so a retry has less time
+    /// left.
     fn objective_at(&self, request: &Request, profile: &ClassProfile, timeout_fraction: f64) -> Time {
         let stretch_seconds = request.work.map_or(0.0, |work| span_seconds(work) * profile.objective_stretch);
         let stretched =
@@ -93,7 +94,7 @@
         time_before(time_after(self.arrived_at(request), objective), elapsed)
     }
 
-    /// Time that the caller gave this attempt, as a fraction of the class's deadline.
+    /// Timeout that the caller gave this attempt, as a fraction of the deadline of the class.
     fn timeout_fraction(&self, request: &Request, profile: &ClassProfile) -> f64 {
         let by_caller = request.expires_in.map(|wait| time_after(self.now, wait));
         let gives_up_at = by_caller.unwrap_or_else(|| self.expires_at(request, profile));
@@ -113,11 +114,11 @@
         }
     }
 
-    /// Decides what becomes of a request that was just read, and is held.
+    /// Decides whether a new request stays queued, is joined to an earlier attempt, or is rejected.
     fn admit(&mut self, sequence: Sequence, request: &Request, effect: Idempotency, out: &mut Vec<Action>) {
-        let held_before = self.held_earlier_attempt(request);
+        let queued_before = self.queued_earlier_attempt(request);
         let fits = self.evict_for(sequence, 0.0, out);
-        let earlier = self.earlier_attempt(sequence, request, held_before);
+        let earlier = self.earlier_attempt(sequence, request, queued_before);
         if let Some(earlier) = &earlier
             && effect != Idempotency::Idempotent
             && earlier.may_have_run()
@@ -137,41 +138,41 @@
             return self.reject(sequence, RejectionCause::Capacity, out);
         }
         if needs_key {
-            self.remember_key(sequence, out);
+            self.retain_key(sequence, out);
         }
-        let earlier = earlier.and_then(|earlier| earlier.held);
-        if let Some(earlier) = earlier.filter(|&earlier| self.requests.is_held(earlier))
+        let earlier = earlier.and_then(|earlier| earlier.queued);
+        if let Some(earlier) = earlier.filter(|&earlier| self.requests.is_queued(earlier))
             && effect == Idempotency::Keyed
         {
-            self.replace_held_attempt(earlier, out);
+            self.replace_queued_attempt(earlier, out);
         }
     }
 
-    /// The earlier attempt that a request names, if it is held.
-    fn held_earlier_attempt(&self, request: &Request) -> Option<Sequence> {
+    /// The earlier attempt that a request names, if it is in the wait queue.
+    fn queued_earlier_attempt(&self, request: &Request) -> Option<Sequence> {
         let earlier = self.requests.find(request.earlier_attempt.as_ref()?)?;
-        self.requests.is_held(earlier).then_some(earlier)
+        self.requests.is_queued(earlier).then_some(earlier)
     }
 
-    /// What the earlier attempt that a request names amounts to. None if making room rejected that very
-    /// attempt.
+    /// State of the earlier attempt that a request names. `None` if that attempt was evicted to free memory
+    /// for the request.
     fn earlier_attempt(
         &self,
         sequence: Sequence,
         request: &Request,
-        held_before: Option<Sequence>,
+        queued_before: Option<Sequence>,
     ) -> Option<EarlierAttempt> {
         request.earlier_attempt.as_ref()?;
-        let held = held_before.filter(|&earlier| self.requests.is_held(earlier));
-        if held != held_before {
+        let queued = queued_before.filter(|&earlier| self.requests.is_queued(earlier));
+        if queued != queued_before {
             return None;
         }
         let arrived_at = self.requests.open(sequence).arrived_at;
-        let arrived_later = held.is_some_and(|earlier| self.requests.open(earlier).arrived_at > arrived_at);
-        Some(EarlierAttempt { held, arrived_later })
+        let arrived_later = queued.is_some_and(|earlier| self.requests.open(earlier).arrived_at > arrived_at);
+        Some(EarlierAttempt { queued, arrived_later })
     }
 
-    /// Answers a repeat of what ran, or runs, from that run: a second run would be a second effect.
+    /// Responds to a repeat from the run of its earlier attempt: running it again would repeat the effect.
     fn answer_from_run(&mut self, sequence: Sequence, can_join: bool, out: &mut Vec<Action>) {
         if can_join {
             self.join(sequence, out);
@@ -180,15 +181,15 @@
         }
     }
 
-    /// Whether nothing spent on a request can earn anything any more, as after a long wait unread.
+    /// Whether a request can no longer earn any priority weight, for example after a long unread wait.
     fn is_dead_on_arrival(&self, sequence: Sequence) -> bool {
         let arrived_at = self.requests.open(sequence).arrived_at;
         let is_too_late_to_run = self.drain.is_some_and(|drain| !drain.allows_run(arrived_at));
         is_too_late_to_run || self.health.is_stalled() || self.density(sequence) <= 0.0
     }
 
-    /// Rejects a request at once. One that was lost before it came here, as a retry after a timeout, is no
-    /// sign of a lack of capacity, and advice that followed it would keep callers from cores that idle.
+    /// Rejects a request on arrival. A request that had too little time left when it arrived, such as a retry
+    /// after a timeout, shows no lack of capacity. Counting it would turn callers away from idle cores.
     fn reject_on_arrival(&mut self, sequence: Sequence, out: &mut Vec<Action>) {
         let request = self.requests.open(sequence);
         let initial_run_seconds = self.class_of(request).initial_seconds();
@@ -202,12 +203,12 @@
         self.reject(sequence, cause, out);
     }
 
-    /// Whether the response to one read may serve others.
+    /// Whether the response to a read may serve other reads of the same subject.
     fn shares_responses(&self) -> bool {
         self.settings.specifics.fresh_for.0 > 0
     }
 
-    /// Joins a read to the earlier attempt that it names, which from now on serves both.
+    /// Joins a read to the earlier attempt that it names, whose run then serves both.
     fn share_run(&mut self, sequence: Sequence, request: &Request, out: &mut Vec<Action>) {
         let objective_at = self.requests.open(sequence).objective_at;
         let earlier = request.earlier_attempt.as_ref().and_then(|id| self.requests.find(id));
@@ -226,16 +227,17 @@
         }
     }
 
-    /// A repeat takes over the key of a held attempt, which never ran and whose caller has given it up.
-    fn replace_held_attempt(&mut self, earlier: Sequence, out: &mut Vec<Action>) {
+    /// Rejects a queued attempt whose repeat takes over its key. The attempt never ran, and its caller has
+    /// given it up.
+    fn replace_queued_attempt(&mut self, earlier: Sequence, out: &mut Vec<Action>) {
         let id = self.requests.open(earlier).id.clone();
         self.remove_key(&id);
         self.reject(earlier, RejectionCause::Capacity, out);
     }
 
-    /// Enters a request into the table of idempotency keys: until its window from arrival is past, or a
-    /// read while its response is fresh.
-    fn remember_key(&mut self, sequence: Sequence, out: &mut Vec<Action>) {
+    /// Adds a request to the table of idempotency keys: a keyed request until its window after arrival has
+    /// passed, a read as long as its response counts as fresh.
+    fn retain_key(&mut self, sequence: Sequence, out: &mut Vec<Action>) {
         let request = self.requests.open(sequence);
         let profile = &self.class_of(request).definition().profile;
         let interval = self.settings.min_batch_interval;
@@ -251,10 +253,10 @@
         out.push(Action::RetainIdempotencyKey { id, retain_for: Span(expires_at.0 - self.now.0) });
     }
 
-    /// Rejects held requests of the lowest density until a new one fits into the memory, with so much more.
-    /// False if the new one itself has the lowest.
+    /// Rejects the queued requests of the lowest density until the new request and `more_kb` fit into memory.
+    /// Returns false if the new request itself has the lowest density.
     fn evict_for(&mut self, sequence: Sequence, more_kb: f64, out: &mut Vec<Action>) -> bool {
-        let capacity_kb = self.held_capacity_kb(sequence);
+        let capacity_kb = self.queue_capacity_kb(sequence);
         while self.memory.exceeds(capacity_kb, more_kb) {
             match density::lowest(self.ranked(self.wait_queue.iter())) {
                 Some(lowest) if lowest.sequence != sequence => {
@@ -266,13 +268,13 @@
         true
     }
 
-    /// Kilobytes that may be reserved before a new request starts to run: held requests must not take the
-    /// memory that they need for running.
-    fn held_capacity_kb(&self, sequence: Sequence) -> f64 {
+    /// Kilobytes that may be reserved while a new request is queued. Queued requests must not fill the memory
+    /// that they will need to run.
+    fn queue_capacity_kb(&self, sequence: Sequence) -> f64 {
         let specifics = &self.settings.specifics;
         let capacity_kb = self.memory.reservable_kb(specifics.memory_kb);
-        let held_kb = self.requests.open(sequence).held_kb;
-        let run_reserve_kb = self.concurrency.free_runs() * held_kb * (specifics.run_factor - 1.0);
+        let queued_kb = self.requests.open(sequence).queued_kb;
+        let run_reserve_kb = self.concurrency.free_runs() * queued_kb * (specifics.run_factor - 1.0);
         capacity_kb - run_reserve_kb.min(capacity_kb.max(0.0) * MAX_RUN_RESERVE_SHARE)
     }
 }
--- a/crates/admission/src/controller/endings.rs
+++ b/crates/admission/src/controller/endings.rs
@@ -1,4 +1,4 @@
-//! The ways in which a request ends: its run completes, it is rejected, it expires, or its caller leaves.
+//! The end of a request: its run completes, it is rejected, it expires, or its caller disconnects.
 
 use super::Controller;
 use crate::actions::Action;
@@ -8,33 +8,33 @@
 use crate::specifics::StopMode;
 use crate::time::{Span, span_from_seconds};
 
-/// Times the unread wait that a rejected caller is asked to stay away, beside the time that the queue takes.
+/// Multiple of the unread wait that is added to the time to run the wait queue for the advised Retry-After.
 const RETRY_AFTER_UNREAD_RATIO: f64 = 4.0;
 
 /// Why a request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum RejectionCause {
-    /// The server lacks capacity for it, or time.
+    /// The server lacks the capacity or the time to serve the request.
     Capacity,
-    /// It could not succeed any more when it arrived, which says nothing about capacity.
+    /// The request had too little time left when it arrived, which says nothing about capacity.
     LostBeforeArrival,
 }
 
 impl Controller {
-    /// Whether the fleet is full, and not this server alone.
+    /// Whether the whole fleet is overloaded, and not this server alone.
     pub(super) fn is_fleet_overloaded(&self) -> bool {
         self.demand.is_fleet_overloaded(self.settings.callers.marks_retries)
     }
 
-    /// Rejects a held request, which promises that it never ran. Its caller is asked not to try elsewhere
-    /// where that would not help: other servers reject many themselves, or no time is left.
+    /// Rejects a queued request, which promises that it never ran. The rejection is final where another
+    /// server would not help: the fleet is overloaded, or the request has no time left.
     pub(super) fn reject(&mut self, sequence: Sequence, cause: RejectionCause, out: &mut Vec<Action>) {
         let Some(request) = self.remove(sequence) else { return };
         let is_closed = self.is_draining() || self.health.is_stalled();
         let is_past_objective = request.objective_at <= self.now;
         let would_fail_elsewhere = request.is_retry || self.is_fleet_overloaded() || is_past_objective;
         let is_final = !is_closed && would_fail_elsewhere;
-        // What another server may still take is no sign that the fleet lacks capacity.
+        // A request that another server may still admit is no sign that the fleet lacks capacity.
         if (is_final || is_closed) && cause == RejectionCause::Capacity {
             self.advice.note_rejection();
         }
@@ -46,8 +46,9 @@
         out.push(Action::Reject { id: request.id, retry_after, is_final });
     }
 
-    /// How long a rejected caller is asked to stay away: as long as may be from a closed server, else for a
-    /// random time of about one request of its own at most, or callers would leave and return in step.
+    /// Retry-After for a rejected caller: the longest allowed while the server is draining or stalled. Else a
+    /// random time of at most the caller's mean time between requests, because callers would otherwise leave
+    /// and return in step.
     fn advised_retry_after(&mut self, is_closed: bool) -> Span {
         let random_unit = self.random.unit_interval();
         let backlog = self.queue_seconds() + RETRY_AFTER_UNREAD_RATIO * self.health.unread_seconds();
@@ -63,12 +64,12 @@
         }
     }
 
-    /// Takes a request out of the table and all that counts it.
+    /// Removes a request from the table and from all queues and counts that include it.
     fn remove(&mut self, sequence: Sequence) -> Option<OpenRequest> {
         let request = self.requests.remove(sequence)?;
         self.memory.release(request.reserved_kb(&self.settings));
         match request.state {
-            RequestState::Held | RequestState::Joined => self.wait_queue.remove(sequence),
+            RequestState::Queued | RequestState::Joined => self.wait_queue.remove(sequence),
             RequestState::Running => self.concurrency.run_ended(),
             RequestState::AwaitingCall { .. } => {
                 self.concurrency.run_ended_at_call();
@@ -82,25 +83,26 @@
         Some(request)
     }
 
-    /// Answers every request whose caller stops waiting, whatever its state.
+    /// Responds to every request whose deadline has passed, whatever its state.
     pub(super) fn expire_requests(&mut self, out: &mut Vec<Action>) {
         while let Some(sequence) = self.requests.pop_expired(self.now) {
             match self.requests.get(sequence).map(|request| request.state) {
-                Some(RequestState::Held) => self.reject(sequence, RejectionCause::Capacity, out),
+                Some(RequestState::Queued) => self.reject(sequence, RejectionCause::Capacity, out),
                 Some(RequestState::Joined) => self.end_with_error(sequence, out),
                 _ => self.answer_run_with_error(sequence, out),
             }
         }
     }
 
-    /// Ends, with an error, a request that must not be said never to have run.
+    /// Ends a request with an error, where a rejection could be wrong: the operation that it repeats may have
+    /// run.
     pub(super) fn end_with_error(&mut self, sequence: Sequence, out: &mut Vec<Action>) {
         if let Some(request) = self.remove(sequence) {
             out.push(Action::Fail(request.id));
         }
     }
 
-    /// Answers a request that runs with an error; it stays in the table until its run ends.
+    /// Responds with an error to a request that runs; it stays in the table until its run ends.
     pub(super) fn answer_run_with_error(&mut self, sequence: Sequence, out: &mut Vec<Action>) {
         let unanswered = self.requests.get(sequence).filter(|request| !request.is_answered);
         if let Some(request) = unanswered {
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Ends the need for a response of a run: stops it, unless a repeat could still be answered from it.
+    /// Marks a run whose response is no longer needed. Stops it unless it may still serve another attempt.
     fn abandon_run(&mut self, sequence: Sequence, out: &mut Vec<Action>) {
         self.call_limiter.dequeue(sequence);
         self.requests.clear_deadline(sequence);
@@ -123,20 +125,19 @@
         }
     }
 
-    /// Takes in that the caller of a request no longer waits: drops it while held or joined, else abandons
-    /// its run.
+    /// Handles the disconnect of a request's caller: drops a queued or joined request, else abandons the run.
     pub(super) fn caller_left(&mut self, id: &RequestId, out: &mut Vec<Action>) {
         let Some(sequence) = self.requests.find(id) else { return };
         if !self.requests.open(sequence).is_waiting() {
             return self.abandon_run(sequence, out);
         }
-        let was_held = self.remove(sequence).is_some_and(|request| request.state == RequestState::Held);
-        if was_held && self.remove_key(id) {
+        let was_queued = self.remove(sequence).is_some_and(|request| request.state == RequestState::Queued);
+        if was_queued && self.remove_key(id) {
             out.push(Action::ReleaseIdempotencyKey(id.clone()));
         }
     }
 
-    /// Takes in the end of a run, or of a joined request's wait. Only runs that succeeded are learnt from.
+    /// Handles the end of a run, or of a joined request's wait. Only successful runs update the estimates.
     pub(super) fn run_completed(
         &mut self,
         id: &RequestId,
@@ -145,7 +146,7 @@
         out: &mut Vec<Action>,
     ) {
         let Some(sequence) = self.requests.find(id) else { return };
-        if self.requests.is_held(sequence) {
+        if self.requests.is_queued(sequence) {
             return;
         }
         let Some(request) = self.remove(sequence) else { return };
--- a/crates/admission/src/controller/sampling.rs
+++ b/crates/admission/src/controller/sampling.rs
@@ -1,4 +1,4 @@
-//! Once per sampling period: gauges are taken in, estimates and limits adapted, and advice given.
+//! The end of a sampling period: adapts estimates and limits to the gauges, and updates advice and health.
 
 use super::Controller;
 use crate::actions::Action;
@@ -9,13 +9,13 @@
 use crate::idle_connections::IntakeLoad;
 use crate::time::{Span, time_after};
 
-/// The sampling period of MemLimiter's tests.
+/// The period that the tests of MemLimiter use.
 const SAMPLING_PERIOD: Span = Span(100_000_000);
-/// Least share of the capacity that stays advertised while requests wait unread.
+/// Lower bound of the advertised fraction of the capacity while requests wait unread.
 const MIN_OPEN_SHARE: f64 = 0.05;
 
 impl Controller {
-    /// Ends a sampling period. Gauges that have not come count as absent.
+    /// Ends a sampling period. Gauges that were not reported count as absent.
     pub(super) fn sample_period(&mut self, out: &mut Vec<Action>) {
         self.next_sampling_at = time_after(self.now, SAMPLING_PERIOD);
         let gauges = self.latest_gauges.take().unwrap_or_default();
@@ -46,7 +46,7 @@
         let shortest_objective_seconds = self.classes.shortest_objective_seconds();
         let load = CoreLoad {
             cores: self.cores(),
-            has_held_requests: !self.wait_queue.is_empty(),
+            has_queued_requests: !self.wait_queue.is_empty(),
             floor_share: self.health.unread_wait_margin(shortest_objective_seconds).clamp(0.0, 1.0),
         };
         self.concurrency.adapt(gauges, &load);
@@ -70,7 +70,7 @@
         let load = IntakeLoad {
             cores: self.cores(),
             runs_on_cores: self.concurrency.runs_on_cores(),
-            has_held_requests: !self.wait_queue.is_empty(),
+            has_queued_requests: !self.wait_queue.is_empty(),
             has_rejected: self.advice.has_rejected(),
             callers_idle_timeout: self.settings.specifics.client_idle_timeout,
         };
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Tells callers and health checks early what this server has capacity for.
+    /// Updates the capacity signal and the response to health checks.
     fn adapt_advice(&mut self, mean_run_seconds: f64, out: &mut Vec<Action>) {
         let shortest_objective_seconds = self.classes.shortest_objective_seconds();
         self.advice.end_period(self.queue_seconds(), shortest_objective_seconds);
@@ -107,9 +107,9 @@
         }
     }
 
-    /// Share of the capacity that is open to callers: none while draining or stalled, and less while
-    /// requests wait unread. Reading itself takes a while: up to the wait at which all is well, nothing is
-    /// taken off.
+    /// Fraction of the capacity that is open to callers: none while draining or stalled, less than all while
+    /// requests wait unread. Reading takes some time in any case, so a wait up to the healthy bound takes
+    /// nothing off.
     fn open_share(&self, shortest_objective_seconds: f64) -> f64 {
         if self.is_draining() || self.health.is_stalled() {
             return 0.0;
--- a/crates/admission/src/controller/scheduling.rs
+++ b/crates/admission/src/controller/scheduling.rs
@@ -1,4 +1,4 @@
-//! Which held requests are given up, and which one starts next.
+//! Scheduling of the wait queue: which queued requests are rejected, and which one starts next.
 
 use super::Controller;
 use super::endings::RejectionCause;
@@ -9,21 +9,20 @@
 use crate::settings::WeightBasis;
 use crate::wait_queue::SojournCheck;
 
-/// Seconds; the least core time by which a priority weight is divided.
+/// Lower bound of the core time by which a priority weight is divided.
 const MIN_RUN_SECONDS: f64 = 1e-4;
 
 impl Controller {
-    /// The estimates of a request's class.
     pub(super) fn class_of(&self, request: &OpenRequest) -> &ClassEstimate {
         self.classes.estimate(request.class)
     }
 
-    /// Core time, in seconds, that the run of a request is expected to take.
+    /// Expected core time of a request's run, in seconds.
     pub(super) fn run_seconds(&self, request: &OpenRequest) -> f64 {
         self.class_of(request).run_seconds(request.work_seconds)
     }
 
-    /// Seconds from the start of a request's run to its response, the wait for its upstream call included.
+    /// Expected seconds from the start of a request's run to its response, including the wait for its call.
     fn base_latency_seconds(&self, request: &OpenRequest) -> f64 {
         let class = self.class_of(request);
         let specifics = &self.settings.specifics;
@@ -32,8 +31,8 @@
         class.base_latency_seconds(self.run_seconds(request)) + call_wait_seconds
     }
 
-    /// Priority weight that a request can still earn per core second, or per request where weight counts by
-    /// work.
+    /// Priority weight that a request can still earn per core second of its run. Where the weight already
+    /// counts per unit of work, it is not divided by the run time.
     pub(super) fn density(&self, sequence: Sequence) -> f64 {
         let request = self.requests.open(sequence);
         let profile = &self.class_of(request).definition().profile;
@@ -53,7 +52,7 @@
         earned_part * request.attempts_served * profile.priority_weight * tenant_factor / cost
     }
 
-    /// Requests of a queue with their densities of now.
+    /// Requests of a queue with their present densities.
     pub(super) fn ranked(
         &self,
         queue: impl Iterator<Item = Sequence>,
@@ -61,15 +60,15 @@
         queue.map(|sequence| RankedRequest { density: self.density(sequence), sequence })
     }
 
-    /// Seconds that all held requests would take under the concurrency limit.
+    /// Seconds to run all queued requests under the concurrency limit.
     pub(super) fn queue_seconds(&self) -> f64 {
         let run_seconds = |sequence| self.run_seconds(self.requests.open(sequence));
         let total: f64 = self.wait_queue.iter().map(run_seconds).sum();
         total / self.concurrency.limit().max(1.0)
     }
 
-    /// Rejects held requests that are past their sojourn bound, counting the runs of those that rank before
-    /// them.
+    /// Rejects queued requests past their sojourn bound. The predicted wait of a request is the run time of
+    /// all requests that rank before it and are not rejected.
     pub(super) fn enforce_sojourn_bound(&mut self, out: &mut Vec<Action>) {
         let mut seconds_ahead = 0.0;
         for ranked in density::highest_first(self.ranked(self.wait_queue.iter())) {
@@ -99,8 +98,8 @@
         }
     }
 
-    /// Seconds until the requests ahead have run. On a warm server, a guessed run time rejects no
-    /// request before some run took longer than it.
+    /// Seconds until the requests ahead have run. On a warm server, an initial run time estimate predicts no
+    /// wait until that time has passed without progress.
     fn predicted_wait_seconds(&self, request: &OpenRequest, seconds_ahead: f64) -> f64 {
         let is_guess = !self.class_of(request).has_completed_runs() && !self.settings.specifics.cold_start;
         if is_guess && self.health.seconds_since_progress(self.now) < self.run_seconds(request) {
@@ -110,13 +109,13 @@
         }
     }
 
-    /// Starts the held requests of the highest density while the concurrency limit and the memory allow.
+    /// Starts the queued requests of the highest density while concurrency limit and memory allow.
     pub(super) fn start_runs(&mut self, out: &mut Vec<Action>) {
         while !self.wait_queue.is_empty() && self.concurrency.admits_run() {
             let highest = density::highest(self.ranked(self.wait_queue.iter()));
             let Some(ranked) = highest.filter(|ranked| ranked.density > 0.0) else { break };
             let specifics = &self.settings.specifics;
-            let run_kb = self.requests.open(ranked.sequence).held_kb * (specifics.run_factor - 1.0);
+            let run_kb = self.requests.open(ranked.sequence).queued_kb * (specifics.run_factor - 1.0);
             if run_kb > self.memory.free_kb(specifics.memory_kb) {
                 break;
             }
--- a/crates/admission/src/controller/upstream_calls.rs
+++ b/crates/admission/src/controller/upstream_calls.rs
@@ -1,4 +1,4 @@
-//! Upstream calls of runs: when each is made, what its result means, and which runs go on without.
+//! Upstream calls of runs: when a call is made, how its outcome is handled, and which runs skip their call.
 
 use super::Controller;
 use crate::actions::Action;
@@ -10,17 +10,17 @@
 use crate::request::{Outcome, RequestId};
 use crate::time::{Span, Time, seconds_until, span_from_seconds, span_seconds, time_after};
 
-/// Part of its class's mean core time that a run still needs after its call.
+/// Core time that a run still needs after its call, as a fraction of the mean core time of its class.
 const RUN_AFTER_CALL: f64 = 0.5;
-/// Times the mean latency of a call that a turn in the queue is taken to last.
+/// Expected duration of one turn in the call queue, as a multiple of the mean latency of a call.
 const TURN_LATENCY_RATIO: f64 = 1.2;
 
-/// Whether an outcome proves that the call never ran, so that it may be repeated whatever its effect.
+/// Whether the outcome proves that the call never ran, so that repeating it is safe for every class.
 fn proves_never_ran(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed)
 }
 
-/// Whether the dependency may still work on a call that ended so.
+/// Whether the dependency may still process a call with this outcome.
 fn is_given_up(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::TimedOut | Outcome::Aborted)
 }
@@ -30,7 +30,7 @@
         self.class_of(request).definition()
     }
 
-    /// Takes a run that needs a call off the cores, and queues the call unless the run was answered.
+    /// Moves a run that needs a call off the cores, and queues the call unless the response was already sent.
     pub(super) fn run_needs_call(&mut self, id: &RequestId) {
         let Some(sequence) = self.requests.find(id) else { return };
         let request = self.requests.get_mut(sequence);
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Takes in the result of a call that is in flight.
+    /// Handles the end of a call in flight.
     pub(super) fn call_ended(&mut self, id: &RequestId, outcome: Outcome, took: Span, out: &mut Vec<Action>) {
         let Some(sequence) = self.requests.find(id) else { return };
         let RequestState::Calling { since } = self.requests.open(sequence).state else { return };
@@ -67,7 +67,7 @@
         self.call_limiter.call_succeeded(took, max_runs, specifics, self.now, &mut self.random);
     }
 
-    /// Repeats a failed call where that is safe, else goes on without it, else gives the request up.
+    /// Repeats a failed call where that is safe, else skips it if the class allows, else fails the request.
     fn call_failed(&mut self, sequence: Sequence, outcome: Outcome, out: &mut Vec<Action>) {
         self.call_limiter.call_failed();
         let Some(request) = self.requests.get_mut(sequence) else { return };
@@ -94,18 +94,18 @@
         out.push(Action::SkipUpstreamCall(request.id.clone()));
     }
 
-    /// Makes the calls that the limiter admits, highest density first; goes on without a call where waiting
-    /// for it would miss the objective.
+    /// Makes the calls that the limiter admits, highest density first. Runs that would miss their objective
+    /// by waiting go on without their call.
     pub(super) fn make_calls(&mut self, out: &mut Vec<Action>) {
         let spacing = self.call_limiter.begin_batch(&self.settings, self.now);
         let shortest_objective_seconds = self.classes.shortest_objective_seconds();
         let random_unit = self.random.unit_interval();
         let queue = density::highest_first(self.ranked(self.call_limiter.queue()));
-        for (place, ranked) in queue.into_iter().enumerate() {
+        for (position, ranked) in queue.into_iter().enumerate() {
             let sequence = ranked.sequence;
             let request = self.requests.open(sequence);
             let RequestState::AwaitingCall { since, not_before } = request.state else { continue };
-            if self.should_skip_call(request, place, since) {
+            if self.should_skip_call(request, position, since) {
                 self.call_limiter.dequeue(sequence);
                 self.continue_without_call(sequence, out);
                 continue;
@@ -128,10 +128,10 @@
         out.push(Action::CallUpstream { id: request.id.clone(), timeout });
     }
 
-    /// Whether a request that earns something without its call does better to go on without it: the
-    /// dependency is down, or its turn would come too late for the objective. A request past its objective
-    /// still waits the time of one call.
-    fn should_skip_call(&self, request: &OpenRequest, place: usize, queued_since: Time) -> bool {
+    /// Whether a request that earns weight without its call should skip the call: the dependency is down, or
+    /// the call would end too late for the objective. A request past its objective still waits the mean
+    /// latency of one call.
+    fn should_skip_call(&self, request: &OpenRequest, position: usize, queued_since: Time) -> bool {
         if !can_skip_call(self.class_definition_of(request)) {
             return false;
         }
@@ -141,13 +141,13 @@
         let call_seconds = self.call_limiter.latency().mean_seconds();
         let run_after_call = self.class_of(request).core_seconds() * RUN_AFTER_CALL;
         let time_to_call = request.seconds_to_objective(self.now) - run_after_call;
-        let turns = 1.0 + place as f64 / self.call_limiter.limit();
+        let turns = 1.0 + position as f64 / self.call_limiter.limit();
         let would_miss_objective = time_to_call < turns * call_seconds * TURN_LATENCY_RATIO;
         let exceeds_call_latency = seconds_until(queued_since, self.now) > call_seconds;
         would_miss_objective && (time_to_call > 0.0 || exceeds_call_latency)
     }
 
-    /// Seconds after which a call is given up: when the caller of its request stops waiting, or sooner.
+    /// Timeout of a call in seconds: at most until the caller of its request stops waiting.
     fn call_timeout_seconds(&self, request: &OpenRequest, spacing: &CallSpacing) -> f64 {
         let mut timeout_seconds =
             request.seconds_to_expiry(self.now).max(span_seconds(self.settings.min_batch_interval));
@@ -158,8 +158,9 @@
             let failures = request.consecutive_failed_calls;
             let idempotent =
                 self.call_limiter.idempotent_timeout_seconds(run_ratio, failures, shortest_objective_seconds);
-            timeout_seconds = idempotent.map_or(timeout_seconds, |longest| timeout_seconds.min(longest));
+            timeout_seconds =
+                idempotent.map_or(timeout_seconds, |max_seconds| timeout_seconds.min(max_seconds));
         }
-        spacing.max_call_seconds().map_or(timeout_seconds, |longest| timeout_seconds.min(longest))
+        spacing.max_call_seconds().map_or(timeout_seconds, |max_seconds| timeout_seconds.min(max_seconds))
     }
 }
--- a/crates/admission/src/density.rs
+++ b/crates/admission/src/density.rs
@@ -1,6 +1,6 @@
-//! Ranking of requests by density: the priority weight that can still be earned per core second.
+//! Ranking of requests by density: the priority weight that a request can still earn per core second.
 //!
-//! Of equal densities, the request that was read first ranks higher.
+//! Of two requests with equal densities, the one that was read first ranks higher.
 
 use crate::open_requests::Sequence;
 use std::cmp::Ordering;
@@ -13,23 +13,21 @@
 }
 
 impl RankedRequest {
-    /// Orders from the lowest rank to the highest.
+    /// Orders by rank, lowest first.
     fn compare(&self, other: &Self) -> Ordering {
         self.density.total_cmp(&other.density).then(other.sequence.cmp(&self.sequence))
     }
 }
 
-/// The request that ranks highest.
 pub(crate) fn highest(requests: impl Iterator<Item = RankedRequest>) -> Option<RankedRequest> {
     requests.max_by(RankedRequest::compare)
 }
 
-/// The request that ranks lowest.
 pub(crate) fn lowest(requests: impl Iterator<Item = RankedRequest>) -> Option<RankedRequest> {
     requests.min_by(RankedRequest::compare)
 }
 
-/// All requests by rank, from the highest.
+/// All requests by rank, highest first.
 pub(crate) fn highest_first(requests: impl Iterator<Item = RankedRequest>) -> Vec<RankedRequest> {
     let mut ranked: Vec<RankedRequest> = requests.collect();
     ranked.sort_by(|a, b| b.compare(a));
--- a/crates/admission/src/drain.rs
+++ b/crates/admission/src/drain.rs
@@ -1,24 +1,24 @@
-//! Graceful shutdown: until when requests still run, and until when all must have their response.
+//! Graceful shutdown: the latest arrival that may still run, and the time by which all requests are answered.
 
 use crate::settings::Settings;
 use crate::time::{Span, Time, time_after, time_before};
 
-/// Batches that may still come between the last response and the stop.
+/// Margin between the last response and the stop, in batch intervals.
 const STOP_MARGIN_BATCHES: u64 = 4;
-/// The margin is at most the time until the stop divided by this.
+/// Upper bound of that margin: the time until the stop divided by this number.
 const STOP_MARGIN_DIVISOR: u64 = 4;
 
-/// The times of a shutdown that has begun.
+/// The times of a graceful shutdown in progress.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Drain {
-    /// Requests that reached the machine later are not run.
+    /// Requests that reached the machine after this time are not run.
     last_arrival: Time,
-    /// When every request must have its response.
+    /// Time by which every request must have its response.
     answered_by: Time,
 }
 
 impl Drain {
-    /// A shutdown that was announced now, with the process stopped so long from now.
+    /// Starts a shutdown now; the process is stopped after `time_to_stop`.
     pub(crate) fn new(now: Time, time_to_stop: Span, settings: &Settings) -> Self {
         let batches = settings.min_batch_interval.0.saturating_mul(STOP_MARGIN_BATCHES);
         let margin = Span(batches.min(time_to_stop.0 / STOP_MARGIN_DIVISOR));
@@ -28,12 +28,12 @@
         }
     }
 
-    /// Whether a request that reached the machine at a time may still run.
+    /// Whether a request that reached the machine at the given time may still run.
     pub(crate) fn allows_run(&self, arrived_at: Time) -> bool {
         arrived_at <= self.last_arrival
     }
 
-    /// When every request must have its response.
+    /// Time by which every request must have its response.
     pub(crate) fn answered_by(&self) -> Time {
         self.answered_by
     }
--- a/crates/admission/src/events.rs
+++ b/crates/admission/src/events.rs
@@ -1,24 +1,24 @@
-//! Events: what the host reports to the controller.
+//! Events: what happened on the server, as the host reports it to the controller.
 
 use crate::request::{Outcome, Request, RequestId};
 use crate::time::Span;
 
-/// The worker's gauges; absent ones are `None`.
+/// Gauges of the server; `None` where a gauge is absent.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Gauges {
-    /// Share of the cores busy in the last half second.
+    /// Fraction of the cores that was busy in the last half second.
     pub cpu_utilization: Option<f64>,
-    /// What needs a core now: runs, reading, health checks and new connections.
+    /// Number of tasks that need a core now: runs, readings, health checks and new connections.
     pub runnable: Option<f64>,
-    /// Share of the memory in use, from 0 up.
+    /// Fraction of the memory in use; may exceed 1.
     pub memory_utilization: Option<f64>,
-    /// Open connections.
+    /// Number of open connections.
     pub links: Option<f64>,
 }
 
 impl Gauges {
-    /// Sets the gauge with a name; other names change nothing, and a value that is not finite counts as
-    /// absent.
+    /// Sets a gauge by its name in the settings. Unknown names are ignored, and a value that is not finite
+    /// marks the gauge as absent.
     pub fn set(&mut self, name: &str, value: f64) {
         let value = Some(value).filter(|value| value.is_finite());
         match name {
@@ -31,35 +31,35 @@
     }
 }
 
-/// What happened on the server.
+/// Something that happened on the server.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A request was read.
+    /// A request was read from its connection.
     Arrived(Request),
-    /// A run is over, or the wait of a joined request.
+    /// A run ended, or the wait of a joined request.
     Completed {
-        /// Which request.
+        /// The request whose run or wait ended.
         id: RequestId,
-        /// How it ended.
+        /// The outcome of the run.
         outcome: Outcome,
-        /// Time since the action that started it, waits for disk and calls included.
+        /// Time since the action that started it, including waits for the disk and for upstream calls.
         took: Span,
     },
-    /// The caller no longer waits.
+    /// The caller of a request disconnected and no longer waits for the response.
     CallerGone(RequestId),
-    /// A run cannot go on without an upstream call; it waits off the cores.
+    /// A run needs an upstream call to continue, and is paused off the cores.
     UpstreamCallNeeded(RequestId),
-    /// An upstream call is over.
+    /// An upstream call ended.
     UpstreamCallEnded {
-        /// Which request.
+        /// The request whose run made the call.
         id: RequestId,
-        /// How it ended.
+        /// The outcome of the call.
         outcome: Outcome,
         /// Time since the call was made.
         took: Span,
     },
     /// A graceful shutdown begins: the process is stopped this long from now.
     ShutdownNotice(Span),
-    /// A timer set with [`Action::SetTimer`].
+    /// A timer that [`Action::SetTimer`](crate::Action::SetTimer) set is due; carries the present gauges.
     Timer(Gauges),
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,18 +1,18 @@
-//! Admission control inside one server of a fleet: which requests are held, run, joined or rejected, when
-//! their upstream calls are made, and what callers are advised.
+//! Admission control inside one server of a fleet: decides which requests are queued, run, joined to an
+//! earlier attempt or rejected, when their upstream calls are made, and what callers are advised.
 //!
-//! A host makes one [`Controller`] for its server, hands it the [`Event`]s of each batch with
-//! [`Controller::handle`], and carries out the [`Action`]s that come back. The controller has no clock,
-//! does no I/O and keeps no globals: the same seed, settings and events give the same actions.
+//! The host creates one [`Controller`] for its server, passes it the [`Event`]s of each batch through
+//! [`Controller::handle`], and carries out the returned [`Action`]s. The controller has no clock, does no
+//! I/O and has no global state: the same seed, settings and events produce the same actions.
 //!
-//! - Interface: `settings`, `specifics`, `class_definition`, `request`, `events`, `actions`, `time`,
+//! - Public interface: `settings`, `specifics`, `class_definition`, `request`, `events`, `actions`, `time`,
 //!   `numbers`.
-//! - Composition: `controller`, whose submodules follow a request from its arrival to its end.
+//! - Controller: `controller`, whose submodules follow a request from its arrival to its end.
 //! - Capacity: `throttling` and `memory`, `concurrency_limit` and `slow_start`, `wait_queue` and `density`.
 //! - Upstream calls: `call_limiter`, `call_latency`, `call_share`.
-//! - What is learnt: `class_estimates`, `tenant_quota`, `retry_patterns`, `demand`.
-//! - What is reported: `health`, `advice`, `idle_connections`.
-//! - Tables and the rest: `open_requests`, `idempotency_keys`, `drain`, `random`.
+//! - Estimates: `class_estimates`, `tenant_quota`, `retry_patterns`, `demand`.
+//! - Reports to callers and health checkers: `health`, `advice`, `idle_connections`.
+//! - Tables and utilities: `open_requests`, `idempotency_keys`, `drain`, `random`.
 //!
 //! ```
 //! use gradepin_admission::{Action, Controller, Event, Request, RequestId, Settings, Span, Time};
@@ -78,7 +78,7 @@
 pub use throttling::throttling_percent;
 pub use time::{Span, Time, seconds_until, span_from_seconds, span_seconds, time_after, time_before};
 
-/// The examples of README.md, compiled as doc tests.
+/// Compiles the examples of README.md as doc tests.
 #[cfg(doctest)]
 #[doc = include_str!("../../../README.md")]
 pub struct ReadmeExamples;
--- a/crates/admission/src/memory.rs
+++ b/crates/admission/src/memory.rs
@@ -1,14 +1,14 @@
-//! The memory account of the server: what its requests and the table of idempotency keys take, in kilobytes.
+//! The memory account of the server in kilobytes: open requests and the table of idempotency keys.
 //!
-//! What this module reserves is known exactly. What the gauge shows beyond it (connections, the program
-//! itself) is estimated and kept free: a server that needs more than its memory dies.
+//! Reservations are exact. Memory that the gauge shows beyond them (connections, the program itself) is
+//! estimated and kept free, because a server that exceeds its memory fails.
 
-/// Share of the memory that reservations and the unaccounted part may fill.
+/// Fraction of the memory that reservations and unaccounted memory together may fill.
 const USABLE_SHARE: f64 = 0.96;
-/// Per sampling period; by which the estimate of the unaccounted part falls while the gauge shows less.
+/// Factor applied to the estimate of unaccounted memory per sampling period while the gauge shows less.
 const UNACCOUNTED_DECAY: f64 = 0.9;
 
-/// What is reserved, and the estimate of what else is in use.
+/// The memory that is reserved, and an estimate of the other memory in use.
 #[derive(Debug, Default)]
 pub(crate) struct MemoryAccount {
     reserved_kb: f64,
@@ -16,22 +16,22 @@
 }
 
 impl MemoryAccount {
-    /// Reserves memory; whether it fits was asked before.
+    /// Reserves memory. The caller has checked that it fits.
     pub(crate) fn reserve(&mut self, kb: f64) {
         self.reserved_kb += kb;
     }
 
-    /// Releases as much as was reserved before.
+    /// Releases memory that was reserved before.
     pub(crate) fn release(&mut self, kb: f64) {
         self.reserved_kb -= kb;
     }
 
-    /// Replaces the sum of all reservations, after the sizes that it is made of have changed.
+    /// Replaces the sum of all reservations, after the sizes of requests or keys have changed.
     pub(crate) fn set_reserved(&mut self, kb: f64) {
         self.reserved_kb = kb;
     }
 
-    /// Takes in the gauge of one sampling period, where there is one, and returns the utilization from 0 up.
+    /// Updates the estimate from the gauge, if present. Returns the memory utilization, which may exceed 1.
     pub(crate) fn sample(&mut self, gauge_share: Option<f64>, memory_kb: f64) -> f64 {
         let reserved_share = self.reserved_kb / memory_kb;
         let utilization = gauge_share.unwrap_or(reserved_share);
@@ -44,17 +44,17 @@
         utilization
     }
 
-    /// Kilobytes that all reservations together may come to; below 0 when the unaccounted part takes it all.
+    /// Upper bound of all reservations, in kilobytes; below 0 if unaccounted memory fills the usable memory.
     pub(crate) fn reservable_kb(&self, memory_kb: f64) -> f64 {
         memory_kb * USABLE_SHARE - self.unaccounted_kb
     }
 
-    /// Kilobytes that may still be reserved.
+    /// Kilobytes that may still be reserved; may be below 0.
     pub(crate) fn free_kb(&self, memory_kb: f64) -> f64 {
         memory_kb * USABLE_SHARE - self.reserved_kb - self.unaccounted_kb
     }
 
-    /// Whether what is reserved and so much more exceeds a bound.
+    /// Whether the reservations and `more_kb` together exceed the bound.
     pub(crate) fn exceeds(&self, bound_kb: f64, more_kb: f64) -> bool {
         self.reserved_kb + more_kb > bound_kb
     }
--- a/crates/admission/src/numbers.rs
+++ b/crates/admission/src/numbers.rs
@@ -1,16 +1,16 @@
-//! Numbers of a settings file in either form that JSON has for them.
+//! Deserialization of integers in any notation that JSON has for them.
 //!
-//! Writers of JSON differ: `4000000000`, `4000000000.0` and `4e9` are one number. Guards against a server
-//! that doesn't start because its customer's tool writes whole numbers with a point.
+//! JSON writers differ: `4000000000`, `4000000000.0` and `4e9` are the same number. A server must start even
+//! if the tool that wrote its settings file writes integers with a decimal point.
 
 use serde::de::{Deserializer, Error, Unexpected, Visitor};
 use std::fmt;
 use std::marker::PhantomData;
 
-/// The first float past `u64`: 2 to the power of 64.
+/// The smallest float above the range of `u64`: 2 to the power of 64.
 const PAST_U64: f64 = 18_446_744_073_709_551_616.0;
 
-/// What becomes of a number's fractional part.
+/// Treatment of a fractional part.
 #[derive(Clone, Copy, PartialEq)]
 enum Fraction {
     Rejected,
@@ -57,7 +57,7 @@
     N: TryFrom<u64>,
 {
     let visitor = Number { fraction, of: PhantomData };
-    // Forms without types of their own, such as postcard, cannot be asked for any type.
+    // Formats that are not self-describing, such as postcard, do not support `deserialize_any`.
     if deserializer.is_human_readable() {
         deserializer.deserialize_any(visitor)
     } else {
@@ -65,7 +65,7 @@
     }
 }
 
-/// A count: a whole number, with a point or without.
+/// Deserializes an integer; a number with a fractional part is an error.
 pub fn whole<'de, D, N>(deserializer: D) -> Result<N, D::Error>
 where
     D: Deserializer<'de>,
@@ -74,7 +74,7 @@
     number(deserializer, Fraction::Rejected)
 }
 
-/// A measure of which only whole units count; the fractional part is dropped.
+/// Deserializes a number and truncates its fractional part.
 pub fn whole_part<'de, D, N>(deserializer: D) -> Result<N, D::Error>
 where
     D: Deserializer<'de>,
@@ -83,7 +83,7 @@
     number(deserializer, Fraction::Truncated)
 }
 
-/// All of something: the share that counts where a settings file leaves it out.
+/// Default of a fraction that the settings omit: all.
 pub(crate) fn full_share() -> f64 {
     1.0
 }
--- a/crates/admission/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -1,14 +1,14 @@
-//! Requests as the host hands them in, their ids, and how runs and upstream calls end.
+//! Requests as the host reports them, their ids, and the outcomes of runs and upstream calls.
 
 use crate::time::Span;
 use std::sync::Arc;
 
-/// Id of one attempt; never used again, and without any meaning.
+/// Opaque id of one attempt. The host never reuses an id.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub Arc<str>);
 
 impl RequestId {
-    /// An id from its text.
+    /// Copies the text into a new id.
     pub fn new(text: &str) -> Self {
         Self(Arc::from(text))
     }
@@ -20,54 +20,54 @@
     }
 }
 
-/// A request that was read and is now held.
+/// A request as it was read from its connection.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Request {
-    /// Its id.
+    /// Id of this attempt.
     pub id: RequestId,
-    /// How long its caller still waits for this attempt.
+    /// Time that the caller still waits for this attempt; `None` if the request does not say.
     pub expires_in: Option<Span>,
-    /// Index into [`Settings::profiles`].
+    /// Slot of the class: its index in [`Settings::profiles`](crate::Settings::profiles) at first.
     pub class: usize,
-    /// Whether it names a subject, whose response may serve others.
+    /// Whether the request names a subject, so that its response may serve other reads of that subject.
     pub has_subject: bool,
-    /// Number of the caller.
+    /// Number that identifies the caller.
     pub caller: u64,
-    /// Estimated work in standard-core time.
+    /// Declared work, as time on a standard core.
     pub work: Option<Span>,
-    /// Index into [`Settings::customers`].
+    /// Slot of the tenant: its index in [`Settings::tenants`](crate::Settings::tenants) at first.
     pub tenant: Option<usize>,
-    /// Memory that it takes while held, in kilobytes.
+    /// Memory that the request takes while it is queued, in kilobytes.
     pub size_kb: f64,
-    /// Its rank by priority weight, from 0 to below 1.
+    /// Rank by priority weight, from 0 (inclusive) to 1 (exclusive).
     pub precedence: f64,
-    /// Whether it is marked as a retry or a hedged request.
+    /// Whether the request is marked as a retry or a hedged request.
     pub retry: bool,
-    /// Whether it changes its subject.
+    /// Whether the request modifies its subject.
     pub write: bool,
-    /// The request in the table of idempotency keys that this one repeats.
+    /// The attempt in the table of idempotency keys that this request repeats.
     pub earlier_attempt: Option<RequestId>,
-    /// How long ago it reached the machine.
+    /// Time between the arrival of the request at the machine and its reading.
     pub unread_for: Span,
 }
 
-/// How a run or a call ended.
+/// The outcome of a run or an upstream call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It succeeded.
+    /// The run or call succeeded.
     Success,
-    /// It failed and may have had its effect.
+    /// The run or call failed; it may have had its effect.
     Failure,
-    /// The call was rejected without being looked at; it never ran.
+    /// The dependency rejected the call; it never ran.
     Rejected,
-    /// The call was given up; it may have had its effect.
+    /// The call exceeded its timeout; it may have had its effect.
     TimedOut,
     /// The dependency was unreachable; the call never ran.
     ConnectFailed,
-    /// The call was interrupted; it may have had its effect.
+    /// The call was aborted; it may have had its effect.
     Aborted,
-    /// The run was stopped, or ended at a call because it was answered or its caller had left.
+    /// The run was stopped, or ended at an upstream call because its response was no longer needed.
     Stopped,
-    /// Nothing was started, as the request was already over.
+    /// Nothing was started, because the request had already ended.
     NotStarted,
 }
--- a/crates/admission/src/retry_patterns.rs
+++ b/crates/admission/src/retry_patterns.rs
@@ -1,29 +1,30 @@
-//! The timeouts of callers, learnt from first attempts, and from them the age of a retry.
+//! Estimates the age of a retry from the timeouts that callers give to first attempts.
 //!
-//! A request does not say how long ago its first attempt began. But callers of one kind give each first
-//! attempt the same fraction of the class's deadline; a retry that arrives with another fraction was given
-//! what remained, and the difference is its age. Guards against retries that are taken for new work with
-//! all their time left.
+//! A request does not say how long ago its first attempt began. However, callers of one kind give each first
+//! attempt the same fraction of the class's deadline. A retry that arrives with another fraction was given
+//! the remaining time, and the difference is its age. Without the estimate, a retry would be treated as new
+//! work with all of its time left.
 
 use crate::demand::RecentDemand;
 use crate::request::Request;
 use crate::settings::Settings;
 
-/// Fraction of the deadline within which two timeouts count as the same; they differ by the time on the way
-/// here.
+/// Difference, as a fraction of the deadline, up to which two timeouts count as equal. Equal timeouts differ
+/// by the network latency.
 const TIMEOUT_TOLERANCE: f64 = 0.01;
-/// Patterns kept; a new one takes the place of the rarest.
+/// Number of patterns that are kept; a new pattern replaces the rarest.
 const MAX_PATTERNS: usize = 8;
-/// Share of the observed first attempts from which on a pattern is no noise.
+/// Fraction of the observed first attempts above which a pattern is not noise.
 const MIN_PATTERN_SHARE: f64 = 0.05;
-/// Share of all first attempts that must repeat a known timeout for the patterns to say anything.
+/// Fraction of all first attempts that must repeat a known timeout before patterns are used.
 const MIN_REPEATED_SHARE: f64 = 0.25;
 
-/// A timeout of first attempts, as a fraction of their class's deadline.
+/// A timeout that callers give to first attempts.
 #[derive(Debug)]
 struct TimeoutPattern {
+    /// The timeout as a fraction of the deadline of the class.
     deadline_fraction: f64,
-    /// Decaying count of first attempts with it.
+    /// Decaying count of first attempts with this timeout.
     observations: f64,
 }
 
@@ -33,15 +34,15 @@
     }
 }
 
-/// The timeouts seen in first attempts; at most [`MAX_PATTERNS`].
+/// The timeouts of first attempts, most frequent first; at most [`MAX_PATTERNS`].
 #[derive(Debug, Default)]
 pub(crate) struct RetryPatterns {
     patterns: Vec<TimeoutPattern>,
 }
 
 impl RetryPatterns {
-    /// Fraction of the class's deadline that had passed before this attempt was sent: 0 for first attempts,
-    /// and where nothing is known.
+    /// Fraction of the class's deadline that had passed before this attempt was sent. 0 for first attempts,
+    /// and where the age is unknown.
     pub(crate) fn elapsed_fraction(
         &self,
         request: &Request,
@@ -57,10 +58,10 @@
         }
     }
 
-    /// Whether the timeout of a request says how old it is.
+    /// Whether the age of a request can be derived from its timeout.
     fn shows_age(&self, request: &Request, settings: &Settings, demand: &RecentDemand) -> bool {
-        // Where no retry is marked, any request may be one. Only the first tier is called by clients'
-        // callers.
+        // Where retries are not marked, any request may be a retry. Only tier 0 is called by clients, whose
+        // timeouts have these patterns.
         let may_be_retry = (request.retry || !settings.callers.marks_retries) && settings.tier == 0;
         let repeated: f64 = self.patterns.iter().map(|pattern| (pattern.observations - 1.0).max(0.0)).sum();
         let has_patterns = repeated > MIN_REPEATED_SHARE * demand.first_attempts();
@@ -73,7 +74,7 @@
         self.patterns.iter().any(|pattern| pattern.matches(timeout_fraction) && is_frequent(pattern))
     }
 
-    /// Takes in the timeout of a first attempt.
+    /// Adds the timeout of a first attempt, as a fraction of the deadline of its class.
     pub(crate) fn learn(&mut self, timeout_fraction: f64) {
         if let Some(known) = self.patterns.iter_mut().find(|pattern| pattern.matches(timeout_fraction)) {
             known.observations += 1.0;
@@ -84,7 +85,7 @@
         self.patterns.truncate(MAX_PATTERNS);
     }
 
-    /// Ends a period; see [`crate::demand::decay_factor`].
+    /// Multiplies all counts by the [`decay_factor`](crate::demand::decay_factor) of a period.
     pub(crate) fn decay(&mut self, factor: f64) {
         self.patterns.iter_mut().for_each(|pattern| pattern.observations *= factor);
     }
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the module as the host reads them from its configuration, and their validation.
+//! Settings of the admission module, as the host reads them from its configuration, and their validation.
 
 use crate::class_definition::{ClassDefinition, ClassProfile};
 use crate::numbers::{full_share, whole as whole_number};
@@ -7,41 +7,41 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Settings of a server, as the host reads them at its start. Keys that are not known are skipped.
+/// Settings of the admission module of a server. Unknown keys are ignored.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct Settings {
-    /// Shortest time between two batches.
+    /// Shortest time between two batches of events.
     #[serde(rename = "granularity")]
     pub min_batch_interval: Span,
-    /// Servers of this tier at this start.
+    /// Number of servers in this tier when the server started.
     #[serde(default = "one", deserialize_with = "whole_number")]
     pub servers: u32,
-    /// This server's tier: its place on the path of a request, 0 for the one that clients' callers reach.
+    /// Tier of this server on the path of a request; tier 0 is the one that clients reach.
     #[serde(default, deserialize_with = "whole_number")]
     pub tier: u32,
-    /// The request classes; their places are the indexes that [`crate::Request`] names.
+    /// The request classes. The index of a class is its slot in [`Request::class`](crate::Request::class).
     pub profiles: Vec<ClassProfile>,
-    /// The tenants; their places are the indexes that [`crate::Request`] names.
+    /// The tenants. The index of a tenant is its slot in [`Request::tenant`](crate::Request::tenant).
     #[serde(default)]
     #[serde(rename = "customers")]
     pub tenants: Vec<Tenant>,
-    /// How callers behave.
+    /// Facts about the callers of this server.
     #[serde(default)]
     pub callers: Callers,
-    /// Weights of the parts of the result.
+    /// Weights of the parts of the site's score.
     #[serde(default)]
     pub goal: Goal,
-    /// What the site allows.
+    /// Limits on the advice that this server may give.
     #[serde(default)]
     pub limits: Limits,
-    /// Points taken off the result.
+    /// Deductions from the site's score.
     #[serde(default)]
     pub prices: Prices,
-    /// What the priority weight of a class counts for.
+    /// Whether the priority weight of a class applies per request or per unit of work.
     #[serde(default)]
     #[serde(rename = "worth_by")]
     pub weight_basis: WeightBasis,
-    /// Priority weight of a request over its tenant's quota, as a part of its class's weight.
+    /// Priority weight of a request over its tenant's quota, as a fraction of the weight of its class.
     #[serde(default = "full_share")]
     #[serde(rename = "over_share_worth")]
     pub over_quota_weight: f64,
@@ -51,24 +51,24 @@
     pub specifics: Specifics,
 }
 
-/// A setting that the module cannot work with.
+/// A setting that is out of its range.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("expected settings: {name} {range}, got {value}")]
 pub struct AdmissionSettingsError {
-    /// Its path in the settings.
+    /// Path of the setting, with the names of the settings file.
     pub name: &'static str,
-    /// The values that it may have.
+    /// The allowed range, in words.
     pub range: &'static str,
-    /// The value that it has.
+    /// The rejected value.
     pub value: f64,
 }
 
 impl Settings {
-    /// Checks that the module can work with these settings.
+    /// Checks that all settings are in their range.
     ///
     /// # Errors
     ///
-    /// The first setting that is out of its range.
+    /// Returns the first setting that is out of its range.
     pub fn check(&self) -> Result<(), AdmissionSettingsError> {
         let positive = |name: &'static str, value: f64| {
             let good = value > 0.0 && value.is_finite();
@@ -79,7 +79,7 @@
         positive("specifics.memory_kb", self.specifics.memory_kb)?;
         positive("specifics.run_factor", self.specifics.run_factor)?;
         positive("rules.tip_multiple", self.rules.max_concurrency_per_core)?;
-        // Past 1 a negative capacity would be advertised.
+        // A share above 1 would advertise a negative capacity.
         let (name, value) = ("rules.cold_share", self.rules.cold_capacity);
         if !(0.0..=1.0).contains(&value) {
             return Err(AdmissionSettingsError { name, range: "from 0 to 1", value });
@@ -91,29 +91,29 @@
         Ok(())
     }
 
-    /// Index of the class with a name.
+    /// Index of the class with the given name.
     pub fn class(&self, name: &str) -> Option<usize> {
         self.profiles.iter().position(|profile| profile.name == name)
     }
 
-    /// Index of the tenant with a name.
+    /// Index of the tenant with the given name.
     pub fn tenant(&self, name: &str) -> Option<usize> {
         self.tenants.iter().position(|tenant| tenant.name == name)
     }
 }
 
 impl Settings {
-    /// Splits off the classes and the tenants, in the order of the settings. Settings that name classes by
-    /// their place move into the definitions.
+    /// Separates the classes and the tenants from the global settings. Lists that are indexed by class move
+    /// into the class definitions.
     pub fn split(mut self) -> SplitSettings {
         let calls = std::mem::take(&mut self.specifics.calls_by_class);
-        let skip_worths = std::mem::take(&mut self.specifics.class_skip_weights);
-        let define = |(place, profile): (usize, ClassProfile)| {
-            let calls = calls.get(place).copied().unwrap_or(true);
+        let skip_weights = std::mem::take(&mut self.specifics.class_skip_weights);
+        let define = |(index, profile): (usize, ClassProfile)| {
+            let calls = calls.get(index).copied().unwrap_or(true);
             Arc::new(ClassDefinition {
                 profile,
                 calls,
-                skip_weight: skip_worths.get(place).copied().unwrap_or(0.0),
+                skip_weight: skip_weights.get(index).copied().unwrap_or(0.0),
             })
         };
         let classes = std::mem::take(&mut self.profiles).into_iter().enumerate().map(define).collect();
@@ -122,14 +122,14 @@
     }
 }
 
-/// Settings with their classes and tenants apart, each in the order of the settings.
+/// Settings with their classes and tenants separated, each in the order of the settings.
 #[derive(Debug, Clone)]
 pub struct SplitSettings {
-    /// The settings without classes and tenants.
+    /// The settings without classes, tenants and per-class lists.
     pub global: Settings,
-    /// The classes.
+    /// The class definitions; the index of a class is its slot.
     pub classes: Vec<Arc<ClassDefinition>>,
-    /// The tenants.
+    /// The tenants; the index of a tenant is its slot.
     pub tenants: Vec<Arc<Tenant>>,
 }
 
@@ -137,40 +137,40 @@
     1
 }
 
-/// A tenant.
+/// A tenant and its quota.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Its name.
+    /// Name that requests give as their tenant.
     pub name: String,
-    /// Requests a second within its quota, over all servers together; 0 for no quota.
+    /// Quota in requests per second, over all servers together; 0 for no quota.
     #[serde(default)]
     pub quota_rps: f64,
-    /// Its part of the service, from 0 to 1.
+    /// Fraction of the total capacity that is intended for the tenant, from 0 to 1.
     #[serde(default)]
     pub portion: f64,
 }
 
-/// How callers behave.
+/// Facts about the callers of this server.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct Callers {
-    /// Whether retries and hedged requests are marked.
+    /// Whether callers mark retries and hedged requests.
     #[serde(default)]
     #[serde(rename = "marks_retry")]
     pub marks_retries: bool,
 }
 
-/// Weights of the parts of the result.
+/// Weights of the parts of the site's score.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct Goal {
-    /// Of the result over all requests.
+    /// Weight of the score over all requests.
     #[serde(rename = "whole")]
     pub overall: f64,
-    /// Of the weakest class.
+    /// Weight of the class with the lowest score.
     pub worst_class: f64,
-    /// Of the weakest tenant, within its quota.
+    /// Weight of the tenant with the lowest score, within its quota.
     pub worst_tenant: f64,
-    /// Of the weakest 10 seconds.
+    /// Weight of the 10 seconds with the lowest score.
     pub worst_window: f64,
 }
 
@@ -180,65 +180,64 @@
     }
 }
 
-/// What the site allows.
+/// Limits on the advice that this server may give.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// The longest Retry-After that callers follow.
+    /// Longest Retry-After that callers follow.
     pub max_retry_after: Span,
-    /// Whether a Retry-After is passed on to callers.
+    /// Whether rejections may carry a Retry-After.
     pub retry_after: bool,
 }
 
-/// Points taken off the result, each times its share or rate.
+/// Deductions from the site's score: points per unit of the stated rate.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub struct Prices {
-    /// For open connections, as a mean over 100 times the servers.
+    /// Points for open connections; the rate is their mean number divided by 100 times the servers.
     pub connection: f64,
-    /// For new connections, per first attempt.
+    /// Points for new connections per first attempt.
     pub handshake: f64,
-    /// For weight left unserved once its latency objective has passed.
+    /// Points for priority weight that is still unserved when its latency objective has passed.
     pub late_fail: f64,
-    /// For upstream calls, per first attempt.
+    /// Points for upstream calls per first attempt.
     #[serde(rename = "origin")]
     pub upstream_call: f64,
-    /// For work that served nothing, as a share of the work offered.
+    /// Points for work without a useful response, as a fraction of the offered work.
     pub waste: f64,
 }
 
-/// What the priority weight of a class counts for.
+/// The unit to which the priority weight of a class applies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WeightBasis {
-    /// Each request counts for the weight of its class.
+    /// Each request has the weight of its class.
     #[default]
     Request,
-    /// Each unit of a request's work counts for it.
+    /// Each unit of a request's work has the weight of its class.
     Work,
 }
 
 /// Figures of the platform's rules.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct Rules {
-    /// How long after its deadline a response still counts.
+    /// Time after its deadline within which a response still counts.
     #[serde(default)]
     pub answer_slack: Span,
-    /// Time within which cold cores are fully warm.
+    /// Time after which cold cores have reached their full speed.
     #[serde(default)]
     #[serde(rename = "cold")]
     pub warm_up_time: Span,
-    /// Share of their full speed with which cold cores begin at least, from 0 to 1.
+    /// Minimum initial speed of cold cores, as a fraction of their full speed from 0 to 1.
     #[serde(default = "full_share")]
     #[serde(rename = "cold_share")]
     pub cold_capacity: f64,
-    /// Requests that arrive later than this after the notice of a shutdown are not run.
+    /// Time after the notice of a shutdown after which arriving requests are not run.
     pub drain_grace: Span,
-    /// Time over which the runs on the cores are averaged, when their number is held against what a server
-    /// survives.
+    /// Time over which the runs on the cores are averaged for the comparison with `max_concurrency_per_core`.
     #[serde(rename = "fall")]
     pub overload_window: Span,
-    /// Runs at once per core that a warm server survives.
+    /// Mean number of concurrent runs per core that a warm server survives.
     #[serde(rename = "tip_multiple")]
     pub max_concurrency_per_core: f64,
 }
--- a/crates/admission/src/slow_start.rs
+++ b/crates/admission/src/slow_start.rs
@@ -1,28 +1,28 @@
-//! Slow start: the speed of cores that were started a short while ago.
+//! Slow start: the speed of cores that were started recently.
 //!
-//! Cold cores begin at a share of their full speed and are fully warm after a time that the settings bound.
-//! The slowest warming that the settings allow is assumed, or a cold server would take on what it does not
-//! survive.
+//! Cold cores start at a fraction of their full speed and reach full speed within a time that the settings
+//! bound. The slowest warm-up that the settings allow is assumed, because a cold server would otherwise admit
+//! more than it survives.
 
 use crate::settings::Settings;
 use crate::time::{Time, seconds_until, span_seconds};
 
-/// Seconds; the least warming time, so that nothing is divided by 0.
+/// Lower bound of the warm-up time; avoids a division by 0.
 const MIN_WARMING_SECONDS: f64 = 1e-9;
 
-/// When the cores started. Whether they were cold then is in the settings (`specifics.just_started`).
+/// The start time of the cores. Whether they were cold is in the settings (`specifics.just_started`).
 #[derive(Debug, Default)]
 pub(crate) struct SlowStart {
     cores_started_at: Time,
 }
 
 impl SlowStart {
-    /// Begins anew, as the cores started at a time.
+    /// Restarts the warm-up for cores that started at the given time.
     pub(crate) fn restart(&mut self, at: Time) {
         self.cores_started_at = at;
     }
 
-    /// Share of the cores' full speed that they have at least, 1 when warm.
+    /// Guaranteed speed of the cores as a fraction of their full speed; 1 when they are warm.
     pub(crate) fn speed_share(&self, now: Time, settings: &Settings) -> f64 {
         let rules = &settings.rules;
         let warming_seconds = span_seconds(rules.warm_up_time).max(MIN_WARMING_SECONDS);
--- a/crates/admission/src/specifics.rs
+++ b/crates/admission/src/specifics.rs
@@ -1,50 +1,50 @@
-//! Facts about this server and its site, and the modes that a site can have.
+//! Facts about this server and its site, and the modes that a site supports.
 
 use crate::numbers::{full_share, whole as whole_number};
 use crate::time::Span;
 use serde::Deserialize;
 
-/// What the runs of this server call.
+/// The kind of upstream that runs of this server call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UpstreamKind {
-    /// One dependency that all servers share.
+    /// A single dependency that all servers share.
     Shared,
-    /// The next tier of servers, which run this same code.
+    /// The next tier of servers, which run the same program.
     Tier,
-    /// Nothing.
+    /// Runs make no upstream calls.
     #[default]
     Off,
 }
 
-/// Whether running work can be stopped.
+/// The way in which the processor can stop a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StopMode {
-    /// It can't.
+    /// Runs cannot be stopped.
     #[default]
     Off,
-    /// Stopping throws the work away.
+    /// Stopping discards the work of the run.
     Abort,
-    /// Stopping pauses it.
+    /// Stopping pauses the run; it can be resumed.
     #[serde(rename = "suspend")]
     Pause,
 }
 
-/// What callers make of the advertised value.
+/// The meaning of the value that is advertised with every response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CapacitySignal {
-    /// They send nothing of a lower precedence.
+    /// The lowest precedence of requests that callers should send.
     #[serde(rename = "threshold")]
     PrecedenceThreshold,
-    /// Each has at most so many requests open here; of a fraction, one by chance.
+    /// The number of requests that each caller may have open here; a fractional part allows one by chance.
     #[serde(rename = "window")]
     ConcurrencyWindow,
-    /// The probability with which a caller that comes to this server sends its request here.
+    /// The probability with which a caller that has selected this server sends the request to it.
     #[serde(rename = "share_of")]
     AcceptanceProbability,
-    /// There is no signal.
+    /// No value is advertised.
     #[default]
     Off,
 }
@@ -52,40 +52,40 @@
 /// Facts about this server and its site.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct Specifics {
-    /// What callers make of the advertised value.
+    /// The meaning of the advertised value.
     #[serde(default)]
     #[serde(rename = "advert")]
     pub capacity_signal: CapacitySignal,
-    /// What the runs of this server call.
+    /// The kind of upstream that runs of this server call.
     #[serde(default)]
     #[serde(rename = "below")]
     pub upstream: UpstreamKind,
-    /// By class: whether its requests may make upstream calls; where a class is left out, they may.
+    /// Whether runs may make upstream calls, by class; true for classes that are missing from the list.
     #[serde(default)]
     pub calls_by_class: Vec<bool>,
     /// This server's share of the upstream calls that the shared dependency survives, as a mean number of
-    /// calls in its hands; possibly below 1.
+    /// outstanding calls; may be below 1.
     #[serde(default)]
     #[serde(rename = "calls_out")]
     pub call_share: f64,
-    /// By class: part of the priority weight that is earned without the upstream call; where a class is
-    /// left out, none.
+    /// Fraction of the priority weight that is earned without the upstream call, by class; 0 for classes that
+    /// are missing from the list.
     #[serde(default)]
     #[serde(rename = "class_skip_worth")]
     pub class_skip_weights: Vec<f64>,
-    /// Callers of this tier at this start.
+    /// Number of callers of this tier when the server started.
     #[serde(default, deserialize_with = "whole_number")]
     pub clients_total: u32,
-    /// How long the response to a read may serve others; 0 for never.
+    /// Time for which the response to a read may serve other reads; 0 if it may not.
     #[serde(default)]
     pub fresh_for: Span,
-    /// Whether health checks do real work, unless they are answered from the stored status.
+    /// Whether health checks do real work, unless they report the stored status.
     #[serde(default)]
     pub full_checks: bool,
-    /// Names of the gauges, in the order in which they come.
+    /// Names of the gauges, in the order in which the host receives them.
     #[serde(default)]
     pub gauges: Vec<String>,
-    /// How long a caller keeps an advertised value.
+    /// Time for which a caller uses an advertised value.
     #[serde(default)]
     #[serde(rename = "heeded")]
     pub signal_lifetime: Span,
@@ -97,37 +97,37 @@
     #[serde(default)]
     #[serde(rename = "just_started")]
     pub cold_start: bool,
-    /// Memory of an entry in the table of idempotency keys, in kilobytes.
+    /// Size of an entry in the table of idempotency keys, in kilobytes.
     #[serde(default)]
     #[serde(rename = "kb_per_key")]
     pub idempotency_key_kb: f64,
-    /// Longest time that a call that was given up stays in the dependency's hands.
+    /// Longest time for which a call remains outstanding at the dependency after it was given up.
     #[serde(default)]
     pub linger: Span,
-    /// Whether the endpoint list follows the answers to health checks.
+    /// Whether a server that fails health checks is removed from the endpoint list.
     #[serde(default)]
     #[serde(rename = "list_follows")]
     pub endpoint_list_follows_health: bool,
-    /// Memory of the server, in kilobytes; it dies when requests and keys need more.
+    /// Memory of the server, in kilobytes. The server fails when requests and keys need more.
     pub memory_kb: f64,
-    /// Cores of the server, of unknown speed.
+    /// Number of cores of the server. Their speed is unknown.
     #[serde(deserialize_with = "whole_number")]
     pub n_cores: u32,
-    /// Whether requests say how long their caller waits.
+    /// Whether requests carry the time that their caller still waits.
     #[serde(default)]
     #[serde(rename = "passes_deadline")]
     pub propagates_deadline: bool,
-    /// Memory of a running request as a multiple of that of a held one.
+    /// Memory of a running request, as a multiple of its memory while queued.
     #[serde(default = "full_share")]
     pub run_factor: f64,
-    /// Time over which the calls in the dependency's hands are averaged.
+    /// Time over which the outstanding calls at the dependency are averaged.
     #[serde(default)]
     #[serde(rename = "share_span")]
     pub call_share_window: Span,
-    /// Whether running work can be stopped.
+    /// The way in which the processor can stop a run.
     #[serde(default)]
     pub stop_mode: StopMode,
-    /// Whether the server learns that a caller has given up.
+    /// Whether the host reports that a caller has disconnected.
     #[serde(default)]
     #[serde(rename = "tells_gone")]
     pub reports_disconnects: bool,
--- a/crates/admission/src/tenant_quota.rs
+++ b/crates/admission/src/tenant_quota.rs
@@ -1,36 +1,36 @@
-//! Quotas of tenants, by slot, and how much of them was used lately.
+//! Quotas of tenants, by slot, and their recent use.
 //!
-//! A tenant's quota counts for the fleet; each server holds the tenant to an equal part of it. What a
-//! tenant sends over its quota earns little, and nothing marks which requests those are, so the mean over
-//! all of them counts.
+//! A quota applies to the whole fleet; each server enforces an equal part of it. Requests over the quota earn
+//! a lower weight. As nothing marks which requests those are, all requests of the tenant get the mean weight.
 
 use crate::demand::{COUNT_TIME_CONSTANT_SECONDS, NEGLIGIBLE_COUNT};
 use crate::settings::Settings;
 
-/// A slot's quota, and the decaying count of first attempts of its tenant.
+/// Quota and recent use of the tenant in a slot.
 #[derive(Debug, Clone, Copy, Default)]
 struct TenantUsage {
-    /// Requests a second, of all servers together; 0 for no quota.
+    /// Quota in requests per second, over all servers together; 0 for no quota.
     fleet_quota_rps: f64,
+    /// Decaying count of first attempts.
     first_attempts: f64,
 }
 
-/// The tenants in force. Grows with the slots that the host gives out.
+/// The tenants, by slot. Grows with the slots that the host assigns.
 #[derive(Debug, Default)]
 pub(crate) struct TenantQuotas {
     tenants: Vec<TenantUsage>,
-    /// Slots whose counts are not negligible; only these decay.
+    /// Slots whose count is not negligible; only these counts decay.
     recently_used: Vec<usize>,
 }
 
 impl TenantQuotas {
-    /// Sets the quota of a slot; the counts of another tenant than before begin anew.
+    /// Sets the quota of a slot. The count is reset if the slot had another tenant before.
     pub(crate) fn put(&mut self, slot: usize, fleet_quota_rps: f64, is_other_tenant: bool) {
         self.tenants.resize_with(self.tenants.len().max(slot + 1), Default::default);
         let usage = &mut self.tenants[slot];
         usage.fleet_quota_rps = fleet_quota_rps;
         if is_other_tenant {
-            // Not 0: the slot stays listed as recently used, and must not be listed twice.
+            // Not 0, because the slot remains in `recently_used` and must not be listed twice.
             usage.first_attempts = usage.first_attempts.min(2.0 * NEGLIGIBLE_COUNT);
         }
     }
@@ -44,7 +44,7 @@
         usage.first_attempts += 1.0;
     }
 
-    /// Ends a period; see [`crate::demand::decay_factor`].
+    /// Multiplies all counts by the [`decay_factor`](crate::demand::decay_factor) of a period.
     pub(crate) fn decay(&mut self, factor: f64) {
         let tenants = &mut self.tenants;
         self.recently_used.retain(|&slot| {
@@ -53,8 +53,8 @@
         });
     }
 
-    /// Factor of a request's priority weight: 1 within the quota, and past it the mean over what is inside
-    /// and what is over it.
+    /// Factor of a request's priority weight: 1 within the quota, else the mean over the requests within the
+    /// quota and over it.
     pub(crate) fn weight_factor(&self, tenant: Option<usize>, settings: &Settings) -> f64 {
         let Some(usage) = tenant.and_then(|slot| self.tenants.get(slot)) else { return 1.0 };
         let servers = f64::from(settings.servers.max(1));
@@ -63,7 +63,7 @@
         if is_unlimited || usage.first_attempts <= quota_here {
             return 1.0;
         }
-        let inside = quota_here / usage.first_attempts;
-        inside + (1.0 - inside) * settings.over_quota_weight
+        let within_quota = quota_here / usage.first_attempts;
+        within_quota + (1.0 - within_quota) * settings.over_quota_weight
     }
 }
--- a/crates/admission/src/throttling.rs
+++ b/crates/admission/src/throttling.rs
@@ -1,23 +1,23 @@
-//! Request throttling by memory utilization: the throttling half of MemLimiter's `nextgc` controller.
+//! Request throttling by memory utilization, as in the `nextgc` controller of MemLimiter.
 //!
-//! Each sampling period, the utilization of the memory gives `Kp = Cp / (1 - utilization)`, saturated to
-//! 0..100 per cent and smoothed by an exponential average. While the utilization is past the danger zone,
-//! that share of the arriving requests, picked at random, is rejected before being held.
+//! Each sampling period, the memory utilization gives `Kp = Cp / (1 - utilization)`, saturated to 0..100 per
+//! cent and smoothed by an exponential average. While the utilization is in the danger zone, that percentage
+//! of the arriving requests, chosen at random, is rejected on arrival.
 //!
 //! Source: "MemLimiter: library to limit memory consumption of Go services", the control function and
 //! `DangerZoneThrottling`.
 
 use crate::random::RandomSource;
 
-/// Per cent; the coefficient `Cp`: 10 % are throttled at a utilization of 0.9, all at 0.99.
+/// The coefficient `Cp`, in per cent: 10 % of requests are throttled at a utilization of 0.9, all at 0.99.
 const PROPORTIONAL_COEFFICIENT: f64 = 1.0;
-/// Utilization past which requests are throttled (`DangerZoneThrottling`).
+/// Utilization above which requests are throttled (`DangerZoneThrottling`).
 const DANGER_ZONE_UTILIZATION: f64 = 0.9;
 /// Weight of a new sample in the exponential average, which spans about three sampling periods.
 const SAMPLE_WEIGHT: f64 = 0.3;
 
-/// Output of the control function for a utilization of the memory, in per cent of the arriving requests,
-/// before the danger zone is considered. A utilization of 1 or more gives 100.
+/// Output of the control function for a memory utilization, in per cent of the arriving requests and without
+/// regard to the danger zone. A utilization of 1 or more gives 100.
 pub fn throttling_percent(utilization: f64) -> f64 {
     if utilization >= 1.0 {
         100.0
@@ -26,17 +26,17 @@
     }
 }
 
-/// The share of arriving requests that is rejected at present.
+/// Smooths the control function and chooses the requests to reject.
 #[derive(Debug, Default)]
 pub(crate) struct Throttle {
     /// Exponential average of the control function's output, in per cent.
     smoothed_output: f64,
-    /// Per cent of the arriving requests; 0 outside the danger zone.
+    /// Percentage of the arriving requests to reject; 0 outside the danger zone.
     rejected_percent: f64,
 }
 
 impl Throttle {
-    /// Takes in the utilization of one sampling period. Returns whether throttling starts with it.
+    /// Updates the throttle with the utilization of a sampling period. Returns whether throttling starts.
     pub(crate) fn sample(&mut self, utilization: f64) -> bool {
         self.smoothed_output += SAMPLE_WEIGHT * (throttling_percent(utilization) - self.smoothed_output);
         let in_danger_zone = utilization > DANGER_ZONE_UTILIZATION;
@@ -46,7 +46,7 @@
         starts
     }
 
-    /// Whether an arriving request is picked for rejection. Draws a random number only while throttling.
+    /// Whether to reject an arriving request. Draws a random number only while throttling.
     pub(crate) fn picks_request(&self, random: &mut RandomSource) -> bool {
         self.rejected_percent > 0.0 && random.unit_interval() * 100.0 < self.rejected_percent
     }
--- a/crates/admission/src/wait_queue.rs
+++ b/crates/admission/src/wait_queue.rs
@@ -1,81 +1,82 @@
-//! The wait queue: held requests, and the bound on their sojourn.
+//! The wait queue of requests that have not started, and the bound on their sojourn.
 //!
-//! A held request is given up once it has waited, or is bound to wait, past its latency objective less its
-//! class's base latency. Guards against cores spent on responses that are too late, whatever filled the
-//! queue. Bounded by the memory account, which makes room by rejecting the requests of the lowest density.
+//! A queued request is rejected once its wait, past or predicted, leaves less time until its latency
+//! objective than the base latency of its class. The bound keeps cores from working on responses that are too
+//! late, whatever filled the queue. The memory account bounds the length of the queue: the requests of the
+//! lowest density are rejected to free memory.
 
 use crate::open_requests::Sequence;
 
-/// Share of the time to start that a request has, up to which a predicted wait counts as short enough: the
-/// time that runs take varies by as much.
-const SOJOURN_SLACK: f64 = 0.6;
-/// Part of the time to start that a first attempt may wait, however short its class's runs are.
-const MIN_FIRST_ATTEMPT_WAIT: f64 = 0.125;
+/// Upper bound of the predicted wait, as a fraction of the time in which the request must start. The rest
+/// allows for the variation of run times.
+const MAX_WAIT_FRACTION: f64 = 0.6;
+/// Wait that a first attempt is always allowed, as a fraction of the time in which it must start, however
+/// short the runs of its class are.
+const MIN_FIRST_ATTEMPT_WAIT_FRACTION: f64 = 0.125;
 
-/// The held requests, in the order in which they were read.
+/// The queued requests, in the order in which they were read.
 #[derive(Debug, Default)]
 pub(crate) struct WaitQueue {
-    held: Vec<Sequence>,
+    queued: Vec<Sequence>,
 }
 
 impl WaitQueue {
-    /// Adds a request that was just read.
+    /// Adds the request that was read last.
     pub(crate) fn push(&mut self, sequence: Sequence) {
-        self.held.push(sequence);
+        self.queued.push(sequence);
     }
 
-    /// Removes a request, if it is held.
+    /// Removes a request. Does nothing if it is not queued.
     pub(crate) fn remove(&mut self, sequence: Sequence) {
-        self.held.retain(|&held| held != sequence);
+        self.queued.retain(|&queued| queued != sequence);
     }
 
-    /// The held requests, in the order in which they were read.
+    /// The queued requests, in the order in which they were read.
     pub(crate) fn iter(&self) -> impl Iterator<Item = Sequence> {
-        self.held.iter().copied()
+        self.queued.iter().copied()
     }
 
-    /// Whether no request is held.
     pub(crate) fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.queued.is_empty()
     }
 
-    /// Number of held requests.
+    /// Number of queued requests.
     pub(crate) fn len(&self) -> usize {
-        self.held.len()
+        self.queued.len()
     }
 }
 
-/// What the sojourn bound of one held request rests on.
+/// The figures that decide whether a queued request is past its sojourn bound.
 pub(crate) struct SojournCheck {
-    /// Time until the request must start to meet its objective; below 0 when it cannot.
+    /// Seconds until the request must start to meet its objective; below 0 if it cannot meet it any more.
     pub(crate) seconds_to_start: f64,
-    /// Until the requests ahead of it have run.
+    /// Seconds until the requests ahead of it have run.
     pub(crate) predicted_wait_seconds: f64,
-    /// Whether it can still earn something after its objective, and the queue is short enough to try.
+    /// Whether a late response still earns priority weight, and the queue is short enough to attempt it.
     pub(crate) may_miss_objective: bool,
-    /// Whether its caller would take it to another server that has time for it.
+    /// Whether it is a first attempt that its caller can send to another server with spare capacity.
     pub(crate) is_movable_first_attempt: bool,
-    /// Mean core time of its class.
+    /// Mean core time of a run of its class, in seconds.
     pub(crate) class_core_seconds: f64,
 }
 
 impl SojournCheck {
-    /// Whether the request is given up.
+    /// Whether the request should be rejected.
     pub(crate) fn is_past_bound(&self) -> bool {
         let is_hopeless = self.seconds_to_start < 0.0 && !self.may_miss_objective;
-        let exceeds_longest_wait =
-            self.seconds_to_start >= 0.0 && self.predicted_wait_seconds > self.longest_wait_seconds();
-        is_hopeless || exceeds_longest_wait
+        let exceeds_max_wait =
+            self.seconds_to_start >= 0.0 && self.predicted_wait_seconds > self.max_wait_seconds();
+        is_hopeless || exceeds_max_wait
     }
 
-    /// A first attempt may wait a mean run of its class, or as much of its time as costs nothing, while
-    /// another server has time for it; any other request longer.
-    fn longest_wait_seconds(&self) -> f64 {
-        let longest = self.seconds_to_start * SOJOURN_SLACK;
+    /// Upper bound of the predicted wait in seconds. A first attempt that another server can still serve may
+    /// wait only for one mean run of its class, or for a small fraction of its time.
+    fn max_wait_seconds(&self) -> f64 {
+        let max_wait = self.seconds_to_start * MAX_WAIT_FRACTION;
         if self.is_movable_first_attempt {
-            longest.min(self.class_core_seconds.max(MIN_FIRST_ATTEMPT_WAIT * self.seconds_to_start))
+            max_wait.min(self.class_core_seconds.max(MIN_FIRST_ATTEMPT_WAIT_FRACTION * self.seconds_to_start))
         } else {
-            longest
+            max_wait
         }
     }
 }
--- a/crates/simulator-adapter/src/bin/gradepin-adapter.rs
+++ b/crates/simulator-adapter/src/bin/gradepin-adapter.rs
@@ -1,4 +1,4 @@
-//! The earlier name of `gradepin-simulator-adapter`, kept for scripts that call it.
+//! The former name of `gradepin-simulator-adapter`, kept for scripts that call it.
 
 use std::process::ExitCode;
 
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,5 +1,5 @@
-//! The adapter: wire text on standard input to events, actions to text on standard output, one controller for
-//! each instance. It decides nothing.
+//! Connects admission controllers to the simulator's text protocol: reads events from standard input and writes
+//! actions to standard output, with one controller per simulated server. The adapter itself makes no decisions.
 
 mod wire;
 
@@ -8,26 +8,28 @@
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
-/// One instance: its controller and the settings, which name classes and tenants.
+/// One simulated server: its controller, the settings that resolve names of classes and tenants, and the events
+/// of the current batch.
 struct Instance {
     controller: Controller,
     settings: Settings,
     events: Vec<Event>,
 }
 
-/// All instances of this process, and the order in which this batch named them.
+/// All simulated servers.
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<String, Instance>,
-    touched: Vec<String>,
-    /// Clock of the batch being read; absent between batches.
+    /// Instances that the current batch names, in the order in which it first names them.
+    batch_instances: Vec<String>,
+    /// Time of the batch that is being read; `None` between batches.
     now: Option<Time>,
     reply: String,
 }
 
 impl Host {
-    /// Takes one line in; says whether a reply is ready.
-    fn line(&mut self, line: &str) -> Result<bool, String> {
+    /// Handles one input line. Returns whether the batch is complete and `reply` has its actions.
+    fn handle_line(&mut self, line: &str) -> Result<bool, String> {
         let Some(now) = self.now else {
             if line.is_empty() {
                 return Ok(false);
@@ -37,7 +39,7 @@
         };
         if line == "go" {
             self.now = None;
-            self.answer(now);
+            self.write_reply(now);
             return Ok(true);
         }
         let (op, rest) = line.split_once(' ').unwrap_or((line, ""));
@@ -46,13 +48,13 @@
             "start" => {
                 let (seed, settings) = wire::start(rest)?;
                 let controller = Controller::new(settings.clone(), seed, now);
-                self.touch(name);
+                self.add_to_batch(name);
                 self.instances
                     .insert(name.to_string(), Instance { controller, settings, events: Vec::new() });
             }
             "exit" => {
                 self.instances.remove(name);
-                self.touched.retain(|touched| touched != name);
+                self.batch_instances.retain(|batch_instances| batch_instances != name);
             }
             _ => {
                 let Some(instance) = self.instances.get_mut(name) else {
@@ -65,21 +67,23 @@
                 if let Some(event) = wire::event(op, rest, &instance.settings)? {
                     instance.events.push(event);
                 }
-                self.touch(name);
+                self.add_to_batch(name);
             }
         }
         Ok(false)
     }
 
-    fn touch(&mut self, name: &str) {
-        if self.touched.last().is_none_or(|last| last != name) && !self.touched.iter().any(|t| t == name) {
-            self.touched.push(name.to_string());
+    fn add_to_batch(&mut self, name: &str) {
+        if self.batch_instances.last().is_none_or(|last| last != name)
+            && !self.batch_instances.iter().any(|t| t == name)
+        {
+            self.batch_instances.push(name.to_string());
         }
     }
 
-    fn answer(&mut self, now: Time) {
+    fn write_reply(&mut self, now: Time) {
         let mut actions: Vec<Action> = Vec::new();
-        for name in self.touched.drain(..) {
+        for name in self.batch_instances.drain(..) {
             if let Some(instance) = self.instances.get_mut(&name) {
                 instance.controller.handle(now, &instance.events, &mut actions);
                 instance.events.clear();
@@ -110,7 +114,7 @@
         }
         let text = std::str::from_utf8(&buffer).map_err(|_| format!("line {number}: expected UTF-8 text"))?;
         let line = text.strip_suffix('\n').unwrap_or(text);
-        if host.line(line).map_err(|e| format!("line {number}: {e}"))? {
+        if host.handle_line(line).map_err(|e| format!("line {number}: {e}"))? {
             let sent = output.write_all(host.reply.as_bytes()).and_then(|()| output.flush());
             sent.map_err(|e| format!("writing the reply: {e}"))?;
             host.reply.clear();
@@ -118,7 +122,8 @@
     }
 }
 
-/// Serves the simulator on standard input and output until its input ends; status 2 for input that is not of its form.
+/// Serves the simulator on standard input and output until the input ends. Malformed input ends the process with
+/// status 2.
 pub fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! The admission module on the simulator's wire.
+//! Serves admission controllers to the simulator on standard input and output.
 
 use std::process::ExitCode;
 
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,4 +1,4 @@
-//! The text of the wire: lines to settings and events, actions to lines.
+//! The simulator's text protocol: parses lines into settings and events, and formats actions as lines.
 
 use gradepin_admission::{Action, Event, Gauges, Outcome, Request, RequestId, Settings, Span, Time};
 use std::fmt::Write;
@@ -6,21 +6,21 @@
 const EVENTS: [&str; 7] =
     ["req", "left", "completed", "ready_to_call", "call_result", "sigterm", "deadline_hit"];
 
-/// The shortest time that the wire has for idle connections; below it, 0 stands for the longest.
-const SHORTEST_IDLE: Span = Span(10_000_000);
+/// Shortest idle timeout that the protocol can express. The simulator reads 0 as the longest one.
+const MIN_IDLE_TIMEOUT: Span = Span(10_000_000);
 
-/// Whether this is an event kind that we know; others are skipped.
+/// Whether the adapter knows this kind of event. Other kinds are ignored.
 pub fn is_event(op: &str) -> bool {
     EVENTS.contains(&op)
 }
 
-/// The line that opens a batch.
+/// Parses the line that opens a batch, and returns the time of the batch.
 pub fn sync(line: &str) -> Result<Time, String> {
     let clock = line.strip_prefix("sync ").and_then(|text| text.parse().ok());
     clock.map(Time).ok_or_else(|| format!("expected 'sync CLOCK', got '{line}'"))
 }
 
-/// Seed and settings of a new instance.
+/// Parses the seed and the settings of a new instance.
 pub fn start(rest: &str) -> Result<(u64, Settings), String> {
     let (seed, params) = rest.split_once(' ').ok_or("expected 'start INSTANCE SEED PARAMS'")?;
     let seed = seed.parse::<u64>().or_else(|_| seed.parse::<i64>().map(i64::cast_unsigned));
@@ -30,45 +30,45 @@
     Ok((seed, settings))
 }
 
-/// One event, or none where its kind is unknown.
+/// Parses one event; `None` if its kind is unknown.
 pub fn event(op: &str, rest: &str, settings: &Settings) -> Result<Option<Event>, String> {
-    let mut parts = Parts { op, parts: rest.split(' ') };
+    let mut words = Words { op, words: rest.split(' ') };
     Ok(Some(match op {
-        "req" => Event::Arrived(request(&mut parts, settings)?),
-        "left" => Event::CallerGone(parts.id()?),
+        "req" => Event::Arrived(request(&mut words, settings)?),
+        "left" => Event::CallerGone(words.id()?),
         "completed" => {
-            Event::Completed { id: parts.id()?, outcome: parts.outcome()?, took: parts.span("took")? }
+            Event::Completed { id: words.id()?, outcome: words.outcome()?, took: words.span("took")? }
         }
-        "ready_to_call" => Event::UpstreamCallNeeded(parts.id()?),
+        "ready_to_call" => Event::UpstreamCallNeeded(words.id()?),
         "call_result" => {
-            Event::UpstreamCallEnded { id: parts.id()?, outcome: parts.outcome()?, took: parts.span("took")? }
+            Event::UpstreamCallEnded { id: words.id()?, outcome: words.outcome()?, took: words.span("took")? }
         }
-        "sigterm" => Event::ShutdownNotice(parts.span("expires_in")?),
+        "sigterm" => Event::ShutdownNotice(words.span("expires_in")?),
         "deadline_hit" => {
-            parts.some("cookie")?;
-            Event::Timer(gauges(parts.next())?)
+            words.required("cookie")?;
+            Event::Timer(gauges(words.next())?)
         }
         _ => return Ok(None),
     }))
 }
 
-fn request(parts: &mut Parts, settings: &Settings) -> Result<Request, String> {
-    let id = parts.id()?;
-    let expires_in = parts.number::<u64>("expires_in")?.filter(|&ns| ns > 0).map(Span);
-    let class = parts.some("service")?;
+fn request(words: &mut Words, settings: &Settings) -> Result<Request, String> {
+    let id = words.id()?;
+    let expires_in = words.number::<u64>("expires_in")?.filter(|&ns| ns > 0).map(Span);
+    let class = words.required("service")?;
     let class = settings.class(class).ok_or("expected in 'req' a service that the settings list")?;
-    let has_subject = parts.next().is_some();
-    let caller = parts.number("who")?.unwrap_or(0);
-    let work = parts.number("work")?.map(Span);
-    let tenant = parts.next().and_then(|team| settings.tenant(team));
-    let size_kb: f64 = parts.number("size_kb")?.unwrap_or(0.0);
+    let has_subject = words.next().is_some();
+    let caller = words.number("who")?.unwrap_or(0);
+    let work = words.number("work")?.map(Span);
+    let tenant = words.next().and_then(|team| settings.tenant(team));
+    let size_kb: f64 = words.number("size_kb")?.unwrap_or(0.0);
     if !size_kb.is_finite() || size_kb < 0.0 {
         return Err("expected in 'req' a size_kb of 0 or more".to_string());
     }
-    let precedence = parts.number("precedence")?.unwrap_or(0.0);
-    let flags: u64 = parts.number("flags")?.unwrap_or(0);
-    let earlier_attempt = parts.next().filter(|&text| text != "0").map(RequestId::new);
-    let unread_for = Span(parts.number("queued_for")?.unwrap_or(0));
+    let precedence = words.number("precedence")?.unwrap_or(0.0);
+    let flags: u64 = words.number("flags")?.unwrap_or(0);
+    let earlier_attempt = words.next().filter(|&text| text != "0").map(RequestId::new);
+    let unread_for = Span(words.number("queued_for")?.unwrap_or(0));
     let work = work.filter(|_| flags & 1 != 0);
     let (retry, write) = (flags & 2 != 0, flags & 4 != 0);
     Ok(Request {
@@ -98,33 +98,33 @@
     Ok(gauges)
 }
 
-/// The values of one line, in order; `-` is an absent one.
-struct Parts<'a> {
+/// The space-separated values of one line, in order; `-` stands for an absent value.
+struct Words<'a> {
     op: &'a str,
-    parts: std::str::Split<'a, char>,
+    words: std::str::Split<'a, char>,
 }
 
-impl<'a> Parts<'a> {
+impl<'a> Words<'a> {
     fn next(&mut self) -> Option<&'a str> {
-        self.parts.next().filter(|&text| text != "-" && !text.is_empty())
+        self.words.next().filter(|&text| text != "-" && !text.is_empty())
     }
-    fn some(&mut self, what: &str) -> Result<&'a str, String> {
+    fn required(&mut self, name: &str) -> Result<&'a str, String> {
         let op = self.op;
-        self.next().ok_or_else(|| format!("expected in '{op}' a value for {what}"))
+        self.next().ok_or_else(|| format!("expected in '{op}' a value for {name}"))
     }
-    fn number<T: std::str::FromStr>(&mut self, what: &str) -> Result<Option<T>, String> {
+    fn number<T: std::str::FromStr>(&mut self, name: &str) -> Result<Option<T>, String> {
         let op = self.op;
-        let bad = |text: &str| format!("expected in '{op}' a number for {what}, got '{text}'");
+        let bad = |text: &str| format!("expected in '{op}' a number for {name}, got '{text}'");
         self.next().map(|text| text.parse().map_err(|_| bad(text))).transpose()
     }
-    fn span(&mut self, what: &str) -> Result<Span, String> {
-        Ok(Span(self.number(what)?.unwrap_or(0)))
+    fn span(&mut self, name: &str) -> Result<Span, String> {
+        Ok(Span(self.number(name)?.unwrap_or(0)))
     }
     fn id(&mut self) -> Result<RequestId, String> {
-        self.some("id").map(RequestId::new)
+        self.required("id").map(RequestId::new)
     }
     fn outcome(&mut self) -> Result<Outcome, String> {
-        Ok(match self.some("outcome")? {
+        Ok(match self.required("outcome")? {
             "delivered" => Outcome::Success,
             "app_error" => Outcome::Failure,
             "shed" => Outcome::Rejected,
@@ -138,7 +138,7 @@
     }
 }
 
-/// Appends one action's line. Writing to a string can't fail, so the results are dropped.
+/// Appends the line of an action. The result is discarded, because writing to a string cannot fail.
 pub fn write_action(out: &mut String, name: &str, action: &Action) {
     let _ = match action {
         Action::Run(id) => writeln!(out, "process {name} {}", id.0),
@@ -159,8 +159,8 @@
         }
         Action::AdvertiseCapacity(amount) => writeln!(out, "signal {name} {amount}"),
         Action::SetIdleTimeout(span) => {
-            let told = if *span < SHORTEST_IDLE { Span(0) } else { *span };
-            writeln!(out, "idle_limit {name} {}", told.0)
+            let reported = if *span < MIN_IDLE_TIMEOUT { Span(0) } else { *span };
+            writeln!(out, "idle_limit {name} {}", reported.0)
         }
         Action::SetTimer(time) => writeln!(out, "remind {name} {} t", time.0),
         Action::Log(text) => writeln!(out, "emit {name} {text}"),
