--- a/crates/admission/tests/arbitrary_settings.rs
+++ b/crates/admission/tests/arbitrary_settings.rs
@@ -1,5 +1,5 @@
-//! Drawn settings of other customers, through the module alone: a stream of events with odd gauges, and another customer's
-//! settings put in force in the middle of it. Arithmetic has to hold at every value that the pages allow.
+//! Property test of the controller with arbitrary valid settings: random events with extreme gauges, a reload
+//! of other settings while requests are open, and a graceful shutdown.
 
 #[path = "common/generated_settings.rs"]
 mod generated_settings;
@@ -14,111 +14,112 @@
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// What the module was told of a try, and what it said.
+/// The state of an attempt, from the events and actions so far.
 #[derive(Default)]
-struct Try {
+struct Attempt {
     due: Time,
     answered: bool,
     ran: bool,
     running: bool,
     joined: bool,
     calling: bool,
-    gone: bool,
+    disconnected: bool,
 }
 
-struct World {
+/// A host that drives a controller with random events and checks its actions.
+struct Host {
     controller: Controller,
     set: Settings,
     now: Time,
     rng: Pcg64Mcg,
-    tries: BTreeMap<RequestId, Try>,
-    remind: Option<Time>,
+    attempts: BTreeMap<RequestId, Attempt>,
+    timer_at: Option<Time>,
 }
 
-impl World {
+impl Host {
     fn new(set: &Settings, seed: u64, now: Time) -> Self {
         let controller = Controller::new(set.clone(), seed, now);
-        let (set, rng, tries) = (set.clone(), Pcg64Mcg::seed_from_u64(seed), BTreeMap::new());
-        Self { controller, set, now, rng, tries, remind: None }
+        let (set, rng, attempts) = (set.clone(), Pcg64Mcg::seed_from_u64(seed), BTreeMap::new());
+        Self { controller, set, now, rng, attempts, timer_at: None }
     }
 
-    fn below(&mut self, most: u64) -> u64 {
+    fn draw_below(&mut self, most: u64) -> u64 {
         self.rng.next_u64() % most.max(1)
     }
 
-    fn pick(&mut self, wanted: impl Fn(&Try) -> bool) -> Option<RequestId> {
+    fn choose(&mut self, wanted: impl Fn(&Attempt) -> bool) -> Option<RequestId> {
         let found: Vec<RequestId> =
-            self.tries.iter().filter(|(_, t)| wanted(t)).map(|(id, _)| id.clone()).collect();
-        let place = self.below(found.len() as u64) as usize;
-        found.get(place).cloned()
+            self.attempts.iter().filter(|(_, t)| wanted(t)).map(|(id, _)| id.clone()).collect();
+        let index = self.draw_below(found.len() as u64) as usize;
+        found.get(index).cloned()
     }
 
     fn event(&mut self) -> Option<Event> {
-        let took = Span([0, 1, 20 * MS, 60_000 * MS, u64::MAX][self.below(5) as usize]);
-        Some(match self.below(10) {
+        let took = Span([0, 1, 20 * MS, 60_000 * MS, u64::MAX][self.draw_below(5) as usize]);
+        Some(match self.draw_below(10) {
             0..5 => return Some(self.arrive()),
             5 | 6 => {
-                let id = self.pick(|t| t.running || t.joined)?;
-                let t = self.tries.get_mut(&id)?;
-                let ends = if t.joined {
+                let id = self.choose(|t| t.running || t.joined)?;
+                let t = self.attempts.get_mut(&id)?;
+                let outcomes = if t.joined {
                     [Outcome::Success, Outcome::Failure]
                 } else {
                     [Outcome::Success, Outcome::Stopped]
                 };
                 (t.running, t.joined, t.calling) = (false, false, false);
-                let outcome = ends[self.below(2) as usize];
-                let t = self.tries.get_mut(&id)?;
+                let outcome = outcomes[self.draw_below(2) as usize];
+                let t = self.attempts.get_mut(&id)?;
                 t.answered |= outcome != Outcome::Stopped;
                 Event::Completed { id, outcome, took }
             }
             7 => {
-                let id = self.pick(|t| !t.gone)?;
-                self.tries.get_mut(&id)?.gone = true;
+                let id = self.choose(|t| !t.disconnected)?;
+                self.attempts.get_mut(&id)?.disconnected = true;
                 Event::CallerGone(id)
             }
-            8 => Event::UpstreamCallNeeded(self.pick(|t| t.running && !t.calling)?),
+            8 => Event::UpstreamCallNeeded(self.choose(|t| t.running && !t.calling)?),
             _ => {
-                let id = self.pick(|t| t.calling)?;
-                self.tries.get_mut(&id)?.calling = false;
-                let ends = [
+                let id = self.choose(|t| t.calling)?;
+                self.attempts.get_mut(&id)?.calling = false;
+                let outcomes = [
                     Outcome::Success,
                     Outcome::Rejected,
                     Outcome::TimedOut,
                     Outcome::ConnectFailed,
                     Outcome::Aborted,
                 ];
-                Event::UpstreamCallEnded { id, outcome: ends[self.below(5) as usize], took }
+                Event::UpstreamCallEnded { id, outcome: outcomes[self.draw_below(5) as usize], took }
             }
         })
     }
 
     fn arrive(&mut self) -> Event {
-        let id = RequestId::new(&format!("t/{}", self.tries.len()));
-        let class = self.below(self.set.profiles.len() as u64) as usize;
+        let id = RequestId::new(&format!("t/{}", self.attempts.len()));
+        let class = self.draw_below(self.set.profiles.len() as u64) as usize;
         let deadline = self.set.profiles[class].deadline.0;
-        let wait = Span(self.below(deadline.min(60_000 * MS)) + 1);
-        let told = self.below(4) > 0;
-        let unread_for = Span([0, 1, 50 * MS, 3_600_000 * MS, u64::MAX][self.below(5) as usize]);
-        // With nothing told the deadline counts, from when it came.
-        let whole = Time(self.now.0.saturating_sub(unread_for.0).saturating_add(deadline));
-        let due = if told { Time(self.now.0 + wait.0) } else { whole.max(self.now) };
+        let wait = Span(self.draw_below(deadline.min(60_000 * MS)) + 1);
+        let has_timeout = self.draw_below(4) > 0;
+        let unread_for = Span([0, 1, 50 * MS, 3_600_000 * MS, u64::MAX][self.draw_below(5) as usize]);
+        // A request without a timeout expires at the deadline of its class, counted from its arrival.
+        let class_deadline_at = Time(self.now.0.saturating_sub(unread_for.0).saturating_add(deadline));
+        let due = if has_timeout { Time(self.now.0 + wait.0) } else { class_deadline_at.max(self.now) };
         let tenants = self.set.tenants.len() as u64;
-        let earlier_attempt = if self.below(3) == 0 { self.pick(|_| true) } else { None };
+        let earlier_attempt = if self.draw_below(3) == 0 { self.choose(|_| true) } else { None };
         let work = [None, Some(Span(0)), Some(Span(1)), Some(Span(90 * MS)), Some(Span(u64::MAX))];
-        self.tries.insert(id.clone(), Try { due, ..Try::default() });
+        self.attempts.insert(id.clone(), Attempt { due, ..Attempt::default() });
         let sizes = [0.0, 1e-9, 20.0, 1_999.0, 1e300];
         Event::Arrived(Request {
             id,
-            expires_in: told.then_some(wait),
+            expires_in: has_timeout.then_some(wait),
             class,
-            has_subject: self.below(2) == 0,
-            caller: self.below(9),
-            work: work[self.below(5) as usize],
-            tenant: (tenants > 0).then(|| self.below(tenants) as usize),
-            size_kb: sizes[self.below(5) as usize],
-            precedence: self.below(100) as f64 / 100.0,
-            retry: self.below(3) == 0,
-            write: self.below(2) == 0,
+            has_subject: self.draw_below(2) == 0,
+            caller: self.draw_below(9),
+            work: work[self.draw_below(5) as usize],
+            tenant: (tenants > 0).then(|| self.draw_below(tenants) as usize),
+            size_kb: sizes[self.draw_below(5) as usize],
+            precedence: self.draw_below(100) as f64 / 100.0,
+            retry: self.draw_below(3) == 0,
+            write: self.draw_below(2) == 0,
             earlier_attempt,
             unread_for,
         })
@@ -126,53 +127,57 @@
 
     fn gauges(&mut self) -> Event {
         let mut gauges = Gauges::default();
-        let odd = [0.0, 0.5, 1.0, 7.0, -1.0, f64::NAN, f64::INFINITY, f64::MAX, f64::MIN_POSITIVE];
+        let extremes = [0.0, 0.5, 1.0, 7.0, -1.0, f64::NAN, f64::INFINITY, f64::MAX, f64::MIN_POSITIVE];
         for name in ["core_use", "on_cores", "heap_share", "links", "warp"] {
-            if self.below(3) > 0 {
-                gauges.set(name, odd[self.below(9) as usize]);
+            if self.draw_below(3) > 0 {
+                gauges.set(name, extremes[self.draw_below(9) as usize]);
             }
         }
         Event::Timer(gauges)
     }
 
-    fn turn(&mut self, events: &[Event]) -> Result<(), TestCaseError> {
+    fn handle_batch(&mut self, events: &[Event]) -> Result<(), TestCaseError> {
         let mut out = Vec::new();
         self.controller.handle(self.now, events, &mut out);
         for action in out {
-            self.action(action)?;
+            self.check_action(action)?;
         }
-        for (id, t) in &self.tries {
-            prop_assert!(t.answered || t.gone || t.due > self.now, "{} has no answer when it is due", id.0);
+        for (id, t) in &self.attempts {
+            prop_assert!(
+                t.answered || t.disconnected || t.due > self.now,
+                "{} has no response at its deadline",
+                id.0
+            );
         }
         Ok(())
     }
 
-    fn action(&mut self, action: Action) -> Result<(), TestCaseError> {
+    fn check_action(&mut self, action: Action) -> Result<(), TestCaseError> {
         match action {
             Action::SetTimer(at) => {
-                prop_assert!(at > self.now, "a timer of the past");
-                self.remind = Some(self.remind.map_or(at, |known| known.min(at)));
+                prop_assert!(at > self.now, "a timer in the past");
+                self.timer_at = Some(self.timer_at.map_or(at, |known| known.min(at)));
             }
             Action::AdvertiseCapacity(value) => {
-                prop_assert!(value.is_finite() && value >= 0.0, "a signal of {value}");
+                prop_assert!(value.is_finite() && value >= 0.0, "advertised value {value}");
             }
             Action::Run(id) => {
-                let t = self.tries.get_mut(&id).expect("known");
-                prop_assert!(!t.answered && !t.running, "{} is run after its answer, or twice", id.0);
+                let t = self.attempts.get_mut(&id).expect("known");
+                prop_assert!(!t.answered && !t.running, "{} is run after its response, or twice", id.0);
                 (t.ran, t.running) = (true, true);
             }
             Action::Reject { id, .. } => {
-                let t = self.tries.get_mut(&id).expect("known");
-                prop_assert!(!t.ran && !t.joined, "{} ran and was refused", id.0);
-                prop_assert!(!std::mem::replace(&mut t.answered, true), "two answers to {}", id.0);
+                let t = self.attempts.get_mut(&id).expect("known");
+                prop_assert!(!t.ran && !t.joined, "{} ran and was rejected", id.0);
+                prop_assert!(!std::mem::replace(&mut t.answered, true), "two responses to {}", id.0);
             }
             Action::Fail(id) => {
-                let t = self.tries.get_mut(&id).expect("known");
-                prop_assert!(!std::mem::replace(&mut t.answered, true), "two answers to {}", id.0);
+                let t = self.attempts.get_mut(&id).expect("known");
+                prop_assert!(!std::mem::replace(&mut t.answered, true), "two responses to {}", id.0);
                 t.joined = false;
             }
-            Action::JoinRun(id) => self.tries.get_mut(&id).expect("known").joined = true,
-            Action::CallUpstream { id, .. } => self.tries.get_mut(&id).expect("known").calling = true,
+            Action::JoinRun(id) => self.attempts.get_mut(&id).expect("known").joined = true,
+            Action::CallUpstream { id, .. } => self.attempts.get_mut(&id).expect("known").calling = true,
             Action::SkipUpstreamCall(id) => {
                 prop_assert!(
                     self.set
@@ -181,47 +186,48 @@
                         .iter()
                         .any(|priority_weight| *priority_weight > 0.0)
                 );
-                self.tries.get_mut(&id).expect("known").calling = false;
+                self.attempts.get_mut(&id).expect("known").calling = false;
             }
             Action::ReleaseIdempotencyKey(id)
             | Action::RetainIdempotencyKey { id, .. }
             | Action::StopRun(id) => {
-                prop_assert!(self.tries.contains_key(&id));
+                prop_assert!(self.attempts.contains_key(&id));
             }
             Action::ReportHealth { .. } | Action::SetIdleTimeout(_) | Action::Log(_) => {}
         }
         Ok(())
     }
 
-    fn play(&mut self, turns: usize) -> Result<(), TestCaseError> {
-        for _ in 0..turns {
-            let pause = [0, 1, MS, 30 * MS, 100 * MS, 2_000 * MS][self.below(6) as usize];
-            self.until(Time(self.now.0.saturating_add(pause)))?;
-            let events: Vec<Event> = (0..self.below(4)).filter_map(|_| self.event()).collect();
-            self.turn(&events)?;
+    fn run_batches(&mut self, batches: usize) -> Result<(), TestCaseError> {
+        for _ in 0..batches {
+            let pause = [0, 1, MS, 30 * MS, 100 * MS, 2_000 * MS][self.draw_below(6) as usize];
+            self.advance_to(Time(self.now.0.saturating_add(pause)))?;
+            let events: Vec<Event> = (0..self.draw_below(4)).filter_map(|_| self.event()).collect();
+            self.handle_batch(&events)?;
         }
         Ok(())
     }
 
-    /// Lets time pass, with a turn at each timer.
-    fn until(&mut self, until: Time) -> Result<(), TestCaseError> {
-        let mut turns = 0;
-        while let Some(at) = self.remind.filter(|at| *at <= until) {
-            (self.now, self.remind, turns) = (self.now.max(at), None, turns + 1);
-            prop_assert!(turns < 10_000, "timers in a busy loop");
+    /// Advances the time, with a batch at each timer.
+    fn advance_to(&mut self, until: Time) -> Result<(), TestCaseError> {
+        let mut batches = 0;
+        while let Some(at) = self.timer_at.filter(|at| *at <= until) {
+            (self.now, self.timer_at, batches) = (self.now.max(at), None, batches + 1);
+            prop_assert!(batches < 10_000, "timers form a busy loop");
             let gauges = self.gauges();
-            self.turn(&[gauges])?;
+            self.handle_batch(&[gauges])?;
         }
         self.now = until;
         Ok(())
     }
 
-    /// Another customer's file, as the reducer tells it: classes, tenants, then all else. Slots of open requests stay theirs.
+    /// Reloads other settings in the order of the reducer: classes, tenants, then global settings. The classes
+    /// get new slots, because the slots of open requests must not be reassigned.
     fn reload(&mut self, set: &Settings) {
-        let open = self.set.profiles.len();
+        let first_slot = self.set.profiles.len();
         let SplitSettings { mut global, classes, tenants } = set.clone().split();
         for (slot, class) in classes.iter().enumerate() {
-            self.controller.put_class(open + slot, std::sync::Arc::clone(class));
+            self.controller.put_class(first_slot + slot, std::sync::Arc::clone(class));
         }
         for (slot, tenant) in tenants.iter().enumerate() {
             self.controller.put_tenant(slot, tenant.quota_rps, slot % 2 == 0);
@@ -237,9 +243,9 @@
     }
 }
 
-/// Guards against a panic, an answer that never comes or comes twice, and a value that no caller can read.
+/// Guards against panics, missing or duplicate responses, and advertised values that callers cannot parse.
 #[test]
-fn the_module_works_with_every_customers_settings() {
+fn controller_serves_with_arbitrary_valid_settings() {
     let cases = std::env::var("CASES").ok().and_then(|cases| cases.parse().ok()).unwrap_or(400);
     let seed = std::env::var("SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(1_u64);
     println!("SEED={seed} CASES={cases}");
@@ -249,28 +255,31 @@
     let mut runner = TestRunner::new_with_rng(runs, TestRng::from_seed(RngAlgorithm::ChaCha, &bytes));
     let starts = prop_oneof![Just(0_u64), Just(1_000_000 * MS)];
     let drawn = (settings(), settings(), any::<u64>(), starts, 0..3_u8);
-    let played = runner.run(&drawn, |(first, second, seed, start, last)| {
+    let result = runner.run(&drawn, |(first, second, seed, start, steps)| {
         let parsed = |value| serde_json::from_value::<Settings>(value).expect("valid settings");
         let (first, second) = (parsed(first), parsed(second));
         prop_assert!(first.check().is_ok() && second.check().is_ok());
-        let mut world = World::new(&first, seed, Time(start));
-        world.play(150)?;
-        if last > 0 {
-            world.reload(&second);
-            world.play(150)?;
+        let mut host = Host::new(&first, seed, Time(start));
+        host.run_batches(150)?;
+        if steps > 0 {
+            host.reload(&second);
+            host.run_batches(150)?;
         }
-        if last > 1 {
-            let wait = Span([0, 3_000 * MS, u64::MAX][world.below(3) as usize]);
-            world.turn(&[Event::ShutdownNotice(wait)])?;
-            world.play(50)?;
-            let end = Time(world.now.0.saturating_add(wait.0.min(5_000 * MS)));
-            world.until(end)?;
-            let owed = world.tries.values().filter(|t| !t.answered && !t.gone).count();
-            prop_assert!(wait.0 == u64::MAX || owed == 0, "{owed} without an answer at the stop");
+        if steps > 1 {
+            let wait = Span([0, 3_000 * MS, u64::MAX][host.draw_below(3) as usize]);
+            host.handle_batch(&[Event::ShutdownNotice(wait)])?;
+            host.run_batches(50)?;
+            let end = Time(host.now.0.saturating_add(wait.0.min(5_000 * MS)));
+            host.advance_to(end)?;
+            let unanswered = host.attempts.values().filter(|t| !t.answered && !t.disconnected).count();
+            prop_assert!(
+                wait.0 == u64::MAX || unanswered == 0,
+                "{unanswered} without a response at the stop"
+            );
         }
         Ok(())
     });
-    if let Err(why) = played {
+    if let Err(why) = result {
         panic!("{why}");
     }
 }
--- a/crates/admission/tests/common/mod.rs
+++ b/crates/admission/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Shared by the module's tests: settings, requests and short ways to ask what a reply holds.
+//! Helpers of the controller tests: settings, requests, and queries of the returned actions.
 #![allow(dead_code)]
 
 use gradepin_admission::{
@@ -8,7 +8,8 @@
 
 pub const MS: u64 = 1_000_000;
 
-/// Plain settings: a safe read, and a keyed claim of more worth; four cores.
+/// Settings of a server with four cores and two classes: an idempotent `read`, and a keyed `claim` with three
+/// times its priority weight.
 pub fn base() -> Value {
     json!({
         "granularity": 5 * MS,
@@ -32,10 +33,11 @@
 }
 
 pub fn settings(value: Value) -> Settings {
-    serde_json::from_value(value).expect("settings of the test are whole")
+    serde_json::from_value(value).expect("settings of the test are valid")
 }
 
-pub fn started(value: Value) -> Controller {
+/// A controller that has handled an empty batch at time 0.
+pub fn started_controller(value: Value) -> Controller {
     let mut c = Controller::new(settings(value), 11, Time(0));
     c.handle(Time(0), &[], &mut Vec::new());
     c
@@ -53,17 +55,18 @@
     Request { class: 1, earlier_attempt: earlier.map(id), ..read(name) }
 }
 
-pub fn timer(heap: f64) -> Event {
+/// A timer event with the given memory utilization and half of the CPU in use.
+pub fn timer(utilization: f64) -> Event {
     let gauges = Gauges {
         cpu_utilization: Some(0.5),
         runnable: Some(2.0),
-        memory_utilization: Some(heap),
+        memory_utilization: Some(utilization),
         links: Some(9.0),
     };
     Event::Timer(gauges)
 }
 
-/// Handles a batch at a time in ms and returns the reply.
+/// Handles a batch at a time in milliseconds and returns the actions.
 pub fn at(c: &mut Controller, ms: u64, events: Vec<Event>) -> Vec<Action> {
     let mut out = Vec::new();
     c.handle(Time(ms * MS), &events, &mut out);
@@ -74,16 +77,18 @@
     at(c, ms, requests.into_iter().map(Event::Arrived).collect())
 }
 
-pub fn processed(out: &[Action]) -> Vec<&str> {
+/// The requests whose runs the actions start.
+pub fn run_ids(out: &[Action]) -> Vec<&str> {
     let named = out.iter().filter_map(|a| if let Action::Run(id) = a { Some(&*id.0) } else { None });
     named.collect()
 }
 
-pub fn refused(out: &[Action]) -> Vec<&str> {
+/// The requests that the actions reject.
+pub fn rejected(out: &[Action]) -> Vec<&str> {
     out.iter().filter_map(|a| if let Action::Reject { id, .. } = a { Some(&*id.0) } else { None }).collect()
 }
 
-/// The end of a run of 100 ms.
-pub fn done(name: &str, outcome: Outcome) -> Event {
+/// The end of a run that took 100 ms.
+pub fn completed(name: &str, outcome: Outcome) -> Event {
     Event::Completed { id: id(name), outcome, took: Span(100 * MS) }
 }
--- a/crates/admission/tests/controller/main.rs
+++ b/crates/admission/tests/controller/main.rs
@@ -1,5 +1,5 @@
-//! The controller without the platform's bench: its decisions one by one, the rules at their edges, and one test per
-//! failure found.
+//! Tests of single decisions of the controller, its limits at their boundaries, and one regression test per defect
+//! that was found.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/admission/tests/source_rules.rs
+++ b/crates/admission/tests/source_rules.rs
@@ -1,13 +1,13 @@
-//! Rules that the sources of this crate keep, as their readers set them.
-#![allow(clippy::disallowed_methods)] // The test reads the crate's own sources; the crate itself reads no file.
+//! Checks of the sources of this crate: size, documentation, imports, and use of randomness and clocks.
+#![allow(clippy::disallowed_methods)] // This test reads the sources of the crate; the crate itself reads no files.
 
 use std::path::{Path, PathBuf};
 
 const MAX_LINES: usize = 500;
 const MAX_LINE_CHARACTERS: usize = 110;
-/// The only module with a random generator; its seed comes from the host.
+/// The only module that may use a random generator, which the host seeds.
 const RANDOM_MODULE: &str = "random.rs";
-/// Modules of the interface. Every other one holds decisions, and is listed as policy in the deploy file.
+/// Modules of the public interface. All others make decisions, and are listed as policy in the deploy file.
 const INTERFACE: [&str; 9] = [
     "actions.rs",
     "class_definition.rs",
@@ -21,7 +21,7 @@
 ];
 
 struct Module {
-    /// Path below `src/`.
+    /// Path relative to `src/`.
     name: String,
     text: String,
 }
@@ -46,20 +46,20 @@
 fn modules() -> Vec<Module> {
     let mut modules = Vec::new();
     collect(&sources(), &mut modules);
-    assert!(modules.len() > INTERFACE.len(), "the sources are found");
+    assert!(modules.len() > INTERFACE.len(), "no sources found");
     modules
 }
 
 #[test]
-fn each_module_stays_within_its_size() {
+fn modules_stay_within_the_size_limits() {
     for Module { name, text } in modules() {
         let lines = text.lines().count();
-        assert!(lines <= MAX_LINES, "{name} has {lines} lines; {MAX_LINES} at most");
+        assert!(lines <= MAX_LINES, "{name} has {lines} lines, more than {MAX_LINES}");
         for (number, line) in text.lines().enumerate() {
             let characters = line.chars().count();
             assert!(
                 characters <= MAX_LINE_CHARACTERS,
-                "{name}:{} has {characters} characters; {MAX_LINE_CHARACTERS} at most",
+                "{name}:{} has {characters} characters, more than {MAX_LINE_CHARACTERS}",
                 number + 1
             );
         }
@@ -67,14 +67,14 @@
 }
 
 #[test]
-fn each_module_says_first_what_it_is_for() {
+fn modules_start_with_documentation() {
     for Module { name, text } in modules() {
-        assert!(text.starts_with("//! "), "{name} begins with its documentation");
+        assert!(text.starts_with("//! "), "{name} does not start with documentation");
     }
 }
 
 #[test]
-fn chance_comes_from_one_module_and_time_from_the_host() {
+fn only_one_module_draws_random_numbers_and_none_reads_a_clock() {
     for Module { name, text } in modules() {
         for random in ["rand::", "rand_pcg", "rand_core", "getrandom"] {
             assert!(name == RANDOM_MODULE || !text.contains(random), "{name} uses {random}");
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn the_deploy_file_lists_every_module_that_decides() {
+fn deploy_file_lists_exactly_the_policy_modules() {
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/balancer.toml");
     let deploy = std::fs::read_to_string(deploy).expect("the deploy file");
     for Module { name, .. } in modules() {
--- a/crates/simulator-adapter/tests/arbitrary_settings.rs
+++ b/crates/simulator-adapter/tests/arbitrary_settings.rs
@@ -1,5 +1,5 @@
-//! Drawn settings of other customers through the adapter's process: each instance starts with them, and says on the wire
-//! only what the wire has words for.
+//! Property test of the adapter process with arbitrary valid settings: each instance starts with them, and its actions
+//! are valid in the simulator's protocol.
 
 #[path = "../../admission/tests/common/generated_settings.rs"]
 mod generated_settings;
@@ -12,24 +12,24 @@
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-/// Exit status, standard output and standard error for an input.
-fn host(input: &str) -> (Option<i32>, String, String) {
+/// Runs the adapter on the input; returns its exit status, standard output and standard error.
+fn run_adapter(input: &str) -> (Option<i32>, String, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_gradepin-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    let mut input_pipe = child.stdin.take().expect("piped");
+    let mut stdin = child.stdin.take().expect("piped");
     let input = input.to_string();
-    let writer = std::thread::spawn(move || input_pipe.write_all(input.as_bytes()));
+    let writer = std::thread::spawn(move || stdin.write_all(input.as_bytes()));
     let out = child.wait_with_output().expect("the adapter ends");
     let _ = writer.join().expect("written");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("UTF-8");
     (out.status.code(), text(out.stdout), text(out.stderr))
 }
 
-/// Ten batches, 300 ms apart: requests of the first classes and tenants, with all that may be absent there or not.
+/// Ten batches, 300 ms apart, with requests of the first classes and tenants. Optional values are absent in some.
 fn batches(settings: &Value, exponents: bool) -> String {
     let mut input = format!("sync 7\nstart worker/0 -9 {}\ngo\n", text(settings, exponents));
     let list = |key: &str| settings[key].as_array().cloned().unwrap_or_default();
@@ -54,9 +54,9 @@
     input
 }
 
-/// Guards the day's result, which one instance that ends, or one line that makes no sense, takes to zero.
+/// Guards against an instance that exits or writes an invalid line, either of which ends a simulation without a score.
 #[test]
-fn the_adapter_works_with_every_customers_settings() {
+fn adapter_serves_with_arbitrary_valid_settings() {
     let cases = std::env::var("CASES").ok().and_then(|cases| cases.parse().ok()).unwrap_or(60);
     let seed = std::env::var("SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(1_u64);
     println!("SEED={seed} CASES={cases}");
@@ -64,15 +64,15 @@
     bytes[..8].copy_from_slice(&seed.to_le_bytes());
     let runs = Runs { cases, failure_persistence: None, max_shrink_iters: 200, ..Runs::default() };
     let mut runner = TestRunner::new_with_rng(runs, TestRng::from_seed(RngAlgorithm::ChaCha, &bytes));
-    let played = runner.run(&(settings(), any::<bool>()), |(settings, exponents)| {
-        let (code, out, err) = host(&batches(&settings, exponents));
+    let result = runner.run(&(settings(), any::<bool>()), |(settings, exponents)| {
+        let (code, out, err) = run_adapter(&batches(&settings, exponents));
         prop_assert_eq!((code, err.as_str()), (Some(0), ""));
         prop_assert_eq!(out.matches("end\n").count(), 11);
-        let mut finals = HashMap::new();
+        let mut final_responses = HashMap::new();
         for line in out.lines() {
             let words: Vec<&str> = line.split(' ').collect();
             match words[..] {
-                ["refuse" | "error", _, id, ..] => *finals.entry(id.to_string()).or_insert(0) += 1,
+                ["refuse" | "error", _, id, ..] => *final_responses.entry(id.to_string()).or_insert(0) += 1,
                 ["signal", _, amount] => {
                     let amount: f64 = amount.parse().expect("a number");
                     prop_assert!(amount.is_finite() && amount >= 0.0, "{}", line);
@@ -85,10 +85,10 @@
                 _ => {}
             }
         }
-        prop_assert!(finals.values().all(|answers| *answers == 1), "{:?}", finals);
+        prop_assert!(final_responses.values().all(|count| *count == 1), "{:?}", final_responses);
         Ok(())
     });
-    if let Err(why) = played {
+    if let Err(why) = result {
         panic!("{why}");
     }
 }
--- a/crates/simulator-adapter/tests/golden.rs
+++ b/crates/simulator-adapter/tests/golden.rs
@@ -1,4 +1,5 @@
-//! A fixed dialogue with the adapter, byte for byte: what each instance reads of its settings shows in what it says.
+//! Compares the output of the adapter for a fixed input byte for byte. A setting that is
+//! read differently changes the output.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -7,13 +8,13 @@
 const OUTPUT: &str = include_str!("golden/dialogue_out.txt");
 
 #[test]
-fn dialogue_matches_golden_bytes() {
+fn output_matches_the_golden_file() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_gradepin-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // The input is far shorter than a pipe holds, so this doesn't wait for its output to be read.
+    // The input fits into the pipe buffer, so writing it does not block until the output is read.
     child.stdin.take().expect("piped").write_all(INPUT.as_bytes()).expect("written");
     let out = child.wait_with_output().expect("the adapter ends");
     let output = String::from_utf8(out.stdout).expect("UTF-8");
@@ -21,9 +22,9 @@
     assert_eq!(out.status.code(), Some(0));
 }
 
-/// Guards the dialogue itself: it has every kind of line that the adapter may write.
+/// The golden output must cover every kind of line that the adapter can write.
 #[test]
-fn dialogue_has_every_kind_of_action() {
+fn golden_output_has_every_kind_of_line() {
     let kinds = [
         "process",
         "suspend",
