--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -25,8 +25,8 @@
     pub control: SocketAddr,
     /// Where the shared upstream takes calls over HTTP. Without it a call that a run asks for can't be made, as at a deployment
     /// whose processor makes them itself.
-    #[serde(default, deserialize_with = "address::optional")]
-    pub ledger: Option<SocketAddr>,
+    #[serde(rename = "ledger", default, deserialize_with = "address::optional")]
+    pub upstream: Option<SocketAddr>,
     /// Seed of random numbers as sixteen hex digits, new with each start.
     pub seed: String,
     /// Milliseconds from the notice to shut down (SIGTERM) to the stop (SIGKILL).
@@ -156,15 +156,15 @@
     }
 
     /// Most client connections at a time, without [`RESERVED_CONNECTIONS`].
-    pub fn connections(&self) -> usize {
+    pub fn max_connections(&self) -> usize {
         let admin = if self.admin_addr.is_some() { ADMIN_SOCKETS } else { 0 };
-        self.limits.sockets - RESERVED_SOCKETS - admin - self.calls()
+        self.limits.sockets - RESERVED_SOCKETS - admin - self.max_upstream_calls()
     }
 
     /// Most calls to the shared upstream at a time, each with a connection and a thread of its own. Their descriptors are
     /// reserved: a call that fails for want of one would count as one that may have run.
-    pub fn calls(&self) -> usize {
-        if self.ledger.is_none() || self.settings.specifics.below != UpstreamKind::Shared {
+    pub fn max_upstream_calls(&self) -> usize {
+        if self.upstream.is_none() || self.settings.specifics.below != UpstreamKind::Shared {
             return 0;
         }
         let share = self.settings.specifics.calls_out * if self.lends { BORROWED_MULTIPLE } else { 1.0 };
--- a/crates/core/src/config/tests.rs
+++ b/crates/core/src/config/tests.rs
@@ -18,7 +18,7 @@
 #[test]
 fn client_connections_leave_descriptors_for_the_servers_own_use() {
     let plain = config(|_| ());
-    assert_eq!((plain.connections(), plain.calls()), (480, 0));
+    assert_eq!((plain.max_connections(), plain.max_upstream_calls()), (480, 0));
     let calling = |share: f64, sockets: usize| {
         config(|text| {
             text["ledger"] = json!("127.0.0.1:4");
@@ -32,11 +32,11 @@
         [(0.4, 512, 4), (15.0, 512, 30), (1e9, 512, 64), (1e9, 128, 16), (-1.0, 128, 4)]
     {
         let config = calling(share, sockets);
-        assert_eq!(config.calls(), calls, "a share of {share}");
-        assert_eq!(config.connections() + calls + ADMIN_SOCKETS + RESERVED_SOCKETS, sockets);
+        assert_eq!(config.max_upstream_calls(), calls, "a share of {share}");
+        assert_eq!(config.max_connections() + calls + ADMIN_SOCKETS + RESERVED_SOCKETS, sockets);
     }
     let lending = Config { lends: true, ..calling(4.0, 1024) };
-    assert_eq!(lending.calls(), 24);
+    assert_eq!(lending.max_upstream_calls(), 24);
 }
 
 /// Guards against an operator whose tool writes whole numbers with a point or with an exponent: the server didn't start.
--- a/crates/core/src/idempotency_log.rs
+++ b/crates/core/src/idempotency_log.rs
@@ -42,7 +42,7 @@
         window_left: Span,
     },
     /// The outcome of a run, when it ends or when all is written anew.
-    Known {
+    Outcome {
         /// Idempotency key that all attempts share.
         key: Arc<str>,
         /// Fingerprint of its body and class.
@@ -71,7 +71,7 @@
     /// Key of all fingerprints in this store.
     pub salt: u64,
     /// Set if something that was durable can't be read: any key may have run, for so long.
-    pub doubtful_for: Option<Span>,
+    pub incomplete_for: Option<Span>,
     /// What was found, for the log.
     pub notes: Vec<String>,
 }
@@ -287,8 +287,8 @@
     /// The store was opened and read.
     pub fn store_recovered(&mut self, now: Time, recovered: &RecoveredRuns) {
         self.state = StoreState::Good;
-        self.doubtful_until = recovered.doubtful_for.map(|doubt| time_after(now, doubt));
-        let is_error = recovered.doubtful_for.is_some();
+        self.doubtful_until = recovered.incomplete_for.map(|doubt| time_after(now, doubt));
+        let is_error = recovered.incomplete_for.is_some();
         self.notes.extend(recovered.notes.iter().map(|text| LogNote { is_error, text: text.clone() }));
         let count = recovered.runs.len();
         self.note(format!("the store is open, with {count} runs of an earlier process"));
@@ -428,7 +428,7 @@
         Some(RunOutcome::Unknown) | None => return None,
     };
     let KeyedRun { key, fingerprint, id, window_left, .. } = run;
-    Some(LogRecord::Known { key, fingerprint, id, window_left, result })
+    Some(LogRecord::Outcome { key, fingerprint, id, window_left, result })
 }
 
 /// The record of a run when all is written anew. One without an outcome may have run, and stays an intent.
--- a/crates/core/src/idempotency_log/tests.rs
+++ b/crates/core/src/idempotency_log/tests.rs
@@ -96,7 +96,7 @@
     assert_eq!(log.retry_after(Time(0)), Some(SHORT_RETRY_AFTER));
     log.store_recovered(
         Time(0),
-        &RecoveredRuns { doubtful_for: Some(Span(8_000 * MS)), ..RecoveredRuns::default() },
+        &RecoveredRuns { incomplete_for: Some(Span(8_000 * MS)), ..RecoveredRuns::default() },
     );
     assert_eq!(log.retry_after(Time(1_000 * MS)), Some(Span(7_000 * MS)));
     assert!(!log.append_intent(Time(1_000 * MS), keyed_run(1)));
--- a/crates/core/src/idempotency_table.rs
+++ b/crates/core/src/idempotency_table.rs
@@ -16,7 +16,7 @@
 
 const MS: u64 = 1_000_000;
 /// A run is known for so long past its window: attempts that were sent within the window may be read so much later.
-pub const READ_LATE: Span = Span(30_000 * MS);
+pub const MAX_READ_DELAY: Span = Span(30_000 * MS);
 /// And for so much longer if its end was never reported: no run takes that long.
 const MAX_UNREPORTED_RUN: Span = Span(60_000 * MS);
 /// Memory of a retained result beside its bytes.
@@ -95,7 +95,7 @@
 impl Run {
     /// When it is forgotten.
     fn expires_at(&self) -> Time {
-        let late = time_after(self.closes_at, READ_LATE);
+        let late = time_after(self.closes_at, MAX_READ_DELAY);
         if self.outcome.is_some() { late } else { time_after(late, MAX_UNREPORTED_RUN) }
     }
 }
@@ -205,7 +205,7 @@
             waiting: Vec::new(),
             retention: None,
         };
-        let record = self.entry(key, time_after(closes_at, READ_LATE));
+        let record = self.entry(key, time_after(closes_at, MAX_READ_DELAY));
         record.fingerprint = fingerprint;
         match record.run.replace(run) {
             // Guards against attempts that get the outcome of another request's run, because their key was used again.
--- a/crates/core/src/idempotency_table/tests.rs
+++ b/crates/core/src/idempotency_table/tests.rs
@@ -24,7 +24,7 @@
     let mut table = IdempotencyTable::new(10_000);
     run(&mut table, 1, None);
     run(&mut table, 2, BufferPool::new(0).exact(b"out").map(|result| RunOutcome::Served(Arc::new(result))));
-    let late = time_after(Time(9_000 * MS), Span(READ_LATE.0 + crate::timer_wheel::TICK.0));
+    let late = time_after(Time(9_000 * MS), Span(MAX_READ_DELAY.0 + crate::timer_wheel::TICK.0));
     sweep(&mut table, late);
     assert!(table.len() == 1 && table.retained_bytes == 0 && table.retained.is_empty());
     sweep(&mut table, time_after(late, MAX_UNREPORTED_RUN));
@@ -89,7 +89,7 @@
     for n in 0..100_000 {
         run(&mut table, n, Some(RunOutcome::Failed));
     }
-    let late = time_after(Time(9_000 * MS), Span(READ_LATE.0 + crate::timer_wheel::TICK.0));
+    let late = time_after(Time(9_000 * MS), Span(MAX_READ_DELAY.0 + crate::timer_wheel::TICK.0));
     let mut sweeps = 1;
     while table.sweep(late) {
         sweeps += 1;
--- a/crates/core/src/messages/effect.rs
+++ b/crates/core/src/messages/effect.rs
@@ -70,7 +70,7 @@
         /// How long to wait for the reply.
         timeout: Span,
         /// The call must not be sent from this time on, as its borrowed slot expires.
-        leave_before: Option<Time>,
+        send_before: Option<Time>,
     },
     /// Give a run the reply to its upstream call.
     DeliverUpstreamReply {
--- a/crates/core/src/reducer/admission_actions.rs
+++ b/crates/core/src/reducer/admission_actions.rs
@@ -90,7 +90,7 @@
             return;
         }
         self.healthy = healthy;
-        self.registration.health(self.timestamp.now, healthy);
+        self.registration.publish_health(self.timestamp.now, healthy);
         self.report_change();
         self.log(Level::Info, format!("health is {}", if healthy { "good" } else { "bad" }));
     }
--- a/crates/core/src/reducer/cluster.rs
+++ b/crates/core/src/reducer/cluster.rs
@@ -247,11 +247,11 @@
     fn send_with_slot(&mut self, call: &WaitingCall, slot: Slot) {
         let now = self.timestamp.now;
         let remaining = Span(call.expires_at.0 - now.0).min(call.timeout);
-        let (timeout, leave_before) = match slot {
+        let (timeout, send_before) = match slot {
             Slot::Own => (remaining, None),
             Slot::Borrowed { until, max_call } => (remaining.min(max_call), Some(until)),
         };
-        let number = self.send_upstream_call(&call.id, timeout, leave_before);
+        let number = self.send_upstream_call(&call.id, timeout, send_before);
         self.cluster.slots_in_use.insert(number, now);
     }
 
--- a/crates/core/src/reducer/mod.rs
+++ b/crates/core/src/reducer/mod.rs
@@ -160,7 +160,7 @@
             controller: None,
             timestamp: Timestamp::default(),
             requests: OpenRequests::new(config),
-            connections: Connections::new(config.connections()),
+            connections: Connections::new(config.max_connections()),
             idempotency_table: IdempotencyTable::new(config.memory(RESULT_MEMORY_DIVISOR)),
             idempotency_log: IdempotencyLog::disabled(),
             pending_claims: PendingClaims::default(),
--- a/crates/core/src/reducer/processor_link.rs
+++ b/crates/core/src/reducer/processor_link.rs
@@ -165,7 +165,7 @@
         }
         self.controller = Some(controller);
         self.healthy = true;
-        self.registration.health(self.timestamp.now, true);
+        self.registration.publish_health(self.timestamp.now, true);
         self.report_change();
         if self.drain.is_draining() {
             self.notify_admission_of_shutdown();
--- a/crates/core/src/reducer/settings_reload.rs
+++ b/crates/core/src/reducer/settings_reload.rs
@@ -66,7 +66,7 @@
         if self.settings_changes.is_reloading() {
             return Err(ReloadError::ReloadUnderWay);
         }
-        if reload.compared_at != self.settings_changes.edition {
+        if reload.compared_edition != self.settings_changes.edition {
             return Err(ReloadError::StaleComparison);
         }
         // The names in force are bounded where the file is checked; only new slots are counted here.
@@ -134,11 +134,11 @@
         }
         let calls_upstream = self.settings.specifics.below == UpstreamKind::Shared;
         let starts_to_call = calls_upstream && !called_upstream;
-        let is_new = |upstream: &SocketAddr| Some(*upstream) != self.config.ledger || starts_to_call;
-        if let Some(upstream) = config.ledger.filter(is_new) {
+        let is_new = |upstream: &SocketAddr| Some(*upstream) != self.config.upstream || starts_to_call;
+        if let Some(upstream) = config.upstream.filter(is_new) {
             // Calls that are out end at the old address; new ones go to the new.
             self.effects.push(Effect::SetUpstreamAddress(upstream));
-            self.config.ledger = Some(upstream);
+            self.config.upstream = Some(upstream);
         }
     }
 }
--- a/crates/core/src/reducer/upstream_calls.rs
+++ b/crates/core/src/reducer/upstream_calls.rs
@@ -43,12 +43,12 @@
         }
     }
 
-    /// Sends a call. From `leave_before` on it must not leave any more.
+    /// Sends a call. From `send_before` on it must not leave any more.
     pub(super) fn send_upstream_call(
         &mut self,
         id: &RequestId,
         timeout: Span,
-        leave_before: Option<Time>,
+        send_before: Option<Time>,
     ) -> UpstreamCallId {
         self.last_upstream_call += 1;
         let call = self.last_upstream_call;
@@ -57,7 +57,7 @@
             (open.upstream_call_since, open.upstream_call_id) = (Some(self.timestamp.now), Some(call));
             if let Some(body) = open.upstream_call.clone() {
                 let id = id.clone();
-                self.effects.push(Effect::CallUpstream { id, call, body, timeout, leave_before });
+                self.effects.push(Effect::CallUpstream { id, call, body, timeout, send_before });
             }
         }
         call
--- a/crates/core/src/registration.rs
+++ b/crates/core/src/registration.rs
@@ -44,7 +44,7 @@
     }
 
     /// Publishes the health that the admission module reports.
-    pub fn health(&mut self, now: Time, healthy: bool) {
+    pub fn publish_health(&mut self, now: Time, healthy: bool) {
         if let Some(membership) = &mut self.membership {
             membership.health(now, healthy);
         }
--- a/crates/core/src/reload.rs
+++ b/crates/core/src/reload.rs
@@ -16,5 +16,5 @@
     /// How many tenant names among the changes have no slot.
     pub new_tenants: usize,
     /// Edition of the names ([`crate::messages::Effect::UpdateNames`]) that it was compared with.
-    pub compared_at: u64,
+    pub compared_edition: u64,
 }
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 /// Parts of the table of names. With 131,072 names one of them moves some 2,000 when it grows.
-pub const CHUNK_COUNT: usize = 64;
+pub const SHARD_COUNT: usize = 64;
 
 /// Refers to a definition by its slot and the generation of that.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
@@ -116,14 +116,14 @@
 
 impl<D: Named, S> Default for Slots<D, S> {
     fn default() -> Self {
-        let parts = (0..CHUNK_COUNT).map(|_| HashMap::new()).collect();
+        let parts = (0..SHARD_COUNT).map(|_| HashMap::new()).collect();
         Self { entries: Vec::new(), free: Vec::new(), parts, hash: RandomState::new() }
     }
 }
 
 impl<D: Named, S> Slots<D, S> {
     fn part(&self, name: &str) -> usize {
-        self.hash.hash_one(name) as usize % CHUNK_COUNT
+        self.hash.hash_one(name) as usize % SHARD_COUNT
     }
 
     /// How many slots were ever filled.
--- a/crates/core/tests/every_key.rs
+++ b/crates/core/tests/every_key.rs
@@ -18,7 +18,7 @@
     assert_eq!(config.listen.to_string(), "10.0.0.1:8443");
     assert_eq!(config.processor.to_string(), "10.0.0.2:9300");
     assert_eq!(config.control.to_string(), "10.0.0.3:7946");
-    assert_eq!(config.ledger.expect("an address").to_string(), "10.0.0.4:5432");
+    assert_eq!(config.upstream.expect("an address").to_string(), "10.0.0.4:5432");
     assert_eq!(config.admin_addr.expect("an address").to_string(), "10.0.0.5:18445");
     assert_eq!(config.seed, "00000000000000fe");
     assert_eq!(config.stop_ms, 3201);
--- a/crates/gradepin/src/store.rs
+++ b/crates/gradepin/src/store.rs
@@ -3,7 +3,7 @@
 use gradepin_admission::{RequestId, Span};
 use gradepin_core::buffer_pool::BufferPool;
 use gradepin_core::idempotency_log::{LogRecord, SavedOutcome, SavedRun};
-use gradepin_core::idempotency_table::READ_LATE;
+use gradepin_core::idempotency_table::MAX_READ_DELAY;
 use gradepin_store::disk::{Disk, Folder};
 use gradepin_store::frame::{self, Frames, StoredRecord};
 use gradepin_store::log::{self, Limits, Log, Stamp};
@@ -155,7 +155,7 @@
     let is_damaged = found.segments.iter().any(|segment| segment.damage.is_some());
     println!("{count} runs written anew: {before} bytes before, {} after", log.bytes());
     if is_damaged {
-        let margin_s = READ_LATE.0 / 1_000_000_000;
+        let margin_s = MAX_READ_DELAY.0 / 1_000_000_000;
         println!("damaged segments stay until a server has run for their windows and {margin_s} s");
     }
     Ok(!is_damaged)
@@ -166,11 +166,11 @@
     let (key, id) = (Arc::from(key), RequestId::new(&id));
     match outcome {
         SavedOutcome::Unknown => LogRecord::Intent { key, fingerprint, id, window_left },
-        SavedOutcome::Failed => LogRecord::Known { key, fingerprint, id, window_left, result: None },
+        SavedOutcome::Failed => LogRecord::Outcome { key, fingerprint, id, window_left, result: None },
         SavedOutcome::Served(result) => {
             // It fits: every stored result was in a buffer once.
             let result = BufferPool::new(0).exact(&result).map(Arc::new);
-            LogRecord::Known { key, fingerprint, id, window_left, result }
+            LogRecord::Outcome { key, fingerprint, id, window_left, result }
         }
     }
 }
--- a/crates/model/src/policies/mod.rs
+++ b/crates/model/src/policies/mod.rs
@@ -156,7 +156,7 @@
         stop_ms,
         lends: false,
         admin_addr: None,
-        ledger: Some(nowhere),
+        upstream: Some(nowhere),
         limits: Limits { sockets: 4_096, memory_mb: 192 },
         settings: settings.clone(),
     }
--- a/crates/model/src/policies/shell.rs
+++ b/crates/model/src/policies/shell.rs
@@ -418,7 +418,7 @@
                 Input::RegistryReply { ticket, reply } => self.registration.reply(self.now, ticket, reply),
                 Input::LinkUp { link, cold, age } => {
                     self.registration.processor_up(time_before(self.now, age), cold);
-                    self.registration.health(self.now, true);
+                    self.registration.publish_health(self.now, true);
                     self.link = Some(link);
                     self.next_report = self.now;
                 }
--- a/crates/node/src/claims/folder.rs
+++ b/crates/node/src/claims/folder.rs
@@ -3,7 +3,7 @@
 //! Invariant: the content of a name changes atomically, from one meaning of the table to the next.
 
 use gradepin_core::buffer_pool::{BUFFER_BYTES, BufferPool};
-use gradepin_core::idempotency_table::{Fingerprint, READ_LATE, RunOutcome};
+use gradepin_core::idempotency_table::{Fingerprint, MAX_READ_DELAY, RunOutcome};
 use gradepin_core::messages::RunClaim;
 use siphasher::sip128::{Hasher128, SipHasher13};
 use std::collections::{HashMap, VecDeque};
@@ -221,7 +221,7 @@
 
     /// Removes files whose window is over, and ends claims that dead processes left open.
     pub(super) fn clean_up(&mut self, now: SystemTime) -> io::Result<()> {
-        let retention = self.window + Duration::from_nanos(READ_LATE.0);
+        let retention = self.window + Duration::from_nanos(MAX_READ_DELAY.0);
         let has_expired = |at: SystemTime| now.duration_since(at).is_ok_and(|age| age > retention);
         let mut is_alone = true;
         let mut open_claims = Vec::new();
--- a/crates/node/src/claims/tests.rs
+++ b/crates/node/src/claims/tests.rs
@@ -1,7 +1,7 @@
 use super::folder::{CLAIMS_MEMORY_DIVISOR, FILE_BYTES};
 use super::*;
 use crossbeam_channel::bounded;
-use gradepin_core::idempotency_table::READ_LATE;
+use gradepin_core::idempotency_table::MAX_READ_DELAY;
 use slog::{Discard, o};
 use std::fs;
 use std::path::PathBuf;
@@ -103,7 +103,7 @@
     );
     assert_eq!(claim(&mut new, "t0", 7), "Ended(Failed)", "the oldest results went first");
     assert_eq!(claim(&mut new, &format!("t{}", most - 1), 7).len(), 3_000);
-    let late = Duration::from_nanos(READ_LATE.0);
+    let late = Duration::from_nanos(MAX_READ_DELAY.0);
     old.clean_up(SystemTime::now() + WINDOW + late - Duration::from_secs(1)).expect("cleaned up");
     assert_eq!(old.own.len(), most);
     old.clean_up(SystemTime::now() + WINDOW + late + Duration::from_secs(1)).expect("cleaned up");
--- a/crates/node/src/effects.rs
+++ b/crates/node/src/effects.rs
@@ -99,8 +99,8 @@
             Effect::ReconnectProcessor { link } => self.processor.reconnect(link),
             Effect::ReplayNotices => self.processor.replay_notices(),
             Effect::SetProcessorAddress(address) => self.processor.retarget(address),
-            Effect::CallUpstream { id, call, body, timeout, leave_before } => {
-                arrived.extend(self.call_upstream(id, call, &body, timeout, leave_before));
+            Effect::CallUpstream { id, call, body, timeout, send_before } => {
+                arrived.extend(self.call_upstream(id, call, &body, timeout, send_before));
             }
             Effect::SetUpstreamAddress(address) => self.set_upstream_address(address),
             Effect::ReportReadiness { ready } => self.report_readiness(ready),
@@ -149,11 +149,11 @@
         call: UpstreamCallId,
         body: &[u8],
         timeout: Span,
-        leave_before: Option<Time>,
+        send_before: Option<Time>,
     ) -> Option<Input> {
-        let leave_before = leave_before.map(|at| self.clock.instant(at));
+        let send_before = send_before.map(|at| self.clock.instant(at));
         match &self.upstream {
-            Some(upstream) => upstream.call((id, call), body, timeout, leave_before).err(),
+            Some(upstream) => upstream.call((id, call), body, timeout, send_before).err(),
             None => {
                 let outcome = Outcome::ConnectFailed;
                 Some(Input::UpstreamCallEnded { id, call, outcome, reply: None })
--- a/crates/node/src/settings/active.rs
+++ b/crates/node/src/settings/active.rs
@@ -9,7 +9,7 @@
 use gradepin_core::config::Config;
 use gradepin_core::messages::NameChange;
 use gradepin_core::reload::Reload;
-use gradepin_core::slots::{ByName, CHUNK_COUNT, Handle, Named};
+use gradepin_core::slots::{ByName, Handle, Named, SHARD_COUNT};
 use std::collections::{HashMap, HashSet};
 use std::hash::{BuildHasher, RandomState};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -35,11 +35,11 @@
 
 impl<D: Named + PartialEq> NameTable<D> {
     fn new() -> Self {
-        Self { chunks: (0..CHUNK_COUNT).map(|_| RwLock::default()).collect(), hasher: RandomState::new() }
+        Self { chunks: (0..SHARD_COUNT).map(|_| RwLock::default()).collect(), hasher: RandomState::new() }
     }
 
     fn chunk(&self, name: &str) -> &Chunk<D> {
-        &self.chunks[self.hasher.hash_one(name) as usize % CHUNK_COUNT]
+        &self.chunks[self.hasher.hash_one(name) as usize % SHARD_COUNT]
     }
 
     fn get(&self, name: &str) -> Option<(Entry, Arc<D>)> {
@@ -156,10 +156,11 @@
     /// Compares a configuration file that was read again with what is in force. Takes time in proportion to the file: not
     /// for the reducer's thread.
     pub fn compare(&self, mut config: Config) -> Reload {
-        let compared_at = self.0.edition.load(Ordering::Acquire);
+        let compared_edition = self.0.edition.load(Ordering::Acquire);
         let SplitSettings { rest, classes, tenants } = std::mem::take(&mut config.settings).split();
         config.settings = rest;
-        let mut reload = Reload { config, changes: Vec::new(), new_classes: 0, new_tenants: 0, compared_at };
+        let mut reload =
+            Reload { config, changes: Vec::new(), new_classes: 0, new_tenants: 0, compared_edition };
         let names = classes.iter().map(|class| class.name()).collect();
         reload.changes.extend(self.0.classes.in_force_except(&names).into_iter().map(Change::RemoveClass));
         let names = tenants.iter().map(|tenant| tenant.name()).collect();
--- a/crates/node/src/settings/active/tests.rs
+++ b/crates/node/src/settings/active/tests.rs
@@ -33,7 +33,7 @@
     let new = config(&[("view", 4), ("save", 9), ("tag", 1)], &[("b", 2.0), ("c", 1.0)]);
     let reload = active.compare(new.clone());
     assert_eq!(summary(&reload.changes), ["-@a", "+save", "+tag", "+@b", "+@c"]);
-    assert_eq!((reload.new_classes, reload.new_tenants, reload.compared_at), (1, 1, 0));
+    assert_eq!((reload.new_classes, reload.new_tenants, reload.compared_edition), (1, 1, 0));
     assert!(reload.config.settings.profiles.is_empty() && reload.config.settings.customers.is_empty());
     let (_, tenants) = (active.tenant("b"), new.settings.split().tenants);
     active.publish(
@@ -45,7 +45,7 @@
     );
     let again = active.compare(config(&[("view", 4), ("save", 4)], &[("b", 2.0)]));
     assert_eq!(
-        (summary(&again.changes), again.compared_at),
+        (summary(&again.changes), again.compared_edition),
         (Vec::new(), 5),
         "a is removed already, b is as it is"
     );
--- a/crates/node/src/startup/context.rs
+++ b/crates/node/src/startup/context.rs
@@ -195,7 +195,7 @@
         inputs: Sender<Input>,
         state: &ServerState,
     ) -> Result<Frontend, StartError> {
-        let max_connections = self.config.connections();
+        let max_connections = self.config.max_connections();
         Frontend::listen(listeners, max_connections, inputs, Arc::clone(&state.pool), self.log.clone())
             .map_err(StartError::system("the reader of client connections"))
     }
@@ -209,9 +209,9 @@
 
     fn start_upstream(&self, starter: &UpstreamStarter) -> Result<Option<UpstreamClient>, StartError> {
         let is_shared = self.config.settings.specifics.below == UpstreamKind::Shared;
-        start_optional(self.config.ledger.filter(|_| is_shared), |address| {
+        start_optional(self.config.upstream.filter(|_| is_shared), |address| {
             starter
-                .start(address, self.config.calls())
+                .start(address, self.config.max_upstream_calls())
                 .map_err(StartError::system("the threads of upstream calls"))
         })
     }
--- a/crates/node/src/upstream_client.rs
+++ b/crates/node/src/upstream_client.rs
@@ -42,7 +42,7 @@
     /// The call and its wait in the queue end here.
     deadline: Instant,
     /// The call must not be sent at this time or later.
-    leave_before: Option<Instant>,
+    send_before: Option<Instant>,
 }
 
 /// The address that calls go to; a reload changes it.
@@ -99,17 +99,17 @@
 
     /// Queues a call for a request, under a number; never blocks. A full queue rejects it, and its end is returned: the
     /// caller is the thread that empties the inputs, and would wait for itself where those are full.
-    /// At `leave_before` or later the call must not be sent: the lease that it is made under has expired.
+    /// At `send_before` or later the call must not be sent: the lease that it is made under has expired.
     pub fn call(
         &self,
         (id, number): (RequestId, UpstreamCallId),
         body: &[u8],
         timeout: Span,
-        leave_before: Option<Instant>,
+        send_before: Option<Instant>,
     ) -> Result<(), Input> {
         let timeout = Duration::from_nanos(timeout.0);
         let deadline = Instant::now() + timeout;
-        let call = Call { id, number, body: Arc::new(body.to_vec()), timeout, deadline, leave_before };
+        let call = Call { id, number, body: Arc::new(body.to_vec()), timeout, deadline, send_before };
         self.calls.try_send(call).map_err(|unsent| {
             warn!(self.log, "upstream call rejected: queue is full"; "capacity" => QUEUE_CAPACITY);
             let Call { id, number, .. } = unsent.into_inner();
@@ -178,7 +178,7 @@
             return CallEnd::without_reply(Outcome::Rejected);
         };
         // Checked last: this thread may have been stopped since the call was decided.
-        if call.leave_before.is_some_and(|leave_before| Instant::now() >= leave_before) {
+        if call.send_before.is_some_and(|send_before| Instant::now() >= send_before) {
             return CallEnd::without_reply(Outcome::Rejected);
         }
         self.exchange(url, call, remaining)
--- a/crates/node/tests/hold.rs
+++ b/crates/node/tests/hold.rs
@@ -66,7 +66,7 @@
         let batch = hold(batch.collect(), 9_070).0;
         let changes = (0..tenants).map(|n| Change::PutTenant(tenant(n, 4.0))).collect();
         let reload =
-            Reload { config: config.clone(), changes, new_classes: 0, new_tenants: 0, compared_at: 3 };
+            Reload { config: config.clone(), changes, new_classes: 0, new_tenants: 0, compared_edition: 3 };
         let (mut longest, effects) = step(&mut reducer, 9_080, vec![Input::Reload(Box::new(reload))]);
         let (mut whole, mut pieces) = (longest, 1);
         let mut over = effects.iter().any(|effect| matches!(effect, Effect::ReloadFinished));
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -116,7 +116,7 @@
             id: &id.0,
             window_left_ms: window_left.0.div_ceil(MS),
         },
-        LogRecord::Known { key, fingerprint, id, window_left, result } => {
+        LogRecord::Outcome { key, fingerprint, id, window_left, result } => {
             let (fingerprint, id, window_left_ms) = (*fingerprint, &*id.0, window_left.0.div_ceil(MS));
             match result {
                 Some(result) => StoredRecord::Served { key, fingerprint, id, window_left_ms, result },
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -10,7 +10,7 @@
 use crate::recovery::{Reading, RecoveredLog};
 use gradepin_admission::Span;
 use gradepin_core::idempotency_log::LogRecord;
-use gradepin_core::idempotency_table::READ_LATE;
+use gradepin_core::idempotency_table::MAX_READ_DELAY;
 use std::collections::VecDeque;
 use std::io;
 
@@ -175,7 +175,7 @@
             // What a damaged segment held is unknown: it is kept as long as the recovery is incomplete.
             let damaged = segment.damage.is_some();
             let left = if damaged { Span(left.0.max(limits.window.0)) } else { left };
-            let expires_at_ms = left.0.saturating_add(READ_LATE.0) / MS;
+            let expires_at_ms = left.0.saturating_add(MAX_READ_DELAY.0) / MS;
             sealed.push_back(Sealed { number: segment.number, bytes: segment.bytes, expires_at_ms, damaged });
         }
         let found = reading.found(limits.window, salt);
@@ -288,7 +288,7 @@
         let mut records = records.peekable();
         while let Some(record) = records.next() {
             let left = record.window_left_ms().unwrap_or(0);
-            let over = stamp.mono_ms.saturating_add(left).saturating_add(READ_LATE.0 / MS);
+            let over = stamp.mono_ms.saturating_add(left).saturating_add(MAX_READ_DELAY.0 / MS);
             active.expires_at_ms = active.expires_at_ms.max(over);
             size += max_encoded_bytes(&record);
             batch.records.push(record);
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -7,7 +7,7 @@
 use crate::frame::{Frames, SegmentHeader, StoredRecord, Tail};
 use gradepin_admission::Span;
 use gradepin_core::idempotency_log::{RecoveredRuns, SavedOutcome, SavedRun};
-use gradepin_core::idempotency_table::READ_LATE;
+use gradepin_core::idempotency_table::MAX_READ_DELAY;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::ops::Bound;
 
@@ -316,7 +316,7 @@
         let mut past: Vec<SavedRun> = past.collect();
         past.sort_by(|a, b| a.key.cmp(&b.key));
         RecoveredLog {
-            recovered: RecoveredRuns { runs: past, salt, doubtful_for: doubt, notes },
+            recovered: RecoveredRuns { runs: past, salt, incomplete_for: doubt, notes },
             segments: self.segments,
         }
     }
@@ -330,6 +330,6 @@
         .range((Bound::Excluded(incarnation), Bound::Unbounded))
         .map(|(_, last)| *last)
         .fold(own, u64::saturating_add);
-    let late = end_ms.saturating_add(READ_LATE.0 / MS);
+    let late = end_ms.saturating_add(MAX_READ_DELAY.0 / MS);
     (now < late).then(|| Span(end_ms.saturating_sub(now).saturating_mul(MS)))
 }
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -285,7 +285,7 @@
     let result = gradepin_core::buffer_pool::BufferPool::new(0).exact(&[7; 1_000]).map(std::sync::Arc::new);
     for group in 0..50 {
         let records: Vec<LogRecord> = (0..400)
-            .map(|n| LogRecord::Known {
+            .map(|n| LogRecord::Outcome {
                 key: format!("{:06}", group * 400 + n).into(),
                 fingerprint: 1,
                 id: RequestId::new(&format!("{n:016x}")),
@@ -306,11 +306,11 @@
         past[..19_900].iter().all(|past| past.outcome == SavedOutcome::Failed),
         "the others are known to have ended"
     );
-    assert_eq!(found.recovered.doubtful_for, None);
+    assert_eq!(found.recovered.incomplete_for, None);
     // More runs than there may be: the rest is not known, so nothing new of a key may run for a window.
     let few = Limits { max_records: 1_000, ..limits };
     let (_, found) = Log::open(Box::new(files), few, 7).expect("whole");
-    assert_eq!((found.recovered.runs.len(), found.recovered.doubtful_for), (1_000, Some(window)));
+    assert_eq!((found.recovered.runs.len(), found.recovered.incomplete_for), (1_000, Some(window)));
 }
 
 /// Guards against what a failed sync leaves behind: nothing written before it is trusted, and a crash at any moment after
--- a/crates/store/tests/golden_files.rs
+++ b/crates/store/tests/golden_files.rs
@@ -80,7 +80,7 @@
 fn known(token: &str, print: u64, result: Option<&[u8]>) -> LogRecord {
     let result = result.map(|bytes| Arc::new(BufferPool::new(1).exact(bytes).expect("short")));
     let (id, window_left) = (id(&format!("{token}-1")), Span(11_000 * MS));
-    LogRecord::Known { key: token.into(), fingerprint: print, id, window_left, result }
+    LogRecord::Outcome { key: token.into(), fingerprint: print, id, window_left, result }
 }
 
 /// Every kind of record, in two frames; a try that ended, one that failed, one that never ran and one of which nothing tells.
@@ -111,7 +111,7 @@
 fn recovers_keyed_runs_from_a_golden_segment() {
     let (_, found) = open_runs(&MemoryFolder::golden("runs.txt"));
     let recovered = found.recovered;
-    assert_eq!((recovered.salt, recovered.doubtful_for, recovered.notes), (ID, None, Vec::<String>::new()));
+    assert_eq!((recovered.salt, recovered.incomplete_for, recovered.notes), (ID, None, Vec::<String>::new()));
     let past = recovered.runs.iter().map(|past| {
         (past.key.as_str(), past.fingerprint, past.id.as_str(), past.window_left.0 / MS, past.outcome.clone())
     });
--- a/crates/store/tests/world/mod.rs
+++ b/crates/store/tests/world/mod.rs
@@ -9,7 +9,7 @@
 use gradepin_core::buffer_pool::BufferPool;
 use gradepin_core::config::Config;
 use gradepin_core::idempotency_log::{IdempotencyLog, RecordBatch};
-use gradepin_core::idempotency_table::READ_LATE;
+use gradepin_core::idempotency_table::MAX_READ_DELAY;
 use gradepin_core::messages::{ClientRequest, Effect, Input, Response, RunEnd};
 use gradepin_core::reducer::Reducer;
 use gradepin_core::registration::Registration;
@@ -456,5 +456,5 @@
 
 /// How long a segment is needed past the last window in it, in ms.
 pub fn late_ms() -> u64 {
-    READ_LATE.0 / MS
+    MAX_READ_DELAY.0 / MS
 }
--- a/crates/testkit/src/bench/keys.rs
+++ b/crates/testkit/src/bench/keys.rs
@@ -1,7 +1,7 @@
 //! The table of keyed requests: the wheel beside a sweep over everything (as it was), and beside an ordered set.
 
 use gradepin_admission::{RequestId, Time};
-use gradepin_core::idempotency_table::{IdempotencyTable, READ_LATE, RunOutcome};
+use gradepin_core::idempotency_table::{IdempotencyTable, MAX_READ_DELAY, RunOutcome};
 use gradepin_core::timestamp::Timestamp;
 use std::collections::{BTreeSet, HashMap};
 use std::hint::black_box;
@@ -22,7 +22,7 @@
 }
 
 fn life_ms() -> u64 {
-    WINDOW_MS + READ_LATE.0 / MS
+    WINDOW_MS + MAX_READ_DELAY.0 / MS
 }
 
 /// The table as it is.
--- a/crates/testkit/src/bench/store.rs
+++ b/crates/testkit/src/bench/store.rs
@@ -68,7 +68,7 @@
             .map(|one| {
                 let (token, id) = (Arc::clone(&one.token), RequestId(Arc::clone(&one.token)));
                 match one.end {
-                    true => LogRecord::Known {
+                    true => LogRecord::Outcome {
                         key: token,
                         fingerprint: 7,
                         id,
@@ -80,7 +80,7 @@
             })
             .collect();
         self.log.add(Stamp { mono_ms, unix_ms: 0 }, &records).map_err(io::Error::other)?;
-        self.log.expire(mono_ms + gradepin_core::idempotency_table::READ_LATE.0 / MS)
+        self.log.expire(mono_ms + gradepin_core::idempotency_table::MAX_READ_DELAY.0 / MS)
     }
 }
 
@@ -276,7 +276,7 @@
                     Arc::from(format!("{:032x}", (*n as u128).wrapping_mul(0x9e37_79b9_7f4a_7c15)));
                 let id = RequestId::new(&format!("{n:016x}"));
                 match n % 2 {
-                    0 => LogRecord::Known {
+                    0 => LogRecord::Outcome {
                         key: token,
                         fingerprint: 7,
                         id,
