--- a/crates/core/src/admin.rs
+++ b/crates/core/src/admin.rs
@@ -1,6 +1,6 @@
-//! Operators' requests at the admin endpoint, their responses, and the one command whose effect is kept here: a drain.
+//! Operators' requests at the admin endpoint and their responses, and the state of an operator's drain.
 //!
-//! No I/O: the shell decodes requests and encodes responses. It answers for the reducer where that is late.
+//! Does no I/O: the shell decodes requests and encodes responses, and responds itself if the reducer is late.
 
 use crate::configuration::{ConfigurationAdminRequest, ConfigurationAdminResponse};
 use crate::request_metrics::MetricsSnapshot;
@@ -9,107 +9,107 @@
 use gradepin_coordination::messages::{CommandResult, OperatorCommand};
 use gradepin_coordination::server_agent::{AgentStatus as Agreements, CommandStatus};
 
-/// Names a request of the admin endpoint until it is answered; never used again.
+/// Id of a request at the admin endpoint; never reused.
 pub type AdminRequestId = u64;
 
-/// An operator's request.
+/// An operator's request at the admin endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AdminRequest {
-    /// Whether this process is ready to serve.
+    /// Query whether this process is ready to serve.
     Health,
-    /// The metrics.
+    /// Query the metrics.
     Stats,
-    /// The cluster as this server sees it.
+    /// Query this server's view of the cluster.
     Fleet,
-    /// Send clients away: the health check fails until the drain ends.
+    /// Start a drain: the health check fails until the drain ends, so that clients go elsewhere.
     StartDrain,
     /// End the drain.
     EndDrain,
-    /// About permits, rollouts and the consensus group.
+    /// A request about permits, rollouts or the consensus group.
     Agreement(AgreementRequest),
-    /// About the committed configuration.
+    /// A request about the committed configuration.
     Configuration(ConfigurationAdminRequest),
 }
 
 /// An operator's request about permits, rollouts and the consensus group.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AgreementRequest {
-    /// The agreements as far as this server knows them.
+    /// Query the agreements as this server knows them.
     Status,
     /// Propose a command to the consensus group.
     Command(Box<OperatorCommand>),
-    /// Status of a command.
+    /// Query the status of a command.
     CommandStatus {
         /// Ticket of the command.
         ticket: u64,
     },
     /// Found the consensus group.
     FoundGroup,
-    /// Which version a server shall run, for whoever starts its process.
+    /// Query the program version that a server must run, before its process is started.
     TargetVersion {
         /// Name of the server.
         server: String,
     },
-    /// This server asks for a permit to leave, and leaves by it.
+    /// Have this server request a permit and leave once it is granted.
     Leave,
-    /// This server stays.
+    /// Have this server stay in service, and withdraw its request for a permit.
     Stay,
 }
 
 /// The response to an [`AgreementRequest`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum AgreementResponse {
-    /// This server has no consensus group.
+    /// There is no consensus group.
     Off,
-    /// The agreements.
+    /// The agreements as this server knows them.
     Status(Box<Agreements>),
-    /// The command is under way, under this ticket.
+    /// The command was submitted under this ticket.
     Ticket(u64),
     /// Status of a command.
     CommandStatus(CommandStatus),
-    /// Done, with a text for the operator; or why not.
+    /// The request is completed, with a text for the operator, or failed.
     Completed(CommandResult),
-    /// The version, if a release has one for the server.
+    /// Program version of the server; `None` if no release assigns one.
     TargetVersion(Option<String>),
 }
 
 /// The response to an [`AdminRequest`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum AdminResponse {
-    /// Ready to serve, or why not.
+    /// Whether the process is ready, or why it is not.
     Health(Result<(), NotReadyReason>),
-    /// The metrics.
+    /// Values of the metrics.
     Stats(Box<MetricsSnapshot>),
-    /// About permits, rollouts and the consensus group.
+    /// The response about permits, rollouts or the consensus group.
     Agreement(AgreementResponse),
-    /// About the committed configuration.
+    /// The response about the committed configuration.
     Configuration(Box<ConfigurationAdminResponse>),
-    /// The cluster as this server sees it; none where servers don't talk to each other.
+    /// This server's view of the cluster; `None` without a cluster.
     Fleet(Option<Box<FleetView>>),
     /// The drain was started or ended.
     DrainState {
-        /// Whether an operator drains the process from now on.
+        /// Whether an operator drains the process now.
         draining: bool,
-        /// Whether it was otherwise before.
+        /// Whether the request changed that.
         changed: bool,
     },
 }
 
-/// Why a process is not ready to serve; the first that holds, in this order.
+/// Why a process is not ready to serve. If several reasons apply, the first in this order is reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotReadyReason {
-    /// It shuts down.
+    /// The process shuts down.
     ShuttingDown,
-    /// An operator drains it.
+    /// An operator drains the process.
     OperatorDrain,
-    /// Its processor has not greeted yet: nothing could run.
+    /// The processor has not greeted yet, so nothing could run.
     NoProcessor,
-    /// The admission module reports that it is unhealthy, or an operator took it out of service.
+    /// The admission module reports that the server is unhealthy, or an operator took it out of service.
     Unhealthy,
 }
 
 impl NotReadyReason {
-    /// In a word, for the response and the log.
+    /// Returns the reason in one or two words, for the response and the log.
     pub fn word(self) -> &'static str {
         match self {
             Self::ShuttingDown => "leaving",
@@ -120,25 +120,25 @@
     }
 }
 
-/// The state of the process that its readiness depends on, beside an operator's drain.
+/// State of the process that its readiness depends on, in addition to an operator's drain.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ReadinessInputs {
     /// Whether the processor has greeted.
     pub processor: bool,
-    /// Whether the admission module takes requests, and no operator took the server out of service.
+    /// Whether the admission module takes requests and no operator took the server out of service.
     pub healthy: bool,
-    /// Whether the notice to shut down has come.
+    /// Whether the shutdown notice has arrived.
     pub shutting_down: bool,
 }
 
-/// The drain that operators order at the admin endpoint.
+/// The drain that operators start and end at the admin endpoint.
 #[derive(Debug, Default)]
 pub struct OperatorDrain {
     draining_since: Option<Time>,
 }
 
 impl OperatorDrain {
-    /// Starts or ends the drain; the response says whether that changed anything.
+    /// Starts or ends the drain. The response says whether that changed anything.
     pub fn set(&mut self, now: Time, draining: bool) -> AdminResponse {
         let changed = if draining {
             self.draining_since.replace(self.draining_since.unwrap_or(now)).is_none()
@@ -148,12 +148,12 @@
         AdminResponse::DrainState { draining, changed }
     }
 
-    /// Since when an operator drains the process; none if not.
+    /// Returns when the drain started; `None` if there is none.
     pub fn draining_since(&self) -> Option<Time> {
         self.draining_since
     }
 
-    /// Whether the process is ready to serve, or the first reason why not.
+    /// Returns whether the process is ready to serve, or the first reason why it is not.
     pub fn readiness(&self, server: ReadinessInputs) -> Result<(), NotReadyReason> {
         if server.shutting_down {
             Err(NotReadyReason::ShuttingDown)
--- a/crates/core/src/classes.rs
+++ b/crates/core/src/classes.rs
@@ -1,17 +1,18 @@
-//! The classes in force. Each has a slot that it keeps while anything refers to it, so that an open request, an idempotency key
-//! or a count that names the class by its slot means the same after a change.
+//! The classes in force. Each class keeps its slot while anything refers to it, so that open requests, idempotency keys
+//! and counts, which refer to the class by slot, remain valid across changes.
 //!
-//! A class that is removed is dropped first: its requests are still accepted for [`DROP_GRACE`], since client proxies learn of
-//! new settings late, and rejected as unknown after that; open requests keep their class. Its slot is free once the grace is
-//! over, no request of it is open, and no attempt can ask for a run under one of its keys. If it is put again before that, it
-//! gets its slot back.
+//! A removed class is first dropped. Its requests are still accepted for [`DROP_GRACE`], since client proxies learn of
+//! new settings late, and rejected as unknown after that; open requests keep their class. The slot is freed once the
+//! grace period is over, no request of the class is open, and no attempt can ask for a run under one of its keys. A
+//! class that is put again before that gets its slot back.
 //!
-//! A class that was keyed and is no longer stays keyed for the admission module until the window of the last attempt with a key
-//! is over ([`Classes::get`]): what ran under a key must not run again because the settings changed. Attempts without a key run
-//! as the settings say meanwhile.
+//! A class that changes from keyed to not keyed remains keyed for the admission module until the window of the last
+//! attempt with a key is over ([`Classes::get`]): what ran under a key must not run again because the settings changed.
+//! Meanwhile attempts without a key run according to the new settings.
 //!
-//! Invariants: a name has one slot; a slot that is referred to keeps its name; a change costs the same however many classes
-//! there are. Not here: which changes are valid, and what the admission module makes of a definition.
+//! Invariants: a name has one slot; a slot that is referred to keeps its name; the cost of a change does not depend on
+//! the number of classes. Whether a change is valid is checked elsewhere, and the admission module interprets the
+//! definitions.
 
 use crate::slots::{Handle, Slots};
 use gradepin_admission::{ClassDefinition, ClassProfile, Idempotency, Settings, Span, Time, time_after};
@@ -19,110 +20,110 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Requests of a dropped class are accepted for so long: client proxies use new settings 1.2 s after a reload, and some
-/// requests that were on their way arrive later.
+/// How long requests of a dropped class are accepted. Client proxies use new settings 1.2 s after a reload, and
+/// requests that were in transit arrive later.
 pub const DROP_GRACE: Span = Span(2_500_000_000);
-/// The longest name of a class or tenant. One of each fits into a message beside the longest body and all other fields at their
-/// longest. Guards against classes whose requests can't be read.
-pub const MAX_CLASS_NAME_BYTES: usize = 1_024;
-/// Slots beside those of all classes in force are for as many that are dropped and still referred to.
+/// Maximum length of a class or tenant name, in bytes. One of each fits into a message together with the longest body
+/// and all other fields at their longest. Guards against classes whose requests can't be read.
+pub const MAX_NAME_BYTES: usize = 1_024;
+/// Maximum number of class slots. Those beyond [`MAX_CLASSES`] are for dropped classes that are still referred to.
 pub const MAX_CLASS_SLOTS: usize = 2 * MAX_CLASSES;
 
-/// Why the names of settings can't be used.
+/// Why the class or tenant names of settings are invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum NamesError {
-    /// Two classes or two tenants share a name.
-    #[error("expected each name once in settings.{what}, got '{name}' twice")]
-    Twice {
-        /// The list in the settings.
-        what: &'static str,
-        /// The name.
+    /// Two classes or two tenants have the same name.
+    #[error("expected each name once in settings.{list}, got '{name}' twice")]
+    Duplicate {
+        /// Key of the list in the settings.
+        list: &'static str,
+        /// The duplicate name.
         name: String,
     },
-    /// A name leaves no room for the longest body in a message of a client proxy.
-    #[error(
-        "expected names of at most {MAX_CLASS_NAME_BYTES} bytes in settings.{what}, got {got} in '{start}..'"
-    )]
+    /// A name is longer than [`MAX_NAME_BYTES`], so that the longest body would not fit into a message of a client
+    /// proxy.
+    #[error("expected names of at most {MAX_NAME_BYTES} bytes in settings.{list}, got {got} in '{start}..'")]
     TooLong {
-        /// The list in the settings.
-        what: &'static str,
-        /// The first characters of the name.
+        /// Key of the list in the settings.
+        list: &'static str,
+        /// First 40 characters of the name.
         start: String,
-        /// Its length, in bytes.
+        /// Length of the name in bytes.
         got: usize,
     },
-    /// More are named than may be in force at a time.
-    #[error("expected at most {max} of settings.{what}, got {got}")]
+    /// More classes or tenants are listed than may be in force.
+    #[error("expected at most {max} of settings.{list}, got {got}")]
     TooMany {
-        /// The list in the settings.
-        what: &'static str,
-        /// How many may be in force.
+        /// Key of the list in the settings.
+        list: &'static str,
+        /// Maximum number in force.
         max: usize,
-        /// How many the settings have.
+        /// Number in the settings.
         got: usize,
     },
 }
 
-/// The result of putting a definition.
+/// How putting a definition changed the classes or tenants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Put {
-    /// Its name was in no slot.
+pub enum PutResult {
+    /// The name had no slot.
     Added,
-    /// It was in force with another definition.
+    /// The name was in force with another definition.
     Changed,
-    /// It had been removed, and is in force again in the same slot.
-    Back,
-    /// It was in force with the same definition.
-    Same,
+    /// The name had been removed, and is in force again in the same slot.
+    Restored,
+    /// The name was in force with the same definition.
+    Unchanged,
 }
 
-/// A slot whose state changed because its time got.
+/// A change of a slot that is due by time.
 #[derive(Debug, PartialEq)]
-pub enum Settled {
-    /// Nothing refers to the slot any more; the class that was in it.
+pub enum SlotExpiry {
+    /// The slot was freed, as nothing refers to it any more. Holds the class that was in it.
     Freed(usize, Arc<ClassDefinition>),
-    /// The class in the slot is no longer keyed for the admission module either.
+    /// The class in the slot is now treated as not keyed, as its settings say.
     Unkeyed(usize),
 }
 
-/// Runs of former definitions of a class that attempts may still ask for.
+/// Runs under former definitions of a class that attempts may still ask for.
 #[derive(Debug, Clone, Copy, Default)]
 struct KeyedRuns {
-    /// Until when.
+    /// Until when attempts may ask for them.
     until: Time,
     /// The longest window of those definitions.
     longest_window: Span,
 }
 
-/// What is known of a class beside its definition.
+/// State of a class in addition to its definition.
 #[derive(Debug, Default)]
 struct ClassState {
-    /// Since when it is dropped.
+    /// When the class was dropped; `None` while it is in force.
     dropped_since: Option<Time>,
-    /// Runs under idempotency keys by definitions before this one.
+    /// Runs under idempotency keys by former definitions.
     keyed_runs: Option<KeyedRuns>,
-    /// What holds in place of its definition while it stays keyed though that isn't.
+    /// Effective definition, while the class remains keyed although its own definition is not.
     keyed_definition: Option<Arc<ClassDefinition>>,
-    /// Until when keys without a run are accepted then: client proxies may send them for as long as requests of a dropped class
-    /// come.
+    /// Until when new keys are accepted in that case. Client proxies may send them for as long as they send requests of
+    /// a dropped class.
     new_keys_until: Time,
 }
 
 impl ClassState {
-    /// The class had this definition: attempts may ask for runs under its keys until the last window is over.
+    /// Records a replaced definition. If it was keyed, attempts may ask for its runs until the last window is over.
     fn note_former_keys(&mut self, now: Time, former: &ClassDefinition) {
         if former.profile.effect != Idempotency::Keyed {
             return;
         }
         self.new_keys_until = time_after(now, DROP_GRACE);
         let before = self.keyed_runs.filter(|runs| runs.until > now).unwrap_or_default();
-        // Runs that start under new keys until then go by the longest window, not by the last one.
+        // Runs that start under new keys until then use the longest window, not the latest one.
         let longest_window = before.longest_window.max(former.profile.window);
         let until = before.until.max(time_after(self.new_keys_until, longest_window));
         self.keyed_runs = Some(KeyedRuns { until, longest_window });
     }
 
-    /// Keeps the class keyed though its new definition isn't, if attempts may ask for runs. Returns until when.
+    /// Keeps the class keyed although its new definition is not, if attempts may still ask for its runs. Returns until
+    /// when.
     fn keep_keyed(&mut self, definition: &ClassDefinition) -> Option<Time> {
         self.keyed_definition = None;
         let runs = self.keyed_runs.filter(|_| definition.profile.effect != Idempotency::Keyed)?;
@@ -133,21 +134,21 @@
     }
 }
 
-/// The classes in force, and those dropped that something still refers to.
+/// The classes in force, and dropped ones that are still referred to.
 #[derive(Debug, Default)]
 pub struct Classes {
     slots: Slots<ClassDefinition, ClassState>,
     in_force: usize,
-    /// When to check which slot.
+    /// Times at which slots must be checked.
     due: BTreeSet<(Time, usize)>,
-    /// The idempotency windows of the definitions in slots, with how many have each.
+    /// Idempotency windows of the definitions in slots, with the number of definitions that have each.
     windows: BTreeMap<Span, usize>,
-    /// In place of a class that is in no slot.
-    none: Arc<ClassDefinition>,
+    /// Default definition, returned for an empty slot.
+    placeholder: Arc<ClassDefinition>,
 }
 
 impl Classes {
-    /// The classes that the process starts with, in slots by their order.
+    /// Creates the initial classes, in slots in the order given.
     pub fn new(definitions: impl IntoIterator<Item = Arc<ClassDefinition>>) -> Self {
         let mut classes = Self::default();
         for definition in definitions {
@@ -156,12 +157,12 @@
         classes
     }
 
-    /// How many are in force.
+    /// Number of classes in force.
     pub fn in_force(&self) -> usize {
         self.in_force
     }
 
-    /// How many more names would get a slot now.
+    /// Number of further names that would get a slot now.
     pub fn free_slots(&self) -> usize {
         MAX_CLASS_SLOTS - (self.slots.len() - self.slots.free())
     }
@@ -177,72 +178,72 @@
         self.slots.find(name).is_some()
     }
 
-    /// The slot that a handle refers to, unless it was freed since.
+    /// Returns the slot that a handle refers to, unless the slot was freed since.
     pub fn resolve(&self, handle: Handle) -> Option<usize> {
         self.slots.resolve(handle)
     }
 
-    /// The handle of the class in a slot.
+    /// Returns the handle of the class in a slot.
     pub fn handle(&self, slot: usize) -> Handle {
         self.slots.handle(slot)
     }
 
-    /// The definition that holds for the class in a slot: as it was put, but keyed while attempts may ask for runs under its
-    /// keys.
+    /// Returns the effective definition of the class in a slot: the definition as put, but keyed while attempts may ask
+    /// for runs under its keys.
     pub fn get(&self, slot: usize) -> &Arc<ClassDefinition> {
         match self.slots.get(slot) {
             Some((_, ClassState { keyed_definition: Some(keyed), .. })) => keyed,
             Some((definition, _)) => definition,
-            None => &self.none,
+            None => &self.placeholder,
         }
     }
 
-    /// The profile that holds for the class in a slot.
+    /// Returns the profile of the effective definition ([`Classes::get`]).
     pub fn profile(&self, slot: usize) -> &ClassProfile {
         &self.get(slot).profile
     }
 
-    /// The definition of the class in a slot as it was put.
-    pub fn defined(&self, slot: usize) -> &Arc<ClassDefinition> {
-        self.slots.get(slot).map_or(&self.none, |(definition, _)| definition)
+    /// Returns the definition of the class in a slot as it was put.
+    pub fn configured(&self, slot: usize) -> &Arc<ClassDefinition> {
+        self.slots.get(slot).map_or(&self.placeholder, |(definition, _)| definition)
     }
 
-    /// All slots that are not free, with the definitions that hold.
+    /// Iterates over all filled slots, with their effective definitions.
     pub fn iter(&self) -> impl Iterator<Item = (usize, &Arc<ClassDefinition>)> {
         self.slots.iter().map(|filled| (filled.slot, self.get(filled.slot)))
     }
 
-    /// How long an idempotency key may be repeated at the most.
+    /// Returns the longest time for which an idempotency key may be repeated.
     pub fn longest_window(&self) -> Span {
         self.windows.keys().next_back().copied().unwrap_or_default()
     }
 
-    /// Adds a class, or replaces the one of this name. Returns its slot.
-    pub fn put(&mut self, now: Time, definition: Arc<ClassDefinition>) -> (usize, Put) {
+    /// Adds a class, or replaces the definition of this name. Returns its slot.
+    pub fn put(&mut self, now: Time, definition: Arc<ClassDefinition>) -> (usize, PutResult) {
         let Some(slot) = self.slots.find(&definition.profile.name) else {
             self.in_force += 1;
             self.count_window(definition.profile.window);
-            return (self.slots.insert(definition, ClassState::default()), Put::Added);
+            return (self.slots.insert(definition, ClassState::default()), PutResult::Added);
         };
-        if self.is_in_force(&definition.profile.name) && **self.defined(slot) == *definition {
-            return (slot, Put::Same);
+        if self.is_in_force(&definition.profile.name) && **self.configured(slot) == *definition {
+            return (slot, PutResult::Unchanged);
         }
         self.count_window(definition.profile.window);
         let Some(former) = self.slots.replace(slot, Arc::clone(&definition)) else {
-            return (slot, Put::Same);
+            return (slot, PutResult::Unchanged);
         };
         self.forget_window(former.profile.window);
-        let Some(state) = self.slots.state_mut(slot) else { return (slot, Put::Same) };
+        let Some(state) = self.slots.state_mut(slot) else { return (slot, PutResult::Unchanged) };
         state.note_former_keys(now, &former);
-        let is_back = state.dropped_since.take().is_some();
+        let is_restored = state.dropped_since.take().is_some();
         if let Some(until) = state.keep_keyed(&definition) {
             self.due.insert((until, slot));
         }
-        self.in_force += usize::from(is_back);
-        (slot, if is_back { Put::Back } else { Put::Changed })
+        self.in_force += usize::from(is_restored);
+        (slot, if is_restored { PutResult::Restored } else { PutResult::Changed })
     }
 
-    /// Drops the class of a name. Returns its slot, if it was in force.
+    /// Drops the class of this name. Returns its slot if it was in force.
     pub fn remove(&mut self, now: Time, name: &str) -> Option<usize> {
         let slot = self.slots.find(name)?;
         let state = self.slots.state_mut(slot).filter(|state| state.dropped_since.is_none())?;
@@ -253,7 +254,7 @@
         Some(slot)
     }
 
-    /// When the slot of a dropped class may be free at the earliest.
+    /// Returns the earliest time at which the slot of a dropped class may be freed.
     fn free_at(&self, slot: usize) -> Option<Time> {
         let (definition, state) = self.slots.get(slot)?;
         let grace_ends = time_after(state.dropped_since?, DROP_GRACE);
@@ -263,12 +264,12 @@
         Some(state.keyed_runs.map_or(window_ends, |runs| runs.until.max(window_ends)))
     }
 
-    /// A request of the class in a slot is open from now on.
+    /// Adds a reference to a slot, for a request that is opened.
     pub fn acquire(&mut self, slot: usize) {
         self.slots.acquire(slot);
     }
 
-    /// A request of the class in a slot is no longer open.
+    /// Removes a reference from a slot, for a request that is no longer open.
     pub fn release(&mut self, slot: usize) {
         if self.slots.release(slot)
             && let Some(free_at) = self.free_at(slot)
@@ -277,27 +278,27 @@
         }
     }
 
-    /// Frees slots and ends idempotency where the time for it has come, in at most `max_slots` slots. The caller must hold no
-    /// request or event of a class that may be freed.
-    pub fn settle(&mut self, now: Time, max_slots: usize) -> Vec<Settled> {
-        let mut settled = Vec::new();
+    /// Frees the slots and ends the keyed treatment that are due, for at most `max_slots` slots. The caller must hold
+    /// no request or event of a class that may be freed.
+    pub fn expire_slots(&mut self, now: Time, max_slots: usize) -> Vec<SlotExpiry> {
+        let mut expired = Vec::new();
         for _ in 0..max_slots {
             let Some(slot) = self.next_due(now) else { break };
-            let is_referred_to = self.slots.is_referred_to(slot);
-            if !is_referred_to && self.free_at(slot).is_some_and(|free_at| free_at <= now) {
+            let is_referenced = self.slots.is_referenced(slot);
+            if !is_referenced && self.free_at(slot).is_some_and(|free_at| free_at <= now) {
                 if let Some((definition, _)) = self.slots.remove(slot) {
                     self.forget_window(definition.profile.window);
-                    settled.push(Settled::Freed(slot, definition));
+                    expired.push(SlotExpiry::Freed(slot, definition));
                 }
                 continue;
             }
             let Some(state) = self.slots.state_mut(slot) else { continue };
             let runs_are_over = state.keyed_runs.take_if(|runs| runs.until <= now).is_some();
             if runs_are_over && state.keyed_definition.take().is_some() {
-                settled.push(Settled::Unkeyed(slot));
+                expired.push(SlotExpiry::Unkeyed(slot));
             }
         }
-        settled
+        expired
     }
 
     fn next_due(&mut self, now: Time) -> Option<usize> {
@@ -307,13 +308,13 @@
         self.due.pop_first().map(|(_, slot)| slot)
     }
 
-    /// Whether a slot is due to be checked.
+    /// Whether any slot is due to be checked.
     pub fn is_due(&self, now: Time) -> bool {
         self.due.first().is_some_and(|(at, _)| *at <= now)
     }
 
-    /// Whether an idempotency key without a run is accepted now. Past the grace of a class that is no longer keyed it isn't: a
-    /// run under it would be inside its window when the class stops being keyed.
+    /// Whether a new idempotency key is accepted now. It is not once the grace period of a class that is no longer
+    /// keyed is over, because the window of a run under the key would still be open when the class stops being keyed.
     pub fn accepts_new_keys(&self, slot: usize, now: Time) -> bool {
         let state = self.slots.get(slot).map(|(_, state)| state);
         state.is_none_or(|state| state.keyed_definition.is_none() || now < state.new_keys_until)
@@ -342,7 +343,8 @@
     }
 }
 
-/// Whether settings name each class and each tenant once, with names that fit, and no more of them than may be in force.
+/// Checks that the class and tenant names of settings are unique, that none is too long, and that there are not more
+/// than may be in force.
 pub fn check(settings: &Settings) -> Result<(), NamesError> {
     let classes = settings.profiles.iter().map(|profile| profile.name.as_str());
     check_names("profiles", MAX_CLASSES, classes)?;
@@ -351,22 +353,22 @@
 }
 
 fn check_names<'a>(
-    what: &'static str,
+    list: &'static str,
     max_names: usize,
     names: impl ExactSizeIterator<Item = &'a str>,
 ) -> Result<(), NamesError> {
     let got = names.len();
     if got > max_names {
-        return Err(NamesError::TooMany { what, max: max_names, got });
+        return Err(NamesError::TooMany { list, max: max_names, got });
     }
     let mut seen = std::collections::HashSet::with_capacity(got);
     for name in names {
-        if name.len() > MAX_CLASS_NAME_BYTES {
+        if name.len() > MAX_NAME_BYTES {
             let start = name.chars().take(40).collect();
-            return Err(NamesError::TooLong { what, start, got: name.len() });
+            return Err(NamesError::TooLong { list, start, got: name.len() });
         }
         if !seen.insert(name) {
-            return Err(NamesError::Twice { what, name: name.to_string() });
+            return Err(NamesError::Duplicate { list, name: name.to_string() });
         }
     }
     Ok(())
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,7 +1,7 @@
-//! The configuration of one tile server, as JSON. Reading the file is the shell's.
+//! The configuration of one tile server, in JSON. The shell reads the file.
 
 mod address;
-mod place;
+mod error_path;
 
 use crate::classes::{self, NamesError};
 use gradepin_admission::numbers::whole_part;
@@ -12,46 +12,46 @@
 /// The configuration of a tile server, as the platform writes it. Unknown keys are ignored.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Config {
-    /// Its name in the control plane's list.
+    /// Name of the server in the control plane's list.
     pub name: String,
-    /// Where client proxies connect.
+    /// Address on which the server accepts client proxies.
     #[serde(deserialize_with = "address::required")]
     pub listen: SocketAddr,
-    /// Where the processor listens.
+    /// Address of the processor.
     #[serde(deserialize_with = "address::required")]
     pub processor: SocketAddr,
-    /// Where the control plane takes reports.
+    /// Address of the control plane, to which readiness is reported.
     #[serde(deserialize_with = "address::required")]
     pub control: SocketAddr,
-    /// Where the shared upstream takes calls over HTTP. Without it a call that a run asks for can't be made, as at a deployment
-    /// whose processor makes them itself.
+    /// Address of the shared upstream, which is called over HTTP. Without it the server can't make the calls that runs
+    /// request, as in a deployment whose processor makes them itself.
     #[serde(rename = "ledger", default, deserialize_with = "address::optional")]
     pub upstream: Option<SocketAddr>,
-    /// Seed of random numbers as sixteen hex digits, new with each start.
+    /// Seed of random numbers as 16 hexadecimal digits, new at each start.
     pub seed: String,
-    /// Milliseconds from the notice to shut down (SIGTERM) to the stop (SIGKILL).
+    /// Time from the shutdown notice (SIGTERM) to the stop (SIGKILL), in milliseconds.
     #[serde(deserialize_with = "whole_part")]
     pub stop_ms: u64,
-    /// Where operators send requests over HTTP; without it there is no admin endpoint.
+    /// Address of the admin endpoint, which serves operators over HTTP; `None` for no admin endpoint.
     #[serde(default, deserialize_with = "address::optional")]
     pub admin_addr: Option<SocketAddr>,
-    /// What the process may use.
+    /// Resource limits of the process.
     pub limits: Limits,
     /// Settings of the admission module.
     pub settings: Settings,
-    /// Whether servers lend each other slots of the shared upstream, as the operators' settings say: then more calls may be
-    /// out.
+    /// Whether servers lend each other slots of the shared upstream, according to the operators' settings. More calls
+    /// may then be in flight.
     #[serde(skip)]
     pub lends: bool,
 }
 
-/// Limits of the process.
+/// Resource limits of the process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Limits {
-    /// Most file descriptors.
+    /// Maximum number of file descriptors.
     #[serde(deserialize_with = "whole_part")]
     pub sockets: usize,
-    /// Memory of the process, in MiB.
+    /// Memory limit of the process, in MiB.
     #[serde(default = "default_memory_mb", deserialize_with = "whole_part")]
     pub memory_mb: u64,
 }
@@ -62,63 +62,66 @@
 
 const MIN_MEMORY_MB: u64 = 16;
 
-/// Descriptors that are reserved for the listener, the link, reports, signals, standard streams and [`RESERVED_CONNECTIONS`].
+/// Descriptors reserved for the listener, the processor link, reports, signals, standard streams and
+/// [`RESERVED_CONNECTIONS`].
 const RESERVED_SOCKETS: usize = 32;
-/// Connections that are accepted while all other places are taken: each has one exchange, a health check or a rejection, and is
-/// closed. Guards against peers that fill all places for as long as they like.
+/// Connections that are accepted while all others are in use. Each serves one exchange, a health check or a rejection,
+/// and is then closed. Guards against peers that hold all connections for as long as they like.
 pub const RESERVED_CONNECTIONS: usize = 8;
-/// Descriptors that are reserved where there is an admin endpoint: its listener and its clients.
+/// Descriptors reserved for the admin endpoint, if there is one: its listener and its clients.
 pub const ADMIN_SOCKETS: usize = 33;
 
-/// Calls to the shared upstream that may be out, as a multiple of this server's share of its slots.
+/// Upstream calls that may be in flight, as a multiple of this server's share of the upstream's slots.
 const CALLS_PER_SHARE: f64 = 2.0;
-/// And as a multiple of that where slots are borrowed.
+/// Factor by which borrowed slots increase this number.
 const BORROWED_MULTIPLE: f64 = 3.0;
-/// Bounds of the calls that may be out.
+/// Minimum and maximum number of upstream calls in flight.
 const MIN_CALLS: usize = 4;
 const MAX_CALLS: usize = 64;
-/// Calls may take the descriptors of the process divided by this.
+/// Limit of the descriptors used by upstream calls: the descriptors of the process divided by this.
 const CALL_SOCKETS_DIVISOR: usize = 8;
 
-/// Why a configuration can't be used.
+/// Why a configuration is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// It is no JSON, or a value has the wrong type.
-    #[error("expected a configuration: {path}: {why}")]
-    Form {
-        /// The keys that lead there.
+    /// The text is not valid JSON, or a value has the wrong type.
+    #[error("expected a configuration: {path}: {error}")]
+    Parse {
+        /// Path of the keys that lead to the error.
         path: String,
-        /// What was expected, and what it got.
-        why: serde_json::Error,
+        /// Error of the parser: what it expected and what it found.
+        error: serde_json::Error,
     },
-    /// The name has characters that a report can't hold.
+    /// The server's name is empty or has characters that a report can't contain.
     #[error("expected a name of printable characters, got '{0}'")]
     Name(String),
-    /// Too few descriptors.
+    /// The limit of file descriptors is too low.
     #[error("expected limits.sockets of {min} or more, got {0}", min = 4 * RESERVED_SOCKETS)]
     Sockets(usize),
-    /// Too little memory.
+    /// The memory limit is too low, in MiB.
     #[error("expected limits.memory_mb of {MIN_MEMORY_MB} or more, got {0}")]
     Memory(u64),
-    /// The seed is no hex number.
+    /// The seed is not a hexadecimal number.
     #[error("expected hex digits as seed, got '{0}'")]
     Seed(String),
-    /// The admission module rejects its settings.
+    /// The admission module rejects the settings.
     #[error(transparent)]
     Settings(#[from] AdmissionSettingsError),
-    /// The names of classes or tenants are not usable.
+    /// The names of classes or tenants are invalid.
     #[error(transparent)]
     Names(#[from] NamesError),
-    /// A class has a name that a line to the processor can't hold.
+    /// A class name is empty or contains separators, which a line to the processor can't represent.
     #[error("expected names of classes without spaces, got '{0}'")]
     Class(String),
 }
 
 impl Config {
-    /// Parses and validates the text of a file.
+    /// Parses and validates the text of a configuration file.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
-        let config: Self = serde_json::from_str(text)
-            .map_err(|why| ConfigError::Form { path: place::path(text, why.line(), why.column()), why })?;
+        let config: Self = serde_json::from_str(text).map_err(|error| ConfigError::Parse {
+            path: error_path::path(text, error.line(), error.column()),
+            error,
+        })?;
         config.check()?;
         Ok(config)
     }
@@ -145,24 +148,24 @@
         Ok(())
     }
 
-    /// The seed as a number. Errors: it is no hex number.
+    /// Returns the seed as a number, or an error if it is not hexadecimal.
     pub fn seed(&self) -> Result<u64, ConfigError> {
         u64::from_str_radix(&self.seed, 16).map_err(|_| ConfigError::Seed(self.seed.clone()))
     }
 
-    /// The memory divided by `divisor`, in bytes.
+    /// Returns the memory limit divided by `divisor`, in bytes.
     pub fn memory(&self, divisor: usize) -> usize {
         usize::try_from(self.limits.memory_mb.saturating_mul(1 << 20)).unwrap_or(usize::MAX) / divisor.max(1)
     }
 
-    /// Most client connections at a time, without [`RESERVED_CONNECTIONS`].
+    /// Maximum number of client connections, not counting [`RESERVED_CONNECTIONS`].
     pub fn max_connections(&self) -> usize {
         let admin = if self.admin_addr.is_some() { ADMIN_SOCKETS } else { 0 };
         self.limits.sockets - RESERVED_SOCKETS - admin - self.max_upstream_calls()
     }
 
-    /// Most calls to the shared upstream at a time, each with a connection and a thread of its own. Their descriptors are
-    /// reserved: a call that fails for want of one would count as one that may have run.
+    /// Maximum number of upstream calls in flight, each with its own connection and thread. Their descriptors are
+    /// reserved, because a call that fails for lack of one would count as one that may have run.
     pub fn max_upstream_calls(&self) -> usize {
         if self.upstream.is_none() || self.settings.specifics.below != UpstreamKind::Shared {
             return 0;
--- a/crates/core/src/config/address.rs
+++ b/crates/core/src/config/address.rs
@@ -1,15 +1,16 @@
-//! Addresses in a configuration. The error for an invalid one says what was expected and what it got.
+//! Deserialization of addresses in a configuration. The error for an invalid address says what was expected and what
+//! was found.
 
 use serde::de::{Deserializer, Error};
 use serde::{Deserialize, de};
 use std::net::SocketAddr;
 
-/// An address and port.
+/// Deserializes an address and port.
 pub(super) fn required<'de, D: Deserializer<'de>>(input: D) -> Result<SocketAddr, D::Error> {
     parsed(&String::deserialize(input)?)
 }
 
-/// An address and port, or none.
+/// Deserializes an optional address and port.
 pub(super) fn optional<'de, D: Deserializer<'de>>(input: D) -> Result<Option<SocketAddr>, D::Error> {
     Option::<String>::deserialize(input)?.map(|text| parsed(&text)).transpose()
 }
--- a/crates/core/src/config/place.rs
+++ b/crates/core/src/config/error_path.rs
@@ -1,15 +1,15 @@
-//! The place of an error in a JSON text, as people look for it: by the keys that lead there.
+//! Converts the position of a JSON error to the path of keys that lead to it.
 
-/// An object or list around a place of the text.
+/// An object or list that contains the position.
 enum Container {
-    /// An object, at the value of this key; without one, before a key.
+    /// An object, at the value of this key; `None` before a key.
     Object(Option<String>),
-    /// A list, at its entry of this number.
+    /// A list, at the entry with this index.
     List(usize),
 }
 
-/// The keys that lead to a place of the text, as in `settings.profiles[2].window`, or `the top` if none does. `line` and
-/// `column` count from 1; the text must be well-formed up to there.
+/// Returns the path to a position, such as `settings.profiles[2].window`, or `the top` for the outermost level. `line`
+/// and `column` count from 1; the text must be well-formed up to there.
 pub(super) fn path(text: &str, line: usize, column: usize) -> String {
     let start: usize = text.split_inclusive('\n').take(line.saturating_sub(1)).map(str::len).sum();
     let end = (start + column.saturating_sub(1)).min(text.len());
@@ -38,7 +38,7 @@
         }
         at += 1;
     }
-    // At the end of an object something is missing in it, so its last key doesn't lead there.
+    // An error at the end of an object means that a key is missing, so the last key is not part of the path.
     if bytes.get(end) == Some(&b'}')
         && let Some(Container::Object(key)) = containers.last_mut()
     {
@@ -47,7 +47,7 @@
     joined(&containers)
 }
 
-/// The length of the string that a text begins with, including its quotes.
+/// Returns the length of the string literal at the start of `bytes`, including its quotes.
 fn string_length(bytes: &[u8]) -> usize {
     let mut at = 1;
     while at < bytes.len() && bytes[at] != b'"' {
--- a/crates/core/src/config/tests.rs
+++ b/crates/core/src/config/tests.rs
@@ -13,8 +13,8 @@
     Config::parse(&text.to_string()).unwrap()
 }
 
-/// Guards the server's own connections: with every place taken by clients there is a descriptor for each upstream call, each
-/// client of the admin endpoint, and the rest.
+/// Guards the server's own connections: when clients use all of theirs, descriptors remain for every upstream call,
+/// every client of the admin endpoint and everything else.
 #[test]
 fn client_connections_leave_descriptors_for_the_servers_own_use() {
     let plain = config(|_| ());
@@ -39,7 +39,8 @@
     assert_eq!(lending.max_upstream_calls(), 24);
 }
 
-/// Guards against an operator whose tool writes whole numbers with a point or with an exponent: the server didn't start.
+/// Guards operators whose tools write whole numbers with a point or an exponent: the server didn't start with such a
+/// file.
 #[test]
 fn accepts_whole_numbers_with_a_point_or_an_exponent() {
     let text = r#"{"name": "n", "listen": "127.0.0.1:1", "processor": "127.0.0.1:2", "control": "127.0.0.1:3", "seed": "1",
@@ -58,8 +59,8 @@
     assert_eq!((settings.servers, settings.specifics.n_cores, settings.specifics.clients_total), (10, 6, 3));
 }
 
-/// Guards whoever looks for the mistake in a file of hundreds of classes: the error names the keys that lead there, what was
-/// expected and what it got.
+/// Guards the search for a mistake in a file with hundreds of classes: the error gives the path of the keys, what was
+/// expected and what was found.
 #[test]
 fn error_names_the_path_of_the_invalid_value() {
     let good = json!({
@@ -79,7 +80,7 @@
         } else {
             drop(object.insert(key.into(), value))
         }
-        // In lines and without: the path is the same.
+        // The path must not depend on the line breaks in the text.
         let error = Config::parse(&changed.to_string()).unwrap_err().to_string();
         let lines = Config::parse(&serde_json::to_string_pretty(&changed).unwrap()).unwrap_err().to_string();
         let without = |text: &str| text.split(" at line ").next().unwrap().to_string();
@@ -127,7 +128,7 @@
     }
 }
 
-/// Guards the thread that reads files again against a panic, whatever byte of a file is missing or changed.
+/// Guards the thread that reloads files against a panic, whatever byte of a file is missing or changed.
 #[test]
 fn any_corrupted_file_is_an_error() {
     let good = json!({
@@ -143,9 +144,9 @@
             assert!(error.starts_with("expected a configuration: "), "cut at {at}: {error}");
             let rest = text[at..].chars().next().map_or("", |first| &text[at + first.len_utf8()..]);
             for other in ["", "\"", "{", "}", "[", "]", ",", ":", "\\", "\n", "0", "-", "ä"] {
-                let spoilt = format!("{}{other}{rest}", &text[..at]);
-                if let Err(why) = Config::parse(&spoilt) {
-                    assert!(why.to_string().starts_with("expected"), "{other:?} at {at}: {why}");
+                let corrupted = format!("{}{other}{rest}", &text[..at]);
+                if let Err(error) = Config::parse(&corrupted) {
+                    assert!(error.to_string().starts_with("expected"), "{other:?} at {at}: {error}");
                 }
             }
         }
--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration.rs
@@ -1,5 +1,5 @@
-//! What crosses the reducer's border for the configuration service: what a server starts with, what is to be made durable,
-//! operators' requests, and the metrics.
+//! The reducer's interface for the configuration service: initial state, states to be made durable, operators'
+//! requests, and metrics.
 
 use gradepin_admission::Span;
 use gradepin_config::admin::{AdminError, ApplyReply, ApplyRequest, Source, StatusReply};
@@ -8,37 +8,37 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The first byte of a message of the configuration service between servers. A consensus message begins with the index of its
-/// variant, which is far below; so every program can distinguish the two, also one without this service.
+/// First byte of the configuration service's messages between servers. A consensus message starts with its variant
+/// index, which is much lower, so every program can distinguish the two, even one without this service.
 pub const CONFIGURATION_TAG: u8 = 0xC0;
 
-/// What a server starts with.
+/// Initial state and settings of the configuration service.
 #[derive(Debug, Clone)]
 pub struct ConfigurationStart {
-    /// The state in force: the classes, tenants and rules that the reducer was made with.
+    /// The state in force, whose classes, tenants and rules the reducer was created with.
     pub state: Configuration,
-    /// Where the state came from.
+    /// Where the initial state came from.
     pub source: Source,
-    /// How changes spread.
+    /// Settings of dissemination.
     pub dissemination: DisseminationSettings,
-    /// This server.
+    /// Name, zone, region and voter role of this server.
     pub own: Member,
-    /// The voters that the settings name.
+    /// Voters named in the settings, used until the consensus group's own record is known.
     pub voters: Vec<Name>,
-    /// The region of each zone that is in one.
+    /// Region of each zone that belongs to one.
     pub regions: BTreeMap<String, String>,
-    /// The age past which the state is reported as stale.
+    /// Age from which on the state is reported as stale.
     pub stale_after: Span,
-    /// Seed of all random choices.
+    /// Seed of dissemination's random choices.
     pub seed: u64,
 }
 
-/// A state that is to be made durable, where there is a folder for it.
+/// A state to be made durable, if there is a folder for it.
 #[derive(Debug, Clone)]
 pub struct ConfigurationSave {
-    /// The state.
+    /// The complete state.
     pub state: Snapshot,
-    /// The commit that led to it from the state before; none if it came otherwise.
+    /// The commit that leads to this state from the previous one; `None` if it was installed as a complete state.
     pub commit: Option<Arc<Commit>>,
 }
 
@@ -47,9 +47,9 @@
 pub enum ConfigurationSaveResult {
     /// The state of this revision is durable.
     Durable(Revision),
-    /// It couldn't be written; it is tried again.
+    /// The state could not be written; the shell retries.
     Failed {
-        /// Error of the disk.
+        /// Error message of the disk.
         reason: String,
     },
 }
@@ -68,19 +68,19 @@
 /// The response to a [`ConfigurationAdminRequest`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum ConfigurationAdminResponse {
-    /// To a proposal, or to a question about one.
+    /// The response to a proposal, or to a query about one.
     Apply(ApplyReply),
     /// Status of the configuration on this server.
     Status(Box<StatusReply>),
-    /// Nothing was changed.
+    /// The request was rejected and changed nothing.
     Rejected(AdminError),
 }
 
-/// The metrics of the committed configuration.
+/// Metrics of the committed configuration.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ConfigurationMetrics {
     /// The revision in force.
     pub revision: u64,
-    /// Seconds since the state was last confirmed as the newest one.
+    /// Seconds since the state was last confirmed to be the newest.
     pub age_s: f64,
 }
--- a/crates/core/src/handover/tests.rs
+++ b/crates/core/src/handover/tests.rs
@@ -2,44 +2,44 @@
 
 const S: u64 = 1_000_000_000;
 
-/// Guards the upgrade: a process that owns its listener drains as usual; one that shares it hands over, reports nothing more,
-/// exits once all is answered and closed, and before SIGKILL whatever is left.
+/// Guards upgrades: a process that owns its listening socket drains as usual. One that shares it hands over, reports
+/// nothing more, and exits once everything is answered and closed, but before SIGKILL in any case.
 #[test]
 fn shared_listener_is_handed_over_before_sigkill() {
     let mut own = Handover::default();
     assert!(!own.begin(Time(S), Span(3 * S)) && own.reports_readiness());
-    assert!(!own.may_leave(Time(9 * S), RemainingWork { open: 0, connections: 0 }));
+    assert!(!own.may_exit(Time(9 * S), RemainingWork { open: 0, connections: 0 }));
 
-    // Its time is up all the same: it closes down once, and exits in time whatever is left.
+    // When its time is up it closes down once, and exits in time whatever remains.
     let mut closing = Handover::default();
     assert!(closing.close_down(Time(5 * S), Span(S)) && !closing.close_down(Time(5 * S), Span(S)));
     assert!(
-        !closing.may_leave(Time(5 * S), RemainingWork { open: 0, connections: 0 }),
-        "accepting may not have stopped"
+        !closing.may_exit(Time(5 * S), RemainingWork { open: 0, connections: 0 }),
+        "the shell has not reported that it stopped accepting"
     );
-    assert!(!closing.may_leave(Time(6 * S - 1), RemainingWork { open: 1, connections: 1 }));
-    assert!(closing.may_leave(Time(6 * S), RemainingWork { open: 1, connections: 1 }));
+    assert!(!closing.may_exit(Time(6 * S - 1), RemainingWork { open: 1, connections: 1 }));
+    assert!(closing.may_exit(Time(6 * S), RemainingWork { open: 1, connections: 1 }));
     closing.accepting_stopped();
-    assert!(closing.may_leave(Time(5 * S), RemainingWork { open: 0, connections: 0 }));
+    assert!(closing.may_exit(Time(5 * S), RemainingWork { open: 0, connections: 0 }));
 
     let mut shared = Handover::shared();
     assert!(shared.reports_readiness() && shared.wake_at().is_none());
     assert!(shared.begin(Time(S), Span(3 * S)));
-    assert!(!shared.begin(Time(2 * S), Span(3 * S)), "a second SIGTERM begins nothing");
+    assert!(!shared.begin(Time(2 * S), Span(3 * S)), "a second SIGTERM has no effect");
     assert!(!shared.reports_readiness());
     assert!(
-        !shared.may_leave(Time(S), RemainingWork { open: 0, connections: 0 }),
-        "accepting may not have stopped"
+        !shared.may_exit(Time(S), RemainingWork { open: 0, connections: 0 }),
+        "the shell has not reported that it stopped accepting"
     );
     shared.accepting_stopped();
-    assert!(!shared.may_leave(Time(S), RemainingWork { open: 1, connections: 0 }));
-    assert!(!shared.may_leave(Time(S), RemainingWork { open: 0, connections: 2 }));
-    assert!(shared.may_leave(Time(S), RemainingWork { open: 0, connections: 0 }));
+    assert!(!shared.may_exit(Time(S), RemainingWork { open: 1, connections: 0 }));
+    assert!(!shared.may_exit(Time(S), RemainingWork { open: 0, connections: 2 }));
+    assert!(shared.may_exit(Time(S), RemainingWork { open: 0, connections: 0 }));
     let last = time_before(Time(4 * S), KILL_MARGIN);
     assert_eq!(shared.wake_at(), Some(last));
-    assert!(!shared.may_leave(time_before(last, Span(1)), RemainingWork { open: 3, connections: 5 }));
-    assert!(shared.may_leave(last, RemainingWork { open: 3, connections: 5 }));
-    // A connection closes once it has been idle since both the drain and its last use.
+    assert!(!shared.may_exit(time_before(last, Span(1)), RemainingWork { open: 3, connections: 5 }));
+    assert!(shared.may_exit(last, RemainingWork { open: 3, connections: 5 }));
+    // A connection may be closed once it has been idle for the full time since both the drain request and its last use.
     let (draining_since, last_used) = (Time(S), Time(S + IDLE_AFTER_DRAIN.0));
     assert!(!own.may_close_idle(Time(9 * S), Some(draining_since), draining_since));
     assert!(!shared.may_close_idle(
@@ -48,5 +48,8 @@
         last_used
     ));
     assert!(shared.may_close_idle(time_after(last_used, IDLE_AFTER_DRAIN), Some(draining_since), last_used));
-    assert!(!shared.may_close_idle(Time(9 * S), None, last_used), "one not asked to drain stays");
+    assert!(
+        !shared.may_close_idle(Time(9 * S), None, last_used),
+        "a connection that was not asked to drain must stay open"
+    );
 }
--- a/crates/core/src/idempotency_log.rs
+++ b/crates/core/src/idempotency_log.rs
@@ -1,10 +1,11 @@
-//! The log of keyed runs, which outlives the process: what must be durable, and when. It decides what is written; the records
-//! leave with effects, and the shell's store writes them.
+//! The log of keyed runs, which outlives the process. It decides what is written and when it must be durable; the
+//! records leave the reducer as effects, and the shell's store writes them.
 //!
-//! The intent of a keyed run is durable before the run is sent to the processor; its outcome is written after it. A request
-//! whose intent is not durable in time is rejected as never run, and a record says so. While the store can't be relied on,
-//! keyed requests are rejected with a time to retry after, unless the outcome of an earlier attempt answers them; all others
-//! are served. The store recovers in one way: all that is known is written anew, and counts once that is durable.
+//! The intent of a keyed run is durable before the run is sent to the processor; its outcome is written afterwards. A
+//! request whose intent is not durable in time is rejected as never run, and a record says so. While the store is not
+//! reliable, keyed requests are rejected with a Retry-After, unless the outcome of an earlier attempt answers them; all
+//! other requests are served. The store recovers in only one way: all known runs are rewritten, and the store counts as
+//! good once that is durable.
 
 use crate::buffer_pool::Buffer;
 use crate::keyed_run::{KeyedRun, RunOutcome};
@@ -15,84 +16,84 @@
 use std::sync::Arc;
 
 const MS: u64 = 1_000_000;
-/// Batches in flight, past which keyed requests are rejected.
+/// Maximum number of batches in flight; beyond it keyed requests are rejected.
 const MAX_BATCHES_IN_FLIGHT: usize = 1024;
-/// Intents that are not durable yet, past which keyed requests are rejected.
+/// Maximum number of intents that are not durable yet; beyond it keyed requests are rejected.
 const MAX_WAITING_INTENTS: usize = 4096;
-/// Between attempts to write all anew; doubled with each that fails, up to [`MAX_RETRY_PAUSE`].
+/// Pause before the first attempt to rewrite all runs; doubled after each failure, up to [`MAX_RETRY_PAUSE`].
 const FIRST_RETRY_PAUSE: Span = Span(1_000 * MS);
 const MAX_RETRY_PAUSE: Span = Span(8_000 * MS);
-/// A store that fails sooner than this after it recovered is paused for twice as long as before.
+/// Time after a recovery in which a new failure doubles the pause.
 const STABLE_AFTER: Span = Span(10_000 * MS);
-/// Advised wait while the store is only late, or is still read.
+/// Advised wait before a retry while the store is only slow or is being read.
 const SHORT_RETRY_AFTER: Span = Span(100 * MS);
 
 /// A record for the store.
 #[derive(Debug, Clone)]
 pub enum LogRecord {
-    /// An attempt will be run.
+    /// An attempt is going to run.
     Intent {
-        /// Idempotency key that all attempts share.
+        /// Idempotency key of the run.
         key: Arc<str>,
-        /// Fingerprint of its body and class.
+        /// Fingerprint of the request's body and class.
         fingerprint: u64,
-        /// The attempt.
+        /// Id of the attempt.
         id: RequestId,
-        /// What is left of its window.
+        /// Remaining time of the window.
         window_left: Span,
     },
-    /// The outcome of a run, when it ends or when all is written anew.
+    /// The outcome of a run, written when it ends and when all runs are rewritten.
     Outcome {
-        /// Idempotency key that all attempts share.
+        /// Idempotency key of the run.
         key: Arc<str>,
-        /// Fingerprint of its body and class.
+        /// Fingerprint of the request's body and class.
         fingerprint: u64,
         /// The attempt that ran.
         id: RequestId,
-        /// What is left of its window.
+        /// Remaining time of the window.
         window_left: Span,
-        /// The result, or none if it failed.
+        /// Result of the run; `None` if it failed.
         result: Option<Arc<Buffer>>,
     },
     /// The attempt of an earlier intent never ran.
     Void {
-        /// Idempotency key that all attempts share.
+        /// Idempotency key of the run.
         key: Arc<str>,
-        /// The attempt.
+        /// Id of the attempt.
         id: RequestId,
     },
 }
 
-/// What a store held when it was opened.
+/// The content of a store when it was opened.
 #[derive(Debug, Clone, Default)]
 pub struct RecoveredRuns {
-    /// The runs whose windows may be open, in the order of their keys.
+    /// Runs whose windows may be open, sorted by key.
     pub runs: Vec<SavedRun>,
     /// Key of all fingerprints in this store.
     pub salt: u64,
-    /// Set if something that was durable can't be read: any key may have run, for so long.
+    /// Set if durable records can't be read: for this long any key may have run.
     pub incomplete_for: Option<Span>,
-    /// What was found, for the log.
+    /// Findings for the process's log.
     pub notes: Vec<String>,
 }
 
-/// Whether the store can be relied on.
+/// Whether the store is reliable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreHealth {
-    /// There is no store: nothing survives this process.
+    /// There is no store, so no keyed run survives the process.
     Off,
-    /// It is still being read.
+    /// The store is being opened and read.
     Opening,
-    /// It can.
+    /// The store is reliable.
     Good,
-    /// Something in it can't be read: until its windows are over, any key may have run.
+    /// Some records can't be read. Until the windows of those runs are over, any key may have run.
     Incomplete,
-    /// It can't.
+    /// The store has failed.
     Down,
 }
 
 impl StoreHealth {
-    /// In a word, for health checks and a registry; none without a store.
+    /// Returns the health in one word, for health checks and a registry; `None` without a store.
     pub fn word(self) -> Option<&'static str> {
         match self {
             Self::Off => None,
@@ -104,54 +105,54 @@
     }
 }
 
-/// A batch of records that leaves with a step.
+/// A batch of records that one step writes.
 #[derive(Debug)]
 pub enum RecordBatch {
-    /// Records to be appended.
+    /// Records to append.
     Append(Vec<LogRecord>),
-    /// All that is known, to be written anew. It replaces what was written before once it is durable.
+    /// All known runs, to be rewritten. They replace all earlier records once they are durable.
     Rewrite(Vec<LogRecord>),
 }
 
 /// A batch with its number.
 #[derive(Debug)]
 pub struct NumberedBatch {
-    /// From 1 and without gaps.
+    /// Number of the batch, from 1 and without gaps.
     pub number: u64,
-    /// The records.
+    /// Content of the batch.
     pub batch: RecordBatch,
 }
 
 /// A line for the process's log.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LogNote {
-    /// Whether operators should look at it.
+pub struct LogLine {
+    /// Whether the line is logged as an error.
     pub is_error: bool,
-    /// The line.
+    /// Text of the line.
     pub text: String,
 }
 
-/// How far the store is.
+/// State of the store.
 #[derive(Debug)]
 enum StoreState {
-    /// There is none.
+    /// There is no store.
     Off,
-    /// It is being read.
+    /// The store is being opened and read.
     Opening,
-    /// It takes records.
+    /// The store accepts records.
     Good,
-    /// It has failed, and all is to be written anew.
+    /// The store has failed, and all runs must be rewritten.
     Down {
-        /// When the next attempt starts.
+        /// Time of the next attempt.
         next_attempt_at: Time,
-        /// The pause before that attempt.
+        /// Pause before that attempt.
         pause: Span,
-        /// The batch of the attempt that is in flight.
+        /// Number of the rewrite in flight, if there is one.
         in_flight: Option<u64>,
     },
 }
 
-/// A batch that was handed to the store.
+/// A batch that was passed to the store and is not durable yet.
 #[derive(Debug)]
 struct BatchInFlight {
     number: u64,
@@ -166,39 +167,39 @@
     id: RequestId,
 }
 
-/// When the store last recovered.
+/// The latest recovery of the store.
 #[derive(Debug)]
 struct LastRecovery {
     at: Time,
-    /// The pause before the attempt that succeeded.
+    /// Pause before the attempt that succeeded.
     pause: Span,
 }
 
-/// The log of one server.
+/// The log of keyed runs of one server.
 #[derive(Debug)]
 pub struct IdempotencyLog {
     state: StoreState,
-    /// How long a batch may take to become durable.
+    /// Maximum time for a batch to become durable.
     write_timeout: Span,
-    /// Until when any key may have run, as the store was incomplete.
-    doubtful_until: Option<Time>,
+    /// Until when any key may have run, because the store was incomplete.
+    incomplete_until: Option<Time>,
     last_recovery: Option<LastRecovery>,
-    /// Number of the last batch that left.
+    /// Number of the latest batch that was passed to the store.
     last_batch: u64,
     in_flight: VecDeque<BatchInFlight>,
-    /// Records of the next batch.
     next_batch: Vec<LogRecord>,
     waiting_intents: VecDeque<WaitingIntent>,
-    notes: Vec<LogNote>,
+    log_lines: Vec<LogLine>,
 }
 
 impl IdempotencyLog {
-    /// For a server without a store.
+    /// Creates the log of a server without a store.
     pub fn disabled() -> Self {
         Self::new(StoreState::Off, Span(0))
     }
 
-    /// For a server whose store is being opened; a batch may take `write_timeout` to become durable.
+    /// Creates the log of a server whose store is being opened. `write_timeout` is the maximum time for a batch to
+    /// become durable.
     pub fn opening(write_timeout: Span) -> Self {
         Self::new(StoreState::Opening, write_timeout)
     }
@@ -207,13 +208,13 @@
         Self {
             state,
             write_timeout,
-            doubtful_until: None,
+            incomplete_until: None,
             last_recovery: None,
             last_batch: 0,
             in_flight: VecDeque::new(),
             next_batch: Vec::new(),
             waiting_intents: VecDeque::new(),
-            notes: Vec::new(),
+            log_lines: Vec::new(),
         }
     }
 
@@ -222,12 +223,12 @@
         !matches!(self.state, StoreState::Off)
     }
 
-    /// Whether the store can be relied on.
+    /// Returns the health of the store.
     pub fn health(&self, now: Time) -> StoreHealth {
         match &self.state {
             StoreState::Off => StoreHealth::Off,
             StoreState::Opening => StoreHealth::Opening,
-            StoreState::Good if self.doubtful_until.is_some_and(|until| until > now) => {
+            StoreState::Good if self.incomplete_until.is_some_and(|until| until > now) => {
                 StoreHealth::Incomplete
             }
             StoreState::Good => StoreHealth::Good,
@@ -235,16 +236,17 @@
         }
     }
 
-    /// Set if a keyed request that no earlier run answers must be rejected now: how long its client should wait.
+    /// Returns how long a client should wait if a keyed request must be rejected now; `None` if it can be accepted.
+    /// Applies to requests that no earlier run answers.
     pub fn retry_after(&self, now: Time) -> Option<Span> {
         match &self.state {
             StoreState::Off => None,
             StoreState::Opening => Some(SHORT_RETRY_AFTER),
             StoreState::Good => {
-                let doubtful_until = self.doubtful_until.filter(|until| *until > now);
+                let incomplete_until = self.incomplete_until.filter(|until| *until > now);
                 let is_full = self.in_flight.len() >= MAX_BATCHES_IN_FLIGHT
                     || self.waiting_intents.len() >= MAX_WAITING_INTENTS;
-                match doubtful_until {
+                match incomplete_until {
                     Some(until) => Some(Span(until.0 - now.0)),
                     None => is_full.then_some(SHORT_RETRY_AFTER),
                 }
@@ -255,8 +257,8 @@
         }
     }
 
-    /// An attempt is to run once its intent is durable. Returns false if the intent can't be written: the attempt must be
-    /// rejected.
+    /// Adds the intent of an attempt, which may run once the intent is durable. Returns false if the intent can't be
+    /// written, in which case the attempt must be rejected.
     pub fn append_intent(&mut self, now: Time, run: KeyedRun) -> bool {
         if self.retry_after(now).is_some() {
             return false;
@@ -267,9 +269,9 @@
         true
     }
 
-    /// A run has ended.
+    /// Adds the outcome of a run.
     pub fn append_outcome(&mut self, run: KeyedRun) {
-        // Where the store is down, the outcome is part of what is written anew.
+        // While the store is down, the outcome is part of the rewrite.
         if matches!(self.state, StoreState::Good)
             && let Some(record) = outcome_record(run)
         {
@@ -277,29 +279,30 @@
         }
     }
 
-    /// An attempt whose intent was appended never ran.
+    /// Records that an attempt whose intent was appended never ran.
     pub fn append_void(&mut self, key: &Arc<str>, id: &RequestId) {
         if matches!(self.state, StoreState::Good) {
             self.next_batch.push(LogRecord::Void { key: Arc::clone(key), id: id.clone() });
         }
     }
 
-    /// The store was opened and read.
+    /// Handles the store's recovery at the start of the process.
     pub fn store_recovered(&mut self, now: Time, recovered: &RecoveredRuns) {
         self.state = StoreState::Good;
-        self.doubtful_until = recovered.incomplete_for.map(|doubt| time_after(now, doubt));
+        self.incomplete_until = recovered.incomplete_for.map(|doubt| time_after(now, doubt));
         let is_error = recovered.incomplete_for.is_some();
-        self.notes.extend(recovered.notes.iter().map(|text| LogNote { is_error, text: text.clone() }));
+        self.log_lines.extend(recovered.notes.iter().map(|text| LogLine { is_error, text: text.clone() }));
         let count = recovered.runs.len();
-        self.note(format!("the store is open, with {count} runs of an earlier process"));
+        self.log_info(format!("the store is open; recovered {count} runs of an earlier process"));
     }
 
-    /// How many intents are not durable yet.
+    /// Number of intents that are not durable yet.
     pub fn count_waiting(&self) -> usize {
         self.waiting_intents.len()
     }
 
-    /// All batches up to this one are durable. Returns the attempts that may run now, in their order.
+    /// Handles the report that all batches up to this one are durable. Returns the attempts that may run now, in the
+    /// order of their intents.
     pub fn batch_persisted(&mut self, now: Time, number: u64) -> Vec<RequestId> {
         self.in_flight.retain(|batch| batch.number > number);
         match &mut self.state {
@@ -310,41 +313,42 @@
             StoreState::Down { in_flight: Some(rewrite), pause, .. } if *rewrite <= number => {
                 self.last_recovery = Some(LastRecovery { at: now, pause: *pause });
                 self.state = StoreState::Good;
-                self.note("the store is back: all that is known was written anew".into());
+                self.log_info("the store has recovered; all known runs were rewritten".into());
                 Vec::new()
             }
             _ => Vec::new(),
         }
     }
 
-    /// Batches up to this one may be lost, and so may all after them. Returns the attempts that must be rejected.
+    /// Handles the report that batches up to this one, and therefore all after them, may be lost. Returns the attempts
+    /// that must be rejected.
     pub fn batch_failed(&mut self, now: Time, number: u64, reason: &str) -> Vec<RequestId> {
         self.in_flight.retain(|batch| batch.number > number);
         match &mut self.state {
             StoreState::Off => Vec::new(),
-            // It is not open yet: the shell makes further attempts.
+            // The store is not open yet; the shell keeps trying to open it.
             StoreState::Opening => {
-                self.note_error(format!("the store can't be opened: {reason}"));
+                self.log_error(format!("the store can't be opened, keyed requests are rejected: {reason}"));
                 Vec::new()
             }
             StoreState::Good => {
-                self.note_error(format!("the store has failed, keyed requests are refused: {reason}"));
+                self.log_error(format!("the store has failed, keyed requests are rejected: {reason}"));
                 self.take_down(now)
             }
             StoreState::Down { next_attempt_at, pause, in_flight } => {
                 if in_flight.take_if(|rewrite| *rewrite <= number).is_some() {
                     *pause = Span((pause.0 * 2).min(MAX_RETRY_PAUSE.0));
                     *next_attempt_at = time_after(now, *pause);
-                    self.note_error(format!("the store is still down: {reason}"));
+                    self.log_error(format!("the store is still down, keyed requests are rejected: {reason}"));
                 }
                 Vec::new()
             }
         }
     }
 
-    /// Stops relying on the store. Returns the attempts that must be rejected.
+    /// Marks the store as failed. Returns the attempts that must be rejected.
     fn take_down(&mut self, now: Time) -> Vec<RequestId> {
-        // Guards against a disk that fails at every write, by which the store would be up and down in turn.
+        // Guards against a disk that fails at every write, which would make the store alternate between good and down.
         let recent = self.last_recovery.as_ref().filter(|last| time_after(last.at, STABLE_AFTER) > now);
         let pause = match recent {
             Some(last) => Span((last.pause.0 * 2).min(MAX_RETRY_PAUSE.0)),
@@ -356,18 +360,18 @@
         self.waiting_intents.drain(..).map(|intent| intent.id).collect()
     }
 
-    /// Takes the store down if a batch takes too long. Returns the attempts that must be rejected.
+    /// Marks the store as failed if a batch takes too long. Returns the attempts that must be rejected.
     pub fn fail_overdue(&mut self, now: Time) -> Vec<RequestId> {
         let is_overdue = |batch: &BatchInFlight| time_after(batch.since, self.write_timeout) <= now;
         if !matches!(self.state, StoreState::Good) || !self.in_flight.front().is_some_and(is_overdue) {
             return Vec::new();
         }
         let ms = self.write_timeout.0 / MS;
-        self.note_error(format!("the store takes over {ms} ms, keyed requests are refused"));
+        self.log_error(format!("the store takes over {ms} ms to write, keyed requests are rejected"));
         self.take_down(now)
     }
 
-    /// The batch that leaves with this step. `all_runs` is called when all must be written anew.
+    /// Returns the batch of this step, if there is one. `all_runs` is called if all runs must be rewritten.
     pub fn take_batch(
         &mut self,
         timestamp: Timestamp,
@@ -377,7 +381,8 @@
             StoreState::Good if !self.next_batch.is_empty() => {
                 RecordBatch::Append(std::mem::take(&mut self.next_batch))
             }
-            // One at a time: behind a sync that never returns a second one would only wait too.
+            // Only one rewrite is in flight at a time: behind a sync that never returns, a second one would only wait
+            // too.
             StoreState::Down { next_attempt_at, in_flight: in_flight @ None, .. }
                 if *next_attempt_at <= timestamp.now =>
             {
@@ -391,7 +396,7 @@
         Some(NumberedBatch { number: self.last_batch, batch })
     }
 
-    /// When something is due though nothing comes in.
+    /// Next time at which a step is due without input.
     pub fn wake_at(&self) -> Option<Time> {
         match &self.state {
             StoreState::Good => {
@@ -402,17 +407,17 @@
         }
     }
 
-    /// Takes the lines for the process's log.
-    pub fn take_notes(&mut self) -> Vec<LogNote> {
-        std::mem::take(&mut self.notes)
+    /// Removes and returns the pending lines for the process's log.
+    pub fn take_log_lines(&mut self) -> Vec<LogLine> {
+        std::mem::take(&mut self.log_lines)
     }
 
-    fn note(&mut self, text: String) {
-        self.notes.push(LogNote { is_error: false, text });
+    fn log_info(&mut self, text: String) {
+        self.log_lines.push(LogLine { is_error: false, text });
     }
 
-    fn note_error(&mut self, text: String) {
-        self.notes.push(LogNote { is_error: true, text });
+    fn log_error(&mut self, text: String) {
+        self.log_lines.push(LogLine { is_error: true, text });
     }
 }
 
@@ -420,7 +425,7 @@
     LogRecord::Intent { key: run.key, fingerprint: run.fingerprint, id: run.id, window_left: run.window_left }
 }
 
-/// The record of a run's outcome; none if nothing is known that the intent doesn't say.
+/// Returns the record of a run's outcome; `None` if there is nothing to add to the intent.
 fn outcome_record(run: KeyedRun) -> Option<LogRecord> {
     let result = match run.outcome {
         Some(RunOutcome::Served(result)) => Some(result),
@@ -431,7 +436,7 @@
     Some(LogRecord::Outcome { key, fingerprint, id, window_left, result })
 }
 
-/// The record of a run when all is written anew. One without an outcome may have run, and stays an intent.
+/// Returns the record of a run for a rewrite. A run without an outcome may have run, and stays an intent.
 fn rewritten_record(run: KeyedRun) -> Option<LogRecord> {
     match run.outcome {
         Some(RunOutcome::Unknown) | None => Some(intent_record(run)),
--- a/crates/core/src/idempotency_log/tests.rs
+++ b/crates/core/src/idempotency_log/tests.rs
@@ -36,8 +36,8 @@
     assert!(log.batch_persisted(Time(0), 2).is_empty());
 }
 
-/// Guards against a store that is trusted after it failed: nothing starts by a later report of the disk, keyed requests are
-/// rejected, and only a complete new copy that is durable makes it good again.
+/// Guards against relying on a store after it failed: later reports of the disk start no runs, keyed requests are
+/// rejected, and only a complete rewrite that is durable makes the store good again.
 #[test]
 fn after_a_failure_only_a_durable_rewrite_recovers() {
     let mut log = good();
@@ -51,16 +51,16 @@
         !log.append_intent(Time(20 * MS), keyed_run(3))
             && log.retry_after(Time(20 * MS)) >= Some(Span(500 * MS))
     );
-    assert!(take(&mut log, 900).is_none(), "not at once");
+    assert!(take(&mut log, 900).is_none(), "the first rewrite must wait for the pause");
     let rewrite = |log: &mut IdempotencyLog, ms| match log.take_batch(at(ms), || vec![keyed_run(7)]) {
         Some(NumberedBatch { number, batch: RecordBatch::Rewrite(records) }) => (number, records.len()),
         other => panic!("{other:?}"),
     };
     let (number, count) = rewrite(&mut log, 1_010);
     assert_eq!(count, 1);
-    assert!(take(&mut log, 1_500).is_none(), "one at a time");
+    assert!(take(&mut log, 1_500).is_none(), "only one rewrite may be in flight");
     assert!(log.batch_failed(Time(1_600 * MS), number, "ENOSPC").is_empty());
-    assert_eq!(log.wake_at(), Some(Time(3_600 * MS)), "twice as long until the next");
+    assert_eq!(log.wake_at(), Some(Time(3_600 * MS)), "the pause doubles after a failure");
     let (number, _) = rewrite(&mut log, 3_600);
     log.batch_persisted(Time(0), number);
     assert_eq!((log.health(Time(4_000 * MS)), log.retry_after(Time(4_000 * MS))), (StoreHealth::Good, None));
@@ -82,14 +82,14 @@
         take(&mut log, ms);
     }
     assert!(log.last_batch <= 2 && log.next_batch.is_empty() && log.waiting_intents.is_empty());
-    // It returns after all: the copy behind it makes the store good again.
+    // The sync returns after all; the rewrite behind it makes the store good again.
     assert!(log.batch_persisted(Time(0), 1).is_empty());
     assert_eq!(log.health(Time(60_000 * MS)), StoreHealth::Down);
     log.batch_persisted(Time(0), 2);
     assert_eq!(log.health(Time(60_000 * MS)), StoreHealth::Good);
 }
 
-/// Guards against a second run where a record was lost to damage: any key may have run.
+/// Guards against a second run of a key whose record was damaged: while records are unreadable, any key may have run.
 #[test]
 fn rejects_new_keys_while_the_store_is_incomplete() {
     let mut log = IdempotencyLog::opening(Span(250 * MS));
--- a/crates/core/src/idempotency_table.rs
+++ b/crates/core/src/idempotency_table.rs
@@ -1,8 +1,9 @@
-//! The table of idempotency keys: which attempt holds a key, the key's run, and the retained outcome of that run.
+//! The table of idempotency keys: the attempt that holds each key, the key's run, and the retained outcome of that run.
 //!
-//! What no attempt can ask for any more is found by a [`TimerWheel`], a bounded part at a time, so that no pause grows with the
-//! number of keys. The table is split for the same reason: a map that grows moves all it holds. Invariants: a key has at most
-//! one run that new attempts find; retained results take at most the given bytes.
+//! A [`TimerWheel`] finds entries that no attempt can ask for any more, a limited number at a time, so that no pause
+//! grows with the number of keys. For the same reason the table is split into shards: a map that grows moves all its
+//! entries. Invariants: a key has at most one run that new attempts find; retained results stay within their memory
+//! limit.
 
 pub use crate::keyed_run::{Fingerprint, KeyedRun, RunOutcome};
 use crate::keyed_run::{SavedOutcome, SavedRun};
@@ -15,43 +16,45 @@
 use std::sync::Arc;
 
 const MS: u64 = 1_000_000;
-/// A run is known for so long past its window: attempts that were sent within the window may be read so much later.
+/// Time for which a run is retained after its window. Attempts that were sent within the window may be read this much
+/// later.
 pub const MAX_READ_DELAY: Span = Span(30_000 * MS);
-/// And for so much longer if its end was never reported: no run takes that long.
+/// Additional time for which a run is retained if its end was never reported. No run takes that long.
 const MAX_UNREPORTED_RUN: Span = Span(60_000 * MS);
-/// Memory of a retained result beside its bytes.
+/// Memory of a retained result in addition to its content, in bytes.
 const RESULT_OVERHEAD_BYTES: usize = 256;
-/// Parts of the table. With a million keys one of them moves some 4,000 when it grows.
-const PARTS: usize = 256;
-/// Records and timer slots that one sweep looks at.
-const MAX_SWEPT: usize = 128;
+/// Number of shards. With a million keys, growing one shard moves about 4,000 entries.
+const SHARD_COUNT: usize = 256;
+/// Maximum number of records and timer slots that one sweep checks.
+const MAX_SWEEP_CHECKS: usize = 128;
 
 /// All idempotency keys that attempts may ask for.
 #[derive(Debug)]
 pub struct IdempotencyTable {
-    parts: Vec<HashMap<Arc<str>, Record>>,
-    /// One entry for each record, not later than the time at which something of it expires.
+    shards: Vec<HashMap<Arc<str>, Record>>,
+    /// One entry for each record, due no later than the time at which part of the record expires.
     due: TimerWheel<Arc<str>>,
-    /// Retained results, oldest first. An entry is stale where that result is gone.
+    /// Retained results, oldest first. An entry is stale if its result is no longer retained.
     retained: VecDeque<RetainedResult>,
     last_retention: u64,
     retained_bytes: usize,
-    /// Bytes that retained results may take. Past that the oldest is dropped, and a repeat of it fails instead of running
-    /// again.
+    /// Maximum memory of retained results, in bytes. Beyond it the oldest result is dropped, and a repeat of its
+    /// request fails instead of running again.
     max_retained_bytes: usize,
-    /// Runs of an earlier process whose end is unknown, with their keys; a processor that outlived that process may report it.
+    /// Runs of an earlier process whose end is unknown, with their keys. A processor that outlived that process may
+    /// still report their end.
     recovered_runs: BTreeMap<RequestId, Arc<str>>,
 }
 
-/// A result in the order in which results were retained.
+/// Reference to a retained result, in the order of retention.
 #[derive(Debug)]
 struct RetainedResult {
     key: Arc<str>,
-    /// Number of its retention.
+    /// Number of the retention, ascending.
     retention: u64,
 }
 
-/// What a run's retained result takes.
+/// Number and memory of a run's retained result.
 #[derive(Debug, Clone, Copy)]
 struct Retention {
     number: u64,
@@ -65,35 +68,35 @@
     until: Time,
 }
 
-/// A key.
+/// State of an idempotency key.
 #[derive(Debug, Default)]
 struct Record {
     holder: Option<Holder>,
     run: Option<Run>,
-    /// Former runs of the key, past their windows, that go on and that attempts still wait for.
+    /// Former runs of the key whose windows are over, that still run and that attempts still wait for.
     replaced: Vec<Run>,
-    /// Fingerprint of the body and class of its attempts.
+    /// Fingerprint of the body and class of all attempts with the key.
     fingerprint: Fingerprint,
 }
 
-/// A run of a key.
+/// A run under a key.
 #[derive(Debug)]
 struct Run {
     id: RequestId,
-    /// End of its window, in Unix milliseconds: attempts that arrived before it find the run.
+    /// End of the window, in Unix milliseconds. Attempts that arrived before it find the run.
     closes_unix_ms: u64,
-    /// End of its window by the monotonic clock.
+    /// End of the window by the monotonic clock.
     closes_at: Time,
-    /// None while it runs.
+    /// `None` while it runs.
     outcome: Option<RunOutcome>,
-    /// Attempts that are to be answered with its outcome; each is open.
+    /// Open requests that wait for the outcome.
     waiting: Vec<RequestId>,
-    /// Set while its result is retained.
+    /// Set while the result is retained.
     retention: Option<Retention>,
 }
 
 impl Run {
-    /// When it is forgotten.
+    /// Returns when the run is removed from the table.
     fn expires_at(&self) -> Time {
         let late = time_after(self.closes_at, MAX_READ_DELAY);
         if self.outcome.is_some() { late } else { time_after(late, MAX_UNREPORTED_RUN) }
@@ -101,10 +104,10 @@
 }
 
 impl IdempotencyTable {
-    /// An empty table whose results may take so many bytes.
+    /// Creates an empty table with this memory limit for retained results.
     pub fn new(max_retained_bytes: usize) -> Self {
         Self {
-            parts: (0..PARTS).map(|_| HashMap::new()).collect(),
+            shards: (0..SHARD_COUNT).map(|_| HashMap::new()).collect(),
             due: TimerWheel::default(),
             retained: VecDeque::new(),
             last_retention: 0,
@@ -114,46 +117,47 @@
         }
     }
 
-    /// How many keys it holds.
+    /// Number of keys.
     pub fn len(&self) -> usize {
         self.due.len()
     }
 
-    /// Whether it holds none.
+    /// Whether the table has no keys.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    fn part(key: &str) -> usize {
+    fn shard_index(key: &str) -> usize {
         let mut hasher = DefaultHasher::new();
         key.hash(&mut hasher);
-        hasher.finish() as usize % PARTS
+        hasher.finish() as usize % SHARD_COUNT
     }
 
     fn get(&self, key: &str) -> Option<&Record> {
-        self.parts[Self::part(key)].get(key)
+        self.shards[Self::shard_index(key)].get(key)
     }
 
     fn get_mut(&mut self, key: &str) -> Option<&mut Record> {
-        self.parts[Self::part(key)].get_mut(key)
+        self.shards[Self::shard_index(key)].get_mut(key)
     }
 
     fn run(&self, key: &str) -> Option<&Run> {
         self.get(key)?.run.as_ref()
     }
 
-    /// The record of a key. If there is none it is made, and swept at `sweep_at`.
+    /// Returns the record of a key. A missing record is created, and is first swept at `sweep_at`.
     fn entry(&mut self, key: &Arc<str>, sweep_at: Time) -> &mut Record {
         let due = &mut self.due;
-        self.parts[Self::part(key)].entry(Arc::clone(key)).or_insert_with(|| {
+        self.shards[Self::shard_index(key)].entry(Arc::clone(key)).or_insert_with(|| {
             due.insert(sweep_at, Arc::clone(key));
             Record::default()
         })
     }
 
-    /// The attempt that a request repeats which arrived at that Unix time: the key's holder, if that is queued or any attempt
-    /// has run, or else the attempt that ran less than a window before. With it the fingerprint that its attempts share.
-    pub fn earlier(
+    /// Returns the attempt that a request repeats, and the fingerprint that its attempts share. `arrived_unix_ms` is
+    /// when the request arrived. The attempt is the key's holder, if that is queued or any attempt has run, or else the
+    /// attempt whose run's window was still open.
+    pub fn earlier_attempt(
         &self,
         key: &str,
         arrived_unix_ms: u64,
@@ -167,26 +171,26 @@
         holder.or(run.map(|run| &run.id)).map(|id| (id.clone(), record.fingerprint))
     }
 
-    /// Whether any attempt has run, or runs, that a request repeats which arrived at that Unix time.
-    pub fn ran(&self, key: &str, arrived_unix_ms: u64) -> bool {
+    /// Whether an attempt that runs or has run answers a request that arrived at `arrived_unix_ms`.
+    pub fn has_run(&self, key: &str, arrived_unix_ms: u64) -> bool {
         self.run(key).is_some_and(|run| arrived_unix_ms < run.closes_unix_ms)
     }
 
-    /// Gives a key to an attempt.
+    /// Makes an attempt the holder of a key.
     pub fn retain(&mut self, key: &Arc<str>, fingerprint: Fingerprint, id: &RequestId, until: Time) {
         let record = self.entry(key, until);
         record.holder = Some(Holder { id: id.clone(), until });
         record.fingerprint = fingerprint;
     }
 
-    /// Takes a key from an attempt, if that holds it.
+    /// Releases a key if the attempt holds it.
     pub fn release(&mut self, key: &str, id: &RequestId) {
         if let Some(record) = self.get_mut(key) {
             record.holder.take_if(|holder| holder.id == *id);
         }
     }
 
-    /// An attempt is run; the window of its run ends at that Unix time.
+    /// Adds the run of an attempt, with the end of its window in Unix time.
     pub fn run_started(
         &mut self,
         key: &Arc<str>,
@@ -208,7 +212,7 @@
         let record = self.entry(key, time_after(closes_at, MAX_READ_DELAY));
         record.fingerprint = fingerprint;
         match record.run.replace(run) {
-            // Guards against attempts that get the outcome of another request's run, because their key was used again.
+            // Guards against attempts that get the outcome of another request's run because their key was reused.
             Some(before) if !before.waiting.is_empty() => record.replaced.push(before),
             before => self.drop_result(before),
         }
@@ -220,8 +224,8 @@
         }
     }
 
-    /// Takes over a run of an earlier process. Its window goes on by this process's clocks, as the Unix clock may have been set
-    /// between the two.
+    /// Restores a run of an earlier process. The remaining time of its window is applied to this process's clocks,
+    /// because the Unix clock may have been set between the two processes.
     pub fn restore(
         &mut self,
         saved: SavedRun,
@@ -246,7 +250,7 @@
         self.run_ended(&key, &id, Some(outcome));
     }
 
-    /// A run has ended, or with no outcome never started. Returns the attempts that wait for it.
+    /// Ends a run; without an `outcome` it never started. Returns the attempts that wait for it.
     pub fn run_ended(
         &mut self,
         key: &Arc<str>,
@@ -255,9 +259,9 @@
     ) -> Vec<RequestId> {
         let number = self.last_retention + 1;
         let Some(record) = self.get_mut(key) else { return Vec::new() };
-        if let Some(place) = record.replaced.iter().position(|run| run.id == *id) {
-            // No later attempt can ask for it.
-            return record.replaced.swap_remove(place).waiting;
+        if let Some(index) = record.replaced.iter().position(|run| run.id == *id) {
+            // No later attempt can ask for this run, so its outcome is not retained.
+            return record.replaced.swap_remove(index).waiting;
         }
         let Some(run) = record.run.as_mut().filter(|run| run.id == *id) else { return Vec::new() };
         let waiting = std::mem::take(&mut run.waiting);
@@ -282,7 +286,7 @@
         waiting
     }
 
-    /// Drops the oldest retained result, or a stale entry; false if there is neither.
+    /// Drops the oldest retained result or a stale entry. Returns false if there is neither.
     fn drop_oldest(&mut self) -> bool {
         let Some(oldest) = self.retained.pop_front() else { return false };
         let run = self.get_mut(&oldest.key).and_then(|record| record.run.as_mut());
@@ -296,7 +300,8 @@
         true
     }
 
-    /// The outcome that a repeat is answered with. Without one its run still goes on, and the repeat waits for that.
+    /// Returns the outcome that a repeat is answered with. If the run has not ended, returns `None` and adds the repeat
+    /// to those that wait for it.
     pub fn join(&mut self, key: &str, id: &RequestId) -> Option<RunOutcome> {
         let run = self.get_mut(key).and_then(|record| record.run.as_mut());
         let Some(run) = run else { return Some(RunOutcome::Failed) };
@@ -306,9 +311,9 @@
         run.outcome.clone()
     }
 
-    /// An attempt is no longer open, and waits for no run. Guards against a later request under its id that would get the
-    /// outcome of a run it never asked for.
-    pub fn leave(&mut self, key: &str, id: &RequestId) {
+    /// Removes an attempt that is no longer open from those that wait for a run. Guards against a later request that
+    /// reuses its id and would get the outcome of a run that it never asked for.
+    pub fn remove_waiter(&mut self, key: &str, id: &RequestId) {
         if let Some(record) = self.get_mut(key) {
             for run in record.run.iter_mut().chain(&mut record.replaced) {
                 run.waiting.retain(|waiting| waiting != id);
@@ -316,23 +321,23 @@
         }
     }
 
-    /// Whether another run of the key was started since this one.
+    /// Whether another run of the key was started after this one.
     pub fn is_replaced(&self, key: &str, id: &RequestId) -> bool {
         self.run(key).is_some_and(|run| run.id != *id)
     }
 
-    /// Removes a run of an earlier process from those whose end is unknown; its key.
+    /// Removes a run of an earlier process from those whose end is unknown, and returns its key.
     pub fn take_recovered_run(&mut self, id: &RequestId) -> Option<Arc<str>> {
         self.recovered_runs.remove(id)
     }
 
-    /// Whether there are runs of an earlier process whose end a processor may still report.
+    /// Whether a processor may still report the end of an earlier process's run.
     pub fn awaits_recovered_runs(&self) -> bool {
         !self.recovered_runs.is_empty()
     }
 
-    /// The ends of an earlier process's runs won't be reported any more: they are unknown. Returns the attempts that wait for
-    /// them.
+    /// Sets the outcome of all recovered runs without an end to unknown, as no end will be reported any more. Returns
+    /// the attempts that wait for them.
     pub fn abandon_recovered_runs(&mut self) -> Vec<RequestId> {
         let recovered_runs = std::mem::take(&mut self.recovered_runs);
         recovered_runs
@@ -341,7 +346,7 @@
             .collect()
     }
 
-    /// What is known of a key's run, for the store.
+    /// Returns the latest run of a key, as the store records it.
     pub fn known_run(&self, key: &Arc<str>, now: Time) -> Option<KeyedRun> {
         let record = self.get(key)?;
         let run = record.run.as_ref()?;
@@ -354,22 +359,23 @@
         })
     }
 
-    /// All that a later process would need, in the order of the keys: it depends on nothing but what is known.
+    /// Returns all runs that a later process would need. They are sorted by key, so that the result depends only on the
+    /// content of the table.
     pub fn all_known_runs(&self, now: Time) -> Vec<KeyedRun> {
-        let keys = self.parts.iter().flat_map(HashMap::keys);
+        let keys = self.shards.iter().flat_map(HashMap::keys);
         let mut all: Vec<KeyedRun> = keys.filter_map(|key| self.known_run(key, now)).collect();
         all.sort_by(|a, b| a.key.cmp(&b.key));
         all
     }
 
-    /// Forgets what no attempt can ask for any more, a bounded part of it. Returns whether more may be due.
+    /// Removes entries that no attempt can ask for any more, a limited number of them. Returns whether more may be due.
     pub fn sweep(&mut self, now: Time) -> bool {
-        let mut budget = MAX_SWEPT;
+        let mut budget = MAX_SWEEP_CHECKS;
         let more = loop {
             match self.due.next_due(now, &mut budget) {
                 DueEntry::Entry(key) => self.sweep_key(now, key),
                 DueEntry::None => break false,
-                DueEntry::Later => break true,
+                DueEntry::BudgetUsedUp => break true,
             }
         };
         self.drop_stale_entries();
@@ -377,17 +383,17 @@
     }
 
     fn sweep_key(&mut self, now: Time, key: Arc<str>) {
-        let part = &mut self.parts[Self::part(&key)];
-        let Some(record) = part.get_mut(&key) else { return };
+        let shard = &mut self.shards[Self::shard_index(&key)];
+        let Some(record) = shard.get_mut(&key) else { return };
         record.holder.take_if(|holder| holder.until <= now);
-        // Guards against runs whose end never comes: kept for good, they would fill the memory.
+        // Guards against runs whose end is never reported: retained forever, they would fill the memory.
         let expired = record.run.take_if(|run| run.expires_at() <= now);
         record.replaced.retain(|run| run.expires_at() > now);
         let holder_until = record.holder.as_ref().map(|holder| holder.until);
         let runs_until = record.run.iter().chain(&record.replaced).map(Run::expires_at);
         match holder_until.into_iter().chain(runs_until).min() {
             Some(sweep_at) => self.due.insert(sweep_at, key),
-            None => drop(part.remove(&key)),
+            None => drop(shard.remove(&key)),
         }
         if let Some(run) = &expired {
             self.recovered_runs.remove(&run.id);
@@ -395,8 +401,8 @@
         self.drop_result(expired);
     }
 
-    /// Drops stale entries of retained results from the front. They gather only behind one that is not stale; what is swept is
-    /// mostly the oldest.
+    /// Drops stale entries of retained results from the front. Stale entries accumulate only behind an entry that is
+    /// not stale, and sweeps remove mostly the oldest runs.
     fn drop_stale_entries(&mut self) {
         while let Some(oldest) = self.retained.front() {
             let retention = self.run(&oldest.key).and_then(|run| run.retention);
--- a/crates/core/src/idempotency_table/tests.rs
+++ b/crates/core/src/idempotency_table/tests.rs
@@ -6,11 +6,11 @@
 }
 
 fn run(table: &mut IdempotencyTable, n: usize, end: Option<RunOutcome>) {
-    let (token, id) = (Arc::from(format!("t{n}")), RequestId::new(&format!("r{n}")));
-    table.retain(&token, 0, &id, Time(9));
-    table.run_started(&token, 0, &id, 1_009_000, at(0));
+    let (key, id) = (Arc::from(format!("t{n}")), RequestId::new(&format!("r{n}")));
+    table.retain(&key, 0, &id, Time(9));
+    table.run_started(&key, 0, &id, 1_009_000, at(0));
     if end.is_some() {
-        table.run_ended(&token, &id, end);
+        table.run_ended(&key, &id, end);
     }
 }
 
@@ -18,7 +18,7 @@
     while table.sweep(now) {}
 }
 
-/// Guards against runs whose end is never reported: their records stayed for good.
+/// Guards against runs whose end is never reported: their records were never removed.
 #[test]
 fn runs_without_a_reported_end_expire() {
     let mut table = IdempotencyTable::new(10_000);
@@ -28,10 +28,10 @@
     sweep(&mut table, late);
     assert!(table.len() == 1 && table.retained_bytes == 0 && table.retained.is_empty());
     sweep(&mut table, time_after(late, MAX_UNREPORTED_RUN));
-    assert!(table.is_empty() && table.parts.iter().all(HashMap::is_empty));
+    assert!(table.is_empty() && table.shards.iter().all(HashMap::is_empty));
 }
 
-/// Guards against retained results that fill the memory. The oldest is dropped, and its repeats fail.
+/// Guards against retained results that fill the memory: the oldest result is dropped, and repeats of its request fail.
 #[test]
 fn retained_results_stay_within_the_byte_limit() {
     let mut table = IdempotencyTable::new(2 * (1000 + RESULT_OVERHEAD_BYTES));
@@ -48,10 +48,10 @@
     assert!(matches!(join(3), Some(RunOutcome::Served(result)) if result.len() == 1000));
 }
 
-/// Guards against a window that a change of the Unix clock shortens: a run of an earlier process is found for what was left of
-/// its window, though by that clock it is long over, or far ahead.
+/// Guards against a change of the Unix clock that shortens a window: a restored run is found for the remaining time of
+/// its window, even if by the Unix clock the window is long over or still ahead.
 #[test]
-fn restored_window_lasts_for_the_time_that_was_left() {
+fn restored_window_lasts_for_its_remaining_time() {
     let saved = |n: u64, end| SavedRun {
         key: format!("t{n}"),
         fingerprint: n,
@@ -64,15 +64,15 @@
         let timestamp = Timestamp { now: Time(77 * MS), unix_ms };
         table.restore(saved(1, SavedOutcome::Served(b"out".to_vec())), timestamp, &pool);
         table.restore(saved(2, SavedOutcome::Unknown), timestamp, &pool);
-        assert!(table.ran("t1", unix_ms + 7_999) && !table.ran("t1", unix_ms + 8_000));
+        assert!(table.has_run("t1", unix_ms + 7_999) && !table.has_run("t1", unix_ms + 8_000));
         assert!(matches!(table.join("t1", &RequestId::new("x")), Some(RunOutcome::Served(_))));
-        assert!(table.join("t2", &RequestId::new("y")).is_none(), "the processor may still tell");
+        assert!(table.join("t2", &RequestId::new("y")).is_none(), "the processor may still report the end");
         assert_eq!(table.abandon_recovered_runs(), [RequestId::new("y")]);
         assert!(matches!(table.join("t2", &RequestId::new("z")), Some(RunOutcome::Unknown)));
     }
 }
 
-/// Guards against a run that is left out when all is written anew, whatever its key: it would run again after a crash.
+/// Guards against a run that a rewrite omits, whatever its key: it would run again after a crash.
 #[test]
 fn all_known_runs_include_every_key() {
     let mut table = IdempotencyTable::new(10_000);
@@ -82,7 +82,7 @@
     assert_eq!(keys, [Arc::from(""), Arc::from("t1")]);
 }
 
-/// Guards against a sweep that looks at everything: a million keys, of which few are due, cost it no more looks.
+/// Guards against a sweep that checks every record: one call must have a limited cost, however many keys there are.
 #[test]
 fn sweep_work_is_bounded() {
     let mut table = IdempotencyTable::new(10_000);
@@ -94,5 +94,5 @@
     while table.sweep(late) {
         sweeps += 1;
     }
-    assert!(table.is_empty() && sweeps >= 100_000 / MAX_SWEPT, "{sweeps}");
+    assert!(table.is_empty() && sweeps >= 100_000 / MAX_SWEEP_CHECKS, "{sweeps}");
 }
--- a/crates/core/src/keyed_run.rs
+++ b/crates/core/src/keyed_run.rs
@@ -1,60 +1,63 @@
-//! What is known of a keyed run: as the table of this process holds it, and as the store of an earlier process saved it.
+//! Representations of a keyed run: in the idempotency table of this process, and as saved to the store by an earlier
+//! process.
 
 use crate::buffer_pool::Buffer;
 use gradepin_admission::{RequestId, Span};
 use std::sync::Arc;
 
-/// Fingerprint of the body and class of a keyed request, which all its attempts share. Tells apart requests under one key.
+/// Fingerprint of the body and class of a keyed request. All its attempts share it; it distinguishes different requests
+/// that use the same key.
 pub type Fingerprint = u64;
 
-/// How a run ended, for its repeats.
+/// The outcome of a run, as repeats of its request get it.
 #[derive(Debug, Clone)]
 pub enum RunOutcome {
-    /// With this result.
+    /// The run ended with this result.
     Served(Arc<Buffer>),
-    /// Without a result, or the result is no longer retained.
+    /// The run ended without a result, or the result is no longer retained.
     Failed,
-    /// It was started before a crash, and its outcome can't be learned any more.
+    /// The run was started before a crash, and its outcome can no longer be determined.
     Unknown,
 }
 
-/// A keyed run as the store saves it.
+/// A keyed run, as it is written to the store.
 #[derive(Debug, Clone)]
 pub struct KeyedRun {
-    /// Its idempotency key.
+    /// Idempotency key of the run.
     pub key: Arc<str>,
-    /// Fingerprint of its body and class.
+    /// Fingerprint of the request's body and class.
     pub fingerprint: Fingerprint,
-    /// The attempt that runs, or ran.
+    /// Id of the attempt that runs or ran.
     pub id: RequestId,
-    /// What is left of its window; 0 where only attempts that were sent before its end may still ask.
+    /// Remaining time of the window; 0 once it is over, when only attempts that were sent before its end may still ask
+    /// for the run.
     pub window_left: Span,
-    /// Its outcome; none while it runs.
+    /// Outcome of the run; `None` while it runs.
     pub outcome: Option<RunOutcome>,
 }
 
-/// A keyed run of an earlier process.
+/// A keyed run of an earlier process, as recovered from the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SavedRun {
-    /// Its idempotency key.
+    /// Idempotency key of the run.
     pub key: String,
-    /// Fingerprint of its body and class.
+    /// Fingerprint of the request's body and class.
     pub fingerprint: u64,
-    /// The attempt that ran.
+    /// Id of the attempt that ran.
     pub id: String,
-    /// What is left of its window.
+    /// Remaining time of the window.
     pub window_left: Span,
-    /// Its outcome.
+    /// Outcome of the run.
     pub outcome: SavedOutcome,
 }
 
-/// How a run of an earlier process ended.
+/// The recovered outcome of an earlier process's run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SavedOutcome {
-    /// With this result.
+    /// The run ended with this result.
     Served(Vec<u8>),
-    /// Without a result, or the result was no longer retained.
+    /// The run ended without a result, or the result was no longer retained.
     Failed,
-    /// Not recorded: it may never have started, may still run, or has ended.
+    /// No outcome was recorded: the run may never have started, may still run, or may have ended.
     Unknown,
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,9 +1,10 @@
-//! All state of one tile server and all changes to it, without I/O and without a clock: `(now, inputs) -> effects`.
+//! State of one tile server and every change to it, as a reducer `(now, inputs) -> effects` that does no I/O and reads
+//! no clock.
 //!
 //! [`reducer`] hosts the admission module and owns the requests, connections, idempotency keys, timers and the server's
-//! registration. [`messages`] holds its inputs and effects, independent of any protocol; shells of threads and sockets deliver
-//! the inputs and carry out the effects. The other modules each own a part of the reducer's state, and can be tested without
-//! it.
+//! registration. [`messages`] defines its inputs and effects independently of any protocol. Shells of threads and
+//! sockets deliver the inputs and carry out the effects. Each of the other modules owns a part of the reducer's state
+//! and can be tested without the reducer.
 
 #![warn(missing_docs, unreachable_pub, clippy::too_many_lines)]
 
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -1,4 +1,4 @@
-//! What crosses the reducer's border, independent of any protocol: client requests, inputs and effects.
+//! The reducer's interface, independent of any protocol: client requests, inputs and effects.
 
 mod effect;
 mod input;
@@ -11,62 +11,62 @@
 pub use input::{Input, RunClaim};
 use std::sync::Arc;
 
-/// Names a client connection; never used again.
+/// Id of a client connection; never reused.
 pub type ConnectionId = u64;
 
-/// Names a call to the shared upstream; never used again. A request may make several calls, and its id may come again.
+/// Id of a call to the shared upstream; never reused. A request may make several calls, and a request id may be reused.
 pub type UpstreamCallId = u64;
 
-/// Names a request on its connection.
+/// Sequence number of a request, unique among the open requests of its connection.
 pub type SequenceId = i32;
 
-/// A request as its client proxy sent it.
+/// A client request, as decoded by the front end.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// Its id, new with every attempt.
+    /// Id of the attempt; each attempt has a new one.
     pub id: RequestId,
-    /// Its class.
+    /// Class of the request.
     pub class: Handle,
-    /// Its tenant, if it names one.
+    /// Tenant of the request, if it names one.
     pub tenant: Option<Handle>,
-    /// Number of the client proxy.
+    /// Number of the client proxy that sent the request.
     pub client_proxy: u64,
-    /// When it reached the machine, in Unix milliseconds.
+    /// When the request reached the machine, in Unix milliseconds.
     pub arrived_unix_ms: u64,
-    /// How long its caller waits, in milliseconds from `arrived_unix_ms`.
+    /// How long the caller waits, in milliseconds from `arrived_unix_ms`.
     pub budget_ms: u64,
-    /// Whether it is a retry or a hedged request.
+    /// Whether this is a retry or a hedged request.
     pub retry: bool,
-    /// Memory that is reserved for it while it is queued, in kB.
+    /// Memory that is reserved for the request while it is queued, in kB.
     pub size_kb: f64,
-    /// Its rank by priority weight, from 0 to below 1.
+    /// Precedence among requests by priority weight, from 0 to below 1.
     pub precedence: f64,
     /// Idempotency key that all attempts of the request share.
     pub idempotency_key: Option<Arc<str>>,
-    /// Whether it names a subject.
+    /// Whether the request names a subject.
     pub has_subject: bool,
-    /// Its body, as it was sent.
+    /// The body as it was received.
     pub body: Buffer,
 }
 
-/// How the processor says that a run ended.
+/// How a run ended, as reported by the processor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunEnd {
-    /// With a result.
+    /// The run ended with a result.
     Ok,
-    /// It failed.
+    /// The run failed.
     Failed,
-    /// It was stopped.
+    /// The run was stopped on request.
     Stopped,
-    /// Nothing was started.
+    /// The run was never started.
     NotStarted,
 }
 
-/// No processor ends and starts again faster: a greeting with a later start than this is of a restarted processor, and not
-/// one that was delayed on its way.
+/// Minimum time in which a processor can end and restart. A greeting with a start that is later by more than this is
+/// from a restarted processor, not one that was delayed in transit.
 pub const MIN_PROCESSOR_RESTART: Span = Span(50_000_000);
 
-/// The earlier of two times, where either may be absent.
+/// Returns the earlier of two times, either of which may be absent.
 pub fn earliest(a: Option<Time>, b: Option<Time>) -> Option<Time> {
     match (a, b) {
         (Some(a), Some(b)) => Some(a.min(b)),
--- a/crates/core/src/messages/effect.rs
+++ b/crates/core/src/messages/effect.rs
@@ -14,67 +14,69 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What a shell carries out for the reducer. Effects of a step are carried out in their order.
+/// An action that a shell carries out for the reducer. The effects of a step are carried out in order.
 #[derive(Debug)]
 pub enum Effect {
-    /// Make a configuration durable, where there is a folder for it.
+    /// Make a configuration durable, if there is a folder for it. Answered by [`Input::ConfigurationWritten`].
     SaveConfiguration(Box<ConfigurationSave>),
     /// Send a response to a client.
     Respond {
         /// Connection of the request.
         connection: ConnectionId,
-        /// Number of the request on its connection.
+        /// Sequence number of the request on its connection.
         sequence: SequenceId,
-        /// The response.
+        /// Response to encode.
         response: Response,
-        /// Capacity hint for client proxies, if the admission module has set one.
+        /// Capacity hint for client proxies; `None` if the admission module has not set one.
         capacity_hint: Option<f64>,
     },
     /// Ask the peer of a connection to send no more requests on it.
     RequestDrain(ConnectionId),
-    /// Close a connection once all is written; [`Input::ConnectionClosed`] follows when its peer has ended it too.
+    /// Close a connection once everything is written. [`Input::ConnectionClosed`] follows when its peer has closed it
+    /// too.
     CloseConnection(ConnectionId),
-    /// Close a connection that is idle. Void if more of its messages were passed on, or if bytes wait unread.
+    /// Close an idle connection, unless further messages of it were passed on or unread bytes are waiting.
     CloseIdleConnection {
-        /// The connection.
+        /// Connection to close.
         connection: ConnectionId,
-        /// Count of its messages that the reducer has received.
+        /// Number of its messages that the reducer has received.
         messages_received: u64,
     },
-    /// Close a late connection on the same terms; an incomplete message doesn't keep it open.
+    /// Close a late connection under the same conditions, except that an incomplete message doesn't keep it open.
     CloseLateConnection {
-        /// The connection.
+        /// Connection to close.
         connection: ConnectionId,
-        /// Count of its messages that the reducer has received.
+        /// Number of its messages that the reducer has received.
         messages_received: u64,
     },
     /// Start a run on the processor.
     StartRun {
-        /// Number of the link.
+        /// Number of the link to use ([`Input::LinkUp`]); void if the link has ended.
         link: u64,
         /// Request of the run.
         id: RequestId,
-        /// Its class.
+        /// Class of the request.
         class: Arc<ClassDefinition>,
-        /// Its body.
+        /// Body of the request.
         body: Arc<Buffer>,
     },
     /// Call the shared upstream for a run.
     CallUpstream {
         /// Request of the run.
         id: RequestId,
-        /// Names the call in [`Input::UpstreamCallEnded`].
+        /// Identifies the call in [`Input::UpstreamCallEnded`].
         call: UpstreamCallId,
         /// Body of the call.
         body: Arc<Buffer>,
-        /// How long to wait for the reply.
+        /// Maximum time to wait for the reply.
         timeout: Span,
-        /// The call must not be sent from this time on, as its borrowed slot expires.
+        /// Time from which on the call must not be sent, because its borrowed slot expires; `None` for this server's
+        /// own slot.
         send_before: Option<Time>,
     },
-    /// Give a run the reply to its upstream call.
+    /// Deliver the reply of an upstream call to its run.
     DeliverUpstreamReply {
-        /// Number of the link.
+        /// Number of the link to use ([`Input::LinkUp`]); void if the link has ended.
         link: u64,
         /// Request of the run.
         id: RequestId,
@@ -83,45 +85,45 @@
     },
     /// Stop a run.
     StopRun {
-        /// Number of the link.
+        /// Number of the link to use ([`Input::LinkUp`]); void if the link has ended.
         link: u64,
         /// Request of the run.
         id: RequestId,
     },
-    /// Claim the run of an idempotency key, where two processes of an upgrade share them; answered by
+    /// Claim the run of an idempotency key, if the two processes of an upgrade share keyed runs. Answered by
     /// [`Input::RunClaimed`].
     ClaimRun {
         /// Request of the run.
         id: RequestId,
-        /// Its idempotency key.
+        /// Idempotency key of the run.
         key: Arc<str>,
-        /// Fingerprint of its body and class.
+        /// Fingerprint of the request's body and class.
         fingerprint: Fingerprint,
-        /// How long to wait for the outcome of the other process's run.
+        /// Maximum time to wait for the outcome of the other process's run.
         timeout: Span,
     },
-    /// A claimed run ended, or never started.
+    /// Release the claim of a run that ended or never started.
     ReleaseClaim {
-        /// Its idempotency key.
+        /// Idempotency key of the run.
         key: Arc<str>,
-        /// Fingerprint of its body and class.
+        /// Fingerprint of the request's body and class.
         fingerprint: Fingerprint,
-        /// Its outcome; none if it never started.
+        /// Outcome of the run; `None` if it never started.
         outcome: Option<RunOutcome>,
     },
     /// Read the processor's gauges; answered by [`Input::GaugesRead`].
     ReadGauges {
-        /// Number of the link.
+        /// Number of the link to use ([`Input::LinkUp`]); void if the link has ended.
         link: u64,
-        /// Names the reading.
+        /// Number of the reading, repeated in the answer.
         number: u64,
     },
-    /// Give up a link to the processor and connect again.
+    /// Close a link to the processor and connect again.
     ReconnectProcessor {
-        /// Number of the link to give up.
+        /// Number of the link to close.
         link: u64,
     },
-    /// The processor is at this address from now on: connect to it at once.
+    /// Use this address of the processor from now on, and connect to it at once.
     SetProcessorAddress(SocketAddr),
     /// Report to the control plane at this address from now on.
     SetControlAddress(SocketAddr),
@@ -129,68 +131,69 @@
     SetUpstreamAddress(SocketAddr),
     /// Report to the control plane whether this server takes requests.
     ReportReadiness {
-        /// Whether it does.
+        /// Whether it takes requests.
         ready: bool,
     },
-    /// Send a request to a registry; answered by [`Input::RegistryReply`].
+    /// Send a request to a registry. Answered by [`Input::RegistryReply`].
     AskRegistry(RegistryRequest),
     /// Write records to the store; answered by [`Input::StorePersisted`] or [`Input::StoreFailed`].
     PersistRecords {
         /// Number of the batch, from 1 and without gaps.
         number: u64,
-        /// The records.
+        /// Records to append, or a complete rewrite.
         batch: RecordBatch,
     },
-    /// Have the processor repeat all notices that it keeps.
+    /// Have the processor repeat all notices that it retains.
     ReplayNotices,
-    /// The names that requests may use have changed; the changes apply in their order.
+    /// Update the names that requests may use.
     UpdateNames {
-        /// Number of the last change of the active settings that these are part of.
+        /// Edition of the active names that results from these changes.
         edition: u64,
-        /// The changes.
+        /// The changes, in the order in which they apply.
         changes: Vec<NameChange>,
     },
-    /// An idempotency key may be repeated for this long at the most, from now on.
+    /// Set the longest time for which an idempotency key may be repeated from now on.
     SetLongestWindow(Span),
-    /// A reload has ended: all of its file is in force, or nothing of it.
+    /// Report that a reload has ended: its file is in force completely or not at all.
     ReloadFinished,
-    /// Accept no more connections: the listener belongs to the successor process.
+    /// Accept no more connections, as the process hands over its listening socket or closes down. Answered by
+    /// [`Input::StoppedAccepting`].
     StopAccepting,
     /// Answer an operator's request.
     AnswerAdmin {
-        /// Names the request.
+        /// Id of the request.
         id: AdminRequestId,
-        /// The response.
+        /// Response to encode.
         response: AdminResponse,
     },
     /// Send a datagram to another server.
     SendPeerDatagram {
-        /// Its address.
+        /// Address of the other server.
         to: SocketAddr,
-        /// Authenticated and ready to send.
+        /// The complete datagram, authenticated by the cluster's keys.
         datagram: Vec<u8>,
     },
-    /// Write records of the voter state; answered by [`Input::VoterStateWritten`] or [`Input::VoterStateFailed`].
+    /// Write records of the voter state. Answered by [`Input::VoterStateWritten`] or [`Input::VoterStateFailed`].
     WriteVoterState {
-        /// Generation of the folder that they belong to.
+        /// Generation of the voter state; the write is void if a later write failure has started a new one.
         generation: u64,
-        /// Number of the write.
+        /// Number of the write, repeated in the reply.
         number: u64,
-        /// The records.
+        /// Records to write, in order.
         records: Vec<DurableRecord>,
     },
-    /// Change to another program or to other settings.
+    /// Change to another program or to other settings, as a rollout step.
     StartRolloutStep {
-        /// The step.
+        /// The assigned step.
         step: Box<StepAssignment>,
-        /// The step must not start from this time on.
+        /// Time from which on the step must not start.
         start_before: Time,
     },
     /// Write a line to the log.
     Log {
-        /// Its level.
+        /// Log level.
         level: slog::Level,
-        /// The line.
+        /// Text of the line.
         text: String,
     },
     /// End the process.
@@ -200,26 +203,27 @@
 /// A change of the names that requests may use. Definitions are shared with the reducer, not copied.
 #[derive(Debug, Clone)]
 pub enum NameChange {
-    /// A class is in force.
+    /// A class is in force, newly or with another definition.
     Class {
-        /// Refers to it in requests.
+        /// Handle that requests refer to it by.
         handle: Handle,
-        /// Its definition.
+        /// Definition in force.
         class: Arc<ClassDefinition>,
     },
-    /// A class was removed. Requests that name it are still passed on and rejected by the reducer.
+    /// A class was removed. Requests that name it must still be passed on; the reducer rejects them once the grace
+    /// period is over.
     ClassRemoved(Arc<ClassDefinition>),
-    /// Nothing refers to a removed class any more: its name is unknown.
+    /// Nothing refers to a removed class any more, so its name is now unknown.
     ClassForgotten(Arc<ClassDefinition>),
-    /// A tenant is in force.
+    /// A tenant is in force, newly or with another definition.
     Tenant {
-        /// Refers to it in requests.
+        /// Handle that requests refer to it by.
         handle: Handle,
-        /// Its definition.
+        /// Definition in force.
         tenant: Arc<Tenant>,
     },
-    /// A tenant was removed; requests may still name it.
+    /// A tenant was removed. Requests may still name it.
     TenantRemoved(Arc<Tenant>),
-    /// The slot of a removed tenant was reused: its name is unknown.
+    /// The slot of a removed tenant was reused, so its name is now unknown.
     TenantForgotten(Arc<Tenant>),
 }
--- a/crates/core/src/messages/input.rs
+++ b/crates/core/src/messages/input.rs
@@ -13,51 +13,51 @@
 use gradepin_coordination::consensus::VoterState;
 use gradepin_registry::membership::RegistryReply;
 
-/// An event that a shell hands to the reducer.
+/// An event that a shell passes to the reducer.
 #[derive(Debug)]
 pub enum Input {
     /// A client connection was accepted.
     ConnectionOpened(ConnectionId),
-    /// Nothing more is read from a connection: its peer has shut its half, or sent what is no message. All messages
-    /// before that were passed on and are answered yet.
+    /// No more is read from a connection, because its peer closed its half or sent an undecodable message. All messages
+    /// before that were passed on and are still answered.
     ConnectionHalfClosed(ConnectionId),
-    /// A connection sent no complete message in its time. It is closed once it is owed nothing, unless a message is
-    /// completed before that.
+    /// A connection sent no complete message within the time limit. It is closed once no response is owed on it, unless
+    /// a message is completed before that.
     ConnectionLate(ConnectionId),
-    /// A connection has ended or is unusable.
+    /// A connection was closed or has become unusable.
     ConnectionClosed(ConnectionId),
     /// A client request.
     Request {
-        /// Connection that it came on.
+        /// Connection that the message arrived on.
         connection: ConnectionId,
-        /// Number of the message on its connection.
+        /// Sequence number of the message on its connection.
         sequence: SequenceId,
         /// The decoded request.
         request: Box<ClientRequest>,
     },
-    /// A message that is owed a response but is no valid request.
+    /// A message that is owed a response but is not a valid request.
     InvalidRequest {
-        /// Connection that it came on.
+        /// Connection that the message arrived on.
         connection: ConnectionId,
-        /// Number of the message on its connection.
+        /// Sequence number of the message on its connection.
         sequence: SequenceId,
-        /// What is wrong with it.
+        /// Why the message is invalid.
         error: RequestError,
-        /// Explanation for its sender.
+        /// Explanation for the sender.
         text: String,
     },
     /// The caller no longer waits for a request.
     Cancel {
         /// Connection of the request.
         connection: ConnectionId,
-        /// Number of the request on its connection.
+        /// Sequence number of the request on its connection.
         sequence: SequenceId,
     },
     /// A client's health check.
     HealthCheck {
-        /// Connection that it came on.
+        /// Connection that the message arrived on.
         connection: ConnectionId,
-        /// Number of the message on its connection.
+        /// Sequence number of the message on its connection.
         sequence: SequenceId,
     },
     /// The processor greeted on a new link.
@@ -66,13 +66,13 @@
         link: u64,
         /// Whether the processor's cores were cold when it started.
         cold: bool,
-        /// How long ago it started.
+        /// How long ago the processor started, when it wrote its greeting.
         age: Span,
     },
-    /// The link has ended.
+    /// The link to the processor was lost or closed.
     LinkDown,
-    /// The processor that greets is another one than before: no run of the former one continues, and its notices are
-    /// numbered from 1 again. Its [`Input::LinkUp`] follows, on this link or on a later one.
+    /// The processor that greets is not the one from before. No run of the former one continues, and notices are
+    /// numbered from 1 again. [`Input::LinkUp`] follows, on this link or on a later one.
     ProcessorRestarted,
     /// A run has ended.
     RunCompleted {
@@ -80,11 +80,11 @@
         notice: u64,
         /// Request of the run.
         id: RequestId,
-        /// How it ended.
+        /// How the run ended.
         end: RunEnd,
-        /// How long it ran.
+        /// Duration of the run.
         took: Span,
-        /// Its result; empty unless it ended with [`RunEnd::Ok`].
+        /// Result of the run; empty unless it ended with [`RunEnd::Ok`].
         result: Buffer,
     },
     /// A run waits for a call to the shared upstream.
@@ -100,18 +100,19 @@
     UpstreamCallEnded {
         /// Request that the call was made for.
         id: RequestId,
-        /// Which call.
+        /// Id of the call.
         call: UpstreamCallId,
-        /// How it ended.
+        /// How the call ended.
         outcome: Outcome,
-        /// Body of the reply; none unless the outcome is [`Outcome::Success`].
+        /// Body of the reply; `None` unless the outcome is [`Outcome::Success`].
         reply: Option<Buffer>,
     },
     /// The processor's gauges, in reply to [`Effect::ReadGauges`].
     GaugesRead {
-        /// Number of the reading that they answer.
+        /// Number of the reading that is answered.
         number: u64,
-        /// Values in the order of the settings; NaN for a gauge that the processor doesn't report.
+        /// Values in the order in which the settings list the gauges; NaN for a gauge that the processor doesn't
+        /// report.
         values: Vec<f64>,
     },
     /// Reply to [`Effect::ClaimRun`].
@@ -125,64 +126,65 @@
     RunNotStarted(RequestId),
     /// Reading from a connection is paused, as too many of its requests are rejected.
     ConnectionThrottled {
-        /// The connection.
+        /// Connection that is throttled.
         connection: ConnectionId,
-        /// How long nothing is read from it.
+        /// How long nothing is read from the connection.
         duration: Span,
     },
     /// SIGTERM: shut down gracefully.
     ShutdownNotice,
-    /// The front ends accept no more connections; all that were accepted have been reported.
+    /// The front ends accept no more connections, and have reported all that they accepted.
     StoppedAccepting,
-    /// An operator takes the server out of service: that is published first, and it drains once clients may know.
+    /// An operator takes the server out of service. This is published first, and the drain starts once clients may
+    /// know.
     TakeOutOfService,
-    /// An operator returns the server to service; ignored once its drain has begun.
+    /// An operator returns the server to service. Ignored once its drain has begun.
     ReturnToService,
     /// Outcome of a registry request.
     RegistryReply {
         /// Ticket of the request.
         ticket: u64,
-        /// Its outcome.
+        /// Outcome of the request.
         reply: RegistryReply,
     },
-    /// The settings file was read again and compared with the classes and tenants in force.
+    /// The settings file was reloaded and compared with the classes and tenants in force.
     Reload(Box<Reload>),
-    /// The settings file was read again and is invalid; the active settings stay.
+    /// The reloaded settings file is invalid; the active settings stay in force.
     ReloadRejected {
-        /// Why it is invalid.
+        /// Error message for the log.
         reason: String,
     },
-    /// An operator's request at the admin endpoint, answered by [`Effect::AnswerAdmin`].
+    /// An operator's request at the admin endpoint. Answered by [`Effect::AnswerAdmin`].
     AdminRequest {
-        /// Names the request in its response.
+        /// Identifies the request in its response.
         id: AdminRequestId,
-        /// What is asked.
+        /// The request.
         request: AdminRequest,
     },
     /// The store was opened and read.
     StoreRecovered(Box<RecoveredRuns>),
-    /// The folder in which the two processes of an upgrade claim runs can be used from now on.
+    /// The folder in which the two processes of an upgrade claim keyed runs can be used from now on.
     RunsShared {
         /// Key of the body fingerprints of both processes.
         salt: u64,
     },
-    /// All batches for the store up to this one are durable.
+    /// All batches up to this one are durable in the store.
     StorePersisted {
         /// Number of the last durable batch.
         number: u64,
     },
-    /// Batches for the store up to this one may be lost.
+    /// Batches up to this one may be missing from the store.
     StoreFailed {
         /// Number of the last batch that failed; 0 if the store could not be opened.
         number: u64,
-        /// Error of the disk.
+        /// Error message of the disk.
         reason: String,
     },
-    /// An authenticated datagram of another server.
+    /// An authenticated datagram from another server.
     PeerDatagram(Box<Envelope>),
-    /// Count of peer datagrams that were dropped, by reason.
+    /// Number of peer datagrams dropped since the last report, by reason.
     PeerDatagramsDropped(Vec<(DropReason, u64)>),
-    /// The keys that authenticate peer datagrams were read again.
+    /// The keys that authenticate peer datagrams were reloaded.
     AuthenticationKeysReloaded(AuthenticationKeys),
     /// Records of the voter state up to this number are durable.
     VoterStateWritten {
@@ -191,25 +193,25 @@
     },
     /// Records of the voter state could not be written.
     VoterStateFailed {
-        /// The voter state as it was read again from the folder.
+        /// The voter state, recovered from the folder after the failure.
         recovered: Box<VoterState>,
-        /// Error of the disk.
+        /// Error message of the disk.
         reason: String,
     },
     /// Outcome of [`Effect::SaveConfiguration`].
     ConfigurationWritten(ConfigurationSaveResult),
-    /// The active or the staged settings changed.
+    /// The active or the staged settings have changed.
     StagedSettingsChanged {
-        /// Digest of the active settings; none if they are as before.
+        /// Digest of the active settings; `None` if they are unchanged.
         active: Option<String>,
         /// Digests of the staged settings.
         staged: Vec<String>,
     },
-    /// A rollout step could not be taken on this server.
+    /// A rollout step failed on this server.
     RolloutStepFailed {
         /// Number of the release.
         release: u64,
-        /// What failed.
+        /// Error message for operators.
         reason: String,
     },
 }
@@ -217,10 +219,10 @@
 /// Which of the two processes of an upgrade owns the run of an idempotency key.
 #[derive(Debug, Clone)]
 pub enum RunClaim {
-    /// This process: it may start the run.
+    /// This process, which may start the run.
     Ours,
-    /// The other process, whose run ended so.
+    /// The other process, whose run ended with this outcome.
     Ended(RunOutcome),
-    /// The owner can't be determined: the run must not start.
+    /// The owner can't be determined, so the run must not start.
     Unknown,
 }
--- a/crates/core/src/processor_identity.rs
+++ b/crates/core/src/processor_identity.rs
@@ -1,43 +1,44 @@
-//! Whether the processor that greets on a link is the one from before, or another one, whose notices are numbered from 1 again.
-//! This is the one place that decides it: the shell asks at each greeting, goes by it when it sends the number of the last
-//! notice, and informs the reducer.
+//! Detects whether the processor that greets on a link is the same as before or a new one, whose notices are numbered
+//! from 1 again. Only this module decides that: the shell calls it at each greeting, uses the result when it sends the
+//! number of the latest notice, and informs the reducer.
 //!
-//! A greeting says how long ago the processor started. It is written after the shell began to connect and before it is read. So
-//! the processor started no sooner than that long before the one, and no later than that long before the other. It is another
-//! one if its earliest start is past the latest start of the one before, or its latest start past the last message of that.
+//! A greeting contains the age of the processor. It is written after the shell began to connect and before it is read,
+//! so the processor started no earlier than its age before the former time and no later than its age before the latter.
+//! It is a new processor if its earliest start is after the latest start of the previous one, or its latest start is
+//! after the last message of the previous one.
 //!
-//! Invariants: another processor is recognized unless it claims to be older than the one before was. The same processor is
-//! taken for another only if its greeting is read later than it had been up. A greeting that leaves both possible counts as
-//! another's: then runs fail, where otherwise all results would be dropped.
+//! Invariants: a new processor is detected unless it claims to be older than the previous one was. The same processor
+//! is taken for a new one only if its greeting is read later than it had been up. If both are possible, the processor
+//! counts as new: some runs then fail, whereas otherwise all results would be dropped.
 
 use crate::messages::MIN_PROCESSOR_RESTART;
 use gradepin_admission::{Span, Time, time_after, time_before};
 
-/// How far the clocks of two processes on one machine may be apart.
+/// Maximum difference between the clocks of two processes on one machine.
 const MAX_CLOCK_DIFFERENCE: Span = Span(1_000_000_000);
 
-/// What is known of the processor across links.
+/// The shell's knowledge of the processor across links.
 #[derive(Debug, Default)]
 pub struct ProcessorIdentity {
-    /// When its last message was read.
+    /// When the latest message of the processor was read.
     last_message_at: Option<Time>,
-    /// When it had started at the latest.
+    /// Latest possible start of the processor.
     started_by: Option<Time>,
 }
 
 impl ProcessorIdentity {
-    /// A message of the processor is read.
+    /// Notes that a message of the processor was read.
     pub fn message_read(&mut self, now: Time) {
         self.last_message_at = Some(now);
     }
 
-    /// The processor greets on a link that the shell began to make at `connecting`, and says that it started `age` ago. Returns
-    /// whether it is another one than before.
+    /// Handles a greeting on a link that the shell began to make at `connecting`; `age` is the time since the processor
+    /// started. Returns whether the processor is a new one.
     pub fn greeted(&mut self, connecting: Time, now: Time, age: Span) -> bool {
         let earliest_start = time_before(connecting, age);
         let latest_start = time_before(now, age);
-        // The last message may have been read long after it was written, and another processor may have started between the
-        // two. So the starts are compared too.
+        // The latest message may have been read long after it was written, and a new processor may have started in
+        // between. Therefore the start times are compared too.
         let started_after_message =
             self.last_message_at.is_some_and(|last| latest_start > time_after(last, MIN_PROCESSOR_RESTART));
         let started_after_former =
--- a/crates/core/src/reducer/admin.rs
+++ b/crates/core/src/reducer/admin.rs
@@ -1,7 +1,7 @@
-//! Operators' requests at the admin endpoint: each is answered in the step in which it comes in.
+//! Operators' requests at the admin endpoint. Each is answered in the step in which it arrives.
 //!
-//! Readiness and the operators' drain are [`crate::admin`]'s, the metrics [`crate::request_metrics`]'; requests about
-//! agreements and the committed configuration go to [`super::agreements`] and [`super::configuration_admin`].
+//! [`crate::admin`] owns readiness and the operators' drain, [`crate::request_metrics`] the metrics. Requests about
+//! agreements and the committed configuration are passed to [`super::agreements`] and [`super::configuration_admin`].
 
 use super::Reducer;
 use crate::admin::{AdminRequest, AdminRequestId, AdminResponse, NotReadyReason, ReadinessInputs};
@@ -10,7 +10,6 @@
 use slog::Level;
 
 impl Reducer {
-    /// Answers an operator's request.
     pub(super) fn admin_request(&mut self, id: AdminRequestId, request: AdminRequest) {
         let response = match request {
             AdminRequest::Agreement(request) => AdminResponse::Agreement(self.agreement_request(request)),
@@ -29,7 +28,7 @@
     fn set_operator_drain(&mut self, draining: bool) -> AdminResponse {
         let response = self.operator_drain.set(self.timestamp.now, draining);
         if let AdminResponse::DrainState { changed: true, .. } = response {
-            // The control plane and health checks learn of it at once.
+            // The control plane and health checks must see the change at once.
             self.report_change();
             let text = if draining { "drained at the operators' call" } else { "back to work" };
             self.log(Level::Info, text.into());
@@ -46,11 +45,11 @@
         }
     }
 
-    /// Whether this process is ready to serve, and if not, why.
+    /// Returns whether this process is ready to serve, and if not, the reason.
     pub(super) fn readiness(&self) -> Result<(), NotReadyReason> {
         self.operator_drain.readiness(ReadinessInputs {
             processor: self.controller.is_some(),
-            healthy: self.healthy && !self.registration.is_out(),
+            healthy: self.healthy && !self.registration.is_out_of_service(),
             shutting_down: self.drain.is_draining(),
         })
     }
--- a/crates/core/src/reducer/admission_actions.rs
+++ b/crates/core/src/reducer/admission_actions.rs
@@ -1,6 +1,7 @@
-//! The admission module's part of a step: it handles the events of the step at once, and its actions change the state.
+//! The admission module's part of a step: it handles all events of the step at once, and its actions are applied to the
+//! state.
 //!
-//! All decisions are the module's ([`gradepin_admission::Controller`]); here they are carried out in its order.
+//! All decisions are made by [`gradepin_admission::Controller`]; they are carried out here in their order.
 
 use super::Reducer;
 use super::open_requests::{OpenRequest, RequestState};
@@ -46,8 +47,8 @@
             Action::CallUpstream { id, timeout } => self.start_upstream_call(&id, timeout),
             Action::StopRun(id) => self.stop_run(&id),
             Action::SkipUpstreamCall(_) => {
-                // The processor has no such command: the admission module must not be configured for it.
-                let text = "the module asked to go on without a call, which the processor can't";
+                // The processor has no such command, so the admission module must not be configured to use it.
+                let text = "admission: request to skip an upstream call ignored, as the processor does not support it";
                 self.log(Level::Error, text.into());
             }
         }
@@ -58,7 +59,7 @@
         self.respond_and_release(id, Response::Failed { timed_out });
     }
 
-    /// Later attempts with the key of a request repeat it, for so long.
+    /// Treats later attempts with the key of a request as repeats of it, for `retain_for`.
     fn retain_idempotency_key(&mut self, id: &RequestId, retain_for: Span) {
         let until = time_after(self.timestamp.now, retain_for);
         if let Some((key, fingerprint)) = self.requests.get(id).and_then(OpenRequest::key_and_fingerprint) {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// A repeat gets the outcome of its key's run, now or once that has ended.
+    /// Answers a repeat with the outcome of its key's run, now or once that run has ended.
     fn join_run(&mut self, id: &RequestId) {
         let Some(open) = self.requests.get_mut(id) else { return };
         open.state = RequestState::Joined { since: self.timestamp.now };
--- a/crates/core/src/reducer/agreements.rs
+++ b/crates/core/src/reducer/agreements.rs
@@ -1,9 +1,9 @@
-//! The server's part in what the fleet agrees on: permits to leave, steps of a rollout, and the consensus group where this
-//! server is a voter.
+//! The server's part in the fleet's agreements: permits to leave, rollout steps, and the consensus group if this server
+//! is a voter.
 //!
-//! Messages go over the cluster's datagrams; files and commands are the shell's. Not here: what is agreed and when, which is
-//! [`gradepin_coordination`]'s. Without a consensus group nothing here has an effect. SIGTERM needs no permit: a server that
-//! the platform stops is out without one.
+//! Messages are sent in the cluster's datagrams; the shell handles files and commands. [`gradepin_coordination`]
+//! decides what is agreed and when. Without a consensus group nothing here has an effect. SIGTERM needs no permit: a
+//! server that the platform stops leaves without one.
 
 use super::{MS, Reducer};
 use crate::admin::{AgreementRequest, AgreementResponse};
@@ -19,15 +19,15 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Between reports of this server to the consensus group; a change of readiness is reported at once.
+/// Interval between this server's reports to the consensus group. A change of readiness is reported at once.
 const REPORT_INTERVAL: Span = Span(250 * MS);
-/// Cells whose totals are reported; others aren't compared.
+/// Maximum number of cells whose totals are reported; further cells are not compared.
 const MAX_REPORTED_CELLS: usize = 48;
 
-/// What the reducer holds of the agreements.
+/// The reducer's state of the agreements.
 #[derive(Default)]
 pub(super) struct Agreements {
-    /// The agent of this server; none without a consensus group.
+    /// Agent of this server; `None` without a consensus group.
     pub(super) agent: Option<Box<ServerAgent>>,
     zone: String,
     /// Version of the running program.
@@ -36,25 +36,24 @@
     settings_digest: String,
     /// Digests of the staged settings.
     staged_digests: Vec<String>,
-    /// The rollout step that failed here last.
+    /// The latest rollout step that failed on this server.
     failed_step: Option<FailedStep>,
-    /// Requests of this process by cell, for the comparison of versions.
+    /// Request totals of this process by cell, for the comparison of versions.
     service_totals: BTreeMap<CellId, ServiceTotal>,
     reported_ready: bool,
     next_report_at: Time,
-    /// Grows with each failure of the folder of the voter state: writes of former generations are void.
+    /// Incremented each time writing the voter state fails; pending writes of earlier generations are void.
     voter_state_generation: u64,
-    /// Ticket of the last operator command.
+    /// Ticket of the latest operator command.
     last_ticket: u64,
 }
 
 impl Agreements {
-    /// Whether there is a consensus group.
     pub(super) fn is_enabled(&self) -> bool {
         self.agent.is_some()
     }
 
-    /// When something is due though nothing comes in.
+    /// Next time at which a step is due without input.
     pub(super) fn wake_at(&self) -> Option<Time> {
         self.agent.as_ref().map(|agent| agent.wake_at().min(self.next_report_at))
     }
@@ -74,8 +73,8 @@
 }
 
 impl Reducer {
-    /// With a part in what the fleet agrees on, for a server of this zone whose program has this version and whose active
-    /// settings have this digest.
+    /// Adds the agent of a server in this zone. `program_version` is the version of its program, `settings_digest` the
+    /// digest of its active settings.
     pub fn with_agent(
         mut self,
         agent: ServerAgent,
@@ -89,31 +88,34 @@
         self
     }
 
-    /// A message of another server's agent or voter came in.
+    /// Handles a message from another server's agent or voter.
     pub(super) fn consensus_message_received(&mut self, from: &Arc<str>, incarnation: u64, message: &[u8]) {
         if let Some(agent) = &mut self.agreements.agent {
             agent.receive(self.timestamp.now, from, incarnation, message);
         }
     }
 
-    /// Records of the voter state up to this number are durable.
+    /// Reports to the agent that records of the voter state up to this number are durable.
     pub(super) fn voter_state_written(&mut self, number: u64) {
         if let Some(agent) = &mut self.agreements.agent {
             agent.write_completed(number);
         }
     }
 
-    /// Records of the voter state could not be written; the voter goes on from what its folder holds.
+    /// Handles a failure to write records of the voter state: the voter continues from the state that was recovered
+    /// from its folder.
     pub(super) fn voter_state_failed(&mut self, recovered: VoterState, reason: &str) {
         self.agreements.voter_state_generation += 1;
         if let Some(agent) = &mut self.agreements.agent {
             agent.write_failed(self.timestamp.now, recovered);
-            let text = format!("writing the voter state failed: {reason}; it was read again");
+            let text = format!(
+                "consensus: writing the voter state failed: {reason}; continuing from the state on disk"
+            );
             self.log(Level::Error, text);
         }
     }
 
-    /// The active settings, if `active` names a digest, or the staged ones have changed.
+    /// Updates the digests of the staged settings and, if `active` is set, of the active settings.
     pub(super) fn staged_settings_changed(&mut self, active: Option<String>, staged: Vec<String>) {
         if let Some(active) = active {
             self.agreements.settings_digest = active;
@@ -122,15 +124,15 @@
         self.agreements.next_report_at = self.timestamp.now;
     }
 
-    /// This server could not take a step of a rollout.
+    /// Records and reports a rollout step that failed on this server.
     pub(super) fn rollout_step_failed(&mut self, release: u64, reason: String) {
-        self.log(Level::Error, format!("this server's step of release {release} failed: {reason}"));
+        self.log(Level::Error, format!("rollout: this server's step of release {release} failed: {reason}"));
         self.agreements.failed_step = Some(FailedStep { rollout: release, reason });
         self.agreements.next_report_at = self.timestamp.now;
     }
 
-    /// Counts first attempts that arrived, or that were served, for the comparison of versions: in the cells of the class, of
-    /// the tenant and of both, as the last may have too few requests to compare.
+    /// Counts first attempts that arrived or were served, for the comparison of versions. They are counted for the
+    /// class, for the tenant and for both together, as the last cell may have too few requests to compare.
     pub(super) fn count_for_rollback(
         &mut self,
         tenant: Option<usize>,
@@ -154,22 +156,22 @@
         }
     }
 
-    /// Asks for a permit to leave; false if there is no consensus group to ask.
+    /// Requests a permit to leave; returns false if there is no consensus group.
     pub(super) fn request_permit_to_leave(&mut self) -> bool {
         let Some(agent) = &mut self.agreements.agent else { return false };
         agent.request_permit(self.timestamp.now);
-        self.log(Level::Info, "asking the fleet for a permit to leave".into());
+        self.log(Level::Info, "requesting a permit to leave the fleet".into());
         true
     }
 
-    /// An operator wants the server to stay.
+    /// Withdraws the request for a permit, if there is one.
     pub(super) fn withdraw_permit_request(&mut self) {
         if let Some(agent) = &mut self.agreements.agent {
             agent.cancel_permit(self.timestamp.now);
         }
     }
 
-    /// The agent's part of a step.
+    /// Performs the agent's part of a step.
     pub(super) fn agreements_step(&mut self) {
         if !self.agreements.is_enabled() {
             return;
@@ -202,18 +204,21 @@
             }
             AgentEffect::PermitGranted { epoch, expires_at } => {
                 if self.timestamp.now < expires_at {
-                    self.log(Level::Info, format!("leaving by permit {epoch}"));
+                    self.log(Level::Info, format!("permit {epoch} granted; leaving the fleet"));
                     self.take_out_of_service();
                 } else {
                     self.log(
                         Level::Warning,
-                        format!("permit {epoch} was granted too late to leave by; asking again"),
+                        format!("permit {epoch} arrived after it expired; requesting another"),
                     );
                     self.request_permit_to_leave();
                 }
             }
             AgentEffect::PermitDenied { reason } => {
-                self.log(Level::Warning, format!("not leaving: {reason}"));
+                self.log(
+                    Level::Warning,
+                    format!("permit to leave denied: {reason}; the server stays in service"),
+                );
             }
             AgentEffect::StepGranted { assignment, expires_at } => {
                 self.start_rollout_step(assignment, expires_at);
@@ -226,14 +231,19 @@
     fn start_rollout_step(&mut self, step: StepAssignment, start_before: Time) {
         let version = &step.version;
         if self.timestamp.now >= start_before {
-            self.log(Level::Warning, format!("the rollout step to {version} was granted too late to start"));
+            self.log(
+                Level::Warning,
+                format!(
+                    "rollout: permit for the step to {version} arrived after it expired; step not started"
+                ),
+            );
             if let Some(agent) = &mut self.agreements.agent {
                 agent.step_expired();
             }
             return;
         }
         let kind = if step.kind == ReleaseKind::Program { "program" } else { "settings" };
-        self.log(Level::Info, format!("changing to {kind} {version} by permit {}", step.epoch));
+        self.log(Level::Info, format!("rollout: changing to {kind} {version} with permit {}", step.epoch));
         self.effects.push(Effect::StartRolloutStep { step: Box::new(step), start_before });
     }
 
--- a/crates/core/src/reducer/apply_summary.rs
+++ b/crates/core/src/reducer/apply_summary.rs
@@ -1,66 +1,68 @@
-//! What a transaction or a settings file changed, and why a transaction can't be applied.
+//! Summary of the changes made by a transaction or a settings file, and the reasons why a transaction can't be applied.
 
 use gradepin_config::change::Name;
 
-/// Names that a log line lists of one kind of change.
+/// Maximum number of names of each kind of change that a log line lists.
 const MAX_LISTED_NAMES: usize = 8;
 
-/// Why a transaction can't be applied; nothing of it is.
+/// Why a transaction can't be applied. None of its changes take effect then.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
-    /// It removes a class that is not in force.
+    /// The transaction removes a class that is not in force.
     #[error("expected the name of a class in force, got '{0}'")]
     UnknownClass(Name),
-    /// It removes a tenant that is not in force.
+    /// The transaction removes a tenant that is not in force.
     #[error("expected the name of a tenant in force, got '{0}'")]
     UnknownTenant(Name),
-    /// A class has no name, or a time that must be above 0 is 0.
+    /// A class has an empty name, or its latency objective or deadline is 0.
     #[error("expected a class with a name, a latency objective and a deadline above 0, got '{0}'")]
     BadClass(Name),
-    /// A tenant has no name.
+    /// A tenant has an empty name.
     #[error("expected a tenant with a name")]
     BadTenant,
-    /// No class would be left.
+    /// No class would remain in force.
     #[error("expected a class that stays, got all removed")]
     NoClass,
-    /// More would be in force than may be, or slots that open requests still refer to leave no capacity.
-    #[error("expected capacity for at most {max} {what}, got {got}")]
+    /// More classes or tenants would be in force than allowed, or too few slots are free because open requests still
+    /// refer to those of removed names.
+    #[error("expected capacity for at most {max} {kind}, got {got}")]
     TooMany {
-        /// Classes or tenants.
-        what: &'static str,
-        /// How many may be in force.
+        /// `"classes"` or `"tenants"`.
+        kind: &'static str,
+        /// Maximum number in force.
         max: usize,
-        /// How many would be.
+        /// Number that would be in force.
         got: usize,
     },
-    /// A settings file is being applied, and the order of the two would be undefined.
-    #[error("expected no file being applied, got one at its change {0}")]
+    /// A settings file is being applied, so the order of the two changes would be undefined. Holds the number of the
+    /// file's changes applied so far.
+    #[error("expected no reload in progress, got one at its change {0}")]
     ReloadUnderWay(usize),
 }
 
-/// What a transaction or a file changed: classes by kind of change, and counts of tenants and rules.
+/// The changes made by a transaction or a settings file: classes by kind of change, and counts of tenants and rules.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ApplySummary {
-    /// Classes that are new.
+    /// New classes.
     pub added: NameList,
-    /// Classes in force with another definition.
+    /// Classes whose definition was replaced.
     pub changed: NameList,
-    /// Classes that were removed.
+    /// Removed classes.
     pub removed: NameList,
     /// Classes that had been removed and are in force again.
     pub restored: NameList,
-    /// Count of tenants added, changed or removed.
+    /// Number of tenants added, changed or removed.
     pub tenants: usize,
-    /// Count of rules set.
+    /// Number of rules set.
     pub rules: usize,
 }
 
-/// A count of names, and the first [`MAX_LISTED_NAMES`] of them.
+/// The number of names, and the first [`MAX_LISTED_NAMES`] of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct NameList {
-    /// How many names.
+    /// Number of names, listed or not.
     pub count: usize,
-    /// The first ones.
+    /// The first [`MAX_LISTED_NAMES`] names.
     pub first: Vec<String>,
 }
 
@@ -73,7 +75,7 @@
         }
     }
 
-    /// The listed names, and how many more there are, for the log.
+    /// Formats the listed names and the number of further ones for the log.
     pub(super) fn text(&self) -> String {
         let more = self.count - self.first.len();
         let more = if more > 0 { format!(" and {more} more") } else { String::new() };
@@ -81,11 +83,10 @@
     }
 }
 
-/// How many names would be in force, and how many of them need a new slot.
+/// The demand of a change: names that would be in force, and new slots that it needs.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct NameDemand {
-    /// Names in force.
     pub(super) in_force: usize,
-    /// Names that have no slot.
+    /// Names that need a new slot.
     pub(super) new: usize,
 }
--- a/crates/core/src/reducer/cluster.rs
+++ b/crates/core/src/reducer/cluster.rs
@@ -1,8 +1,8 @@
-//! The server's part in a cluster whose servers talk to each other: what it counts for them, calls to the shared upstream that
-//! wait for a slot, and the limits that the admission module is given from the cluster's counters and leases.
+//! The server's part in a cluster of servers that communicate: its counters, calls to the shared upstream that wait for
+//! a slot, and the limits that the admission module gets from the cluster's counters and leases.
 //!
-//! Not here: what is lent, believed or ejected, which is [`gradepin_cluster`]'s, and which calls are made in which order, which
-//! the admission module decides. Without a cluster nothing here has an effect.
+//! [`gradepin_cluster`] decides about lending, membership and outliers; the admission module decides which calls are
+//! made and in which order. Without a cluster nothing here has an effect.
 
 use super::counter_cells::CounterCells;
 use super::{MS, Reducer};
@@ -18,71 +18,70 @@
 use slog::Level;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
-/// Between updates of the quotas, which move over seconds.
+/// Interval between updates of tenant quotas, which change over seconds.
 const QUOTA_UPDATE_INTERVAL: Span = Span(500 * MS);
-/// Between two updates of the call limit at the least.
+/// Minimum interval between updates of the call limit.
 const MIN_LIMIT_UPDATE_INTERVAL: Span = Span(20 * MS);
-/// Before any run of a class was seen, one is estimated to take its latency objective divided by this.
-const FIRST_ESTIMATE_DIVISOR: u64 = 8;
-/// The estimate of a run moves by the difference to the last one divided by this.
+/// Initial estimate of a class's run time: its latency objective divided by this.
+const INITIAL_ESTIMATE_DIVISOR: u64 = 8;
+/// Smoothing of the run time estimate: each run moves it by the difference divided by this.
 const ESTIMATE_SMOOTHING: u64 = 16;
-/// Names of cells for people, some 400 KB; a cell without a name is shown by its number.
+/// Maximum number of named cells, which take about 400 KB. Cells without a name are shown by their number.
 const MAX_CELL_NAMES: usize = 4_096;
 
-/// A call that the admission module made and that has no slot yet.
+/// An upstream call that the admission module made and that has no slot yet.
 #[derive(Debug)]
 struct WaitingCall {
     id: RequestId,
-    /// How long to wait for the reply at the most.
+    /// Maximum time to wait for the reply.
     timeout: Span,
-    /// When it is given up.
+    /// When the call is given up.
     expires_at: Time,
 }
 
-/// What the reducer holds of the cluster.
+/// The reducer's state of the cluster.
 #[derive(Default)]
 pub(super) struct ClusterState {
     cluster: Option<Box<Cluster>>,
-    /// Calls without a slot, in the order in which they were made. Bounded by the open requests.
+    /// Calls without a slot, in the order in which they were made. Limited by the number of open requests.
     waiting_calls: VecDeque<WaitingCall>,
-    /// Calls that hold a slot, and since when.
+    /// Calls that hold a slot, with the time at which each got it.
     slots_in_use: HashMap<UpstreamCallId, Time>,
     /// Requests whose runs wait for a call that the admission module has not made yet.
     requested_calls: HashSet<RequestId>,
-    /// What a run takes, by the slot of its class; 0 where none was seen.
-    run_estimates: Vec<Span>,
+    /// Estimated run time, indexed by class slot; 0 if no run of the class was seen.
+    run_time_estimates: Vec<Span>,
     cells: CounterCells,
-    /// The call limit that the admission module was given.
+    /// Call limit that the admission module was given last.
     reported_limit: Option<f64>,
-    /// The quotas that it was given, by the slots of tenants, where they differ from the settings.
+    /// Quotas that the admission module was given, by tenant slot, where they differ from the settings.
     reported_quotas: BTreeMap<usize, f64>,
     next_limit_at: Time,
     next_quotas_at: Time,
 }
 
 impl ClusterState {
-    /// Whether there is a cluster.
     pub(super) fn is_enabled(&self) -> bool {
         self.cluster.is_some()
     }
 
-    fn estimated_run(&self, classes: &Classes, class: usize) -> Span {
-        let seen = self.run_estimates.get(class).copied().filter(|span| span.0 > 0);
-        seen.unwrap_or(Span(classes.profile(class).latency_objective.0 / FIRST_ESTIMATE_DIVISOR))
+    fn estimated_run_time(&self, classes: &Classes, class: usize) -> Span {
+        let seen = self.run_time_estimates.get(class).copied().filter(|span| span.0 > 0);
+        seen.unwrap_or(Span(classes.profile(class).latency_objective.0 / INITIAL_ESTIMATE_DIVISOR))
     }
 
-    fn record_run(&mut self, class: usize, took: Span) {
-        if self.run_estimates.len() <= class {
-            self.run_estimates.resize(class + 1, Span(0));
+    fn record_run_time(&mut self, class: usize, took: Span) {
+        if self.run_time_estimates.len() <= class {
+            self.run_time_estimates.resize(class + 1, Span(0));
         }
-        let estimate = &mut self.run_estimates[class];
+        let estimate = &mut self.run_time_estimates[class];
         *estimate = match estimate.0 {
             0 => took,
             before => Span(before - before / ESTIMATE_SMOOTHING + took.0 / ESTIMATE_SMOOTHING),
         };
     }
 
-    /// When something is due though nothing comes in.
+    /// Next time at which a step is due without input.
     pub(super) fn wake_at(&self, now: Time) -> Option<Time> {
         let cluster = self.cluster.as_ref()?;
         let expires_at = self.waiting_calls.iter().map(|call| call.expires_at).min();
@@ -90,19 +89,19 @@
         earliest(Some(cluster.wake_at(now)), earliest(expires_at, slot_at))
     }
 
-    /// The cluster as this server sees it, where there is one.
+    /// This server's view of the cluster; `None` without a cluster.
     pub(super) fn view(&self, now: Time) -> Option<Box<FleetView>> {
         self.cluster.as_ref().map(|cluster| Box::new(cluster.view(now)))
     }
 
-    /// The cluster's metrics, where there is one.
+    /// The cluster's metrics; `None` without a cluster.
     pub(super) fn status(&self, now: Time) -> Option<Box<ClusterStatus>> {
         self.cluster.as_ref().map(|cluster| Box::new(cluster.status(now)))
     }
 }
 
-/// Names for people of the cells that these settings have: of classes and tenants up to the bound, and of their combinations
-/// where all of those are within it.
+/// Returns display names for the counter cells of these settings: one for each class and tenant, up to the limit, and
+/// for each combination of the two if all combinations are within the limit.
 pub fn cell_names(settings: &Settings) -> BTreeMap<u32, String> {
     let classes = || settings.profiles.iter().map(|class| class.name.as_str());
     let tenants = || settings.customers.iter().map(|tenant| tenant.name.as_str());
@@ -118,56 +117,56 @@
     names
 }
 
-/// The share of the shared upstream's slots that takes part in lending. A share under one call does not: the admission module
-/// keeps it as a mean over time, which leases don't move.
+/// Returns this server's number of shared upstream slots that take part in lending. A share of less than one call
+/// doesn't: the admission module enforces it as an average over time, which leases don't change.
 pub fn lent_share(settings: &Settings) -> Option<f64> {
     let specifics = &settings.specifics;
     (specifics.below == UpstreamKind::Shared && specifics.calls_out >= 1.0).then_some(specifics.calls_out)
 }
 
 impl Reducer {
-    /// With a part in a cluster whose servers talk to each other.
+    /// Adds the server to a cluster of servers that communicate.
     pub fn with_cluster(mut self, cluster: Cluster) -> Self {
         self.cluster.cluster = Some(Box::new(cluster));
         self
     }
 
-    /// The cell of a tenant's requests of a class, or without a tenant of all requests of the class.
+    /// Returns the cell that counts a tenant's requests of a class; without a tenant, all requests of the class.
     pub(super) fn counter_cell(&mut self, tenant: Option<usize>, class: usize) -> CellId {
         self.cluster.cells.cell(&self.classes, &self.tenants, tenant, class)
     }
 
-    /// The cell of all requests of a tenant.
+    /// Returns the cell that counts all requests of a tenant.
     pub(super) fn tenant_cell(&mut self, tenant: Option<usize>) -> Option<CellId> {
         tenant.and_then(|tenant| self.cluster.cells.tenant_cell(&self.tenants, tenant))
     }
 
-    /// Sends a message of another concern to a server, by its name.
+    /// Sends a consensus or configuration message to the server with this name.
     pub(super) fn send_to_peer(&mut self, to: &str, message: &[u8]) {
         if let Some(cluster) = &mut self.cluster.cluster {
             cluster.post(self.timestamp.now, to, message);
         }
     }
 
-    /// A datagram of another server came in.
+    /// Handles a datagram from another server.
     pub(super) fn peer_datagram_received(&mut self, envelope: &Envelope) {
         if let Some(cluster) = &mut self.cluster.cluster {
             cluster.receive(self.timestamp.now, envelope);
         }
     }
 
-    /// Counts datagrams that were dropped at the socket.
+    /// Counts datagrams that the shell dropped at the socket.
     pub(super) fn peer_datagrams_dropped(&mut self, dropped: &[(DropReason, u64)]) {
         if let Some(cluster) = &mut self.cluster.cluster {
             dropped.iter().for_each(|(reason, count)| cluster.dropped(*reason, *count));
         }
     }
 
-    /// The keys that authenticate peer datagrams were read again.
+    /// Replaces the keys that authenticate peer datagrams.
     pub(super) fn authentication_keys_reloaded(&mut self, keys: AuthenticationKeys) {
         if let Some(cluster) = &mut self.cluster.cluster {
             cluster.set_keys(keys);
-            self.log(Level::Info, "the fleet's keys were read again".into());
+            self.log(Level::Info, "fleet: authentication keys reloaded".into());
         }
     }
 
@@ -177,7 +176,7 @@
             return true;
         }
         let now = self.timestamp.now;
-        let estimate = self.cluster.estimated_run(&self.classes, class);
+        let estimate = self.cluster.estimated_run_time(&self.classes, class);
         let cell = self.counter_cell(tenant, class);
         self.cluster.cells.note_request(now, tenant, class);
         let Some(cluster) = &mut self.cluster.cluster else { return true };
@@ -193,11 +192,11 @@
         let cell = self.counter_cell(tenant, class);
         if let Some(cluster) = &mut self.cluster.cluster {
             cluster.served(self.timestamp.now, cell, took);
-            self.cluster.record_run(class, took);
+            self.cluster.record_run_time(class, took);
         }
     }
 
-    /// Notes that a run waits for a call that is not made yet, or no longer does.
+    /// Records whether a run waits for a call that the admission module has not made yet.
     pub(super) fn note_call_requested(&mut self, id: &RequestId, is_requested: bool) {
         if !self.cluster.is_enabled() {
             return;
@@ -209,7 +208,7 @@
         }
     }
 
-    /// The admission module makes a call: it is sent once it has a slot.
+    /// Queues a call that the admission module made, until it gets a slot.
     pub(super) fn queue_upstream_call(&mut self, id: &RequestId, timeout: Span) {
         let expires_at = time_after(self.timestamp.now, timeout);
         let call = WaitingCall { id: id.clone(), timeout, expires_at };
@@ -217,7 +216,8 @@
         self.send_waiting_calls();
     }
 
-    /// Sends the calls that have a slot now. Those whose time is up, or that the circuit breaker rejects, are never sent.
+    /// Sends the waiting calls that get a slot now. Calls that have timed out or that the circuit breaker rejects are
+    /// not sent.
     fn send_waiting_calls(&mut self) {
         self.drop_overdue_calls();
         while let Some(first) = self.cluster.waiting_calls.front() {
@@ -239,7 +239,6 @@
         self.report_waiting_calls();
     }
 
-    /// Whether the run of a request still waits for its call.
     fn is_call_needed(&self, id: &RequestId) -> bool {
         self.requests.get(id).is_some_and(|open| open.upstream_call.is_some())
     }
@@ -255,8 +254,8 @@
         self.cluster.slots_in_use.insert(number, now);
     }
 
-    /// Gives up the calls whose time is up, wherever they wait. An overdue call behind one that waits longer would be due again
-    /// and again ([`ClusterState::wake_at`]).
+    /// Gives up all calls that have timed out, at any position in the queue. Otherwise an overdue call behind one that
+    /// waits longer would keep the reducer due without progress ([`ClusterState::wake_at`]).
     fn drop_overdue_calls(&mut self) {
         let now = self.timestamp.now;
         let mut overdue = Vec::new();
@@ -274,10 +273,10 @@
         }
     }
 
-    /// Tells the cluster how many calls wait here, by which it lends slots.
+    /// Reports the number of waiting calls to the cluster, which lends slots accordingly.
     fn report_waiting_calls(&mut self) {
         let requests = &self.requests;
-        // A request whose call the admission module gave up waits for no slot, though its run may go on.
+        // A request whose call the admission module gave up needs no slot, although its run may continue.
         let is_waiting = |id: &RequestId| {
             requests.get(id).is_some_and(|open| open.upstream_call.is_some() && open.response_owed)
         };
@@ -288,8 +287,8 @@
         }
     }
 
-    /// A call has ended; its slot, if it had one, is free. Its duration counts from the slot: the upstream has no part in the
-    /// wait for one.
+    /// Releases the slot of a call that has ended. The reported duration starts when the call got its slot, since the
+    /// upstream is not responsible for the wait before.
     pub(super) fn release_call_slot(&mut self, call: UpstreamCallId, outcome: Outcome) {
         if let Some(since) = self.cluster.slots_in_use.remove(&call)
             && let Some(cluster) = &mut self.cluster.cluster
@@ -299,7 +298,7 @@
         }
     }
 
-    /// The cluster's part of a step.
+    /// Performs the cluster's part of a step.
     pub(super) fn cluster_step(&mut self) {
         if !self.cluster.is_enabled() {
             return;
@@ -332,8 +331,8 @@
         }
     }
 
-    /// Gives the admission module the slots that may be used now, and the quotas by the cluster's counters of the tenants seen
-    /// here.
+    /// Updates the admission module's limits: the call slots that are usable now, and the quotas of recently seen
+    /// tenants by the cluster's counters.
     fn update_admission_limits(&mut self) {
         let now = self.timestamp.now;
         if now >= self.cluster.next_limit_at {
@@ -360,7 +359,7 @@
         self.cluster.next_limit_at = time_after(now, MIN_LIMIT_UPDATE_INTERVAL);
     }
 
-    /// Updates the quotas that moved; those of tenants no longer seen go back to the settings.
+    /// Updates the quotas that changed. Tenants that were not seen recently get back the quota of the settings.
     fn update_quotas(&mut self) {
         let now = self.timestamp.now;
         let Some(cluster) = &self.cluster.cluster else { return };
@@ -386,7 +385,7 @@
         }
     }
 
-    /// Settings other than classes and tenants have changed: the cluster goes by them, and the call limit is given anew.
+    /// Applies changed settings to the cluster, and has the call limit recomputed.
     pub(super) fn cluster_settings_changed(&mut self) {
         if let Some(cluster) = &mut self.cluster.cluster {
             cluster.reconfigure(self.settings.servers as usize, lent_share(&self.settings));
@@ -395,21 +394,21 @@
         }
     }
 
-    /// The tenant in a slot has another quota, or is another tenant: the quota that was given no longer holds.
+    /// Discards the reported quota of a slot whose tenant or quota has changed.
     pub(super) fn forget_reported_quota(&mut self, slot: usize) {
         if self.cluster.reported_quotas.remove(&slot).is_some() {
             self.cluster.next_quotas_at = self.timestamp.now;
         }
     }
 
-    /// The slot of a class was freed.
-    pub(super) fn forget_run_estimate(&mut self, slot: usize) {
-        if let Some(estimate) = self.cluster.run_estimates.get_mut(slot) {
+    /// Discards the run time estimate of a freed class slot.
+    pub(super) fn forget_run_time_estimate(&mut self, slot: usize) {
+        if let Some(estimate) = self.cluster.run_time_estimates.get_mut(slot) {
             *estimate = Span(0);
         }
     }
 
-    /// The process exits: the other servers need not suspect it first.
+    /// Announces to the other servers that this process exits, so that they don't have to detect it by suspicion.
     pub(super) fn announce_departure(&mut self) {
         let Some(cluster) = &mut self.cluster.cluster else { return };
         cluster.leave(self.timestamp.now);
--- a/crates/core/src/reducer/configuration.rs
+++ b/crates/core/src/reducer/configuration.rs
@@ -1,12 +1,12 @@
-//! The committed configuration: brings revisions that the consensus group committed into force, and has them made durable.
+//! The committed configuration: applies the revisions that the consensus group committed, and has them made durable.
 //!
-//! Owns the [`ConfigurationService`]. Its messages go over the cluster's datagrams behind [`CONFIGURATION_TAG`]; transactions
-//! are applied by [`Reducer::apply_transaction`], one a step. Not here: what is committed and in which order, which is the
-//! consensus group's, and which server gets it from whom, which is [`gradepin_config::dissemination`]'s. Without a service
-//! nothing here has an effect.
+//! Owns the [`ConfigurationService`]. Its messages are sent in the cluster's datagrams, marked by
+//! [`CONFIGURATION_TAG`]. [`Reducer::apply_transaction`] applies at most one transaction per step. The consensus group
+//! decides what is committed and in which order; [`gradepin_config::dissemination`] decides which server gets it from
+//! which. Without the service nothing here has an effect.
 //!
-//! Invariant: what is in force is a prefix of the committed log, except while a complete state is being installed, which takes
-//! several steps; the revision that is shown is the last one that is completely in force.
+//! Invariant: the state in force is a prefix of the committed log, except while a complete state is installed, which
+//! takes several steps. The reported revision is always the last one that is completely in force.
 
 use super::configuration_admin::PendingProposals;
 use super::{MS, Reducer};
@@ -23,47 +23,47 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Between updates of the members, and checks of the age of the state.
+/// Interval between updates of the member list, and between checks of the age of the state.
 const CHECK_INTERVAL: Span = Span(500 * MS);
-/// After a transaction that could not be applied, until the difference to the committed state is computed and tried again.
+/// Delay after a transaction could not be applied, until the difference to the committed state is recomputed and
+/// applied.
 const RETRY_INTERVAL: Span = Span(1_000 * MS);
 
-/// A transaction that waits to be applied.
+/// A transaction that is not applied yet.
 struct PendingTransaction {
     transaction: Transaction,
-    /// The state that is reached with it; none in the middle of an installation.
-    reaches: Option<Configuration>,
+    /// The state once this transaction is applied; `None` for an intermediate step of an installation.
+    resulting_state: Option<Configuration>,
 }
 
-/// A transaction that could not be applied.
+/// The failure to apply a transaction.
 pub(super) struct ApplyFailure {
-    /// Why not.
+    /// Error message for logs and status replies.
     pub(super) reason: String,
     retry_at: Time,
 }
 
 /// The configuration service of this server.
 pub(super) struct ConfigurationService {
-    /// What the server started with.
+    /// Initial state and settings of the service.
     pub(super) start: ConfigurationStart,
-    /// Exchanges revisions with other servers.
     pub(super) dissemination: Dissemination,
-    /// The last state that was completely in force.
+    /// The latest state that was completely in force.
     pub(super) in_force: Configuration,
-    /// What the reducer goes by, also in the middle of an installation. Its revision has no meaning.
+    /// The classes, tenants and rules that the reducer currently applies, even in the middle of an installation. Its
+    /// revision has no meaning.
     content: Configuration,
     pending: VecDeque<PendingTransaction>,
-    /// Why the next transaction can't be applied.
+    /// Set after a transaction failed, until it is retried.
     pub(super) failure: Option<ApplyFailure>,
-    /// Servers that are up, as dissemination knows them.
+    /// Servers that are up, as last reported to dissemination.
     members: BTreeMap<Name, Arc<Member>>,
     started_at: Time,
     next_check: Time,
-    /// Whether the log says that the state is stale.
+    /// Whether the state was last logged as stale.
     reported_stale: bool,
-    /// The last durable revision.
+    /// The latest durable revision.
     durable: Revision,
-    /// Where the state came from.
     pub(super) source: Source,
     /// Changes that operators proposed at this server.
     pub(super) proposals: PendingProposals,
@@ -74,7 +74,7 @@
         let own = start.own.clone();
         let dissemination =
             Dissemination::new(start.dissemination.clone(), own, start.state.clone(), start.seed, now);
-        // A state that was read from the disk is durable there.
+        // A state that was read from the disk is already durable.
         let is_durable = start.source == Source::Snapshot;
         Self {
             dissemination,
@@ -93,13 +93,13 @@
         }
     }
 
-    /// The age of the state: since it was last confirmed as the newest one.
+    /// Returns the time since the state was last confirmed to be the newest.
     pub(super) fn age(&self, now: Time) -> Span {
         let since = self.dissemination.status().confirmed_at.unwrap_or(self.started_at);
         Span(now.0.saturating_sub(since.0))
     }
 
-    /// Whether the state is older than the settings allow.
+    /// Whether the age of the state exceeds the configured limit.
     pub(super) fn is_stale(&self, now: Time) -> bool {
         self.age(now) > self.start.stale_after
     }
@@ -117,36 +117,38 @@
         self.start.regions.get(&**zone).map_or_else(|| Arc::clone(zone), |region| Arc::from(region.as_str()))
     }
 
-    /// A commit comes into force after all that is pending.
+    /// Queues a commit behind all pending transactions.
     fn add_commit(&mut self, commit: &Commit) {
-        let mut reaches = self.last_pending_state().clone();
-        // One that doesn't fit is found when it is applied, and the difference is computed then.
-        let _ = reaches.apply(commit);
+        let mut resulting_state = self.last_pending_state().clone();
+        // A commit that can't be applied to this state is detected when it is due, and the difference to the committed
+        // state is applied instead.
+        let _ = resulting_state.apply(commit);
         let transaction = commit.transaction.clone();
-        self.pending.push_back(PendingTransaction { transaction, reaches: Some(reaches) });
+        self.pending.push_back(PendingTransaction { transaction, resulting_state: Some(resulting_state) });
     }
 
-    /// A complete state comes into force in place of all that is pending.
+    /// Replaces all pending transactions by those that lead to a complete state.
     fn add_state(&mut self, target: &Configuration) {
         self.pending.clear();
         let transactions = self.content.difference_to(target);
-        let pending =
-            transactions.into_iter().map(|transaction| PendingTransaction { transaction, reaches: None });
+        let pending = transactions
+            .into_iter()
+            .map(|transaction| PendingTransaction { transaction, resulting_state: None });
         self.pending.extend(pending);
         match self.pending.back_mut() {
-            Some(last) => last.reaches = Some(target.clone()),
+            Some(last) => last.resulting_state = Some(target.clone()),
             None => self.in_force = target.clone(),
         }
     }
 
     fn last_pending_state(&self) -> &Configuration {
-        let reached = self.pending.iter().rev().find_map(|pending| pending.reaches.as_ref());
+        let reached = self.pending.iter().rev().find_map(|pending| pending.resulting_state.as_ref());
         reached.unwrap_or(&self.in_force)
     }
 
-    /// A transaction was applied.
+    /// Records that a transaction was applied.
     fn applied(&mut self, pending: PendingTransaction) {
-        match pending.reaches {
+        match pending.resulting_state {
             Some(state) => {
                 self.content = state.clone();
                 self.in_force = state;
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Applies a part of an installation, for which no commit exists.
+    /// Applies an intermediate step of an installation, for which no commit exists.
     fn apply_to_content(&mut self, transaction: Transaction) {
         let none = Name::from("");
         let commit = Commit {
@@ -170,20 +172,20 @@
     }
 }
 
-/// The configuration service, where it is on.
+/// The configuration service, if it is enabled.
 #[derive(Default)]
 pub(super) struct ConfigurationState {
-    /// None where classes, tenants and rules come from the settings file.
+    /// `None` if classes, tenants and rules come from the settings file.
     pub(super) service: Option<Box<ConfigurationService>>,
 }
 
 impl ConfigurationState {
-    /// When something is due though nothing comes in.
+    /// Next time at which a step is due without input.
     pub(super) fn wake_at(&self, now: Time) -> Option<Time> {
         self.service.as_ref().map(|service| service.wake_at(now))
     }
 
-    /// The metrics, where the service is on.
+    /// The metrics; `None` if the service is not enabled.
     pub(super) fn metrics(&self, now: Time) -> Option<ConfigurationMetrics> {
         let service = self.service.as_ref()?;
         Some(ConfigurationMetrics {
@@ -194,8 +196,8 @@
 }
 
 impl Reducer {
-    /// With the configuration service, for a server that was made with the classes, tenants and rules of `start` and that has
-    /// an agent ([`Reducer::with_agent`]).
+    /// Adds the configuration service. The server must have been created with the classes, tenants and rules of
+    /// `start`, and must have an agent ([`Reducer::with_agent`]).
     pub fn with_configuration(mut self, start: ConfigurationStart, now: Time) -> Self {
         self.settings_changes.set_committed();
         if let Some(agent) = &mut self.agreements.agent {
@@ -213,7 +215,7 @@
         self
     }
 
-    /// Takes a message of another server, if it is one of the configuration service; false if it is not.
+    /// Handles a message of another server if it belongs to the configuration service; returns false otherwise.
     pub(super) fn configuration_message(&mut self, from: &Name, content: &[u8]) -> bool {
         let Some((&CONFIGURATION_TAG, message)) = content.split_first() else { return false };
         if let Some(service) = &mut self.configuration.service {
@@ -222,14 +224,14 @@
         true
     }
 
-    /// The consensus group's effects on the configuration.
+    /// Carries out the consensus group's effects on the configuration.
     pub(super) fn consensus_configuration_effect(&mut self, effect: ConfigurationEffect) {
         let now = self.timestamp.now;
         let Some(service) = &mut self.configuration.service else { return };
         match effect {
             ConfigurationEffect::Committed(commit) => service.dissemination.committed(now, commit),
             ConfigurationEffect::Answered(response) => service.proposals.answered(now, response),
-            // Each state is saved as it comes into force, so all that may be left is to say that it is durable.
+            // Each state is saved when it is queued, so it only remains to report which revision is durable.
             ConfigurationEffect::MakeDurable(_) => {
                 let durable = service.durable;
                 if let Some(agent) = &mut self.agreements.agent {
@@ -239,12 +241,12 @@
         }
     }
 
-    /// The shell has written a configuration, or could not.
+    /// Handles the result of writing a configuration to the disk.
     pub(super) fn configuration_written(&mut self, result: ConfigurationSaveResult) {
         let revision = match result {
             ConfigurationSaveResult::Durable(revision) => revision,
             ConfigurationSaveResult::Failed { reason } => {
-                let text = format!("the configuration could not be written, it is tried again: {reason}");
+                let text = format!("configuration: saving failed, will be retried: {reason}");
                 return self.log(Level::Error, text);
             }
         };
@@ -256,7 +258,7 @@
         }
     }
 
-    /// The service's part of a step.
+    /// Performs the service's part of a step.
     pub(super) fn configuration_step(&mut self) {
         let now = self.timestamp.now;
         let Some(service) = &self.configuration.service else { return };
@@ -304,7 +306,7 @@
         self.save_configuration(snapshot, None);
     }
 
-    /// Has a state of the cluster made durable, and reports to the agent that it is held here.
+    /// Has a state from the cluster made durable, and offers it to the agent.
     fn save_configuration(&mut self, state: Snapshot, commit: Option<Arc<Commit>>) {
         if let Some(agent) = &mut self.agreements.agent {
             agent.offer_configuration(state.configuration());
@@ -315,7 +317,7 @@
         self.effects.push(Effect::SaveConfiguration(Box::new(ConfigurationSave { state, commit })));
     }
 
-    /// Applies the next transaction; one a step, so that requests are not held up by many.
+    /// Applies the next transaction. Only one is applied per step, so that requests are not delayed by many.
     fn apply_next_transaction(&mut self) {
         let now = self.timestamp.now;
         let Some(service) = &mut self.configuration.service else { return };
@@ -337,12 +339,17 @@
                 service.pending.clear();
                 let retry_at = time_after(now, RETRY_INTERVAL);
                 service.failure = Some(ApplyFailure { reason: reason.clone(), retry_at });
-                self.log(Level::Error, format!("a committed change can't be applied here: {reason}"));
+                self.log(
+                    Level::Error,
+                    format!(
+                        "configuration: committed change could not be applied, will be retried: {reason}"
+                    ),
+                );
             }
         }
     }
 
-    /// Tells dissemination which servers are up, and which of them vote.
+    /// Updates dissemination's list of the servers that are up and of those that are voters.
     fn update_members(&mut self) {
         let now = self.timestamp.now;
         let Some(view) = self.cluster.view(now) else { return };
@@ -372,7 +379,7 @@
         }
     }
 
-    /// Logs once when the state becomes stale, and once when it no longer is.
+    /// Logs once when the state becomes stale, and once when it is confirmed again.
     fn check_staleness(&mut self) {
         let now = self.timestamp.now;
         let Some(service) = &mut self.configuration.service else { return };
@@ -383,11 +390,12 @@
         }
         let (revision, age) = (service.in_force.revision(), span_seconds(service.age(now)));
         if is_stale {
-            let text =
-                format!("revision {revision} was not confirmed for {age:.0} s: stale, serving goes on");
+            let text = format!(
+                "configuration: revision {revision} not confirmed for {age:.0} s; stale, but still in use"
+            );
             self.log(Level::Warning, text);
         } else {
-            self.log(Level::Info, format!("revision {revision} is confirmed again"));
+            self.log(Level::Info, format!("configuration: revision {revision} confirmed again"));
         }
     }
 }
--- a/crates/core/src/reducer/configuration/tests.rs
+++ b/crates/core/src/reducer/configuration/tests.rs
@@ -1,5 +1,5 @@
-//! Committed changes and complete states on their way into force, without a network: the effects of dissemination are called
-//! directly.
+//! Application of committed changes and complete states, without a network: the tests call the handlers of
+//! dissemination's effects directly.
 
 #[path = "../../../../admission/tests/common/mod.rs"]
 #[allow(unreachable_pub, reason = "shared with the integration tests")]
@@ -18,8 +18,8 @@
 use gradepin_config::dissemination::DisseminationSettings;
 use serde_json::json;
 
-/// More than one transaction holds.
-const MANY: usize = 3_000;
+/// Number of tenants; more than fit into one transaction.
+const TENANT_COUNT: usize = 3_000;
 
 fn config() -> Config {
     let address = "127.0.0.1:1";
@@ -27,13 +27,13 @@
     settings["specifics"]["below"] = json!("off");
     let config = json!({"name": "n1", "listen": address, "processor": address, "control": address, "seed": "7",
         "stop_ms": 2000, "limits": {"cores": 1.0, "sockets": 128}, "settings": settings});
-    Config::parse(&config.to_string()).expect("a whole configuration")
+    Config::parse(&config.to_string()).expect("a valid configuration")
 }
 
-/// A server whose service is on, with this state in place of its start file's.
+/// Returns a server with the configuration service, in this state instead of that of its start file.
 fn server(state: impl FnOnce(Configuration) -> Configuration) -> Reducer {
     let config = config();
-    let base = Configuration::from_settings(&config.settings).expect("a base");
+    let base = Configuration::from_settings(&config.settings).expect("a valid base");
     let own = Member { name: "n1".into(), zone: "z".into(), region: "z".into(), voter: true };
     let start = ConfigurationStart {
         state: state(base),
@@ -81,11 +81,11 @@
         [Input::AdminRequest { id: 1, request }],
         &mut effects,
     );
-    let answer = effects.into_iter().find_map(|effect| match effect {
-        Effect::AnswerAdmin { id: 1, response: AdminResponse::Configuration(answer) } => Some(*answer),
+    let response = effects.into_iter().find_map(|effect| match effect {
+        Effect::AnswerAdmin { id: 1, response: AdminResponse::Configuration(response) } => Some(*response),
         _ => None,
     });
-    match answer {
+    match response {
         Some(ConfigurationAdminResponse::Status(status)) => *status,
         other => panic!("expected a status, got {other:?}"),
     }
@@ -93,16 +93,16 @@
 
 #[test]
 fn complete_state_applies_one_transaction_per_step_before_later_commits() {
-    let mut target = Configuration::from_settings(&config().settings).expect("a base");
-    for piece in 0..MANY / 1_000 {
-        commit(&mut target, (0..1_000).map(|n| put_tenant(piece * 1_000 + n)).collect());
+    let mut target = Configuration::from_settings(&config().settings).expect("a valid base");
+    for chunk in 0..TENANT_COUNT / 1_000 {
+        commit(&mut target, (0..1_000).map(|n| put_tenant(chunk * 1_000 + n)).collect());
     }
     let mut reducer = server(|base| base);
     step(&mut reducer, Time(1));
     reducer.receive_state(Snapshot::of(&target));
     let installed = target.version();
-    let after_it = commit(&mut target, vec![put_tenant(MANY)]);
-    reducer.receive_commit(after_it);
+    let next_commit = commit(&mut target, vec![put_tenant(TENANT_COUNT)]);
+    reducer.receive_commit(next_commit);
     let mut seen = Vec::new();
     let mut steps = 0;
     while seen.last() != Some(&target.version()) {
@@ -110,20 +110,24 @@
         assert!(steps < 20, "{seen:?}");
         let before = reducer.tenants.in_force();
         step(&mut reducer, Time(1 + steps));
-        assert!(reducer.tenants.in_force() - before <= 1_024, "no more than a transaction a step");
+        assert!(reducer.tenants.in_force() - before <= 1_024, "at most one transaction per step");
         let version = reducer.configuration.service.as_ref().expect("on").in_force.version();
         if seen.last() != Some(&version) {
             seen.push(version);
         }
     }
-    assert!(steps > 3, "several steps");
-    assert_eq!(seen[seen.len() - 2..], [installed, target.version()], "and nothing in between is shown");
-    assert_eq!(reducer.tenants.in_force(), MANY + 1);
+    assert!(steps > 3, "the state must take several steps");
+    assert_eq!(
+        seen[seen.len() - 2..],
+        [installed, target.version()],
+        "no intermediate state may be reported"
+    );
+    assert_eq!(reducer.tenants.in_force(), TENANT_COUNT + 1);
 }
 
 #[test]
 fn inapplicable_commit_keeps_the_last_state_and_is_retried() {
-    // The state has a class that the reducer was not made with.
+    // The state has a class that the reducer was not created with.
     let extra_class = |base: &Configuration| {
         let mut profile = base.class("read").expect("there").profile.clone();
         profile.name = "ghost".into();
@@ -144,11 +148,11 @@
     step(&mut reducer, Time(1));
     let reply = status(&mut reducer, Time(2));
     assert_eq!((reply.revision, reply.newest), (before, state.revision()));
-    assert!(reply.cannot_apply.is_some_and(|why| why.contains("ghost")));
+    assert!(reply.cannot_apply.is_some_and(|reason| reason.contains("ghost")));
     reducer
         .apply_transaction(&Transaction { changes: vec![Change::PutClass(class.expect("made"))] })
         .expect("put");
-    assert_eq!(status(&mut reducer, Time(3)).revision, before, "not before its time");
+    assert_eq!(status(&mut reducer, Time(3)).revision, before, "retried too early");
     step(&mut reducer, time_after(Time(3), RETRY_INTERVAL));
     let reply = status(&mut reducer, time_after(Time(4), RETRY_INTERVAL));
     assert_eq!((reply.revision, reply.cannot_apply), (state.revision(), None));
@@ -173,8 +177,8 @@
     let config = config();
     let settings = Arc::new(config.settings.clone());
     let mut reducer = Reducer::new(&config, settings, Registration::default()).expect("a server");
-    let answer = reducer.configuration_request(ConfigurationAdminRequest::Status);
-    assert_eq!(answer, ConfigurationAdminResponse::Rejected(AdminError::Off));
+    let response = reducer.configuration_request(ConfigurationAdminRequest::Status);
+    assert_eq!(response, ConfigurationAdminResponse::Rejected(AdminError::Off));
     assert!(!reducer.configuration_message(&"n2".into(), &[3, 1]), "a consensus message");
-    assert!(reducer.configuration_message(&"n2".into(), &[CONFIGURATION_TAG, 1]), "and none");
+    assert!(reducer.configuration_message(&"n2".into(), &[CONFIGURATION_TAG, 1]), "a configuration message");
 }
