--- a/crates/core/src/reducer/configuration_admin.rs
+++ b/crates/core/src/reducer/configuration_admin.rs
@@ -1,7 +1,7 @@
-//! Operators' requests about the committed configuration: changes that are proposed at this server, and its status.
+//! Operators' requests about the committed configuration: changes proposed at this server, and its status.
 //!
-//! Owns [`PendingProposals`], the latest proposals of this server with their outcomes. The consensus group decides about them;
-//! their outcomes come back under tickets.
+//! Owns [`PendingProposals`], the latest proposals at this server with their outcomes. The consensus group decides
+//! about them, and each outcome is matched to its proposal by a ticket.
 
 use super::{MS, Reducer};
 use crate::configuration::{ConfigurationAdminRequest, ConfigurationAdminResponse};
@@ -14,45 +14,45 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Proposals whose outcomes are kept here; rejections are kept nowhere else.
+/// Maximum number of proposals retained with their outcomes. Rejections are recorded nowhere else.
 const MAX_PROPOSALS: usize = 256;
-/// Advised wait when there are too many proposals.
+/// Advised wait before a retry if there are too many proposals, in milliseconds.
 const BUSY_RETRY_AFTER_MS: u64 = 500;
-/// A proposal is kept for so long at the least. One that is under way ends within 1.8 s, so it is never dropped.
+/// Minimum time for which a proposal is retained. A pending one ends within 1.8 s and is therefore never dropped.
 const MIN_PROPOSAL_AGE_NS: u64 = 10_000 * MS;
 
-/// A change that was proposed at this server.
+/// A change that was proposed at this server, pending or decided.
 struct PendingProposal {
     ticket: u64,
-    /// Its author's name for it; a repeat has the same.
+    /// Id chosen by the author; a repeat has the same one.
     request_id: Name,
-    /// See [`ConfigurationRequest::seen`].
+    /// Newest revision that this server knew when the change was first proposed ([`ConfigurationRequest::seen`]).
     seen: Revision,
-    /// See [`ConfigurationRequest::requested_at_ms`].
+    /// When the change was first proposed, in Unix milliseconds ([`ConfigurationRequest::requested_at_ms`]).
     requested_at_ms: u64,
-    /// When it was proposed, or when its outcome came.
+    /// When the change was proposed or, once it is decided, when its outcome arrived.
     since: Time,
-    /// None while it is under way.
+    /// `None` while the proposal is pending.
     outcome: Option<Result<Revision, AdminError>>,
-    /// Whether it had been committed before.
+    /// Whether the change had already been committed under the same request id.
     is_repeated: bool,
 }
 
-/// The changes that were proposed at this server, the latest [`MAX_PROPOSALS`].
+/// The latest changes proposed at this server, at most [`MAX_PROPOSALS`].
 #[derive(Default)]
 pub(super) struct PendingProposals {
     proposals: VecDeque<PendingProposal>,
     last_ticket: u64,
 }
 
-/// A proposal for the consensus group, under the ticket that its outcome comes back with.
+/// A proposal for the consensus group, with the ticket that identifies its outcome.
 struct TicketedRequest {
     ticket: u64,
     request: ConfigurationRequest,
 }
 
 impl PendingProposals {
-    /// The outcome of a proposal came back.
+    /// Records the outcome of a proposal.
     pub(super) fn answered(&mut self, now: Time, response: ProposalResponse) {
         let proposal = self.proposals.iter_mut().find(|proposal| proposal.ticket == response.ticket);
         if let Some(proposal) = proposal {
@@ -65,8 +65,8 @@
         self.proposals.iter().rev().find(|proposal| proposal.request_id == *request_id)
     }
 
-    /// Adds a proposal under a new ticket. A repeat takes the place of the one before, and keeps the revision and the time that
-    /// its author first saw. Errors: there are too many proposals of less than [`MIN_PROPOSAL_AGE_NS`].
+    /// Adds a proposal under a new ticket. A repeat replaces the earlier proposal, and keeps its revision and request
+    /// time. Returns an error if the table is full of proposals that are younger than [`MIN_PROPOSAL_AGE_NS`].
     fn add(
         &mut self,
         now: Time,
@@ -121,7 +121,7 @@
     }
 }
 
-/// The error that an operator gets for a rejected proposal.
+/// Converts the rejection of a proposal to the error that an operator gets.
 fn admin_error(rejected: ConfigurationRejected) -> AdminError {
     match rejected {
         ConfigurationRejected::Moved { expected, in_force } => AdminError::Stale { expected, in_force },
@@ -142,8 +142,8 @@
 }
 
 impl Reducer {
-    /// Answers an operator's request about the configuration. A proposal is only pending then; its outcome is asked for with
-    /// [`ConfigurationAdminRequest::RequestStatus`].
+    /// Answers an operator's request about the configuration. A proposal is answered as pending; its outcome is queried
+    /// with [`ConfigurationAdminRequest::RequestStatus`].
     pub(super) fn configuration_request(
         &mut self,
         request: ConfigurationAdminRequest,
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Validates a proposal against what is in force, without proposing it.
+    /// Validates a proposal against the state in force, without proposing it.
     fn dry_run(&self, proposal: &Proposal) -> Result<ApplyReply, AdminError> {
         let service = self.configuration.service.as_ref().ok_or(AdminError::Off)?;
         service.in_force.check(proposal).map_err(|rejected| match rejected {
--- a/crates/core/src/reducer/connections.rs
+++ b/crates/core/src/reducer/connections.rs
@@ -1,8 +1,9 @@
-//! The table of client connections: what each has open, which are idle, and which of those close for newcomers.
+//! The table of client connections: the open requests of each, which connections are idle, and which idle ones are
+//! closed to make room for new ones.
 //!
-//! A connection knows its requests by their ids alone. Not here: sockets, which are the front ends'; they close an idle
-//! connection only if nothing of it is under way. Invariant: a connection from which nothing more comes is closed once it is
-//! owed nothing.
+//! A connection refers to its requests only by id. The front ends own the sockets, and close an idle connection only if
+//! no message on it is in progress. Invariant: a connection from which no more messages can come is closed once no
+//! response is owed on it.
 
 use super::{MS, Reducer};
 use crate::idle_connections::{IdleConnections, IdleEntry};
@@ -11,50 +12,51 @@
 use gradepin_admission::{RequestId, Span, Time, time_after};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Connections that one sweep checks for idleness.
+/// Maximum number of connections that one sweep checks for idleness.
 const MAX_IDLE_CHECKS: usize = 64;
-/// Between checks of a connection at the most: the admission module may shorten the idle timeout.
+/// Maximum interval between idleness checks of a connection, since the admission module may shorten the idle timeout.
 const IDLE_CHECK_INTERVAL: Span = Span(1_000 * MS);
-/// A peer that was asked to drain an idle connection has so long to close it.
+/// Time that a peer has to close an idle connection after it was asked to drain it.
 const DRAIN_TIMEOUT: Span = Span(1_000 * MS);
-/// A connection that is idle for less is not closed for a newcomer; half of it for one that never sent a message.
+/// Minimum idle time before a connection is evicted for a new one; half of it for a connection that never sent a
+/// message.
 const MIN_IDLE_BEFORE_EVICTION: Span = Span(200 * MS);
-/// How long an idle connection takes to close. One that still stands after it was not idle.
+/// Maximum time that closing an idle connection takes. A connection that is still open after that was not idle.
 const CLOSE_TIMEOUT: Span = Span(250 * MS);
-/// Newcomers take the places of idle connections when no more places are free than the size of the table divided by this.
-const FREE_PLACES_DIVISOR: usize = 8;
-/// A connection that never sent a message counts as idle for this many times as long as it is.
+/// Idle connections are evicted once the free capacity is at most the maximum number of connections divided by this.
+const FREE_CAPACITY_DIVISOR: usize = 8;
+/// Factor on the idle time of a connection that never sent a message.
 const SILENT_WEIGHT: u64 = 2;
 
 /// The state of a client connection.
 #[derive(Debug, Default)]
 pub(super) struct ConnectionState {
-    /// Requests that are owed a response.
+    /// Requests that are owed a response, by sequence number.
     pub(super) open: HashMap<SequenceId, RequestId>,
-    /// When it was accepted.
+    /// When the connection was accepted.
     pub(super) opened: Time,
-    /// When it was last used.
+    /// When the latest message was received or response sent.
     last_used: Time,
-    /// Whether it ever sent a complete message.
+    /// Whether a complete message was ever received.
     sent_message: bool,
-    /// Since when it is asked to drain.
+    /// When the peer was asked to drain the connection.
     draining_since: Option<Time>,
-    /// Nothing more comes from it; it is closed once what is open is answered.
+    /// No more messages can come; the connection is closed once all open requests are answered.
     is_half_closed: bool,
-    /// Nothing more is accepted from it; it is closed once nothing of it is under way.
-    pub(super) is_refused: bool,
-    /// No message of it was complete in its time, and none came since.
+    /// New requests are rejected; the connection is closed once no message on it is in progress.
+    pub(super) rejects_requests: bool,
+    /// No message was completed within the time limit, and none has come since.
     is_late: bool,
-    /// Messages received from it.
+    /// Number of complete messages received.
     messages_received: u64,
-    /// Until when nothing was read from it, the last time that it was throttled.
+    /// End of the latest period in which nothing was read because of throttling.
     pub(super) throttled_until: Option<Time>,
-    /// When the shell was last asked to close it if it is idle.
+    /// When the shell was last asked to close the connection if it is idle.
     closing_since: Option<Time>,
 }
 
 impl ConnectionState {
-    /// Whether it is being closed, as far as is known here.
+    /// Whether the shell may still be carrying out a request to close the connection.
     fn is_closing(&self, now: Time) -> bool {
         self.closing_since.is_some_and(|since| now < time_after(since, CLOSE_TIMEOUT))
     }
@@ -64,24 +66,24 @@
 #[derive(Debug)]
 pub(super) struct Connections {
     table: BTreeMap<ConnectionId, ConnectionState>,
-    /// From this many connections on newcomers take the places of idle ones.
+    /// Number of connections from which on new ones evict idle ones.
     evict_from: usize,
-    /// From this many connections on newcomers have reserved places.
+    /// Number of connections from which on new ones use the reserved connections.
     max_connections: usize,
-    /// Connections with nothing open.
+    /// Index of the connections without open requests.
     idle: IdleConnections,
-    /// When to check which connection for idleness.
+    /// Times of the connections' next idleness checks.
     idle_checks: TimerWheel<ConnectionId>,
-    /// How long one may be idle, once the admission module has set it.
+    /// How long a connection may be idle; `None` until the admission module sets it.
     idle_timeout: Option<Span>,
 }
 
 impl Connections {
-    /// For at most so many connections beside the reserved places.
+    /// Creates a table for at most `max_connections`, not counting the reserved connections.
     pub(super) fn new(max_connections: usize) -> Self {
         Self {
             table: BTreeMap::new(),
-            evict_from: max_connections - max_connections / FREE_PLACES_DIVISOR,
+            evict_from: max_connections - max_connections / FREE_CAPACITY_DIVISOR,
             max_connections,
             idle: IdleConnections::default(),
             idle_checks: TimerWheel::default(),
@@ -89,17 +91,15 @@
         }
     }
 
-    /// How many there are.
     pub(super) fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// All of them, in their order.
+    /// Returns the ids of all connections in ascending order.
     pub(super) fn ids(&self) -> Vec<ConnectionId> {
         self.table.keys().copied().collect()
     }
 
-    /// The state of a connection, to be changed.
     pub(super) fn get_mut(&mut self, connection: ConnectionId) -> Option<&mut ConnectionState> {
         self.table.get_mut(&connection)
     }
@@ -111,7 +111,7 @@
         self.idle_checks.insert(time_after(now, IDLE_CHECK_INTERVAL), connection);
     }
 
-    /// A complete message came from a connection.
+    /// Counts a complete message from a connection.
     pub(super) fn message_received(&mut self, connection: ConnectionId) {
         if let Some(state) = self.table.get_mut(&connection) {
             state.messages_received += 1;
@@ -119,19 +119,19 @@
         }
     }
 
-    /// Nothing more is read from a connection until then.
+    /// Notes that nothing is read from a connection until this time.
     pub(super) fn throttled(&mut self, connection: ConnectionId, until: Time) {
         if let Some(state) = self.table.get_mut(&connection) {
             state.throttled_until = Some(until);
         }
     }
 
-    /// The admission module sets how long a connection may be idle; 0 stands for the settings' timeout.
+    /// Sets how long a connection may be idle; 0 stands for the settings' timeout.
     pub(super) fn set_idle_timeout(&mut self, idle_timeout: Span) {
         self.idle_timeout = Some(idle_timeout);
     }
 
-    /// A connection is used by a message of its peer.
+    /// Marks a connection as used by a message of its peer.
     pub(super) fn touch(&mut self, connection: ConnectionId, now: Time) -> Option<&mut ConnectionState> {
         let state = self.table.get_mut(&connection)?;
         state.last_used = now;
@@ -139,31 +139,32 @@
         Some(state)
     }
 
-    /// A connection is used, and idle from now on if nothing is open on it.
-    pub(super) fn touch_and_rest(&mut self, connection: ConnectionId, now: Time) {
+    /// Marks a connection as used, and as idle from now on if it has no open requests.
+    pub(super) fn touch_and_mark_idle(&mut self, connection: ConnectionId, now: Time) {
         if self.touch(connection, now).is_some_and(|state| state.open.is_empty()) {
             self.idle.add(IdleEntry { since: now, connection }, true);
         }
     }
 
-    /// A request of a connection is answered.
+    /// Removes an answered request from its connection.
     pub(super) fn response_sent(&mut self, connection: ConnectionId, sequence: SequenceId, now: Time) {
         if let Some(state) = self.table.get_mut(&connection) {
             state.open.remove(&sequence);
         }
-        self.touch_and_rest(connection, now);
+        self.touch_and_mark_idle(connection, now);
     }
 
-    /// Nothing more is accepted from a connection.
+    /// Has all further requests of a connection rejected.
     pub(super) fn stop_accepting_from(&mut self, connection: ConnectionId) {
         if let Some(state) = self.table.get_mut(&connection) {
-            state.is_refused = true;
+            state.rejects_requests = true;
         }
     }
 
-    /// Near the bound, the connection that is idle for longest, whose place a newcomer takes. One that never sent a message
-    /// counts with [`SILENT_WEIGHT`]. It may have sent what was not read yet, so the shell closes it only if it has not. Guards
-    /// against silent connections that keep all others, health checks too, out of a full table.
+    /// Returns the longest-idle connection, to be evicted for a new one, if the table is almost full. The idle time of
+    /// a connection that never sent a message is multiplied by [`SILENT_WEIGHT`]. The connection may have sent data
+    /// that is not read yet, so the shell closes it only if it has not. Guards against silent connections that fill the
+    /// table and exclude all others, including health checks.
     fn find_evictable(&mut self, now: Time) -> Option<ConnectionId> {
         if self.table.len() < self.evict_from {
             return None;
@@ -181,7 +182,8 @@
         (idle_ns >= MIN_IDLE_BEFORE_EVICTION.0).then_some(connection)
     }
 
-    /// The connections with nothing open of which this holds: since when they are asked to drain, and when they were last used.
+    /// Returns the connections without open requests that satisfy `wanted`. It is given the time at which the
+    /// connection was asked to drain, and the time of its last use.
     pub(super) fn idle_where(
         &self,
         now: Time,
@@ -192,7 +194,7 @@
         wanted.map(|(connection, _)| *connection).collect()
     }
 
-    /// Drops entries of the index of idle connections that no longer hold.
+    /// Removes stale entries from the index of idle connections.
     pub(super) fn drop_stale_entries(&mut self) {
         let table = &self.table;
         self.idle.drop_stale(table.len(), |entry, sent_message| is_idle(table, entry, sent_message));
@@ -200,23 +202,24 @@
 }
 
 impl Reducer {
-    /// A connection was accepted. Near the bound it takes the place of an idle one.
+    /// Adds an accepted connection. If the table is almost full, an idle connection is evicted for it.
     pub(super) fn connection_opened(&mut self, connection: ConnectionId) {
         if let Some(idle) = self.connections.find_evictable(self.timestamp.now) {
             self.close_if_idle(idle);
         }
-        let has_reserved_place = self.connections.len() >= self.connections.max_connections;
+        let uses_reserved_capacity = self.connections.len() >= self.connections.max_connections;
         self.connections.insert(connection, self.timestamp.now);
-        if has_reserved_place {
-            // It has one exchange, a health check or a rejection, and leaves the place to the next.
+        if uses_reserved_capacity {
+            // A reserved connection serves one exchange, a health check or a rejection, and is then free for the next
+            // peer.
             self.connections.stop_accepting_from(connection);
         }
-        if has_reserved_place || self.drain.is_draining() {
+        if uses_reserved_capacity || self.drain.is_draining() {
             self.request_drain(connection);
         }
     }
 
-    /// A connection has ended: the callers of its requests no longer wait.
+    /// Removes a connection that has ended. The callers of its requests no longer wait.
     pub(super) fn connection_closed(&mut self, connection: ConnectionId) {
         if let Some(state) = self.connections.table.remove(&connection) {
             for id in state.open.into_values().collect::<BTreeSet<_>>() {
@@ -225,8 +228,9 @@
         }
     }
 
-    /// Nothing more comes from a connection: it is closed once what is open on it is answered. Until then it is asked to drain,
-    /// which costs a peer that reads nothing, and makes a host that is gone answer with a reset.
+    /// Handles a connection from which no more messages come: it is closed once all its open requests are answered.
+    /// Until then its peer is asked to drain it, which is harmless to a peer that still reads, and makes a host that is
+    /// gone answer with a reset.
     pub(super) fn connection_half_closed(&mut self, connection: ConnectionId) {
         let Some(state) = self.connections.table.get_mut(&connection) else { return };
         state.is_half_closed = true;
@@ -236,7 +240,8 @@
         self.close_if_done(connection);
     }
 
-    /// A connection sent no complete message in its time: it is closed once it is owed nothing, unless one is completed before.
+    /// Handles a connection that sent no complete message within the time limit: it is closed once no response is owed,
+    /// unless a message is completed before.
     pub(super) fn connection_late(&mut self, connection: ConnectionId) {
         if let Some(state) = self.connections.table.get_mut(&connection) {
             state.is_late = true;
@@ -244,7 +249,7 @@
         }
     }
 
-    /// Closes a connection from which nothing more is to come, once it is owed nothing.
+    /// Closes a connection that is half-closed, late or rejects requests, once no response is owed on it.
     pub(super) fn close_if_done(&mut self, connection: ConnectionId) {
         match self.connections.table.get(&connection) {
             Some(state) if !state.open.is_empty() => {}
@@ -253,13 +258,13 @@
                 let messages_received = state.messages_received;
                 self.effects.push(Effect::CloseLateConnection { connection, messages_received });
             }
-            // What is on its way from it is answered first.
-            Some(state) if state.is_refused => self.close_if_idle(connection),
+            // Messages that are still in transit are answered first.
+            Some(state) if state.rejects_requests => self.close_if_idle(connection),
             _ => {}
         }
     }
 
-    /// Asks the peer of a connection, once, to send no more requests on it.
+    /// Asks the peer of a connection to send no more requests on it, unless it was asked before.
     pub(super) fn request_drain(&mut self, connection: ConnectionId) {
         let state = self.connections.table.get_mut(&connection);
         if let Some(state) = state.filter(|state| state.draining_since.is_none()) {
@@ -268,7 +273,7 @@
         }
     }
 
-    /// Has the shell close a connection if nothing of it is under way.
+    /// Has the shell close a connection if no message on it is in progress.
     pub(super) fn close_if_idle(&mut self, connection: ConnectionId) {
         if let Some(state) = self.connections.table.get_mut(&connection) {
             state.closing_since = Some(self.timestamp.now);
@@ -277,8 +282,8 @@
         }
     }
 
-    /// Asks idle connections to drain, which no request can cross unanswered, and closes those whose peers don't. Checks a
-    /// bounded number of connections; returns whether more may be due.
+    /// Asks the peers of idle connections to drain them, and closes those whose peers don't. A request that crosses
+    /// this message is still answered. Checks a limited number of connections; returns whether more may be due.
     pub(super) fn drain_idle_connections(&mut self) -> bool {
         let now = self.timestamp.now;
         let mut budget = MAX_IDLE_CHECKS;
@@ -290,7 +295,7 @@
             match self.connections.idle_checks.next_due(now, &mut budget) {
                 DueEntry::Entry(connection) => self.drain_if_idle(connection, idle_timeout),
                 DueEntry::None => return false,
-                DueEntry::Later => return true,
+                DueEntry::BudgetUsedUp => return true,
             }
         }
     }
@@ -315,7 +320,7 @@
     }
 }
 
-/// Whether a connection has nothing open and was not used since its entry was made.
+/// Whether a connection has no open requests and was not used since its entry was made.
 fn is_idle(table: &BTreeMap<ConnectionId, ConnectionState>, entry: IdleEntry, sent_message: bool) -> bool {
     table.get(&entry.connection).is_some_and(|state| {
         state.open.is_empty() && state.last_used == entry.since && state.sent_message == sent_message
--- a/crates/core/src/reducer/counter_cells.rs
+++ b/crates/core/src/reducer/counter_cells.rs
@@ -1,5 +1,5 @@
-//! The cells of the cluster's counters that requests of this server fall into, computed when first used, and the tenants and
-//! classes seen lately. Both are bounded: no table of classes by tenants is ever made.
+//! The counter cells of this server's requests, computed when first used, and the recently seen tenants and classes.
+//! Both are limited in size, so that no table of all classes by all tenants is ever built.
 
 use crate::classes::Classes;
 use crate::slots::Handle;
@@ -8,12 +8,13 @@
 use gradepin_cluster::counters::{CellId, MAX_CELLS, WINDOW};
 use std::collections::{BTreeMap, HashMap};
 
-/// Cached cells, some 160 KB; another key of the same entry is hashed anew.
+/// Number of cache entries, which take about 160 KB. A key whose entry holds another key is hashed again.
 const CACHED_CELLS: usize = 4_096;
-/// Tenants and classes whose quotas are looked at: a server publishes no more cells of its own.
+/// Maximum number of tenants and of classes whose quotas are updated: a server publishes no more cells of its own.
 const MAX_RECENT_SLOTS: usize = MAX_CELLS;
 
-/// What a cell counts: a tenant's requests of a class; without a tenant all of the class, without a class all of the tenant.
+/// Identifies a cell: a tenant's requests of a class; without a tenant all requests of the class, without a class all
+/// requests of the tenant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct CellKey {
     tenant: Option<Handle>,
@@ -21,7 +22,7 @@
 }
 
 impl CellKey {
-    /// The entry of the cache for it.
+    /// Returns the index of the key's cache entry.
     fn cache_index(self) -> usize {
         let number = |handle: Option<Handle>| handle.map_or(0, |handle| handle.slot() + 1);
         let mixed =
@@ -30,7 +31,8 @@
     }
 }
 
-/// Slots seen within the window of the counters, at most [`MAX_RECENT_SLOTS`], with when each was last seen.
+/// Slots seen within the window of the counters, with the time at which each was last seen; at most
+/// [`MAX_RECENT_SLOTS`].
 #[derive(Debug, Default)]
 struct RecentSlots(BTreeMap<usize, Time>);
 
@@ -50,7 +52,7 @@
     }
 }
 
-/// The cells that were used lately.
+/// The recently used cells.
 #[derive(Debug, Default)]
 pub(super) struct CounterCells {
     cache: Vec<Option<(CellKey, CellId)>>,
@@ -59,7 +61,7 @@
 }
 
 impl CounterCells {
-    /// The cell of a tenant's requests of a class, or without a tenant of all requests of the class.
+    /// Returns the cell that counts a tenant's requests of a class; without a tenant, all requests of the class.
     pub(super) fn cell(
         &mut self,
         classes: &Classes,
@@ -77,7 +79,7 @@
         })
     }
 
-    /// The cell of all requests of a tenant.
+    /// Returns the cell that counts all requests of a tenant.
     pub(super) fn tenant_cell(&mut self, tenants: &Tenants, tenant: usize) -> Option<CellId> {
         let name = tenants.name(tenant)?;
         let key = CellKey { tenant: Some(tenants.handle(tenant)), class: None };
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Notes a request of a tenant and a class.
+    /// Marks a request's tenant and class as recently seen.
     pub(super) fn note_request(&mut self, now: Time, tenant: Option<usize>, class: usize) {
         self.recent_classes.note(now, class);
         if let Some(tenant) = tenant {
@@ -107,8 +109,8 @@
         }
     }
 
-    /// The cells of the tenants seen lately, each with its tenant's slot: for all classes where there are few, else for the
-    /// classes seen lately.
+    /// Returns the cells of the recently seen tenants, each with its tenant's slot: for all classes if there are few,
+    /// else for the recently seen classes.
     pub(super) fn of_recent_tenants(
         &mut self,
         now: Time,
--- a/crates/core/src/reducer/drain.rs
+++ b/crates/core/src/reducer/drain.rs
@@ -1,7 +1,8 @@
-//! Graceful shutdown: the notice, an operator's planned one, the hand-over of an upgrade, and the end of the process.
+//! Graceful shutdown: the shutdown notice, a shutdown planned by an operator, the hand-over of an upgrade, and the exit
+//! of the process.
 //!
-//! Not here: which requests still run while the server drains, which the admission module decides, and the terms of a hand-over
-//! ([`crate::handover`]).
+//! The admission module decides which requests still run during the drain; the rules of a hand-over are in
+//! [`crate::handover`].
 
 use super::{MS, Reducer};
 use crate::handover::{Handover, RemainingWork};
@@ -9,62 +10,66 @@
 use gradepin_admission::{Event, Span, Time, time_after, time_before};
 use slog::Level;
 
-/// The admission module is to be done this much before the process is stopped: the notice and the last responses take time to
-/// cross.
+/// The admission module must finish this long before the process is stopped, which leaves time for the shutdown notice
+/// and the last responses to arrive.
 const STOP_MARGIN: Span = Span(100 * MS);
-/// A process that was not stopped closes down this long after the stop was due.
-const STOP_OVERDUE: Span = Span(2_000 * MS);
-/// How long closing down may take: no more is accepted, what was accepted is answered, and idle connections are closed.
+/// Delay after which a process that was not stopped when it was due to be closes down by itself.
+const MISSED_STOP_DELAY: Span = Span(2_000 * MS);
+/// Time limit of closing down: no more connections are accepted, received requests are answered, and idle connections
+/// are closed.
 const CLOSE_DOWN_TIMEOUT: Span = Span(1_500 * MS);
 
-/// Whether and how the process shuts down.
+/// Progress of the shutdown.
 #[derive(Debug)]
 pub(super) struct Drain {
-    /// When the notice came.
+    /// When the shutdown notice arrived.
     notified_at: Option<Time>,
-    /// When the process closes down if it is not stopped; while it closes down, when it exits in any case.
+    /// When the process closes down if it is not stopped; while it closes down, when it exits at the latest.
     exit_at: Option<Time>,
-    /// From the notice to the stop.
+    /// Time from the notice to the stop of the process.
     pub(super) stop_after: Span,
-    /// The hand-over to a successor, where the listener is shared with one.
+    /// The hand-over to a successor, if the listening socket is shared with one.
     pub(super) handover: Handover,
 }
 
 impl Drain {
-    /// For a process that is stopped so long after the notice.
+    /// Creates the state of a process that is stopped `stop_after` the notice.
     pub(super) fn new(stop_after: Span) -> Self {
         Self { notified_at: None, exit_at: None, stop_after, handover: Handover::default() }
     }
 
-    /// Whether the notice has come.
+    /// Whether the shutdown notice has arrived.
     pub(super) fn is_draining(&self) -> bool {
         self.notified_at.is_some()
     }
 
-    /// When something is due though nothing comes in.
+    /// Next time at which a step is due without input.
     pub(super) fn wake_at(&self) -> Option<Time> {
-        // Without a time to exit the process has exited: the hand-over's last time is over then.
+        // Without `exit_at` the process either does not shut down or has exited, so the hand-over has nothing due.
         earliest(self.exit_at, self.exit_at.and(self.handover.wake_at()))
     }
 
-    /// When the notice came; `now`, if it didn't.
+    /// When the shutdown notice arrived, or `now` if it has not.
     pub(super) fn notified_or(&self, now: Time) -> Time {
         self.notified_at.unwrap_or(now)
     }
 }
 
 impl Reducer {
-    /// Starts the shutdown at SIGTERM, or once a planned one is due. A second notice changes nothing.
+    /// Starts the shutdown at SIGTERM, or when one planned by an operator is due. A second notice has no effect.
     pub(super) fn begin_shutdown(&mut self) {
         if self.drain.is_draining() {
             return;
         }
         let now = self.timestamp.now;
         self.drain.notified_at = Some(now);
-        self.drain.exit_at = Some(time_after(time_after(now, self.drain.stop_after), STOP_OVERDUE));
+        self.drain.exit_at = Some(time_after(time_after(now, self.drain.stop_after), MISSED_STOP_DELAY));
         if self.drain.handover.begin(now, self.drain.stop_after) {
             self.effects.push(Effect::StopAccepting);
-            self.log(Level::Info, "handing over: the process after this one accepts from now on".into());
+            self.log(
+                Level::Info,
+                "handing over: the successor process accepts new connections from now on".into(),
+            );
         }
         self.registration.leave(now);
         if self.controller.is_some() {
@@ -75,47 +80,48 @@
         }
     }
 
-    /// An operator takes the server out of service: at once, or once the consensus group has granted a permit.
+    /// Takes the server out of service for an operator: at once, or once the consensus group has granted a permit.
     pub(super) fn operator_takes_out(&mut self) {
         if !self.request_permit_to_leave() {
             self.take_out_of_service();
         }
     }
 
-    /// An operator returns the server to service.
+    /// Returns the server to service for an operator, and withdraws a pending request for a permit.
     pub(super) fn operator_returns(&mut self) {
         self.withdraw_permit_request();
         self.return_to_service();
     }
 
-    /// Publishes that the server is out of service; it serves on for a while, as clients may not know, and then drains.
+    /// Publishes that the server is out of service. It continues to serve for a while, as clients may not know yet, and
+    /// then drains.
     pub(super) fn take_out_of_service(&mut self) {
-        if self.drain.is_draining() || !self.registration.take_out(self.timestamp.now) {
+        if self.drain.is_draining() || !self.registration.take_out_of_service(self.timestamp.now) {
             return;
         }
         self.report_change();
-        self.log(Level::Info, "taken out of service, draining later".into());
+        self.log(Level::Info, "taken out of service; the drain starts once clients may know".into());
     }
 
-    /// Publishes that the server is in service again, if it was out and doesn't drain yet.
+    /// Publishes that the server is in service again, unless it was in service or is already draining.
     pub(super) fn return_to_service(&mut self) {
-        if self.drain.is_draining() || !self.registration.take_in() {
+        if self.drain.is_draining() || !self.registration.return_to_service() {
             return;
         }
         self.report_change();
         self.log(Level::Info, "taken back into service".into());
     }
 
-    /// Tells the admission module how long it has: [`STOP_MARGIN`] less than the time to the stop.
+    /// Tells the admission module how much time it has to finish: [`STOP_MARGIN`] less than the time to the stop.
     pub(super) fn notify_admission_of_shutdown(&mut self) {
         let now = self.timestamp.now;
-        let margin = Span(STOP_OVERDUE.0 + STOP_MARGIN.0);
+        let margin = Span(MISSED_STOP_DELAY.0 + STOP_MARGIN.0);
         let end = self.drain.exit_at.map_or(now, |exit| time_before(exit, margin));
         self.events.push(Event::ShutdownNotice(Span(end.0.saturating_sub(now.0))));
     }
 
-    /// What keeps a process that hands over or closes down: requests that are owed a response, and connections. Closes those
-    /// that are idle since they were asked to drain.
+    /// Returns what keeps a process that hands over or closes down from exiting: requests that are owed a response, and
+    /// connections. Closes connections that have been idle since their peers were asked to drain them.
     fn remaining_work(&mut self) -> RemainingWork {
         let now = self.timestamp.now;
         let handover = &self.drain.handover;
@@ -126,8 +132,9 @@
         RemainingWork { open: self.requests.count_owed(), connections: self.connections.len() }
     }
 
-    /// Exits when all is handed over or the time is up. Before that the process closes down: a request that arrived in the last
-    /// moment is answered and its connection closed as any other, not reset by the end of the process.
+    /// Exits once everything is handed over or the time is up. Before the time is up the process closes down, so that a
+    /// request that arrives at the last moment is answered and its connection closed normally, rather than reset by the
+    /// exit of the process.
     pub(super) fn exit_when_done(&mut self) {
         let now = self.timestamp.now;
         let is_due = self.drain.exit_at.is_some_and(|at| now >= at);
@@ -138,7 +145,7 @@
         }
         let is_handed_over = self.drain.handover.is_under_way() && {
             let remaining = self.remaining_work();
-            self.drain.handover.may_leave(now, remaining)
+            self.drain.handover.may_exit(now, remaining)
         };
         if self.drain.exit_at.take_if(|at| now >= *at || is_handed_over).is_some() {
             self.announce_departure();
--- a/crates/core/src/reducer/mod.rs
+++ b/crates/core/src/reducer/mod.rs
@@ -1,8 +1,9 @@
-//! All state of one tile server and all changes to it: [`Input`]s in, [`Effect`]s out.
+//! State of one tile server and every change to it: [`Input`]s in, [`Effect`]s out.
 //!
-//! The reducer hosts one [`Controller`], which decides about requests, and carries out its actions on the state. It does no I/O
-//! and reads no clock, so that a test can drive it through any course of events. This file steps and routes. Each concern has a
-//! file with the state that it alone changes, and its methods of [`Reducer`].
+//! The reducer hosts one [`Controller`], which decides about requests, and applies the controller's actions to the
+//! state. It does no I/O and reads no clock, so a test can drive it through any sequence of events. This file takes the
+//! steps and dispatches inputs. Each concern has its own file, with the state that only this file changes and its
+//! methods of [`Reducer`].
 
 mod admin;
 mod admission_actions;
@@ -58,60 +59,60 @@
 use std::sync::Arc;
 
 const MS: u64 = 1_000_000;
-/// Retained results of keyed runs may take the memory of the process divided by this.
+/// Limit of the retained results of keyed runs: the memory of the process divided by this.
 const RESULT_MEMORY_DIVISOR: usize = 6;
 
 /// The state of one tile server.
 pub struct Reducer {
-    /// The active settings without classes and tenants.
+    /// Active settings, without classes and tenants.
     settings: Arc<Settings>,
     config: Config,
     seed: u64,
-    /// The admission module; none before the processor's first greeting.
+    /// The admission module; `None` until the processor's first greeting.
     controller: Option<Controller>,
-    /// Of the step that is being taken.
+    /// Time of the current step.
     timestamp: Timestamp,
     requests: OpenRequests,
     connections: Connections,
     idempotency_table: IdempotencyTable,
     idempotency_log: IdempotencyLog,
-    /// Runs that wait for their claims, where the two processes of an upgrade share them.
+    /// Runs that wait for their claims, if the two processes of an upgrade share keyed runs.
     pending_claims: PendingClaims,
     recovery: Recovery,
     processor: ProcessorLink,
     drain: Drain,
     schedule: Schedule,
-    /// What it shares with other servers, where there is a cluster.
+    /// Counters, call slots and limits shared with other servers, if there is a cluster.
     cluster: ClusterState,
-    /// Its part in permits and rollouts, where there is a consensus group.
+    /// This server's part in permits and rollouts, if there is a consensus group.
     agreements: Agreements,
-    /// The committed configuration, where that service is on.
+    /// The committed configuration, if the configuration service is enabled.
     configuration: ConfigurationState,
-    /// Whether the admission module says that the server takes requests.
+    /// Whether the admission module reports that the server takes requests.
     healthy: bool,
-    /// The hint that each response carries, once the admission module has set it.
+    /// Capacity hint carried by each response; `None` until the admission module sets one.
     capacity_hint: Option<f64>,
     registration: Registration,
     classes: Classes,
     tenants: Tenants,
     settings_changes: SettingsChanges,
-    /// Id of the last call to the shared upstream.
+    /// Id of the latest call to the shared upstream.
     last_upstream_call: UpstreamCallId,
     operator_drain: OperatorDrain,
     metrics: RequestMetrics,
-    /// Events that the admission module handles next.
+    /// Events for the admission module's next decision.
     events: Vec<Event>,
-    /// Kept for its memory; empty between steps.
+    /// Reused buffer of the admission module's actions; empty between steps.
     actions: Vec<Action>,
-    /// Effects of this step so far.
+    /// Effects of the current step so far.
     effects: Vec<Effect>,
 }
 
-/// What all messages of clients have in common.
+/// The fields that all client messages share.
 struct ClientMessage {
     connection: ConnectionId,
     sequence: SequenceId,
-    /// Whether it is owed a response.
+    /// Whether the message is owed a response.
     is_request: bool,
 }
 
@@ -132,7 +133,7 @@
 }
 
 impl Reducer {
-    /// The state at the start of a server. Errors: the seed of `config` is no hex number.
+    /// Creates the initial state of a server. Returns an error if the seed of `config` is not a hexadecimal number.
     pub fn new(
         config: &Config,
         settings: Arc<Settings>,
@@ -143,7 +144,8 @@
         Self::with_definitions(&config, classes, tenants, registration)
     }
 
-    /// The same, with the classes and tenants apart from the settings of the configuration; they take slots in their order.
+    /// Like [`Reducer::new`], with the classes and tenants passed separately from the settings of `config`. They take
+    /// slots in the order given.
     pub fn with_definitions(
         config: &Config,
         classes: Vec<Arc<ClassDefinition>>,
@@ -186,28 +188,29 @@
         })
     }
 
-    /// For a process whose listener is inherited and shared with its successor in an upgrade.
+    /// Configures a process whose listening socket is inherited and shared with its successor in an upgrade.
     pub fn sharing_listener(mut self) -> Self {
         self.drain.handover = Handover::shared();
         self
     }
 
-    /// For a process that shares its keyed runs with the other one of an upgrade. `salt` keys the fingerprints of both; without
-    /// it, it comes with [`Input::RunsShared`] once the runs can be shared. Not together with a store, which has one owner and
-    /// a salt of its own.
+    /// Configures a process that shares its keyed runs with the other process of an upgrade. `salt` keys the
+    /// fingerprints of both processes; without it, the salt arrives with [`Input::RunsShared`] once the runs can be
+    /// shared. Excludes [`Reducer::with_store`]: a store has one owner and its own salt.
     pub fn sharing_runs(mut self, salt: Option<u64>) -> Self {
         self.pending_claims = PendingClaims::shared();
         self.recovery.salt = salt.unwrap_or(self.recovery.salt);
         self
     }
 
-    /// With a store that is being opened, whose records go by this log. Results that it recovers take buffers of `pool`.
+    /// Adds a store that is being opened; `log` decides what is written to it. Recovered results take their buffers
+    /// from `pool`.
     pub fn with_store(mut self, log: IdempotencyLog, pool: Arc<BufferPool>) -> Self {
         (self.idempotency_log, self.recovery.pool) = (log, pool);
         self
     }
 
-    /// Applies all inputs in their order, lets the admission module decide once, and appends the effects.
+    /// Applies all inputs in order, lets the admission module decide once, and appends the effects of the step.
     pub fn step(
         &mut self,
         timestamp: Timestamp,
@@ -215,7 +218,7 @@
         effects: &mut Vec<Effect>,
     ) {
         self.timestamp = timestamp;
-        self.recovery.note_step(timestamp.now);
+        self.recovery.record_first_step(timestamp.now);
         for input in inputs {
             self.input(input);
         }
@@ -229,7 +232,7 @@
         effects.append(&mut self.effects);
     }
 
-    /// When [`Reducer::step`] must be called again though nothing came in.
+    /// Next time at which [`Reducer::step`] must be called even without input.
     pub fn wake_at(&self) -> Option<Time> {
         let now = self.timestamp.now;
         if !self.events.is_empty() || self.settings_changes.is_reloading() || !self.effects.is_empty() {
@@ -253,7 +256,8 @@
         self.effects.push(Effect::Log { level, text });
     }
 
-    /// Counts a message of a client on its connection; false if it must be dropped, as its sequence number is taken.
+    /// Counts a client message on its connection. Returns false if the message must be dropped because its sequence
+    /// number is already in use.
     fn accept_message(&mut self, input: &Input) -> bool {
         let Some(message) = ClientMessage::of(input) else { return true };
         self.connections.message_received(message.connection);
--- a/crates/core/src/reducer/open_requests.rs
+++ b/crates/core/src/reducer/open_requests.rs
@@ -1,7 +1,8 @@
-//! The requests that are open or running: what each holds, and the bytes that their bodies take.
+//! Requests that are open or running: the state of each, and the memory that their bodies take.
 //!
-//! Invariants: an id names one open request; [`OpenRequests::has_body_capacity`] bounds what is held. Not here: which requests
-//! are taken ([`super::request_intake`]), their responses ([`super::responses`]) and their runs ([`super::runs`]).
+//! Invariants: an id identifies one open request; no request is accepted while the bodies exceed their memory limit
+//! ([`OpenRequests::has_body_capacity`]). Which requests are accepted is decided in [`super::request_intake`];
+//! responses are sent by [`super::responses`], and runs are started and ended by [`super::runs`].
 
 use crate::buffer_pool::Buffer;
 use crate::config::Config;
@@ -11,66 +12,65 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// Bodies of open requests may take the memory of the process divided by this.
+/// Limit of the bodies of open requests: the memory of the process divided by this.
 const BODY_MEMORY_DIVISOR: usize = 4;
-/// Memory of an open request beside its body.
+/// Memory of an open request in addition to its body, in bytes.
 const OPEN_REQUEST_OVERHEAD_BYTES: usize = 1024;
 
-/// How far a request is.
+/// Progress of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestState {
-    /// It waits for the admission module.
+    /// Waits for the admission module's decision.
     Queued,
-    /// It waits for the outcome of another attempt's run.
+    /// Waits for the outcome of another attempt's run.
     Joined {
-        /// Since when.
+        /// When the request joined that run.
         since: Time,
     },
-    /// Its run was started.
+    /// The run was started.
     Running,
-    /// Its run was stopped and its response is still owed; the processor reports nothing more of it.
+    /// The run was stopped, but the response is still owed. The processor reports nothing more about the run.
     Stopped,
 }
 
 /// A request that is open or running.
 #[derive(Debug)]
 pub(super) struct OpenRequest {
-    /// Connection that it came on.
+    /// Connection that the request arrived on.
     pub(super) connection: ConnectionId,
-    /// Its number there.
+    /// Sequence number on that connection.
     pub(super) sequence: SequenceId,
-    /// Slot of its class.
+    /// Slot of the class.
     pub(super) class: usize,
-    /// Slot of its tenant, if it has one in force.
+    /// Slot of the tenant, if the request names one in force.
     pub(super) tenant: Option<usize>,
-    /// When it reached the machine, in Unix milliseconds.
+    /// When the request reached the machine, in Unix milliseconds.
     pub(super) arrived_unix_ms: u64,
-    /// When its caller stops waiting, in Unix milliseconds.
+    /// When the caller stops waiting, in Unix milliseconds.
     pub(super) deadline_unix_ms: u64,
-    /// Its idempotency key, if its class has them.
+    /// Idempotency key; `None` if the class is not keyed.
     pub(super) idempotency_key: Option<Arc<str>>,
-    /// Fingerprint of its body and class; 0 without an idempotency key.
+    /// Fingerprint of the body and class; 0 without an idempotency key.
     pub(super) fingerprint: Fingerprint,
-    /// How far it is.
     pub(super) state: RequestState,
-    /// Whether its caller still waits for a response.
+    /// Whether the caller still waits for a response.
     pub(super) response_owed: bool,
-    /// Whether it is neither a retry nor a hedged request.
+    /// Whether this is neither a retry nor a hedged request.
     pub(super) is_first_attempt: bool,
-    /// Its body, shared with the effects that start its run.
+    /// Body of the request, shared with the effects that start its run.
     pub(super) body: Arc<Buffer>,
-    /// Times that its run was sent to the processor.
+    /// How often the run was sent to the processor.
     pub(super) start_count: u32,
-    /// Body of the upstream call that its run waits for.
+    /// Body of the upstream call that the run waits for.
     pub(super) upstream_call: Option<Arc<Buffer>>,
-    /// Since when that call is to be made, or is out.
+    /// When the admission module made that call, or when the call was sent.
     pub(super) upstream_call_since: Option<Time>,
-    /// Names that call once it is out.
+    /// Id of that call once it was sent.
     pub(super) upstream_call_id: Option<UpstreamCallId>,
 }
 
 impl OpenRequest {
-    /// Its idempotency key, with the fingerprint of its body and class.
+    /// Returns the idempotency key with the fingerprint of the body and class.
     pub(super) fn key_and_fingerprint(&self) -> Option<(&Arc<str>, Fingerprint)> {
         self.idempotency_key.as_ref().map(|key| (key, self.fingerprint))
     }
@@ -80,17 +80,17 @@
 #[derive(Debug)]
 pub(super) struct OpenRequests {
     by_id: HashMap<RequestId, OpenRequest>,
-    /// Memory that they take, with [`OPEN_REQUEST_OVERHEAD_BYTES`] for each.
+    /// Memory of all bodies, plus [`OPEN_REQUEST_OVERHEAD_BYTES`] for each request.
     body_bytes: usize,
     max_body_bytes: usize,
-    /// Requests without a run whose callers left in this step.
+    /// Requests without a run whose callers stopped waiting in this step.
     abandoned: Vec<RequestId>,
-    /// Idempotency keys of requests of this step, which are not in the table yet.
+    /// Idempotency keys of requests of this step, which are not in the idempotency table yet.
     new_keys: HashMap<Arc<str>, RequestId>,
 }
 
 impl OpenRequests {
-    /// None yet.
+    /// Creates an empty table with the memory limit of `config`.
     pub(super) fn new(config: &Config) -> Self {
         Self {
             by_id: HashMap::new(),
@@ -101,96 +101,90 @@
         }
     }
 
-    /// The request of an id.
     pub(super) fn get(&self, id: &RequestId) -> Option<&OpenRequest> {
         self.by_id.get(id)
     }
 
-    /// The request of an id, to be changed.
     pub(super) fn get_mut(&mut self, id: &RequestId) -> Option<&mut OpenRequest> {
         self.by_id.get_mut(id)
     }
 
-    /// Whether an id is open.
     pub(super) fn contains(&self, id: &RequestId) -> bool {
         self.by_id.contains_key(id)
     }
 
-    /// Whether none is open and none runs.
+    /// Whether no request is open or running.
     pub(super) fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
 
-    /// Whether the bodies leave memory for another request.
+    /// Whether the memory limit allows another request.
     pub(super) fn has_body_capacity(&self) -> bool {
         self.body_bytes <= self.max_body_bytes
     }
 
-    /// The request of an id, if it runs.
+    /// Returns the request with this id if its run was started.
     pub(super) fn running(&self, id: &RequestId) -> Option<&OpenRequest> {
         self.by_id.get(id).filter(|open| open.state == RequestState::Running)
     }
 
-    /// Whether a request waits for the admission module, and its caller for it.
+    /// Whether a request waits for the admission module while its caller still waits for the response.
     pub(super) fn is_queued(&self, id: &RequestId) -> bool {
         self.by_id.get(id).is_some_and(|open| open.state == RequestState::Queued && open.response_owed)
     }
 
-    /// All that run, in the order of their ids: the same inputs give the same effects.
+    /// Returns the ids of all started runs in sorted order, so that the same inputs give the same effects.
     pub(super) fn running_ids(&self) -> BTreeSet<RequestId> {
         let running = self.by_id.iter().filter(|(_, open)| open.state == RequestState::Running);
         running.map(|(id, _)| id.clone()).collect()
     }
 
-    /// How many run.
     pub(super) fn count_running(&self) -> usize {
         self.by_id.values().filter(|open| open.state == RequestState::Running).count()
     }
 
-    /// How many are owed a response.
     pub(super) fn count_owed(&self) -> usize {
         self.by_id.values().filter(|open| open.response_owed).count()
     }
 
-    /// The queued request of this step with an idempotency key, and its fingerprint. Two attempts of one step are linked
-    /// before the admission module could retain the first one's key.
+    /// Returns the queued request of this step that has this idempotency key, with its fingerprint. Connects two
+    /// attempts that arrive in the same step, before the admission module can retain the first one's key.
     pub(super) fn attempt_of_this_step(&self, key: &str) -> Option<(RequestId, Fingerprint)> {
         let id = self.new_keys.get(key).filter(|id| self.is_queued(id))?;
         Some((id.clone(), self.by_id.get(id)?.fingerprint))
     }
 
-    /// Names the request of this step that has an idempotency key.
+    /// Records which request of this step has an idempotency key.
     pub(super) fn note_key(&mut self, key: &Arc<str>, id: &RequestId) {
         self.new_keys.insert(Arc::clone(key), id.clone());
     }
 
-    /// Adds a request.
     pub(super) fn insert(&mut self, id: RequestId, open: OpenRequest) {
         self.body_bytes += open.body.len() + OPEN_REQUEST_OVERHEAD_BYTES;
         self.by_id.insert(id, open);
     }
 
-    /// The caller of a request no longer waits; false if none is open under this id.
+    /// Notes that the caller of a request no longer waits. Returns false if no request with this id is open.
     pub(super) fn abandon(&mut self, id: &RequestId) -> bool {
         let Some(open) = self.by_id.get_mut(id) else { return false };
         open.response_owed = false;
         if open.state != RequestState::Running {
-            // The admission module may still release its key: it is removed after that.
+            // The admission module may still release the request's key, so the request is removed after that.
             self.abandoned.push(id.clone());
         }
         true
     }
 
-    /// The admission module has handled all requests of this step. Returns the abandoned ones, which are to be removed.
+    /// Called once the admission module has handled all requests of a step. Returns the abandoned requests, which the
+    /// caller must remove.
     pub(super) fn end_batch(&mut self) -> Vec<RequestId> {
         self.new_keys.clear();
         std::mem::take(&mut self.abandoned)
     }
 
-    /// Removes a request.
     pub(super) fn remove(&mut self, id: &RequestId) -> Option<OpenRequest> {
         let open = self.by_id.remove(id)?;
-        // Its id may be used again in this step, by a request whose caller waits.
+        // The id may be reused in this step by a request whose caller waits.
         self.abandoned.retain(|abandoned| abandoned != id);
         self.body_bytes -= open.body.len() + OPEN_REQUEST_OVERHEAD_BYTES;
         Some(open)
--- a/crates/core/src/reducer/persistence.rs
+++ b/crates/core/src/reducer/persistence.rs
@@ -1,7 +1,7 @@
-//! What outlives this process: the idempotency log's part in a step, and the runs that an earlier process left.
+//! State that outlives the process: the idempotency log's part in a step, and the runs that an earlier process left.
 //!
-//! Owns [`Recovery`]. Not here: which records are written when ([`crate::idempotency_log`]) and the keyed runs themselves
-//! ([`crate::idempotency_table`]).
+//! Owns [`Recovery`]. [`crate::idempotency_log`] decides which records are written and when;
+//! [`crate::idempotency_table`] owns the keyed runs.
 
 use super::Reducer;
 use crate::buffer_pool::BufferPool;
@@ -12,29 +12,29 @@
 use slog::Level;
 use std::sync::Arc;
 
-/// Where the processor outlived an earlier process, the ends of that one's runs are waited for this many times the longest
-/// deadline.
+/// How long to wait for the ends of an earlier process's runs if the processor outlived that process, as a multiple of
+/// the longest deadline of all classes.
 const RECOVERY_WAIT_DEADLINES: u64 = 2;
 
-/// What is known of the processes before this one, and of the processor that may have outlived them.
+/// State recovered from earlier processes, and whether the processor may have outlived them.
 #[derive(Debug)]
 pub(super) struct Recovery {
-    /// Buffers for the results that the store held.
+    /// Buffers for results recovered from the store.
     pub(super) pool: Arc<BufferPool>,
-    /// Key of the fingerprints: of this process, or of the store that outlives it.
+    /// Key of the fingerprints: that of the store, or of this process if there is no store.
     pub(super) salt: u64,
-    /// When the first step was.
+    /// Time of the process's first step.
     first_step_at: Option<Time>,
-    /// Until when the ends of recovered runs may still be reported; none if there are no such runs.
+    /// Until when the ends of recovered runs may still be reported; `None` if no such run is awaited.
     wait_until: Option<Time>,
-    /// Whether the processor is no older than this process, so that no recovered run is on it.
+    /// Whether the processor started no earlier than this process, so that it has no recovered runs.
     processor_is_new: bool,
-    /// The health of the store that the registry was last given.
+    /// The store health that was last published to the registry.
     reported_health: StoreHealth,
 }
 
 impl Recovery {
-    /// For a process without a store yet.
+    /// Creates the state of a process whose store, if any, is not open yet.
     pub(super) fn new(salt: u64) -> Self {
         Self {
             pool: BufferPool::new(0),
@@ -46,13 +46,12 @@
         }
     }
 
-    /// A step is taken.
-    pub(super) fn note_step(&mut self, now: Time) {
+    pub(super) fn record_first_step(&mut self, now: Time) {
         self.first_step_at.get_or_insert(now);
     }
 
-    /// The processor greeted, and started then. One that started with this process or after it, within `margin`, has no
-    /// recovered runs.
+    /// Notes the start time of the processor that greeted. If it started with this process or later, within `margin`,
+    /// it has no recovered runs.
     pub(super) fn processor_up(&mut self, now: Time, started_at: Time, margin: Span) {
         let is_new = |first_step| time_after(started_at, margin) >= first_step;
         self.processor_is_new = self.first_step_at.is_some_and(is_new);
@@ -61,19 +60,19 @@
         }
     }
 
-    /// Until when ends of recovered runs may still be reported; none if no such run is waited for.
+    /// Until when the ends of recovered runs may still be reported; `None` if no such run is awaited.
     pub(super) fn wait_until(&self) -> Option<Time> {
         self.wait_until
     }
 
-    /// No recovered run is left whose end could be reported.
+    /// Stops waiting for recovered runs, since no further end can be reported.
     pub(super) fn stop_waiting(&mut self, now: Time) {
         self.wait_until = Some(now);
     }
 }
 
 impl Reducer {
-    /// The store was opened: takes over its runs and its salt.
+    /// Takes over the runs and the salt of a store that was opened.
     pub(super) fn store_recovered(&mut self, recovered: RecoveredRuns) {
         let now = self.timestamp.now;
         self.recovery.salt = recovered.salt;
@@ -87,12 +86,12 @@
         let wait = Span(self.longest_recovered_run().0.saturating_mul(RECOVERY_WAIT_DEADLINES));
         self.recovery.wait_until = Some(time_after(now, wait));
         if self.processor.last_message_at != Time::default() {
-            // Notices so far were about runs that weren't known yet.
+            // Earlier notices were about runs that were not known yet.
             self.effects.push(Effect::ReplayNotices);
         }
     }
 
-    /// How long a recovered run may still take; 0 on a processor that has none.
+    /// Returns how long a recovered run may still take; 0 if the processor has none.
     fn longest_recovered_run(&self) -> Span {
         if self.recovery.processor_is_new {
             return Span(0);
@@ -100,7 +99,7 @@
         self.classes.iter().map(|(_, class)| class.profile.deadline).max().unwrap_or(Span(0))
     }
 
-    /// All batches up to this one are durable: sends the runs whose intents they hold.
+    /// Sends the runs whose intents became durable with the batches up to this one.
     pub(super) fn store_persisted(&mut self, batch: u64) {
         for id in self.idempotency_log.batch_persisted(self.timestamp.now, batch) {
             if self.requests.running(&id).is_some() {
@@ -109,21 +108,23 @@
         }
     }
 
-    /// Batches up to this one may be lost: rejects the requests whose intents wait.
+    /// Rejects the requests whose intents are not durable, as the batches up to this one may be lost.
     pub(super) fn store_failed(&mut self, batch: u64, reason: &str) {
         for id in self.idempotency_log.batch_failed(self.timestamp.now, batch, reason) {
             self.reject_unstarted_run(&id);
         }
     }
 
-    /// How long the client of a keyed request should wait that the store can't take now; 0 where the settings allow no advice.
+    /// Returns how long a client should wait before it retries a keyed request that the store can't record now; 0 if
+    /// the settings turn Retry-After off.
     pub(super) fn store_retry_after(&self) -> Span {
         let limits = &self.settings.limits;
         let retry_after = self.idempotency_log.retry_after(self.timestamp.now).unwrap_or_default();
         if limits.retry_after { retry_after.min(limits.max_retry_after) } else { Span(0) }
     }
 
-    /// The store's part of a step: late intents, recovered runs whose time is up, the next batch, and its health.
+    /// Performs the store's part of a step: rejects overdue intents, gives up overdue recovered runs, sends the next
+    /// batch and publishes the store's health.
     pub(super) fn persist(&mut self) {
         if !self.idempotency_log.is_enabled() {
             return;
@@ -142,7 +143,7 @@
         if let Some(NumberedBatch { number, batch }) = batch {
             self.effects.push(Effect::PersistRecords { number, batch });
         }
-        for note in self.idempotency_log.take_notes() {
+        for note in self.idempotency_log.take_log_lines() {
             self.log(if note.is_error { Level::Error } else { Level::Info }, note.text);
         }
         self.report_store_health();
@@ -154,7 +155,7 @@
         if health != reported
             && let Some(word) = health.word()
         {
-            self.registration.store(word);
+            self.registration.publish_store_health(word);
         }
     }
 }
--- a/crates/core/src/reducer/processor_link.rs
+++ b/crates/core/src/reducer/processor_link.rs
@@ -1,8 +1,9 @@
-//! The link to the processor: readings of its gauges, what it may not have received, and what is sent again after a link fell.
+//! The link to the processor: readings of its gauges, messages that it may not have received, and what is sent again
+//! after a link was lost.
 //!
-//! The processor answers in order. So what was sent before a reading was asked for has been received once that reading is
-//! answered; until then it is unconfirmed, and sent again on the next link. Notices are numbered, and each is applied once. Not
-//! here: the connection itself, which is the shell's, and what the ends of runs mean ([`super::runs`]).
+//! The processor answers in order. Therefore everything sent before a reading was requested has been received once that
+//! reading is answered; until then it is unconfirmed, and is sent again on the next link. Notices are numbered, and
+//! each is applied once. The shell owns the connection; [`super::runs`] handles the ends of runs.
 
 use super::{MS, Reducer};
 use crate::buffer_pool::Buffer;
@@ -13,29 +14,30 @@
 use slog::Level;
 use std::sync::Arc;
 
-/// How long a due timer of the admission module waits for the gauges; then it fires without them.
+/// Maximum time that a due timer of the admission module waits for the gauges before it fires without them.
 pub(super) const MAX_GAUGES_WAIT: Span = Span(15 * MS);
-/// A reading of the gauges that is open for so long means that the link is dead.
+/// A link whose gauge reading is unanswered for this long is considered dead.
 const READING_TIMEOUT: Span = Span(1_500 * MS);
 
-/// A run that was sent, or is to be sent, to the processor, which may not have it.
+/// A run that was sent to the processor or is to be sent, and that the processor may not have received.
 #[derive(Debug)]
 struct UnconfirmedRun {
     id: RequestId,
-    /// The last reading that was asked for before it was sent.
+    /// The latest reading that was requested before this was sent.
     last_reading: u64,
 }
 
-/// A reply to an upstream call that was sent, or is to be sent, to the processor, which may not have it.
+/// A reply to an upstream call that was sent to the processor or is to be sent, and that the processor may not have
+/// received.
 #[derive(Debug)]
 struct UnconfirmedReply {
     id: RequestId,
     reply: Arc<Buffer>,
-    /// The last reading that was asked for before it was sent.
+    /// The latest reading that was requested before this was sent.
     last_reading: u64,
 }
 
-/// The gauges as they were read last.
+/// The latest gauge values.
 #[derive(Debug)]
 struct Reading {
     at: Time,
@@ -45,34 +47,34 @@
 /// The link to the processor.
 #[derive(Debug, Default)]
 pub(super) struct ProcessorLink {
-    /// Number of the link, while there is one.
+    /// Number of the current link; `None` while there is no link.
     pub(super) number: Option<u64>,
-    /// The reading whose answer shows what a former link lost; runs and replies wait for it.
+    /// The reading whose answer shows what a former link lost. Until then, no runs and replies are sent.
     resend_after: Option<u64>,
-    /// The reading that was asked for after the processor was to repeat its notices for recovered runs.
+    /// The reading that was requested after the processor had to repeat its notices for recovered runs.
     replay_reading: Option<u64>,
-    /// When its last message was read.
+    /// When the latest message of the processor was read.
     pub(super) last_message_at: Time,
-    /// Number of the last notice that was applied.
+    /// Number of the latest notice that was applied.
     last_notice: u64,
-    /// Whether the shell has reported another processor whose greeting has not come yet.
+    /// Whether the shell has reported a new processor whose greeting has not come yet.
     is_new_processor: bool,
-    /// Number of the last reading that was asked for, and since when it is open.
+    /// Number of the latest reading that was requested, and when it was, if it is unanswered.
     last_reading: u64,
     pub(super) reading_since: Option<Time>,
     reading: Option<Reading>,
     unconfirmed_runs: Vec<UnconfirmedRun>,
-    /// One a run at the most.
+    /// At most one for each run.
     unconfirmed_replies: Vec<UnconfirmedReply>,
 }
 
 impl ProcessorLink {
-    /// The link has ended; what is unconfirmed stays so until the next one.
+    /// Marks the link as ended. Unconfirmed runs and replies remain unconfirmed until the next link.
     fn disconnected(&mut self) {
         (self.number, self.resend_after, self.reading_since) = (None, None, None);
     }
 
-    /// Whether a notice is new: after a reconnect the processor may repeat what was read before.
+    /// Returns whether a notice is new. After a reconnect the processor may repeat notices that were read before.
     pub(super) fn accept_notice(&mut self, notice: u64, now: Time) -> bool {
         self.last_message_at = now;
         let is_new = notice > self.last_notice;
@@ -80,17 +82,17 @@
         is_new
     }
 
-    /// Number of a link on which nothing waits to be sent again.
+    /// Returns the number of the link unless runs or replies wait to be sent again on it.
     pub(super) fn usable_link(&self) -> Option<u64> {
         self.number.filter(|_| self.resend_after.is_none())
     }
 
-    /// A run is sent, or to be sent.
+    /// Adds a run that is sent now or is to be sent.
     pub(super) fn add_unconfirmed_run(&mut self, id: RequestId) {
         self.unconfirmed_runs.push(UnconfirmedRun { id, last_reading: self.last_reading });
     }
 
-    /// A reply is sent, or to be sent.
+    /// Adds a reply that is sent now or is to be sent.
     pub(super) fn add_unconfirmed_reply(&mut self, id: RequestId, reply: Arc<Buffer>) {
         self.unconfirmed_replies.push(UnconfirmedReply { id, reply, last_reading: self.last_reading });
     }
@@ -100,18 +102,18 @@
         self.unconfirmed_runs.iter().any(|run| run.id == *id)
     }
 
-    /// A run has ended: nothing of it is to be sent again.
+    /// Removes a run that has ended, so that nothing of it is sent again.
     pub(super) fn run_ended(&mut self, id: &RequestId) {
         self.unconfirmed_runs.retain(|run| run.id != *id);
         self.reply_received(id);
     }
 
-    /// The processor has received the reply to a run's call.
+    /// Notes that the processor has received the reply to a run's call.
     pub(super) fn reply_received(&mut self, id: &RequestId) {
         self.unconfirmed_replies.retain(|reply| reply.id != *id);
     }
 
-    /// Runs and replies that were sent before this reading are confirmed.
+    /// Confirms the runs and replies that were sent before this reading was requested.
     fn confirm_before(&mut self, reading: u64) {
         self.unconfirmed_runs.retain(|run| run.last_reading >= reading);
         self.unconfirmed_replies.retain(|reply| reply.last_reading >= reading);
@@ -123,7 +125,7 @@
 }
 
 impl Reducer {
-    /// The processor greeted on a new link. Its first greeting creates the admission module.
+    /// Handles the processor's greeting on a new link. The first greeting creates the admission module.
     pub(super) fn link_up(&mut self, link: u64, cold: bool, age: Span) {
         let now = self.timestamp.now;
         let started_at = time_before(now, age);
@@ -136,7 +138,7 @@
         if std::mem::take(&mut self.processor.is_new_processor)
             && let Some(controller) = self.controller.as_mut().filter(|_| !is_first)
         {
-            // Guards against runs for a warm processor on one that starts cold, which overload it.
+            // Guards against overload of a processor that starts cold by as many runs as a warm one could take.
             controller.cores_started(cold, started_at);
         }
         self.processor.last_message_at = now;
@@ -144,7 +146,7 @@
         self.processor.reading_since = None;
         let must_resend = self.processor.has_unconfirmed();
         if must_resend || self.recovery.wait_until().is_some() {
-            // The answer follows all notices of runs that ended meanwhile.
+            // The answer follows the notices of all runs that ended meanwhile.
             self.read_gauges(link);
             let reading = self.processor.last_reading;
             self.processor.resend_after = must_resend.then_some(reading);
@@ -152,7 +154,8 @@
         }
     }
 
-    /// Creates the admission module. Warmth counts from the start of the processor, which may be long after this process's.
+    /// Creates the admission module. Slow start counts from the start of the processor, which may be long after the
+    /// start of this process.
     fn create_controller(&mut self, cold: bool, started_at: Time) {
         let mut settings = Settings::clone(&self.settings);
         settings.specifics.cold_start = cold;
@@ -173,15 +176,14 @@
         self.log(Level::Info, format!("the processor is up, {}", if cold { "cold" } else { "warm" }));
     }
 
-    /// The link has ended.
     pub(super) fn link_down(&mut self) {
         self.registration.processor_silent(self.timestamp.now);
         self.processor.disconnected();
     }
 
-    /// Another processor greets: runs on the one before have no end to wait for, and notices are numbered from 1 again. The
-    /// shell decides this, as it also sends the processor the number of the last notice that was read: two decisions could
-    /// differ, and lose every result.
+    /// Handles the start of a new processor: runs on the former one will never report an end, and notices are numbered
+    /// from 1 again. The shell alone detects this, because it also sends the processor the number of the latest notice
+    /// that was read. If the shell and the reducer decided separately, they could differ and lose every result.
     pub(super) fn processor_restarted(&mut self) {
         self.log(Level::Warning, "the processor has restarted; its runs are lost".into());
         self.processor.last_notice = 0;
@@ -197,7 +199,7 @@
         self.effects.push(Effect::ReadGauges { link, number: self.processor.last_reading });
     }
 
-    /// The processor answers a reading of its gauges; an answer to an earlier reading is ignored.
+    /// Handles the answer to a gauge reading. Answers to earlier readings are ignored.
     pub(super) fn gauges_read(&mut self, number: u64, values: &[f64]) {
         let now = self.timestamp.now;
         self.processor.last_message_at = now;
@@ -213,13 +215,13 @@
             self.resend_unconfirmed();
         }
         self.processor.confirm_before(number);
-        // An answer from before the replay says nothing: the ends of recovered runs may still be reported.
+        // An answer from before the replay is not conclusive, since the ends of recovered runs may still be reported.
         if self.processor.replay_reading.is_some_and(|reading| reading <= number) {
             self.check_recovered_runs(gauges.runnable);
         }
     }
 
-    /// Sends again what a former link may have lost. Guards against requests that hang because a link fell.
+    /// Sends again what a former link may have lost. Guards against requests that hang after a link was lost.
     fn resend_unconfirmed(&mut self) {
         for run in std::mem::take(&mut self.processor.unconfirmed_runs) {
             self.send_run(&run.id);
@@ -229,13 +231,13 @@
         }
     }
 
-    /// Where no more runs are on the cores than were started here, none of an earlier process is: its end was reported before
-    /// or never will be. Guards against repeats that wait, in process after process, for a run that never reached the
-    /// processor.
+    /// Stops waiting for recovered runs if the processor runs no more than this process has started: the end of any
+    /// earlier run was either reported already or never will be. Guards against repeats that wait, process after
+    /// process, for a run that never reached the processor.
     fn check_recovered_runs(&mut self, runnable: Option<f64>) {
         let (Some(_), Some(on_cores)) = (self.recovery.wait_until(), runnable) else { return };
         let running = self.requests.count_running();
-        // Runs without a durable intent, and those sent after the reading, aren't on the cores.
+        // Runs without a durable intent and runs sent after the reading are not on the cores.
         let own = running
             .saturating_sub(self.idempotency_log.count_waiting() + self.processor.unconfirmed_runs.len());
         if on_cores < own as f64 + 0.5 {
@@ -243,7 +245,7 @@
         }
     }
 
-    /// Fires the due timers of the admission module with the gauges as they are now, or without where the processor doesn't
+    /// Fires the due timers of the admission module with current gauges, or without gauges if the processor doesn't
     /// answer.
     pub(super) fn fire_timers(&mut self) {
         let now = self.timestamp.now;
@@ -256,7 +258,10 @@
                 (Some(link), None) => return self.read_gauges(link),
                 (Some(_), Some(since)) if now < time_after(since, MAX_GAUGES_WAIT) => return,
                 (Some(link), Some(since)) if now >= time_after(since, READING_TIMEOUT) => {
-                    self.log(Level::Warning, "the processor doesn't answer; renewing the link".into());
+                    self.log(
+                        Level::Warning,
+                        "the processor did not answer a gauge reading in time; reconnecting".into(),
+                    );
                     self.effects.push(Effect::ReconnectProcessor { link });
                     self.processor.reading_since = Some(now);
                 }
--- a/crates/core/src/reducer/request_intake.rs
+++ b/crates/core/src/reducer/request_intake.rs
@@ -1,8 +1,8 @@
-//! Intake of client requests: validation, then registration as an open request and an event for the admission module.
+//! Intake of client requests: validates a request, registers it as open and passes an event to the admission module.
 //!
-//! A request that fails validation is answered here and the admission module never learns of it. Each check is a function that
-//! returns [`IntakeError`]; their order is the order in which a client sees them. Whether and when a request that passes runs
-//! is the admission module's decision.
+//! A request that fails validation is answered here, and the admission module never learns of it. Each check is a
+//! function that returns an [`IntakeError`]; if several would fail, the client sees the error of the first one. The
+//! admission module decides whether and when a valid request runs.
 
 use super::open_requests::{OpenRequest, RequestState};
 use super::{MS, Reducer};
@@ -14,30 +14,31 @@
 use std::hash::Hasher;
 use std::sync::Arc;
 
-/// A request may ask for a budget of at most this many times the deadline of its class.
+/// Maximum budget of a request, as a multiple of the deadline of its class.
 const MAX_BUDGET_DEADLINES: u64 = 2;
-/// The first requests of a connection may have waited unread for this long before the connection was reported.
+/// Maximum time that the first requests of a connection may have waited unread before the connection was reported.
 const MAX_UNREAD_BEFORE_OPEN: Span = Span(100 * MS);
-/// Open requests on one connection. More of them, left unread, would hide cancels and the close of the connection.
+/// Maximum number of open requests per connection. If more were left unread, they would hide cancellations and the
+/// close of the connection.
 const MAX_OPEN_PER_CONNECTION: usize = 32;
 
 /// Why a request is not passed on to the admission module.
 #[derive(Debug)]
 enum IntakeError {
-    /// It is no valid request.
+    /// The request is invalid.
     Invalid {
-        /// Slot of its class, where that is known: it is counted there.
+        /// Slot of its class, if known; the response is counted for that class.
         class: Option<usize>,
-        /// What is wrong with it.
+        /// Kind of error, as front ends report it.
         error: RequestError,
-        /// Explanation for its sender.
+        /// Explanation for the sender.
         text: String,
     },
-    /// It is valid, but can't be taken now.
+    /// The request is valid but can't be accepted now.
     Rejected {
         /// Slot of its class.
         class: usize,
-        /// How long its client should wait; 0 without advice.
+        /// Advised wait before a retry; 0 for no advice.
         retry_after: Span,
     },
 }
@@ -48,17 +49,17 @@
     }
 }
 
-/// What intake needs to know of the connection that a request came on.
+/// State of the connection that a request arrived on, as intake needs it.
 #[derive(Debug, Clone, Copy)]
-struct Origin {
+struct IntakeConnection {
     /// When the connection was accepted.
     opened: Time,
-    /// Until when nothing was read from it, the last time that it was throttled.
+    /// End of the latest period in which nothing was read from the connection because of throttling.
     throttled_until: Option<Time>,
-    /// Requests open on it.
+    /// Number of open requests on the connection.
     open_requests: usize,
-    /// Whether nothing more is accepted from it.
-    is_refused: bool,
+    /// Whether all new requests from the connection are rejected.
+    rejects_requests: bool,
 }
 
 /// A request that passed validation.
@@ -67,21 +68,22 @@
     request: ClientRequest,
     class: usize,
     tenant: Option<usize>,
-    /// When it reached the machine, in Unix milliseconds, and not in the future.
+    /// When the request reached the machine, in Unix milliseconds; never later than the current step.
     arrived_unix_ms: u64,
-    /// When its caller stops waiting, in Unix milliseconds.
+    /// When the caller stops waiting, in Unix milliseconds.
     deadline_unix_ms: u64,
-    /// How long it waited on this machine before it was read.
+    /// How long the request waited on this machine before it was read.
     queued_for: Span,
-    /// Fingerprint of its body and class; 0 without an idempotency key.
+    /// Fingerprint of the body and class; 0 without an idempotency key.
     fingerprint: Fingerprint,
-    /// The attempt that it repeats.
+    /// The earlier attempt that this request repeats.
     earlier: Option<RequestId>,
 }
 
 impl Reducer {
-    /// Whether a message has the sequence number of an open request of its connection. Responses to the two could not be kept
-    /// apart: the first request keeps the number, the message is dropped and the connection accepts nothing more.
+    /// Returns whether a message has the sequence number of an open request on its connection. The client could not
+    /// tell the two responses apart, so the first request keeps the number, the message is dropped and the connection
+    /// accepts no further requests.
     pub(super) fn reject_duplicate_sequence(
         &mut self,
         connection: ConnectionId,
@@ -91,14 +93,16 @@
         if !state.is_some_and(|state| state.open.contains_key(&sequence)) {
             return false;
         }
-        let text = format!("closing connection {connection}: request {sequence} came twice");
+        let text = format!(
+            "connection {connection}: sequence number {sequence} is already in use; rejecting further requests"
+        );
         self.log(Level::Warning, text);
         self.connections.stop_accepting_from(connection);
         self.request_drain(connection);
         true
     }
 
-    /// Validates a request and registers it, or answers it at once.
+    /// Validates a request, then registers it or answers it with the error.
     pub(super) fn receive_request(
         &mut self,
         connection: ConnectionId,
@@ -106,13 +110,13 @@
         request: ClientRequest,
     ) {
         let Some(state) = self.connections.touch(connection, self.timestamp.now) else { return };
-        let origin = Origin {
+        let connection_state = IntakeConnection {
             opened: state.opened,
             throttled_until: state.throttled_until,
             open_requests: state.open.len(),
-            is_refused: state.is_refused,
+            rejects_requests: state.rejects_requests,
         };
-        match self.validate(origin, request) {
+        match self.validate(connection_state, request) {
             Ok(valid) => self.register(connection, sequence, valid),
             Err(IntakeError::Invalid { class, error, text }) => {
                 self.reject_invalid(connection, sequence, class, error, text);
@@ -123,32 +127,38 @@
         }
     }
 
-    /// Checks a request in the order in which a client sees the reasons.
-    fn validate(&mut self, origin: Origin, mut request: ClientRequest) -> Result<ValidRequest, IntakeError> {
+    /// Runs all checks in the order in which a client sees their errors.
+    fn validate(
+        &mut self,
+        connection: IntakeConnection,
+        mut request: ClientRequest,
+    ) -> Result<ValidRequest, IntakeError> {
         let class = self.resolve_class(&request)?;
-        // Where its slot was given to another tenant meanwhile, it counts in no tenant's share.
+        // If the slot was given to another tenant meanwhile, the request counts toward no tenant's quota.
         let tenant = request.tenant.and_then(|tenant| self.tenants.resolve(tenant));
-        self.check_open_requests(origin, class)?;
+        self.check_open_requests(connection, class)?;
         if self.classes.profile(class).effect != Idempotency::Keyed {
             request.idempotency_key = None;
         }
         self.check_budget(class, &request)?;
         self.check_id(class, &request)?;
         if !request.retry {
-            // Counted whatever becomes of it: rejected requests are part of the comparison of versions.
+            // Counted even if it is rejected below: the comparison of versions includes rejected requests.
             self.count_for_rollback(tenant, class, 1, 0);
         }
         if self.controller.is_none() {
-            // Without a processor there is no admission module, and nothing has run.
+            // No processor has greeted yet, so there is no admission module and nothing has run.
             return Err(IntakeError::Rejected { class, retry_after: Span(0) });
         }
-        // Nothing arrived later than it is read. Guards against a stamp that keeps a key's run for ever.
+        // A request can't arrive after it is read. Guards against a time stamp in the future that would retain a key's
+        // run forever.
         let arrived_unix_ms = request.arrived_unix_ms.min(self.timestamp.unix_ms);
         self.drop_key_of_formerly_keyed_class(class, arrived_unix_ms, &mut request);
         self.check_store(class, arrived_unix_ms, &request)?;
         let fingerprint = self.fingerprint_of(class, &request);
         let earlier = self.find_earlier_attempt(class, arrived_unix_ms, fingerprint, &request)?;
-        // A repeat of a known attempt is answered from that and costs the cluster nothing.
+        // A repeat of a known attempt is answered with that attempt's outcome and uses none of the cluster's retry
+        // budget.
         let is_new_retry = request.retry && earlier.is_none();
         self.check_cluster(tenant, class, is_new_retry)?;
         Ok(ValidRequest {
@@ -156,7 +166,7 @@
             tenant,
             arrived_unix_ms,
             deadline_unix_ms: arrived_unix_ms.saturating_add(request.budget_ms),
-            queued_for: self.queued_for(origin, arrived_unix_ms),
+            queued_for: self.queued_for(connection, arrived_unix_ms),
             fingerprint,
             earlier,
             request,
@@ -165,7 +175,7 @@
 
     fn resolve_class(&self, request: &ClientRequest) -> Result<usize, IntakeError> {
         let Some(class) = self.classes.resolve(request.class) else {
-            // Its slot was freed since the request was read, and may be another class's.
+            // The slot was freed after the request was read and may belong to another class by now.
             let text = "unknown method: the class was dropped".into();
             return Err(IntakeError::Invalid { class: None, error: RequestError::NotFound, text });
         };
@@ -177,11 +187,11 @@
         Ok(class)
     }
 
-    /// Bounds the open requests of a connection, and the bodies of all connections by the memory.
-    fn check_open_requests(&self, origin: Origin, class: usize) -> Result<(), IntakeError> {
+    /// Limits the open requests of each connection, and the memory of all request bodies.
+    fn check_open_requests(&self, connection: IntakeConnection, class: usize) -> Result<(), IntakeError> {
         let has_capacity =
-            origin.open_requests < MAX_OPEN_PER_CONNECTION && self.requests.has_body_capacity();
-        if origin.is_refused || !has_capacity {
+            connection.open_requests < MAX_OPEN_PER_CONNECTION && self.requests.has_body_capacity();
+        if connection.rejects_requests || !has_capacity {
             return Err(IntakeError::Rejected { class, retry_after: Span(0) });
         }
         Ok(())
@@ -204,7 +214,8 @@
         Ok(())
     }
 
-    /// A class that is keyed no more ignores new keys, but still answers repeats of the runs that it has.
+    /// Drops a new idempotency key if the class is no longer keyed. Repeats of runs that the class already has are
+    /// still answered.
     fn drop_key_of_formerly_keyed_class(
         &self,
         class: usize,
@@ -219,8 +230,8 @@
         }
     }
 
-    /// Rejects a keyed request that might run twice, as the store can't record its run. A request whose run is known is
-    /// answered from that.
+    /// Rejects a keyed request if the store can't record its run, because the request could then run twice. A request
+    /// whose run is already known is answered with the outcome of that run.
     fn check_store(
         &self,
         class: usize,
@@ -228,7 +239,7 @@
         request: &ClientRequest,
     ) -> Result<(), IntakeError> {
         if let Some(key) = &request.idempotency_key
-            && !self.idempotency_table.ran(key, arrived_unix_ms)
+            && !self.idempotency_table.has_run(key, arrived_unix_ms)
             && self.idempotency_log.retry_after(self.timestamp.now).is_some()
         {
             return Err(IntakeError::Rejected { class, retry_after: self.store_retry_after() });
@@ -236,8 +247,8 @@
         Ok(())
     }
 
-    /// The attempt that a request repeats. Guards against a stranger who learnt a key: its request would be answered with
-    /// another request's result.
+    /// Returns the attempt that a request repeats. The comparison of fingerprints guards against a client that learned
+    /// another request's key and would be answered with that request's result.
     fn find_earlier_attempt(
         &self,
         class: usize,
@@ -257,7 +268,7 @@
         }
     }
 
-    /// Counts a request in the cluster, which bounds the retries of all servers.
+    /// Counts the request in the cluster's counters and applies the cluster-wide retry budget.
     fn check_cluster(
         &mut self,
         tenant: Option<usize>,
@@ -272,22 +283,22 @@
         Err(IntakeError::Rejected { class, retry_after })
     }
 
-    /// How long a request waited on this machine before it was read.
-    fn queued_for(&self, origin: Origin, arrived_unix_ms: u64) -> Span {
+    /// Returns how long a request waited on this machine before it was read.
+    fn queued_for(&self, connection: IntakeConnection, arrived_unix_ms: u64) -> Span {
         let by_stamp = Span(self.timestamp.unix_ms.saturating_sub(arrived_unix_ms).saturating_mul(MS));
-        // It did not wait before there was a connection. Guards against stamps of long ago, by which requests seem to wait
-        // unread.
-        let since_open = Span(self.timestamp.now.0.saturating_sub(origin.opened.0));
+        // A request can't have waited before its connection existed. Guards against old time stamps that would make
+        // requests appear to have waited unread.
+        let since_open = Span(self.timestamp.now.0.saturating_sub(connection.opened.0));
         let queued = by_stamp.min(Span(since_open.0.saturating_add(MAX_UNREAD_BEFORE_OPEN.0)));
-        // Nor did it wait for this server while its connection was throttled. Guards against a flood that makes a server look
-        // overloaded, and its health go bad, though it has time to read.
-        match origin.throttled_until {
+        // Time in which its connection was throttled doesn't count either. Guards against a flood of requests that
+        // would make the server look overloaded and unhealthy although it has time to read.
+        match connection.throttled_until {
             Some(until) => queued.min(Span(self.timestamp.now.0.saturating_sub(until.0))),
             None => queued,
         }
     }
 
-    /// Enters a valid request into the state and passes it on to the admission module.
+    /// Registers a valid request as open and passes it on to the admission module.
     fn register(&mut self, connection: ConnectionId, sequence: SequenceId, valid: ValidRequest) {
         let ValidRequest { request, class, tenant, arrived_unix_ms, deadline_unix_ms, .. } = valid;
         let Some(state) = self.connections.get_mut(connection) else { return };
@@ -336,8 +347,9 @@
         self.requests.insert(request.id, open);
     }
 
-    /// Fingerprint of the body and the class of a keyed request. Keyed with a salt, so that no client can choose two bodies
-    /// with one fingerprint; by the class's name, since a store outlives its slot.
+    /// Returns the fingerprint of a keyed request's body and class. It is keyed with a salt so that no client can
+    /// construct two bodies with the same fingerprint. It uses the name of the class, because the slot number is not
+    /// stable across processes that share a store.
     fn fingerprint_of(&self, class: usize, request: &ClientRequest) -> Fingerprint {
         if request.idempotency_key.is_none() {
             return 0;
@@ -350,12 +362,12 @@
         hasher.finish()
     }
 
-    /// The attempt that a request with this key repeats, and the fingerprint of its body and class.
+    /// Returns the attempt that a request with this key repeats, and the fingerprint of that attempt's body and class.
     fn earlier_attempt(&self, key: &str, arrived_unix_ms: u64) -> Option<(RequestId, Fingerprint)> {
         let of_this_step = self.requests.attempt_of_this_step(key);
         of_this_step.or_else(|| {
             let is_queued = |id: &RequestId| self.requests.is_queued(id);
-            self.idempotency_table.earlier(key, arrived_unix_ms, self.timestamp.now, is_queued)
+            self.idempotency_table.earlier_attempt(key, arrived_unix_ms, self.timestamp.now, is_queued)
         })
     }
 }
--- a/crates/core/src/reducer/responses.rs
+++ b/crates/core/src/reducer/responses.rs
@@ -1,7 +1,8 @@
-//! Responses to clients: each open request gets one final response at most, and leaves the state with it or with its run.
+//! Responses to clients. Each open request gets at most one final response. It then leaves the state, unless its run
+//! continues: then it leaves with the end of the run.
 //!
-//! [`Reducer::respond`] is the only place that answers an open request. Not here: which response it is, which the admission
-//! module decides or the run's outcome says.
+//! [`Reducer::respond`] is the only place that answers an open request. The response itself is decided by the admission
+//! module or by the outcome of the run.
 
 use super::Reducer;
 use super::open_requests::{OpenRequest, RequestState};
@@ -13,14 +14,14 @@
 impl Reducer {
     /// Answers a health check.
     pub(super) fn answer_health_check(&mut self, connection: ConnectionId, sequence: SequenceId) {
-        self.connections.touch_and_rest(connection, self.timestamp.now);
+        self.connections.touch_and_mark_idle(connection, self.timestamp.now);
         let healthy = self.healthy && self.operator_drain.draining_since().is_none();
         let store = self.idempotency_log.health(self.timestamp.now).word();
         self.send_response(connection, sequence, Response::Health { healthy, store });
         self.close_if_done(connection);
     }
 
-    /// Rejects a request that the admission module never learns of.
+    /// Rejects a request that was not passed on to the admission module.
     pub(super) fn reject(
         &mut self,
         connection: ConnectionId,
@@ -28,14 +29,15 @@
         class: usize,
         retry_after: Span,
     ) {
-        self.connections.touch_and_rest(connection, self.timestamp.now);
+        self.connections.touch_and_mark_idle(connection, self.timestamp.now);
         let response = Response::Rejected { retry_after, no_failover: false };
         self.metrics.count_response(&self.classes.profile(class).name, &response);
         self.send_response(connection, sequence, response);
         self.close_if_done(connection);
     }
 
-    /// Answers a message that is no valid request. It is counted where its class is known, as clients count it under that.
+    /// Answers a message that is not a valid request. It is counted if its class is known, since clients count it for
+    /// that class too.
     pub(super) fn reject_invalid(
         &mut self,
         connection: ConnectionId,
@@ -44,7 +46,7 @@
         error: RequestError,
         text: String,
     ) {
-        self.connections.touch_and_rest(connection, self.timestamp.now);
+        self.connections.touch_and_mark_idle(connection, self.timestamp.now);
         self.log(Level::Warning, format!("invalid request on connection {connection}: {text}"));
         let response = Response::Invalid { error, text };
         if let Some(class) = class {
@@ -54,27 +56,29 @@
         self.close_if_done(connection);
     }
 
-    /// A client cancels a request.
+    /// Handles a client's cancellation of a request.
     pub(super) fn cancel_request(&mut self, connection: ConnectionId, sequence: SequenceId) {
         let state = self.connections.touch(connection, self.timestamp.now);
         let id = state.and_then(|state| state.open.remove(&sequence));
-        // Also a connection that cancels nothing but what isn't open must become idle, or it would keep its place unseen.
-        self.connections.touch_and_rest(connection, self.timestamp.now);
-        // Without an open request the cancel has crossed its response.
+        // Required even if no such request is open: otherwise the connection would never become idle, and could not be
+        // evicted.
+        self.connections.touch_and_mark_idle(connection, self.timestamp.now);
+        // If the request is no longer open, the cancellation crossed its response.
         if let Some(id) = id {
             self.caller_gone(&id);
             self.close_if_done(connection);
         }
     }
 
-    /// The caller of a request no longer waits for its response.
+    /// Notes that the caller of a request no longer waits for its response.
     pub(super) fn caller_gone(&mut self, id: &RequestId) {
         if self.requests.abandon(id) {
             self.events.push(Event::CallerGone(id.clone()));
         }
     }
 
-    /// Sends a response that the admission module decided on. A request whose run goes on stays in the state until that ends.
+    /// Sends a response that the admission module decided on. If the request's run continues, the request stays in the
+    /// state until the run ends.
     pub(super) fn respond_and_release(&mut self, id: &RequestId, response: Response) {
         self.respond(id, response);
         if self.requests.get(id).is_some_and(|open| open.state != RequestState::Running) {
@@ -92,12 +96,12 @@
         self.respond(id, response);
     }
 
-    /// Whether the caller of a request has stopped waiting by its budget.
+    /// Whether the time that the caller waits is over.
     pub(super) fn is_past_deadline(&self, id: &RequestId) -> bool {
         self.requests.get(id).is_some_and(|open| self.timestamp.unix_ms >= open.deadline_unix_ms)
     }
 
-    /// Answers a repeat from the run of another attempt.
+    /// Answers a repeat with the outcome of another attempt's run.
     pub(super) fn respond_to_repeat(&mut self, id: &RequestId, run: RunOutcome) {
         let Some(OpenRequest { state: RequestState::Joined { since }, response_owed: true, .. }) =
             self.requests.get(id)
@@ -111,7 +115,7 @@
         self.events.push(Event::Completed { id: id.clone(), outcome, took });
     }
 
-    /// Sends the one final response of a request, if it is still owed.
+    /// Sends the final response of a request, if it is still owed.
     pub(super) fn respond(&mut self, id: &RequestId, response: Response) {
         let Some(open) = self.requests.get_mut(id).filter(|open| open.response_owed) else { return };
         open.response_owed = false;
@@ -131,11 +135,11 @@
         self.effects.push(Effect::Respond { connection, sequence, response, capacity_hint });
     }
 
-    /// Removes a request from the state, with its references to its class, its tenant and the run that it waits for.
+    /// Removes a request, and its references to its class, its tenant and the run that it waits for.
     pub(super) fn forget_request(&mut self, id: &RequestId) {
         let Some(open) = self.requests.remove(id) else { return };
         if let (RequestState::Joined { .. }, Some(key)) = (open.state, &open.idempotency_key) {
-            self.idempotency_table.leave(key, id);
+            self.idempotency_table.remove_waiter(key, id);
         }
         self.classes.release(open.class);
         if let Some(tenant) = open.tenant {
--- a/crates/core/src/reducer/run_claims.rs
+++ b/crates/core/src/reducer/run_claims.rs
@@ -1,8 +1,8 @@
-//! Claims of keyed runs, where the two processes of an upgrade share them: a run is sent to the processor once this process has
-//! claimed it. A run of the other process answers the attempts here too.
+//! Claims of keyed runs, for the two processes of an upgrade that share them. A run is sent to the processor once this
+//! process has claimed it; a run of the other process also answers the attempts that arrive here.
 //!
-//! To the admission module a request runs while its claim is pending. Which requests wait is [`crate::pending_claims`]'; the
-//! claims are files of the shell.
+//! The admission module sees a request as running while its claim is pending. [`crate::pending_claims`] tracks which
+//! requests wait; the shell keeps the claims as files.
 
 use super::Reducer;
 use crate::idempotency_table::RunOutcome;
@@ -12,13 +12,13 @@
 use std::sync::Arc;
 
 impl Reducer {
-    /// The folder of claims can be used from now on; `salt` keys the fingerprints of both processes.
+    /// Starts using the folder of claims; `salt` keys the fingerprints of both processes.
     pub(super) fn runs_shared(&mut self, salt: u64) {
         self.recovery.salt = salt;
-        self.log(Level::Info, "keyed runs are shared from now on".into());
+        self.log(Level::Info, "keyed runs are now shared with the other process of the upgrade".into());
     }
 
-    /// Has the run of a keyed request claimed before it is sent.
+    /// Requests the claim of a keyed run, which must precede sending it.
     pub(super) fn claim_run(&mut self, id: &RequestId) {
         let Some(open) = self.requests.get(id) else { return };
         let Some((key, fingerprint)) = open.key_and_fingerprint() else { return };
@@ -28,7 +28,7 @@
         self.effects.push(Effect::ClaimRun { id: id.clone(), key, fingerprint, timeout });
     }
 
-    /// The shell reports which process owns a run.
+    /// Handles the shell's report of which process owns a run.
     pub(super) fn run_claimed(&mut self, id: &RequestId, claim: RunClaim) {
         if !self.pending_claims.remove(id) {
             return;
@@ -40,13 +40,13 @@
         }
     }
 
-    /// The other process ran it: the outcome answers this attempt and all that wait for it.
+    /// Answers a request that the other process ran, and all attempts that wait for it.
     fn complete_from_other_process(&mut self, id: &RequestId, run: RunOutcome) {
         let Some(open) = self.requests.running(id) else { return };
         let key = open.idempotency_key.clone();
         self.respond_with_outcome(id, run.clone());
         self.forget_request(id);
-        // Nothing was started here, so the admission module must not learn from its duration.
+        // Nothing was started here, so the admission module must not learn from the duration.
         let outcome = Outcome::NotStarted;
         self.events.push(Event::Completed { id: id.clone(), outcome, took: Span(0) });
         let Some(key) = key else { return };
@@ -55,7 +55,8 @@
         }
     }
 
-    /// A claimed run has ended, or with no outcome never started: the other process may learn it.
+    /// Releases the claim of a run, so that the other process can learn its outcome; without an `outcome` the run never
+    /// started.
     pub(super) fn release_claim(&mut self, key: &Arc<str>, outcome: Option<RunOutcome>) {
         if !self.pending_claims.is_enabled() {
             return;
--- a/crates/core/src/reducer/runs.rs
+++ b/crates/core/src/reducer/runs.rs
@@ -1,8 +1,8 @@
-//! Runs: starting them on the processor, their ends, and the outcomes that repeats of a keyed request get.
+//! Runs: how they are started on the processor, how they end, and the outcomes that repeats of a keyed request get.
 //!
-//! Owns no state of its own. The requests are [`super::open_requests`]', what the processor may not have received is
-//! [`super::processor_link`]'s, and keyed runs are those of the idempotency table. Invariant: a keyed run is sent to the
-//! processor only once its claim is ours or its intent is durable, where there are claims or a store.
+//! Owns no state: requests are in [`super::open_requests`], unconfirmed runs in [`super::processor_link`] and keyed
+//! runs in the idempotency table. Invariant: where there are claims or a store, a keyed run is sent to the processor
+//! only once it is claimed by this process or its intent is durable.
 
 use super::open_requests::RequestState;
 use super::{MS, Reducer};
@@ -13,15 +13,16 @@
 use slog::Level;
 use std::sync::Arc;
 
-/// How a run ended: for the admission module, and for attempts that repeat the request.
+/// How a run ended, for the admission module and for attempts that repeat the request.
 struct Completion {
     outcome: Outcome,
-    /// None if it never started.
+    /// `None` if the run never started.
     for_repeats: Option<RunOutcome>,
 }
 
 impl Completion {
-    /// The result of a keyed run is copied into a buffer of its size, as it is retained.
+    /// Creates the completion. The result of a keyed run is copied into a buffer of its exact size, because it is
+    /// retained.
     fn of(end: RunEnd, result: Option<Arc<Buffer>>, is_keyed: bool) -> Self {
         let (outcome, for_repeats) = match (end, result) {
             (RunEnd::Ok, Some(result)) => {
@@ -37,7 +38,7 @@
 }
 
 impl Reducer {
-    /// The admission module starts the run of a queued request.
+    /// Starts the run of a queued request, as decided by the admission module.
     pub(super) fn start_run(&mut self, id: &RequestId) {
         let Some(open) = self.requests.get_mut(id).filter(|open| open.state == RequestState::Queued) else {
             return self.report_not_started(id);
@@ -53,7 +54,7 @@
         if !self.idempotency_log.is_enabled() {
             return self.send_run(id);
         }
-        // It is sent once its intent is durable.
+        // The run is sent once its intent is durable.
         let run = self.idempotency_table.known_run(key, self.timestamp.now);
         if !run.is_some_and(|run| self.idempotency_log.append_intent(self.timestamp.now, run)) {
             self.reject_unstarted_run(id);
@@ -65,7 +66,7 @@
         self.events.push(Event::Completed { id: id.clone(), outcome, took: Span(0) });
     }
 
-    /// Sends a request to the processor, now or once there is a link that is usable.
+    /// Sends a run to the processor, now or once there is a usable link.
     pub(super) fn send_run(&mut self, id: &RequestId) {
         let Some(open) = self.requests.get(id) else { return };
         self.processor.add_unconfirmed_run(id.clone());
@@ -78,8 +79,9 @@
         }
     }
 
-    /// The processor did not carry out a start. If that was the only one and none is confirmed, the run never started. Guards
-    /// against an effect twice: any other start may have been carried out, and must not be again under its key.
+    /// Handles a start that the processor did not carry out. The run counts as never started only if it was sent once
+    /// and is unconfirmed. Guards against running an operation twice: any other start may have been carried out, and
+    /// must not be repeated under the same key.
     pub(super) fn run_not_started(&mut self, id: &RequestId) {
         self.log(Level::Error, format!("the processor rejected the run of {}", id.0));
         let was_sent_once = self.requests.running(id).is_some_and(|open| open.start_count == 1);
@@ -88,7 +90,8 @@
         self.end_run(id, end, Span(0), None);
     }
 
-    /// The processor reports the end of a run. A notice that was read before counts only for runs of an earlier process.
+    /// Handles the processor's report of the end of a run. A notice that was read before counts only for runs of an
+    /// earlier process.
     pub(super) fn run_completed(
         &mut self,
         notice: u64,
@@ -105,7 +108,7 @@
         }
     }
 
-    /// A processor that outlived an earlier process reports the end of a run of that.
+    /// Handles the end of an earlier process's run, on a processor that outlived that process.
     fn recovered_run_completed(&mut self, id: &RequestId, end: RunEnd, result: &Buffer) {
         let Some(key) = self.idempotency_table.take_recovered_run(id) else { return };
         let outcome = match end {
@@ -116,8 +119,8 @@
         self.complete_keyed_run(&key, id, outcome);
     }
 
-    /// A keyed run has ended, or with no outcome never started: its outcome is retained and published, and its repeats are
-    /// answered.
+    /// Completes a keyed run; without an `outcome` the run never started. Retains and publishes the outcome and answers
+    /// the run's repeats.
     fn complete_keyed_run(&mut self, key: &Arc<str>, id: &RequestId, outcome: Option<RunOutcome>) {
         let is_replaced = self.idempotency_table.is_replaced(key, id);
         let waiting = self.idempotency_table.run_ended(key, id, outcome.clone());
@@ -129,7 +132,7 @@
         }
     }
 
-    /// The other process of an upgrade and the store learn the outcome of a key's last run.
+    /// Publishes the outcome of a key's latest run to the other process of an upgrade and to the store.
     fn publish_outcome(&mut self, key: &Arc<str>, id: &RequestId, outcome: Option<RunOutcome>) {
         let never_started = outcome.is_none();
         self.release_claim(key, outcome);
@@ -142,8 +145,8 @@
         }
     }
 
-    /// A run that the admission module started is not sent to the processor, as its intent is not durable or its claim failed.
-    /// The request and its repeats are rejected.
+    /// Rejects a request and its repeats if its run can't be sent to the processor, because its intent is not durable
+    /// or its claim failed.
     pub(super) fn reject_unstarted_run(&mut self, id: &RequestId) {
         let Some(open) = self.requests.running(id) else { return };
         let mut waiting = Vec::new();
@@ -159,7 +162,7 @@
         }
     }
 
-    /// A run has ended, or never started.
+    /// Ends a run, or one that never started.
     pub(super) fn end_run(&mut self, id: &RequestId, end: RunEnd, took: Span, result: Option<Arc<Buffer>>) {
         let Some(open) = self.requests.running(id) else { return };
         let key = open.idempotency_key.clone();
@@ -175,8 +178,8 @@
         }
         self.events.push(Event::Completed { id: id.clone(), outcome, took });
         match self.requests.get_mut(id) {
-            // The admission module answers it. Guards against a request that stays open for good, as if its run were to end
-            // yet.
+            // The admission module answers the request. Guards against a request that stays open forever, as if its run
+            // could still end.
             Some(open) if is_stopped && open.response_owed => open.state = RequestState::Stopped,
             _ => self.forget_request(id),
         }
@@ -185,7 +188,7 @@
         }
     }
 
-    /// Stops a run where there is a link; the processor then reports its end as [`RunEnd::Stopped`].
+    /// Stops a run if there is a link. The processor then reports its end as [`RunEnd::Stopped`].
     pub(super) fn stop_run(&mut self, id: &RequestId) {
         if let (true, Some(link)) = (self.requests.contains(id), self.processor.number) {
             self.effects.push(Effect::StopRun { link, id: id.clone() });
--- a/crates/core/src/reducer/schedule.rs
+++ b/crates/core/src/reducer/schedule.rs
@@ -1,4 +1,4 @@
-//! What is due by the clock: readiness reports to the control plane, sweeps, and the timers of the admission module.
+//! Periodic work: readiness reports to the control plane, sweeps, and the timers of the admission module.
 
 use super::processor_link::MAX_GAUGES_WAIT;
 use super::{MS, Reducer};
@@ -6,55 +6,56 @@
 use gradepin_admission::{Span, Time, time_after};
 use std::collections::BTreeSet;
 
-/// Between readiness reports. The control plane forgets a server after 3 s.
+/// Interval between readiness reports. The control plane forgets a server after 3 s without one.
 const REPORT_INTERVAL: Span = Span(400 * MS);
-/// Reports of a change, as one may be lost.
+/// Number of times that a change is reported, as a report may be lost.
 const REPORTS_PER_CHANGE: u32 = 3;
-/// Between the reports of a change.
+/// Interval between the reports of a change.
 const CHANGE_REPORT_INTERVAL: Span = Span(60 * MS);
-/// Between sweeps through classes, idempotency keys and connections.
+/// Interval between sweeps of classes, idempotency keys and connections.
 const SWEEP_INTERVAL: Span = Span(250 * MS);
 
-/// When what is due.
+/// The times at which periodic work is due.
 #[derive(Debug, Default)]
 pub(super) struct Schedule {
     next_report: Time,
-    /// Reports of the last change that are still to come.
+    /// Number of reports of the latest change that remain to be sent.
     change_reports: u32,
     next_sweep: Time,
-    /// Timers of the admission module.
+    /// Pending timers of the admission module.
     timers: BTreeSet<Time>,
 }
 
 impl Schedule {
-    /// What is reported has changed, or the control plane is another one.
+    /// Schedules the reports of a change of readiness or of the control plane.
     pub(super) fn report_change(&mut self, now: Time) {
         self.change_reports = REPORTS_PER_CHANGE;
         self.next_report = now;
     }
 
-    /// The admission module sets a timer.
+    /// Adds a timer of the admission module.
     pub(super) fn set_timer(&mut self, at: Time) {
         self.timers.insert(at);
     }
 
-    /// The first timer, if it is due.
+    /// Returns the first timer if it is due.
     pub(super) fn due_timer(&self, now: Time) -> Option<Time> {
         self.timers.first().copied().filter(|due| *due <= now)
     }
 
-    /// Removes the first timer, if it is due.
+    /// Removes and returns the first timer if it is due.
     pub(super) fn take_due_timer(&mut self, now: Time) -> Option<Time> {
         self.due_timer(now)?;
         self.timers.pop_first()
     }
 
-    /// Whether the admission module is due without an event: a timer is, or none is set at all.
+    /// Whether the admission module must be called without an event: a timer is due, or none is set at all.
     pub(super) fn admission_is_due(&self, now: Time) -> bool {
         self.timers.first().is_none_or(|due| *due <= now)
     }
 
-    /// When the first timer fires. A due one waits for the gauges while a reading is open, `reading_since` then.
+    /// Returns when the first timer fires. A due timer waits for the gauges if a reading is pending since
+    /// `reading_since`.
     pub(super) fn timer_due_at(&self, now: Time, reading_since: Option<Time>) -> Option<Time> {
         self.timers.first().map(|&due| match reading_since {
             Some(since) if due <= now => time_after(since, MAX_GAUGES_WAIT),
@@ -62,12 +63,12 @@
         })
     }
 
-    /// When the next report or sweep is due.
+    /// Returns when the next report or sweep is due.
     pub(super) fn wake_at(&self) -> Time {
         self.next_sweep.min(self.next_report)
     }
 
-    /// Whether a report is due; if so, schedules the next one.
+    /// Returns whether a report is due; if so, schedules the next one.
     fn take_due_report(&mut self, now: Time) -> bool {
         let is_due = now >= self.next_report;
         if is_due {
@@ -80,12 +81,12 @@
 }
 
 impl Reducer {
-    /// Reports the readiness at once and some times more: it has changed, or the control plane is another one.
+    /// Reports the readiness at once and a few more times, after a change of the readiness or of the control plane.
     pub(super) fn report_change(&mut self) {
         self.schedule.report_change(self.timestamp.now);
     }
 
-    /// The part of a step that goes by the clock.
+    /// Performs the periodic part of a step.
     pub(super) fn periodic_step(&mut self) {
         let now = self.timestamp.now;
         self.report_readiness();
@@ -105,12 +106,13 @@
     fn report_readiness(&mut self) {
         let is_due = self.schedule.take_due_report(self.timestamp.now);
         if is_due && self.controller.is_some() && self.drain.handover.reports_readiness() {
-            let is_out = self.registration.is_out() || self.operator_drain.draining_since().is_some();
-            self.effects.push(Effect::ReportReadiness { ready: self.healthy && !is_out });
+            let is_out_of_service =
+                self.registration.is_out_of_service() || self.operator_drain.draining_since().is_some();
+            self.effects.push(Effect::ReportReadiness { ready: self.healthy && !is_out_of_service });
         }
     }
 
-    /// Sweeps a bounded part; the rest follows with the next step, which comes at once.
+    /// Sweeps a limited part; if more is due, the next step follows at once.
     fn sweep(&mut self) {
         let now = self.timestamp.now;
         let more_classes = self.release_class_slots();
--- a/crates/core/src/reducer/settings_changes.rs
+++ b/crates/core/src/reducer/settings_changes.rs
@@ -1,13 +1,13 @@
-//! Changes of the active settings: a transaction is applied at once and completely, or not at all.
+//! Changes of the active settings: a transaction is applied completely in one step, or not at all.
 //!
-//! Owns the edition of the active names and the name changes that the shell is to learn. A change costs by its own size;
-//! nothing here goes through all classes or tenants. Not here: which changes are valid by themselves, which their author's side
-//! checks, and settings files that are read again ([`super::settings_reload`]).
+//! Owns the edition of the active names and the name changes that the shell is to learn. The cost of a change depends
+//! only on its own size: nothing here iterates over all classes or tenants. The author's side checks whether a change
+//! is valid by itself; reloads of the settings file are handled in [`super::settings_reload`].
 
 use super::Reducer;
 use super::apply_summary::{ApplyError, ApplySummary, NameDemand};
 use super::settings_reload::PendingReload;
-use crate::classes::{Put, Settled};
+use crate::classes::{PutResult, SlotExpiry};
 use crate::messages::{Effect, NameChange};
 use gradepin_admission::{ClassDefinition, Settings, Span, Tenant};
 use gradepin_config::change::{Change, MAX_CLASSES, MAX_TENANTS, Name, Rule, Transaction};
@@ -15,36 +15,35 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Slots of removed classes that one step looks at.
+/// Maximum number of removed classes' slots that one step checks.
 const MAX_RELEASES_PER_STEP: usize = 128;
 
-/// Changes of the active settings that are under way, and what the shell knows of the active names.
+/// Pending changes of the active settings, and what the shell knows of the active names.
 #[derive(Debug, Default)]
 pub(super) struct SettingsChanges {
-    /// The settings file that is being applied.
+    /// The reload that is being applied.
     pub(super) reload: Option<PendingReload>,
-    /// Number of the last change of the active names. A settings file is compared with the names of one edition.
+    /// Number of the latest change of the active names. A settings file is compared with the names of one edition.
     pub(super) edition: u64,
-    /// Whether classes, tenants and rules come from committed revisions: a settings file changes all else.
+    /// Whether classes, tenants and rules come from committed revisions; a settings file then changes everything else.
     pub(super) is_committed: bool,
-    /// The longest idempotency window that the shell was given.
+    /// The longest idempotency window, as last sent to the shell.
     longest_window: Span,
-    /// Changes of names for the shell, not sent yet.
+    /// Name changes that were not sent to the shell yet.
     name_changes: Vec<NameChange>,
 }
 
 impl SettingsChanges {
-    /// At the start, with the longest idempotency window of the classes.
+    /// Creates the initial state with the longest idempotency window of the classes.
     pub(super) fn new(longest_window: Span) -> Self {
         Self { longest_window, ..Self::default() }
     }
 
-    /// Classes, tenants and rules come from committed revisions from now on.
+    /// Has classes, tenants and rules come from committed revisions from now on.
     pub(super) fn set_committed(&mut self) {
         self.is_committed = true;
     }
 
-    /// Whether a settings file is being applied.
     pub(super) fn is_reloading(&self) -> bool {
         self.reload.is_some()
     }
@@ -56,14 +55,15 @@
 }
 
 impl Reducer {
-    /// Classes, tenants and rules come from committed revisions: a settings file that is read again changes all else.
+    /// Configures a server whose classes, tenants and rules come from committed revisions. A reload of the settings
+    /// file then changes everything else.
     pub fn with_committed_settings(mut self) -> Self {
         self.settings_changes.set_committed();
         self
     }
 
-    /// Applies a transaction completely or not at all, at a cost that goes by its size. Its effects come with the next step,
-    /// which is due at once.
+    /// Applies a transaction completely or not at all. Its cost depends on the size of the transaction. Its effects are
+    /// returned by the next step, which is due at once.
     pub fn apply_transaction(&mut self, transaction: &Transaction) -> Result<ApplySummary, ApplyError> {
         if let Some(reload) = &self.settings_changes.reload {
             return Err(ApplyError::ReloadUnderWay(reload.applied_changes));
@@ -86,7 +86,7 @@
         Ok(summary)
     }
 
-    /// Whether every change can be applied, by the names that the ones before it leave.
+    /// Checks that every change can be applied, given the names that the preceding changes leave in force.
     fn check_transaction(&self, changes: &[Change]) -> Result<(), ApplyError> {
         let mut classes = NameTally::new(self.classes.in_force());
         let mut tenants = NameTally::new(self.tenants.in_force());
@@ -117,18 +117,18 @@
         self.check_slots(classes.demand(), tenants.demand())
     }
 
-    /// Whether the names that would be in force, and the slots that new ones need, are within the bounds.
+    /// Checks that the names that would be in force, and the slots that new names need, are within the limits.
     pub(super) fn check_slots(&self, classes: NameDemand, tenants: NameDemand) -> Result<(), ApplyError> {
         if classes.in_force > MAX_CLASSES || classes.new > self.classes.free_slots() {
-            return Err(ApplyError::TooMany { what: "classes", max: MAX_CLASSES, got: classes.in_force });
+            return Err(ApplyError::TooMany { kind: "classes", max: MAX_CLASSES, got: classes.in_force });
         }
         if tenants.in_force > MAX_TENANTS || tenants.new > self.tenants.free_slots() {
-            return Err(ApplyError::TooMany { what: "tenants", max: MAX_TENANTS, got: tenants.in_force });
+            return Err(ApplyError::TooMany { kind: "tenants", max: MAX_TENANTS, got: tenants.in_force });
         }
         Ok(())
     }
 
-    /// Applies one change; rules are applied by the caller, all at once.
+    /// Applies one change and adds it to the summary. The caller applies rules, all at once.
     pub(super) fn apply(&mut self, change: &Change, summary: &mut ApplySummary) {
         match change {
             Change::PutClass(class) => self.put_class(class, summary),
@@ -142,10 +142,10 @@
     fn put_class(&mut self, class: &Arc<ClassDefinition>, summary: &mut ApplySummary) {
         let (slot, put) = self.classes.put(self.timestamp.now, Arc::clone(class));
         match put {
-            Put::Same => return,
-            Put::Added => summary.added.add(&class.profile.name),
-            Put::Changed => summary.changed.add(&class.profile.name),
-            Put::Back => summary.restored.add(&class.profile.name),
+            PutResult::Unchanged => return,
+            PutResult::Added => summary.added.add(&class.profile.name),
+            PutResult::Changed => summary.changed.add(&class.profile.name),
+            PutResult::Restored => summary.restored.add(&class.profile.name),
         }
         self.put_admission_class(slot);
         let handle = self.classes.handle(slot);
@@ -155,11 +155,11 @@
     fn remove_class(&mut self, name: &str, summary: &mut ApplySummary) {
         let Some(slot) = self.classes.remove(self.timestamp.now, name) else { return };
         summary.removed.add(name);
-        let class = Arc::clone(self.classes.defined(slot));
+        let class = Arc::clone(self.classes.configured(slot));
         self.settings_changes.name_changes.push(NameChange::ClassRemoved(class));
     }
 
-    /// Gives the admission module the class that holds in a slot now.
+    /// Passes the class in a slot on to the admission module, by its effective definition.
     fn put_admission_class(&mut self, slot: usize) {
         if let Some(controller) = &mut self.controller {
             controller.put_class(slot, Arc::clone(self.classes.get(slot)));
@@ -168,7 +168,7 @@
 
     fn put_tenant(&mut self, tenant: &Arc<Tenant>, summary: &mut ApplySummary) {
         let placed = self.tenants.put(Arc::clone(tenant));
-        if placed.put == Put::Same {
+        if placed.put == PutResult::Unchanged {
             return;
         }
         summary.tenants += 1;
@@ -176,7 +176,7 @@
         self.settings_changes.name_changes.extend(forgotten);
         let handle = self.tenants.handle(placed.slot);
         self.settings_changes.name_changes.push(NameChange::Tenant { handle, tenant: Arc::clone(tenant) });
-        self.put_admission_tenant(placed.slot, tenant.quota_rps, placed.put == Put::Added);
+        self.put_admission_tenant(placed.slot, tenant.quota_rps, placed.put == PutResult::Added);
     }
 
     fn remove_tenant(&mut self, name: &str, summary: &mut ApplySummary) {
@@ -185,11 +185,12 @@
         let (Some(slot), Some(tenant)) = (self.tenants.remove(name), tenant) else { return };
         summary.tenants += 1;
         self.settings_changes.name_changes.push(NameChange::TenantRemoved(tenant));
-        // Without a quota: the admission module bounds no tenant by a quota of 0.
+        // The admission module does not limit a tenant whose quota is 0.
         self.put_admission_tenant(slot, 0.0, false);
     }
 
-    /// Gives the admission module the quota of the tenant in a slot, and whether it is another tenant than before.
+    /// Passes the quota of the tenant in a slot on to the admission module. `is_another` says whether the slot held
+    /// another tenant before.
     fn put_admission_tenant(&mut self, slot: usize, quota_rps: f64, is_another: bool) {
         self.forget_reported_quota(slot);
         if let Some(controller) = &mut self.controller {
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Replaces all settings but classes and tenants.
+    /// Replaces all settings except classes and tenants.
     pub(super) fn replace_settings(&mut self, settings: Settings) {
         self.settings = Arc::new(settings);
         if let Some(controller) = &mut self.controller {
@@ -206,7 +207,7 @@
         self.cluster_settings_changed();
     }
 
-    /// Sends the shell the names that have changed, and the longest idempotency window if that has.
+    /// Sends the shell the names that have changed and, if it has changed, the longest idempotency window.
     pub(super) fn publish_names(&mut self) {
         let changes = std::mem::take(&mut self.settings_changes.name_changes);
         if !changes.is_empty() {
@@ -218,29 +219,28 @@
         }
     }
 
-    /// Logs what was applied.
     pub(super) fn log_summary(&mut self, summary: &ApplySummary) {
         let ApplySummary { added, removed, restored, .. } = summary;
         let (added, removed, restored) = (added.text(), removed.text(), restored.text());
-        let text = format!("settings in force: classes added {added}, dropped {removed}, back {restored}");
+        let text = format!("settings changed: classes added {added}, removed {removed}, restored {restored}");
         self.log(Level::Info, text);
     }
 
-    /// Frees the slots of removed classes that nothing refers to, and ends the idempotency of classes that are keyed no more
-    /// once their windows are over. Returns whether more are due.
+    /// Frees the slots of removed classes that nothing refers to. Classes that are no longer keyed stop being treated
+    /// as keyed once their windows are over. Returns whether more slots are due.
     pub(super) fn release_class_slots(&mut self) -> bool {
         if !self.events.is_empty() {
-            // Events of requests that are closed here and not yet handled by the admission module refer to slots.
+            // Pending events of requests that are already closed here still refer to slots.
             return false;
         }
-        for settled in self.classes.settle(self.timestamp.now, MAX_RELEASES_PER_STEP) {
-            match settled {
-                Settled::Freed(slot, class) => {
-                    self.forget_run_estimate(slot);
+        for expired in self.classes.expire_slots(self.timestamp.now, MAX_RELEASES_PER_STEP) {
+            match expired {
+                SlotExpiry::Freed(slot, class) => {
+                    self.forget_run_time_estimate(slot);
                     self.settings_changes.name_changes.push(NameChange::ClassForgotten(class));
                     self.put_admission_class(slot);
                 }
-                Settled::Unkeyed(slot) => self.put_admission_class(slot),
+                SlotExpiry::Unkeyed(slot) => self.put_admission_class(slot),
             }
         }
         self.publish_names();
@@ -248,12 +248,12 @@
     }
 }
 
-/// The names in force as the changes of a transaction leave them, without a copy of those that it doesn't touch.
+/// Tracks the names in force while a transaction is checked, without copying those that it doesn't change.
 struct NameTally<'a> {
     in_force: usize,
-    /// Names that had no slot.
+    /// Number of names that need a new slot.
     new: usize,
-    /// Whether each name that the transaction touches is in force after the changes so far.
+    /// Whether each name that the transaction changes is in force after the changes so far.
     touched: HashMap<&'a str, bool>,
 }
 
@@ -272,7 +272,7 @@
         }
     }
 
-    /// Returns whether a name was in force.
+    /// Removes a name; returns whether it was in force.
     fn remove(&mut self, name: &'a str, known: bool) -> bool {
         let was_in_force = self.touched.insert(name, false).unwrap_or(known);
         self.in_force -= usize::from(was_in_force);
--- a/crates/core/src/reducer/settings_reload.rs
+++ b/crates/core/src/reducer/settings_reload.rs
@@ -1,8 +1,8 @@
-//! Reload of the settings file (SIGHUP). Its changes of classes and tenants are applied in pieces of bounded size, one a step
-//! and in their order, so that requests are served meanwhile; with the last piece the rest of the file comes into force.
+//! Reload of the settings file (SIGHUP). Its changes of classes and tenants are applied in order, a limited number per
+//! step, so that requests are served meanwhile. The rest of the file takes effect with the last of them.
 //!
-//! The shell reads the file and compares it with the active names ([`crate::reload`]). One file is applied at a time. A file
-//! that can't be used changes nothing.
+//! The shell reads the file and compares it with the active names ([`crate::reload`]). Only one file is applied at a
+//! time, and an invalid file changes nothing.
 
 use super::apply_summary::{ApplyError, ApplySummary, NameDemand};
 use super::{MS, Reducer};
@@ -13,43 +13,43 @@
 use slog::Level;
 use std::net::SocketAddr;
 
-/// Changes of a file that one step applies; it bounds the pause of requests.
+/// Maximum number of a file's changes that one step applies, which limits the delay of requests.
 const MAX_CHANGES_PER_STEP: usize = 64;
 
-/// Why a settings file that was read again can't be used.
+/// Why a reloaded settings file can't be applied.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 enum ReloadError {
-    /// The file before is still being applied.
-    #[error("expected the file before to be in force, got another")]
+    /// The previous file is still being applied.
+    #[error("expected the previous settings file to be completely applied, got another one")]
     ReloadUnderWay,
-    /// Names have changed since the file was compared with them.
-    #[error("expected a file compared with what is in force, got a change since")]
+    /// The active names have changed since the file was compared with them.
+    #[error("expected settings that were unchanged since the file was compared with them, got a change")]
     StaleComparison,
-    /// Its names exceed the bounds.
+    /// The file has more classes or tenants than there are free slots.
     #[error(transparent)]
     TooMany(#[from] ApplyError),
 }
 
-/// A settings file that is being applied.
 #[derive(Debug)]
 pub(super) struct PendingReload {
     reload: Box<Reload>,
-    /// How many of its changes are applied.
+    /// Number of the file's changes applied so far.
     pub(super) applied_changes: usize,
     summary: ApplySummary,
 }
 
 impl Reducer {
-    /// A settings file could not be used; the active settings stay.
+    /// Reports a settings file that can't be used; the active settings stay in force.
     pub(super) fn reload_rejected(&mut self, reason: &str) {
         self.metrics.count_reload(false);
-        let text = format!("the configuration was turned down, all stays as it was: {reason}");
+        let text =
+            format!("reload: the settings file was turned down; the active settings stay in force: {reason}");
         self.log(Level::Error, text);
         self.effects.push(Effect::ReloadFinished);
     }
 
-    /// Starts to apply a settings file. Where classes, tenants and rules come from committed revisions, those of the file are
-    /// ignored.
+    /// Starts to apply a settings file. Its classes, tenants and rules are ignored if they come from committed
+    /// revisions.
     pub(super) fn reload(&mut self, mut reload: Box<Reload>) {
         if self.settings_changes.is_committed {
             reload.changes.clear();
@@ -69,13 +69,13 @@
         if reload.compared_edition != self.settings_changes.edition {
             return Err(ReloadError::StaleComparison);
         }
-        // The names in force are bounded where the file is checked; only new slots are counted here.
+        // The number of names in force is checked when the file is parsed; only new slots are checked here.
         let classes = NameDemand { in_force: 0, new: reload.new_classes };
         let tenants = NameDemand { in_force: 0, new: reload.new_tenants };
         Ok(self.check_slots(classes, tenants)?)
     }
 
-    /// Applies the next piece of a settings file; with the last one it is in force.
+    /// Applies the next changes of a settings file, and the rest of the file with the last of them.
     pub(super) fn reload_step(&mut self) {
         let Some(mut pending) = self.settings_changes.reload.take() else { return };
         let changes = &pending.reload.changes;
@@ -94,17 +94,21 @@
         }
     }
 
-    /// The classes and tenants of a file are in force; brings the rest of it into force.
+    /// Applies the rest of a file whose classes and tenants are in force.
     fn finish_reload(&mut self, mut config: Config, summary: &ApplySummary) {
         self.metrics.count_reload(true);
         let called_upstream = self.settings.specifics.below == UpstreamKind::Shared;
         self.replace_file_settings(std::mem::take(&mut config.settings));
         self.log_summary(summary);
         if (&config.name, config.listen) != (&self.config.name, self.config.listen) {
-            self.log(Level::Warning, "a new name or address to listen on takes a restart".into());
+            self.log(
+                Level::Warning,
+                "reload: a changed name or listen address takes effect only after a restart".into(),
+            );
         }
         self.update_addresses(&config, called_upstream);
-        // The new control plane must learn of this server at once, whether or not it has the old one's list.
+        // The control plane may be a new one, which must learn of this server at once, whether or not it has the list
+        // of the old one.
         self.report_change();
         self.drain.stop_after = Span(config.stop_ms.saturating_mul(MS));
         let (processor, control) = (config.processor, config.control);
@@ -117,14 +121,14 @@
         if self.settings_changes.is_committed {
             settings.rules = self.settings.rules.clone();
             settings.over_quota_weight = self.settings.over_quota_weight;
-            let text = "classes, tenants and rules hold as committed; the file's are not used";
+            let text = "classes, tenants and rules hold as committed; those of the settings file are ignored";
             self.log(Level::Info, text.into());
         }
         self.replace_settings(settings);
     }
 
-    /// Has the shell use the addresses that have changed. `called_upstream` says whether the old settings had calls to the
-    /// shared upstream.
+    /// Sends changed addresses to the shell. `called_upstream` says whether the old settings had calls to the shared
+    /// upstream.
     fn update_addresses(&mut self, config: &Config, called_upstream: bool) {
         if config.processor != self.config.processor {
             self.effects.push(Effect::SetProcessorAddress(config.processor));
@@ -136,7 +140,7 @@
         let starts_to_call = calls_upstream && !called_upstream;
         let is_new = |upstream: &SocketAddr| Some(*upstream) != self.config.upstream || starts_to_call;
         if let Some(upstream) = config.upstream.filter(is_new) {
-            // Calls that are out end at the old address; new ones go to the new.
+            // Calls in flight finish at the old address; new calls use the new one.
             self.effects.push(Effect::SetUpstreamAddress(upstream));
             self.config.upstream = Some(upstream);
         }
--- a/crates/core/src/reducer/upstream_calls.rs
+++ b/crates/core/src/reducer/upstream_calls.rs
@@ -1,8 +1,8 @@
-//! Calls to the shared upstream: a run asks for one through the processor, the admission module says when it is made and how
-//! long it may take, and the reply goes back to the run.
+//! Calls to the shared upstream: a run requests a call through the processor, the admission module decides when it is
+//! made and how long it may take, and the reply is returned to the run.
 //!
-//! The body of a call and the time that it is out since are kept with its request. How many calls are out at once is the
-//! admission module's decision; the slots that the servers of a cluster share are [`super::cluster`]'s.
+//! The body and the send time of a call are stored with its request. The admission module decides how many calls are in
+//! flight; [`super::cluster`] manages the slots that the servers of a cluster share.
 
 use super::{MS, Reducer};
 use crate::buffer_pool::Buffer;
@@ -12,13 +12,13 @@
 use std::sync::Arc;
 
 impl Reducer {
-    /// The processor reports that a run waits for a call with this body. Ignored if the notice was read before, or if the
-    /// request is no longer open.
+    /// Handles the processor's report that a run waits for a call with this body. Ignored if the notice was read before
+    /// or the request is no longer open.
     pub(super) fn upstream_call_requested(&mut self, notice: u64, id: &RequestId, body: Buffer) {
         if !self.processor.accept_notice(notice, self.timestamp.now) {
             return;
         }
-        // The run goes on from its call before, so that one's reply has arrived.
+        // The run has continued after its previous call, so the reply to that call has arrived.
         self.processor.reply_received(id);
         let Some(open) = self.requests.get_mut(id) else { return };
         open.upstream_call = Some(Arc::new(body));
@@ -27,7 +27,8 @@
         self.events.push(Event::UpstreamCallNeeded(id.clone()));
     }
 
-    /// The admission module makes the call that a run waits for. A `timeout` of 0 stands for the deadline of the class.
+    /// Makes the call that a run waits for, as decided by the admission module. A `timeout` of 0 stands for the
+    /// deadline of the class.
     pub(super) fn start_upstream_call(&mut self, id: &RequestId, timeout: Span) {
         let Some(open) = self.requests.get_mut(id) else { return };
         if open.upstream_call.is_none() || open.upstream_call_since.is_some() {
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Sends a call. From `send_before` on it must not leave any more.
+    /// Sends a call. The shell must not send it at or after `send_before`.
     pub(super) fn send_upstream_call(
         &mut self,
         id: &RequestId,
@@ -53,7 +54,7 @@
         self.last_upstream_call += 1;
         let call = self.last_upstream_call;
         if let Some(open) = self.requests.get_mut(id) {
-            // The admission module goes by the upstream's time, without the wait for a slot.
+            // The admission module measures the upstream's own time, without the wait for a slot.
             (open.upstream_call_since, open.upstream_call_id) = (Some(self.timestamp.now), Some(call));
             if let Some(body) = open.upstream_call.clone() {
                 let id = id.clone();
@@ -63,7 +64,7 @@
         call
     }
 
-    /// The shell reports the end of a call. Its slot is free, whatever became of the request meanwhile.
+    /// Handles the shell's report of the end of a call. Its slot is released whatever became of the request meanwhile.
     pub(super) fn upstream_call_ended(
         &mut self,
         id: &RequestId,
@@ -75,8 +76,8 @@
         self.complete_upstream_call(id, Some(call), outcome, reply);
     }
 
-    /// A call ended, or with no `call` was never sent. The reply goes to the run that waits for this very call. Guards against
-    /// the reply to a call of one request that goes to another request under the same id.
+    /// Completes a call; without a `call` id it was never sent. The reply goes only to the run that waits for this very
+    /// call. Guards against delivering the reply to another request that reuses the id.
     pub(super) fn complete_upstream_call(
         &mut self,
         id: &RequestId,
@@ -100,15 +101,15 @@
                 open.upstream_call = None;
                 self.deliver_reply(id.clone(), Arc::new(reply));
             }
-            // The run still waits, until the admission module makes the call again or gives the request up.
+            // The run keeps waiting until the admission module repeats the call or gives the request up.
             _ => self.note_call_requested(id, true),
         }
         self.events.push(Event::UpstreamCallEnded { id: id.clone(), outcome, took });
     }
 
-    /// Gives a run the reply to its call, now or once there is a link that is usable. It is sent again after a link that may
-    /// have lost it. Guards against runs that wait for a reply until their callers give up, and against calls made twice, or
-    /// keyed requests failed, because a link fell.
+    /// Delivers the reply of a call to its run, now or once there is a usable link, and again after a link that may
+    /// have lost it. Guards against runs that wait until their callers give up, calls made twice, and keyed requests
+    /// that fail, because a link was lost.
     pub(super) fn deliver_reply(&mut self, id: RequestId, reply: Arc<Buffer>) {
         if let Some(link) = self.processor.usable_link() {
             let (id, reply) = (id.clone(), Arc::clone(&reply));
@@ -118,7 +119,7 @@
     }
 }
 
-/// The name of an outcome in the log, as the operators' pages have it.
+/// Returns the name of an outcome in the log, as operators' documentation lists it.
 fn logged_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Success => "Delivered",
--- a/crates/core/src/request_metrics.rs
+++ b/crates/core/src/request_metrics.rs
@@ -1,8 +1,8 @@
-//! The request metrics that operators scrape: final responses by class and kind, runs sent to the processor, and settings files
-//! taken or rejected at a reload. All count from the start of the process and never go down.
+//! Request metrics for operators: final responses by class and kind, runs sent to the processor, and settings files
+//! accepted or rejected at a reload. All are counters that start at 0 with the process and never decrease.
 //!
-//! Counts are kept by the name of the class, so that a class that is removed at a reload keeps its counts, and goes on from
-//! there if it comes back. Not here: the text format, which is the shell's.
+//! Counts are stored by class name, so that a class that is removed at a reload retains its counts and continues them
+//! if it is restored. The shell formats the text.
 
 use crate::configuration::ConfigurationMetrics;
 use crate::response::Response;
@@ -10,43 +10,43 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Class names that are counted apart; further ones count under [`OTHER_CLASSES`]. Guards against metrics that grow without
-/// bound over many reloads.
+/// Maximum number of class names with separate counts; further ones are counted under [`OTHER_CLASSES`]. Guards against
+/// metrics that grow without limit over many reloads.
 pub const MAX_COUNTED_CLASSES: usize = 64;
 /// The name under which classes beyond [`MAX_COUNTED_CLASSES`] are counted.
 pub const OTHER_CLASSES: &str = "other";
 
-/// Counts of the final responses of a class.
+/// Number of final responses of a class, by kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ResponseCounts {
-    /// Served with the result of a run.
+    /// Requests served with the result of a run.
     pub fulfilled: u64,
-    /// Rejected: the attempt never ran.
+    /// Requests rejected without a run.
     pub throttled: u64,
-    /// Failed, of an unknown outcome, or invalid.
+    /// Requests that failed, whose outcome is unknown, or that are invalid.
     pub faulted: u64,
 }
 
-/// What a scrape shows.
+/// The values of all metrics at one time.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct MetricsSnapshot {
-    /// By class name, in the order of names.
+    /// Response counts by class, sorted by name.
     pub classes: Vec<(Arc<str>, ResponseCounts)>,
-    /// Count of runs sent to the processor; one that is sent again on a new link counts again.
+    /// Number of runs sent to the processor. A run that is sent again on a new link counts again.
     pub relayed: u64,
-    /// Requests that are owed a response.
+    /// Number of requests that are owed a response now.
     pub open: u64,
-    /// Count of settings files taken at a reload.
+    /// Number of settings files accepted at a reload.
     pub cfg_accepted: u64,
-    /// Count of settings files rejected at a reload.
+    /// Number of settings files rejected at a reload.
     pub cfg_invalid: u64,
-    /// State of the cluster, where servers talk to each other.
+    /// Metrics of the cluster; `None` without a cluster.
     pub fleet: Option<Box<ClusterStatus>>,
-    /// State of the committed configuration, where that service is on.
+    /// Metrics of the committed configuration; `None` if the configuration service is not enabled.
     pub configuration: Option<ConfigurationMetrics>,
 }
 
-/// The counters.
+/// The counters of one process.
 #[derive(Debug, Default)]
 pub struct RequestMetrics {
     classes: BTreeMap<Arc<str>, ResponseCounts>,
@@ -56,7 +56,7 @@
 }
 
 impl RequestMetrics {
-    /// Counts the final response to a request of this class. Health checks are no requests.
+    /// Counts the final response to a request of this class. Health checks are not counted.
     pub fn count_response(&mut self, class: &str, response: &Response) {
         let counts = self.counts(class);
         match response {
@@ -74,7 +74,7 @@
         self.relayed += 1;
     }
 
-    /// Counts a settings file that was read again.
+    /// Counts a reload of the settings file.
     pub fn count_reload(&mut self, accepted: bool) {
         if accepted {
             self.cfg_accepted += 1;
@@ -83,7 +83,7 @@
         }
     }
 
-    /// All counts, with the requests that are open now.
+    /// Returns all counts, with the number of requests that are open now.
     pub fn snapshot(&self, open: u64) -> MetricsSnapshot {
         MetricsSnapshot {
             classes: self.classes.iter().map(|(name, counts)| (Arc::clone(name), *counts)).collect(),
--- a/crates/core/src/request_metrics/tests.rs
+++ b/crates/core/src/request_metrics/tests.rs
@@ -6,7 +6,7 @@
     Response::Served(Arc::new(BufferPool::new(1).copy(b"tile").unwrap()))
 }
 
-/// Guards against a kind of response that is counted under another, and a class whose counts are lost at a reload.
+/// Guards against responses that are counted as another kind, and against counts that are lost at a reload.
 #[test]
 fn counts_responses_by_class_and_kind() {
     let mut metrics = RequestMetrics::default();
@@ -27,7 +27,7 @@
     assert_eq!((snapshot.relayed, snapshot.open, snapshot.cfg_accepted, snapshot.cfg_invalid), (1, 3, 1, 2));
 }
 
-/// Guards the memory over many reloads: names past the bound share one count.
+/// Guards the memory over many reloads: names beyond the limit share one count.
 #[test]
 fn class_names_past_the_limit_share_one_count() {
     let mut metrics = RequestMetrics::default();
--- a/crates/core/src/response.rs
+++ b/crates/core/src/response.rs
@@ -1,25 +1,26 @@
-//! Responses to clients, independent of any protocol. Front ends encode them; [`crate::request_metrics`] counts them.
+//! Responses to clients, independent of any protocol. Front ends encode them, and [`crate::request_metrics`] counts
+//! them.
 
 use crate::buffer_pool::Buffer;
 use gradepin_admission::Span;
 use std::sync::Arc;
 
-/// Why a message is no valid request; each front end has its own status for it.
+/// Why a message is not a valid request. Each front end maps it to a status of its protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestError {
-    /// It can't be decoded, or a value in it is invalid.
+    /// The message can't be decoded, or contains an invalid value.
     Malformed,
-    /// It names something unknown.
+    /// The message names an unknown class or path.
     NotFound,
-    /// What it names doesn't take this method.
+    /// The named path doesn't support this method.
     MethodNotAllowed,
-    /// Another request has its idempotency key or its id.
+    /// Another request has the same id, or the same idempotency key with another body or class.
     Conflict,
-    /// It doesn't state the length of its body.
+    /// The length of the body is missing.
     LengthRequired,
-    /// Its body is too long.
+    /// The body is too long.
     BodyTooLarge,
-    /// Its header is too long.
+    /// The header is too long.
     HeaderTooLarge,
 }
 
@@ -28,36 +29,36 @@
 pub enum Response {
     /// The result of a run.
     Served(Arc<Buffer>),
-    /// Rejected before it ran.
+    /// The request was rejected before it ran.
     Rejected {
-        /// How long the client should wait before it sends requests again.
+        /// How long the client should wait before it sends requests again; 0 for no advice.
         retry_after: Span,
         /// Asks the client not to retry on another server.
         no_failover: bool,
     },
-    /// Its run failed, or nothing came of it in time.
+    /// The run failed, or there was no result in time.
     Failed {
-        /// Whether its deadline passed.
+        /// Whether the request's deadline has passed.
         timed_out: bool,
     },
-    /// Its run was started before a crash and the outcome is lost: it must not run again.
+    /// The run was started before a crash and its outcome is lost, so it must not run again.
     OutcomeUnknown,
-    /// The message is no valid request.
+    /// The message is not a valid request.
     Invalid {
-        /// What is wrong with it.
+        /// Why the message is invalid.
         error: RequestError,
-        /// Explanation for its sender.
+        /// Explanation for the sender.
         text: String,
     },
-    /// To a health check.
+    /// The answer to a health check.
     Health {
         /// Whether the server takes requests.
         healthy: bool,
-        /// State of the store in a word; none without a store.
+        /// Health of the store ([`crate::idempotency_log::StoreHealth::word`]); `None` without a store.
         store: Option<&'static str>,
     },
 }
 
-/// Text of [`Response::OutcomeUnknown`].
+/// Text that front ends send for [`Response::OutcomeUnknown`].
 pub const UNKNOWN_OUTCOME_TEXT: &str =
     "outcome unknown: it was begun before a crash of this server and must not run again";
--- a/crates/core/src/tenants.rs
+++ b/crates/core/src/tenants.rs
@@ -1,48 +1,48 @@
-//! The tenants in force. Each has a slot that it keeps while anything refers to it.
+//! The tenants in force. Each keeps its slot while anything refers to it.
 //!
-//! A tenant that is removed has no quota from then on. Its name stays known while there are free slots: requests that name it
-//! are accepted without a quota, since client proxies learn of new settings late. Where a new name needs a slot and none is
-//! free, the tenant that was removed longest ago and has no open request gives up its slot.
+//! A removed tenant no longer has a quota. Its name stays known while there are free slots: requests that name it are
+//! accepted without a quota, since client proxies learn of new settings late. If a new name needs a slot and none is
+//! free, the tenant that was removed longest ago and has no open request is evicted.
 //!
-//! Invariants: a name has one slot; a slot that is referred to keeps its name; a change costs the same however many tenants
-//! there are.
+//! Invariants: a name has one slot; a slot that is referred to keeps its name; the cost of a change does not depend on
+//! the number of tenants.
 
-use crate::classes::Put;
+use crate::classes::PutResult;
 use crate::slots::{Handle, Slots};
 use gradepin_admission::Tenant;
 use gradepin_config::change::MAX_TENANTS;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Slots beside those of all tenants in force are for as many that are removed and have open requests.
+/// Maximum number of tenant slots. Those beyond [`MAX_TENANTS`] are for removed tenants that have open requests.
 pub const MAX_TENANT_SLOTS: usize = 2 * MAX_TENANTS;
-/// Removed tenants that are checked for one that gives up its slot.
+/// Maximum number of removed tenants that are checked to find one to evict.
 const MAX_EVICTION_CHECKS: usize = 64;
 
 /// The result of putting a tenant.
 #[derive(Debug)]
-pub struct Placed {
-    /// Its slot.
+pub struct PlacedTenant {
+    /// Slot of the tenant.
     pub slot: usize,
-    /// Whether it is new, changed or back.
-    pub put: Put,
-    /// The removed tenant whose slot it took.
+    /// Whether the tenant is new, changed, restored or unchanged.
+    pub put: PutResult,
+    /// The removed tenant that was evicted from the slot.
     pub evicted: Option<Arc<Tenant>>,
 }
 
-/// The tenants in force, and removed ones whose slots are not used again.
+/// The tenants in force, and removed ones whose slots were not reused.
 #[derive(Debug, Default)]
 pub struct Tenants {
-    /// Each with the number of its removal, if it is removed.
+    /// The state of each is the number of its removal; `None` while it is in force.
     slots: Slots<Tenant, Option<u64>>,
     in_force: usize,
-    /// Slots of removed tenants by the numbers of their removals, the longest ago first.
+    /// Slots of removed tenants by removal number, longest ago first.
     removed: BTreeMap<u64, usize>,
     removals: u64,
 }
 
 impl Tenants {
-    /// The tenants that the process starts with, in slots by their order.
+    /// Creates the initial tenants, in slots in the order given.
     pub fn new(tenants: impl IntoIterator<Item = Arc<Tenant>>) -> Self {
         let mut placed = Self::default();
         for tenant in tenants {
@@ -51,12 +51,12 @@
         placed
     }
 
-    /// How many are in force.
+    /// Number of tenants in force.
     pub fn in_force(&self) -> usize {
         self.in_force
     }
 
-    /// How many more names would get a slot now, as far as open requests allow.
+    /// Number of further names that would get a slot now, provided that enough removed tenants have no open requests.
     pub fn free_slots(&self) -> usize {
         MAX_TENANT_SLOTS - (self.slots.len() - self.slots.free())
     }
@@ -66,7 +66,7 @@
         self.slots.find(name).and_then(|slot| self.get(slot)).is_some()
     }
 
-    /// The slot of a name, in force or not.
+    /// Returns the slot of a name, in force or not.
     pub fn find(&self, name: &str) -> Option<usize> {
         self.slots.find(name)
     }
@@ -76,50 +76,54 @@
         self.slots.find(name).is_some()
     }
 
-    /// The slot that a handle refers to, unless it was given to another name since.
+    /// Returns the slot that a handle refers to, unless the slot was given to another name since.
     pub fn resolve(&self, handle: Handle) -> Option<usize> {
         self.slots.resolve(handle)
     }
 
-    /// The handle of the tenant in a slot.
+    /// Returns the handle of the tenant in a slot.
     pub fn handle(&self, slot: usize) -> Handle {
         self.slots.handle(slot)
     }
 
-    /// The tenant in force in a slot.
+    /// Returns the tenant in a slot if it is in force.
     pub fn get(&self, slot: usize) -> Option<&Arc<Tenant>> {
         self.slots.get(slot).filter(|(_, removed)| removed.is_none()).map(|(tenant, _)| tenant)
     }
 
-    /// The name of a slot, in force or not.
+    /// Returns the name of the tenant in a slot, in force or not.
     pub fn name(&self, slot: usize) -> Option<&str> {
         self.slots.get(slot).map(|(tenant, _)| tenant.name.as_str())
     }
 
-    /// The tenants in force.
+    /// Iterates over the tenants in force and their slots.
     pub fn iter(&self) -> impl Iterator<Item = (usize, &Arc<Tenant>)> {
         let in_force = self.slots.iter().filter(|filled| filled.state.is_none());
         in_force.map(|filled| (filled.slot, filled.definition))
     }
 
-    /// Adds a tenant, or replaces the one of this name.
-    pub fn put(&mut self, tenant: Arc<Tenant>) -> Placed {
+    /// Adds a tenant, or replaces the definition of this name.
+    pub fn put(&mut self, tenant: Arc<Tenant>) -> PlacedTenant {
         let Some(slot) = self.slots.find(&tenant.name) else {
             let evicted = self.evict_if_full();
             self.in_force += 1;
-            return Placed { slot: self.slots.insert(tenant, None), put: Put::Added, evicted };
+            return PlacedTenant { slot: self.slots.insert(tenant, None), put: PutResult::Added, evicted };
         };
         if self.get(slot).is_some_and(|known| *known == tenant) {
-            return Placed { slot, put: Put::Same, evicted: None };
+            return PlacedTenant { slot, put: PutResult::Unchanged, evicted: None };
         }
         self.slots.replace(slot, tenant);
         let removal = self.slots.state_mut(slot).and_then(Option::take);
-        let is_back = removal.is_some_and(|number| self.removed.remove(&number).is_some());
-        self.in_force += usize::from(is_back);
-        Placed { slot, put: if is_back { Put::Back } else { Put::Changed }, evicted: None }
+        let is_restored = removal.is_some_and(|number| self.removed.remove(&number).is_some());
+        self.in_force += usize::from(is_restored);
+        PlacedTenant {
+            slot,
+            put: if is_restored { PutResult::Restored } else { PutResult::Changed },
+            evicted: None,
+        }
     }
 
-    /// Removes the tenant of a name. Returns its slot, if it was in force.
+    /// Removes the tenant of this name. Returns its slot if it was in force.
     pub fn remove(&mut self, name: &str) -> Option<usize> {
         let slot = self.slots.find(name)?;
         self.get(slot)?;
@@ -128,7 +132,7 @@
         Some(slot)
     }
 
-    /// The tenant in a slot is the last of the removed ones to give up its slot.
+    /// Records the removal of the tenant in a slot, which becomes the last in the order of eviction.
     fn note_removal(&mut self, slot: usize) {
         self.removals += 1;
         if let Some(removed) = self.slots.state_mut(slot) {
@@ -137,15 +141,14 @@
         }
     }
 
-    /// Where a new name would find no free slot, frees that of the tenant which was removed longest ago and to which nothing
-    /// refers.
+    /// If there is no free slot, evicts the tenant that was removed longest ago and to which nothing refers.
     fn evict_if_full(&mut self) -> Option<Arc<Tenant>> {
         if self.slots.free() > 0 || self.slots.len() < MAX_TENANTS {
             return None;
         }
         for _ in 0..MAX_EVICTION_CHECKS {
             let (_, slot) = self.removed.pop_first()?;
-            if self.slots.is_referred_to(slot) {
+            if self.slots.is_referenced(slot) {
                 self.note_removal(slot);
                 continue;
             }
@@ -154,12 +157,12 @@
         None
     }
 
-    /// A request of the tenant in a slot is open from now on.
+    /// Adds a reference to a slot, for a request that is opened.
     pub fn acquire(&mut self, slot: usize) {
         self.slots.acquire(slot);
     }
 
-    /// A request of the tenant in a slot is no longer open.
+    /// Removes a reference from a slot, for a request that is no longer open.
     pub fn release(&mut self, slot: usize) {
         self.slots.release(slot);
     }
--- a/crates/core/src/timer_wheel/tests.rs
+++ b/crates/core/src/timer_wheel/tests.rs
@@ -8,16 +8,16 @@
     loop {
         match wheel.next_due(now, &mut 7) {
             DueEntry::Entry(entry) => out.push(entry),
-            DueEntry::Later => {}
+            DueEntry::BudgetUsedUp => {}
             DueEntry::None => return out,
         }
     }
 }
 
-/// Guards against an entry that is lost, comes out early, or later than a tick, by comparison with an ordered set; whatever the
-/// steps of time, also over more than one turn.
+/// Compares the wheel with an ordered set, for any steps of time, including more than one turn. Guards against entries
+/// that are lost, returned early, or returned more than one tick late.
 #[test]
-fn due_entries_come_out_and_no_others() {
+fn exactly_the_due_entries_are_returned() {
     let seed = std::env::var("SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(5);
     println!("SEED={seed}");
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -35,20 +35,20 @@
         returned.sort_unstable();
         let due: Vec<u64> = expected.iter().filter(|(due, _)| *due <= now).map(|(_, n)| *n).collect();
         for entry in &returned {
-            assert!(due.contains(entry), "{entry} came early");
+            assert!(due.contains(entry), "entry {entry} was returned early");
         }
         let overdue = expected.iter().filter(|(due, _)| due + TICK.0 <= now).map(|(_, n)| *n);
         for entry in overdue {
-            assert!(returned.binary_search(&entry).is_ok(), "{entry} didn't come");
+            assert!(returned.binary_search(&entry).is_ok(), "entry {entry} was not returned in time");
         }
         expected.retain(|(_, n)| returned.binary_search(n).is_err());
         assert_eq!(wheel.len(), expected.len());
     }
 }
 
-/// Guards against a pause that grows with the entries that are due at once.
+/// Guards against a pause that grows with the number of entries due at the same time.
 #[test]
-fn look_is_bounded_by_its_budget() {
+fn search_is_limited_by_its_budget() {
     let mut wheel = TimerWheel::default();
     (0..100_000_u64).for_each(|n| wheel.insert(Time(1), n));
     let (mut budget, mut returned) = (256, 0);
--- a/crates/core/src/timestamp.rs
+++ b/crates/core/src/timestamp.rs
@@ -1,12 +1,12 @@
-//! One reading of the system's clocks, as a shell makes it.
+//! Readings of the system's clocks, taken by a shell.
 
 use gradepin_admission::Time;
 
-/// One reading of both clocks.
+/// A simultaneous reading of both clocks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Timestamp {
-    /// The monotonic clock: the admission module and all timers go by it.
+    /// Monotonic clock, used by the admission module and all timers.
     pub now: Time,
-    /// The Unix clock in milliseconds: the stamps of requests go by it.
+    /// Unix clock in milliseconds, used for the time stamps of requests.
     pub unix_ms: u64,
 }
--- a/crates/core/tests/every_key.rs
+++ b/crates/core/tests/config_keys.rs
@@ -1,19 +1,19 @@
-//! A configuration with every key that the server reads, each with a value of its own: a key that is lost or renamed shows here.
+//! Parses a configuration that has every key, each with a different value, so that a lost or renamed key is detected.
 
 use gradepin_admission::{CapacitySignal, Idempotency, StopMode, UpstreamKind, WeightBasis};
 use gradepin_core::config::Config;
 
 const CONFIG: &str = include_str!("golden/config.json");
 
-/// The configuration with one text of it replaced.
+/// Parses the configuration with one part of its text replaced.
 fn with(old: &str, new: &str) -> Config {
     assert!(CONFIG.contains(old), "{old}");
-    Config::parse(&CONFIG.replace(old, new)).expect("a configuration")
+    Config::parse(&CONFIG.replace(old, new)).expect("a valid configuration")
 }
 
 #[test]
-fn every_key_of_the_process_is_read() {
-    let config = Config::parse(CONFIG).expect("a configuration");
+fn every_key_of_the_server_is_read() {
+    let config = Config::parse(CONFIG).expect("a valid configuration");
     assert_eq!(config.name, "n7");
     assert_eq!(config.listen.to_string(), "10.0.0.1:8443");
     assert_eq!(config.processor.to_string(), "10.0.0.2:9300");
@@ -24,12 +24,12 @@
     assert_eq!(config.stop_ms, 3201);
     assert_eq!(config.limits.sockets, 513);
     assert_eq!(config.limits.memory_mb, 97);
-    assert!(!config.lends, "that is no key of this file");
+    assert!(!config.lends, "this field is not read from the file");
 }
 
 #[test]
-fn every_key_of_the_module_is_read() {
-    let s = Config::parse(CONFIG).expect("a configuration").settings;
+fn every_key_of_the_admission_settings_is_read() {
+    let s = Config::parse(CONFIG).expect("a valid configuration").settings;
     assert_eq!((s.granularity.0, s.servers, s.tier, s.over_quota_weight), (101, 12, 3, 0.125));
     assert!(s.callers.marks_retries);
     assert_eq!((s.goal.whole, s.goal.worst_class), (0.5, 0.25));
@@ -52,8 +52,8 @@
 }
 
 #[test]
-fn every_key_of_the_site_is_read() {
-    let s = Config::parse(CONFIG).expect("a configuration").settings.specifics;
+fn every_key_of_the_deployment_specifics_is_read() {
+    let s = Config::parse(CONFIG).expect("a valid configuration").settings.specifics;
     assert_eq!(
         (s.advert, s.below, s.stop_mode),
         (CapacitySignal::PrecedenceThreshold, UpstreamKind::Shared, StopMode::Abort)
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn every_word_of_a_choice_is_read() {
+fn every_value_of_every_enum_is_read() {
     for (word, advert) in [
         ("window", CapacitySignal::ConcurrencyWindow),
         ("share_of", CapacitySignal::AcceptanceProbability),
@@ -94,7 +94,7 @@
     assert_eq!(by_request.settings.weight_basis, WeightBasis::Request);
 }
 
-/// Each flag alone is false, so that none stands in for another.
+/// Sets each flag alone to false, so that no flag can be read from another one's key.
 #[test]
 fn every_flag_is_read_from_its_own_key() {
     let flags = |config: Config| {
@@ -119,9 +119,9 @@
         "retry_after",
         "marks_retry",
     ];
-    for (place, key) in keys.iter().enumerate() {
+    for (index, key) in keys.iter().enumerate() {
         let found = flags(with(&format!("\"{key}\": true"), &format!("\"{key}\": false")));
-        let expected: Vec<bool> = (0..keys.len()).map(|other| other != place).collect();
+        let expected: Vec<bool> = (0..keys.len()).map(|other| other != index).collect();
         assert_eq!(found.to_vec(), expected, "{key}");
     }
 }
--- a/crates/core/tests/connection_eviction.rs
+++ b/crates/core/tests/connection_eviction.rs
@@ -1,4 +1,4 @@
-//! Which connection is evicted for a newcomer near the limit, and what counts as queueing time of its requests.
+//! Eviction of idle connections near the limit, and the queueing time of requests on throttled connections.
 
 mod support;
 
@@ -7,12 +7,12 @@
 use gradepin_core::messages::{ClientRequest, Effect, Input, RequestError};
 use support::{MS, reducer, step};
 
-/// Of 128 descriptors 96 may be connections; from seven eighths of those on a newcomer evicts one.
+/// With 128 descriptors, 96 connections are allowed; from seven eighths of those on, a new connection evicts an idle
+/// one.
 const EVICT_FROM: u64 = 84;
 
-/// Guards against a connection that keeps its place unnoticed: one whose last message was a cancel of what isn't open, an
-/// invalid request or a health check must be found when it is idle for longest, or a table full of such ones has no place for
-/// others.
+/// Guards against a connection that can't be evicted because its last message was a cancellation of an unknown request,
+/// an invalid request or a health check: a table full of such connections would have no capacity for others.
 #[test]
 fn longest_idle_connection_is_evicted_whatever_it_sent_last() {
     let last_messages: [fn(u64) -> Input; 3] = [
@@ -50,11 +50,12 @@
     }
 }
 
-/// Guards health against a flood: what a client wrote while its connection was throttled did not wait for this server. Counted
-/// as queueing time, a dozen such requests a day made the server unhealthy.
+/// Guards health against a flood: requests that a client wrote while its connection was throttled did not wait for this
+/// server. Counted as queueing time, about a dozen of them per day made the server unhealthy.
 #[test]
 fn time_throttled_does_not_count_as_queueing() {
-    // How often health goes bad while requests of a second ago are read from a connection, throttled or not.
+    // Counts how often health turns bad while requests that are about 1 s old are read from a connection, throttled or
+    // not.
     let count_bad_health = |throttled: bool| {
         let mut reducer = reducer();
         let pool = BufferPool::new(4);
--- a/crates/core/tests/settings_changes.rs
+++ b/crates/core/tests/settings_changes.rs
@@ -1,5 +1,5 @@
-//! Changes of classes and tenants while requests are open, runs are inside their windows and repeats are on their way, compared
-//! with a model that goes by names alone.
+//! Changes of classes and tenants while requests are open, windows of runs are open and repeats are in transit,
+//! compared with a model that uses only names.
 
 #[path = "../../admission/tests/common/mod.rs"]
 mod common;
@@ -24,44 +24,45 @@
 
 const MS: u64 = 1_000_000;
 const NAMES: [&str; 5] = ["read", "claim", "x", "y", "z"];
-/// Client proxies may send keys of a class for so long after a change.
+/// How long client proxies may still send keys of a class after a change.
 const MAX_KEY_DELAY_MS: u64 = 1_200;
 
-/// An attempt as the model knows it: by names.
+/// An attempt in the model, which refers to its class by name.
 #[derive(Clone)]
 struct Attempt {
     name: String,
-    token: Option<Arc<str>>,
-    /// Whether its key counted when it arrived: the class may become keyed later, while the attempt is queued.
+    key: Option<Arc<str>>,
+    /// Whether the key was accepted when the attempt arrived; the class may become keyed later, while the attempt is
+    /// queued.
     keyed: bool,
-    t0: u64,
+    arrived_ms: u64,
     slot: usize,
     answered: bool,
-    runs: bool,
+    is_running: bool,
 }
 
-/// A run under a key, and when its window ends.
+/// A run under a key, with the end of its window.
 struct KeyedRun {
     name: String,
-    token: Arc<str>,
+    key: Arc<str>,
     slot: usize,
-    closes: u64,
+    end_ms: u64,
 }
 
-struct World {
+struct Harness {
     reducer: Reducer,
     pool: Arc<BufferPool>,
     ms: u64,
     inputs: Vec<Input>,
-    /// Names that requests may use, by the effects, with the definitions.
+    /// Names that requests may use according to the effects, with their definitions.
     names: HashMap<String, (Handle, Arc<ClassDefinition>)>,
     stale: Vec<(String, Handle)>,
     attempts: BTreeMap<RequestId, Attempt>,
     by_sequence: HashMap<i32, RequestId>,
     running: Vec<RequestId>,
-    ran: Vec<KeyedRun>,
-    /// When each name was last defined as keyed.
-    keyed: HashMap<String, u64>,
+    keyed_runs: Vec<KeyedRun>,
+    /// When each name was last known to be keyed.
+    last_keyed_ms: HashMap<String, u64>,
     counts: BTreeMap<String, ResponseCounts>,
     notice: u64,
     stats: Option<Vec<(Arc<str>, ResponseCounts)>>,
@@ -83,17 +84,17 @@
     let address = "127.0.0.1:1";
     let config = json!({"name": "n1", "listen": address, "processor": address, "control": address, "seed": "7",
         "stop_ms": 2000, "limits": {"sockets": 128}, "settings": settings});
-    let config = Config::parse(&config.to_string()).expect("a whole configuration");
+    let config = Config::parse(&config.to_string()).expect("a valid configuration");
     let settings = Arc::new(config.settings.clone());
-    Reducer::new(&config, settings, Registration::default()).expect("whole")
+    Reducer::new(&config, settings, Registration::default()).expect("a valid seed")
 }
 
-impl World {
+impl Harness {
     fn new(seed: u64) -> Self {
         let base = common::settings(common::base()).split().classes;
         let known = base.into_iter().enumerate();
         let names = known.map(|(slot, class)| (class.profile.name.clone(), (slot.into(), class)));
-        let mut world = Self {
+        let mut harness = Self {
             reducer: reducer(),
             pool: BufferPool::new(64),
             ms: 10_000,
@@ -106,35 +107,35 @@
             attempts: BTreeMap::new(),
             by_sequence: HashMap::new(),
             running: Vec::new(),
-            ran: Vec::new(),
-            keyed: HashMap::from([("claim".to_string(), 10_000)]),
+            keyed_runs: Vec::new(),
+            last_keyed_ms: HashMap::from([("claim".to_string(), 10_000)]),
             counts: BTreeMap::new(),
             notice: 0,
             stats: None,
             seed,
         };
-        world.settle();
-        world
+        harness.run_until_idle();
+        harness
     }
 
-    fn settle(&mut self) {
+    fn run_until_idle(&mut self) {
         for _ in 0..10_000 {
-            let moment = Timestamp { now: Time(self.ms * MS), unix_ms: self.ms };
+            let timestamp = Timestamp { now: Time(self.ms * MS), unix_ms: self.ms };
             let mut effects = Vec::new();
-            self.reducer.step(moment, std::mem::take(&mut self.inputs), &mut effects);
+            self.reducer.step(timestamp, std::mem::take(&mut self.inputs), &mut effects);
             effects.into_iter().for_each(|effect| self.effect(effect));
-            if self.inputs.is_empty() && self.reducer.wake_at().is_none_or(|at| at > moment.now) {
+            if self.inputs.is_empty() && self.reducer.wake_at().is_none_or(|at| at > timestamp.now) {
                 return;
             }
         }
-        panic!("seed {}: the reducer never rests", self.seed);
+        panic!("seed {}: the reducer never becomes idle", self.seed);
     }
 
     fn advance(&mut self, ms: u64) {
         let until = self.ms + ms;
         while self.ms < until {
             self.ms = (self.ms + 40).min(until);
-            self.settle();
+            self.run_until_idle();
         }
     }
 
@@ -145,25 +146,29 @@
                 self.inputs.push(Input::GaugesRead { number, values: vec![0.5, 1.0, 0.1, 9.0] })
             }
             Effect::StartRun { id, class, .. } => {
-                let one = self.attempts.get_mut(&id).expect("an attempt");
-                assert_eq!(class.profile.name, one.name, "seed {seed}: begun as another class");
-                assert!(!std::mem::replace(&mut one.runs, true), "seed {seed}: {} begun twice", id.0);
+                let attempt = self.attempts.get_mut(&id).expect("an attempt");
+                assert_eq!(class.profile.name, attempt.name, "seed {seed}: started as another class");
+                assert!(
+                    !std::mem::replace(&mut attempt.is_running, true),
+                    "seed {seed}: {} started twice",
+                    id.0
+                );
                 self.running.push(id.clone());
-                if let Some(token) = one.token.clone() {
+                if let Some(key) = attempt.key.clone() {
                     let twice = self
-                        .ran
+                        .keyed_runs
                         .iter()
-                        .find(|ran| ran.name == one.name && ran.token == token && one.t0 < ran.closes);
-                    assert!(twice.is_none(), "seed {seed}: {} {token} ran twice at {}", one.name, self.ms);
-                    if one.keyed && class.profile.effect == gradepin_admission::Idempotency::Keyed {
-                        let closes = one.t0 + class.profile.window.0 / MS;
-                        let (name, slot) = (one.name.clone(), one.slot);
-                        self.ran.push(KeyedRun { name, token, slot, closes });
+                        .find(|r| r.name == attempt.name && r.key == key && attempt.arrived_ms < r.end_ms);
+                    assert!(twice.is_none(), "seed {seed}: {} {key} ran twice at {}", attempt.name, self.ms);
+                    if attempt.keyed && class.profile.effect == gradepin_admission::Idempotency::Keyed {
+                        let end_ms = attempt.arrived_ms + class.profile.window.0 / MS;
+                        let (name, slot) = (attempt.name.clone(), attempt.slot);
+                        self.keyed_runs.push(KeyedRun { name, key, slot, end_ms });
                     }
                 }
             }
-            Effect::Respond { sequence, response, .. } => self.answered(sequence, &response),
-            Effect::UpdateNames { changes, .. } => changes.into_iter().for_each(|change| self.name(change)),
+            Effect::Respond { sequence, response, .. } => self.response_sent(sequence, &response),
+            Effect::UpdateNames { changes, .. } => changes.into_iter().for_each(|c| self.name_changed(c)),
             Effect::AnswerAdmin { response: AdminResponse::Stats(stats), .. } => {
                 self.stats = Some(stats.classes)
             }
@@ -171,46 +176,49 @@
         }
     }
 
-    fn answered(&mut self, sequence: i32, answer: &Response) {
+    fn response_sent(&mut self, sequence: i32, response: &Response) {
         let id = self.by_sequence[&sequence].clone();
-        let one = self.attempts.get_mut(&id).expect("an attempt");
-        assert!(!std::mem::replace(&mut one.answered, true), "seed {}: two answers", self.seed);
-        if matches!(answer, Response::Invalid { text: why, .. } if why.starts_with("unknown method:")) {
-            return; // Its slot was freed: nobody knows what class that was.
+        let attempt = self.attempts.get_mut(&id).expect("an attempt");
+        assert!(!std::mem::replace(&mut attempt.answered, true), "seed {}: answered twice", self.seed);
+        if matches!(response, Response::Invalid { text: explanation, .. } if explanation.starts_with("unknown method:"))
+        {
+            return; // Its slot was freed, so its class is unknown.
         }
-        let counts = self.counts.entry(one.name.clone()).or_default();
-        match answer {
+        let counts = self.counts.entry(attempt.name.clone()).or_default();
+        match response {
             Response::Served(_) => counts.fulfilled += 1,
             Response::Rejected { .. } => counts.throttled += 1,
             _ => counts.faulted += 1,
         }
     }
 
-    fn name(&mut self, change: NameChange) {
+    fn name_changed(&mut self, change: NameChange) {
         match change {
             NameChange::Class { handle, class } => {
                 let name = &class.profile.name;
-                let open = self.attempts.values().filter(|one| !one.answered || one.runs);
-                let taken = open.filter(|one| one.slot == handle.slot()).find(|one| one.name != *name);
+                let open = self.attempts.values().filter(|attempt| !attempt.answered || attempt.is_running);
+                let taken = open
+                    .filter(|attempt| attempt.slot == handle.slot())
+                    .find(|attempt| attempt.name != *name);
                 assert!(taken.is_none(), "seed {}: {name} took a slot with a request open", self.seed);
-                let kept = self.ran.iter().filter(|ran| ran.closes > self.ms);
-                let taken = kept.filter(|ran| ran.slot == handle.slot()).find(|ran| ran.name != *name);
+                let kept = self.keyed_runs.iter().filter(|run| run.end_ms > self.ms);
+                let taken = kept.filter(|run| run.slot == handle.slot()).find(|run| run.name != *name);
                 assert!(taken.is_none(), "seed {}: {name} took a slot inside a window", self.seed);
                 self.names.insert(name.clone(), (handle, class));
             }
             NameChange::ClassForgotten(class) => {
-                let gone = self.names.remove(&class.profile.name).expect("a known name");
-                self.stale.push((class.profile.name.clone(), gone.0));
+                let removed = self.names.remove(&class.profile.name).expect("a known name");
+                self.stale.push((class.profile.name.clone(), removed.0));
             }
             _ => {}
         }
     }
 
-    fn call(&mut self, name: &str, handle: Handle, token: Option<Arc<str>>) {
+    fn send_request(&mut self, name: &str, handle: Handle, key: Option<Arc<str>>) {
         let sequence = self.by_sequence.len() as i32 + 1;
         let id = RequestId::new(&format!("{sequence:016x}"));
-        let body = token.as_deref().unwrap_or("body");
-        let call = ClientRequest {
+        let body = key.as_deref().unwrap_or("body");
+        let request = ClientRequest {
             id: id.clone(),
             class: handle,
             tenant: Some(0.into()),
@@ -220,31 +228,31 @@
             retry: false,
             size_kb: 1.0,
             precedence: 0.5,
-            idempotency_key: token.clone(),
+            idempotency_key: key.clone(),
             has_subject: false,
             body: self.pool.copy(body.as_bytes()).expect("fits"),
         };
-        let (name, slot, t0) = (name.to_string(), handle.slot(), self.ms);
-        let keyed =
-            self.is_keyed(&name) || self.keyed.get(&name).is_some_and(|at| t0 < at + MAX_KEY_DELAY_MS);
-        let one = Attempt { name, token, keyed, t0, slot, answered: false, runs: false };
-        self.attempts.insert(id.clone(), one);
+        let (name, slot, arrived_ms) = (name.to_string(), handle.slot(), self.ms);
+        let keyed = self.is_keyed(&name)
+            || self.last_keyed_ms.get(&name).is_some_and(|at| arrived_ms < at + MAX_KEY_DELAY_MS);
+        let attempt = Attempt { name, key, keyed, arrived_ms, slot, answered: false, is_running: false };
+        self.attempts.insert(id.clone(), attempt);
         self.by_sequence.insert(sequence, id);
-        self.inputs.push(Input::Request { connection: 1, sequence, request: Box::new(call) });
+        self.inputs.push(Input::Request { connection: 1, sequence, request: Box::new(request) });
     }
 
-    fn complete(&mut self, place: usize) {
-        let id = self.running.swap_remove(place);
+    fn complete_run(&mut self, index: usize) {
+        let id = self.running.swap_remove(index);
         self.notice += 1;
         let (end, took) = (RunEnd::Ok, Span(20 * MS));
         let result = self.pool.copy(b"out").expect("fits");
-        self.attempts.get_mut(&id).expect("an attempt").runs = false;
+        self.attempts.get_mut(&id).expect("an attempt").is_running = false;
         self.inputs.push(Input::RunCompleted { notice: self.notice, id, end, took, result });
     }
 
-    /// One of the things that may happen, at random.
-    fn happens(&mut self, rng: &mut Pcg64Mcg) {
-        let mut pick = |most: usize| (rng.next_u64() % most.max(1) as u64) as usize;
+    /// Performs one random event.
+    fn perform_random_event(&mut self, rng: &mut Pcg64Mcg) {
+        let mut pick = |count: usize| (rng.next_u64() % count.max(1) as u64) as usize;
         let name = NAMES[pick(NAMES.len())];
         match pick(12) {
             0..=4 => {
@@ -257,22 +265,25 @@
                     }
                     (None, None) => return,
                 };
-                let late = self.keyed.get(&name).is_some_and(|at| self.ms < at + MAX_KEY_DELAY_MS);
-                let old: Vec<_> = self.ran.iter().filter(|ran| ran.name == name).collect();
-                let repeat = old.get(pick(old.len())).filter(|_| pick(2) == 0).map(|ran| ran.token.clone());
-                let fresh = (keyed || late).then(|| Arc::from(format!("token-{}", self.attempts.len())));
-                self.call(&name, handle, repeat.or(fresh));
+                let keys_accepted =
+                    self.last_keyed_ms.get(&name).is_some_and(|at| self.ms < at + MAX_KEY_DELAY_MS);
+                let old: Vec<_> = self.keyed_runs.iter().filter(|run| run.name == name).collect();
+                let repeated_key =
+                    old.get(pick(old.len())).filter(|_| pick(2) == 0).map(|run| run.key.clone());
+                let new_key =
+                    (keyed || keys_accepted).then(|| Arc::from(format!("token-{}", self.attempts.len())));
+                self.send_request(&name, handle, repeated_key.or(new_key));
             }
             5..=6 if !self.running.is_empty() => {
-                let place = pick(self.running.len());
-                self.complete(place);
+                let index = pick(self.running.len());
+                self.complete_run(index);
             }
             7 => {
                 let effect = ["repeatable", "by_key", "by_key", "once"][pick(4)];
                 let put = definition(name, effect, [300, 1_000, 4_000][pick(3)]);
                 self.note_keyed(name);
                 let changes = vec![Change::PutClass(put)];
-                self.reducer.apply_transaction(&Transaction { changes }).expect("it can be applied");
+                self.reducer.apply_transaction(&Transaction { changes }).expect("the transaction is valid");
             }
             8..=9 => {
                 self.note_keyed(name);
@@ -285,7 +296,7 @@
                 self.advance(ms);
             }
         }
-        self.settle();
+        self.run_until_idle();
     }
 
     fn is_keyed(&self, name: &str) -> bool {
@@ -293,85 +304,102 @@
         class.is_some_and(|class| class.profile.effect == gradepin_admission::Idempotency::Keyed)
     }
 
-    /// A name that was defined as keyed until now.
+    /// Records that a name was keyed until now, if it was.
     fn note_keyed(&mut self, name: &str) {
         if self.is_keyed(name) {
-            self.keyed.entry(name.to_string()).and_modify(|at| *at = self.ms.max(*at)).or_insert(self.ms);
+            self.last_keyed_ms
+                .entry(name.to_string())
+                .and_modify(|at| *at = self.ms.max(*at))
+                .or_insert(self.ms);
         }
     }
 }
 
-/// Guards hard case 6: no run twice within its window, no slot reused that something refers to, no response counted under
-/// another class, whatever is removed, restored with another effect and reused meanwhile.
+/// Guards against keys that run twice within their window, slots that are reused while something refers to them, and
+/// responses that are counted under another class, whatever is removed, restored with another effect and reused
+/// meanwhile (hard case 6).
 #[test]
-fn settings_changes_at_any_time_run_no_key_twice_and_mix_no_classes() {
+fn random_settings_changes_never_rerun_keys_or_mix_classes() {
     let mut reused = 0;
     for seed in 1..=40 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut world = World::new(seed);
+        let mut harness = Harness::new(seed);
         for _ in 0..400 {
-            world.happens(&mut rng);
+            harness.perform_random_event(&mut rng);
         }
-        while !world.running.is_empty() {
-            world.complete(0);
-            world.settle();
+        while !harness.running.is_empty() {
+            harness.complete_run(0);
+            harness.run_until_idle();
         }
-        world.advance(6_000);
-        assert!(world.attempts.values().all(|one| one.answered), "seed {seed}: an answer is owed");
-        world.inputs.push(Input::AdminRequest { id: 1, request: AdminRequest::Stats });
-        world.settle();
-        let counted = world.stats.take().expect("figures").into_iter();
+        harness.advance(6_000);
+        assert!(harness.attempts.values().all(|attempt| attempt.answered), "seed {seed}: a response is owed");
+        harness.inputs.push(Input::AdminRequest { id: 1, request: AdminRequest::Stats });
+        harness.run_until_idle();
+        let counted = harness.stats.take().expect("metrics").into_iter();
         let counted: BTreeMap<String, ResponseCounts> =
             counted.map(|(name, n)| (name.to_string(), n)).collect();
-        assert_eq!(counted, world.counts, "seed {seed}");
-        reused += world.stale.len();
+        assert_eq!(counted, harness.counts, "seed {seed}");
+        reused += harness.stale.len();
     }
     assert!(reused > 100, "slots were freed and used again: {reused}");
 }
 
-/// Guards hard case 6 step by step: a class is removed while a request is open and another one's run is inside its window, its
-/// slot is not reused meanwhile, it is restored with another effect, and a repeat on its way is answered from the run.
+/// Guards the steps of hard case 6: a class is removed while the window of its run is open, its slot is not reused
+/// meanwhile, the class is restored with another effect, and a repeat in transit is answered from the run.
 #[test]
-fn class_restored_with_another_effect_answers_repeats_from_its_run() {
-    let mut world = World::new(0);
-    let (claim, _) = world.names["claim"];
-    let token: Arc<str> = Arc::from("t");
-    world.call("claim", claim, Some(Arc::clone(&token)));
-    world.settle();
-    world.complete(0);
-    world.settle();
+fn restored_class_with_another_effect_answers_repeats_from_its_run() {
+    let mut harness = Harness::new(0);
+    let (claim, _) = harness.names["claim"];
+    let key: Arc<str> = Arc::from("t");
+    harness.send_request("claim", claim, Some(Arc::clone(&key)));
+    harness.run_until_idle();
+    harness.complete_run(0);
+    harness.run_until_idle();
     let remove = Change::RemoveClass(Name::from("claim"));
-    world.reducer.apply_transaction(&Transaction { changes: vec![remove] }).expect("applied");
-    world.advance(3_000);
+    harness
+        .reducer
+        .apply_transaction(&Transaction { changes: vec![remove] })
+        .expect("the transaction is valid");
+    harness.advance(3_000);
     let other = Change::PutClass(definition("other", "once", 0));
     let back = Change::PutClass(definition("claim", "repeatable", 0));
-    world.reducer.apply_transaction(&Transaction { changes: vec![other, back] }).expect("applied");
-    world.settle();
-    assert_eq!((world.names["claim"].0, world.names["other"].0.slot()), (claim, 2));
-    world.call("claim", claim, Some(token));
-    world.settle();
-    assert!(world.running.is_empty(), "answered from the run");
-    assert_eq!(world.counts["claim"], ResponseCounts { fulfilled: 2, throttled: 0, faulted: 0 });
-    // Past all windows its restored definition holds, and once it is removed its slot is free for another name.
-    world.advance(20_000);
+    harness
+        .reducer
+        .apply_transaction(&Transaction { changes: vec![other, back] })
+        .expect("the transaction is valid");
+    harness.run_until_idle();
+    assert_eq!((harness.names["claim"].0, harness.names["other"].0.slot()), (claim, 2));
+    harness.send_request("claim", claim, Some(key));
+    harness.run_until_idle();
+    assert!(harness.running.is_empty(), "answered from the run");
+    assert_eq!(harness.counts["claim"], ResponseCounts { fulfilled: 2, throttled: 0, faulted: 0 });
+    // After all windows its restored definition applies, and once it is removed its slot is free for another name.
+    harness.advance(20_000);
     let remove = Change::RemoveClass(Name::from("claim"));
-    world.reducer.apply_transaction(&Transaction { changes: vec![remove] }).expect("applied");
-    world.advance(4_000);
+    harness
+        .reducer
+        .apply_transaction(&Transaction { changes: vec![remove] })
+        .expect("the transaction is valid");
+    harness.advance(4_000);
     let third = Change::PutClass(definition("third", "once", 0));
-    world.reducer.apply_transaction(&Transaction { changes: vec![third] }).expect("applied");
-    world.settle();
-    assert_eq!(world.names["third"].0.slot(), claim.slot());
-    world.call("claim", claim, None);
-    world.settle();
-    assert!(world.running.is_empty(), "a handle of before is nobody's");
+    harness
+        .reducer
+        .apply_transaction(&Transaction { changes: vec![third] })
+        .expect("the transaction is valid");
+    harness.run_until_idle();
+    assert_eq!(harness.names["third"].0.slot(), claim.slot());
+    harness.send_request("claim", claim, None);
+    harness.run_until_idle();
+    assert!(harness.running.is_empty(), "a stale handle resolves to no class");
 }
 
-/// Guards against a transaction that is applied in part: whatever is wrong with its last change, nothing of it is in force.
+/// Guards against transactions that are applied in part: whatever is wrong with the last change, no other change may be
+/// in force.
 #[test]
 fn rejected_transaction_changes_nothing() {
     let tenant = |name: &str| Arc::new(Tenant { name: name.into(), quota_rps: 1.0, portion: 0.0 });
-    type IsWhy = fn(&ApplyError) -> bool;
-    let bad: [(Change, IsWhy); 6] = [
+    type IsExpected = fn(&ApplyError) -> bool;
+    let invalid_changes: [(Change, IsExpected); 6] = [
         (Change::RemoveClass("none".into()), |e| matches!(e, ApplyError::UnknownClass(_))),
         (Change::RemoveTenant("none".into()), |e| matches!(e, ApplyError::UnknownTenant(_))),
         (Change::PutClass(definition("", "once", 0)), |e| matches!(e, ApplyError::BadClass(_))),
@@ -379,8 +407,8 @@
         (Change::RemoveClass("added".into()), |e| *e == ApplyError::NoClass),
         (Change::RemoveTenant("acme".into()), |e| matches!(e, ApplyError::UnknownTenant(_))),
     ];
-    for (last, is_why) in bad {
-        let mut world = World::new(0);
+    for (last, is_expected) in invalid_changes {
+        let mut harness = Harness::new(0);
         let changes = vec![
             Change::PutClass(definition("added", "once", 0)),
             Change::RemoveClass("read".into()),
@@ -388,16 +416,17 @@
             Change::RemoveTenant("acme".into()),
             last,
         ];
-        let why = world.reducer.apply_transaction(&Transaction { changes }).expect_err("refused");
-        assert!(is_why(&why), "{why:?}");
-        world.settle();
-        let mut names: Vec<_> = world.names.keys().map(String::as_str).collect();
+        let error =
+            harness.reducer.apply_transaction(&Transaction { changes }).expect_err("an invalid transaction");
+        assert!(is_expected(&error), "{error:?}");
+        harness.run_until_idle();
+        let mut names: Vec<_> = harness.names.keys().map(String::as_str).collect();
         names.sort_unstable();
         assert_eq!(names, ["claim", "read"]);
-        let (read, _) = world.names["read"];
-        world.call("read", read, None);
-        world.settle();
-        assert_eq!(world.running.len(), 1);
-        world.advance(5_000);
+        let (read, _) = harness.names["read"];
+        harness.send_request("read", read, None);
+        harness.run_until_idle();
+        assert_eq!(harness.running.len(), 1);
+        harness.advance(5_000);
     }
 }
