--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start: what a server runs while its processor is cold is within what the settings say that such a processor survives,
-//! whenever it started.
+//! Slow start: while the processor is cold, the server runs no more than the settings say that such a processor
+//! survives, whenever the processor started.
 
 #[path = "../../admission/tests/common/mod.rs"]
 mod common;
@@ -20,71 +20,74 @@
 
 const MS: u64 = 1_000_000;
 const TICK_MS: u64 = 10;
-/// A run waits for the disk most of the time, so that the cores look idle and the running limit grows.
+/// Duration of a run. It waits for the disk most of the time, so that the cores look idle and the running limit grows.
 const RUN_MS: u64 = 400;
-/// Between the end of a processor and the greeting of the next, without that one's age.
+/// Time between the end of a processor and the greeting of the next one, without the age of the latter.
 const DOWN_MS: u64 = 300;
-/// Random sequences that are tested.
+/// Number of random sequences tested.
 const SEEDS: u64 = 80;
 
-/// The settings of slow start.
+/// Settings of slow start.
 #[derive(Debug, Clone, Copy)]
-struct Cold {
+struct SlowStartSettings {
     cores: u32,
-    /// Runs for each core that a warm server survives, the share of that when cold, and the time until it is warm.
-    tip: f64,
-    share: f64,
-    ms: u64,
+    /// Runs per core that a warm processor survives, the fraction of that when cold, and the warm-up time in
+    /// milliseconds.
+    max_runs_per_core: f64,
+    cold_share: f64,
+    warm_up_ms: u64,
 }
 
-/// Those of `common::base`.
-const USUAL: Cold = Cold { cores: 4, tip: 4.0, share: 0.25, ms: 10_000 };
+/// The settings of `common::base`.
+const BASE_SETTINGS: SlowStartSettings =
+    SlowStartSettings { cores: 4, max_runs_per_core: 4.0, cold_share: 0.25, warm_up_ms: 10_000 };
 
-impl Cold {
-    /// Runs that a processor survives at an age: rule 4 of the wire page, with the slowest warm-up that it allows.
-    fn survives(&self, cold: bool, age_ms: u64) -> f64 {
-        let warm = if self.ms == 0 { 1.0 } else { (age_ms as f64 / self.ms as f64).min(1.0) };
-        let share = if cold { self.share + (1.0 - self.share) * warm } else { 1.0 };
-        (1.0 + (self.tip - 1.0) * share) * f64::from(self.cores)
+impl SlowStartSettings {
+    /// Returns the number of runs that a processor of this age survives, with the slowest warm-up that rule 4 of the
+    /// wire protocol allows.
+    fn survivable_runs(&self, cold: bool, age_ms: u64) -> f64 {
+        let warm = if self.warm_up_ms == 0 { 1.0 } else { (age_ms as f64 / self.warm_up_ms as f64).min(1.0) };
+        let share = if cold { self.cold_share + (1.0 - self.cold_share) * warm } else { 1.0 };
+        (1.0 + (self.max_runs_per_core - 1.0) * share) * f64::from(self.cores)
     }
 }
 
-/// A reducer and its processor, in steps of virtual time.
+/// A reducer and a simulated processor, in virtual time.
 struct Server {
-    set: Cold,
+    slow_start: SlowStartSettings,
     reducer: Reducer,
     pool: Arc<BufferPool>,
     now_ms: u64,
-    /// The processor's start, and whether that was cold.
+    /// When the processor started, and whether it was cold.
     started_ms: u64,
     cold: bool,
     link: u64,
     notices: u64,
     sent: u64,
     runs: VecDeque<(u64, RequestId)>,
-    /// The most runs at once, and the largest excess over what a processor of its age survives.
-    most: usize,
+    /// Maximum number of simultaneous runs, and their largest excess over what a processor of that age survives.
+    max_runs: usize,
     excess: f64,
 }
 
 impl Server {
-    fn new(set: Cold) -> Self {
+    fn new(slow_start: SlowStartSettings) -> Self {
         let mut settings = common::base();
-        settings["rules"]["tip_multiple"] = json!(set.tip);
-        settings["rules"]["cold_share"] = json!(set.share);
-        settings["rules"]["cold"] = json!(set.ms * MS);
-        settings["specifics"]["n_cores"] = json!(set.cores);
+        settings["rules"]["tip_multiple"] = json!(slow_start.max_runs_per_core);
+        settings["rules"]["cold_share"] = json!(slow_start.cold_share);
+        settings["rules"]["cold"] = json!(slow_start.warm_up_ms * MS);
+        settings["specifics"]["n_cores"] = json!(slow_start.cores);
         settings["specifics"]["below"] = json!("off");
         settings["specifics"]["memory_kb"] = json!(400_000.0);
         settings["specifics"]["gauges"] = json!(["core_use", "on_cores"]);
         let address = "127.0.0.1:1";
         let config = json!({"name": "n1", "listen": address, "processor": address, "control": address, "seed": "7",
             "stop_ms": 2000, "limits": {"cores": 1.0, "sockets": 128}, "settings": settings});
-        let config = Config::parse(&config.to_string()).expect("a whole configuration");
+        let config = Config::parse(&config.to_string()).expect("a valid configuration");
         let settings = Arc::new(config.settings.clone());
-        let reducer = Reducer::new(&config, settings, Registration::default()).expect("whole");
+        let reducer = Reducer::new(&config, settings, Registration::default()).expect("a valid seed");
         let mut server = Self {
-            set,
+            slow_start,
             reducer,
             pool: BufferPool::new(64),
             now_ms: 100_000,
@@ -94,69 +97,73 @@
             notices: 0,
             sent: 0,
             runs: VecDeque::new(),
-            most: 0,
+            max_runs: 0,
             excess: 0.0,
         };
         server.step(vec![Input::ConnectionOpened(1)]);
         server
     }
 
-    /// A processor that started so long ago greets; runs of the one before have ended.
-    fn processor_starts(&mut self, cold: bool, age_ms: u64) {
+    /// Has a new processor greet that started `age_ms` ago. The runs of the previous one have ended.
+    fn start_processor(&mut self, cold: bool, age_ms: u64) {
         self.runs.clear();
         self.now_ms += DOWN_MS + age_ms.min(1_000);
         (self.started_ms, self.cold, self.notices) = (self.now_ms - age_ms, cold, 0);
-        self.greets_as(self.link > 0);
+        self.greet(self.link > 0);
     }
 
-    /// The link falls, and the processor greets on another.
-    fn greets(&mut self) {
-        self.greets_as(false);
+    /// Drops the link, and has the same processor greet on another one.
+    fn reconnect(&mut self) {
+        self.greet(false);
     }
 
-    /// The same; `another` says whether the shell finds another processor than before.
-    fn greets_as(&mut self, another: bool) {
+    /// Has the processor greet on a new link. `is_new` says whether the shell reports a new processor.
+    fn greet(&mut self, is_new: bool) {
         self.link += 1;
         let age = Span((self.now_ms - self.started_ms) * MS);
         let mut inputs = Vec::new();
         inputs.extend((self.link > 1).then_some(Input::LinkDown));
-        inputs.extend(another.then_some(Input::ProcessorRestarted));
+        inputs.extend(is_new.then_some(Input::ProcessorRestarted));
         inputs.push(Input::LinkUp { link: self.link, cold: self.cold, age });
         self.step(inputs);
     }
 
-    /// What the processor survives at its age.
-    fn survives(&self) -> f64 {
-        self.set.survives(self.cold, self.now_ms - self.started_ms)
+    /// Returns the number of runs that the processor survives now.
+    fn survivable_runs(&self) -> f64 {
+        self.slow_start.survivable_runs(self.cold, self.now_ms - self.started_ms)
     }
 
-    /// Other settings of slow start are committed.
-    fn commit(&mut self, set: Cold) {
-        self.set = Cold { cores: self.set.cores, ..set };
-        let rules = [Rule::TipMultiple(set.tip), Rule::ColdShare(set.share), Rule::Cold(Span(set.ms * MS))];
+    /// Applies other settings of slow start as a transaction.
+    fn commit(&mut self, slow_start: SlowStartSettings) {
+        self.slow_start = SlowStartSettings { cores: self.slow_start.cores, ..slow_start };
+        let rules = [
+            Rule::TipMultiple(slow_start.max_runs_per_core),
+            Rule::ColdShare(slow_start.cold_share),
+            Rule::Cold(Span(slow_start.warm_up_ms * MS)),
+        ];
         let changes = rules.into_iter().map(Change::PutRule).collect();
-        self.reducer.apply_transaction(&Transaction { changes }).expect("rules that make sense");
+        self.reducer.apply_transaction(&Transaction { changes }).expect("valid rules");
     }
 
-    fn runs(&self, id: &RequestId) -> bool {
+    fn is_running(&self, id: &RequestId) -> bool {
         self.runs.iter().any(|(_, run)| run == id)
     }
 
     fn step(&mut self, mut inputs: Vec<Input>) {
         while !inputs.is_empty() || self.reducer.wake_at().is_some_and(|at| at.0 <= self.now_ms * MS) {
             let mut effects = Vec::new();
-            let moment = Timestamp { now: Time(self.now_ms * MS), unix_ms: self.now_ms };
-            self.reducer.step(moment, inputs.drain(..), &mut effects);
+            let timestamp = Timestamp { now: Time(self.now_ms * MS), unix_ms: self.now_ms };
+            self.reducer.step(timestamp, inputs.drain(..), &mut effects);
             for effect in effects {
                 match effect {
-                    // A start of a request that runs already has no effect.
-                    Effect::StartRun { link, id, .. } if link == self.link && !self.runs(&id) => {
+                    // A second start of a running request has no effect.
+                    Effect::StartRun { link, id, .. } if link == self.link && !self.is_running(&id) => {
                         self.runs.push_back((self.now_ms, id));
-                        self.most = self.most.max(self.runs.len());
-                        self.excess = self.excess.max(self.runs.len() as f64 - self.survives());
+                        self.max_runs = self.max_runs.max(self.runs.len());
+                        self.excess = self.excess.max(self.runs.len() as f64 - self.survivable_runs());
                     }
-                    Effect::ReadGauges { number: tag, .. } => {
-                        inputs.push(Input::GaugesRead { number: tag, values: vec![0.5, 1.0] })
+                    Effect::ReadGauges { number: reading, .. } => {
+                        inputs.push(Input::GaugesRead { number: reading, values: vec![0.5, 1.0] })
                     }
                     _ => {}
                 }
@@ -164,8 +171,8 @@
         }
     }
 
-    /// Advances under more requests than it can run.
-    fn busy(&mut self, ms: u64) {
+    /// Advances the time while more requests arrive than the server can run.
+    fn run_overloaded(&mut self, ms: u64) {
         let end = self.now_ms + ms;
         while self.now_ms < end {
             self.now_ms += TICK_MS;
@@ -174,11 +181,11 @@
                 let Some((since, id)) = self.runs.pop_front() else { break };
                 self.notices += 1;
                 let (notice, took) = (self.notices, Span((self.now_ms - since) * MS));
-                let result = self.pool.copy(b"out").expect("it fits");
+                let result = self.pool.copy(b"out").expect("the content fits into a buffer");
                 inputs.push(Input::RunCompleted { notice, id, end: RunEnd::Ok, took, result });
             }
             self.sent += 1;
-            let call = ClientRequest {
+            let request = ClientRequest {
                 id: RequestId::new(&format!("{:016x}", self.sent)),
                 class: 0.into(),
                 tenant: None,
@@ -190,108 +197,121 @@
                 precedence: 0.5,
                 idempotency_key: None,
                 has_subject: false,
-                body: self.pool.copy(b"in").expect("it fits"),
+                body: self.pool.copy(b"in").expect("the content fits into a buffer"),
             };
             inputs.push(Input::Request {
                 connection: 1,
                 sequence: self.sent as i32,
-                request: Box::new(call),
+                request: Box::new(request),
             });
             self.step(inputs);
         }
     }
 }
 
-/// Guards against a processor that is taken for warm because the one before was: it restarted beside a server that went on, and
-/// falls over under what a warm one survives.
+/// Guards against treating a new processor as warm because the previous one was. It restarted while the server kept
+/// running, and failed under a load that a warm one survives.
 #[test]
-fn cold_restart_gets_no_more_than_a_cold_processor_survives() {
-    let mut server = Server::new(USUAL);
-    server.processor_starts(true, 0);
-    server.busy(USUAL.ms + 4_000);
-    assert!(server.excess <= 0.0, "{} over at the first start", server.excess);
-    assert!(server.most as f64 > USUAL.survives(true, 0), "{}: it never ran much", server.most);
-    server.most = 0;
-    server.processor_starts(true, 20);
-    server.busy(USUAL.ms + 4_000);
-    assert!(server.excess <= 0.0, "{:.1} runs more than a cold processor survives", server.excess);
-    assert!(server.most > 10, "{}: it never got warm", server.most);
+fn cold_restart_is_not_overloaded() {
+    let mut server = Server::new(BASE_SETTINGS);
+    server.start_processor(true, 0);
+    server.run_overloaded(BASE_SETTINGS.warm_up_ms + 4_000);
+    assert!(server.excess <= 0.0, "{} runs too many after the first start", server.excess);
+    assert!(
+        server.max_runs as f64 > BASE_SETTINGS.survivable_runs(true, 0),
+        "at most {} runs: never more than a cold processor survives",
+        server.max_runs
+    );
+    server.max_runs = 0;
+    server.start_processor(true, 20);
+    server.run_overloaded(BASE_SETTINGS.warm_up_ms + 4_000);
+    assert!(
+        server.excess <= 0.0,
+        "{:.1} runs more than a cold processor survives after a restart",
+        server.excess
+    );
+    assert!(server.max_runs > 10, "at most {} runs: slow start never ended", server.max_runs);
 }
 
-/// Guards against slow start without an end: the processor that comes after a cold one may be warm.
+/// Guards against slow start that never ends: the processor that follows a cold one may be warm.
 #[test]
-fn warm_restart_gets_what_a_warm_processor_survives() {
-    let mut server = Server::new(USUAL);
-    server.processor_starts(true, 0);
-    server.busy(1_000);
-    server.processor_starts(false, 20);
-    server.most = 0;
-    server.busy(4_000);
-    assert!(server.excess <= 0.0, "{} over", server.excess);
-    assert!(server.most > 10, "{}: it goes on as a cold one", server.most);
+fn warm_restart_skips_slow_start() {
+    let mut server = Server::new(BASE_SETTINGS);
+    server.start_processor(true, 0);
+    server.run_overloaded(1_000);
+    server.start_processor(false, 20);
+    server.max_runs = 0;
+    server.run_overloaded(4_000);
+    assert!(server.excess <= 0.0, "{} runs too many", server.excess);
+    assert!(server.max_runs > 10, "at most {} runs: treated as a cold processor", server.max_runs);
 }
 
-/// Guards the age that counts: a link that falls and comes up again while the processor warms up makes it neither colder nor
-/// warmer, and a server that finds a cold processor goes by that one's age.
+/// Guards the age that slow start uses: losing the link during the warm-up makes the processor neither colder nor
+/// warmer, and a server that starts later uses the processor's own age.
 #[test]
-fn link_loss_during_warm_up_changes_nothing() {
+fn link_loss_does_not_change_slow_start() {
     for (age_ms, falls) in [(0, 0), (0, 3), (6_000, 0), (6_000, 2), (60_000, 1)] {
-        let mut server = Server::new(USUAL);
-        server.processor_starts(true, age_ms);
+        let mut server = Server::new(BASE_SETTINGS);
+        server.start_processor(true, age_ms);
         for _ in 0..=falls {
-            server.busy(2_000);
-            server.greets();
+            server.run_overloaded(2_000);
+            server.reconnect();
         }
-        assert!(server.excess <= 0.0, "age {age_ms}, {falls} falls: {} over", server.excess);
-        let warm = age_ms >= USUAL.ms;
-        assert!(!warm || server.most > 10, "age {age_ms}: {} at the most", server.most);
+        assert!(server.excess <= 0.0, "age {age_ms}, {falls} lost links: {} runs too many", server.excess);
+        let warm = age_ms >= BASE_SETTINGS.warm_up_ms;
+        assert!(!warm || server.max_runs > 10, "age {age_ms}: at most {} runs", server.max_runs);
     }
 }
 
-fn drawn(rng: &mut Pcg64Mcg) -> Cold {
-    let mut one = |of: &[f64]| of[(rng.next_u64() % of.len() as u64) as usize];
-    Cold {
-        cores: one(&[1.0, 2.0, 6.0, 16.0]) as u32,
-        tip: one(&[1.0, 1.05, 2.0, 4.0, 12.0]),
-        share: one(&[0.0, 0.01, 0.21, 0.5, 1.0]),
-        ms: one(&[0.0, 1.0, 800.0, 5_000.0, 60_000.0]) as u64,
+fn random_settings(rng: &mut Pcg64Mcg) -> SlowStartSettings {
+    let mut pick = |values: &[f64]| values[(rng.next_u64() % values.len() as u64) as usize];
+    SlowStartSettings {
+        cores: pick(&[1.0, 2.0, 6.0, 16.0]) as u32,
+        max_runs_per_core: pick(&[1.0, 1.05, 2.0, 4.0, 12.0]),
+        cold_share: pick(&[0.0, 0.01, 0.21, 0.5, 1.0]),
+        warm_up_ms: pick(&[0.0, 1.0, 800.0, 5_000.0, 60_000.0]) as u64,
     }
 }
 
-/// Guards rule 4 on random sequences: processors that restart cold or warm, old or new, links that fall, and rules that are
-/// committed during the warm-up, with settings at their bounds. At each start of a run no more run than are survived.
+/// Guards rule 4 of the wire protocol on random sequences of cold and warm restarts, young and old processors, lost
+/// links and rules committed during the warm-up, with settings at their limits. Each start of a run is checked against
+/// what the processor survives.
 #[test]
-fn no_sequence_of_restarts_and_rules_exceeds_what_is_survived() {
+fn random_restarts_and_rule_changes_never_overload_the_processor() {
     let first = std::env::var("SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(1);
-    println!("SEED={first}, and the {SEEDS} from there on");
+    println!("SEED={first}: running {SEEDS} seeds from this one");
     for seed in first..first + SEEDS {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut server = Server::new(drawn(&mut rng));
-        let mut course = vec![format!("{:?}", server.set)];
-        let mut begun = 0;
-        for turn in 0..10 {
-            let what = if turn == 0 { 0 } else { rng.next_u64() % 4 };
-            match what {
+        let mut server = Server::new(random_settings(&mut rng));
+        let mut events = vec![format!("{:?}", server.slow_start)];
+        let mut completed = 0;
+        for round in 0..10 {
+            let event = if round == 0 { 0 } else { rng.next_u64() % 4 };
+            match event {
                 0 | 1 => {
                     let (cold, age_ms) =
                         (!rng.next_u64().is_multiple_of(4), [0, 40, 700][rng.next_u64() as usize % 3]);
-                    course.push(format!("starts, cold {cold}, {age_ms} ms ago"));
-                    server.processor_starts(cold, age_ms);
+                    events.push(format!("processor starts: cold {cold}, age {age_ms} ms"));
+                    server.start_processor(cold, age_ms);
                 }
                 2 => {
-                    course.push("the link falls".into());
-                    server.greets();
+                    events.push("link lost".into());
+                    server.reconnect();
                 }
                 _ => {
-                    let set = drawn(&mut rng);
-                    course.push(format!("committed: {set:?}"));
-                    server.commit(set);
+                    let slow_start = random_settings(&mut rng);
+                    events.push(format!("settings committed: {slow_start:?}"));
+                    server.commit(slow_start);
                 }
             }
-            server.busy(100 + rng.next_u64() % 1_500);
-            begun += server.notices;
-            assert!(server.excess <= 1e-9, "SEED={seed}: {:.2} over, after {course:#?}", server.excess);
+            server.run_overloaded(100 + rng.next_u64() % 1_500);
+            completed += server.notices;
+            assert!(
+                server.excess <= 1e-9,
+                "SEED={seed}: {:.2} runs too many after {events:#?}",
+                server.excess
+            );
         }
-        assert!(begun > 0, "SEED={seed}: nothing ever ran, after {course:#?}");
+        assert!(completed > 0, "SEED={seed}: no run ever completed after {events:#?}");
     }
 }
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A reducer for tests, with the settings of the admission module's tests and without upstream calls, and steps of virtual
-//! time.
+//! Creates a reducer with the settings of the admission module's tests and without upstream calls, and steps it in
+//! virtual time.
 
 #[path = "../../../admission/tests/common/mod.rs"]
 mod common;
@@ -16,19 +16,19 @@
 /// Nanoseconds in a millisecond.
 pub const MS: u64 = 1_000_000;
 
-/// A server with 128 descriptors whose processor has not greeted yet.
+/// Returns a server with 128 descriptors whose processor has not greeted yet.
 pub fn reducer() -> Reducer {
     let mut settings = common::base();
     settings["specifics"]["below"] = json!("off");
     let address = "127.0.0.1:1";
     let config = json!({"name": "n1", "listen": address, "processor": address, "control": address, "seed": "7",
         "stop_ms": 2000, "limits": {"cores": 1.0, "sockets": 128}, "settings": settings});
-    let config = Config::parse(&config.to_string()).expect("a whole configuration");
+    let config = Config::parse(&config.to_string()).expect("a valid configuration");
     let settings = Arc::new(config.settings.clone());
-    Reducer::new(&config, settings, Registration::default()).expect("whole")
+    Reducer::new(&config, settings, Registration::default()).expect("a valid seed")
 }
 
-/// One step at this time by both clocks.
+/// Takes one step with both clocks at this time, in milliseconds.
 pub fn step(reducer: &mut Reducer, ms: u64, inputs: Vec<Input>) -> Vec<Effect> {
     let mut effects = Vec::new();
     reducer.step(Timestamp { now: Time(ms * MS), unix_ms: ms }, inputs, &mut effects);
