--- a/crates/core/src/messages/effect.rs
+++ b/crates/core/src/messages/effect.rs
@@ -17,7 +17,7 @@
 /// An action that a shell carries out for the reducer. The effects of a step are carried out in order.
 #[derive(Debug)]
 pub enum Effect {
-    /// Make a configuration durable, if there is a folder for it. Answered by [`Input::ConfigurationWritten`].
+    /// Make a configuration durable, if there is a folder for it. Answered by [`super::Input::ConfigurationWritten`].
     SaveConfiguration(Box<ConfigurationSave>),
     /// Send a response to a client.
     Respond {
@@ -32,8 +32,8 @@
     },
     /// Ask the peer of a connection to send no more requests on it.
     RequestDrain(ConnectionId),
-    /// Close a connection once everything is written. [`Input::ConnectionClosed`] follows when its peer has closed it
-    /// too.
+    /// Close a connection once everything is written. [`super::Input::ConnectionClosed`] follows when its peer has
+    /// closed it too.
     CloseConnection(ConnectionId),
     /// Close an idle connection, unless further messages of it were passed on or unread bytes are waiting.
     CloseIdleConnection {
@@ -51,7 +51,7 @@
     },
     /// Start a run on the processor.
     StartRun {
-        /// Number of the link to use ([`Input::LinkUp`]); void if the link has ended.
+        /// Number of the link to use ([`super::Input::LinkUp`]); void if the link has ended.
         link: u64,
         /// Request of the run.
         id: RequestId,
@@ -64,7 +64,7 @@
     CallUpstream {
         /// Request of the run.
         id: RequestId,
-        /// Identifies the call in [`Input::UpstreamCallEnded`].
+        /// Identifies the call in [`super::Input::UpstreamCallEnded`].
         call: UpstreamCallId,
         /// Body of the call.
         body: Arc<Buffer>,
@@ -76,7 +76,7 @@
     },
     /// Deliver the reply of an upstream call to its run.
     DeliverUpstreamReply {
-        /// Number of the link to use ([`Input::LinkUp`]); void if the link has ended.
+        /// Number of the link to use ([`super::Input::LinkUp`]); void if the link has ended.
         link: u64,
         /// Request of the run.
         id: RequestId,
@@ -85,13 +85,13 @@
     },
     /// Stop a run.
     StopRun {
-        /// Number of the link to use ([`Input::LinkUp`]); void if the link has ended.
+        /// Number of the link to use ([`super::Input::LinkUp`]); void if the link has ended.
         link: u64,
         /// Request of the run.
         id: RequestId,
     },
     /// Claim the run of an idempotency key, if the two processes of an upgrade share keyed runs. Answered by
-    /// [`Input::RunClaimed`].
+    /// [`super::Input::RunClaimed`].
     ClaimRun {
         /// Request of the run.
         id: RequestId,
@@ -111,9 +111,9 @@
         /// Outcome of the run; `None` if it never started.
         outcome: Option<RunOutcome>,
     },
-    /// Read the processor's gauges; answered by [`Input::GaugesRead`].
+    /// Read the processor's gauges; answered by [`super::Input::GaugesRead`].
     ReadGauges {
-        /// Number of the link to use ([`Input::LinkUp`]); void if the link has ended.
+        /// Number of the link to use ([`super::Input::LinkUp`]); void if the link has ended.
         link: u64,
         /// Number of the reading, repeated in the answer.
         number: u64,
@@ -134,9 +134,9 @@
         /// Whether it takes requests.
         ready: bool,
     },
-    /// Send a request to a registry. Answered by [`Input::RegistryReply`].
+    /// Send a request to a registry. Answered by [`super::Input::RegistryReply`].
     AskRegistry(RegistryRequest),
-    /// Write records to the store; answered by [`Input::StorePersisted`] or [`Input::StoreFailed`].
+    /// Write records to the store; answered by [`super::Input::StorePersisted`] or [`super::Input::StoreFailed`].
     PersistRecords {
         /// Number of the batch, from 1 and without gaps.
         number: u64,
@@ -157,7 +157,7 @@
     /// Report that a reload has ended: its file is in force completely or not at all.
     ReloadFinished,
     /// Accept no more connections, as the process hands over its listening socket or closes down. Answered by
-    /// [`Input::StoppedAccepting`].
+    /// [`super::Input::StoppedAccepting`].
     StopAccepting,
     /// Answer an operator's request.
     AnswerAdmin {
@@ -173,7 +173,8 @@
         /// The complete datagram, authenticated by the cluster's keys.
         datagram: Vec<u8>,
     },
-    /// Write records of the voter state. Answered by [`Input::VoterStateWritten`] or [`Input::VoterStateFailed`].
+    /// Write records of the voter state. Answered by [`super::Input::VoterStateWritten`] or
+    /// [`super::Input::VoterStateFailed`].
     WriteVoterState {
         /// Generation of the voter state; the write is void if a later write failure has started a new one.
         generation: u64,
--- a/crates/core/src/messages/input.rs
+++ b/crates/core/src/messages/input.rs
@@ -107,7 +107,7 @@
         /// Body of the reply; `None` unless the outcome is [`Outcome::Success`].
         reply: Option<Buffer>,
     },
-    /// The processor's gauges, in reply to [`Effect::ReadGauges`].
+    /// The processor's gauges, in reply to [`super::Effect::ReadGauges`].
     GaugesRead {
         /// Number of the reading that is answered.
         number: u64,
@@ -115,7 +115,7 @@
         /// report.
         values: Vec<f64>,
     },
-    /// Reply to [`Effect::ClaimRun`].
+    /// Reply to [`super::Effect::ClaimRun`].
     RunClaimed {
         /// Request whose run was claimed.
         id: RequestId,
@@ -154,7 +154,7 @@
         /// Error message for the log.
         reason: String,
     },
-    /// An operator's request at the admin endpoint. Answered by [`Effect::AnswerAdmin`].
+    /// An operator's request at the admin endpoint. Answered by [`super::Effect::AnswerAdmin`].
     AdminRequest {
         /// Identifies the request in its response.
         id: AdminRequestId,
@@ -198,7 +198,7 @@
         /// Error message of the disk.
         reason: String,
     },
-    /// Outcome of [`Effect::SaveConfiguration`].
+    /// Outcome of [`super::Effect::SaveConfiguration`].
     ConfigurationWritten(ConfigurationSaveResult),
     /// The active or the staged settings have changed.
     StagedSettingsChanged {
--- a/crates/core/src/reducer/apply_summary.rs
+++ b/crates/core/src/reducer/apply_summary.rs
@@ -57,12 +57,12 @@
     pub rules: usize,
 }
 
-/// The number of names, and the first [`MAX_LISTED_NAMES`] of them.
+/// The number of names, and the first `MAX_LISTED_NAMES` of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct NameList {
     /// Number of names, listed or not.
     pub count: usize,
-    /// The first [`MAX_LISTED_NAMES`] names.
+    /// The first `MAX_LISTED_NAMES` names.
     pub first: Vec<String>,
 }
 
--- a/crates/core/src/reducer/persistence.rs
+++ b/crates/core/src/reducer/persistence.rs
@@ -21,7 +21,8 @@
 pub(super) struct Recovery {
     /// Buffers for results recovered from the store.
     pub(super) pool: Arc<BufferPool>,
-    /// Key of the fingerprints: that of the store, or of this process if there is no store.
+    /// Key of the fingerprints: that of the store, that shared with the other process of an upgrade, or else that of
+    /// this process.
     pub(super) salt: u64,
     /// Time of the process's first step.
     first_step_at: Option<Time>,
