--- a/crates/node/src/upstream_client.rs
+++ b/crates/node/src/upstream_client.rs
@@ -42,7 +42,7 @@
     /// End of the timeout, which includes the wait in the queue.
     deadline: Instant,
     /// The call must be sent before this time, if set.
-    leave_before: Option<Instant>,
+    send_before: Option<Instant>,
 }
 
 /// URL of the calls; a reload changes it.
@@ -99,18 +99,18 @@
 
     /// Queues a call of the request `id` under `number`; never blocks. If the queue is full, the call is rejected and
     /// the input that ends it is returned instead of sent: the main thread empties the queue of inputs, so it would
-    /// wait for itself if that queue were full. The call is not sent at `leave_before` or later, when its lease has
+    /// wait for itself if that queue were full. The call is not sent at `send_before` or later, when its lease has
     /// expired.
     pub fn call(
         &self,
         (id, number): (RequestId, UpstreamCallId),
         body: &[u8],
         timeout: Span,
-        leave_before: Option<Instant>,
+        send_before: Option<Instant>,
     ) -> Result<(), Input> {
         let timeout = Duration::from_nanos(timeout.0);
         let deadline = Instant::now() + timeout;
-        let call = Call { id, number, body: Arc::new(body.to_vec()), timeout, deadline, leave_before };
+        let call = Call { id, number, body: Arc::new(body.to_vec()), timeout, deadline, send_before };
         self.calls.try_send(call).map_err(|unsent| {
             warn!(self.log, "upstream call rejected: queue is full"; "capacity" => QUEUE_CAPACITY);
             let Call { id, number, .. } = unsent.into_inner();
@@ -179,7 +179,7 @@
             return CallEnd::without_reply(Outcome::Rejected);
         };
         // Checked last, because this thread may have been suspended since the call was queued.
-        if call.leave_before.is_some_and(|leave_before| Instant::now() >= leave_before) {
+        if call.send_before.is_some_and(|send_before| Instant::now() >= send_before) {
             return CallEnd::without_reply(Outcome::Rejected);
         }
         self.exchange(url, call, remaining)
