--- a/crates/simulator-adapter/tests/arbitrary_settings.rs
+++ b/crates/simulator-adapter/tests/arbitrary_settings.rs
@@ -54,7 +54,7 @@
     input
 }
 
-/// Guards against an instance that exits or writes an invalid line, either of which ends a simulation without a score.
+/// Guards against an instance that exits or writes an invalid line. Either reduces the score of a whole simulation to 0.
 #[test]
 fn adapter_serves_with_arbitrary_valid_settings() {
     let cases = std::env::var("CASES").ok().and_then(|cases| cases.parse().ok()).unwrap_or(60);
