--- a/crates/node/src/settings/kdl_text.rs
+++ b/crates/node/src/settings/kdl_text.rs
@@ -137,7 +137,7 @@
         if self.open_blocks.len() >= MAX_NESTING {
             return Err(SyntaxError::new(
                 self.offset,
-                format!("expected at most {MAX_NESTING} nested blocks"),
+                format!("expected blocks within {MAX_NESTING} others at most"),
             ));
         }
         self.open_blocks.push(self.offset);
