--- a/crates/node/src/frontend/scgi/routes.rs
+++ b/crates/node/src/frontend/scgi/routes.rs
@@ -3,7 +3,7 @@
 
 use super::codec::Request;
 use crate::frontend::protocol::InvalidRequest;
-use crate::settings::{ActiveSettings, Headers, ScgiSettings};
+use crate::settings::{ActiveSettings, HeaderNames, ScgiSettings};
 use gradepin_admission::{ClassDefinition, Idempotency, RequestId};
 use gradepin_core::buffer_pool::BufferPool;
 use gradepin_core::messages::{ClientRequest, RequestError};
@@ -72,7 +72,7 @@
 #[derive(Debug)]
 pub struct Routes {
     routers_by_method: BTreeMap<String, matchit::Router<Target>>,
-    header_names: Headers,
+    header_names: HeaderNames,
     default_size_kb: f64,
     default_rank: f64,
     active: ActiveSettings,
--- a/crates/node/src/frontend/scgi/routes/tests.rs
+++ b/crates/node/src/frontend/scgi/routes/tests.rs
@@ -38,19 +38,19 @@
 
 #[test]
 fn routes_methods_and_paths_to_classes_health_checks_and_errors() {
-    let of = |method: &str, path: &str| routed(&[("REQUEST_METHOD", method), ("DOCUMENT_URI", path)]);
-    let Ok(Routed::Request(call)) = of("GET", "/sheets/9?zoom=1") else { panic!("expected a request") };
+    let route_of = |method: &str, path: &str| routed(&[("REQUEST_METHOD", method), ("DOCUMENT_URI", path)]);
+    let Ok(Routed::Request(call)) = route_of("GET", "/sheets/9?zoom=1") else { panic!("expected a request") };
     assert_eq!(
         (call.class.slot(), call.budget_ms, call.arrived_unix_ms, &*call.id.0),
         (0, 4000, 17, "00000000000000ff")
     );
-    assert!(matches!(of("GET", "/health"), Ok(Routed::HealthCheck)));
+    assert!(matches!(route_of("GET", "/health"), Ok(Routed::HealthCheck)));
     for (method, path, error) in [
         ("GET", "/nothing", RequestError::NotFound),
         ("DELETE", "/sheets/9", RequestError::MethodNotAllowed),
         ("PUT", "/labels/1", RequestError::Malformed),
     ] {
-        assert_eq!(of(method, path).unwrap_err().error, error, "{method} {path}");
+        assert_eq!(route_of(method, path).unwrap_err().error, error, "{method} {path}");
     }
     assert_eq!(routed(&[("DOCUMENT_URI", "/sheets/9")]).unwrap_err().error, RequestError::Malformed);
 }
--- a/crates/node/src/settings/cluster/tests.rs
+++ b/crates/node/src/settings/cluster/tests.rs
@@ -17,13 +17,13 @@
     let new = "probe-period-ms 2000\nprobe-timeout-ms 500\nsuspicion-timeout-ms 5000\nmax-bytes-per-second 16000\n\
                retry-ratio 0.5\nprobes-per-second 3\nleases {\nduration-ms 1500\nmax-call-ms 1000\nmax-clock-drift 0.02\n\
                lendable-share 0.5\ndrill-ignore-expiry #true\n}";
-    let of_old = OperatorSettings::parse(&cluster(old)).expect("old names are accepted");
-    let of_new = OperatorSettings::parse(&cluster(new)).expect("new names are accepted");
-    assert_eq!(of_old.cluster, of_new.cluster);
+    let with_old_names = OperatorSettings::parse(&cluster(old)).expect("old names are accepted");
+    let with_new_names = OperatorSettings::parse(&cluster(new)).expect("new names are accepted");
+    assert_eq!(with_old_names.cluster, with_new_names.cluster);
     let default = OperatorSettings::parse(&cluster("leases {\n}")).expect("all nodes are optional").cluster;
-    assert_ne!(of_new.cluster, default, "all nodes are read");
-    assert_eq!(of_new.warnings, []);
-    let warnings: Vec<String> = of_old.warnings.iter().map(ToString::to_string).collect();
+    assert_ne!(with_new_names.cluster, default, "all nodes are read");
+    assert_eq!(with_new_names.warnings, []);
+    let warnings: Vec<String> = with_old_names.warnings.iter().map(ToString::to_string).collect();
     assert_eq!(warnings.len(), 12, "{warnings:#?}");
     assert_eq!(
         warnings[0],
--- a/crates/node/src/settings/kdl_reader.rs
+++ b/crates/node/src/settings/kdl_reader.rs
@@ -38,7 +38,7 @@
 }
 
 /// A repeatable node with one text as argument, and properties.
-pub(super) struct Repeated<'p> {
+pub(super) struct RepeatedNode<'p> {
     node: KdlNode,
     /// Names of the properties that were read.
     read: BTreeSet<String>,
@@ -240,7 +240,7 @@
     }
 
     /// All nodes of this name, each with its only argument, a text.
-    pub(super) fn each(&mut self, name: &str) -> Vec<(String, Repeated<'p>)> {
+    pub(super) fn each(&mut self, name: &str) -> Vec<(String, RepeatedNode<'p>)> {
         let mut all = Vec::new();
         for (index, node) in self.nodes.iter().enumerate().filter(|(_, node)| node.name().value() == name) {
             self.read.insert(index);
@@ -250,7 +250,7 @@
                 self.problems.add(offset(node), ProblemKind::OneText(name.into()));
                 continue;
             };
-            let node = Repeated { node: node.clone(), read: BTreeSet::new(), problems: self.problems };
+            let node = RepeatedNode { node: node.clone(), read: BTreeSet::new(), problems: self.problems };
             all.push((text.clone(), node));
         }
         all
@@ -277,7 +277,7 @@
     }
 }
 
-impl<'p> Repeated<'p> {
+impl<'p> RepeatedNode<'p> {
     /// Returns the children of the node.
     pub(super) fn block(&self) -> Block<'p> {
         Block::new(children(&self.node), offset(&self.node), self.problems)
--- a/crates/node/src/settings/mod.rs
+++ b/crates/node/src/settings/mod.rs
@@ -24,7 +24,7 @@
 pub use consensus::ConsensusSettings;
 pub use problem::{Problem, ProblemKind};
 pub use registry::{RegistrySettings, ServiceUrl, ServiceUrlError};
-pub use scgi::{Headers, Route, ScgiSettings};
+pub use scgi::{HeaderNames, Route, ScgiSettings};
 pub use store::StoreSettings;
 
 use gradepin_admission::Span;
--- a/crates/node/src/settings/scgi.rs
+++ b/crates/node/src/settings/scgi.rs
@@ -16,7 +16,7 @@
     /// Path of health checks, if there is one.
     pub health: Option<String>,
     /// Names of the headers that are read.
-    pub headers: Headers,
+    pub headers: HeaderNames,
     /// Memory of requests without the header, in kB.
     pub memory_kb: f64,
     /// Rank of requests without the header: at least 0 and less than 1.
@@ -36,7 +36,7 @@
 
 /// Names of the headers in the spelling of SCGI: `HTTP_X_TENANT` for `X-Tenant`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Headers {
+pub struct HeaderNames {
     /// Header with the name of the tenant.
     pub tenant: String,
     /// Header with the number of the client.
@@ -55,7 +55,7 @@
     pub token: String,
 }
 
-impl Headers {
+impl HeaderNames {
     /// The names of all headers.
     pub fn all(&self) -> [&str; 8] {
         let Self { tenant, caller, wait_ms, retry, rank, memory_kb, id, token } = self;
@@ -63,7 +63,7 @@
     }
 }
 
-impl Default for Headers {
+impl Default for HeaderNames {
     fn default() -> Self {
         let name = |name: &str| name.to_string();
         Self {
@@ -86,7 +86,7 @@
             unix: Vec::new(),
             routes: Vec::new(),
             health: None,
-            headers: Headers::default(),
+            headers: HeaderNames::default(),
             memory_kb: 16.0,
             rank: 0.5,
         }
@@ -139,7 +139,7 @@
 }
 
 /// Reads the names that override the default ones.
-fn read_headers(headers: &mut Headers, mut block: Block<'_>) {
+fn read_headers(headers: &mut HeaderNames, mut block: Block<'_>) {
     for (node, name) in [
         ("tenant", &mut headers.tenant),
         ("caller", &mut headers.caller),
--- a/crates/node/src/settings/transaction.rs
+++ b/crates/node/src/settings/transaction.rs
@@ -3,7 +3,7 @@
 //! Both forms use the keys of the configuration file, which are mapped here. In KDL, times are nanoseconds or texts
 //! with a unit. Problems of the document are reported with line and column; `gradepin_config` validates the values.
 
-use super::kdl_reader::{Block, Repeated};
+use super::kdl_reader::{Block, RepeatedNode};
 use super::problem::{Problem, ProblemKind, Problems};
 use gradepin_admission::{Idempotency, Span};
 use gradepin_config::document::{ClassEntry, Document, RuleEntries, TenantEntry};
@@ -92,7 +92,7 @@
     value
 }
 
-fn class(name: String, node: Repeated<'_>) -> Option<ClassEntry> {
+fn class(name: String, node: RepeatedNode<'_>) -> Option<ClassEntry> {
     let mut block = node.block();
     node.end();
     let effect = match block.choice("effect", &EFFECTS) {
@@ -128,7 +128,7 @@
     })
 }
 
-fn tenant(name: String, node: Repeated<'_>) -> TenantEntry {
+fn tenant(name: String, node: RepeatedNode<'_>) -> TenantEntry {
     let mut block = node.block();
     node.end();
     let quota_rps = block.number("quota_rps", ANY).unwrap_or(0.0);
--- a/crates/node/tests/golden_edges/admin.rs
+++ b/crates/node/tests/golden_edges/admin.rs
@@ -81,8 +81,8 @@
 }
 
 fn view() -> FleetView {
-    let member = |of: &str, up| MemberView {
-        name: name(of),
+    let member = |server: &str, up| MemberView {
+        name: name(server),
         zone: name("z1"),
         incarnation: Incarnation(0x1f),
         up,
