--- a/crates/coordination/src/controller/operator_commands.rs
+++ b/crates/coordination/src/controller/operator_commands.rs
@@ -102,7 +102,7 @@
             OperatorCommand::StartRollout { plan, operator } => {
                 self.start_rollout(now, consensus, plan, operator)?
             }
-            OperatorCommand::Rollout(command) => Command::Release(command),
+            OperatorCommand::Rollout(command) => Command::Rollout(command),
         };
         self.proposals.propose(now, consensus, command, Waiter::Operator { ticket })?;
         Ok(())
@@ -154,7 +154,7 @@
             (Arc::clone(name), server.report.version(plan.kind).clone())
         };
         let versions = reporting.iter().map(version_of).collect();
-        Ok(Command::Release(RolloutCommand::Start { plan, operator, versions }))
+        Ok(Command::Rollout(RolloutCommand::Start { plan, operator, versions }))
     }
 
     /// Proposes a change of membership; the text that says so.
--- a/crates/coordination/src/controller/permits.rs
+++ b/crates/coordination/src/controller/permits.rs
@@ -161,7 +161,7 @@
 
 /// Whether a holder runs what its permit was for: then it has no reason to begin again.
 fn has_target_version(context: &Context<'_>, permit: &Permit, holder: Option<&ReportingServer>) -> bool {
-    let Purpose::Release(number) = &permit.purpose else { return false };
+    let Purpose::Rollout(number) = &permit.purpose else { return false };
     let Target::Server(name) = &permit.target else { return false };
     let rollout = context.state.rollout.as_ref().filter(|rollout| rollout.number == *number);
     let (Some(rollout), Some(holder)) = (rollout, holder) else { return false };
--- a/crates/coordination/src/controller/requests.rs
+++ b/crates/coordination/src/controller/requests.rs
@@ -97,7 +97,7 @@
         epoch: Epoch,
         target: &Target,
     ) -> Result<(), DenialReason> {
-        if let Some(Purpose::Release(number)) = state.permits.get(&epoch).map(|permit| &permit.purpose)
+        if let Some(Purpose::Rollout(number)) = state.permits.get(&epoch).map(|permit| &permit.purpose)
             && let Some(rollout) = state.rollout.as_ref().filter(|rollout| rollout.number == *number)
         {
             self.rollout_may_step(state, rollout)?;
@@ -108,10 +108,10 @@
     fn rollout_may_step(&self, state: &ReplicatedState, rollout: &Rollout) -> Result<(), DenialReason> {
         let name = &rollout.plan.name;
         if self.rollout.is_halted(state) {
-            return Err(DenialReason::Release(format!("{name} is ordered to halt")));
+            return Err(DenialReason::Rollout(format!("{name} is ordered to halt")));
         }
         match self.rollout.external_fall(&self.servers, rollout) {
-            Some(fall) => Err(DenialReason::Release(fall.hold_text(name))),
+            Some(fall) => Err(DenialReason::Rollout(fall.hold_text(name))),
             None => Ok(()),
         }
     }
--- a/crates/coordination/src/controller/rollout_controller.rs
+++ b/crates/coordination/src/controller/rollout_controller.rs
@@ -11,8 +11,8 @@
 use super::{Context, ControllerEffect, KeyedCommand, NANOS_PER_MS};
 use crate::ids::{Incarnation, Name, RolloutNumber};
 use crate::messages::ServerReport;
+use crate::regression::{FleetFall, RegressionDetector, Version};
 use crate::replicated_state::{Command, ReplicatedState};
-use crate::rollback::{FleetFall, RegressionDetector, Version};
 use crate::rollout::{Batch, Rollout, RolloutCommand, RolloutServer, RolloutState, ServerProgress};
 use gradepin_admission::{Span, Time, time_after};
 use server_step::{ServerStepResult, step_server};
@@ -38,7 +38,7 @@
 
 impl RolloutStep {
     fn propose(&mut self, key: &str, command: RolloutCommand) {
-        let command = Command::Release(command);
+        let command = Command::Rollout(command);
         self.commands.push(KeyedCommand { key: format!("release {key}"), command });
     }
 
--- a/crates/coordination/src/controller/rollout_controller/server_step.rs
+++ b/crates/coordination/src/controller/rollout_controller/server_step.rs
@@ -64,7 +64,7 @@
         return ServerStepResult::Continues;
     }
     let permit = context.state.permit_of(&Target::Server(Arc::clone(name)));
-    let permit = permit.filter(|(_, permit)| permit.purpose == Purpose::Release(rollout.number));
+    let permit = permit.filter(|(_, permit)| permit.purpose == Purpose::Rollout(rollout.number));
     let Some((epoch, permit)) = permit else {
         reserve(context, &server, step);
         return ServerStepResult::Continues;
@@ -121,7 +121,7 @@
         target,
         holder: Arc::clone(server.name),
         incarnation: reporting.incarnation,
-        purpose: Purpose::Release(server.rollout.number),
+        purpose: Purpose::Rollout(server.rollout.number),
     };
     step.commands.push(KeyedCommand { key: format!("reserve {}", server.name), command });
 }
--- a/crates/coordination/src/controller/settings.rs
+++ b/crates/coordination/src/controller/settings.rs
@@ -1,8 +1,8 @@
 //! The settings of the leader's controller.
 
 use super::NANOS_PER_MS;
+use crate::regression::Cell;
 use crate::replicated_state::Limits;
-use crate::rollback::Cell;
 use gradepin_admission::Span;
 use std::collections::BTreeMap;
 
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -10,7 +10,7 @@
 //! - [`founding`]: the voters that the group starts with, the same at each request.
 //! - [`messages`]: messages between servers about permits, rollouts and operator commands.
 //! - [`controller`]: what the leader does: permits, operator commands, the rollout.
-//! - [`rollback`]: whether a new version serves worse, by more than noise.
+//! - [`regression`]: whether a new version serves worse, by more than noise.
 //! - [`permit_client`]: one server's permit requests: which voter gets them, and until when it may begin.
 //! - [`proposal_client`]: one server's requests for configuration changes, and who waits at a voter for a commit.
 //! - [`server_agent`]: all of these together, for one server.
@@ -28,9 +28,9 @@
 pub mod messages;
 pub mod permit_client;
 pub mod proposal_client;
+pub mod regression;
 pub mod replicated_snapshot;
 pub mod replicated_state;
-pub mod rollback;
 pub mod rollout;
 pub mod server_agent;
 
--- a/crates/coordination/src/messages.rs
+++ b/crates/coordination/src/messages.rs
@@ -2,8 +2,8 @@
 //! format; the serde names of [`OperatorCommand`] are the admin endpoint's.
 
 use crate::ids::{Epoch, Name, RolloutNumber, Ticket, VoterId};
+use crate::regression::{Cell, ServiceTotal};
 use crate::replicated_state::{DenialReason, Target};
-use crate::rollback::{Cell, ServiceTotal};
 use crate::rollout::{ReleaseKind, RolloutCommand, RolloutPlan};
 use gradepin_admission::Span;
 use serde::{Deserialize, Serialize};
--- a/crates/coordination/src/replicated_state/commands.rs
+++ b/crates/coordination/src/replicated_state/commands.rs
@@ -82,7 +82,8 @@
         epoch: Epoch,
     },
     /// Changes the rollout.
-    Release(RolloutCommand),
+    #[serde(rename = "Release")]
+    Rollout(RolloutCommand),
     /// Changes the configuration. Last, so that logs of versions without it are read as they were written.
     Configuration(Box<ConfigurationEntry>),
 }
@@ -130,7 +131,7 @@
                 return self.release_permit(index, epoch, operator, reason);
             }
             Command::PermitExpired { epoch } => self.expire_permit(epoch),
-            Command::Release(command) => return self.apply_rollout_command(index, command),
+            Command::Rollout(command) => return self.apply_rollout_command(index, command),
             Command::Configuration(entry) => return Ok(self.apply_configuration(&entry)),
         }
         Ok(CommandOutcome::Done)
--- a/crates/coordination/src/replicated_state/denial.rs
+++ b/crates/coordination/src/replicated_state/denial.rs
@@ -40,10 +40,11 @@
         max: u32,
     },
     /// The limit of a service.
-    #[error("{out} members of service {group} would be out, {max} may be")]
+    #[error("{out} members of service {service} would be out, {max} may be")]
     Service {
         /// The service.
-        group: Name,
+        #[serde(rename = "group")]
+        service: Name,
         /// How many of its members would be out.
         out: u32,
         /// How many may be.
@@ -67,7 +68,8 @@
     },
     /// The rollout doesn't move.
     #[error("the release is {0}")]
-    Release(String),
+    #[serde(rename = "Release")]
+    Rollout(String),
     /// The command doesn't fit the state.
     #[error("{0}")]
     #[serde(rename = "Sense")]
--- a/crates/coordination/src/replicated_state/limits.rs
+++ b/crates/coordination/src/replicated_state/limits.rs
@@ -50,8 +50,8 @@
     matches!(permit.target, Target::Service { .. })
 }
 
-fn is_member_of(permit: &Permit, service: &Name) -> bool {
-    matches!(&permit.target, Target::Service { group, .. } if group == service)
+fn is_member_of(permit: &Permit, expected: &Name) -> bool {
+    matches!(&permit.target, Target::Service { service, .. } if service == expected)
 }
 
 impl ReplicatedState {
@@ -77,8 +77,8 @@
 
     /// Whether one more may be out, in addition to all permits and to `unplanned`: servers that are out without a permit.
     pub fn fits(&self, target: &Target, unplanned: &BTreeSet<Name>) -> Result<(), DenialReason> {
-        if let Target::Service { group, .. } = target {
-            return self.fits_service(target, group);
+        if let Target::Service { service, .. } = target {
+            return self.fits_service(target, service);
         }
         let requested = self.servers_of(target);
         // A server that isn't in the roster has no zone to be counted in.
@@ -102,14 +102,14 @@
         requested.iter().try_for_each(|name| self.fits_zone_of(name, &out, &out_before))
     }
 
-    fn fits_service(&self, target: &Target, group: &Name) -> Result<(), DenialReason> {
-        let others = self.permits.values().filter(|permit| is_member_of(permit, group));
+    fn fits_service(&self, target: &Target, service: &Name) -> Result<(), DenialReason> {
+        let others = self.permits.values().filter(|permit| is_member_of(permit, service));
         let out = others.filter(|permit| permit.target != *target).count() as u32 + 1;
-        let max = self.limits.services.get(group).copied();
+        let max = self.limits.services.get(service).copied();
         let max = max.ok_or_else(|| DenialReason::Unknown(target.to_string()))?;
         let service_permits = self.permits.values().filter(|permit| is_service(permit)).count();
         if out > max || service_permits >= MAX_SERVICE_PERMITS {
-            return Err(DenialReason::Service { group: Arc::clone(group), out, max });
+            return Err(DenialReason::Service { service: Arc::clone(service), out, max });
         }
         Ok(())
     }
--- a/crates/coordination/src/replicated_state/permits.rs
+++ b/crates/coordination/src/replicated_state/permits.rs
@@ -20,7 +20,8 @@
     /// A member of a dependency: a processor, a replica of the ledger.
     Service {
         /// The service, as the limits name it.
-        group: Name,
+        #[serde(rename = "group")]
+        service: Name,
         /// The member.
         member: Name,
     },
@@ -31,7 +32,7 @@
         match self {
             Self::Server(name) => write!(formatter, "{name}"),
             Self::Zone(zone) => write!(formatter, "zone {zone}"),
-            Self::Service { group, member } => write!(formatter, "{group}/{member}"),
+            Self::Service { service, member } => write!(formatter, "{service}/{member}"),
         }
     }
 }
@@ -42,7 +43,8 @@
     /// A drain that a person or a script requested.
     Drain,
     /// A step of the rollout with this number.
-    Release(RolloutNumber),
+    #[serde(rename = "Release")]
+    Rollout(RolloutNumber),
 }
 
 /// The state of a permit.
@@ -168,7 +170,7 @@
     /// A permit for a rollout step needs a rollout that moves.
     fn check_purpose(&self, purpose: &Purpose) -> Result<(), DenialReason> {
         match purpose {
-            Purpose::Release(number) => self.rollout_is_moving(*number),
+            Purpose::Rollout(number) => self.rollout_is_moving(*number),
             Purpose::Drain => Ok(()),
         }
     }
--- a/crates/coordination/src/replicated_state/rollout_commands.rs
+++ b/crates/coordination/src/replicated_state/rollout_commands.rs
@@ -113,19 +113,19 @@
     /// Whether a step of this rollout may be reserved or begun.
     pub(super) fn rollout_is_moving(&self, number: RolloutNumber) -> Result<(), DenialReason> {
         match &self.rollout {
-            None => Err(DenialReason::Release("not there".into())),
+            None => Err(DenialReason::Rollout("not there".into())),
             Some(rollout) if rollout.number != number => {
-                Err(DenialReason::Release("another one by now".into()))
+                Err(DenialReason::Rollout("another one by now".into()))
             }
             Some(rollout) if rollout.is_moving() => Ok(()),
-            Some(rollout) => Err(DenialReason::Release(rollout.state.to_string())),
+            Some(rollout) => Err(DenialReason::Rollout(rollout.state.to_string())),
         }
     }
 
     /// Records that the holder of a permit for a rollout step was allowed to begin.
     pub(super) fn record_step_begun(&mut self, epoch: Epoch) {
         let Some(permit) = self.permits.get(&epoch) else { return };
-        if let (Target::Server(name), Purpose::Release(number)) = (&permit.target, &permit.purpose)
+        if let (Target::Server(name), Purpose::Rollout(number)) = (&permit.target, &permit.purpose)
             && let Some(rollout) = self.rollout.as_mut().filter(|rollout| rollout.number == *number)
         {
             rollout.record_step_begun(name);
--- a/crates/coordination/src/replicated_state/tests.rs
+++ b/crates/coordination/src/replicated_state/tests.rs
@@ -58,7 +58,7 @@
         reserve(&mut state, 24, Target::Zone(name("z2"))),
         CommandOutcome::Denied(DenialReason::Fleet { .. })
     ));
-    let replica = |n: &str| Target::Service { group: name("ledger"), member: name(n) };
+    let replica = |n: &str| Target::Service { service: name("ledger"), member: name(n) };
     assert_eq!(
         reserve(&mut state, 25, replica("a")),
         CommandOutcome::Permit { epoch: 25, stage: PermitStage::Reserved }
--- a/crates/coordination/src/rollout/tests.rs
+++ b/crates/coordination/src/rollout/tests.rs
@@ -48,7 +48,7 @@
 }
 
 fn change(state: &mut ReplicatedState, index: u64, command: RolloutCommand) -> CommandOutcome {
-    state.apply(index, Command::Release(command))
+    state.apply(index, Command::Rollout(command))
 }
 
 fn record_progress(
@@ -154,13 +154,13 @@
         target: Target::Server(name(server)),
         holder: name(server),
         incarnation: 1,
-        purpose: Purpose::Release(20),
+        purpose: Purpose::Rollout(20),
     };
     assert!(matches!(state.apply(21, reserve("n0")), CommandOutcome::Permit { epoch: 21, .. }));
     halt(&mut state, 22);
-    assert!(matches!(state.apply(23, reserve("n1")), CommandOutcome::Denied(DenialReason::Release(_))));
+    assert!(matches!(state.apply(23, reserve("n1")), CommandOutcome::Denied(DenialReason::Rollout(_))));
     let begin = Command::Begin { epoch: 21, holder: name("n0"), incarnation: 1 };
-    assert!(matches!(state.apply(24, begin), CommandOutcome::Denied(DenialReason::Release(_))));
+    assert!(matches!(state.apply(24, begin), CommandOutcome::Denied(DenialReason::Rollout(_))));
     // A drain by hand has nothing to do with it, and draws on the same permits.
     let drain = |server: &str| Command::Reserve {
         target: Target::Server(name(server)),
--- a/crates/coordination/tests/golden/values.rs
+++ b/crates/coordination/tests/golden/values.rs
@@ -12,11 +12,11 @@
     ServerReport, StepAssignment,
 };
 use gradepin_coordination::proposal_client::VoterReply;
+use gradepin_coordination::regression::ServiceTotal;
 use gradepin_coordination::replicated_state::{
     Command, DenialReason, Limits, Member, Name, OperatorAction, Permit, PermitEnd, PermitStage, Purpose,
     ReplicatedState, Target,
 };
-use gradepin_coordination::rollback::ServiceTotal;
 use gradepin_coordination::rollout::{
     Batch, ReleaseKind, Rollout, RolloutCommand, RolloutPlan, RolloutServer, RolloutState, ServerProgress,
 };
@@ -141,7 +141,7 @@
     vec![
         ("server", Target::Server(name("n1"))),
         ("zone", Target::Zone(name("z1"))),
-        ("service", Target::Service { group: name("ledger"), member: name("m1") }),
+        ("service", Target::Service { service: name("ledger"), member: name("m1") }),
     ]
 }
 
@@ -175,14 +175,14 @@
         ("enrol", Command::AddServer { name: n1.clone(), zone: z1.clone() }),
         ("strike", Command::RemoveServer { name: n1.clone(), operator: by.clone(), reason: why.clone() }),
         ("reserve a server to drain", reserve(Target::Server(n1.clone()), Purpose::Drain)),
-        ("reserve a zone for a release", reserve(Target::Zone(z1), Purpose::Release(300))),
+        ("reserve a zone for a release", reserve(Target::Zone(z1), Purpose::Rollout(300))),
         ("reserve a member of a service", reserve(service, Purpose::Drain)),
         ("begin", Command::Begin { epoch: 300, holder: n1, incarnation: 70_000 }),
         ("end by steadiness", Command::End { epoch: 300, observed: PermitEnd::Stable(2) }),
         ("end by word", Command::End { epoch: 300, observed: PermitEnd::HolderCancelled(70_000) }),
         ("free", Command::ReleasePermit { epoch: 300, operator: by, reason: why }),
         ("gone", Command::PermitExpired { epoch: 300 }),
-        ("release", Command::Release(RolloutCommand::Finish { number: 300 })),
+        ("release", Command::Rollout(RolloutCommand::Finish { number: 300 })),
         ("configuration", configuration_command(2)),
     ]
 }
@@ -229,7 +229,7 @@
         roster: [(name("n1"), Member { zone: name("z1") }), (name("n2"), Member { zone: name("z2") })].into(),
         permits: [
             (3, permit(server, Purpose::Drain, PermitStage::Reserved, 0)),
-            (4, permit(zone, Purpose::Release(300), PermitStage::Begun, 1)),
+            (4, permit(zone, Purpose::Rollout(300), PermitStage::Begun, 1)),
             (5, permit(service, Purpose::Drain, PermitStage::Released, 2)),
         ]
         .into(),
@@ -248,11 +248,11 @@
         ("fleet", DenialReason::Fleet { out: 3, max: 2, who: "n1".into() }),
         ("zone", DenialReason::Zone { zone: name("z1"), out: 3, max: 2, who: "n1".into() }),
         ("zones", DenialReason::Zones { out: 3, max: 2 }),
-        ("service", DenialReason::Service { group: name("ledger"), out: 3, max: 2 }),
+        ("service", DenialReason::Service { service: name("ledger"), out: 3, max: 2 }),
         ("unknown", DenialReason::Unknown("n9".into())),
         ("stale", DenialReason::Stale(300)),
         ("other", DenialReason::OtherHolder { epoch: 300, holder: name("n1") }),
-        ("release", DenialReason::Release("halted".into())),
+        ("release", DenialReason::Rollout("halted".into())),
         ("sense", DenialReason::Invalid("no".into())),
     ]
 }
--- a/crates/coordination/tests/golden_bytes.rs
+++ b/crates/coordination/tests/golden_bytes.rs
@@ -15,7 +15,7 @@
 #[test]
 fn encodes_every_log_command_as_golden_bytes() {
     assert_golden_values(golden_file!("commands.txt"), &values::commands());
-    let orders = values::release_orders().into_iter().map(|(label, order)| (label, Command::Release(order)));
+    let orders = values::release_orders().into_iter().map(|(label, order)| (label, Command::Rollout(order)));
     assert_golden_values(golden_file!("release-commands.txt"), &orders.collect::<Vec<_>>());
 }
 
@@ -143,7 +143,7 @@
     let enrol = |server: &str| Command::AddServer { name: name(server), zone: name("z1") };
     let commands = values::commands().into_iter().map(|(_, command)| command);
     let more = [enrol("n1"), enrol("n2"), values::configuration_command(1), values::configuration_command(2)];
-    let releases = values::release_orders().into_iter().map(|(_, order)| Command::Release(order));
+    let releases = values::release_orders().into_iter().map(|(_, order)| Command::Rollout(order));
     for (number, command) in (1..).zip(commands.chain(more).chain(releases)) {
         voter.consensus.propose(number, command).expect("it leads");
         voter.until(|voter| voter.applied.contains(&number));
--- a/crates/core/src/reducer/agreements.rs
+++ b/crates/core/src/reducer/agreements.rs
@@ -12,7 +12,7 @@
 use gradepin_cluster::counters::CellId;
 use gradepin_coordination::consensus::VoterState;
 use gradepin_coordination::messages::{CommandFailure, FailedStep, ServerReport, StepAssignment};
-use gradepin_coordination::rollback::ServiceTotal;
+use gradepin_coordination::regression::ServiceTotal;
 use gradepin_coordination::rollout::ReleaseKind;
 use gradepin_coordination::server_agent::{AgentEffect, ServerAgent};
 use slog::Level;
--- a/crates/gradepin/src/fleet.rs
+++ b/crates/gradepin/src/fleet.rs
@@ -126,7 +126,7 @@
             Self::Zone { name } => Ok(Target::Zone(Arc::from(name.as_str()))),
             Self::Service { name } => {
                 let (group, member) = name.split_once('/').ok_or("expected GROUP/MEMBER, as in ledger/a")?;
-                Ok(Target::Service { group: Arc::from(group), member: Arc::from(member) })
+                Ok(Target::Service { service: Arc::from(group), member: Arc::from(member) })
             }
         }
     }
--- a/crates/node/src/admin/agreements.rs
+++ b/crates/node/src/admin/agreements.rs
@@ -103,7 +103,7 @@
 fn permit_json(epoch: u64, permit: &Permit) -> Value {
     let purpose = match permit.purpose {
         Purpose::Drain => "drain".to_string(),
-        Purpose::Release(number) => format!("release {number}"),
+        Purpose::Rollout(number) => format!("release {number}"),
     };
     json!({
         "epoch": epoch,
--- a/crates/node/src/admin/agreements/tests.rs
+++ b/crates/node/src/admin/agreements/tests.rs
@@ -32,7 +32,7 @@
         begin_grants: 1,
         incarnation: 70_000,
     };
-    let service = Target::Service { group: name("ledger"), member: name("m1") };
+    let service = Target::Service { service: name("ledger"), member: name("m1") };
     let plan = RolloutPlan {
         name: "r-1".into(),
         kind: ReleaseKind::Program,
@@ -59,7 +59,7 @@
         roster: (0..8).map(member).collect(),
         permits: [
             (3, permit(Target::Server(name("n1")), Purpose::Drain, PermitStage::Reserved)),
-            (4, permit(Target::Zone(name("z1")), Purpose::Release(300), PermitStage::Begun)),
+            (4, permit(Target::Zone(name("z1")), Purpose::Rollout(300), PermitStage::Begun)),
             (5, permit(service, Purpose::Drain, PermitStage::Released)),
         ]
         .into(),
--- a/crates/node/tests/golden_edges/admin.rs
+++ b/crates/node/tests/golden_edges/admin.rs
@@ -139,10 +139,10 @@
         begin_grants: 1,
         incarnation: 2,
     };
-    let service = Target::Service { group: name("ledger"), member: name("l2") };
+    let service = Target::Service { service: name("ledger"), member: name("l2") };
     let permits = [
         (71, permit(Target::Server(name("n1")), Purpose::Drain, PermitStage::Reserved)),
-        (72, permit(Target::Zone(name("z2")), Purpose::Release(61), PermitStage::Begun)),
+        (72, permit(Target::Zone(name("z2")), Purpose::Rollout(61), PermitStage::Begun)),
         (73, permit(service, Purpose::Drain, PermitStage::Released)),
     ];
     let act = |index| OperatorAction {
