--- a/crates/coordination/src/configuration_log.rs
+++ b/crates/coordination/src/configuration_log.rs
@@ -1,9 +1,9 @@
 //! The replicated order of configuration changes: the revision, request id, author and reason of each commit.
 //!
-//! The order is replicated and not the content: a leader validates a transaction against the content of a revision, and its
-//! entry names that revision and the digests before and after. So applying an entry costs the size of its texts, needs no
-//! content and has the same result on every voter. Invariant: revisions have no gaps, and one request id gets one revision for
-//! as long as it is remembered.
+//! Only the order is replicated, not the content: a leader validates a transaction against the content of a revision, and its
+//! log entry names that revision and the digests before and after. Applying an entry therefore costs only the size of its
+//! texts, needs no content and has the same result on every voter. Invariants: revisions have no gaps, and a request id has one
+//! revision for as long as it is remembered.
 
 use crate::ids::Name;
 use gradepin_config::change::{Commit, MAX_TEXT_BYTES, Proposal, Revision};
@@ -13,19 +13,20 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Commits remembered at most, whatever the setting: they are in the group's snapshot with the roster.
+/// Upper bound of [`ConfigurationSettings::history`]: the history is part of the group's snapshots.
 pub const MAX_HISTORY: u32 = 1_024;
-/// Bytes of texts remembered at most. With a roster of 4,096 a snapshot fits into the longest message between servers.
+/// Maximum bytes of remembered texts. With a roster of 4,096 servers a snapshot then fits into the longest message between
+/// servers.
 pub const MAX_HISTORY_BYTES: usize = 48 * 1024;
-/// The longest entry that a setting may allow; one entry and the next fit into what may wait to be committed.
+/// Upper bound of [`ConfigurationSettings::entry_bytes`]: two such entries fit into the bound on uncommitted bytes.
 pub const MAX_ENTRY_BYTES: u32 = 32 * 1024;
 
-/// What an operator sets for configuration changes.
+/// Settings for configuration changes, from the operator's settings file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConfigurationSettings {
-    /// Commits whose author, reason and request id are remembered; at most [`MAX_HISTORY`].
+    /// Number of commits whose author, reason and request id are remembered; at most [`MAX_HISTORY`].
     pub history: u32,
-    /// The longest transaction, in bytes of its entry; at most [`MAX_ENTRY_BYTES`].
+    /// Maximum encoded length of a commit, in bytes; at most [`MAX_ENTRY_BYTES`].
     pub entry_bytes: u32,
 }
 
@@ -35,75 +36,77 @@
     }
 }
 
-/// A proposal on its way from the server that accepted it to the leader.
+/// A request for a change, sent from the server that accepted it to the leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationRequest {
-    /// The change.
+    /// The proposed change.
     pub proposal: Proposal,
-    /// The newest revision known where it was first requested, the same on retries: a request is rejected if its id may have been
-    /// committed since and forgotten, instead of being committed twice.
+    /// Newest revision known where the change was first requested; the same on retries. A request whose id may have been
+    /// committed since and forgotten is rejected, rather than committed twice.
     pub seen: Revision,
-    /// Unix time in ms at which it was first requested.
+    /// Unix time of the first request, in ms.
     #[serde(rename = "asked_at_ms")]
     pub requested_at_ms: u64,
 }
 
-/// Why a change isn't committed. Nothing was changed, unless said otherwise.
+/// Reason for not committing a change. Nothing was changed, except possibly with [`ConfigurationRejected::Unconfirmed`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum ConfigurationRejected {
-    /// The author saw another revision than the one in force.
+    /// The author expected another revision than the one in force.
     #[error("expected revision {expected} in force, got {in_force}")]
     Moved {
-        /// What the author saw.
+        /// Revision that the author expected.
         expected: Revision,
-        /// What is in force.
+        /// Revision in force.
         in_force: Revision,
     },
-    /// The transaction is not valid.
+    /// The transaction is invalid.
     #[error(transparent)]
     Invalid(#[from] Invalid),
-    /// The transaction is too long for one entry.
+    /// The commit is too long for one log entry.
     #[error("expected a transaction of at most {limit} bytes, got {got}; split it")]
     TooLong {
-        /// The setting.
+        /// Maximum length in bytes, from the settings.
         limit: u32,
-        /// Its length in bytes.
+        /// Encoded length of the commit, in bytes.
         #[serde(rename = "came")]
         got: usize,
     },
-    /// The request is older than what is remembered, so that it may be committed already.
+    /// The request is older than the remembered history, so it may have been committed already.
     #[error(
-        "first asked for at revision {seen}, request ids are known since {known_since}; see the history, then ask anew"
+        "first requested at revision {seen}, but request ids are remembered only since {known_since}; check the history, then submit a new request"
     )]
     Forgotten {
-        /// The newest revision known where it was first requested.
+        /// Newest revision known where the change was first requested.
         seen: Revision,
         /// Request ids committed after this revision are remembered.
         known_since: Revision,
     },
-    /// The leader doesn't have the content of the last revision yet.
+    /// The leader doesn't have the content of the last committed revision yet.
     #[error(
-        "the leader has the configuration of revision {has:?} and {committed} is committed; ask again once it has caught up"
+        "the leader has the configuration of revision {has:?}, but {committed} is committed; retry once it has caught up"
     )]
     Behind {
-        /// The revision that it has.
+        /// Revision that the leader has, if any.
         has: Option<Revision>,
-        /// The revision that is committed.
+        /// Last committed revision.
         committed: Revision,
     },
-    /// Too many changes aren't committed yet.
-    #[error("too many changes wait to be committed; ask again")]
+    /// Too many changes are in flight.
+    #[error("too many uncommitted changes; retry later")]
     Busy,
-    /// No voter that replied knows a leader.
-    #[error("no leader is heard; nothing can be changed from here, serving goes on")]
+    /// Voters replied, but none knows a leader.
+    #[error("no leader is known; no change can be committed from here, serving continues")]
     NoLeader,
     /// No voter replied.
-    #[error("no voter is heard; nothing can be changed from here, serving goes on")]
+    #[error("no voter replied; no change can be committed from here, serving continues")]
     NoVoter,
-    /// A leader proposed it and too few voters acknowledged it in time. It may still be committed.
-    #[error("too few voters are heard to commit it; it may still be: ask again with the same request id")]
+    /// A leader proposed the change, but too few voters acknowledged it in time. It may still be committed.
+    #[error(
+        "too few voters acknowledged the change in time; it may still be committed: retry with the same request id"
+    )]
     Unconfirmed,
-    /// The configuration service is off here.
+    /// The configuration service is off at the voter or server that was asked.
     #[error("the configuration service is off")]
     Off,
 }
@@ -118,33 +121,33 @@
     }
 }
 
-/// One change as an entry of the group's log.
+/// A change as an entry of the group's log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationEntry {
-    /// The content that the leader validated it against.
+    /// Revision and digest of the content that the leader validated the change against.
     pub base: Version,
-    /// The content after it.
+    /// Revision and digest of the content after the change.
     pub result: Version,
-    /// See [`ConfigurationRequest::seen`].
+    /// Newest revision known where the change was first requested, as in [`ConfigurationRequest::seen`].
     pub seen: Revision,
-    /// Commits to remember from here on: the leader's setting, so that all voters remember the same.
+    /// Number of commits to remember from here on. In the entry, so that all voters use the leader's setting.
     pub history: u32,
-    /// The commit.
+    /// The committed change.
     pub commit: Arc<Commit>,
 }
 
-/// A commit without its content.
+/// A remembered commit, without its transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommitHistoryEntry {
-    /// Its revision.
+    /// Revision that the commit created.
     pub revision: Revision,
-    /// The id of its request.
+    /// Id of the request; a retry with the same id gets the same revision.
     pub request_id: Name,
-    /// Its author.
+    /// Author of the change, as the request names them.
     pub author: Name,
-    /// Its reason.
+    /// Reason for the change, as the request gives it.
     pub reason: Name,
-    /// Unix time in ms at which it was requested.
+    /// Unix time of the request, in ms.
     #[serde(rename = "asked_at_ms")]
     pub requested_at_ms: u64,
 }
@@ -165,38 +168,38 @@
     }
 }
 
-/// The order of changes, the same on all voters.
+/// The replicated order of changes, the same on all voters.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicatedConfiguration {
     version: Version,
-    /// The newest commit that is no longer remembered; 0 if all are.
+    /// Newest revision that is no longer remembered; 0 if all are remembered.
     forgotten: Revision,
     history: VecDeque<CommitHistoryEntry>,
     history_bytes: usize,
 }
 
 impl ReplicatedConfiguration {
-    /// The last committed revision and the digest of its content. Before the first commit the digest is unset.
+    /// Returns the last committed revision and the digest of its content; before the first commit the digest is unset.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// The commits that are remembered, the newest first.
+    /// Returns the remembered commits, newest first.
     pub fn history(&self) -> impl Iterator<Item = &CommitHistoryEntry> {
         self.history.iter().rev()
     }
 
-    /// Request ids committed after this revision are remembered.
+    /// Revision after which all committed request ids are remembered.
     pub fn known_since(&self) -> Revision {
         self.forgotten
     }
 
-    /// The revision of a request id.
+    /// Returns the revision that a request id was committed as, if it is remembered.
     pub fn revision_of(&self, request_id: &str) -> Option<Revision> {
         self.history().find(|entry| &*entry.request_id == request_id).map(|entry| entry.revision)
     }
 
-    /// Rejects a request so old that its id may be forgotten.
+    /// Rejects a request that is so old that its id may have been committed and forgotten.
     pub fn check_seen(&self, seen: Revision) -> Result<(), ConfigurationRejected> {
         if seen < self.forgotten {
             return Err(ConfigurationRejected::Forgotten { seen, known_since: self.forgotten });
@@ -204,14 +207,15 @@
         Ok(())
     }
 
-    /// Applies an entry; the revision of its request id, which is a new one if the entry follows the last commit.
+    /// Applies an entry and returns the revision of its request id: a new revision, or the earlier one if the id is remembered.
     pub fn apply(&mut self, entry: &ConfigurationEntry) -> Result<Revision, ConfigurationRejected> {
         let commit = &entry.commit;
         if let Some(revision) = self.revision_of(&commit.request_id) {
             return Ok(revision);
         }
         self.check_seen(entry.seen)?;
-        // The content before the first commit is each server's start file, whose digest no entry names.
+        // Before the first commit the content is each server's start file; its digest isn't replicated, so it can't be
+        // compared.
         let is_first = self.version.revision == Revision(0);
         let follows =
             entry.base.revision == self.version.revision && (is_first || entry.base == self.version);
--- a/crates/coordination/src/consensus.rs
+++ b/crates/coordination/src/consensus.rs
@@ -1,13 +1,15 @@
-//! One voter of the consensus group: the `raft` library's state machine, what must be durable before a message leaves, and
+//! One voter of the consensus group: wraps the state machine of the `raft` library, orders writes and messages, and restricts
 //! when the voter may vote.
 //!
-//! Input: messages of voters, proposals, completed writes and time. Output: [`VoterEffect`]s, to be executed in order: nothing
-//! behind a [`VoterEffect::Write`] depends on it; messages that do are held until [`ConsensusVoter::write_completed`].
-//! Invariants: a vote, a term or an entry is durable before a message that promises it leaves; a voter whose disk may be an old
-//! copy gives no vote that it may have given before.
+//! Input: messages of voters, proposals, completed writes and time. Output: [`VoterEffect`]s, to be executed in order. Effects
+//! that follow a [`VoterEffect::Write`] don't depend on its durability; messages that do are held until
+//! [`ConsensusVoter::write_completed`].
 //!
-//! A voter is a disk: its identity is created with the directory of its files. Not here: what the group agrees on
-//! ([`crate::replicated_state`]), and the files (`gradepin-store`).
+//! Invariants: a vote, a term or an entry is durable before a message that promises it is sent; a voter whose disk may be an
+//! old copy doesn't vote in a way that could contradict a forgotten vote or entry.
+//!
+//! The identity of a voter belongs to its disk: it is created with the directory of its files. The replicated state is in
+//! [`crate::replicated_state`], the files are in `gradepin-store`.
 
 mod configuration;
 mod durable;
@@ -21,7 +23,7 @@
 
 pub use configuration::{ProposalAccepted, ProposalRejected};
 pub use durable::{DurableRecord, ExclusionReason, VoterState};
-pub use membership::founding;
+pub use membership::founding_records;
 pub use proposals::ProposalError;
 pub use vote_safety::VOTE_DELAY_AFTER_START;
 
@@ -43,87 +45,88 @@
 use vote_safety::VoteTrust;
 
 const NANOS_PER_MS: u64 = 1_000_000;
-/// The library's unit of time.
+/// Duration of one tick, the library's unit of time.
 pub const RAFT_TICK: Span = Span(100 * NANOS_PER_MS);
-/// A leader from which nothing is received for 1 to 2 s is replaced; it sends three heartbeats in one.
+/// Minimum ticks without a message of the leader before an election; the timeout drawn is 1 to 2 times this, so 1 to 2 s.
 const ELECTION_TICKS: usize = 10;
+/// Ticks between heartbeats of the leader: three in one minimum election timeout, so the loss of one causes no election.
 const HEARTBEAT_TICKS: usize = 3;
-/// Ticks made up for after the process was stopped.
+/// Maximum missed ticks that are caught up after the process was suspended.
 const MAX_LATE_TICKS: u64 = 5;
-/// The identity that the library uses for no voter.
+/// The identity that means no voter to the library.
 const NO_VOTER: VoterId = raft::INVALID_ID;
 
-/// What a voter wants done.
+/// An effect that the host executes for a voter.
 #[derive(Debug, Clone, PartialEq)]
 pub enum VoterEffect {
-    /// Send a message to a voter; it may be lost.
+    /// Send a message to another voter; it may be lost.
     Send {
-        /// The voter.
+        /// Identity of the receiver.
         to: VoterId,
-        /// The encoded message.
+        /// Encoded message.
         message: Vec<u8>,
     },
     /// Make records durable in this order, then call [`ConsensusVoter::write_completed`] with the number.
     Write {
-        /// Greater with each write; 0 for the founding.
+        /// Number of the write; increases with each write, 0 for the founding.
         number: u64,
-        /// The records.
+        /// Records in order.
         records: Vec<DurableRecord>,
     },
-    /// A command was applied.
+    /// A command was applied to the replicated state.
     Applied {
-        /// The index of its entry.
+        /// Index of the command's log entry.
         index: LogIndex,
-        /// The voter that proposed it.
+        /// Voter that proposed the command.
         proposer: VoterId,
-        /// The proposer's number of it.
+        /// Number that the proposer gave the proposal.
         number: Ticket,
-        /// Its outcome.
+        /// Outcome of the command.
         outcome: CommandOutcome,
     },
-    /// A change of the configuration is committed. In the order of revisions; some are repeated after a disk failure.
+    /// A configuration change is committed. Reported in the order of revisions; some are repeated after a disk failure.
     Committed(Arc<Commit>),
     /// Make the configuration durable at this revision or a later one, then call
-    /// [`ConsensusVoter::configuration_durable`]; the log isn't compacted before.
+    /// [`ConsensusVoter::configuration_durable`]. The log isn't compacted before, up to a maximum length.
     MakeDurable(Revision),
     /// Write a line to the log.
     Log {
-        /// Its level.
+        /// Level of the line.
         level: Level,
-        /// Its text.
+        /// Text of the line.
         text: String,
     },
 }
 
-/// One voter.
+/// One voter of the consensus group, or a server that may become one.
 pub struct ConsensusVoter {
     id: VoterId,
-    /// None before the group is founded here, and once the voter is excluded.
+    /// The library's state machine; none before the group is founded here, and once the voter is excluded.
     node: Option<RawNode<RaftLog>>,
     state: ReplicatedState,
-    /// The configuration's content, as far as it is here.
+    /// The voter's copy of the configuration content, if it has one.
     content: Content,
-    /// Ticks since a snapshot was sent that isn't acknowledged, by voter.
+    /// Ticks since the last unacknowledged snapshot was sent, by voter.
     snapshots_sent: BTreeMap<VoterId, u32>,
-    /// Messages that wait for a write, in order.
+    /// Messages that are held until their writes are durable, in order.
     pending: VecDeque<PendingReady>,
-    /// Records that needn't be durable at once: they go with the next write.
+    /// Records that needn't be durable at once and are written with the next write.
     deferred_records: Vec<DurableRecord>,
     /// Whether the voters changed since the last snapshot.
     membership_changed: bool,
     trust: VoteTrust,
-    /// Why it takes no part any more: it lacks what it once acknowledged.
+    /// Why the voter is excluded: its disk lacks state that it acknowledged, or is unreadable.
     excluded: Option<ExclusionReason>,
     last_heartbeat_at: Option<Time>,
     next_tick: Time,
-    /// The election timeout that was drawn last, in ticks.
+    /// Election timeout that was drawn last, in ticks.
     election_timeout: usize,
     rng: Pcg64Mcg,
     effects: Vec<VoterEffect>,
 }
 
 impl ConsensusVoter {
-    /// A voter, or a server that may become one, with what its disk holds.
+    /// Creates a voter, or a server that may become one, from the state on its disk. `seed` determines its election timeouts.
     pub fn new(stored: VoterState, seed: u64, now: Time) -> Self {
         let mut voter = Self {
             id: stored.id,
@@ -149,43 +152,43 @@
         voter
     }
 
-    /// This voter's identity.
+    /// Identity of this voter, which belongs to its disk.
     pub fn id(&self) -> VoterId {
         self.id
     }
 
-    /// The replicated state, as far as it is known here.
+    /// The replicated state as of the last entry applied here.
     pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
-    /// Whether this voter belongs to a group.
+    /// Whether this voter belongs to a group and isn't excluded.
     pub fn is_founded(&self) -> bool {
         self.node.is_some()
     }
 
-    /// Why this voter takes no part any more.
+    /// Why this voter is excluded from the group, if it is.
     pub fn excluded(&self) -> Option<&ExclusionReason> {
         self.excluded.as_ref()
     }
 
-    /// Whether it restricts its votes because its disk may be an old copy.
+    /// Whether this voter restricts its votes because its disk may be an old copy.
     pub fn restricts_votes(&self) -> bool {
         self.trust != VoteTrust::Full
     }
 
-    /// The leader's term, if this voter leads.
+    /// The current term, if this voter leads.
     pub fn leader_term(&self) -> Option<Term> {
         let node = self.node.as_ref()?;
         (node.raft.state == StateRole::Leader).then_some(node.raft.term)
     }
 
-    /// The leader, as far as it is known here.
+    /// The leader, if one is known here.
     pub fn leader(&self) -> Option<VoterId> {
         self.node.as_ref().map(|node| node.raft.leader_id).filter(|id| *id != NO_VOTER)
     }
 
-    /// How long ago the leader sent a heartbeat; zero on the leader itself.
+    /// Time since the last heartbeat of a leader arrived; zero on the leader itself, none if none arrived yet.
     pub fn leader_heartbeat_age(&self, now: Time) -> Option<Span> {
         if self.leader_term().is_some() {
             return Some(Span(0));
@@ -197,13 +200,13 @@
         self.state.voters.keys().copied().filter(|id| *id != self.id).collect()
     }
 
-    /// Advances time, and appends what is to be done.
+    /// Advances time, and appends the effects to execute.
     pub fn step(&mut self, now: Time, effects: &mut Vec<VoterEffect>) {
         self.update_trust(now);
         let late_ticks = now.0.saturating_sub(self.next_tick.0) / RAFT_TICK.0;
         if now >= self.next_tick {
             self.next_tick = time_after(now, RAFT_TICK);
-            // A process that was stopped must not conclude that all others are silent.
+            // A process that was suspended must not conclude that all other voters are silent.
             for _ in 0..=late_ticks.min(MAX_LATE_TICKS) {
                 self.tick();
             }
@@ -214,21 +217,22 @@
         effects.append(&mut self.effects);
     }
 
-    /// When [`ConsensusVoter::step`] must be called again.
+    /// Time at which [`ConsensusVoter::step`] must be called again.
     pub fn wake_at(&self) -> Time {
         if self.node.is_some() { self.next_tick } else { Time(u64::MAX) }
     }
 
     fn tick(&mut self) {
         let may_campaign = self.trust.allows_vote_for(self.log_end().unwrap_or_default());
-        // A leader's time always passes, so that it steps down; that of others only where they may ask for votes.
+        // A leader always ticks, so that it steps down without a quorum. Others tick only if they may campaign.
         let node = self.node.as_mut();
         if let Some(node) = node.filter(|node| may_campaign || node.raft.state == StateRole::Leader) {
             node.tick();
         }
     }
 
-    /// Draws the election timeout: the library draws from the thread's generator, here a seed gives the same run again.
+    /// Replaces the election timeout that the library drew from the thread's generator by one from this voter's seeded
+    /// generator, so that runs are reproducible.
     fn draw_election_timeout(&mut self) {
         let Some(node) = &mut self.node else { return };
         if node.raft.randomized_election_timeout() != self.election_timeout {
--- a/crates/coordination/src/consensus/configuration.rs
+++ b/crates/coordination/src/consensus/configuration.rs
@@ -1,9 +1,9 @@
 //! Configuration changes on a voter: the leader validates a request against the content and proposes it; every voter applies
-//! what is committed to its copy of the content.
+//! committed changes to its copy of the content.
 //!
-//! The content isn't in the log's snapshots: it comes from the voter's own durable copy, which the host makes when asked before
-//! the log is compacted, or from peers. Invariant: a leader proposes only against the content of the last committed revision
-//! with all that it has proposed in its term on top; a voter without that content rejects requests.
+//! Snapshots of the log don't contain the content. It comes from peers or from the voter's own durable copy, which the host
+//! writes on request before the log is compacted. Invariant: a leader validates a request against the content of the last
+//! committed revision plus its own uncommitted proposals of the term; a voter without that content rejects requests.
 
 use super::{ConsensusVoter, NO_VOTER, StateRole, VoterEffect, VoterId};
 use crate::configuration_log::{
@@ -19,56 +19,56 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The number of these proposals: their outcome is matched by request id.
+/// Proposal number of all configuration changes: their outcomes are matched by request id instead.
 const UNNUMBERED: Ticket = 0;
 
-/// What a voter does with a request that it accepts.
+/// Status of a request that a voter accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProposalAccepted {
-    /// It is committed already.
+    /// The request is already committed as this revision.
     Committed(Revision),
-    /// It is proposed, and has this revision if it is committed.
+    /// The request is proposed, and gets this revision if it is committed.
     Proposed(Revision),
 }
 
-/// Why a voter rejects a request.
+/// Reason for rejecting a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProposalRejected {
-    /// Another voter leads, or none that is known here.
+    /// This voter doesn't lead, or hasn't applied an entry of its term yet; names the leader if another one is known.
     NotLeader(Option<VoterId>),
-    /// The change is rejected.
+    /// The leader rejected the change.
     Rejected(ConfigurationRejected),
 }
 
-/// The content with what a leader has proposed in its term and isn't committed yet.
+/// The content with a leader's uncommitted proposals of its term applied.
 #[derive(Debug)]
 struct ProposedContent {
     term: Term,
     content: Configuration,
-    /// The revisions of uncommitted proposals, by request id.
+    /// Revisions of the uncommitted proposals, by request id.
     revisions: BTreeMap<Name, Revision>,
 }
 
-/// A committed change couldn't be applied: this voter's copy of the content isn't the group's.
+/// A committed change couldn't be applied because this voter's copy of the content differs from the group's.
 #[derive(Debug, thiserror::Error)]
 #[error(
-    "the configuration here at revision {revision} is not the group's; it is left out until it was fetched from peers"
+    "the local configuration at revision {revision} differs from the council's; dropped until it is fetched from a peer"
 )]
 struct ContentDiverged {
     revision: Revision,
 }
 
-/// A voter's copy of the content.
+/// A voter's copy of the configuration content.
 #[derive(Debug)]
 pub(super) struct Content {
     settings: ConfigurationSettings,
     current: Option<Configuration>,
-    /// Commits applied by this process, which bring a copy up to date that the host provides late.
+    /// Commits applied by this process; they bring an older copy that the host provides up to date.
     recent: CommitLog,
     proposed: Option<ProposedContent>,
-    /// The revision of the host's durable copy.
+    /// Revision of the host's durable copy.
     durable: Revision,
-    /// The last revision that the host was asked to make durable.
+    /// Last revision that the host was asked to make durable.
     requested_durable: Revision,
 }
 
@@ -90,13 +90,13 @@
         self.current.as_ref().map(Configuration::revision)
     }
 
-    /// The replicated state was loaded from a snapshot: commits before it aren't known here.
+    /// Restarts after the replicated state was loaded from a snapshot, whose commits aren't known here.
     pub(super) fn restart(&mut self, committed: Version) {
         self.recent.restart(committed.revision);
         self.proposed = None;
     }
 
-    /// Applies a commit. A copy that turns out to differ from the group's content is dropped.
+    /// Applies a commit, and drops the copy if it turns out to differ from the group's content.
     fn apply(&mut self, entry: &ConfigurationEntry) -> Result<(), ContentDiverged> {
         let commit = &entry.commit;
         if self.recent.push(Arc::clone(commit)).is_err() {
@@ -112,7 +112,7 @@
         Err(ContentDiverged { revision: entry.base.revision })
     }
 
-    /// Takes a copy of the content from the host, unless it is older than what is here or isn't the group's.
+    /// Adopts a copy from the host, unless it isn't newer than the present one or its digest differs from the committed one.
     fn offer(&mut self, configuration: &Configuration, committed: Version) {
         if self.revision().is_some_and(|revision| revision >= configuration.revision()) {
             return;
@@ -136,7 +136,7 @@
     fn forget_proposal(&mut self, request_id: &Name) {
         let Some(proposed) = &mut self.proposed else { return };
         proposed.revisions.remove(request_id);
-        // Without uncommitted proposals the current content is what to validate against again.
+        // Without uncommitted proposals, requests are validated against the current content again.
         if proposed.revisions.is_empty() {
             self.proposed = None;
         }
@@ -144,28 +144,29 @@
 }
 
 impl ConsensusVoter {
-    /// Sets how this voter commits changes when it leads.
+    /// Sets the limits on changes that apply while this voter leads.
     pub fn set_configuration(&mut self, mut settings: ConfigurationSettings) {
         settings.entry_bytes = settings.entry_bytes.min(MAX_ENTRY_BYTES);
         self.content.settings = settings;
     }
 
-    /// The host provides the content: its durable copy, its start file or its peers'.
+    /// Offers content from the host: its durable copy, its start file or a copy of a peer.
     pub fn offer_configuration(&mut self, configuration: &Configuration) {
         self.content.offer(configuration, self.state.configuration.version());
     }
 
-    /// This voter's copy of the content; a clone of it shares its entries.
+    /// This voter's copy of the content, if it has one. Clones share their entries, so they are cheap.
     pub fn configuration(&self) -> Option<&Configuration> {
         self.content.current.as_ref()
     }
 
-    /// The host's durable copy has this revision.
+    /// Records that the host's durable copy has this revision.
     pub fn configuration_durable(&mut self, revision: Revision) {
         self.content.durable = revision.max(self.content.durable);
     }
 
-    /// Whether the log may be compacted now; if not, the host is asked for a durable copy.
+    /// Whether the configuration is durable, so the log may be compacted. If it isn't, asks the host once per revision to make
+    /// it so.
     pub(super) fn may_compact(&mut self) -> bool {
         let committed = self.state.configuration.version().revision;
         if self.content.durable >= committed {
@@ -178,7 +179,7 @@
         false
     }
 
-    /// Requests a change: a leader validates and proposes it, and [`VoterEffect::Committed`] reports its commit.
+    /// Requests a change. A leader validates and proposes it; [`VoterEffect::Committed`] reports its commit.
     pub fn propose_configuration(
         &mut self,
         request: &ConfigurationRequest,
@@ -198,7 +199,8 @@
         self.validate_and_propose(request).map_err(ProposalRejected::Rejected)
     }
 
-    /// The term, if this voter leads and has applied an entry of it: only then does it know all that was committed before.
+    /// Returns the term if this voter leads and has applied an entry of the term. Before that, it may not know all committed
+    /// entries.
     fn current_leader_term(&self) -> Result<Term, ProposalRejected> {
         let Some(node) = &self.node else { return Err(ProposalRejected::NotLeader(None)) };
         if node.raft.state != StateRole::Leader {
@@ -247,7 +249,7 @@
         Ok(ProposalAccepted::Proposed(revision))
     }
 
-    /// An entry was applied and gave a new revision.
+    /// Handles an applied entry that created a new revision.
     pub(super) fn configuration_committed(&mut self, entry: &ConfigurationEntry) {
         if let Err(diverged) = self.content.apply(entry) {
             self.log(Level::Warning, diverged.to_string());
--- a/crates/coordination/src/consensus/durable.rs
+++ b/crates/coordination/src/consensus/durable.rs
@@ -1,8 +1,9 @@
-//! Durable records and their order, like the library's `Ready`: what must be durable before a message leaves.
+//! Durable records of a voter, and the processing of the library's `Ready`s, which ensures that records are durable before
+//! messages that depend on them are sent.
 //!
-//! Each `Ready` is processed in this order: its log changes go to the library's view of the log, its immediate messages
-//! leave, its committed entries are applied, its records are written, and once they are durable its held messages leave.
-//! Held messages leave in the order of their writes.
+//! Each `Ready` is processed in this order: its log changes are taken into [`RaftLog`], its immediate messages are sent, its
+//! committed entries are applied, its records are written, and once they are durable its held messages are sent. Held messages
+//! are sent in the order of their writes.
 
 use super::raft_log::{RaftLog, snapshot};
 use super::{ConsensusVoter, ELECTION_TICKS, HEARTBEAT_TICKS, VoterEffect, VoterId};
@@ -15,51 +16,51 @@
 use serde::{Deserialize, Serialize};
 use slog::Level;
 
-/// Bytes of entries in one message, beyond the first entry.
+/// Maximum bytes of entries in one message; the first entry is sent whatever its length.
 const MAX_MESSAGE_ENTRY_BYTES: u64 = 900;
-/// Messages in flight to one voter.
+/// Maximum messages with entries in flight to one voter.
 const MAX_INFLIGHT_MESSAGES: usize = 16;
-/// Bytes of entries that aren't committed yet.
+/// Maximum bytes of uncommitted entries; beyond it proposals are rejected.
 const MAX_UNCOMMITTED_BYTES: u64 = 64 * 1024;
 
-/// What has to be on the disk, in this order.
+/// A record on a voter's disk; records must be written in order. The order of variants and fields is the stored form.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum DurableRecord {
-    /// The replicated state as of an entry. It replaces all records before it.
+    /// The replicated state as of an entry; replaces all earlier records.
     Snapshot {
-        /// The last entry that is in it.
+        /// Index of the last entry applied to the state.
         index: LogIndex,
-        /// The term of that entry.
+        /// Term of that entry.
         term: Term,
-        /// The voters.
+        /// Identities of the voters as of that entry.
         voters: Vec<VoterId>,
-        /// The encoded state.
+        /// Encoded state, as [`crate::replicated_snapshot`] writes it.
         data: Vec<u8>,
     },
-    /// An entry. It replaces those from its index on.
+    /// A log entry; replaces all entries from its index on.
     Entry {
-        /// Its index.
+        /// Index of the entry.
         index: LogIndex,
-        /// Its term.
+        /// Term in which the entry was proposed.
         term: Term,
-        /// Whether it changes the membership.
+        /// Whether the entry changes the membership rather than holding a command.
         changes: bool,
-        /// Its encoded content.
+        /// Encoded content of the entry.
         data: Vec<u8>,
     },
-    /// The term, the vote in it, and how far the log is committed.
+    /// The current term, the vote in it, and the commit index.
     Term {
-        /// The term.
+        /// Current term.
         term: Term,
-        /// The voter that got this voter's vote; 0 for none.
+        /// Voter that got this voter's vote in the term; 0 for none.
         vote: VoterId,
-        /// The last entry that is known to be committed.
+        /// Index of the last entry known to be committed.
         commit: LogIndex,
     },
 }
 
 impl DurableRecord {
-    /// The record of a snapshot.
+    /// Converts a snapshot of the library to a record.
     pub(super) fn of_snapshot(snapshot: &Snapshot) -> Self {
         let meta = snapshot.get_metadata();
         Self::Snapshot {
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The record of an entry.
+    /// Converts an entry of the library to a record.
     pub(super) fn of_entry(entry: &Entry) -> Self {
         Self::Entry {
             index: entry.index,
@@ -85,54 +86,56 @@
     }
 }
 
-/// What a voter's disk holds.
+/// The state on a voter's disk.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct VoterState {
-    /// The identity of the disk.
+    /// Identity of the voter, created with the disk's directory.
     pub id: VoterId,
     /// All records in order; empty if no group was founded here.
     pub records: Vec<DurableRecord>,
 }
 
-/// Why a voter is excluded until an operator replaces it.
+/// Reason for excluding a voter until an operator replaces it.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ExclusionReason {
     /// A snapshot on its disk can't be decoded.
-    #[error("the state as of entry {index} on its disk can't be read")]
+    #[error("the snapshot at entry {index} on its disk can't be decoded")]
     UnreadableSnapshot {
-        /// The last entry in it.
+        /// Index of the last entry in the snapshot.
         index: LogIndex,
     },
     /// The library rejects the records on its disk.
-    #[error("what is on its disk makes no sense: {error}")]
+    #[error("the records on its disk are inconsistent: {error}")]
     InconsistentRecords {
-        /// The library's error.
+        /// Error of the library.
         error: String,
     },
-    /// The leader counts on an entry that isn't on its disk.
-    #[error("it acknowledged entry {acknowledged} and has {last}: its disk is an old copy")]
+    /// The leader relies on an entry that the voter acknowledged and its disk doesn't have.
+    #[error(
+        "it acknowledged entry {acknowledged} but has entries only up to {last}: its disk is an old copy"
+    )]
     ForgottenEntry {
-        /// The entry that is committed.
+        /// Index of the committed entry that the voter acknowledged.
         acknowledged: LogIndex,
-        /// The last entry here.
+        /// Index of the last entry on the disk.
         last: LogIndex,
     },
 }
 
-/// A processed `Ready` whose messages wait for its write.
+/// A processed `Ready` whose messages are held until its write is durable.
 pub(super) struct PendingReady {
-    /// The library's number of it; 0 for the founding.
+    /// Number that the library gave the `Ready`; 0 for the founding.
     pub number: u64,
-    /// Whether its write is completed.
+    /// Whether the write is durable, or none was needed.
     pub is_durable: bool,
-    /// Whether it has another voter's snapshot, which counts as applied once it is durable.
+    /// Whether the `Ready` has a snapshot of another voter, which counts as applied once it is durable.
     pub has_snapshot: bool,
-    /// The messages that are held.
+    /// Messages to send once the write is durable.
     pub messages: Vec<Message>,
 }
 
 impl ConsensusVoter {
-    /// Starts from the records of the disk.
+    /// Starts from the records on the disk.
     pub(super) fn load(&mut self, records: Vec<DurableRecord>) {
         let mut log = RaftLog::default();
         for record in records {
@@ -163,7 +166,7 @@
         self.start_node(log);
     }
 
-    /// Starts the library's state machine with a log.
+    /// Starts the library's state machine with a log; excludes the voter if the library rejects the log.
     pub(super) fn start_node(&mut self, log: RaftLog) {
         let config = Config {
             id: self.id,
@@ -184,15 +187,18 @@
         }
     }
 
-    /// Takes this voter out of the group until an operator replaces it.
+    /// Excludes this voter from the group until an operator replaces it.
     pub(super) fn exclude(&mut self, reason: ExclusionReason) {
-        self.log(Level::Warning, format!("out of the council until it is replaced: {reason}"));
+        self.log(
+            Level::Warning,
+            format!("this voter is excluded from the council until it is replaced: {reason}"),
+        );
         self.node = None;
         self.excluded = Some(reason);
         self.pending.clear();
     }
 
-    /// A write failed: messages that wait for it are dropped, and the voter restarts from what its disk has.
+    /// Handles a failed write: drops the messages that wait for it, and restarts the voter from the state on its disk.
     pub fn write_failed(&mut self, stored: VoterState, now: Time) {
         let excluded = self.excluded.take();
         let content = std::mem::take(&mut self.content);
@@ -209,7 +215,7 @@
         }
     }
 
-    /// Writes up to this number are durable.
+    /// Records that writes up to this number are durable, and sends the messages that were held for them.
     pub fn write_completed(&mut self, number: u64) {
         for pending in self.pending.iter_mut().filter(|pending| pending.number <= number) {
             pending.is_durable = true;
@@ -217,7 +223,7 @@
         self.send_durable();
     }
 
-    /// Sends messages whose writes are durable, in order.
+    /// Sends held messages whose writes are durable, in order.
     fn send_durable(&mut self) {
         while self.pending.front().is_some_and(|pending| pending.is_durable) {
             let Some(pending) = self.pending.pop_front() else { return };
@@ -232,7 +238,7 @@
         }
     }
 
-    /// Processes all that the library has ready.
+    /// Processes every `Ready` that the library has.
     pub(super) fn process_ready(&mut self) {
         self.send_durable();
         while let Some(node) = self.node.as_mut().filter(|node| node.has_ready()) {
@@ -269,13 +275,13 @@
         }
     }
 
-    /// Takes the log changes of a `Ready` into the library's view of the log; their records.
+    /// Takes the log changes of a `Ready` into the [`RaftLog`], and returns the records to write for them.
     fn append(&mut self, ready: &Ready) -> Vec<DurableRecord> {
         let Some(node) = &mut self.node else { return Vec::new() };
         let mut records = Vec::new();
         if !ready.snapshot().is_empty() {
             let snapshot = ready.snapshot().clone();
-            // One that can't be decoded doesn't pass the validation of messages.
+            // Always decodable: the validation of messages rejects other snapshots.
             if let Some(state) = replicated_snapshot::decode(snapshot.get_data()) {
                 self.state = state;
             }
--- a/crates/coordination/src/consensus/membership.rs
+++ b/crates/coordination/src/consensus/membership.rs
@@ -1,4 +1,4 @@
-//! The members of the group: its founding, and changes of one voter at a time.
+//! Membership of the group: its founding, and the addition or removal of one voter at a time.
 
 use super::durable::PendingReady;
 use super::raft_log::RaftLog;
@@ -13,8 +13,8 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The records that a group is founded with: the same on each voter.
-pub fn founding(voters: &BTreeMap<VoterId, Name>) -> Vec<DurableRecord> {
+/// Returns the records that a group is founded with, which must be the same on each voter.
+pub fn founding_records(voters: &BTreeMap<VoterId, Name>) -> Vec<DurableRecord> {
     let state = ReplicatedState { index: 1, voters: voters.clone(), ..ReplicatedState::default() };
     let data = replicated_snapshot::encode(&state);
     let voters = voters.keys().copied().collect();
@@ -25,17 +25,17 @@
 }
 
 impl ConsensusVoter {
-    /// Founds the group with these voters: to be called on each of them, with the same, once.
+    /// Founds the group with these voters. Must be called once on each of them, with the same voters.
     pub fn found(&mut self, voters: &BTreeMap<VoterId, Name>) -> Result<(), ProposalError> {
-        // The library takes no member without an identity, and a founding is kept for good.
+        // The library accepts no member with this identity, and a founding can't be undone.
         let has_voter_without_identity = voters.contains_key(&NO_VOTER);
         let is_member = voters.contains_key(&self.id);
         if self.node.is_some() || has_voter_without_identity || !is_member {
             return Err(ProposalError::NotVoter);
         }
-        let records = founding(voters);
+        let records = founding_records(voters);
         self.load(records.clone());
-        // Trusted with votes at once: nothing was acknowledged before, so nothing can be forgotten.
+        // May vote at once: it has acknowledged nothing before that it could have forgotten.
         self.pending.push_back(PendingReady {
             number: 0,
             is_durable: false,
@@ -46,7 +46,7 @@
         Ok(())
     }
 
-    /// Proposes to add a voter with this name, or to remove it where there is no name.
+    /// Proposes to add a voter under this name, or to remove it if `name` is none.
     pub fn change_membership(&mut self, id: VoterId, name: Option<&Name>) -> Result<(), ProposalError> {
         let mut change = ConfChange::default();
         let kind = if name.is_some() { ConfChangeType::AddNode } else { ConfChangeType::RemoveNode };
@@ -66,26 +66,26 @@
         let Ok(change) = ConfChange::parse_from_bytes(&entry.data) else { return };
         let Some(node) = &mut self.node else { return };
         let Ok(conf_state) = node.apply_conf_change(&change) else { return };
-        // A new voter accepts no snapshot that doesn't list it.
+        // Take a new snapshot: a new voter accepts no snapshot that doesn't list it.
         self.membership_changed = true;
         step_down_if_removed(node, &conf_state);
         node.mut_store().conf_state = conf_state;
         let text = if change.get_change_type() == ConfChangeType::AddNode {
             let name: Name = Arc::from(String::from_utf8_lossy(change.get_context()).as_ref());
-            let text = format!("{name} is a voter of the council");
+            let text = format!("{name} was added to the voters of the council");
             self.state.voters.insert(change.node_id, name);
             text
         } else {
             let name = self.state.voters.remove(&change.node_id).unwrap_or_else(|| Arc::from("?"));
-            format!("{name} is no voter of the council any more")
+            format!("{name} was removed from the voters of the council")
         };
         self.log(Level::Info, text);
     }
 }
 
-/// Makes a leader step down that is no member any more. The library doesn't: such a leader would accept no proposal and yet
-/// send heartbeats, so that the others elect nobody; and it would panic at the next acknowledged entry, as it looks up its own
-/// progress among the members.
+/// Makes a leader step down once it is removed from the members. The library doesn't do so: such a leader would accept no
+/// proposals but still send heartbeats, which keep the others from an election, and it would panic at the next acknowledged
+/// entry when it looks up its own progress among the members.
 fn step_down_if_removed(node: &mut RawNode<RaftLog>, conf_state: &ConfState) {
     let raft = &mut node.raft;
     if raft.state == StateRole::Leader && !conf_state.voters.contains(&raft.id) {
--- a/crates/coordination/src/consensus/proposals.rs
+++ b/crates/coordination/src/consensus/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals of commands, and the application of committed entries.
+//! Proposes commands to the group, and applies committed entries.
 
 use super::raft_log::RaftLog;
 use super::{ConsensusVoter, NO_VOTER, VoterEffect, VoterId};
@@ -8,44 +8,44 @@
 use raft::{RawNode, StateRole};
 use serde::{Deserialize, Serialize};
 
-/// The longest encoded command. It has to fit into one message between servers (259 kB): an entry that can't be sent is never
-/// acknowledged, and blocks all entries behind it for as long as its leader leads.
+/// Maximum length of an encoded proposal. It has to fit into one message between servers (259 kB): an entry that can't be sent
+/// is never acknowledged, and blocks all later entries while its leader leads.
 const MAX_COMMAND_BYTES: usize = 199_999;
 
-/// The content of an entry. The order of fields is the log's format.
+/// Content of a log entry with a command. The order of fields is the log format.
 #[derive(Serialize, Deserialize)]
 pub(super) struct Proposal {
-    /// The voter that proposed it.
+    /// Voter that proposed the command.
     pub proposer: VoterId,
-    /// The proposer's number of it.
+    /// Number that the proposer gave the proposal.
     pub number: Ticket,
-    /// What is proposed.
+    /// Proposed command.
     pub command: Command,
 }
 
-/// Why a proposal is rejected here.
+/// Reason for rejecting a proposal at this voter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ProposalError {
-    /// Another voter leads: this one.
+    /// The voter with this identity leads.
     #[error("another voter leads")]
     NotLeader(VoterId),
     /// No leader is known here.
-    #[error("the council has no leader that is heard here")]
+    #[error("no leader of the council is known here")]
     NoLeader,
-    /// No group was founded, or this server is no voter of it.
-    #[error("this server is no voter of the council")]
+    /// No group is founded here, or this voter is excluded from it.
+    #[error("this server is not a voter of the council")]
     NotVoter,
-    /// Too many bytes aren't committed yet, or a change of the membership isn't.
-    #[error("too much waits to be agreed on")]
+    /// Too many bytes of entries are uncommitted, or another change of the membership is.
+    #[error("too many commands or a membership change are still uncommitted")]
     Busy,
-    /// The command is longer than an entry may be.
+    /// The encoded command is too long for an entry.
     #[error("expected a command of at most {MAX_COMMAND_BYTES} bytes")]
     TooLong,
 }
 
 impl ConsensusVoter {
-    /// Proposes a command. [`VoterEffect::Applied`] with this number has its outcome; there may be none, and then the command
-    /// may be committed or not.
+    /// Proposes a command. Its outcome follows as [`VoterEffect::Applied`] with this number. If none follows, the command may
+    /// or may not have been committed.
     pub fn propose(&mut self, number: Ticket, command: Command) -> Result<(), ProposalError> {
         let proposal = Proposal { proposer: self.id, number, command };
         let data = postcard::to_stdvec(&proposal).unwrap_or_default();
@@ -55,7 +55,7 @@
         self.leading_node()?.propose(Vec::new(), data).map_err(|_| ProposalError::Busy)
     }
 
-    /// The library's state machine, where this voter leads.
+    /// Returns the library's state machine if this voter leads.
     pub(super) fn leading_node(&mut self) -> Result<&mut RawNode<RaftLog>, ProposalError> {
         let node = self.node.as_mut().ok_or(ProposalError::NotVoter)?;
         match (node.raft.state, node.raft.leader_id) {
@@ -73,7 +73,7 @@
                 self.apply_membership_change(&entry);
                 continue;
             }
-            // An entry without content starts a leader's term.
+            // A leader starts its term with an empty entry, which doesn't decode to a proposal.
             if let Ok(proposal) = postcard::from_bytes(&entry.data) {
                 self.apply_proposal(&entry, proposal);
             }
--- a/crates/coordination/src/consensus/raft_log.rs
+++ b/crates/coordination/src/consensus/raft_log.rs
@@ -1,44 +1,44 @@
-//! The library's view of a voter's log: what is durable, or will be before a message that depends on it leaves.
+//! A voter's log as the library sees it. Its content is durable, or will be before a message that depends on it is sent.
 
 use crate::ids::{LogIndex, Term};
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot, SnapshotMetadata};
 use raft::storage::{GetEntriesContext, RaftState};
 use raft::{Storage, StorageError};
 
-/// Entries that are kept before a snapshot, for voters that are a little behind.
-const MAX_KEPT_ENTRIES: u64 = 32;
+/// Entries retained before a snapshot, so that voters slightly behind need no snapshot.
+const RETAINED_ENTRIES: u64 = 32;
 
-/// An entry's place in the log.
+/// Position of an entry in the log, with its term.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct EntryId {
-    /// Its index.
+    /// Index of the entry.
     pub index: LogIndex,
-    /// Its term.
+    /// Term in which the entry was proposed.
     pub term: Term,
 }
 
-/// A voter's log.
+/// A voter's log in memory, with its last snapshot.
 #[derive(Debug, Clone, Default)]
 pub(super) struct RaftLog {
-    /// Term, vote and commit.
+    /// Current term, vote in it, and commit index.
     pub hard_state: HardState,
-    /// The members.
+    /// Members of the group.
     pub conf_state: ConfState,
-    /// The last snapshot.
+    /// Last snapshot, taken here or received.
     pub snapshot: Snapshot,
-    /// The entry right before the first one here.
+    /// The entry right before the first one in `entries`.
     pub before: EntryId,
-    /// The entries, without gaps.
+    /// Retained entries, without gaps.
     pub entries: Vec<Entry>,
 }
 
 impl RaftLog {
-    /// The index of the last entry.
+    /// Index of the last entry, or of the last compacted one if there are none.
     pub(super) fn last_index(&self) -> LogIndex {
         self.entries.last().map_or(self.before.index, |entry| entry.index)
     }
 
-    /// Appends entries; they replace those from the index of the first one on.
+    /// Appends entries, which replace all existing ones from the index of the first on.
     pub(super) fn append(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
         let kept = first.index.saturating_sub(self.before.index + 1) as usize;
@@ -46,7 +46,7 @@
         self.entries.extend_from_slice(entries);
     }
 
-    /// Starts anew from a snapshot.
+    /// Replaces the whole log by a snapshot.
     pub(super) fn restore(&mut self, snapshot: Snapshot) {
         let meta = snapshot.get_metadata();
         self.before = EntryId { index: meta.index, term: meta.term };
@@ -55,11 +55,11 @@
         self.snapshot = snapshot;
     }
 
-    /// Takes a snapshot at an entry that was applied; [`MAX_KEPT_ENTRIES`] before it stay.
+    /// Sets the snapshot as of an applied entry, and drops older entries except the last [`RETAINED_ENTRIES`].
     pub(super) fn compact(&mut self, index: LogIndex, data: Vec<u8>) {
         let term = self.term(index).unwrap_or(self.before.term);
         self.snapshot = snapshot(index, term, self.conf_state.clone(), data);
-        let new_before = index.saturating_sub(MAX_KEPT_ENTRIES);
+        let new_before = index.saturating_sub(RETAINED_ENTRIES);
         if new_before > self.before.index
             && let Ok(term) = self.term(new_before)
         {
@@ -68,13 +68,13 @@
         }
     }
 
-    /// Where an entry behind [`RaftLog::before`] is in [`RaftLog::entries`].
+    /// Index into [`RaftLog::entries`] of an entry after [`RaftLog::before`].
     fn position(&self, index: LogIndex) -> usize {
         (index - self.before.index - 1) as usize
     }
 }
 
-/// A snapshot as of an entry.
+/// Builds a snapshot as of an entry.
 pub(super) fn snapshot(index: LogIndex, term: Term, conf_state: ConfState, data: Vec<u8>) -> Snapshot {
     let mut meta = SnapshotMetadata::default();
     meta.set_conf_state(conf_state);
--- a/crates/coordination/src/consensus/snapshots.rs
+++ b/crates/coordination/src/consensus/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the replicated state: when one is taken and the log compacted, and when one is sent again that was lost.
+//! Takes snapshots of the replicated state, which compacts the log, and resends snapshots that were lost.
 
 use super::{ConsensusVoter, DurableRecord, VoterId};
 use crate::replicated_snapshot;
@@ -6,20 +6,20 @@
 
 /// Entries since the last snapshot after which the next one is taken.
 const SNAPSHOT_ENTRIES: u64 = 128;
-/// Entries since the last snapshot after which the next one is taken though the configuration isn't durable here yet.
+/// Entries since the last snapshot after which the next one is taken even if the configuration isn't durable here yet.
 const MAX_SNAPSHOT_ENTRIES: u64 = 4 * SNAPSHOT_ENTRIES;
-/// Ticks after which a snapshot is sent again that isn't acknowledged: it takes many datagrams.
+/// Ticks after which an unacknowledged snapshot is sent again; a snapshot takes many datagrams, so its transfer takes a while.
 const SNAPSHOT_RETRY_TICKS: u32 = 10;
 
 impl ConsensusVoter {
-    /// Takes a snapshot, once enough was applied since the last one or the membership changed: all that the files have to
-    /// hold replaces the deferred records. Whether one was taken.
+    /// Takes a snapshot if enough entries were applied since the last one, or if the membership changed. The deferred records
+    /// are then replaced by the complete new content of the files. Returns whether a snapshot was taken.
     pub(super) fn take_snapshot_if_due(&mut self) -> bool {
         let Some(node) = &mut self.node else { return false };
         let last_snapshot = node.store().snapshot.get_metadata().index;
         let applied = self.state.index.saturating_sub(last_snapshot);
         let membership_changed = std::mem::take(&mut self.membership_changed);
-        // Where the host fails to make the configuration durable the log is bounded all the same: peers have the content.
+        // The log is bounded even if the host fails to make the configuration durable: peers have the content.
         let is_due = applied >= SNAPSHOT_ENTRIES && (self.may_compact() || applied >= MAX_SNAPSHOT_ENTRIES);
         if !is_due && !membership_changed {
             return false;
@@ -41,7 +41,8 @@
         true
     }
 
-    /// Sends snapshots again that were lost: the library waits for a report of the transport, which gives none.
+    /// Resends snapshots that seem lost. The library waits for the transport to report a failure, but this transport reports
+    /// none.
     pub(super) fn resend_snapshots(&mut self) {
         let Some(node) = self.node.as_mut().filter(|node| node.raft.state == StateRole::Leader) else {
             return self.snapshots_sent.clear();
--- a/crates/coordination/src/consensus/tests.rs
+++ b/crates/coordination/src/consensus/tests.rs
@@ -1,4 +1,4 @@
-//! The bytes of entries and of messages between voters, as files of an earlier version have them.
+//! Encoded bytes of log entries and of messages between voters, compared with golden files of an earlier version.
 
 use super::proposals::Proposal;
 use super::transport::VoterMessage;
--- a/crates/coordination/src/consensus/transport.rs
+++ b/crates/coordination/src/consensus/transport.rs
@@ -1,4 +1,5 @@
-//! Messages between voters: the library's, and those that ask where a log ends. The order of variants is the wire format.
+//! Messages between voters: those of the library, and queries for the end of a voter's log. The order of variants is the wire
+//! format.
 
 use super::raft_log::RaftLog;
 use super::vote_safety::{LogEnd, VoteTrust};
@@ -13,14 +14,14 @@
 pub(super) enum VoterMessage {
     /// A message of the library, in its own encoding.
     Raft(Vec<u8>),
-    /// Asks where the receiver's log ends, and says where the sender's does.
+    /// Asks for the end of the receiver's log, and has the end of the sender's.
     LogEndRequest(LogEnd),
-    /// Says where the sender's log ends.
+    /// Has the end of the sender's log.
     LogEndReply(LogEnd),
 }
 
 impl ConsensusVoter {
-    /// Receives a message of a voter. What can't be decoded, or is no voter's message, is dropped.
+    /// Handles a message of a voter. Messages that can't be decoded, or that no voter sends, are dropped.
     pub fn receive(&mut self, now: Time, from: VoterId, bytes: &[u8]) {
         if self.excluded.is_some() {
             return;
@@ -47,7 +48,7 @@
     fn receive_raft(&mut self, now: Time, message: Message) {
         let kind = message.get_msg_type();
         if self.node.is_none() {
-            // A server that was made a voter learns of the group by its leader.
+            // A server that was added as a voter learns of the group from the leader's messages.
             let is_from_leader =
                 matches!(kind, MessageType::MsgHeartbeat | MessageType::MsgAppend | MessageType::MsgSnapshot);
             if !is_from_leader {
@@ -56,23 +57,23 @@
             self.start_node(RaftLog::default());
         }
         let Some(node) = &mut self.node else { return };
-        if !validation::is_sound(&node.raft, &message) || !self.trust.allows(&message) {
+        if !validation::is_valid(&node.raft, &message) || !self.trust.allows(&message) {
             return;
         }
         if kind == MessageType::MsgHeartbeat && message.term >= node.raft.term {
             let last = node.raft.raft_log.last_index();
             if message.commit > last {
-                // The leader counts on an entry that this voter acknowledged.
+                // The leader relies on an entry that this voter acknowledged and has lost.
                 return self.exclude(ExclusionReason::ForgottenEntry { acknowledged: message.commit, last });
             }
             self.trust = VoteTrust::Full;
             self.last_heartbeat_at = Some(now);
         }
-        // The library rejects what is stale.
+        // The library itself rejects stale messages.
         let _ = node.step(message);
     }
 
-    /// Asks the others where their logs end, until this voter trusts its disk again.
+    /// Asks the other voters for the ends of their logs, until this voter trusts its disk again.
     pub(super) fn request_log_ends(&mut self) {
         if self.trust == VoteTrust::Full {
             return;
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Sends messages of the library.
+    /// Sends messages of the library to the voters that they name.
     pub(super) fn send_raft(&mut self, messages: Vec<Message>) {
         for message in messages {
             if let Ok(bytes) = message.write_to_bytes() {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Sends a message to a voter.
+    /// Encodes a message and sends it to a voter.
     pub(super) fn send_message(&mut self, to: VoterId, message: &VoterMessage) {
         if let Ok(message) = postcard::to_stdvec(message) {
             self.effects.push(VoterEffect::Send { to, message });
--- a/crates/coordination/src/consensus/vote_safety.rs
+++ b/crates/coordination/src/consensus/vote_safety.rs
@@ -1,8 +1,9 @@
-//! When a voter may vote after a restart. Its disk may be an old copy, which forgot votes and entries that it acknowledged.
+//! Restricts the votes of a voter after a restart, because its disk may be an old copy that lacks votes and entries which the
+//! voter had acknowledged.
 //!
-//! A voter that starts neither votes nor campaigns until it knows where the logs of all others end, or until
-//! [`VOTE_DELAY_AFTER_START`] has passed. After that it votes only for logs that reach the furthest known end, until a leader's
-//! heartbeat shows that nothing is missing. The argument is in `docs/design/releases.md`.
+//! A voter that starts neither votes nor campaigns until it knows the ends of all other voters' logs, or until
+//! [`VOTE_DELAY_AFTER_START`] has passed. After that it votes only for candidates whose logs reach the furthest known end,
+//! until a leader's heartbeat shows that its log lacks nothing. The argument is in `docs/design/releases.md`.
 
 use super::{ConsensusVoter, NANOS_PER_MS, VoterId};
 use crate::ids::{LogIndex, Term};
@@ -11,45 +12,45 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How long a voter that starts waits before it votes: longer than a leader takes to send a heartbeat, or the others to elect
-/// one.
+/// Time for which a starting voter doesn't vote: longer than a leader takes to send a heartbeat, or the other voters to elect a
+/// leader.
 pub const VOTE_DELAY_AFTER_START: Span = Span(3_000 * NANOS_PER_MS);
 
-/// Where a log ends. Ordered by term, then by index.
+/// The end of a log. Ordered by term, then by index, as Raft compares logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub(super) struct LogEnd {
-    /// The term of the last entry.
+    /// Term of the last entry.
     pub term: Term,
-    /// The index of the last entry.
+    /// Index of the last entry.
     pub index: LogIndex,
 }
 
-/// How far a voter relies on its own disk for votes.
+/// How far a voter trusts its own disk when it votes.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum VoteTrust {
-    /// It votes as Raft says: since its start a leader's heartbeat showed that nothing is missing.
+    /// Votes as Raft specifies: a leader's heartbeat since the start showed that the log lacks nothing.
     Full,
-    /// It neither votes nor campaigns, until the time or until all others have replied.
+    /// Neither votes nor campaigns, until the delay ends or all other voters have replied.
     Silent {
-        /// The end of the delay.
+        /// End of the delay.
         until: Time,
-        /// Where the logs of others end.
+        /// Known ends of the other voters' logs.
         log_ends: BTreeMap<VoterId, LogEnd>,
     },
-    /// It votes and campaigns only for logs that reach this end.
+    /// Votes and campaigns only for logs that reach the furthest known end.
     Bounded {
-        /// The furthest end that it knows of.
+        /// Furthest known end of any voter's log, this one's included.
         furthest: LogEnd,
     },
 }
 
 impl VoteTrust {
-    /// The trust of a voter that starts with a disk that isn't empty.
+    /// Trust of a voter that starts with records on its disk.
     pub(super) fn after_start(now: Time) -> Self {
         Self::Silent { until: time_after(now, VOTE_DELAY_AFTER_START), log_ends: BTreeMap::new() }
     }
 
-    /// Whether a candidate whose log ends there may get a vote.
+    /// Whether a candidate with this end of its log may get a vote.
     pub(super) fn allows_vote_for(&self, candidate: LogEnd) -> bool {
         match self {
             Self::Full => true,
@@ -58,7 +59,8 @@
         }
     }
 
-    /// Whether a message may be passed to the library: one that asks for a vote only where that may be given.
+    /// Whether a message may be passed to the library. Requests for a vote, and requests to campaign, may only if the vote is
+    /// allowed.
     pub(super) fn allows(&self, message: &Message) -> bool {
         let asks_for_vote = matches!(
             message.get_msg_type(),
@@ -70,13 +72,13 @@
 }
 
 impl ConsensusVoter {
-    /// Where this voter's log ends.
+    /// Returns the end of this voter's log; none before the group is founded here.
     pub(super) fn log_end(&self) -> Option<LogEnd> {
         let log = &self.node.as_ref()?.raft.raft_log;
         Some(LogEnd { term: log.last_term(), index: log.last_index() })
     }
 
-    /// Records where another voter's log ends.
+    /// Records the end of another voter's log.
     pub(super) fn record_log_end(&mut self, from: VoterId, end: LogEnd) {
         if !self.state.voters.contains_key(&from) {
             return;
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Ends the silence once all others have replied, or with its time.
+    /// Ends the silence once all other voters have replied, or when the delay ends.
     pub(super) fn update_trust(&mut self, now: Time) {
         let VoteTrust::Silent { until, log_ends } = &self.trust else { return };
         let all_replied = self.other_voters().iter().all(|id| log_ends.contains_key(id));
--- a/crates/coordination/src/controller.rs
+++ b/crates/coordination/src/controller.rs
@@ -1,9 +1,10 @@
-//! The leader's controller: replies to permit requests, ends permits, executes operator commands and moves the rollout. On a
-//! voter that doesn't lead it names the leader.
+//! The leader's controller: replies to permit requests, ends permits, executes operator commands and advances the rollout. On a
+//! voter that doesn't lead it redirects requests to the leader.
 //!
-//! Input: reports and requests of servers, operator commands, outcomes of its proposals, and time. Output: proposals to the
-//! consensus group and [`ControllerEffect`]s. The controller proposes; the replicated state decides. What it knows of servers
-//! beyond that state belongs to its term: a new leader has no reports, so that all servers count as out until they report.
+//! Input: reports and requests of servers, operator commands, outcomes of the controller's proposals, and time. Output:
+//! proposals to the consensus group and [`ControllerEffect`]s. The controller proposes; the replicated state decides.
+//! Observations of servers beyond that state are local and start anew in each term; a server without a fresh report counts as
+//! out of service.
 
 mod operator_commands;
 mod permits;
@@ -29,54 +30,54 @@
 use std::sync::Arc;
 
 const NANOS_PER_MS: u64 = 1_000_000;
-/// Between two steps.
+/// Interval between two steps of the controller.
 const STEP_INTERVAL: Span = Span(100 * NANOS_PER_MS);
-/// Servers added to the roster in one step at most.
+/// Maximum servers proposed for the roster in one step.
 const MAX_ADDED_SERVERS: usize = 16;
 
-/// What the controller wants done.
+/// An effect that the server's agent executes for the controller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ControllerEffect {
-    /// Reply to a server's request.
+    /// Reply to a server's permit request.
     Reply {
-        /// The server.
+        /// The server that sent the request.
         to: Name,
-        /// The number of its request.
+        /// Number of the request.
         number: Ticket,
-        /// The reply.
+        /// Reply to send.
         reply: PermitReply,
     },
     /// Assign a rollout step to a server.
     AssignStep {
-        /// The server.
+        /// The server that is to take the step.
         to: Name,
-        /// The step.
+        /// Rollout, permit and version of the step.
         assignment: StepAssignment,
     },
     /// Reply to an operator's command.
     CommandReply {
-        /// The ticket of the command.
+        /// Ticket of the command.
         ticket: Ticket,
-        /// The reply.
+        /// Reply to send.
         reply: OperatorCommandReply,
     },
     /// Write a line to the log.
     Log {
-        /// Its level.
+        /// Level of the line.
         level: Level,
-        /// Its text.
+        /// Text of the line.
         text: String,
     },
 }
 
-/// A command to propose, unless the last one of the same key is in flight.
+/// A command to propose, unless the last proposal with the same key is still in flight.
 #[derive(Debug)]
 struct KeyedCommand {
     key: String,
     command: Command,
 }
 
-/// The inputs of one step.
+/// The read-only inputs of one step of the controller.
 struct Context<'a> {
     now: Time,
     settings: &'a ControllerSettings,
@@ -89,7 +90,7 @@
         self.servers.not_ready(self.now, self.state)
     }
 
-    /// Whether one more may be out, by permits and by reports.
+    /// Checks whether `target` may be out in addition to permits and to servers that don't report ready.
     fn fits(&self, target: &Target) -> Result<(), DenialReason> {
         if self.settings.ignore_limits {
             return Ok(());
@@ -98,10 +99,10 @@
     }
 }
 
-/// The controller of one voter.
+/// The controller of one voter; it acts only while the voter leads.
 pub struct Controller {
     settings: ControllerSettings,
-    /// The term in which this voter leads.
+    /// The term in which this voter leads; none while it doesn't lead.
     term: Option<Term>,
     servers: ServerTable,
     permits: PermitController,
@@ -112,8 +113,8 @@
 }
 
 impl Controller {
-    /// A voter's controller. Its proposals have numbers greater than `last_number`, which is to be greater than those of any
-    /// earlier incarnation.
+    /// Creates a voter's controller. Its proposals get numbers above `last_number`, which must exceed the numbers of all
+    /// earlier incarnations.
     pub fn new(settings: ControllerSettings, last_number: Ticket, now: Time) -> Self {
         Self {
             term: None,
@@ -131,32 +132,32 @@
         Context { now, settings: &self.settings, state, servers: &self.servers }
     }
 
-    /// The effects since the last call, in order.
+    /// Takes the effects since the last call, in order.
     pub fn take_effects(&mut self) -> Vec<ControllerEffect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// When [`Controller::step`] must be called again.
+    /// Time at which [`Controller::step`] must be called again.
     pub fn wake_at(&self) -> Time {
         self.next_step
     }
 
-    /// A server's last report, and its age.
+    /// Returns the last report of a server and the report's age.
     pub fn report(&self, now: Time, name: &str) -> Option<(&ServerReport, Span)> {
         self.servers.report(now, name)
     }
 
-    /// The last reports of all servers, however old.
+    /// Returns the last report of each server, regardless of age.
     pub fn reports(&self) -> impl Iterator<Item = (&Name, &ServerReport)> {
         self.servers.reports()
     }
 
-    /// Servers of the roster that don't report to be ready.
+    /// Servers of the roster without a fresh report that they are ready.
     pub fn not_ready(&self, now: Time, state: &ReplicatedState) -> BTreeSet<Name> {
         self.servers.not_ready(now, state)
     }
 
-    /// Records a server's report.
+    /// Records a server's report; a report of an earlier incarnation is ignored.
     pub fn record_report(
         &mut self,
         now: Time,
@@ -173,12 +174,12 @@
         self.servers.record_report(now, name, incarnation, report);
     }
 
-    /// An operator halted the rollout: this leader takes no further step of it, committed or not.
+    /// An operator halted the rollout: this leader takes no further step of it, even before the halt is committed.
     pub fn halt(&mut self, state: &ReplicatedState, name: &str) {
         self.rollout.halt(state, name);
     }
 
-    /// Does what is due.
+    /// Takes the periodic step if it is due: expires proposals and, on the leader, proposes what the state needs.
     pub fn step(&mut self, now: Time, consensus: &mut ConsensusVoter) {
         if now < self.next_step {
             return;
@@ -202,7 +203,7 @@
         self.permits = PermitController::default();
         self.proposals.forget_keys();
         self.rollout.start_term();
-        // Reports from before count by their age, but no server is stable by them.
+        // Earlier reports still show readiness while they are fresh, but don't count towards stabilization.
         self.servers.restart_stabilization(now);
         if term.is_some() {
             let text = "this server leads the consensus group".into();
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Proposes the limits of the settings where the state has others, and servers that the roster lacks.
+    /// Proposes the limits of the settings if the state has others, and servers that the roster lacks or has in another zone.
     fn propose_settings(&mut self, now: Time, consensus: &mut ConsensusVoter) {
         let state = consensus.state();
         let mut commands = Vec::new();
--- a/crates/coordination/src/controller/operator_commands.rs
+++ b/crates/coordination/src/controller/operator_commands.rs
@@ -1,4 +1,4 @@
-//! Commands of operators, on the leader: each is checked by what the leader knows of the servers, and proposed.
+//! Operator commands on the leader: each is checked against the reports of servers, then proposed.
 
 use super::proposals::Waiter;
 use super::servers::ReportingServer;
@@ -15,25 +15,27 @@
 /// Why the leader rejects an operator's command.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 enum CommandRejected {
-    /// Only a server that doesn't report can be removed.
-    #[error("{0} is there")]
+    /// Only a server without a fresh report can be removed.
+    #[error("server {0} still reports; only a server that doesn't report can be removed")]
     ServerIsPresent(Name),
     /// A server requests its permit itself.
-    #[error("a server asks itself: tell {0} to leave")]
+    #[error("a server requests its own permit: order {0} to leave instead")]
     RequestedByServer(Name),
-    /// The settings aren't staged everywhere.
+    /// Some reporting servers lack the staged settings.
     #[error("settings {version} aren't staged on {servers}")]
     NotStaged { version: String, servers: String },
-    #[error("{0} is no voter")]
+    #[error("{0} is not a voter")]
     NotVoter(Name),
-    /// The server doesn't report a voter's identity.
-    #[error("{0} isn't heard, or its settings name no store for a council")]
+    /// The server doesn't report a voter identity.
+    #[error(
+        "{0} has not reported a voter identity: it doesn't report, or its settings have no council folder"
+    )]
     UnknownIdentity(Name),
-    #[error("{0} is a voter with this disk")]
+    #[error("{0} is already a voter with its present disk")]
     AlreadyVoter(Name),
     #[error("{0} has no permit")]
     NoPermit(Target),
-    #[error("the permit of {target} is {holder}'s")]
+    #[error("the permit of {target} is held by {holder}")]
     OtherHolder { target: Target, holder: Name },
     #[error(transparent)]
     Plan(#[from] PlanError),
@@ -44,7 +46,7 @@
 }
 
 impl Controller {
-    /// Executes an operator's command; [`ControllerEffect::CommandReply`] with the ticket has the result.
+    /// Executes an operator's command. The result follows as [`ControllerEffect::CommandReply`] with the same ticket.
     pub fn execute(
         &mut self,
         now: Time,
@@ -53,7 +55,7 @@
         command: OperatorCommand,
     ) {
         if let OperatorCommand::Rollout(RolloutCommand::Halt { name, .. }) = &command {
-            // Effective here before it is committed.
+            // Effective on this voter before the halt is committed.
             self.halt(consensus.state(), name);
         }
         if consensus.leader_term().is_none() {
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Tells an operator the result of a command.
+    /// Sends an operator the result of a command.
     pub(super) fn finish_command(&mut self, ticket: Ticket, result: CommandResult) {
         self.reply_to_command(ticket, OperatorCommandReply::Done(result));
     }
@@ -157,7 +159,7 @@
         Ok(Command::Rollout(RolloutCommand::Start { plan, operator, versions }))
     }
 
-    /// Proposes a change of membership; the text that says so.
+    /// Proposes a change of the voters; returns the text for the operator.
     fn change_voter(
         &self,
         consensus: &mut ConsensusVoter,
@@ -168,23 +170,23 @@
         let present: Vec<VoterId> = voters.iter().filter(|(_, of)| *of == name).map(|(id, _)| *id).collect();
         let reported = self.servers.get(name).and_then(|server| server.report.voter);
         if !add {
-            // Of two disks of one server that one is removed which the server no longer has.
+            // If a server is a voter with two disks, remove the disk that it no longer reports.
             let replaced = present.iter().copied().find(|id| Some(*id) != reported);
             let id = replaced.or(present.first().copied());
             let id = id.ok_or_else(|| CommandRejected::NotVoter(Arc::clone(name)))?;
             consensus.change_membership(id, None)?;
-            return Ok(format!("{name} (disk {id:x}) is to be no voter any more"));
+            return Ok(format!("proposed: remove voter {name} (disk {id:x})"));
         }
         let id = reported.ok_or_else(|| CommandRejected::UnknownIdentity(Arc::clone(name)))?;
         if present.contains(&id) {
             return Err(CommandRejected::AlreadyVoter(Arc::clone(name)));
         }
         consensus.change_membership(id, Some(name))?;
-        Ok(format!("{name} (disk {id:x}) is to be a voter"))
+        Ok(format!("proposed: add voter {name} (disk {id:x})"))
     }
 }
 
-/// Settings have to be staged on all servers that report.
+/// Checks that all reporting servers have the settings staged.
 fn check_staged(version: &String, reporting: &[(&Name, &ReportingServer)]) -> Result<(), CommandRejected> {
     let lacks_them = |(_, server): &&(&Name, &ReportingServer)| !server.report.staged.contains(version);
     let lacking: Vec<&str> = reporting.iter().filter(lacks_them).map(|(name, _)| &***name).collect();
@@ -194,7 +196,7 @@
     Err(CommandRejected::NotStaged { version: version.clone(), servers: lacking.join(", ") })
 }
 
-/// Ends the permit of a zone or of a service's member.
+/// Ends a permit that an operator holds, for a zone or a service member.
 fn end_permit(
     consensus: &ConsensusVoter,
     target: &Target,
--- a/crates/coordination/src/controller/permits.rs
+++ b/crates/coordination/src/controller/permits.rs
@@ -1,8 +1,8 @@
-//! The end of permits: when a holder is back and stable, when a right to begin has expired, and when a released permit may be
-//! removed safely.
+//! Ends permits: once the holder is back and stable, or once a released permit gives no right to begin any more.
 //!
-//! A holder's right to begin lasts [`BEGIN_TIMEOUT`] from its request by its own clock; here it counts as expired only by the
-//! slowest and the fastest clock that the settings allow. A later incarnation has none of the rights of an earlier one.
+//! A holder's right to begin lasts [`BEGIN_TIMEOUT`] from its request on its own clock. The leader treats the right as expired
+//! only when it has expired on any clock within the allowed drift. A later incarnation has none of the rights of an earlier
+//! one.
 
 use super::requests::MAX_COMMIT_LATENCY;
 use super::servers::ReportingServer;
@@ -13,24 +13,24 @@
 use gradepin_admission::{Span, Time, time_after};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A reserved permit that isn't begun ends after this, if its server is ready all the while.
+/// A reserved permit that isn't begun ends after this time, if its server has been ready throughout.
 const UNUSED_TIMEOUT: Span = Span(30_000 * NANOS_PER_MS);
-/// Incarnations of one server within a step after which its process counts as crashing.
+/// Maximum incarnations of one server within a step; more count as a crash loop.
 pub(super) const MAX_INCARNATIONS: usize = 3;
 const PARTS_PER_MILLION: u64 = 1_000_000;
 
-/// What this leader observed of a permit in its term.
+/// What this leader has observed of a permit in its term.
 #[derive(Debug)]
 pub(super) struct ObservedPermit {
     stage: PermitStage,
     begin_grants: u32,
-    /// Since when stage and grants are as they are.
+    /// Time of the last change of stage or grants, or of the restart of the step's timeout.
     pub since: Time,
-    /// The incarnation that has the right to begin, as far as it reported.
+    /// First incarnation reported since the last grant; a later one has no right to begin.
     first_incarnation: Option<Incarnation>,
-    /// The incarnations that reported since; at most one more than [`MAX_INCARNATIONS`].
+    /// Incarnations that reported since the step's timeout started; at most [`MAX_INCARNATIONS`] + 1.
     pub incarnations: BTreeSet<Incarnation>,
-    /// When its server was last sent the step.
+    /// Time of the last assignment of the step to the permit's server.
     pub assigned_at: Option<Time>,
 }
 
@@ -53,25 +53,25 @@
         self.stage = permit.stage.clone();
         self.begin_grants = permit.begin_grants;
         self.since = now;
-        // The new right is that of the incarnation that reported by then, or of a later one.
+        // The new right belongs to the incarnation that reports next, or to a later one.
         self.first_incarnation = None;
     }
 
-    /// Restarts the time in which the step is to be taken.
+    /// Restarts the step's timeout and its count of incarnations.
     pub(super) fn restart(&mut self, now: Time) {
         self.since = now;
         self.incarnations.clear();
     }
 }
 
-/// The permits of the replicated state as this leader observes them.
+/// This leader's observations of the permits in the replicated state, by epoch.
 #[derive(Debug, Default)]
 pub(super) struct PermitController {
     observed: BTreeMap<Epoch, ObservedPermit>,
 }
 
 impl PermitController {
-    /// Records the incarnation of a server that reported.
+    /// Records the incarnation of a server that reported, with the permits for that server.
     pub(super) fn record_report(&mut self, state: &ReplicatedState, name: &Name, incarnation: Incarnation) {
         for (epoch, observed) in &mut self.observed {
             let target = state.permits.get(epoch).map(|permit| &permit.target);
@@ -82,12 +82,12 @@
         }
     }
 
-    /// What was observed of a permit.
+    /// Returns the observations of a permit.
     pub(super) fn get_mut(&mut self, epoch: Epoch) -> Option<&mut ObservedPermit> {
         self.observed.get_mut(&epoch)
     }
 
-    /// The rollout changed its direction: steps are assigned and timed anew.
+    /// Restarts timeouts and assignments of all steps, after the rollout changed its direction.
     pub(super) fn restart_all(&mut self, now: Time) {
         for observed in self.observed.values_mut() {
             observed.restart(now);
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Commands for permits that have ended.
+    /// Returns the commands for permits that have ended.
     pub(super) fn ended(&mut self, context: &Context<'_>) -> Vec<KeyedCommand> {
         let state = context.state;
         self.observed.retain(|epoch, _| state.permits.contains_key(epoch));
@@ -112,7 +112,7 @@
     }
 }
 
-/// The command for a permit that has ended.
+/// Returns the command that ends a permit, if it has ended.
 fn end_command(
     context: &Context<'_>,
     epoch: Epoch,
@@ -143,7 +143,7 @@
     }
 }
 
-/// Whether a holder may still act on a grant to begin.
+/// Whether a holder may still begin its outage by an earlier grant.
 fn has_right_to_begin(
     context: &Context<'_>,
     permit: &Permit,
@@ -159,7 +159,7 @@
     !(has_restarted || has_expired || has_target_version(context, permit, holder))
 }
 
-/// Whether a holder runs what its permit was for: then it has no reason to begin again.
+/// Whether a holder already runs the version that its permit was for, so it won't begin again.
 fn has_target_version(context: &Context<'_>, permit: &Permit, holder: Option<&ReportingServer>) -> bool {
     let Purpose::Rollout(number) = &permit.purpose else { return false };
     let Target::Server(name) = &permit.target else { return false };
@@ -169,7 +169,8 @@
     rollout.servers.get(name).is_some_and(|server| *runs == rollout.target_version(server))
 }
 
-/// The longest time for which a right to begin may last, by the slowest and the fastest clock.
+/// Maximum duration of a right to begin on this leader's clock, if this clock is the fastest and the holder's the slowest
+/// allowed.
 fn right_to_begin(context: &Context<'_>) -> Span {
     let drift_ppm = context.settings.max_drift_ppm;
     let fastest = PARTS_PER_MILLION + drift_ppm;
--- a/crates/coordination/src/controller/proposals.rs
+++ b/crates/coordination/src/controller/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals of the leader that are in flight, and who waits for their outcome.
+//! The leader's proposals in flight, and the recipients of their outcomes.
 
 use super::NANOS_PER_MS;
 use crate::consensus::{ConsensusVoter, ProposalError};
@@ -7,57 +7,57 @@
 use gradepin_admission::{Span, Time, time_after};
 use std::collections::BTreeMap;
 
-/// Proposals in flight at most.
+/// Maximum proposals in flight.
 const MAX_PENDING: usize = 1_024;
-/// A proposal that isn't committed within this has no outcome; its submitter retries.
+/// A proposal that isn't applied within this time is dropped without an outcome; its submitter retries.
 const PENDING_TIMEOUT: Span = Span(10_000 * NANOS_PER_MS);
 
-/// Who gets the outcome of a proposal.
+/// Recipient of a proposal's outcome.
 #[derive(Debug)]
 pub(super) enum Waiter {
-    /// No one.
+    /// The controller's own proposal: the outcome shows in the replicated state.
     Nobody,
-    /// A server, for its request of this number.
+    /// The server that sent a permit request.
     Server {
-        /// The server.
+        /// Name of the server.
         name: Name,
-        /// The request.
+        /// Number of its request.
         number: Ticket,
-        /// What is to be out, where it requests to begin.
+        /// The target that is to be out of service, if the request is to begin.
         begin_target: Option<Target>,
     },
-    /// An operator, for the command of this ticket.
+    /// The operator who submitted a command.
     Operator {
-        /// The command.
+        /// Ticket of the command.
         ticket: Ticket,
     },
 }
 
-/// A proposal that is in flight.
+/// A proposal in flight.
 #[derive(Debug)]
 pub(super) struct PendingProposal {
-    /// When it was proposed.
+    /// Time of the proposal; it expires [`PENDING_TIMEOUT`] later.
     pub proposed_at: Time,
-    /// Who gets its outcome.
+    /// Recipient of the outcome.
     pub waiter: Waiter,
 }
 
-/// The proposals that are in flight, at most [`MAX_PENDING`], by number.
+/// The proposals in flight by number, at most [`MAX_PENDING`].
 #[derive(Debug)]
 pub(super) struct Proposals {
     pending: BTreeMap<Ticket, PendingProposal>,
     last_number: Ticket,
-    /// The last proposal of each key, so that none is repeated while it is in flight.
+    /// Number of the last proposal per key, to avoid repeating a proposal in flight.
     keys: BTreeMap<String, Ticket>,
 }
 
 impl Proposals {
-    /// With numbers greater than this one.
+    /// Creates an empty table whose numbers start above `last_number`.
     pub(super) fn new(last_number: Ticket) -> Self {
         Self { pending: BTreeMap::new(), last_number, keys: BTreeMap::new() }
     }
 
-    /// Proposes a command; its number.
+    /// Proposes a command and returns the proposal's number.
     pub(super) fn propose(
         &mut self,
         now: Time,
@@ -74,7 +74,7 @@
         Ok(self.last_number)
     }
 
-    /// Proposes a command for no one, unless the last one of the same key is in flight.
+    /// Proposes a command that nobody waits for, unless the last proposal with the same key is in flight.
     pub(super) fn propose_once(
         &mut self,
         now: Time,
@@ -90,17 +90,17 @@
         }
     }
 
-    /// A proposal was applied.
+    /// Removes and returns a proposal that was applied.
     pub(super) fn take(&mut self, number: Ticket) -> Option<PendingProposal> {
         self.pending.remove(&number)
     }
 
-    /// Drops proposals that were in flight for too long.
+    /// Drops proposals older than [`PENDING_TIMEOUT`].
     pub(super) fn expire(&mut self, now: Time) {
         self.pending.retain(|_, pending| now < time_after(pending.proposed_at, PENDING_TIMEOUT));
     }
 
-    /// A new term: what was proposed in an earlier one may be proposed again.
+    /// Starts a new term: commands proposed in an earlier term may be proposed again.
     pub(super) fn forget_keys(&mut self) {
         self.keys.clear();
     }
--- a/crates/coordination/src/controller/requests.rs
+++ b/crates/coordination/src/controller/requests.rs
@@ -1,4 +1,4 @@
-//! Permit requests of servers: the command that each is proposed as, and the reply once it is applied.
+//! Permit requests of servers: turns each into a command to propose, and replies once the command is applied.
 
 use super::proposals::{PendingProposal, Waiter};
 use super::{Controller, ControllerEffect, NANOS_PER_MS};
@@ -12,18 +12,18 @@
 use gradepin_admission::{Span, Time};
 use std::sync::Arc;
 
-/// A grant to begin counts only if it was committed within this: the reports that it was checked against have aged by then.
+/// Maximum time between the proposal and the commit of a grant to begin; after it the reports that were checked are too old.
 pub(super) const MAX_COMMIT_LATENCY: Span = Span(1_000 * NANOS_PER_MS);
 
-/// The proposal for a request.
+/// The command to propose for a request.
 struct RequestProposal {
     command: Command,
-    /// What is to be out, where the request is to begin.
+    /// The target that is to be out of service, if the request is to begin.
     begin_target: Option<Target>,
 }
 
 impl Controller {
-    /// Handles a server's request; the reply is a [`ControllerEffect::Reply`].
+    /// Handles a server's permit request; the reply follows as [`ControllerEffect::Reply`].
     pub fn request(
         &mut self,
         now: Time,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The proposal for a request, or the reply where nothing is proposed.
+    /// Returns the command to propose for a request, or the reply if there is nothing to propose.
     fn proposal_for(
         &self,
         now: Time,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Whether a holder may begin: it fits, and the rollout that its permit is for isn't halted here.
+    /// Checks whether a holder may begin: the limits allow it, and the permit's rollout is neither halted nor held here.
     fn may_begin(
         &self,
         now: Time,
@@ -108,7 +108,7 @@
     fn rollout_may_step(&self, state: &ReplicatedState, rollout: &Rollout) -> Result<(), DenialReason> {
         let name = &rollout.plan.name;
         if self.rollout.is_halted(state) {
-            return Err(DenialReason::Rollout(format!("{name} is ordered to halt")));
+            return Err(DenialReason::Rollout(format!("an operator halted {name}")));
         }
         match self.rollout.external_fall(&self.servers, rollout) {
             Some(fall) => Err(DenialReason::Rollout(fall.hold_text(name))),
@@ -120,7 +120,7 @@
         self.effects.push(ControllerEffect::Reply { to: Arc::clone(to), number, reply });
     }
 
-    /// A proposal of this controller was applied: passes its outcome to whom it is for.
+    /// Handles the outcome of an applied proposal of this controller: replies to the server or operator that waits for it.
     pub fn applied(&mut self, now: Time, state: &ReplicatedState, number: Ticket, outcome: CommandOutcome) {
         let Some(PendingProposal { proposed_at, waiter }) = self.proposals.take(number) else { return };
         match waiter {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Checks the reports again, now that the begin is committed.
+    /// Checks limits and reports again after the commit of a grant to begin; servers may have failed since the proposal.
     fn reply_to_begin(
         &self,
         now: Time,
@@ -155,13 +155,15 @@
         let is_late = now.0.saturating_sub(proposed_at.0) > MAX_COMMIT_LATENCY.0;
         match self.may_begin(now, state, epoch, target) {
             Ok(()) if !is_late => PermitReply::Begin { epoch },
-            Ok(()) => PermitReply::Wait(DenialReason::Invalid("it took too long to agree; ask again".into())),
+            Ok(()) => PermitReply::Wait(DenialReason::Invalid(
+                "the grant was committed too late; request it again".into(),
+            )),
             Err(reason) => PermitReply::Wait(reason),
         }
     }
 }
 
-/// What an operator is shown of an outcome.
+/// Converts an outcome to the result that an operator is shown.
 fn command_result(outcome: CommandOutcome) -> CommandResult {
     match outcome {
         CommandOutcome::Done => Ok("done".to_string()),
--- a/crates/coordination/src/controller/rollout_controller.rs
+++ b/crates/coordination/src/controller/rollout_controller.rs
@@ -1,8 +1,8 @@
-//! The rollout on the leader: when the next batch starts, when the rollout ends, and when it is halted or rolled back because
-//! service falls.
+//! Advances the rollout on the leader: starts batches, finishes the rollout, and halts it or rolls it back if service
+//! regresses.
 //!
-//! Input: reports and the replicated state. Output: commands to propose and effects. Each step is a command; nothing here
-//! changes the rollout by itself. What is due with one server is [`server_step`]'s.
+//! Input: reports and the replicated state. Output: commands to propose and effects. The rollout changes only by committed
+//! commands. The steps of single servers are in [`server_step`].
 
 mod server_step;
 
@@ -20,19 +20,19 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Between intervals by which the fleet's service is compared.
+/// Length of the intervals by which the fleet's served fraction is compared.
 const SERVICE_INTERVAL: Span = Span(5_000 * NANOS_PER_MS);
-/// A fall of the fleet's served fraction by less than this halts nothing.
+/// A fall of the fleet's served fraction below this never stops a rollout, whatever its plan tolerates.
 const MIN_FLEET_FALL: f64 = 0.05;
-/// The operator of an automatic halt, as the operator actions show it.
+/// Operator name of automatic halts and rollbacks in the operator actions.
 const AUTOMATIC_OPERATOR: &str = "the council";
 
-/// The result of one step of the rollout.
+/// Commands and effects of one step of the rollout.
 #[derive(Debug, Default)]
 pub(super) struct RolloutStep {
-    /// Commands to propose.
+    /// Commands to propose, in order.
     pub commands: Vec<KeyedCommand>,
-    /// Effects, in order.
+    /// Effects to execute, in order.
     pub effects: Vec<ControllerEffect>,
 }
 
@@ -47,7 +47,8 @@
         self.propose(&format!("step {name}"), RolloutCommand::RecordProgress { number, server, progress });
     }
 
-    /// Rolls the rollout back where its plan says so, and halts it otherwise.
+    /// Stops the rollout after a fault: rolls it back if the plan says so and it isn't rolling back already, otherwise halts
+    /// it.
     fn stop(&mut self, rollout: &Rollout, reason: String) {
         let name = rollout.plan.name.clone();
         let operator: Name = Arc::from(AUTOMATIC_OPERATOR);
@@ -67,7 +68,7 @@
 }
 
 impl FleetFall {
-    /// Why a rollout is held that no server has begun.
+    /// Text for holding a rollout that no server has begun.
     pub(super) fn hold_text(self, name: &str) -> String {
         format!("release {name} waits: {self}, and no server has the version")
     }
@@ -75,29 +76,29 @@
 
 impl std::fmt::Display for FleetFall {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(formatter, "the fleet serves {:.3}, {:.3} before", self.since, self.before)
+        write!(formatter, "the fleet's served fraction is {:.3}, down from {:.3}", self.since, self.before)
     }
 }
 
-/// What this leader knows of the rollout beyond the replicated state.
+/// This leader's observations of the rollout, beyond the replicated state.
 #[derive(Debug)]
 pub(super) struct RolloutController {
     detector: RegressionDetector,
-    /// The rollout whose service is compared.
+    /// The rollout that the detector's counts belong to.
     compared: Option<RolloutNumber>,
-    /// Whether the last step updated servers, or rolled them back.
+    /// Whether the last step updated servers (true) or rolled them back (false).
     was_running: Option<bool>,
     next_interval: Time,
-    /// Since when all servers of the batch are updated.
+    /// Time since which all servers up to the current batch are updated.
     batch_updated_since: Option<Time>,
-    /// Whether the open rollout is held because of a fall of service that it can't have caused.
+    /// Whether the open rollout is held because service fell for a cause other than the rollout.
     is_held: bool,
-    /// Rollouts that were halted here, committed or not, with the number of halts that was known then.
+    /// Rollouts that were halted here, committed or not, with the halt count known at that time.
     halted: BTreeMap<String, u32>,
 }
 
 impl RolloutController {
-    /// Without a rollout.
+    /// Creates a controller that hasn't observed a rollout.
     pub(super) fn new(now: Time) -> Self {
         Self {
             detector: RegressionDetector::default(),
@@ -110,14 +111,14 @@
         }
     }
 
-    /// The term of this leader starts or ends.
+    /// Drops the observations of an earlier term, at the start or end of this voter's leadership.
     pub(super) fn start_term(&mut self) {
         self.detector = RegressionDetector::default();
         self.compared = None;
         self.batch_updated_since = None;
     }
 
-    /// Counts a server's totals for the version that it runs.
+    /// Adds the totals in a server's report to the counts of the version that the server runs.
     pub(super) fn record_report(
         &mut self,
         state: &ReplicatedState,
@@ -139,14 +140,14 @@
         self.detector.record_totals(name, incarnation, version, &report.totals);
     }
 
-    /// Whether the rollout was halted here and the replicated state doesn't have that halt yet.
+    /// Whether the rollout was halted here and the halt isn't in the replicated state yet.
     pub(super) fn is_halted(&self, state: &ReplicatedState) -> bool {
         state.rollout.as_ref().is_some_and(|rollout| {
             self.halted.get(&rollout.plan.name).is_some_and(|halts| rollout.halt_count <= *halts)
         })
     }
 
-    /// An operator halted the rollout: no further step here, committed or not.
+    /// An operator halted the rollout: this voter takes no further step, even before the halt is committed.
     pub(super) fn halt(&mut self, state: &ReplicatedState, name: &str) {
         if let Some(rollout) = state.rollout.as_ref().filter(|rollout| rollout.plan.name == name) {
             self.halted.insert(name.to_string(), rollout.halt_count);
@@ -167,7 +168,7 @@
         }
         let is_running = rollout.state == RolloutState::Running;
         if self.was_running != Some(is_running) {
-            // What was observed before the direction changed says nothing of the steps in this one.
+            // Observations from before the change of direction don't apply to steps in the new one.
             permits.restart_all(context.now);
             self.was_running = Some(is_running);
         }
@@ -183,7 +184,7 @@
         step
     }
 
-    /// Stops or holds the rollout where service falls; whether it does.
+    /// Stops or holds the rollout if service regressed; returns whether no step may be taken now.
     fn service_forbids_step(
         &mut self,
         context: &Context<'_>,
@@ -219,13 +220,13 @@
         }
     }
 
-    /// The cell in which the new version serves less than the old one, in words.
+    /// Describes the cell in which the new version serves significantly less than the old one, if there is one.
     fn regression(&self, context: &Context<'_>, rollout: &Rollout) -> Option<String> {
         let worst = self.detector.worst_regression(rollout.plan.tolerated_regression)?;
         let name = context.settings.cell_names.get(&worst.cell).cloned();
         let name = name.unwrap_or_else(|| format!("cell {:x}", worst.cell));
         Some(format!(
-            "{name} is served to {:.3} by the new version and to {:.3} by the old, by {} tries",
+            "served fraction of {name}: {:.3} with the new version, {:.3} with the old one, after {} attempts",
             worst.new, worst.old, worst.attempts
         ))
     }
@@ -235,7 +236,7 @@
         self.detector.fleet_fall(tolerated)
     }
 
-    /// The fall of the fleet's service while no server has the new version: the rollout can't be the cause, and there is
+    /// Returns a fall of the fleet's served fraction while no server has begun: the rollout can't be the cause, and there is
     /// nothing to roll back.
     pub(super) fn external_fall(&self, servers: &ServerTable, rollout: &Rollout) -> Option<FleetFall> {
         let plan = &rollout.plan;
@@ -250,14 +251,14 @@
         self.fleet_fall(rollout)
     }
 
-    /// Holds the rollout while the fleet's service falls for another cause, and logs it once; whether it is held.
+    /// Holds the rollout while service has fallen for another cause, and logs each change; returns whether it is held.
     fn hold(&mut self, servers: &ServerTable, rollout: &Rollout, step: &mut RolloutStep) -> bool {
         let fall = self.external_fall(servers, rollout);
         let name = &rollout.plan.name;
         match fall {
             Some(fall) if !self.is_held => step.log(Level::Warning, fall.hold_text(name)),
             None if self.is_held => {
-                let text = format!("release {name} waits no longer: the fleet serves as before");
+                let text = format!("release {name} continues: the fleet's served fraction has recovered");
                 step.log(Level::Info, text);
             }
             _ => {}
@@ -266,7 +267,7 @@
         self.is_held
     }
 
-    /// Finishes the rollout where all servers are in their final state, or starts the next batch where this one has been
+    /// Finishes the rollout if all servers are in their final state, or starts the next batch once the current one has been
     /// updated for its pause.
     fn step_batch(&mut self, now: Time, rollout: &Rollout, step: &mut RolloutStep) {
         let number = rollout.number;
--- a/crates/coordination/src/controller/rollout_controller/server_step.rs
+++ b/crates/coordination/src/controller/rollout_controller/server_step.rs
@@ -1,5 +1,5 @@
-//! What is due with one server of the rollout. It gets a permit, is assigned its step, changes, and counts once it is stable
-//! with the target version; a server that fails stops the rollout, unless others are out with it.
+//! The step of one server of the rollout: reserve a permit, assign the step, and record progress once the server is stable with
+//! the target version. A failed step stops the rollout, unless other servers are out too, which points to another cause.
 
 use super::RolloutStep;
 use crate::controller::permits::{MAX_INCARNATIONS, ObservedPermit, PermitController};
@@ -12,28 +12,28 @@
 use gradepin_admission::{Span, time_after};
 use std::sync::Arc;
 
-/// Between assignments of the same step to a server.
+/// Interval at which the same step is assigned to a server again; an assignment may be lost.
 const ASSIGNMENT_INTERVAL: Span = Span(500 * NANOS_PER_MS);
-/// This many other servers out without a permit have a cause other than the version.
+/// Minimum other servers out without a permit for a failure to count as caused by something other than the version.
 const MIN_OTHERS_OUT: usize = 2;
-/// In a large fleet it is the fleet's size divided by this.
+/// In a large fleet that minimum is the fleet's size divided by this number.
 const FLEET_PER_OTHER_OUT: usize = 100;
 
 /// Whether the rollout continues after a step of one server.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum ServerStepResult {
-    /// It does.
+    /// The step is done, in progress, or not possible yet.
     Continues,
-    /// The step failed and the rollout is stopped.
+    /// The step failed, and a halt or rollback of the rollout is proposed.
     Stopped,
 }
 
-/// A server that is due, and what it shall run.
+/// A server whose step is due, with its target version.
 struct DueServer<'a> {
     rollout: &'a Rollout,
     name: &'a Name,
     target_version: &'a String,
-    /// Its report, if that is fresh.
+    /// The server's last report, if it is fresh.
     reporting: Option<&'a ReportingServer>,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// Takes the step that is due with one server.
+/// Advances the step of one server.
 pub(super) fn step_server(
     context: &Context<'_>,
     permits: &mut PermitController,
@@ -75,7 +75,7 @@
         return ServerStepResult::Continues;
     };
     if others_are_out(context, name) {
-        // A power failure or a partition, perhaps: no fault of the version, whose time restarts once they are back.
+        // Probably a power failure or a partition rather than the version: restart the timeout.
         observed.restart(context.now);
         return ServerStepResult::Continues;
     }
@@ -87,7 +87,7 @@
     ServerStepResult::Stopped
 }
 
-/// Assigns the step to a server that has its permit.
+/// Assigns the step to a server that has a permit for it, at most once per [`ASSIGNMENT_INTERVAL`].
 fn assign(
     context: &Context<'_>,
     server: &DueServer<'_>,
@@ -110,7 +110,7 @@
     step.effects.push(ControllerEffect::AssignStep { to: Arc::clone(server.name), assignment });
 }
 
-/// Reserves a permit for a server that reports, where one more may be out.
+/// Proposes to reserve a permit for a reporting server, if the limits allow it.
 fn reserve(context: &Context<'_>, server: &DueServer<'_>, step: &mut RolloutStep) {
     let Some(reporting) = server.reporting else { return };
     let target = Target::Server(Arc::clone(server.name));
@@ -126,7 +126,7 @@
     step.commands.push(KeyedCommand { key: format!("reserve {}", server.name), command });
 }
 
-/// Why a server's step failed: by its own report, by repeated crashes, or by time.
+/// Returns why a server's step failed: by its own report, by a crash loop, or by timeout.
 fn failure(
     context: &Context<'_>,
     server: &DueServer<'_>,
@@ -136,7 +136,7 @@
     let rollout = server.rollout;
     let failed = server.reporting.and_then(|server| server.report.failed.as_ref());
     if let Some(failed) = failed.filter(|failed| failed.rollout == rollout.number) {
-        // An entry with a reason of any length might be one that no message can carry.
+        // Cut the reason: an entry with a long one might not fit into any message.
         let end = failed.reason.floor_char_boundary(MAX_TEXT_BYTES);
         return Some(failed.reason[..end].to_string());
     }
@@ -144,13 +144,13 @@
         return None;
     }
     if observed.incarnations.len() > MAX_INCARNATIONS {
-        return Some("its process ends again and again".into());
+        return Some("its process restarts repeatedly".into());
     }
     let is_late = context.now >= time_after(observed.since, rollout.plan.ready_timeout());
     is_late.then(|| format!("not ready within {} ms", rollout.plan.ready_timeout_ms))
 }
 
-/// Whether more than this server is out without a permit: the rest of its zone, or several of the fleet.
+/// Whether other servers are out without a permit too: the rest of this server's zone, or several in the fleet.
 fn others_are_out(context: &Context<'_>, name: &Name) -> bool {
     let state = context.state;
     let Some(zone) = state.roster.get(name).map(|member| &member.zone) else { return false };
--- a/crates/coordination/src/controller/servers.rs
+++ b/crates/coordination/src/controller/servers.rs
@@ -1,4 +1,4 @@
-//! The servers that report to this voter: their last reports, and since when each has been ready without a break.
+//! The servers that report to this voter: the last report of each, and how long it has been ready without interruption.
 
 use crate::ids::{Incarnation, Name};
 use crate::messages::ServerReport;
@@ -7,19 +7,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A server's last report.
+/// A server that reported, with its last report.
 #[derive(Debug, Clone)]
 pub(super) struct ReportingServer {
     received_at: Time,
-    /// The incarnation that sent it.
+    /// Incarnation that sent the report.
     pub incarnation: Incarnation,
-    /// The report.
+    /// The last report, which may be stale.
     pub report: ServerReport,
-    /// Since when the server has been ready without a break.
+    /// Start of the uninterrupted time in which the server has been ready; none if it isn't ready.
     ready_since: Option<Time>,
 }
 
-/// The servers that reported, at most [`MAX_SERVERS`].
+/// The servers that reported to this voter, at most [`MAX_SERVERS`].
 #[derive(Debug)]
 pub(super) struct ServerTable {
     servers: BTreeMap<Name, ReportingServer>,
@@ -27,12 +27,12 @@
 }
 
 impl ServerTable {
-    /// With the age up to which a report counts.
+    /// Creates an empty table; reports older than `fresh_for` count as stale.
     pub(super) fn new(fresh_for: Span) -> Self {
         Self { servers: BTreeMap::new(), fresh_for }
     }
 
-    /// Whether a report is accepted: there is capacity, and it isn't of an earlier incarnation.
+    /// Whether a report of this incarnation is accepted: the table has capacity and no later incarnation is known.
     pub(super) fn accepts(&self, name: &Name, incarnation: Incarnation) -> bool {
         match self.servers.get(name) {
             Some(known) => known.incarnation <= incarnation,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Records a report.
+    /// Records a report. Readiness is uninterrupted only within one incarnation and while reports stay fresh.
     pub(super) fn record_report(
         &mut self,
         now: Time,
@@ -56,40 +56,40 @@
         self.servers.insert(Arc::clone(name), server);
     }
 
-    /// Drops a server that is removed from the roster.
+    /// Forgets a server that an operator removes from the roster.
     pub(super) fn remove(&mut self, name: &Name) {
         self.servers.remove(name);
     }
 
-    /// Counts stability of all servers from now on.
+    /// Restarts the stabilization time of all ready servers.
     pub(super) fn restart_stabilization(&mut self, now: Time) {
         for server in self.servers.values_mut() {
             server.ready_since = server.ready_since.map(|_| now);
         }
     }
 
-    /// A server's last report, and its age.
+    /// Returns the last report of a server and the report's age.
     pub(super) fn report(&self, now: Time, name: &str) -> Option<(&ServerReport, Span)> {
         let server = self.servers.get(name)?;
         Some((&server.report, Span(now.0.saturating_sub(server.received_at.0))))
     }
 
-    /// The last reports of all servers, however old.
+    /// Returns the last report of each server, regardless of age.
     pub(super) fn reports(&self) -> impl Iterator<Item = (&Name, &ServerReport)> {
         self.servers.iter().map(|(name, server)| (name, &server.report))
     }
 
-    /// What is known of a server, however old.
+    /// Returns a server that reported, regardless of the report's age.
     pub(super) fn get(&self, name: &Name) -> Option<&ReportingServer> {
         self.servers.get(name)
     }
 
-    /// What is known of a server, if its report is fresh.
+    /// Returns a server whose last report is fresh.
     pub(super) fn get_fresh(&self, now: Time, name: &Name) -> Option<&ReportingServer> {
         self.servers.get(name).filter(|server| self.is_fresh(now, server))
     }
 
-    /// Fresh reports.
+    /// Returns all fresh reports.
     pub(super) fn fresh(&self, now: Time) -> impl Iterator<Item = (&Name, &ServerReport)> {
         self.servers
             .iter()
@@ -101,13 +101,13 @@
         now.0.saturating_sub(server.received_at.0) <= self.fresh_for.0
     }
 
-    /// Servers of the roster without a fresh report that says ready: they count as out of service.
+    /// Servers of the roster without a fresh report that they are ready; they count as out of service.
     pub(super) fn not_ready(&self, now: Time, state: &ReplicatedState) -> BTreeSet<Name> {
         let is_ready = |name: &Name| self.get_fresh(now, name).is_some_and(|server| server.report.ready);
         state.roster.keys().filter(|name| !is_ready(name)).cloned().collect()
     }
 
-    /// Whether a server has been ready for so long without a break.
+    /// Whether a server has been ready without interruption for at least `span`.
     pub(super) fn is_stable(&self, now: Time, name: &Name, span: Span) -> bool {
         let server = self.get_fresh(now, name);
         server.and_then(|server| server.ready_since).is_some_and(|since| now >= time_after(since, span))
--- a/crates/coordination/src/controller/settings.rs
+++ b/crates/coordination/src/controller/settings.rs
@@ -6,20 +6,20 @@
 use gradepin_admission::Span;
 use std::collections::BTreeMap;
 
-/// What an operator sets of the controller.
+/// Settings of the controller, from the operator's settings file.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ControllerSettings {
-    /// How much may be out of service at a time.
+    /// Limits that the leader proposes for the replicated state.
     pub limits: Limits,
-    /// How long a server must have been ready before its permit ends.
+    /// Time for which a server must have been ready before its permit ends.
     pub stabilization: Span,
-    /// A server whose last report is older than this counts as out of service.
+    /// Maximum age of a report; a server without a younger one counts as out of service.
     pub fresh_for: Span,
-    /// The largest deviation of a clock's rate, in parts per million.
+    /// Maximum deviation of any server's clock rate, in parts per million.
     pub max_drift_ppm: u64,
-    /// For drills alone: the leader checks no limits.
+    /// Only for drills: the leader grants permits without checking limits.
     pub ignore_limits: bool,
-    /// The names of the cells that service is counted by, for log lines.
+    /// Names of the cells by which service is counted, for log lines and halt reasons.
     pub cell_names: BTreeMap<Cell, String>,
 }
 
--- a/crates/coordination/src/founding.rs
+++ b/crates/coordination/src/founding.rs
@@ -1,66 +1,66 @@
-//! The founding of the consensus group: which voters it starts with, and the response to a request to found it.
+//! Founds the consensus group with its first voters, and answers requests to found it.
 //!
-//! Founding may be requested again, at any voter and at any time: a response may be lost, and a voter's report may be late. The
-//! same voters give the same response. Invariant: a group that has committed an entry is never founded again, as a voter that
-//! was founded twice could have forgotten a vote; a late voter learns of such a group from its leader.
+//! Founding is idempotent: a response may be lost or a voter's report late, so founding may be requested again at any voter and
+//! any time, and the same voters get the same response. Invariant: a group that has committed an entry is never founded again,
+//! because a voter that is founded twice could forget a vote. A late voter learns of such a group from the group's leader.
 
 use crate::consensus::{ConsensusVoter, VoterId};
 use crate::ids::{LogIndex, Name};
 use gradepin_admission::{Span, Time, span_seconds, time_after};
 use std::collections::BTreeMap;
 
-/// How long the founding is sent to voters that haven't accepted it. Another request sends it for as long again.
+/// Time for which the founding is sent to voters that haven't accepted it. Another request restarts it.
 const SEND_TIMEOUT: Span = Span(10_000_000_000);
-/// The index that every voter is founded with; a greater one means that a leader has committed an entry.
+/// Index of the state that every voter is founded with; a greater one means that a leader has committed an entry.
 const FOUNDING_INDEX: LogIndex = 1;
 
-/// Why the group isn't founded.
+/// Reason for not founding the group.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FoundingError {
     /// This server has no voter state.
-    #[error("this server has no folder for a council")]
+    #[error("this server has no council folder")]
     NoFolder,
-    /// A voter of the settings has not reported lately.
-    #[error("{0} isn't heard; ask again once it is")]
+    /// A voter that the settings name has not reported lately.
+    #[error("{0} has not reported lately; retry once it reports")]
     NotHeard(Name),
-    /// A voter of the settings has no voter state.
-    #[error("{0} has no folder for a council")]
+    /// A voter that the settings name has no voter state.
+    #[error("{0} has no council folder")]
     NoFolderAt(Name),
     /// This server belongs to no group and another voter does.
     #[error(
-        "{0} belongs to a council already; a voter of it takes it over within a second, another one is to be put in"
+        "{0} already belongs to a council: its leader updates this server within a second if it is a voter there, otherwise add it as a voter"
     )]
     RunsElsewhere(Name),
-    /// This server belongs to a group of other voters than its settings name.
+    /// This server belongs to a group whose voters differ from those in the settings.
     #[error("a council of {runs} runs already, the settings here name {configured}")]
     OtherVoters {
-        /// The voters of the group.
+        /// Names of the group's voters.
         runs: String,
-        /// The voters of the settings.
+        /// Names of the voters in the settings.
         configured: String,
     },
-    /// The settings name an unsupported number of voters.
+    /// The settings name an unsupported number of voters, or two of them report the same identity.
     #[error("expected 3 or 5 voters, or 1, got {0}")]
     Count(usize),
 }
 
-/// What another server reported of its voter state.
+/// The voter state of another server, as that server reported it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedVoter {
-    /// The identity, if it has one.
+    /// Identity of the voter state, if the server has one.
     pub id: Option<VoterId>,
-    /// Whether it belongs to a group.
+    /// Whether the voter state belongs to a consensus group.
     pub founded: bool,
 }
 
-/// What is due.
+/// Next step of a founding in progress.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FoundingStep {
-    /// Nothing.
+    /// Nothing to do.
     Idle,
-    /// Send the founding to the other voters.
+    /// Send these voters to the other voters, so that they found the group too.
     Send(BTreeMap<VoterId, Name>),
-    /// Not all voters accepted it within this time; another request continues it.
+    /// Not all voters accepted the founding within this time; sending stops until the next request.
     TimedOut(Span),
 }
 
@@ -70,35 +70,36 @@
     since: Time,
 }
 
-/// The founding, on one server.
+/// The founding on one server.
 #[derive(Debug)]
 pub struct Founding {
-    /// The voters that the settings name, sorted.
+    /// Names of the voters in the settings, sorted.
     configured: Vec<Name>,
     sending: Option<Sending>,
 }
 
-/// Lists names, sorted.
+/// Joins names in sorted order.
 fn list_names<'a>(names: impl IntoIterator<Item = &'a Name>) -> String {
     let mut names: Vec<&str> = names.into_iter().map(|name| &**name).collect();
     names.sort_unstable();
     names.join(", ")
 }
 
-/// The response to each request of a founding that succeeded.
+/// Returns the response to each request of a founding that succeeded.
 pub fn response(voters: &BTreeMap<VoterId, Name>) -> String {
     format!("a council of {} is founded", list_names(voters.values()))
 }
 
 impl Founding {
-    /// With the voters that the settings name.
+    /// Creates a founding for the voters in the settings.
     pub fn new(configured: &[Name]) -> Self {
         let mut configured = configured.to_vec();
         configured.sort();
         Self { configured, sending: None }
     }
 
-    /// Requests the founding here. The voters of the group, which is to be founded here if it isn't yet.
+    /// Handles a request to found the group. Returns the voters of the group; the caller founds it here if it isn't founded
+    /// yet.
     pub fn request(
         &mut self,
         now: Time,
@@ -119,7 +120,7 @@
         Ok(voters)
     }
 
-    /// Checks that these are the voters that the settings name.
+    /// Checks that these are the voters in the settings.
     pub fn check(&self, voters: &BTreeMap<VoterId, Name>) -> Result<(), FoundingError> {
         let mut named: Vec<&Name> = voters.values().collect();
         named.sort();
@@ -157,7 +158,7 @@
         Ok(voters)
     }
 
-    /// What is due; `is_founded` says whether a server reported that it belongs to a group.
+    /// Returns the next step; `is_founded` tells whether a server has reported that it belongs to a group.
     pub fn step(&mut self, now: Time, own: &Name, is_founded: impl Fn(&Name) -> bool) -> FoundingStep {
         let Some(sending) = &self.sending else { return FoundingStep::Idle };
         if sending.voters.values().all(|voter| voter == own || is_founded(voter)) {
@@ -173,11 +174,11 @@
 }
 
 impl FoundingStep {
-    /// What to log, if anything.
+    /// Returns the warning to log, if the step is a failure.
     pub fn warning(&self) -> Option<String> {
         let Self::TimedOut(span) = self else { return None };
         Some(format!(
-            "not all voters founded the council within {:.0} s; it may be asked for again",
+            "not all voters accepted the founding of the council within {:.0} s; request it again",
             span_seconds(*span)
         ))
     }
--- a/crates/coordination/src/ids.rs
+++ b/crates/coordination/src/ids.rs
@@ -1,23 +1,24 @@
-//! Names and numbers that the modules of this crate share. Aliases, so that stored and sent bytes are those of the plain types.
+//! Name and number types that the modules of this crate share. They are aliases, so stored and sent bytes are those of the
+//! plain types.
 
 use std::sync::Arc;
 
-/// The longest name, reason or version, in bytes.
+/// Maximum length of a name, reason or version, in bytes.
 pub const MAX_TEXT_BYTES: usize = 200;
 
-/// The name of a server, zone, service or person.
+/// Name of a server, zone, service or operator.
 pub type Name = Arc<str>;
-/// A voter: the random identity of its disk's voter state.
+/// Identity of a voter: a random number created with the voter state on its disk. A server with a new disk is a new voter.
 pub type VoterId = u64;
-/// The index of an entry in the consensus group's log, from 1 on.
+/// Index of an entry in the consensus group's log; the first entry has index 1.
 pub type LogIndex = u64;
-/// A Raft term.
+/// Raft term; 0 before the group is founded.
 pub type Term = u64;
-/// The identity of a permit: the index of the entry that reserved it, so that it is never used again.
+/// Identity of a permit: the index of the log entry that reserved it, so it is never reused.
 pub type Epoch = u64;
-/// The identity of a rollout: the index of the entry that started it.
+/// Identity of a rollout: the index of the log entry that started it.
 pub type RolloutNumber = u64;
-/// The start of a server's process: greater than that of any process it had before; 0 where the holder is a person.
+/// Identifies one process of a server: greater than that of all earlier processes of the server; 0 for an operator.
 pub type Incarnation = u64;
-/// The number under which a request, proposal or operator command was submitted, unique for its submitter.
+/// Number under which a request, proposal or operator command was submitted; unique per submitter.
 pub type Ticket = u64;
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,22 +1,24 @@
-//! Coordination of outages across the fleet: who may be out of service and when, agreed by a consensus group of servers.
-//! State machines without I/O and without a clock: `(now, inputs) -> effects`.
+//! Coordinates planned outages across the fleet: a consensus group of servers decides who may be out of service and when.
 //!
-//! - [`ids`]: names and numbers that the modules share.
+//! Everything here is a state machine without I/O and without a clock: `(now, inputs) -> effects`. Settings, the admin endpoint
+//! and texts for operators call the consensus group `council`, a rollout `release` and a batch `wave`.
+//!
+//! - [`ids`]: name and number types that the modules share.
 //! - [`rollout`]: a rollout's plan, batches, the progress of its servers, halt and rollback.
-//! - [`configuration_log`]: the order of configuration changes: revisions, request ids, history.
-//! - [`replicated_state`]: roster, limits, permits, rollout, configuration order; changed by the log's commands alone.
+//! - [`configuration_log`]: the replicated order of configuration changes: revisions, request ids, history.
+//! - [`replicated_state`]: roster, limits, permits, rollout, configuration order; only commands of the log change it.
 //! - [`replicated_snapshot`]: the encoding of the replicated state in snapshots.
-//! - [`consensus`]: one voter, on the `raft` library: what must be durable before what is sent, and when it may vote.
-//! - [`founding`]: the voters that the group starts with, the same at each request.
+//! - [`consensus`]: one voter, built on the `raft` library: durability before sending, and when the voter may vote.
+//! - [`founding`]: the creation of the group with its first voters; repeated requests are idempotent.
 //! - [`messages`]: messages between servers about permits, rollouts and operator commands.
-//! - [`controller`]: what the leader does: permits, operator commands, the rollout.
-//! - [`regression`]: whether a new version serves worse, by more than noise.
-//! - [`permit_client`]: one server's permit requests: which voter gets them, and until when it may begin.
-//! - [`proposal_client`]: one server's requests for configuration changes, and who waits at a voter for a commit.
-//! - [`server_agent`]: all of these together, for one server.
+//! - [`controller`]: the leader's work: permits, operator commands, the rollout.
+//! - [`regression`]: detects whether a new version serves worse by more than noise.
+//! - [`permit_client`]: one server's permit requests: the voter to ask, retries, and the expiry of a grant.
+//! - [`proposal_client`]: one server's requests for configuration changes, and the servers that wait for a commit.
+//! - [`server_agent`]: combines all of these for one server.
 //!
-//! The invariant that all of it keeps: agreed outages plus those that are known to have happened never exceed the limits of the
-//! settings, whatever is partitioned, paused, killed or restarted. The argument is in `docs/design/releases.md`.
+//! Invariant of the crate: permitted outages plus known unplanned outages never exceed the configured limits, whichever servers
+//! are partitioned, paused, killed or restarted. The argument is in `docs/design/releases.md`.
 
 #![warn(missing_docs, unreachable_pub, clippy::too_many_lines)]
 
@@ -34,7 +36,7 @@
 pub mod rollout;
 pub mod server_agent;
 
-// Tests beside private items share files and values with those in `tests/`, which name this crate.
+// Unit tests share golden files and values with the integration tests, which refer to this crate by its name.
 #[cfg(test)]
 extern crate self as gradepin_coordination;
 #[cfg(test)]
--- a/crates/coordination/src/messages.rs
+++ b/crates/coordination/src/messages.rs
@@ -1,5 +1,5 @@
-//! Messages between servers about permits, rollouts and operator commands. The order of variants and fields is the wire
-//! format; the serde names of [`OperatorCommand`] are the admin endpoint's.
+//! Messages between servers about permits, rollouts and operator commands. The order of variants and fields is the wire format;
+//! the serde names of [`OperatorCommand`] are also those of the admin endpoint.
 
 use crate::ids::{Epoch, Name, RolloutNumber, Ticket, VoterId};
 use crate::regression::{Cell, ServiceTotal};
@@ -8,93 +8,93 @@
 use gradepin_admission::Span;
 use serde::{Deserialize, Serialize};
 
-/// How long the holder of a permit may begin after its request, by its own clock.
+/// Time after its request within which the holder of a permit may begin, on the holder's own clock.
 pub const BEGIN_TIMEOUT: Span = Span(5_000_000_000);
 
-/// What a server requests.
+/// Action that a server requests of the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitAction {
-    /// A permit to be out of service.
+    /// Reserve a permit to be out of service.
     Reserve,
-    /// To begin by a permit.
+    /// Begin the outage that a permit is for.
     Begin {
-        /// The permit.
+        /// Epoch of the permit.
         epoch: Epoch,
     },
-    /// The end of a permit that it no longer wants.
+    /// End a permit that the server no longer needs.
     Cancel {
-        /// The permit.
+        /// Epoch of the permit.
         epoch: Epoch,
     },
 }
 
-/// A request to a voter.
+/// A permit request to a voter.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitRequest {
-    /// Matches the reply; greater with each request, also than those of an earlier incarnation.
+    /// Number that the reply repeats; greater than those of all earlier requests, also of earlier incarnations.
     pub number: Ticket,
-    /// What is requested.
+    /// Requested action.
     pub action: PermitAction,
 }
 
-/// The reply of a voter.
+/// A voter's reply to a permit request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitReply {
-    /// This voter doesn't lead: ask the leader, or if none is known another voter.
+    /// The voter doesn't lead; the server asks the leader, or another voter if no leader is known.
     Redirect {
-        /// The leader, as far as it is known.
+        /// Name of the leader, if it is known.
         leader: Option<Name>,
     },
-    /// Not now.
+    /// Denied for now; the server retries later.
     Wait(DenialReason),
-    /// The permit is reserved: ask to begin when that is wanted.
+    /// The permit is reserved; the server has to request to begin.
     Reserved {
-        /// The permit.
+        /// Epoch of the permit.
         epoch: Epoch,
     },
-    /// Begin, within [`BEGIN_TIMEOUT`] of the request.
+    /// The server may begin, within [`BEGIN_TIMEOUT`] of its request.
     Begin {
-        /// The permit.
+        /// Epoch of the permit.
         epoch: Epoch,
     },
-    /// The permit has ended.
+    /// The permit has ended, or belongs to another holder.
     Ended,
 }
 
-/// A rollout step that failed on the server that reports it.
+/// A rollout step that failed on the reporting server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailedStep {
-    /// The rollout.
+    /// Number of the rollout.
     pub rollout: RolloutNumber,
-    /// Why.
+    /// Why the step failed, for operators.
     pub reason: String,
 }
 
-/// What a server reports to the voters, periodically and on a change of readiness.
+/// A server's report to the voters, sent periodically and on a change of readiness.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServerReport {
-    /// Its zone.
+    /// Zone from the server's settings.
     pub zone: String,
-    /// Whether it is ready to serve: not draining, and its processor is connected.
+    /// Whether the server is ready to serve: not draining, and its processor is connected.
     pub ready: bool,
-    /// The program that it runs.
+    /// Program version that the server runs.
     pub program: String,
-    /// The settings that it runs.
+    /// Digest of the settings that the server runs.
     pub settings: String,
-    /// The digests of settings that are staged here completely.
+    /// Digests of settings that are completely staged on the server.
     pub staged: Vec<String>,
-    /// The identity of its voter state, if it has one.
+    /// Identity of the server's voter state, if it has one and isn't excluded.
     pub voter: Option<VoterId>,
-    /// Whether that state belongs to a consensus group.
+    /// Whether the voter state belongs to a consensus group.
     pub founded: bool,
-    /// The last rollout step that failed here.
+    /// Last rollout step that failed on the server.
     pub failed: Option<FailedStep>,
-    /// Requests that it counted in its incarnation, by cell.
+    /// First attempts counted since the process started, by cell.
     pub totals: Vec<(Cell, ServiceTotal)>,
 }
 
 impl ServerReport {
-    /// The version that the server runs.
+    /// Returns the version of this kind that the server runs.
     pub fn version(&self, kind: ReleaseKind) -> &String {
         match kind {
             ReleaseKind::Program => &self.program,
@@ -103,105 +103,105 @@
     }
 }
 
-/// A command of an operator.
+/// An operator's command, submitted at any server and executed by the leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum OperatorCommand {
     /// Grants a permit for a zone or a member of a service.
     #[serde(rename = "Out")]
     GrantPermit {
-        /// What may be out of service.
+        /// Zone or service member that may be out of service.
         target: Target,
-        /// The operator.
+        /// Name of the operator.
         #[serde(rename = "by")]
         operator: Name,
     },
-    /// Ends such a permit.
+    /// Ends a permit that the operator was granted.
     #[serde(rename = "In")]
     EndPermit {
-        /// What is back in service.
+        /// Zone or service member that is back in service.
         target: Target,
-        /// The operator.
+        /// Name of the operator.
         #[serde(rename = "by")]
         operator: Name,
     },
     /// Releases a permit whose holder won't come back.
     #[serde(rename = "Free")]
     ReleasePermit {
-        /// The permit.
+        /// Epoch of the permit.
         epoch: Epoch,
-        /// The operator.
+        /// Name of the operator.
         #[serde(rename = "by")]
         operator: Name,
-        /// Why.
+        /// Reason, shown in the status.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// Removes a server that won't come back.
+    /// Removes a server that won't come back from the roster.
     #[serde(rename = "Strike")]
     RemoveServer {
-        /// The server.
+        /// Name of the server.
         name: Name,
-        /// The operator.
+        /// Name of the operator.
         #[serde(rename = "by")]
         operator: Name,
-        /// Why.
+        /// Reason, shown in the status.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// Adds a server to the voters, with the identity that it reports, or removes it from them.
+    /// Adds a server to the voters, with the voter identity that it reports, or removes it from them.
     #[serde(rename = "Voter")]
     ChangeVoter {
-        /// The server.
+        /// Name of the server.
         name: Name,
-        /// Whether it is added.
+        /// Whether the server is added rather than removed.
         #[serde(rename = "puts_in")]
         add: bool,
-        /// The operator.
+        /// Name of the operator.
         #[serde(rename = "by")]
         operator: Name,
     },
     /// Starts a rollout.
     #[serde(rename = "Start")]
     StartRollout {
-        /// What is rolled out, and how.
+        /// Plan of the rollout.
         plan: Box<RolloutPlan>,
-        /// The operator.
+        /// Name of the operator.
         #[serde(rename = "by")]
         operator: Name,
     },
-    /// Changes the rollout in progress.
+    /// Halts, resumes or rolls back the rollout in progress.
     #[serde(rename = "Release")]
     Rollout(RolloutCommand),
 }
 
-/// Why a command failed, in the leader's words.
+/// Why an operator's command failed, as text for the operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{0}")]
 #[serde(transparent)]
 pub struct CommandFailure(pub String);
 
-/// The result of a command: what was done, in words, or why it failed.
+/// Result of an operator's command: a description of what was done, or why it failed.
 pub type CommandResult = Result<String, CommandFailure>;
 
-/// The reply of a voter to a command.
+/// A voter's reply to an operator's command.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum OperatorCommandReply {
-    /// Send it to the leader, or if none is known to another voter.
+    /// The voter doesn't lead; names the leader if it is known.
     Redirect(Option<Name>),
-    /// Its result.
+    /// Result of the command.
     Done(CommandResult),
 }
 
-/// A step of a rollout that a server is to take.
+/// A step of a rollout, assigned to the server that is to take it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StepAssignment {
-    /// The rollout.
+    /// Number of the rollout.
     pub rollout: RolloutNumber,
-    /// The permit by which to begin.
+    /// Epoch of the permit for the step.
     pub epoch: Epoch,
-    /// What changes.
+    /// Kind of artifact that changes.
     pub kind: ReleaseKind,
-    /// The version to run then.
+    /// Version to run after the step.
     pub version: String,
 }
 
--- a/crates/coordination/src/messages/tests.rs
+++ b/crates/coordination/src/messages/tests.rs
@@ -1,16 +1,16 @@
-//! The bytes of messages between servers, written down: servers of two versions must read each other.
+//! Encoded bytes of messages between servers, which servers of different program versions exchange.
 
 use super::*;
 use serde::Serialize;
 use std::sync::Arc;
 
 fn hex(message: &impl Serialize) -> String {
-    let bytes = postcard::to_stdvec(message).expect("it is encoded");
+    let bytes = postcard::to_stdvec(message).expect("messages can be encoded");
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
 #[test]
-fn permit_messages_keep_their_bytes() {
+fn encodes_permit_messages_as_expected_bytes() {
     let request = |action| PermitRequest { number: 300, action };
     assert_eq!(hex(&request(PermitAction::Reserve)), "ac0200");
     assert_eq!(hex(&request(PermitAction::Begin { epoch: 7 })), "ac020107");
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_report_keeps_its_bytes() {
+fn encodes_a_report_as_expected_bytes() {
     let report = ServerReport {
         zone: "z".into(),
         ready: true,
@@ -39,35 +39,44 @@
 }
 
 #[test]
-fn orders_and_turns_keep_their_bytes() {
-    let by: Name = Arc::from("k");
+fn encodes_operator_commands_and_step_assignments_as_expected_bytes() {
+    let operator_name: Name = Arc::from("k");
     let target = Target::Zone(Arc::from("z"));
     assert_eq!(
-        hex(&OperatorCommand::GrantPermit { target: target.clone(), operator: by.clone() }),
+        hex(&OperatorCommand::GrantPermit { target: target.clone(), operator: operator_name.clone() }),
         "0001017a016b"
     );
-    assert_eq!(hex(&OperatorCommand::EndPermit { target, operator: by.clone() }), "0101017a016b");
+    assert_eq!(hex(&OperatorCommand::EndPermit { target, operator: operator_name.clone() }), "0101017a016b");
     assert_eq!(
-        hex(&OperatorCommand::ReleasePermit { epoch: 7, operator: by.clone(), reason: "x".into() }),
+        hex(&OperatorCommand::ReleasePermit {
+            epoch: 7,
+            operator: operator_name.clone(),
+            reason: "x".into()
+        }),
         "0207016b0178"
     );
     assert_eq!(
         hex(&OperatorCommand::RemoveServer {
             name: Arc::from("n1"),
-            operator: by.clone(),
+            operator: operator_name.clone(),
             reason: "x".into()
         }),
         "03026e31016b0178"
     );
     assert_eq!(
-        hex(&OperatorCommand::ChangeVoter { name: Arc::from("n1"), add: true, operator: by.clone() }),
+        hex(&OperatorCommand::ChangeVoter {
+            name: Arc::from("n1"),
+            add: true,
+            operator: operator_name.clone()
+        }),
         "04026e3101016b"
     );
-    let halt = RolloutCommand::Halt { name: "r".into(), operator: by, reason: "x".into() };
+    let halt = RolloutCommand::Halt { name: "r".into(), operator: operator_name, reason: "x".into() };
     assert_eq!(hex(&OperatorCommand::Rollout(halt)), "06010172016b0178");
     assert_eq!(hex(&OperatorCommandReply::Redirect(None)), "0000");
     assert_eq!(hex(&OperatorCommandReply::Done(Ok("done".into()))), "010004646f6e65");
     assert_eq!(hex(&OperatorCommandReply::Done(Err(CommandFailure("no".into())))), "0101026e6f");
-    let turn = StepAssignment { rollout: 20, epoch: 21, kind: ReleaseKind::Settings, version: "v2".into() };
-    assert_eq!(hex(&turn), "141501027632");
+    let assignment =
+        StepAssignment { rollout: 20, epoch: 21, kind: ReleaseKind::Settings, version: "v2".into() };
+    assert_eq!(hex(&assignment), "141501027632");
 }
--- a/crates/coordination/src/permit_client.rs
+++ b/crates/coordination/src/permit_client.rs
@@ -1,8 +1,8 @@
-//! The client of permits on one server: which voter gets its request, when it retries, and until when it may begin.
+//! The permit client of one server: chooses the voter to ask, retries, and computes when a grant to begin expires.
 //!
-//! Input: the action that is wanted, replies, and time. Output: requests and [`ClientEvent`]s. Invariant: the right to begin
-//! counts from when the request was sent that was answered, by this server's own clock, so that a server which was stopped
-//! between the reply and its leaving finds it expired. Not here: what the server does then.
+//! Input: the requested action, replies, and time. Output: requests and [`ClientEvent`]s. Invariant: the right to begin counts
+//! from the time at which the granted request was sent, on this server's own clock. So a server that was suspended between the
+//! reply and the outage finds its right expired.
 
 use crate::ids::{Epoch, Name, Ticket};
 use crate::messages::{BEGIN_TIMEOUT, PermitAction, PermitReply, PermitRequest};
@@ -12,49 +12,49 @@
 use std::sync::Arc;
 
 const NANOS_PER_MS: u64 = 1_000_000;
-/// Without a reply within this the next voter is asked.
+/// Time to wait for a reply before the next voter is asked.
 const REPLY_TIMEOUT: Span = Span(400 * NANOS_PER_MS);
-/// Between a reply that says wait and the retry.
+/// Delay of the retry after a reply to wait.
 const RETRY_AFTER: Span = Span(1_000 * NANOS_PER_MS);
-/// Before a redirected request.
+/// Delay of a request that was redirected to the leader.
 const REDIRECT_DELAY: Span = Span(50 * NANOS_PER_MS);
-/// Requests in flight whose replies count.
+/// Maximum requests in flight; replies to older ones are ignored.
 const MAX_SENT_REQUESTS: usize = 8;
 
-/// The effect of a reply.
+/// Event that a reply causes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClientEvent {
-    /// None yet.
+    /// The request isn't granted yet.
     Nothing,
-    /// The server may begin by this permit, until then by its own clock.
+    /// The server may begin its outage.
     MayBegin {
-        /// The permit.
+        /// Epoch of the permit.
         epoch: Epoch,
-        /// The end of the right to begin.
+        /// End of the right to begin, on this server's clock.
         expires_at: Time,
     },
-    /// The permit has ended: what it was for may not begin.
+    /// The permit has ended before it was begun, and the outage may not begin.
     Stale {
-        /// The permit.
+        /// Epoch of the permit.
         epoch: Epoch,
     },
 }
 
-/// A request and its voter.
+/// A permit request to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutgoingRequest {
-    /// The voter.
+    /// Name of the voter to ask.
     pub to: Name,
-    /// The request.
+    /// Request with a fresh number.
     pub request: PermitRequest,
 }
 
-/// A request that isn't granted yet.
+/// A request that isn't granted yet, for the status.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WaitingRequest {
-    /// How long it has been waiting, in seconds.
+    /// Time since the request was made, in seconds.
     pub waiting_s: f64,
-    /// The reason in the last reply.
+    /// Reason in the last reply, or that there was none.
     pub reason: String,
 }
 
@@ -69,9 +69,9 @@
     action: PermitAction,
     since: Time,
     next_request: Time,
-    /// The last requests in flight, at most [`MAX_SENT_REQUESTS`].
+    /// The latest requests in flight, at most [`MAX_SENT_REQUESTS`].
     sent: VecDeque<SentRequest>,
-    /// Why it isn't granted yet.
+    /// Why the request isn't granted yet.
     reason: String,
 }
 
@@ -82,24 +82,24 @@
     }
 }
 
-/// The requests of one server: one action at a time.
+/// The permit client of one server; it requests one action at a time.
 #[derive(Debug)]
 pub struct PermitClient {
     voters: Vec<Name>,
-    /// The position of the voter that is asked, modulo their number.
+    /// Index of the voter to ask, modulo the number of voters.
     target: usize,
     current: Option<CurrentRequest>,
     last_number: Ticket,
 }
 
 impl PermitClient {
-    /// With the voters that may be asked. Requests have numbers greater than `last_number`, which is to be greater than those of
-    /// any earlier incarnation.
+    /// Creates a client that asks these voters. Requests get numbers above `last_number`, which must exceed the numbers of all
+    /// earlier incarnations.
     pub fn new(voters: Vec<Name>, last_number: Ticket) -> Self {
         Self { voters, target: 0, current: None, last_number }
     }
 
-    /// Sets the voters that are known now.
+    /// Replaces the voters that may be asked; an empty list is ignored.
     pub fn set_voters(&mut self, voters: Vec<Name>) {
         if !voters.is_empty() && voters != self.voters {
             self.voters = voters;
@@ -107,41 +107,41 @@
         }
     }
 
-    /// Requests this action from now on, unless it is requested already.
+    /// Requests an action until it is granted, replacing any other; the same action keeps its waiting time.
     pub fn request(&mut self, now: Time, action: PermitAction) {
         if self.current.as_ref().is_some_and(|current| current.action == action) {
             return;
         }
-        let reason = "nobody of the council has answered yet".to_string();
+        let reason = "no voter of the council has replied yet".to_string();
         self.current =
             Some(CurrentRequest { action, since: now, next_request: now, sent: VecDeque::new(), reason });
     }
 
-    /// Stops requesting.
+    /// Drops the current request; late replies to it are ignored.
     pub fn stop(&mut self) {
         self.current = None;
     }
 
-    /// The action that is requested.
+    /// Returns the action that is being requested.
     pub fn action(&self) -> Option<&PermitAction> {
         self.current.as_ref().map(|current| &current.action)
     }
 
-    /// The request that isn't granted yet.
+    /// Returns the request that isn't granted yet, with its waiting time.
     pub fn waiting_request(&self, now: Time) -> Option<WaitingRequest> {
         let current = self.current.as_ref()?;
         let waiting_s = span_seconds(Span(now.0.saturating_sub(current.since.0)));
         Some(WaitingRequest { waiting_s, reason: current.reason.clone() })
     }
 
-    /// The request that is due.
+    /// Returns the request to send now, if one is due.
     pub fn step(&mut self, now: Time) -> Option<OutgoingRequest> {
         let current = self.current.as_mut().filter(|current| now >= current.next_request)?;
         if self.voters.is_empty() {
             return None;
         }
         if !current.sent.is_empty() {
-            // No reply to the last one: perhaps another voter can be reached.
+            // The last request got no reply; another voter may be reachable.
             self.target += 1;
         }
         self.last_number += 1;
@@ -155,15 +155,15 @@
         Some(OutgoingRequest { to, request })
     }
 
-    /// When [`PermitClient::step`] has something to do.
+    /// Time at which [`PermitClient::step`] has a request to send.
     pub fn wake_at(&self) -> Option<Time> {
         self.current.as_ref().map(|current| current.next_request)
     }
 
-    /// Receives a voter's reply to the request of this number.
+    /// Handles a voter's reply to the request numbered `number`.
     pub fn receive(&mut self, now: Time, number: Ticket, reply: PermitReply) -> ClientEvent {
         let Some(current) = &mut self.current else { return ClientEvent::Nothing };
-        // Otherwise it is for a request of an earlier incarnation, or one that isn't in flight any more.
+        // Ignore replies to requests of an earlier incarnation, and to requests no longer in flight.
         let Some(sent) = current.sent.iter().find(|sent| sent.number == number).copied() else {
             return ClientEvent::Nothing;
         };
@@ -195,7 +195,7 @@
         ClientEvent::Nothing
     }
 
-    /// Another voter leads, or none that is known.
+    /// Asks the leader next, or another voter if no leader is known.
     fn redirect(&mut self, now: Time, leader: Option<Name>) {
         let Some(current) = &mut self.current else { return };
         match leader.and_then(|leader| self.voters.iter().position(|voter| *voter == leader)) {
@@ -206,7 +206,7 @@
             None => {
                 self.target += 1;
                 current.retry_at(time_after(now, REPLY_TIMEOUT));
-                current.reason = "the council has no leader that is heard".into();
+                current.reason = "no leader of the council is known".into();
             }
         }
     }
--- a/crates/coordination/src/proposal_client.rs
+++ b/crates/coordination/src/proposal_client.rs
@@ -1,7 +1,7 @@
-//! Requests for configuration changes that were submitted at this server: which voter gets each, when it is retried at the
-//! next one, and its result; on a voter, who waits for the commit of a request id.
+//! Client for configuration changes submitted at this server: sends each request to a voter, retries it at the next one, and
+//! returns its result. On a voter, [`CommitWaiters`] records the servers that wait for the commit of a request.
 //!
-//! Invariant: each request has one result, within [`PROPOSAL_TIMEOUT`]. Requests are idempotent by their ids.
+//! Invariant: each request gets one result within [`PROPOSAL_TIMEOUT`]. Requests are idempotent by their request ids.
 
 use crate::configuration_log::{ConfigurationRejected, ConfigurationRequest};
 use crate::ids::{Name, Ticket};
@@ -11,48 +11,48 @@
 use std::collections::BTreeMap;
 
 const NANOS_PER_MS: u64 = 1_000_000;
-/// Each request has a result by then: within the 2 s that its caller is promised.
+/// Maximum time until a request has a result. Callers are promised one within 2 s.
 pub const PROPOSAL_TIMEOUT: Span = Span(1_800 * NANOS_PER_MS);
-/// Without a reply within this the next voter is asked. A commit takes two writes and a round trip.
+/// Time to wait for a reply before the next voter is asked. A commit takes two disk writes and a round trip.
 const REPLY_TIMEOUT: Span = Span(350 * NANOS_PER_MS);
-/// Before another voter is asked where one knows no leader: an election takes a second or two.
+/// Delay before the next voter is asked after a reply that no leader is known. An election takes one to two seconds.
 const NO_LEADER_DELAY: Span = Span(150 * NANOS_PER_MS);
-/// Requests in flight at most; each has one transaction.
+/// Maximum requests in flight; bounds memory, as each holds a transaction.
 const MAX_REQUESTS: usize = 64;
-/// Servers that wait at a voter at most.
+/// Maximum requests of servers that wait for a commit at one voter.
 const MAX_COMMIT_WAITERS: usize = 4 * MAX_REQUESTS;
 
-/// The result of a request.
+/// Result of a request: the committed revision, or why it wasn't committed.
 pub type ProposalResult = Result<Revision, ConfigurationRejected>;
 
-/// A voter's reply to a request.
+/// A voter's reply to a request for a configuration change. The order of variants is the wire format.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum VoterReply {
-    /// Another voter leads: this one, if it is known.
+    /// The voter doesn't lead; names the leader if it is known.
     NotLeader(Option<Name>),
-    /// It is proposed; the result follows.
+    /// The leader proposed the change; the result follows in another reply.
     Proposed,
-    /// Its result.
+    /// Final result of the request.
     Finished(ProposalResult),
 }
 
-/// The result of a request, for whoever submitted it.
+/// The result of a request, for its submitter.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProposalResponse {
-    /// The ticket of the request.
+    /// Ticket under which the request was submitted.
     pub ticket: Ticket,
-    /// Its result.
+    /// Committed revision, or why the change wasn't committed.
     pub result: ProposalResult,
 }
 
-/// A request to be sent.
+/// A request to send to a voter.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OutgoingProposal {
-    /// The voter.
+    /// Name of the voter.
     pub to: Name,
-    /// Its ticket.
+    /// Ticket of the request, which the reply repeats.
     pub ticket: Ticket,
-    /// The request.
+    /// Request to send, the same on each retry.
     pub request: ConfigurationRequest,
 }
 
@@ -62,9 +62,9 @@
     request: ConfigurationRequest,
     submitted_at: Time,
     next_send: Time,
-    /// The position of the voter that is asked next, modulo their number.
+    /// Index of the voter to ask next, modulo the number of voters.
     target: usize,
-    /// Its result if no other is received in time.
+    /// Result to return if none is received in time.
     result_on_timeout: ConfigurationRejected,
 }
 
@@ -74,14 +74,14 @@
     }
 }
 
-/// The requests of one server, at most [`MAX_REQUESTS`].
+/// The requests in flight of one server, at most [`MAX_REQUESTS`].
 #[derive(Debug, Default)]
 pub struct ProposalClient {
     pending: BTreeMap<Ticket, PendingRequest>,
 }
 
 impl ProposalClient {
-    /// Submits a request; its result comes from [`ProposalClient::receive`] or [`ProposalClient::expired`].
+    /// Submits a request. [`ProposalClient::receive`] or [`ProposalClient::expired`] returns its result.
     pub fn submit(
         &mut self,
         now: Time,
@@ -102,7 +102,7 @@
         Ok(())
     }
 
-    /// Requests that are due to be sent.
+    /// Returns the requests to send now.
     pub fn due(&mut self, now: Time, voters: &[Name]) -> Vec<OutgoingProposal> {
         if voters.is_empty() {
             return Vec::new();
@@ -117,7 +117,7 @@
         due
     }
 
-    /// The results of requests that time out.
+    /// Removes requests that timed out and returns their results.
     pub fn expired(&mut self, now: Time) -> Vec<ProposalResponse> {
         let expired = self.pending.extract_if(.., |_, pending| now >= pending.expires_at());
         let response = |(ticket, pending): (Ticket, PendingRequest)| ProposalResponse {
@@ -127,7 +127,7 @@
         expired.map(response).collect()
     }
 
-    /// Receives a voter's reply; the result of the request, if that is it.
+    /// Handles a voter's reply; returns the result of the request if the reply is final.
     pub fn receive(
         &mut self,
         now: Time,
@@ -143,7 +143,7 @@
             }
             VoterReply::Proposed => pending.result_on_timeout = ConfigurationRejected::Unconfirmed,
             VoterReply::NotLeader(leader) => {
-                // Once a leader proposed it, it may be committed though no leader is known now.
+                // A request that a leader proposed may be committed although no leader is known now.
                 if pending.result_on_timeout == ConfigurationRejected::NoVoter {
                     pending.result_on_timeout = ConfigurationRejected::NoLeader;
                 }
@@ -159,28 +159,28 @@
         None
     }
 
-    /// When [`ProposalClient::due`] or [`ProposalClient::expired`] has something.
+    /// Time at which [`ProposalClient::due`] or [`ProposalClient::expired`] has something to return.
     pub fn wake_at(&self) -> Option<Time> {
         self.pending.values().map(|pending| pending.next_send.min(pending.expires_at())).min()
     }
 }
 
-/// The servers that wait at a voter for the commit of a request id, at most [`MAX_COMMIT_WAITERS`].
+/// The servers that wait at this voter for the commit of a request, at most [`MAX_COMMIT_WAITERS`].
 #[derive(Debug, Default)]
 pub struct CommitWaiters {
     waiters: Vec<CommitWaiter>,
 }
 
-/// A server that waits for the commit of a request id.
+/// A server that waits for the commit of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CommitWaiter {
-    /// The request id.
+    /// Id of the request, as the commit has it.
     pub request_id: Name,
-    /// The server.
+    /// Name of the server.
     pub server: Name,
-    /// The server's ticket of the request.
+    /// Ticket of the request at that server.
     pub ticket: Ticket,
-    /// Since when it waits.
+    /// Time at which the request arrived; older than [`PROPOSAL_TIMEOUT`] it is forgotten.
     pub since: Time,
 }
 
@@ -191,7 +191,7 @@
 }
 
 impl CommitWaiters {
-    /// Adds a waiter. At [`MAX_COMMIT_WAITERS`] the oldest is dropped: its server retries by itself.
+    /// Adds a waiter. At [`MAX_COMMIT_WAITERS`] the oldest is dropped; its server retries.
     pub fn add(&mut self, waiter: CommitWaiter) {
         let oldest_since = Time(waiter.since.0.saturating_sub(PROPOSAL_TIMEOUT.0));
         self.waiters.retain(|other| !other.is_same_request(&waiter) && other.since >= oldest_since);
@@ -201,7 +201,7 @@
         self.waiters.push(waiter);
     }
 
-    /// Removes and returns those that wait for a request id that was committed.
+    /// Removes and returns the waiters of a request that was committed.
     pub fn committed(&mut self, request_id: &str) -> Vec<CommitWaiter> {
         self.waiters.extract_if(.., |waiter| &*waiter.request_id == request_id).collect()
     }
--- a/crates/coordination/src/regression/tests.rs
+++ b/crates/coordination/src/regression/tests.rs
@@ -1,22 +1,23 @@
-//! Sound versions are rarely halted, regressions are detected.
+//! Simulated rollouts: equal versions are rarely halted, and regressions are detected after the expected number of attempts.
 
 use super::*;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 
-/// Simulates this many reports of three new and six old servers; the detection, in attempts of the new ones.
-fn play(seed: u64, old: f64, new: f64, uneven: f64, reports: u32) -> Option<u64> {
+/// Simulates reports of three servers with the new version and six with the old one, and returns the attempts with the new
+/// version until a regression is detected. Each server's served fraction is offset by up to `uneven`.
+fn attempts_until_detection(seed: u64, old: f64, new: f64, uneven: f64, reports: u32) -> Option<u64> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut unit = move || (rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64;
+    let mut uniform = move || (rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64;
     let mut detector = RegressionDetector::default();
     let mut totals = [ServiceTotal::default(); 9];
-    let own: Vec<f64> = (0..9).map(|_| (unit() - 0.5) * 2.0 * uneven).collect();
+    let offsets: Vec<f64> = (0..9).map(|_| (uniform() - 0.5) * 2.0 * uneven).collect();
     for _ in 0..reports {
         for n in 0..9 {
-            let share = if n < 3 { new } else { old } + own[n];
+            let served_fraction = if n < 3 { new } else { old } + offsets[n];
             for _ in 0..10 {
                 totals[n].received += 1;
-                totals[n].served += u32::from(unit() < share);
+                totals[n].served += u32::from(uniform() < served_fraction);
             }
             detector.record_totals(
                 &Arc::from(format!("n{n}")),
@@ -33,36 +34,39 @@
     None
 }
 
-/// Guards sound rollouts: compared a thousand times each, few are halted in vain, also where servers differ among
-/// themselves.
+/// Guards against halts of rollouts without a regression: versions of equal service are compared 300 times per rollout, also
+/// with servers that differ among themselves.
 #[test]
-fn sound_versions_are_rarely_halted() {
-    let vain: usize = (0..200).filter(|seed| play(*seed, 0.93, 0.93, 0.0, 300).is_some()).count();
-    assert!(vain <= 1, "{vain} of 200");
-    let vain: usize = (0..100).filter(|seed| play(*seed, 0.9, 0.9, 0.02, 300).is_some()).count();
-    assert!(vain <= 2, "{vain} of 100 where servers differ by 2%");
+fn equal_versions_are_rarely_halted() {
+    let false_halts: usize =
+        (0..200).filter(|seed| attempts_until_detection(*seed, 0.93, 0.93, 0.0, 300).is_some()).count();
+    assert!(false_halts <= 1, "{false_halts} of 200");
+    let false_halts: usize =
+        (0..100).filter(|seed| attempts_until_detection(*seed, 0.9, 0.9, 0.02, 300).is_some()).count();
+    assert!(false_halts <= 2, "{false_halts} of 100 where servers differ by 2%");
 }
 
-/// A class that is rejected is detected after some ten to twenty attempts, one that is served 5% less after some thousand: about
-/// as many as [`attempts_needed`] gives.
+/// A class that isn't served at all is detected after tens of attempts, a fall by 5% after thousands: within a factor of 4 of
+/// what [`attempts_needed`] predicts.
 #[test]
 fn detects_falls_after_about_the_attempts_needed() {
-    let middle = |new: f64| {
-        let mut attempts: Vec<u64> =
-            (0..21).map(|seed| play(seed, 0.97, new, 0.0, 2_000).unwrap_or(u64::MAX)).collect();
+    let median_attempts = |new: f64| {
+        let mut attempts: Vec<u64> = (0..21)
+            .map(|seed| attempts_until_detection(seed, 0.97, new, 0.0, 2_000).unwrap_or(u64::MAX))
+            .collect();
         attempts.sort_unstable();
         attempts[10]
     };
-    let away = middle(0.0);
-    assert!((10..=60).contains(&away), "{away} attempts for one that serves nothing");
-    let slight = middle(0.92);
+    let not_served = median_attempts(0.0);
+    assert!((10..=60).contains(&not_served), "{not_served} attempts for one that serves nothing");
+    let slight = median_attempts(0.92);
     let expected = attempts_needed(0.97, 0.05, 0.02).expect("it can be detected");
     assert!(slight > expected / 4 && slight < expected * 4, "{slight} attempts, {expected} expected");
     assert_eq!(attempts_needed(0.97, 0.02, 0.02), None);
     assert!(attempts_needed(0.97, 0.97, 0.02).is_some_and(|attempts| attempts < 60));
 }
 
-/// Guards against counts of an earlier incarnation, and against those that belong to no version.
+/// Guards against subtracting the totals of an earlier incarnation, and against counting attempts that belong to no version.
 #[test]
 fn counts_of_an_earlier_incarnation_are_not_subtracted() {
     let mut detector = RegressionDetector::default();
@@ -72,13 +76,13 @@
     detector.record_totals(&name, 1, None, &total(2_000, 900));
     detector.record_totals(&name, 2, Some(Version::New), &total(30, 30));
     let sums = &detector.servers[&name].sums;
-    assert_eq!(sums[&(Version::Old, 1)], Sum { received: 1_000.0, served: 900.0 });
-    assert_eq!(sums[&(Version::New, 1)], Sum { received: 30.0, served: 30.0 });
+    assert_eq!(sums[&(Version::Old, 1)], AttemptSum { received: 1_000.0, served: 900.0 });
+    assert_eq!(sums[&(Version::New, 1)], AttemptSum { received: 30.0, served: 30.0 });
 }
 
-/// Guards the fleet: service that falls everywhere halts the rollout whatever the cause.
+/// Service that falls on all servers is reported as a fall of the fleet, although there is no version to compare.
 #[test]
-fn detects_a_fall_of_the_whole_fleet() {
+fn detects_a_fall_of_service_in_the_whole_fleet() {
     let mut detector = RegressionDetector::default();
     let name: Name = Arc::from("n0");
     let (mut received, mut served) = (0, 0);
--- a/crates/coordination/src/replicated_state.rs
+++ b/crates/coordination/src/replicated_state.rs
@@ -1,9 +1,9 @@
 //! The replicated state: roster, limits, permits, operator actions, the rollout and the order of configuration changes.
 //!
-//! Input: commands of the consensus group's log, in order. Output: the outcome of each. Invariant: the state is a function of
-//! the applied commands alone, so that all voters that applied the same entries have the same state.
+//! Input: the commands of the consensus group's log, in order. Output: the outcome of each command. Invariant: the state
+//! depends only on the applied commands, so all voters that applied the same entries have the same state.
 //!
-//! Not here: which servers report to be ready ([`crate::controller`]), and how commands are committed ([`crate::consensus`]).
+//! Readiness reports of servers are handled in [`crate::controller`], the commit of commands in [`crate::consensus`].
 
 mod commands;
 mod denial;
@@ -28,26 +28,27 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What the consensus group agrees on.
+/// The state that all voters of the consensus group replicate.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// The last entry that was applied.
+    /// Index of the last applied entry.
     pub index: LogIndex,
-    /// The voters: the identities of their disks, and the servers that they belong to.
+    /// The voters by the identity of their voter state, with the name of the server of each.
     pub voters: BTreeMap<VoterId, Name>,
-    /// The limits in force.
+    /// The limits in force, as the leader's settings had them when it proposed them.
     pub limits: Limits,
-    /// The servers that belong to the fleet, at most [`MAX_SERVERS`].
+    /// The servers of the fleet, at most [`MAX_SERVERS`].
     pub roster: BTreeMap<Name, Member>,
-    /// Permits by epoch; their number is bounded by the limits, and by a bound on those for services.
+    /// Permits by epoch; bounded by the limits, and for services also by a fixed maximum.
     pub permits: BTreeMap<Epoch, Permit>,
-    /// The last operator actions, the newest at the back.
+    /// The latest operator actions, oldest first.
     #[serde(rename = "acts")]
     pub operator_actions: VecDeque<OperatorAction>,
-    /// The rollout in progress, or the last one.
+    /// The rollout in progress, otherwise the last one.
     #[serde(rename = "release")]
     pub rollout: Option<Rollout>,
-    /// The order of configuration changes; [`crate::replicated_snapshot`] encodes it, and servers that poll don't get it.
+    /// The order of configuration changes. Skipped by serde: [`crate::replicated_snapshot`] encodes it separately, and servers
+    /// that poll the state don't receive it.
     #[serde(skip)]
     pub configuration: ReplicatedConfiguration,
 }
--- a/crates/coordination/src/replicated_state/commands.rs
+++ b/crates/coordination/src/replicated_state/commands.rs
@@ -1,4 +1,5 @@
-//! The commands of the consensus group's log, and their application. The order of variants and fields is the log's format.
+//! The commands of the consensus group's log, and how the state applies them. The order of variants and fields is the log
+//! format.
 
 use super::permits::Reservation;
 use super::{DenialReason, Limits, PermitEnd, PermitStage, Purpose, ReplicatedState, Target};
@@ -8,108 +9,108 @@
 use gradepin_config::change::Revision;
 use serde::{Deserialize, Serialize};
 
-/// What the consensus group agrees on.
+/// A command in the consensus group's log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Sets the limits.
+    /// Replaces the limits on outages.
     Limits(Limits),
-    /// Adds a server to the roster.
+    /// Adds a server to the roster, or changes its zone.
     #[serde(rename = "Enrol")]
     AddServer {
-        /// Its name.
+        /// Name of the server.
         name: Name,
-        /// Its zone.
+        /// Zone of the server.
         zone: Name,
     },
-    /// Removes a server from the roster, for an operator.
+    /// Removes a server from the roster, as an operator ordered.
     #[serde(rename = "Strike")]
     RemoveServer {
-        /// The server.
+        /// Name of the server.
         name: Name,
-        /// The operator.
+        /// Name of the operator.
         #[serde(rename = "by")]
         operator: Name,
-        /// The operator's reason.
+        /// Reason that the operator gave.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// Reserves a permit.
+    /// Reserves a permit for an outage.
     Reserve {
-        /// What is to be out of service.
+        /// The server, zone or service member that is to be out of service.
         target: Target,
-        /// Who requests it.
+        /// The server or operator that requests the permit.
         holder: Name,
-        /// The holder's incarnation.
+        /// Incarnation of the holder.
         #[serde(rename = "life")]
         incarnation: Incarnation,
-        /// The reason of the request.
+        /// Why the permit is requested.
         purpose: Purpose,
     },
-    /// Allows the holder of a permit to begin.
+    /// Allows the holder of a permit to begin its outage.
     Begin {
-        /// The permit.
+        /// Epoch of the permit.
         epoch: Epoch,
-        /// Who requests it.
+        /// The server or operator that requests to begin.
         holder: Name,
-        /// The holder's incarnation.
+        /// Incarnation of the holder.
         #[serde(rename = "life")]
         incarnation: Incarnation,
     },
-    /// Ends a permit: its target is back and stable, or never left.
+    /// Ends a permit because its target is back and stable, or because the holder cancelled it.
     End {
-        /// The permit.
+        /// Epoch of the permit.
         epoch: Epoch,
-        /// The observation by which it ends.
+        /// The observation that justifies the end.
         #[serde(rename = "by")]
         observed: PermitEnd,
     },
-    /// Releases a permit, for an operator.
+    /// Marks a permit as released, as an operator ordered. It counts against the limits until [`Command::PermitExpired`].
     #[serde(rename = "Free")]
     ReleasePermit {
-        /// The permit.
+        /// Epoch of the permit.
         epoch: Epoch,
-        /// The operator.
+        /// Name of the operator.
         #[serde(rename = "by")]
         operator: Name,
-        /// The operator's reason.
+        /// Reason that the operator gave.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// Removes a released permit: its holder has no right to begin left.
+    /// Removes a released permit once the holder's right to begin has expired.
     #[serde(rename = "Gone")]
     PermitExpired {
-        /// The permit.
+        /// Epoch of the permit.
         epoch: Epoch,
     },
-    /// Changes the rollout.
+    /// Starts or changes the rollout.
     #[serde(rename = "Release")]
     Rollout(RolloutCommand),
-    /// Changes the configuration. Last, so that logs of versions without it are read as they were written.
+    /// Changes the configuration. The last variant, so logs written before it existed decode unchanged.
     Configuration(Box<ConfigurationEntry>),
 }
 
 /// The outcome of a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommandOutcome {
-    /// It was applied.
+    /// The command was applied.
     Done,
-    /// A permit was reserved or begun, or is held already.
+    /// A permit was reserved or begun, or the holder has it already.
     Permit {
-        /// The permit.
+        /// Epoch of the permit.
         epoch: Epoch,
-        /// Its stage.
+        /// Stage of the permit after the command.
         stage: PermitStage,
     },
-    /// It changed nothing.
+    /// The command was denied and changed nothing.
     Denied(DenialReason),
-    /// A change of the configuration has this revision.
+    /// A configuration change was committed as this revision.
     Revision(Revision),
-    /// A change of the configuration isn't committed.
+    /// A configuration change was rejected and changed nothing.
     NotCommitted(ConfigurationRejected),
 }
 
 impl ReplicatedState {
-    /// Applies the command of an entry.
+    /// Applies the command of the entry at `index` and returns its outcome.
     pub fn apply(&mut self, index: LogIndex, command: Command) -> CommandOutcome {
         self.index = index;
         self.try_apply(index, command).unwrap_or_else(CommandOutcome::Denied)
--- a/crates/coordination/src/replicated_state/denial.rs
+++ b/crates/coordination/src/replicated_state/denial.rs
@@ -1,4 +1,4 @@
-//! Why a command is denied. Voters send the reasons to servers: the order of variants and fields is the wire format.
+//! Reasons for denied commands. Voters send them to servers, so the order of variants and fields is the wire format.
 
 use crate::ids::{Epoch, Name};
 use serde::{Deserialize, Serialize};
@@ -6,71 +6,77 @@
 /// Why a command is denied.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum DenialReason {
-    /// The limit of the fleet.
-    #[error("{out} servers of the fleet would be out, {max} may be: {who}")]
+    /// The limit on servers of the fleet would be exceeded.
+    #[error(
+        "{out} servers of the fleet would be out of service, the limit is {max}; out already: {servers_out}"
+    )]
     Fleet {
-        /// How many servers would be out.
+        /// Servers that would be out of service.
         out: u32,
-        /// How many may be.
+        /// The limit.
         #[serde(rename = "most")]
         max: u32,
-        /// The servers that are out already.
-        who: String,
+        /// Names of servers that are out already, shortened to a few.
+        #[serde(rename = "who")]
+        servers_out: String,
     },
-    /// The limit of a zone.
-    #[error("{out} servers of zone {zone} would be out, {max} may be: {who}")]
+    /// The limit on servers of one zone would be exceeded.
+    #[error(
+        "{out} servers of zone {zone} would be out of service, the limit is {max}; out already: {servers_out}"
+    )]
     Zone {
-        /// The zone.
+        /// Name of the zone.
         zone: Name,
-        /// How many of its servers would be out.
+        /// Servers of the zone that would be out of service.
         out: u32,
-        /// How many may be.
+        /// The limit.
         #[serde(rename = "most")]
         max: u32,
-        /// The servers that are out already.
-        who: String,
+        /// Names of servers that are out already, shortened to a few.
+        #[serde(rename = "who")]
+        servers_out: String,
     },
-    /// The limit of zones.
-    #[error("{out} zones would be out, {max} may be")]
+    /// The limit on zones with a permit would be exceeded.
+    #[error("{out} zones would be out of service, the limit is {max}")]
     Zones {
-        /// How many zones would be out.
+        /// Zones that would be out of service.
         out: u32,
-        /// How many may be.
+        /// The limit.
         #[serde(rename = "most")]
         max: u32,
     },
-    /// The limit of a service.
-    #[error("{out} members of service {service} would be out, {max} may be")]
+    /// The limit on members of a service, or on all service permits, would be exceeded.
+    #[error("{out} members of service {service} would be out of service, the limit is {max}")]
     Service {
-        /// The service.
+        /// Name of the service.
         #[serde(rename = "group")]
         service: Name,
-        /// How many of its members would be out.
+        /// Members of the service that would be out of service.
         out: u32,
-        /// How many may be.
+        /// The limit.
         #[serde(rename = "most")]
         max: u32,
     },
-    /// No server or zone of this name belongs to the fleet.
-    #[error("expected a server or zone of the roster, got {0}")]
+    /// The target isn't in the roster, or is a service without a limit.
+    #[error("expected a server or zone of the roster or a service with a limit, got {0}")]
     Unknown(String),
-    /// The permit has ended.
-    #[error("permit {0} is over or was freed; ask anew")]
+    /// The permit has ended, or an operator released it.
+    #[error("permit {0} has ended or was freed by an operator; request a new one")]
     Stale(Epoch),
-    /// Another holder has the permit.
-    #[error("permit {epoch} is {holder}'s")]
+    /// The permit belongs to another holder.
+    #[error("permit {epoch} is held by {holder}")]
     #[serde(rename = "Other")]
     OtherHolder {
-        /// The permit.
+        /// Epoch of the permit.
         epoch: Epoch,
-        /// Its holder.
+        /// Holder of the permit.
         holder: Name,
     },
-    /// The rollout doesn't move.
-    #[error("the release is {0}")]
+    /// The rollout takes no step now.
+    #[error("the release takes no step: {0}")]
     #[serde(rename = "Release")]
     Rollout(String),
-    /// The command doesn't fit the state.
+    /// The command is invalid in the present state.
     #[error("{0}")]
     #[serde(rename = "Sense")]
     Invalid(String),
--- a/crates/coordination/src/replicated_state/limits.rs
+++ b/crates/coordination/src/replicated_state/limits.rs
@@ -1,7 +1,7 @@
-//! Limits on what may be out of service at a time, and the check of one more outage against them.
+//! Limits on simultaneous outages, and the check of one more outage against them.
 //!
-//! Invariant: servers out by permit, together with those known to be out without one, never exceed the limits of the fleet, of
-//! a zone or of a service at the time of a grant.
+//! Invariant: at the time of a grant, servers out by permit plus servers known to be out without one exceed neither the limit
+//! of the fleet nor that of a zone or service.
 
 use super::{DenialReason, Permit, ReplicatedState, Target};
 use crate::ids::Name;
@@ -9,21 +9,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Permits for services at a time, in addition to those for servers and zones.
+/// Maximum permits for service members at a time; bounds the state, since no limit covers the sum over all services.
 const MAX_SERVICE_PERMITS: usize = 256;
-/// Names that a denial lists before it only counts.
+/// Maximum names listed in a denial; further names are only counted.
 const MAX_LISTED_NAMES: usize = 6;
 
-/// How much may be out of service at a time.
+/// Maximum outages at a time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Servers of the fleet.
+    /// Maximum servers out of service in the whole fleet.
     pub fleet: u32,
-    /// Servers of one zone.
+    /// Maximum servers out of service in each zone. A permit for a whole zone isn't subject to this limit.
     pub zone: u32,
-    /// Zones that are out by a permit for a zone.
+    /// Maximum permits for a whole zone.
     pub zones: u32,
-    /// Members of each service; a service that isn't listed has no permits.
+    /// Maximum members out of service per service; a service that isn't listed gets no permits.
     pub services: BTreeMap<Name, u32>,
 }
 
@@ -33,11 +33,11 @@
     }
 }
 
-/// Lists names for a denial.
+/// Joins names for the text of a denial, at most [`MAX_LISTED_NAMES`] of them.
 fn list_names<'a>(names: impl Iterator<Item = &'a Name>) -> String {
     let names: Vec<&str> = names.map(|name| &**name).collect();
     if names.is_empty() {
-        return "none is out now".into();
+        return "none".into();
     }
     let listed = names[..names.len().min(MAX_LISTED_NAMES)].join(", ");
     match names.len().saturating_sub(MAX_LISTED_NAMES) {
@@ -55,7 +55,7 @@
 }
 
 impl ReplicatedState {
-    /// Servers that are out or may be by a permit.
+    /// Servers that a permit of their own or of their zone allows to be out.
     pub fn out_by_permit(&self) -> BTreeSet<Name> {
         self.permits.values().flat_map(|permit| self.servers_of(&permit.target)).collect()
     }
@@ -75,13 +75,14 @@
         self.roster.get(name).map(|member| &member.zone)
     }
 
-    /// Whether one more may be out, in addition to all permits and to `unplanned`: servers that are out without a permit.
+    /// Checks whether `target` may be out in addition to all permits and to `unplanned`, the servers that are out without a
+    /// permit. A target that already has a permit is counted once.
     pub fn fits(&self, target: &Target, unplanned: &BTreeSet<Name>) -> Result<(), DenialReason> {
         if let Target::Service { service, .. } = target {
             return self.fits_service(target, service);
         }
         let requested = self.servers_of(target);
-        // A server that isn't in the roster has no zone to be counted in.
+        // A server outside the roster has no zone whose limit could apply.
         if requested.is_empty() || requested.iter().any(|name| !self.roster.contains_key(name)) {
             return Err(DenialReason::Unknown(target.to_string()));
         }
@@ -93,7 +94,7 @@
             return Err(DenialReason::Fleet {
                 out: out.len() as u32,
                 max: self.limits.fleet,
-                who: list_names(out_before.iter()),
+                servers_out: list_names(out_before.iter()),
             });
         }
         if let Target::Zone(zone) = target {
@@ -133,13 +134,13 @@
         if out <= max {
             return Ok(());
         }
-        let who = list_names(out_before.iter().filter(is_in_zone));
-        Err(DenialReason::Zone { out, max, who, zone: Arc::clone(zone) })
+        let servers_out = list_names(out_before.iter().filter(is_in_zone));
+        Err(DenialReason::Zone { out, max, servers_out, zone: Arc::clone(zone) })
     }
 
-    /// Whether all that is out by permits is within these limits: the promise as far as the log alone keeps it. Permits that
-    /// were granted before the limits were lowered may exceed them.
-    pub fn holds(&self, limits: &Limits) -> bool {
+    /// Whether all outages by permit are within `limits`; unplanned outages aren't in the log and don't count here. Permits
+    /// granted before the limits were lowered may exceed them.
+    pub fn is_within(&self, limits: &Limits) -> bool {
         let out = self.out_by_permit();
         let zones: BTreeSet<&Name> = self.roster.values().map(|member| &member.zone).collect();
         let has_zone_permit = |zone: &Name| self.permit_of(&Target::Zone(Arc::clone(zone))).is_some();
--- a/crates/coordination/src/replicated_state/operator_actions.rs
+++ b/crates/coordination/src/replicated_state/operator_actions.rs
@@ -1,30 +1,30 @@
-//! The last actions of operators, for the operator who looks next.
+//! A bounded history of operator actions, which the status shows to other operators.
 
 use super::ReplicatedState;
 use crate::ids::{LogIndex, MAX_TEXT_BYTES, Name};
 use serde::{Deserialize, Serialize};
 
-/// Operator actions that are kept.
+/// Maximum operator actions in the history.
 pub(super) const MAX_OPERATOR_ACTIONS: usize = 64;
 
-/// What an operator did.
+/// An action of an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OperatorAction {
-    /// The index of its entry.
+    /// Index of the log entry that applied the action.
     pub index: LogIndex,
-    /// The operator.
+    /// Name of the operator.
     #[serde(rename = "by")]
     pub operator: Name,
-    /// The action, in words.
+    /// Description of the action. Voters must agree on it byte for byte, as it is part of the replicated state.
     #[serde(rename = "what")]
     pub action: String,
-    /// The operator's reason, at most [`MAX_TEXT_BYTES`].
+    /// Reason that the operator gave, cut to [`MAX_TEXT_BYTES`].
     #[serde(rename = "why")]
     pub reason: String,
 }
 
 impl ReplicatedState {
-    /// Records an operator's action; the oldest is dropped past [`MAX_OPERATOR_ACTIONS`].
+    /// Records an operator's action and drops the oldest beyond [`MAX_OPERATOR_ACTIONS`].
     pub(super) fn record_action(
         &mut self,
         index: LogIndex,
--- a/crates/coordination/src/replicated_state/permits.rs
+++ b/crates/coordination/src/replicated_state/permits.rs
@@ -1,7 +1,8 @@
-//! Permits: who may be out of service, from reservation to end.
+//! Permits to be out of service, from reservation to end.
 //!
-//! Invariants: a target has at most one permit; an epoch is never reused; a granted permit fits the limits at its entry. Ends
-//! name what was observed, so that a grant which was committed in between isn't revoked unseen.
+//! Invariants: a target has at most one permit; an epoch is never reused; a permit is within the limits at the entry that
+//! reserves it. A command that ends a permit names the observation behind it, so it can't revoke a grant committed after that
+//! observation.
 
 use super::{CommandOutcome, DenialReason, ReplicatedState};
 use crate::ids::{Epoch, Incarnation, LogIndex, Name, RolloutNumber};
@@ -17,12 +18,12 @@
     Server(Name),
     /// All servers of a zone.
     Zone(Name),
-    /// A member of a dependency: a processor, a replica of the ledger.
+    /// One member of a service that servers depend on, such as a processor or a replica of the ledger.
     Service {
-        /// The service, as the limits name it.
+        /// Name of the service, as in [`Limits::services`](super::Limits::services).
         #[serde(rename = "group")]
         service: Name,
-        /// The member.
+        /// Name of the member within the service.
         member: Name,
     },
 }
@@ -37,60 +38,60 @@
     }
 }
 
-/// The reason for which a permit was requested.
+/// Why a permit was requested.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Purpose {
-    /// A drain that a person or a script requested.
+    /// A drain that an operator or a script requested.
     Drain,
     /// A step of the rollout with this number.
     #[serde(rename = "Release")]
     Rollout(RolloutNumber),
 }
 
-/// The state of a permit.
+/// Stage of a permit between reservation and removal. A permit counts against the limits in all of them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitStage {
-    /// The capacity is reserved.
+    /// Reserved; the holder may not begin yet.
     Reserved,
-    /// The holder was allowed to begin, or may have been.
+    /// A grant to begin is committed. The holder may or may not have received it.
     Begun,
-    /// An operator released it; it counts until the holder's right to begin has expired.
+    /// Released by an operator; counts against the limits until the holder's right to begin has expired.
     #[serde(rename = "Freed")]
     Released,
 }
 
-/// A permit. Its epoch is its key in [`ReplicatedState::permits`].
+/// A permit to be out of service; [`ReplicatedState::permits`] has it under its epoch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Permit {
-    /// What may be out of service.
+    /// The server, zone or service member that may be out of service.
     pub target: Target,
-    /// The requester: the name of a server or of a person.
+    /// Name of the server or operator that requested the permit.
     pub holder: Name,
-    /// The reason of the request.
+    /// Why it was requested.
     pub purpose: Purpose,
-    /// Its state.
+    /// Stage between reservation and removal.
     pub stage: PermitStage,
-    /// How often the holder was allowed to begin; each time is a right of its own.
+    /// Number of committed grants to begin; each grant gives a right to begin with its own expiry.
     #[serde(rename = "begins")]
     pub begin_grants: u32,
-    /// The holder's incarnation that requested last; 0 for a person.
+    /// Latest incarnation of the holder that made a request; 0 for an operator.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
 }
 
-/// The observation by which a permit ends. The end is denied if the holder was allowed to begin again since.
+/// Observation that justifies ending a permit. The end is denied if the permit was granted or requested anew since.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitEnd {
-    /// A leader saw the target stable after this many grants to begin.
+    /// A leader observed the target stable while the permit had this number of grants to begin.
     #[serde(rename = "Steady")]
     Stable(u32),
-    /// The holder cancelled it, in this incarnation.
+    /// This incarnation of the holder cancelled the permit.
     #[serde(rename = "Word")]
     HolderCancelled(Incarnation),
 }
 
 impl PermitEnd {
-    /// Whether nothing was granted to the holder since the observation.
+    /// Whether the permit is unchanged since the observation.
     fn is_current(self, permit: &Permit) -> bool {
         match self {
             Self::Stable(begin_grants) => permit.begin_grants == begin_grants,
@@ -99,7 +100,7 @@
     }
 }
 
-/// A request to reserve capacity.
+/// A request to reserve a permit; the fields are those of [`Command::Reserve`](super::Command::Reserve).
 pub(super) struct Reservation {
     pub target: Target,
     pub holder: Name,
@@ -108,7 +109,7 @@
 }
 
 impl ReplicatedState {
-    /// The permit of a target, with its epoch.
+    /// Returns the permit of a target with its epoch.
     pub fn permit_of(&self, target: &Target) -> Option<(Epoch, &Permit)> {
         self.permits
             .iter()
@@ -116,7 +117,8 @@
             .map(|(epoch, permit)| (*epoch, permit))
     }
 
-    /// Reserves a permit at this entry. A repeated request of the same holder gets the permit that it has.
+    /// Reserves a permit with the entry's index as its epoch. A repeated request of the same holder returns the existing
+    /// permit.
     pub(super) fn reserve(
         &mut self,
         index: LogIndex,
@@ -135,7 +137,7 @@
             return Ok(CommandOutcome::Permit { epoch, stage: permit.stage.clone() });
         }
         self.check_purpose(&purpose)?;
-        // The leader that proposed it saw other permits, perhaps: what is committed has to fit those at this entry.
+        // The proposing leader may have checked against other permits; the ones at this entry are authoritative.
         self.fits(&target, &BTreeSet::new())?;
         let stage = PermitStage::Reserved;
         let permit = Permit { target, holder, purpose, stage: stage.clone(), begin_grants: 0, incarnation };
@@ -143,7 +145,7 @@
         Ok(CommandOutcome::Permit { epoch: index, stage })
     }
 
-    /// Allows the holder of a permit to begin.
+    /// Records a grant to begin for the holder of a permit.
     pub(super) fn begin(
         &mut self,
         epoch: Epoch,
@@ -167,7 +169,7 @@
         Ok(CommandOutcome::Permit { epoch, stage: PermitStage::Begun })
     }
 
-    /// A permit for a rollout step needs a rollout that moves.
+    /// Denies permits for a rollout that is halted, closed or replaced.
     fn check_purpose(&self, purpose: &Purpose) -> Result<(), DenialReason> {
         match purpose {
             Purpose::Rollout(number) => self.rollout_is_moving(*number),
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Ends a permit, if nothing was granted since the observation.
+    /// Ends a permit, unless it was granted or requested anew since the observation.
     pub(super) fn end_permit(
         &mut self,
         epoch: Epoch,
@@ -183,13 +185,15 @@
     ) -> Result<CommandOutcome, DenialReason> {
         let permit = self.permits.get(&epoch).ok_or(DenialReason::Stale(epoch))?;
         if !observed.is_current(permit) {
-            return Err(DenialReason::Invalid(format!("permit {epoch} was asked for again meanwhile")));
+            return Err(DenialReason::Invalid(format!(
+                "permit {epoch} was requested again since the observation"
+            )));
         }
         self.permits.remove(&epoch);
         Ok(CommandOutcome::Done)
     }
 
-    /// An operator releases a permit whose holder won't come back.
+    /// Releases a permit for an operator, who knows that its holder won't come back.
     pub(super) fn release_permit(
         &mut self,
         index: LogIndex,
@@ -204,7 +208,7 @@
         Ok(CommandOutcome::Done)
     }
 
-    /// Removes a released permit whose holder has no right to begin left.
+    /// Removes a released permit, after its holder's right to begin has expired.
     pub(super) fn expire_permit(&mut self, epoch: Epoch) {
         if self.permits.get(&epoch).is_some_and(|permit| permit.stage == PermitStage::Released) {
             self.permits.remove(&epoch);
