--- a/crates/coordination/src/replicated_state/rollout_commands.rs
+++ b/crates/coordination/src/replicated_state/rollout_commands.rs
@@ -1,4 +1,4 @@
-//! The application of rollout commands, and what the replicated state says of the rollout.
+//! Applies rollout commands to the replicated state, and answers queries about the rollout.
 
 use super::{CommandOutcome, DenialReason, Purpose, ReplicatedState, Target};
 use crate::ids::{Epoch, LogIndex, Name, RolloutNumber};
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 impl ReplicatedState {
-    /// Applies a rollout command.
+    /// Applies a rollout command; an error changes nothing and becomes the denial.
     pub(super) fn apply_rollout_command(
         &mut self,
         index: LogIndex,
@@ -110,19 +110,19 @@
         Ok(())
     }
 
-    /// Whether a step of this rollout may be reserved or begun.
+    /// Denies a step of rollout `number` unless that rollout updates servers or rolls them back.
     pub(super) fn rollout_is_moving(&self, number: RolloutNumber) -> Result<(), DenialReason> {
         match &self.rollout {
-            None => Err(DenialReason::Rollout("not there".into())),
+            None => Err(DenialReason::Rollout("there is no release".into())),
             Some(rollout) if rollout.number != number => {
-                Err(DenialReason::Rollout("another one by now".into()))
+                Err(DenialReason::Rollout("another release has replaced it".into()))
             }
             Some(rollout) if rollout.is_moving() => Ok(()),
             Some(rollout) => Err(DenialReason::Rollout(rollout.state.to_string())),
         }
     }
 
-    /// Records that the holder of a permit for a rollout step was allowed to begin.
+    /// Updates the rollout's progress when the holder of a permit for one of its steps may begin.
     pub(super) fn record_step_begun(&mut self, epoch: Epoch) {
         let Some(permit) = self.permits.get(&epoch) else { return };
         if let (Target::Server(name), Purpose::Rollout(number)) = (&permit.target, &permit.purpose)
@@ -132,15 +132,16 @@
         }
     }
 
-    /// The program that the rollout, if there is one, wants a server to run: for whoever starts its process.
+    /// Returns the program version that the rollout wants a server to run, if there is one; the supervisor that starts the
+    /// server's process reads it.
     pub fn program_for(&self, name: &str) -> Option<String> {
         let rollout = self.rollout.as_ref().filter(|rollout| rollout.plan.kind == ReleaseKind::Program)?;
         Some(rollout.target_version(rollout.servers.get(name)?))
     }
 }
 
-/// A start while a rollout is open, or under the name of the last one. The same plan again is the same rollout, also where the
-/// repeated command arrives after its end.
+/// Handles a start while a rollout is open, or under the name of the last rollout. Starting the same plan again succeeds
+/// without effect, also when the repeated command arrives after the rollout is done.
 fn repeated_start(last: &Rollout, plan: &RolloutPlan) -> Result<(), RolloutError> {
     let was_rolled_back = matches!(last.state, RolloutState::RolledBack(_));
     if last.plan == *plan && !was_rolled_back {
--- a/crates/coordination/src/replicated_state/tests.rs
+++ b/crates/coordination/src/replicated_state/tests.rs
@@ -1,4 +1,4 @@
-//! Permits, limits, the roster and the bounds of the replicated state.
+//! Permits, limits and the roster, and the bounds on the size of the replicated state.
 
 use super::operator_actions::MAX_OPERATOR_ACTIONS;
 use super::*;
@@ -13,7 +13,7 @@
     Target::Server(name(text))
 }
 
-/// Nine servers in three zones; two may be out, one of each zone, two of the ledger's replicas.
+/// Nine servers in three zones. Limits: two servers in all, one per zone, two replicas of the ledger.
 fn state() -> ReplicatedState {
     let mut state = ReplicatedState::default();
     let services = [(name("ledger"), 2)].into();
@@ -30,7 +30,7 @@
     state.apply(index, Command::Reserve { target, holder, incarnation: 1, purpose: Purpose::Drain })
 }
 
-/// The limits of the fleet, of a zone and of a service; a denial lists the servers that are out.
+/// Covers the limits of the fleet, of a zone and of a service; a denial lists the servers that are out.
 #[test]
 fn denies_permits_beyond_the_limits() {
     let mut state = state();
@@ -39,17 +39,23 @@
         CommandOutcome::Permit { epoch: 20, stage: PermitStage::Reserved }
     );
     let CommandOutcome::Denied(reason) = reserve(&mut state, 21, server("n3")) else {
-        panic!("two of one zone")
+        panic!("expected a denial for the second server of zone z0")
     };
-    assert_eq!(reason.to_string(), "2 servers of zone z0 would be out, 1 may be: n0");
+    assert_eq!(
+        reason.to_string(),
+        "2 servers of zone z0 would be out of service, the limit is 1; out already: n0"
+    );
     assert_eq!(
         reserve(&mut state, 22, server("n1")),
         CommandOutcome::Permit { epoch: 22, stage: PermitStage::Reserved }
     );
     let CommandOutcome::Denied(reason) = reserve(&mut state, 23, server("n2")) else {
-        panic!("three of the fleet")
+        panic!("expected a denial for the third server of the fleet")
     };
-    assert_eq!(reason.to_string(), "3 servers of the fleet would be out, 2 may be: n0, n1");
+    assert_eq!(
+        reason.to_string(),
+        "3 servers of the fleet would be out of service, the limit is 2; out already: n0, n1"
+    );
     assert!(matches!(
         reserve(&mut state, 24, server("stranger")),
         CommandOutcome::Denied(DenialReason::Unknown(_))
@@ -72,10 +78,11 @@
         CommandOutcome::Denied(DenialReason::Service { .. })
     ));
     let limits = state.limits.clone();
-    assert!(state.holds(&limits) && !state.holds(&Limits { fleet: 1, ..limits }));
+    assert!(state.is_within(&limits) && !state.is_within(&Limits { fleet: 1, ..limits }));
 }
 
-/// Servers that are out without a permit: killed, partitioned, stopped by the platform.
+/// Servers that are out without a permit (killed, partitioned, stopped by the platform) count against the limits, but not twice
+/// if they have a permit too.
 #[test]
 fn servers_out_without_a_permit_count_once() {
     let mut state = state();
@@ -83,16 +90,16 @@
     assert!(state.fits(&server("n0"), &unplanned(&["n1"])).is_ok());
     assert!(matches!(state.fits(&server("n0"), &unplanned(&["n3"])), Err(DenialReason::Zone { .. })));
     assert!(matches!(state.fits(&server("n0"), &unplanned(&["n1", "n2"])), Err(DenialReason::Fleet { .. })));
-    // One that is out by its permit and silent for it is one, and may ask again.
+    // A server that has a permit and doesn't report counts once, and its request may be repeated.
     reserve(&mut state, 20, server("n1"));
     assert!(state.fits(&server("n0"), &unplanned(&["n1"])).is_ok());
     assert!(state.fits(&server("n1"), &unplanned(&["n1", "n2"])).is_ok());
-    // Who doesn't belong to the fleet takes nobody's place.
+    // Servers outside the roster don't count.
     assert!(state.fits(&server("n0"), &unplanned(&["stranger", "other"])).is_ok());
 }
 
-/// A repeated request gets the same permit, another holder doesn't; a released permit isn't granted again while it counts, and
-/// never under its old epoch.
+/// A repeated request gets the same permit, and another holder is denied. A released permit counts until it expires and isn't
+/// granted meanwhile; its epoch is never used again.
 #[test]
 fn repeated_requests_get_the_same_permit() {
     let mut state = state();
@@ -116,7 +123,7 @@
     assert_eq!(
         begin(&mut state, 24, 20, &holder),
         CommandOutcome::Permit { epoch: 20, stage: PermitStage::Begun },
-        "told twice, begun once"
+        "a repeated grant keeps the stage"
     );
     state.apply(
         25,
@@ -126,7 +133,7 @@
     assert_eq!(reserve(&mut state, 27, server("n0")), CommandOutcome::Denied(DenialReason::Stale(20)));
     assert!(
         matches!(state.fits(&server("n3"), &BTreeSet::new()), Err(DenialReason::Zone { .. })),
-        "it counts still"
+        "the released permit still counts"
     );
     state.apply(28, Command::PermitExpired { epoch: 20 });
     assert!(state.fits(&server("n3"), &BTreeSet::new()).is_ok());
@@ -139,25 +146,29 @@
     );
 }
 
-/// Guards a right that was granted between the observation of an end and its commit, and that of a later incarnation against a
-/// late cancellation of an earlier one. Found by the model checker (`gradepin-testkit`).
+/// Guards against an end that revokes a grant committed after the end was observed, and against a late cancellation by an
+/// earlier incarnation that revokes the right of a later one. Found by the model checker (`gradepin-testkit`).
 #[test]
 fn denies_an_end_after_another_grant() {
     let mut state = state();
     reserve(&mut state, 20, server("n0"));
     let holder = name("by n0");
-    let begin = |life| Command::Begin { epoch: 20, holder: Arc::clone(&holder), incarnation: life };
+    let begin = |incarnation_number| Command::Begin {
+        epoch: 20,
+        holder: Arc::clone(&holder),
+        incarnation: incarnation_number,
+    };
     state.apply(21, begin(1));
     state.apply(22, begin(1));
     let end = |by| Command::End { epoch: 20, observed: by };
     assert!(
         matches!(state.apply(23, end(PermitEnd::Stable(1))), CommandOutcome::Denied(_)),
-        "it was told once more"
+        "another grant to begin is committed"
     );
     state.apply(24, begin(2));
     assert!(
         matches!(state.apply(25, end(PermitEnd::HolderCancelled(1))), CommandOutcome::Denied(_)),
-        "another life has it"
+        "a later incarnation has the permit"
     );
     assert!(matches!(state.fits(&server("n3"), &BTreeSet::new()), Err(DenialReason::Zone { .. })));
     assert_eq!(state.apply(26, end(PermitEnd::Stable(3))), CommandOutcome::Done);
@@ -167,9 +178,9 @@
     ));
 }
 
-/// Guards the size of the state, and the capacity for servers that replace removed ones.
+/// Guards against unbounded growth of the state by operator actions, long reasons or added servers.
 #[test]
-fn operator_actions_texts_and_roster_are_bounded() {
+fn operator_actions_reasons_and_roster_are_bounded() {
     let mut state = state();
     for n in 0..500 {
         let why = "x".repeat(1_000);
--- a/crates/coordination/src/rollout.rs
+++ b/crates/coordination/src/rollout.rs
@@ -1,10 +1,10 @@
 //! A rollout of a program or of settings: its plan, its batches, the progress of each server, halt and rollback.
 //!
 //! Input: [`RolloutCommand`]s, which [`crate::replicated_state`] applies in the order of the consensus group's log. Output: the
-//! servers that are due and the version that each shall have. Invariant: nothing here moves by itself. Each step is a
-//! committed command, so that any process may stop at any time and the next leader continues from the replicated state.
+//! servers whose step is due, and the target version of each server. Invariant: a rollout changes only by committed commands,
+//! so any process may stop at any time and the next leader continues from the replicated state.
 //!
-//! Not here: which step is proposed when ([`crate::controller`]), and how a server changes.
+//! [`crate::controller`] decides when a step is proposed. The server's host executes the update.
 
 mod batches;
 mod commands;
--- a/crates/coordination/src/rollout/batches.rs
+++ b/crates/coordination/src/rollout/batches.rs
@@ -1,4 +1,4 @@
-//! Which server is updated in which batch.
+//! Assigns servers to the batches of a rollout.
 
 use super::plan::{Batch, RolloutPlan};
 use super::progress::{RolloutServer, ServerProgress};
@@ -6,17 +6,17 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A server that takes part in a rollout.
+/// A server that takes part in a rollout, before it is assigned to a batch.
 pub(crate) struct EnrolledServer<'a> {
-    /// Its name.
+    /// Name of the server.
     pub name: &'a Name,
-    /// Its zone.
+    /// Zone of the server, which determines its place in the update order.
     pub zone: &'a Name,
-    /// The version that it runs.
+    /// Version that the server runs at the start; a rollback restores it.
     pub version: String,
 }
 
-/// Assigns servers, sorted by name, to the batches of a plan.
+/// Assigns servers, which must be sorted by name, to the batches of a plan.
 pub(crate) fn assign_batches(
     plan: &RolloutPlan,
     servers: &[EnrolledServer<'_>],
@@ -25,7 +25,7 @@
     let mut assigned = BTreeMap::new();
     let mut start = 0;
     for (batch, Batch { share, .. }) in plan.batches.iter().enumerate() {
-        // At least one server more than the batch before, as long as there are any.
+        // Each batch has at least one server, as long as any are left.
         let end = ((share * order.len() as f64).floor() as usize).max(start + 1).min(order.len());
         for server in &order[start..end] {
             let progress = ServerProgress::Pending;
@@ -38,7 +38,7 @@
     assigned
 }
 
-/// The order in which servers are updated: zone after zone, or one of each zone by turns.
+/// Returns the order in which servers are updated: zone after zone, or one server of each zone in turn.
 fn update_order<'a, 'b>(
     plan: &RolloutPlan,
     servers: &'b [EnrolledServer<'a>],
--- a/crates/coordination/src/rollout/commands.rs
+++ b/crates/coordination/src/rollout/commands.rs
@@ -1,142 +1,143 @@
-//! The commands that change a rollout, and why one is rejected.
+//! The commands that change a rollout, and the reasons for rejecting them.
 
 use super::plan::{PlanError, RolloutPlan};
 use super::progress::{RolloutState, ServerProgress};
 use crate::ids::{Name, RolloutNumber};
 use serde::{Deserialize, Serialize};
 
-/// A change of the rollout. A command names the rollout, halt or batch that it is for, so that one which was overtaken by
-/// another is rejected. The order of variants and fields is the log's format, their serde names the admin endpoint's.
+/// A change of the rollout. Each command names the rollout, halt or batch that it applies to, so a command that was overtaken
+/// by another is rejected. The order of variants and fields is the log format; their serde names are those of the admin
+/// endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum RolloutCommand {
     /// Starts a rollout.
     Start {
-        /// What is rolled out, and how.
+        /// The plan that the operator submitted.
         plan: Box<RolloutPlan>,
-        /// The operator.
+        /// Name of the operator.
         #[serde(rename = "by")]
         operator: Name,
-        /// Servers with the version that each runs; servers that aren't listed take no part.
+        /// Reporting servers with the version that each runs; other servers take no part.
         #[serde(rename = "before")]
         versions: Vec<(Name, String)>,
     },
-    /// Halts it.
+    /// Halts the rollout until an operator resumes it or rolls it back.
     Halt {
-        /// The rollout's name.
+        /// Name of the rollout.
         name: String,
-        /// The operator, or the leader.
+        /// Name of the operator, or the fixed name that leaders use for automatic actions.
         #[serde(rename = "by")]
         operator: Name,
-        /// Why.
+        /// Reason, shown in the status.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// Resumes it after a halt.
+    /// Resumes the rollout after a halt.
     Resume {
-        /// The rollout's name.
+        /// Name of the rollout.
         name: String,
-        /// The number of halts that the operator knows of.
+        /// Halt count that the operator knows of; a later halt makes the command fail.
         #[serde(rename = "halts")]
         halt_count: u32,
-        /// The operator.
+        /// Name of the operator.
         #[serde(rename = "by")]
         operator: Name,
     },
-    /// Rolls it back.
+    /// Rolls back all servers that began to update.
     #[serde(rename = "Back")]
     RollBack {
-        /// The rollout's name.
+        /// Name of the rollout.
         name: String,
-        /// The operator, or the leader.
+        /// Name of the operator, or the fixed name that leaders use for automatic actions.
         #[serde(rename = "by")]
         operator: Name,
-        /// Why.
+        /// Reason, shown in the status.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// Records the progress of a server.
+    /// Records the progress that the leader observed of a server.
     #[serde(rename = "Stepped")]
     RecordProgress {
-        /// The rollout.
+        /// Number of the rollout.
         number: RolloutNumber,
-        /// The server.
+        /// Name of the server.
         server: Name,
-        /// Its progress.
+        /// New progress of the server.
         #[serde(rename = "step")]
         progress: ServerProgress,
     },
     /// Starts the next batch.
     #[serde(rename = "Wave")]
     StartBatch {
-        /// The rollout.
+        /// Number of the rollout.
         number: RolloutNumber,
-        /// The batch.
+        /// Batch to start; must be the one after the current batch.
         #[serde(rename = "wave")]
         batch: u32,
     },
-    /// Ends it: all servers are updated, or all are rolled back.
+    /// Closes the rollout once all servers are updated or all are rolled back.
     #[serde(rename = "Over")]
     Finish {
-        /// The rollout.
+        /// Number of the rollout.
         number: RolloutNumber,
     },
 }
 
-/// Why a command for a rollout is rejected.
+/// Reason for rejecting a rollout command.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum RolloutError {
-    /// There is no rollout.
+    /// No rollout was ever started.
     #[error("there is no release {0}")]
     NoRollout(String),
     /// The last rollout has another name.
-    #[error("expected the release {expected}, got {got}")]
+    #[error("expected release {expected}, got {got}")]
     OtherName {
         /// The name of the last rollout.
         expected: String,
         /// The name in the command.
         got: String,
     },
-    /// The last rollout has another number.
-    #[error("another release by now")]
+    /// The command is for an earlier rollout than the last one.
+    #[error("another release has replaced it")]
     Superseded,
-    /// The command doesn't apply in this state.
+    /// The command isn't allowed in this state.
     #[error("the release is {0}")]
     WrongState(RolloutState),
-    /// The operator who resumes doesn't know of the last halt.
-    #[error("it was halted again meanwhile: {0}")]
+    /// The rollout was halted again after the halt that the operator wants to end.
+    #[error("the release was halted again since; it is {0}")]
     HaltedAgain(RolloutState),
     /// The server isn't part of the rollout.
-    #[error("{0} takes no part")]
+    #[error("server {0} takes no part in the release")]
     NotEnrolled(Name),
-    /// The progress was observed before the rollout changed its direction.
-    #[error("the release goes the other way by now")]
+    /// The progress was observed before the rollout changed between update and rollback.
+    #[error("the release has changed its direction since the observation")]
     OtherDirection,
-    /// The batch before isn't updated, or it isn't the next one.
-    #[error("not the time for the next wave")]
+    /// The current batch isn't updated yet, or the command names a batch other than the next one.
+    #[error("the wave is not due")]
     BatchNotDue,
     /// Some server isn't in its final state.
-    #[error("not all are there yet")]
+    #[error("some servers are not in their final state yet")]
     NotFinished,
     /// Another rollout is in progress.
     #[error("release {name} is {state}")]
     InProgress {
-        /// Its name.
+        /// Name of the rollout in progress.
         name: String,
-        /// Its state.
+        /// State of the rollout in progress.
         state: RolloutState,
     },
-    /// The last rollout had this name.
-    #[error("release {name} is {state}; give another try another name")]
+    /// The last rollout had the same name and a different plan, or was rolled back.
+    #[error("release {name} is {state}; start the next one under another name")]
     NameUsed {
-        /// The name.
+        /// Name of the last rollout.
         name: String,
-        /// The state of the last rollout.
+        /// State of the last rollout.
         state: RolloutState,
     },
-    /// The plan is invalid.
+    /// The plan failed its checks.
     #[error(transparent)]
     Plan(#[from] PlanError),
-    /// No server of the roster has a known version.
-    #[error("no server of the roster is heard")]
+    /// No server of the roster reported its version.
+    #[error("no server of the roster reports its version")]
     NoServers,
 }
--- a/crates/coordination/src/rollout/plan.rs
+++ b/crates/coordination/src/rollout/plan.rs
@@ -1,72 +1,73 @@
-//! What is rolled out, and how: the plan that an operator submits, and its checks.
+//! The rollout plan that an operator submits, and its checks.
 
 use crate::ids::MAX_TEXT_BYTES;
 use gradepin_admission::Span;
 use serde::{Deserialize, Serialize};
 
 const NANOS_PER_MS: u64 = 1_000_000;
-/// Batches of a plan at most.
+/// Maximum batches of a plan.
 pub const MAX_BATCHES: usize = 32;
 
-/// What is rolled out.
+/// Kind of artifact that is rolled out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReleaseKind {
-    /// A program: a command of the operators replaces the process.
+    /// A program; a command that the operator configures replaces the process.
     Program,
-    /// Settings: staged on each server, checked there in full, and activated as by SIGHUP.
+    /// Settings; staged and fully checked on each server, then activated like a reload on SIGHUP.
     Settings,
 }
 
-/// Servers that are changed before service is compared again.
+/// A batch of servers that are updated before service is watched for a pause.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Batch {
-    /// The fraction of all servers that is updated at its end, from 0 to 1; at least one server more than before.
+    /// Fraction of all servers that are updated at the end of the batch, from 0 to 1; at least one more than after the last
+    /// batch.
     pub share: f64,
-    /// How long service is watched after it, in ms.
+    /// Time for which service is watched after the batch, in ms.
     pub pause_ms: u64,
 }
 
 impl Batch {
-    /// How long service is watched after it.
+    /// Time for which service is watched after the batch.
     pub fn pause(&self) -> Span {
         span_of_millis(self.pause_ms)
     }
 }
 
-/// A time of a plan; one that is too long to be represented never passes.
+/// Converts a time of a plan to a span. Values too large for nanoseconds saturate, so such a time never passes.
 fn span_of_millis(millis: u64) -> Span {
     Span(millis.saturating_mul(NANOS_PER_MS))
 }
 
-/// What is rolled out, and how.
+/// The plan of a rollout.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RolloutPlan {
-    /// Its name: the same name with the same plan is the same rollout.
+    /// Name of the rollout. Starting the same name with the same plan again has no effect.
     pub name: String,
-    /// What changes.
+    /// Kind of artifact that changes.
     pub kind: ReleaseKind,
-    /// The version, as servers report it; of settings the digest of the staged text.
+    /// Target version, as servers report it; for settings the digest of the staged text.
     pub version: String,
-    /// The batches, in order; the last one has a share of 1.
+    /// Batches in order; the last one has a share of 1.
     #[serde(rename = "waves")]
     pub batches: Vec<Batch>,
-    /// Whether a batch takes zone after zone, rather than one server of each zone by turns.
+    /// Whether servers are updated zone after zone, rather than one server of each zone in turn.
     pub zone_by_zone: bool,
-    /// How long an updated server may take to be ready, in ms.
+    /// Maximum time for a server to be ready with the target version, in ms.
     #[serde(rename = "ready_ms")]
     pub ready_timeout_ms: u64,
-    /// How long it must have been ready to count as updated, in ms.
+    /// Time for which a server must have been ready with the target version to count as updated, in ms.
     #[serde(rename = "steady_ms")]
     pub stabilization_ms: u64,
-    /// By how much the served fraction may fall without a halt, from 0 to 1.
+    /// Maximum fall of the served fraction that doesn't stop the rollout, from 0 to 1.
     #[serde(rename = "worse")]
     pub tolerated_regression: f64,
-    /// Whether an automatic halt rolls back.
+    /// Whether the rollout is rolled back, rather than halted, when a fault stops it.
     #[serde(rename = "goes_back")]
     pub rolls_back: bool,
 }
 
-/// What is wrong with a plan.
+/// Reason for rejecting a plan.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum PlanError {
     /// The name or the version is empty or too long.
@@ -75,41 +76,41 @@
     /// There are no batches or too many.
     #[error("expected 1 to {MAX_BATCHES} waves, got {got}")]
     BatchCount {
-        /// The number of batches.
+        /// Number of batches in the plan.
         got: usize,
     },
-    /// A share is no fraction, or less than the one before.
-    #[error("expected shares from 0 to 1 that grow, got {got:?}")]
+    /// A share isn't a fraction, or is less than the one before.
+    #[error("expected shares from 0 to 1 in ascending order, got {got:?}")]
     Shares {
-        /// The shares.
+        /// Shares of the plan, in order.
         got: Vec<f64>,
     },
-    /// The last batch leaves servers out.
+    /// The last batch leaves out some servers.
     #[error("expected the last wave to have a share of 1")]
     LastShare,
-    /// The tolerated regression is no fraction.
+    /// The tolerated regression isn't a fraction.
     #[error("expected worse from 0 to 1, got {got}")]
     ToleratedRegression {
-        /// The value.
+        /// Tolerated regression of the plan.
         got: f64,
     },
     /// The ready timeout or the stabilization period is zero.
-    #[error("expected ready and steady of more than 0 ms")]
+    #[error("expected ready and steady to be above 0 ms")]
     ZeroTime,
 }
 
 impl RolloutPlan {
-    /// How long an updated server may take to be ready.
+    /// Maximum time for a server to be ready with the target version.
     pub fn ready_timeout(&self) -> Span {
         span_of_millis(self.ready_timeout_ms)
     }
 
-    /// How long it must have been ready to count as updated.
+    /// Time for which a server must have been ready with the target version to count as updated.
     pub fn stabilization(&self) -> Span {
         span_of_millis(self.stabilization_ms)
     }
 
-    /// Checks the plan by itself: the first thing that is wrong.
+    /// Checks the plan without regard to the fleet; returns the first error.
     pub fn check(&self) -> Result<(), PlanError> {
         let has_valid_length = |text: &String| (1..=MAX_TEXT_BYTES).contains(&text.len());
         if !has_valid_length(&self.name) || !has_valid_length(&self.version) {
--- a/crates/coordination/src/rollout/progress.rs
+++ b/crates/coordination/src/rollout/progress.rs
@@ -1,4 +1,4 @@
-//! The state of a rollout and of its servers, and the transitions between states.
+//! States of a rollout and its servers, and the transitions between them.
 
 use super::commands::RolloutError;
 use super::plan::RolloutPlan;
@@ -9,59 +9,59 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// The progress of a server.
+/// Progress of one server within a rollout.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerProgress {
-    /// It has the previous version.
+    /// The server has its previous version and hasn't begun.
     #[serde(rename = "Waits")]
     Pending,
-    /// It was allowed to update.
+    /// The server was allowed to begin its update.
     #[serde(rename = "Changes")]
     Updating,
-    /// It runs the new version, and is stable.
+    /// The server runs the new version and is stable.
     #[serde(rename = "New")]
     Updated,
-    /// The update failed, and why.
+    /// The update failed for this reason.
     Failed(String),
-    /// It was allowed to roll back.
+    /// The server was allowed to begin its rollback.
     #[serde(rename = "GoesBack")]
     RollingBack,
-    /// It runs the previous version again, and is stable.
+    /// The server runs its previous version again and is stable.
     #[serde(rename = "Back")]
     RolledBack,
-    /// The rollback failed, and why.
+    /// The rollback failed for this reason.
     #[serde(rename = "Stuck")]
     RollbackFailed(String),
 }
 
-/// A server of a rollout.
+/// A server that takes part in a rollout.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutServer {
-    /// The batch in which it is updated.
+    /// Batch in which the server is updated, from 0 on.
     #[serde(rename = "wave")]
     pub batch: u32,
-    /// The version that it ran at the start.
+    /// Version that the server ran at the start; a rollback restores it.
     #[serde(rename = "before")]
     pub previous_version: String,
-    /// Its progress.
+    /// Progress that was last committed.
     #[serde(rename = "step")]
     pub progress: ServerProgress,
 }
 
-/// The state of a rollout.
+/// State of a rollout.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutState {
-    /// It updates servers.
+    /// Updates servers batch by batch.
     #[serde(rename = "Runs")]
     Running,
-    /// It takes no further step, and why.
+    /// Takes no further step until an operator resumes or rolls back; holds the reason.
     Halted(String),
-    /// It rolls servers back, and why.
+    /// Rolls servers back; holds the reason.
     #[serde(rename = "GoesBack")]
     RollingBack(String),
-    /// All servers are updated.
+    /// Closed with all servers updated.
     Done,
-    /// All servers have their previous version, and why.
+    /// Closed with all servers on their previous version; holds the reason of the rollback.
     #[serde(rename = "Undone")]
     RolledBack(String),
 }
@@ -78,50 +78,50 @@
     }
 }
 
-/// Whether a command changed the rollout.
+/// Whether a command changed the state of the rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Transition {
-    /// It did.
+    /// The command changed the state.
     Applied,
-    /// The rollout was in the requested state before.
+    /// The rollout was in the requested state already.
     AlreadyApplied,
 }
 
-/// A rollout.
+/// A rollout with the progress of its servers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Rollout {
-    /// The index of the entry that started it.
+    /// Index of the log entry that started the rollout.
     pub number: RolloutNumber,
-    /// What is rolled out, and how.
+    /// Plan that the operator submitted.
     pub plan: RolloutPlan,
-    /// The operator who started it.
+    /// Name of the operator who started the rollout.
     #[serde(rename = "by")]
     pub operator: Name,
-    /// Its state.
+    /// Present state.
     pub state: RolloutState,
-    /// The batch that is updated or watched.
+    /// Batch that is being updated or watched, from 0 on.
     #[serde(rename = "wave")]
     pub batch: u32,
-    /// How often it was halted: a resume names the halt that it is for.
+    /// Number of halts so far; a resume names the halt that it ends.
     #[serde(rename = "halts")]
     pub halt_count: u32,
-    /// Its servers.
+    /// Servers that take part, by name.
     pub servers: BTreeMap<Name, RolloutServer>,
 }
 
 impl Rollout {
-    /// Whether it is neither done nor rolled back.
+    /// Whether the rollout is neither done nor rolled back.
     pub fn is_open(&self) -> bool {
         matches!(self.state, RolloutState::Running | RolloutState::Halted(_) | RolloutState::RollingBack(_))
     }
 
-    /// Whether it updates servers or rolls them back.
+    /// Whether the rollout updates servers or rolls them back, rather than being halted or closed.
     pub fn is_moving(&self) -> bool {
         matches!(self.state, RolloutState::Running | RolloutState::RollingBack(_))
     }
 
-    /// Servers that are due: up to the current batch when it updates; when it rolls back, all that began to update, those of
-    /// the latest batch first.
+    /// Servers whose step is due. During updates: servers up to the current batch that aren't updated. During a rollback: all
+    /// servers that began to update, those of the latest batch first.
     pub fn servers_due(&self) -> Vec<&Name> {
         let mut due: Vec<(&Name, &RolloutServer)> =
             self.servers.iter().filter(|(_, server)| self.is_due(server)).collect();
@@ -144,7 +144,7 @@
         }
     }
 
-    /// The version that a server shall run in the present state.
+    /// Version that a server should run in the present state of the rollout.
     pub fn target_version(&self, server: &RolloutServer) -> String {
         match self.state {
             RolloutState::RollingBack(_) | RolloutState::RolledBack(_) => server.previous_version.clone(),
@@ -159,7 +159,7 @@
         up_to_batch.all(|server| server.progress == ServerProgress::Updated)
     }
 
-    /// Halts it; a rollback too: then nothing moves until an operator says in which direction.
+    /// Halts an update or a rollback, until an operator chooses to resume or to roll back.
     pub fn halt(&mut self, reason: String) -> Result<Transition, RolloutError> {
         match &self.state {
             RolloutState::Running | RolloutState::RollingBack(_) => {
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Resumes it after the halt of this number; servers that failed are retried.
+    /// Resumes updates after the halt numbered `halt_count`; servers that failed or were rolled back are updated again.
     pub fn resume(&mut self, halt_count: u32) -> Result<(), RolloutError> {
         use ServerProgress::{Failed, RollbackFailed, RolledBack, RollingBack};
         if !matches!(self.state, RolloutState::Halted(_)) {
@@ -190,7 +190,7 @@
         Ok(())
     }
 
-    /// Rolls it back; servers whose rollback failed are retried.
+    /// Starts the rollback; servers whose rollback failed earlier are retried.
     pub fn roll_back(&mut self, reason: String) -> Transition {
         if matches!(self.state, RolloutState::RollingBack(_) | RolloutState::RolledBack(_)) {
             return Transition::AlreadyApplied;
@@ -204,7 +204,7 @@
         Transition::Applied
     }
 
-    /// Records what was observed of a server, unless the rollout changed its direction since.
+    /// Records the observed progress of a server, unless the rollout changed its direction since the observation.
     pub fn record_progress(&mut self, name: &Name, progress: ServerProgress) -> Result<(), RolloutError> {
         let rolls_back = matches!(self.state, RolloutState::RollingBack(_));
         let not_enrolled = || RolloutError::NotEnrolled(Arc::clone(name));
@@ -221,7 +221,7 @@
         Ok(())
     }
 
-    /// Records that a server was allowed to begin its step.
+    /// Records that a server may begin its step: its update, or its rollback if it had begun to update.
     pub fn record_step_begun(&mut self, name: &Name) {
         let Some(server) = self.servers.get_mut(name) else { return };
         server.progress = match server.progress {
@@ -230,7 +230,7 @@
         };
     }
 
-    /// Starts the next batch.
+    /// Starts the next batch, if the current one is updated.
     pub fn start_batch(&mut self, batch: u32) -> Result<(), RolloutError> {
         let is_next = batch == self.batch + 1;
         if self.state != RolloutState::Running || !is_next || !self.is_batch_updated() {
@@ -240,7 +240,7 @@
         Ok(())
     }
 
-    /// Ends it, where all servers are updated or all are rolled back.
+    /// Closes the rollout, if all servers are updated or all are rolled back.
     pub fn finish(&mut self) -> Result<(), RolloutError> {
         let all_are = |is_final: fn(&ServerProgress) -> bool| {
             self.servers.values().all(|server| is_final(&server.progress))
--- a/crates/coordination/src/rollout/tests.rs
+++ b/crates/coordination/src/rollout/tests.rs
@@ -1,4 +1,4 @@
-//! Concurrent commands, batches, and the rollback.
+//! Rollout commands that overtake each other, the assignment of batches, halts and rollbacks.
 
 use super::*;
 use crate::ids::Name;
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn batches_follow_the_shares_and_take_zones_by_turns() {
+fn batches_follow_the_shares_and_alternate_between_zones() {
     let mut state = state();
     assert_eq!(start(&mut state, 20, plan("v2")), CommandOutcome::Done);
     let rollout = state.rollout.as_ref().unwrap();
@@ -79,10 +79,10 @@
     assert_eq!(rollout.servers_due(), [&name("n0")]);
 }
 
-/// A repeated start is one rollout and another has to wait; a resume for an earlier halt leaves it halted; a rollback of
-/// another rollout changes nothing.
+/// A repeated start has no effect, and another rollout is denied while one is open. A resume that names an earlier halt and a
+/// rollback that names another rollout are denied.
 #[test]
-fn commands_that_were_overtaken_are_denied() {
+fn overtaken_commands_are_denied() {
     let mut state = state();
     let roll_back =
         |of: &str| RolloutCommand::RollBack { name: of.into(), operator: name("liisa"), reason: "no".into() };
@@ -99,23 +99,29 @@
         |halts| RolloutCommand::Resume { name: "to v2".into(), halt_count: halts, operator: name("kaisa") };
     assert_eq!(change(&mut state, 26, resume(1)), CommandOutcome::Done);
     assert_eq!(halt(&mut state, 27), CommandOutcome::Done);
-    // A resume that was meant for the first halt comes after the second.
+    // A resume for the first halt arrives after the second halt.
     assert!(matches!(change(&mut state, 28, resume(1)), CommandOutcome::Denied(_)));
     assert!(matches!(state.rollout.as_ref().unwrap().state, RolloutState::Halted(_)));
     assert_eq!(change(&mut state, 29, roll_back("to v2")), CommandOutcome::Done);
-    assert!(matches!(change(&mut state, 30, resume(2)), CommandOutcome::Denied(_)), "it goes back by now");
+    assert!(
+        matches!(change(&mut state, 30, resume(2)), CommandOutcome::Denied(_)),
+        "the rollback has started"
+    );
 }
 
-/// Guards the batches: none begins before the last one is whole, and what was seen of the way forward counts for
-/// nothing on the way back.
+/// Guards against a batch that starts before the last one is complete, and against progress that was observed before the
+/// rollback but is recorded during it.
 #[test]
-fn a_batch_starts_after_the_one_before_and_rollback_is_in_reverse() {
+fn batches_start_in_order_and_roll_back_in_reverse() {
     let mut state = state();
     start(&mut state, 20, plan("v2"));
     let start_batch = |batch| RolloutCommand::StartBatch { number: 20, batch };
     assert!(matches!(change(&mut state, 21, start_batch(1)), CommandOutcome::Denied(_)));
     record_progress(&mut state, 22, "n0", ServerProgress::Updated);
-    assert!(matches!(change(&mut state, 23, start_batch(2)), CommandOutcome::Denied(_)), "one is left out");
+    assert!(
+        matches!(change(&mut state, 23, start_batch(2)), CommandOutcome::Denied(_)),
+        "batch 1 is skipped"
+    );
     assert_eq!(change(&mut state, 24, start_batch(1)), CommandOutcome::Done);
     record_progress(&mut state, 25, "n2", ServerProgress::Updated);
     record_progress(&mut state, 26, "n1", ServerProgress::Failed("it doesn't start".into()));
@@ -142,12 +148,12 @@
         matches!(&again, CommandOutcome::Denied(reason) if reason.to_string().ends_with("another name")),
         "{again:?}"
     );
-    assert_eq!(start(&mut state, 44, plan("v3")), CommandOutcome::Done, "the next one may begin");
+    assert_eq!(start(&mut state, 44, plan("v3")), CommandOutcome::Done, "the next rollout may start");
 }
 
-/// No step of the rollout is granted while it is halted, and one that was reserved doesn't begin.
+/// While the rollout is halted, no step is reserved and a reserved step doesn't begin. Drains for operators are still granted.
 #[test]
-fn a_halted_rollout_takes_no_step() {
+fn halted_rollout_takes_no_step() {
     let mut state = state();
     start(&mut state, 20, plan("v2"));
     let reserve = |server: &str| Command::Reserve {
@@ -161,7 +167,7 @@
     assert!(matches!(state.apply(23, reserve("n1")), CommandOutcome::Denied(DenialReason::Rollout(_))));
     let begin = Command::Begin { epoch: 21, holder: name("n0"), incarnation: 1 };
     assert!(matches!(state.apply(24, begin), CommandOutcome::Denied(DenialReason::Rollout(_))));
-    // A drain by hand has nothing to do with it, and draws on the same permits.
+    // A drain for an operator isn't affected by the halt, and counts against the same limits.
     let drain = |server: &str| Command::Reserve {
         target: Target::Server(name(server)),
         holder: name(server),
@@ -174,17 +180,20 @@
 
 #[test]
 fn rejects_invalid_plans_with_the_reason() {
-    type Change = fn(&mut RolloutPlan);
-    let bad: [(Change, &str); 5] = [
+    type PlanEdit = fn(&mut RolloutPlan);
+    let invalid: [(PlanEdit, &str); 5] = [
         (|plan| plan.batches.clear(), "expected 1 to 32 waves, got 0"),
-        (|plan| plan.batches[1].share = 2.0, "expected shares from 0 to 1 that grow, got [0.0, 2.0, 1.0]"),
+        (
+            |plan| plan.batches[1].share = 2.0,
+            "expected shares from 0 to 1 in ascending order, got [0.0, 2.0, 1.0]",
+        ),
         (|plan| plan.batches.truncate(2), "expected the last wave to have a share of 1"),
         (|plan| plan.name.clear(), "expected a name and a version of 1 to 200 bytes"),
         (|plan| plan.tolerated_regression = f64::NAN, "expected worse from 0 to 1, got NaN"),
     ];
-    for (change, expected) in bad {
+    for (edit, expected) in invalid {
         let mut plan = plan("v2");
-        change(&mut plan);
+        edit(&mut plan);
         assert_eq!(plan.check().map_err(|error| error.to_string()), Err(expected.to_string()));
         assert!(matches!(start(&mut state(), 20, plan), CommandOutcome::Denied(_)));
     }
--- a/crates/coordination/src/server_agent.rs
+++ b/crates/coordination/src/server_agent.rs
@@ -1,9 +1,9 @@
-//! Permit requests and rollout steps of one server, and where its settings make it a voter, its voter and controller. Messages
-//! are addressed by server name; the transport authenticates senders.
+//! The agent of one server: its permit requests and rollout steps, and on servers configured as voters also the voter and its
+//! controller. Messages are addressed by server name; the transport authenticates senders.
 //!
 //! Input: messages of other servers, reports and requests of this one, operator commands, completed writes and time. Output:
-//! [`AgentEffect`]s, to be executed in order. Invariants: a request, command or change that is submitted here has one result;
-//! every queue is bounded.
+//! [`AgentEffect`]s, to be executed in order. Invariants: a request, command or change submitted here gets one result; every
+//! queue is bounded.
 
 mod configuration_requests;
 mod messages;
@@ -33,100 +33,100 @@
 use std::sync::Arc;
 
 const NANOS_PER_MS: u64 = 1_000_000;
-/// Between a server's reports to the voters.
+/// Interval between reports of a server to the voters.
 const REPORT_INTERVAL: Span = Span(500 * NANOS_PER_MS);
-/// Between polls of the replicated state by a server that is no voter.
+/// Interval between polls of the replicated state by a server that isn't a voter.
 const STATE_POLL_INTERVAL: Span = Span(2_000 * NANOS_PER_MS);
-/// A time that doesn't come.
+/// A time that is never reached.
 const NEVER: Time = Time(u64::MAX);
 
 /// The settings of a server's agent.
 #[derive(Debug, Clone)]
 pub struct AgentSettings {
-    /// The server's name.
+    /// Name of the server.
     pub name: Name,
-    /// Its incarnation, greater than any before.
+    /// Incarnation of this process, greater than those of all earlier processes of the server.
     pub incarnation: Incarnation,
-    /// Its zone.
+    /// Zone of the server, which its reports carry.
     pub zone: String,
-    /// The voters that the settings name.
+    /// Names of the voters in the settings; the replicated state may add others.
     pub voters: Vec<Name>,
-    /// Its voter state, if it is to be a voter.
+    /// Voter state on the server's disk, if it is configured as a voter.
     pub voter_state: Option<VoterState>,
-    /// The settings of its controller.
+    /// Settings of the voter's controller.
     pub controller: ControllerSettings,
-    /// Whether a request to leave waits for a permit, rather than being denied where there is none now.
+    /// Whether a request to leave waits for a permit, rather than being denied if none is available at once.
     pub waits_for_permit: bool,
-    /// The seed of all random draws.
+    /// Seed of all random draws, for reproducible runs.
     pub seed: u64,
 }
 
-/// What the agent wants done.
+/// An effect that the host executes for the agent.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AgentEffect {
     /// Send a message to a server; it may be lost.
     Send {
-        /// The server.
+        /// Name of the receiver.
         to: Name,
-        /// The encoded message.
+        /// Encoded message.
         message: Vec<u8>,
     },
     /// Make records durable in the voter's files, then call [`ServerAgent::write_completed`] with the number.
     Write {
-        /// Greater with each write.
+        /// Number of the write; increases with each write, 0 for the founding.
         number: u64,
-        /// The records.
+        /// Records in order.
         records: Vec<DurableRecord>,
     },
-    /// This server may leave by a permit, until the right to begin expires.
+    /// This server may leave, if it begins before the right expires.
     PermitGranted {
-        /// The permit.
+        /// Epoch of the permit.
         epoch: Epoch,
-        /// The end of the right to begin.
+        /// End of the right to begin, on this server's clock.
         expires_at: Time,
     },
     /// The request to leave is denied.
     PermitDenied {
-        /// Why.
+        /// Reason, for the operator.
         reason: String,
     },
-    /// This server may take a rollout step, until the right to begin expires.
+    /// This server may take a rollout step, if it begins before the right expires.
     StepGranted {
-        /// The step.
+        /// Step to take.
         assignment: StepAssignment,
-        /// The end of the right to begin.
+        /// End of the right to begin, on this server's clock.
         expires_at: Time,
     },
-    /// About the configuration.
+    /// An effect on the configuration.
     Configuration(ConfigurationEffect),
     /// Write a line to the log.
     Log {
-        /// Its level.
+        /// Level of the line.
         level: Level,
-        /// Its text.
+        /// Text of the line.
         text: String,
     },
 }
 
-/// The agent of one server.
+/// The agent of one server; see the [module](self) for inputs and effects.
 pub struct ServerAgent {
     settings: AgentSettings,
-    /// The voter, where the settings make this server one.
+    /// The voter, if the settings make this server one.
     voter: Option<ConsensusVoter>,
     controller: Controller,
     permit_client: PermitClient,
-    /// The step that this server requests to begin.
+    /// The rollout step that this server requests to begin.
     requested_step: Option<StepAssignment>,
-    /// The permit of the step that this incarnation has begun.
+    /// Epoch of the permit for the step that this incarnation has begun.
     begun_step: Option<Epoch>,
     report: ServerReport,
     next_report: Time,
     next_state_poll: Time,
-    /// The replicated state as a voter sent it, on a server that is no voter.
+    /// The replicated state that a voter sent last, on a server that isn't a voter.
     polled_state: Option<PolledState>,
     commands: OperatorCommands,
     founding: Founding,
-    /// Set if the group commits changes of the configuration.
+    /// Set if the group commits configuration changes.
     configuration: Option<ConfigurationSettings>,
     proposal_client: ProposalClient,
     commit_waiters: CommitWaiters,
@@ -134,9 +134,9 @@
 }
 
 impl ServerAgent {
-    /// The agent of a server that starts.
+    /// Creates the agent of a server whose process starts.
     pub fn new(settings: AgentSettings, now: Time) -> Self {
-        // Numbers count from the incarnation, so that those of an earlier one are less.
+        // Request numbers start from the incarnation, so they exceed those of earlier incarnations.
         let last_number = settings.incarnation;
         let stored = settings.voter_state.clone();
         Self {
@@ -159,7 +159,7 @@
         }
     }
 
-    /// The replicated state as it is known here.
+    /// Returns the replicated state as it is known here: the voter's own, otherwise the last one polled.
     pub fn state(&self) -> Option<&ReplicatedState> {
         let own = self.founded_voter().map(ConsensusVoter::state);
         own.or(self.polled_state.as_ref().map(|polled| &polled.state))
@@ -177,7 +177,7 @@
         Arc::clone(&self.settings.name)
     }
 
-    /// Does what is due, and appends what is to be done.
+    /// Takes all steps that are due, and appends the effects to execute.
     pub fn step(&mut self, now: Time, effects: &mut Vec<AgentEffect>) {
         self.step_voter(now);
         if let Some(voter) = &mut self.voter {
@@ -199,7 +199,7 @@
         effects.append(&mut self.effects);
     }
 
-    /// When [`ServerAgent::step`] must be called again.
+    /// Time at which [`ServerAgent::step`] must be called again.
     pub fn wake_at(&self) -> Time {
         let voter = self.voter.as_ref().map_or(NEVER, ConsensusVoter::wake_at);
         let controller = if self.voter.is_some() { self.controller.wake_at() } else { NEVER };
--- a/crates/coordination/src/server_agent/configuration_requests.rs
+++ b/crates/coordination/src/server_agent/configuration_requests.rs
@@ -1,4 +1,4 @@
-//! Requests for changes of the configuration: those submitted at this server, and those that servers sent to this voter.
+//! Requests for configuration changes: those submitted at this server, and those that servers send to this voter.
 
 use super::messages::AgentMessage;
 use super::{AgentEffect, ServerAgent};
@@ -13,20 +13,20 @@
 use gradepin_config::configuration::Configuration;
 use std::sync::Arc;
 
-/// What is to be done about the configuration.
+/// An effect on the configuration that the host executes for the agent.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ConfigurationEffect {
-    /// Apply and disseminate a commit; on voters only, in the order of revisions. One that isn't newer than what the server
-    /// has is to be ignored.
+    /// Apply and disseminate a commit. Only on voters, in the order of revisions; the host ignores commits that aren't newer
+    /// than its configuration.
     Committed(Arc<Commit>),
     /// Make the configuration durable at this revision or a later one, then call [`ServerAgent::configuration_durable`].
     MakeDurable(Revision),
-    /// The result of a request that was submitted here.
+    /// Return the result of a request that was submitted here.
     Answered(ProposalResponse),
 }
 
 impl ServerAgent {
-    /// Turns on changes of the configuration by the group.
+    /// Enables configuration changes by the group.
     pub fn with_configuration(mut self, settings: ConfigurationSettings) -> Self {
         self.configuration = Some(settings);
         if let Some(voter) = &mut self.voter {
@@ -35,7 +35,7 @@
         self
     }
 
-    /// Submits a request for a change; [`ConfigurationEffect::Answered`] with the ticket has the result within 2 s.
+    /// Submits a request for a change. The result follows within 2 s as [`ConfigurationEffect::Answered`] with the same ticket.
     pub fn submit_change(
         &mut self,
         now: Time,
@@ -48,32 +48,32 @@
         self.proposal_client.submit(now, ticket, request)
     }
 
-    /// The host provides the content: its durable copy, its start file or its peers'. To be called at the start, and when
-    /// peers sent a newer one; what was in a [`ConfigurationEffect::Committed`] is known here already.
+    /// Offers content from the host: its durable copy, its start file or a copy of a peer. The host calls this at the start,
+    /// and when a peer sent newer content; commits in [`ConfigurationEffect::Committed`] are known here already.
     pub fn offer_configuration(&mut self, configuration: &Configuration) {
         if let Some(voter) = &mut self.voter {
             voter.offer_configuration(configuration);
         }
     }
 
-    /// The host's durable copy has this revision.
+    /// Records that the host's durable copy has this revision.
     pub fn configuration_durable(&mut self, revision: Revision) {
         if let Some(voter) = &mut self.voter {
             voter.configuration_durable(revision);
         }
     }
 
-    /// The order of changes with its history, on a voter.
+    /// Returns the replicated order of changes with its history, on a founded voter.
     pub fn replicated_configuration(&self) -> Option<&ReplicatedConfiguration> {
         self.founded_voter().map(|voter| &voter.state().configuration)
     }
 
-    /// The voter's copy of the content.
+    /// Returns the voter's copy of the content, if it has one.
     pub fn configuration(&self) -> Option<&Configuration> {
         self.voter.as_ref().and_then(ConsensusVoter::configuration)
     }
 
-    /// Sends requests that are due, and reports those that time out.
+    /// Sends requests that are due, and returns the results of those that timed out.
     pub(super) fn step_configuration_requests(&mut self, now: Time) {
         for OutgoingProposal { to, ticket, request } in self.proposal_client.due(now, &self.settings.voters) {
             if self.is_own_name(&to) {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// A request for this voter, of this server or of another.
+    /// Handles a request for this voter, from this server or another.
     pub(super) fn receive_configuration_request(
         &mut self,
         now: Time,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// A voter's reply to a request of this server.
+    /// Handles a voter's reply to a request of this server.
     pub(super) fn receive_configuration_reply(&mut self, now: Time, ticket: Ticket, reply: VoterReply) {
         let response = self.proposal_client.receive(now, ticket, reply, &self.settings.voters);
         if let Some(response) = response {
@@ -129,7 +129,7 @@
         self.effects.push(AgentEffect::Configuration(ConfigurationEffect::Answered(response)));
     }
 
-    /// A change is committed: replies to the servers that wait for it.
+    /// Handles a committed change: replies to the servers that wait for it, and passes it to the host.
     pub(super) fn configuration_committed(&mut self, now: Time, commit: Arc<Commit>) {
         for waiter in self.commit_waiters.committed(&commit.request_id) {
             let reply = VoterReply::Finished(Ok(commit.revision));
@@ -139,7 +139,7 @@
     }
 }
 
-/// Requests a change of this voter; its reply.
+/// Passes a request to this voter and returns the reply to send.
 fn propose(voter: &mut ConsensusVoter, request: &ConfigurationRequest) -> VoterReply {
     match voter.propose_configuration(request) {
         Ok(ProposalAccepted::Committed(revision)) => VoterReply::Finished(Ok(revision)),
--- a/crates/coordination/src/server_agent/messages.rs
+++ b/crates/coordination/src/server_agent/messages.rs
@@ -17,13 +17,13 @@
 /// A message between agents.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) enum AgentMessage {
-    /// Between voters, by the identities of their disks.
+    /// A message of the consensus group, from voter to voter.
     Voter {
-        /// The sender.
+        /// Identity of the sending voter.
         from: VoterId,
-        /// The receiver.
+        /// Identity of the receiving voter.
         to: VoterId,
-        /// The message of the consensus group.
+        /// Encoded message.
         bytes: Vec<u8>,
     },
     /// A server's report, to a voter.
@@ -32,53 +32,53 @@
     PermitRequest(PermitRequest),
     /// A voter's reply to a permit request.
     PermitReply {
-        /// The number of the request.
+        /// Number of the request.
         number: Ticket,
-        /// The reply.
+        /// Reply to the request.
         reply: PermitReply,
     },
     /// A rollout step, from the leader to the server that is to take it.
     StepAssignment(StepAssignment),
     /// An operator's command, to a voter.
     Command {
-        /// The sender's ticket.
+        /// Ticket at the sender.
         ticket: Ticket,
-        /// The command.
+        /// Command to execute.
         command: OperatorCommand,
     },
     /// A voter's reply to a command.
     CommandReply {
-        /// The ticket of the command.
+        /// Ticket of the command, as sent.
         ticket: Ticket,
-        /// The reply.
+        /// Reply to the command.
         reply: OperatorCommandReply,
     },
-    /// Halt the rollout of this name: no further step, committed or not.
+    /// Tells a voter to take no further step of the rollout with this name, before the halt is committed.
     Halt(String),
-    /// Found a group with these voters.
+    /// Tells a voter to found a group with these voters.
     Found(BTreeMap<VoterId, Name>),
     /// Asks a voter for the replicated state.
     StateRequest,
-    /// The replicated state, as far as the sender knows it.
+    /// The replicated state as the sending voter has it.
     State(Box<ReplicatedState>),
-    /// A request for a change of the configuration, to a voter.
+    /// A request for a configuration change, to a voter.
     ConfigurationRequest {
-        /// The sender's ticket.
+        /// Ticket at the sender.
         ticket: Ticket,
-        /// The request.
+        /// Requested change.
         request: Box<ConfigurationRequest>,
     },
-    /// A voter's reply to such a request.
+    /// A voter's reply to a request for a configuration change.
     ConfigurationReply {
-        /// The ticket of the request.
+        /// Ticket of the request, as sent.
         ticket: Ticket,
-        /// The reply.
+        /// Reply to the request.
         reply: VoterReply,
     },
 }
 
 impl ServerAgent {
-    /// Receives a message of a server, from this incarnation of it. One that can't be decoded is dropped.
+    /// Handles a message that this incarnation of server `from` sent. Messages that can't be decoded are dropped.
     pub fn receive(&mut self, now: Time, from: &Name, incarnation: Incarnation, bytes: &[u8]) {
         let Ok(message) = postcard::from_bytes::<AgentMessage>(bytes) else { return };
         match message {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Sends a message to a server.
+    /// Encodes a message and sends it to a server.
     pub(super) fn send(&mut self, to: &Name, message: &AgentMessage) {
         if let Ok(message) = postcard::to_stdvec(message) {
             self.effects.push(AgentEffect::Send { to: Arc::clone(to), message });
--- a/crates/coordination/src/server_agent/operator_commands.rs
+++ b/crates/coordination/src/server_agent/operator_commands.rs
@@ -1,4 +1,5 @@
-//! Operator commands: those submitted at this server until they have a result, and those that servers sent to this voter.
+//! Operator commands: those submitted at this server, which are retried until they have a result, and those that servers send
+//! to this voter.
 
 use super::messages::AgentMessage;
 use super::{NANOS_PER_MS, ServerAgent};
@@ -9,31 +10,31 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Without a reply within this the next voter gets the command.
+/// Time to wait for a reply before the command is sent to the next voter.
 const REPLY_TIMEOUT: Span = Span(700 * NANOS_PER_MS);
-/// A command without a result by then has failed.
+/// Maximum time until a command has a result; after it the command is reported as failed.
 const COMMAND_TIMEOUT: Span = Span(8_000 * NANOS_PER_MS);
-/// Before a command is sent to the leader that another voter named.
+/// Delay before a command is sent to the leader that another voter named.
 const REDIRECT_DELAY: Span = Span(20 * NANOS_PER_MS);
-/// Commands in flight, results that are kept, and commands of servers whose results are outstanding: each at most.
+/// Maximum commands in flight, maximum results retained, and maximum commands of servers awaiting a reply.
 const MAX_COMMANDS: usize = 64;
 
 /// The status of an operator's command.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommandStatus {
-    /// It is in flight.
+    /// The command is in flight.
     Pending,
-    /// It has this result.
+    /// The command has this result.
     Finished(CommandResult),
-    /// No command of this ticket is known here.
+    /// No command with this ticket is known here.
     Unknown,
 }
 
-/// Why a command isn't accepted.
+/// Reason for not accepting a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum SubmitError {
     /// Too many commands are in flight here.
-    #[error("too many orders are under way")]
+    #[error("too many commands are in flight")]
     TooManyCommands,
 }
 
@@ -43,9 +44,9 @@
     command: OperatorCommand,
     submitted_at: Time,
     next_send: Time,
-    /// The position of the voter that gets it next, modulo their number.
+    /// Index of the voter to send the command to next, modulo the number of voters.
     target: usize,
-    /// Why it has no result yet.
+    /// Why the command has no result yet, for the text of its failure.
     waits_for: &'static str,
 }
 
@@ -58,10 +59,10 @@
 /// A command that a server sent to this voter.
 #[derive(Debug)]
 struct ReceivedCommand {
-    /// The number under which this voter's controller has it.
+    /// Ticket under which this voter's controller executes the command.
     number: Ticket,
     from: Name,
-    /// The server's ticket.
+    /// Ticket at the server that sent the command.
     ticket: Ticket,
 }
 
@@ -82,12 +83,12 @@
 }
 
 impl OperatorCommands {
-    /// When a command is due.
+    /// Time at which the next command is due to be sent.
     pub(super) fn wake_at(&self) -> Option<Time> {
         self.pending.values().map(|pending| pending.next_send).min()
     }
 
-    /// How many commands of servers were received.
+    /// Number of commands received from servers so far.
     pub(super) fn received_count(&self) -> u64 {
         self.last_received
     }
@@ -107,9 +108,9 @@
         let late = self.pending.iter().filter(|(_, pending)| is_late(pending));
         let late: Vec<(Ticket, &str)> = late.map(|(ticket, pending)| (*ticket, pending.waits_for)).collect();
         for (ticket, waits_for) in late {
-            // It may be committed all the same: the status shows it.
+            // The command may still be committed; the status shows whether it is.
             let timeout_s = span_seconds(COMMAND_TIMEOUT);
-            let text = format!("{waits_for} within {timeout_s:.0} s; it may still be done");
+            let text = format!("{waits_for} within {timeout_s:.0} s; the command may still take effect");
             self.finish(ticket, Err(CommandFailure(text)));
         }
     }
@@ -128,7 +129,7 @@
         due
     }
 
-    /// Records a server's command; the number for this voter's controller.
+    /// Records a server's command and returns the ticket for this voter's controller.
     fn record_received(&mut self, from: &Name, ticket: Ticket) -> Ticket {
         self.last_received += 1;
         let number = self.last_received;
@@ -141,7 +142,7 @@
 }
 
 impl ServerAgent {
-    /// Submits an operator's command; [`ServerAgent::command_status`] has its result.
+    /// Submits an operator's command. [`ServerAgent::command_status`] returns its result once there is one.
     pub fn submit(&mut self, now: Time, ticket: Ticket, command: OperatorCommand) -> Result<(), SubmitError> {
         if self.commands.pending.len() >= MAX_COMMANDS {
             return Err(SubmitError::TooManyCommands);
@@ -154,13 +155,13 @@
             submitted_at: now,
             next_send: now,
             target: 0,
-            waits_for: "no voter has answered",
+            waits_for: "no voter replied",
         };
         self.commands.pending.insert(ticket, pending);
         Ok(())
     }
 
-    /// Halts a rollout here and on all voters that can be reached, before the halt is committed.
+    /// Halts a rollout on this server and on all reachable voters, before the halt is committed.
     fn halt_everywhere(&mut self, name: &str) {
         self.halt(name);
         for voter in self.settings.voters.clone() {
@@ -168,7 +169,7 @@
         }
     }
 
-    /// The status of the command of a ticket.
+    /// Returns the status of a command that was submitted here.
     pub fn command_status(&self, ticket: Ticket) -> CommandStatus {
         if self.commands.pending.contains_key(&ticket) {
             return CommandStatus::Pending;
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Sends commands that are due, and fails those that time out.
+    /// Sends commands that are due, and fails those that timed out.
     pub(super) fn step_commands(&mut self, now: Time) {
         self.commands.expire(now);
         for OutgoingCommand { to, ticket, command } in self.commands.due(now, &self.settings.voters) {
@@ -192,7 +193,7 @@
         }
     }
 
-    /// A command for this voter's controller, of this server or of another.
+    /// Handles a command for this voter's controller, from this server or another.
     pub(super) fn receive_command(
         &mut self,
         now: Time,
@@ -209,7 +210,7 @@
         self.apply_controller_effects(now);
     }
 
-    /// The controller's reply to a command, by the number that it was given.
+    /// Passes the controller's reply to the server that sent the command; `number` is the controller's ticket.
     pub(super) fn reply_to_command(&mut self, now: Time, number: Ticket, reply: OperatorCommandReply) {
         let received = self.commands.received.iter().find(|received| received.number == number);
         let Some(ReceivedCommand { from, ticket, .. }) = received else { return };
@@ -221,7 +222,7 @@
         }
     }
 
-    /// A voter's reply to a command of this server.
+    /// Handles a voter's reply to a command of this server.
     pub(super) fn receive_command_reply(&mut self, now: Time, ticket: Ticket, reply: OperatorCommandReply) {
         match reply {
             OperatorCommandReply::Done(result) => self.commands.finish(ticket, result),
@@ -232,7 +233,7 @@
                 let delay = if position.is_some() { REDIRECT_DELAY } else { REPLY_TIMEOUT };
                 pending.target = position.unwrap_or(pending.target + 1);
                 pending.next_send = time_after(now, delay);
-                pending.waits_for = "the council has no leader that is heard";
+                pending.waits_for = "no voter knew a leader of the council";
             }
         }
     }
--- a/crates/coordination/src/server_agent/reports.rs
+++ b/crates/coordination/src/server_agent/reports.rs
@@ -1,4 +1,5 @@
-//! Reports to the voters, the founding of the group by them, and polls of the replicated state by servers that are no voters.
+//! Reports of this server to the voters, the founding of the group, and polls of the replicated state by servers that aren't
+//! voters.
 
 use super::messages::AgentMessage;
 use super::{STATE_POLL_INTERVAL, ServerAgent};
@@ -12,16 +13,16 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The replicated state as a voter sent it.
+/// The replicated state that a voter sent.
 pub(super) struct PolledState {
-    /// The state.
+    /// State as of the voter's last applied entry.
     pub state: ReplicatedState,
-    /// When it was received.
+    /// Time at which the state was received.
     pub received_at: Time,
 }
 
 impl ServerAgent {
-    /// Sets what this server reports from now on; a change of readiness is reported at once.
+    /// Sets the report to send from now on. A change of readiness or of the failed step is sent at once.
     pub fn set_report(&mut self, now: Time, report: ServerReport) {
         if report.ready != self.report.ready || report.failed != self.report.failed {
             self.next_report = now;
@@ -29,7 +30,7 @@
         self.report = report;
     }
 
-    /// A server's report. Servers that are no voters get none; a voter whose group isn't founded yet needs them for that.
+    /// Records a server's report. A voter whose group isn't founded yet records reports too, as the founding needs them.
     pub(super) fn record_report(
         &mut self,
         now: Time,
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Sends this server's report to all voters.
+    /// Sends this server's report to all voters, and the founding if one is in progress.
     pub(super) fn send_report(&mut self, now: Time) {
         if let Some(voter) = &self.voter {
             self.report.voter = Some(voter.id()).filter(|_| voter.excluded().is_none());
@@ -61,7 +62,8 @@
         self.send_founding(now);
     }
 
-    /// The voters of the replicated state, and those of the settings, which may not have learned of the group.
+    /// Updates the known voters: those of the replicated state, and those of the settings, which may not have joined the group
+    /// yet.
     fn update_voters(&mut self) {
         let Some(state) = self.state() else { return };
         let mut voters: Vec<Name> = state.voters.values().cloned().collect();
@@ -71,8 +73,8 @@
         self.settings.voters = voters;
     }
 
-    /// Founds the group with the voters that the settings name, each of which must have reported and have an empty voter
-    /// state. Requested again, here or at another voter, it has the same response.
+    /// Founds the group with the voters in the settings, each of which must have reported an empty voter state. A repeated
+    /// request, here or at another voter, returns the same response.
     pub fn found(&mut self, now: Time) -> Result<String, FoundingError> {
         let voter = self.voter.as_ref().ok_or(FoundingError::NoFolder)?;
         let reported = |name: &Name| {
@@ -85,18 +87,18 @@
         Ok(founding::response(&voters))
     }
 
-    /// Founds the group with these voters, if they are those of the settings.
+    /// Founds the group with these voters, if they are the ones in the settings and no group is founded here.
     pub(super) fn found_with(&mut self, voters: &BTreeMap<VoterId, Name>) {
         let Some(voter) = self.voter.as_mut().filter(|voter| !voter.is_founded()) else { return };
         if let Err(error) = self.founding.check(voters) {
-            return self.log(Level::Warning, format!("not founded: {error}"));
+            return self.log(Level::Warning, format!("the council is not founded here: {error}"));
         }
         if voter.found(voters).is_ok() {
-            self.log(Level::Info, "a council is founded, and this server is a voter".into());
+            self.log(Level::Info, "the council is founded with this server as a voter".into());
         }
     }
 
-    /// Sends the founding to voters that haven't accepted it, while that is due.
+    /// Sends the founding to the other voters while some of them haven't accepted it.
     fn send_founding(&mut self, now: Time) {
         let own_name = self.own_name();
         let is_founded =
@@ -113,7 +115,7 @@
         }
     }
 
-    /// Asks a voter for the replicated state, on a server that is no voter. The voter changes with time.
+    /// Asks a voter for the replicated state, if this server isn't a voter itself. Successive polls ask different voters.
     pub(super) fn poll_state(&mut self) {
         if self.founded_voter().is_some() || self.settings.voters.is_empty() {
             return;
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Sends the replicated state to a server that asked for it.
+    /// Sends the replicated state to a server that requested it.
     pub(super) fn send_state(&mut self, to: &Name) {
         if let Some(voter) = self.founded_voter() {
             let message = AgentMessage::State(Box::new(voter.state().clone()));
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Records the replicated state that a voter sent, unless a later one is known.
+    /// Records the replicated state that a voter sent, unless a state of a later entry is known.
     pub(super) fn record_polled_state(&mut self, now: Time, state: ReplicatedState) {
         let is_newer = self.polled_state.as_ref().is_none_or(|known| state.index >= known.state.index);
         if is_newer {
--- a/crates/coordination/src/server_agent/status.rs
+++ b/crates/coordination/src/server_agent/status.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of the fleet's agreements.
+//! Status of the consensus group as this server knows it, for operators.
 
 use super::ServerAgent;
 use crate::consensus::ConsensusVoter;
@@ -10,21 +10,21 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The replicated state as it is known here.
+/// The replicated state as this server knows it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KnownState {
-    /// The state.
+    /// The voter's own state, or the last one polled.
     pub state: ReplicatedState,
-    /// Its age in seconds; infinite on a voter that hasn't received a heartbeat of a leader.
+    /// Age of the state in seconds; infinite on a voter that hasn't received a heartbeat of a leader.
     pub age_s: f64,
 }
 
-/// What a server reported to run.
+/// Versions that a server reported to run.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct RunningVersions {
-    /// Its program.
+    /// Program version.
     pub program: String,
-    /// Its settings.
+    /// Digest of the settings.
     pub settings: String,
 }
 
@@ -34,29 +34,29 @@
     }
 }
 
-/// What operators are shown.
+/// Status of the consensus group, for operators.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct AgentStatus {
-    /// The replicated state; none if it isn't known here.
+    /// The replicated state, if it is known here.
     pub known_state: Option<KnownState>,
-    /// The leader, as far as it is known here.
+    /// Name of the leader, if it is known here.
     pub leader: Option<Name>,
-    /// Whether this server is a voter of a group.
+    /// Whether this server is a voter of a founded group.
     pub is_voter: bool,
-    /// Why its voter takes no part until it is replaced.
+    /// Why this server's voter is excluded until it is replaced, if it is.
     pub exclusion: Option<String>,
-    /// Whether its voter restricts its votes because its disk may be an old copy.
+    /// Whether this server's voter restricts its votes because its disk may be an old copy.
     pub restricts_votes: bool,
-    /// The permit request of this server that isn't granted yet.
+    /// This server's permit request that isn't granted yet, if there is one.
     pub waiting_request: Option<WaitingRequest>,
-    /// Servers of the roster that don't report to be ready; known to voters alone.
+    /// Servers of the roster without a fresh report that they are ready; only voters know them.
     pub not_ready: Vec<Name>,
-    /// What servers reported to run; known to voters alone.
+    /// Versions that servers reported to run; only voters know them.
     pub versions: BTreeMap<Name, RunningVersions>,
 }
 
 impl ServerAgent {
-    /// The fleet's agreements as they are known here.
+    /// Returns the status as this server knows it.
     pub fn status(&self, now: Time) -> AgentStatus {
         let founded = self.founded_voter();
         let not_ready = founded.map(|voter| self.controller.not_ready(now, voter.state()));
--- a/crates/coordination/src/server_agent/steps.rs
+++ b/crates/coordination/src/server_agent/steps.rs
@@ -1,4 +1,4 @@
-//! Permits and rollout steps of this server: its requests to leave or to begin a step, and the voters' replies.
+//! Permits and rollout steps of this server: its requests to leave or to begin a step, and the handling of replies.
 
 use super::messages::AgentMessage;
 use super::{AgentEffect, ServerAgent};
@@ -10,12 +10,12 @@
 use slog::Level;
 
 impl ServerAgent {
-    /// Requests a permit to leave, until it is granted or denied.
+    /// Requests a permit to leave; retried until it is granted or denied.
     pub fn request_permit(&mut self, now: Time) {
         self.permit_client.request(now, PermitAction::Reserve);
     }
 
-    /// Cancels the request to leave, and the permit if there is one.
+    /// Cancels the request to leave, and ends this server's permit if it has one.
     pub fn cancel_permit(&mut self, now: Time) {
         let epoch = match self.permit_client.action() {
             Some(PermitAction::Begin { epoch }) => Some(*epoch),
@@ -33,7 +33,7 @@
         self.state()?.permit_of(&target).map(|(epoch, _)| epoch)
     }
 
-    /// The right to begin a step expired before the host began: the step may be assigned again.
+    /// Records that the right to begin a step expired before the host began, so that the step may be assigned again.
     pub fn step_expired(&mut self) {
         self.begun_step = None;
     }
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A server's permit request.
+    /// Handles a server's permit request; a server that isn't a voter redirects it.
     pub(super) fn receive_permit_request(
         &mut self,
         now: Time,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// A voter's reply to a permit request of this server.
+    /// Handles a voter's reply to a permit request of this server.
     pub(super) fn receive_permit_reply(&mut self, now: Time, number: Ticket, reply: PermitReply) {
         let is_reservation = self.permit_client.action() == Some(&PermitAction::Reserve);
         let denial = match &reply {
@@ -99,20 +99,21 @@
         self.effects.push(effect);
     }
 
-    /// A permit ended before it was begun: one for a step is the leader's to reserve again, one to leave is requested anew.
+    /// Handles a permit that ended before it was begun. The leader reserves a permit for a step again; a permit to leave is
+    /// requested again here.
     fn restart_stale_request(&mut self, now: Time, epoch: Epoch) {
         if self.requested_step.take().is_some() {
             return;
         }
-        self.log(Level::Warning, format!("permit {epoch} is over or was freed; another is asked for"));
+        self.log(Level::Warning, format!("permit {epoch} ended before it was begun; requesting another one"));
         self.permit_client.request(now, PermitAction::Reserve);
     }
 
-    /// The leader assigned a rollout step to this server.
+    /// Handles a rollout step that the leader assigned to this server: requests to begin it, unless there is a reason not to.
     pub(super) fn receive_step(&mut self, now: Time, assignment: StepAssignment) {
         let runs_it = *self.report.version(assignment.kind) == assignment.version;
         let failed = self.report.failed.as_ref();
-        // A step that failed isn't retried by the server, and a drain for an operator has precedence.
+        // The server doesn't retry a failed step, and a drain for an operator has precedence.
         let has_failed = failed.is_some_and(|failed| failed.rollout == assignment.rollout);
         let is_draining = matches!(self.permit_client.action(), Some(PermitAction::Reserve));
         let has_step = self.requested_step.is_some() || self.begun_step == Some(assignment.epoch);
@@ -123,7 +124,7 @@
         self.requested_step = Some(assignment);
     }
 
-    /// Drops the requested step of a rollout that an operator halted, and halts it on this server's controller.
+    /// Handles an operator's halt of a rollout: drops the requested step, and halts the rollout on this voter's controller.
     pub(super) fn halt(&mut self, name: &str) {
         let is_of_rollout = self.requested_step.as_ref().is_some_and(|assignment| {
             let rollout = self.state().and_then(|state| state.rollout.as_ref());
--- a/crates/coordination/src/server_agent/voter.rs
+++ b/crates/coordination/src/server_agent/voter.rs
@@ -1,4 +1,4 @@
-//! The voter and the controller of this server: their effects are sent, written and handed on.
+//! Runs the voter and the controller of this server, and executes their effects.
 
 use super::messages::AgentMessage;
 use super::{AgentEffect, ConfigurationEffect, ServerAgent};
@@ -10,14 +10,14 @@
 use std::sync::Arc;
 
 impl ServerAgent {
-    /// Writes up to this number are durable.
+    /// Records that writes up to this number are durable.
     pub fn write_completed(&mut self, number: u64) {
         if let Some(voter) = &mut self.voter {
             voter.write_completed(number);
         }
     }
 
-    /// A write failed; `stored` is what the voter's files hold.
+    /// Handles a failed write; `stored` is the state that the voter's files have.
     pub fn write_failed(&mut self, now: Time, stored: VoterState) {
         if let Some(voter) = &mut self.voter {
             voter.write_failed(stored, now);
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The server of a voter: by the replicated state, or while that doesn't list it yet, by reports.
+    /// Returns the server of a voter, from the replicated state or, if that doesn't list the voter yet, from reports.
     fn voter_name(&self, id: VoterId) -> Option<Name> {
         let state = self.voter.as_ref().map(ConsensusVoter::state);
         if let Some(name) = state.and_then(|state| state.voters.get(&id)) {
--- a/crates/coordination/tests/common/base.rs
+++ b/crates/coordination/tests/common/start_configuration.rs
@@ -1,9 +1,9 @@
-//! The start file's content: a configuration holds at least one class.
+//! Content of a start file. A configuration needs at least one class.
 
 use gradepin_admission::{ClassProfile, Idempotency, Settings, Span};
 use gradepin_config::configuration::Configuration;
 
-pub fn base() -> Configuration {
+pub fn start_configuration() -> Configuration {
     let second = Span(1_000_000_000);
     let profile = ClassProfile {
         name: "read".into(),
--- a/crates/coordination/tests/configuration_requests.rs
+++ b/crates/coordination/tests/configuration_requests.rs
@@ -1,9 +1,9 @@
-//! Requests for configuration changes from any server: each has one result, within 2 s, whatever is partitioned.
+//! Requests for configuration changes from any server get one result within 2 s, whichever servers are partitioned.
 
 #[path = "common/fleet.rs"]
 mod fleet;
 
-use fleet::{ALL, Fleet, SECOND, name};
+use fleet::{ALL_VOTERS, Fleet, SECOND, name};
 use gradepin_admission::{Span, Tenant, Time};
 use gradepin_config::change::{Change, Proposal, Revision, Transaction};
 use gradepin_coordination::configuration_log::{ConfigurationRejected, ConfigurationRequest};
@@ -19,67 +19,78 @@
     ConfigurationRequest { proposal, seen: Revision(0), requested_at_ms: 0 }
 }
 
-/// Five servers, three of them voters of a running group, n0 its leader or not.
+/// Five servers, of which n0, n1 and n2 are the voters of a founded group.
 fn fleet() -> Fleet {
-    let mut fleet = Fleet::new(&[ALL; 5]);
+    let mut fleet = Fleet::new(&[ALL_VOTERS; 5]);
     fleet.run(SECOND);
-    fleet.found(0).expect("all are heard");
+    fleet.found(0).expect("all voters report");
     fleet.run(Span(8 * SECOND.0));
     assert!(fleet.leader(0).is_some());
     fleet.events.clear();
     fleet
 }
 
-/// Submits a request, and returns its one result after 2 s.
-fn answer(fleet: &mut Fleet, server: usize, id: &str) -> ProposalResult {
-    let (begin, ticket) = (fleet.now, fleet.now.0);
-    fleet.agents[server].submit_change(begin, ticket, request(id)).expect("taken");
+/// Submits a request and returns its result; panics unless there is exactly one, within 2 s.
+fn submit_and_wait(fleet: &mut Fleet, server: usize, id: &str) -> ProposalResult {
+    let (submitted_at, ticket) = (fleet.now, fleet.now.0);
+    fleet.agents[server].submit_change(submitted_at, ticket, request(id)).expect("the request is accepted");
     fleet.run(Span(5 * SECOND.0));
-    let answers: Vec<(Time, ProposalResult)> = fleet
+    let results: Vec<(Time, ProposalResult)> = fleet
         .events
         .iter()
         .filter_map(|(n, at, effect)| match effect {
-            ConfigurationEffect::Answered(answered) if *n == server && answered.ticket == ticket => {
-                Some((*at, answered.result.clone()))
+            ConfigurationEffect::Answered(response) if *n == server && response.ticket == ticket => {
+                Some((*at, response.result.clone()))
             }
             _ => None,
         })
         .collect();
-    assert_eq!(answers.len(), 1, "{answers:?}");
-    assert!(answers[0].0.0 - begin.0 <= 2 * SECOND.0, "late");
-    answers[0].1.clone()
+    assert_eq!(results.len(), 1, "{results:?}");
+    assert!(results[0].0.0 - submitted_at.0 <= 2 * SECOND.0, "the result is late");
+    results[0].1.clone()
 }
 
 #[test]
 fn any_server_forwards_a_request_to_the_leader() {
     let mut fleet = fleet();
     for server in 0..5 {
-        assert_eq!(answer(&mut fleet, server, &format!("from {server}")), Ok(Revision(server as u64 + 1)));
+        assert_eq!(
+            submit_and_wait(&mut fleet, server, &format!("from {server}")),
+            Ok(Revision(server as u64 + 1))
+        );
     }
-    assert_eq!(answer(&mut fleet, 4, "from 0"), Ok(Revision(1)), "the same id elsewhere");
+    assert_eq!(
+        submit_and_wait(&mut fleet, 4, "from 0"),
+        Ok(Revision(1)),
+        "a retry with the same id at another server"
+    );
     let committed = |n: usize| {
-        let mine = fleet.events.iter().filter(|(of, ..)| *of == n);
-        mine.filter(|(.., effect)| matches!(effect, ConfigurationEffect::Committed(_))).count()
+        let own_events = fleet.events.iter().filter(|(of, ..)| *of == n);
+        own_events.filter(|(.., effect)| matches!(effect, ConfigurationEffect::Committed(_))).count()
     };
-    assert_eq!((0..5).map(committed).collect::<Vec<_>>(), [5, 5, 5, 0, 0], "on voters, once each");
+    assert_eq!(
+        (0..5).map(committed).collect::<Vec<_>>(),
+        [5, 5, 5, 0, 0],
+        "each voter reports each commit once"
+    );
 }
 
-/// On the side without a quorum a change is rejected with a reason; one that a leader proposed there may still be committed,
-/// which the result says; afterwards the same id has one revision.
+/// Without a quorum a change fails with the reason. A change that a leader proposed there may still be committed, and the
+/// result says so; once there is a quorum, its request id gets one revision.
 #[test]
 fn rejects_changes_without_a_quorum_within_two_seconds() {
     let mut fleet = fleet();
     let leader = (0..3).find(|n| fleet.leader(0) == Some(name(*n))).expect("a voter leads");
-    fleet.cut.extend((0..3).filter(|n| *n != leader));
-    assert_eq!(answer(&mut fleet, leader, "one"), Err(ConfigurationRejected::Unconfirmed));
-    assert_eq!(answer(&mut fleet, leader, "two"), Err(ConfigurationRejected::NoLeader));
-    assert_eq!(answer(&mut fleet, 4, "three"), Err(ConfigurationRejected::NoLeader));
-    fleet.cut = [0, 1, 2].into();
-    assert_eq!(answer(&mut fleet, 4, "four"), Err(ConfigurationRejected::NoVoter));
-    fleet.cut.clear();
+    fleet.partitioned.extend((0..3).filter(|n| *n != leader));
+    assert_eq!(submit_and_wait(&mut fleet, leader, "one"), Err(ConfigurationRejected::Unconfirmed));
+    assert_eq!(submit_and_wait(&mut fleet, leader, "two"), Err(ConfigurationRejected::NoLeader));
+    assert_eq!(submit_and_wait(&mut fleet, 4, "three"), Err(ConfigurationRejected::NoLeader));
+    fleet.partitioned = [0, 1, 2].into();
+    assert_eq!(submit_and_wait(&mut fleet, 4, "four"), Err(ConfigurationRejected::NoVoter));
+    fleet.partitioned.clear();
     fleet.run(Span(8 * SECOND.0));
-    let first = answer(&mut fleet, 3, "one").expect("a quorum");
-    assert_eq!(answer(&mut fleet, 4, "one"), Ok(first));
-    let order = fleet.agents[0].replicated_configuration().expect("a voter").history().count();
-    assert_eq!(order as u64, first.0, "and nothing of what was refused");
+    let first = submit_and_wait(&mut fleet, 3, "one").expect("a quorum commits it");
+    assert_eq!(submit_and_wait(&mut fleet, 4, "one"), Ok(first));
+    let commit_count = fleet.agents[0].replicated_configuration().expect("n0 is a voter").history().count();
+    assert_eq!(commit_count as u64, first.0, "rejected changes are not committed");
 }
--- a/crates/coordination/tests/golden/values.rs
+++ b/crates/coordination/tests/golden/values.rs
@@ -1,4 +1,4 @@
-//! A value of each kind, every field with another content, so that two that change places are seen.
+//! Values of each type that is stored or sent. Fields have different content, so that the golden files reveal swapped fields.
 use gradepin_admission::{ClassProfile, Idempotency, Span, Tenant};
 use gradepin_config::change::{Change, ClassDefinition, Commit, Proposal, Revision, Rule, Transaction};
 use gradepin_config::digest::{Digest, Version};
@@ -40,7 +40,7 @@
     Change::PutClass(Arc::new(ClassDefinition { profile, calls: true, skip_weight: 0.125 }))
 }
 
-/// Every kind of change, of rule and of effect.
+/// A transaction with every kind of change, rule and idempotency.
 pub fn transaction() -> Transaction {
     let tenant = Tenant { name: "osm".into(), quota_rps: 10.5, portion: 0.2 };
     let changes = vec![
@@ -76,7 +76,7 @@
     Version { revision: Revision(revision), digest: Digest((1 << 100) + u128::from(revision)) }
 }
 
-pub fn entry(revision: u64) -> ConfigurationEntry {
+pub fn configuration_entry(revision: u64) -> ConfigurationEntry {
     ConfigurationEntry {
         base: version(revision - 1),
         result: version(revision),
@@ -87,10 +87,10 @@
 }
 
 pub fn configuration_command(revision: u64) -> Command {
-    Command::Configuration(Box::new(entry(revision)))
+    Command::Configuration(Box::new(configuration_entry(revision)))
 }
 
-pub fn request() -> ConfigurationRequest {
+pub fn configuration_request() -> ConfigurationRequest {
     let proposal = Proposal {
         request_id: name("r9"),
         author: name("ada"),
@@ -115,7 +115,7 @@
     }
 }
 
-pub fn steps() -> Vec<(&'static str, ServerProgress)> {
+pub fn server_progress() -> Vec<(&'static str, ServerProgress)> {
     vec![
         ("waits", ServerProgress::Pending),
         ("changes", ServerProgress::Updating),
@@ -127,7 +127,7 @@
     ]
 }
 
-pub fn states() -> Vec<(&'static str, RolloutState)> {
+pub fn rollout_states() -> Vec<(&'static str, RolloutState)> {
     vec![
         ("runs", RolloutState::Running),
         ("halted", RolloutState::Halted("h".into())),
@@ -149,45 +149,80 @@
     Limits { fleet: 3, zone: 2, zones: 1, services: [(name("ledger"), 4), (name("maps"), 5)].into() }
 }
 
-pub fn release_orders() -> Vec<(&'static str, RolloutCommand)> {
-    let (r, by, why) = ("r-1".to_string(), name("kaisa"), "late".to_string());
-    let before = vec![(name("n1"), "v1".to_string()), (name("n2"), "v0".to_string())];
-    let stepped = ServerProgress::Failed("no".into());
+pub fn rollout_commands() -> Vec<(&'static str, RolloutCommand)> {
+    let (rollout_name, operator_name, reason_text) = ("r-1".to_string(), name("kaisa"), "late".to_string());
+    let previous_versions = vec![(name("n1"), "v1".to_string()), (name("n2"), "v0".to_string())];
+    let failed_progress = ServerProgress::Failed("no".into());
     vec![
-        ("start", RolloutCommand::Start { plan: Box::new(plan()), operator: by.clone(), versions: before }),
-        ("halt", RolloutCommand::Halt { name: r.clone(), operator: by.clone(), reason: why.clone() }),
-        ("resume", RolloutCommand::Resume { name: r.clone(), halt_count: 300, operator: by.clone() }),
-        ("back", RolloutCommand::RollBack { name: r, operator: by, reason: why }),
-        ("stepped", RolloutCommand::RecordProgress { number: 300, server: name("n1"), progress: stepped }),
+        (
+            "start",
+            RolloutCommand::Start {
+                plan: Box::new(plan()),
+                operator: operator_name.clone(),
+                versions: previous_versions,
+            },
+        ),
+        (
+            "halt",
+            RolloutCommand::Halt {
+                name: rollout_name.clone(),
+                operator: operator_name.clone(),
+                reason: reason_text.clone(),
+            },
+        ),
+        (
+            "resume",
+            RolloutCommand::Resume {
+                name: rollout_name.clone(),
+                halt_count: 300,
+                operator: operator_name.clone(),
+            },
+        ),
+        (
+            "back",
+            RolloutCommand::RollBack { name: rollout_name, operator: operator_name, reason: reason_text },
+        ),
+        (
+            "stepped",
+            RolloutCommand::RecordProgress { number: 300, server: name("n1"), progress: failed_progress },
+        ),
         ("wave", RolloutCommand::StartBatch { number: 300, batch: 2 }),
         ("over", RolloutCommand::Finish { number: 300 }),
     ]
 }
 
-/// Every command, those about releases apart.
+/// Every kind of log command; [`rollout_commands`] has the kinds of rollout commands.
 pub fn commands() -> Vec<(&'static str, Command)> {
-    let (n1, z1, by, why) = (name("n1"), name("z1"), name("kaisa"), "gone".to_string());
+    let (server, zone, operator_name, reason_text) =
+        (name("n1"), name("z1"), name("kaisa"), "gone".to_string());
     let reserve =
         |target, purpose| Command::Reserve { target, holder: name("n2"), incarnation: 70_000, purpose };
     let service = targets().remove(2).1;
     vec![
         ("limits", Command::Limits(limits())),
-        ("enrol", Command::AddServer { name: n1.clone(), zone: z1.clone() }),
-        ("strike", Command::RemoveServer { name: n1.clone(), operator: by.clone(), reason: why.clone() }),
-        ("reserve a server to drain", reserve(Target::Server(n1.clone()), Purpose::Drain)),
-        ("reserve a zone for a release", reserve(Target::Zone(z1), Purpose::Rollout(300))),
+        ("enrol", Command::AddServer { name: server.clone(), zone: zone.clone() }),
+        (
+            "strike",
+            Command::RemoveServer {
+                name: server.clone(),
+                operator: operator_name.clone(),
+                reason: reason_text.clone(),
+            },
+        ),
+        ("reserve a server to drain", reserve(Target::Server(server.clone()), Purpose::Drain)),
+        ("reserve a zone for a release", reserve(Target::Zone(zone), Purpose::Rollout(300))),
         ("reserve a member of a service", reserve(service, Purpose::Drain)),
-        ("begin", Command::Begin { epoch: 300, holder: n1, incarnation: 70_000 }),
+        ("begin", Command::Begin { epoch: 300, holder: server, incarnation: 70_000 }),
         ("end by steadiness", Command::End { epoch: 300, observed: PermitEnd::Stable(2) }),
         ("end by word", Command::End { epoch: 300, observed: PermitEnd::HolderCancelled(70_000) }),
-        ("free", Command::ReleasePermit { epoch: 300, operator: by, reason: why }),
+        ("free", Command::ReleasePermit { epoch: 300, operator: operator_name, reason: reason_text }),
         ("gone", Command::PermitExpired { epoch: 300 }),
         ("release", Command::Rollout(RolloutCommand::Finish { number: 300 })),
         ("configuration", configuration_command(2)),
     ]
 }
 
-pub fn durables() -> Vec<(&'static str, DurableRecord)> {
+pub fn durable_records() -> Vec<(&'static str, DurableRecord)> {
     let entry = |changes| DurableRecord::Entry { index: 301, term: 5, changes, data: vec![1, 2, 3] };
     vec![
         (
@@ -204,25 +239,25 @@
     Permit { target, holder: name("n2"), purpose, stage, begin_grants, incarnation: 70_000 }
 }
 
-pub fn release(state: RolloutState) -> Rollout {
+pub fn rollout(state: RolloutState) -> Rollout {
     let server = |(at, (_, progress)): (usize, (_, ServerProgress))| {
         let server = RolloutServer { batch: at as u32, previous_version: format!("v{at}"), progress };
         (name(&format!("n{at}")), server)
     };
-    let servers = steps().into_iter().enumerate().map(server).collect();
+    let servers = server_progress().into_iter().enumerate().map(server).collect();
     Rollout { number: 300, plan: plan(), operator: name("kaisa"), state, batch: 1, halt_count: 2, servers }
 }
 
-/// All that a record may hold, with an order of three configuration changes of which two are remembered.
-pub fn record() -> ReplicatedState {
+/// A replicated state with every kind of content, and with three configuration changes of which two are remembered.
+pub fn replicated_state() -> ReplicatedState {
     let [server, zone, service] = [0, 1, 2].map(|at| targets().remove(at).1);
-    let act = OperatorAction {
+    let operator_action = OperatorAction {
         index: 9,
         operator: name("kaisa"),
         action: "permit 3 freed".into(),
         reason: "gone".into(),
     };
-    let mut record = ReplicatedState {
+    let mut state = ReplicatedState {
         index: 1,
         voters: [(7, name("n1")), (1 << 40, name("n2"))].into(),
         limits: limits(),
@@ -233,20 +268,20 @@
             (5, permit(service, Purpose::Drain, PermitStage::Released, 2)),
         ]
         .into(),
-        operator_actions: [act].into(),
-        rollout: Some(release(RolloutState::Halted("slow".into()))),
+        operator_actions: [operator_action].into(),
+        rollout: Some(rollout(RolloutState::Halted("slow".into()))),
         ..ReplicatedState::default()
     };
     for revision in 1..=3 {
-        record.apply(310 + revision, configuration_command(revision));
+        state.apply(310 + revision, configuration_command(revision));
     }
-    record
+    state
 }
 
-pub fn reasons() -> Vec<(&'static str, DenialReason)> {
+pub fn denial_reasons() -> Vec<(&'static str, DenialReason)> {
     vec![
-        ("fleet", DenialReason::Fleet { out: 3, max: 2, who: "n1".into() }),
-        ("zone", DenialReason::Zone { zone: name("z1"), out: 3, max: 2, who: "n1".into() }),
+        ("fleet", DenialReason::Fleet { out: 3, max: 2, servers_out: "n1".into() }),
+        ("zone", DenialReason::Zone { zone: name("z1"), out: 3, max: 2, servers_out: "n1".into() }),
         ("zones", DenialReason::Zones { out: 3, max: 2 }),
         ("service", DenialReason::Service { service: name("ledger"), out: 3, max: 2 }),
         ("unknown", DenialReason::Unknown("n9".into())),
@@ -257,7 +292,7 @@
     ]
 }
 
-pub fn refusals() -> Vec<(&'static str, ConfigurationRejected)> {
+pub fn configuration_rejections() -> Vec<(&'static str, ConfigurationRejected)> {
     let (old, new) = (Revision(300), Revision(301));
     vec![
         ("moved", ConfigurationRejected::Moved { expected: old, in_force: new }),
@@ -274,7 +309,7 @@
     ]
 }
 
-pub fn voter_answers() -> Vec<(&'static str, VoterReply)> {
+pub fn voter_replies() -> Vec<(&'static str, VoterReply)> {
     vec![
         ("elsewhere", VoterReply::NotLeader(Some(name("n2")))),
         ("leaderless", VoterReply::NotLeader(None)),
@@ -306,24 +341,41 @@
     }
 }
 
-pub fn turn() -> StepAssignment {
+pub fn step_assignment() -> StepAssignment {
     StepAssignment { rollout: 20, epoch: 21, kind: ReleaseKind::Program, version: "v2".into() }
 }
 
-pub fn orders() -> Vec<(&'static str, OperatorCommand)> {
-    let (target, by, why) = (targets().remove(2).1, name("kaisa"), "gone".to_string());
-    let halt = release_orders().remove(1).1;
+pub fn operator_commands() -> Vec<(&'static str, OperatorCommand)> {
+    let (target, operator_name, reason_text) = (targets().remove(2).1, name("kaisa"), "gone".to_string());
+    let halt = rollout_commands().remove(1).1;
     vec![
-        ("out", OperatorCommand::GrantPermit { target: target.clone(), operator: by.clone() }),
-        ("in", OperatorCommand::EndPermit { target, operator: by.clone() }),
-        ("free", OperatorCommand::ReleasePermit { epoch: 300, operator: by.clone(), reason: why.clone() }),
-        ("strike", OperatorCommand::RemoveServer { name: name("n1"), operator: by.clone(), reason: why }),
-        ("voter", OperatorCommand::ChangeVoter { name: name("n1"), add: true, operator: by.clone() }),
-        ("start", OperatorCommand::StartRollout { plan: Box::new(plan()), operator: by }),
+        ("out", OperatorCommand::GrantPermit { target: target.clone(), operator: operator_name.clone() }),
+        ("in", OperatorCommand::EndPermit { target, operator: operator_name.clone() }),
+        (
+            "free",
+            OperatorCommand::ReleasePermit {
+                epoch: 300,
+                operator: operator_name.clone(),
+                reason: reason_text.clone(),
+            },
+        ),
+        (
+            "strike",
+            OperatorCommand::RemoveServer {
+                name: name("n1"),
+                operator: operator_name.clone(),
+                reason: reason_text,
+            },
+        ),
+        (
+            "voter",
+            OperatorCommand::ChangeVoter { name: name("n1"), add: true, operator: operator_name.clone() },
+        ),
+        ("start", OperatorCommand::StartRollout { plan: Box::new(plan()), operator: operator_name }),
         ("release", OperatorCommand::Rollout(halt)),
     ]
 }
 
-pub fn order_reply() -> OperatorCommandReply {
+pub fn operator_command_reply() -> OperatorCommandReply {
     OperatorCommandReply::Redirect(Some(name("n2")))
 }
