--- a/crates/coordination/src/consensus/durable.rs
+++ b/crates/coordination/src/consensus/durable.rs
@@ -98,13 +98,13 @@
 /// Reason for excluding a voter until an operator replaces it.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ExclusionReason {
-    /// A snapshot on its disk can't be decoded.
+    /// A snapshot on the voter's disk can't be decoded.
     #[error("the snapshot at entry {index} on its disk can't be decoded")]
     UnreadableSnapshot {
         /// Index of the last entry in the snapshot.
         index: LogIndex,
     },
-    /// The library rejects the records on its disk.
+    /// The library rejects the records on the voter's disk.
     #[error("the records on its disk are inconsistent: {error}")]
     InconsistentRecords {
         /// Error of the library.
--- a/crates/coordination/src/replicated_state/permits.rs
+++ b/crates/coordination/src/replicated_state/permits.rs
@@ -14,7 +14,7 @@
 /// What may be out of service.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Target {
-    /// A server.
+    /// One server.
     Server(Name),
     /// All servers of a zone.
     Zone(Name),
--- a/crates/coordination/tests/configuration.rs
+++ b/crates/coordination/tests/configuration.rs
@@ -89,9 +89,9 @@
         assert_eq!(commit(&mut group, &change), Revision(1));
         assert_eq!(commit(&mut group, &change), Revision(1));
         assert_eq!(commit(&mut group, &request("id-2", None, vec![put_tenant("b", 1.0)])), Revision(2));
-        let now = group.leader().expect("another voter leads");
+        let new_leader = group.leader().expect("another voter leads");
         let ids: Vec<&str> =
-            group.state(now).configuration.history().map(|entry| &*entry.request_id).collect();
+            group.state(new_leader).configuration.history().map(|entry| &*entry.request_id).collect();
         assert_eq!(ids, ["id-2", "id-1"]);
     }
 }
@@ -177,7 +177,7 @@
     assert_eq!(before, after);
 }
 
-/// Without a quorum a leader accepts no more than may be uncommitted, whatever is requested.
+/// Guards against unbounded growth: without a quorum a leader rejects changes once the bound on uncommitted bytes is reached.
 #[test]
 fn uncommitted_changes_are_bounded() {
     let mut group = group_with_configuration(3, 12);
--- a/crates/coordination/tests/consensus.rs
+++ b/crates/coordination/tests/consensus.rs
@@ -172,8 +172,8 @@
             group.restart(leader, Disk::Intact);
         }
         group.run(8_000);
-        let now = group.run_until_leader(6_000).expect("a voter with all committed entries leads");
-        assert_eq!(group.state(now).roster.len(), 8, "seed {seed}: {:?}", group.log_lines);
+        let new_leader = group.run_until_leader(6_000).expect("a voter with all committed entries leads");
+        assert_eq!(group.state(new_leader).roster.len(), 8, "seed {seed}: {:?}", group.log_lines);
         commit_command(&mut group, &add_server(9));
     }
 }
@@ -246,10 +246,10 @@
         group.kill(leader);
         assert!(!group.outcomes.contains_key(&ticket) || seed % 8 > 2);
         let first = commit_command(&mut group, &reserve(0));
-        let again = commit_command(&mut group, &reserve(0));
+        let repeated = commit_command(&mut group, &reserve(0));
         assert!(
-            matches!(first, CommandOutcome::Permit { stage: PermitStage::Reserved, .. }) && first == again,
-            "{first:?}, {again:?}"
+            matches!(first, CommandOutcome::Permit { stage: PermitStage::Reserved, .. }) && first == repeated,
+            "{first:?}, {repeated:?}"
         );
         if let Some(outcome) = group.outcomes.get(&ticket) {
             assert_eq!(*outcome, first);
@@ -258,8 +258,8 @@
             matches!(commit_command(&mut group, &reserve(1)), CommandOutcome::Denied(_)),
             "seed {seed}: two permits"
         );
-        let now = group.leader().unwrap();
-        assert_eq!(group.state(now).permits.len(), 1);
+        let new_leader = group.leader().unwrap();
+        assert_eq!(group.state(new_leader).permits.len(), 1);
     }
 }
 
