--- a/crates/config/src/admin.rs
+++ b/crates/config/src/admin.rs
@@ -124,7 +124,8 @@
     #[error(
         "{servers} servers can't apply revision {revision}, {max_servers} may be: changes wait for an operator"
     )]
-    ServersFail {
+    #[serde(rename = "servers_fail")]
+    TooManyFailedServers {
         /// Servers that can't apply it.
         servers: u32,
         /// Servers that the settings allow.
@@ -166,7 +167,7 @@
         match self {
             Self::BadCall { .. } => 400,
             Self::UnknownEntry { .. } | Self::UnknownRequest { .. } | Self::Off => 404,
-            Self::Stale { .. } | Self::RequestIdReused { .. } | Self::ServersFail { .. } => 409,
+            Self::Stale { .. } | Self::RequestIdReused { .. } | Self::TooManyFailedServers { .. } => 409,
             Self::UnknownRevision { .. } => 410,
             Self::Invalid(_) => 422,
             Self::TooBusy { .. } => 429,
@@ -203,8 +204,8 @@
     pub cannot_apply: Option<String>,
     /// The latest revisions, the newest first.
     pub revisions: Vec<RevisionSpread>,
-    /// Lagging servers, the longest lagging first; up to [`MAX_LAGGING_NAMED`].
-    pub lagging: Vec<Lagging>,
+    /// LaggingServer servers, the longest lagging first; up to [`MAX_LAGGING_NAMED`].
+    pub lagging: Vec<LaggingServer>,
     /// How many servers lag.
     pub lagging_servers: u32,
 }
@@ -232,11 +233,13 @@
     /// Servers at this revision or a later one.
     pub servers: u32,
     /// Servers of the fleet.
-    pub of_servers: u32,
+    #[serde(rename = "of_servers")]
+    pub total_servers: u32,
     /// Zones whose reachable servers are all at this revision or a later one.
     pub zones: u32,
     /// Zones of the fleet.
-    pub of_zones: u32,
+    #[serde(rename = "of_zones")]
+    pub total_zones: u32,
     /// Median time from the proposal until a server had the revision in force, over the servers that have it, in milliseconds.
     pub p50_ms: Option<u64>,
     /// The 99th percentile of the same, in milliseconds.
@@ -245,7 +248,7 @@
 
 /// A server that is not at the newest revision.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Lagging {
+pub struct LaggingServer {
     /// The name of the server.
     pub server: Name,
     /// Its zone.
@@ -268,12 +271,12 @@
     /// The oldest revision whose commit is retained.
     pub oldest: Revision,
     /// The commits of this page, the newest first.
-    pub commits: Vec<CommitLine>,
+    pub commits: Vec<CommitSummary>,
 }
 
 /// One commit in the history.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct CommitLine {
+pub struct CommitSummary {
     /// The position in the committed log.
     pub revision: Revision,
     /// The person or program that requested the change.
@@ -298,7 +301,8 @@
     /// The changes, up to [`crate::change::MAX_CHANGES`].
     pub changes: Vec<Change>,
     /// Number of changes past the bound, which are omitted.
-    pub left_out: u32,
+    #[serde(rename = "left_out")]
+    pub omitted_changes: u32,
 }
 
 /// The response to `GET /config/show`: the state in force at the receiving server.
@@ -315,7 +319,7 @@
     /// All rules.
     pub rules: Vec<Rule>,
     /// The entries of this page, sorted by name.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<ShownEntry>,
     /// The last name of this page, if there is another page; the next page begins after it.
     pub next: Option<Name>,
 }
@@ -323,7 +327,7 @@
 /// A class or a tenant.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Entry {
+pub enum ShownEntry {
     /// A class.
     Class(Arc<ClassDefinition>),
     /// A tenant.
--- a/crates/config/src/chunk.rs
+++ b/crates/config/src/chunk.rs
@@ -6,7 +6,7 @@
 //! Invariants: the entries of a kind are sorted by name; the digest of a chunk is the sum of the digests of its entries.
 
 use crate::change::{ClassDefinition, Name};
-use crate::digest::{Digest, Entry};
+use crate::digest::{Digest, StateEntry};
 use crate::well_formed;
 use gradepin_admission::Tenant;
 use serde::{Deserialize, Serialize};
@@ -114,7 +114,7 @@
 pub enum ChunkError {
     /// The bytes are not the encoding of entries.
     #[error("expected the encoding of entries")]
-    Form,
+    InvalidEncoding,
     /// The bytes are longer than any chunk may be.
     #[error("expected at most {MAX_CHUNK_BYTES} bytes, got {bytes}")]
     TooLong {
@@ -123,13 +123,13 @@
     },
     /// An entry belongs to another chunk, is there twice, or is not in canonical order.
     #[error("expected entries of this chunk in canonical order, got '{0}'")]
-    Order(Name),
+    NotCanonical(Name),
     /// An entry is not well-formed, so neither a start file nor a commit can have set it.
     #[error("expected names of one word and figures that are numbers, got '{0}'")]
-    Entry(Name),
+    MalformedEntry(Name),
     /// The entries do not have the digest in the manifest.
     #[error("expected digest {expected}, got {actual}")]
-    Digest {
+    DigestMismatch {
         /// The digest in the manifest.
         expected: Digest,
         /// The digest of the received entries.
@@ -150,14 +150,14 @@
     }
 
     /// The entries in canonical order: classes by name, then tenants by name.
-    pub(crate) fn entries(&self) -> impl Iterator<Item = Entry> + '_ {
-        let classes = self.classes.iter().cloned().map(Entry::Class);
-        classes.chain(self.tenants.iter().cloned().map(Entry::Tenant))
+    pub(crate) fn entries(&self) -> impl Iterator<Item = StateEntry> + '_ {
+        let classes = self.classes.iter().cloned().map(StateEntry::Class);
+        classes.chain(self.tenants.iter().cloned().map(StateEntry::Tenant))
     }
 
     /// The encoding: all entries as postcard, in canonical order.
     pub(crate) fn encode(&self) -> Vec<u8> {
-        let entries: Vec<Entry> = self.entries().collect();
+        let entries: Vec<StateEntry> = self.entries().collect();
         postcard::to_stdvec(&entries).unwrap_or_default()
     }
 
@@ -166,26 +166,27 @@
         if bytes.len() > MAX_CHUNK_BYTES {
             return Err(ChunkError::TooLong { bytes: bytes.len() });
         }
-        let (entries, rest) = postcard::take_from_bytes::<Vec<Entry>>(bytes).map_err(|_| ChunkError::Form)?;
+        let (entries, rest) =
+            postcard::take_from_bytes::<Vec<StateEntry>>(bytes).map_err(|_| ChunkError::InvalidEncoding)?;
         if !rest.is_empty() || entries.len() > MAX_CHUNK_ENTRIES {
-            return Err(ChunkError::Form);
+            return Err(ChunkError::InvalidEncoding);
         }
         let mut chunk = Self::default();
         let mut last: Option<CanonicalPosition> = None;
         for entry in entries {
             let digest = entry.digest();
-            let position = CanonicalPosition::of(&entry).ok_or(ChunkError::Form)?;
+            let position = CanonicalPosition::of(&entry).ok_or(ChunkError::InvalidEncoding)?;
             let is_ascending = last.as_ref().is_none_or(|last| *last < position);
             if ChunkNumber::of(&position.name) != number || !is_ascending {
-                return Err(ChunkError::Order(position.name.into()));
+                return Err(ChunkError::NotCanonical(position.name.into()));
             }
             if !is_well_formed(&entry) {
-                return Err(ChunkError::Entry(position.name.into()));
+                return Err(ChunkError::MalformedEntry(position.name.into()));
             }
             match entry {
-                Entry::Class(class) => chunk.classes.0.push(class),
-                Entry::Tenant(tenant) => chunk.tenants.0.push(tenant),
-                Entry::Rule(_) => {}
+                StateEntry::Class(class) => chunk.classes.0.push(class),
+                StateEntry::Tenant(tenant) => chunk.tenants.0.push(tenant),
+                StateEntry::Rule(_) => {}
             }
             chunk.digest = chunk.digest.plus(digest);
             last = Some(position);
@@ -203,19 +204,19 @@
 
 impl CanonicalPosition {
     /// `None` for rules, which are not in chunks.
-    fn of(entry: &Entry) -> Option<Self> {
+    fn of(entry: &StateEntry) -> Option<Self> {
         match entry {
-            Entry::Class(class) => Some(Self { is_tenant: false, name: class.name().to_string() }),
-            Entry::Tenant(tenant) => Some(Self { is_tenant: true, name: tenant.name().to_string() }),
-            Entry::Rule(_) => None,
+            StateEntry::Class(class) => Some(Self { is_tenant: false, name: class.name().to_string() }),
+            StateEntry::Tenant(tenant) => Some(Self { is_tenant: true, name: tenant.name().to_string() }),
+            StateEntry::Rule(_) => None,
         }
     }
 }
 
-fn is_well_formed(entry: &Entry) -> bool {
+fn is_well_formed(entry: &StateEntry) -> bool {
     match entry {
-        Entry::Class(class) => well_formed::is_well_formed_class(class),
-        Entry::Tenant(tenant) => well_formed::is_well_formed_tenant(tenant),
-        Entry::Rule(_) => false,
+        StateEntry::Class(class) => well_formed::is_well_formed_class(class),
+        StateEntry::Tenant(tenant) => well_formed::is_well_formed_tenant(tenant),
+        StateEntry::Rule(_) => false,
     }
 }
--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -7,7 +7,7 @@
     Change, ClassDefinition, Commit, MAX_CLASSES, MAX_TENANTS, Proposal, Revision, Rule, Transaction,
 };
 use crate::chunk::{CHUNKS, Chunk, ChunkNumber};
-use crate::digest::{Digest, Entry, Version};
+use crate::digest::{Digest, StateEntry, Version};
 use crate::rules::RuleSet;
 use crate::validation::{self, EntryIndex, Invalid};
 use gradepin_admission::{Settings, Tenant};
@@ -43,10 +43,10 @@
 
 /// Why a proposal is rejected before it is proposed to the consensus group.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum CommitRejected {
+pub enum ProposalCheckError {
     /// Another revision is in force than the author expected.
     #[error("expected revision {expected} in force, got {in_force}")]
-    Moved {
+    RevisionMismatch {
         /// The revision that the author expected.
         expected: Revision,
         /// The revision in force.
@@ -81,7 +81,7 @@
         for rule in RuleSet::of(settings).iter() {
             configuration.put_rule(rule);
         }
-        for class in definitions(settings) {
+        for class in class_definitions(settings) {
             let path = format!("settings.profiles.{}", class.profile.name);
             validation::check_chunk_capacity(&configuration, &path, &class.profile.name)?;
             configuration.put_class(Arc::new(class));
@@ -171,11 +171,11 @@
     }
 
     /// Checks that a proposal may be committed next.
-    pub fn check(&self, proposal: &Proposal) -> Result<(), CommitRejected> {
+    pub fn check_proposal(&self, proposal: &Proposal) -> Result<(), ProposalCheckError> {
         validation::check_proposal_texts(proposal)?;
         match proposal.expected {
             Some(expected) if expected != self.revision => {
-                Err(CommitRejected::Moved { expected, in_force: self.revision })
+                Err(ProposalCheckError::RevisionMismatch { expected, in_force: self.revision })
             }
             _ => Ok(self.validate(&proposal.transaction)?),
         }
@@ -210,8 +210,8 @@
     }
 
     /// Updates the digests after an entry was added, removed or replaced, and drops the chunk if it is empty now.
-    fn update_digests(&mut self, name: &str, added: Option<Entry>, removed: Option<Entry>) {
-        let digest = |entry: Option<Entry>| entry.map_or(Digest::default(), |entry| entry.digest());
+    fn update_digests(&mut self, name: &str, added: Option<StateEntry>, removed: Option<StateEntry>) {
+        let digest = |entry: Option<StateEntry>| entry.map_or(Digest::default(), |entry| entry.digest());
         let (added, removed) = (digest(added), digest(removed));
         self.digest = self.digest.plus(added).minus(removed);
         let chunk = self.chunk_mut(name);
@@ -226,37 +226,37 @@
         let name = class.profile.name.clone();
         let replaced = self.chunk_mut(&name).classes.put(Arc::clone(&class));
         self.class_count += usize::from(replaced.is_none());
-        self.update_digests(&name, Some(Entry::Class(class)), replaced.map(Entry::Class));
+        self.update_digests(&name, Some(StateEntry::Class(class)), replaced.map(StateEntry::Class));
     }
 
     fn remove_class(&mut self, name: &str) {
         let replaced = self.chunk_mut(name).classes.remove(name);
         self.class_count -= usize::from(replaced.is_some());
-        self.update_digests(name, None, replaced.map(Entry::Class));
+        self.update_digests(name, None, replaced.map(StateEntry::Class));
     }
 
     fn put_tenant(&mut self, tenant: Arc<Tenant>) {
         let name = tenant.name.clone();
         let replaced = self.chunk_mut(&name).tenants.put(Arc::clone(&tenant));
         self.tenant_count += usize::from(replaced.is_none());
-        self.update_digests(&name, Some(Entry::Tenant(tenant)), replaced.map(Entry::Tenant));
+        self.update_digests(&name, Some(StateEntry::Tenant(tenant)), replaced.map(StateEntry::Tenant));
     }
 
     fn remove_tenant(&mut self, name: &str) {
         let replaced = self.chunk_mut(name).tenants.remove(name);
         self.tenant_count -= usize::from(replaced.is_some());
-        self.update_digests(name, None, replaced.map(Entry::Tenant));
+        self.update_digests(name, None, replaced.map(StateEntry::Tenant));
     }
 
     fn put_rule(&mut self, rule: Rule) {
         if let Some(replaced) = self.rules.put(rule) {
-            self.digest = self.digest.minus(Entry::Rule(replaced).digest());
+            self.digest = self.digest.minus(StateEntry::Rule(replaced).digest());
         }
-        self.digest = self.digest.plus(Entry::Rule(rule).digest());
+        self.digest = self.digest.plus(StateEntry::Rule(rule).digest());
     }
 
     /// Settings with the entries of this state, and all else from `rest`. Costs the size of the state.
-    pub fn over(&self, rest: &Settings) -> Settings {
+    pub fn to_settings(&self, rest: &Settings) -> Settings {
         let mut settings = rest.clone();
         self.rules().for_each(|rule| rule.write(&mut settings));
         settings.profiles = self.classes().map(|class| class.profile.clone()).collect();
@@ -290,7 +290,7 @@
 }
 
 /// The classes of settings, each with its values from the lists that settings have beside the profiles.
-pub(crate) fn definitions(settings: &Settings) -> impl Iterator<Item = ClassDefinition> + '_ {
+pub(crate) fn class_definitions(settings: &Settings) -> impl Iterator<Item = ClassDefinition> + '_ {
     let specifics = &settings.specifics;
     settings.profiles.iter().enumerate().map(|(index, profile)| ClassDefinition {
         profile: profile.clone(),
--- a/crates/config/src/difference.rs
+++ b/crates/config/src/difference.rs
@@ -5,7 +5,7 @@
 
 use crate::change::{Change, MAX_CHANGES, Rule, Transaction};
 use crate::configuration::Configuration;
-use crate::digest::Entry;
+use crate::digest::StateEntry;
 use crate::validation::Invalid;
 use gradepin_admission::Settings;
 use std::sync::Arc;
@@ -30,7 +30,7 @@
                 chunk.entries().for_each(|entry| changes.add_removal(target, &entry));
             }
         }
-        let digest = |rule: Rule| Entry::Rule(rule).digest();
+        let digest = |rule: Rule| StateEntry::Rule(rule).digest();
         let is_in_force = |rule: &Rule| self.rules.same_kind(rule).map(digest) == Some(digest(*rule));
         let changed_rules = target.rules().filter(|rule| !is_in_force(rule));
         let rules: Vec<Group> = changed_rules.map(|rule| vec![Change::PutRule(rule)]).collect();
@@ -53,29 +53,29 @@
 }
 
 impl ChangesByKind {
-    fn add_put(&mut self, from: &Configuration, entry: Entry) {
+    fn add_put(&mut self, from: &Configuration, entry: StateEntry) {
         let before = match &entry {
-            Entry::Class(class) => from.class(&class.profile.name).cloned().map(Entry::Class),
-            Entry::Tenant(tenant) => from.tenant(&tenant.name).cloned().map(Entry::Tenant),
-            Entry::Rule(_) => None,
+            StateEntry::Class(class) => from.class(&class.profile.name).cloned().map(StateEntry::Class),
+            StateEntry::Tenant(tenant) => from.tenant(&tenant.name).cloned().map(StateEntry::Tenant),
+            StateEntry::Rule(_) => None,
         };
         // Compared by digest, that is by encoding: 0 and -0 are equal as numbers and different as states.
         if before.is_some_and(|before| before.digest() == entry.digest()) {
             return;
         }
         match entry {
-            Entry::Class(class) => self.put_classes.push(Change::PutClass(class)),
-            Entry::Tenant(tenant) => self.put_tenants.push(Change::PutTenant(tenant)),
-            Entry::Rule(_) => {}
+            StateEntry::Class(class) => self.put_classes.push(Change::PutClass(class)),
+            StateEntry::Tenant(tenant) => self.put_tenants.push(Change::PutTenant(tenant)),
+            StateEntry::Rule(_) => {}
         }
     }
 
-    fn add_removal(&mut self, target: &Configuration, entry: &Entry) {
+    fn add_removal(&mut self, target: &Configuration, entry: &StateEntry) {
         match entry {
-            Entry::Class(class) if target.class(&class.profile.name).is_none() => {
+            StateEntry::Class(class) if target.class(&class.profile.name).is_none() => {
                 self.removed_classes.push(Change::RemoveClass(Arc::from(class.profile.name.as_str())));
             }
-            Entry::Tenant(tenant) if target.tenant(&tenant.name).is_none() => {
+            StateEntry::Tenant(tenant) if target.tenant(&tenant.name).is_none() => {
                 self.removed_tenants.push(Change::RemoveTenant(Arc::from(tenant.name.as_str())));
             }
             _ => {}
--- a/crates/config/src/digest.rs
+++ b/crates/config/src/digest.rs
@@ -52,7 +52,7 @@
 
 /// One entry of a state, in the form that is hashed and that snapshots contain.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Entry {
+pub enum StateEntry {
     /// A class.
     Class(Arc<ClassDefinition>),
     /// A tenant.
@@ -61,7 +61,7 @@
     Rule(Rule),
 }
 
-impl Entry {
+impl StateEntry {
     /// The digest of this entry alone.
     pub fn digest(&self) -> Digest {
         let mut hasher = blake3::Hasher::new_keyed(&KEY);
--- a/crates/config/src/dissemination/machine/commits.rs
+++ b/crates/config/src/dissemination/machine/commits.rs
@@ -128,7 +128,7 @@
         self.history.push(Arc::clone(&pending.commit), self.state.digest());
         // A fetched commit is old: peers are most likely ahead of it, so only new ones are pushed.
         if !matches!(pending.source, CommitSource::Fetch(_)) {
-            self.push_queue.add(now, self.state.revision(), self.settings.push_every);
+            self.push_queue.add(now, self.state.revision(), self.settings.push_delay);
         }
         self.outbox.push(DisseminationEffect::Apply(pending.commit));
     }
@@ -164,7 +164,7 @@
     /// After fetching commits: peers of the zone most likely lack them too, and can fetch them from here.
     fn advertise_to_zone(&mut self, now: Time) {
         let advert = Message::Advert(self.state.version());
-        for peer in self.peers.zone_peers(&mut self.rng, self.settings.push_zone) {
+        for peer in self.peers.zone_peers(&mut self.rng, self.settings.push_peers_in_zone) {
             self.send(now, &peer, &advert, Traffic::Control);
         }
     }
--- a/crates/config/src/dissemination/machine/mod.rs
+++ b/crates/config/src/dissemination/machine/mod.rs
@@ -62,7 +62,7 @@
     confirmed_at: Option<Time>,
     failed_apply: Option<FailedApply>,
     /// Snapshots installed.
-    installed: u64,
+    installed_snapshots: u64,
 }
 
 impl Dissemination {
@@ -90,7 +90,7 @@
             push_queue: PushQueue::new(now),
             confirmed_at: None,
             failed_apply: None,
-            installed: 0,
+            installed_snapshots: 0,
             settings,
             state,
         }
@@ -109,9 +109,9 @@
             behind_since: self.requests.behind_since(),
             confirmed_at: self.confirmed_at,
             cannot_apply: self.failed_apply.map(|failed| failed.revision),
-            transfers: self.transfer.is_some(),
-            installed: self.installed,
-            quarantined: self.quarantine.total(),
+            is_fetching_snapshot: self.transfer.is_some(),
+            installed_snapshots: self.installed_snapshots,
+            quarantine_count: self.quarantine.total(),
             sent: self.outbox.sent(),
         }
     }
@@ -220,7 +220,7 @@
             // The model reads the name of the source in this text.
             self.outbox.warn(format!("{name} quarantined: {reason}"));
         }
-        self.quarantine.add(now, name, self.settings.quarantine);
+        self.quarantine.add(now, name, self.settings.first_quarantine);
         self.requests.forget_peer(name);
         self.pending.drop_from_peer(name);
         if let Some(transfer) = &mut self.transfer {
@@ -249,7 +249,7 @@
 
     fn advertise(&mut self, now: Time) {
         // 10% shorter or longer, so that servers that started together do not send adverts together.
-        let interval = self.settings.advert_every.0;
+        let interval = self.settings.advert_interval.0;
         let jitter = random_below(&mut self.rng, (interval / 5) as usize) as u64;
         self.next_advert_at = time_after(now, Span(interval - interval / 10 + jitter));
         let advert = Message::Advert(self.state.version());
--- a/crates/config/src/dissemination/machine/snapshots.rs
+++ b/crates/config/src/dissemination/machine/snapshots.rs
@@ -49,7 +49,7 @@
         self.peer_digests.clear();
         self.push_queue.clear();
         self.failed_apply = None;
-        self.installed += 1;
+        self.installed_snapshots += 1;
         self.outbox.push(DisseminationEffect::Install(snapshot));
         self.requests.record_progress(now, new.revision);
         self.apply_pending(now);
--- a/crates/config/src/dissemination/machine/status.rs
+++ b/crates/config/src/dissemination/machine/status.rs
@@ -2,7 +2,7 @@
 
 use crate::change::Revision;
 use crate::digest::Version;
-use crate::dissemination::outbox::Sent;
+use crate::dissemination::outbox::SentCounters;
 use gradepin_admission::Time;
 
 /// The state of one server and the progress of its requests, for operators.
@@ -19,11 +19,11 @@
     /// A committed revision that this program could not apply.
     pub cannot_apply: Option<Revision>,
     /// Whether a snapshot is being fetched.
-    pub transfers: bool,
+    pub is_fetching_snapshot: bool,
     /// Snapshots installed since the start.
-    pub installed: u64,
+    pub installed_snapshots: u64,
     /// How often a source was quarantined since the start.
-    pub quarantined: u64,
+    pub quarantine_count: u64,
     /// Bytes sent since the start.
-    pub sent: Sent,
+    pub sent: SentCounters,
 }
--- a/crates/config/src/dissemination/mod.rs
+++ b/crates/config/src/dissemination/mod.rs
@@ -36,6 +36,6 @@
 
 pub use machine::{Dissemination, Status};
 pub use messages::{CommitRecord, Message};
-pub use outbox::{DisseminationEffect, Sent};
+pub use outbox::{DisseminationEffect, SentCounters};
 pub use peers::Member;
 pub use settings::{DisseminationSettings, Selection};
--- a/crates/config/src/dissemination/outbox.rs
+++ b/crates/config/src/dissemination/outbox.rs
@@ -31,9 +31,9 @@
     /// Replace the state by a snapshot, whose revision is not below the one before.
     Install(Snapshot),
     /// Write a line to the log.
-    Note {
+    Log {
         /// Whether it is a warning, for an operator to look at.
-        bad: bool,
+        is_warning: bool,
         /// The text of the line.
         text: String,
     },
@@ -52,15 +52,15 @@
 
 /// Bytes sent since the start, with the overhead of datagrams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Sent {
+pub struct SentCounters {
     /// Bytes of adverts, requests and rejections.
-    pub small: u64,
+    pub control_bytes: u64,
     /// Bytes of commits.
-    pub commits: u64,
+    pub commit_bytes: u64,
     /// Bytes of manifests and chunks.
-    pub snapshots: u64,
+    pub snapshot_bytes: u64,
     /// Messages, not bytes, that were dropped because their budget was used up.
-    pub withheld: u64,
+    pub dropped_messages: u64,
 }
 
 /// The effects that the host has not taken yet, and the budgets. A step drains it, and each input adds few effects.
@@ -70,7 +70,7 @@
     message_budget: Budget,
     snapshot_budget: Budget,
     request_budget: Budget,
-    sent: Sent,
+    sent: SentCounters,
 }
 
 impl Outbox {
@@ -78,10 +78,10 @@
     pub fn new(settings: &DisseminationSettings, now: Time) -> Self {
         Self {
             effects: Vec::new(),
-            message_budget: Budget::new(settings.send_bytes_s, BURST_SECONDS, now),
-            snapshot_budget: Budget::new(settings.snapshot_bytes_s, BURST_SECONDS, now),
-            request_budget: Budget::new(settings.request_bytes_s, BURST_SECONDS, now),
-            sent: Sent::default(),
+            message_budget: Budget::new(settings.message_bytes_per_second, BURST_SECONDS, now),
+            snapshot_budget: Budget::new(settings.snapshot_bytes_per_second, BURST_SECONDS, now),
+            request_budget: Budget::new(settings.request_bytes_per_second, BURST_SECONDS, now),
+            sent: SentCounters::default(),
         }
     }
 
@@ -97,12 +97,12 @@
         let bytes = message.encode();
         let wire_bytes = settings.wire_bytes(bytes.len());
         let (budget, reserve, counter) = match traffic {
-            Traffic::Control => (&mut self.message_budget, 0.0, &mut self.sent.small),
-            Traffic::Commits => (&mut self.message_budget, CONTROL_RESERVE, &mut self.sent.commits),
-            Traffic::Snapshot => (&mut self.snapshot_budget, 0.0, &mut self.sent.snapshots),
+            Traffic::Control => (&mut self.message_budget, 0.0, &mut self.sent.control_bytes),
+            Traffic::Commits => (&mut self.message_budget, CONTROL_RESERVE, &mut self.sent.commit_bytes),
+            Traffic::Snapshot => (&mut self.snapshot_budget, 0.0, &mut self.sent.snapshot_bytes),
         };
         if !budget.take(now, wire_bytes, reserve) {
-            self.sent.withheld += 1;
+            self.sent.dropped_messages += 1;
             return false;
         }
         *counter += wire_bytes as u64;
@@ -127,7 +127,7 @@
 
     /// Adds a warning for the log.
     pub fn warn(&mut self, text: String) {
-        self.effects.push(DisseminationEffect::Note { bad: true, text });
+        self.effects.push(DisseminationEffect::Log { is_warning: true, text });
     }
 
     /// Moves all effects to `effects`.
@@ -141,7 +141,7 @@
     }
 
     /// Bytes sent so far.
-    pub fn sent(&self) -> Sent {
+    pub fn sent(&self) -> SentCounters {
         self.sent
     }
 }
--- a/crates/config/src/dissemination/peers.rs
+++ b/crates/config/src/dissemination/peers.rs
@@ -180,10 +180,10 @@
             Selection::Epidemic => {
                 self.draw(rng, self.zone_members(&self.own.zone), 1, &mut chosen);
                 let is_alone_in_zone = chosen.is_empty();
-                if is_alone_in_zone || random_below(rng, settings.region_part as usize) == 0 {
+                if is_alone_in_zone || random_below(rng, settings.adverts_per_region_advert as usize) == 0 {
                     self.draw(rng, &self.region, 1, &mut chosen);
                 }
-                if chosen.is_empty() || random_below(rng, settings.far_part as usize) == 0 {
+                if chosen.is_empty() || random_below(rng, settings.adverts_per_far_advert as usize) == 0 {
                     self.draw(rng, &self.far, 1, &mut chosen);
                 }
             }
@@ -212,12 +212,12 @@
             let others = self.zones.iter().enumerate().filter(|(_, (zone, _))| **zone != self.own.zone);
             for (_, (zone, names)) in others.filter(|(index, _)| index % self.voters.len().max(1) == rank) {
                 let list = if uses_relays { self.relays(zone) } else { names };
-                self.draw(rng, list, settings.push_entry, &mut chosen);
+                self.draw(rng, list, settings.push_peers_per_other_zone, &mut chosen);
             }
         }
         let zone = self.zone_members(&self.own.zone);
         match uses_relays {
-            false => self.draw(rng, zone, settings.push_zone, &mut chosen),
+            false => self.draw(rng, zone, settings.push_peers_in_zone, &mut chosen),
             true if self.is_relay() => {
                 chosen.extend(zone.iter().filter(|name| **name != self.own.name).cloned());
             }
--- a/crates/config/src/dissemination/quarantine.rs
+++ b/crates/config/src/dissemination/quarantine.rs
@@ -10,7 +10,7 @@
 const MAX_DOUBLINGS: u32 = 4;
 
 #[derive(Debug, Clone, Copy)]
-struct Entry {
+struct QuarantinedSource {
     ends_at: Time,
     /// How often the source was quarantined so far.
     times: u32,
@@ -19,7 +19,7 @@
 /// Which sources are left out, and until when.
 #[derive(Debug, Default)]
 pub struct Quarantine {
-    entries: BTreeMap<Name, Entry>,
+    entries: BTreeMap<Name, QuarantinedSource>,
     total: u64,
 }
 
@@ -33,7 +33,7 @@
                 return;
             }
         }
-        let entry = self.entries.entry(name.clone()).or_insert(Entry { ends_at: now, times: 0 });
+        let entry = self.entries.entry(name.clone()).or_insert(QuarantinedSource { ends_at: now, times: 0 });
         if now < entry.ends_at {
             return;
         }
--- a/crates/config/src/dissemination/responses.rs
+++ b/crates/config/src/dissemination/responses.rs
@@ -36,7 +36,7 @@
             break;
         }
         batch_bytes = batch_bytes.saturating_add(record_bytes);
-        if batch_bytes > settings.piece_bytes - MESSAGE_OVERHEAD_BYTES {
+        if batch_bytes > settings.datagram_payload_bytes - MESSAGE_OVERHEAD_BYTES {
             batches.push(Vec::new());
             batch_bytes = record_bytes;
         }
--- a/crates/config/src/dissemination/transfer/download.rs
+++ b/crates/config/src/dissemination/transfer/download.rs
@@ -104,8 +104,8 @@
     }
 
     /// Reuses the chunks of a state that are the same.
-    pub(super) fn adopt_chunks_of(&mut self, state: &Configuration) {
-        self.assembly.adopt(state);
+    pub(super) fn reuse_chunks_of(&mut self, state: &Configuration) {
+        self.assembly.reuse_chunks_of_state(state);
     }
 
     /// Whether the download makes no progress, or the manifest is outdated.
--- a/crates/config/src/dissemination/transfer/mod.rs
+++ b/crates/config/src/dissemination/transfer/mod.rs
@@ -163,7 +163,7 @@
         let ConfirmedManifest { manifest, source, confirmed_by } = candidate.into_confirmed();
         let Ok(mut assembly) = Assembly::new(manifest) else { return self.restart(now) };
         if let Some(previous) = self.previous.take() {
-            assembly.adopt_from(&previous);
+            assembly.reuse_chunks_of_assembly(&previous);
         }
         self.phase = Phase::Downloading(Box::new(Download::new(now, assembly, source, confirmed_by)));
         self.next_step_at = now;
@@ -217,7 +217,7 @@
             Phase::FindingManifest(_) => self.find_manifest(context),
             Phase::Confirming(_) => self.confirm(context),
             Phase::Downloading(download) => {
-                download.adopt_chunks_of(context.state);
+                download.reuse_chunks_of(context.state);
                 if download.needs_other_manifest(now) {
                     self.restart(now);
                     return self.find_manifest(context);
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -30,7 +30,7 @@
 mod well_formed;
 
 pub use change::{Change, ClassDefinition, Commit, Name, Proposal, Revision, Rule, Transaction};
-pub use configuration::{ApplyError, CommitRejected, Configuration};
+pub use configuration::{ApplyError, Configuration, ProposalCheckError};
 pub use digest::{Digest, Version};
 pub use document::Document;
 pub use log::{CommitLog, LogLimits};
--- a/crates/config/src/log.rs
+++ b/crates/config/src/log.rs
@@ -33,7 +33,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Entry {
+struct RetainedCommit {
     commit: Arc<Commit>,
     bytes: usize,
 }
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone)]
 pub struct CommitLog {
     limits: LogLimits,
-    entries: VecDeque<Entry>,
+    entries: VecDeque<RetainedCommit>,
     /// Of all entries.
     bytes: usize,
     last: Revision,
@@ -78,7 +78,7 @@
         let bytes = postcard::to_stdvec(&*commit).map_or(0, |bytes| bytes.len());
         self.last = commit.revision;
         self.bytes += bytes;
-        self.entries.push_back(Entry { commit, bytes });
+        self.entries.push_back(RetainedCommit { commit, bytes });
         self.compact();
         Ok(())
     }
--- a/crates/config/src/rules.rs
+++ b/crates/config/src/rules.rs
@@ -1,7 +1,7 @@
 //! The rules of a configuration: at most one value of each kind, in a fixed order of kinds.
 
 use crate::change::Rule;
-use crate::digest::{Digest, Entry};
+use crate::digest::{Digest, StateEntry};
 use gradepin_admission::Settings;
 
 /// Kinds of rules.
@@ -88,6 +88,6 @@
 
     /// The sum of the digests of all rules.
     pub fn digest(&self) -> Digest {
-        self.iter().fold(Digest::default(), |sum, rule| sum.plus(Entry::Rule(rule).digest()))
+        self.iter().fold(Digest::default(), |sum, rule| sum.plus(StateEntry::Rule(rule).digest()))
     }
 }
--- a/crates/config/src/snapshot.rs
+++ b/crates/config/src/snapshot.rs
@@ -42,19 +42,19 @@
 pub enum SnapshotError {
     /// The bytes are not a snapshot.
     #[error("expected the encoding of a snapshot")]
-    Form,
+    InvalidEncoding,
     /// The chunk numbers are out of range or not ascending, or a rule is there twice.
     #[error("expected each chunk and rule once and in order")]
-    Order,
+    NotCanonical,
     /// A rule is not well-formed, so neither a start file nor a commit can have set it.
     #[error("expected rules whose figures are numbers, got {0}")]
-    Rule(&'static str),
+    MalformedRule(&'static str),
     /// No state can have this revision.
     #[error("expected a revision that a group of voters gets to, got {0}")]
-    Revision(Revision),
+    RevisionTooHigh(Revision),
     /// The digests of the parts do not sum to the digest of the state.
     #[error("expected digest {expected}, got {actual}")]
-    Digest {
+    DigestMismatch {
         /// The digest in the manifest.
         expected: Digest,
         /// The sum over the parts.
@@ -62,7 +62,7 @@
     },
     /// A chunk is rejected.
     #[error("chunk {number}: {reason}")]
-    Chunk {
+    InvalidChunk {
         /// Its number.
         number: u16,
         /// The reason.
@@ -121,17 +121,17 @@
 
     /// Reads an encoded snapshot and checks each part of it.
     pub fn decode(bytes: &[u8]) -> Result<Self, SnapshotError> {
-        let (encoded, rest) =
-            postcard::take_from_bytes::<EncodedSnapshot>(bytes).map_err(|_| SnapshotError::Form)?;
+        let (encoded, rest) = postcard::take_from_bytes::<EncodedSnapshot>(bytes)
+            .map_err(|_| SnapshotError::InvalidEncoding)?;
         if !rest.is_empty() || encoded.chunks.len() != encoded.manifest.chunks.len() {
-            return Err(SnapshotError::Form);
+            return Err(SnapshotError::InvalidEncoding);
         }
         let numbers: Vec<ChunkNumber> = encoded.manifest.chunks.iter().map(|chunk| chunk.number).collect();
         let mut assembly = Assembly::new(encoded.manifest)?;
         for (number, bytes) in numbers.into_iter().zip(&encoded.chunks) {
             assembly
                 .add(number, bytes)
-                .map_err(|reason| SnapshotError::Chunk { number: number.0, reason })?;
+                .map_err(|reason| SnapshotError::InvalidChunk { number: number.0, reason })?;
         }
         assembly.finish()
     }
@@ -156,17 +156,17 @@
         let in_range = self.chunks.last().is_none_or(|last| last.number.0 < CHUNKS);
         let rules = self.rule_set();
         if !ascending || !in_range || rules.iter().count() != self.rules.len() {
-            return Err(SnapshotError::Order);
+            return Err(SnapshotError::NotCanonical);
         }
         if let Some(rule) = self.rules.iter().find(|rule| !well_formed::is_well_formed_rule(rule)) {
-            return Err(SnapshotError::Rule(rule.name()));
+            return Err(SnapshotError::MalformedRule(rule.name()));
         }
         if self.version.revision > MAX_REVISION {
-            return Err(SnapshotError::Revision(self.version.revision));
+            return Err(SnapshotError::RevisionTooHigh(self.version.revision));
         }
         let actual = self.chunks.iter().fold(rules.digest(), |sum, chunk| sum.plus(chunk.digest));
         let expected = self.version.digest;
-        if actual == expected { Ok(()) } else { Err(SnapshotError::Digest { expected, actual }) }
+        if actual == expected { Ok(()) } else { Err(SnapshotError::DigestMismatch { expected, actual }) }
     }
 
     fn rule_set(&self) -> RuleSet {
@@ -206,7 +206,7 @@
     }
 
     /// Reuses the chunks of a state that are the same.
-    pub fn adopt(&mut self, state: &Configuration) {
+    pub fn reuse_chunks_of_state(&mut self, state: &Configuration) {
         for index in 0..self.chunks.len() {
             let wanted = self.manifest.chunks[index];
             let same = state.chunk(wanted.number).filter(|chunk| chunk.digest == wanted.digest);
@@ -215,7 +215,7 @@
     }
 
     /// Reuses the chunks of another assembly that are the same.
-    pub fn adopt_from(&mut self, other: &Assembly) {
+    pub fn reuse_chunks_of_assembly(&mut self, other: &Assembly) {
         for index in 0..self.chunks.len() {
             let wanted = self.manifest.chunks[index];
             let found = other.manifest.chunks.binary_search_by_key(&wanted.number, |chunk| chunk.number);
@@ -241,7 +241,7 @@
         let chunk = Chunk::decode(number, bytes)?;
         let expected = self.manifest.chunks[index].digest;
         if chunk.digest != expected {
-            return Err(ChunkError::Digest { expected, actual: chunk.digest });
+            return Err(ChunkError::DigestMismatch { expected, actual: chunk.digest });
         }
         self.set(index, Some(Arc::new(chunk)));
         Ok(())
@@ -273,7 +273,7 @@
         if actual == expected {
             Ok(Snapshot { state })
         } else {
-            Err(SnapshotError::Digest { expected, actual })
+            Err(SnapshotError::DigestMismatch { expected, actual })
         }
     }
 }
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -105,9 +105,9 @@
 
 /// The digest as a sum over all entries, computed without the state's own digest.
 pub fn recomputed_digest(state: &Configuration) -> gradepin_config::Digest {
-    use gradepin_config::digest::Entry;
-    let classes = state.classes().cloned().map(Entry::Class);
-    let tenants = state.tenants().cloned().map(Entry::Tenant);
-    let entries = classes.chain(tenants).chain(state.rules().map(Entry::Rule));
+    use gradepin_config::digest::StateEntry;
+    let classes = state.classes().cloned().map(StateEntry::Class);
+    let tenants = state.tenants().cloned().map(StateEntry::Tenant);
+    let entries = classes.chain(tenants).chain(state.rules().map(StateEntry::Rule));
     entries.fold(gradepin_config::Digest::default(), |sum, entry| sum.plus(entry.digest()))
 }
--- a/crates/config/tests/dissemination.rs
+++ b/crates/config/tests/dissemination.rs
@@ -46,7 +46,7 @@
     let valid = Message::Push(vec![record]).encode();
     server.receive(Time(1), &bad, &valid);
     assert_eq!(server.state().revision(), Revision(0));
-    let later = time_after(Time(0), DisseminationSettings::default().quarantine);
+    let later = time_after(Time(0), DisseminationSettings::default().first_quarantine);
     server.receive(later, &bad, &valid);
     assert_eq!(server.state().revision(), Revision(1));
 }
@@ -62,7 +62,7 @@
     let mut effects = Vec::new();
     server.step(Time(0), &mut effects);
     let noted = effects.iter().any(|effect| {
-        matches!(effect, DisseminationEffect::Note { bad: true, text }
+        matches!(effect, DisseminationEffect::Log { is_warning: true, text }
             if text == "b quarantined: the checksum of a commit does not match")
     });
     assert!(noted, "{effects:?}");
--- a/crates/config/tests/golden_bytes.rs
+++ b/crates/config/tests/golden_bytes.rs
@@ -6,8 +6,8 @@
 use gradepin_admission::{ClassProfile, Idempotency, Span, Tenant};
 use gradepin_config::admin::query::{Diff, History, Page, Show, request_query};
 use gradepin_config::admin::{
-    AdminError, ApplyReply, ApplyRequest, CommitLine, DiffReply, Entry, HistoryReply, Lagging,
-    RevisionSpread, RollbackRequest, ShowReply, Source, StatusReply,
+    AdminError, ApplyReply, ApplyRequest, CommitSummary, DiffReply, HistoryReply, LaggingServer,
+    RevisionSpread, RollbackRequest, ShowReply, ShownEntry, Source, StatusReply,
 };
 use gradepin_config::change::{Change, ClassDefinition, Commit, Name, Proposal, Revision, Rule, Transaction};
 use gradepin_config::chunk::ChunkNumber;
@@ -132,12 +132,12 @@
 #[test]
 fn digests_of_entries_are_golden() {
     let mut entries = vec![
-        ("repeatable", digest::Entry::Class(class("c1", Idempotency::Idempotent))),
-        ("by key", digest::Entry::Class(class("c2", Idempotency::Keyed))),
-        ("once", digest::Entry::Class(class("c3", Idempotency::NonIdempotent))),
-        ("tenant", digest::Entry::Tenant(tenant())),
+        ("repeatable", digest::StateEntry::Class(class("c1", Idempotency::Idempotent))),
+        ("by key", digest::StateEntry::Class(class("c2", Idempotency::Keyed))),
+        ("once", digest::StateEntry::Class(class("c3", Idempotency::NonIdempotent))),
+        ("tenant", digest::StateEntry::Tenant(tenant())),
     ];
-    entries.extend(rules().into_iter().map(|rule| (rule.name(), digest::Entry::Rule(rule))));
+    entries.extend(rules().into_iter().map(|rule| (rule.name(), digest::StateEntry::Rule(rule))));
     assert_golden_values(golden_file!("entries.txt"), &entries);
     let digests: Vec<_> = entries.iter().map(|(label, entry)| (*label, entry.digest().to_string())).collect();
     assert_golden_lines(golden_file!("digests.txt"), &digests);
@@ -174,7 +174,7 @@
             "unknown revision",
             AdminError::UnknownRevision { revision: Revision(1), oldest: expected, newest: in_force },
         ),
-        ("servers fail", AdminError::ServersFail { servers: 3, max_servers: 2, revision: expected }),
+        ("servers fail", AdminError::TooManyFailedServers { servers: 3, max_servers: 2, revision: expected }),
         (
             "unknown entry",
             AdminError::UnknownEntry { kind: "class".into(), name: name("c1"), revision: expected },
@@ -207,13 +207,13 @@
         revision: Revision(42),
         proposed_at_ms: 1,
         servers: 1_098,
-        of_servers: 1_100,
+        total_servers: 1_100,
         zones: 14,
-        of_zones: 15,
+        total_zones: 15,
         p50_ms: Some(900),
         p99_ms: None,
     };
-    let lagging = Lagging {
+    let lagging = LaggingServer {
         server: name("n7"),
         zone: name("z1"),
         revision: Some(Revision(40)),
@@ -246,7 +246,7 @@
         ("of nothing", StatusReply::default()),
     ];
     assert_golden_json(golden_file!("statuses.txt"), &statuses);
-    let line = CommitLine {
+    let line = CommitSummary {
         revision: Revision(42),
         author: name("ada"),
         reason: name("more"),
@@ -256,7 +256,7 @@
     };
     let history = HistoryReply { newest: Revision(42), oldest: Revision(2), commits: vec![line] };
     assert_golden_json(golden_file!("history.txt"), &[("history", history)]);
-    let diff = DiffReply { from: Revision(2), to: Revision(3), changes: changes(), left_out: 9 };
+    let diff = DiffReply { from: Revision(2), to: Revision(3), changes: changes(), omitted_changes: 9 };
     assert_golden_json(golden_file!("diff.txt"), &[("diff", diff)]);
     let show = ShowReply {
         revision: Revision(42),
@@ -264,7 +264,7 @@
         classes: 5,
         tenants: 6,
         rules: rules(),
-        entries: vec![Entry::Class(class("c1", Idempotency::Keyed)), Entry::Tenant(tenant())],
+        entries: vec![ShownEntry::Class(class("c1", Idempotency::Keyed)), ShownEntry::Tenant(tenant())],
         next: Some(name("osm")),
     };
     assert_golden_json(golden_file!("show.txt"), &[("show", show)]);
--- a/crates/config/tests/properties.rs
+++ b/crates/config/tests/properties.rs
@@ -50,7 +50,7 @@
     fn digest_equals_sum_over_entries(history in transactions()) {
         let (state, _) = apply_valid(history);
         prop_assert_eq!(state.digest(), recomputed_digest(&state));
-        let again = Configuration::from_settings(&state.over(&common::settings(&[], &[])));
+        let again = Configuration::from_settings(&state.to_settings(&common::settings(&[], &[])));
         let again = again.expect("the entries of a state");
         prop_assert_eq!(again.digest(), state.digest());
     }
@@ -99,7 +99,7 @@
         commits[..cut].iter().for_each(|commit| early.apply(commit).expect("a prefix"));
         let source = Snapshot::of(&last);
         let mut assembly = Assembly::new(source.manifest()).expect("own manifest");
-        assembly.adopt(&early);
+        assembly.reuse_chunks_of_state(&early);
         while assembly.missing_count() > 0 {
             let number = order.select(assembly.missing());
             let bytes = source.chunk(number).expect("a chunk of the manifest");
--- a/crates/config/tests/snapshots_and_log.rs
+++ b/crates/config/tests/snapshots_and_log.rs
@@ -43,9 +43,9 @@
     assert_ne!(number, other);
     let all = assembly.missing_count();
     let foreign = theirs.chunk(number).expect("a chunk of it");
-    assert!(matches!(assembly.add(number, &foreign), Err(ChunkError::Digest { .. })));
+    assert!(matches!(assembly.add(number, &foreign), Err(ChunkError::DigestMismatch { .. })));
     let misplaced = ours.chunk(other).expect("a chunk of it");
-    assert!(matches!(assembly.add(number, &misplaced), Err(ChunkError::Order(_))));
+    assert!(matches!(assembly.add(number, &misplaced), Err(ChunkError::NotCanonical(_))));
     let empty = (0..u16::MAX).map(ChunkNumber).find(|n| ours.chunk(*n).is_none()).expect("one");
     assert_eq!(assembly.add(empty, &misplaced), Err(ChunkError::UnknownNumber { number: empty.0 }));
     assert_eq!(assembly.missing_count(), all);
@@ -59,13 +59,13 @@
     let (ours, theirs) = (snapshot(10), snapshot(11));
     let mut manifest = ours.manifest();
     manifest.chunks = theirs.manifest().chunks;
-    assert!(matches!(Assembly::new(manifest), Err(SnapshotError::Digest { .. })));
+    assert!(matches!(Assembly::new(manifest), Err(SnapshotError::DigestMismatch { .. })));
     let mut manifest = ours.manifest();
     manifest.chunks.swap(0, 1);
-    assert_eq!(Assembly::new(manifest).err(), Some(SnapshotError::Order));
+    assert_eq!(Assembly::new(manifest).err(), Some(SnapshotError::NotCanonical));
     let mut manifest = ours.manifest();
     manifest.rules.push(manifest.rules[0]);
-    assert_eq!(Assembly::new(manifest).err(), Some(SnapshotError::Order));
+    assert_eq!(Assembly::new(manifest).err(), Some(SnapshotError::NotCanonical));
 }
 
 #[test]
@@ -80,7 +80,7 @@
     state.apply(&commit(1, vec![put_class(class("c3", 99))])).expect("valid");
     let new = Snapshot::of(&state);
     let mut second = Assembly::new(new.manifest()).expect("own manifest");
-    second.adopt_from(&first);
+    second.reuse_chunks_of_assembly(&first);
     assert_eq!(second.missing().collect::<Vec<_>>(), [ChunkNumber::of("c3")]);
 }
 
--- a/crates/config/tests/validation.rs
+++ b/crates/config/tests/validation.rs
@@ -6,8 +6,8 @@
 use gradepin_admission::Span;
 use gradepin_config::change::{MAX_CHANGES, MAX_CLASSES, MAX_TENANTS};
 use gradepin_config::{
-    ApplyError, Change, ClassDefinition, CommitRejected, Configuration, Invalid, Proposal, Revision, Rule,
-    Transaction,
+    ApplyError, Change, ClassDefinition, Configuration, Invalid, Proposal, ProposalCheckError, Revision,
+    Rule, Transaction,
 };
 
 /// The error by which a state rejects changes; checks that the state is unchanged.
@@ -135,11 +135,11 @@
         expected,
         transaction: Transaction { changes: vec![put_tenant(tenant("acme", 0.1))] },
     };
-    assert_eq!(state.check(&proposal("why", Some(Revision(0)))), Ok(()));
-    let moved = CommitRejected::Moved { expected: Revision(3), in_force: Revision(0) };
-    assert_eq!(state.check(&proposal("why", Some(Revision(3)))), Err(moved));
+    assert_eq!(state.check_proposal(&proposal("why", Some(Revision(0)))), Ok(()));
+    let moved = ProposalCheckError::RevisionMismatch { expected: Revision(3), in_force: Revision(0) };
+    assert_eq!(state.check_proposal(&proposal("why", Some(Revision(3)))), Err(moved));
     let empty = Invalid::new("reason", "a text", "an empty one");
-    assert_eq!(state.check(&proposal("", None)), Err(CommitRejected::Invalid(empty)));
+    assert_eq!(state.check_proposal(&proposal("", None)), Err(ProposalCheckError::Invalid(empty)));
 }
 
 #[test]
--- a/crates/coordination/src/configuration_log.rs
+++ b/crates/coordination/src/configuration_log.rs
@@ -108,12 +108,12 @@
     Off,
 }
 
-impl From<gradepin_config::configuration::CommitRejected> for ConfigurationRejected {
-    fn from(rejected: gradepin_config::configuration::CommitRejected) -> Self {
-        use gradepin_config::configuration::CommitRejected;
+impl From<gradepin_config::configuration::ProposalCheckError> for ConfigurationRejected {
+    fn from(rejected: gradepin_config::configuration::ProposalCheckError) -> Self {
+        use gradepin_config::configuration::ProposalCheckError;
         match rejected {
-            CommitRejected::Moved { expected, in_force } => Self::Moved { expected, in_force },
-            CommitRejected::Invalid(invalid) => Self::Invalid(invalid),
+            ProposalCheckError::RevisionMismatch { expected, in_force } => Self::Moved { expected, in_force },
+            ProposalCheckError::Invalid(invalid) => Self::Invalid(invalid),
         }
     }
 }
--- a/crates/coordination/src/consensus/configuration.rs
+++ b/crates/coordination/src/consensus/configuration.rs
@@ -229,7 +229,7 @@
         self.state.configuration.check_seen(request.seen)?;
         let settings = self.content.settings;
         let Some(proposed) = &self.content.proposed else { return Err(ConfigurationRejected::Busy) };
-        proposed.content.check(proposal)?;
+        proposed.content.check_proposal(proposal)?;
         let base = proposed.content.version();
         let commit = commit_of(request, base.revision.next());
         check_length(&commit, settings.entry_bytes)?;
--- a/crates/core/src/reducer/configuration.rs
+++ b/crates/core/src/reducer/configuration.rs
@@ -284,8 +284,8 @@
             }
             DisseminationEffect::Apply(commit) => self.receive_commit(commit),
             DisseminationEffect::Install(snapshot) => self.receive_state(snapshot),
-            DisseminationEffect::Note { bad, text } => {
-                let level = if bad { Level::Warning } else { Level::Info };
+            DisseminationEffect::Log { is_warning, text } => {
+                let level = if is_warning { Level::Warning } else { Level::Info };
                 self.log(level, format!("configuration: {text}"));
             }
         }
--- a/crates/core/src/reducer/configuration_admin.rs
+++ b/crates/core/src/reducer/configuration_admin.rs
@@ -7,7 +7,7 @@
 use crate::configuration::{ConfigurationAdminRequest, ConfigurationAdminResponse};
 use gradepin_admission::{Time, span_seconds};
 use gradepin_config::admin::{AdminError, ApplyReply, ApplyRequest, StatusReply};
-use gradepin_config::configuration::CommitRejected;
+use gradepin_config::configuration::ProposalCheckError;
 use gradepin_config::{Invalid, Name, Proposal, Revision};
 use gradepin_coordination::configuration_log::{ConfigurationRejected, ConfigurationRequest};
 use gradepin_coordination::proposal_client::ProposalResponse;
@@ -177,9 +177,11 @@
     /// Validates a proposal against what is in force, without proposing it.
     fn dry_run(&self, proposal: &Proposal) -> Result<ApplyReply, AdminError> {
         let service = self.configuration.service.as_ref().ok_or(AdminError::Off)?;
-        service.in_force.check(proposal).map_err(|rejected| match rejected {
-            CommitRejected::Moved { expected, in_force } => AdminError::Stale { expected, in_force },
-            CommitRejected::Invalid(invalid) => AdminError::Invalid(invalid),
+        service.in_force.check_proposal(proposal).map_err(|rejected| match rejected {
+            ProposalCheckError::RevisionMismatch { expected, in_force } => {
+                AdminError::Stale { expected, in_force }
+            }
+            ProposalCheckError::Invalid(invalid) => AdminError::Invalid(invalid),
         })?;
         let changes = u32::try_from(proposal.transaction.changes.len()).unwrap_or(u32::MAX);
         Ok(ApplyReply::Valid { against: service.in_force.revision(), changes })
--- a/crates/gradepin/src/config/render.rs
+++ b/crates/gradepin/src/config/render.rs
@@ -2,7 +2,8 @@
 
 use gradepin_admission::span_seconds;
 use gradepin_config::admin::{
-    CommitLine, DiffReply, Entry, HistoryReply, Lagging, RevisionSpread, ShowReply, Source, StatusReply,
+    CommitSummary, DiffReply, HistoryReply, LaggingServer, RevisionSpread, ShowReply, ShownEntry, Source,
+    StatusReply,
 };
 use gradepin_config::change::{Change, Rule};
 use gradepin_config::document::{ClassEntry, TenantEntry};
@@ -49,14 +50,14 @@
         "{:<10} {:<14} {:<14} {:<10} {:<9} {}",
         spread.revision.to_string(),
         ago(spread.proposed_at_ms),
-        format!("{}/{}", spread.servers, spread.of_servers),
-        format!("{}/{}", spread.zones, spread.of_zones),
+        format!("{}/{}", spread.servers, spread.total_servers),
+        format!("{}/{}", spread.zones, spread.total_zones),
         seconds(spread.p50_ms),
         seconds(spread.p99_ms),
     )
 }
 
-fn lagging(one: &Lagging) -> String {
+fn lagging(one: &LaggingServer) -> String {
     let has = one.revision.map_or("never heard".to_string(), |revision| format!("revision {revision}"));
     let heard = if one.reachable { "" } else { ", not heard now" };
     let why = one.cannot_apply.as_ref().map(|why| format!(", can't apply the next: {why}"));
@@ -66,7 +67,7 @@
 
 /// `history`.
 pub(super) fn history(reply: &HistoryReply) -> String {
-    let line = |commit: &CommitLine| {
+    let line = |commit: &CommitSummary| {
         format!(
             "{:<8} {:<14} {:<16} {:>5} changes  {}  ({})",
             commit.revision.to_string(),
@@ -86,17 +87,17 @@
 pub(super) fn diff(reply: &DiffReply) -> String {
     let mut lines = vec![format!("from revision {} to revision {}:", reply.from, reply.to)];
     lines.extend(reply.changes.iter().map(change));
-    if reply.left_out > 0 {
-        lines.push(format!("and {} more changes", reply.left_out));
+    if reply.omitted_changes > 0 {
+        lines.push(format!("and {} more changes", reply.omitted_changes));
     }
     lines.join("\n")
 }
 
 fn change(change: &Change) -> String {
     match change {
-        Change::PutClass(class) => format!("put {}", entry(&Entry::Class(class.clone()))),
+        Change::PutClass(class) => format!("put {}", entry(&ShownEntry::Class(class.clone()))),
         Change::RemoveClass(name) => format!("remove class {name}"),
-        Change::PutTenant(tenant) => format!("put {}", entry(&Entry::Tenant(tenant.clone()))),
+        Change::PutTenant(tenant) => format!("put {}", entry(&ShownEntry::Tenant(tenant.clone()))),
         Change::RemoveTenant(name) => format!("remove tenant {name}"),
         Change::PutRule(of) => format!("set {}", rule(of)),
     }
@@ -130,10 +131,10 @@
 }
 
 /// With the keys of a document, so that it can be copied into one.
-fn entry(entry: &Entry) -> String {
+fn entry(entry: &ShownEntry) -> String {
     match entry {
-        Entry::Class(class) => format!("class {}", as_json(&ClassEntry::from(&**class))),
-        Entry::Tenant(tenant) => format!("tenant {}", as_json(&TenantEntry::from(&**tenant))),
+        ShownEntry::Class(class) => format!("class {}", as_json(&ClassEntry::from(&**class))),
+        ShownEntry::Tenant(tenant) => format!("tenant {}", as_json(&TenantEntry::from(&**tenant))),
     }
 }
 
--- a/crates/model/src/config/account.rs
+++ b/crates/model/src/config/account.rs
@@ -2,7 +2,7 @@
 
 use super::{Bytes, Spec};
 use crate::queue::At;
-use gradepin_config::dissemination::Sent;
+use gradepin_config::dissemination::SentCounters;
 
 /// What the burst of a server may go over its limit by: one message longer than is left.
 const MESSAGE_BYTES: f64 = 40_000.0;
@@ -27,19 +27,19 @@
     rate: f64,
     over: u64,
     up_ns: Vec<u64>,
-    sent: Sent,
+    sent: SentCounters,
 }
 
 impl Account {
     /// Nothing sent yet.
     pub fn new(spec: &Spec) -> Self {
-        let rate = spec.settings.send_bytes_s + spec.settings.snapshot_bytes_s;
+        let rate = spec.settings.message_bytes_per_second + spec.settings.snapshot_bytes_per_second;
         Self {
             senders: vec![Sender::default(); spec.servers],
             rate,
             over: 0,
             up_ns: vec![0; spec.servers],
-            sent: Sent::default(),
+            sent: SentCounters::default(),
         }
     }
 
@@ -60,11 +60,11 @@
     }
 
     /// A process ends that was up for so long and sent this.
-    pub fn ended(&mut self, n: usize, up: At, sent: Sent) {
+    pub fn ended(&mut self, n: usize, up: At, sent: SentCounters) {
         self.up_ns[n] += up;
-        self.sent.small += sent.small;
-        self.sent.commits += sent.commits;
-        self.sent.snapshots += sent.snapshots;
+        self.sent.control_bytes += sent.control_bytes;
+        self.sent.commit_bytes += sent.commit_bytes;
+        self.sent.snapshot_bytes += sent.snapshot_bytes;
     }
 
     /// All together.
@@ -75,9 +75,9 @@
         let all = seconds(&self.up_ns);
         Bytes {
             mean_s: total(&self.senders) / all,
-            small_s: self.sent.small as f64 / all,
-            commits_s: self.sent.commits as f64 / all,
-            snapshots_s: self.sent.snapshots as f64 / all,
+            small_s: self.sent.control_bytes as f64 / all,
+            commits_s: self.sent.commit_bytes as f64 / all,
+            snapshots_s: self.sent.snapshot_bytes as f64 / all,
             most_s: most(&self.senders),
             voters_s: total(&self.senders[..voters]) / seconds(&self.up_ns[..voters]),
             voters_most_s: most(&self.senders[..voters]),
--- a/crates/model/src/config/network.rs
+++ b/crates/model/src/config/network.rs
@@ -46,7 +46,7 @@
             loss: spec.loss,
             doubled: spec.doubled,
             late: spec.late,
-            piece_bytes: spec.settings.piece_bytes,
+            piece_bytes: spec.settings.datagram_payload_bytes,
         }
     }
 
--- a/crates/model/src/config/world.rs
+++ b/crates/model/src/config/world.rs
@@ -261,8 +261,8 @@
         let Some(machine) = &server.machine else { return };
         let status = machine.status();
         self.account.ended(n, self.now - server.started, status.sent);
-        self.out.installed += status.installed;
-        self.out.left_out += status.quarantined;
+        self.out.installed += status.installed_snapshots;
+        self.out.left_out += status.quarantine_count;
     }
 
     fn schedule(&mut self, n: usize, at: At) {
@@ -420,7 +420,7 @@
                 self.breach(n, breach);
                 self.came_into_force(n, snapshot.version().revision);
             }
-            DisseminationEffect::Note { text, .. } => self.note(&text),
+            DisseminationEffect::Log { text, .. } => self.note(&text),
         }
     }
 
--- a/crates/node/src/configuration_service.rs
+++ b/crates/node/src/configuration_service.rs
@@ -73,7 +73,7 @@
             return Ok(Self { state: base, source: Source::StartFile, store: Some(store) });
         };
         info!(log, "starting from the last good configuration"; "revision" => state.revision().0);
-        config.settings = state.over(&config.settings);
+        config.settings = state.to_settings(&config.settings);
         Ok(Self { state, source: Source::Snapshot, store: Some(store) })
     }
 
@@ -96,8 +96,8 @@
             source: self.source,
             dissemination: DisseminationSettings {
                 history_limits: LogLimits { commits: settings.history, bytes: MAX_HISTORY_BYTES },
-                send_bytes_s: f64::from(settings.bytes_per_second),
-                snapshot_bytes_s: f64::from(settings.snapshot_bytes_per_second),
+                message_bytes_per_second: f64::from(settings.bytes_per_second),
+                snapshot_bytes_per_second: f64::from(settings.snapshot_bytes_per_second),
                 ..DisseminationSettings::default()
             },
             own,
--- a/crates/node/tests/golden_edges/admin.rs
+++ b/crates/node/tests/golden_edges/admin.rs
@@ -5,7 +5,7 @@
 use gradepin_cluster::cluster::{ClusterStatus, FleetView, MemberView};
 use gradepin_cluster::peer::Incarnation;
 use gradepin_config::admin::{
-    AdminError, ApplyReply, ApplyRequest, Lagging, RevisionSpread, Source, StatusReply,
+    AdminError, ApplyReply, ApplyRequest, LaggingServer, RevisionSpread, Source, StatusReply,
 };
 use gradepin_config::change::Revision;
 use gradepin_config::validation::Invalid;
@@ -183,7 +183,7 @@
 }
 
 fn configuration_status(source: Source) -> StatusReply {
-    let lagging = Lagging {
+    let lagging = LaggingServer {
         server: name("n7"),
         zone: name("z1"),
         revision: Some(Revision(40)),
@@ -195,9 +195,9 @@
         revision: Revision(42),
         proposed_at_ms: 1,
         servers: 2,
-        of_servers: 3,
+        total_servers: 3,
         zones: 4,
-        of_zones: 5,
+        total_zones: 5,
         p50_ms: Some(6),
         p99_ms: Some(7),
     };
@@ -226,7 +226,7 @@
         AdminError::NoLeader { reason: "none heard".into() },
         AdminError::TooBusy { retry_ms: 500 },
         AdminError::UnknownRevision { revision, oldest: Revision(1), newest: Revision(41) },
-        AdminError::ServersFail { servers: 3, max_servers: 2, revision },
+        AdminError::TooManyFailedServers { servers: 3, max_servers: 2, revision },
         AdminError::UnknownEntry { kind: "class".into(), name: name("save"), revision },
         AdminError::UnknownRequest { request_id: id },
         AdminError::BadCall { reason: "no id".into() },
--- a/crates/testkit/src/model/config.rs
+++ b/crates/testkit/src/model/config.rs
@@ -79,7 +79,8 @@
         spec.voters = self.voters.unwrap_or(spec.voters).min(self.servers);
         spec.bad = self.bad.unwrap_or(spec.bad);
         spec.settings.skip_checks = self.plain;
-        spec.settings.snapshot_bytes_s = self.snapshot_bytes.unwrap_or(spec.settings.snapshot_bytes_s);
+        spec.settings.snapshot_bytes_per_second =
+            self.snapshot_bytes.unwrap_or(spec.settings.snapshot_bytes_per_second);
         spec.ordinary = !self.calm;
         if self.calm || self.no_incidents {
             spec.incidents.clear();
