--- a/crates/config/src/admin.rs
+++ b/crates/config/src/admin.rs
@@ -1,7 +1,7 @@
-//! Requests and responses of the admin endpoints of the configuration, as JSON: one set of types for server and command line.
+//! JSON requests and responses of the configuration admin endpoints, shared by the server and the command line.
 //!
-//! Names of fields and variants are part of the interface; one that is renamed here keeps its name in JSON. The calls, statuses
-//! and bounds are in `docs/design/configuration-admin.md`.
+//! Names of fields and variants are part of the interface; a field or variant that is renamed here keeps its JSON name through a
+//! serde attribute. The calls, statuses and limits are documented in `docs/design/configuration-admin.md`.
 
 use crate::change::{Change, ClassDefinition, Name, Proposal, Revision, Rule};
 use crate::validation::Invalid;
@@ -11,22 +11,22 @@
 
 pub mod query;
 
-/// Entries in one page of [`ShowReply`], so that a page fits into one response of the endpoint.
+/// Maximum number of entries in one page of [`ShowReply`], so that a page fits into one response of the endpoint.
 pub const MAX_PAGE: u32 = 500;
-/// Commits in one page of [`HistoryReply`].
+/// Maximum number of commits in one page of [`HistoryReply`].
 pub const MAX_HISTORY_PAGE: u32 = 200;
-/// Servers listed in [`StatusReply::lagging`]; [`StatusReply::lagging_servers`] counts all of them.
+/// Maximum number of servers in [`StatusReply::lagging`]; [`StatusReply::lagging_servers`] counts all of them.
 pub const MAX_LAGGING_NAMED: usize = 100;
-/// Revisions listed in [`StatusReply::revisions`], the newest first.
+/// Maximum number of revisions in [`StatusReply::revisions`].
 pub const MAX_STATUS_REVISIONS: usize = 20;
 
 /// The body of `POST /config/apply`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ApplyRequest {
-    /// The proposal to commit.
+    /// The changes to commit, with author, reason and request id.
     pub proposal: Proposal,
-    /// Whether the proposal is only validated, against the state in force at the receiving server.
+    /// Only validates the proposal, against the state in force at the receiving server, and does not commit it.
     #[serde(default)]
     pub dry_run: bool,
 }
@@ -37,49 +37,49 @@
 pub struct RollbackRequest {
     /// The revision whose content is restored.
     pub to: Revision,
-    /// Chosen by the caller. Calls are idempotent: the same id gives the same revision.
+    /// Chosen by the caller. Calls are idempotent: a repeated call with the same id yields the same revision.
     pub request_id: Name,
     /// The person or program that requested the change.
     pub author: Name,
-    /// The reason for the change, for the history.
+    /// Why the change is made, as shown in the history.
     pub reason: Name,
-    /// The revision that the author expects in force; the rollback is rejected if another one is.
+    /// The revision that the author expects to be in force. If another one is, the rollback is rejected; `None` skips this check.
     pub expected: Option<Revision>,
-    /// Whether the changes are only computed and validated.
+    /// Only computes and validates the changes, and does not commit them.
     #[serde(default)]
     pub dry_run: bool,
 }
 
-/// The response to an apply or rollback that was not rejected.
+/// The response to an apply or rollback call that was not rejected.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum ApplyReply {
-    /// Not decided yet: `GET /config/apply?request-id=ID` returns the outcome.
+    /// Not decided yet. `GET /config/apply?request-id=ID` returns the outcome later.
     Pending {
-        /// The request id of the proposal.
+        /// The request id of the proposal, with which to query the outcome.
         request_id: Name,
     },
-    /// Committed: a majority of the voters has it.
+    /// Committed by a majority of the voters.
     Committed {
-        /// The position in the committed log.
+        /// The revision assigned to the commit.
         revision: Revision,
-        /// Whether an earlier call with this request id was committed.
+        /// Whether an earlier call with the same request id had already been committed, so that this call changed nothing.
         repeated: bool,
     },
     /// The dry run found the proposal valid.
     Valid {
-        /// The revision in force at the receiving server.
+        /// The revision in force at the receiving server, which the proposal was validated against.
         against: Revision,
-        /// Entries of the configuration that would change.
+        /// Number of changes that would be committed.
         changes: u32,
     },
 }
 
-/// Why a call was rejected. Nothing was changed then.
+/// Why a call was rejected. A rejected call changes nothing.
 #[derive(Debug, Clone, PartialEq, thiserror::Error, Serialize, Deserialize)]
 #[serde(tag = "refused", rename_all = "snake_case")]
 pub enum AdminError {
-    /// Another change was committed in the meantime.
+    /// The revision in force is not the expected one: another change was committed in the meantime.
     #[error("expected revision {expected} to be in force, revision {in_force} is")]
     Stale {
         /// The revision that the author expected.
@@ -90,70 +90,72 @@
     /// The transaction is not valid.
     #[error(transparent)]
     Invalid(#[from] Invalid),
-    /// The request id was used for another change.
+    /// The request id was already used for a different change.
     #[error("request id {request_id} was used for another change, committed as revision {revision}")]
     RequestIdReused {
-        /// The request id.
+        /// The reused request id.
         request_id: Name,
-        /// The revision of that change.
+        /// The revision of the change that was committed with this id.
         revision: Revision,
     },
-    /// No leader is known, or it did not respond in time. A retry with the same request id is safe.
+    /// No leader is known, or the leader did not respond in time. Retrying with the same request id is safe.
     #[error("no leader: {reason}")]
     NoLeader {
-        /// Details.
+        /// What is known about the failure.
         reason: String,
     },
-    /// Too many proposals are in progress. A retry with the same request id is safe.
+    /// Too many proposals are in progress. Retrying with the same request id is safe.
     #[error("too busy, ask again in {retry_ms} ms")]
     TooBusy {
-        /// When to retry, in milliseconds.
+        /// Recommended delay before a retry, in milliseconds.
         retry_ms: u64,
     },
     /// The revision is no longer retained, or was never committed.
-    #[error("revision {revision} is not kept: the oldest is {oldest}, the newest {newest}")]
+    #[error("revision {revision} is not retained: the oldest is {oldest}, the newest is {newest}")]
     UnknownRevision {
         /// The requested revision.
         revision: Revision,
         /// The oldest revision retained.
         oldest: Revision,
-        /// The newest revision.
+        /// The newest committed revision.
         newest: Revision,
     },
-    /// More servers than the settings allow can't apply a committed change; an operator must acknowledge it.
+    /// More servers than the settings allow can't apply a committed change. Further changes are rejected until an operator
+    /// acknowledges this.
     #[error(
-        "{servers} servers can't apply revision {revision}, {max_servers} may be: changes wait for an operator"
+        "{servers} servers can't apply revision {revision}, at most {max_servers} are allowed: \
+         changes are rejected until an operator acknowledges this"
     )]
     #[serde(rename = "servers_fail")]
     TooManyFailedServers {
-        /// Servers that can't apply it.
+        /// Number of servers that can't apply the change.
         servers: u32,
-        /// Servers that the settings allow.
+        /// Maximum number of such servers allowed by the settings.
         #[serde(rename = "most")]
         max_servers: u32,
-        /// The revision of the change.
+        /// The revision that can't be applied.
         revision: Revision,
     },
-    /// There is no entry of this name.
+    /// No entry of this kind and name is in force at the receiving server.
     #[error("there is no {kind} '{name}' in revision {revision}")]
     UnknownEntry {
-        /// `class` or `tenant`.
+        /// The requested kind: `class` or `tenant`.
         kind: String,
         /// The requested name.
         name: Name,
-        /// The revision in force at this server.
+        /// The revision in force at the receiving server.
         revision: Revision,
     },
-    /// This server knows no request of this id; another one may.
-    #[error("no request {request_id} is known here")]
+    /// This server has no record of a request with this id; another server may have one.
+    #[error("this server has no record of request {request_id}")]
     UnknownRequest {
-        /// The request id.
+        /// The request id that was queried.
         request_id: Name,
     },
     /// The call is malformed.
     #[error("{reason}")]
     BadCall {
-        /// The reason for the change, for the history.
+        /// What is malformed.
         reason: String,
     },
     /// The settings of this server have no `config` block.
@@ -175,140 +177,140 @@
         }
     }
 
-    /// Whether a retry of the same call with the same request id, later or at another server, may succeed.
+    /// Whether the same call with the same request id may succeed later or at another server.
     pub fn is_transient(&self) -> bool {
         matches!(self, Self::NoLeader { .. } | Self::TooBusy { .. } | Self::UnknownRequest { .. })
     }
 }
 
-/// The response to `GET /config/status`: the revision of this server, and of the fleet as far as this server knows it.
+/// The response to `GET /config/status`: the revision of the responding server, and of the fleet as far as that server knows.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct StatusReply {
-    /// The name of this server.
+    /// The name of the responding server, if it has one.
     pub server: Option<Name>,
-    /// The revision in force at this server.
+    /// The revision in force at the responding server.
     pub revision: Revision,
     /// The digest of the state, in hexadecimal.
     pub digest: String,
-    /// The newest revision that this server knows of.
+    /// The newest revision that the responding server knows of.
     pub newest: Revision,
-    /// The leader of the consensus group, if known.
+    /// The name of the leader of the consensus group, if known.
     pub leader: Option<Name>,
-    /// Seconds since a peer or voter last confirmed that the revision of this server is the newest.
+    /// Seconds since a peer or voter last confirmed that the responding server has the newest revision.
     pub age_s: Option<f64>,
-    /// Whether `age_s` is above the bound in the settings. The server continues to serve then.
+    /// Whether `age_s` exceeds the limit in the settings. A stale server continues to serve requests.
     pub stale: bool,
-    /// The source of the configuration in force.
+    /// Where the configuration in force came from.
     pub source: Source,
-    /// Why this server can't apply the next committed change, if so.
+    /// Why the responding server can't apply the next committed change, if it can't.
     pub cannot_apply: Option<String>,
-    /// The latest revisions, the newest first.
+    /// The latest revisions, newest first; at most [`MAX_STATUS_REVISIONS`].
     pub revisions: Vec<RevisionSpread>,
-    /// LaggingServer servers, the longest lagging first; up to [`MAX_LAGGING_NAMED`].
+    /// The servers that are not at the newest revision, longest lagging first; at most [`MAX_LAGGING_NAMED`].
     pub lagging: Vec<LaggingServer>,
-    /// How many servers lag.
+    /// Total number of lagging servers.
     pub lagging_servers: u32,
 }
 
-/// The source of a configuration.
+/// Where a configuration came from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Source {
-    /// The start file.
+    /// The configuration file that the server read at startup.
     #[default]
     StartFile,
-    /// The last good snapshot on the disk of this server.
+    /// The last good snapshot on the disk of the server.
     Snapshot,
-    /// Committed changes, or a snapshot, from peers or voters.
+    /// Commits or a snapshot received from peers or from the consensus group.
     Fleet,
 }
 
-/// How many servers and zones have a revision.
+/// How far a revision has been distributed in the fleet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RevisionSpread {
-    /// The revision.
+    /// The revision that the counts refer to.
     pub revision: Revision,
-    /// Unix time in ms at which it was proposed.
+    /// When the leader proposed the commit, in milliseconds since the Unix epoch.
     pub proposed_at_ms: u64,
-    /// Servers at this revision or a later one.
+    /// Number of servers at this revision or a later one.
     pub servers: u32,
-    /// Servers of the fleet.
+    /// Number of servers of the fleet.
     #[serde(rename = "of_servers")]
     pub total_servers: u32,
-    /// Zones whose reachable servers are all at this revision or a later one.
+    /// Number of zones whose reachable servers are all at this revision or a later one.
     pub zones: u32,
-    /// Zones of the fleet.
+    /// Number of zones of the fleet.
     #[serde(rename = "of_zones")]
     pub total_zones: u32,
-    /// Median time from the proposal until a server had the revision in force, over the servers that have it, in milliseconds.
+    /// Median time from the proposal until the revision was in force at a server, in milliseconds. Covers the servers that have it.
     pub p50_ms: Option<u64>,
-    /// The 99th percentile of the same, in milliseconds.
+    /// 99th percentile of the same time, in milliseconds.
     pub p99_ms: Option<u64>,
 }
 
 /// A server that is not at the newest revision.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LaggingServer {
-    /// The name of the server.
+    /// The name of the lagging server.
     pub server: Name,
-    /// Its zone.
+    /// The zone of the lagging server.
     pub zone: Name,
-    /// The last revision that the server reported, if it ever did.
+    /// The last revision that the server reported; `None` if it never reported one.
     pub revision: Option<Revision>,
-    /// Seconds since the first revision that the server lacks was committed.
+    /// Seconds since the commit of the oldest revision that the server lacks.
     pub since_s: f64,
-    /// Whether the server is reachable now.
+    /// Whether the server is currently reachable.
     pub reachable: bool,
-    /// The reason that the server reported for not applying the next revision.
+    /// Why the server can't apply the next revision, if it reported that it can't.
     pub cannot_apply: Option<String>,
 }
 
-/// The response to `GET /config/history`.
+/// The response to `GET /config/history`: one page of the retained commits.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct HistoryReply {
-    /// The newest revision.
+    /// The newest committed revision.
     pub newest: Revision,
     /// The oldest revision whose commit is retained.
     pub oldest: Revision,
-    /// The commits of this page, the newest first.
+    /// The commits of this page, newest first.
     pub commits: Vec<CommitSummary>,
 }
 
-/// One commit in the history.
+/// One commit in the history, without its changes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CommitSummary {
-    /// The position in the committed log.
+    /// The revision of the commit.
     pub revision: Revision,
     /// The person or program that requested the change.
     pub author: Name,
-    /// The reason for the change, for the history.
+    /// Why the change was made.
     pub reason: Name,
     /// The request id of the proposal.
     pub request_id: Name,
-    /// Unix time in ms at which it was proposed.
+    /// When the leader proposed the commit, in milliseconds since the Unix epoch.
     pub proposed_at_ms: u64,
-    /// Number of changes.
+    /// Number of changes in the transaction.
     pub changes: u32,
 }
 
-/// The response to `GET /config/diff?from=A&to=B`: the changes that turn the content of `from` into that of `to`.
+/// The response to `GET /config/diff?from=A&to=B`: the changes that turn the state at `from` into the state at `to`.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct DiffReply {
-    /// The first revision.
+    /// The revision that the changes start from.
     pub from: Revision,
-    /// The second revision.
+    /// The revision that the changes lead to.
     pub to: Revision,
-    /// The changes, up to [`crate::change::MAX_CHANGES`].
+    /// The changes, at most [`crate::change::MAX_CHANGES`].
     pub changes: Vec<Change>,
-    /// Number of changes past the bound, which are omitted.
+    /// Number of further changes that were omitted because of this limit.
     #[serde(rename = "left_out")]
     pub omitted_changes: u32,
 }
 
-/// The response to `GET /config/show`: the state in force at the receiving server.
+/// The response to `GET /config/show`: the state in force at the responding server.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct ShowReply {
-    /// The revision in force at this server.
+    /// The revision in force at the responding server.
     pub revision: Revision,
     /// The digest of the state, in hexadecimal.
     pub digest: String,
@@ -316,20 +318,20 @@
     pub classes: u32,
     /// Number of tenants in force.
     pub tenants: u32,
-    /// All rules.
+    /// The rules that are set.
     pub rules: Vec<Rule>,
     /// The entries of this page, sorted by name.
     pub entries: Vec<ShownEntry>,
-    /// The last name of this page, if there is another page; the next page begins after it.
+    /// The last name of this page if there is another page, which starts after this name.
     pub next: Option<Name>,
 }
 
-/// A class or a tenant.
+/// A class or tenant in a page of [`ShowReply`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ShownEntry {
-    /// A class.
+    /// A class with its profile.
     Class(Arc<ClassDefinition>),
-    /// A tenant.
+    /// A tenant with its quota.
     Tenant(Arc<Tenant>),
 }
--- a/crates/config/src/admin/query.rs
+++ b/crates/config/src/admin/query.rs
@@ -1,33 +1,33 @@
-//! Query strings of the `GET` calls, written and parsed by the same code.
+//! Writes and parses the query strings of the `GET` calls, for the command line and the server.
 //!
-//! Values are percent-encoded. Unknown or repeated parameters are rejected.
+//! Values are percent-encoded. Unknown and repeated parameters are rejected.
 
 use super::{MAX_HISTORY_PAGE, MAX_PAGE};
 use crate::change::{Name, Revision};
 use std::sync::Arc;
 
-/// Commits in a page of the history where the query has no limit.
+/// Number of commits in a page of the history if the query has no limit.
 const DEFAULT_HISTORY_PAGE: u64 = 20;
 
 /// The query of `GET /config/show`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Show {
-    /// Revision, digest, counts and rules.
+    /// Revision, digest, number of entries, and rules.
     Summary,
-    /// One class.
+    /// The class with this name.
     Class(Name),
-    /// One tenant.
+    /// The tenant with this name.
     Tenant(Name),
-    /// A page of classes, by name.
+    /// A page of the classes.
     Classes(Page),
-    /// A page of tenants, by name.
+    /// A page of the tenants.
     Tenants(Page),
 }
 
 /// A page of a list that is sorted by name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Page {
-    /// The name after which the page begins; without it, the page begins at the first entry.
+    /// The name after which the page starts; `None` to start at the first entry.
     pub after: Option<Name>,
     /// Number of entries, from 1 to [`MAX_PAGE`].
     pub limit: u32,
@@ -36,7 +36,7 @@
 /// The query of `GET /config/history`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct History {
-    /// Only commits before this revision.
+    /// Return only commits before this revision; `None` to start at the newest.
     pub before: Option<Revision>,
     /// Number of commits, from 1 to [`MAX_HISTORY_PAGE`].
     pub limit: u32,
@@ -45,9 +45,9 @@
 /// The query of `GET /config/diff`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Diff {
-    /// The first revision.
+    /// The revision that the changes start from.
     pub from: Revision,
-    /// The second revision; without it, the one in force.
+    /// The revision that the changes lead to; `None` for the one in force.
     pub to: Option<Revision>,
 }
 
@@ -57,22 +57,22 @@
     /// A parameter is unknown, repeated, or not percent-encoded correctly.
     #[error("expected each of {known} once at the most, came '{actual}'")]
     Parameter {
-        /// The parameters of the call.
+        /// All parameters of the call, for the error message.
         known: &'static str,
-        /// The rejected part of the query.
+        /// The rejected `name=value` pair.
         actual: String,
     },
-    /// The value of a parameter has the wrong form.
-    #[error("expected {parameter} to be {expected}, came '{actual}'")]
+    /// The value of a parameter is malformed or out of range.
+    #[error("expected {parameter} to be {expected}, got '{actual}'")]
     Value {
-        /// The parameter.
+        /// The name of the parameter.
         parameter: &'static str,
-        /// The expected form.
+        /// The values that are allowed.
         expected: String,
-        /// The rejected part of the query.
+        /// The rejected value.
         actual: String,
     },
-    /// A parameter is missing.
+    /// A required parameter is missing.
     #[error("expected {0}")]
     Missing(&'static str),
 }
@@ -149,12 +149,12 @@
     }
 }
 
-/// Writes the query string of `GET /config/apply`, without the question mark.
+/// Writes the query string of `GET /config/apply`, which queries the outcome of a request, without the question mark.
 pub fn request_query(request_id: &str) -> String {
     format!("request-id={}", encode(request_id))
 }
 
-/// Parses a query string.
+/// Parses the query string of `GET /config/apply` and returns the request id.
 pub fn request_id(query: &str) -> Result<Name, BadQuery> {
     let parameters = Parameters::parse(query, &["request-id"], "request-id")?;
     parameters.get("request-id").map(Arc::from).ok_or(BadQuery::Missing("request-id=ID"))
@@ -170,7 +170,7 @@
     })
 }
 
-/// The parameters of a query with their values, decoded.
+/// The parameters of a query with their decoded values.
 struct Parameters(Vec<(&'static str, String)>);
 
 impl Parameters {
--- a/crates/config/src/chunk.rs
+++ b/crates/config/src/chunk.rs
@@ -1,9 +1,9 @@
-//! A chunk: the classes and tenants whose names hash to the same number.
+//! Chunks: the classes and tenants whose names hash to the same chunk number.
 //!
-//! A configuration is a table of chunks that copies share until one of them changes a chunk. So a snapshot can retain a state
-//! while later commits are applied, and a chunk that no commit changed exists once for both.
+//! A configuration is a table of chunks, which clones share until one of them changes a chunk. So a snapshot can retain a state
+//! while later commits are applied, and both share the chunks that no commit changed.
 //!
-//! Invariants: the entries of a kind are sorted by name; the digest of a chunk is the sum of the digests of its entries.
+//! Invariants: the entries of each kind are sorted by name; the digest of a chunk is the sum of the digests of its entries.
 
 use crate::change::{ClassDefinition, Name};
 use crate::digest::{Digest, StateEntry};
@@ -12,20 +12,20 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Chunks of a configuration. With 10,000 classes and 110,000 tenants one has about 117 entries, some 6 KB.
+/// Number of chunks of a configuration. With 10,000 classes and 110,000 tenants, a chunk has about 117 entries, some 6 KB.
 pub const CHUNKS: u16 = 1_024;
-/// Entries of one chunk, so that its encoding is bounded whatever names are chosen. Seven times the mean of a full table, which
-/// random names do not reach.
+/// Maximum number of entries of one chunk, so that its encoding is bounded for any choice of names. This is seven times the mean
+/// of a full table, which random names don't reach.
 pub const MAX_CHUNK_ENTRIES: usize = 1_024;
-/// The longest encoding of a chunk: each entry has one name and under 120 bytes of numbers.
+/// Maximum size of an encoded chunk. Each entry has one name and less than 120 bytes of numbers.
 pub const MAX_CHUNK_BYTES: usize = MAX_CHUNK_ENTRIES * (crate::change::MAX_NAME_BYTES + 120);
 
-/// The number of a chunk, below [`CHUNKS`].
+/// The number of a chunk, from 0 to [`CHUNKS`] - 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ChunkNumber(pub u16);
 
 impl ChunkNumber {
-    /// The chunk of a name, the same on every server.
+    /// The chunk that contains the classes and tenants of this name. The same on every server.
     pub fn of(name: &str) -> Self {
         let hash = blake3::hash(name.as_bytes());
         let bytes = hash.as_bytes();
@@ -33,9 +33,9 @@
     }
 }
 
-/// An entry with a name that is unique among the entries of its kind.
+/// An entry whose name is unique among the entries of its kind.
 pub(crate) trait Named {
-    /// The name.
+    /// The unique name.
     fn name(&self) -> &str;
 }
 
@@ -66,12 +66,12 @@
         self.0.binary_search_by(|entry| entry.name().cmp(name))
     }
 
-    /// The entry of a name.
+    /// The entry with this name, if any.
     pub(crate) fn get(&self, name: &str) -> Option<&Arc<T>> {
         self.index_of(name).ok().map(|index| &self.0[index])
     }
 
-    /// Adds an entry; returns the one of the same name that it replaced.
+    /// Adds an entry; returns the replaced entry of the same name, if any.
     pub(crate) fn put(&mut self, entry: Arc<T>) -> Option<Arc<T>> {
         match self.index_of(entry.name()) {
             Ok(index) => Some(std::mem::replace(&mut self.0[index], entry)),
@@ -82,17 +82,17 @@
         }
     }
 
-    /// Removes the entry of a name; returns it if there was one.
+    /// Removes and returns the entry with this name, if any.
     pub(crate) fn remove(&mut self, name: &str) -> Option<Arc<T>> {
         self.index_of(name).ok().map(|index| self.0.remove(index))
     }
 
-    /// All entries, by name.
+    /// All entries, sorted by name.
     pub(crate) fn iter(&self) -> std::slice::Iter<'_, Arc<T>> {
         self.0.iter()
     }
 
-    /// How many entries there are.
+    /// Number of entries.
     pub(crate) fn len(&self) -> usize {
         self.0.len()
     }
@@ -101,33 +101,33 @@
 /// The entries of one chunk.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Chunk {
-    /// The sum over the entries.
+    /// The sum of the digests of the entries.
     pub digest: Digest,
-    /// Classes by name.
+    /// Classes, sorted by name.
     pub classes: SortedEntries<ClassDefinition>,
-    /// Tenants by name.
+    /// Tenants, sorted by name.
     pub tenants: SortedEntries<Tenant>,
 }
 
 /// Why the bytes of a chunk are rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ChunkError {
-    /// The bytes are not the encoding of entries.
-    #[error("expected the encoding of entries")]
+    /// The bytes are not the encoding of a list of entries.
+    #[error("expected the postcard encoding of a list of entries")]
     InvalidEncoding,
-    /// The bytes are longer than any chunk may be.
+    /// The bytes exceed [`MAX_CHUNK_BYTES`].
     #[error("expected at most {MAX_CHUNK_BYTES} bytes, got {bytes}")]
     TooLong {
-        /// The length in bytes.
+        /// The length of the rejected chunk, in bytes.
         bytes: usize,
     },
-    /// An entry belongs to another chunk, is there twice, or is not in canonical order.
+    /// An entry belongs to another chunk, is duplicated, or is out of order.
     #[error("expected entries of this chunk in canonical order, got '{0}'")]
     NotCanonical(Name),
     /// An entry is not well-formed, so neither a start file nor a commit can have set it.
-    #[error("expected names of one word and figures that are numbers, got '{0}'")]
+    #[error("expected one-word class names, non-zero times and finite numbers, got entry '{0}'")]
     MalformedEntry(Name),
-    /// The entries do not have the digest in the manifest.
+    /// The digest of the entries is not the one in the manifest.
     #[error("expected digest {expected}, got {actual}")]
     DigestMismatch {
         /// The digest in the manifest.
@@ -135,7 +135,7 @@
         /// The digest of the received entries.
         actual: Digest,
     },
-    /// The manifest has no chunk of this number.
+    /// The manifest does not list a chunk with this number.
     #[error("expected the number of a chunk in the manifest, got {number}")]
     UnknownNumber {
         /// The number of the received chunk.
@@ -144,7 +144,7 @@
 }
 
 impl Chunk {
-    /// How many classes and tenants there are.
+    /// Number of classes and tenants.
     pub(crate) fn len(&self) -> usize {
         self.classes.len() + self.tenants.len()
     }
@@ -161,7 +161,7 @@
         postcard::to_stdvec(&entries).unwrap_or_default()
     }
 
-    /// Reads a chunk. Rejects bytes that are not the canonical encoding of well-formed entries of this chunk.
+    /// Decodes a chunk. Rejects bytes that are not the canonical encoding of well-formed entries of chunk `number`.
     pub(crate) fn decode(number: ChunkNumber, bytes: &[u8]) -> Result<Self, ChunkError> {
         if bytes.len() > MAX_CHUNK_BYTES {
             return Err(ChunkError::TooLong { bytes: bytes.len() });
--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -1,7 +1,9 @@
 //! The state: all classes, tenants and rules in force after a prefix of the committed log.
 //!
-//! A copy shares all chunks with its original, so it is cheap; a commit costs the size of its transaction.
-//! Invariant: the digest is the sum over the entries, whichever commits led to them.
+//! A clone is cheap because it shares all chunks with the original. The cost of applying a commit is proportional to the size of
+//! its transaction.
+//!
+//! Invariant: the digest is the sum of the digests of the entries, independent of the commits that led to them.
 
 use crate::change::{
     Change, ClassDefinition, Commit, MAX_CLASSES, MAX_TENANTS, Proposal, Revision, Rule, Transaction,
@@ -13,7 +15,7 @@
 use gradepin_admission::{Settings, Tenant};
 use std::sync::Arc;
 
-/// All classes, tenants and rules at one revision. The default is revision 0 without any.
+/// All classes, tenants and rules at one revision. The default is an empty configuration at revision 0.
 #[derive(Debug, Clone)]
 pub struct Configuration {
     revision: Revision,
@@ -21,22 +23,22 @@
     class_count: usize,
     tenant_count: usize,
     pub(crate) rules: RuleSet,
-    /// By chunk number, [`CHUNKS`] of them; `None` where a chunk is empty.
+    /// Indexed by chunk number, [`CHUNKS`] elements; `None` for an empty chunk.
     pub(crate) chunks: Arc<Vec<Option<Arc<Chunk>>>>,
 }
 
-/// Why a commit can't be applied. The state is unchanged then.
+/// Why a commit can't be applied. The state is unchanged after an error.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
-    /// The commit does not follow the last one applied.
+    /// The revision of the commit is not the one after the state's revision.
     #[error("expected revision {expected}, got {actual}")]
     Gap {
-        /// The revision that follows the state.
+        /// The revision after that of the state.
         expected: Revision,
         /// The revision of the commit.
         actual: Revision,
     },
-    /// The transaction is not valid in this state.
+    /// The transaction is not valid for this state.
     #[error(transparent)]
     Invalid(#[from] Invalid),
 }
@@ -44,7 +46,7 @@
 /// Why a proposal is rejected before it is proposed to the consensus group.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ProposalCheckError {
-    /// Another revision is in force than the author expected.
+    /// The revision in force is not the one that the author expected.
     #[error("expected revision {expected} in force, got {in_force}")]
     RevisionMismatch {
         /// The revision that the author expected.
@@ -52,7 +54,7 @@
         /// The revision in force.
         in_force: Revision,
     },
-    /// The proposal is not valid.
+    /// A text or the transaction of the proposal is not valid.
     #[error(transparent)]
     Invalid(#[from] Invalid),
 }
@@ -72,7 +74,7 @@
 
 impl Configuration {
     /// The classes, tenants and rules of the start file, at revision 0. Servers that start from the same entries have the same
-    /// digest, whatever their order in the file. An error if the bounds are exceeded or a name is there twice.
+    /// digest, whatever the order in their files. Returns an error if a limit is exceeded or a name occurs twice.
     pub fn from_settings(settings: &Settings) -> Result<Self, Invalid> {
         let (classes, tenants) = (settings.profiles.len(), settings.customers.len());
         validation::check_max("settings.profiles", classes, MAX_CLASSES, "classes")?;
@@ -97,7 +99,7 @@
         Ok(configuration)
     }
 
-    /// The state of a snapshot whose chunks were checked.
+    /// A state built from chunks that were verified against a manifest.
     pub(crate) fn from_chunks(revision: Revision, rules: RuleSet, chunks: Vec<Option<Arc<Chunk>>>) -> Self {
         let non_empty = || chunks.iter().flatten();
         Self {
@@ -110,37 +112,37 @@
         }
     }
 
-    /// The revision of the last commit applied.
+    /// The revision of the last applied commit; 0 if there was none.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The digest of all entries.
+    /// The sum of the digests of all entries and rules.
     pub fn digest(&self) -> Digest {
         self.digest
     }
 
-    /// Revision and digest, to compare with those of another server.
+    /// Revision and digest, for comparison with another server.
     pub fn version(&self) -> Version {
         Version { revision: self.revision, digest: self.digest }
     }
 
-    /// How many classes there are.
+    /// Number of classes in force.
     pub fn class_count(&self) -> usize {
         self.class_count
     }
 
-    /// How many tenants there are.
+    /// Number of tenants in force.
     pub fn tenant_count(&self) -> usize {
         self.tenant_count
     }
 
-    /// The class of a name.
+    /// The class with this name, if it is in force.
     pub fn class(&self, name: &str) -> Option<&Arc<ClassDefinition>> {
         self.chunk(ChunkNumber::of(name))?.classes.get(name)
     }
 
-    /// The tenant of a name.
+    /// The tenant with this name, if it is in force.
     pub fn tenant(&self, name: &str) -> Option<&Arc<Tenant>> {
         self.chunk(ChunkNumber::of(name))?.tenants.get(name)
     }
@@ -150,27 +152,27 @@
         self.rules.iter()
     }
 
-    /// All classes, in the canonical order.
+    /// All classes in canonical order: by chunk number, then by name.
     pub fn classes(&self) -> impl Iterator<Item = &Arc<ClassDefinition>> {
         self.chunks.iter().flatten().flat_map(|chunk| chunk.classes.iter())
     }
 
-    /// All tenants, in the canonical order.
+    /// All tenants in canonical order: by chunk number, then by name.
     pub fn tenants(&self) -> impl Iterator<Item = &Arc<Tenant>> {
         self.chunks.iter().flatten().flat_map(|chunk| chunk.tenants.iter())
     }
 
-    /// A chunk; `None` if it is empty.
+    /// The chunk with this number; `None` if it is empty.
     pub(crate) fn chunk(&self, number: ChunkNumber) -> Option<&Arc<Chunk>> {
         self.chunks.get(usize::from(number.0))?.as_ref()
     }
 
-    /// Checks that a transaction can be applied to this state. The same check is made before a proposal and at the commit.
+    /// Checks that a transaction can be applied to this state. The same check runs before a proposal and at the commit.
     pub fn validate(&self, transaction: &Transaction) -> Result<(), Invalid> {
         validation::check_transaction(self, transaction)
     }
 
-    /// Checks that a proposal may be committed next.
+    /// Checks the texts, the expected revision and the transaction of a proposal against this state.
     pub fn check_proposal(&self, proposal: &Proposal) -> Result<(), ProposalCheckError> {
         validation::check_proposal_texts(proposal)?;
         match proposal.expected {
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Applies the next commit; on an error nothing changes.
+    /// Applies the commit that follows this state. On an error the state is unchanged.
     pub fn apply(&mut self, commit: &Commit) -> Result<(), ApplyError> {
         let expected = self.revision.next();
         if commit.revision != expected {
@@ -203,13 +205,13 @@
         }
     }
 
-    /// The chunk of a name, for writing: a copy of it where another state shares it.
+    /// The chunk of a name, for writing. It is cloned first if another state shares it.
     fn chunk_mut(&mut self, name: &str) -> &mut Chunk {
         let index = usize::from(ChunkNumber::of(name).0);
         Arc::make_mut(Arc::make_mut(&mut self.chunks)[index].get_or_insert_default())
     }
 
-    /// Updates the digests after an entry was added, removed or replaced, and drops the chunk if it is empty now.
+    /// Updates the digests after an entry was added, removed or replaced, and drops the chunk if it became empty.
     fn update_digests(&mut self, name: &str, added: Option<StateEntry>, removed: Option<StateEntry>) {
         let digest = |entry: Option<StateEntry>| entry.map_or(Digest::default(), |entry| entry.digest());
         let (added, removed) = (digest(added), digest(removed));
@@ -217,7 +219,7 @@
         let chunk = self.chunk_mut(name);
         chunk.digest = chunk.digest.plus(added).minus(removed);
         if chunk.len() == 0 {
-            // Equal states must have equal tables, so an empty chunk is always `None`.
+            // Equal states must have equal chunk tables, so an empty chunk is always stored as `None`.
             Arc::make_mut(&mut self.chunks)[usize::from(ChunkNumber::of(name).0)] = None;
         }
     }
@@ -255,7 +257,8 @@
         self.digest = self.digest.plus(StateEntry::Rule(rule).digest());
     }
 
-    /// Settings with the entries of this state, and all else from `rest`. Costs the size of the state.
+    /// Settings with the classes, tenants and rules of this state and everything else from `rest`. The cost is proportional to
+    /// the size of the state.
     pub fn to_settings(&self, rest: &Settings) -> Settings {
         let mut settings = rest.clone();
         self.rules().for_each(|rule| rule.write(&mut settings));
@@ -289,12 +292,12 @@
     }
 }
 
-/// The classes of settings, each with its values from the lists that settings have beside the profiles.
+/// The classes of settings. Each combines its profile with the values at the same index of the parallel lists.
 pub(crate) fn class_definitions(settings: &Settings) -> impl Iterator<Item = ClassDefinition> + '_ {
     let specifics = &settings.specifics;
     settings.profiles.iter().enumerate().map(|(index, profile)| ClassDefinition {
         profile: profile.clone(),
-        // As the admission module does, a class past the end of the list counts as one that makes upstream calls.
+        // A class past the end of the list is assumed to make upstream calls, as in the admission module.
         calls: specifics.calls_by_class.get(index).copied().unwrap_or(true),
         skip_weight: specifics.class_skip_weights.get(index).copied().unwrap_or(0.0),
     })
--- a/crates/config/src/difference.rs
+++ b/crates/config/src/difference.rs
@@ -1,7 +1,7 @@
-//! The transactions that turn one state into another: for applying a complete file, and for rollbacks.
+//! Computes the transactions that turn one state into another: for applying a complete configuration file, and for rollbacks.
 //!
-//! A removal and an addition of the same kind are paired and always in one transaction. So no transaction in between removes
-//! the last class or exceeds the bounds, where both states are within them.
+//! Each addition is paired with a removal of the same kind in the same transaction. So if both states are within the limits, no
+//! intermediate state lacks a class or exceeds a limit.
 
 use crate::change::{Change, MAX_CHANGES, Rule, Transaction};
 use crate::configuration::Configuration;
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 impl Configuration {
-    /// The transactions that turn the entries of this state into those of settings. Deterministic; empty where nothing differs.
+    /// The transactions that turn the entries of this state into those of `settings`. Deterministic, and empty if nothing differs.
     pub fn difference(&self, settings: &Settings) -> Result<Vec<Transaction>, Invalid> {
         Ok(self.difference_to(&Self::from_settings(settings)?))
     }
@@ -40,10 +40,10 @@
     }
 }
 
-/// Changes that must be in the same transaction.
+/// Changes that must stay in the same transaction.
 type Group = Vec<Change>;
 
-/// The changes of classes and tenants.
+/// Changes of classes and tenants, by kind and by addition or removal.
 #[derive(Default)]
 struct ChangesByKind {
     put_classes: Vec<Change>,
@@ -59,7 +59,7 @@
             StateEntry::Tenant(tenant) => from.tenant(&tenant.name).cloned().map(StateEntry::Tenant),
             StateEntry::Rule(_) => None,
         };
-        // Compared by digest, that is by encoding: 0 and -0 are equal as numbers and different as states.
+        // Compared by digest, hence by encoding: 0 and -0 are equal numbers but lead to different state digests.
         if before.is_some_and(|before| before.digest() == entry.digest()) {
             return;
         }
@@ -83,7 +83,7 @@
     }
 }
 
-/// Pairs each addition with a removal, as long as there are removals.
+/// Pairs additions with removals one to one; additions and removals without a counterpart form groups of one.
 fn pair(put: Vec<Change>, removed: Vec<Change>) -> Vec<Group> {
     let mut removed = removed.into_iter();
     let mut groups: Vec<Group> =
@@ -92,7 +92,7 @@
     groups
 }
 
-/// Packs groups into as few transactions as their order allows.
+/// Packs groups into transactions of at most [`MAX_CHANGES`] changes, in order, without splitting a group.
 fn pack(groups: impl Iterator<Item = Group>) -> Vec<Transaction> {
     let mut transactions: Vec<Transaction> = Vec::new();
     for group in groups {
--- a/crates/config/src/dissemination/cooldown.rs
+++ b/crates/config/src/dissemination/cooldown.rs
@@ -1,17 +1,17 @@
-//! Peers that failed to answer and are not asked again, or asked last, until a time.
+//! Cooldowns of peers that failed a request. Until its cooldown ends, a peer is not selected or is ranked last.
 
 use crate::change::Name;
 use gradepin_admission::Time;
 use std::collections::BTreeMap;
 
-/// Peers that are cooling down, each until its own time.
+/// Peers that are cooling down, each with the end of its cooldown.
 #[derive(Debug, Default)]
 pub struct Cooldowns {
     ends: BTreeMap<Name, Time>,
 }
 
 impl Cooldowns {
-    /// Adds a peer until `end`, replacing an earlier end. Nothing is added where `max_peers` are cooling down already.
+    /// Starts or replaces the cooldown of a peer, which lasts until `end`. Has no effect if `max_peers` are already cooling down.
     pub fn add(&mut self, now: Time, peer: Name, end: Time, max_peers: usize) {
         self.remove_expired(now);
         if self.ends.len() < max_peers {
--- a/crates/config/src/dissemination/history.rs
+++ b/crates/config/src/dissemination/history.rs
@@ -1,4 +1,4 @@
-//! What peers that are behind may fetch: the last commits, and the digests of the last states.
+//! The most recent commits and state digests, which peers that are behind can fetch.
 
 use super::messages::CommitRecord;
 use crate::change::{Commit, Revision};
@@ -7,10 +7,11 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Digests retained, 128 KB. They reach back farther than the commits, so that old snapshots can still be confirmed.
+/// Maximum number of digests retained, 128 KB in total. They reach back farther than the commits, so that old snapshots can still
+/// be confirmed.
 const MAX_DIGESTS: usize = 8_192;
 
-/// The last commits and digests. Invariant: the last digest is that of the state in force.
+/// The most recent commits and state digests. Invariant: the last digest is that of the state in force.
 #[derive(Debug)]
 pub struct History {
     log: CommitLog,
@@ -19,19 +20,19 @@
 }
 
 impl History {
-    /// A history without commits that begins at a state.
+    /// A history that begins at the state of `version` and has no commits.
     pub fn new(version: Version, limits: LogLimits) -> Self {
         let log = CommitLog::after_revision(version.revision, limits);
         Self { log, limits, digests: VecDeque::from([version.digest]) }
     }
 
-    /// Begins again at another state, without commits.
+    /// Clears the history and begins again at the state of `version`.
     pub fn restart(&mut self, version: Version) {
         *self = Self::new(version, self.limits);
     }
 
-    /// Adds a commit that was applied and the digest after it; drops the oldest past the bounds. A commit that does not follow
-    /// the last one is ignored.
+    /// Adds an applied commit and the digest of the state after it; drops the oldest above the limits. A commit that does not
+    /// follow the last one is ignored.
     pub fn push(&mut self, commit: Arc<Commit>, digest: Digest) {
         if self.log.push(commit).is_err() {
             return;
@@ -55,7 +56,7 @@
         Some(CommitRecord::new(Arc::clone(commit), self.digest_at(revision)?))
     }
 
-    /// The records after a revision, in order. `None` if some of them are dropped already or the revision is in the future.
+    /// The records after a revision, in order. `None` if some of them were already dropped or the revision is in the future.
     pub fn after(&self, revision: Revision) -> Option<impl Iterator<Item = CommitRecord> + '_> {
         let commits = self.log.after(revision)?;
         Some(commits.filter_map(|commit| {
--- a/crates/config/src/dissemination/in_flight.rs
+++ b/crates/config/src/dissemination/in_flight.rs
@@ -1,14 +1,14 @@
-//! A request that a peer has not answered yet.
+//! A request to a peer whose response is awaited.
 
 use crate::change::Name;
 use gradepin_admission::Time;
 
-/// A request in flight.
+/// A request in flight, without its content.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InFlight {
     /// The peer that the request was sent to.
     pub peer: Name,
-    /// The request has failed if no response was received by then.
+    /// The request fails if no response is received before this time.
     pub deadline: Time,
 }
 
--- a/crates/config/src/dissemination/machine/commits.rs
+++ b/crates/config/src/dissemination/machine/commits.rs
@@ -1,7 +1,7 @@
-//! Commits: received from the consensus group or from peers, checked, applied, and pushed on.
+//! Receives commits from the consensus group and from peers, verifies and applies them, and pushes them to other peers.
 //!
-//! A commit takes effect if it follows the state in force, its transaction is valid, and the digest after it matches. A
-//! commit of the consensus group is taken without a digest.
+//! A commit is applied if it follows the state in force, its transaction is valid, and the digest of the resulting state matches
+//! the commit record. A commit from the consensus group carries no digest to compare.
 
 use super::{Dissemination, FailedApply};
 use crate::change::{Commit, Name, Revision};
@@ -15,31 +15,31 @@
 use gradepin_admission::{Span, Time, time_after};
 use std::sync::Arc;
 
-/// Interval between attempts to apply a commit that this program could not apply.
+/// Interval between retries of a commit that this version of the program could not apply.
 const RETRY_INTERVAL: Span = Span(10_000_000_000);
-/// Bytes that the response to a request for commits is charged in the request budget.
+/// Bytes charged to the request budget for the response to a request for commits.
 const EXPECTED_RESPONSE_BYTES: usize = 4_000;
 
-/// Why a commit does not take effect.
+/// Why a commit is not applied.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 enum CommitError {
-    /// It can't be applied to the state in force.
+    /// The commit can't be applied to the state in force.
     #[error(transparent)]
     Invalid(#[from] ApplyError),
-    /// The digest of the state after it differs.
-    #[error("expected digest {expected} after it, got {actual}")]
+    /// The state after the commit does not have the digest in the commit record.
+    #[error("expected state digest {expected} after the commit, got {actual}")]
     DigestMismatch { expected: Digest, actual: Digest },
 }
 
 impl Dissemination {
-    /// The consensus group delivered a commit, on a voter. Commits that are in force already are ignored.
+    /// Handles a commit that the consensus group delivered to this voter. Commits that are already in force are ignored.
     pub fn committed(&mut self, now: Time, commit: Arc<Commit>) {
         self.pending.add_from_consensus(self.state.revision(), commit);
         self.confirmed_at = Some(now);
         self.apply_pending(now);
     }
 
-    /// Takes records of a peer, in order; none of them if one was changed on its way.
+    /// Handles commit records of a peer, in order. If the checksum of one does not match, all are dropped.
     pub(super) fn receive_records(
         &mut self,
         now: Time,
@@ -68,13 +68,13 @@
         if !self.settings.skip_checks {
             return self.pending.take_next(in_force);
         }
-        // The control run of the model takes any commit as if it were the next one.
+        // The control run of the model treats any commit as the next one, which its invariants must detect.
         let mut pending = self.pending.take_lowest(in_force)?;
         Arc::make_mut(&mut pending.commit).revision = in_force.next();
         Some(pending)
     }
 
-    /// Applies the pending commits that follow the state in force.
+    /// Applies pending commits for as long as the next revision is among them, unless a retry is still being delayed.
     pub(super) fn apply_pending(&mut self, now: Time) {
         if self.failed_apply.is_some_and(|failed| now < failed.retry_at) {
             return;
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Tries again to apply a commit that this program could not apply.
+    /// Retries a commit that could not be applied, once per [`RETRY_INTERVAL`].
     pub(super) fn retry_failed_apply(&mut self, now: Time) {
         if let Some(failed) = self.failed_apply.filter(|failed| now >= failed.retry_at) {
             self.apply_pending(now);
@@ -126,7 +126,7 @@
         self.state = next;
         self.failed_apply = None;
         self.history.push(Arc::clone(&pending.commit), self.state.digest());
-        // A fetched commit is old: peers are most likely ahead of it, so only new ones are pushed.
+        // Peers most likely already have a commit that this server had to fetch, so only new commits are pushed.
         if !matches!(pending.source, CommitSource::Fetch(_)) {
             self.push_queue.add(now, self.state.revision(), self.settings.push_delay);
         }
@@ -140,15 +140,19 @@
             CommitSource::Push(peer) | CommitSource::Fetch(peer) => peer.clone(),
         };
         if self.state.revision() == Revision(0) {
-            // The start file of this server is not the one that the log began from.
+            // The log most likely began from a start file other than this server's.
             return self.begin_transfer(now, revision);
         }
         let version = Version { revision, digest: pending.expected_digest.unwrap_or_default() };
         let agreeing = self.peer_digests.record_mismatch(version, &peer);
         if agreeing.is_empty() {
-            return self.quarantine_source(now, &peer, "a commit does not lead to its digest");
+            return self.quarantine_source(
+                now,
+                &peer,
+                "applying a commit did not yield the digest in its record",
+            );
         }
-        // Several peers sent the same record, so the fault is here.
+        // Several peers sent the same record, so the fault is at this server.
         agreeing.iter().for_each(|name| self.quarantine.release(name));
         match error {
             CommitError::Invalid(_) => self.record_failed_apply(now, revision, error),
@@ -157,11 +161,13 @@
     }
 
     fn record_failed_apply(&mut self, now: Time, revision: Revision, error: &CommitError) {
-        self.outbox.warn(format!("revision {revision} can't be applied: {error}"));
+        self.outbox
+            .warn(format!("committed revision {revision} can't be applied and is retried later: {error}"));
         self.failed_apply = Some(FailedApply { revision, retry_at: time_after(now, RETRY_INTERVAL) });
     }
 
-    /// After fetching commits: peers of the zone most likely lack them too, and can fetch them from here.
+    /// Sends adverts to peers of the zone after commits were fetched: they most likely lack the same commits and can fetch them
+    /// from this server.
     fn advertise_to_zone(&mut self, now: Time) {
         let advert = Message::Advert(self.state.version());
         for peer in self.peers.zone_peers(&mut self.rng, self.settings.push_peers_in_zone) {
@@ -169,7 +175,7 @@
         }
     }
 
-    /// Pushes the queued commits to peers until the bytes are used up; peers that are left out fetch them.
+    /// Pushes the queued commits to peers until the byte budget is used up. The remaining peers will fetch the commits.
     pub(super) fn push_commits(&mut self, now: Time) {
         let revisions = self.push_queue.take();
         let is_origin = self.peers.own().voter;
@@ -186,7 +192,7 @@
         }
     }
 
-    /// Requests missing commits, if a request is due and the bytes allow it.
+    /// Requests missing commits if a request is due and the byte budgets allow it.
     pub(super) fn fetch_commits(&mut self, now: Time) {
         let view = PeerView::new(now, &self.settings, &self.peers, &self.quarantine);
         let Some(peer) = self.requests.choose_peer(&view, &mut self.rng) else { return };
--- a/crates/config/src/dissemination/machine/mod.rs
+++ b/crates/config/src/dissemination/machine/mod.rs
@@ -1,7 +1,7 @@
-//! The state machine of dissemination at one server.
+//! The dissemination state machine of one server.
 //!
-//! This file dispatches messages, compares versions with peers and decides when each activity is due. Commits, snapshots and
-//! responses to peers are in the files beside it.
+//! This module dispatches messages, compares versions with peers and decides when each activity is due. The submodules handle
+//! commits, snapshots and responses to peers.
 
 mod commits;
 mod push_queue;
@@ -30,17 +30,17 @@
 pub use status::Status;
 use std::sync::Arc;
 
-/// Mixed into the seed, so that other state machines of the same seed draw other numbers.
+/// Mixed into the seed, so that other state machines with the same seed draw different random numbers.
 const SEED_SALT: u64 = 0x7370_7265_6164;
 
-/// A committed revision that could not be applied.
+/// A committed revision that could not be applied, with the time of the next attempt.
 #[derive(Debug, Clone, Copy)]
 struct FailedApply {
     revision: Revision,
     retry_at: Time,
 }
 
-/// Dissemination at one server.
+/// The dissemination state machine of one server. It owns the configuration in force.
 #[derive(Debug)]
 pub struct Dissemination {
     settings: DisseminationSettings,
@@ -58,15 +58,15 @@
     rng: Pcg64Mcg,
     next_advert_at: Time,
     push_queue: PushQueue,
-    /// When the state was last known to be the newest.
+    /// When the consensus group last delivered a commit or a peer last reported the same version.
     confirmed_at: Option<Time>,
     failed_apply: Option<FailedApply>,
-    /// Snapshots installed.
+    /// Number of snapshots installed since the start.
     installed_snapshots: u64,
 }
 
 impl Dissemination {
-    /// A server that starts at a state: its last good snapshot, or its start file at revision 0. `seed` determines all random
+    /// Starts from `state`: the last good snapshot of this server, or its start file at revision 0. `seed` determines all random
     /// choices.
     pub fn new(
         settings: DisseminationSettings,
@@ -101,7 +101,7 @@
         &self.state
     }
 
-    /// The status of this server, for operators.
+    /// Version, progress and counters of this server, for operators.
     pub fn status(&self) -> Status {
         Status {
             version: self.state.version(),
@@ -116,23 +116,23 @@
         }
     }
 
-    /// Whether a source is left out now, after bad data.
+    /// Whether data of this peer is currently rejected because it sent bad data before.
     pub fn is_quarantined(&self, now: Time, name: &str) -> bool {
         self.quarantine.contains(now, name)
     }
 
-    /// A server is up, or its zone, region or vote changed.
+    /// Handles that a server is up, or that its zone, region or vote changed.
     pub fn member_up(&mut self, member: Arc<Member>) {
         self.peers.add(member);
     }
 
-    /// A server is down.
+    /// Handles that a server is down.
     pub fn member_down(&mut self, name: &str) {
         self.peers.remove(name);
         self.requests.forget_peer(name);
     }
 
-    /// A message was received from a server that the cluster has authenticated. Bytes that are not a message are ignored.
+    /// Handles a message from a server that the cluster has authenticated. Bytes that don't decode as a message are ignored.
     pub fn receive(&mut self, now: Time, from: &Name, bytes: &[u8]) {
         let Some(message) = Message::decode(bytes) else { return };
         match message {
@@ -141,7 +141,7 @@
             Message::FetchChunk(requested) => self.serve_chunk(now, from, requested),
             Message::FetchVersion(revision) => self.serve_version(now, from, revision),
             Message::Advert(theirs) => self.receive_advert(now, from, theirs),
-            // Data of a quarantined source is dropped; its requests, above, are served.
+            // Data of a quarantined peer is dropped. Its requests are still served, by the arms above.
             _ if self.quarantine.contains(now, from) && !self.settings.skip_checks => {}
             Message::Push(records) => {
                 self.receive_records(now, from, records, &CommitSource::Push(from.clone()));
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Compares the version of a peer with the own one.
+    /// Compares the version of a peer with that of this server.
     fn receive_advert(&mut self, now: Time, from: &Name, theirs: Version) {
         let own = self.state.version();
         if theirs.revision > own.revision {
@@ -187,7 +187,7 @@
             return;
         }
         self.requests.forget_peer(from);
-        // At revision 0 servers may have read different start files, so a difference there is no fault.
+        // At revision 0, servers may have read different start files, so different digests are not a fault.
         let known = self.history.digest_at(theirs.revision).filter(|_| theirs.revision > Revision(0));
         match known {
             Some(digest) if digest != theirs.digest && !self.settings.skip_checks => {
@@ -206,18 +206,19 @@
     fn receive_contradiction(&mut self, now: Time, from: &Name) {
         if self.peer_digests.contradict(now, from) {
             let revision = self.state.revision();
-            self.outbox
-                .warn(format!("peers contradict the digest of revision {revision}: fetching a snapshot"));
+            self.outbox.warn(format!(
+                "several peers contradict the state at revision {revision}; fetching a snapshot to replace it"
+            ));
             self.replace_doubtful_state(now);
         } else {
-            self.quarantine_source(now, from, "it has another digest for a known revision");
+            self.quarantine_source(now, from, "it reported a wrong digest for a known revision");
         }
     }
 
-    /// Leaves a source of bad data out for a time, and drops what it sent.
+    /// Rejects data of a peer for a time because it sent bad data, and drops its pending commits.
     fn quarantine_source(&mut self, now: Time, name: &Name, reason: &str) {
         if !self.quarantine.contains(now, name) {
-            // The model reads the name of the source in this text.
+            // The model parses the name of the peer from this text.
             self.outbox.warn(format!("{name} quarantined: {reason}"));
         }
         self.quarantine.add(now, name, self.settings.first_quarantine);
@@ -228,12 +229,12 @@
         }
     }
 
-    /// Sends a message if the bound on bytes allows it; false where it was dropped.
+    /// Sends a message if its byte budget allows it; returns false if it was dropped.
     fn send(&mut self, now: Time, to: &Name, message: &Message, traffic: Traffic) -> bool {
         self.outbox.send(now, &self.settings, to, message, traffic)
     }
 
-    /// Does what is due, and appends all effects since the last step to `effects`.
+    /// Performs all activities that are due, and appends the effects since the last step to `effects`.
     pub fn step(&mut self, now: Time, effects: &mut Vec<DisseminationEffect>) {
         self.retry_failed_apply(now);
         if now >= self.next_advert_at {
@@ -248,7 +249,7 @@
     }
 
     fn advertise(&mut self, now: Time) {
-        // 10% shorter or longer, so that servers that started together do not send adverts together.
+        // Up to 10% shorter or longer, so that servers that started together don't send adverts at the same time.
         let interval = self.settings.advert_interval.0;
         let jitter = random_below(&mut self.rng, (interval / 5) as usize) as u64;
         self.next_advert_at = time_after(now, Span(interval - interval / 10 + jitter));
@@ -258,7 +259,7 @@
         }
     }
 
-    /// When [`Dissemination::step`] must be called again without new input.
+    /// The time by which [`Dissemination::step`] must be called again if there is no new input.
     pub fn wake_at(&self, now: Time) -> Time {
         if !self.outbox.is_empty() {
             return now;
--- a/crates/config/src/dissemination/machine/serve.rs
+++ b/crates/config/src/dissemination/machine/serve.rs
@@ -1,4 +1,4 @@
-//! Requests of peers: each is answered within the bounds on bytes, or rejected as busy.
+//! Serves requests of peers within the byte budgets. A request that exceeds its budget is rejected with [`Message::Busy`].
 
 use super::Dissemination;
 use crate::change::{Name, Revision};
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Responds to a request for a manifest; with an advert where this server is at a lower revision than requested.
+    /// Responds to a request for a manifest, or with an advert if this server is below the requested revision.
     pub(super) fn serve_manifest(&mut self, now: Time, to: &Name, min_revision: Revision) {
         let Some(response) = self.served.manifest(now, &self.state, min_revision) else {
             self.send(now, to, &Message::Advert(self.state.version()), Traffic::Control);
@@ -32,13 +32,13 @@
         self.send_snapshot_response(now, to, &response);
     }
 
-    /// Responds to a request for a chunk.
+    /// Responds to a request for a chunk, with [`Message::NoChunk`] if no retained state has it.
     pub(super) fn serve_chunk(&mut self, now: Time, to: &Name, requested: ChunkDigest) {
         let response = self.served.chunk(&self.state, requested);
         self.send_snapshot_response(now, to, &response);
     }
 
-    /// Responds to a request for the digest at a revision.
+    /// Responds to a request for the digest of the state at a revision.
     pub(super) fn serve_version(&mut self, now: Time, to: &Name, revision: Revision) {
         let response = Message::Version(revision, self.history.digest_at(revision));
         self.send(now, to, &response, Traffic::Control);
--- a/crates/config/src/dissemination/machine/snapshots.rs
+++ b/crates/config/src/dissemination/machine/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots: when one is fetched, and how it is installed.
+//! Starts and drives the transfer of a snapshot, and installs the result.
 
 use super::Dissemination;
 use crate::change::Revision;
@@ -9,19 +9,20 @@
 use gradepin_admission::Time;
 
 impl Dissemination {
-    /// Fetches a snapshot of this revision or a later one, unless such a transfer is in progress.
+    /// Starts to fetch a snapshot of `min_revision` or later, unless the transfer in progress already satisfies this.
     pub(super) fn begin_transfer(&mut self, now: Time, min_revision: Revision) {
         if self.transfer.as_ref().is_none_or(|transfer| transfer.min_revision() < min_revision) {
             self.transfer = Some(Transfer::new(now, min_revision));
         }
     }
 
-    /// The state of this server is most likely wrong: fetches a snapshot of the same revision or a later one.
+    /// Starts to fetch a snapshot of the same revision or later, because the state of this server is most likely wrong.
     pub(super) fn replace_doubtful_state(&mut self, now: Time) {
         self.begin_transfer(now, self.state.revision());
     }
 
-    /// Passes input to the transfer in progress, if any, and takes its results: bad sources, unused bytes, the snapshot.
+    /// Passes input to the transfer in progress, if any, and processes its results: sources of bad data, unused bytes of the
+    /// request budget, and the finished snapshot.
     pub(super) fn update_transfer(&mut self, now: Time, update: impl FnOnce(&mut Transfer)) {
         let Some(transfer) = &mut self.transfer else { return };
         update(transfer);
@@ -29,7 +30,7 @@
         self.outbox.give_back_request_bytes(transfer.take_unused_request_bytes());
         let snapshot = transfer.take_finished(now);
         for name in bad_sources {
-            self.quarantine_source(now, &name, "data of a snapshot failed a check");
+            self.quarantine_source(now, &name, "its manifest, chunk or digest for a snapshot failed a check");
         }
         if let Some(snapshot) = snapshot {
             self.install(now, snapshot);
@@ -40,7 +41,7 @@
         self.transfer = None;
         let (in_force, new) = (self.state.version(), snapshot.version());
         if new.revision < in_force.revision || new == in_force {
-            // Commits were applied in the meantime.
+            // Commits that were applied during the transfer have made the snapshot obsolete.
             return;
         }
         self.state = snapshot.configuration().clone();
@@ -71,7 +72,7 @@
         for request in requests {
             self.send(now, &request.to, &request.message, Traffic::Control);
         }
-        // The state in force may have held all chunks already.
+        // The transfer may be complete without any response if the state in force already had all chunks.
         self.update_transfer(now, |_| {});
     }
 }
--- a/crates/config/src/dissemination/messages.rs
+++ b/crates/config/src/dissemination/messages.rs
@@ -1,7 +1,7 @@
 //! Messages between servers, encoded as postcard.
 //!
-//! A message carries no time and no session state: it is a fact about a revision, or an idempotent request. So a message that
-//! is lost, duplicated, reordered or delayed is harmless.
+//! A message carries no time and no session state: it is either a fact about a revision or an idempotent request. So it is
+//! harmless if a message is lost, duplicated, reordered or delayed.
 
 use crate::change::{Commit, Revision};
 use crate::chunk::ChunkNumber;
@@ -10,14 +10,13 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A commit as servers send it to each other: with the digest of the state after it, computed by the server that applied it
-/// first. Peers forward it unchanged.
+/// A commit as servers send it to each other, with the digest of the state after it. The digest is computed by the server that
+/// applied the commit first; other servers forward the record unchanged.
 ///
-/// The receiver checks both fields before the commit takes effect: the checksum when the record is received, the digest when
-/// the commit is applied.
+/// The receiver verifies the checksum when it receives the record, and the digest when it applies the commit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CommitRecord {
-    /// The commit; its revision is the one after the state that it applies to.
+    /// The commit. Its revision is one above that of the state that it applies to.
     pub commit: Arc<Commit>,
     /// The digest of the state after the commit.
     pub digest: Digest,
@@ -27,7 +26,7 @@
 }
 
 impl CommitRecord {
-    /// The record of a commit that was applied here; `digest` is that of the state after it.
+    /// The record of a commit that this server applied; `digest` is that of the state after it.
     pub fn new(commit: Arc<Commit>, digest: Digest) -> Self {
         let checksum = checksum(&commit);
         Self { commit, digest, checksum }
@@ -54,42 +53,43 @@
 /// A message between two servers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// The state that the sender is in.
+    /// The version of the sender's state.
     Advert(Version),
-    /// New commits, to be applied and forwarded.
+    /// New commits, which the receiver applies and forwards.
     Push(Vec<CommitRecord>),
     /// Requests the commits after the sender's state. Replies: [`Message::Commits`], [`Message::Compacted`],
     /// [`Message::Busy`], or [`Message::Advert`] if the receiver is not ahead.
     Fetch(Version),
-    /// Requested commits; one reply may take several messages.
+    /// Requested commits. A reply may consist of several messages.
     Commits {
-        /// In the order of their revisions.
+        /// The records, in the order of their revisions.
         records: Vec<CommitRecord>,
         /// Whether this is the last message of the reply.
         last: bool,
     },
-    /// The requested commits are no longer retained: the receiver needs a snapshot.
+    /// The sender can't serve the requested commits: they are no longer retained, or the receiver's state is not in the sender's
+    /// history. The receiver must fetch a snapshot.
     Compacted,
-    /// The request is rejected because the sender's bytes per second are used up.
+    /// The request is rejected because the byte budget of the sender is used up.
     Busy,
-    /// Requests the manifest of the receiver's state, if that is at this revision or a later one.
+    /// Requests the manifest of the receiver's state if its revision is this or later.
     FetchManifest(Revision),
-    /// The manifest of the sender's state.
+    /// A manifest of the sender's state, or of a recent one.
     Manifest(Manifest),
     /// Requests the digest of the state at a revision.
     FetchVersion(Revision),
-    /// The requested digest of the state at a revision; `None` if the sender does not know it.
+    /// The digest of the state at the requested revision; `None` if the sender doesn't have it.
     Version(Revision, Option<Digest>),
-    /// Requests a chunk with this digest.
+    /// Requests the chunk with this number and digest.
     FetchChunk(ChunkDigest),
     /// A requested chunk.
     Chunk {
-        /// Which chunk.
+        /// The number of the chunk.
         number: ChunkNumber,
-        /// Its encoding.
+        /// The encoded entries of the chunk.
         bytes: Vec<u8>,
     },
-    /// The sender has no chunk with the requested digest.
+    /// The sender has no chunk of this number with the requested digest.
     NoChunk(ChunkNumber),
 }
 
@@ -99,7 +99,7 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads a message; `None` if the bytes are not one.
+    /// Decodes a message; `None` if the bytes are not a valid encoding.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
--- a/crates/config/src/dissemination/mod.rs
+++ b/crates/config/src/dissemination/mod.rs
@@ -1,21 +1,22 @@
-//! How committed changes reach every server of the fleet, as a state machine without I/O and without a clock.
+//! Dissemination of committed changes to every server of the fleet, as a state machine without I/O and without a clock.
 //!
-//! [`Dissemination`] owns one server's configuration. Its inputs are the time, messages of peers, membership changes and, on
-//! voters, the commits of the consensus group. Its outputs are [`DisseminationEffect`]s: messages to send, commits and
+//! [`Dissemination`] owns the configuration of one server. Its inputs are the time, messages from peers, membership changes and,
+//! on voters, the commits of the consensus group. Its outputs are [`DisseminationEffect`]s: messages to send, commits and
 //! snapshots to apply, and log lines.
 //!
 //! - [`messages`]: the messages between servers, which may be lost, duplicated, reordered or delayed.
-//! - [`peers`]: the servers that are up, by zone, region and vote, and the selection among them.
-//! - [`commit_requests`]: fetching missing commits, nearest peer first, with timeouts and backoff.
-//! - [`transfer`]: fetching a snapshot from several peers, where commits do not reach back far enough.
-//! - [`responses`], [`history`]: what peers that are behind may fetch.
-//! - [`pending_commits`]: commits received before the ones that they follow.
-//! - [`peer_digests`], [`quarantine`]: peers that confirm or contradict this state; sources of bad data.
-//! - [`in_flight`], [`cooldown`], [`peer_view`]: what both kinds of fetching share.
-//! - [`outbox`], [`budget`]: effects, and bounds on bytes per second.
+//! - [`peers`]: the servers that are up, by zone, region and vote, and the selection of peers among them.
+//! - [`commit_requests`]: fetches missing commits, nearest peer first, with timeouts and backoff.
+//! - [`transfer`]: fetches a snapshot from several peers when the commits retained by peers don't reach back far enough.
+//! - [`history`], [`responses`]: the commits and digests retained for peers, and the responses to their requests.
+//! - [`pending_commits`]: commits that were received before the ones that precede them.
+//! - [`peer_digests`]: which peers confirm or contradict the state of this server.
+//! - [`quarantine`]: temporary exclusion of peers that sent bad data.
+//! - [`in_flight`], [`cooldown`], [`peer_view`]: used for fetching both commits and snapshots.
+//! - [`outbox`], [`budget`]: pending effects, and limits on bytes per second.
 //!
-//! Invariants: the state is always a prefix of the committed log; its revision never falls; a commit or snapshot whose
-//! digest does not match changes nothing; the bytes sent and requested per second are bounded.
+//! Invariants: the state is always the result of a prefix of the committed log; its revision never decreases; a commit or
+//! snapshot whose digest does not match has no effect; the bytes sent and requested per second are bounded.
 
 pub mod budget;
 pub mod commit_requests;
--- a/crates/config/src/dissemination/outbox.rs
+++ b/crates/config/src/dissemination/outbox.rs
@@ -1,4 +1,4 @@
-//! The effects of a step, and the bounds on bytes sent and requested per second.
+//! Collects the effects of the state machine and limits the bytes sent and requested per second.
 
 use super::budget::Budget;
 use super::messages::Message;
@@ -8,62 +8,63 @@
 use gradepin_admission::Time;
 use std::sync::Arc;
 
-/// A burst may take the bytes of so many seconds.
+/// Capacity of each byte budget, in seconds of its rate.
 const BURST_SECONDS: f64 = 4.0;
-/// The fraction of the message budget that commits leave for adverts and requests.
+/// Fraction of the message budget that commits leave for adverts and requests.
 const CONTROL_RESERVE: f64 = 0.25;
 
-/// What the host of the state machine must do, in the order given.
+/// An action that the host of the state machine must perform. Effects are performed in the order in which they are returned.
 ///
-/// `Apply` and `Install` report what is in force already inside the state machine: the host can't reject them, and applies
-/// each exactly once.
+/// [`Apply`](Self::Apply) and [`Install`](Self::Install) report a state that is already in force inside the state machine. The
+/// host can't reject them and must apply each exactly once.
 #[derive(Debug, Clone)]
 pub enum DisseminationEffect {
-    /// Send a message to a server over the cluster's datagrams. It may be lost.
+    /// Send a message to a server in datagrams of the cluster, which may be lost.
     Send {
         /// The name of the receiver.
         to: Name,
         /// The encoded [`Message`].
         bytes: Vec<u8>,
     },
-    /// Apply a commit; it follows the state of the effect before.
+    /// Apply a commit, which follows the state of the previous effect.
     Apply(Arc<Commit>),
-    /// Replace the state by a snapshot, whose revision is not below the one before.
+    /// Replace the state by a snapshot, whose revision is not lower than that of the replaced state.
     Install(Snapshot),
     /// Write a line to the log.
     Log {
-        /// Whether it is a warning, for an operator to look at.
+        /// Whether the line is a warning that an operator should look at; otherwise it is informational.
         is_warning: bool,
         /// The text of the line.
         text: String,
     },
 }
 
-/// The kind of a message, by which its bytes are charged.
+/// The kind of a message, which determines the budget and counter of its bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Traffic {
     /// Adverts, requests and rejections.
     Control,
-    /// Commits.
+    /// Commits, pushed or requested.
     Commits,
-    /// Manifests and chunks.
+    /// Manifests and chunks of snapshots.
     Snapshot,
 }
 
-/// Bytes sent since the start, with the overhead of datagrams.
+/// Counters since the start of the process. Bytes include the overhead of datagrams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct SentCounters {
     /// Bytes of adverts, requests and rejections.
     pub control_bytes: u64,
-    /// Bytes of commits.
+    /// Bytes of commits, pushed or requested.
     pub commit_bytes: u64,
-    /// Bytes of manifests and chunks.
+    /// Bytes of manifests and chunks of snapshots.
     pub snapshot_bytes: u64,
-    /// Messages, not bytes, that were dropped because their budget was used up.
+    /// Number of messages that were dropped because their budget was used up.
     pub dropped_messages: u64,
 }
 
-/// The effects that the host has not taken yet, and the budgets. A step drains it, and each input adds few effects.
+/// The effects that the host has not taken yet, and the byte budgets. The number of effects stays small: each step drains them,
+/// and each input adds only a few.
 #[derive(Debug)]
 pub struct Outbox {
     effects: Vec<DisseminationEffect>,
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Sends a message if its budget allows it; false where it was dropped.
+    /// Adds a message to the effects if its budget allows it; returns false if it was dropped.
     pub fn send(
         &mut self,
         now: Time,
@@ -110,37 +111,37 @@
         true
     }
 
-    /// Takes the expected bytes of a response from the request budget; false where it is used up.
+    /// Takes the expected bytes of a response from the request budget; returns false if the budget is used up.
     pub fn take_request_bytes(&mut self, now: Time, bytes: usize) -> bool {
         self.request_budget.take(now, bytes, 0.0)
     }
 
-    /// Gives back bytes of the request budget by which responses were shorter than expected.
+    /// Returns bytes to the request budget, after responses were shorter than expected.
     pub fn give_back_request_bytes(&mut self, bytes: usize) {
         self.request_budget.give_back(bytes);
     }
 
-    /// Adds an effect.
+    /// Appends an effect.
     pub fn push(&mut self, effect: DisseminationEffect) {
         self.effects.push(effect);
     }
 
-    /// Adds a warning for the log.
+    /// Appends a warning for the log.
     pub fn warn(&mut self, text: String) {
         self.effects.push(DisseminationEffect::Log { is_warning: true, text });
     }
 
-    /// Moves all effects to `effects`.
+    /// Moves all effects to the end of `effects`.
     pub fn drain(&mut self, effects: &mut Vec<DisseminationEffect>) {
         effects.append(&mut self.effects);
     }
 
-    /// Whether there are no effects.
+    /// Whether no effects are pending.
     pub fn is_empty(&self) -> bool {
         self.effects.is_empty()
     }
 
-    /// Bytes sent so far.
+    /// The counters since the start of the process.
     pub fn sent(&self) -> SentCounters {
         self.sent
     }
--- a/crates/config/src/dissemination/peer_digests.rs
+++ b/crates/config/src/dissemination/peer_digests.rs
@@ -1,21 +1,21 @@
-//! Which peers confirm the state of this server, and which contradict it.
+//! Tracks which peers confirm the state of this server and which contradict it.
 //!
-//! One peer with another digest for a revision that is known here is most likely wrong itself. Two of them, and more than
-//! those who confirm, mean that this server's own state is wrong.
+//! A single peer with a different digest for a known revision is most likely faulty itself. At least two contradicting peers,
+//! if they outnumber the confirming ones, mean that the state of this server is wrong.
 
 use crate::change::Name;
 use crate::digest::Version;
 use gradepin_admission::{Span, Time, time_after};
 use std::collections::BTreeMap;
 
-/// How long a digest of a peer counts.
+/// How long the report of a peer is counted.
 const VALIDITY: Span = Span(60_000_000_000);
-/// Peers, or mismatched records, remembered in each table.
+/// Maximum number of peers or mismatched records in each table.
 const MAX_ENTRIES: usize = 64;
-/// Peers that it takes to doubt the state of this server.
+/// Minimum number of contradicting peers before the state of this server is considered doubtful.
 const MIN_CONTRADICTING: usize = 2;
 
-/// What peers reported of the state that this server is in.
+/// Reports of peers about the state of this server, with the time of each.
 #[derive(Debug, Default)]
 pub struct PeerDigests {
     confirming: BTreeMap<Name, Time>,
@@ -23,7 +23,7 @@
     mismatches: Vec<Mismatch>,
 }
 
-/// A record for the next revision whose digest did not match the state after its commit.
+/// The version in a record of the next revision that did not match the state after its commit, and the peer that sent it.
 #[derive(Debug, PartialEq, Eq)]
 struct Mismatch {
     version: Version,
@@ -44,13 +44,13 @@
 }
 
 impl PeerDigests {
-    /// A peer reported the digest that is known here.
+    /// Records that a peer reported the same digest as this server for a revision.
     pub fn confirm(&mut self, now: Time, name: &Name) {
         self.contradicting.remove(name);
         record(&mut self.confirming, now, name);
     }
 
-    /// A peer reported another digest. Returns whether the state of this server is in doubt.
+    /// Records that a peer reported a different digest. Returns whether the state of this server is now doubtful.
     pub fn contradict(&mut self, now: Time, name: &Name) -> bool {
         self.confirming.remove(name);
         record(&mut self.contradicting, now, name);
@@ -58,8 +58,8 @@
         contradicting >= MIN_CONTRADICTING && contradicting > count_valid(&self.confirming, now)
     }
 
-    /// A peer sent a record for the next revision whose digest does not match here. Where two peers sent the same record, this
-    /// server's own state is in doubt, and these peers are returned; otherwise the result is empty.
+    /// Records that a peer sent a record of the next revision whose digest does not match the resulting state. If at least two
+    /// peers sent the same record, the state of this server is doubtful and these peers are returned; otherwise none are.
     pub fn record_mismatch(&mut self, version: Version, name: &Name) -> Vec<Name> {
         self.mismatches.retain(|other| other.version.revision == version.revision);
         let mismatch = Mismatch { version, source: name.clone() };
@@ -71,7 +71,7 @@
         if sources.len() >= MIN_CONTRADICTING { sources } else { Vec::new() }
     }
 
-    /// Forgets all reports: another state is in force.
+    /// Removes all reports, after another state came into force.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
--- a/crates/config/src/dissemination/peer_view.rs
+++ b/crates/config/src/dissemination/peer_view.rs
@@ -1,25 +1,25 @@
-//! What the choice of a peer to fetch from depends on.
+//! The read-only input for choosing a peer to fetch from.
 
 use super::peers::Peers;
 use super::quarantine::Quarantine;
 use super::settings::DisseminationSettings;
 use gradepin_admission::Time;
 
-/// The peers of a server at one time, for reading.
+/// A read-only view of the peers of a server at one time.
 #[derive(Debug, Clone, Copy)]
 pub struct PeerView<'a> {
-    /// The time of the step.
+    /// The current time.
     pub now: Time,
-    /// Settings of this server.
+    /// The dissemination settings of this server.
     pub settings: &'a DisseminationSettings,
-    /// Servers that are up.
+    /// The peers that are up.
     pub peers: &'a Peers,
-    /// Sources that are left out after bad data.
+    /// The peers whose data is rejected after bad data.
     pub quarantine: &'a Quarantine,
 }
 
 impl<'a> PeerView<'a> {
-    /// A view of these peers at a time. It takes the parts one by one, so that the caller can borrow its other parts for writing.
+    /// Creates a view. The fields are passed one by one, so that the caller can mutably borrow its other fields.
     pub fn new(
         now: Time,
         settings: &'a DisseminationSettings,
@@ -29,7 +29,7 @@
         Self { now, settings, peers, quarantine }
     }
 
-    /// Whether a peer is left out now.
+    /// Whether a peer is quarantined at the time of this view.
     pub fn is_quarantined(&self, name: &str) -> bool {
         self.quarantine.contains(self.now, name)
     }
--- a/crates/config/src/dissemination/peers.rs
+++ b/crates/config/src/dissemination/peers.rs
@@ -1,7 +1,7 @@
 //! The servers that are up, by zone and region, and the selection of peers among them.
 //!
-//! Invariant: a server that is up is in exactly one zone list, in at most one of the lists of the region and of other regions,
-//! and in the voter list if it votes. All lists are sorted by name, so that every server divides the zones alike.
+//! Invariant: a server that is up is in exactly one zone list, in at most one of the lists of this region and of other regions,
+//! and in the voter list if it votes. All lists are sorted by name, so that all voters divide the zones in the same way.
 
 use super::settings::{DisseminationSettings, Selection};
 use crate::change::Name;
@@ -10,33 +10,33 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Relays of each zone in [`Selection::Relays`], so that one may be down.
+/// Number of relays of each zone in [`Selection::Relays`], so that one may be down.
 const RELAYS_PER_ZONE: usize = 2;
-/// Draws per wanted peer, after which fewer peers than wanted are accepted.
+/// Maximum number of random draws per wanted peer; after this, fewer peers than wanted are selected.
 const MAX_DRAWS_PER_PEER: usize = 4;
-/// Peers of the zone that a snapshot is fetched from.
+/// Number of peers of the same zone in a selection of snapshot sources.
 const SNAPSHOT_ZONE_PEERS: usize = 3;
-/// Peers of other zones of the region that a snapshot is fetched from.
+/// Number of peers of other zones of the region in a selection of snapshot sources.
 const SNAPSHOT_REGION_PEERS: usize = 2;
-/// Peers of other regions that a snapshot is fetched from.
+/// Number of peers of other regions in a selection of snapshot sources.
 const SNAPSHOT_FAR_PEERS: usize = 1;
-/// Voters that a snapshot is fetched from.
+/// Number of voters in a selection of snapshot sources.
 const SNAPSHOT_VOTERS: usize = 2;
 
 /// A server of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// The name, unique in the fleet.
+    /// The name of the server, unique in the fleet.
     pub name: Name,
-    /// The zone: servers that may fail together.
+    /// The zone of the server; servers of a zone may fail together.
     pub zone: Name,
-    /// The region: zones that are near each other.
+    /// The region of the server; the zones of a region are near each other.
     pub region: Name,
     /// Whether the server is a member of the consensus group.
     pub voter: bool,
 }
 
-/// How far away a server is, nearest first.
+/// How far away another server is. Ordered from near to far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
     /// In the same zone.
@@ -47,18 +47,18 @@
     Far,
 }
 
-/// The servers that the cluster membership reports as up, without this one.
+/// This server and the others that the cluster membership reports as up.
 #[derive(Debug)]
 pub struct Peers {
     own: Member,
     members: BTreeMap<Name, Arc<Member>>,
-    /// Names by zone, with this server in its zone.
+    /// Names by zone. Includes this server.
     zones: BTreeMap<Name, Vec<Name>>,
-    /// Servers of other zones of this region.
+    /// Servers in other zones of this server's region.
     region: Vec<Name>,
-    /// Servers of other regions.
+    /// Servers in other regions.
     far: Vec<Name>,
-    /// All voters, with this server if it votes.
+    /// All voters, including this server if it is one.
     voters: Vec<Name>,
 }
 
@@ -74,30 +74,30 @@
     }
 }
 
-/// A random number below `count`; 0 where `count` is 0, which draws from `rng` too.
+/// A random number below `count`, or 0 if `count` is 0. Advances `rng` in either case.
 pub fn random_below(rng: &mut Pcg64Mcg, count: usize) -> usize {
     (rng.next_u64() % count.max(1) as u64) as usize
 }
 
 impl Peers {
-    /// Only this server is known.
+    /// Creates a view in which only this server is known.
     pub fn new(own: Member) -> Self {
         let zones = BTreeMap::from([(own.zone.clone(), vec![own.name.clone()])]);
         let voters = if own.voter { vec![own.name.clone()] } else { Vec::new() };
         Self { own, members: BTreeMap::new(), zones, region: Vec::new(), far: Vec::new(), voters }
     }
 
-    /// This server.
+    /// The member entry of this server.
     pub fn own(&self) -> &Member {
         &self.own
     }
 
-    /// How many other servers are up.
+    /// Number of other servers that are up.
     pub fn count(&self) -> usize {
         self.members.len()
     }
 
-    /// Adds a server that is up, or one whose zone, region or vote changed.
+    /// Adds a server that is up, or updates its zone, region and vote.
     pub fn add(&mut self, member: Arc<Member>) {
         if member.name == self.own.name || self.members.get(&member.name) == Some(&member) {
             return;
@@ -129,7 +129,7 @@
             .for_each(|list| remove_sorted(list, name));
     }
 
-    /// How far away a server is; an unknown one counts as far.
+    /// How far away a server is. An unknown server counts as far.
     pub fn distance(&self, name: &str) -> Distance {
         match self.members.get(name) {
             Some(member) if member.zone == self.own.zone => Distance::Zone,
@@ -157,11 +157,11 @@
         self.relays(&self.own.zone).contains(&self.own.name)
     }
 
-    /// Adds up to `count` random names of `list` to `chosen`, without this server and without duplicates.
+    /// Adds up to `count` random names of `list` to `chosen`, excluding this server and duplicates.
     fn draw(&self, rng: &mut Pcg64Mcg, list: &[Name], count: usize, chosen: &mut Vec<Name>) {
         let candidates = list.iter().filter(|name| **name != self.own.name).count();
         let wanted = chosen.len() + count.min(candidates);
-        // Few of many are drawn, so few draws repeat a name.
+        // Usually a few of many names are drawn, so few draws are duplicates.
         for _ in 0..MAX_DRAWS_PER_PEER * count {
             if chosen.len() >= wanted {
                 return;
@@ -173,7 +173,7 @@
         }
     }
 
-    /// The peers that the next advert goes to.
+    /// The peers to send the next advert to.
     pub fn advert_targets(&self, settings: &DisseminationSettings, rng: &mut Pcg64Mcg) -> Vec<Name> {
         let mut chosen = Vec::new();
         match settings.selection {
@@ -194,8 +194,8 @@
         chosen
     }
 
-    /// The peers that new commits are pushed to, in random order. `is_origin` where this server is a voter, which receives commits
-    /// from the consensus group; only such a server pushes to other zones.
+    /// The peers to push new commits to, in random order. `is_origin` is set if this server is a voter, which receives commits from
+    /// the consensus group; only voters push to other zones.
     pub fn push_targets(
         &self,
         settings: &DisseminationSettings,
@@ -224,7 +224,7 @@
             true if is_origin => self.draw(rng, self.relays(&self.own.zone), RELAYS_PER_ZONE, &mut chosen),
             true => {}
         }
-        // The byte budget may be used up before the last peer: random order keeps the same zone from being last each time.
+        // The byte budget may be used up before the last peer. The random order avoids that the same zone is always last.
         for last in (1..chosen.len()).rev() {
             chosen.swap(last, random_below(rng, last + 1));
         }
@@ -238,7 +238,7 @@
         chosen
     }
 
-    /// Random peers to fetch a snapshot from, nearest first: some of the zone, of the region, of other regions, and voters.
+    /// Random peers to fetch a snapshot from, nearest first: some of the zone, of the region, of other regions, and some voters.
     pub fn snapshot_peers(&self, settings: &DisseminationSettings, rng: &mut Pcg64Mcg) -> Vec<Name> {
         let mut chosen = Vec::new();
         if settings.selection != Selection::Voters {
--- a/crates/config/src/dissemination/pending_commits.rs
+++ b/crates/config/src/dissemination/pending_commits.rs
@@ -1,6 +1,6 @@
-//! Commits that were received before the ones that they follow.
+//! Commits that were received but not applied yet, mostly because a preceding commit is missing.
 //!
-//! One commit per revision, none at or below the revision in force, and none more than [`MAX_PENDING`] past it.
+//! There is at most one commit per revision, and only for the [`MAX_PENDING`] revisions after the one in force.
 
 use super::messages::CommitRecord;
 use crate::change::{Commit, Name, Revision};
@@ -8,32 +8,32 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Commits that wait; each takes one datagram on average.
+/// Maximum number of pending commits. A commit takes one datagram on average.
 pub const MAX_PENDING: usize = 512;
 
-/// Where a commit was received from.
+/// Which source a commit was received from.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitSource {
-    /// The consensus group, on a voter.
+    /// Delivered by the consensus group, which happens on voters only.
     Consensus,
-    /// A peer that pushed it.
+    /// Pushed by this peer.
     Push(Name),
-    /// A peer that it was requested from.
+    /// Received from this peer in response to a request.
     Fetch(Name),
 }
 
 /// A commit that is not applied yet.
 #[derive(Debug, Clone)]
 pub struct PendingCommit {
-    /// The commit.
+    /// The commit to apply.
     pub commit: Arc<Commit>,
-    /// The digest that the state must have after it; `None` where the consensus group delivered the commit.
+    /// The digest that the state must have after the commit; `None` if the consensus group delivered it.
     pub expected_digest: Option<Digest>,
-    /// Where it was received from.
+    /// The source to quarantine if the commit turns out to be bad.
     pub source: CommitSource,
 }
 
-/// The commits that are not applied yet, by revision.
+/// The commits that were not applied yet, by revision.
 #[derive(Debug, Default)]
 pub struct PendingCommits {
     by_revision: BTreeMap<Revision, PendingCommit>,
@@ -44,7 +44,7 @@
 }
 
 impl PendingCommits {
-    /// Adds a record of a peer. A commit of the same revision that is there already stays.
+    /// Adds a record of a peer, unless there already is a commit of the same revision.
     pub fn add_from_peer(&mut self, in_force: Revision, record: CommitRecord, source: CommitSource) {
         let revision = record.commit.revision;
         if is_within_window(in_force, revision) {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Adds a commit of the consensus group, which replaces one that a peer sent.
+    /// Adds a commit of the consensus group. It replaces a commit of the same revision that a peer sent.
     pub fn add_from_consensus(&mut self, in_force: Revision, commit: Arc<Commit>) {
         let revision = commit.revision;
         if is_within_window(in_force, revision) {
@@ -69,7 +69,7 @@
         self.by_revision.remove(&in_force.next())
     }
 
-    /// Takes the commit of the lowest revision, with or without a gap before it.
+    /// Takes the commit of the lowest revision even if there is a gap before it.
     pub fn take_lowest(&mut self, in_force: Revision) -> Option<PendingCommit> {
         self.drop_through(in_force);
         self.by_revision.pop_first().map(|(_, pending)| pending)
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Drops all commits that a peer sent.
+    /// Drops all commits that this peer sent.
     pub fn drop_from_peer(&mut self, name: &str) {
         self.by_revision.retain(|_, pending| match &pending.source {
             CommitSource::Consensus => true,
--- a/crates/config/src/dissemination/quarantine.rs
+++ b/crates/config/src/dissemination/quarantine.rs
@@ -1,22 +1,23 @@
-//! Sources whose data failed a check. They are left out for a time that doubles with each further failure.
+//! Quarantine of peers whose data failed a check. Its duration doubles with each further failure.
 
 use crate::change::Name;
 use gradepin_admission::{Span, Time, time_after};
 use std::collections::BTreeMap;
 
-/// Sources remembered. Past this bound, sources that are no longer left out are forgotten first.
+/// Maximum number of peers tracked. When it is reached, peers whose quarantine has ended are forgotten, and if there are none the
+/// new peer is not added.
 const MAX_SOURCES: usize = 256;
-/// Doublings of the quarantine time.
+/// Maximum number of times that the duration doubles.
 const MAX_DOUBLINGS: u32 = 4;
 
 #[derive(Debug, Clone, Copy)]
 struct QuarantinedSource {
     ends_at: Time,
-    /// How often the source was quarantined so far.
+    /// Number of times that the peer has been quarantined.
     times: u32,
 }
 
-/// Which sources are left out, and until when.
+/// Peers that are or were quarantined.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     entries: BTreeMap<Name, QuarantinedSource>,
@@ -24,8 +25,8 @@
 }
 
 impl Quarantine {
-    /// Leaves a source out from now on: for `base` the first time, doubled each time after. One that is left out already stays
-    /// so until the same time as before.
+    /// Quarantines a peer: for `base` the first time, doubled each further time. A quarantine that has not ended is not
+    /// extended.
     pub fn add(&mut self, now: Time, name: &Name, base: Span) {
         if self.entries.len() >= MAX_SOURCES && !self.entries.contains_key(name) {
             self.entries.retain(|_, entry| now < entry.ends_at);
@@ -42,17 +43,17 @@
         self.total += 1;
     }
 
-    /// Takes a source back and forgets its failures: its data turned out to be right.
+    /// Ends the quarantine of a peer and forgets its failures, because its data turned out to be valid.
     pub fn release(&mut self, name: &Name) {
         self.entries.remove(name);
     }
 
-    /// Whether a source is left out now.
+    /// Whether a peer is quarantined at `now`.
     pub fn contains(&self, now: Time, name: &str) -> bool {
         self.entries.get(name).is_some_and(|entry| now < entry.ends_at)
     }
 
-    /// How often any source was left out.
+    /// Number of times that any peer was quarantined.
     pub fn total(&self) -> u64 {
         self.total
     }
--- a/crates/config/src/dissemination/responses.rs
+++ b/crates/config/src/dissemination/responses.rs
@@ -1,4 +1,4 @@
-//! Responses to the requests of peers, from the [`History`] and from snapshots served lately.
+//! Builds responses to requests of peers, from the [`History`] and from recently served snapshots.
 
 use super::history::History;
 use super::messages::{CommitRecord, Message};
@@ -10,18 +10,18 @@
 use gradepin_admission::{Span, Time, time_after};
 use std::collections::VecDeque;
 
-/// Records in the reply to one request for commits: about a dozen datagrams.
+/// Maximum size of the records in the reply to one request for commits: about a dozen datagrams.
 const MAX_REPLY_BYTES: usize = 16_000;
-/// A message around its records.
+/// Encoded size of a message in addition to its records.
 const MESSAGE_OVERHEAD_BYTES: usize = 16;
-/// States retained because their manifest was served, so that their chunks can still be fetched. They share all chunks that
-/// did not change with the state in force.
+/// Maximum number of states retained because their manifest was served, so that their chunks can still be fetched. They share
+/// all unchanged chunks with the state in force.
 const MAX_SERVED_SNAPSHOTS: usize = 16;
-/// How long the last manifest is served again, so that servers that join together share chunks. They fetch the commits since
-/// then after it.
+/// How long the last manifest is reused, so that servers that join at the same time fetch the same chunks. Afterwards they fetch
+/// the commits made in the meantime.
 const MANIFEST_REUSE: Span = Span(2_000_000_000);
 
-/// Groups records into messages that fit into one datagram each, unless one record alone is larger. Stops at the bound of one
+/// Groups records into batches that each fit into one datagram, unless a single record is larger. Stops at the maximum size of one
 /// reply.
 pub fn batches(
     settings: &DisseminationSettings,
@@ -57,7 +57,7 @@
     if theirs.revision >= own.revision {
         return vec![Message::Advert(own)];
     }
-    // Commits can't continue a state that is not in the history of this server.
+    // The commits of this server don't apply to a state that is not in its history.
     let is_other_history = history.digest_at(theirs.revision).is_some_and(|digest| digest != theirs.digest);
     if is_other_history && !settings.skip_checks {
         return vec![Message::Compacted];
@@ -69,7 +69,7 @@
     batches.into_iter().enumerate().map(message).collect()
 }
 
-/// The states whose manifest was served lately, the oldest first.
+/// The states whose manifests were served recently, oldest first.
 #[derive(Debug, Default)]
 pub struct ServedSnapshots {
     snapshots: VecDeque<Snapshot>,
@@ -77,7 +77,7 @@
 }
 
 impl ServedSnapshots {
-    /// The response to a request for a manifest; `None` where the state is below `min_revision`.
+    /// The response to a request for a manifest; `None` if the state is below `min_revision`.
     pub fn manifest(&mut self, now: Time, state: &Configuration, min_revision: Revision) -> Option<Message> {
         if state.revision() < min_revision {
             return None;
@@ -94,7 +94,7 @@
         self.snapshots.back().map(|snapshot| Message::Manifest(snapshot.manifest()))
     }
 
-    /// The response to a request for a chunk, from the state in force or from one that was served lately.
+    /// The response to a request for a chunk, from the state in force or a recently served one.
     pub fn chunk(&self, state: &Configuration, requested: ChunkDigest) -> Message {
         let served = self.snapshots.iter().map(Snapshot::configuration);
         for state in std::iter::once(state).chain(served) {
@@ -106,7 +106,7 @@
         Message::NoChunk(requested.number)
     }
 
-    /// Drops all: a snapshot was installed, and the states before it may be wrong.
+    /// Drops all states, after a snapshot was installed: the states before it may be wrong.
     pub fn clear(&mut self) {
         self.snapshots.clear();
     }
--- a/crates/config/src/dissemination/settings.rs
+++ b/crates/config/src/dissemination/settings.rs
@@ -1,59 +1,60 @@
-//! Settings of dissemination. Times are in nanoseconds, as [`Span`] is.
+//! Settings of dissemination. All durations are a [`Span`], in nanoseconds.
 
 use crate::log::LogLimits;
 use gradepin_admission::Span;
 
 const MS: u64 = 1_000_000;
 
-/// How a server selects the peers that it sends adverts and commits to and fetches from.
+/// How a server selects the peers that it sends adverts and commits to, and fetches from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Selection {
-    /// Pushes to a few random peers and adverts to random peers, zone first (Demers et al., "Epidemic algorithms for replicated database
-    /// maintenance", PODC 1987).
+    /// Pushes commits to a few random peers and sends adverts to random peers, preferring the zone (Demers et al., "Epidemic
+    /// algorithms for replicated database maintenance", PODC 1987).
     #[default]
     Epidemic,
-    /// A tree: voters push to two relays in each zone, relays to all of their zone.
+    /// A tree: voters push to two relays in each zone, and relays push to all servers of their zone.
     Relays,
-    /// Each server asks a voter once a second.
+    /// No pushes: each server sends its adverts to a random voter and fetches from voters.
     Voters,
 }
 
 /// Dissemination settings of one server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DisseminationSettings {
-    /// How peers are selected.
+    /// How peers are selected for adverts, pushes and requests.
     pub selection: Selection,
-    /// Interval between adverts; each is 10% shorter or longer at random.
+    /// Mean interval between adverts. Each interval is up to 10% shorter or longer at random.
     pub advert_interval: Span,
-    /// How long a commit waits for others to be pushed in the same datagrams.
+    /// How long a push is delayed so that further commits are sent in the same datagrams.
     pub push_delay: Span,
-    /// Peers of the same zone that a new commit is pushed to.
+    /// Number of peers of the same zone that a new commit is pushed to.
     pub push_peers_in_zone: usize,
-    /// Peers of each other zone that a voter pushes to. The zones are divided among the voters.
+    /// Number of peers in each other zone that a voter pushes to. The zones are divided among the voters.
     pub push_peers_per_other_zone: usize,
-    /// One in this many adverts goes to another zone of the region too.
+    /// On average, one in this many adverts is also sent to another zone of the region.
     pub adverts_per_region_advert: u32,
-    /// One in this many adverts goes to another region too.
+    /// On average, one in this many adverts is also sent to another region.
     pub adverts_per_far_advert: u32,
-    /// How long a response to a request is awaited.
+    /// How long to wait for the response to a request.
     pub request_timeout: Span,
-    /// The longest backoff after rejected requests.
+    /// Maximum backoff after rejected requests.
     pub max_backoff: Span,
-    /// How long a source of bad data is left out the first time; doubled each further time.
+    /// Duration of the first quarantine of a peer that sent bad data; doubled for each further one.
     pub first_quarantine: Span,
-    /// Commits retained for peers.
+    /// How many commits are retained for peers.
     pub history_limits: LogLimits,
-    /// Bytes sent per second, without snapshots. A burst takes the bytes of four seconds at most.
+    /// Limit on bytes sent per second, excluding snapshots. A burst may use the bytes of up to four seconds.
     pub message_bytes_per_second: f64,
-    /// Bytes of snapshots sent per second.
+    /// Limit on bytes of snapshots sent per second. A burst may use the bytes of up to four seconds.
     pub snapshot_bytes_per_second: f64,
-    /// Bytes requested of peers per second.
+    /// Limit on bytes requested from peers per second. A burst may use the bytes of up to four seconds.
     pub request_bytes_per_second: f64,
-    /// Overhead of each datagram, in bytes.
+    /// Overhead of each datagram on the wire, in bytes.
     pub datagram_overhead_bytes: usize,
-    /// Payload of one datagram, in bytes; longer messages take several.
+    /// Maximum payload of a datagram, in bytes. Longer messages take several datagrams.
     pub datagram_payload_bytes: usize,
-    /// Turns off the checks of digests and of order. For a control run of the model only, whose invariants must fail then.
+    /// Disables the checks of digests and of order. Only for a control run of the model, which verifies that its invariants fail
+    /// without these checks.
     pub skip_checks: bool,
 }
 
@@ -82,7 +83,7 @@
 }
 
 impl DisseminationSettings {
-    /// Bytes on the wire of a message of this length, with the overhead of its datagrams.
+    /// Bytes on the wire of a message of `message_bytes`, including the overhead of its datagrams.
     pub fn wire_bytes(&self, message_bytes: usize) -> usize {
         let datagrams = message_bytes.div_ceil(self.datagram_payload_bytes).max(1);
         message_bytes + datagrams * self.datagram_overhead_bytes
--- a/crates/config/src/dissemination/transfer/candidate.rs
+++ b/crates/config/src/dissemination/transfer/candidate.rs
@@ -1,4 +1,4 @@
-//! A manifest that was received and is not trusted yet: other peers are asked for the digest of its revision.
+//! Confirmation of a received manifest: other peers are asked for the digest of its revision before it is trusted.
 
 use super::Request;
 use crate::change::{Name, Revision};
@@ -10,14 +10,14 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
 
-/// Peers asked in one round.
+/// Maximum number of peers asked per round.
 const PEERS_PER_ROUND: usize = 3;
-/// Rounds after which a manifest of a voter is trusted, unless a peer contradicted it, and any other is dropped.
+/// Number of rounds. After the last one, a manifest from a voter is trusted unless a peer contradicted it; any other is dropped.
 const MAX_ROUNDS: u32 = 6;
-/// Peers that must contradict a manifest before it is dropped.
+/// Minimum number of contradicting peers before a manifest is dropped.
 const MIN_CONTRADICTING: usize = 2;
 
-/// A manifest with the peers that confirm and contradict it. The source of the manifest has no vote.
+/// A manifest with the votes of peers that confirm or contradict it. The source of the manifest has no vote.
 #[derive(Debug)]
 pub(super) struct Candidate {
     manifest: Manifest,
@@ -30,24 +30,24 @@
     next_round_at: Time,
 }
 
-/// A manifest to download the chunks of.
+/// A trusted manifest whose chunks can be downloaded.
 #[derive(Debug)]
 pub(super) struct ConfirmedManifest {
     pub(super) manifest: Manifest,
     /// The peer that served the manifest.
     pub(super) source: Name,
-    /// Other peers that were at the same state.
+    /// Other peers that confirmed the digest of its revision.
     pub(super) confirmed_by: BTreeSet<Name>,
 }
 
-/// What the votes on a manifest amount to.
+/// The outcome of the votes on a manifest so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Verdict {
-    /// Not decided yet.
+    /// More votes are needed.
     Open,
-    /// More peers confirm it than contradict it.
+    /// More peers confirm the manifest than contradict it.
     Confirmed,
-    /// Several peers contradict it, and more than confirm it.
+    /// At least [`MIN_CONTRADICTING`] peers contradict the manifest, and more than confirm it.
     Contradicted,
 }
 
@@ -86,7 +86,7 @@
         self.next_round_at
     }
 
-    /// Whether no round is left.
+    /// Whether all rounds have been started.
     pub(super) fn has_used_all_rounds(&self) -> bool {
         self.rounds >= MAX_ROUNDS
     }
@@ -96,7 +96,7 @@
         self.is_from_voter && self.disagreeing.is_empty()
     }
 
-    /// Counts the vote of a peer, if it is about the revision of this manifest.
+    /// Counts the vote of a peer if it concerns the revision of this manifest.
     pub(super) fn receive_version(
         &mut self,
         from: &Name,
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Begins a round and returns its requests. Peers that were not asked yet come first; one that did not know the revision may
-    /// know it by now, so the others are asked again.
+    /// Starts a round and returns its requests. Peers that were not asked before come first. Others are asked again, because a
+    /// peer that did not know the revision may know it by now.
     pub(super) fn next_round(
         &mut self,
         view: &PeerView<'_>,
@@ -143,7 +143,7 @@
         peers.into_iter().map(request).collect()
     }
 
-    /// The manifest, taken as right.
+    /// Converts this candidate into a confirmed manifest.
     pub(super) fn into_confirmed(self) -> ConfirmedManifest {
         ConfirmedManifest { manifest: self.manifest, source: self.source, confirmed_by: self.agreeing }
     }
--- a/crates/config/src/dissemination/transfer/download.rs
+++ b/crates/config/src/dissemination/transfer/download.rs
@@ -1,4 +1,4 @@
-//! The chunks of a confirmed manifest, downloaded from several peers at a time.
+//! Downloads the chunks of a confirmed manifest from several peers in parallel.
 
 use super::{Request, TransferContext};
 use crate::change::Name;
@@ -16,37 +16,37 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const MS: u64 = 1_000_000;
-/// Peers that chunks are downloaded from at a time.
+/// Maximum number of peers that chunks are downloaded from in parallel.
 const MAX_SOURCES: usize = 6;
-/// Chunks in flight per source. The cluster bounds the partly received messages of one sender, so large chunks come few at a
-/// time.
+/// Minimum window of chunks in flight per source, used for large chunks. The cluster limits the partially received messages of
+/// one sender, so few large chunks may be in flight.
 const MIN_WINDOW_CHUNKS: usize = 2;
-/// More chunks are in flight where they are small, so that the loss of one delays few bytes.
+/// Bytes in flight per source. Smaller chunks allow a larger window, so that a lost chunk delays few bytes.
 const WINDOW_BYTES: usize = MIN_WINDOW_CHUNKS * EXPECTED_CHUNK_BYTES;
-/// Chunks in flight per source where chunks are small.
+/// Maximum window of chunks in flight per source, used for small chunks.
 const MAX_WINDOW_CHUNKS: usize = 32;
-/// Requests in a row that may time out before a source cools down.
+/// Number of consecutive timeouts after which a source cools down.
 const MAX_FAILURES: u32 = 3;
-/// Without a new chunk for so long another manifest is fetched.
+/// Time without a new chunk after which another manifest is fetched.
 const MAX_STALL: Span = Span(3_000 * MS);
-/// Interval between searches for more sources, and the cooldown of a source that failed.
+/// Interval between searches for more sources, and the cooldown of a failed source.
 const REFILL_INTERVAL: Span = Span(500 * MS);
-/// Bytes that a chunk is charged in the request budget before it is received: the mean of a full table.
+/// Bytes charged to the request budget for a chunk before it is received: the mean size of a chunk of a full table.
 const EXPECTED_CHUNK_BYTES: usize = 6_500;
 
 #[derive(Debug)]
 struct Source {
     name: Name,
-    /// Requests that timed out since the last valid chunk.
+    /// Number of requests that timed out since the last valid chunk.
     failures: u32,
 }
 
-/// What a received chunk amounts to.
+/// The result of handling a received chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ReceivedChunk {
-    /// Bytes that were charged for it and not used.
+    /// Bytes charged to the request budget for the chunk and not used.
     pub(super) unused_request_bytes: usize,
-    /// Whether a requested chunk failed its check.
+    /// Whether the chunk was requested and failed its check, so that its source must be quarantined.
     pub(super) is_source_bad: bool,
 }
 
@@ -56,21 +56,22 @@
     assembly: Assembly,
     sources: Vec<Source>,
     in_flight: BTreeMap<ChunkNumber, InFlight>,
-    /// Chunks that a source does not have.
+    /// Chunks that a source reported not to have.
     absent: BTreeSet<(Name, ChunkNumber)>,
-    /// Sources that failed. As many as there are servers at most.
+    /// Sources that failed. Bounded by the number of servers.
     cooldowns: Cooldowns,
-    /// The peer that served the manifest. Once it lacks a chunk of it, the manifest is outdated.
+    /// The peer that served the manifest. The manifest is outdated once this peer no longer has one of its chunks.
     manifest_source: Name,
     is_outdated: bool,
     next_refill_at: Time,
     progress_at: Time,
-    /// A moving average of the length of received chunks.
+    /// Moving average of the size of received chunks.
     mean_chunk_bytes: usize,
 }
 
 impl Download {
-    /// Nothing requested yet; `manifest_source` served the manifest, and `confirmed_by` confirmed it.
+    /// A download without requests in flight. `manifest_source` served the manifest and `confirmed_by` confirmed it; both become
+    /// sources.
     pub(super) fn new(
         now: Time,
         assembly: Assembly,
@@ -103,17 +104,17 @@
         self.assembly
     }
 
-    /// Reuses the chunks of a state that are the same.
+    /// Reuses chunks of a state whose digests are the same.
     pub(super) fn reuse_chunks_of(&mut self, state: &Configuration) {
         self.assembly.reuse_chunks_of_state(state);
     }
 
-    /// Whether the download makes no progress, or the manifest is outdated.
+    /// Whether the download makes no progress or the manifest is outdated.
     pub(super) fn needs_other_manifest(&self, now: Time) -> bool {
         now >= time_after(self.progress_at, MAX_STALL) || self.is_outdated
     }
 
-    /// Checks a chunk and adds it; drops the source of a requested chunk that fails the check.
+    /// Verifies a chunk and adds it. Drops the source if the chunk was requested and fails the check.
     pub(super) fn receive_chunk(
         &mut self,
         now: Time,
@@ -134,7 +135,7 @@
                     source.failures = 0;
                 }
             }
-            // A delayed response to a request for an older manifest may have another content; a requested one may not.
+            // Only a requested chunk must match. Others may be delayed responses that belong to an earlier manifest.
             Err(_) if is_requested => {
                 self.drop_source(from);
                 received.is_source_bad = true;
@@ -144,7 +145,7 @@
         received
     }
 
-    /// Records that a source lacks a chunk. Returns the bytes that were charged for it.
+    /// Records that a source doesn't have a chunk. Returns the bytes charged for the request.
     pub(super) fn receive_no_chunk(&mut self, from: &Name, number: ChunkNumber) -> usize {
         let is_requested = self.remove_in_flight(from, number);
         self.absent.insert((from.clone(), number));
@@ -160,13 +161,13 @@
         is_requested
     }
 
-    /// Drops a source and the requests to it.
+    /// Drops a source and the requests in flight to it.
     pub(super) fn drop_source(&mut self, name: &str) {
         self.sources.retain(|source| source.name.as_ref() != name);
         self.in_flight.retain(|_, request| !request.is_to(name));
     }
 
-    /// Drops a source for a while.
+    /// Drops a source until its cooldown ends.
     pub(super) fn cool_down_source(&mut self, now: Time, name: &Name) {
         self.drop_source(name);
         self.cooldowns.add(now, name.clone(), time_after(now, REFILL_INTERVAL), usize::MAX);
@@ -186,8 +187,8 @@
         }
     }
 
-    /// Adds sources. The one that served the manifest comes first and is always taken: it retains the chunks of the manifest,
-    /// while others have only those that no commit has changed since.
+    /// Adds sources. The peer that served the manifest comes first and may exceed the maximum: it retains all chunks of the
+    /// manifest, while other peers have only those that no commit has changed since.
     fn refill_sources(&mut self, view: &PeerView<'_>, rng: &mut Pcg64Mcg) {
         let now = view.now;
         if now < self.next_refill_at && !self.sources.is_empty() {
@@ -205,14 +206,14 @@
         }
     }
 
-    /// Chunks that may be in flight to one source.
+    /// Maximum number of chunks in flight per source. Doubled if only voters are used, because there are few of them.
     fn window_chunks(&self, selection: Selection) -> usize {
         let window = WINDOW_BYTES / self.mean_chunk_bytes.max(1);
         let window = window.clamp(MIN_WINDOW_CHUNKS, MAX_WINDOW_CHUNKS);
         if selection == Selection::Voters { 2 * window } else { window }
     }
 
-    /// Fails requests that timed out, and returns requests for missing chunks, each to the source with the fewest in flight.
+    /// Fails requests that timed out and returns new requests for missing chunks, each to the source with the fewest in flight.
     pub(super) fn step(&mut self, context: &mut TransferContext<'_>) -> Vec<Request> {
         let TransferContext { view, outbox, rng, .. } = context;
         let now = view.now;
--- a/crates/config/src/dissemination/transfer/mod.rs
+++ b/crates/config/src/dissemination/transfer/mod.rs
@@ -1,8 +1,8 @@
-//! Fetching a snapshot: first a manifest that other peers confirm, then its chunks from several peers.
+//! Fetches a snapshot: first a manifest, which other peers confirm, then its chunks from several peers.
 //!
-//! Chunks are named by the digest of their content, so any peer whose state has the same chunk can serve it, and chunks that
-//! were downloaded for one manifest are reused for the next. A chunk that does not match its digest is dropped and its source
-//! is reported in [`Transfer::take_bad_sources`].
+//! Chunks are identified by the digest of their content. So any peer whose state has the same chunk can serve it, and chunks that
+//! were downloaded for one manifest are reused for the next. A chunk that does not match its digest is dropped and its source is
+//! returned by [`Transfer::take_bad_sources`].
 
 mod candidate;
 mod download;
@@ -23,45 +23,45 @@
 use rand_pcg::Pcg64Mcg;
 
 const MS: u64 = 1_000_000;
-/// Interval between the rounds of confirmation, and before another peer is asked for a manifest.
+/// Interval between rounds of confirmation, and delay after no manifest could be requested.
 const CONFIRM_INTERVAL: Span = Span(300 * MS);
 /// Interval between steps while chunks are in flight.
 const DOWNLOAD_STEP_INTERVAL: Span = Span(50 * MS);
-/// Bytes that a manifest is charged in the request budget before it is received.
+/// Bytes charged to the request budget for a manifest before it is received.
 const EXPECTED_MANIFEST_BYTES: usize = 20_000;
 
-/// What a step of a transfer reads and writes outside the transfer.
+/// State outside the transfer that a step of the transfer reads and writes.
 pub struct TransferContext<'a> {
-    /// The time and the peers.
+    /// The current time and the peers.
     pub view: PeerView<'a>,
-    /// One of the nearest peers that are known to be ahead.
+    /// One of the nearest peers that are known to be ahead, if any.
     pub peer_ahead: Option<Name>,
-    /// The state in force, whose chunks are reused.
+    /// The state in force, whose chunks are reused if their digests match.
     pub state: &'a Configuration,
-    /// Holds the request budget.
+    /// Provides the request budget.
     pub outbox: &'a mut Outbox,
     /// The source of all random choices.
     pub rng: &'a mut Pcg64Mcg,
 }
 
-/// A message that the transfer asks the caller to send.
+/// A request that the caller must send.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
     /// The name of the receiver.
     pub to: Name,
-    /// The request.
+    /// The message to send.
     pub message: Message,
 }
 
 #[derive(Debug)]
 enum Phase {
-    /// No manifest yet; the request for one, if one was sent.
+    /// There is no manifest yet. Contains the request for one, if it was sent.
     FindingManifest(Option<InFlight>),
     Confirming(Box<Candidate>),
     Downloading(Box<Download>),
 }
 
-/// A snapshot that is being fetched.
+/// The transfer of a snapshot to this server.
 #[derive(Debug)]
 pub struct Transfer {
     min_revision: Revision,
@@ -74,7 +74,7 @@
 }
 
 impl Transfer {
-    /// Begins to fetch a snapshot of this revision or a later one.
+    /// Starts to fetch a snapshot of `min_revision` or later.
     pub fn new(now: Time, min_revision: Revision) -> Self {
         Self {
             min_revision,
@@ -86,22 +86,22 @@
         }
     }
 
-    /// Takes the sources whose data failed a check since the last call.
+    /// Takes the peers whose data failed a check since the last call. The caller must quarantine them.
     pub fn take_bad_sources(&mut self) -> Vec<Name> {
         std::mem::take(&mut self.bad_sources)
     }
 
-    /// Takes the bytes by which the responses since the last call were shorter than charged.
+    /// Takes the bytes that were charged to the request budget for responses since the last call, and not used.
     pub fn take_unused_request_bytes(&mut self) -> usize {
         std::mem::take(&mut self.unused_request_bytes)
     }
 
-    /// The lowest revision that the snapshot may have.
+    /// The minimum revision of the snapshot.
     pub fn min_revision(&self) -> Revision {
         self.min_revision
     }
 
-    /// Looks for another manifest; downloaded chunks are kept for it.
+    /// Restarts with another manifest. Chunks that were already downloaded are retained for it.
     fn restart(&mut self, now: Time) {
         let phase = std::mem::replace(&mut self.phase, Phase::FindingManifest(None));
         if let Phase::Downloading(download) = phase {
@@ -110,7 +110,7 @@
         self.next_step_at = now;
     }
 
-    /// A manifest was received. Without `needs_confirmation` it is used at once.
+    /// Handles a manifest. If `needs_confirmation` is false, its download starts immediately.
     pub fn receive_manifest(
         &mut self,
         now: Time,
@@ -135,7 +135,7 @@
         self.phase = Phase::Confirming(Box::new(candidate));
     }
 
-    /// A peer reported the digest that it knows for a revision, or that it knows none.
+    /// Handles the digest that a peer reported for a revision; `None` if the peer doesn't have it.
     pub fn receive_version(&mut self, now: Time, from: &Name, revision: Revision, digest: Option<Digest>) {
         let Phase::Confirming(candidate) = &mut self.phase else { return };
         match candidate.receive_version(from, revision, digest) {
@@ -169,7 +169,7 @@
         self.next_step_at = now;
     }
 
-    /// A chunk was received.
+    /// Handles a received chunk, requested or not.
     pub fn receive_chunk(&mut self, now: Time, from: &Name, number: ChunkNumber, bytes: &[u8]) {
         let Phase::Downloading(download) = &mut self.phase else { return };
         let received = download.receive_chunk(now, from, number, bytes);
@@ -180,7 +180,7 @@
         self.next_step_at = now;
     }
 
-    /// A source has no chunk with the requested digest.
+    /// Handles the report of a source that it has no chunk with the requested digest.
     pub fn receive_no_chunk(&mut self, now: Time, from: &Name, number: ChunkNumber) {
         if let Phase::Downloading(download) = &mut self.phase {
             self.unused_request_bytes += download.receive_no_chunk(from, number);
@@ -188,7 +188,7 @@
         }
     }
 
-    /// A peer rejected a request because its byte budget is used up; another peer is asked.
+    /// Handles that a peer rejected a request because its byte budget is used up. Another peer is asked instead.
     pub fn receive_rejection(&mut self, now: Time, from: &Name) {
         match &mut self.phase {
             Phase::FindingManifest(Some(request)) if request.is_to(from) => request.deadline = now,
@@ -198,7 +198,7 @@
         self.next_step_at = now;
     }
 
-    /// Drops a source that was quarantined.
+    /// Drops a peer that was quarantined as a source.
     pub fn drop_source(&mut self, now: Time, name: &str) {
         match &mut self.phase {
             Phase::FindingManifest(Some(request)) if request.is_to(name) => self.restart(now),
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Does what is due, and returns the requests to send.
+    /// Performs what is due and returns the requests to send.
     pub fn step(&mut self, context: &mut TransferContext<'_>) -> Vec<Request> {
         let now = context.view.now;
         if now < self.next_step_at {
@@ -273,7 +273,7 @@
         candidate.next_round(&context.view, context.rng, self.next_step_at)
     }
 
-    /// Takes the snapshot once all of its chunks were received.
+    /// Takes the snapshot if all of its chunks were received.
     pub fn take_finished(&mut self, now: Time) -> Option<Snapshot> {
         let is_complete = matches!(&self.phase, Phase::Downloading(download) if download.is_complete());
         if !is_complete {
@@ -285,7 +285,7 @@
         download.into_assembly().finish().ok()
     }
 
-    /// When [`Transfer::step`] must be called without new input.
+    /// The time by which [`Transfer::step`] must be called again if there is no new input.
     pub fn wake_at(&self) -> Time {
         self.next_step_at
     }
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,14 +1,16 @@
-//! A transaction as operators write it, with the keys of the configuration file.
+//! The JSON form of a transaction that operators write, with the keys of the configuration file.
 //!
-//! The order in a document has no meaning, as each name is in it once. A class or tenant in a document replaces the one of the
-//! same name completely. Names of fields are part of the interface; one that is renamed here keeps its name in JSON.
+//! The order within a document is irrelevant because each name may occur only once. A class or tenant in a document completely
+//! replaces the one of the same name. Field names are part of the interface; a field that is renamed here keeps its JSON name
+//! through a serde attribute.
 
 use crate::change::{Change, ClassDefinition, Name, Rule, Transaction};
 use gradepin_admission::{ClassProfile, Idempotency, Span, Tenant};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A document. Unknown keys are rejected, so that a mistyped key does not silently leave a default in place.
+/// Changes of classes, tenants and rules. Unknown keys are rejected, so that a mistyped key doesn't silently leave a default in
+/// place.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Document {
@@ -29,7 +31,7 @@
     pub rules: RuleEntries,
 }
 
-/// A class, with the fields of [`ClassProfile`]. Times are in nanoseconds.
+/// A class, with the fields of [`ClassProfile`]. Durations are in nanoseconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[allow(missing_docs)]
@@ -48,10 +50,10 @@
     #[serde(default)]
     #[serde(rename = "aim_stretch")]
     pub objective_stretch: f64,
-    /// Whether requests of the class make upstream calls; `specifics.calls_by_class` in the configuration file.
+    /// Whether requests of the class make upstream calls (`specifics.calls_by_class` in the configuration file).
     #[serde(default = "default_calls")]
     pub calls: bool,
-    /// The value of a skipped request; `specifics.class_skip_worth` in the configuration file.
+    /// The value of a skipped request, from 0 to 1 (`specifics.class_skip_worth` in the configuration file).
     #[serde(default)]
     #[serde(rename = "skip_worth")]
     pub skip_weight: f64,
@@ -69,7 +71,7 @@
     pub portion: f64,
 }
 
-/// Rules, one field per variant of [`Rule`]; rules that are absent are not changed.
+/// Rules, one field per variant of [`Rule`]. Absent rules are not changed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[allow(missing_docs)]
@@ -102,7 +104,7 @@
         self.iter().next().is_none()
     }
 
-    /// The rules that are set, in the order of the fields.
+    /// The rules that are present, in the order of the fields.
     pub fn iter(&self) -> impl Iterator<Item = Rule> {
         let all = [
             self.answer_slack.map(Rule::AnswerSlack),
@@ -176,7 +178,7 @@
 }
 
 impl From<Document> for Transaction {
-    /// Rules first, then classes, then tenants; of each, removals come last.
+    /// Orders rules first, then classes, then tenants; for each kind, removals come last.
     fn from(document: Document) -> Self {
         let class = |entry| Change::PutClass(Arc::new(ClassDefinition::from(entry)));
         let tenant = |entry| Change::PutTenant(Arc::new(Tenant::from(entry)));
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,16 +1,19 @@
-//! Revisions of the configuration of the fleet: changes, validation, digests, snapshots and dissemination. No I/O, no clock.
+//! Revisions of the fleet's configuration: changes, validation, digests, snapshots and dissemination. Performs no I/O and reads
+//! no clock.
 //!
-//! A configuration is the result of applying a prefix of the committed log to the base, which is revision 0. Invariant: every
-//! server has the result of such a prefix in force, and its revision never falls.
+//! A configuration is the result of applying a prefix of the committed log to the base. The base is revision 0: the classes,
+//! tenants and rules of the start file, which is the configuration file that a server reads at startup.
 //!
-//! - [`change`]: typed changes of classes, tenants and rules, and the commit that carries them under one revision.
-//! - [`document`]: a transaction as operators write it.
+//! Invariants: the configuration in force at a server is always the result of such a prefix, and its revision never decreases.
+//!
+//! - [`change`]: typed changes of classes, tenants and rules, and the commit that assigns them a revision.
+//! - [`document`]: the JSON form of a transaction that operators write.
 //! - [`configuration`]: the state that commits are applied to, with its [`digest`], in [`chunk`]s, and its [`rules`].
-//! - [`validation`]: the check of transactions.
-//! - [`snapshot`]: a state in chunks that are checked one by one.
-//! - [`log`]: the last commits.
-//! - [`difference`]: the transactions that turn one state into another.
-//! - [`dissemination`]: the state machine by which commits and snapshots reach every server.
+//! - [`validation`]: checks of transactions and proposals.
+//! - [`snapshot`]: a complete state as a manifest and chunks, each of which is verified on its own.
+//! - [`log`]: the most recent commits.
+//! - [`difference`]: computes the transactions that turn one state into another.
+//! - [`dissemination`]: the state machine that distributes commits and snapshots to every server.
 //! - [`admin`]: requests and responses of the admin endpoints.
 
 #![warn(missing_docs, unreachable_pub, clippy::too_many_lines)]
--- a/crates/config/src/log.rs
+++ b/crates/config/src/log.rs
@@ -1,6 +1,6 @@
-//! The last commits, for servers that are a little behind and for operators.
+//! The most recent commits, for servers that are slightly behind and for operators.
 //!
-//! Bounded by number and by bytes; the oldest are dropped first. Invariant: the revisions have no gaps.
+//! The log is bounded in number and bytes; the oldest commits are dropped first. Invariant: the revisions have no gaps.
 
 use crate::change::{Commit, Revision};
 use std::collections::VecDeque;
@@ -9,26 +9,26 @@
 /// The bounds of a [`CommitLog`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogLimits {
-    /// Commits retained.
+    /// Maximum number of commits retained, at least 1.
     pub commits: usize,
-    /// Bytes of the encodings of the commits retained. The newest commit is retained whatever its size.
+    /// Maximum total size of the encoded commits, in bytes. The newest commit is retained regardless of its size.
     pub bytes: usize,
 }
 
 impl Default for LogLimits {
-    /// Some hours of 1,900 changes a day, in 1 MB.
+    /// Covers a few hours at 1,900 changes per day, in 1 MB.
     fn default() -> Self {
         Self { commits: 256, bytes: 1 << 20 }
     }
 }
 
-/// A commit does not follow the last one.
+/// A commit was rejected because its revision does not follow that of the last one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("expected revision {expected}, got {actual}")]
 pub struct Gap {
-    /// The revision that follows the last one.
+    /// The revision after that of the last commit.
     pub expected: Revision,
-    /// The revision of the commit.
+    /// The revision of the rejected commit.
     pub actual: Revision,
 }
 
@@ -38,38 +38,38 @@
     bytes: usize,
 }
 
-/// The last commits, without gaps.
+/// The most recent commits, without gaps.
 #[derive(Debug, Clone)]
 pub struct CommitLog {
     limits: LogLimits,
     entries: VecDeque<RetainedCommit>,
-    /// Of all entries.
+    /// Total size of the encoded commits.
     bytes: usize,
     last: Revision,
 }
 
 impl CommitLog {
-    /// An empty log that continues after a revision.
+    /// An empty log whose next commit has the revision after `last`.
     pub fn after_revision(last: Revision, limits: LogLimits) -> Self {
         Self { limits, entries: VecDeque::new(), bytes: 0, last }
     }
 
-    /// The revision of the last commit.
+    /// The revision of the last commit, also if it was dropped or replaced by a snapshot.
     pub fn last(&self) -> Revision {
         self.last
     }
 
-    /// The revision after which all commits are retained.
+    /// The revision before the oldest retained commit. All commits after it are retained.
     pub fn base(&self) -> Revision {
         Revision(self.last.0 - self.entries.len() as u64)
     }
 
-    /// Bytes of the encodings of the commits retained.
+    /// Total size of the encoded commits retained, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Adds the next commit, and drops the oldest past the limits.
+    /// Adds the next commit and drops the oldest ones above the limits.
     pub fn push(&mut self, commit: Arc<Commit>) -> Result<(), Gap> {
         let expected = self.last.next();
         if commit.revision != expected {
@@ -91,12 +91,12 @@
         }
     }
 
-    /// Drops all commits and continues after another revision: a snapshot was installed.
+    /// Drops all commits and continues after revision `last`, for example after a snapshot was installed.
     pub fn restart(&mut self, last: Revision) {
         *self = Self::after_revision(last, self.limits);
     }
 
-    /// All commits after a revision, in order. `None` if some are dropped already, or the revision is in the future.
+    /// All commits after a revision, in order. `None` if some were already dropped or the revision is in the future.
     pub fn after(&self, revision: Revision) -> Option<impl Iterator<Item = &Arc<Commit>>> {
         let skipped = revision.0.checked_sub(self.base().0).filter(|_| revision <= self.last)?;
         Some(self.entries.iter().skip(skipped as usize).map(|entry| &entry.commit))
@@ -108,7 +108,7 @@
         self.entries.get(index as usize).map(|entry| &entry.commit)
     }
 
-    /// The commits retained, the newest first.
+    /// The retained commits, newest first.
     pub fn history(&self) -> impl Iterator<Item = &Arc<Commit>> {
         self.entries.iter().rev().map(|entry| &entry.commit)
     }
--- a/crates/config/src/rules.rs
+++ b/crates/config/src/rules.rs
@@ -1,21 +1,21 @@
-//! The rules of a configuration: at most one value of each kind, in a fixed order of kinds.
+//! The rules of a configuration: at most one value per kind, in a fixed order of the kinds.
 
 use crate::change::Rule;
 use crate::digest::{Digest, StateEntry};
 use gradepin_admission::Settings;
 
-/// Kinds of rules.
+/// Number of variants of [`Rule`].
 const KIND_COUNT: usize = 7;
 
-/// The rules that are set.
+/// The rules that are set, at most one per kind.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RuleSet {
-    /// By the index of the kind.
+    /// Indexed by [`Rule::kind_index`]; `None` where a rule is not set.
     rules: [Option<Rule>; KIND_COUNT],
 }
 
 impl Rule {
-    /// The key of the rule in documents and messages.
+    /// The key of the rule in documents and in error messages.
     pub fn name(&self) -> &'static str {
         match self {
             Self::AnswerSlack(_) => "answer_slack",
@@ -28,7 +28,6 @@
         }
     }
 
-    /// The index of the kind of rule.
     fn kind_index(&self) -> usize {
         match self {
             Self::AnswerSlack(_) => 0,
@@ -41,7 +40,7 @@
         }
     }
 
-    /// Writes this rule into settings of the admission module.
+    /// Sets this rule in settings of the admission module.
     pub fn write(&self, settings: &mut Settings) {
         match *self {
             Self::AnswerSlack(span) => settings.rules.answer_slack = span,
@@ -56,7 +55,7 @@
 }
 
 impl RuleSet {
-    /// All rules of settings.
+    /// The values of all rules in `settings`.
     pub fn of(settings: &Settings) -> Self {
         let rules = &settings.rules;
         let all = [
@@ -71,12 +70,12 @@
         Self { rules: all.map(Some) }
     }
 
-    /// Sets a rule; returns the value that it replaced.
+    /// Sets a rule; returns the previous value of the same kind, if any.
     pub fn put(&mut self, rule: Rule) -> Option<Rule> {
         self.rules[rule.kind_index()].replace(rule)
     }
 
-    /// The rule in force of the same kind.
+    /// The rule that is set of the same kind as `rule`; the value of `rule` is ignored.
     pub fn same_kind(&self, rule: &Rule) -> Option<Rule> {
         self.rules[rule.kind_index()]
     }
@@ -86,7 +85,7 @@
         self.rules.iter().flatten().copied()
     }
 
-    /// The sum of the digests of all rules.
+    /// The sum of the digests of the rules that are set.
     pub fn digest(&self) -> Digest {
         self.iter().fold(Digest::default(), |sum, rule| sum.plus(StateEntry::Rule(rule).digest()))
     }
--- a/crates/config/src/snapshot.rs
+++ b/crates/config/src/snapshot.rs
@@ -1,8 +1,8 @@
-//! Snapshots: a state at one revision, in chunks that are checked one by one.
+//! Snapshots: a state at one revision, in chunks that are verified one by one.
 //!
-//! A [`Manifest`] lists the digest of each chunk. Their sum is the digest of the state, so a manifest is checked against the
-//! [`Version`] that servers exchange, and each chunk against the manifest. An [`Assembly`] reuses the chunks of another state or
-//! of an earlier, incomplete assembly that are the same.
+//! A [`Manifest`] lists the digests of all rules and chunks. They sum to the digest of the state. So a manifest is verified against
+//! the [`Version`] that servers exchange, and each chunk against the manifest. An [`Assembly`] builds a snapshot from chunks, and
+//! can reuse identical chunks of another state or of an earlier, incomplete assembly.
 
 use crate::change::{Revision, Rule};
 use crate::chunk::{CHUNKS, Chunk, ChunkError, ChunkNumber};
@@ -13,92 +13,92 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The highest revision of a snapshot. No consensus group reaches it. The digest does not cover the revision, so without this
-/// bound a forged manifest could set a revision after which there is no next one.
+/// Maximum revision of a snapshot, which no consensus group reaches. The digest does not cover the revision, so without this limit
+/// a forged manifest could set a revision that has no successor.
 const MAX_REVISION: Revision = Revision(1 << 62);
 
 /// The number and digest of one chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkDigest {
-    /// The chunk.
+    /// The number of the chunk.
     pub number: ChunkNumber,
-    /// The digest of its entries.
+    /// The sum of the digests of its entries.
     pub digest: Digest,
 }
 
-/// The parts of a snapshot, 20 KB at most.
+/// The list of the rules and chunks of a snapshot. At most 20 KB when encoded.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Manifest {
     /// Revision and digest of the state.
     pub version: Version,
-    /// All rules, each kind once.
+    /// The rules that are set, each kind at most once.
     pub rules: Vec<Rule>,
-    /// The chunks that are not empty, by number.
+    /// The digests of the chunks that are not empty, sorted by chunk number.
     pub chunks: Vec<ChunkDigest>,
 }
 
 /// Why a manifest or a snapshot is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// The bytes are not a snapshot.
-    #[error("expected the encoding of a snapshot")]
+    /// The bytes are not an encoded snapshot.
+    #[error("expected the postcard encoding of a snapshot")]
     InvalidEncoding,
-    /// The chunk numbers are out of range or not ascending, or a rule is there twice.
+    /// The chunk numbers are out of range or not ascending, or a rule is duplicated.
     #[error("expected each chunk and rule once and in order")]
     NotCanonical,
     /// A rule is not well-formed, so neither a start file nor a commit can have set it.
-    #[error("expected rules whose figures are numbers, got {0}")]
+    #[error("expected rules with finite numbers, got rule {0}")]
     MalformedRule(&'static str),
-    /// No state can have this revision.
-    #[error("expected a revision that a group of voters gets to, got {0}")]
+    /// The revision is higher than any consensus group reaches.
+    #[error("expected a revision that a consensus group can reach, got {0}")]
     RevisionTooHigh(Revision),
-    /// The digests of the parts do not sum to the digest of the state.
+    /// The digests of the rules and chunks don't sum to the digest of the state.
     #[error("expected digest {expected}, got {actual}")]
     DigestMismatch {
         /// The digest in the manifest.
         expected: Digest,
-        /// The sum over the parts.
+        /// The sum of the digests of the rules and chunks.
         actual: Digest,
     },
-    /// A chunk is rejected.
+    /// A chunk does not match the manifest or is not well-formed.
     #[error("chunk {number}: {reason}")]
     InvalidChunk {
-        /// Its number.
+        /// The number of the rejected chunk.
         number: u16,
-        /// The reason.
+        /// Why the chunk was rejected.
         reason: ChunkError,
     },
-    /// Some chunks were not added yet.
+    /// Not all chunks of the manifest were added.
     #[error("expected all chunks, {missing} are missing")]
     Incomplete {
-        /// Chunks that are missing.
+        /// Number of missing chunks.
         missing: usize,
     },
 }
 
-/// A state at one revision, for reading. It is made without copying entries; a chunk is encoded when it is requested.
+/// An immutable state at one revision. Creating it copies no entries; chunks are encoded on request.
 #[derive(Debug, Clone)]
 pub struct Snapshot {
     state: Configuration,
 }
 
 impl Snapshot {
-    /// The snapshot of a state.
+    /// A snapshot of `state`, which shares its chunks.
     pub fn of(state: &Configuration) -> Self {
         Self { state: state.clone() }
     }
 
-    /// The state.
+    /// The state at the revision of the snapshot.
     pub fn configuration(&self) -> &Configuration {
         &self.state
     }
 
-    /// Its revision and digest.
+    /// Revision and digest of the state.
     pub fn version(&self) -> Version {
         self.state.version()
     }
 
-    /// Its manifest.
+    /// The manifest, computed from the chunk table.
     pub fn manifest(&self) -> Manifest {
         let numbered = (0..CHUNKS).map(ChunkNumber).zip(self.state.chunks.iter());
         let chunks = numbered.filter_map(|(number, chunk)| {
@@ -112,14 +112,14 @@
         self.state.chunk(number).map(|chunk| chunk.encode())
     }
 
-    /// The encoding of manifest and chunks together, for files.
+    /// The encoding of the manifest and all chunks, for files.
     pub fn encode(&self) -> Vec<u8> {
         let manifest = self.manifest();
         let chunks = manifest.chunks.iter().filter_map(|chunk| self.chunk(chunk.number)).collect();
         postcard::to_stdvec(&EncodedSnapshot { manifest, chunks }).unwrap_or_default()
     }
 
-    /// Reads an encoded snapshot and checks each part of it.
+    /// Decodes a snapshot and verifies the manifest and each chunk.
     pub fn decode(bytes: &[u8]) -> Result<Self, SnapshotError> {
         let (encoded, rest) = postcard::take_from_bytes::<EncodedSnapshot>(bytes)
             .map_err(|_| SnapshotError::InvalidEncoding)?;
@@ -137,7 +137,7 @@
     }
 }
 
-/// The encoding of a snapshot in a file; the chunks are in the order of the manifest.
+/// The file format of a snapshot. The chunks are in the order of the manifest.
 #[derive(Serialize, Deserialize)]
 struct EncodedSnapshot {
     manifest: Manifest,
@@ -145,12 +145,12 @@
 }
 
 impl Manifest {
-    /// The revision of the snapshot.
+    /// The revision of the state.
     pub fn revision(&self) -> Revision {
         self.version.revision
     }
 
-    /// Checks order, rules and revision, and that the digests of the parts sum to the digest of the state.
+    /// Checks the order of the chunks, the rules and the revision, and that the digests sum to the digest of the state.
     pub fn check(&self) -> Result<(), SnapshotError> {
         let ascending = self.chunks.windows(2).all(|pair| pair[0].number < pair[1].number);
         let in_range = self.chunks.last().is_none_or(|last| last.number.0 < CHUNKS);
@@ -178,34 +178,34 @@
     }
 }
 
-/// A snapshot that is put together from chunks of any sources, in any order.
+/// Builds a snapshot from chunks, which may come from any source and in any order.
 #[derive(Debug, Clone)]
 pub struct Assembly {
     manifest: Manifest,
-    /// By index in the manifest; `None` where the chunk is missing.
+    /// In the order of the manifest; `None` for a missing chunk.
     chunks: Vec<Option<Arc<Chunk>>>,
     missing: usize,
 }
 
 impl Assembly {
-    /// An assembly without chunks. An error if the manifest is inconsistent.
+    /// An assembly without chunks. Returns an error if the manifest is inconsistent.
     pub fn new(manifest: Manifest) -> Result<Self, SnapshotError> {
         manifest.check()?;
         let missing = manifest.chunks.len();
         Ok(Self { manifest, chunks: vec![None; missing], missing })
     }
 
-    /// The manifest of the snapshot.
+    /// The manifest that the chunks must match.
     pub fn manifest(&self) -> &Manifest {
         &self.manifest
     }
 
-    /// Revision and digest of the snapshot.
+    /// Revision and digest of the snapshot to build.
     pub fn version(&self) -> Version {
         self.manifest.version
     }
 
-    /// Reuses the chunks of a state that are the same.
+    /// Adds the chunks of a state that have the digest in the manifest.
     pub fn reuse_chunks_of_state(&mut self, state: &Configuration) {
         for index in 0..self.chunks.len() {
             let wanted = self.manifest.chunks[index];
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Reuses the chunks of another assembly that are the same.
+    /// Adds the chunks of another assembly that have the same digest in both manifests.
     pub fn reuse_chunks_of_assembly(&mut self, other: &Assembly) {
         for index in 0..self.chunks.len() {
             let wanted = self.manifest.chunks[index];
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Checks a chunk and adds it. Bytes for a chunk that is there already are ignored.
+    /// Verifies and adds a chunk. The bytes are ignored if the chunk is already present.
     pub fn add(&mut self, number: ChunkNumber, bytes: &[u8]) -> Result<(), ChunkError> {
         let index = self.manifest.chunks.binary_search_by_key(&number, |chunk| chunk.number);
         let index = index.map_err(|_| ChunkError::UnknownNumber { number: number.0 })?;
@@ -247,18 +247,18 @@
         Ok(())
     }
 
-    /// How many chunks are missing.
+    /// Number of missing chunks.
     pub fn missing_count(&self) -> usize {
         self.missing
     }
 
-    /// The missing chunks, by number.
+    /// The numbers of the missing chunks, ascending.
     pub fn missing(&self) -> impl Iterator<Item = ChunkNumber> + '_ {
         let slots = self.chunks.iter().zip(&self.manifest.chunks);
         slots.filter(|(chunk, _)| chunk.is_none()).map(|(_, chunk)| chunk.number)
     }
 
-    /// The snapshot. An error if chunks are missing.
+    /// Returns the snapshot, or an error if chunks are missing.
     pub fn finish(self) -> Result<Snapshot, SnapshotError> {
         if self.missing > 0 {
             return Err(SnapshotError::Incomplete { missing: self.missing });
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -1,8 +1,8 @@
-//! The check of transactions: the same one before a proposal, at its commit, and on every server.
+//! Validation of transactions. The same check runs before a proposal, at its commit, and on every server that applies it.
 //!
-//! It costs the size of the transaction. It accepts what the daemon accepts in its configuration file, except for a deadline
-//! below the latency objective, numbers out of any sensible range, and texts past the bounds. The portions of all tenants need
-//! not sum to 1, as in the file.
+//! Its cost is proportional to the size of the transaction, not of the state. It is stricter than the daemon's check of its
+//! configuration file: it also rejects a deadline below the latency objective, numbers outside of plausible ranges, and texts
+//! above the length limits. As in the file, the portions of all tenants need not sum to 1.
 //!
 //! Each error names the path in the transaction, what was expected there and what was found.
 
@@ -16,53 +16,52 @@
 use std::collections::{HashMap, HashSet};
 use std::ops::RangeInclusive;
 
-/// The longest time of any kind: a day. A longer one means that units were confused.
+/// The longest deadline, latency objective, window or duration of a rule: one day. A longer value indicates a wrong unit.
 pub const MAX_SPAN: Span = Span(86_400_000_000_000);
-/// The highest priority weight of a class.
+/// The maximum priority weight of a class.
 pub const MAX_PRIORITY_WEIGHT: f64 = 1e9;
-/// The highest quota of a tenant, in requests per second.
+/// The maximum quota of a tenant, in requests per second.
 pub const MAX_QUOTA_RPS: f64 = 1e9;
-/// The highest objective stretch of a class, and the highest concurrency per core.
+/// The maximum of the objective stretch of a class and of the concurrency per core.
 pub const MAX_MULTIPLE: f64 = 1e6;
 
 /// Why a transaction or a start file is not valid.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{path}: expected {expected}, got {actual}")]
 pub struct Invalid {
-    /// The path, as in `changes[3].class.label-save.deadline`.
+    /// Where the invalid value is, for example `changes[3].class.label-save.deadline`.
     pub path: String,
-    /// What is allowed there.
+    /// The values that are allowed at the path.
     pub expected: String,
-    /// What was found there.
+    /// The value found at the path.
     #[serde(rename = "came")]
     pub actual: String,
 }
 
 impl Invalid {
-    /// An error at a path.
+    /// An error at `path`, where `expected` was required and `actual` was found.
     pub fn new(path: impl Into<String>, expected: impl Into<String>, actual: impl Into<String>) -> Self {
         Self { path: path.into(), expected: expected.into(), actual: actual.into() }
     }
 }
 
-/// What validation reads of the state that a transaction would change.
+/// The parts of the current state that validation depends on.
 pub(crate) trait EntryIndex {
-    /// Classes in force.
+    /// Number of classes in force.
     fn class_count(&self) -> usize;
-    /// Tenants in force.
+    /// Number of tenants in force.
     fn tenant_count(&self) -> usize;
     /// Whether a class of this name is in force.
     fn has_class(&self, name: &str) -> bool;
     /// Whether a tenant of this name is in force.
     fn has_tenant(&self, name: &str) -> bool;
-    /// Entries, classes and tenants together, in one chunk.
+    /// Number of classes and tenants in one chunk.
     fn chunk_entries(&self, number: ChunkNumber) -> usize;
 }
 
-/// The result of a check.
 type CheckResult = Result<(), Invalid>;
 
-/// Checks that there are at most `max` of something.
+/// Checks that `count` is at most `max`; `what` names the counted items in the error.
 pub(crate) fn check_max(path: &str, count: usize, max: usize, what: &str) -> CheckResult {
     if count <= max {
         return Ok(());
@@ -70,13 +69,13 @@
     Err(Invalid::new(path, format!("at most {max} {what}"), count.to_string()))
 }
 
-/// Checks that the chunk of a new name has capacity for one more entry.
+/// Checks that the chunk of a new entry's name has capacity for it.
 pub(crate) fn check_chunk_capacity(entries: &dyn EntryIndex, path: &str, name: &str) -> CheckResult {
     let present = entries.chunk_entries(ChunkNumber::of(name));
-    check_max(path, present + 1, MAX_CHUNK_ENTRIES, "entries whose names hash alike")
+    check_max(path, present + 1, MAX_CHUNK_ENTRIES, "entries in the chunk of this name")
 }
 
-/// Checks author, reason and request id of a proposal.
+/// Checks the author, reason and request id of a proposal.
 pub(crate) fn check_proposal_texts(proposal: &Proposal) -> CheckResult {
     check_text("author", &proposal.author, MAX_NAME_BYTES)?;
     check_text("reason", &proposal.reason, MAX_TEXT_BYTES)?;
@@ -97,16 +96,16 @@
     checker.check_totals()
 }
 
-/// Checks changes one by one and counts the entries after them.
+/// Checks the changes of a transaction one by one and tracks how many entries there would be after each.
 struct TransactionChecker<'a> {
     entries: &'a dyn EntryIndex,
-    /// Kind and name of the changes so far.
+    /// Kind and name of each entry or rule changed so far; a transaction may change each only once.
     seen: HashSet<(&'static str, &'a str)>,
-    /// Classes after the changes so far.
+    /// Number of classes after the changes so far.
     classes: usize,
-    /// Tenants after the changes so far.
+    /// Number of tenants after the changes so far.
     tenants: usize,
-    /// New entries by chunk. Removed ones are not subtracted, as the bound is far from any real state.
+    /// New entries per chunk. Removed entries are not subtracted: real states stay far below the limit per chunk.
     added: HashMap<ChunkNumber, usize>,
 }
 
@@ -161,7 +160,7 @@
         let added = self.added.entry(number).or_default();
         *added += 1;
         let present = self.entries.chunk_entries(number);
-        check_max(path, present + *added, MAX_CHUNK_ENTRIES, "entries whose names hash alike")
+        check_max(path, present + *added, MAX_CHUNK_ENTRIES, "entries in the chunk of this name")
     }
 
     fn check_totals(&self) -> CheckResult {
@@ -181,7 +180,7 @@
     }
 }
 
-/// A name for error texts: cut where it is too long, without control characters.
+/// A name for error messages: truncated to [`MAX_NAME_BYTES`] characters, without control characters.
 fn printable(name: &str) -> String {
     name.chars().take(MAX_NAME_BYTES).filter(|c| !c.is_control()).collect()
 }
@@ -190,7 +189,7 @@
     let profile = &class.profile;
     check_text(path, &profile.name, MAX_NAME_BYTES)?;
     if profile.name.contains(char::is_whitespace) {
-        // The processor reads a class name as one word of a line.
+        // In the line protocol of the processor, a class name is a single word.
         return Err(Invalid::new(path, "a name without spaces", format!("'{}'", printable(&profile.name))));
     }
     let at = |field: &str| format!("{path}.{field}");
--- a/crates/config/src/well_formed.rs
+++ b/crates/config/src/well_formed.rs
@@ -1,12 +1,12 @@
-//! The minimum that every entry of a state fulfils, from whatever source it came: start file, commit, snapshot or peer.
+//! The minimum requirements that every entry of a state meets, whether it came from a start file, a commit, a snapshot or a peer.
 //!
-//! The processor reads a class name as one word of a line, and the admission module computes with the numbers, so a name with
-//! white space or a number that is not finite must never get into a state. Changes are held to more than this by validation.
+//! A class name is a single word of the processor's line protocol, and the admission module computes with the numbers. So a
+//! name with whitespace or a number that is not finite must never enter a state. Validation of changes is stricter than this.
 
 use crate::change::{ClassDefinition, Rule};
 use gradepin_admission::Tenant;
 
-/// Whether a class has a name of one word, times above 0 and finite numbers.
+/// Whether a class has a one-word name, a non-zero latency objective and deadline, and finite numbers.
 pub(crate) fn is_well_formed_class(class: &ClassDefinition) -> bool {
     let ClassDefinition { profile, skip_weight, .. } = class;
     let numbers = [profile.late_value, profile.priority_weight, profile.objective_stretch, *skip_weight];
@@ -16,12 +16,12 @@
         && numbers.into_iter().all(f64::is_finite)
 }
 
-/// Whether a tenant has finite numbers.
+/// Whether the quota and portion of a tenant are finite.
 pub(crate) fn is_well_formed_tenant(tenant: &Tenant) -> bool {
     tenant.quota_rps.is_finite() && tenant.portion.is_finite()
 }
 
-/// Whether a rule has a finite number; times are always valid.
+/// Whether the number of a rule is finite; every duration is well-formed.
 pub(crate) fn is_well_formed_rule(rule: &Rule) -> bool {
     match rule {
         Rule::AnswerSlack(_) | Rule::Cold(_) | Rule::DrainGrace(_) | Rule::Fall(_) => true,
--- a/crates/config/tests/admin.rs
+++ b/crates/config/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The JSON of the admin endpoints in the form of the design page, and query strings.
+//! JSON of the admin endpoints, in the form that the design page documents, and query strings.
 
 use gradepin_admission::Span;
 use gradepin_config::admin::query::{self, Diff, History, Page, Show};
@@ -6,7 +6,7 @@
 use gradepin_config::change::{Change, Revision, Rule};
 use std::sync::Arc;
 
-/// The examples of `docs/design/configuration-admin.md`.
+/// Uses the examples of `docs/design/configuration-admin.md`.
 #[test]
 fn parses_the_examples_of_the_design_page() {
     let text = r#"{"proposal": {"request_id": "r-1", "author": "kaisa", "reason": "more for osm", "expected": 41,
@@ -17,8 +17,8 @@
     let changes = &request.proposal.transaction.changes;
     assert_eq!(changes[1], Change::RemoveClass(Arc::from("old-tiles")));
     assert_eq!(changes[2], Change::PutRule(Rule::Cold(Span(30_000_000_000))));
-    let again: ApplyRequest = serde_json::from_str(&serde_json::to_string(&request).unwrap()).unwrap();
-    assert_eq!(again, request);
+    let reparsed: ApplyRequest = serde_json::from_str(&serde_json::to_string(&request).unwrap()).unwrap();
+    assert_eq!(reparsed, request);
 
     let text =
         r#"{"to": 38, "request_id": "r-2", "author": "kaisa", "reason": "tiles late", "expected": null}"#;
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn writes_replies_and_errors_in_the_stated_form_and_status() {
+fn writes_replies_and_errors_in_documented_form_and_status() {
     let cases = [
         (ApplyReply::Pending { request_id: Arc::from("r") }, r#"{"state":"pending","request_id":"r"}"#),
         (
@@ -89,9 +89,9 @@
 #[test]
 fn rejects_malformed_query_with_what_was_expected() {
     let error_text = |query| Show::from_query(query).unwrap_err().to_string();
-    assert_eq!(error_text("kind=classes&limit=501"), "expected limit to be from 1 to 500, came '501'");
-    assert_eq!(error_text("kind=classes&limit=0"), "expected limit to be from 1 to 500, came '0'");
-    assert_eq!(error_text("kind=rule"), "expected kind to be class, tenant, classes or tenants, came 'rule'");
+    assert_eq!(error_text("kind=classes&limit=501"), "expected limit to be from 1 to 500, got '501'");
+    assert_eq!(error_text("kind=classes&limit=0"), "expected limit to be from 1 to 500, got '0'");
+    assert_eq!(error_text("kind=rule"), "expected kind to be class, tenant, classes or tenants, got 'rule'");
     assert_eq!(error_text("kind=class"), "expected name=NAME");
     assert_eq!(
         error_text("name=%4"),
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Small configurations for the tests of this crate.
+//! Small configurations and random histories for the tests of this crate.
 #![allow(dead_code)]
 
 use gradepin_admission::{ClassProfile, Idempotency, Settings, Span, Tenant};
@@ -8,11 +8,11 @@
 
 const MS: u64 = 1_000_000;
 
-pub fn class(name: &str, promise_ms: u64) -> ClassDefinition {
+pub fn class(name: &str, latency_objective_ms: u64) -> ClassDefinition {
     let profile = ClassProfile {
         name: name.into(),
-        latency_objective: Span(promise_ms * MS),
-        deadline: Span(2 * promise_ms * MS),
+        latency_objective: Span(latency_objective_ms * MS),
+        deadline: Span(2 * latency_objective_ms * MS),
         effect: Idempotency::Idempotent,
         late_value: 0.0,
         window: Span(0),
@@ -34,7 +34,7 @@
     Change::PutTenant(Arc::new(tenant))
 }
 
-/// Settings with these classes and tenants.
+/// Settings with these classes and tenants, and valid values of all rules.
 pub fn settings(classes: &[ClassDefinition], tenants: &[Tenant]) -> Settings {
     let mut settings = Settings {
         profiles: classes.iter().map(|class| class.profile.clone()).collect(),
@@ -49,7 +49,7 @@
     settings
 }
 
-/// One class, one tenant.
+/// A base configuration with one class and one tenant.
 pub fn base() -> Configuration {
     let settings = settings(&[class("label-save", 100)], &[tenant("acme", 0.5)]);
     Configuration::from_settings(&settings).expect("a valid base")
@@ -67,11 +67,11 @@
 }
 
 fn name() -> impl Strategy<Value = String> {
-    // Few names, so that changes collide; enough for several chunks.
+    // Few names, so that changes concern the same entries, but enough for several chunks.
     (0..12u8).prop_map(|n| format!("name-{n}"))
 }
 
-/// A change that is valid by itself, or nearly always.
+/// A change that is valid by itself in most cases.
 pub fn change() -> impl Strategy<Value = Change> {
     prop_oneof![
         4 => (name(), 0..40u64).prop_map(|(name, latency_objective)| put_class(class(&name, latency_objective))),
@@ -83,13 +83,13 @@
     ]
 }
 
-/// Transactions, some of which are not valid at their position.
+/// A history of transactions, some of which are not valid for the state before them.
 pub fn transactions() -> impl Strategy<Value = Vec<Vec<Change>>> {
     prop::collection::vec(prop::collection::vec(change(), 0..5), 1..40)
 }
 
-/// A start file of a few classes and tenants.
-pub fn some_settings() -> impl Strategy<Value = Settings> {
+/// The settings of a start file with a few classes and tenants.
+pub fn start_file_settings() -> impl Strategy<Value = Settings> {
     let classes = prop::collection::btree_map(name(), 1..40u64, 1..10);
     let tenants = prop::collection::btree_map(name(), 0..10u8, 0..10);
     (classes, tenants, 1..9u64).prop_map(|(classes, tenants, cold)| {
@@ -103,7 +103,7 @@
     })
 }
 
-/// The digest as a sum over all entries, computed without the state's own digest.
+/// The digest of a state, recomputed as the sum over all entries without the incrementally updated digest.
 pub fn recomputed_digest(state: &Configuration) -> gradepin_config::Digest {
     use gradepin_config::digest::StateEntry;
     let classes = state.classes().cloned().map(StateEntry::Class);
--- a/crates/config/tests/dissemination.rs
+++ b/crates/config/tests/dissemination.rs
@@ -1,4 +1,4 @@
-//! Sources that serve bad data: their data is rejected, and they are quarantined.
+//! Data of peers that send bad data is rejected, and the peers are quarantined.
 
 mod common;
 
@@ -16,7 +16,7 @@
     Member { name: name.into(), zone: "zone".into(), region: "region".into(), voter: false }
 }
 
-/// A server with three peers that are up.
+/// A server at `state` with three peers that are up.
 fn server(state: Configuration) -> Dissemination {
     println!("SEED={SEED}");
     let mut server =
@@ -25,8 +25,8 @@
     server
 }
 
-/// The state after the first commit, which sets this portion, and its record.
-fn first(portion: f64) -> (Configuration, CommitRecord) {
+/// The state after a first commit, which sets the portion of a tenant, and the record of this commit.
+fn state_and_record_of_first_commit(portion: f64) -> (Configuration, CommitRecord) {
     let commit = commit(1, vec![put_tenant(tenant("acme", portion))]);
     let mut state = base();
     state.apply(&commit).expect("the next commit");
@@ -37,7 +37,7 @@
 #[test]
 fn ignores_commits_of_quarantined_source_until_quarantine_ends() {
     let bad: Name = "b".into();
-    let (_, record) = first(0.25);
+    let (_, record) = state_and_record_of_first_commit(0.25);
     let mut changed = record.clone();
     Arc::make_mut(&mut changed.commit).author = "somebody else".into();
     let mut server = server(base());
@@ -51,29 +51,29 @@
     assert_eq!(server.state().revision(), Revision(1));
 }
 
-/// Guards the model, which counts quarantined sources by this text.
+/// The model counts quarantined peers by parsing this text.
 #[test]
-fn notes_a_quarantine_with_the_name_of_the_source() {
+fn logs_quarantine_with_name_of_peer() {
     let bad: Name = "b".into();
-    let (_, mut record) = first(0.25);
+    let (_, mut record) = state_and_record_of_first_commit(0.25);
     Arc::make_mut(&mut record.commit).author = "somebody else".into();
     let mut server = server(base());
     server.receive(Time(0), &bad, &Message::Push(vec![record]).encode());
     let mut effects = Vec::new();
     server.step(Time(0), &mut effects);
-    let noted = effects.iter().any(|effect| {
+    let is_logged = effects.iter().any(|effect| {
         matches!(effect, DisseminationEffect::Log { is_warning: true, text }
             if text == "b quarantined: the checksum of a commit does not match")
     });
-    assert!(noted, "{effects:?}");
+    assert!(is_logged, "{effects:?}");
 }
 
-/// Two peers report another digest for the revision of a snapshot that is consistent in itself.
+/// The snapshot is consistent in itself, but two peers report a different digest for its revision.
 #[test]
 fn rejects_snapshot_that_two_peers_contradict() {
     let (bad, peers): (Name, [Name; 2]) = ("b".into(), ["c".into(), "d".into()]);
-    let (forged, _) = first(0.75);
-    let (committed, _) = first(0.25);
+    let (forged, _) = state_and_record_of_first_commit(0.75);
+    let (committed, _) = state_and_record_of_first_commit(0.25);
     let mut server = server(base());
     server.receive(Time(0), &bad, &Message::Advert(forged.version()).encode());
     server.receive(Time(0), &bad, &Message::Compacted.encode());
@@ -92,7 +92,7 @@
                     Message::Version(revision, Some(committed.digest()))
                 }
                 Some(Message::FetchChunk(wanted)) => {
-                    let bytes = Snapshot::of(&forged).chunk(wanted.number).expect("a chunk of it");
+                    let bytes = Snapshot::of(&forged).chunk(wanted.number).expect("a chunk of the manifest");
                     Message::Chunk { number: wanted.number, bytes }
                 }
                 _ => continue,
--- a/crates/config/tests/golden_bytes.rs
+++ b/crates/config/tests/golden_bytes.rs
@@ -1,4 +1,4 @@
-//! The bytes of messages between servers and the JSON of the admin endpoint, as an earlier version has them.
+//! Messages between servers and the JSON of the admin endpoint must be encoded as in the golden files of an earlier version.
 
 mod golden;
 
@@ -51,7 +51,7 @@
     ]
 }
 
-/// Every kind of change, of rule and of effect.
+/// Every kind of change, every rule, and a class of every idempotency.
 fn changes() -> Vec<Change> {
     let mut changes = vec![
         Change::PutClass(class("c1", Idempotency::Idempotent)),
@@ -128,9 +128,9 @@
     assert_golden_values(golden_file!("commit.txt"), &[("commit", commit())]);
 }
 
-/// Two versions that hash an entry otherwise would never agree on a state.
+/// Servers whose versions hash an entry differently would never agree on the digest of a state.
 #[test]
-fn digests_of_entries_are_golden() {
+fn hashes_entries_and_assigns_chunks_as_golden_digests() {
     let mut entries = vec![
         ("repeatable", digest::StateEntry::Class(class("c1", Idempotency::Idempotent))),
         ("by key", digest::StateEntry::Class(class("c2", Idempotency::Keyed))),
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn writes_requests_of_operators_as_golden_json_and_reads_them() {
+fn writes_apply_and_rollback_requests_as_golden_json_and_reads_them() {
     let apply = |expected, dry_run| ApplyRequest { proposal: proposal(expected), dry_run };
     let applies = [("apply", apply(Some(Revision(300)), false)), ("dry run", apply(None, true))];
     assert_golden_json(golden_file!("apply-requests.txt"), &applies);
@@ -162,7 +162,7 @@
     assert_golden_json(golden_file!("rollback-request.txt"), &[("rollback", rollback)]);
 }
 
-fn refusals() -> Vec<(&'static str, AdminError)> {
+fn admin_errors() -> Vec<(&'static str, AdminError)> {
     let (expected, in_force, request_id) = (Revision(41), Revision(43), name("r1"));
     vec![
         ("stale", AdminError::Stale { expected, in_force }),
@@ -186,18 +186,18 @@
 }
 
 #[test]
-fn writes_replies_and_refusals_as_golden_json_and_reads_them() {
+fn writes_apply_replies_and_errors_as_golden_json_and_reads_them() {
     let replies = [
         ("pending", ApplyReply::Pending { request_id: name("r1") }),
         ("committed", ApplyReply::Committed { revision: Revision(42), repeated: true }),
         ("valid", ApplyReply::Valid { against: Revision(42), changes: 3 }),
     ];
     assert_golden_json(golden_file!("apply-replies.txt"), &replies);
-    assert_golden_json(golden_file!("refusals.txt"), &refusals());
-    let statuses = refusals();
+    assert_golden_json(golden_file!("refusals.txt"), &admin_errors());
+    let statuses = admin_errors();
     let statuses: Vec<_> = statuses
         .iter()
-        .map(|(label, refusal)| (*label, format!("{} {}", refusal.status(), refusal.is_transient())))
+        .map(|(label, error)| (*label, format!("{} {}", error.status(), error.is_transient())))
         .collect();
     assert_golden_lines(golden_file!("refusal-statuses.txt"), &statuses);
 }
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn writes_what_operators_are_shown_as_golden_json_and_reads_it() {
+fn writes_status_history_diff_and_show_replies_as_golden_json_and_reads_them() {
     let statuses = [
         ("of the start file", status(Source::StartFile)),
         ("of a snapshot", status(Source::Snapshot)),
@@ -286,14 +286,14 @@
 
 #[test]
 fn writes_queries_as_golden_text() {
-    let odd = || name("Järvi & co=1/2 %");
+    let reserved_name = || name("Järvi & co=1/2 %");
     let page = |after| Page { after, limit: 50 };
     let lines = [
         ("summary", Show::Summary.to_query()),
-        ("class", Show::Class(odd()).to_query()),
-        ("tenant", Show::Tenant(odd()).to_query()),
+        ("class", Show::Class(reserved_name()).to_query()),
+        ("tenant", Show::Tenant(reserved_name()).to_query()),
         ("classes", Show::Classes(page(None)).to_query()),
-        ("tenants", Show::Tenants(page(Some(odd()))).to_query()),
+        ("tenants", Show::Tenants(page(Some(reserved_name()))).to_query()),
         ("history", History { before: None, limit: 20 }.to_query()),
         ("history before", History { before: Some(Revision(7)), limit: 20 }.to_query()),
         ("diff", Diff { from: Revision(1), to: None }.to_query()),
--- a/crates/config/tests/malformed_messages.rs
+++ b/crates/config/tests/malformed_messages.rs
@@ -1,5 +1,5 @@
-//! Malformed messages from a server that has the key of the fleet: with bytes that are changed, cut, repeated, or taken from
-//! other messages. None of them may end a server, make it step forever at one time, or change the state in force.
+//! Malformed messages from an authenticated server: with bytes that are changed, truncated, repeated, or taken from other messages.
+//! No such message may crash a server, make it step forever at the same time, or change the state in force.
 
 mod common;
 
@@ -43,7 +43,7 @@
         Self { now: Time(0), servers: (0..SERVERS).map(server).collect(), sent: Vec::new() }
     }
 
-    /// Steps all servers at this time until none is due any more.
+    /// Steps all servers at the current time and delivers their messages until no server is due.
     fn settle(&mut self, records_messages: bool) {
         for _ in 0..100 {
             for n in 0..SERVERS {
@@ -73,8 +73,8 @@
     }
 }
 
-/// A fleet that has spread commits, and in which one server has fetched a snapshot; all messages are recorded.
-fn busy_fleet(seed: u64) -> Fleet {
+/// A fleet that has disseminated commits and in which one server has fetched a snapshot. All messages are recorded.
+fn fleet_with_history(seed: u64) -> Fleet {
     let mut fleet = Fleet::new(seed);
     for revision in 1..=30 {
         let change = match revision % 2 {
@@ -95,27 +95,28 @@
     fleet
 }
 
+/// Applies one to three random corruptions to `bytes`, some of which copy bytes of `other`.
 fn corrupt(rng: &mut Pcg64Mcg, bytes: &mut Vec<u8>, other: &[u8]) {
     for _ in 0..1 + rng.next_u64() % 3 {
-        let place = rng.next_u64() as usize % bytes.len().max(1);
+        let index = rng.next_u64() as usize % bytes.len().max(1);
         match rng.next_u64() % 7 {
-            0 if !bytes.is_empty() => bytes[place] ^= 1 << (rng.next_u64() % 8),
-            1 => bytes.truncate(place),
+            0 if !bytes.is_empty() => bytes[index] ^= 1 << (rng.next_u64() % 8),
+            1 => bytes.truncate(index),
             2 if !bytes.is_empty() => {
-                let longest = [0xff; 9].into_iter().chain([0x01]);
-                bytes.splice(place..=place, longest);
+                let max_varint = [0xff; 9].into_iter().chain([0x01]);
+                bytes.splice(index..=index, max_varint);
             }
-            3 => bytes.splice(place.., other.iter().skip(place).copied()).for_each(drop),
-            4 => bytes.extend(other.iter().skip(place).take(200).copied()),
-            5 if !bytes.is_empty() => bytes[place] = rng.next_u64() as u8,
-            _ if !bytes.is_empty() => bytes[place] = [0, 1, 0x7f, 0x80, 0xff][rng.next_u64() as usize % 5],
+            3 => bytes.splice(index.., other.iter().skip(index).copied()).for_each(drop),
+            4 => bytes.extend(other.iter().skip(index).take(200).copied()),
+            5 if !bytes.is_empty() => bytes[index] = rng.next_u64() as u8,
+            _ if !bytes.is_empty() => bytes[index] = [0, 1, 0x7f, 0x80, 0xff][rng.next_u64() as usize % 5],
             _ => bytes.push(0),
         }
     }
 }
 
-/// Guards a server against a state after which there is no next revision: the digest does not cover the revision, and where only
-/// one peer is up a snapshot needs no confirmation.
+/// The digest does not cover the revision, and a snapshot needs no confirmation if only one peer is up. So a single faulty peer
+/// could otherwise install a revision that has no successor.
 #[test]
 fn rejects_snapshot_past_the_highest_revision() {
     for revision in [u64::MAX, u64::MAX - 1, 1 << 63] {
@@ -147,7 +148,7 @@
     for seed in 0..seeds {
         println!("seed {seed}");
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut fleet = busy_fleet(seed);
+        let mut fleet = fleet_with_history(seed);
         let committed = fleet.servers[0].state().version();
         let sent = std::mem::take(&mut fleet.sent);
         for n in 0..3_000 {
--- a/crates/config/tests/properties.rs
+++ b/crates/config/tests/properties.rs
@@ -1,15 +1,14 @@
-//! Properties of states, snapshots and differences over random histories. A failure prints the smallest history and
-//! the seed that led to it.
+//! Properties of states, snapshots and differences over random histories. A failure prints a minimal history and its seed.
 
 mod common;
 
-use common::{base, commit, recomputed_digest, some_settings, transactions};
+use common::{base, commit, recomputed_digest, start_file_settings, transactions};
 use gradepin_config::{ApplyError, Change, Configuration, Snapshot, Transaction};
 use gradepin_config::{Assembly, Commit};
 use proptest::prelude::*;
 use proptest::sample::Index;
 
-/// Applies the valid commits of a history; returns the state and these commits, in order.
+/// Applies the valid commits of a history; returns the resulting state and the applied commits, in order.
 fn apply_valid(history: Vec<Vec<Change>>) -> (Configuration, Vec<Commit>) {
     let (mut state, mut commits) = (base(), Vec::new());
     for changes in history {
@@ -24,7 +23,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
 
-    /// Snapshot plus later commits is the same state as all commits, wherever the snapshot was taken.
+    /// A snapshot at any revision plus the later commits leads to the same state as all commits.
     #[test]
     fn snapshot_plus_later_commits_equals_all_commits(history in transactions(), cut in any::<Index>()) {
         let (last, commits) = apply_valid(history);
@@ -32,7 +31,7 @@
         let mut early = base();
         commits[..cut].iter().for_each(|commit| early.apply(commit).expect("a prefix"));
         let snapshot = Snapshot::of(&early);
-        // Later commits must not change a snapshot that was taken before.
+        // Later commits must not change an existing snapshot.
         commits[cut..].iter().for_each(|commit| early.apply(commit).expect("the rest"));
         let read = Snapshot::decode(&snapshot.encode()).expect("own snapshot");
         prop_assert_eq!(read.version(), snapshot.version());
@@ -45,17 +44,17 @@
         prop_assert!(late.classes().eq(last.classes()) && late.tenants().eq(last.tenants()));
     }
 
-    /// The incremental digest is the sum over the entries, whichever commits led to them.
+    /// The incrementally updated digest equals the sum over the entries, independent of the commits that led to them.
     #[test]
     fn digest_equals_sum_over_entries(history in transactions()) {
         let (state, _) = apply_valid(history);
         prop_assert_eq!(state.digest(), recomputed_digest(&state));
-        let again = Configuration::from_settings(&state.to_settings(&common::settings(&[], &[])));
-        let again = again.expect("the entries of a state");
-        prop_assert_eq!(again.digest(), state.digest());
+        let rebuilt = Configuration::from_settings(&state.to_settings(&common::settings(&[], &[])));
+        let rebuilt = rebuilt.expect("the entries of a state");
+        prop_assert_eq!(rebuilt.digest(), state.digest());
     }
 
-    /// A commit that is rejected changes nothing.
+    /// A rejected commit leaves the state unchanged.
     #[test]
     fn rejected_commit_changes_nothing(history in transactions()) {
         let mut state = base();
@@ -71,9 +70,9 @@
         }
     }
 
-    /// The difference to a file, applied, gives the entries of the file, and it is deterministic.
+    /// Applying the difference to a start file results in the entries of the file. The difference is deterministic.
     #[test]
-    fn difference_leads_to_its_target(history in transactions(), target in some_settings()) {
+    fn difference_leads_to_its_target(history in transactions(), target in start_file_settings()) {
         let (mut state, _) = apply_valid(history);
         let wanted = Configuration::from_settings(&target).expect("a valid file");
         let difference = state.difference(&target).expect("a valid file");
@@ -86,7 +85,7 @@
         prop_assert!(state.difference(&target).expect("a valid file").is_empty());
     }
 
-    /// Chunks may be added in any order, and those of a state at hand need not be added.
+    /// Chunks may be added in any order, and chunks that an earlier state has need not be added.
     #[test]
     fn assembly_accepts_chunks_in_any_order(
         history in transactions(),
--- a/crates/config/tests/snapshots_and_log.rs
+++ b/crates/config/tests/snapshots_and_log.rs
@@ -1,4 +1,4 @@
-//! Damaged and foreign parts of snapshots are rejected, and the log keeps its bounds.
+//! Corrupted or mismatched parts of snapshots are rejected, and the commit log stays within its limits.
 
 mod common;
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn rejects_snapshot_with_flipped_bit_or_cut() {
+fn rejects_snapshot_with_flipped_bit_or_truncated() {
     let valid = snapshot(10);
     let bytes = valid.encode();
     for at in 0..bytes.len() {
@@ -25,12 +25,12 @@
         wrong[at] ^= 1 << (at % 8);
         match Snapshot::decode(&wrong) {
             Err(_) => {}
-            // The digest does not cover the revision; a version is compared by both.
+            // The digest does not cover the revision, but a version contains both.
             Ok(read) => assert_ne!(read.version(), valid.version(), "byte {at}"),
         }
     }
     for length in 0..bytes.len() {
-        assert!(Snapshot::decode(&bytes[..length]).is_err(), "cut to {length}");
+        assert!(Snapshot::decode(&bytes[..length]).is_err(), "truncated to {length} bytes");
     }
 }
 
@@ -86,33 +86,33 @@
 
 #[test]
 fn keeps_log_without_gaps_and_within_bounds() {
-    let one = |n: u64| Arc::new(commit(n, vec![put_tenant(tenant("acme", 0.1))]));
+    let commit_at = |n: u64| Arc::new(commit(n, vec![put_tenant(tenant("acme", 0.1))]));
     let limits = LogLimits { commits: 3, bytes: 1 << 20 };
     let mut log = CommitLog::after_revision(base().revision(), limits);
-    (1..=5).for_each(|n| log.push(one(n)).expect("the next"));
-    assert_eq!(log.push(one(7)), Err(Gap { expected: Revision(6), actual: Revision(7) }));
+    (1..=5).for_each(|n| log.push(commit_at(n)).expect("the next"));
+    assert_eq!(log.push(commit_at(7)), Err(Gap { expected: Revision(6), actual: Revision(7) }));
     assert_eq!((log.base(), log.last()), (Revision(2), Revision(5)));
     let revisions = |from| Some(log.after(Revision(from))?.map(|c| c.revision.0).collect::<Vec<_>>());
     assert_eq!(revisions(1), None, "compacted");
     assert_eq!(revisions(2), Some(vec![3, 4, 5]));
     assert_eq!(revisions(4), Some(vec![5]));
     assert_eq!(revisions(5), Some(vec![]));
-    assert_eq!(revisions(6), None, "yet to come");
+    assert_eq!(revisions(6), None, "in the future");
     assert_eq!(log.get(Revision(3)).map(|c| c.revision.0), Some(3));
     assert_eq!(log.get(Revision(2)), None);
     assert_eq!(log.get(Revision(0)), None);
     assert_eq!(log.history().map(|c| c.revision.0).collect::<Vec<_>>(), [5, 4, 3]);
 
-    let few = LogLimits { commits: 100, bytes: log.bytes() };
-    let mut log = CommitLog::after_revision(Revision(0), few);
-    (1..=50).for_each(|n| log.push(one(n)).expect("the next"));
-    assert!(log.bytes() <= few.bytes && log.base() >= Revision(46), "{:?}", log.base());
+    let byte_limits = LogLimits { commits: 100, bytes: log.bytes() };
+    let mut log = CommitLog::after_revision(Revision(0), byte_limits);
+    (1..=50).for_each(|n| log.push(commit_at(n)).expect("the next"));
+    assert!(log.bytes() <= byte_limits.bytes && log.base() >= Revision(46), "{:?}", log.base());
     log.restart(Revision(90));
     assert_eq!((log.base(), log.last(), log.bytes()), (Revision(90), Revision(90), 0));
 }
 
-/// Guards the line to the processor, in which a class name is one word, and the arithmetic of the admission module: entries that
-/// neither a start file nor a commit can have set are rejected, from a peer or a file.
+/// A class name is a single word of the processor's line protocol, and the admission module computes with the numbers. So entries
+/// that neither a start file nor a commit can have set are rejected in snapshots from peers and files.
 #[test]
 fn rejects_snapshot_with_entries_that_are_not_well_formed() {
     let good = class("c", 10);
@@ -148,7 +148,7 @@
         );
         assert!(Snapshot::decode(&snapshot.encode()).is_err(), "{settings:?}");
     }
-    // An entry that is valid in a start file but not in a change is accepted.
+    // An entry that is valid in a start file is accepted even if a change may not set it.
     let invalid_for_a_change = with(|class| class.profile.deadline = Span(1));
     let snapshot = Snapshot::of(&Configuration::from_settings(&invalid_for_a_change).expect("valid"));
     assert!(Snapshot::decode(&snapshot.encode()).is_ok());
--- a/crates/config/tests/validation.rs
+++ b/crates/config/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Each kind of invalid transaction is rejected with its path, what was expected and what was found, and changes nothing.
+//! Invalid transactions are rejected with the path, what was expected and what was found, and leave the state unchanged.
 
 mod common;
 
@@ -10,7 +10,7 @@
     Rule, Transaction,
 };
 
-/// The error by which a state rejects changes; checks that the state is unchanged.
+/// Returns the error with which a state rejects changes, and asserts that the state is unchanged.
 fn rejection(state: &Configuration, changes: Vec<Change>) -> Invalid {
     let mut after = state.clone();
     let commit = commit(state.revision().0 + 1, changes);
@@ -18,10 +18,11 @@
         panic!("expected a rejection of {commit:?}")
     };
     assert_eq!(after.version(), state.version(), "{invalid}");
-    assert_eq!(state.validate(&commit.transaction), Err(invalid.clone()), "one check for all");
+    assert_eq!(state.validate(&commit.transaction), Err(invalid.clone()), "validate and apply differ");
     invalid
 }
 
+/// A change that replaces the class of the base, modified by `change`.
 fn with(change: impl FnOnce(&mut ClassDefinition)) -> Change {
     let mut class = class("label-save", 100);
     change(&mut class);
@@ -115,7 +116,7 @@
     let exchange = vec![put_class(class("more", 10)), Change::RemoveClass("c0".into())];
     full.validate(&Transaction { changes: exchange }).expect("one for another");
 
-    // A difference between two full tables with no name in common stays within the bounds all the way.
+    // The difference between two full tables without a common name stays within the limits after each transaction.
     let classes: Vec<_> = (0..MAX_CLASSES).map(|n| class(&format!("d{n}"), 10)).collect();
     let target = Configuration::from_settings(&settings(&classes, &[])).expect("a full table");
     let mut state = full;
