--- a/crates/config/src/admin/query.rs
+++ b/crates/config/src/admin/query.rs
@@ -174,10 +174,10 @@
 struct Parameters(Vec<(&'static str, String)>);
 
 impl Parameters {
-    fn parse(query: &str, known: &[&'static str], listed: &'static str) -> Result<Self, BadQuery> {
+    fn parse(query: &str, known: &[&'static str], known_text: &'static str) -> Result<Self, BadQuery> {
         let mut parameters: Vec<(&'static str, String)> = Vec::new();
         for pair in query.split('&').filter(|pair| !pair.is_empty()) {
-            let bad = || BadQuery::Parameter { known: listed, actual: pair.into() };
+            let bad = || BadQuery::Parameter { known: known_text, actual: pair.into() };
             let (parameter, value) = pair.split_once('=').ok_or_else(bad)?;
             let parameter = known.iter().copied().find(|known| *known == parameter).ok_or_else(bad)?;
             if parameters.iter().any(|(present, _)| *present == parameter) {
--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -48,7 +48,7 @@
 pub enum ProposalCheckError {
     /// The revision in force is not the one that the author expected.
     #[error("expected revision {expected} in force, got {in_force}")]
-    RevisionMismatch {
+    Stale {
         /// The revision that the author expected.
         expected: Revision,
         /// The revision in force.
@@ -177,7 +177,7 @@
         validation::check_proposal_texts(proposal)?;
         match proposal.expected {
             Some(expected) if expected != self.revision => {
-                Err(ProposalCheckError::RevisionMismatch { expected, in_force: self.revision })
+                Err(ProposalCheckError::Stale { expected, in_force: self.revision })
             }
             _ => Ok(self.validate(&proposal.transaction)?),
         }
--- a/crates/config/src/difference.rs
+++ b/crates/config/src/difference.rs
@@ -1,7 +1,7 @@
 //! Computes the transactions that turn one state into another: for applying a complete configuration file, and for rollbacks.
 //!
-//! Each addition is paired with a removal of the same kind in the same transaction. So if both states are within the limits, no
-//! intermediate state lacks a class or exceeds a limit.
+//! Additions and removals of the same kind are paired one to one, and a pair is never split between transactions. So if both states
+//! are within the limits, no intermediate state lacks a class or exceeds a limit.
 
 use crate::change::{Change, MAX_CHANGES, Rule, Transaction};
 use crate::configuration::Configuration;
--- a/crates/config/src/digest.rs
+++ b/crates/config/src/digest.rs
@@ -10,8 +10,8 @@
 use std::sync::{Arc, LazyLock};
 
 /// Key derivation context, which separates these hashes from other uses of BLAKE3. Changing it changes every digest.
-const CONTEXT: &str = "gradepin configuration entry, version 1";
-static KEY: LazyLock<[u8; 32]> = LazyLock::new(|| blake3::derive_key(CONTEXT, &[]));
+const KEY_CONTEXT: &str = "gradepin configuration entry, version 1";
+static KEY: LazyLock<[u8; 32]> = LazyLock::new(|| blake3::derive_key(KEY_CONTEXT, &[]));
 
 /// The sum modulo 2^128 of the hashes of a set of entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
--- a/crates/config/src/dissemination/history.rs
+++ b/crates/config/src/dissemination/history.rs
@@ -13,13 +13,13 @@
 
 /// The most recent commits and state digests. Invariant: the last digest is that of the state in force.
 #[derive(Debug)]
-pub struct History {
+pub struct CommitHistory {
     log: CommitLog,
     limits: LogLimits,
     digests: VecDeque<Digest>,
 }
 
-impl History {
+impl CommitHistory {
     /// A history that begins at the state of `version` and has no commits.
     pub fn new(version: Version, limits: LogLimits) -> Self {
         let log = CommitLog::after_revision(version.revision, limits);
--- a/crates/config/src/dissemination/machine/mod.rs
+++ b/crates/config/src/dissemination/machine/mod.rs
@@ -10,7 +10,7 @@
 mod status;
 
 use super::commit_requests::CommitRequests;
-use super::history::History;
+use super::history::CommitHistory;
 use super::messages::Message;
 use super::outbox::{DisseminationEffect, Outbox, Traffic};
 use super::peer_digests::PeerDigests;
@@ -46,7 +46,7 @@
     settings: DisseminationSettings,
     /// The configuration in force.
     state: Configuration,
-    history: History,
+    history: CommitHistory,
     peers: Peers,
     pending: PendingCommits,
     requests: CommitRequests,
@@ -76,7 +76,7 @@
         now: Time,
     ) -> Self {
         Self {
-            history: History::new(state.version(), settings.history_limits),
+            history: CommitHistory::new(state.version(), settings.history_limits),
             peers: Peers::new(own),
             pending: PendingCommits::default(),
             requests: CommitRequests::default(),
@@ -121,12 +121,12 @@
         self.quarantine.contains(now, name)
     }
 
-    /// Handles that a server is up, or that its zone, region or vote changed.
+    /// Adds a server that is up, or updates its zone, region and vote.
     pub fn member_up(&mut self, member: Arc<Member>) {
         self.peers.add(member);
     }
 
-    /// Handles that a server is down.
+    /// Removes a server that is down. Data received from it is retained.
     pub fn member_down(&mut self, name: &str) {
         self.peers.remove(name);
         self.requests.forget_peer(name);
--- a/crates/config/src/dissemination/machine/push_queue.rs
+++ b/crates/config/src/dissemination/machine/push_queue.rs
@@ -6,7 +6,7 @@
 /// Maximum number of queued commits. Commits beyond this are not pushed; peers fetch them.
 const MAX_QUEUED: usize = 64;
 /// Pause after a push that used up the byte budget, so that more commits share a datagram.
-const PAUSE: Span = Span(400_000_000);
+const PAUSE_AFTER_CUT_PUSH: Span = Span(400_000_000);
 
 /// The revisions to push, and when the next push is due.
 #[derive(Debug)]
@@ -44,7 +44,7 @@
 
     /// Delays the next push, after the byte budget was used up before this one had been sent to all peers.
     pub(super) fn pause(&mut self, now: Time) {
-        self.paused_until = time_after(now, PAUSE);
+        self.paused_until = time_after(now, PAUSE_AFTER_CUT_PUSH);
     }
 
     /// Drops all revisions, after a snapshot replaced the state.
--- a/crates/config/src/dissemination/peer_digests.rs
+++ b/crates/config/src/dissemination/peer_digests.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// How long the report of a peer is counted.
-const VALIDITY: Span = Span(60_000_000_000);
+const REPORT_VALIDITY: Span = Span(60_000_000_000);
 /// Maximum number of peers or mismatched records in each table.
 const MAX_ENTRIES: usize = 64;
 /// Minimum number of contradicting peers before the state of this server is considered doubtful.
@@ -32,7 +32,7 @@
 
 fn record(reports: &mut BTreeMap<Name, Time>, now: Time, name: &Name) {
     if reports.len() >= MAX_ENTRIES && !reports.contains_key(name) {
-        reports.retain(|_, reported_at| now < time_after(*reported_at, VALIDITY));
+        reports.retain(|_, reported_at| now < time_after(*reported_at, REPORT_VALIDITY));
     }
     if reports.len() < MAX_ENTRIES || reports.contains_key(name) {
         reports.insert(name.clone(), now);
@@ -40,7 +40,7 @@
 }
 
 fn count_valid(reports: &BTreeMap<Name, Time>, now: Time) -> usize {
-    reports.values().filter(|reported_at| now < time_after(**reported_at, VALIDITY)).count()
+    reports.values().filter(|reported_at| now < time_after(**reported_at, REPORT_VALIDITY)).count()
 }
 
 impl PeerDigests {
--- a/crates/config/src/dissemination/quarantine.rs
+++ b/crates/config/src/dissemination/quarantine.rs
@@ -14,7 +14,7 @@
 struct QuarantinedSource {
     ends_at: Time,
     /// Number of times that the peer has been quarantined.
-    times: u32,
+    count: u32,
 }
 
 /// Peers that are or were quarantined.
@@ -34,12 +34,12 @@
                 return;
             }
         }
-        let entry = self.entries.entry(name.clone()).or_insert(QuarantinedSource { ends_at: now, times: 0 });
+        let entry = self.entries.entry(name.clone()).or_insert(QuarantinedSource { ends_at: now, count: 0 });
         if now < entry.ends_at {
             return;
         }
-        entry.ends_at = time_after(now, Span(base.0 << entry.times.min(MAX_DOUBLINGS)));
-        entry.times += 1;
+        entry.ends_at = time_after(now, Span(base.0 << entry.count.min(MAX_DOUBLINGS)));
+        entry.count += 1;
         self.total += 1;
     }
 
--- a/crates/config/src/dissemination/responses.rs
+++ b/crates/config/src/dissemination/responses.rs
@@ -1,6 +1,6 @@
-//! Builds responses to requests of peers, from the [`History`] and from recently served snapshots.
+//! Builds responses to requests of peers, from the [`CommitHistory`] and from recently served snapshots.
 
-use super::history::History;
+use super::history::CommitHistory;
 use super::messages::{CommitRecord, Message};
 use super::settings::DisseminationSettings;
 use crate::change::Revision;
@@ -50,7 +50,7 @@
 /// The messages of the response to a request for the commits after the state `theirs`.
 pub fn commits(
     settings: &DisseminationSettings,
-    history: &History,
+    history: &CommitHistory,
     own: Version,
     theirs: Version,
 ) -> Vec<Message> {
--- a/crates/config/src/dissemination/transfer/candidate.rs
+++ b/crates/config/src/dissemination/transfer/candidate.rs
@@ -1,6 +1,6 @@
 //! Confirmation of a received manifest: other peers are asked for the digest of its revision before it is trusted.
 
-use super::Request;
+use super::PeerRequest;
 use crate::change::{Name, Revision};
 use crate::digest::{Digest, Version};
 use crate::dissemination::messages::Message;
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Verdict {
     /// More votes are needed.
-    Open,
+    Undecided,
     /// More peers confirm the manifest than contradict it.
     Confirmed,
     /// At least [`MIN_CONTRADICTING`] peers contradict the manifest, and more than confirm it.
@@ -105,7 +105,7 @@
     ) -> Verdict {
         let Version { revision: expected_revision, digest: expected } = self.manifest.version;
         let is_vote = revision == expected_revision && *from != self.source;
-        let Some(digest) = digest.filter(|_| is_vote) else { return Verdict::Open };
+        let Some(digest) = digest.filter(|_| is_vote) else { return Verdict::Undecided };
         if digest == expected {
             self.agreeing.insert(from.clone());
         } else {
@@ -117,7 +117,7 @@
         } else if disagreeing >= MIN_CONTRADICTING && disagreeing > agreeing {
             Verdict::Contradicted
         } else {
-            Verdict::Open
+            Verdict::Undecided
         }
     }
 
@@ -128,7 +128,7 @@
         view: &PeerView<'_>,
         rng: &mut Pcg64Mcg,
         next_round_at: Time,
-    ) -> Vec<Request> {
+    ) -> Vec<PeerRequest> {
         self.rounds += 1;
         self.next_round_at = next_round_at;
         let revision = self.manifest.revision();
@@ -139,7 +139,7 @@
         peers.extend(requested_from);
         peers.truncate(PEERS_PER_ROUND);
         self.requested_from.extend(peers.iter().cloned());
-        let request = |to: Name| Request { to, message: Message::FetchVersion(revision) };
+        let request = |to: Name| PeerRequest { to, message: Message::FetchVersion(revision) };
         peers.into_iter().map(request).collect()
     }
 
--- a/crates/config/src/dissemination/transfer/download.rs
+++ b/crates/config/src/dissemination/transfer/download.rs
@@ -1,6 +1,6 @@
 //! Downloads the chunks of a confirmed manifest from several peers in parallel.
 
-use super::{Request, TransferContext};
+use super::{PeerRequest, TransferContext};
 use crate::change::Name;
 use crate::chunk::ChunkNumber;
 use crate::configuration::Configuration;
@@ -214,7 +214,7 @@
     }
 
     /// Fails requests that timed out and returns new requests for missing chunks, each to the source with the fewest in flight.
-    pub(super) fn step(&mut self, context: &mut TransferContext<'_>) -> Vec<Request> {
+    pub(super) fn step(&mut self, context: &mut TransferContext<'_>) -> Vec<PeerRequest> {
         let TransferContext { view, outbox, rng, .. } = context;
         let now = view.now;
         self.fail_expired_requests(now);
@@ -237,7 +237,7 @@
             }
             let message = Message::FetchChunk(ChunkDigest { number, digest });
             self.in_flight.insert(number, InFlight { peer: to.clone(), deadline });
-            requests.push(Request { to, message });
+            requests.push(PeerRequest { to, message });
         }
         requests
     }
--- a/crates/config/src/dissemination/transfer/mod.rs
+++ b/crates/config/src/dissemination/transfer/mod.rs
@@ -46,7 +46,7 @@
 
 /// A request that the caller must send.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Request {
+pub struct PeerRequest {
     /// The name of the receiver.
     pub to: Name,
     /// The message to send.
@@ -139,7 +139,7 @@
     pub fn receive_version(&mut self, now: Time, from: &Name, revision: Revision, digest: Option<Digest>) {
         let Phase::Confirming(candidate) = &mut self.phase else { return };
         match candidate.receive_version(from, revision, digest) {
-            Verdict::Open => {}
+            Verdict::Undecided => {}
             Verdict::Confirmed => {
                 self.bad_sources.extend(candidate.disagreeing().cloned());
                 self.accept_candidate(now);
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Handles that a peer rejected a request because its byte budget is used up. Another peer is asked instead.
+    /// Handles the rejection of a request by a peer whose byte budget is used up. Another peer is asked instead.
     pub fn receive_rejection(&mut self, now: Time, from: &Name) {
         match &mut self.phase {
             Phase::FindingManifest(Some(request)) if request.is_to(from) => request.deadline = now,
@@ -208,7 +208,7 @@
     }
 
     /// Performs what is due and returns the requests to send.
-    pub fn step(&mut self, context: &mut TransferContext<'_>) -> Vec<Request> {
+    pub fn step(&mut self, context: &mut TransferContext<'_>) -> Vec<PeerRequest> {
         let now = context.view.now;
         if now < self.next_step_at {
             return Vec::new();
@@ -228,7 +228,7 @@
         }
     }
 
-    fn find_manifest(&mut self, context: &mut TransferContext<'_>) -> Vec<Request> {
+    fn find_manifest(&mut self, context: &mut TransferContext<'_>) -> Vec<PeerRequest> {
         let TransferContext { view, peer_ahead, outbox, rng, .. } = context;
         let now = view.now;
         if let Phase::FindingManifest(Some(request)) = &self.phase
@@ -250,10 +250,10 @@
         self.phase = Phase::FindingManifest(Some(InFlight { peer: to.clone(), deadline }));
         self.next_step_at = deadline;
         let message = Message::FetchManifest(self.min_revision);
-        vec![Request { to, message }]
+        vec![PeerRequest { to, message }]
     }
 
-    fn confirm(&mut self, context: &mut TransferContext<'_>) -> Vec<Request> {
+    fn confirm(&mut self, context: &mut TransferContext<'_>) -> Vec<PeerRequest> {
         let Phase::Confirming(candidate) = &mut self.phase else { return Vec::new() };
         let now = context.view.now;
         if now < candidate.next_round_at() {
--- a/crates/config/src/log.rs
+++ b/crates/config/src/log.rs
@@ -54,7 +54,7 @@
         Self { limits, entries: VecDeque::new(), bytes: 0, last }
     }
 
-    /// The revision of the last commit, also if it was dropped or replaced by a snapshot.
+    /// The revision of the last commit, or the one after which the log starts if it is empty.
     pub fn last(&self) -> Revision {
         self.last
     }
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -61,12 +61,12 @@
 
 type CheckResult = Result<(), Invalid>;
 
-/// Checks that `count` is at most `max`; `what` names the counted items in the error.
-pub(crate) fn check_max(path: &str, count: usize, max: usize, what: &str) -> CheckResult {
+/// Checks that `count` is at most `max`; `counted` names the counted items in the error.
+pub(crate) fn check_max(path: &str, count: usize, max: usize, counted: &str) -> CheckResult {
     if count <= max {
         return Ok(());
     }
-    Err(Invalid::new(path, format!("at most {max} {what}"), count.to_string()))
+    Err(Invalid::new(path, format!("at most {max} {counted}"), count.to_string()))
 }
 
 /// Checks that the chunk of a new entry's name has capacity for it.
--- a/crates/config/tests/malformed_messages.rs
+++ b/crates/config/tests/malformed_messages.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 const MS: u64 = 1_000_000;
-const SERVERS: usize = 4;
+const SERVER_COUNT: usize = 4;
 
 fn name(n: usize) -> Name {
     Arc::from(format!("n{n}"))
@@ -35,25 +35,25 @@
         let server = |n| {
             let settings = DisseminationSettings::default();
             let mut server = Dissemination::new(settings, member(n), base(), seed + n as u64, Time(0));
-            (0..SERVERS)
+            (0..SERVER_COUNT)
                 .filter(|other| *other != n)
                 .for_each(|other| server.member_up(Arc::new(member(other))));
             server
         };
-        Self { now: Time(0), servers: (0..SERVERS).map(server).collect(), sent: Vec::new() }
+        Self { now: Time(0), servers: (0..SERVER_COUNT).map(server).collect(), sent: Vec::new() }
     }
 
     /// Steps all servers at the current time and delivers their messages until no server is due.
-    fn settle(&mut self, records_messages: bool) {
+    fn settle(&mut self, record_messages: bool) {
         for _ in 0..100 {
-            for n in 0..SERVERS {
+            for n in 0..SERVER_COUNT {
                 let mut effects = Vec::new();
                 self.servers[n].step(self.now, &mut effects);
                 for effect in effects {
                     let DisseminationEffect::Send { to, bytes } = effect else { continue };
-                    let Some(to) = (0..SERVERS).find(|other| name(*other) == to) else { continue };
+                    let Some(to) = (0..SERVER_COUNT).find(|other| name(*other) == to) else { continue };
                     self.servers[to].receive(self.now, &name(n), &bytes);
-                    if records_messages {
+                    if record_messages {
                         self.sent.push((to, bytes));
                     }
                 }
@@ -65,10 +65,10 @@
         panic!("a server is due at {} after 100 rounds", self.now.0);
     }
 
-    fn run(&mut self, ms: u64, records_messages: bool) {
+    fn run(&mut self, ms: u64, record_messages: bool) {
         for _ in 0..ms / 20 {
             self.now = time_after(self.now, Span(20 * MS));
-            self.settle(records_messages);
+            self.settle(record_messages);
         }
     }
 }
@@ -156,7 +156,7 @@
             let (_, other) = &sent[rng.next_u64() as usize % sent.len()];
             let mut bytes = bytes.clone();
             corrupt(&mut rng, &mut bytes, other);
-            let from = name(rng.next_u64() as usize % (SERVERS + 1));
+            let from = name(rng.next_u64() as usize % (SERVER_COUNT + 1));
             fleet.servers[*to].receive(fleet.now, &from, &bytes);
             fleet.settle(false);
             if n % 10 == 0 {
--- a/crates/config/tests/validation.rs
+++ b/crates/config/tests/validation.rs
@@ -137,7 +137,7 @@
         transaction: Transaction { changes: vec![put_tenant(tenant("acme", 0.1))] },
     };
     assert_eq!(state.check_proposal(&proposal("why", Some(Revision(0)))), Ok(()));
-    let moved = ProposalCheckError::RevisionMismatch { expected: Revision(3), in_force: Revision(0) };
+    let moved = ProposalCheckError::Stale { expected: Revision(3), in_force: Revision(0) };
     assert_eq!(state.check_proposal(&proposal("why", Some(Revision(3)))), Err(moved));
     let empty = Invalid::new("reason", "a text", "an empty one");
     assert_eq!(state.check_proposal(&proposal("", None)), Err(ProposalCheckError::Invalid(empty)));
--- a/crates/coordination/src/configuration_log.rs
+++ b/crates/coordination/src/configuration_log.rs
@@ -112,7 +112,7 @@
     fn from(rejected: gradepin_config::configuration::ProposalCheckError) -> Self {
         use gradepin_config::configuration::ProposalCheckError;
         match rejected {
-            ProposalCheckError::RevisionMismatch { expected, in_force } => Self::Moved { expected, in_force },
+            ProposalCheckError::Stale { expected, in_force } => Self::Moved { expected, in_force },
             ProposalCheckError::Invalid(invalid) => Self::Invalid(invalid),
         }
     }
--- a/crates/core/src/reducer/configuration_admin.rs
+++ b/crates/core/src/reducer/configuration_admin.rs
@@ -178,9 +178,7 @@
     fn dry_run(&self, proposal: &Proposal) -> Result<ApplyReply, AdminError> {
         let service = self.configuration.service.as_ref().ok_or(AdminError::Off)?;
         service.in_force.check_proposal(proposal).map_err(|rejected| match rejected {
-            ProposalCheckError::RevisionMismatch { expected, in_force } => {
-                AdminError::Stale { expected, in_force }
-            }
+            ProposalCheckError::Stale { expected, in_force } => AdminError::Stale { expected, in_force },
             ProposalCheckError::Invalid(invalid) => AdminError::Invalid(invalid),
         })?;
         let changes = u32::try_from(proposal.transaction.changes.len()).unwrap_or(u32::MAX);
