--- a/crates/config/src/difference.rs
+++ b/crates/config/src/difference.rs
@@ -1,17 +1,17 @@
-//! The transactions that turn one state into another: for applying a complete file, and for rollbacks.
+//! Computes the transactions that turn one state into another: for applying a complete configuration file, and for rollbacks.
 //!
-//! A removal and an addition of the same kind are paired and always in one transaction. So no transaction in between removes
-//! the last class or exceeds the bounds, where both states are within them.
+//! Additions and removals of the same kind are paired one to one, and a pair is never split between transactions. So if both states
+//! are within the limits, no intermediate state lacks a class or exceeds a limit.
 
 use crate::change::{Change, MAX_CHANGES, Rule, Transaction};
 use crate::configuration::Configuration;
-use crate::digest::Entry;
+use crate::digest::StateEntry;
 use crate::validation::Invalid;
 use gradepin_admission::Settings;
 use std::sync::Arc;
 
 impl Configuration {
-    /// The transactions that turn the entries of this state into those of settings. Deterministic; empty where nothing differs.
+    /// The transactions that turn the entries of this state into those of `settings`. Deterministic, and empty if nothing differs.
     pub fn difference(&self, settings: &Settings) -> Result<Vec<Transaction>, Invalid> {
         Ok(self.difference_to(&Self::from_settings(settings)?))
     }
@@ -30,7 +30,7 @@
                 chunk.entries().for_each(|entry| changes.add_removal(target, &entry));
             }
         }
-        let digest = |rule: Rule| Entry::Rule(rule).digest();
+        let digest = |rule: Rule| StateEntry::Rule(rule).digest();
         let is_in_force = |rule: &Rule| self.rules.same_kind(rule).map(digest) == Some(digest(*rule));
         let changed_rules = target.rules().filter(|rule| !is_in_force(rule));
         let rules: Vec<Group> = changed_rules.map(|rule| vec![Change::PutRule(rule)]).collect();
@@ -40,10 +40,10 @@
     }
 }
 
-/// Changes that must be in the same transaction.
+/// Changes that must stay in the same transaction.
 type Group = Vec<Change>;
 
-/// The changes of classes and tenants.
+/// Changes of classes and tenants, by kind and by addition or removal.
 #[derive(Default)]
 struct ChangesByKind {
     put_classes: Vec<Change>,
@@ -53,29 +53,29 @@
 }
 
 impl ChangesByKind {
-    fn add_put(&mut self, from: &Configuration, entry: Entry) {
+    fn add_put(&mut self, from: &Configuration, entry: StateEntry) {
         let before = match &entry {
-            Entry::Class(class) => from.class(&class.profile.name).cloned().map(Entry::Class),
-            Entry::Tenant(tenant) => from.tenant(&tenant.name).cloned().map(Entry::Tenant),
-            Entry::Rule(_) => None,
+            StateEntry::Class(class) => from.class(&class.profile.name).cloned().map(StateEntry::Class),
+            StateEntry::Tenant(tenant) => from.tenant(&tenant.name).cloned().map(StateEntry::Tenant),
+            StateEntry::Rule(_) => None,
         };
-        // Compared by digest, that is by encoding: 0 and -0 are equal as numbers and different as states.
+        // Compared by digest, hence by encoding: 0 and -0 are equal numbers but lead to different state digests.
         if before.is_some_and(|before| before.digest() == entry.digest()) {
             return;
         }
         match entry {
-            Entry::Class(class) => self.put_classes.push(Change::PutClass(class)),
-            Entry::Tenant(tenant) => self.put_tenants.push(Change::PutTenant(tenant)),
-            Entry::Rule(_) => {}
+            StateEntry::Class(class) => self.put_classes.push(Change::PutClass(class)),
+            StateEntry::Tenant(tenant) => self.put_tenants.push(Change::PutTenant(tenant)),
+            StateEntry::Rule(_) => {}
         }
     }
 
-    fn add_removal(&mut self, target: &Configuration, entry: &Entry) {
+    fn add_removal(&mut self, target: &Configuration, entry: &StateEntry) {
         match entry {
-            Entry::Class(class) if target.class(&class.profile.name).is_none() => {
+            StateEntry::Class(class) if target.class(&class.profile.name).is_none() => {
                 self.removed_classes.push(Change::RemoveClass(Arc::from(class.profile.name.as_str())));
             }
-            Entry::Tenant(tenant) if target.tenant(&tenant.name).is_none() => {
+            StateEntry::Tenant(tenant) if target.tenant(&tenant.name).is_none() => {
                 self.removed_tenants.push(Change::RemoveTenant(Arc::from(tenant.name.as_str())));
             }
             _ => {}
@@ -83,7 +83,7 @@
     }
 }
 
-/// Pairs each addition with a removal, as long as there are removals.
+/// Pairs additions with removals one to one; additions and removals without a counterpart form groups of one.
 fn pair(put: Vec<Change>, removed: Vec<Change>) -> Vec<Group> {
     let mut removed = removed.into_iter();
     let mut groups: Vec<Group> =
@@ -92,7 +92,7 @@
     groups
 }
 
-/// Packs groups into as few transactions as their order allows.
+/// Packs groups into transactions of at most [`MAX_CHANGES`] changes, in order, without splitting a group.
 fn pack(groups: impl Iterator<Item = Group>) -> Vec<Transaction> {
     let mut transactions: Vec<Transaction> = Vec::new();
     for group in groups {
--- a/crates/config/tests/golden_bytes.rs
+++ b/crates/config/tests/golden_bytes.rs
@@ -1,4 +1,4 @@
-//! The bytes of messages between servers and the JSON of the admin endpoint, as an earlier version has them.
+//! Messages between servers and the JSON of the admin endpoint must be encoded as in the golden files of an earlier version.
 
 mod golden;
 
@@ -6,8 +6,8 @@
 use gradepin_admission::{ClassProfile, Idempotency, Span, Tenant};
 use gradepin_config::admin::query::{Diff, History, Page, Show, request_query};
 use gradepin_config::admin::{
-    AdminError, ApplyReply, ApplyRequest, CommitLine, DiffReply, Entry, HistoryReply, Lagging,
-    RevisionSpread, RollbackRequest, ShowReply, Source, StatusReply,
+    AdminError, ApplyReply, ApplyRequest, CommitSummary, DiffReply, HistoryReply, LaggingServer,
+    RevisionSpread, RollbackRequest, ShowReply, ShownEntry, Source, StatusReply,
 };
 use gradepin_config::change::{Change, ClassDefinition, Commit, Name, Proposal, Revision, Rule, Transaction};
 use gradepin_config::chunk::ChunkNumber;
@@ -51,7 +51,7 @@
     ]
 }
 
-/// Every kind of change, of rule and of effect.
+/// Every kind of change, every rule, and a class of every idempotency.
 fn changes() -> Vec<Change> {
     let mut changes = vec![
         Change::PutClass(class("c1", Idempotency::Idempotent)),
@@ -128,16 +128,16 @@
     assert_golden_values(golden_file!("commit.txt"), &[("commit", commit())]);
 }
 
-/// Two versions that hash an entry otherwise would never agree on a state.
+/// Servers whose versions hash an entry differently would never agree on the digest of a state.
 #[test]
-fn digests_of_entries_are_golden() {
+fn hashes_entries_and_assigns_chunks_as_golden_digests() {
     let mut entries = vec![
-        ("repeatable", digest::Entry::Class(class("c1", Idempotency::Idempotent))),
-        ("by key", digest::Entry::Class(class("c2", Idempotency::Keyed))),
-        ("once", digest::Entry::Class(class("c3", Idempotency::NonIdempotent))),
-        ("tenant", digest::Entry::Tenant(tenant())),
+        ("repeatable", digest::StateEntry::Class(class("c1", Idempotency::Idempotent))),
+        ("by key", digest::StateEntry::Class(class("c2", Idempotency::Keyed))),
+        ("once", digest::StateEntry::Class(class("c3", Idempotency::NonIdempotent))),
+        ("tenant", digest::StateEntry::Tenant(tenant())),
     ];
-    entries.extend(rules().into_iter().map(|rule| (rule.name(), digest::Entry::Rule(rule))));
+    entries.extend(rules().into_iter().map(|rule| (rule.name(), digest::StateEntry::Rule(rule))));
     assert_golden_values(golden_file!("entries.txt"), &entries);
     let digests: Vec<_> = entries.iter().map(|(label, entry)| (*label, entry.digest().to_string())).collect();
     assert_golden_lines(golden_file!("digests.txt"), &digests);
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn writes_requests_of_operators_as_golden_json_and_reads_them() {
+fn writes_apply_and_rollback_requests_as_golden_json_and_reads_them() {
     let apply = |expected, dry_run| ApplyRequest { proposal: proposal(expected), dry_run };
     let applies = [("apply", apply(Some(Revision(300)), false)), ("dry run", apply(None, true))];
     assert_golden_json(golden_file!("apply-requests.txt"), &applies);
@@ -162,7 +162,7 @@
     assert_golden_json(golden_file!("rollback-request.txt"), &[("rollback", rollback)]);
 }
 
-fn refusals() -> Vec<(&'static str, AdminError)> {
+fn admin_errors() -> Vec<(&'static str, AdminError)> {
     let (expected, in_force, request_id) = (Revision(41), Revision(43), name("r1"));
     vec![
         ("stale", AdminError::Stale { expected, in_force }),
@@ -174,7 +174,7 @@
             "unknown revision",
             AdminError::UnknownRevision { revision: Revision(1), oldest: expected, newest: in_force },
         ),
-        ("servers fail", AdminError::ServersFail { servers: 3, max_servers: 2, revision: expected }),
+        ("servers fail", AdminError::TooManyFailedServers { servers: 3, max_servers: 2, revision: expected }),
         (
             "unknown entry",
             AdminError::UnknownEntry { kind: "class".into(), name: name("c1"), revision: expected },
@@ -186,18 +186,18 @@
 }
 
 #[test]
-fn writes_replies_and_refusals_as_golden_json_and_reads_them() {
+fn writes_apply_replies_and_errors_as_golden_json_and_reads_them() {
     let replies = [
         ("pending", ApplyReply::Pending { request_id: name("r1") }),
         ("committed", ApplyReply::Committed { revision: Revision(42), repeated: true }),
         ("valid", ApplyReply::Valid { against: Revision(42), changes: 3 }),
     ];
     assert_golden_json(golden_file!("apply-replies.txt"), &replies);
-    assert_golden_json(golden_file!("refusals.txt"), &refusals());
-    let statuses = refusals();
+    assert_golden_json(golden_file!("refusals.txt"), &admin_errors());
+    let statuses = admin_errors();
     let statuses: Vec<_> = statuses
         .iter()
-        .map(|(label, refusal)| (*label, format!("{} {}", refusal.status(), refusal.is_transient())))
+        .map(|(label, error)| (*label, format!("{} {}", error.status(), error.is_transient())))
         .collect();
     assert_golden_lines(golden_file!("refusal-statuses.txt"), &statuses);
 }
@@ -207,13 +207,13 @@
         revision: Revision(42),
         proposed_at_ms: 1,
         servers: 1_098,
-        of_servers: 1_100,
+        total_servers: 1_100,
         zones: 14,
-        of_zones: 15,
+        total_zones: 15,
         p50_ms: Some(900),
         p99_ms: None,
     };
-    let lagging = Lagging {
+    let lagging = LaggingServer {
         server: name("n7"),
         zone: name("z1"),
         revision: Some(Revision(40)),
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn writes_what_operators_are_shown_as_golden_json_and_reads_it() {
+fn writes_status_history_diff_and_show_replies_as_golden_json_and_reads_them() {
     let statuses = [
         ("of the start file", status(Source::StartFile)),
         ("of a snapshot", status(Source::Snapshot)),
@@ -246,7 +246,7 @@
         ("of nothing", StatusReply::default()),
     ];
     assert_golden_json(golden_file!("statuses.txt"), &statuses);
-    let line = CommitLine {
+    let line = CommitSummary {
         revision: Revision(42),
         author: name("ada"),
         reason: name("more"),
@@ -256,7 +256,7 @@
     };
     let history = HistoryReply { newest: Revision(42), oldest: Revision(2), commits: vec![line] };
     assert_golden_json(golden_file!("history.txt"), &[("history", history)]);
-    let diff = DiffReply { from: Revision(2), to: Revision(3), changes: changes(), left_out: 9 };
+    let diff = DiffReply { from: Revision(2), to: Revision(3), changes: changes(), omitted_changes: 9 };
     assert_golden_json(golden_file!("diff.txt"), &[("diff", diff)]);
     let show = ShowReply {
         revision: Revision(42),
@@ -264,7 +264,7 @@
         classes: 5,
         tenants: 6,
         rules: rules(),
-        entries: vec![Entry::Class(class("c1", Idempotency::Keyed)), Entry::Tenant(tenant())],
+        entries: vec![ShownEntry::Class(class("c1", Idempotency::Keyed)), ShownEntry::Tenant(tenant())],
         next: Some(name("osm")),
     };
     assert_golden_json(golden_file!("show.txt"), &[("show", show)]);
@@ -286,14 +286,14 @@
 
 #[test]
 fn writes_queries_as_golden_text() {
-    let odd = || name("Järvi & co=1/2 %");
+    let reserved_name = || name("Järvi & co=1/2 %");
     let page = |after| Page { after, limit: 50 };
     let lines = [
         ("summary", Show::Summary.to_query()),
-        ("class", Show::Class(odd()).to_query()),
-        ("tenant", Show::Tenant(odd()).to_query()),
+        ("class", Show::Class(reserved_name()).to_query()),
+        ("tenant", Show::Tenant(reserved_name()).to_query()),
         ("classes", Show::Classes(page(None)).to_query()),
-        ("tenants", Show::Tenants(page(Some(odd()))).to_query()),
+        ("tenants", Show::Tenants(page(Some(reserved_name()))).to_query()),
         ("history", History { before: None, limit: 20 }.to_query()),
         ("history before", History { before: Some(Revision(7)), limit: 20 }.to_query()),
         ("diff", Diff { from: Revision(1), to: None }.to_query()),
