--- a/crates/registry/src/instance.rs
+++ b/crates/registry/src/instance.rs
@@ -1,28 +1,28 @@
-//! An instance as a registry knows it, independent of the wire format.
+//! Instance records as a registry holds them, independent of the wire format.
 
 use std::collections::BTreeMap;
 use std::fmt;
 use std::net::IpAddr;
 use std::str::FromStr;
 
-/// The status of an instance, by which clients choose.
+/// The status of an instance; clients send requests only to instances that are [`InstanceStatus::Up`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub enum InstanceStatus {
-    /// Takes requests.
+    /// The instance accepts requests.
     Up,
-    /// Its own checks fail.
+    /// The instance reported that it can't serve requests.
     Down,
-    /// Not ready yet.
+    /// The instance is starting or warming up, and accepts no requests yet.
     Starting,
-    /// Taken out on purpose.
+    /// The instance was taken out of service on purpose, by itself or by an operator.
     OutOfService,
-    /// Missing, or a name that isn't known here. As an override: none.
+    /// The status is missing or has a name unknown to this crate. As an override: there is none.
     #[default]
     Unknown,
 }
 
 impl InstanceStatus {
-    /// The name on the wire.
+    /// The name in messages of the registry API.
     pub fn wire_name(self) -> &'static str {
         match self {
             Self::Up => "UP",
@@ -43,7 +43,7 @@
 impl FromStr for InstanceStatus {
     type Err = std::convert::Infallible;
 
-    /// Reads any name, as Eureka's clients do: one that is not known counts as [`InstanceStatus::Unknown`].
+    /// Accepts any name, as Eureka's clients do: an unknown one becomes [`InstanceStatus::Unknown`].
     fn from_str(name: &str) -> Result<Self, Self::Err> {
         Ok(match name.trim().to_ascii_uppercase().as_str() {
             "UP" => Self::Up,
@@ -58,17 +58,17 @@
 /// The change of an instance that a delta reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ActionType {
-    /// It is new.
+    /// The instance was registered.
     #[default]
     Added,
-    /// Something about it changed.
+    /// The record of the instance changed.
     Modified,
-    /// It was removed.
+    /// The registration was removed.
     Deleted,
 }
 
 impl ActionType {
-    /// The name on the wire.
+    /// The name in messages of the registry API.
     pub fn wire_name(self) -> &'static str {
         match self {
             Self::Added => "ADDED",
@@ -81,65 +81,66 @@
 /// A port and whether it is in use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Port {
-    /// Its number.
+    /// The TCP port number.
     pub number: u16,
-    /// Whether the instance listens there.
+    /// Whether the instance listens on this port.
     pub enabled: bool,
 }
 
 /// The lease of an instance at a registry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Lease {
-    /// Seconds between heartbeats.
+    /// Interval between heartbeats, in seconds.
     pub renewal_s: u64,
-    /// Seconds without one after which the registry may evict the instance.
+    /// Seconds without a heartbeat after which the registry may evict the instance.
     pub duration_s: u64,
-    /// When it was registered, in Unix milliseconds; 0 where the registry doesn't say.
+    /// The time of the registration, in Unix milliseconds; 0 if unknown, like the other times of a lease.
     pub registered_ms: u64,
-    /// The last heartbeat, in Unix milliseconds.
+    /// The time of the last heartbeat, in Unix milliseconds.
     pub renewed_ms: u64,
-    /// When it was evicted, in Unix milliseconds.
+    /// The time of the eviction, in Unix milliseconds.
     pub evicted_ms: u64,
-    /// When it was first up, in Unix milliseconds.
+    /// The time when the instance was first `UP`, in Unix milliseconds.
     pub up_ms: u64,
 }
 
-/// One instance of an application.
+/// The record of one instance of an application.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Instance {
-    /// Its id, unique in its application.
+    /// The instance id, unique within the application.
     pub id: String,
-    /// Its application, in upper case.
+    /// The name of the application, in upper case.
     pub app: String,
-    /// Its host name.
+    /// The host name; also the address for requests if `ip` is missing and this is an IP address.
     pub host: String,
-    /// Its address, where it is one.
+    /// The IP address; `None` if it is missing or malformed in the message.
     pub ip: Option<IpAddr>,
-    /// Its state, with any override already applied by the registry.
+    /// The effective status, with any override already applied by the registry.
     pub status: InstanceStatus,
-    /// The override in force; [`InstanceStatus::Unknown`] if there is none.
+    /// The status override in force; [`InstanceStatus::Unknown`] if there is none.
     pub overridden: InstanceStatus,
-    /// Where it takes requests.
+    /// The port for unencrypted requests.
     pub port: Port,
-    /// Where it takes encrypted ones.
+    /// The port for encrypted requests.
     pub secure_port: Port,
-    /// The name by which callers look it up.
+    /// The service name (VIP address) by which clients look up instances.
     pub vip: String,
-    /// The same for its secure port.
+    /// The service name for the secure port.
     pub secure_vip: String,
-    /// Where its checks answer.
+    /// The URL of the health check; empty if there is none.
     pub health_url: String,
-    /// Where its state can be read.
+    /// The URL of the status page; empty if there is none.
     pub status_url: String,
-    /// Its lease.
+    /// The lease that heartbeats renew.
     pub lease: Lease,
-    /// Further entries; the zone is under `zone`.
+    /// Free-form entries; the entry `zone` is the zone of the instance.
     pub metadata: BTreeMap<String, String>,
-    /// When the registry last changed it, in Unix milliseconds.
+    /// When the registry last changed the record, in Unix milliseconds of the registry's clock.
     pub updated_ms: u64,
-    /// When the instance itself last changed, in Unix milliseconds. Of two records the later one counts.
+    /// When the instance last changed its own record, in Unix milliseconds of the instance's clock. Of two records the registry
+    /// keeps the one with the later time.
     pub dirty_ms: u64,
-    /// In a delta: the change.
+    /// The kind of change, if the record is part of a delta.
     pub action: ActionType,
 }
 
@@ -168,25 +169,25 @@
 }
 
 impl Instance {
-    /// The zone that it runs in, where its metadata has one.
+    /// The zone of the instance, if its metadata has one.
     pub fn zone(&self) -> Option<&str> {
         self.metadata.get("zone").map(String::as_str)
     }
 }
 
-/// All instances of one or more applications, as fetched.
+/// The instances of one or more applications, as a registry sent them.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Applications {
-    /// The registry's version of the delta.
+    /// The registry's version number of the delta.
     pub version: String,
-    /// The registry's [`hash_code`] of everything that it holds; empty where it sends none.
+    /// The registry's [`hash_code`] of all instances that it holds; empty if it sent none.
     pub hash_code: String,
-    /// The instances, in the order sent.
+    /// The instances, in the order of the message.
     pub instances: Vec<Instance>,
 }
 
-/// The reconciliation code of a set of statuses: the name and count of each, in alphabetical order, as in `DOWN_1_UP_2_`.
-/// A client that applied all deltas has the registry's code.
+/// The reconciliation code of a set of statuses: the name and the count of each status, in alphabetical order, as in
+/// `DOWN_1_UP_2_`. A client whose code differs from the registry's has missed a delta.
 pub fn hash_code(statuses: impl IntoIterator<Item = InstanceStatus>) -> String {
     let mut counts = BTreeMap::<&str, usize>::new();
     for status in statuses {
--- a/crates/registry/src/membership/messages.rs
+++ b/crates/registry/src/membership/messages.rs
@@ -1,4 +1,4 @@
-//! Requests to a registry and their replies.
+//! The requests that a membership sends to a registry, and the replies to them.
 
 use crate::instance::{Instance, InstanceStatus};
 use gradepin_admission::{Span, Time};
@@ -6,56 +6,56 @@
 /// An operation of the registry API.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RegistryOperation {
-    /// Registers the instance, or replaces its record.
+    /// Registers the instance, or replaces its record if it is registered.
     Register(Box<Instance>),
     /// Renews the lease.
     Heartbeat {
-        /// The status here.
+        /// The status that the registry should show.
         status: InstanceStatus,
-        /// The time of the last change here, in Unix milliseconds.
+        /// The time of the last change of the instance's own record, in Unix milliseconds.
         dirty_ms: u64,
     },
-    /// Sets a status override.
+    /// Sets a status override, which outlives registrations.
     Override {
         /// The overriding status.
         status: InstanceStatus,
-        /// The time of the last change here, in Unix milliseconds.
+        /// The time of the last change of the instance's own record, in Unix milliseconds.
         dirty_ms: u64,
     },
     /// Removes the override and sets a status.
     ClearOverride {
-        /// The status without the override.
+        /// The status of the record once the override is removed.
         status: InstanceStatus,
-        /// The time of the last change here, in Unix milliseconds.
+        /// The time of the last change of the instance's own record, in Unix milliseconds.
         dirty_ms: u64,
     },
-    /// Fetches the record of this instance.
+    /// Fetches the registry's record of this instance, to verify a change.
     FetchOwnRecord,
     /// Removes the registration.
     Cancel,
 }
 
-/// The worker of the shell that sends a request.
+/// The lane of a request. At most one request is open in each lane, and the caller sends each lane on a worker of its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RequestLane {
-    /// Everything but leaving.
+    /// All requests except those of a leave.
     Routine,
-    /// Leaving, which waits for no other reply.
+    /// The requests of a leave, which must not wait for other replies.
     Urgent,
 }
 
 /// A request to send to a registry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RegistryRequest {
-    /// The ticket to pass back with the reply.
+    /// Identifies the request; must be passed to `Membership::reply` with the reply.
     pub ticket: u64,
-    /// Index of the service URL.
+    /// Index of the service URL, in the order of preference.
     pub url: usize,
-    /// The worker that sends it.
+    /// The lane on which to send the request.
     pub lane: RequestLane,
-    /// Timeout of the exchange.
+    /// The time within which the reply must be received.
     pub timeout: Span,
-    /// The operation.
+    /// The operation to perform.
     pub operation: RegistryOperation,
 }
 
@@ -81,15 +81,16 @@
     pub url: usize,
     pub operation: RegistryOperation,
     pub sent_at: Time,
-    /// Whether it went to another registry than the one in use, for clients that read there; its reply changes nothing.
+    /// Whether the request was sent to a registry other than the one in use, so that clients that read there see the override
+    /// too. The reply changes no state.
     pub secondary: bool,
 }
 
-/// A request that is due, before it gets its ticket.
+/// A request that is due, before a ticket is assigned.
 pub(super) struct DueRequest {
     pub lane: RequestLane,
     pub url: usize,
-    /// See [`OpenRequest::secondary`].
+    /// Becomes [`OpenRequest::secondary`].
     pub secondary: bool,
     pub operation: RegistryOperation,
 }
--- a/crates/registry/src/membership/replies.rs
+++ b/crates/registry/src/membership/replies.rs
@@ -1,17 +1,17 @@
-//! What a reply changes.
+//! Handles replies of the registry.
 
 use super::messages::{OpenRequest, RegistryOperation, RegistryReply, RequestLane};
 use super::{INITIAL_LEAVE_RETRY_DELAY, Leaving, MS, Membership};
 use crate::instance::{Instance, InstanceStatus};
 use gradepin_admission::{Span, Time, time_after};
 
-/// How long after the first registration an override that this server didn't set counts as its predecessor's.
+/// For this long after the first registration, an override that this server didn't set is taken for its predecessor's.
 const INHERITED_OVERRIDE_PERIOD: Span = Span(30_000 * MS);
-/// Heartbeats after which the own record is fetched again.
+/// The own record is fetched again after this many heartbeats.
 const HEARTBEATS_PER_FETCH: u32 = 2;
 
 impl Membership {
-    /// Takes the reply to a request. A reply to no open request, as a duplicate or late one, changes nothing.
+    /// Handles the reply to a request. A duplicate or late reply, whose request is no longer open, is ignored.
     pub fn reply(&mut self, now: Time, ticket: u64, reply: RegistryReply) {
         let lanes = [RequestLane::Routine, RequestLane::Urgent];
         let is_open = |lane: &RequestLane| {
@@ -25,17 +25,17 @@
             return;
         }
         match (&reply, &open.operation) {
-            (RegistryReply::Failed(why), _) => return self.failed(now, lane, &open, why),
+            (RegistryReply::Failed(reason), _) => return self.failed(now, lane, &open, reason),
             (RegistryReply::Rejected(status), _) => {
                 return self.failed(now, lane, &open, &format!("answered with status {status}"));
             }
             (RegistryReply::Record(_), operation) if *operation != RegistryOperation::FetchOwnRecord => {
-                return self.failed(now, lane, &open, "answered what was not asked");
+                return self.failed(now, lane, &open, "replied with a record that was not requested");
             }
             _ => {}
         }
         if lane == RequestLane::Routine {
-            self.use_url(open.url, now);
+            self.switch_to_url(open.url, now);
             self.backoff.reset();
             self.next_routine_at = now;
         } else {
@@ -43,9 +43,9 @@
             self.next_urgent_at = now;
         }
         match reply {
-            RegistryReply::NotFound => self.forgotten(now, lane),
-            // Another registry is in use by now, which may show something else. A leave in progress is sent to that one;
-            // a leave that was undone meanwhile stays undone.
+            RegistryReply::NotFound => self.instance_not_found(now, lane),
+            // Another registry is in use by now, which may hold another record. A leave in progress is repeated there; one that
+            // was undone meanwhile stays undone.
             RegistryReply::Record(_) if open.url != self.url => {
                 if self.leaving != Leaving::No {
                     self.leaving = Leaving::SetOverride;
@@ -55,14 +55,14 @@
             RegistryReply::Done => self.done(now, lane, open.operation),
             RegistryReply::Rejected(_) | RegistryReply::Failed(_) => {}
         }
-        // A routine request in flight may have undone the override.
+        // The routine request that just ended may have undone the override.
         if lane == RequestLane::Routine && matches!(self.leaving, Leaving::Verify | Leaving::Confirmed) {
             self.leaving = Leaving::Verify;
         }
     }
 
-    /// Uses the service URL that replied.
-    fn use_url(&mut self, url: usize, now: Time) {
+    /// Switches to the service URL that replied.
+    fn switch_to_url(&mut self, url: usize, now: Time) {
         if url != self.url {
             self.log_lines.push(format!("the registry at service URL {} is in use", url + 1));
             self.url = url;
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Backs off after a failed request, and uses the next service URL.
-    fn failed(&mut self, now: Time, lane: RequestLane, open: &OpenRequest, why: &str) {
+    /// Backs off after a failed request, and switches to the next service URL.
+    fn failed(&mut self, now: Time, lane: RequestLane, open: &OpenRequest, reason: &str) {
         let mut rng = self.rng.clone();
         let wait = match lane {
             RequestLane::Routine => self.backoff.failed(&mut rng),
@@ -88,7 +88,7 @@
                 }
             }
             RequestLane::Routine if open.url != self.url => {
-                // The preferred registry still fails; the one in use gets its heartbeat now.
+                // The preferred registry still fails: the heartbeat is sent to the one in use instead.
                 self.next_heartbeat_at = now;
                 return;
             }
@@ -103,7 +103,7 @@
             }
         }
         if self.backoff.failures() <= 1 {
-            self.log_lines.push(format!("the registry at service URL {} failed: {why}", open.url + 1));
+            self.log_lines.push(format!("the registry at service URL {} failed: {reason}", open.url + 1));
         }
         if self.settings.urls > 1 && open.url == self.url {
             self.url = (self.url + 1) % self.settings.urls;
@@ -111,14 +111,15 @@
         }
     }
 
-    /// The registry doesn't know this server: it restarted empty, evicted it, or a late cancel arrived.
-    fn forgotten(&mut self, now: Time, lane: RequestLane) {
+    /// The registry doesn't know this server: the registry restarted without its data or evicted the server, or a late cancel
+    /// removed the registration.
+    fn instance_not_found(&mut self, now: Time, lane: RequestLane) {
         if self.registered {
             self.log_lines.push("the registry has forgotten this server".into());
         }
         self.registered = false;
         self.shown_status = None;
-        // A registry that forgot the lease may have kept the override or not, so the leave starts again.
+        // Whether the registry kept the override without the lease is unknown, so the leave starts again.
         if lane == RequestLane::Urgent || self.leaving != Leaving::No {
             self.leaving = Leaving::Register;
             self.next_urgent_at = self.next_urgent_at.max(now);
@@ -156,7 +157,7 @@
             }
             RegistryOperation::ClearOverride { .. } => {
                 self.has_own_override = false;
-                // The record itself still has its earlier status.
+                // The record still has the status from before the override, which is unknown here.
                 self.shown_status = None;
                 self.next_change_at = now;
             }
@@ -168,7 +169,7 @@
                     sent_at: now,
                     secondary: false,
                 };
-                self.failed(now, lane, &request, "answered without the record");
+                self.failed(now, lane, &request, "replied to a fetch without the record");
             }
             RegistryOperation::Cancel => {
                 (self.registered, self.cancelled) = (false, true);
@@ -182,12 +183,13 @@
         self.ever_up |= status == InstanceStatus::Up;
     }
 
-    /// Compares the own record at the registry with the state here.
+    /// Compares the registry's record of this server with the local state.
     fn take_record(&mut self, now: Time, lane: RequestLane, record: &Instance) {
         self.shown_status = Some(record.status);
         self.registered = true;
         if record.dirty_ms > self.dirty_ms {
-            // The record of an earlier process, with a later date: the record of this one must be the latest.
+            // An earlier process left a record with a later time. The registry keeps the latest record, so this server
+            // registers again with a time after that one.
             self.dirty_ms = record.dirty_ms;
             self.registered = false;
         }
@@ -199,7 +201,10 @@
         if self.leaving == Leaving::No && set_elsewhere {
             if inherited {
                 self.has_own_override = true;
-                self.log_lines.push(format!("a predecessor left the override {}", record.overridden));
+                self.log_lines.push(format!(
+                    "removing the status override {} of a predecessor once this server is up",
+                    record.overridden
+                ));
             } else {
                 self.foreign_override = Some(record.overridden);
             }
@@ -207,13 +212,13 @@
         self.has_own_override &= record.overridden != InstanceStatus::Unknown;
         if foreign != self.foreign_override {
             let status = self.foreign_override.map_or("no override".into(), |status| status.to_string());
-            self.log_lines.push(format!("somebody else set {status} at the registry"));
+            self.log_lines.push(format!("somebody else changed the override at the registry to {status}"));
         }
         if lane == RequestLane::Urgent && self.leaving != Leaving::No {
             let is_out = record.status == InstanceStatus::OutOfService;
             self.leaving = if is_out { Leaving::Confirmed } else { Leaving::SetOverride };
             if is_out && self.routine.is_some() {
-                // A routine request in flight may still undo it.
+                // An open routine request may still undo the override, so it is verified again.
                 self.leaving = Leaving::Verify;
                 self.next_urgent_at = time_after(now, INITIAL_LEAVE_RETRY_DELAY);
             }
--- a/crates/registry/src/membership/requests.rs
+++ b/crates/registry/src/membership/requests.rs
@@ -1,4 +1,4 @@
-//! Which request is sent next, and when.
+//! Chooses the next request, and the time at which it is due.
 
 use super::messages::{
     DueRequest, OpenRequest, RegistryOperation, RegistryReply, RegistryRequest, RequestLane,
@@ -7,25 +7,27 @@
 use crate::instance::InstanceStatus;
 use gradepin_admission::{Span, Time, time_after};
 
-/// Timeout of an exchange of a leave: another registry is to be tried before the drain ends.
+/// Maximum timeout of a request of a leave: there must be time to try another registry before the drain ends.
 const LEAVE_TIMEOUT: Span = Span(400 * MS);
-/// A request without a reply this long after its timeout counts as failed.
+/// A request counts as failed if the caller has reported no reply this long after its timeout.
 const REPLY_GRACE: Span = Span(500 * MS);
-/// How long after the first registration heartbeats are more frequent: a predecessor's late cancel may remove the lease.
+/// For this long after the first registration heartbeats are more frequent, since a predecessor's late cancel may remove the
+/// lease.
 const NEW_REGISTRATION_PERIOD: Span = Span(30_000 * MS);
-/// Maximum interval of heartbeats in that period.
+/// Maximum interval between heartbeats during [`NEW_REGISTRATION_PERIOD`].
 const NEW_REGISTRATION_HEARTBEAT: Span = Span(2_000 * MS);
-/// Minimum interval between registrations, so that a registry that forgets at once isn't flooded.
+/// Minimum interval between registrations, so that a registry that loses each registration at once isn't flooded.
 const MIN_REGISTER_INTERVAL: Span = Span(1_000 * MS);
 const NEVER: Time = Time(u64::MAX);
 
 impl Membership {
-    /// The next request that is due. To be called again until it returns `None`.
+    /// The next request that is due at `now`. Must be called again until it returns `None`. `unix_ms` dates changes of the
+    /// own record.
     pub fn poll(&mut self, now: Time, unix_ms: u64) -> Option<RegistryRequest> {
         if self.cancelled {
             return None;
         }
-        self.fail_overdue(now);
+        self.fail_overdue_requests(now);
         let due = match self.due_urgent(now, unix_ms) {
             Some(urgent) => urgent,
             None => self.due_routine(now, unix_ms)?,
@@ -33,7 +35,7 @@
         Some(self.open(now, due))
     }
 
-    /// When [`Membership::poll`] may next return a request, if nothing happens before.
+    /// When [`Membership::poll`] must be called next if no fact or reply is reported before.
     pub fn wake_at(&self, now: Time) -> Time {
         if self.cancelled {
             return NEVER;
@@ -48,30 +50,31 @@
         };
         let routine = match &self.routine {
             Some(open) => overdue(open, RequestLane::Routine),
-            None => self.next_routine_at.max(self.next_routine(now)),
+            None => self.next_routine_at.max(self.next_routine_due(now)),
         };
         urgent.min(routine)
     }
 
-    /// When the routine lane has a request, apart from the backoff.
-    fn next_routine(&self, now: Time) -> Time {
+    /// When the next routine request is due, apart from the backoff.
+    fn next_routine_due(&self, now: Time) -> Time {
         if self.cancel_due || (self.registered && self.fetch_record) {
             return now;
         }
         if !self.registered {
             return if self.leaving == Leaving::No { self.next_register_at } else { NEVER };
         }
-        // States change by the clock too: a cold server becomes ready, good health stabilization_period.
+        // The wanted status also changes with time: when a cold server becomes ready, and when the stabilization period ends.
         let cold_processor = self.processor.filter(|processor| processor.cold);
         let ready = cold_processor.map(|processor| self.ready_at(processor.started_at));
         let changes = [ready, Some(time_after(self.health_since, self.settings.stabilization_period))];
         let next_by_time = changes.into_iter().flatten().filter(|&at| at > now).min();
-        let change = if self.change_wanted(now) { Some(self.next_change_at) } else { next_by_time };
+        let change = if self.needs_status_change(now) { Some(self.next_change_at) } else { next_by_time };
         self.next_heartbeat_at.min(change.unwrap_or(NEVER))
     }
 
-    /// Whether the registry shows another status than it should, and this server may change it.
-    fn change_wanted(&self, now: Time) -> bool {
+    /// Whether the registry shows a status other than the wanted one, and this server may change it: not during a leave, and
+    /// not against an operator's override.
+    fn needs_status_change(&self, now: Time) -> bool {
         let may_change = self.leaving == Leaving::No && self.foreign_override.is_none();
         self.registered && may_change && self.shown_status != Some(self.wanted(now))
     }
@@ -91,25 +94,25 @@
         }
     }
 
-    /// Counts requests whose reply is overdue as failed.
-    fn fail_overdue(&mut self, now: Time) {
+    /// Fails the open requests whose replies are overdue.
+    fn fail_overdue_requests(&mut self, now: Time) {
         for lane in [RequestLane::Routine, RequestLane::Urgent] {
             let overdue = Span(self.timeout(lane).0 + REPLY_GRACE.0);
             if let Some(open) =
                 self.lane(lane).as_ref().filter(|open| time_after(open.sent_at, overdue) <= now)
             {
                 let ticket = open.ticket;
-                self.reply(now, ticket, RegistryReply::Failed("no answer in its time".into()));
+                self.reply(now, ticket, RegistryReply::Failed("no reply within the timeout".into()));
             }
         }
     }
 
-    /// Dates a change later than any before. A record at the registry may have any date, so this saturates.
+    /// Sets a time of change later than any before. A record from the registry may have any time, so the addition saturates.
     fn mark_changed(&mut self, unix_ms: u64) {
         self.dirty_ms = unix_ms.max(self.dirty_ms.saturating_add(1));
     }
 
-    /// The registration of this instance with a status.
+    /// A registration of this instance with the given status.
     fn registration(&mut self, status: InstanceStatus, unix_ms: u64) -> RegistryOperation {
         self.mark_changed(unix_ms);
         let mut instance = self.settings.instance.clone();
@@ -167,14 +170,14 @@
         if std::mem::take(&mut self.fetch_record) {
             return Some(routine(RegistryOperation::FetchOwnRecord));
         }
-        if self.change_wanted(now) && now >= self.next_change_at {
+        if self.needs_status_change(now) && now >= self.next_change_at {
             return Some(routine(self.status_change(now, unix_ms)));
         }
         self.due_heartbeat(now)
     }
 
     fn due_registration(&mut self, now: Time, unix_ms: u64) -> Option<RegistryOperation> {
-        // On leaving the urgent lane registers, in its order.
+        // During a leave the urgent lane registers, if that is needed.
         if now < self.next_register_at || self.leaving != Leaving::No {
             return None;
         }
@@ -183,7 +186,7 @@
         Some(self.registration(status, unix_ms))
     }
 
-    /// The operation that brings the status at the registry nearer to the one here.
+    /// The next operation towards the wanted status; some changes take two operations.
     fn status_change(&mut self, now: Time, unix_ms: u64) -> RegistryOperation {
         self.next_change_at = time_after(now, self.settings.min_change_interval);
         let status = self.wanted(now);
@@ -191,8 +194,8 @@
             self.mark_changed(unix_ms);
             return RegistryOperation::ClearOverride { status, dirty_ms: self.dirty_ms };
         }
-        // A registry trusts a lease that is out of service more than a registration that says up, but not more than one
-        // that says starting: the change goes through that status.
+        // For a lease that is out of service, a registry ignores a registration with `UP` but accepts one with `STARTING`, so
+        // the change to `UP` takes both.
         let via_starting =
             status == InstanceStatus::Up && self.shown_status == Some(InstanceStatus::OutOfService);
         self.registration(if via_starting { InstanceStatus::Starting } else { status }, unix_ms)
@@ -202,7 +205,7 @@
         if now < self.next_heartbeat_at {
             return None;
         }
-        // The preferred registry is tried with a heartbeat, which changes nothing where it fails.
+        // The preferred registry is tried with a heartbeat, whose failure has no effect.
         let tries_preferred = self.url > 0 && now >= self.next_preferred_at;
         let url = if tries_preferred { 0 } else { self.url };
         if url != self.url {
@@ -222,7 +225,7 @@
         RegistryRequest { ticket, url, lane, timeout: self.timeout(lane), operation }
     }
 
-    /// Sets the time of the next heartbeat.
+    /// Schedules the next heartbeat, with a shorter interval after the first registration.
     pub(super) fn schedule_heartbeat(&mut self, now: Time) {
         let is_new =
             self.first_registered.is_some_and(|first| now < time_after(first, NEW_REGISTRATION_PERIOD));
--- a/crates/registry/src/view.rs
+++ b/crates/registry/src/view.rs
@@ -1,8 +1,9 @@
-//! A client's view of a fleet through a registry: updated by full fetches and deltas, kept while the registry is
-//! unavailable, and not trusted at once where it suddenly shrinks.
+//! A client's view of a fleet through a registry. The view is updated by full fetches and deltas, and stays as it is while the
+//! registry is unavailable. If a full fetch lists far fewer instances than before, the missing ones are kept until later
+//! fetches confirm the loss.
 //!
-//! No I/O: [`View::poll`] says what to fetch, [`View::fetched`] takes the reply, [`View::pick`] chooses an instance. A
-//! registry may hold 10,000 instances, so their table is compact.
+//! No I/O: [`View::poll`] returns the next fetch, [`View::fetched`] takes the reply, [`View::pick`] chooses an instance. A
+//! registry may hold 10,000 instances, so the table of instances is compact.
 
 mod table;
 
@@ -20,16 +21,16 @@
 pub struct ViewSettings {
     /// Interval between fetches.
     pub refresh: Span,
-    /// First delay after a fetch that failed.
+    /// Delay after the first failed fetch; it doubles up to `refresh`.
     pub retry: Span,
-    /// A full fetch that leaves less than this share of the instances that were up isn't trusted at once.
+    /// A full fetch that lists less than this fraction of the instances that were up isn't trusted at once.
     pub min_remaining_share: f64,
-    /// How long later fetches must agree until it is trusted.
+    /// How long later fetches must confirm such a loss until it is trusted.
     pub confirmation_period: Span,
-    /// The zone whose instances are preferred, if any.
+    /// The client's own zone, whose instances are preferred; `None` for no preference.
     pub zone: Option<String>,
-    /// The share of all available instances that must be in that zone for it to be preferred. Otherwise the last
-    /// instance of a zone would get the load of all of it.
+    /// The fraction of all available instances that must be in the own zone for it to be preferred. Without this bound the
+    /// last available instance of a zone would get the load of the whole zone.
     pub min_zone_share: f64,
 }
 
@@ -49,43 +50,43 @@
 /// A fetch from a registry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fetch {
-    /// Everything.
+    /// All instances.
     Full,
-    /// Recent changes.
+    /// The recent changes.
     Delta,
 }
 
 /// An instance chosen by [`View::pick`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Picked<'a> {
-    /// Its id.
+    /// The instance id.
     pub id: &'a str,
-    /// Its address for requests.
+    /// The address to send requests to.
     pub address: SocketAddr,
-    /// Whether it is in the caller's zone.
+    /// Whether the instance is in the client's own zone.
     pub in_own_zone: bool,
 }
 
-/// A registry that suddenly lists far fewer instances than are known.
+/// A full fetch that listed fewer instances than the view holds.
 #[derive(Debug, Clone, Copy)]
 struct Shrinkage {
     since: Time,
-    /// The number of instances listed as up.
+    /// The number of instances that the fetch listed as up.
     listed: usize,
 }
 
-/// A fleet as a registry lists it; see the module documentation.
+/// The instances of a fleet, as a registry listed them and as far as the lists are trusted.
 #[derive(Debug)]
 pub struct View {
     settings: ViewSettings,
     rng: Pcg64Mcg,
     table: InstanceTable,
-    /// Whether the next fetch must be a full one.
+    /// Whether the next fetch must be full.
     needs_full_fetch: bool,
     fetching: bool,
     next_fetch: Time,
     backoff: Backoff,
-    /// A sudden shrinkage that isn't trusted yet.
+    /// The last comparison of a full fetch with the view; cleared once its losses are accepted.
     shrinkage: Option<Shrinkage>,
     last_good: Option<Time>,
     mismatches: u64,
@@ -93,7 +94,7 @@
 }
 
 impl View {
-    /// An empty view, to be filled by a full fetch at once.
+    /// An empty view, whose first full fetch is due at once. The seed randomizes delays and the choice of instances.
     pub fn new(settings: ViewSettings, seed: u64, now: Time) -> Self {
         Self {
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -110,7 +111,7 @@
         }
     }
 
-    /// The fetch that is due, if any. Its outcome is to be passed to [`View::fetched`].
+    /// The fetch that is due, if any. The caller must pass its outcome to [`View::fetched`].
     pub fn poll(&mut self, now: Time) -> Option<Fetch> {
         if self.fetching || now < self.next_fetch {
             return None;
@@ -119,12 +120,12 @@
         Some(if self.needs_full_fetch { Fetch::Full } else { Fetch::Delta })
     }
 
-    /// When the next fetch is due.
+    /// When the next fetch is due; `None` while one is in flight.
     pub fn wake_at(&self) -> Option<Time> {
         (!self.fetching).then_some(self.next_fetch)
     }
 
-    /// Takes the reply to a fetch. After a failed fetch, `None`, the view stays as it was.
+    /// Handles the outcome of a fetch; `None` if it failed, which leaves the instances unchanged.
     pub fn fetched(&mut self, now: Time, fetch: Fetch, reply: Option<&Applications>) {
         self.fetching = false;
         let Some(applications) = reply else {
@@ -147,12 +148,12 @@
 
     fn apply_full(&mut self, now: Time, fetched: &Applications) {
         self.full_fetches += 1;
-        let missing = self.put_all(fetched);
+        let missing = self.upsert_all(fetched);
         if self.is_sudden_shrinkage(now, &missing, fetched.instances.is_empty()) {
             for slot in missing {
                 self.table.change(slot, |entry| entry.unconfirmed = true);
             }
-            // A delta says nothing of those: full fetches go on until they are back, or the shrinkage is confirmed.
+            // Deltas don't mention the missing instances, so full fetches continue until they return or the loss is confirmed.
             self.needs_full_fetch = true;
             return;
         }
@@ -161,18 +162,18 @@
         }
         self.shrinkage = None;
         self.needs_full_fetch = false;
-        // Strings of removed instances stay until the table is rebuilt.
+        // The strings of removed instances stay in memory until the table is rebuilt.
         if self.table.strings.len() > 64 + 4 * fetched.instances.len() {
             self.table = InstanceTable::default();
-            fetched.instances.iter().for_each(|instance| self.table.put(instance));
+            fetched.instances.iter().for_each(|instance| self.table.upsert(instance));
         }
     }
 
-    /// Puts all fetched instances into the table; returns the slots of the others.
-    fn put_all(&mut self, fetched: &Applications) -> Vec<u32> {
+    /// Inserts or replaces all fetched instances; returns the slots of the instances that were not fetched.
+    fn upsert_all(&mut self, fetched: &Applications) -> Vec<u32> {
         let mut listed = HashSet::new();
         for instance in &fetched.instances {
-            self.table.put(instance);
+            self.table.upsert(instance);
             let app = self.table.strings.intern(&instance.app);
             listed.extend(self.table.find(app, &instance.id));
         }
@@ -180,8 +181,8 @@
         (0..self.table.slot_count()).filter(is_missing).collect()
     }
 
-    /// Whether the fleet shrank so much at once that it isn't trusted yet: a registry that has just restarted, or was cut
-    /// off from its servers, lists few of them.
+    /// Whether the fleet shrank so much at once that the loss isn't trusted yet. A registry that has just restarted, or that
+    /// is cut off from the servers, lists only few of them.
     fn is_sudden_shrinkage(&mut self, now: Time, missing: &[u32], nothing_fetched: bool) -> bool {
         let was_up =
             |slot: &&u32| self.table.entry(**slot).is_some_and(|entry| entry.status == InstanceStatus::Up);
@@ -189,7 +190,7 @@
         let up = self.table.entries().filter(|entry| entry.status == InstanceStatus::Up).count();
         let listed = up - lost;
         let is_sudden = lost > 0 && (listed as f64) < self.settings.min_remaining_share * up as f64;
-        // While each fetch lists more, the servers are coming back to the registry.
+        // While each fetch lists more instances than the one before, servers are still registering again.
         let since = match &self.shrinkage {
             Some(earlier) if listed <= earlier.listed => earlier.since,
             _ => now,
@@ -206,14 +207,14 @@
                 .and_then(|slot| self.table.entry(slot))
                 .is_some_and(|entry| entry.updated_ms > instance.updated_ms);
             match (instance.action, known) {
-                // A registry's queue of changes may still hold what a full fetch has overtaken.
+                // The registry's queue of changes may still contain changes from before the last full fetch.
                 _ if is_outdated => {}
                 (ActionType::Deleted, Some(slot)) => self.table.remove(slot),
                 (ActionType::Deleted, None) => {}
-                _ => self.table.put(instance),
+                _ => self.table.upsert(instance),
             }
         }
-        // The code of an empty registry is empty too: it is fetched in full, and then not trusted at once.
+        // An empty registry sends an empty code. The full fetch that this causes isn't trusted at once.
         if delta.hash_code != self.hash_code() {
             self.mismatches += 1;
             self.needs_full_fetch = true;
@@ -221,49 +222,49 @@
         }
     }
 
-    /// The reconciliation code of the instances held.
+    /// The reconciliation code of the instances in the view.
     pub fn hash_code(&self) -> String {
         hash_code(self.table.entries().map(|entry| entry.status))
     }
 
-    /// The number of instances held.
+    /// The number of instances in the view, unconfirmed ones included.
     pub fn len(&self) -> usize {
         self.table.entries().count()
     }
 
-    /// Whether no instance is held.
+    /// Whether the view contains no instance.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The time since the last successful fetch.
+    /// The time since the last successful fetch; `None` before the first.
     pub fn age(&self, now: Time) -> Option<Span> {
         self.last_good.map(|good| Span(now.0.saturating_sub(good.0)))
     }
 
-    /// The number of deltas after which the code differed from the registry's.
+    /// The number of deltas after which the reconciliation code differed from the registry's.
     pub fn mismatches(&self) -> u64 {
         self.mismatches
     }
 
-    /// The number of full fetches.
+    /// The number of full fetches that succeeded.
     pub fn full_fetches(&self) -> u64 {
         self.full_fetches
     }
 
-    /// The status of an instance.
+    /// The status of an instance; `None` if the view doesn't contain it.
     pub fn status(&self, app: &str, id: &str) -> Option<InstanceStatus> {
         let app = self.table.strings.find(app)?;
         self.table.entry(self.table.find(app, id)?).map(|entry| entry.status)
     }
 
-    /// Picks a random instance of a service name that is up: in the own zone while enough instances are available there,
-    /// then among all, then among those that the registry suddenly no longer lists. Instances that are `avoided` are the
-    /// last choice; those that are down, starting or out of service are never chosen.
+    /// Picks a random instance of a service name that is up: first in the own zone if it has enough available instances, then
+    /// in any zone, then among the instances whose loss is unconfirmed. Instances for which `avoided` returns true are the last
+    /// choice. Instances that are down, starting or out of service are never chosen.
     pub fn pick(&mut self, vip: &str, avoided: impl Fn(SocketAddr) -> bool) -> Option<Picked<'_>> {
         let vip = self.table.strings.find(vip)?;
-        let own = self.own_zone();
-        let preferred = own.filter(|&zone| self.has_enough_in(vip, zone));
+        let own_zone = self.own_zone();
+        let preferred = own_zone.filter(|&zone| self.has_enough_in(vip, zone));
         let start = self.rng.next_u64() as usize;
         let table = &self.table;
         let is_up = |entry: &Entry| entry.status == InstanceStatus::Up;
@@ -274,17 +275,18 @@
             .or_else(|| table.pick(vip, None, start, |entry| is_up(entry) && !avoided(entry.address)))
             .or_else(|| table.pick(vip, None, start, is_up));
         let entry = table.entry(found?)?;
-        Some(Picked { id: &entry.id, address: entry.address, in_own_zone: Some(entry.zone) == own })
+        Some(Picked { id: &entry.id, address: entry.address, in_own_zone: Some(entry.zone) == own_zone })
     }
 
-    /// The addresses of all instances of a service name that are up, the own zone first, for clients that walk a list.
+    /// The addresses of all instances of a service name that are up, for clients that try them in order: confirmed instances
+    /// first, and among them those in the own zone.
     pub fn all_up(&self, vip: &str) -> Vec<SocketAddr> {
         let Some(vip) = self.table.strings.find(vip) else { return Vec::new() };
-        let own = self.own_zone();
+        let own_zone = self.own_zone();
         let up = self.table.entries().filter(|entry| entry.vip == vip && entry.status == InstanceStatus::Up);
-        let mut all: Vec<&Entry> = up.collect();
-        all.sort_by_key(|entry| (entry.unconfirmed, Some(entry.zone) != own, entry.address));
-        all.iter().map(|entry| entry.address).collect()
+        let mut entries: Vec<&Entry> = up.collect();
+        entries.sort_by_key(|entry| (entry.unconfirmed, Some(entry.zone) != own_zone, entry.address));
+        entries.iter().map(|entry| entry.address).collect()
     }
 
     fn own_zone(&self) -> Option<u32> {
@@ -296,7 +298,7 @@
         in_zone > 0.0 && in_zone >= self.settings.min_zone_share * self.table.available(vip, None) as f64
     }
 
-    /// Approximate bytes of the view on the heap.
+    /// The approximate number of bytes that the view has on the heap.
     pub fn heap_bytes(&self) -> usize {
         self.table.heap_bytes()
     }
--- a/crates/registry/src/view/table.rs
+++ b/crates/registry/src/view/table.rs
@@ -1,15 +1,15 @@
-//! The instances that a view holds, compact: strings that repeat (applications, service names, zones) are stored once, and
-//! what a caller doesn't use is not stored.
+//! A compact table of the instances in a view. Repeated strings (applications, service names, zones) are stored once, and
+//! fields that clients don't use are not stored.
 
 use crate::instance::{Instance, InstanceStatus};
 use hashbrown::HashTable;
 use std::collections::{BTreeMap, HashMap};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// Entries probed at random before a group is searched in full.
-const RANDOM_PROBES: usize = 8;
+/// Number of random entries that are tried before all entries are searched.
+const RANDOM_PICKS: usize = 8;
 
-/// Interned strings.
+/// Interned strings, each identified by its index.
 #[derive(Debug, Default)]
 pub(super) struct StringPool {
     index: HashMap<Box<str>, u32>,
@@ -17,7 +17,7 @@
 }
 
 impl StringPool {
-    /// The index of a string, which is added if it is new.
+    /// The index of a string; adds the string if it is new.
     pub(super) fn intern(&mut self, text: &str) -> u32 {
         if let Some(&index) = self.index.get(text) {
             return index;
@@ -28,24 +28,24 @@
         index
     }
 
-    /// The index of a string, if it is known.
+    /// The index of a string; `None` if it was never added.
     pub(super) fn find(&self, text: &str) -> Option<u32> {
         self.index.get(text).copied()
     }
 
-    /// The number of strings.
+    /// The number of distinct strings.
     pub(super) fn len(&self) -> usize {
         self.strings.len()
     }
 
-    /// Approximate bytes on the heap.
+    /// The approximate number of bytes on the heap.
     fn heap_bytes(&self) -> usize {
         let header = 16;
         self.strings.iter().map(|text| 2 * (text.len() + header) + 4).sum()
     }
 }
 
-/// An instance, as far as a caller uses it. Application, service name and zone are indexes of strings.
+/// The fields of an instance that clients use. Application, service name and zone are indexes in the [`StringPool`].
 #[derive(Debug, Clone)]
 pub(super) struct Entry {
     pub id: Box<str>,
@@ -55,19 +55,19 @@
     pub vip: u32,
     pub zone: u32,
     pub status: InstanceStatus,
-    /// The registry no longer lists it, and that isn't trusted yet.
+    /// Whether the registry no longer lists the instance and the loss isn't confirmed yet.
     pub unconfirmed: bool,
 }
 
-/// The entries with their indexes.
+/// The instances of a view, with indexes by id and by service name and zone.
 #[derive(Debug, Default)]
 pub(super) struct InstanceTable {
     pub strings: StringPool,
     slots: Vec<Option<Entry>>,
     free: Vec<u32>,
-    /// Slots by application and id.
+    /// Slots by application and instance id.
     by_id: HashTable<u32>,
-    /// By service name and zone.
+    /// Groups by service name and zone.
     groups: BTreeMap<(u32, u32), Group>,
 }
 
@@ -75,7 +75,7 @@
 #[derive(Debug, Default)]
 struct Group {
     slots: Vec<u32>,
-    /// The number of them that are up and confirmed.
+    /// The number of instances in the group that are up and confirmed.
     up: usize,
 }
 
@@ -87,25 +87,26 @@
 }
 
 impl Entry {
-    /// Whether it is up and confirmed by the registry.
+    /// Whether the instance is up and the registry still lists it.
     pub(super) fn is_available(&self) -> bool {
         self.status == InstanceStatus::Up && !self.unconfirmed
     }
 }
 
 impl InstanceTable {
-    /// The slot of an instance.
+    /// The slot of the instance with this application and id.
     pub(super) fn find(&self, app: u32, id: &str) -> Option<u32> {
-        let is = |slot: &u32| self.entry(*slot).is_some_and(|entry| entry.app == app && *entry.id == *id);
-        self.by_id.find(id_hash(app, id), is).copied()
+        let matches =
+            |slot: &u32| self.entry(*slot).is_some_and(|entry| entry.app == app && *entry.id == *id);
+        self.by_id.find(id_hash(app, id), matches).copied()
     }
 
-    /// The entry in a slot.
+    /// The entry in a slot; `None` if the slot is free.
     pub(super) fn entry(&self, slot: u32) -> Option<&Entry> {
         self.slots.get(slot as usize)?.as_ref()
     }
 
-    /// All entries.
+    /// All entries, in the order of their slots.
     pub(super) fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.slots.iter().flatten()
     }
@@ -142,7 +143,7 @@
         self.free.push(slot);
     }
 
-    /// Changes an entry that stays in its group.
+    /// Changes an entry in place; its service name and zone must stay the same.
     pub(super) fn change(&mut self, slot: u32, change: impl FnOnce(&mut Entry)) {
         let Some(entry) = self.slots[slot as usize].as_mut() else { return };
         let was_available = entry.is_available();
@@ -158,8 +159,8 @@
         self.groups.range(range).map(|(_, group)| group)
     }
 
-    /// Inserts an instance, or replaces its entry.
-    pub(super) fn put(&mut self, instance: &Instance) {
+    /// Inserts an instance, or replaces its entry if there is one.
+    pub(super) fn upsert(&mut self, instance: &Instance) {
         let (app, vip) = (self.strings.intern(&instance.app), self.strings.intern(&instance.vip));
         let zone = self.strings.intern(instance.zone().unwrap_or_default());
         let ip =
@@ -186,7 +187,7 @@
         }
     }
 
-    /// A slot of the service name, in one zone or in any, whose entry is suitable; searched from a random start.
+    /// A slot of the service name, in one zone or in any, whose entry is suitable. `start` is a random number.
     pub(super) fn pick(
         &self,
         vip: u32,
@@ -209,10 +210,11 @@
             }
             u32::MAX
         };
-        let is = |slot: &u32| self.entry(*slot).is_some_and(&is_suitable);
-        // Probes are spread over all entries, so that one behind many unavailable ones isn't chosen more often.
-        let spread = (0..RANDOM_PROBES).map(|n| at(start.wrapping_add(n.wrapping_mul(0x9e37_79b9)))).find(is);
-        spread.or_else(|| (0..total).map(|n| at(start.wrapping_add(n))).find(is))
+        let matches = |slot: &u32| self.entry(*slot).is_some_and(&is_suitable);
+        // Random tries come first: a linear search alone would prefer an entry that follows many unavailable ones.
+        let spread =
+            (0..RANDOM_PICKS).map(|n| at(start.wrapping_add(n.wrapping_mul(0x9e37_79b9)))).find(matches);
+        spread.or_else(|| (0..total).map(|n| at(start.wrapping_add(n))).find(matches))
     }
 
     /// The number of available instances of a service name, in one zone or in all.
@@ -220,17 +222,17 @@
         self.groups_of(vip, zone).map(|group| group.up).sum()
     }
 
-    /// The number of slots, of which some are free.
+    /// The number of slots, free ones included.
     pub(super) fn slot_count(&self) -> u32 {
         self.slots.len() as u32
     }
 
-    /// Approximate bytes on the heap.
+    /// The approximate number of bytes on the heap.
     pub(super) fn heap_bytes(&self) -> usize {
         let entries: usize = self.entries().map(|entry| entry.id.len()).sum();
         let groups: usize = self.groups.values().map(|group| 48 + 4 * group.slots.capacity()).sum();
         let slots = self.slots.capacity() * size_of::<Option<Entry>>();
-        // A slot number and a byte of the hash for each.
+        // The hash table has a slot number (4 bytes) and a control byte for each element.
         let by_id = self.by_id.capacity() * 5;
         slots + entries + self.strings.heap_bytes() + groups + by_id
     }
--- a/crates/registry/src/wire/json.rs
+++ b/crates/registry/src/wire/json.rs
@@ -1,4 +1,4 @@
-//! The JSON of the registry API: attributes are members with `@`, text beside them is `$`.
+//! The JSON format of the registry API. Attributes are members whose names start with `@`; text beside them is the member `$`.
 
 use super::tree::Node;
 use super::{MAX_DEPTH, WireError};
@@ -6,13 +6,13 @@
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 
-/// Parses a message into a tree.
+/// Parses a JSON message into a tree.
 pub(super) fn parse(bytes: &[u8]) -> Result<Node, WireError> {
     let syntax = |why: String| WireError::Syntax { format: "JSON", why };
-    // The library bounds the nesting itself, at 128.
+    // `serde_json` itself bounds the nesting at 128 levels.
     let value: Value = serde_json::from_slice(bytes).map_err(|e| syntax(e.to_string()))?;
     let mut root = Node::new("");
-    fill(&mut root, &value, 0).map_err(|()| syntax(format!("nested more than {MAX_DEPTH} times")))?;
+    fill(&mut root, &value, 0).map_err(|()| syntax(format!("nested more than {MAX_DEPTH} levels deep")))?;
     Ok(root)
 }
 
@@ -28,7 +28,7 @@
                 } else if key == "$" {
                     node.text = text(value);
                 } else {
-                    // A list stands for several members of the same name.
+                    // A JSON array stands for several elements of the same name.
                     let each = if let Value::Array(values) = value {
                         &values[..]
                     } else {
@@ -52,7 +52,7 @@
     match value {
         Value::String(text) => text.clone(),
         Value::Number(number) => number.to_string(),
-        Value::Bool(truth) => truth.to_string(),
+        Value::Bool(flag) => flag.to_string(),
         _ => String::new(),
     }
 }
@@ -99,13 +99,13 @@
         }
     }
     if i.overridden == InstanceStatus::Unknown {
-        // Older clients read this spelling only.
+        // Older clients read only this spelling.
         out["overriddenstatus"] = json!(InstanceStatus::Unknown.wire_name());
     }
     out
 }
 
-/// Writes one instance.
+/// Encodes one instance.
 pub(super) fn instance(instance: &Instance) -> Vec<u8> {
     json!({"instance": instance_value(instance)}).to_string().into_bytes()
 }
@@ -114,12 +114,12 @@
     json!({"name": name, "instance": instances.iter().map(|i| instance_value(i)).collect::<Vec<_>>()})
 }
 
-/// Writes one application.
+/// Encodes one application.
 pub(super) fn application(name: &str, instances: &[&Instance]) -> Vec<u8> {
     json!({"application": application_value(name, instances)}).to_string().into_bytes()
 }
 
-/// Writes all applications.
+/// Encodes all applications, each with its instances.
 pub(super) fn applications(all: &Applications, apps: &BTreeMap<&str, Vec<&Instance>>) -> Vec<u8> {
     let apps: Vec<Value> = apps.iter().map(|(name, instances)| application_value(name, instances)).collect();
     json!({"applications": {
--- a/crates/registry/src/wire/mod.rs
+++ b/crates/registry/src/wire/mod.rs
@@ -1,4 +1,5 @@
-//! The messages of the registry API as bytes. Both formats are read into one tree and mapped once.
+//! Encodes and decodes the messages of the registry API. Both formats are parsed into the same tree, so the mapping from
+//! elements to fields exists only once.
 
 mod json;
 mod tree;
@@ -8,10 +9,10 @@
 use std::collections::BTreeMap;
 use tree::Node;
 
-/// Maximum nesting that is read, against input made to exhaust the stack.
+/// Maximum nesting depth of a message, which protects the stack against malicious input.
 const MAX_DEPTH: usize = 32;
 
-/// The two formats of the API.
+/// The message formats of the API.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Format {
     /// `application/json`
@@ -22,7 +23,7 @@
 }
 
 impl Format {
-    /// The value for `Accept` and `Content-Type`.
+    /// The value of the `Accept` and `Content-Type` headers for this format.
     pub fn media_type(self) -> &'static str {
         match self {
             Self::Json => "application/json",
@@ -30,31 +31,31 @@
         }
     }
 
-    /// The format that a header names; the registry's own default, XML, for anything else.
+    /// The format that a `Content-Type` or `Accept` header names; XML, the registry's default, for any other value.
     pub fn of(media_type: &str) -> Self {
         if media_type.to_ascii_lowercase().contains("json") { Self::Json } else { Self::Xml }
     }
 }
 
-/// Why bytes are no message of the API.
+/// Why bytes could not be decoded as a message of the API.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
-    /// The bytes are not of the format.
+    /// The bytes violate the syntax of the format.
     #[error("expected {format}: {why}")]
     Syntax {
-        /// The format they should be of.
+        /// The expected format, `JSON` or `XML`.
         format: &'static str,
-        /// The parser's message.
+        /// The error from the parser.
         why: String,
     },
-    /// The bytes are of the format, but a required value is missing or out of range.
-    #[error("expected {expected} in {place}, got {got}")]
-    Meaning {
-        /// The expected value.
+    /// The syntax is valid, but a required value is missing or out of range.
+    #[error("expected {expected} in {element}, got {got}")]
+    InvalidValue {
+        /// A description of the expected value.
         expected: &'static str,
-        /// The element.
-        place: &'static str,
-        /// The value found.
+        /// The name of the element in which the value was expected.
+        element: &'static str,
+        /// The value in the message.
         got: String,
     },
 }
@@ -66,14 +67,14 @@
     }
 }
 
-/// Reads one instance.
+/// Decodes one instance, with or without an `instance` element around it.
 pub fn read_instance(bytes: &[u8], format: Format) -> Result<Instance, WireError> {
     let root = parse(bytes, format)?;
     let node = if root.name == "instance" { &root } else { root.child("instance").unwrap_or(&root) };
     instance(node, "")
 }
 
-/// Reads applications, or one application, or the answer to a delta.
+/// Decodes all applications, a single application, or the reply to a delta fetch.
 pub fn read_applications(bytes: &[u8], format: Format) -> Result<Applications, WireError> {
     let root = parse(bytes, format)?;
     let all = root.within("applications");
@@ -83,7 +84,7 @@
         (None, Some(one)) => (one, vec![one]),
         (None, None) => {
             let (expected, got) = ("applications or application", root.name.clone());
-            return Err(WireError::Meaning { expected, place: "the document", got });
+            return Err(WireError::InvalidValue { expected, element: "the document", got });
         }
     };
     let mut instances = Vec::new();
@@ -97,11 +98,11 @@
     Ok(Applications { version: text("versions__delta"), hash_code: text("apps__hashcode"), instances })
 }
 
-/// An instance from its element; `app` is the name of the application around it.
+/// Decodes an instance element. `app` is the name of the enclosing application, for instances without one.
 fn instance(node: &Node, app: &str) -> Result<Instance, WireError> {
     let text = |name: &str| node.text_of(name).unwrap_or_default().to_string();
     let number = |name: &'static str| number(node.text_of(name), name);
-    // Registrations of old clients have no id of their own: the host name replaces it.
+    // Old clients register without an instance id; the host name serves as the id.
     let id = first_filled([text("instanceId"), text("hostName")], "an instanceId")?;
     let app = first_filled([text("app"), app.to_string()], "an app")?;
     let lease = lease(node.child("leaseInfo"))?;
@@ -131,13 +132,13 @@
     })
 }
 
-/// The first text that isn't empty.
+/// The first non-empty text.
 fn first_filled(texts: [String; 2], expected: &'static str) -> Result<String, WireError> {
     let filled = texts.into_iter().find(|text| !text.is_empty());
-    filled.ok_or(WireError::Meaning { expected, place: "instance", got: "none".into() })
+    filled.ok_or(WireError::InvalidValue { expected, element: "instance", got: "none".into() })
 }
 
-/// The status under the first of these names.
+/// The status in the first of these elements that has text.
 fn status(node: &Node, names: &[&str]) -> InstanceStatus {
     let name = names.iter().find_map(|name| node.text_of(name)).unwrap_or_default();
     name.parse().unwrap_or_default()
@@ -146,16 +147,16 @@
 fn port(node: &Node, name: &'static str) -> Result<Option<Port>, WireError> {
     let Some(port) = node.child(name) else { return Ok(None) };
     let number = number_of(&port.text, name)?;
-    let number = u16::try_from(number).map_err(|_| WireError::Meaning {
+    let number = u16::try_from(number).map_err(|_| WireError::InvalidValue {
         expected: "a port",
-        place: name,
+        element: name,
         got: number.to_string(),
     })?;
     let enabled = port.attribute("enabled").is_none_or(|enabled| enabled != "false");
     Ok(Some(Port { number, enabled }))
 }
 
-/// A lease; its missing or zero durations are Eureka's defaults.
+/// Decodes a lease. Missing and zero durations become Eureka's defaults.
 fn lease(node: Option<&Node>) -> Result<Lease, WireError> {
     const DEFAULT_RENEWAL_S: u64 = 30;
     const DEFAULT_DURATION_S: u64 = 90;
@@ -183,25 +184,25 @@
     entries.iter().map(|entry| (entry.name.clone(), entry.text.clone())).collect()
 }
 
-/// A number that may be missing; 0 then.
-fn number(text: Option<&str>, place: &'static str) -> Result<u64, WireError> {
-    text.map_or(Ok(0), |text| number_of(text, place))
+/// Parses a number that may be missing, which counts as 0.
+fn number(text: Option<&str>, element: &'static str) -> Result<u64, WireError> {
+    text.map_or(Ok(0), |text| number_of(text, element))
 }
 
-fn number_of(text: &str, place: &'static str) -> Result<u64, WireError> {
+fn number_of(text: &str, element: &'static str) -> Result<u64, WireError> {
     let text = text.trim();
-    // Some servers leave a time out by sending -1 or an empty element.
+    // Some servers send -1 or an empty element for a time that is not set.
     if text.is_empty() || text.starts_with('-') {
         return Ok(0);
     }
-    text.parse().map_err(|_| WireError::Meaning {
+    text.parse().map_err(|_| WireError::InvalidValue {
         expected: "a whole number",
-        place,
+        element,
         got: text.chars().take(40).collect(),
     })
 }
 
-/// Writes one instance, as a registration or as the reply to a fetch of it.
+/// Encodes one instance, for a registration or for the reply to a fetch of the instance.
 pub fn write_instance(instance: &Instance, format: Format) -> Vec<u8> {
     match format {
         Format::Json => json::instance(instance),
@@ -209,7 +210,7 @@
     }
 }
 
-/// Writes all applications, the instances of each in the order given.
+/// Encodes all applications in alphabetical order, with the instances of each in the given order.
 pub fn write_applications(applications: &Applications, format: Format) -> Vec<u8> {
     let mut apps = BTreeMap::<&str, Vec<&Instance>>::new();
     for instance in &applications.instances {
@@ -221,7 +222,7 @@
     }
 }
 
-/// Writes one application; none if it has no instance.
+/// Encodes one application; `None` if it has no instances.
 pub fn write_application(name: &str, instances: &[Instance], format: Format) -> Option<Vec<u8>> {
     let instances: Vec<&Instance> = instances.iter().collect();
     (!instances.is_empty()).then(|| match format {
--- a/crates/registry/src/wire/tests.rs
+++ b/crates/registry/src/wire/tests.rs
@@ -50,8 +50,8 @@
     }
 }
 
-/// As servers and clients in other languages send it: single objects for lists, numbers as strings, the odd
-/// spelling of the override, no lease, no id.
+/// Guards against messages of other implementations that can't be read: single objects in place of arrays, numbers as strings,
+/// the alternative spelling of the override, no lease and no instance id.
 #[test]
 fn reads_spellings_of_other_implementations() {
     let json = br#"{"applications":{"versions__delta":1,"apps__hashcode":"UP_1_","application":
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn rejects_malformed_messages_with_what_was_expected() {
-    let bad: [(&[u8], Format, &str); 7] = [
+fn rejects_malformed_messages_and_names_the_expected_value() {
+    let malformed: [(&[u8], Format, &str); 7] = [
         (b"{", Format::Json, "expected JSON"),
         (b"<a><b></a>", Format::Xml, "expected XML"),
         (b"<instance>", Format::Xml, "expected XML"),
@@ -92,12 +92,12 @@
             "a whole number",
         ),
     ];
-    for (bytes, format, message) in bad {
+    for (bytes, format, message) in malformed {
         let error = read_applications(bytes, format).unwrap_err().to_string();
-        assert!(error.contains(message), "{error} should hold {message}");
+        assert!(error.contains(message), "{error} should contain {message}");
     }
-    // Guards the stack: nesting without end.
-    let deep = "<a>".repeat(100_000);
-    assert!(read_applications(deep.as_bytes(), Format::Xml).is_err());
+    // Deep nesting must not overflow the stack.
+    let deeply_nested = "<a>".repeat(100_000);
+    assert!(read_applications(deeply_nested.as_bytes(), Format::Xml).is_err());
     assert!(read_applications("[".repeat(100_000).as_bytes(), Format::Json).is_err());
 }
--- a/crates/registry/src/wire/tree.rs
+++ b/crates/registry/src/wire/tree.rs
@@ -1,50 +1,49 @@
-//! A message as a tree, independent of its format.
+//! A message as a tree of nodes, independent of the format.
 
-/// An element: an XML element, or a member of a JSON object. `"@x"` members are attributes and `"$"` is text, as
-/// Eureka's JSON spells them.
+/// An XML element, or a member of a JSON object. In Eureka's JSON, members named `"@x"` are attributes and `"$"` is text.
 #[derive(Debug, Default)]
 pub(super) struct Node {
-    /// The element's or member's name.
+    /// The name of the element or member.
     pub name: String,
-    /// The text in it.
+    /// The text directly in the element, without that of its children.
     pub text: String,
     attributes: Vec<(String, String)>,
-    /// The elements in it, in order.
+    /// The child elements, in the order of the message.
     pub children: Vec<Node>,
 }
 
 impl Node {
-    /// An empty node.
+    /// A node without text, attributes and children.
     pub(super) fn new(name: &str) -> Self {
         Self { name: name.to_string(), ..Self::default() }
     }
 
-    /// Adds an attribute.
+    /// Appends an attribute; of several with the same name, the first is read.
     pub(super) fn set_attribute(&mut self, name: &str, value: String) {
         self.attributes.push((name.to_string(), value));
     }
 
-    /// The value of an attribute.
+    /// The value of an attribute, if it is present.
     pub(super) fn attribute(&self, name: &str) -> Option<&str> {
         self.attributes.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
 
-    /// The first child of a name.
+    /// The first child with this name.
     pub(super) fn child(&self, name: &str) -> Option<&Node> {
         self.children.iter().find(|child| child.name == name)
     }
 
-    /// All children of a name.
+    /// All children with this name, in order.
     pub(super) fn children<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a Node> {
         self.children.iter().filter(move |child| child.name == name)
     }
 
-    /// This node if it has the name, or else its child of that name.
+    /// This node if it has the name, otherwise its first child with that name.
     pub(super) fn within(&self, name: &str) -> Option<&Node> {
         if self.name == name { Some(self) } else { self.child(name) }
     }
 
-    /// The text of a child, if there is one that holds any.
+    /// The trimmed text of the first child with this name; `None` if there is no child or no text.
     pub(super) fn text_of(&self, name: &str) -> Option<&str> {
         self.child(name).map(|child| child.text.trim()).filter(|text| !text.is_empty())
     }
--- a/crates/registry/src/wire/xml.rs
+++ b/crates/registry/src/wire/xml.rs
@@ -1,4 +1,4 @@
-//! The XML of the registry API.
+//! The XML format of the registry API.
 
 use super::tree::Node;
 use super::{MAX_DEPTH, WireError};
@@ -11,43 +11,43 @@
     WireError::Syntax { format: "XML", why: why.to_string() }
 }
 
-/// Parses a message into a tree.
+/// Parses an XML message into a tree.
 pub(super) fn parse(bytes: &[u8]) -> Result<Node, WireError> {
     let mut reader = Reader::from_reader(bytes);
     reader.config_mut().check_end_names = true;
-    let mut open: Vec<Node> = Vec::new();
+    let mut open_nodes: Vec<Node> = Vec::new();
     let mut root = None;
     let mut buffer = Vec::new();
     loop {
         buffer.clear();
         match reader.read_event_into(&mut buffer).map_err(syntax)? {
             Event::Start(tag) => {
-                if open.len() >= MAX_DEPTH || root.is_some() {
+                if open_nodes.len() >= MAX_DEPTH || root.is_some() {
                     return Err(syntax(if root.is_some() {
                         "more than one root"
                     } else {
                         "nested too deep"
                     }));
                 }
-                open.push(element(&tag)?);
+                open_nodes.push(element(&tag)?);
             }
-            Event::Empty(tag) => close(element(&tag)?, &mut open, &mut root)?,
+            Event::Empty(tag) => close(element(&tag)?, &mut open_nodes, &mut root)?,
             Event::End(_) => {
-                let node = open.pop().ok_or_else(|| syntax("an end without a start"))?;
-                close(node, &mut open, &mut root)?;
+                let node = open_nodes.pop().ok_or_else(|| syntax("an end tag without a start tag"))?;
+                close(node, &mut open_nodes, &mut root)?;
             }
             Event::Text(text) => {
-                if let Some(node) = open.last_mut() {
+                if let Some(node) = open_nodes.last_mut() {
                     node.text.push_str(&text.decode().map_err(syntax)?);
                 }
             }
             Event::CData(text) => {
-                if let Some(node) = open.last_mut() {
+                if let Some(node) = open_nodes.last_mut() {
                     node.text.push_str(&text.decode().map_err(syntax)?);
                 }
             }
             Event::GeneralRef(name) => {
-                let Some(node) = open.last_mut() else { continue };
+                let Some(node) = open_nodes.last_mut() else { continue };
                 let character = name.resolve_char_ref().map_err(syntax)?;
                 let entity = name.decode().map_err(syntax)?;
                 match (character, quick_xml::escape::resolve_predefined_entity(&entity)) {
@@ -57,13 +57,13 @@
                 }
             }
             Event::Eof => break,
-            // Declarations, comments and instructions are ignored; a document type is never followed.
+            // Declarations, comments and processing instructions are ignored. A document type is never loaded.
             _ => {}
         }
     }
-    match (root, open.is_empty()) {
+    match (root, open_nodes.is_empty()) {
         (Some(root), true) => Ok(root),
-        _ => Err(syntax("the document ends in the middle")),
+        _ => Err(syntax("the document is incomplete")),
     }
 }
 
@@ -77,8 +77,8 @@
     Ok(node)
 }
 
-fn close(node: Node, open: &mut [Node], root: &mut Option<Node>) -> Result<(), WireError> {
-    match open.last_mut() {
+fn close(node: Node, open_nodes: &mut [Node], root: &mut Option<Node>) -> Result<(), WireError> {
+    match open_nodes.last_mut() {
         Some(parent) => parent.children.push(node),
         None if root.is_none() => *root = Some(node),
         None => return Err(syntax("more than one root")),
@@ -86,10 +86,10 @@
     Ok(())
 }
 
-/// Writes to memory, which doesn't fail.
-struct Out(Writer<Vec<u8>>);
+/// Writes XML to memory, so its writes can't fail.
+struct XmlWriter(Writer<Vec<u8>>);
 
-impl Out {
+impl XmlWriter {
     fn event(&mut self, event: Event<'_>) {
         let _ = self.0.write_event(event);
     }
@@ -104,9 +104,9 @@
         self.event(Event::End(BytesEnd::new(name)));
     }
 
-    fn within(&mut self, name: &str, attributes: &[(&str, &str)], fill: impl FnOnce(&mut Self)) {
+    fn within(&mut self, name: &str, attributes: &[(&str, &str)], write_content: impl FnOnce(&mut Self)) {
         self.event(Event::Start(BytesStart::new(name).with_attributes(attributes.iter().copied())));
-        fill(self);
+        write_content(self);
         self.event(Event::End(BytesEnd::new(name)));
     }
 
@@ -182,23 +182,23 @@
     }
 }
 
-fn document(fill: impl FnOnce(&mut Out)) -> Vec<u8> {
-    let mut out = Out(Writer::new(Vec::new()));
-    fill(&mut out);
+fn document(write_content: impl FnOnce(&mut XmlWriter)) -> Vec<u8> {
+    let mut out = XmlWriter(Writer::new(Vec::new()));
+    write_content(&mut out);
     out.0.into_inner()
 }
 
-/// Writes one instance.
+/// Encodes one instance.
 pub(super) fn instance(instance: &Instance) -> Vec<u8> {
     document(|out| out.instance(instance))
 }
 
-/// Writes one application.
+/// Encodes one application.
 pub(super) fn application(name: &str, instances: &[&Instance]) -> Vec<u8> {
     document(|out| out.application(name, instances))
 }
 
-/// Writes all applications.
+/// Encodes all applications, each with its instances.
 pub(super) fn applications(all: &Applications, apps: &BTreeMap<&str, Vec<&Instance>>) -> Vec<u8> {
     document(|out| {
         out.within("applications", &[], |out| {
--- a/crates/registry/tests/golden_documents.rs
+++ b/crates/registry/tests/golden_documents.rs
@@ -1,4 +1,5 @@
-//! The documents of the registry API, byte by byte, in files beside this one: registries and clients in other languages read them.
+//! Compares the encoded documents of the registry API with golden files, byte for byte: registries and clients in other languages
+//! read these documents.
 
 use gradepin_registry::instance::{
     ActionType, Applications, Instance, InstanceStatus, Lease, Port, hash_code,
@@ -7,24 +8,24 @@
     Format, read_applications, read_instance, write_application, write_applications, write_instance,
 };
 
-fn lines(bytes: &[u8]) -> String {
+fn split_lines(bytes: &[u8]) -> String {
     let text = std::str::from_utf8(bytes).expect("text");
     assert!(!text.contains(char::is_control), "one line: {text}");
-    // An element or a member a line, so that a difference can be read.
+    // One element or member per line makes differences readable.
     text.replace("><", ">\n<").replace(",\"", ",\n\"") + "\n"
 }
 
 fn assert_golden(name: &str, golden: &str, bytes: &[u8]) {
-    let got = lines(bytes);
-    let (ours, theirs): (Vec<&str>, Vec<&str>) = (got.lines().collect(), golden.lines().collect());
-    for at in 0..ours.len().max(theirs.len()) {
-        assert_eq!(ours.get(at), theirs.get(at), "{name}, line {}: got, expected", at + 1);
+    let got = split_lines(bytes);
+    let (got_lines, golden_lines): (Vec<&str>, Vec<&str>) = (got.lines().collect(), golden.lines().collect());
+    for at in 0..got_lines.len().max(golden_lines.len()) {
+        assert_eq!(got_lines.get(at), golden_lines.get(at), "{name}, line {}: got, expected", at + 1);
     }
     assert_eq!(got, golden, "{name}");
 }
 
-/// Everything told, and each field with another content.
-fn full() -> Instance {
+/// An instance with all fields set, each to a different value.
+fn full_instance() -> Instance {
     let metadata = [("zone", "lahti-1"), ("odd", "a<b & \"c\"")];
     Instance {
         id: "n3:8443".into(),
@@ -54,8 +55,8 @@
     }
 }
 
-/// The rest of the words, and as little as may be told.
-fn sparse(status: InstanceStatus, action: ActionType) -> Instance {
+/// An instance with as few fields as possible, for the remaining statuses and actions.
+fn sparse_instance(status: InstanceStatus, action: ActionType) -> Instance {
     Instance {
         id: status.wire_name().into(),
         app: "OTHER".into(),
@@ -66,13 +67,13 @@
     }
 }
 
-fn all() -> Applications {
+fn all_applications() -> Applications {
     let instances = vec![
-        full(),
-        sparse(InstanceStatus::Down, ActionType::Added),
-        sparse(InstanceStatus::Starting, ActionType::Deleted),
-        sparse(InstanceStatus::OutOfService, ActionType::Modified),
-        sparse(InstanceStatus::Unknown, ActionType::Added),
+        full_instance(),
+        sparse_instance(InstanceStatus::Down, ActionType::Added),
+        sparse_instance(InstanceStatus::Starting, ActionType::Deleted),
+        sparse_instance(InstanceStatus::OutOfService, ActionType::Modified),
+        sparse_instance(InstanceStatus::Unknown, ActionType::Added),
     ];
     let hash_code = hash_code(instances.iter().map(|instance| instance.status));
     Applications { version: "3".into(), hash_code, instances }
@@ -85,8 +86,8 @@
         ("instance.xml", include_str!("golden/instance.xml"), Format::Xml),
     ];
     for (name, golden, format) in files {
-        assert_golden(name, golden, &write_instance(&full(), format));
-        assert_eq!(read_instance(golden.as_bytes(), format), Ok(full()), "{name}");
+        assert_golden(name, golden, &write_instance(&full_instance(), format));
+        assert_eq!(read_instance(golden.as_bytes(), format), Ok(full_instance()), "{name}");
     }
 }
 
@@ -97,7 +98,7 @@
         ("applications.xml", include_str!("golden/applications.xml"), Format::Xml),
     ];
     for (name, golden, format) in files {
-        assert_golden(name, golden, &write_applications(&all(), format));
+        assert_golden(name, golden, &write_applications(&all_applications(), format));
         let read = read_applications(golden.as_bytes(), format).expect("applications");
         assert_golden(name, golden, &write_applications(&read, format));
     }
@@ -110,7 +111,7 @@
         ("application.xml", include_str!("golden/application.xml"), Format::Xml),
     ];
     for (name, golden, format) in files {
-        let bytes = write_application("TILE-SERVER", &[full()], format).expect("one instance");
+        let bytes = write_application("TILE-SERVER", &[full_instance()], format).expect("one instance");
         assert_golden(name, golden, &bytes);
     }
 }
