--- a/crates/fair-queue/src/lib.rs
+++ b/crates/fair-queue/src/lib.rs
@@ -1,7 +1,8 @@
-//! What a door before the module goes by, so that one office's flood leaves the others their service: [`heavy`], the clients
-//! that matter in bounded memory, and [`turns`], whose turn it is. No I/O, no clock.
+//! Fair queueing between tenants, so that a flood of one tenant leaves the others their share of the service:
+//! [`heavy_hitters`] finds the clients that cause the most work, in bounded memory, and [`queue`] decides which request is
+//! served next. No I/O and no clock.
 //!
-//! Begun: nothing hosts it yet. What is to come stands in `docs/design/doors.md`.
+//! No server uses this crate yet. The remaining work is described in `docs/design/doors.md`.
 
-pub mod heavy;
-pub mod turns;
+pub mod heavy_hitters;
+pub mod queue;
--- a/crates/testkit/src/bench/doors.rs
+++ b/crates/testkit/src/bench/doors.rs
@@ -1,8 +1,8 @@
 //! What a door goes by, measured against plain ones: the sketch of heavy clients beside a map of all, and two ways to take
 //! turns.
 
-use gradepin_fair_queue::heavy::Heavy;
-use gradepin_fair_queue::turns::{Drr, Sfq, Turns};
+use gradepin_fair_queue::heavy_hitters::HeavyHitters;
+use gradepin_fair_queue::queue::{DeficitRoundRobin, FairQueue, StartTimeFairQueue};
 use gradepin_model::streams::{Streams, one_of, unit};
 use std::collections::HashMap;
 use std::hint::black_box;
@@ -34,10 +34,10 @@
                 (client, 0.05 + 0.5 * unit(&mut rng))
             })
             .collect();
-        let mut heavy = Heavy::new(PLACES, 1e9, 7);
+        let mut heavy = HeavyHitters::new(PLACES, 1e9, 7);
         let start = Instant::now();
         for (client, work) in &arrivals {
-            let client = heavy.client(0, *client);
+            let client = heavy.client_key(0, *client);
             black_box(heavy.add(0.0, client, *work));
         }
         let sketch_ns = nanos(start, ARRIVALS);
@@ -48,10 +48,10 @@
         }
         let map_ns = nanos(start, ARRIVALS);
         let map_kb = map.capacity() * 8 / 7 * (size_of::<((usize, u64), f64)>() + 1) / 1_000;
-        let found = heavy.above(HEAVY_PART / HEAVY as f64 / 2.0).len();
+        let found = heavy.heavier_than(HEAVY_PART / HEAVY as f64 / 2.0).len();
         let error = (0..HEAVY)
             .filter_map(|client| {
-                let told = heavy.get(heavy.client(0, client))?.work;
+                let told = heavy.get(heavy.client_key(0, client))?.work;
                 Some((told / map.get(&(0, client))? - 1.0).abs())
             })
             .fold(0.0, f64::max);
@@ -64,8 +64,8 @@
     }
     for waiting in [100, 10_000] {
         let weights = vec![0.42, 0.26, 0.18, 0.14];
-        let drr = turns(&mut Drr::new(weights.clone(), 4.0), waiting);
-        let sfq = turns(&mut Sfq::new(weights), waiting);
+        let drr = turns(&mut DeficitRoundRobin::new(weights.clone(), 4.0), waiting);
+        let sfq = turns(&mut StartTimeFairQueue::new(weights), waiting);
         println!(
             "{waiting} waiting: deficit round robin {drr:.0} ns an item, start-time fair queueing {sfq:.0} ns"
         );
@@ -73,9 +73,9 @@
 }
 
 /// Nanoseconds of an item in and one out.
-fn turns(turns: &mut dyn Turns<u32>, waiting: usize) -> f64 {
+fn turns(turns: &mut dyn FairQueue<u32>, waiting: usize) -> f64 {
     let mut rng = Streams::new(2).of("turns", waiting as u64);
-    let mut push = |turns: &mut dyn Turns<u32>| {
+    let mut push = |turns: &mut dyn FairQueue<u32>| {
         let (flow, cost) = (one_of(&mut rng, 4), 0.05 + unit(&mut rng));
         turns.push(flow, cost, 0);
     };
