--- a/crates/registry/src/instance.rs
+++ b/crates/registry/src/instance.rs
@@ -187,7 +187,7 @@
 }
 
 /// The reconciliation code of a set of statuses: the name and the count of each status, in alphabetical order, as in
-/// `DOWN_1_UP_2_`. A client whose code differs from the registry's has missed a delta.
+/// `DOWN_1_UP_2_`. A client whose code differs from the registry's has missed a change.
 pub fn hash_code(statuses: impl IntoIterator<Item = InstanceStatus>) -> String {
     let mut counts = BTreeMap::<&str, usize>::new();
     for status in statuses {
--- a/crates/registry/src/membership.rs
+++ b/crates/registry/src/membership.rs
@@ -192,7 +192,8 @@
         }
     }
 
-    /// Sets an entry of the instance's metadata. A change is sent with another registration, unless the server is leaving.
+    /// Sets an entry of the instance's metadata. A change is sent with another registration of the same status, unless the
+    /// server is leaving.
     pub fn metadata(&mut self, key: &str, value: &str) {
         let known = self.settings.instance.metadata.insert(key.to_string(), value.to_string());
         if known.as_deref() != Some(value) && self.registered && self.leaving == Leaving::No {
