--- a/crates/gradepin/src/admin_client.rs
+++ b/crates/gradepin/src/admin_client.rs
@@ -1,34 +1,34 @@
-//! A client of the admin endpoint of a running server: HTTP/1.1, one request a connection. Used by `gradepin fleet`, `release`
-//! and `config`.
+//! Client of a server's admin endpoint: HTTP/1.1, one request per connection. Used by `gradepin fleet`, `release` and
+//! `config`.
 
 use std::error::Error;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A server responds within a second.
+/// Timeout for connecting, sending and receiving; servers respond within one second.
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// A page of entries is well below.
+/// Size limit of a response; a full page of entries is well below it.
 const MAX_RESPONSE_BYTES: u64 = 4 << 20;
-/// How long an order may be pending.
+/// How long to wait for the outcome of a pending order.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
-/// The pause between queries for the end of an order.
+/// Interval between polls for the outcome of a pending order.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A response: status and body.
+/// An HTTP response.
 #[derive(Debug)]
 pub(crate) struct Response {
     pub status: u16,
     pub body: String,
 }
 
-/// Why there is no response.
+/// Reasons why a request got no response.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ClientError {
-    /// No connection was made: the server has not seen the request.
+    /// The connection failed: the server has not seen the request.
     #[error("the admin endpoint at {address}: {cause}")]
     Connect { address: SocketAddr, cause: std::io::Error },
-    /// The request may have been received; no response was.
+    /// The connection broke: the server may have received the request.
     #[error("the admin endpoint at {address}: no answer: {cause}")]
     Lost { address: SocketAddr, cause: std::io::Error },
     /// The response is not HTTP.
@@ -37,7 +37,7 @@
 }
 
 impl Response {
-    /// The body on success; otherwise the body is the error.
+    /// Returns the body of a successful response, or the body as an error.
     pub(crate) fn into_success(self) -> Result<String, Box<dyn Error>> {
         let text = self.body.trim().to_string();
         if (200..300).contains(&self.status) { Ok(text) } else { Err(text.into()) }
@@ -77,7 +77,7 @@
     Some(Response { status, body: body.to_string() })
 }
 
-/// Sends an order to the consensus group and waits for its end.
+/// Sends an order to the consensus group and polls until it has completed.
 pub(crate) fn order(address: SocketAddr, order: &impl serde::Serialize) -> Result<String, Box<dyn Error>> {
     let ticket = call(address, "POST", "/fleet/order", &serde_json::to_string(order)?)?.into_success()?;
     let started = Instant::now();
@@ -87,7 +87,7 @@
             return answer.into_success();
         }
         if started.elapsed() > ORDER_TIMEOUT {
-            return Err("it is still under way; the status shows what became of it".into());
+            return Err("the order is still pending; `gradepin fleet status` shows its outcome".into());
         }
         std::thread::sleep(POLL_INTERVAL);
     }
--- a/crates/gradepin/src/check.rs
+++ b/crates/gradepin/src/check.rs
@@ -1,4 +1,5 @@
-//! `gradepin check`: prints what the files of a server hold. One line for each feature, `off` where it is not configured.
+//! `gradepin check`: summarizes a server's configuration files, one line per feature; `off` marks a feature that is
+//! not configured.
 
 use crate::LoadedFiles;
 use gradepin_core::config::Config;
@@ -7,7 +8,8 @@
     ConsensusSettings, FleetSettings, OperatorSettings, RegistrySettings, ScgiSettings, StoreSettings,
 };
 
-/// Prints the report of files that are valid; the authentication keys of the fleet are read here.
+/// Prints a summary of validated files. Reads the fleet's authentication keys, so that an invalid key file is
+/// reported.
 pub(crate) fn print_report(files: &LoadedFiles) -> Result<(), KeysError> {
     let (config, operator) = (&files.config, &files.operator);
     for warning in &operator.warnings {
@@ -15,7 +17,10 @@
     }
     let (classes, tenants) = (config.settings.profiles.len(), config.settings.tenants.len());
     println!("{}: listens on {}, {classes} classes, {tenants} tenants", config.name, config.listen);
-    println!("registry: {}", operator.registry.as_ref().map_or_else(off, |it| registry(it, config)));
+    println!(
+        "registry: {}",
+        operator.registry.as_ref().map_or_else(off, |settings| registry(settings, config))
+    );
     println!("scgi: {}", operator.scgi.as_ref().map_or_else(off, scgi));
     println!("store: {}", operator.store.as_ref().map_or_else(off, store));
     print_cluster(operator)
--- a/crates/gradepin/src/config/client.rs
+++ b/crates/gradepin/src/config/client.rs
@@ -1,5 +1,5 @@
-//! Calls of the configuration's admin paths: reads at the first server that answers, and changes that are retried under one
-//! request id until an answer is final.
+//! Client of the configuration's admin paths. Reads go to the first server that answers; changes are retried under
+//! one request id until a final answer arrives.
 
 use super::ConfigError;
 use crate::admin_client::{self, ClientError, Response};
@@ -10,28 +10,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The pause between queries for the end of a change.
+/// Interval between polls for the outcome of a pending change.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// The pause before the next server is tried.
+/// Pause before the next server is tried.
 const NEXT_SERVER_PAUSE: Duration = Duration::from_millis(300);
-/// The longest pause that a server may ask for before a retry.
+/// Upper bound of the retry delay that a server may request.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Calls servers in turn.
+/// Calls the configured servers in turn.
 pub(super) struct ConfigClient<'a> {
-    /// Admin endpoints.
+    /// Admin endpoints, in the order in which they are tried.
     pub addresses: &'a [SocketAddr],
-    /// How long a change is retried.
+    /// Time limit for a change, including all retries.
     pub timeout: Duration,
 }
 
-/// What one server's answer to a change means.
+/// Interpretation of one server's answer to a change.
 enum Outcome {
-    /// It is final.
+    /// A final answer.
     Reply(ApplyReply),
-    /// It is final: nothing was changed.
+    /// A final rejection: nothing was changed.
     Rejected(AdminError),
-    /// Another attempt may succeed.
+    /// No final answer; another attempt may succeed.
     Retry { after: Duration, may_be_committed: bool, why: String },
 }
 
@@ -51,7 +51,7 @@
         Err(ConfigError::NotTaken(why.join("; ")))
     }
 
-    /// Posts a change to each server in turn, under its request id, until an answer is final or the time is up.
+    /// Posts a change to each server in turn, under its request id, until an answer is final or the timeout expires.
     pub(super) fn commit(
         &self,
         path: &str,
@@ -108,7 +108,7 @@
     }
 }
 
-/// What an answer means; `pending`: this server has accepted the change before.
+/// Classifies an answer to a change. `pending` is true if this server has accepted the change before.
 fn outcome(answer: Result<Response, ClientError>, pending: bool) -> Outcome {
     let response = match answer {
         Ok(response) => response,
@@ -136,7 +136,8 @@
     Outcome::Retry { after, may_be_committed: pending, why: rejection.to_string() }
 }
 
-/// The error of a response without success. The endpoint itself answers in plain text where the server is too slow.
+/// Extracts the error from an unsuccessful response. The admin endpoint itself answers in plain text when the server
+/// responds too late.
 fn rejection(response: &Response) -> AdminError {
     let text = response.body.trim();
     serde_json::from_str(text).unwrap_or_else(|_| match response.status {
@@ -147,5 +148,5 @@
 
 fn read<T: DeserializeOwned>(body: &str) -> Result<T, ConfigError> {
     serde_json::from_str(body)
-        .map_err(|why| ConfigError::Unusable(format!("an answer that is not understood: {why}")))
+        .map_err(|why| ConfigError::Unusable(format!("invalid answer of the server: {why}")))
 }
--- a/crates/gradepin/src/config/mod.rs
+++ b/crates/gradepin/src/config/mod.rs
@@ -1,6 +1,6 @@
-//! `gradepin config`: changes and queries of the fleet's configuration, at the admin endpoint of any server.
+//! `gradepin config`: changes and queries of the fleet's configuration through the admin endpoint of any server.
 //!
-//! The exit status tells a script what it may do next; see [`ConfigError::exit_status`].
+//! The exit status tells a script whether a retry makes sense; see [`ConfigError::exit_status`].
 
 mod client;
 mod render;
@@ -21,35 +21,36 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Which servers are called, and how long a change may take.
+/// Servers to call, and the time limit of a change.
 #[derive(Debug, Args)]
 pub(crate) struct Servers {
-    /// The admin endpoint of a server; several are tried in turn
+    /// Admin endpoint of a server; repeat the option to try several in turn
     #[arg(long = "door", value_name = "IP:PORT", required = true)]
     addresses: Vec<SocketAddr>,
-    /// Seconds until a change without a final answer is given up
+    /// Seconds after which a change without a final answer is given up
     #[arg(long = "wait", value_name = "SECONDS", default_value_t = 10)]
     wait_seconds: u64,
 }
 
-/// Who changes the configuration, and why.
+/// Options of every change: servers, author, reason and preconditions.
 #[derive(Debug, Args)]
 pub(crate) struct ChangeArguments {
     #[command(flatten)]
     servers: Servers,
-    /// The reason, for the history
+    /// Reason of the change, recorded in the history
     #[arg(long)]
     why: String,
-    /// The author, for the history; without it the user of the environment
+    /// Author of the change, recorded in the history; defaults to $USER
     #[arg(long)]
     author: Option<String>,
     /// Reject the change if another revision is active
     #[arg(long, value_name = "REVISION")]
     expected: Option<u64>,
-    /// The id of this change; a repeat with the same id gives the same revision. Without it a random one is printed
+    /// Id of this change; a retry with the same id yields the same revision. By default a random id is generated and
+    /// printed
     #[arg(long, value_name = "ID")]
     request_id: Option<String>,
-    /// Only check whether it is valid
+    /// Only validate the change; commit nothing
     #[arg(long)]
     dry_run: bool,
 }
@@ -59,67 +60,67 @@
 pub(crate) enum ConfigCommand {
     /// Commit the changes of a document
     Apply {
-        /// The document: KDL, or JSON where its name ends in .json
+        /// Document with the changes: JSON if its name ends in .json, otherwise KDL
         file: PathBuf,
         #[command(flatten)]
         change: ChangeArguments,
     },
     /// Commit a new revision with the content of an earlier one
     Rollback {
-        /// The revision whose content is to be active again
+        /// Revision whose content becomes active again
         revision: u64,
         #[command(flatten)]
         change: ChangeArguments,
     },
-    /// Changes from one revision to another
+    /// Show the changes between two revisions
     Diff {
         #[command(flatten)]
         servers: Servers,
-        /// From this revision
+        /// Earlier revision
         #[arg(long, value_name = "REVISION")]
         from: u64,
-        /// To this one; without it, to the active one
+        /// Later revision; defaults to the active one
         #[arg(long, value_name = "REVISION")]
         to: Option<u64>,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// The active configuration of a server: a summary, or entries
+    /// Show a server's active configuration: a summary, or selected entries
     Show {
         #[command(flatten)]
         servers: Servers,
         #[command(flatten)]
         selection: EntrySelection,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// How far each revision has spread, and which servers lag
+    /// Show how far each revision has spread, and which servers lag
     Status {
         #[command(flatten)]
         servers: Servers,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Commits, the newest first
+    /// List commits, newest first
     History {
         #[command(flatten)]
         servers: Servers,
-        /// Only those before this revision
+        /// Only list commits before this revision
         #[arg(long, value_name = "REVISION")]
         before: Option<u64>,
-        /// How many
+        /// Maximum number of commits
         #[arg(long, default_value_t = 20)]
         limit: u32,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
 }
 
-/// Which entries to show.
+/// Entries to show; without any option, a summary.
 #[derive(Debug, Args)]
 #[group(multiple = false)]
 pub(crate) struct EntrySelection {
@@ -140,25 +141,27 @@
 /// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ConfigError {
-    /// A server rejected it. Nothing was changed.
+    /// A server rejected the request; nothing was changed.
     #[error("refused: {0}")]
     Refused(#[from] AdminError),
-    /// No server could be reached, or none could accept it now. Nothing was changed.
+    /// No server could be reached, or none could accept the request now; nothing was changed.
     #[error("not taken: {0}")]
     NotTaken(String),
-    /// It may have been committed: the same command with this request id finds out, and commits it at most once.
+    /// The change may have been committed. Repeating the command with this request id returns the outcome and commits
+    /// the change at most once.
     #[error(
         "not known whether it was committed: {why}\nask again with --request-id {request_id}: it is committed once at the most"
     )]
     Unknown { request_id: Name, why: String },
-    /// The input, or a server's answer, is invalid.
+    /// The input or a server's answer is invalid.
     #[error("{0}")]
     Unusable(String),
 }
 
 impl ConfigError {
-    /// 1 rejected or invalid; 3 another revision is active than expected; 4 not accepted now, retry later; 5 not known whether it
-    /// was committed, retry with the same request id. (0 done, 2 an invalid command line.)
+    /// Exit status for scripts: 1 rejected or invalid; 3 the active revision is not the expected one; 4 not accepted
+    /// now, retry later; 5 outcome unknown, retry with the same request id. (0 is success, 2 an invalid command
+    /// line.)
     pub(crate) fn exit_status(&self) -> u8 {
         match self {
             Self::Refused(AdminError::Stale { .. }) => 3,
@@ -172,7 +175,7 @@
 
 type Result<T> = std::result::Result<T, ConfigError>;
 
-/// Carries out a command and prints the answer.
+/// Executes a command and prints the answer.
 pub(crate) fn run(command: ConfigCommand) -> Result<()> {
     match command {
         ConfigCommand::Apply { file, change } => apply(&file, change),
@@ -203,7 +206,7 @@
         ConfigError::Unusable(lines.collect::<Vec<String>>().join("\n"))
     })?;
     if transaction.changes.is_empty() {
-        return Err(unusable("expected a change, got none".into()));
+        return Err(unusable("expected at least one change, got none".into()));
     }
     let (request_id, author) = (change.request_id(), change.author());
     let (reason, expected) = (Arc::from(change.why.as_str()), change.expected.map(Revision));
@@ -271,12 +274,13 @@
         Arc::from(self.author.clone().or_else(user).unwrap_or_else(|| "somebody".into()))
     }
 
-    /// The given id, or 64 random bits, printed first so that an interrupted command can be repeated.
+    /// The given id, or 64 random bits. A generated id is printed before the request is sent, so that an interrupted
+    /// command can be repeated with it.
     fn request_id(&self) -> Name {
         if let Some(id) = &self.request_id {
             return Arc::from(id.as_str());
         }
-        // The system seeds it for each process.
+        // `RandomState` is seeded by the operating system in each process.
         let drawn = format!("{:016x}", RandomState::new().build_hasher().finish());
         if !self.dry_run {
             eprintln!("gradepin: request id {drawn}");
--- a/crates/gradepin/src/config/render.rs
+++ b/crates/gradepin/src/config/render.rs
@@ -8,7 +8,7 @@
 use gradepin_config::document::{ClassEntry, TenantEntry};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// `status`.
+/// Renders the reply to `status`.
 pub(super) fn status(reply: &StatusReply) -> String {
     let source = match reply.source {
         Source::StartFile => "the start file",
@@ -64,7 +64,7 @@
     format!("  {server} in {zone}: {has}, for {since:.0} s{heard}{}", why.unwrap_or_default())
 }
 
-/// `history`.
+/// Renders the reply to `history`.
 pub(super) fn history(reply: &HistoryReply) -> String {
     let line = |commit: &CommitLine| {
         format!(
@@ -82,7 +82,7 @@
     lines.join("\n")
 }
 
-/// `diff`.
+/// Renders the reply to `diff`.
 pub(super) fn diff(reply: &DiffReply) -> String {
     let mut lines = vec![format!("from revision {} to revision {}:", reply.from, reply.to)];
     lines.extend(reply.changes.iter().map(change));
@@ -98,7 +98,7 @@
         Change::RemoveClass(name) => format!("remove class {name}"),
         Change::PutTenant(tenant) => format!("put {}", entry(&Entry::Tenant(tenant.clone()))),
         Change::RemoveTenant(name) => format!("remove tenant {name}"),
-        Change::PutRule(of) => format!("set {}", rule(of)),
+        Change::PutRule(new) => format!("set {}", rule(new)),
     }
 }
 
@@ -114,7 +114,7 @@
     }
 }
 
-/// `show` without entries.
+/// Renders the reply to `show` without a selection.
 pub(super) fn summary(reply: &ShowReply) -> String {
     let mut lines = vec![format!(
         "revision {} (digest {}): {} classes, {} tenants",
@@ -124,12 +124,12 @@
     lines.join("\n")
 }
 
-/// A page of `show`.
+/// Renders one page of entries of `show`.
 pub(super) fn entries(reply: &ShowReply) -> String {
     reply.entries.iter().map(entry).collect::<Vec<String>>().join("\n")
 }
 
-/// With the keys of a document, so that it can be copied into one.
+/// Uses the keys of a configuration document, so that the output can be copied into one.
 fn entry(entry: &Entry) -> String {
     match entry {
         Entry::Class(class) => format!("class {}", as_json(&ClassEntry::from(&**class))),
@@ -141,7 +141,7 @@
     serde_json::to_string(entry).unwrap_or_else(|why| why.to_string())
 }
 
-/// How long ago a Unix time in ms was, by this machine's clock.
+/// Age of a Unix time in milliseconds by the local clock.
 fn ago(at_ms: u64) -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
     let seconds = now.saturating_sub(at_ms) / 1_000;
--- a/crates/gradepin/src/fleet.rs
+++ b/crates/gradepin/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `gradepin fleet`: queries and orders of the fleet, at the admin endpoint of any server.
+//! `gradepin fleet`: queries and operator commands of the fleet through the admin endpoint of any server.
 
 pub(crate) mod table;
 
@@ -13,109 +13,110 @@
 
 type Result<T> = std::result::Result<T, Box<dyn Error>>;
 
-/// Which server is called, and who calls.
+/// Server to call, and the operator who calls it.
 #[derive(Debug, Args)]
 pub(crate) struct Caller {
-    /// The admin endpoint of a server
+    /// Admin endpoint of a server
     #[arg(long = "door", value_name = "IP:PORT")]
     pub address: SocketAddr,
-    /// Who calls, for the record; without it the user of the environment
+    /// Operator's name for the audit log; defaults to $USER
     #[arg(long)]
     by: Option<String>,
 }
 
 impl Caller {
-    /// Who calls, for the record.
+    /// The operator's name for the audit log.
     pub(crate) fn by(&self) -> Name {
         let user = || std::env::var("USER").ok().filter(|user| !user.is_empty());
         Arc::from(self.by.clone().or_else(user).unwrap_or_else(|| "somebody".into()))
     }
 }
 
-/// Queries and orders of the fleet.
+/// Queries and operator commands of the fleet.
 #[derive(Debug, Subcommand)]
 pub(crate) enum FleetCommand {
-    /// Servers, permits, release and consensus group, and how old this view of them is
+    /// Show servers, permits, release and consensus group, and the age of this view
     Status {
-        /// The admin endpoint of a server
+        /// Admin endpoint of a server
         #[arg(long = "door", value_name = "IP:PORT")]
         address: SocketAddr,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Found the consensus group, once, at one of the voters; all must run, each with an empty folder
+    /// Found the consensus group, once, at one of the voters; all voters must be running with empty folders
     Found {
         #[command(flatten)]
         caller: Caller,
     },
-    /// Have this server request a permit and leave by it
+    /// Make this server request a permit and then leave
     Leave {
         #[command(flatten)]
         caller: Caller,
     },
-    /// Withdraw that request, or end its permit
+    /// Withdraw the request to leave, or end its permit
     Stay {
         #[command(flatten)]
         caller: Caller,
     },
-    /// Grant a permit for all servers of a zone or a member of a service: `zone NAME` or `service GROUP/MEMBER`
+    /// Grant a permit for all servers of a zone (`zone NAME`) or for a member of a service (`service GROUP/MEMBER`)
     Out {
         #[command(flatten)]
         caller: Caller,
         #[command(subcommand)]
         subject: Subject,
     },
-    /// End such a permit
+    /// End a permit that was granted with `out`
     In {
         #[command(flatten)]
         caller: Caller,
         #[command(subcommand)]
         subject: Subject,
     },
-    /// Release a permit whose holder won't come back
+    /// Release a permit whose holder will not return
     Free {
         #[command(flatten)]
         caller: Caller,
-        /// The permit's epoch
+        /// Epoch of the permit
         epoch: u64,
-        /// Why
+        /// Reason, for the audit log
         #[arg(long)]
         why: String,
     },
-    /// Remove a server that won't come back from the roster
+    /// Remove a server that will not return from the roster
     Strike {
         #[command(flatten)]
         caller: Caller,
-        /// Its name
+        /// Name of the server
         name: String,
-        /// Why
+        /// Reason, for the audit log
         #[arg(long)]
         why: String,
     },
-    /// Make a server a voter, by the folder that it reports: after a lost disk, before its old identity is removed
+    /// Make a server a voter, identified by the folder that it reports; used after a lost disk, before the old
+    /// identity is removed
     Voter {
         #[command(flatten)]
         caller: Caller,
-        /// Its name
+        /// Name of the server
         name: String,
-        /// Remove it instead
+        /// Remove the voter instead of adding it
         #[arg(long)]
         out: bool,
     },
 }
 
-/// What a permit is for.
+/// Subject of a permit.
 #[derive(Debug, Subcommand)]
 pub(crate) enum Subject {
     /// All servers of a zone
     Zone {
-        /// Its name
+        /// Name of the zone
         name: String,
     },
     /// A member of a dependency
     Service {
-        /// GROUP/MEMBER
+        /// Dependency and member, as GROUP/MEMBER
         name: String,
     },
 }
@@ -132,12 +133,12 @@
     }
 }
 
-/// The status of the fleet as one server sees it.
+/// Queries the status of the fleet as seen by one server.
 pub(crate) fn status(address: SocketAddr) -> Result<Value> {
     Ok(serde_json::from_str(&admin_client::call(address, "GET", "/fleet/status", "")?.into_success()?)?)
 }
 
-/// Carries out a command and prints the answer.
+/// Executes a command and prints the answer.
 pub(crate) fn run(command: FleetCommand) -> Result<()> {
     let post = |address, path| admin_client::call(address, "POST", path, "")?.into_success();
     let text = match command {
--- a/crates/gradepin/src/fleet/table.rs
+++ b/crates/gradepin/src/fleet/table.rs
@@ -1,8 +1,9 @@
-//! The status of the fleet as a table for a terminal.
+//! Renders the fleet status as text for a terminal.
 
 use serde_json::Value;
 
-/// One text of all: the consensus group and the age of this view, servers, limits, permits, release, the last operator acts.
+/// Renders all sections: consensus group and age of the view, servers, limits, permits, release, recent operator
+/// actions.
 pub(crate) fn render(status: &Value) -> String {
     let mut lines = consensus(status);
     lines.extend(servers(status));
@@ -11,11 +12,11 @@
     if !status["release"].is_null() {
         lines.push(release(&status["release"]));
     }
-    lines.extend(entries(&status["acts"]).map(operator_act));
+    lines.extend(entries(&status["acts"]).map(operator_action));
     lines.join("\n")
 }
 
-/// A value as text; `-` where it is absent or empty.
+/// Formats a value; `-` stands for an absent or empty one.
 fn text(value: &Value) -> String {
     match value {
         Value::Null => "-".to_string(),
@@ -29,7 +30,7 @@
     value.as_array().into_iter().flatten()
 }
 
-/// Who leads, how old this view is, and what this server waits for.
+/// Leader, age of this view, and what this server is waiting for.
 fn consensus(status: &Value) -> Vec<String> {
     let age = match status["age_s"].as_f64() {
         Some(age) => format!("{age:.1} s old"),
@@ -49,7 +50,7 @@
     lines
 }
 
-/// A header, and a line for each server.
+/// Table of servers: a header and one line per server.
 fn servers(status: &Value) -> Vec<String> {
     let header = format!(
         "{:<16} {:<10} {:<8} {:<8} {:<18} {:<18} step",
@@ -107,8 +108,8 @@
     )
 }
 
-/// Who did what, and why where a reason was given.
-fn operator_act(act: &Value) -> String {
+/// Operator, action and, if given, the reason.
+fn operator_action(act: &Value) -> String {
     let reason = act["why"].as_str().filter(|why| !why.is_empty());
     let reason = reason.map(|why| format!(" ({why})")).unwrap_or_default();
     format!("{}: {}{reason}", text(&act["by"]), text(&act["what"]))
--- a/crates/gradepin/src/main.rs
+++ b/crates/gradepin/src/main.rs
@@ -27,7 +27,7 @@
 use store::StoreCommand;
 
 #[derive(Parser)]
-#[command(version, about = "A tile server that decides what it takes, runs and turns away")]
+#[command(version, about = "A tile server with admission control, load shedding and fleet coordination")]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -35,13 +35,13 @@
 
 #[derive(clap::Args)]
 struct Files {
-    /// The configuration, as JSON; without it, the file that GW_CONFIG names
+    /// Configuration file (JSON); defaults to the file named by GW_CONFIG
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// The operators' settings, as KDL; without it all that they switch on is off
+    /// Operator settings (KDL); without them, every feature they enable is off
     #[arg(long, value_name = "FILE")]
     settings: Option<PathBuf>,
-    /// The version of this program, as releases name it
+    /// Version of this program as named by releases
     #[arg(long, default_value = env!("CARGO_PKG_VERSION"))]
     program_version: String,
 }
@@ -63,48 +63,48 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve until SIGTERM and the stop time of the configuration
+    /// Serve until SIGTERM, then drain for up to the configured stop time
     Serve {
         #[command(flatten)]
         files: Files,
-        /// The format of log lines on standard error
+        /// Format of log lines on standard error
         #[arg(long, value_enum, default_value = "text")]
         log_format: Format,
     },
-    /// Read and check the configuration and the operators' settings, and print what they hold
+    /// Validate the configuration and the operator settings, and print a summary
     Check {
         #[command(flatten)]
         files: Files,
     },
-    /// Take a running server out of service: registry and control plane are notified at once, then it drains
+    /// Take a running server out of service: notifies registry and control plane at once, then drains
     Leave {
-        /// The server's process id
+        /// Process id of the server
         #[arg(long)]
         pid: i32,
-        /// Return it to service instead, if its drain has not begun
+        /// Return the server to service, unless its drain has begun
         #[arg(long)]
         cancel: bool,
     },
-    /// The state of the fleet that the consensus group holds: permits, voters
+    /// Inspect and change the fleet state of the consensus group: servers, permits, voters
     Fleet {
         #[command(subcommand)]
         command: FleetCommand,
     },
-    /// Releases of programs and settings over the fleet, in batches
+    /// Release programs and settings across the fleet in batches
     Release {
         #[command(subcommand)]
         command: ReleaseCommand,
     },
-    /// The configuration of the fleet: changes, their spread, history
+    /// Inspect and change the configuration of the fleet
     #[command(
-        after_help = "Exit status: 0 done, 1 refused or not valid, 3 another revision is in force than expected, 4 not taken now, \
-                            5 not known whether it was committed: ask again with the same --request-id"
+        after_help = "Exit status: 0 done, 1 rejected or invalid, 3 the active revision is not the expected one, 4 not accepted now, \
+                            5 outcome unknown: retry with the same --request-id"
     )]
     Config {
         #[command(subcommand)]
         command: ConfigCommand,
     },
-    /// Inspect the store of keyed runs, without a server
+    /// Inspect the idempotency store offline
     Store {
         #[command(subcommand)]
         command: StoreCommand,
@@ -113,11 +113,11 @@
     Version,
 }
 
-/// The files that a command was given, read and checked.
+/// Validated contents of the files named on the command line.
 struct LoadedFiles {
     config: Config,
     operator: OperatorSettings,
-    /// Where both came from.
+    /// Paths of both files, for later reloads.
     sources: ServerFiles,
 }
 
@@ -131,7 +131,7 @@
         };
         let config = configuration::load(&path)?;
         if let Some(scgi) = &operator.scgi {
-            // A start checks this too: it fails where a route names an unknown class.
+            // `serve` performs the same check at startup: it fails if a route names an unknown class.
             let names = ActiveSettings::new(&config.settings);
             Routes::new(scgi, names.clone(), |class| names.class(class).is_some())?;
         }
@@ -141,7 +141,8 @@
     }
 }
 
-/// Runs a command. Ok(false) is exit status 1 without a message: the command has printed what is wrong.
+/// Executes a command. `Ok(false)` means exit status 1 without a further message: the command has already printed the
+/// problem.
 fn run(command: Command) -> Result<bool, Box<dyn Error>> {
     match command {
         Command::Serve { files, log_format } => serve(files, log_format)?,
@@ -157,7 +158,7 @@
 }
 
 fn serve(files: Files, log_format: Format) -> Result<(), Box<dyn Error>> {
-    // Before any file is read: until then each signal ends the process.
+    // Installed before any file is read: until then every signal would terminate the process.
     let signals =
         signals::install().map_err(|source| StartError::System { resource: "signals".into(), source })?;
     let LoadedFiles { config, operator, sources } = files.load()?;
@@ -167,7 +168,7 @@
     Ok(())
 }
 
-/// Sends a running server the signal to leave, or to come back.
+/// Signals a running server to leave, or to return to service.
 fn leave(pid: i32, cancel: bool) -> Result<(), Box<dyn Error>> {
     let process = Pid::from_raw(pid).filter(|_| pid > 1).ok_or("expected a process id")?;
     let signal = if cancel { Signal::USR2 } else { Signal::USR1 };
@@ -181,7 +182,7 @@
         Ok(false) => ExitCode::FAILURE,
         Err(message) => {
             for line in message.to_string().lines() {
-                // `eprintln!` would panic where standard error is closed; the exit status must not change for that.
+                // `eprintln!` panics if standard error is closed, which would change the exit status.
                 let _ = writeln!(std::io::stderr(), "gradepin: {line}");
             }
             let status = message.downcast_ref::<ConfigError>().map(ConfigError::exit_status);
--- a/crates/gradepin/src/release.rs
+++ b/crates/gradepin/src/release.rs
@@ -1,4 +1,4 @@
-//! `gradepin release`: queries and orders of releases, at the admin endpoint of any server.
+//! `gradepin release`: queries and operator commands of releases through the admin endpoint of any server.
 
 mod plan;
 
@@ -13,68 +13,68 @@
 
 type Result<T> = std::result::Result<T, Box<dyn Error>>;
 
-/// Queries and orders of releases.
+/// Queries and operator commands of releases.
 #[derive(Debug, Subcommand)]
 pub(crate) enum ReleaseCommand {
-    /// Read a plan and print what it would do
+    /// Validate a plan and print its effect
     Plan {
-        /// The plan
+        /// File of the plan
         file: PathBuf,
     },
-    /// Stage settings on a server: checked completely there, and applied in its step
+    /// Stage settings on a server: they are fully validated now and applied in the server's step of a release
     Stage {
-        /// The admin endpoint of that server
+        /// Admin endpoint of that server
         #[arg(long = "door", value_name = "IP:PORT")]
         address: SocketAddr,
-        /// The configuration
+        /// File of the configuration
         file: PathBuf,
     },
     /// Start a release
     Start {
         #[command(flatten)]
         caller: Caller,
-        /// The plan
+        /// File of the plan
         file: PathBuf,
     },
-    /// Its progress
+    /// Show the progress of the release
     Status {
-        /// The admin endpoint of a server
+        /// Admin endpoint of a server
         #[arg(long = "door", value_name = "IP:PORT")]
         address: SocketAddr,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Start no further step from now on, committed or not
+    /// Halt a release: no further step starts, even if it is already committed
     Halt {
         #[command(flatten)]
         caller: Caller,
-        /// The release's name
+        /// Name of the release
         name: String,
-        /// Why
+        /// Reason, for the audit log
         #[arg(long, default_value = "by hand")]
         why: String,
     },
-    /// Resume after the halt that the status shows now
+    /// Resume a release after the halt that the status currently shows
     Resume {
         #[command(flatten)]
         caller: Caller,
-        /// The release's name
+        /// Name of the release
         name: String,
     },
-    /// Roll back, in the reverse order and under the same limits
+    /// Roll back a release, in reverse order and under the same limits
     Back {
         #[command(flatten)]
         caller: Caller,
-        /// The release's name
+        /// Name of the release
         name: String,
-        /// Why
+        /// Reason, for the audit log
         #[arg(long, default_value = "by hand")]
         why: String,
     },
 }
 
-/// Carries out a command and prints the answer.
+/// Executes a command and prints the answer.
 pub(crate) fn run(command: ReleaseCommand) -> Result<()> {
     let text = match command {
         ReleaseCommand::Plan { file } => plan::describe(&plan::load(&file)?),
--- a/crates/gradepin/src/release/plan.rs
+++ b/crates/gradepin/src/release/plan.rs
@@ -1,4 +1,4 @@
-//! Release plans: their KDL text, and their description for a terminal.
+//! Release plans: parsing from KDL, and a description for a terminal.
 
 use gradepin_coordination::rollout::{Batch, ReleaseKind, RolloutPlan};
 use gradepin_node::settings::kdl_text;
@@ -8,15 +8,15 @@
 
 type Result<T> = std::result::Result<T, Box<dyn Error>>;
 
-/// Reads and checks a plan.
+/// Reads and validates a plan.
 pub(super) fn load(path: &Path) -> Result<RolloutPlan> {
     let plan = parse(&super::read(path)?).map_err(|why| format!("{}: {why}", path.display()))?;
     plan.check().map_err(|why| format!("{}: {why}", path.display()))?;
     Ok(plan)
 }
 
-/// Parses a plan: a node `release` with a name, and in it `program` or `settings` with the version, a `wave` for each batch,
-/// and whatever differs from the defaults.
+/// Parses a plan: one node `release` with a name. Its children are `program` or `settings` with the version, one
+/// `wave` per batch, and overrides of the defaults.
 fn parse(text: &str) -> Result<RolloutPlan> {
     let document = kdl_text::document(text)
         .map_err(|problems| problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))?;
@@ -90,22 +90,23 @@
     Ok(value.ok_or_else(|| format!("expected {} to be #true or #false", node.name().value()))?)
 }
 
-/// What a plan would do, for a terminal.
+/// Describes the effect of a plan for a terminal.
 pub(super) fn describe(plan: &RolloutPlan) -> String {
-    let what = if plan.kind == ReleaseKind::Program { "program" } else { "settings" };
-    let mut text = format!("{}: {what} {}", plan.name, plan.version);
-    for (n, batch) in plan.batches.iter().enumerate() {
-        let upto = if batch.share > 0.0 {
+    let kind = if plan.kind == ReleaseKind::Program { "program" } else { "settings" };
+    let mut text = format!("{}: {kind} {}", plan.name, plan.version);
+    for (number, batch) in plan.batches.iter().enumerate() {
+        let reach = if batch.share > 0.0 {
             format!("up to {:.0}% of the servers", 100.0 * batch.share)
         } else {
             "one server".into()
         };
-        text += &format!("\n  wave {n}: {upto}, then {:.1} s of looking", batch.pause_ms as f64 / 1e3);
+        text +=
+            &format!("\n  wave {number}: {reach}, then {:.1} s of observation", batch.pause_ms as f64 / 1e3);
     }
-    let back = if plan.rolls_back { "goes back by itself" } else { "stands still" };
+    let reaction = if plan.rolls_back { "rolls back automatically" } else { "stays halted" };
     text + &format!(
-        "\n  a server may take {:.1} s to be ready and has to be so for {:.1} s; service worse by more than {:.0}%, and by more than \
-         noise, halts it, and it {back}",
+        "\n  a server must become ready within {:.1} s and stay ready for {:.1} s; a regression of more than {:.0}% that \
+         exceeds noise halts the release, and it {reaction}",
         plan.ready_timeout_ms as f64 / 1e3,
         plan.stabilization_ms as f64 / 1e3,
         100.0 * plan.tolerated_regression
--- a/crates/gradepin/src/release/plan/tests.rs
+++ b/crates/gradepin/src/release/plan/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn parses_a_plan_and_names_the_fault_of_an_invalid_one() {
+fn parses_a_valid_plan_and_reports_the_error_of_an_invalid_one() {
     let text = include_str!("../../../../../deploy/release.kdl");
     let plan = parse(text).unwrap();
     assert_eq!((plan.check(), plan.kind, plan.batches.len()), (Ok(()), ReleaseKind::Program, 3));
--- a/crates/gradepin/src/release/plan/tests/golden.rs
+++ b/crates/gradepin/src/release/plan/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Files of release plans, and what is read from them, as an earlier version read them.
+//! Guards the format of release plans: every golden file must parse to the result of an earlier version.
 
 use super::super::parse;
 
--- a/crates/gradepin/src/store.rs
+++ b/crates/gradepin/src/store.rs
@@ -1,4 +1,4 @@
-//! `gradepin store`: inspects the folder of an idempotency store without a server, and reports damage.
+//! `gradepin store`: offline inspection of an idempotency store's folder, with a report of any damage.
 
 use gradepin_admission::{RequestId, Span};
 use gradepin_core::buffer_pool::BufferPool;
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// An inspection reads everything.
+/// Limits that admit every segment and record, since an inspection reads the whole log.
 const UNLIMITED: Limits = Limits {
     segment_bytes: 4 << 20,
     max_bytes: u64::MAX,
@@ -20,27 +20,27 @@
     window: Span(0),
 };
 
-/// Commands on a folder.
+/// Commands on the folder of an idempotency store.
 #[derive(clap::Subcommand)]
 pub(crate) enum StoreCommand {
-    /// Read every segment, and print what it holds and what is damaged; status 1 if anything is
+    /// Read every segment and print its contents and any damage; exit status 1 if a segment is damaged
     Check {
-        /// The folder
+        /// Folder of the store
         folder: PathBuf,
     },
-    /// Print every record, in the order in which they were written
+    /// Print every record in write order
     Dump {
-        /// The folder
+        /// Folder of the store
         folder: PathBuf,
     },
-    /// Rewrite all live records into one segment and drop the others; no server may use the folder
+    /// Rewrite all live records into one segment and delete the others; no server may be using the folder
     Compact {
-        /// The folder
+        /// Folder of the store
         folder: PathBuf,
     },
 }
 
-/// Carries out a command; false if something is damaged.
+/// Executes a command; returns false if a segment is damaged.
 pub(crate) fn run(command: StoreCommand) -> Result<bool, Box<dyn Error>> {
     match command {
         StoreCommand::Check { folder } => check(&folder),
@@ -168,7 +168,7 @@
         SavedOutcome::Unknown => LogRecord::Intent { key, fingerprint, id, window_left },
         SavedOutcome::Failed => LogRecord::Outcome { key, fingerprint, id, window_left, result: None },
         SavedOutcome::Served(result) => {
-            // It fits: every stored result was in a buffer once.
+            // Cannot exceed the buffer size: every stored result came out of a buffer.
             let result = BufferPool::new(0).exact(&result).map(Arc::new);
             LogRecord::Outcome { key, fingerprint, id, window_left, result }
         }
--- a/crates/gradepin/tests/admin.rs
+++ b/crates/gradepin/tests/admin.rs
@@ -1,18 +1,18 @@
-//! The operators' door: readiness, the drain by hand and the figures, on the virtual clock and on sockets.
+//! The admin endpoint: readiness, manual drain and metrics, on the virtual clock and on sockets.
 
 mod scenario;
 use scenario::play;
-use scenario::sockets::Sockets;
-use scenario::virtually::Virtually;
+use scenario::socket_stage::SocketStage;
+use scenario::virtual_stage::VirtualStage;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_new_process_says_it_is_ready_only_once_its_processor_greeted() {
-    // Guards the upgrade: the old process is stopped once the new one says yes, which must mean it can serve.
+fn a_new_process_is_ready_only_after_its_processor_greeted() {
+    // Guards upgrades: the old process is stopped once the new one is ready, so ready must mean that it can serve.
     play(
-        &mut Virtually::new(),
+        &mut VirtualStage::new(),
         "send admin health
          expect admin 503 not ready: no processor
          send processor hi COLD 0
@@ -25,11 +25,11 @@
 }
 
 #[test]
-fn a_drain_says_no_at_once_serves_what_comes_and_its_end_says_yes_at_once() {
-    // Guards the rule on draining: no good answer after the call, what still comes is served, the process stays,
-    // and the good answer is back with the end of the drain, not seconds later.
+fn a_manual_drain_and_its_end_change_readiness_at_once_while_requests_are_served() {
+    // Guards the manual drain: no positive readiness after the call, requests that still arrive are served, the
+    // process keeps running, and readiness returns with the end of the drain without delay.
     play(
-        &mut Virtually::up(),
+        &mut VirtualStage::ready(),
         "expect control Ready
          send admin fail
          expect admin 200 draining
@@ -58,11 +58,11 @@
 }
 
 #[test]
-fn the_figures_count_what_the_peers_saw() {
-    // Guards each figure against a scripted run: two served, one turned away before the processor, one failed, the
-    // runs handed over, and what is open now.
+fn the_metrics_match_a_scripted_run() {
+    // Guards each metric against a scripted run: two requests served, one rejected before the processor greeted, one
+    // failed, the runs forwarded, and the request still open.
     play(
-        &mut Virtually::new(),
+        &mut VirtualStage::new(),
         "send a call 1 rid=9
          expect a 1 refused
          send processor hi WARM 0
@@ -92,9 +92,9 @@
 }
 
 #[test]
-fn the_door_answers_on_sockets_what_it_answers_virtually() {
+fn the_admin_endpoint_answers_on_sockets_as_on_the_virtual_stage() {
     play(
-        &mut Sockets::up("door"),
+        &mut SocketStage::start("door"),
         "expect processor hello 0
          expect control Ready
          send admin health
@@ -115,21 +115,21 @@
     );
 }
 
-/// One whole call at the door, and how long its response took; the status line and the body.
+/// Sends one complete request to the admin endpoint; returns the response time and the full response.
 fn call(address: &str, request: &str) -> (Duration, String) {
     let start = Instant::now();
-    let mut socket = TcpStream::connect(address).expect("the door listens");
-    socket.write_all(request.as_bytes()).expect("the door reads");
+    let mut socket = TcpStream::connect(address).expect("the admin endpoint listens");
+    socket.write_all(request.as_bytes()).expect("the admin endpoint reads");
     let mut response = String::new();
     socket.read_to_string(&mut response).expect("a response");
     (start.elapsed(), response)
 }
 
 #[test]
-fn the_door_answers_in_time_beside_slow_callers_and_a_flood_of_clients() {
-    // Guards the door's promise: an answer within a second, while 50 callers each hold half a request and the
-    // clients' front takes all it can. The bound is ten times what the door needs on a slow machine.
-    let stage = Sockets::up("door-busy");
+fn the_admin_endpoint_answers_in_time_beside_slow_callers_and_a_client_flood() {
+    // Guards the response time of the admin endpoint: one second, while 50 callers each hold half a request and
+    // clients flood the server. The bound is ten times the response time on a slow machine.
+    let stage = SocketStage::start("door-busy");
     let admin = {
         let address: std::net::SocketAddr = stage.address().parse().unwrap();
         std::net::SocketAddr::new(address.ip(), address.port() + 1).to_string()
@@ -143,8 +143,8 @@
     assert!(first.starts_with("HTTP/1.1 "), "{first} after {took:?}");
     let slow: Vec<TcpStream> = (0..50)
         .map(|_| {
-            let mut socket = TcpStream::connect(&admin).expect("the door listens");
-            socket.write_all(b"GET /stats HTTP/1.1\r\nHost: a").expect("the door reads");
+            let mut socket = TcpStream::connect(&admin).expect("the admin endpoint listens");
+            socket.write_all(b"GET /stats HTTP/1.1\r\nHost: a").expect("the admin endpoint reads");
             socket
         })
         .collect();
@@ -164,7 +164,7 @@
         assert!(response.starts_with(status), "{request:?}: {response}");
         assert!(took < Duration::from_secs(1), "{request:?} took {took:?}");
     }
-    // The slow ones are cut off with a response of their own, not left to hold their places.
+    // Slow callers are timed out with a response of their own instead of keeping their slots.
     for mut socket in slow {
         let mut response = String::new();
         socket.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
@@ -173,12 +173,13 @@
     }
 }
 
-/// Guards against a door whose callers take more descriptors than are kept back for them: beside clients that hold every
-/// place, callers were dropped unanswered, and so was whatever else needed a descriptor, such as a new link.
+/// Guards against admin callers that take more descriptors than are reserved for them: while clients held every
+/// connection slot, callers were dropped without an answer, and anything else that needed a descriptor failed, such
+/// as a new processor link.
 #[test]
-fn callers_take_no_more_descriptors_than_are_kept_back_for_them() {
+fn admin_callers_take_no_more_descriptors_than_are_reserved_for_them() {
     const CALLERS: usize = 32;
-    let mut stage = Sockets::with("door-descriptors", 128, |_| ());
+    let mut stage = SocketStage::with("door-descriptors", 128, |_| ());
     play(
         &mut stage,
         "expect processor hello 0\nexpect control Ready\nsend admin health\nexpect admin 200 ready",
@@ -190,8 +191,8 @@
     let admin = std::net::SocketAddr::new(address.ip(), address.port() + 1).to_string();
     let slow: Vec<TcpStream> = (0..CALLERS)
         .map(|_| {
-            let mut socket = TcpStream::connect(&admin).expect("the door listens");
-            socket.write_all(b"GET /stats HTTP/1.1\r\nHost: a").expect("the door reads");
+            let mut socket = TcpStream::connect(&admin).expect("the admin endpoint listens");
+            socket.write_all(b"GET /stats HTTP/1.1\r\nHost: a").expect("the admin endpoint reads");
             socket
         })
         .collect();
@@ -201,6 +202,6 @@
         let read = socket.read_to_string(&mut response);
         assert!(read.is_ok() && response.starts_with("HTTP/1.1 408 "), "caller {n}: {read:?} {response}");
     }
-    assert!(stage.descriptors() <= 128);
+    assert!(stage.descriptor_count() <= 128);
     play(&mut stage, "send admin health\nexpect admin 200 ready");
 }
--- a/crates/gradepin/tests/clients.rs
+++ b/crates/gradepin/tests/client_isolation.rs
@@ -1,16 +1,17 @@
-//! What clients do to each other: ids that come again, numbers that come twice, and bytes that come in an odd way.
+//! Isolation of clients from each other: reused request ids, duplicate sequence numbers, unusual byte streams, and
+//! exhausted descriptors.
 
 mod scenario;
 use scenario::play;
-use scenario::sockets::Sockets;
-use scenario::virtually::Virtually;
+use scenario::socket_stage::SocketStage;
+use scenario::virtual_stage::VirtualStage;
 
 #[test]
-fn a_repeat_whose_rid_comes_again_is_answered_from_the_run_of_its_own_token() {
-    // Guards against a result that no run made for a request: a repeat that waited for a run left, its rid came again
-    // for another token, and it was answered from the run that the one before had waited for.
+fn a_retry_under_a_reused_rid_is_answered_from_the_run_of_its_own_token() {
+    // Guards against serving a result of another run: a retry that waited for a run was cancelled, its rid was reused
+    // with another token, and the new request was answered from the run that the earlier one had waited for.
     play(
-        &mut Virtually::up(),
+        &mut VirtualStage::ready(),
         "send a call 1 rid=1 method=claim token=t body=one
          expect processor begin 1
          send b call 1 rid=2 method=claim token=t body=one again=1
@@ -28,10 +29,11 @@
 }
 
 #[test]
-fn a_repeat_whose_rid_runs_for_another_token_by_now_keeps_its_run() {
-    // Guards against a run taken out of the books because a repeat with its rid once waited for what never ran here.
+fn a_rid_reused_with_another_token_keeps_its_run() {
+    // Guards against dropping an active run because an earlier retry with its rid had waited for a run that never
+    // began here.
     play(
-        &mut Virtually::sharing(),
+        &mut VirtualStage::sharing_runs(),
         "send a call 1 rid=1 method=claim token=t body=one
          expect claim 1 t
          send b call 1 rid=2 method=claim token=t body=one again=1
@@ -49,15 +51,16 @@
 }
 
 #[test]
-fn what_makes_no_sense_under_an_open_number_takes_nobodys_answer() {
-    // Guards against two answers under one number: the client would take the first for that of its open request.
-    for twice in ["call 1 method=novelty", "health 1", "call 1 method=novelty rid=7"] {
+fn an_invalid_message_under_an_open_sequence_number_takes_no_answer() {
+    // Guards against two answers under one sequence number: the client would take the first one as the answer to its
+    // open request.
+    for duplicate in ["call 1 method=novelty", "health 1", "call 1 method=novelty rid=7"] {
         play(
-            &mut Virtually::up(),
+            &mut VirtualStage::ready(),
             &format!(
                 "send a call 1 rid=1
                  expect processor begin 1
-                 send a {twice}
+                 send a {duplicate}
                  expect no a 1
                  expect a draining
                  send processor complete 1 1 OK out
@@ -70,9 +73,9 @@
 }
 
 #[test]
-fn half_a_message_that_is_late_ends_its_connection_once_what_is_open_is_answered() {
+fn a_late_partial_message_closes_its_connection_after_all_answers() {
     play(
-        &mut Virtually::up(),
+        &mut VirtualStage::ready(),
         "send a call 1 rid=1
          expect processor begin 1
          late a
@@ -97,13 +100,14 @@
 }
 
 #[test]
-fn a_request_whose_run_was_stopped_leaves_the_books_with_its_answer() {
-    // Guards against books that fill: a run that the processor stopped while its caller still waited, as it does at a call
-    // of one that it takes for over, was answered and kept for good, with its body, until all that came was refused.
-    let mut stage = Virtually::with(|config| config["limits"]["memory_mb"] = 16.into());
+fn a_request_whose_run_was_stopped_is_forgotten_with_its_answer() {
+    // Guards against a growing request table: a run that the processor stopped while its caller still waited, as it
+    // does at a call of a run it considers over, was answered but kept with its body until every request was
+    // rejected.
+    let mut stage = VirtualStage::with(|config| config["limits"]["memory_mb"] = 16.into());
     play(&mut stage, "send processor hi WARM 0");
     let body = "x".repeat(2000);
-    // Those of 1,500 take more than a quarter of the memory.
+    // The bodies of 1,500 requests take more than a quarter of the memory.
     for n in 1..=1500 {
         play(
             &mut stage,
@@ -124,18 +128,18 @@
     );
 }
 
-/// Guards against a server that counts on descriptors that the system denies: idle clients took all that there were, and
-/// from then on nobody was accepted, no fallen link made again and no operator answered.
+/// Guards against a server that relies on more descriptors than the system allows: idle clients took all of them, and
+/// from then on no client was accepted, no broken link restored and no operator answered.
 #[test]
-fn idle_clients_fill_the_descriptors_where_the_system_allows_fewer_than_the_settings() {
+fn idle_clients_exhaust_descriptors_when_the_system_limit_is_below_the_settings() {
     for allowed in [160, 96] {
-        idle_clients_fill(allowed);
+        check_idle_clients_exhaust(allowed);
     }
 }
 
-fn idle_clients_fill(allowed: usize) {
+fn check_idle_clients_exhaust(allowed: usize) {
     let (name, limits) = (format!("allowed-{allowed}"), format!("ulimit -n {allowed}"));
-    let mut stage = Sockets::limited(&name, 1024, &limits, |_| ());
+    let mut stage = SocketStage::with_limits(&name, 1024, &limits, |_| ());
     play(&mut stage, "expect processor hello 0\nexpect control Ready");
     for n in 0..200 {
         play(&mut stage, &format!("send i{n} health 1\nexpect i{n} 1 good"));
@@ -147,54 +151,55 @@
          send admin health
          expect admin 200",
     );
-    assert!(stage.descriptors() <= allowed);
+    assert!(stage.descriptor_count() <= allowed);
 }
 
-/// Guards against newcomers whom the system turns away while the server has no turn on its core: a crowd that comes back in
-/// one instant has connections, as many as there are places, and their requests are answered with its next turn.
+/// Guards against the system rejecting new connections while the server process has no CPU time: a crowd that
+/// reconnects at one instant gets connections, as many as there are slots, and their requests are answered once the
+/// server runs again.
 #[test]
-fn a_crowd_that_comes_in_one_instant_is_taken_whole() {
+fn a_crowd_that_connects_at_one_instant_is_served_completely() {
     for (name, descriptors) in [("crowd", 1024), ("crowd-of-few", 128)] {
-        crowd(name, descriptors);
+        check_crowd(name, descriptors);
     }
 }
 
-fn crowd(name: &str, descriptors: usize) {
+fn check_crowd(name: &str, descriptors: usize) {
     const CROWD: usize = 600;
-    let mut stage = Sockets::with(name, descriptors, |_| ());
+    let mut stage = SocketStage::with(name, descriptors, |_| ());
     play(&mut stage, "expect processor hello 0\nexpect control Ready\nfreeze");
     let address = stage.address().parse().expect("an address");
     let mut crowd: Vec<_> = (0..CROWD)
         .map(|n| {
             let mut peer = std::net::TcpStream::connect_timeout(&address, std::time::Duration::from_secs(20))
-                .unwrap_or_else(|e| panic!("of {CROWD} the {n}th: {e}"));
+                .unwrap_or_else(|e| panic!("connection {n} of {CROWD}: {e}"));
             std::io::Write::write_all(&mut peer, &scenario::thrift::health(1)).expect("taken");
             peer
         })
         .collect();
     play(&mut stage, "thaw");
     for (n, peer) in crowd.iter_mut().enumerate() {
-        // One in a spare place is asked to drain first.
-        let first = sockets::event(peer);
-        let answer = if first == "draining" { sockets::event(peer) } else { first };
-        assert_eq!(answer, "1 good", "the {n}th of {CROWD}, {descriptors} descriptors");
+        // A connection in a spare slot is asked to drain first.
+        let first = sockets::read_event(peer);
+        let answer = if first == "draining" { sockets::read_event(peer) } else { first };
+        assert_eq!(answer, "1 good", "connection {n} of {CROWD}, {descriptors} descriptors");
     }
 }
 
-/// Guards against a server that does with the few descriptors that the system gives at first, where it may have what its
+/// Guards against a server that keeps the low soft limit on descriptors although the hard limit allows what its
 /// settings say.
 #[test]
-fn a_soft_limit_is_raised_to_what_the_settings_say() {
-    let mut stage = Sockets::limited("soft-limit", 512, "ulimit -Sn 128", |_| ());
+fn the_soft_descriptor_limit_is_raised_to_the_settings() {
+    let mut stage = SocketStage::with_limits("soft-limit", 512, "ulimit -Sn 128", |_| ());
     play(&mut stage, "expect processor hello 0\nexpect control Ready");
     for n in 0..200 {
         play(&mut stage, &format!("send i{n} health 1\nexpect i{n} 1 good"));
     }
-    assert!(stage.descriptors() > 200);
+    assert!(stage.descriptor_count() > 200);
 }
 
 mod sockets {
-    //! Bytes that are all there before the program reads the first of them: an inherited listener takes them.
+    //! Bytes that have all arrived before the program reads the first of them, through an inherited listener.
 
     use super::scenario::{config, thrift};
     use rustix::io::{FdFlags, fcntl_setfd};
@@ -205,8 +210,8 @@
     use std::process::{Child, Command, Stdio};
     use std::time::{Duration, Instant};
 
-    /// Far above what anything takes.
-    const PATIENCE: Duration = Duration::from_secs(20);
+    /// Far above what any step takes.
+    const TIMEOUT: Duration = Duration::from_secs(20);
 
     struct Process(Child);
 
@@ -229,8 +234,8 @@
         Process(program.stderr(Stdio::null()).spawn().expect("the program starts"))
     }
 
-    /// Waits until so many bytes of a peer wait to be read, as /proc/net/tcp tells.
-    fn arrived(peer: &TcpStream, bytes: usize) {
+    /// Waits until `bytes` bytes of a peer are unread at the server, according to /proc/net/tcp.
+    fn wait_until_unread(peer: &TcpStream, bytes: usize) {
         let word = |address: SocketAddr| format!(":{:04X}", address.port());
         let server = word(peer.peer_addr().expect("an address"));
         let client = word(peer.local_addr().expect("an address"));
@@ -243,14 +248,14 @@
         };
         let start = Instant::now();
         while unread() < bytes {
-            assert!(start.elapsed() < PATIENCE, "{} of {bytes} bytes came", unread());
+            assert!(start.elapsed() < TIMEOUT, "{} of {bytes} bytes arrived", unread());
             std::thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// The next answer.
-    pub fn event(peer: &mut TcpStream) -> String {
-        peer.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+    /// Reads the next answer.
+    pub fn read_event(peer: &mut TcpStream) -> String {
+        peer.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
         let mut prefix = [0; 4];
         peer.read_exact(&mut prefix).expect("a frame");
         let mut frame = vec![0; u32::from_be_bytes(prefix) as usize];
@@ -260,8 +265,9 @@
 
     #[test]
     fn requests_behind_a_read_that_is_cut_short_are_answered() {
-        // Guards against a connection that hangs with requests unread. The system cuts a read short at an urgent mark. That
-        // comes behind more than one read takes, so that what is told of a new connection's bytes is told by then.
+        // Guards against a connection that hangs with unread requests: the system cuts a read short at an urgent
+        // mark. The mark lies beyond the size of one read, so that the event for the new connection's bytes is
+        // consumed before it.
         const BEFORE: i32 = 400;
         let [listener, processor] = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").expect("a port"));
         let mut peer = TcpStream::connect(listener.local_addr().expect("an address")).expect("it is taken");
@@ -270,10 +276,10 @@
         send(&peer, b"!", SendFlags::OOB).expect("taken");
         let last = thrift::health(BEFORE + 1);
         peer.write_all(&last).expect("taken");
-        arrived(&peer, before.len() + 1 + last.len());
+        wait_until_unread(&peer, before.len() + 1 + last.len());
         let _program = start(&listener, &processor, "cut-short");
         for seq in 1..=BEFORE + 1 {
-            assert_eq!(event(&mut peer), format!("{seq} bad"));
+            assert_eq!(read_event(&mut peer), format!("{seq} bad"));
         }
     }
 }
--- a/crates/gradepin/tests/config_command.rs
+++ b/crates/gradepin/tests/config_cli.rs
@@ -1,5 +1,5 @@
-//! `gradepin config` against a scripted stand-in for admin servers: what is sent, what is printed, and the exit status. Each call of
-//! a script has to come in its order; nothing rests on times.
+//! `gradepin config` against scripted admin servers: requests sent, output printed, and exit status. The calls of a
+//! script must arrive in order; nothing depends on timing.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,16 +7,16 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::thread::{self, JoinHandle};
 
-/// What the stand-in does with one call.
+/// Reaction of the stand-in to one call.
 enum Step {
-    /// Answers with a status and a body.
+    /// Answers with this status and body.
     Answer(u16, &'static str),
-    /// Takes the call and ends the connection: the answer is lost.
+    /// Reads the call and closes the connection, so that the answer is lost.
     Lose,
 }
 
-/// Plays a script, a call a step; gives the calls that came, head line and body.
-fn admin(script: Vec<Step>) -> (SocketAddr, JoinHandle<Vec<(String, String)>>) {
+/// Starts an admin server that executes one step per call; its thread returns head line and body of each call.
+fn start_admin_server(script: Vec<Step>) -> (SocketAddr, JoinHandle<Vec<(String, String)>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let play = move || {
@@ -50,17 +50,17 @@
     (head.lines().next().unwrap().into(), String::from_utf8(body).unwrap())
 }
 
-fn gradepin(doors: &[SocketAddr], words: &[&str]) -> Output {
+fn gradepin(addresses: &[SocketAddr], words: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_gradepin"));
     command.arg("config").args(words);
-    doors.iter().for_each(|door| {
-        command.arg("--door").arg(door.to_string());
+    addresses.iter().for_each(|address| {
+        command.arg("--door").arg(address.to_string());
     });
     command.output().unwrap()
 }
 
-fn apply(doors: &[SocketAddr], more: &[&str]) -> Output {
-    // Tests run beside each other in one process: a file for each call.
+fn apply(addresses: &[SocketAddr], more: &[&str]) -> Output {
+    // Tests run concurrently in one process, so each call gets its own file.
     static CALLS: AtomicU32 = AtomicU32::new(0);
     let number = CALLS.fetch_add(1, Ordering::Relaxed);
     let file = std::env::temp_dir().join(format!("gradepin-config-{}-{number}.json", std::process::id()));
@@ -68,24 +68,27 @@
         .unwrap();
     let file = file.to_str().unwrap().to_string();
     let words = ["apply", &file, "--why", "more for osm", "--author", "kaisa", "--request-id", "r-1"];
-    gradepin(doors, &[&words, more].concat())
+    gradepin(addresses, &[&words, more].concat())
 }
 
-fn said(output: &Output) -> (Option<i32>, String, String) {
+fn outcome(output: &Output) -> (Option<i32>, String, String) {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).trim().to_string();
     (output.status.code(), text(&output.stdout), text(&output.stderr))
 }
 
 const COMMITTED: &str = r#"{"state":"committed","revision":42,"repeated":false}"#;
-const AGAIN: &str = r#"{"state":"committed","revision":42,"repeated":true}"#;
+const COMMITTED_BEFORE: &str = r#"{"state":"committed","revision":42,"repeated":true}"#;
 const PENDING: &str = r#"{"state":"pending","request_id":"r-1"}"#;
 
 #[test]
-fn an_apply_is_posted_and_followed_until_it_is_committed() {
-    let (door, calls) =
-        admin(vec![Step::Answer(202, PENDING), Step::Answer(202, PENDING), Step::Answer(200, COMMITTED)]);
-    let output = apply(&[door], &["--expected", "41"]);
-    assert_eq!(said(&output), (Some(0), "committed as revision 42".into(), String::new()));
+fn apply_posts_a_change_and_polls_until_it_is_committed() {
+    let (address, calls) = start_admin_server(vec![
+        Step::Answer(202, PENDING),
+        Step::Answer(202, PENDING),
+        Step::Answer(200, COMMITTED),
+    ]);
+    let output = apply(&[address], &["--expected", "41"]);
+    assert_eq!(outcome(&output), (Some(0), "committed as revision 42".into(), String::new()));
     let calls = calls.join().unwrap();
     assert_eq!(calls[0].0, "POST /config/apply HTTP/1.1");
     assert_eq!(calls[2].0, "GET /config/apply?request-id=r-1 HTTP/1.1");
@@ -95,29 +98,33 @@
     assert_eq!(proposal["transaction"]["changes"].as_array().unwrap().len(), 2);
 }
 
-/// The leader dies between commit and answer: the same body and id go to the next server, which tells the one revision.
+/// The leader fails between commit and answer: the same body and id go to the next server, which returns the revision
+/// that was committed.
 #[test]
-fn a_lost_answer_is_asked_for_at_the_next_server_under_the_same_id() {
-    let (first, first_calls) = admin(vec![Step::Lose]);
-    let (second, second_calls) = admin(vec![Step::Answer(200, AGAIN)]);
+fn a_lost_answer_is_requested_from_the_next_server_under_the_same_id() {
+    let (first, first_calls) = start_admin_server(vec![Step::Lose]);
+    let (second, second_calls) = start_admin_server(vec![Step::Answer(200, COMMITTED_BEFORE)]);
     let output = apply(&[first, second], &[]);
-    assert_eq!(said(&output), (Some(0), "was committed as revision 42 before".into(), String::new()));
+    assert_eq!(outcome(&output), (Some(0), "was committed as revision 42 before".into(), String::new()));
     assert_eq!(first_calls.join().unwrap(), second_calls.join().unwrap());
 }
 
-/// A server that took it, and forgot it by the next question: posted again there.
+/// The server accepted the request and has forgotten it by the next poll: the change is posted there again.
 #[test]
-fn a_request_that_is_unknown_at_its_server_is_posted_again() {
+fn a_request_unknown_to_its_server_is_posted_again() {
     let unknown = r#"{"refused":"unknown_request","request_id":"r-1"}"#;
-    let (door, calls) =
-        admin(vec![Step::Answer(202, PENDING), Step::Answer(404, unknown), Step::Answer(200, AGAIN)]);
-    assert_eq!(apply(&[door], &[]).status.code(), Some(0));
+    let (address, calls) = start_admin_server(vec![
+        Step::Answer(202, PENDING),
+        Step::Answer(404, unknown),
+        Step::Answer(200, COMMITTED_BEFORE),
+    ]);
+    assert_eq!(apply(&[address], &[]).status.code(), Some(0));
     let calls = calls.join().unwrap();
     assert_eq!(calls[0], calls[2]);
 }
 
 #[test]
-fn each_refusal_has_its_message_and_status() {
+fn each_rejection_has_its_message_and_exit_status() {
     let cases = [
         (
             409,
@@ -134,27 +141,27 @@
         (404, r#"{"refused":"off"}"#, 1, "the configuration service is off at this server"),
     ];
     for (status, body, code, text) in cases {
-        let (door, calls) = admin(vec![Step::Answer(status, body)]);
-        let output = apply(&[door], &[]);
-        assert_eq!(said(&output), (Some(code), String::new(), format!("gradepin: refused: {text}")));
+        let (address, calls) = start_admin_server(vec![Step::Answer(status, body)]);
+        let output = apply(&[address], &[]);
+        assert_eq!(outcome(&output), (Some(code), String::new(), format!("gradepin: refused: {text}")));
         calls.join().unwrap();
     }
 }
 
-/// No time to ask again: what was never taken is apart from what may have been committed.
+/// Without time for a retry, a change that was never accepted is distinguished from one that may have been committed.
 #[test]
-fn not_taken_and_not_known_are_told_apart() {
+fn a_change_not_accepted_and_an_unknown_outcome_have_different_exit_statuses() {
     let busy = r#"{"refused":"too_busy","retry_ms":500}"#;
-    let (door, calls) = admin(vec![Step::Answer(429, busy)]);
-    let output = apply(&[door], &["--wait", "0"]);
+    let (address, calls) = start_admin_server(vec![Step::Answer(429, busy)]);
+    let output = apply(&[address], &["--wait", "0"]);
     assert_eq!(
-        said(&output),
+        outcome(&output),
         (Some(4), String::new(), "gradepin: not taken: too busy, ask again in 500 ms".into())
     );
     calls.join().unwrap();
 
-    let (door, calls) = admin(vec![Step::Lose]);
-    let (code, _, text) = said(&apply(&[door], &["--wait", "0"]));
+    let (address, calls) = start_admin_server(vec![Step::Lose]);
+    let (code, _, text) = outcome(&apply(&[address], &["--wait", "0"]));
     assert_eq!(code, Some(5));
     assert!(text.contains("ask again with --request-id r-1"), "{text}");
     calls.join().unwrap();
@@ -164,10 +171,11 @@
 }
 
 #[test]
-fn a_rollback_and_a_dry_run_say_what_they_ask() {
-    let (door, calls) = admin(vec![Step::Answer(200, r#"{"state":"valid","against":41,"changes":3}"#)]);
+fn a_rollback_as_dry_run_sends_revision_and_flag() {
+    let (address, calls) =
+        start_admin_server(vec![Step::Answer(200, r#"{"state":"valid","against":41,"changes":3}"#)]);
     let words = ["rollback", "38", "--why", "tiles late", "--dry-run"];
-    let (code, text, _) = said(&gradepin(&[door], &words));
+    let (code, text, _) = outcome(&gradepin(&[address], &words));
     let expected = "valid against revision 41: 3 entries would change; nothing was proposed";
     assert_eq!((code, text.as_str()), (Some(0), expected));
     let calls = calls.join().unwrap();
@@ -177,13 +185,13 @@
 }
 
 #[test]
-fn status_shows_revisions_and_who_lags() {
+fn status_shows_revisions_and_lagging_servers() {
     let reply = r#"{"server": "n1", "revision": 42, "digest": "9f", "newest": 42, "leader": "n2", "age_s": 0.8, "stale": true,
         "source": "fleet", "cannot_apply": null, "revisions": [{"revision": 42, "proposed_at_ms": 1, "servers": 1098,
         "of_servers": 1100, "zones": 14, "of_zones": 15, "p50_ms": 900, "p99_ms": 4100}], "lagging": [{"server": "n7",
         "zone": "lahti-1", "revision": 40, "since_s": 61.0, "reachable": false, "cannot_apply": null}], "lagging_servers": 2}"#;
-    let (door, calls) = admin(vec![Step::Answer(200, reply)]);
-    let (code, text, _) = said(&gradepin(&[door], &["status"]));
+    let (address, calls) = start_admin_server(vec![Step::Answer(200, reply)]);
+    let (code, text, _) = outcome(&gradepin(&[address], &["status"]));
     assert_eq!(code, Some(0));
     for part in [
         "STALE",
@@ -205,28 +213,28 @@
         "entries": [{"tenant": {"name": "a b", "quota_rps": 0.0, "portion": 0.1}}], "next": "a b"}"#;
     let last = r#"{"revision": 4, "digest": "9f", "classes": 1, "tenants": 2, "rules": [],
         "entries": [{"tenant": {"name": "c", "quota_rps": 0.0, "portion": 0.2}}], "next": null}"#;
-    let (door, calls) = admin(vec![Step::Answer(200, page), Step::Answer(200, last)]);
-    let (code, text, _) = said(&gradepin(&[door], &["show", "--tenants"]));
+    let (address, calls) = start_admin_server(vec![Step::Answer(200, page), Step::Answer(200, last)]);
+    let (code, text, _) = outcome(&gradepin(&[address], &["show", "--tenants"]));
     assert_eq!((code, text.lines().count()), (Some(0), 2), "{text}");
     assert_eq!(calls.join().unwrap()[1].0, "GET /config/show?kind=tenants&limit=500&after=a%20b HTTP/1.1");
 }
 
 #[test]
-fn a_document_that_is_not_understood_is_never_sent() {
+fn an_invalid_document_is_never_sent() {
     let file = std::env::temp_dir().join(format!("gradepin-config-bad-{}.kdl", std::process::id()));
     std::fs::write(&file, "tenants 3\nsurprise 1\n").unwrap();
     let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let (code, _, text) = said(&gradepin(&[closed], &["apply", file.to_str().unwrap(), "--why", "x"]));
+    let (code, _, text) = outcome(&gradepin(&[closed], &["apply", file.to_str().unwrap(), "--why", "x"]));
     assert_eq!(code, Some(1));
     assert!(text.contains(".kdl:") && !text.contains("admin endpoint"), "{text}");
 }
 
 #[test]
-fn the_example_is_read_and_sent_whole() {
+fn the_example_document_is_sent_completely() {
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/config.kdl");
-    let (door, calls) = admin(vec![Step::Answer(200, COMMITTED)]);
-    let output = gradepin(&[door], &["apply", example, "--why", "a share for osm", "--request-id", "r-1"]);
-    assert_eq!(said(&output).0, Some(0), "{output:?}");
+    let (address, calls) = start_admin_server(vec![Step::Answer(200, COMMITTED)]);
+    let output = gradepin(&[address], &["apply", example, "--why", "a share for osm", "--request-id", "r-1"]);
+    assert_eq!(outcome(&output).0, Some(0), "{output:?}");
     let body: serde_json::Value = serde_json::from_str(&calls.join().unwrap()[0].1).unwrap();
     assert_eq!(body["proposal"]["transaction"]["changes"].as_array().unwrap().len(), 6);
 }
--- a/crates/gradepin/tests/life.rs
+++ b/crates/gradepin/tests/connection_lifecycle.rs
@@ -1,20 +1,21 @@
-//! Lives of connections and of the process on real loopback sockets: ends, halves of ends, resets, floods and peers that
-//! take their time, each made to come in the bad order by what is read or held, never by how long anything takes.
+//! Lifecycles of connections and of the process on loopback sockets: closes, half-closes, resets, floods and slow
+//! peers. The critical order of events is enforced by what is read or paused, never by timing.
 
 mod scenario;
-use scenario::sockets::Sockets;
+use scenario::socket_stage::SocketStage;
 use scenario::{Stage, play};
 
-/// Completes runs as they begin, until these connections were answered so many times. Says how many were served.
-fn serve(stage: &mut Sockets, conns: &[&str], answers: usize) -> usize {
+/// Completes runs as they begin until these connections have received `answers` answers; returns how many were
+/// served.
+fn serve(stage: &mut SocketStage, conns: &[&str], answers: usize) -> usize {
     let (mut answered, mut served) = (0, 0);
     let words = [&["processor begin"], conns].concat();
     while answered < answers {
-        let next = stage.take_any(&words);
+        let next = stage.take_any_event(&words);
         let words: Vec<&str> = next.split(' ').collect();
         if let ["processor", "begin", id, ..] = words[..] {
-            let complete = format!("complete {} {id} OK out", stage.next_notice());
-            stage.processor(&complete);
+            let complete = format!("complete {} {id} OK out", stage.next_notice_number());
+            stage.send_processor_line(&complete);
         } else if let [_, seq, how, ..] = words[..]
             && seq != "0"
         {
@@ -22,21 +23,21 @@
             answered += 1;
             served += usize::from(how == "served");
         } else {
-            assert_ne!(words.last(), Some(&"closed"), "closed with {answered} of {answers} answers");
+            assert_ne!(words.last(), Some(&"closed"), "closed after {answered} of {answers} answers");
         }
     }
     served
 }
 
-/// The answer to one message, on a new connection for each try: where places are short, one that this machine keeps from
-/// sending a whole message for long is closed.
-fn answer(stage: &mut Sockets, name: &str, message: &str) -> String {
+/// The answer to one message, on a new connection for each attempt: when connection slots are scarce, the server
+/// closes a connection on which a slow machine delays the complete message.
+fn answer(stage: &mut SocketStage, name: &str, message: &str) -> String {
     for n in 0..100 {
         let conn = format!("{name}-{n}");
         play(stage, &format!("send {conn} {message}"));
         let answered = format!("{conn} 1 ");
         loop {
-            let event = stage.take_any(&[&conn]);
+            let event = stage.take_any_event(&[&conn]);
             if event.starts_with(&answered) {
                 return event;
             }
@@ -45,13 +46,13 @@
             }
         }
     }
-    panic!("{name} was closed a hundred times, unanswered");
+    panic!("{name} was closed 100 times without an answer");
 }
 
-/// Guards against a peer's shut half taken for its close: 32 requests were dropped so, owed and unanswered.
+/// Guards against treating a half-close as a close, which dropped 32 open requests without an answer.
 #[test]
-fn a_client_that_half_closes_with_32_requests_open_gets_32_answers() {
-    let mut stage = Sockets::up("half-close");
+fn a_half_closed_connection_with_32_open_requests_gets_32_answers() {
+    let mut stage = SocketStage::start("half-close");
     play(&mut stage, "expect processor hello 0\nexpect control Ready");
     let calls: String = (1..=32).map(|n| format!("send a + call {n} rid={n} budget=60000\n")).collect();
     play(&mut stage, &format!("{calls} send a health 33\nexpect a 33 good\nhalf-close a"));
@@ -59,12 +60,12 @@
     play(&mut stage, "expect a closed\nsend b health 1\nexpect b 1 good");
 }
 
-/// Guards against whole requests lost because what came behind them on their connection makes no sense: no message, half
-/// a frame before the end, or a frame that never becomes whole.
+/// Guards against losing complete requests because of invalid data behind them on the connection: an oversized frame,
+/// half a frame before the end, or a frame that is never completed.
 #[test]
-fn what_makes_no_sense_behind_a_request_leaves_the_request_its_answer() {
+fn a_request_followed_by_invalid_data_is_answered() {
     play(
-        &mut Sockets::up("behind"),
+        &mut SocketStage::start("behind"),
         "expect processor hello 0
          expect control Ready
          send a call 1 rid=1 budget=60000
@@ -96,11 +97,12 @@
     );
 }
 
-/// Guards against a reset that hurts others, and against a keyed request that runs again because its first caller is gone.
+/// Guards against a reset that affects other connections, and against running a keyed request again because its first
+/// caller is gone.
 #[test]
-fn a_reset_with_requests_open_harms_nobody_else_and_runs_nothing_twice() {
+fn a_reset_with_open_requests_affects_no_other_client_and_repeats_no_run() {
     play(
-        &mut Sockets::up("reset"),
+        &mut SocketStage::start("reset"),
         "expect processor hello 0
          expect control Ready
          send a call 1 method=claim token=t rid=1 budget=3000
@@ -117,13 +119,13 @@
     );
 }
 
-/// Guards against answers lost, and places or threads taken from others, because a peer leaves its answers unread: it
-/// gets them all, in order, once it reads.
+/// Guards against losing answers, or taking connection slots or threads from others, when a peer terminates its answers
+/// unread: once it reads, it gets all of them in order.
 #[test]
-fn peers_that_read_late_get_every_answer_and_cost_no_thread() {
-    let mut stage = Sockets::up("late-readers");
+fn peers_that_read_late_get_every_answer_without_extra_threads() {
+    let mut stage = SocketStage::start("late-readers");
     play(&mut stage, "expect processor hello 0\nexpect control Ready");
-    let threads = stage.threads();
+    let threads = stage.thread_count();
     let held: Vec<String> = (0..12).map(|n| format!("h{n}")).collect();
     for conn in &held {
         play(&mut stage, &format!("hold {conn}\nflood {conn} 3000 health"));
@@ -137,19 +139,19 @@
          send b health 1
          expect b 1 good",
     );
-    assert!(stage.threads() <= threads, "{threads} threads and then {}", stage.threads());
+    assert!(stage.thread_count() <= threads, "{threads} threads and then {}", stage.thread_count());
     for conn in &held {
         play(&mut stage, &format!("release {conn}"));
         for n in 1..=3000 {
-            assert_eq!(stage.take_any(&[conn]), format!("{conn} {n} good"));
+            assert_eq!(stage.take_any_event(&[conn]), format!("{conn} {n} good"));
         }
     }
 }
 
-/// Guards against requests that come byte by byte and take more than their own place.
+/// Guards against requests that arrive byte by byte and take more than their own connection slot.
 #[test]
-fn requests_that_trickle_in_are_served_beside_floods_of_every_kind() {
-    let mut stage = Sockets::up("floods");
+fn trickled_requests_are_served_during_floods_of_every_kind() {
+    let mut stage = SocketStage::start("floods");
     play(&mut stage, "expect processor hello 0\nexpect control Ready");
     let cancel = "0000001a800100040000000663616e63656c000000090800010000000700";
     let unknown = "0000001180010004000000046e6f6e650000000100";
@@ -182,11 +184,11 @@
     }
 }
 
-/// Guards against requests read and lost, or unread and reset, because they came in the very instant of a notice to
-/// leave: on a resting connection, behind half a request, and on a connection that waits to be accepted.
+/// Guards against requests that are lost after being read, or reset unread, because they arrive at the same instant
+/// as SIGTERM: on an idle connection, behind half a request, and on a connection that is not accepted yet.
 #[test]
-fn what_comes_in_the_instant_of_sigterm_is_answered() {
-    let mut stage = Sockets::up("instant-term");
+fn requests_that_arrive_with_sigterm_are_answered() {
+    let mut stage = SocketStage::start("instant-term");
     play(
         &mut stage,
         "expect processor hello 0
@@ -205,7 +207,7 @@
          send b rest",
     );
     serve(&mut stage, &["a", "b", "c"], 3);
-    // A second notice, and settings read again, change nothing of it.
+    // A second SIGTERM and a reload do not change the drain.
     play(
         &mut stage,
         "send server TERM
@@ -217,14 +219,14 @@
     play(&mut stage, "expect no a closed\nexpect no b closed\nexpect no c closed");
 }
 
-/// Guards against a request lost to the close of an idle connection: one that is here by the time of the close is
-/// answered, half a one keeps its connection, and one that comes after it never runs.
+/// Guards against losing a request to the close of an idle connection: one that arrived by then is answered, half a
+/// request keeps its connection open, and one that arrives later never runs.
 #[test]
-fn what_comes_in_the_instant_of_an_idle_close_is_answered_or_never_read() {
+fn requests_that_arrive_with_an_idle_close_are_answered_or_never_read() {
     let idle = |config: &mut serde_json::Value| {
         config["settings"]["specifics"]["idle"] = serde_json::json!(100_000_000_u64);
     };
-    let mut stage = Sockets::with("instant-idle", 1024, idle);
+    let mut stage = SocketStage::with("instant-idle", 1024, idle);
     play(
         &mut stage,
         "expect processor hello 0
@@ -257,11 +259,12 @@
     );
 }
 
-/// Guards against answers lost at the end of a drain that nobody stopped: what waits in a socket or to be accepted by
-/// then was written to a server that still listened. It is answered, and closed without a reset; then the process ends.
+/// Guards against losing answers at the end of a drain that runs its full time: data still in a socket or an
+/// unaccepted connection was sent to a listening server. It is answered, the connection is closed without a reset,
+/// and the process exits.
 #[test]
-fn what_comes_in_the_instant_of_the_exit_is_answered() {
-    let mut stage = Sockets::with("instant-exit", 1024, |config| config["stop_ms"] = 100.into());
+fn requests_that_arrive_with_the_exit_are_answered() {
+    let mut stage = SocketStage::with("instant-exit", 1024, |config| config["stop_ms"] = 100.into());
     play(
         &mut stage,
         "expect processor hello 0
@@ -287,21 +290,21 @@
          release h",
     );
     for n in 1..=300 {
-        assert!(stage.take_any(&[&format!("h {n}")]).starts_with(&format!("h {n} ")));
+        assert!(stage.take_any_event(&[&format!("h {n}")]).starts_with(&format!("h {n} ")));
     }
-    assert_eq!(stage.end(), Some(0));
+    assert_eq!(stage.wait_for_exit(), Some(0));
 }
 
-/// Guards against peers that hold every place for as long as they like: health checks, the processor's link and the
-/// reports go on, a request is turned away and not left waiting, and what the others are owed comes.
+/// Guards against peers that occupy every connection slot indefinitely: health checks, the processor link and the
+/// reports continue, a new request is rejected instead of left waiting, and answers owed to other clients arrive.
 #[test]
-fn when_every_place_is_taken_health_checks_are_answered_and_requests_turned_away() {
-    let mut stage = Sockets::with("full", 128, |config| {
-        // As long as the test needs, whatever the machine.
+fn with_every_connection_slot_taken_health_checks_are_answered_and_requests_rejected() {
+    let mut stage = SocketStage::with("full", 128, |config| {
+        // Longer than the test takes on any machine.
         config["settings"]["profiles"][1]["deadline"] = serde_json::json!(600_000_000_000_u64);
     });
     play(&mut stage, "expect processor hello 0\nexpect control Ready");
-    // As many as have places; all wait for the run of the first, so nothing of them can be closed.
+    // One per connection slot; all wait for the run of the first, so none of them can be closed.
     let holders: Vec<String> = (0..63).map(|n| format!("k{n}")).collect();
     for (n, conn) in holders.iter().enumerate() {
         play(
@@ -320,31 +323,31 @@
         assert!(check.ends_with(" 1 good"), "{check}");
         let late = answer(&mut stage, &format!("late{n}"), &format!("call 1 rid={}", 200 + n));
         assert!(late.contains(" 1 refused"), "{late}");
-        // Its one exchange over, each makes room for the next.
+        // After its one exchange, each connection yields its slot to the next.
         let conn = late.split(' ').next().expect("a connection");
         play(&mut stage, &format!("expect {conn} closed"));
     }
-    assert!(stage.descriptors() <= 128);
+    assert!(stage.descriptor_count() <= 128);
     play(&mut stage, "close processor\nexpect processor hello 0\nsend processor complete 1 0 OK out");
     for conn in &holders {
         play(&mut stage, &format!("expect {conn} 2 served out\nexpect no {conn} closed"));
     }
 }
 
-/// Guards against idle clients that fill the descriptors while nobody takes the reports: the server keeps its links,
-/// answers health checks, spins at nothing, and is listed again once the control plane is back.
+/// Guards against idle clients that exhaust the file descriptors while the control plane is down: the server keeps
+/// its links, answers health checks, does not busy-loop, and reports Ready once the control plane is back.
 #[test]
-fn idle_clients_fill_the_descriptors_while_discovery_is_down() {
-    let mut stage = Sockets::with("idle-crowd", 128, |_| ());
+fn idle_clients_exhaust_descriptors_while_the_control_plane_is_down() {
+    let mut stage = SocketStage::with("idle-crowd", 128, |_| ());
     play(&mut stage, "expect processor hello 0\nexpect control Ready\nclose control");
     for n in 0..150 {
-        // More than there are descriptors; each has spoken, and stays.
+        // More connections than descriptors; all stay open.
         play(&mut stage, &format!("open i{n}"));
     }
-    let (ticks, start) = (stage.ticks(), std::time::Instant::now());
+    let (ticks, start) = (stage.cpu_ticks(), std::time::Instant::now());
     play(&mut stage, "wait 1000");
-    let (spent, wall) = (stage.ticks() - ticks, start.elapsed().as_millis() as u64 / 10);
-    assert!(spent * 2 < wall, "{spent} ticks of {wall} on a core with nothing to do");
+    let (spent, wall) = (stage.cpu_ticks() - ticks, start.elapsed().as_millis() as u64 / 10);
+    assert!(spent * 2 < wall, "an idle server used {spent} of {wall} CPU ticks");
     play(
         &mut stage,
         "close processor
@@ -352,34 +355,34 @@
     );
     let check = answer(&mut stage, "check", "health 1");
     assert!(check.ends_with(" 1 good"), "{check}");
-    assert!(stage.descriptors() <= 128);
-    // Whoever goes on asking has a place before long: each newcomer takes that of a connection that rests.
+    assert!(stage.descriptor_count() <= 128);
+    // A client that keeps trying soon gets a slot: each new connection replaces an idle one.
     let served = (0..1000).any(|n| {
         play(&mut stage, &format!("send a{n} call 1 rid={n} budget=60000"));
         serve(&mut stage, &[&format!("a{n}")], 1) > 0
     });
-    assert!(served, "a thousand were turned away");
-    stage.forget("control");
+    assert!(served, "1000 requests were rejected");
+    stage.discard_events("control");
     play(&mut stage, "open control\nexpect control Ready");
 }
 
-/// Guards against a start that fails because the process before it is still on its way out, or that can't be told to
-/// leave meanwhile.
+/// Guards against a start that fails because the previous process still holds the address, or that ignores SIGTERM
+/// while it waits.
 #[test]
-fn a_start_whose_address_is_still_held_waits_for_it_and_hears_the_notice_to_leave() {
-    for leaves in [false, true] {
+fn a_start_waits_for_a_held_address_and_obeys_sigterm() {
+    for terminates in [false, true] {
         let holder = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = holder.local_addr().expect("an address");
         let config = scenario::config(&address.to_string(), "127.0.0.1:9", "127.0.0.1:9");
-        let (mut program, mut lines) = scenario::sockets::start("held", &config.to_string());
+        let (mut program, mut lines) = scenario::socket_stage::start("held", &config.to_string());
         let line = lines
             .by_ref()
             .map_while(Result::ok)
             .find(|line| line.contains("another process holds the address"))
             .expect("a line");
         assert!(line.contains(&address.to_string()), "{line}");
-        if leaves {
-            scenario::sockets::kill(&program, "TERM");
+        if terminates {
+            scenario::socket_stage::send_signal(&program, "TERM");
             assert!(
                 lines
                     .by_ref()
@@ -391,21 +394,21 @@
             drop(holder);
             assert!(lines.by_ref().map_while(Result::ok).any(|line| line.contains("serving")));
             std::net::TcpStream::connect(address).expect("it listens");
-            scenario::sockets::kill(&program, "KILL");
+            scenario::socket_stage::send_signal(&program, "KILL");
             program.wait().expect("a program");
         }
     }
 }
 
-/// Guards a start whose processor and control plane are not there: requests are turned away, health is bad, the notice
-/// to leave is taken, and a processor that comes late is served with.
+/// Guards a start without processor and control plane: requests are rejected, health is bad, SIGTERM is obeyed, and
+/// requests are served once the processor appears.
 #[test]
-fn a_start_without_its_processor_turns_away_and_serves_when_it_comes() {
+fn a_start_without_a_processor_rejects_requests_until_the_processor_appears() {
     let processor = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let late = processor.local_addr().expect("an address").to_string();
+    let address = processor.local_addr().expect("an address").to_string();
     drop(processor);
-    let mut stage = Sockets::with("no-processor", 1024, |config| {
-        config["processor"] = late.clone().into();
+    let mut stage = SocketStage::with("no-processor", 1024, |config| {
+        config["processor"] = address.clone().into();
         config["control"] = "127.0.0.1:9".into();
     });
     play(
@@ -415,17 +418,17 @@
          send a call 2 rid=1
          expect a 2 refused",
     );
-    stage.processor_at(&late);
+    stage.start_processor_at(&address);
     play(&mut stage, "expect processor hello 0\nsend a call 3 rid=2 budget=60000");
     serve(&mut stage, &["a"], 1);
     play(&mut stage, "send server TERM\nexpect a draining");
 }
 
-/// Guards against a keyed request that runs again because its repeat and the end of its run came in one instant, in
-/// either order, or because the link fell in that instant.
+/// Guards against running a keyed request again because its retry and the end of its run arrive at one instant, in
+/// either order, or because the link fails at that instant.
 #[test]
-fn a_keyed_repeat_in_the_instant_in_which_the_run_ends_is_answered_from_it() {
-    let mut stage = Sockets::up("instant-end");
+fn a_keyed_retry_that_arrives_with_the_end_of_the_run_is_answered_from_it() {
+    let mut stage = SocketStage::start("instant-end");
     play(
         &mut stage,
         "expect processor hello 0
@@ -456,12 +459,12 @@
     );
 }
 
-/// Guards against a run whose end is lost because the link broke in the middle of its result, and against the half of it
-/// served: the new link begins behind the last whole notice, and the end is told again.
+/// Guards against losing a result because the link broke within it, and against serving a truncated result: the new
+/// link starts after the last complete notice, and the processor sends the result again.
 #[test]
-fn a_result_cut_off_with_its_link_is_told_again_and_served_whole() {
+fn a_result_truncated_with_its_link_is_resent_and_served_completely() {
     play(
-        &mut Sockets::up("cut"),
+        &mut SocketStage::start("cut"),
         "expect processor hello 0
          expect control Ready
          send a call 1 rid=1 budget=60000
@@ -484,11 +487,11 @@
     );
 }
 
-/// Guards against answers left out, or given twice, under floods of whole requests beside connections that are opened and
-/// dropped, some with a request on them, by an end or by a reset.
+/// Guards against missing or duplicate answers under floods of complete requests, while other connections open and
+/// close, some with an open request, by a close or a reset.
 #[test]
-fn floods_of_requests_beside_connections_that_come_and_go_leave_no_answer_out() {
-    let mut stage = Sockets::up("requests-flood");
+fn request_floods_during_connection_churn_are_all_answered() {
+    let mut stage = SocketStage::start("requests-flood");
     play(&mut stage, "expect processor hello 0\nexpect control Ready");
     for n in 0..4 {
         play(&mut stage, &format!("flood r{n} 200 call {}", 1000 * (n + 1)));
@@ -509,12 +512,13 @@
         );
     }
     let served = serve(&mut stage, &["r0", "r1", "r2", "r3"], 800);
-    assert!(served > 0, "none of 800 was served");
-    // Whatever begins yet was of those who left; nobody is answered again.
+    assert!(served > 0, "none of 800 requests was served");
+    // Runs that begin from here on belong to closed connections; no request is answered twice.
     play(&mut stage, "send a health 1\nexpect a 1");
     for n in 0..4 {
         play(&mut stage, &format!("send r{n} health 1000\nexpect r{n} 1000\nexpect no r{n} closed"));
-        let more = stage.rest().into_iter().filter(|event| event.starts_with(&format!("r{n} "))).count();
-        assert_eq!(more, 0, "answers beyond one each");
+        let more =
+            stage.pending_events().into_iter().filter(|event| event.starts_with(&format!("r{n} "))).count();
+        assert_eq!(more, 0, "more than one answer per request");
     }
 }
--- a/crates/gradepin/tests/fleet.rs
+++ b/crates/gradepin/tests/fleet_member.rs
@@ -1,13 +1,13 @@
-//! A server's part of a fleet, as its reducer plays it: calls wait for a slot, a request is answered whatever the ledger does,
-//! and repeats are held to the fleet's budget.
+//! A server as a member of a fleet, at the reducer: upstream calls wait for a slot, every request is answered
+//! whatever the upstream does, and retries stay within the fleet's budget.
 
 mod scenario;
-use scenario::virtually::Virtually;
+use scenario::virtual_stage::VirtualStage;
 use scenario::{Stage, play};
 use serde_json::{Value, json};
 
-/// Four calls out at the most, and runs on as many cores as there are requests.
-fn calling(config: &mut Value) {
+/// At most four calls in flight, and enough cores to run every request.
+fn enable_upstream_calls(config: &mut Value) {
     config["ledger"] = json!("127.0.0.1:4");
     let specifics = &mut config["settings"]["specifics"];
     specifics["below"] = json!("shared");
@@ -17,16 +17,16 @@
     specifics["n_cores"] = json!(8);
 }
 
-/// One whose first seconds, in which it holds slots back, are over.
-fn stage() -> Virtually {
-    let mut stage = Virtually::lending(calling);
+/// A server past its initial seconds, in which it holds slots back.
+fn stage() -> VirtualStage {
+    let mut stage = VirtualStage::lending(enable_upstream_calls);
     play(&mut stage, "wait 5000");
     stage
 }
 
-/// One that has just started, with a run that asked for its call: the module made it, and it waits for its slot.
-fn waiting_for_a_slot() -> Virtually {
-    let mut stage = Virtually::lending(calling);
+/// A server that has just started, with a run whose upstream call is waiting for a slot.
+fn waiting_for_a_slot() -> VirtualStage {
+    let mut stage = VirtualStage::lending(enable_upstream_calls);
     play(
         &mut stage,
         "wait 20
@@ -36,10 +36,10 @@
     stage
 }
 
-/// Guards the bound over a restart: calls of the earlier life may still be with the ledger, so none leaves before they are
-/// certainly over, though the module makes it at once.
+/// Guards the concurrency limit across a restart: calls of the previous incarnation may still be in flight at the
+/// upstream, so no call leaves before those have certainly ended.
 #[test]
-fn no_call_leaves_before_those_of_an_earlier_life_are_over() {
+fn no_call_is_sent_before_those_of_the_previous_incarnation_have_ended() {
     let mut stage = waiting_for_a_slot();
     play(
         &mut stage,
@@ -54,10 +54,10 @@
     );
 }
 
-/// Guards what is told of the ledger, to the module and to other servers, against time in which a call only waited for a
-/// slot: it would look slow while it is this server that holds calls back.
+/// Guards the upstream latency reported to admission and to peers: time spent waiting for a slot must not count,
+/// otherwise the upstream looks slow while this server holds the calls back.
 #[test]
-fn a_wait_for_a_slot_is_not_the_ledgers_time() {
+fn time_waiting_for_a_slot_is_not_upstream_latency() {
     let mut stage = waiting_for_a_slot();
     play(
         &mut stage,
@@ -69,10 +69,10 @@
     );
 }
 
-/// Guards what is borrowed against runs that are forgotten while their call is to be made again, and against runs that
-/// count though nobody calls for them any more.
+/// Guards the demand for borrowed slots: a run counts while its call is to be retried, and no longer once its call is
+/// complete or abandoned.
 #[test]
-fn a_run_waits_for_a_slot_until_its_call_is_made_or_given_up() {
+fn a_run_counts_as_waiting_until_its_call_is_sent_or_abandoned() {
     let mut stage = waiting_for_a_slot();
     play(
         &mut stage,
@@ -96,18 +96,19 @@
     );
 }
 
-/// Guards the main thread, and the run: a call whose time is up behind one that waits longer is given up then. It would ask for a
-/// turn at a time that is past, again and again, until the one before it has its slot.
+/// Guards the main thread and the run: a call that expires behind an earlier waiting call fails at that time.
+/// Otherwise its timer lies in the past and fires endlessly until the earlier call gets its slot.
 #[test]
-fn a_call_that_runs_out_of_its_time_behind_another_is_given_up_at_once() {
-    let mut stage = Virtually::lending(|config| {
-        calling(config);
+fn a_call_that_expires_behind_another_waiting_call_fails_at_once() {
+    let mut stage = VirtualStage::lending(|config| {
+        enable_upstream_calls(config);
         config["settings"]["specifics"]["calls_out"] = json!(16.0);
     });
     play(&mut stage, "wait 5000");
-    // The module hears of the slots that are left every 20 ms: it has heard of the first lease, and not yet of the second.
-    stage.asked_to_lend(1, 100);
-    stage.asked_to_lend(2, 11_000);
+    // Admission is notified of the remaining slots every 20 ms: it knows of the first lease and not yet of the
+    // second.
+    stage.receive_lease_request(1, 100);
+    stage.receive_lease_request(2, 11_000);
     for run in 1..=8 {
         let budget = if run < 7 { 4_000 } else { 300 };
         play(
@@ -139,10 +140,10 @@
     );
 }
 
-/// Guards leases against the Unix clock: they go by time that passed, so a clock that jumps an hour either way, while calls are
-/// out, frees nothing and holds nothing back.
+/// Guards leases against the Unix clock: they use monotonic time, so a jump of one hour in either direction during
+/// calls neither frees nor withholds slots.
 #[test]
-fn a_unix_clock_that_jumps_an_hour_changes_no_slot() {
+fn a_unix_clock_jump_of_one_hour_changes_no_slot() {
     for hours in [-1, 1] {
         let mut stage = stage();
         play(
@@ -152,7 +153,7 @@
              expect ledger call 1 one
              until admin stats 200 server_fleet_slots{kind=\"taken\"} 1.0",
         );
-        stage.jump_ms(hours * 3_600_000);
+        stage.shift_unix_clock_ms(hours * 3_600_000);
         play(
             &mut stage,
             "wait 500
@@ -167,30 +168,31 @@
     }
 }
 
-/// Guards the ledger against repeats beyond the fleet's budget, and callers against a refusal without advice.
+/// Guards the upstream against retries beyond the fleet's budget, and callers against a rejection without a backoff
+/// hint.
 #[test]
-fn repeats_past_the_fleets_budget_are_turned_away() {
+fn retries_beyond_the_fleet_budget_are_rejected() {
     let mut stage = stage();
     let line = |n| format!("send a{n} call {n} rid={n} again=1 body=b\n");
     let sends: String = (1..=60).map(line).collect();
     play(&mut stage, &sends);
-    let events = stage.rest();
-    let refused = events.iter().filter(|event| event.contains("refused backoff=1000")).count();
-    assert!((20..60).contains(&refused), "{refused} of 60 repeats beside no first try");
+    let events = stage.pending_events();
+    let rejected = events.iter().filter(|event| event.contains("refused backoff=1000")).count();
+    assert!((20..60).contains(&rejected), "{rejected} of 60 retries rejected without any first attempt");
 }
 
-/// Waits for the call with this body to leave; the module and the fleet may hold it back for a while.
-fn leaves(stage: &mut Virtually, body: &str) {
-    let left = (0..200).any(|_| {
+/// Waits until the call with this body is sent; admission and the fleet may delay it.
+fn wait_until_sent(stage: &mut VirtualStage, body: &str) {
+    let sent = (0..200).any(|_| {
         stage.wait(20);
-        stage.take(&format!("ledger call 1 {body}")).is_ok()
+        stage.take_event(&format!("ledger call 1 {body}")).is_ok()
     });
-    assert!(left, "the call {body} never leaves");
+    assert!(sent, "the call {body} was never sent");
 }
 
-/// Guards against slots that are never free again: of two calls out under one id, one was given up with its run.
+/// Guards against leaking slots when one of two calls in flight under one id was abandoned with its run.
 #[test]
-fn two_calls_out_under_one_rid_free_two_slots() {
+fn two_calls_in_flight_under_one_rid_free_two_slots() {
     let mut stage = stage();
     for n in 0..8 {
         let [first, second, third, fourth] = [1, 2, 3, 4].map(|k| 4 * n + k);
@@ -202,7 +204,7 @@
                  send processor ask {first} 1 form-{first}"
             ),
         );
-        leaves(&mut stage, &format!("form-{first}"));
+        wait_until_sent(&mut stage, &format!("form-{first}"));
         play(
             &mut stage,
             &format!(
@@ -213,7 +215,7 @@
                  send processor ask {third} 1 form-{third}"
             ),
         );
-        leaves(&mut stage, &format!("form-{third}"));
+        wait_until_sent(&mut stage, &format!("form-{third}"));
         play(
             &mut stage,
             &format!(
--- a/crates/gradepin/tests/repeats.rs
+++ b/crates/gradepin/tests/idempotent_retries.rs
@@ -1,13 +1,14 @@
-//! Repeats of keyed requests that wait for another try's run: each has that run's end, and no other's.
+//! Retries of keyed requests that wait for the run of another attempt: each gets the outcome of that run and of no
+//! other.
 
 mod scenario;
 use scenario::play;
-use scenario::virtually::Virtually;
+use scenario::virtual_stage::VirtualStage;
 use serde_json::json;
 
-/// A server whose processor has greeted, where a token may come again with another request after half a second.
-fn stage() -> Virtually {
-    let mut stage = Virtually::with(|config| {
+/// A server whose processor has greeted, with an idempotency window of half a second.
+fn stage() -> VirtualStage {
+    let mut stage = VirtualStage::with(|config| {
         config["settings"]["profiles"][1]["window"] = json!(500_000_000);
     });
     play(&mut stage, "send processor hi WARM 0");
@@ -15,11 +16,11 @@
 }
 
 #[test]
-fn a_rid_that_comes_again_is_never_served_with_what_it_waited_for_before() {
-    // Guards against a result that no run made for the request: a rid was still noted as a repeat of the token that it
-    // came with first, though its caller had left and sent another request under it.
+fn a_reused_rid_is_never_served_the_result_its_earlier_request_waited_for() {
+    // Guards against serving a result of another run: a rid stayed registered as a retry of its first token, although
+    // its caller had cancelled and sent another request under the same rid.
     play(
-        &mut Virtually::up(),
+        &mut VirtualStage::ready(),
         "send a call 1 rid=1 method=claim token=t body=tee
          expect processor begin 1 claim tee
          send b call 1 rid=2 method=claim token=t body=tee
@@ -37,10 +38,11 @@
 }
 
 #[test]
-fn a_rid_that_comes_again_is_not_refused_while_it_runs() {
-    // Guards the same where the run that it waited for never begins: its new request runs, and was told that it never did.
+fn a_reused_rid_is_not_rejected_while_it_runs() {
+    // Guards the same when the run it waited for never begins: the new request under the rid is running, but was
+    // reported as never started.
     play(
-        &mut Virtually::sharing(),
+        &mut VirtualStage::sharing_runs(),
         "send a call 1 rid=1 method=claim token=t
          expect claim 1 t
          send b call 1 rid=2 method=claim token=t
@@ -56,9 +58,9 @@
 }
 
 #[test]
-fn a_repeat_has_the_end_of_the_run_it_waits_for_though_another_ran_since() {
-    // Guards against a result of another body: a token that came again past its window with another request took along
-    // the tries that waited for the run before, which goes on.
+fn a_retry_gets_the_outcome_of_the_run_it_waits_for_although_another_ran_since() {
+    // Guards against the result of another body: when a token was reused with another request after its window, the
+    // attempts that waited for the earlier, still active run were moved to the new one.
     play(
         &mut stage(),
         "send a call 1 rid=1 method=claim token=t body=one
@@ -76,7 +78,7 @@
          expect a 1 served ones
          expect b 1 served ones",
     );
-    // What is kept for later tries is the last run's, whichever ends last.
+    // Later attempts get the result of the run that began last, whichever run ends last.
     play(
         &mut stage(),
         "send a call 1 rid=1 method=claim token=t body=one
@@ -93,9 +95,9 @@
 }
 
 #[test]
-fn a_reject_makes_no_run_that_may_have_begun_run_again() {
-    // Guards against an effect twice: a run that the processor is known to have read, or was asked for twice, counted as
-    // never begun when a reject came for its id, and the next try under its token ran beside it.
+fn a_reject_allows_no_second_run_of_a_run_that_may_have_begun() {
+    // Guards against executing an effect twice: a run that the processor is known to have read, or was sent twice,
+    // counted as never begun after a `reject` for its id, and the next attempt under its token ran beside it.
     for begun in [
         "send a call 1 rid=1 method=claim token=t
          expect processor begin 1
@@ -109,7 +111,7 @@
          expect processor begin 1",
     ] {
         play(
-            &mut Virtually::up(),
+            &mut VirtualStage::ready(),
             &format!(
                 "{begun}
                  send processor reject 1
@@ -120,9 +122,9 @@
             ),
         );
     }
-    // One that was asked for once, with no answer since, never began: another try may.
+    // A run that was sent once, with no answer since, never began, so another attempt may run.
     play(
-        &mut Virtually::up(),
+        &mut VirtualStage::ready(),
         "send processor mute
          send a call 1 rid=1 method=claim token=t
          expect processor begin 1
--- a/crates/gradepin/tests/held_folders.rs
+++ b/crates/gradepin/tests/locked_folders.rs
@@ -1,18 +1,18 @@
-//! A start while the process before it, on its way out, still has the folders that have one owner: the council's and the
-//! configuration's.
+//! Starts while the previous process, about to exit, still locks the folders that have a single owner: those of the
+//! consensus group and of the configuration.
 
 mod scenario;
 
-use scenario::sockets::kill;
+use scenario::socket_stage::send_signal;
 use std::fs::File;
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
 use std::process::{Child, ChildStderr, Command, Stdio};
 
-/// A folder of the test's own, gone with it.
-struct Temp(PathBuf);
+/// A temporary folder, removed on drop.
+struct TempFolder(PathBuf);
 
-impl Temp {
+impl TempFolder {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("gradepin-held-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
@@ -26,26 +26,27 @@
         path
     }
 
-    /// As the process before has it.
+    /// Locks a subfolder as the previous process does.
     fn hold(&self, folder: &str) -> File {
         let folder = self.0.join(folder);
         std::fs::create_dir_all(&folder).expect("a folder");
         let lock = File::create(folder.join("lock")).expect("a lock");
-        lock.try_lock().expect("nobody else has it");
+        lock.try_lock().expect("the lock is free");
         lock
     }
 }
 
-impl Drop for Temp {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// The daemon as the only voter of a council, with a configuration service; its log.
-fn start(temp: &Temp, place: u8) -> (Child, std::io::Lines<BufReader<ChildStderr>>) {
+/// Starts the server as the only voter of a consensus group, with a configuration service; returns it with the lines
+/// of its log.
+fn start(temp: &TempFolder, host_number: u8) -> (Child, std::io::Lines<BufReader<ChildStderr>>) {
     let pid = std::process::id();
-    let host = format!("127.{}.{}.{place}", 64 + (pid >> 8) % 64, pid % 256);
+    let host = format!("127.{}.{}.{host_number}", 64 + (pid >> 8) % 64, pid % 256);
     let config = scenario::config(&format!("{host}:18443"), "127.0.0.1:9", "127.0.0.1:9");
     let config = temp.write("config.json", &config.to_string());
     let keys = temp.write("keys", &"5a".repeat(32));
@@ -71,34 +72,35 @@
     (program, lines)
 }
 
-/// Guards a restart against the last moments of the process before it: the folders are free with its end alone, after its
-/// addresses, and a start that finds one held would end with status 1.
+/// Guards a restart during the last moments of the previous process: its folders are released only when it exits,
+/// after its addresses, and a start that does not wait for them would exit with status 1.
 #[test]
-fn a_folder_that_is_still_held_is_waited_for_and_the_notice_to_leave_is_heard() {
-    for (place, (folder, leaves)) in
+fn a_start_waits_for_a_locked_folder_and_obeys_sigterm() {
+    for (index, (folder, terminates)) in
         [("council", false), ("configuration", false), ("council", true), ("configuration", true)]
             .into_iter()
             .enumerate()
     {
-        let temp = Temp::new(&format!("{folder}-{leaves}"));
+        let temp = TempFolder::new(&format!("{folder}-{terminates}"));
         let lock = temp.hold(folder);
-        let (mut program, lines) = start(&temp, 201 + place as u8);
+        let (mut program, lines) = start(&temp, 201 + index as u8);
         let mut lines = lines.map_while(Result::ok);
         let mut seen = Vec::new();
         let held = lines.by_ref().find(|line| {
             seen.push(line.clone());
             line.contains("another process holds the folder")
         });
-        let held = held.unwrap_or_else(|| panic!("{folder}: it ended with {:?}: {seen:?}", program.wait()));
+        let held = held
+            .unwrap_or_else(|| panic!("{folder}: the program exited with {:?}: {seen:?}", program.wait()));
         assert!(held.contains(&temp.0.join(folder).display().to_string()), "{held}");
-        if leaves {
-            kill(&program, "TERM");
+        if terminates {
+            send_signal(&program, "TERM");
             assert!(lines.any(|line| line.contains("received SIGTERM during start-up")));
             assert!(program.wait().expect("a program").success());
         } else {
             drop(lock);
             assert!(lines.any(|line| line.contains("serving")));
-            kill(&program, "KILL");
+            send_signal(&program, "KILL");
             program.wait().expect("a program");
         }
     }
--- a/crates/gradepin/tests/program/mod.rs
+++ b/crates/gradepin/tests/program/mod.rs
@@ -1,7 +1,7 @@
-//! The program alone, with nobody at its links: its log, its signals and its end. Waits are upper bounds.
+//! The server program without peers on its links: its log, signals and exit. All waits are upper bounds.
 #![allow(dead_code)]
 
-use crate::scenario::{self, sockets};
+use crate::scenario::{self, socket_stage};
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
@@ -10,9 +10,9 @@
 use std::thread;
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A program with a folder of its own, and the configuration in it.
+/// A server process with its own folder, which contains its configuration.
 pub struct Program {
     child: Option<Child>,
     folder: PathBuf,
@@ -21,11 +21,11 @@
 }
 
 impl Program {
-    /// A folder with a configuration that differs in something; it is not started yet.
-    pub fn prepared(name: &str, change: impl FnOnce(&mut Value)) -> Self {
+    /// Prepares a folder with a modified configuration; does not start the program.
+    pub fn prepare(name: &str, change: impl FnOnce(&mut Value)) -> Self {
         let folder = std::env::temp_dir().join(format!("gradepin-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let mut config = scenario::config(&sockets::own_address(), "127.0.0.1:9", "127.0.0.1:9");
+        let mut config = scenario::config(&socket_stage::unique_address(), "127.0.0.1:9", "127.0.0.1:9");
         change(&mut config);
         std::fs::write(folder.join("config.json"), config.to_string()).expect("a file");
         Self { child: None, folder, lines: channel().1, seen: Vec::new() }
@@ -39,8 +39,8 @@
         self.folder.join("config.json")
     }
 
-    /// Starts it, with more arguments.
-    pub fn run(&mut self, arguments: &[&str]) {
+    /// Starts the program with additional arguments.
+    pub fn start(&mut self, arguments: &[&str]) {
         let mut program = Command::new(env!("CARGO_BIN_EXE_gradepin"));
         program.arg("serve").args(arguments).env("GW_CONFIG", self.config()).stderr(Stdio::piped());
         let mut child = program.spawn().expect("the program starts");
@@ -50,20 +50,20 @@
         (self.child, self.lines) = (Some(child), lines);
     }
 
-    /// Has the shell do something first and then become the program, with its log in another place.
-    pub fn shell(&mut self, first: &str, log: Stdio) {
+    /// Runs a shell command that then `exec`s the program, with its log sent to `log`.
+    pub fn start_through_shell(&mut self, first: &str, log: Stdio) {
         let mut shell = Command::new("/bin/sh");
         shell.args(["-c", &format!("{first} && exec \"$0\" serve"), env!("CARGO_BIN_EXE_gradepin")]);
         self.child = Some(shell.env("GW_CONFIG", self.config()).stderr(log).spawn().expect("it starts"));
     }
 
-    /// Waits for a line that holds these words, behind those found before.
-    pub fn line(&mut self, words: &str) -> String {
+    /// Waits for a log line that contains these words, after the lines already consumed.
+    pub fn wait_for_line(&mut self, words: &str) -> String {
         loop {
-            let line = self.lines.recv_timeout(PATIENCE);
+            let line = self.lines.recv_timeout(TIMEOUT);
             let Ok(line) = line else {
-                let end = self.child.as_mut().map(|child| child.try_wait());
-                panic!("no '{words}' in {:?}, {end:?}", self.seen);
+                let status = self.child.as_mut().map(|child| child.try_wait());
+                panic!("no '{words}' in {:?}, status {status:?}", self.seen);
             };
             self.seen.push(line.clone());
             if line.contains(words) {
@@ -73,11 +73,11 @@
     }
 
     pub fn signal(&self, name: &str) {
-        sockets::kill(self.child.as_ref().expect("it runs"), name);
+        socket_stage::send_signal(self.child.as_ref().expect("it runs"), name);
     }
 
-    /// Waits for its end; its status.
-    pub fn end(&mut self) -> Option<i32> {
+    /// Waits for the exit; returns the exit status.
+    pub fn wait_for_exit(&mut self) -> Option<i32> {
         self.child.as_mut().expect("it runs").wait().expect("a program").code()
     }
 }
--- a/crates/gradepin/tests/customers/process.rs
+++ b/crates/gradepin/tests/random_settings/process.rs
@@ -1,4 +1,4 @@
-//! One server process between a stand-in for its processor and one for its clients, on loopback sockets.
+//! One server process between stand-ins for its processor and its clients, on loopback sockets.
 
 use crate::generated_settings::text;
 use serde_json::{Value, json};
@@ -10,22 +10,22 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Upper bound of a wait for what must come.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// How long a start may take.
-const START: Duration = Duration::from_secs(10);
+/// Upper bound of every wait.
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// Upper bound of the time to start.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A server process, and its files.
+/// A server process with its configuration and log files.
 pub struct Process {
     program: Child,
     file: PathBuf,
     log: PathBuf,
     listen: String,
-    parties: [String; 2],
+    peer_addresses: [String; 2],
     seq: i32,
 }
 
-/// Serves a link as a processor does: each run ends with its own body as the result.
+/// Serves a link as a processor whose runs end with their own body as the result.
 fn serve_link(socket: TcpStream) -> std::io::Result<()> {
     let mut writes = socket.try_clone()?;
     let mut reads = BufReader::new(socket);
@@ -44,7 +44,7 @@
                 writes.write_all(&body)?;
             }
             ["interrupt", _] => {}
-            _ => panic!("no command: {line:?}"),
+            _ => panic!("not a command: {line:?}"),
         }
         line.clear();
     }
@@ -52,7 +52,7 @@
 }
 
 impl Process {
-    /// Starts the program with a drawn configuration, its addresses apart; it serves within its time.
+    /// Starts the program with a generated configuration, whose addresses are replaced, and waits until it listens.
     pub fn start(name: &str, config: &Value, exponents: bool) -> Self {
         let links = TcpListener::bind("127.0.0.1:0").expect("a port");
         let processor = links.local_addr().expect("bound").to_string();
@@ -62,23 +62,24 @@
             }
         });
         let control = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        let parties = [processor, control.local_addr().expect("bound").to_string()];
-        // An address of its own for each program: a port that was only free a moment ago may be taken.
+        let peer_addresses = [processor, control.local_addr().expect("bound").to_string()];
+        // A loopback address that is unique to each program, since an ephemeral port that was just released may be
+        // taken again.
         let pid = std::process::id();
         let listen = format!("127.{}.{}.77:18443", 64 + (pid >> 8) % 64, pid % 256);
         let files = std::env::temp_dir();
         let file = files.join(format!("gradepin-{pid}-{name}.json"));
         let log = files.join(format!("gradepin-{pid}-{name}.log"));
-        let mut process = Self { program: idle(), file, log, listen, parties, seq: 0 };
+        let mut process = Self { program: placeholder(), file, log, listen, peer_addresses, seq: 0 };
         process.write(config, exponents);
-        process.checks();
+        process.check_configuration();
         let mut program = Command::new(env!("CARGO_BIN_EXE_gradepin"));
         let log = std::fs::File::create(&process.log).expect("a log");
         let program = program.arg("serve").env("GW_CONFIG", &process.file).stderr(Stdio::from(log));
         process.program = program.spawn().expect("the program starts");
         let start = Instant::now();
         while TcpStream::connect(&process.listen).is_err() {
-            assert!(start.elapsed() < START, "it doesn't serve: {}", process.told());
+            assert!(start.elapsed() < START_TIMEOUT, "the server doesn't listen: {}", process.log_text());
             thread::sleep(Duration::from_millis(5));
         }
         process
@@ -87,24 +88,24 @@
     fn write(&self, config: &Value, exponents: bool) {
         let mut config = config.clone();
         config["listen"] = json!(self.listen);
-        config["processor"] = json!(self.parties[0]);
-        config["control"] = json!(self.parties[1]);
+        config["processor"] = json!(self.peer_addresses[0]);
+        config["control"] = json!(self.peer_addresses[1]);
         config["stop_ms"] = json!(1_000);
-        // Whole or not at all: the server may read it at any instant.
+        // Replaced atomically, because the server may read the file at any time.
         let draft = self.file.with_extension("draft");
         std::fs::write(&draft, text(&config, exponents)).expect("a file for the configuration");
         std::fs::rename(draft, &self.file).expect("a file for the configuration");
     }
 
-    /// `gradepin check` takes the file too.
-    fn checks(&self) {
+    /// Checks that `gradepin check` accepts the file.
+    fn check_configuration(&self) {
         let check =
             Command::new(env!("CARGO_BIN_EXE_gradepin")).args(["check", "--config"]).arg(&self.file).output();
         let check = check.expect("the program starts");
         assert!(check.status.success(), "{}", String::from_utf8_lossy(&check.stderr));
     }
 
-    fn told(&self) -> String {
+    fn log_text(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
@@ -113,31 +114,31 @@
         assert!(Command::new("/bin/sh").arg("-c").arg(kill).status().expect("a shell").success());
     }
 
-    /// The file is another one from now on; the server is told, and goes on meanwhile.
+    /// Replaces the configuration and signals a reload, without waiting for it.
     pub fn reload(&self, config: &Value, exponents: bool) {
         self.write(config, exponents);
         self.signal("HUP");
     }
 
-    /// Waits until so many files are in force.
-    pub fn reloaded(&self, files: usize) {
+    /// Waits until this many reloads have completed.
+    pub fn wait_until_reloaded(&self, reloads: usize) {
         let start = Instant::now();
         loop {
-            let told = self.told();
-            assert!(!told.contains("turned down"), "{told}");
-            if told.matches("reloaded: ").count() >= files {
+            let log_text = self.log_text();
+            assert!(!log_text.contains("turned down"), "{log_text}");
+            if log_text.matches("reloaded: ").count() >= reloads {
                 return;
             }
-            assert!(start.elapsed() < PATIENCE, "no reload: {told}");
+            assert!(start.elapsed() < TIMEOUT, "reload not completed: {log_text}");
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// A health check and some requests on a connection of their own: of classes and tenants of this configuration. Each
-    /// gets one answer, whatever it says; a result is its own.
-    pub fn requests(&mut self, config: &Value) {
+    /// Sends a health check and some requests on a new connection, for classes and tenants of this configuration.
+    /// Each must get one answer of any kind, and a result must be its own.
+    pub fn send_requests(&mut self, config: &Value) {
         let mut socket = TcpStream::connect(&self.listen).expect("it listens");
-        socket.set_read_timeout(Some(PATIENCE)).expect("a socket");
+        socket.set_read_timeout(Some(TIMEOUT)).expect("a socket");
         let name = |entry: &Value| entry["name"].as_str().expect("a name").to_string();
         let list = |key: &str| config["settings"][key].as_array().cloned().unwrap_or_default();
         let (classes, tenants) = (list("profiles"), list("customers"));
@@ -171,39 +172,39 @@
         while !owed.is_empty() {
             let mut prefix = [0; 4];
             let read = socket.read_exact(&mut prefix);
-            assert!(read.is_ok(), "no answers to {owed:?}: {read:?}, {}", self.told());
+            assert!(read.is_ok(), "no answers to {owed:?}: {read:?}, {}", self.log_text());
             let mut frame = vec![0; u32::from_be_bytes(prefix) as usize];
             socket.read_exact(&mut frame).expect("a whole frame");
             if frame[3] == 4 {
-                continue; // It asks to drain.
+                continue; // A drain request.
             }
             let name = u32::from_be_bytes(frame[4..8].try_into().expect("four bytes")) as usize;
             let seq = i32::from_be_bytes(frame[8 + name..12 + name].try_into().expect("four bytes"));
-            let place = owed.iter().position(|owed| *owed == seq);
-            owed.swap_remove(place.expect("one answer to what was sent"));
-            // A reply that serves: a struct as field 0, whose first field is the result.
+            let position = owed.iter().position(|owed| *owed == seq);
+            owed.swap_remove(position.expect("one answer per request"));
+            // A successful reply: field 0 is a struct whose first field is the result.
             if let (Some(body), [12, 0, 0, 11, 0, 1, len @ ..]) = (bodies.get(&seq), &frame[12 + name..]) {
                 let (len, rest) = len.split_at(4);
                 let len = u32::from_be_bytes(len.try_into().expect("four bytes")) as usize;
-                assert_eq!(&rest[..len], body.as_bytes(), "another's result");
+                assert_eq!(&rest[..len], body.as_bytes(), "the result of another request");
             }
         }
     }
 
-    /// Tells it to leave; it ends in time, with status 0 and nothing said of a panic.
-    pub fn leave(mut self) {
+    /// Sends SIGTERM; the program must exit in time, with status 0 and no panic in its log.
+    pub fn terminate(mut self) {
         self.signal("TERM");
         let start = Instant::now();
         let status = loop {
             if let Some(status) = self.program.try_wait().expect("a program") {
                 break status;
             }
-            assert!(start.elapsed() < PATIENCE, "it doesn't end: {}", self.told());
+            assert!(start.elapsed() < TIMEOUT, "the server doesn't exit: {}", self.log_text());
             thread::sleep(Duration::from_millis(5));
         };
-        let told = self.told();
-        assert!(status.success() && !told.contains("panicked"), "{status}: {told}");
-        assert!(!told.contains("turned down"), "{told}");
+        let log_text = self.log_text();
+        assert!(status.success() && !log_text.contains("panicked"), "{status}: {log_text}");
+        assert!(!log_text.contains("turned down"), "{log_text}");
     }
 }
 
@@ -216,8 +217,8 @@
     }
 }
 
-/// A program that has ended already, until the real one is started.
-fn idle() -> Child {
+/// A program that exits at once, as a placeholder until the server is started.
+fn placeholder() -> Child {
     Command::new("/bin/true").spawn().expect("a program")
 }
 
--- a/crates/gradepin/tests/reload.rs
+++ b/crates/gradepin/tests/reload.rs
@@ -1,18 +1,20 @@
-//! New settings at SIGHUP: classes added and dropped while requests are open, and files that are turned down whole.
+//! Reloads at SIGHUP: classes added and removed while requests are open, and invalid files that are rejected
+//! entirely.
 
 mod program;
 mod scenario;
 use program::Program;
 use scenario::play;
-use scenario::sockets::Sockets;
-use scenario::virtually::Virtually;
+use scenario::socket_stage::SocketStage;
+use scenario::virtual_stage::VirtualStage;
 
 #[test]
-fn a_class_dropped_with_requests_open_in_it_answers_them_and_lapses() {
-    // Guards open requests across a reload: the keyed one keeps its class and is served, its class is taken for
-    // the grace in which proxies still use it and is unknown after, and the new class runs at once.
+fn a_class_removed_with_open_requests_answers_them_and_expires() {
+    // Guards open requests across a reload: a keyed request keeps its class and is served, its removed class is
+    // accepted for the grace period in which proxies still use it and is unknown afterwards, and the new class runs
+    // at once.
     play(
-        &mut Virtually::up(),
+        &mut VirtualStage::ready(),
         "send a call 1 rid=1 method=claim token=t1 body=save
          expect processor begin 1 claim save
          send server HUP retuned
@@ -37,10 +39,10 @@
 }
 
 #[test]
-fn each_kind_of_broken_settings_is_turned_down_whole() {
-    // Guards the settings in force: an empty file, one cut short, one that lacks a key, and deadlines of 0, below 0
-    // or no number change nothing, not even the part that could be read; each is counted.
-    let mut stage = Virtually::up();
+fn each_kind_of_invalid_settings_is_rejected_entirely() {
+    // Guards the active settings: a file that is empty, truncated or lacks a key, and a deadline that is zero,
+    // negative or not a number change nothing, not even the valid part; each is counted.
+    let mut stage = VirtualStage::ready();
     let kinds = ["empty", "cut", "keyless", "zero-deadline", "negative-deadline", "word-deadline", "broken"];
     for (n, kind) in kinds.iter().enumerate() {
         play(
@@ -68,9 +70,9 @@
 }
 
 #[test]
-fn new_settings_cross_the_sockets_and_a_broken_file_is_counted() {
+fn a_reload_on_sockets_applies_new_settings_and_counts_an_invalid_file() {
     play(
-        &mut Sockets::up("retune"),
+        &mut SocketStage::start("retune"),
         "expect processor hello 0
          send server HUP empty
          until admin stats 200 server_cfg_invalid_total 1
@@ -87,12 +89,12 @@
     );
 }
 
-/// Guards against a keyed request that runs twice because its class was made safe to repeat meanwhile: for the rest of
-/// the window its repeats are answered from the run, and tries without a token run as the new settings say.
+/// Guards against running a keyed request twice because its class became repeatable meanwhile: for the rest of the
+/// window its retries are answered from the run, and attempts without a token run under the new settings.
 #[test]
-fn a_class_that_is_keyed_no_more_still_answers_repeats_of_what_ran_as_such() {
+fn a_class_no_longer_keyed_still_answers_retries_of_its_keyed_runs() {
     play(
-        &mut Virtually::up(),
+        &mut VirtualStage::ready(),
         "send a call 1 method=claim token=t rid=1
          expect processor begin 1
          send processor complete 1 1 OK once
@@ -123,12 +125,12 @@
     );
 }
 
-/// Guards a class that comes back as keyed, with a window shorter than its deadline: counted from the stamp of the try
-/// that ran, nothing runs again just inside, and just outside it does.
+/// Guards a class that becomes keyed again with a window shorter than its deadline: counted from the timestamp of the
+/// attempt that ran, no retry runs just inside the window, and one does just after it.
 #[test]
-fn a_class_keyed_again_goes_by_its_new_window() {
+fn a_class_keyed_again_uses_its_new_window() {
     play(
-        &mut Virtually::up(),
+        &mut VirtualStage::ready(),
         "send server HUP unkeyed
          expect settings
          send a call 1 method=claim rid=1
@@ -155,33 +157,33 @@
     );
 }
 
-/// Guards against a process that ends because of what its own settings hold when they are read again: the parser called
-/// itself for each star of a banner, each level of nesting and each error, and took the stack of a small thread.
+/// Guards against a crash on the content of operator settings at a reload: the parser recursed for each star of a
+/// banner comment, each nesting level and each error, and overflowed the stack of a small thread.
 #[test]
-fn own_settings_of_any_shape_are_taken_or_turned_down() {
+fn operator_settings_of_any_shape_are_accepted_or_rejected() {
     const PLAIN: &str = "leave {\n    hold-ms 100\n}\n";
-    let mut program = Program::prepared("kdl", |_| ());
+    let mut program = Program::prepare("kdl", |_| ());
     let file = program.folder().join("own.kdl");
     std::fs::write(&file, PLAIN).expect("a file");
-    program.run(&["--settings", file.to_str().expect("a path")]);
-    program.line("serving");
+    program.start(&["--settings", file.to_str().expect("a path")]);
+    program.wait_for_line("serving");
     let banner = format!("/*{}\n * Taken from http://127.0.0.1/a/b/c\n */\n{PLAIN}", "*".repeat(20_000));
     std::fs::write(&file, banner).expect("a file");
     program.signal("HUP");
-    program.line("reloaded: ");
-    for (wrong, told) in [
+    program.wait_for_line("reloaded: ");
+    for (invalid, message) in [
         ("a {".repeat(5_000), "line 1, column 51: expected blocks within 16"),
         (format!("/* {PLAIN}"), "line 1, column 1: expected the end of this comment"),
         ("}".repeat(5_000), "line 1, column 1: expected no '}'"),
         (scenario::config("127.0.0.1:1", "127.0.0.1:9", "127.0.0.1:9").to_string(), "own.kdl: line 1, "),
         (") = ".repeat(5_000), "own.kdl: line 1, "),
     ] {
-        std::fs::write(&file, wrong).expect("a file");
+        std::fs::write(&file, invalid).expect("a file");
         program.signal("HUP");
-        let line = program.line("turned down");
-        assert!(line.contains(told), "{line}");
+        let line = program.wait_for_line("turned down");
+        assert!(line.contains(message), "{line}");
     }
     std::fs::write(&file, PLAIN).expect("a file");
     program.signal("HUP");
-    program.line("reloaded: ");
+    program.wait_for_line("reloaded: ");
 }
--- a/crates/gradepin/tests/scenario/mod.rs
+++ b/crates/gradepin/tests/scenario/mod.rs
@@ -1,119 +1,125 @@
-//! The scenario language of the server's tests. A scenario is a text; each line is one of
+//! The scenario language of the server's tests. A scenario is a text with one instruction per line.
 //!
-//! - `send CONN call SEQ [field=value ..]`, `send CONN cancel SEQ`, `send CONN health SEQ`, `send CONN hex BYTES`,
-//!   `send processor LINE`, `send server TERM|OUT|IN` and `send server HUP HOW`: something reaches the
-//!   server. `OUT` and `IN` are an operator's orders. `HOW` is `moved` or one of the kinds of [`changed`].
-//!   A move gives it another processor and another control plane, `processor2` and `control2` on sockets; a
-//!   broken configuration is no JSON. A connection opens when it is first named. Fields have defaults; `rid` is a plain number and `t0` counts from now. `+` before `call` holds
-//!   the message back until the next one, so that both arrive together.
-//! - `send ledger RID 200 REPLY` and `send ledger RID untouched|500|504|refused|broken`: how a call to the ledger
-//!   ended, on the virtual stage; the call itself is the event `ledger call RID BODY LIMIT_MS`, and a reply that
-//!   reaches the run `processor answer RID REPLY`.
-//! - `send admin health|stats|fail|ok`: a call at the operators' door. Its response is an event for each line of the
-//!   body that is no comment: `admin STATUS LINE`, such as `admin 503 not ready: drained` or
-//!   `admin 200 server_relayed_total 1`.
-//! - `until admin CALL STATUS LINE`: the call is made again and again until its response has that line.
-//! - `expect EVENT`: an event that begins with these words has come or comes now; `expect no EVENT`: none has.
-//!   Events are `CONN SEQ served BODY`, `CONN SEQ refused|failed|invalid|good|bad [fields]`, `CONN draining`,
-//!   `CONN closed`, `processor hello|begin ..`, `control Ready|NotReady`, `exit`, and on the virtual stage
-//!   `stop accepting` and
-//!   `settings CLASS ..`, the classes in force in their places.
-//! - On the virtual stage a call to the ledger that did not deliver is told as `log a call to the ledger for ..`, as in the log.
-//! - `send claims RID ours|unsure|failed|served ..`: whose a keyed run is, where two processes of an upgrade share them;
-//!   asked for as `claim RID TOKEN`, its end told as `claim-ended TOKEN served|failed|void`.
-//! - `open CONN`: a connection opens, and nothing is sent on it.
-//! - `close CONN` and `close processor`: a peer ends its connection, both ways at once.
-//! - `late CONN`: the reader found that no message of it is whole in its time; on the virtual stage alone.
-//! - `half-close CONN`: it sends nothing more, and still reads. `reset CONN`: it is gone, and what is unread with it; on
-//!   sockets alone, as are the next three.
-//! - `hold CONN` reads nothing of a connection that is not open yet, until `release CONN`. `flood CONN COUNT health` and
-//!   `flood CONN COUNT hex BYTES` send the same so many times, as fast as the server reads it; `flood CONN COUNT call RID`
-//!   so many calls, with ids that count on from there.
-//! - `send processor half LINE`: the first half of a line of the processor; on sockets alone.
-//! - `trickle CONN call SEQ ..`: sends a call byte by byte, each once the one before has left.
-//! - `send CONN half call SEQ ..` and `send CONN rest`: the first half of a call, and what is left of it.
-//! - `freeze` and `thaw`: the server stops and goes on, so that what is sent in between, signals too, comes to it in one
-//!   instant; on sockets alone, as are `close control` and `open control`: nobody takes its reports for a while.
-//! - `wait MS`: time passes; on the virtual stage no real time does.
+//! Stages: a scenario runs on sockets (`SocketStage`), on a virtual clock (`VirtualStage`), or on both. Instructions marked
+//! [sockets] or [virtual] exist on that stage only.
 //!
-//! The processor answers every `usage` by itself, unless it was sent `mute`.
+//! Input to the server:
+//! - `send CONN call SEQ [field=value ..]`: a request. The connection `CONN` opens when it is first named. Omitted fields have
+//!   defaults; `rid` is a plain number and `t0` an offset in ms from now. With `+` before `call` the message is buffered and
+//!   arrives together with the next one.
+//! - `send CONN cancel SEQ`, `send CONN health SEQ`, `send CONN hex BYTES`: a cancel, a health check, raw bytes.
+//! - `send CONN half call SEQ ..`, then `send CONN rest`: the first half of a request, then the remainder.
+//! - `trickle CONN call SEQ ..`: a request sent byte by byte, each in its own write. [sockets]
+//! - `flood CONN COUNT health`, `flood CONN COUNT hex BYTES`: the same message `COUNT` times, as fast as the server reads it;
+//!   `flood CONN COUNT call RID`: `COUNT` requests with consecutive ids from `RID`. [sockets]
+//! - `send processor LINE`: a line of the processor; `send processor half LINE`: only its first half. [sockets]
+//! - `send server TERM`: SIGTERM. `send server OUT|IN`: an operator takes the server out of service, or returns it.
+//! - `send server HUP HOW`: the configuration is reloaded. `HOW` is `moved` or one of the kinds of [`changed_config`]. `moved`
+//!   names another processor and another control plane, `processor2` and `control2` on sockets.
+//! - `send admin health|stats|fail|ok`: a request to the admin endpoint. Each line of the response body that is not a comment
+//!   is an event `admin STATUS LINE`, such as `admin 503 not ready: drained` or `admin 200 server_relayed_total 1`.
+//! - `send ledger RID 200 REPLY`, `send ledger RID untouched|500|504|refused|broken`: the outcome of an upstream call. The
+//!   call is the event `ledger call RID BODY LIMIT_MS`; a reply that reaches the run is `processor answer RID REPLY`. [virtual]
+//! - `send claims RID ours|unsure|failed|served ..`: the outcome of claiming a keyed run that two processes of an upgrade
+//!   share. The claim is the event `claim RID TOKEN`, its release `claim-ended TOKEN served|failed|void`. [virtual]
+//!
+//! Connections and links:
+//! - `open CONN`: opens a connection without sending. `close CONN`, `close processor`: the peer closes both directions.
+//! - `half-close CONN`: the peer stops sending but still reads. `reset CONN`: the peer resets the connection and loses unread
+//!   data. [sockets: `reset`]
+//! - `late CONN`: the reader found no complete message within the time limit. [virtual]
+//! - `hold CONN`: opens a connection whose peer reads nothing until `release CONN`. [sockets]
+//! - `close control`, `open control`: the control plane stops and resumes receiving reports. [sockets]
+//! - `freeze`, `thaw`: the server process is stopped and continued, so that everything sent in between, signals included,
+//!   arrives at one instant. [sockets]
+//!
+//! Time and expectations:
+//! - `wait MS`: time passes; no real time does on the virtual stage.
+//! - `expect EVENT`: an event that begins with these words has occurred or occurs now. `expect no EVENT`: none has occurred.
+//! - `until admin CALL STATUS LINE`: repeats the request until its response contains the line.
+//!
+//! Events are `CONN SEQ served BODY`, `CONN SEQ refused|failed|invalid|good|bad [fields]`, `CONN draining`, `CONN closed`,
+//! `processor hello|begin ..`, `control Ready|NotReady`, `exit`. The virtual stage adds `stop accepting`, `settings CLASS ..`
+//! (the active classes in slot order) and `log a call to the ledger for ..` for an upstream call that delivered nothing.
+//!
+//! The processor answers every `usage` automatically, unless it was sent `mute`.
 #![allow(dead_code)]
 
 #[path = "../../../admission/tests/common/mod.rs"]
 pub mod common;
-pub mod scripted;
-pub mod sockets;
+pub mod scripted_processor;
+pub mod socket_stage;
 pub mod thrift;
-pub mod virtually;
+pub mod virtual_stage;
 
 use gradepin_core::admin::AdminRequest;
 use serde_json::{Value, json};
 
-/// Where a scenario is played.
+/// An environment in which a scenario is executed.
 pub trait Stage {
-    /// A frame of a client connection.
-    fn client(&mut self, conn: &str, bytes: &[u8], more: bool);
-    /// A line of the processor.
-    fn processor(&mut self, line: &str);
-    /// The notice to leave.
+    /// Sends a frame on a client connection; with `more` it is buffered until the next one.
+    fn send_frame(&mut self, conn: &str, bytes: &[u8], more: bool);
+    /// Sends a line of the processor to the server.
+    fn send_processor_line(&mut self, line: &str);
+    /// Sends SIGTERM.
     fn terminate(&mut self);
-    /// An operator's order: out of service, or back in.
-    fn order(&mut self, out: bool);
-    /// The configuration is read again, with what became of it: moved or broken.
+    /// Takes the server out of service, or returns it to service.
+    fn set_out_of_service(&mut self, out: bool);
+    /// Reloads the configuration after the change named by `how`: `moved`, or a kind of [`changed_config`].
     fn reload(&mut self, how: &str);
-    /// A call at the operators' door.
-    fn admin(&mut self, call: AdminRequest);
-    /// How a call to the ledger ended: `RID 200 REPLY`, `RID untouched|500|504|refused|broken`.
-    fn ledger(&mut self, line: &str) {
-        panic!("this stage has no ledger: {line}");
+    /// Sends a request to the admin endpoint and records the response as events.
+    fn send_admin_request(&mut self, call: AdminRequest);
+    /// Ends an upstream call: `RID 200 REPLY` or `RID untouched|500|504|refused|broken`.
+    fn end_upstream_call(&mut self, line: &str) {
+        panic!("this stage has no upstream: {line}");
     }
-    /// Whose a keyed run is, where two processes share them: `RID ours|unsure|failed` or `RID served RESULT`.
-    fn claims(&mut self, line: &str) {
-        panic!("this stage shares no runs: {line}");
+    /// Resolves the claim of a keyed run: `RID ours|unsure|failed` or `RID served RESULT`.
+    fn resolve_claim(&mut self, line: &str) {
+        panic!("this stage shares no keyed runs: {line}");
     }
     fn open(&mut self, conn: &str);
     fn close(&mut self, peer: &str);
     fn half_close(&mut self, conn: &str);
-    fn late(&mut self, conn: &str) {
-        panic!("this stage's reader finds by itself what is late: {conn}");
+    fn mark_late(&mut self, conn: &str) {
+        panic!("this stage detects late connections itself: {conn}");
     }
     fn reset(&mut self, conn: &str) {
-        panic!("this stage resets no connection: {conn}");
+        panic!("this stage cannot reset a connection: {conn}");
     }
-    fn hold(&mut self, conn: &str, holds: bool) {
-        panic!("this stage holds no connection: {conn} {holds}");
+    fn set_reading_paused(&mut self, conn: &str, paused: bool) {
+        panic!("this stage cannot pause reading: {conn} {paused}");
     }
     fn flood(&mut self, conn: &str, bytes: &[u8]) {
-        panic!("this stage has no floods: {conn} of {}", bytes.len());
+        panic!("this stage cannot flood a connection: {conn}, {} bytes", bytes.len());
     }
     fn trickle(&mut self, conn: &str, bytes: &[u8]) {
-        panic!("this stage sends whole messages alone: {conn} of {}", bytes.len());
+        panic!("this stage only sends complete messages: {conn}, {} bytes", bytes.len());
     }
-    fn freeze(&mut self, stops: bool) {
-        panic!("this stage stops at no instant: {stops}");
+    fn set_frozen(&mut self, frozen: bool) {
+        panic!("this stage cannot be frozen: {frozen}");
     }
-    fn control(&mut self, stands: bool) {
-        panic!("this stage's control plane always stands: {stands}");
+    fn set_control_plane_up(&mut self, up: bool) {
+        panic!("this stage's control plane is always up: {up}");
     }
-    /// The half of a call that is still to be sent.
-    fn rest_of(&mut self, conn: &str) -> &mut Vec<u8> {
-        panic!("this stage sends whole messages alone: {conn}");
+    /// The half of a request that has not been sent yet.
+    fn unsent_half(&mut self, conn: &str) -> &mut Vec<u8> {
+        panic!("this stage only sends complete messages: {conn}");
     }
     fn wait(&mut self, ms: u64);
-    /// The Unix clock, in ms.
+    /// Unix time in ms.
     fn unix_ms(&self) -> u64;
-    /// Waits for an event that begins with the words and takes it; or says what came instead.
-    fn take(&mut self, words: &str) -> Result<String, Vec<String>>;
-    /// What has come and was not taken.
-    fn rest(&mut self) -> Vec<String>;
+    /// Waits for an event that begins with the words and removes it; otherwise returns the pending events.
+    fn take_event(&mut self, words: &str) -> Result<String, Vec<String>>;
+    /// Events that have occurred and were not taken.
+    fn pending_events(&mut self) -> Vec<String>;
 }
 
-/// Whether an event begins with all these words.
-pub fn begins(event: &str, words: &str) -> bool {
+/// True if the event begins with all these words.
+pub fn matches_words(event: &str, words: &str) -> bool {
     event.strip_prefix(words).is_some_and(|rest| rest.is_empty() || rest.starts_with(' '))
 }
 
-/// The configuration of the server under test: two classes, four cores.
+/// Configuration of the server under test: two classes, four cores.
 pub fn config(listen: &str, processor: &str, control: &str) -> Value {
     let mut settings = common::base();
     settings["specifics"]["below"] = json!("off");
@@ -123,10 +129,11 @@
            "stop_ms": 2000, "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings})
 }
 
-/// The text of a configuration file after a change of some kind to the one in force. `retuned` keeps `read` with a
-/// longer deadline, drops `claim` and adds `view`; `calling` has runs call the ledger; `unkeyed` has `claim` safe to repeat, and `rekeyed` keyed again with a
-/// short window; the others are broken in one way each and must be turned down.
-pub fn changed(config: &Value, how: &str) -> String {
+/// Text of a configuration file after one change to the active one. Valid changes: `retuned` keeps `read` with a
+/// longer deadline, drops `claim` and adds `view`; `calling` enables upstream calls; `unkeyed` makes `claim`
+/// repeatable; `rekeyed` makes it keyed again with a short window. Each of the others has one defect and must be
+/// rejected.
+pub fn changed_config(config: &Value, how: &str) -> String {
     let mut config = config.clone();
     let deadline = &mut config["settings"]["profiles"][0]["deadline"];
     match how {
@@ -153,7 +160,7 @@
         "negative-deadline" => *deadline = json!(-1000),
         "word-deadline" => *deadline = json!("soon"),
         "broken" => return "{".to_string(),
-        _ => panic!("no change of the configuration: {how}"),
+        _ => panic!("unknown change of the configuration: {how}"),
     }
     config.to_string()
 }
@@ -170,13 +177,13 @@
         ("mem", field("mem").unwrap_or("20.5").to_string()),
         ("prio", "0.6250".to_string()),
     ];
-    // Without a budget it is written as one of "-".
+    // `-` omits the budget.
     fields.extend(
         Some(field("budget").unwrap_or("4000"))
             .filter(|budget| *budget != "-")
             .map(|ms| ("budget", ms.into())),
     );
-    // A request of no tenant is written as one of "-".
+    // `-` omits the tenant.
     fields.extend(
         Some(field("acct").unwrap_or("acme")).filter(|acct| *acct != "-").map(|acct| ("acct", acct.into())),
     );
@@ -185,20 +192,20 @@
     thrift::call(words[0].parse().expect("a number"), &fields, field("body").unwrap_or("in").as_bytes())
 }
 
-/// Calls made by `until` before it gives up: some seconds on sockets.
-const UNTIL_TRIES: usize = 500;
+/// Attempts of `until` before it fails; several seconds on sockets.
+const MAX_UNTIL_ATTEMPTS: usize = 500;
 
-fn admin_call(word: &str, at: &str) -> AdminRequest {
+fn admin_request(word: &str, at: &str) -> AdminRequest {
     match word {
         "health" => AdminRequest::Health,
         "stats" => AdminRequest::Stats,
         "fail" => AdminRequest::StartDrain,
         "ok" => AdminRequest::EndDrain,
-        _ => panic!("{at}: no call at the door"),
+        _ => panic!("{at}: unknown admin request"),
     }
 }
 
-/// Plays a scenario.
+/// Executes a scenario.
 pub fn play(stage: &mut impl Stage, text: &str) {
     for (number, line) in text.lines().enumerate() {
         let words: Vec<&str> = line.split_whitespace().collect();
@@ -206,60 +213,65 @@
         let seq = |n: usize| words[n].parse::<i32>().expect("a number");
         match words[..] {
             [] => {}
-            ["send", "processor", ..] => stage.processor(&words[2..].join(" ")),
-            ["send", "ledger", ..] => stage.ledger(&words[2..].join(" ")),
-            ["send", "claims", ..] => stage.claims(&words[2..].join(" ")),
+            ["send", "processor", ..] => stage.send_processor_line(&words[2..].join(" ")),
+            ["send", "ledger", ..] => stage.end_upstream_call(&words[2..].join(" ")),
+            ["send", "claims", ..] => stage.resolve_claim(&words[2..].join(" ")),
             ["send", "server", "TERM"] => stage.terminate(),
-            ["send", "server", order @ ("OUT" | "IN")] => stage.order(order == "OUT"),
+            ["send", "server", order @ ("OUT" | "IN")] => stage.set_out_of_service(order == "OUT"),
             ["send", "server", "HUP", how] => stage.reload(how),
-            ["send", "admin", call] => stage.admin(admin_call(call, &at)),
+            ["send", "admin", call] => stage.send_admin_request(admin_request(call, &at)),
             ["send", conn, "half", "call", ..] => {
                 let mut first = call(&words[4..], stage.unix_ms());
-                *stage.rest_of(conn) = first.split_off(first.len() / 2);
-                stage.client(conn, &first, false);
+                *stage.unsent_half(conn) = first.split_off(first.len() / 2);
+                stage.send_frame(conn, &first, false);
             }
             ["send", conn, "rest"] => {
-                let rest = std::mem::take(stage.rest_of(conn));
+                let rest = std::mem::take(stage.unsent_half(conn));
                 assert!(!rest.is_empty(), "{at}: no half was sent");
-                stage.client(conn, &rest, false);
+                stage.send_frame(conn, &rest, false);
+            }
+            ["send", conn, "call", ..] => stage.send_frame(conn, &call(&words[3..], stage.unix_ms()), false),
+            ["send", conn, "+", "call", ..] => {
+                stage.send_frame(conn, &call(&words[4..], stage.unix_ms()), true)
             }
-            ["send", conn, "call", ..] => stage.client(conn, &call(&words[3..], stage.unix_ms()), false),
-            ["send", conn, "+", "call", ..] => stage.client(conn, &call(&words[4..], stage.unix_ms()), true),
-            ["send", conn, "cancel", _] => stage.client(conn, &thrift::cancel(seq(3)), false),
-            ["send", conn, "health", _] => stage.client(conn, &thrift::health(seq(3)), false),
-            ["send", conn, "hex", bytes] => stage.client(conn, &thrift::unhex(bytes), false),
+            ["send", conn, "cancel", _] => stage.send_frame(conn, &thrift::cancel(seq(3)), false),
+            ["send", conn, "health", _] => stage.send_frame(conn, &thrift::health(seq(3)), false),
+            ["send", conn, "hex", bytes] => stage.send_frame(conn, &thrift::unhex(bytes), false),
             ["until", "admin", call, ..] => {
-                // Asks again until the line comes: a signal on sockets takes its time.
+                // Repeats the request: on sockets a signal takes a while to have its effect.
                 let line = format!("admin {}", words[3..].join(" "));
-                let found = (0..UNTIL_TRIES).any(|_| {
-                    stage.admin(admin_call(call, &at));
-                    // The response is here by now: nothing to wait for.
-                    let came = stage.rest().iter().any(|event| begins(event, &line));
-                    let found = came && stage.take(&line).is_ok();
+                let found = (0..MAX_UNTIL_ATTEMPTS).any(|_| {
+                    stage.send_admin_request(admin_request(call, &at));
+                    // The response has arrived by now, so `take_event` does not wait.
+                    let came = stage.pending_events().iter().any(|event| matches_words(event, &line));
+                    let found = came && stage.take_event(&line).is_ok();
                     stage.wait(if found { 0 } else { 20 });
                     found
                 });
-                assert!(found, "{at}: never came, there is only {:?}", stage.rest());
+                assert!(found, "{at}: did not occur; pending events: {:?}", stage.pending_events());
             }
             ["expect", "no", ..] => {
-                let (words, rest) = (words[2..].join(" "), stage.rest());
-                assert!(!rest.iter().any(|event| begins(event, &words)), "{at}: came, in {rest:?}");
+                let (words, pending) = (words[2..].join(" "), stage.pending_events());
+                assert!(
+                    !pending.iter().any(|event| matches_words(event, &words)),
+                    "{at}: occurred, in {pending:?}"
+                );
             }
             ["expect", ..] => {
-                let taken = stage.take(&words[1..].join(" "));
-                assert!(taken.is_ok(), "{at}: there is only {:?}", taken.err());
+                let taken = stage.take_event(&words[1..].join(" "));
+                assert!(taken.is_ok(), "{at}: pending events: {:?}", taken.err());
             }
-            ["open", "control"] => stage.control(true),
-            ["close", "control"] => stage.control(false),
+            ["open", "control"] => stage.set_control_plane_up(true),
+            ["close", "control"] => stage.set_control_plane_up(false),
             ["open", conn] => stage.open(conn),
             ["close", peer] => stage.close(peer),
-            ["freeze"] => stage.freeze(true),
-            ["thaw"] => stage.freeze(false),
+            ["freeze"] => stage.set_frozen(true),
+            ["thaw"] => stage.set_frozen(false),
             ["half-close", conn] => stage.half_close(conn),
-            ["late", conn] => stage.late(conn),
+            ["late", conn] => stage.mark_late(conn),
             ["reset", conn] => stage.reset(conn),
-            ["hold", conn] => stage.hold(conn, true),
-            ["release", conn] => stage.hold(conn, false),
+            ["hold", conn] => stage.set_reading_paused(conn, true),
+            ["release", conn] => stage.set_reading_paused(conn, false),
             ["trickle", conn, "call", ..] => stage.trickle(conn, &call(&words[3..], stage.unix_ms())),
             ["flood", conn, _, "health"] => {
                 stage.flood(conn, &(1..=seq(2)).flat_map(thrift::health).collect::<Vec<u8>>())
@@ -276,7 +288,7 @@
                 stage.flood(conn, &thrift::unhex(bytes).repeat(seq(2) as usize))
             }
             ["wait", ms] => stage.wait(ms.parse().expect("milliseconds")),
-            _ => panic!("{at}: not in the scenario language"),
+            _ => panic!("{at}: unknown instruction"),
         }
     }
 }
--- a/crates/gradepin/tests/scenario/scripted.rs
+++ b/crates/gradepin/tests/scenario/scripted_processor.rs
@@ -1,23 +1,24 @@
-//! A processor whose every byte the test writes itself: it takes the server's links one by one, reads the commands as
-//! they came, and tells what it likes. Waits are bounded; what comes that is no command fails the test.
+//! A scripted processor: the test writes every byte itself. It accepts the server's links one at a time, reads
+//! commands as they arrive and sends arbitrary replies. Waits are bounded; input that is not a command fails the
+//! test.
 
-use super::sockets::Sockets;
+use super::socket_stage::SocketStage;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::thread;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Where the server makes its links to.
-pub struct Scripted {
+/// Listener to which the server connects its links.
+pub struct ScriptedProcessor {
     listener: TcpListener,
-    /// When the test began; the processor started some time before that.
-    began: Instant,
+    /// Start of the test; the processor claims to have started [`INITIAL_UPTIME`] earlier.
+    started: Instant,
 }
 
-/// How long before the test its processor started.
-const UP: Duration = Duration::from_secs(10);
+/// Uptime that the processor reports at the start of the test.
+const INITIAL_UPTIME: Duration = Duration::from_secs(10);
 
 /// A command of the server.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -29,27 +30,27 @@
     Usage(String),
 }
 
-impl Scripted {
-    /// Listens on a port of its own.
+impl ScriptedProcessor {
+    /// Listens on an ephemeral port.
     pub fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         listener.set_nonblocking(true).expect("a socket");
-        Self { listener, began: Instant::now() }
+        Self { listener, started: Instant::now() }
     }
 
     pub fn address(&self) -> String {
         self.listener.local_addr().expect("an address").to_string()
     }
 
-    /// The program with this processor, and a change of its configuration beside that.
-    pub fn server(&self, name: &str, change: impl FnOnce(&mut serde_json::Value)) -> Sockets {
-        Sockets::with(name, 1024, |config| {
+    /// Starts the server with this processor and a modified configuration.
+    pub fn server(&self, name: &str, change: impl FnOnce(&mut serde_json::Value)) -> SocketStage {
+        SocketStage::with(name, 1024, |config| {
             config["processor"] = self.address().into();
             change(config);
         })
     }
 
-    /// The server's next link.
+    /// Accepts the server's next link.
     pub fn accept(&self) -> Link {
         let start = Instant::now();
         loop {
@@ -57,29 +58,29 @@
                 Ok((socket, _)) => {
                     socket.set_nonblocking(false).expect("a socket");
                     socket.set_nodelay(true).expect("a socket");
-                    socket.set_read_timeout(Some(PATIENCE)).expect("a socket");
+                    socket.set_read_timeout(Some(TIMEOUT)).expect("a socket");
                     return Link { socket, read: Vec::new(), parsed: 0 };
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-                Err(e) => panic!("no link: {e}"),
+                Err(e) => panic!("accepting a link failed: {e}"),
             }
-            assert!(start.elapsed() < PATIENCE, "the server makes no link");
+            assert!(start.elapsed() < TIMEOUT, "the server does not connect");
             thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// The server's next link, greeted by the processor that was there from the first; and the number of the last
-    /// notice that the server read.
+    /// Accepts and greets the server's next link as the processor of the start of the test. Returns the link and the
+    /// number of the last notice that the server read.
     pub fn greet(&self) -> (Link, u64) {
-        self.greet_as(|| self.age())
+        self.greet_as(|| self.uptime())
     }
 
-    /// How long ago that processor started.
-    pub fn age(&self) -> Duration {
-        UP + self.began.elapsed()
+    /// Uptime of the processor of the start of the test.
+    pub fn uptime(&self) -> Duration {
+        INITIAL_UPTIME + self.started.elapsed()
     }
 
-    /// The same by one that says that it started so long ago.
+    /// Like [`Self::greet`], but with a given uptime.
     pub fn greet_as(&self, age: impl FnOnce() -> Duration) -> (Link, u64) {
         let mut link = self.accept();
         let Some(Command::Hello(last)) = link.command() else { panic!("no hello") };
@@ -91,30 +92,30 @@
 /// The processor's end of a link.
 pub struct Link {
     socket: TcpStream,
-    /// All that came, and how much of it was taken as commands.
+    /// All bytes received, and how many of them were consumed as commands.
     read: Vec<u8>,
     parsed: usize,
 }
 
 impl Link {
-    /// Writes bytes; false where the server has ended the link.
+    /// Writes bytes; returns false if the server has closed the link.
     pub fn send(&mut self, bytes: &[u8]) -> bool {
         self.socket.write_all(bytes).is_ok()
     }
 
-    /// Tells a notice or answer with bytes behind it.
-    pub fn tell(&mut self, line: &str, bytes: &[u8]) -> bool {
+    /// Sends a notice or answer followed by its payload.
+    pub fn send_with_payload(&mut self, line: &str, bytes: &[u8]) -> bool {
         self.send(&[format!("{line} {}\r\n", bytes.len()).as_bytes(), bytes, b"\r\n"].concat())
     }
 
-    /// Answers a question for the gauges.
-    pub fn used(&mut self, tag: &str) -> bool {
+    /// Answers a query for the gauges.
+    pub fn answer_gauges(&mut self, tag: &str) -> bool {
         self.send(format!("used {tag} 0.5 2 0.1 9\r\n").as_bytes())
     }
 
-    /// Reads on; false at the end of the link.
-    fn read_on(&mut self, most: usize) -> bool {
-        let mut bytes = vec![0; most];
+    /// Reads more bytes; returns false at the end of the link.
+    fn read_more(&mut self, max_bytes: usize) -> bool {
+        let mut bytes = vec![0; max_bytes];
         loop {
             match self.socket.read(&mut bytes) {
                 Ok(0) => return false,
@@ -124,61 +125,62 @@
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::ConnectionReset => return false,
-                Err(e) => panic!("nothing came in its time: {e}"),
+                Err(e) => panic!("no data before the timeout: {e}"),
             }
         }
     }
 
-    /// The next command, whole; none at the end of the link, which may come in the midst of one.
+    /// The next complete command; `None` at the end of the link, which may occur within a command.
     pub fn command(&mut self) -> Option<Command> {
         loop {
             if let Some((len, command)) = parse(&self.read[self.parsed..]) {
                 self.parsed += len;
                 return Some(command);
             }
-            if !self.read_on(64 * 1024) {
+            if !self.read_more(64 * 1024) {
                 return None;
             }
         }
     }
 
-    /// The next command that is no question for the gauges; those are answered.
-    pub fn order(&mut self) -> Option<Command> {
+    /// The next command other than a gauge query; gauge queries are answered.
+    pub fn next_run_command(&mut self) -> Option<Command> {
         loop {
             match self.command()? {
-                Command::Usage(tag) => self.used(&tag),
+                Command::Usage(tag) => self.answer_gauges(&tag),
                 order => return Some(order),
             };
         }
     }
 
-    /// The next run that is asked for.
-    pub fn begin(&mut self) -> (String, String, Vec<u8>) {
-        match self.order() {
+    /// Id, class and body of the next run that is started.
+    pub fn next_run(&mut self) -> (String, String, Vec<u8>) {
+        match self.next_run_command() {
             Some(Command::Begin { id, class, body }) => (id, class, body),
             other => panic!("expected a run to begin, got {other:?}"),
         }
     }
 
-    /// Answers the questions for the gauges that come before another command's first byte; false at the end of the link.
-    pub fn questions(&mut self) -> bool {
+    /// Answers the gauge queries that precede the first byte of another command; returns false at the end of the
+    /// link.
+    pub fn answer_gauge_queries(&mut self) -> bool {
         loop {
             match self.read.get(self.parsed).copied() {
                 Some(b'u') => match self.command() {
-                    Some(Command::Usage(tag)) => drop(self.used(&tag)),
-                    other => panic!("expected a question, got {other:?}"),
+                    Some(Command::Usage(tag)) => drop(self.answer_gauges(&tag)),
+                    other => panic!("expected a gauge query, got {other:?}"),
                 },
                 Some(_) => return true,
-                None if self.read_on(64 * 1024) => {}
+                None if self.read_more(64 * 1024) => {}
                 None => return false,
             }
         }
     }
 
-    /// Takes so many bytes behind what was taken, whatever they are; fewer at the end of the link.
-    pub fn bytes(&mut self, count: usize) -> Vec<u8> {
+    /// Consumes the next `count` raw bytes; fewer at the end of the link.
+    pub fn take_bytes(&mut self, count: usize) -> Vec<u8> {
         while self.read.len() < self.parsed + count {
-            if !self.read_on(self.parsed + count - self.read.len()) {
+            if !self.read_more(self.parsed + count - self.read.len()) {
                 break;
             }
         }
@@ -188,8 +190,8 @@
         taken
     }
 
-    /// Ends the link, with a reset where it is to lose what is unread.
-    pub fn cut(self, reset: bool) {
+    /// Closes the link; with `reset`, by a reset that discards unread data.
+    pub fn close(self, reset: bool) {
         if reset {
             let _ = rustix::net::sockopt::set_socket_linger(&self.socket, Some(Duration::ZERO));
         } else {
@@ -198,7 +200,7 @@
     }
 }
 
-/// The first command of the bytes, with its length; none while it isn't whole.
+/// Parses the first command; returns its length too, or `None` while it is incomplete.
 fn parse(bytes: &[u8]) -> Option<(usize, Command)> {
     let end = bytes.windows(2).position(|two| two == b"\r\n")?;
     let line = String::from_utf8_lossy(&bytes[..end]).into_owned();
@@ -221,6 +223,6 @@
         }
         ["interrupt", id] => (end + 2, Command::Interrupt(id.into())),
         ["usage", tag] => (end + 2, Command::Usage(tag.into())),
-        _ => panic!("no command: {line:?}"),
+        _ => panic!("not a command: {line:?}"),
     })
 }
--- a/crates/gradepin/tests/scenario/sockets.rs
+++ b/crates/gradepin/tests/scenario/socket_stage.rs
@@ -1,7 +1,7 @@
-//! A stage of loopback sockets: the real program, with the test as its client proxies, processor and control
-//! plane. Waits here are upper bounds; nothing passes or fails by how long anything takes.
+//! A stage on loopback sockets: the real program, with the test as its client proxies, processor and control plane.
+//! All waits are upper bounds; no test passes or fails by elapsed time.
 
-use super::{Stage, begins, changed, config, thrift};
+use super::{Stage, changed_config, config, matches_words, thrift};
 use gradepin_core::admin::AdminRequest;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -15,65 +15,66 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-static NEXT: AtomicU8 = AtomicU8::new(1);
-const PATIENCE: Duration = Duration::from_secs(20);
+static NEXT_HOST: AtomicU8 = AtomicU8::new(1);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The processor's end of the link in use.
-type Slot = Arc<Mutex<Option<TcpStream>>>;
+/// The processor's end of the current link.
+type CurrentLink = Arc<Mutex<Option<TcpStream>>>;
 
-pub struct Sockets {
+pub struct SocketStage {
     program: Child,
     file: PathBuf,
-    /// The last whole configuration written.
-    whole: String,
+    /// The last valid configuration written.
+    last_valid_config: String,
     address: String,
     conns: HashMap<String, TcpStream>,
     /// Connections that read nothing until their gate is dropped.
     gates: HashMap<String, Sender<()>>,
-    held_back: Vec<u8>,
-    /// Halves of calls still to be sent.
-    halves: HashMap<String, Vec<u8>>,
-    /// Whether nobody takes the server's reports.
-    no_control: Arc<AtomicBool>,
+    buffered: Vec<u8>,
+    /// Unsent halves of requests, by connection.
+    unsent_halves: HashMap<String, Vec<u8>>,
+    /// True while the control plane receives no reports.
+    control_plane_down: Arc<AtomicBool>,
     notices: u64,
-    link: Slot,
+    link: CurrentLink,
     started: Instant,
     sender: Sender<String>,
     receiver: Receiver<String>,
     events: Vec<String>,
 }
 
-impl Sockets {
-    /// Starts the program; its processor greets as warm on each link.
-    pub fn up(name: &str) -> Self {
+impl SocketStage {
+    /// Starts the program. Its processor greets each link as warm.
+    pub fn start(name: &str) -> Self {
         Self::with(name, 1024, |_| ())
     }
 
-    /// The same, with so many descriptors and a configuration that differs in something.
+    /// Starts the program with a limit on file descriptors and a modified configuration.
     pub fn with(name: &str, descriptors: usize, change: impl FnOnce(&mut serde_json::Value)) -> Self {
         let limit = format!("ulimit -n {descriptors}");
-        Self::launched(name, &own_address(), descriptors, &limit, &[], change)
+        Self::launch(name, &unique_address(), descriptors, &limit, &[], change)
     }
 
-    /// The same, where the system's limits are those that a command of the shell sets, whatever the configuration says.
-    pub fn limited(
+    /// Starts the program under the limits that a shell command sets, whatever the configuration says.
+    pub fn with_limits(
         name: &str,
         descriptors: usize,
         limits: &str,
         change: impl FnOnce(&mut serde_json::Value),
     ) -> Self {
-        Self::launched(name, &own_address(), descriptors, limits, &[], change)
+        Self::launch(name, &unique_address(), descriptors, limits, &[], change)
     }
 
-    /// On a listener that it inherits, which has an address of [`own_address`], with this folder as `$TMPDIR`.
-    pub fn handed(name: &str, listener: &TcpListener, folder: &Path) -> Self {
+    /// Starts the program on an inherited listener, whose address comes from [`unique_address`], with `folder` as
+    /// `$TMPDIR`.
+    pub fn with_inherited_listener(name: &str, listener: &TcpListener, folder: &Path) -> Self {
         let address = listener.local_addr().expect("an address").to_string();
         let fd = listener.as_raw_fd().to_string();
         let variables = [("GW_ACCEPT_FD", fd.as_str()), ("TMPDIR", folder.to_str().expect("a path"))];
-        Self::launched(name, &address, 1024, "ulimit -n 1024", &variables, |_| ())
+        Self::launch(name, &address, 1024, "ulimit -n 1024", &variables, |_| ())
     }
 
-    fn launched(
+    fn launch(
         name: &str,
         address: &str,
         descriptors: usize,
@@ -85,32 +86,32 @@
         let (sender, receiver) = channel();
         let link = Arc::new(Mutex::new(None));
         let started = Instant::now();
-        let no_control = Arc::<AtomicBool>::default();
-        let text = parties("", &address, &link, started, &sender, &no_control);
+        let control_plane_down = Arc::<AtomicBool>::default();
+        let text = start_peers("", &address, &link, started, &sender, &control_plane_down);
         let mut text: serde_json::Value = serde_json::from_str(&text).expect("JSON");
         text["limits"]["sockets"] = serde_json::json!(descriptors);
         change(&mut text);
         let text = text.to_string();
         let file = std::env::temp_dir().join(format!("gradepin-{}-{name}.json", std::process::id()));
         std::fs::write(&file, &text).expect("a file for the configuration");
-        // The shell sets the limit, and becomes the program.
+        // The shell sets the limits and then `exec`s the program.
         let limited = format!("{limits} && exec \"$0\" serve");
         let mut program = Command::new("/bin/sh");
         let program = program.args(["-c", &limited, env!("CARGO_BIN_EXE_gradepin")]);
         let program = program.env("GW_CONFIG", &file).envs(variables.iter().copied()).stderr(Stdio::null());
         let program = program.spawn().expect("the program starts");
-        let (conns, gates, held_back) = (HashMap::new(), HashMap::new(), Vec::new());
+        let (conns, gates, buffered) = (HashMap::new(), HashMap::new(), Vec::new());
         let events = Vec::new();
         Self {
             program,
             file,
-            whole: text,
+            last_valid_config: text,
             address,
             conns,
             gates,
-            held_back,
-            halves: HashMap::new(),
-            no_control,
+            buffered,
+            unsent_halves: HashMap::new(),
+            control_plane_down,
             notices: 0,
             link,
             started,
@@ -121,7 +122,7 @@
     }
 
     fn signal(&self, name: &str) {
-        kill(&self.program, name);
+        send_signal(&self.program, name);
     }
 
     fn conn(&mut self, name: &str) -> TcpStream {
@@ -130,12 +131,12 @@
             let socket = loop {
                 match TcpStream::connect(&self.address) {
                     Ok(socket) => break socket,
-                    Err(e) => assert!(start.elapsed() < PATIENCE, "the program doesn't listen: {e}"),
+                    Err(e) => assert!(start.elapsed() < TIMEOUT, "the program doesn't listen: {e}"),
                 }
                 thread::sleep(Duration::from_millis(5));
             };
-            // As client proxies have it: a message is whole when it was written, and what is written after it on another
-            // connection comes after it.
+            // As client proxies do: a message is sent when it was written, so messages written later on another
+            // connection arrive later.
             socket.set_nodelay(true).expect("a socket");
             let (mut reads, events) = (socket.try_clone().expect("a clone"), self.sender.clone());
             let conn = name.to_string();
@@ -144,7 +145,7 @@
                 *slot = gate;
             }
             thread::spawn(move || {
-                // Until the gate is dropped, which it is at once where none was asked for.
+                // Blocks until the gate is dropped; without `hold` that happens at once.
                 let _ = held.recv();
                 let mut frame = || {
                     let mut prefix = [0; 4];
@@ -166,59 +167,59 @@
         self.conns[name].try_clone().expect("a clone")
     }
 
-    /// Threads of the program.
-    pub fn threads(&self) -> usize {
+    /// Number of threads of the program.
+    pub fn thread_count(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.program.id())).expect("it runs");
         let threads = status.lines().find_map(|line| line.strip_prefix("Threads:")).expect("a count");
         threads.trim().parse().expect("a number")
     }
 
-    /// Waits for the next event that begins with any of these words and takes it.
-    pub fn take_any(&mut self, words: &[&str]) -> String {
+    /// Waits for the next event that begins with any of these phrases and removes it.
+    pub fn take_any_event(&mut self, words: &[&str]) -> String {
         let start = Instant::now();
         loop {
-            let wanted = |event: &String| words.iter().any(|words| begins(event, words));
+            let wanted = |event: &String| words.iter().any(|words| matches_words(event, words));
             if let Some(place) = self.events.iter().position(wanted) {
                 return self.events.remove(place);
             }
-            let next = self.receiver.recv_timeout(PATIENCE.saturating_sub(start.elapsed()));
+            let next = self.receiver.recv_timeout(TIMEOUT.saturating_sub(start.elapsed()));
             self.events.push(next.unwrap_or_else(|_| panic!("no {words:?} in {:?}", self.events)));
         }
     }
 
-    /// Forgets what came so far and begins with these words.
-    pub fn forget(&mut self, words: &str) {
+    /// Discards pending events that begin with these words.
+    pub fn discard_events(&mut self, words: &str) {
         self.events.extend(self.receiver.try_iter());
-        self.events.retain(|event| !begins(event, words));
+        self.events.retain(|event| !matches_words(event, words));
     }
 
-    /// A number for the processor's next notice, where the test counts none itself.
-    pub fn next_notice(&mut self) -> u64 {
+    /// Number for the processor's next notice, for tests that don't count notices themselves.
+    pub fn next_notice_number(&mut self) -> u64 {
         self.notices += 1;
         self.notices
     }
 
-    /// A processor comes up at this address.
-    pub fn processor_at(&self, address: &str) {
+    /// Starts a processor at this address.
+    pub fn start_processor_at(&self, address: &str) {
         let listener = TcpListener::bind(address).expect("the address is free");
         accept_links(listener, &self.link, self.started, "processor".into(), &self.sender);
     }
 
-    /// Descriptors of the program.
-    pub fn descriptors(&self) -> usize {
+    /// Number of open file descriptors of the program.
+    pub fn descriptor_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.program.id())).expect("it runs").count()
     }
 
-    /// Time that the program has had on the cores, in clock ticks of the system, a hundred a second.
-    pub fn ticks(&self) -> u64 {
+    /// CPU time of the program in clock ticks, 100 per second.
+    pub fn cpu_ticks(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.program.id())).expect("it runs");
         let (_, after_name) = stat.rsplit_once(") ").expect("a name in brackets");
         let ticks = after_name.split(' ').skip(11).take(2);
         ticks.map(|ticks| ticks.parse::<u64>().expect("a number")).sum()
     }
 
-    /// Waits for the program's end; its status.
-    pub fn end(&mut self) -> Option<i32> {
+    /// Waits for the program to exit; returns its exit status.
+    pub fn wait_for_exit(&mut self) -> Option<i32> {
         self.program.wait().expect("a program").code()
     }
 
@@ -226,8 +227,8 @@
         &self.address
     }
 
-    /// Status and message of the program's end.
-    pub fn ends_with(text: &str) -> (Option<i32>, String) {
+    /// Runs the program with this configuration until it exits; returns its exit status and standard error.
+    pub fn run_to_exit(text: &str) -> (Option<i32>, String) {
         let file = std::env::temp_dir().join(format!("gradepin-{}-bad.json", std::process::id()));
         std::fs::write(&file, text).expect("a file for the configuration");
         let out = Command::new(env!("CARGO_BIN_EXE_gradepin")).arg("serve").env("GW_CONFIG", &file).output();
@@ -237,30 +238,32 @@
     }
 }
 
-/// An address of its own for each program: a port that was only free a moment ago may be taken. The next port is free too.
-pub fn own_address() -> String {
-    let (pid, n) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+/// A loopback address that is unique to each program, since an ephemeral port that was just released may be taken
+/// again. The next port is free too.
+pub fn unique_address() -> String {
+    let (pid, n) = (std::process::id(), NEXT_HOST.fetch_add(1, Ordering::Relaxed));
     format!("127.{}.{}.{n}:18443", 64 + (pid >> 8) % 64, pid % 256)
 }
 
-/// A processor and a control plane whose events bear a mark, and the configuration that names them.
-fn parties(
-    mark: &str,
+/// Starts a processor and a control plane, whose events carry a suffix, and returns the configuration that names
+/// them.
+fn start_peers(
+    suffix: &str,
     address: &str,
-    link: &Slot,
+    link: &CurrentLink,
     started: Instant,
     events: &Sender<String>,
-    no_control: &Arc<AtomicBool>,
+    control_plane_down: &Arc<AtomicBool>,
 ) -> String {
     let (processor, control) = (TcpListener::bind("127.0.0.1:0"), UdpSocket::bind("127.0.0.1:0"));
     let (processor, control) = (processor.expect("a port"), control.expect("a port"));
     let of = |address: std::io::Result<std::net::SocketAddr>| address.expect("an address").to_string();
     let mut config = config(address, &of(processor.local_addr()), &of(control.local_addr()));
     config["admin_addr"] = serde_json::json!(admin_address(address));
-    // The module's idle limit must not be what ends connections here.
+    // The idle limit must not close connections in these tests.
     config["settings"]["specifics"]["idle"] = serde_json::json!(600_000_000_000_u64);
-    accept_links(processor, link, started, format!("processor{mark}"), events);
-    let (events, name, down) = (events.clone(), format!("control{mark}"), Arc::clone(no_control));
+    accept_links(processor, link, started, format!("processor{suffix}"), events);
+    let (events, name, down) = (events.clone(), format!("control{suffix}"), Arc::clone(control_plane_down));
     thread::spawn(move || {
         let address = control.local_addr().expect("an address");
         let mut socket = Some(control);
@@ -281,13 +284,19 @@
             }
         }
     });
-    // Nor may what a slow machine takes be what ends requests.
+    // A slow machine must not let requests expire.
     config["settings"]["profiles"][0]["deadline"] = serde_json::json!(60_000_000_000_u64);
     config.to_string()
 }
 
-/// A processor under a name, whose link is the one made last.
-fn accept_links(listener: TcpListener, link: &Slot, started: Instant, name: String, events: &Sender<String>) {
+/// Accepts the links of a processor with this name; the last one accepted is the current link.
+fn accept_links(
+    listener: TcpListener,
+    link: &CurrentLink,
+    started: Instant,
+    name: String,
+    events: &Sender<String>,
+) {
     let (events, slot) = (events.clone(), Arc::clone(link));
     thread::spawn(move || {
         for socket in listener.incoming().flatten() {
@@ -297,7 +306,7 @@
     });
 }
 
-/// Starts the program alone with a configuration; it and the lines of its log.
+/// Starts only the program; returns it with the lines of its log.
 pub fn start(name: &str, config: &str) -> (Child, std::io::Lines<BufReader<std::process::ChildStderr>>) {
     let file = std::env::temp_dir().join(format!("gradepin-{}-{name}.json", std::process::id()));
     std::fs::write(&file, config).expect("a file for the configuration");
@@ -308,19 +317,19 @@
     (program, lines)
 }
 
-/// Sends a signal to a program that the test started.
-pub fn kill(program: &Child, signal: &str) {
+/// Sends a signal to a program started by the test.
+pub fn send_signal(program: &Child, signal: &str) {
     let kill = format!("kill -{signal} {}", program.id());
     assert!(Command::new("/bin/sh").arg("-c").arg(kill).status().expect("a shell").success());
 }
 
-/// The operators' door beside the clients' address: the same host, the next port.
+/// Address of the admin endpoint: the host of the client address, the next port.
 fn admin_address(address: &str) -> String {
     let address: std::net::SocketAddr = address.parse().expect("an address");
     std::net::SocketAddr::new(address.ip(), address.port() + 1).to_string()
 }
 
-/// Reads the server's commands on one link, and answers those that scenarios need not name.
+/// Reads the server's commands on one link and answers those that scenarios need not name.
 fn serve_link(socket: TcpStream, started: Instant, name: &str, events: &Sender<String>) {
     let mut writes = socket.try_clone().expect("a clone");
     let mut reads = BufReader::new(socket);
@@ -349,18 +358,18 @@
                 drop(events.send(format!("{name} answer {id} {reply}")));
                 Ok(())
             }
-            _ => panic!("no command: {line}"),
+            _ => panic!("not a command: {line}"),
         };
         line.clear();
     }
 }
 
-impl Stage for Sockets {
-    fn client(&mut self, conn: &str, bytes: &[u8], more: bool) {
-        self.held_back.extend_from_slice(bytes);
+impl Stage for SocketStage {
+    fn send_frame(&mut self, conn: &str, bytes: &[u8], more: bool) {
+        self.buffered.extend_from_slice(bytes);
         if !more {
-            let bytes = std::mem::take(&mut self.held_back);
-            // In pieces that no message ends with.
+            let bytes = std::mem::take(&mut self.buffered);
+            // Split so that no piece ends at a message boundary.
             for piece in bytes.chunks(bytes.len() / 3 + 1) {
                 let _ = self.conn(conn).write_all(piece);
                 thread::sleep(Duration::from_millis(1));
@@ -368,7 +377,7 @@
         }
     }
 
-    fn processor(&mut self, line: &str) {
+    fn send_processor_line(&mut self, line: &str) {
         let words: Vec<&str> = line.split(' ').collect();
         let text = match words[..] {
             ["complete", n, id, end, ref result @ ..] => {
@@ -389,23 +398,25 @@
         self.signal("TERM");
     }
 
-    fn order(&mut self, out: bool) {
+    fn set_out_of_service(&mut self, out: bool) {
         self.signal(if out { "USR1" } else { "USR2" });
     }
 
     fn reload(&mut self, how: &str) {
         let text = match how {
-            "moved" => parties("2", &self.address, &self.link, self.started, &self.sender, &Arc::default()),
-            _ => changed(&serde_json::from_str(&self.whole).expect("JSON in force"), how),
+            "moved" => {
+                start_peers("2", &self.address, &self.link, self.started, &self.sender, &Arc::default())
+            }
+            _ => changed_config(&serde_json::from_str(&self.last_valid_config).expect("JSON in force"), how),
         };
         if serde_json::from_str::<serde_json::Value>(&text).is_ok() {
-            self.whole.clone_from(&text);
+            self.last_valid_config.clone_from(&text);
         }
         std::fs::write(&self.file, text).expect("a file for the configuration");
         self.signal("HUP");
     }
 
-    fn admin(&mut self, call: AdminRequest) {
+    fn send_admin_request(&mut self, call: AdminRequest) {
         let request = match call {
             AdminRequest::Health => "GET /healthcheck",
             AdminRequest::Stats => "GET /stats",
@@ -419,12 +430,12 @@
         let mut socket = loop {
             match TcpStream::connect(admin_address(&self.address)) {
                 Ok(socket) => break socket,
-                Err(e) => assert!(start.elapsed() < PATIENCE, "the door doesn't listen: {e}"),
+                Err(e) => assert!(start.elapsed() < TIMEOUT, "the admin endpoint doesn't listen: {e}"),
             }
             thread::sleep(Duration::from_millis(5));
         };
         let text = format!("{request} HTTP/1.1\r\nHost: test\r\nContent-Length: 0\r\n\r\n");
-        socket.write_all(text.as_bytes()).expect("the door reads");
+        socket.write_all(text.as_bytes()).expect("the admin endpoint reads");
         let mut response = String::new();
         socket.read_to_string(&mut response).expect("a response");
         let (head, body) = response.split_once("\r\n\r\n").expect("a head and a body");
@@ -451,25 +462,25 @@
     }
 
     fn reset(&mut self, conn: &str) {
-        // The end of a connection that lingers for no time is a reset.
+        // Closing a socket with a linger time of zero resets the connection.
         let socket = self.conns.remove(conn).expect("a connection");
         rustix::net::sockopt::set_socket_linger(&socket, Some(Duration::ZERO)).expect("a socket");
-        socket.shutdown(Shutdown::Read).expect("its reader lets go of it");
-        self.take(&format!("{conn} closed")).expect("its reader ends");
+        socket.shutdown(Shutdown::Read).expect("the reader stops");
+        self.take_event(&format!("{conn} closed")).expect("the reader reports the close");
     }
 
-    fn hold(&mut self, conn: &str, holds: bool) {
-        if holds {
+    fn set_reading_paused(&mut self, conn: &str, paused: bool) {
+        if paused {
             self.gates.insert(conn.to_string(), channel().0);
             drop(self.conn(conn));
         } else {
-            self.gates.remove(conn).expect("a connection held");
+            self.gates.remove(conn).expect("a connection whose reading is paused");
         }
     }
 
     fn flood(&mut self, conn: &str, bytes: &[u8]) {
         let (mut socket, bytes) = (self.conn(conn), bytes.to_vec());
-        // The server may stop reading, or close; the scenario goes on.
+        // The server may stop reading or close the connection; the scenario continues.
         thread::spawn(move || drop(socket.write_all(&bytes)));
     }
 
@@ -479,16 +490,16 @@
         bytes.iter().for_each(|byte| socket.write_all(&[*byte]).expect("it stands"));
     }
 
-    fn freeze(&mut self, stops: bool) {
-        self.signal(if stops { "STOP" } else { "CONT" });
+    fn set_frozen(&mut self, frozen: bool) {
+        self.signal(if frozen { "STOP" } else { "CONT" });
     }
 
-    fn control(&mut self, stands: bool) {
-        self.no_control.store(!stands, Ordering::SeqCst);
+    fn set_control_plane_up(&mut self, up: bool) {
+        self.control_plane_down.store(!up, Ordering::SeqCst);
     }
 
-    fn rest_of(&mut self, conn: &str) -> &mut Vec<u8> {
-        self.halves.entry(conn.to_string()).or_default()
+    fn unsent_half(&mut self, conn: &str) -> &mut Vec<u8> {
+        self.unsent_halves.entry(conn.to_string()).or_default()
     }
 
     fn wait(&mut self, ms: u64) {
@@ -499,26 +510,26 @@
         SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
     }
 
-    fn take(&mut self, words: &str) -> Result<String, Vec<String>> {
+    fn take_event(&mut self, words: &str) -> Result<String, Vec<String>> {
         let start = Instant::now();
         loop {
-            if let Some(place) = self.events.iter().position(|event| begins(event, words)) {
+            if let Some(place) = self.events.iter().position(|event| matches_words(event, words)) {
                 return Ok(self.events.remove(place));
             }
-            match self.receiver.recv_timeout(PATIENCE.saturating_sub(start.elapsed())) {
+            match self.receiver.recv_timeout(TIMEOUT.saturating_sub(start.elapsed())) {
                 Ok(event) => self.events.push(event),
                 Err(_) => return Err(self.events.clone()),
             }
         }
     }
 
-    fn rest(&mut self) -> Vec<String> {
+    fn pending_events(&mut self) -> Vec<String> {
         self.events.extend(self.receiver.try_iter());
         self.events.clone()
     }
 }
 
-impl Drop for Sockets {
+impl Drop for SocketStage {
     fn drop(&mut self) {
         let _ = self.program.kill();
         let _ = self.program.wait();
--- a/crates/gradepin/tests/scenario/thrift.rs
+++ b/crates/gradepin/tests/scenario/thrift.rs
@@ -1,4 +1,5 @@
-//! The client proxy's side of Thrift, written apart from the server's so that both can't share a mistake.
+//! Client side of the Thrift protocol, implemented independently of the server's codec so that both cannot share a
+//! mistake.
 
 fn string(bytes: &[u8]) -> Vec<u8> {
     [&(bytes.len() as u32).to_be_bytes()[..], bytes].concat()
@@ -29,7 +30,7 @@
     digits.chunks(2).map(|two| two[0] * 16 + two[1]).collect()
 }
 
-/// A frame of the server's, as an event without its connection.
+/// Decodes a frame of the server into an event without its connection.
 pub fn event(frame: &[u8]) -> String {
     let mut r = Reader(frame);
     let kind = r.take(4)[3];
@@ -42,7 +43,7 @@
             format!("{seq} invalid {}", r.text())
         }
         (2, _) => {
-            let [12, 0, field] = r.take(3) else { panic!("a result that is no struct") };
+            let [12, 0, field] = r.take(3) else { panic!("the result is not a struct") };
             let body = if *field == 0 { r.body() } else { String::new() };
             let fields = r.fields(if *field == 0 { 2 } else { 1 });
             let good = *field == 0 && r.take(4) == [2, 0, 3, 1];
@@ -51,12 +52,12 @@
                 (0, "health") => ["bad", "good"][usize::from(good)],
                 (1, "call") => "refused",
                 (2, "call") => "failed",
-                _ => panic!("an odd answer to {name}"),
+                _ => panic!("unexpected answer to {name}"),
             };
             let words = [&[seq.to_string(), word.to_string(), body][..], &fields].concat();
             words.into_iter().filter(|word| !word.is_empty()).collect::<Vec<_>>().join(" ")
         }
-        _ => panic!("an odd message, {name}"),
+        _ => panic!("unexpected message {name}"),
     }
 }
 
