--- a/crates/gradepin/tests/scenario/virtually.rs
+++ b/crates/gradepin/tests/scenario/virtual_stage.rs
@@ -1,6 +1,6 @@
-//! A stage with no sockets and no real time: the reducer alone, with the clients' codec before it.
+//! A stage without sockets or real time: the reducer alone, behind the clients' codec.
 
-use super::{Stage, begins, changed, config, thrift};
+use super::{Stage, changed_config, config, matches_words, thrift};
 use gradepin_admission::{Outcome, RequestId, Settings, Span, Time};
 use gradepin_cluster::authentication::{AuthenticationKeys, Header};
 use gradepin_cluster::cluster::{Cluster, ClusterSettings, Envelope, MessageKind};
@@ -25,41 +25,42 @@
 
 const MS: u64 = 1_000_000;
 
-pub struct Virtually {
-    /// The configuration it started with, of which reloads are made.
+pub struct VirtualStage {
+    /// Initial configuration, the base of every reload.
     config: serde_json::Value,
     reducer: Reducer,
     settings: Settings,
     names: ActiveSettings,
-    /// Classes by their slots, in force or not, and the number of the last change of names.
+    /// Class names by slot, active or not.
     classes: BTreeMap<usize, String>,
     pool: Arc<BufferPool>,
-    ms: u64,
-    /// How far the Unix clock was set since the start.
-    unix_off_ms: i64,
-    /// Names of connections; the place is the id.
+    now_ms: u64,
+    /// Offset of the Unix clock from the monotonic clock, in ms.
+    unix_offset_ms: i64,
+    /// Names of connections; the index is the id.
     conns: Vec<String>,
-    waiting: Vec<Input>,
+    pending_inputs: Vec<Input>,
     events: Vec<String>,
     muted: bool,
-    /// Whether inputs wait for others to come with them.
-    held: bool,
+    /// True while inputs are collected for one common step.
+    is_batching: bool,
     link: u64,
-    known: ProcessorIdentity,
-    /// When the server began to make the link that the processor greets on next; now, if none has ended.
+    processor_identity: ProcessorIdentity,
+    /// When the server began to connect the link that the processor greets next; `None` stands for now if no link has
+    /// ended.
     connecting: Option<Time>,
-    calls: u64,
-    /// Calls to the ledger that are out, in the order in which they left.
+    admin_requests: u64,
+    /// Upstream calls in flight, in the order in which they were sent.
     calls_out: Vec<(RequestId, UpstreamCallId)>,
-    /// Whether a file that can be used was told and is not in force yet.
+    /// True while a valid configuration was submitted and is not active yet.
     reloading: bool,
 }
 
-impl Virtually {
+impl VirtualStage {
     /// A server whose processor has greeted.
-    pub fn up() -> Self {
+    pub fn ready() -> Self {
         let mut stage = Self::new();
-        stage.processor("hi WARM 0");
+        stage.send_processor_line("hi WARM 0");
         stage
     }
 
@@ -67,30 +68,30 @@
         Self::with(|_| ())
     }
 
-    /// A server with a registry, or with a planned leave that holds for a while.
+    /// A server with a registry, or with a hold time of planned leaves.
     pub fn registered(registration: Registration) -> Self {
-        let mut stage = Self::built(|_| (), registration);
-        stage.processor("hi WARM 0");
+        let mut stage = Self::build(|_| (), registration);
+        stage.send_processor_line("hi WARM 0");
         stage
     }
 
-    /// A server whose listener is inherited and shared with the process after it, whose processor has greeted.
-    pub fn handed() -> Self {
+    /// A server that shares an inherited listener with its successor and whose processor has greeted.
+    pub fn sharing_listener() -> Self {
         let mut stage = Self::new();
         stage.reducer = std::mem::replace(&mut stage.reducer, Self::new().reducer).sharing_listener();
-        stage.processor("hi WARM 0");
+        stage.send_processor_line("hi WARM 0");
         stage
     }
 
-    /// One that shares its keyed runs with the process after it too.
-    pub fn sharing() -> Self {
+    /// Like [`Self::sharing_listener`], and it shares its keyed runs with the successor too.
+    pub fn sharing_runs() -> Self {
         let mut stage = Self::new();
         stage.reducer = std::mem::replace(&mut stage.reducer, Self::new().reducer).sharing_runs(Some(7));
-        stage.processor("hi WARM 0");
+        stage.send_processor_line("hi WARM 0");
         stage
     }
 
-    /// A server that lends and borrows the ledger's slots, in a fleet where it hears nobody yet.
+    /// A server that lends and borrows slots of the upstream, in a fleet where it hears no peer yet.
     pub fn lending(change: impl FnOnce(&mut serde_json::Value)) -> Self {
         let mut stage = Self::with(change);
         let address = "127.0.0.1:9".parse().expect("an address");
@@ -108,34 +109,34 @@
             retry_ratio: Some(0.5),
             seed: 3,
         };
-        let cluster = Cluster::new(settings, Time(stage.ms * MS));
+        let cluster = Cluster::new(settings, Time(stage.now_ms * MS));
         let spare = Self::with(|_| ()).reducer;
         stage.reducer = std::mem::replace(&mut stage.reducer, spare).with_cluster(cluster);
-        stage.processor("hi WARM 0");
+        stage.send_processor_line("hi WARM 0");
         stage
     }
 
-    /// Another server, of whom nothing else is known, asks the one that lends for so many thousandths of a slot.
-    pub fn asked_to_lend(&mut self, number: u8, amount: u16) {
+    /// A peer, about which nothing else is known, requests to borrow `amount` thousandths of a slot.
+    pub fn receive_lease_request(&mut self, number: u8, amount: u16) {
         let keys = AuthenticationKeys::of([9; 32]);
-        let (to, sent_us) = (Incarnation(5), self.ms * 1_000);
+        let (to, sent_us) = (Incarnation(5), self.now_ms * 1_000);
         let header =
             Header { name: "n2", incarnation: Incarnation(6), to, number: u64::from(number), sent_us };
-        // As in `cluster/tests/wire.rs`: a request, its number, its round and an amount of two bytes.
+        // Encoding as in `cluster/tests/wire.rs`: request, number, round, and a two-byte amount.
         let [low, high] = [(amount & 0x7f) as u8 | 0x80, (amount >> 7) as u8];
         let body = [MessageKind::Lease.byte(), 0, number, 0, low, high];
         let envelope = Envelope::open(&keys, &keys.authenticate(&header, &body)).expect("it has the key");
         assert!(envelope.lease_message().is_some(), "{envelope:?}");
-        self.waiting.push(Input::PeerDatagram(Box::new(envelope)));
+        self.pending_inputs.push(Input::PeerDatagram(Box::new(envelope)));
         self.settle();
     }
 
-    /// A server whose configuration differs in something.
+    /// A server with a modified configuration.
     pub fn with(change: impl FnOnce(&mut serde_json::Value)) -> Self {
-        Self::built(change, Registration::default())
+        Self::build(change, Registration::default())
     }
 
-    fn built(change: impl FnOnce(&mut serde_json::Value), registration: Registration) -> Self {
+    fn build(change: impl FnOnce(&mut serde_json::Value), registration: Registration) -> Self {
         let mut text = config("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3");
         change(&mut text);
         let config = Config::parse(&text.to_string()).expect("a whole configuration");
@@ -149,67 +150,67 @@
             classes,
             settings,
             pool: BufferPool::new(8),
-            ms: 1_000_000,
-            unix_off_ms: 9_000_000,
+            now_ms: 1_000_000,
+            unix_offset_ms: 9_000_000,
             conns: Vec::new(),
-            waiting: Vec::new(),
+            pending_inputs: Vec::new(),
             events: Vec::new(),
             muted: false,
-            held: false,
+            is_batching: false,
             link: 0,
-            known: ProcessorIdentity::default(),
+            processor_identity: ProcessorIdentity::default(),
             connecting: None,
-            calls: 0,
+            admin_requests: 0,
             calls_out: Vec::new(),
             reloading: false,
         }
     }
 
-    /// The Unix clock is set forward, or back.
-    pub fn jump_ms(&mut self, ms: i64) {
-        self.unix_off_ms += ms;
+    /// Sets the Unix clock forward, or back.
+    pub fn shift_unix_clock_ms(&mut self, ms: i64) {
+        self.unix_offset_ms += ms;
     }
 
-    /// Plays these lines of a scenario so that all their inputs come in one step.
+    /// Executes these lines of a scenario so that all their inputs arrive in one step.
     pub fn in_one_step(&mut self, text: &str) {
-        self.held = true;
+        self.is_batching = true;
         super::play(self, text);
-        self.held = false;
+        self.is_batching = false;
         self.settle();
     }
 
     fn conn(&mut self, name: &str) -> ConnectionId {
         let place = self.conns.iter().position(|known| known == name).unwrap_or_else(|| {
             self.conns.push(name.to_string());
-            self.waiting.push(Input::ConnectionOpened(self.conns.len() as ConnectionId - 1));
+            self.pending_inputs.push(Input::ConnectionOpened(self.conns.len() as ConnectionId - 1));
             self.conns.len() - 1
         });
         place as ConnectionId
     }
 
-    /// Steps until nothing more happens at this moment.
+    /// Steps until no input and no timer is due at this instant.
     fn settle(&mut self) {
-        if self.held {
+        if self.is_batching {
             return;
         }
         for _ in 0..1000 {
             let moment = Timestamp {
-                now: Time(self.ms * MS),
-                unix_ms: self.ms.saturating_add_signed(self.unix_off_ms),
+                now: Time(self.now_ms * MS),
+                unix_ms: self.now_ms.saturating_add_signed(self.unix_offset_ms),
             };
             let mut effects = Vec::new();
-            self.reducer.step(moment, std::mem::take(&mut self.waiting), &mut effects);
+            self.reducer.step(moment, std::mem::take(&mut self.pending_inputs), &mut effects);
             for effect in effects {
-                self.carry_out(effect);
+                self.apply_effect(effect);
             }
-            if self.waiting.is_empty() && self.reducer.wake_at().is_none_or(|at| at > moment.now) {
+            if self.pending_inputs.is_empty() && self.reducer.wake_at().is_none_or(|at| at > moment.now) {
                 return;
             }
         }
-        panic!("the reducer never rests");
+        panic!("the reducer requests steps endlessly");
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn apply_effect(&mut self, effect: Effect) {
         let name = |conn: ConnectionId| self.conns[conn as usize].clone();
         let event = match effect {
             Effect::Respond { connection: conn, sequence: seq, response: answer, capacity_hint: hint } => {
@@ -218,15 +219,15 @@
             }
             Effect::RequestDrain(conn) => format!("{} draining", name(conn)),
             Effect::StopAccepting => {
-                // As the reader does, behind what it accepted.
-                self.waiting.push(Input::StoppedAccepting);
+                // As the reader does, after the connections it has accepted.
+                self.pending_inputs.push(Input::StoppedAccepting);
                 "stop accepting".to_string()
             }
             Effect::CloseIdleConnection { connection: conn, .. }
             | Effect::CloseLateConnection { connection: conn, .. }
             | Effect::CloseConnection(conn) => {
-                // Its peer ends it too, as peers do.
-                self.waiting.push(Input::ConnectionClosed(conn));
+                // The peer closes the connection too.
+                self.pending_inputs.push(Input::ConnectionClosed(conn));
                 format!("{} closed", name(conn))
             }
             Effect::StartRun { id, class, body, .. } => {
@@ -259,8 +260,9 @@
             }
             Effect::ReadGauges { number: tag, .. } => {
                 if !self.muted {
-                    self.known.message_read(Time(self.ms * MS));
-                    self.waiting.push(Input::GaugesRead { number: tag, values: vec![0.5, 2.0, 0.1, 9.0] });
+                    self.processor_identity.message_read(Time(self.now_ms * MS));
+                    self.pending_inputs
+                        .push(Input::GaugesRead { number: tag, values: vec![0.5, 2.0, 0.1, 9.0] });
                 }
                 return;
             }
@@ -314,8 +316,8 @@
     }
 }
 
-impl Stage for Virtually {
-    fn client(&mut self, conn: &str, bytes: &[u8], more: bool) {
+impl Stage for VirtualStage {
+    fn send_frame(&mut self, conn: &str, bytes: &[u8], more: bool) {
         let conn = self.conn(conn);
         let input = match codec::decode(&bytes[4..], &self.names, &self.pool).expect("well-formed") {
             DecodedMessage::Request { sequence: seq, request: call } => {
@@ -333,22 +335,22 @@
             },
             DecodedMessage::Unsupported | DecodedMessage::Incomplete => return,
         };
-        self.waiting.push(input);
+        self.pending_inputs.push(input);
         if !more {
             self.settle();
         }
     }
 
-    fn processor(&mut self, line: &str) {
+    fn send_processor_line(&mut self, line: &str) {
         let words: Vec<&str> = line.split(' ').collect();
         let id = |text: &str| RequestId::new(&format!("{:016x}", text.parse::<u64>().expect("a number")));
         let input = match words[..] {
             ["hi", state, ms] => {
                 self.link += 1;
                 let age = Span(ms.parse::<u64>().expect("ms") * MS);
-                let (now, connecting) = (Time(self.ms * MS), self.connecting.take());
-                if self.known.greeted(connecting.unwrap_or(now), now, age) {
-                    self.waiting.push(Input::ProcessorRestarted);
+                let (now, connecting) = (Time(self.now_ms * MS), self.connecting.take());
+                if self.processor_identity.greeted(connecting.unwrap_or(now), now, age) {
+                    self.pending_inputs.push(Input::ProcessorRestarted);
                 }
                 Input::LinkUp { link: self.link, cold: state == "COLD", age }
             }
@@ -372,20 +374,20 @@
             },
             ["mute"] => return self.muted = true,
             ["unmute"] => return self.muted = false,
-            _ => panic!("no line of the processor: {line}"),
+            _ => panic!("not a line of the processor: {line}"),
         };
-        self.known.message_read(Time(self.ms * MS));
-        self.waiting.push(input);
+        self.processor_identity.message_read(Time(self.now_ms * MS));
+        self.pending_inputs.push(input);
         self.settle();
     }
 
     fn terminate(&mut self) {
-        self.waiting.push(Input::ShutdownNotice);
+        self.pending_inputs.push(Input::ShutdownNotice);
         self.settle();
     }
 
-    fn order(&mut self, out: bool) {
-        self.waiting.push(if out { Input::TakeOutOfService } else { Input::ReturnToService });
+    fn set_out_of_service(&mut self, out: bool) {
+        self.pending_inputs.push(if out { Input::TakeOutOfService } else { Input::ReturnToService });
         self.settle();
     }
 
@@ -400,10 +402,10 @@
                 }
                 moved.to_string()
             }
-            _ => changed(&self.config, how),
+            _ => changed_config(&self.config, how),
         };
-        // As the shell reads a file: what can't be parsed reaches the reducer as a refusal.
-        self.waiting.push(match Config::parse(&text) {
+        // As the server reads a file: one that cannot be parsed reaches the reducer as a rejection.
+        self.pending_inputs.push(match Config::parse(&text) {
             Ok(config) => {
                 self.reloading = true;
                 Input::Reload(Box::new(self.names.compare(config)))
@@ -413,15 +415,17 @@
         self.settle();
     }
 
-    fn admin(&mut self, call: AdminRequest) {
-        self.calls += 1;
-        self.waiting.push(Input::AdminRequest { id: self.calls, request: call });
+    fn send_admin_request(&mut self, call: AdminRequest) {
+        self.admin_requests += 1;
+        self.pending_inputs.push(Input::AdminRequest { id: self.admin_requests, request: call });
         self.settle();
     }
 
-    fn ledger(&mut self, line: &str) {
+    fn end_upstream_call(&mut self, line: &str) {
         let words: Vec<&str> = line.split(' ').collect();
-        let [rid, how, ref reply @ ..] = words[..] else { panic!("no reply of the ledger: {line}") };
+        let [rid, how, ref reply @ ..] = words[..] else {
+            panic!("not an outcome of an upstream call: {line}")
+        };
         let outcome = match how {
             "200" => Outcome::Success,
             "untouched" => Outcome::Rejected,
@@ -429,31 +433,31 @@
             "504" => Outcome::TimedOut,
             "refused" => Outcome::ConnectFailed,
             "broken" => Outcome::Aborted,
-            _ => panic!("no reply of the ledger: {line}"),
+            _ => panic!("not an outcome of an upstream call: {line}"),
         };
         let reply =
             (outcome == Outcome::Success).then(|| self.pool.copy(reply.join(" ").as_bytes()).expect("fits"));
         let id = RequestId::new(&format!("{:016x}", rid.parse::<u64>().expect("a number")));
-        // The call for it that left first; one that none left for is told of all the same.
+        // Ends the oldest call of this request; without one, the end is reported anyway.
         let out = self.calls_out.iter().position(|(known, _)| *known == id);
         let number = out.map_or(0, |place| self.calls_out.remove(place).1);
-        self.waiting.push(Input::UpstreamCallEnded { id, call: number, outcome, reply });
+        self.pending_inputs.push(Input::UpstreamCallEnded { id, call: number, outcome, reply });
         self.settle();
     }
 
-    fn claims(&mut self, line: &str) {
+    fn resolve_claim(&mut self, line: &str) {
         let words: Vec<&str> = line.split(' ').collect();
-        let [rid, whose, ref result @ ..] = words[..] else { panic!("no claim: {line}") };
+        let [rid, whose, ref result @ ..] = words[..] else { panic!("not a claim: {line}") };
         let result = || self.pool.copy(result.join(" ").as_bytes()).expect("fits");
         let claim = match whose {
             "ours" => RunClaim::Ours,
             "unsure" => RunClaim::Unknown,
             "failed" => RunClaim::Ended(RunOutcome::Failed),
             "served" => RunClaim::Ended(RunOutcome::Served(Arc::new(result()))),
-            _ => panic!("no claim: {line}"),
+            _ => panic!("not a claim: {line}"),
         };
         let id = RequestId::new(&format!("{:016x}", rid.parse::<u64>().expect("a number")));
-        self.waiting.push(Input::RunClaimed { id, claim });
+        self.pending_inputs.push(Input::RunClaimed { id, claim });
         self.settle();
     }
 
@@ -466,45 +470,45 @@
         let input =
             if peer == "processor" { Input::LinkDown } else { Input::ConnectionClosed(self.conn(peer)) };
         if peer == "processor" {
-            self.connecting = Some(Time(self.ms * MS));
+            self.connecting = Some(Time(self.now_ms * MS));
         } else {
             self.events.push(format!("{peer} closed"));
         }
-        self.waiting.push(input);
+        self.pending_inputs.push(input);
         self.settle();
     }
 
-    fn late(&mut self, conn: &str) {
+    fn mark_late(&mut self, conn: &str) {
         let conn = self.conn(conn);
-        self.waiting.push(Input::ConnectionLate(conn));
+        self.pending_inputs.push(Input::ConnectionLate(conn));
         self.settle();
     }
 
     fn half_close(&mut self, conn: &str) {
         let conn = self.conn(conn);
-        self.waiting.push(Input::ConnectionHalfClosed(conn));
+        self.pending_inputs.push(Input::ConnectionHalfClosed(conn));
         self.settle();
     }
 
     fn wait(&mut self, ms: u64) {
-        let until = self.ms + ms;
-        while self.ms < until {
+        let until = self.now_ms + ms;
+        while self.now_ms < until {
             let wake = self.reducer.wake_at().map_or(until, |at| at.0.div_ceil(MS));
-            self.ms = wake.clamp(self.ms + 1, until);
+            self.now_ms = wake.clamp(self.now_ms + 1, until);
             self.settle();
         }
     }
 
     fn unix_ms(&self) -> u64 {
-        self.ms.saturating_add_signed(self.unix_off_ms)
+        self.now_ms.saturating_add_signed(self.unix_offset_ms)
     }
 
-    fn take(&mut self, words: &str) -> Result<String, Vec<String>> {
-        let place = self.events.iter().position(|event| begins(event, words));
+    fn take_event(&mut self, words: &str) -> Result<String, Vec<String>> {
+        let place = self.events.iter().position(|event| matches_words(event, words));
         place.map(|place| self.events.remove(place)).ok_or_else(|| self.events.clone())
     }
 
-    fn rest(&mut self) -> Vec<String> {
+    fn pending_events(&mut self) -> Vec<String> {
         self.events.clone()
     }
 }
--- a/crates/gradepin/tests/forms.rs
+++ b/crates/gradepin/tests/second_deployment.rs
@@ -1,14 +1,14 @@
-//! Another deployment: other classes, six cores, a long window, a window told to callers, and a register that all
-//! servers share and of which each is told its share.
+//! A second deployment: other classes, six cores, a long idempotency window, the window as the capacity hint,
+//! and an upstream that all servers share, each with its own quota of calls.
 
 mod scenario;
 use scenario::play;
-use scenario::virtually::Virtually;
+use scenario::virtual_stage::VirtualStage;
 use serde_json::{Value, json};
 
 const MS: u64 = 1_000_000;
 
-fn forms(config: &mut Value) {
+fn contract_settings(config: &mut Value) {
     config["ledger"] = json!("127.0.0.1:4");
     let class = |name: &str, latency_objective: u64, deadline: u64, effect: &str, priority_weight: f64| {
         json!({"name": name, "promise": latency_objective * MS, "deadline": deadline * MS, "effect": effect, "worth": priority_weight,
@@ -30,13 +30,13 @@
     settings["specifics"]["stop_mode"] = json!("abort");
 }
 
-fn stage(greeting: &str) -> Virtually {
-    let mut stage = Virtually::with(forms);
+fn stage(greeting: &str) -> VirtualStage {
+    let mut stage = VirtualStage::with(contract_settings);
     play(&mut stage, &format!("send processor {greeting}"));
     stage
 }
 
-/// Requests of a class, numbered from one, sent in one step.
+/// Requests of a class, numbered from one and sent in one step.
 fn burst(class: &str, count: usize) -> String {
     let line = |n| format!("send a + call {n} rid={n} method={class} token=t{n}\n");
     let mut text: String = (1..count).map(line).collect();
@@ -45,8 +45,8 @@
 }
 
 #[test]
-fn its_classes_are_served_by_six_cores_and_no_other_class_is() {
-    // Guards against a list of classes or a count of cores that only one deployment has.
+fn only_configured_classes_are_served_on_six_cores() {
+    // Guards against a class list or core count that is fixed to one deployment.
     let mut stage = stage("hi WARM 0");
     let begins: String = (1..=6).map(|n| format!("expect processor begin {n} draft-preview\n")).collect();
     play(&mut stage, &format!("{}{begins}expect no processor begin", burst("draft-preview", 8)));
@@ -58,9 +58,8 @@
 }
 
 #[test]
-fn a_key_that_comes_again_after_37_s_is_answered_from_its_first_run() {
-    // Guards a window three times as long as the first deployment's, counted from the try that ran; a try after it
-    // may run.
+fn a_retry_after_37_s_is_answered_from_the_first_run() {
+    // Guards a window of 37 s, counted from the attempt that begun; an attempt after it may run.
     play(
         &mut stage("hi WARM 0"),
         "send a call 1 rid=1 method=issue-contract token=t body=lease
@@ -78,35 +77,35 @@
 }
 
 #[test]
-fn a_store_full_of_keys_refuses_new_ones_and_answers_the_old() {
-    // Guards the rule on runs with effects where remembering is what fills the memory: a new key finds no room and is
-    // refused at once, never run unremembered; the popular and the rare of before are answered from their runs; and
-    // as their windows end there is room again.
-    let mut stage = Virtually::with(|config| {
-        forms(config);
-        // Room for some thirty keys beside one run.
+fn a_full_key_table_rejects_new_keys_and_answers_known_ones() {
+    // Guards idempotency when the remembered keys fill the memory: a new key is rejected at once and never runs
+    // unremembered, retries of known keys, frequent or rare, are answered from their runs, and space becomes free as
+    // windows end.
+    let mut stage = VirtualStage::with(|config| {
+        contract_settings(config);
+        // Capacity for about thirty keys beside one run.
         config["settings"]["specifics"]["kb_per_key"] = json!(100.0);
     });
     play(&mut stage, "send processor hi WARM 0");
-    let (mut kept, mut refused, mut notice) = (Vec::new(), 0, 0);
+    let (mut accepted, mut rejected, mut notice) = (Vec::new(), 0, 0);
     for n in 1..=60 {
         play(
             &mut stage,
             &format!("send a call {n} rid={n} method=issue-contract token=t{n} mem=10\nwait 20"),
         );
-        let begun = scenario::Stage::take(&mut stage, &format!("processor begin {n}")).is_ok();
+        let begun = scenario::Stage::take_event(&mut stage, &format!("processor begin {n}")).is_ok();
         if begun {
             notice += 1;
             play(
                 &mut stage,
                 &format!("send processor complete {notice} {n} OK out{n}\nexpect a {n} served out{n}"),
             );
-            kept.push(n);
+            accepted.push(n);
         } else {
             play(&mut stage, &format!("expect a {n} refused"));
-            refused += 1;
+            rejected += 1;
         }
-        // One of them is asked for again and again.
+        // One key is retried in every round.
         play(
             &mut stage,
             &format!(
@@ -115,8 +114,8 @@
             ),
         );
     }
-    assert!(kept.len() >= 10 && refused >= 10, "{} kept, {refused} refused", kept.len());
-    for n in &kept {
+    assert!(accepted.len() >= 10 && rejected >= 10, "{} accepted, {rejected} rejected", accepted.len());
+    for n in &accepted {
         play(
             &mut stage,
             &format!(
@@ -135,26 +134,26 @@
 }
 
 #[test]
-fn a_burst_keeps_its_calls_within_the_told_share() {
-    // Guards the shared register: however many runs ask at once, no more calls are out than this server's share, on a
-    // cold server too, which calls more often; the next leaves as one comes back.
+fn upstream_calls_of_a_burst_stay_within_the_quota() {
+    // Guards the shared upstream: however many runs request calls at once, calls in flight never exceed this server's
+    // quota, even on a cold server, which calls more often; the next call leaves as one returns.
     for greeting in ["hi WARM 0", "hi COLD 0"] {
         let mut stage = stage(greeting);
         play(&mut stage, &burst("issue-contract", 6));
-        let ran: Vec<usize> = (1..=6)
-            .filter(|n| scenario::Stage::take(&mut stage, &format!("processor begin {n}")).is_ok())
+        let begun: Vec<usize> = (1..=6)
+            .filter(|n| scenario::Stage::take_event(&mut stage, &format!("processor begin {n}")).is_ok())
             .collect();
-        assert!(!ran.is_empty(), "{greeting}: nothing runs");
-        for (place, n) in ran.iter().enumerate() {
-            play(&mut stage, &format!("send processor ask {} {n} entry", place + 1));
+        assert!(!begun.is_empty(), "{greeting}: no run began");
+        for (index, n) in begun.iter().enumerate() {
+            play(&mut stage, &format!("send processor ask {} {n} entry", index + 1));
         }
-        let (mut out, mut most, mut done) = (Vec::new(), 0, 0);
+        let (mut in_flight, mut max_in_flight, mut done) = (Vec::new(), 0, 0);
         for _ in 0..200 {
-            while let Ok(call) = scenario::Stage::take(&mut stage, "ledger call") {
-                out.push(call.split(' ').nth(2).expect("an id").to_string());
+            while let Ok(call) = scenario::Stage::take_event(&mut stage, "ledger call") {
+                in_flight.push(call.split(' ').nth(2).expect("an id").to_string());
             }
-            most = most.max(out.len());
-            if let Some(id) = out.pop() {
+            max_in_flight = max_in_flight.max(in_flight.len());
+            if let Some(id) = in_flight.pop() {
                 done += 1;
                 play(
                     &mut stage,
@@ -164,32 +163,35 @@
                 play(&mut stage, "wait 20");
             }
         }
-        assert!((1..=3).contains(&most), "{greeting}: {most} calls were out of a share of 3");
-        assert_eq!(done, ran.len(), "{greeting}: every run had its call");
+        assert!(
+            (1..=3).contains(&max_in_flight),
+            "{greeting}: {max_in_flight} calls in flight with a quota of 3"
+        );
+        assert_eq!(done, begun.len(), "{greeting}: not every run had its call");
     }
 }
 
 #[test]
-fn a_cold_start_under_full_load_runs_what_it_survives_and_answers_all() {
-    // Guards a cold server of another kind: with many at once it runs no more than the crowd it survives cold, and
-    // everything it read has its answer by its time.
-    let mut stage = Virtually::with(|config| {
-        forms(config);
+fn a_cold_start_under_full_load_limits_its_runs_and_answers_every_request() {
+    // Guards a cold server of another deployment: under a burst it runs no more than its cold capacity, and every
+    // request is answered by its deadline.
+    let mut stage = VirtualStage::with(|config| {
+        contract_settings(config);
         config["settings"]["rules"]["tip_multiple"] = json!(1.5);
     });
     play(&mut stage, &format!("send processor hi COLD 0\n{}", burst("clause-lookup", 30)));
     let begun = (1..=30)
-        .filter(|n| scenario::Stage::take(&mut stage, &format!("processor begin {n}")).is_ok())
+        .filter(|n| scenario::Stage::take_event(&mut stage, &format!("processor begin {n}")).is_ok())
         .count();
     // Six cores, cold_share 0.25: 6 * (1 + 0.5 * 0.25).
     assert!((1..=6).contains(&begun), "{begun} runs on a cold server");
     play(&mut stage, "wait 5000");
-    let ends = |stage: &mut Virtually, n: usize| {
+    let is_answered = |stage: &mut VirtualStage, n: usize| {
         ["served", "refused", "failed"]
             .iter()
-            .any(|end| scenario::Stage::take(stage, &format!("a {n} {end}")).is_ok())
+            .any(|end| scenario::Stage::take_event(stage, &format!("a {n} {end}")).is_ok())
     };
     for n in 1..=30 {
-        assert!(ends(&mut stage, n), "{n} has no answer");
+        assert!(is_answered(&mut stage, n), "request {n} has no answer");
     }
 }
--- a/crates/gradepin/tests/settings.rs
+++ b/crates/gradepin/tests/settings_values.rs
@@ -1,13 +1,14 @@
-//! Settings of other customers, and values that nobody means: each is refused with a reason, or served with.
+//! Settings of other deployments, and values out of any sensible range: each is either rejected with a reason or
+//! served with.
 
 mod scenario;
 use gradepin_core::config::Config;
-use scenario::virtually::Virtually;
+use scenario::virtual_stage::VirtualStage;
 use scenario::{config, play};
 use serde_json::{Value, json};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Paths to all numbers of a configuration.
+/// Collects the paths of all numbers of a configuration.
 fn numbers(value: &Value, path: &str, found: &mut Vec<String>) {
     match value {
         Value::Object(map) => {
@@ -21,9 +22,9 @@
     }
 }
 
-/// Requests of each class, repeats, time, new settings and a drain. What is served is not looked at, but nothing may
-/// panic, and whoever asks gets an answer in the end.
-fn course(stage: &mut Virtually) {
+/// Plays requests of each class, retries, elapsed time, a failed run and a drain. Results are not checked, but
+/// nothing may panic, and the health check must be answered.
+fn play_traffic(stage: &mut VirtualStage) {
     let calls: String = (1..=12)
         .map(|n| {
             let class = if n % 2 == 0 { "read" } else { "claim" };
@@ -50,7 +51,7 @@
     );
 }
 
-/// Paths to all keys of objects.
+/// Collects the paths of all keys of objects.
 fn keys(value: &Value, path: &str, found: &mut Vec<(String, String)>) {
     match value {
         Value::Object(map) => map.iter().for_each(|(key, value)| {
@@ -64,22 +65,22 @@
     }
 }
 
-/// What is wrong with a configuration, if it is refused for no stated reason or can't be served with.
-fn wrong(what: &str, changed: Value) -> Option<String> {
+/// The fault of a configuration that is rejected without a stated reason or cannot be served with.
+fn fault_of(what: &str, changed: Value) -> Option<String> {
     match Config::parse(&changed.to_string()) {
         Err(why) => (!why.to_string().starts_with("expected")).then(|| format!("{what}: {why}")),
         Ok(_) => {
             let played = catch_unwind(AssertUnwindSafe(|| {
-                course(&mut Virtually::with(|config| *config = changed));
+                play_traffic(&mut VirtualStage::with(|config| *config = changed));
             }));
             played.err().map(|_| format!("{what}: a panic"))
         }
     }
 }
 
-/// Guards against a server that panics, at its start or later, for a value that its settings allow.
+/// Guards against a server that panics, at startup or later, on a value that its settings allow.
 #[test]
-fn values_that_nobody_means_are_refused_or_served_with() {
+fn extreme_values_are_rejected_or_served_with() {
     let good = config("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3");
     let mut paths = Vec::new();
     numbers(&good, "", &mut paths);
@@ -102,15 +103,16 @@
         for value in &values {
             let mut changed = good.clone();
             *changed.pointer_mut(path).expect("a number") = value.clone();
-            broken.extend(wrong(&format!("{path} = {value}"), changed));
+            broken.extend(fault_of(&format!("{path} = {value}"), changed));
         }
     }
     assert!(broken.is_empty(), "{broken:#?}");
 }
 
-/// Guards against a key that is needed and not asked for, and against keys of a newer platform taken for errors.
+/// Guards against a required key whose absence is not reported, and against rejecting unknown keys of a newer
+/// platform.
 #[test]
-fn absent_keys_are_refused_or_served_without_and_unknown_ones_skipped() {
+fn missing_keys_are_rejected_or_optional_and_unknown_keys_ignored() {
     let good = config("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3");
     let mut paths = Vec::new();
     keys(&good, "", &mut paths);
@@ -118,23 +120,23 @@
     for (object, key) in &paths {
         let mut changed = good.clone();
         changed.pointer_mut(object).and_then(Value::as_object_mut).expect("an object").remove(key);
-        // Names are what the course speaks of.
+        // The traffic refers to names.
         if !matches!(key.as_str(), "customers" | "name") {
-            broken.extend(wrong(&format!("{object} without {key}"), changed));
+            broken.extend(fault_of(&format!("{object} without {key}"), changed));
         }
         let mut changed = good.clone();
         let map = changed.pointer_mut(object).and_then(Value::as_object_mut).expect("an object");
         map.insert("zones".into(), json!([{"name": "z", "share": 0.5}]));
         assert!(Config::parse(&changed.to_string()).is_ok(), "an unknown key in {object}");
-        broken.extend(wrong(&format!("{object} with more"), changed));
+        broken.extend(fault_of(&format!("{object} with more"), changed));
     }
     assert!(broken.is_empty(), "{broken:#?}");
 }
 
-/// Guards against what one site has and another doesn't: no keyed class, one class alone, no tenants, no worth when late, a
-/// window shorter than the deadline, a class that runs once, little memory and few descriptors.
+/// Guards features that differ between deployments: no keyed class, a single class, no tenants, no value of late
+/// answers, a window shorter than the deadline, a class that runs once, little memory and few descriptors.
 #[test]
-fn other_customers_settings_are_served_with() {
+fn settings_of_other_deployments_are_served_with() {
     let calls = |class: &str, extra: &str| {
         format!(
             "send processor hi WARM 0
@@ -147,7 +149,7 @@
         )
     };
     let played = |change: &dyn Fn(&mut Value), class: &str, extra: &str| {
-        play(&mut Virtually::with(|config| change(config)), &calls(class, extra));
+        play(&mut VirtualStage::with(|config| change(config)), &calls(class, extra));
     };
     let profiles = |config: &mut Value| config["settings"]["profiles"].clone();
     let one = |config: &mut Value, n: usize| {
@@ -176,10 +178,10 @@
         "claim",
         "token=t budget=300",
     );
-    // Of no tenant: a request that names one is told so, others are served.
+    // Without tenants, a request that names one is rejected with a reason, and others are served.
     let tenantless = |config: &mut Value| config["settings"]["customers"] = json!([]);
     play(
-        &mut Virtually::with(tenantless),
+        &mut VirtualStage::with(tenantless),
         "send processor hi WARM 0
          send a call 1 rid=1
          expect a 1 invalid unknown tenant
--- a/crates/gradepin/tests/sockets.rs
+++ b/crates/gradepin/tests/socket_scenarios.rs
@@ -1,12 +1,12 @@
-//! Scenarios that cross real loopback sockets: the real program between peers that the test plays.
+//! Scenarios on loopback sockets: the real program between peers that the test simulates.
 
 mod scenario;
-use scenario::sockets::Sockets;
+use scenario::socket_stage::SocketStage;
 use scenario::{config, play};
 
 #[test]
-fn a_request_crosses_the_sockets_in_pieces_and_in_company() {
-    let mut stage = Sockets::up("serves");
+fn requests_that_arrive_in_pieces_and_together_are_served() {
+    let mut stage = SocketStage::start("serves");
     play(
         &mut stage,
         "expect processor hello 0
@@ -26,10 +26,10 @@
 }
 
 #[test]
-fn what_is_no_message_closes_its_own_connection_alone() {
-    // A frame of 1 MiB, another protocol, a message cut short, and a map said to hold 2^31 - 1 entries.
+fn an_invalid_message_closes_only_its_own_connection() {
+    // A frame of 1 MiB, another protocol, a truncated message, and a map with a stated length of 2^31 - 1 entries.
     play(
-        &mut Sockets::up("malformed"),
+        &mut SocketStage::start("malformed"),
         "expect processor hello 0
          expect control Ready
          send a call 1 rid=1
@@ -50,9 +50,9 @@
 }
 
 #[test]
-fn a_fallen_or_garbled_link_is_made_again_from_the_last_notice() {
+fn a_broken_or_invalid_link_is_restored_from_the_last_notice() {
     play(
-        &mut Sockets::up("link"),
+        &mut SocketStage::start("link"),
         "expect processor hello 0
          expect control Ready
          send a call 1 rid=1
@@ -71,8 +71,8 @@
 }
 
 #[test]
-fn a_peer_that_never_reads_delays_nobody() {
-    let mut stage = Sockets::up("slow");
+fn a_peer_that_never_reads_delays_no_other_client() {
+    let mut stage = SocketStage::start("slow");
     play(&mut stage, "expect processor hello 0\nexpect control Ready");
     let flood: Vec<u8> = (1..=2000).flat_map(scenario::thrift::health).collect();
     let address = stage.address().to_string();
@@ -90,7 +90,7 @@
 #[test]
 fn sigterm_drains_and_does_not_end_the_program_early() {
     play(
-        &mut Sockets::up("sigterm"),
+        &mut SocketStage::start("sigterm"),
         "expect processor hello 0
          expect control Ready
          send a call 1 rid=1
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_bad_configuration_ends_the_start_with_a_message() {
+fn an_invalid_configuration_fails_the_start_with_a_message() {
     let good = config("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3").to_string();
     let cases = [
         ("{".to_string(), "expected a configuration"),
@@ -127,18 +127,18 @@
         (good.replace("\"name\":\"read\"", "\"name\":\"re ad\""), "without spaces, got 're ad'"),
     ];
     for (text, message) in cases {
-        let (code, err) = Sockets::ends_with(&text);
+        let (code, err) = SocketStage::run_to_exit(&text);
         assert_eq!(code, Some(1), "{text}");
         assert!(err.contains(message), "{err} should hold {message}");
     }
 }
 
 #[test]
-fn sighup_reads_the_configuration_again_and_keeps_all_that_is_open() {
-    // Guards against a server that ends on SIGHUP: no handler was there. Runs, connections and the number of the
-    // last notice outlive the move; a file that can't be used changes nothing.
+fn sighup_reloads_the_configuration_and_keeps_open_requests_and_connections() {
+    // Guards against a server that is killed by SIGHUP for lack of a handler. Runs, connections and the number of the
+    // last notice survive the move; an invalid file changes nothing.
     play(
-        &mut Sockets::up("sighup"),
+        &mut SocketStage::start("sighup"),
         "expect processor hello 0
          expect control Ready
          send a call 1 rid=1
@@ -159,10 +159,11 @@
 }
 
 #[test]
-fn silent_and_half_sent_connections_end_and_busy_ones_stay() {
-    // Guards against places held for good by who says nothing, or begins a frame and never ends it.
+fn silent_and_half_sent_connections_are_closed_and_busy_ones_stay() {
+    // Guards against connection slots held forever by peers that send nothing, or begin a frame and never complete
+    // it.
     play(
-        &mut Sockets::up("silent"),
+        &mut SocketStage::start("silent"),
         "expect processor hello 0
          expect control Ready
          send a call 1 rid=1 budget=60000
@@ -182,13 +183,13 @@
 
 #[test]
 fn connections_take_no_threads() {
-    // Guards against a thread for each connection: a process stopped and continued for its share of a core pays for
-    // every one of them each time, and 480 took all of it.
-    let mut stage = Sockets::up("threads");
+    // Guards against one thread per connection: a process that is stopped and continued to enforce its CPU quota pays
+    // for each thread every time, and 480 threads used up the whole quota.
+    let mut stage = SocketStage::start("threads");
     play(&mut stage, "expect processor hello 0\nexpect control Ready");
-    let before = stage.threads();
+    let before = stage.thread_count();
     for n in 0..60 {
         play(&mut stage, &format!("send c{n} health 1\nexpect c{n} 1 good"));
     }
-    assert!(stage.threads() <= before, "{before} and then {}", stage.threads());
+    assert!(stage.thread_count() <= before, "{before} and then {}", stage.thread_count());
 }
--- a/crates/gradepin/tests/upgrade.rs
+++ b/crates/gradepin/tests/upgrade.rs
@@ -1,15 +1,16 @@
-//! Upgrades: the old process of two that share an inherited listener hands over at SIGTERM.
+//! Upgrades: two processes share an inherited listener, and the old one hands over at SIGTERM.
 
 mod scenario;
 use scenario::play;
-use scenario::virtually::Virtually;
+use scenario::virtual_stage::VirtualStage;
 
 #[test]
-fn the_old_process_hands_over_falls_silent_and_leaves_once_all_is_answered() {
-    // Guards the list and the clients during an upgrade: no NotReady of the old process beside the new one's Ready,
-    // nothing accepted after SIGTERM, what was read answered, and an end as soon as the proxies closed.
+fn the_old_process_stops_reporting_at_sigterm_and_exits_after_its_last_answer() {
+    // Guards the server list and the clients during an upgrade: the old process reports no NotReady beside the Ready
+    // of the new one, accepts nothing after SIGTERM, answers everything it has read, and exits as soon as the proxies
+    // have closed.
     play(
-        &mut Virtually::handed(),
+        &mut VirtualStage::sharing_listener(),
         "send a call 1 rid=1 body=tile
          expect processor begin 1
          expect control Ready
@@ -27,9 +28,9 @@
 }
 
 #[test]
-fn connections_that_rest_after_the_drain_keep_the_old_process_only_for_a_moment() {
+fn idle_connections_delay_the_exit_of_the_old_process_only_briefly() {
     play(
-        &mut Virtually::handed(),
+        &mut VirtualStage::sharing_listener(),
         "open a
          send b health 1
          expect b 1 good
@@ -44,10 +45,10 @@
 }
 
 #[test]
-fn what_still_runs_is_left_a_margin_before_sigkill() {
-    // The stop is 2 s after SIGTERM in the test's configuration; the process must be gone before it.
+fn the_old_process_exits_before_sigkill_while_a_run_is_in_progress() {
+    // The stop time is 2 s after SIGTERM in this configuration; the process must exit before it.
     play(
-        &mut Virtually::handed(),
+        &mut VirtualStage::sharing_listener(),
         "send a call 1 rid=1
          expect processor begin 1
          send server TERM
@@ -59,11 +60,11 @@
 }
 
 #[test]
-fn a_keyed_run_waits_for_its_claim_and_tells_its_end() {
-    // Guards the rule on runs with effects across an upgrade: nothing keyed begins before it is claimed, what came to
-    // nothing is given back, and reads wait for nothing.
+fn a_keyed_run_waits_for_its_claim_and_reports_its_end() {
+    // Guards idempotency across an upgrade: no keyed run begins before it is claimed, the claim of a run that never
+    // started is released, and reads do not wait for claims.
     play(
-        &mut Virtually::sharing(),
+        &mut VirtualStage::sharing_runs(),
         "send a call 1 rid=1
          expect processor begin 1
          send a call 2 rid=2 method=claim token=t body=save
@@ -96,11 +97,12 @@
 }
 
 #[test]
-fn a_run_of_the_other_process_answers_the_tries_here() {
-    // Guards a second run in the other process of an upgrade: all tries are answered from the one that ran, the
-    // module's places are free again, and a try whose caller gave up before is answered once.
+fn a_run_of_the_other_process_answers_attempts_in_this_process() {
+    // Guards against a second run in the other process of an upgrade: every attempt is answered from the run that
+    // took place, its admission slots are free again, and an attempt whose caller gave up earlier is answered only
+    // once.
     play(
-        &mut Virtually::sharing(),
+        &mut VirtualStage::sharing_runs(),
         "send a call 1 rid=1 method=claim token=t
          expect claim 1 t
          send b call 1 rid=2 method=claim token=t
@@ -129,7 +131,7 @@
 }
 
 mod sockets {
-    //! Two real processes on one inherited listener, with client proxies that keep calling throughout.
+    //! Two real processes on one inherited listener, with client proxies that send requests throughout.
 
     use super::scenario::{call, config, thrift};
     use rustix::io::{FdFlags, fcntl_setfd};
@@ -143,19 +145,20 @@
     use std::thread;
     use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-    /// Every bound below is far above what the steps take; nothing passes or fails by speed.
-    const PATIENCE: Duration = Duration::from_secs(20);
-    /// How long a run takes at the stand-in processor: requests are in flight when SIGTERM comes.
-    const RUN: Duration = Duration::from_millis(150);
+    /// Far above what each step takes; no test passes or fails by speed.
+    const TIMEOUT: Duration = Duration::from_secs(20);
+    /// Duration of a run at the stand-in processor, so that requests are in flight at SIGTERM.
+    const RUN_DURATION: Duration = Duration::from_millis(150);
 
-    /// Keyed runs begun at the stand-in processors of all tests here; one test alone has any.
-    static RUNS: AtomicU64 = AtomicU64::new(0);
+    /// Number of keyed runs begun at the stand-in processors of all tests in this file; only one test has any.
+    static KEYED_RUNS: AtomicU64 = AtomicU64::new(0);
 
     fn unix_ms() -> u64 {
         SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
     }
 
-    /// A processor that greets, tells gauges and ends every run after a while, with its body as the result.
+    /// Starts a processor that greets, answers gauge queries and ends every run after [`RUN_DURATION`] with its body
+    /// as the result.
     fn processor() -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -179,14 +182,14 @@
                 ["hello", _] => write("hi WARM 0\r\n".into()),
                 ["usage", tag] => write(format!("used {tag} 0.5 2 0.1 9\r\n")),
                 ["begin", id, class, len] => {
-                    RUNS.fetch_add(u64::from(class == "claim"), Ordering::SeqCst);
+                    KEYED_RUNS.fetch_add(u64::from(class == "claim"), Ordering::SeqCst);
                     let mut body = vec![0; len.parse::<usize>().expect("a length") + 2];
                     reads.read_exact(&mut body).expect("a body");
                     body.truncate(body.len() - 2);
                     let (writes, notices, id) = (Arc::clone(&writes), Arc::clone(&notices), id.to_string());
                     thread::spawn(move || {
-                        thread::sleep(RUN);
-                        // Numbered under the lock: a notice must not overtake one numbered before it.
+                        thread::sleep(RUN_DURATION);
+                        // Numbered under the lock, so that notices are sent in the order of their numbers.
                         let mut writes = writes.lock().expect("whole");
                         let n = notices.fetch_add(1, Ordering::SeqCst) + 1;
                         let head = format!("complete {n} {id} OK 150 {}\r\n", body.len());
@@ -199,7 +202,7 @@
         }
     }
 
-    /// A process that ends with its test, however that ends.
+    /// A process that is killed on drop.
     struct Process(Child);
 
     impl Drop for Process {
@@ -209,7 +212,7 @@
         }
     }
 
-    /// A process on the inherited listener, with its own processor and door.
+    /// Starts a process on the inherited listener, with its own processor and admin endpoint.
     fn start(listener: &TcpListener, admin: SocketAddr, name: &str, folder: &Path) -> (Process, PathBuf) {
         let control = UdpSocket::bind("127.0.0.1:0").expect("a port");
         let control_address = control.local_addr().expect("an address").to_string();
@@ -220,7 +223,7 @@
         config["stop_ms"] = serde_json::json!(3000);
         let file = std::env::temp_dir().join(format!("gradepin-{}-{name}.json", std::process::id()));
         std::fs::write(&file, config.to_string()).expect("a file for the configuration");
-        // The platform names descriptor 3; here it is whichever the listener has, which the program inherits.
+        // The platform passes descriptor 3; here it is the listener's own descriptor, which the program inherits.
         let fd = listener.as_raw_fd().to_string();
         let mut child = Command::new(env!("CARGO_BIN_EXE_gradepin"));
         child.arg("serve").env("GW_CONFIG", &file).env("GW_ACCEPT_FD", fd).stderr(Stdio::null());
@@ -238,27 +241,28 @@
     fn wait_ready(admin: SocketAddr) {
         let start = Instant::now();
         while !ready(admin) {
-            assert!(start.elapsed() < PATIENCE, "{admin} never said it was ready");
+            assert!(start.elapsed() < TIMEOUT, "{admin} never became ready");
             thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// What a client proxy saw: requests sent, answers, and answers owed when a connection ended.
+    /// Counters of a client proxy: requests sent, answers received, and answers still owed when a connection ended.
     #[derive(Default, Debug)]
-    struct Seen {
+    struct ProxyCounts {
         sent: u64,
         answered: u64,
         lost: u64,
         connections: u64,
     }
 
-    /// Calls on a connection until the server asks it to drain, then takes the answers and opens another.
-    fn proxy(address: SocketAddr, first_rid: u64, stop: &AtomicBool) -> Seen {
-        let mut seen = Seen::default();
+    /// Sends requests on a connection until the server asks it to drain, then waits for the answers and opens another
+    /// connection.
+    fn proxy(address: SocketAddr, first_rid: u64, stop: &AtomicBool) -> ProxyCounts {
+        let mut counts = ProxyCounts::default();
         let mut rid = first_rid;
         while !stop.load(Ordering::SeqCst) {
-            let mut socket = TcpStream::connect(address).expect("the listener is held");
-            seen.connections += 1;
+            let mut socket = TcpStream::connect(address).expect("the test keeps the listener open");
+            counts.connections += 1;
             let (mut open, mut seq, mut draining) = (0_u64, 0, false);
             socket.set_read_timeout(Some(Duration::from_millis(20))).expect("a timeout");
             let mut frames = Vec::new();
@@ -268,15 +272,15 @@
                     let words = [seq.to_string(), format!("rid={rid}"), "body=tile".to_string()];
                     let words: Vec<&str> = words.iter().map(String::as_str).collect();
                     if socket.write_all(&call(&words, unix_ms())).is_err() {
-                        seen.lost += open;
+                        counts.lost += open;
                         break;
                     }
-                    (open, seen.sent) = (open + 1, seen.sent + 1);
+                    (open, counts.sent) = (open + 1, counts.sent + 1);
                 }
                 let mut chunk = [0; 4096];
                 match socket.read(&mut chunk) {
                     Ok(0) => {
-                        seen.lost += open;
+                        counts.lost += open;
                         break;
                     }
                     Ok(n) => frames.extend_from_slice(&chunk[..n]),
@@ -286,7 +290,7 @@
                             std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
                         ) => {}
                     Err(_) => {
-                        seen.lost += open;
+                        counts.lost += open;
                         break;
                     }
                 }
@@ -298,7 +302,7 @@
                     if event == "draining" {
                         draining = true;
                     } else {
-                        (open, seen.answered) = (open - 1, seen.answered + 1);
+                        (open, counts.answered) = (open - 1, counts.answered + 1);
                     }
                 }
                 if (draining || stop.load(Ordering::SeqCst)) && open == 0 {
@@ -306,17 +310,19 @@
                 }
             }
         }
-        seen
+        counts
     }
 
-    /// A listener that children inherit, two addresses for doors, and a folder that both processes have.
+    /// A listener that child processes inherit, two addresses for admin endpoints, and a folder shared by both
+    /// processes.
     fn platform(name: &str) -> (TcpListener, [SocketAddr; 2], PathBuf) {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         fcntl_setfd(&listener, FdFlags::empty()).expect("inheritable");
-        let door = || TcpListener::bind("127.0.0.1:0").and_then(|door| door.local_addr()).expect("a port");
+        let admin_address =
+            || TcpListener::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()).expect("a port");
         let folder = std::env::temp_dir().join(format!("gradepin-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        (listener, [door(), door()], folder)
+        (listener, [admin_address(), admin_address()], folder)
     }
 
     fn terminate(process: &Process) {
@@ -324,8 +330,8 @@
         assert!(term.expect("a shell").success());
     }
 
-    /// The answer to one request, which is sent alone on its connection.
-    fn ask(socket: &mut TcpStream, seq: u64, words: &str) -> String {
+    /// Sends one request on an otherwise idle connection and returns the answer.
+    fn request(socket: &mut TcpStream, seq: u64, words: &str) -> String {
         let words = format!("{seq} {words}");
         socket.write_all(&call(&words.split(' ').collect::<Vec<_>>(), unix_ms())).expect("it takes bytes");
         loop {
@@ -341,40 +347,40 @@
     }
 
     #[test]
-    fn a_save_that_ran_in_the_old_process_is_answered_by_the_new_one_without_a_run() {
-        // Guards the rule on runs with effects across an upgrade: to it both processes are one server. The stand-in
-        // processors count what they begin, so that a second run would show.
-        let (listener, doors, folder) = platform("shared");
+    fn a_keyed_request_that_ran_in_the_old_process_is_answered_by_the_new_one_without_a_run() {
+        // Guards idempotency across an upgrade, where both processes count as one server. The stand-in processors
+        // count the runs they begin, which would reveal a second run.
+        let (listener, admin_addresses, folder) = platform("shared");
         let address = listener.local_addr().expect("an address");
-        let (old, old_file) = start(&listener, doors[0], "shared-old", &folder);
-        wait_ready(doors[0]);
+        let (old, old_file) = start(&listener, admin_addresses[0], "shared-old", &folder);
+        wait_ready(admin_addresses[0]);
         let connect = || {
-            let socket = TcpStream::connect(address).expect("the listener is held");
-            socket.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+            let socket = TcpStream::connect(address).expect("the test keeps the listener open");
+            socket.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
             socket
         };
         let mut before = connect();
-        assert_eq!(ask(&mut before, 1, "rid=1 method=claim token=t body=mine"), "1 served mine");
-        let (_new, new_file) = start(&listener, doors[1], "shared-new", &folder);
-        wait_ready(doors[1]);
-        // One that still runs in the old process as the new one is asked for it.
+        assert_eq!(request(&mut before, 1, "rid=1 method=claim token=t body=mine"), "1 served mine");
+        let (_new, new_file) = start(&listener, admin_addresses[1], "shared-new", &folder);
+        wait_ready(admin_addresses[1]);
+        // A request that is still running in the old process when the new one receives its retry.
         let running = call(&["2", "rid=2", "method=claim", "token=u", "body=yours"], unix_ms());
         before.write_all(&running).expect("it takes bytes");
         terminate(&old);
         let start = Instant::now();
-        while ready(doors[0]) {
-            assert!(start.elapsed() < PATIENCE, "the old process takes no notice");
+        while ready(admin_addresses[0]) {
+            assert!(start.elapsed() < TIMEOUT, "the old process ignores SIGTERM");
             thread::sleep(Duration::from_millis(5));
         }
         const CONFLICT: &str = "3 invalid the token came before with another body or class";
         let mut after = connect();
-        let runs = RUNS.load(Ordering::SeqCst);
-        assert_eq!(ask(&mut after, 1, "rid=3 method=claim token=u body=yours"), "1 served yours");
-        assert_eq!(ask(&mut after, 2, "rid=4 method=claim token=t body=mine"), "2 served mine");
-        assert_eq!(ask(&mut after, 3, "rid=5 method=claim token=t body=other"), CONFLICT);
-        assert_eq!(RUNS.load(Ordering::SeqCst), runs, "nothing ran a second time");
-        assert_eq!(ask(&mut after, 4, "rid=6 method=claim token=new body=new"), "4 served new");
-        assert_eq!(RUNS.load(Ordering::SeqCst), runs + 1);
+        let runs = KEYED_RUNS.load(Ordering::SeqCst);
+        assert_eq!(request(&mut after, 1, "rid=3 method=claim token=u body=yours"), "1 served yours");
+        assert_eq!(request(&mut after, 2, "rid=4 method=claim token=t body=mine"), "2 served mine");
+        assert_eq!(request(&mut after, 3, "rid=5 method=claim token=t body=other"), CONFLICT);
+        assert_eq!(KEYED_RUNS.load(Ordering::SeqCst), runs, "a request ran a second time");
+        assert_eq!(request(&mut after, 4, "rid=6 method=claim token=new body=new"), "4 served new");
+        assert_eq!(KEYED_RUNS.load(Ordering::SeqCst), runs + 1);
         let _ = std::fs::remove_dir_all(folder);
         let _ = std::fs::remove_file(old_file);
         let _ = std::fs::remove_file(new_file);
@@ -382,12 +388,12 @@
 
     #[test]
     fn an_upgrade_on_an_inherited_listener_loses_no_request_in_flight() {
-        // Guards the hand-over: the new process says ready once it can serve, the old one stops accepting at
-        // SIGTERM, answers all it read and leaves before SIGKILL would come; no client's request goes unanswered.
-        let (listener, doors, folder) = platform("upgrade");
+        // Guards the hand-over: the new process reports ready once it can serve, the old one stops accepting at
+        // SIGTERM, answers everything it has read and exits before SIGKILL; no request goes unanswered.
+        let (listener, admin_addresses, folder) = platform("upgrade");
         let address = listener.local_addr().expect("an address");
-        let (mut old, old_file) = start(&listener, doors[0], "upgrade-old", &folder);
-        wait_ready(doors[0]);
+        let (mut old, old_file) = start(&listener, admin_addresses[0], "upgrade-old", &folder);
+        wait_ready(admin_addresses[0]);
         let stop = Arc::new(AtomicBool::new(false));
         let proxies: Vec<_> = (0..4)
             .map(|n| {
@@ -396,29 +402,33 @@
             })
             .collect();
         thread::sleep(Duration::from_millis(500));
-        let (_new, new_file) = start(&listener, doors[1], "upgrade-new", &folder);
-        wait_ready(doors[1]);
+        let (_new, new_file) = start(&listener, admin_addresses[1], "upgrade-new", &folder);
+        wait_ready(admin_addresses[1]);
         terminate(&old);
-        let termed = Instant::now();
+        let terminated = Instant::now();
         let ended = loop {
             if let Some(status) = old.0.try_wait().expect("a status") {
-                break (termed.elapsed(), status);
+                break (terminated.elapsed(), status);
             }
-            assert!(termed.elapsed() < PATIENCE, "the old process never left");
+            assert!(terminated.elapsed() < TIMEOUT, "the old process never exited");
             thread::sleep(Duration::from_millis(10));
         };
         thread::sleep(Duration::from_millis(500));
         stop.store(true, Ordering::SeqCst);
-        let seen: Vec<Seen> = proxies.into_iter().map(|proxy| proxy.join().expect("a proxy")).collect();
+        let counts: Vec<ProxyCounts> =
+            proxies.into_iter().map(|proxy| proxy.join().expect("a proxy")).collect();
         let _ = std::fs::remove_file(old_file);
         let _ = std::fs::remove_file(new_file);
         let _ = std::fs::remove_dir_all(folder);
-        assert!(ended.1.success(), "the old process ended with {:?}", ended.1);
-        // SIGKILL would come 3 s after SIGTERM in this configuration.
+        assert!(ended.1.success(), "the old process exited with {:?}", ended.1);
+        // SIGKILL would follow 3 s after SIGTERM in this configuration.
         assert!(ended.0 < Duration::from_secs(3), "the old process took {:?}", ended.0);
         let (sent, answered, lost) =
-            seen.iter().fold((0, 0, 0), |(s, a, l), p| (s + p.sent, a + p.answered, l + p.lost));
-        assert!(seen.iter().all(|proxy| proxy.connections >= 2), "each proxy moved over: {seen:?}");
-        assert_eq!((lost, answered), (0, sent), "{seen:?}");
+            counts.iter().fold((0, 0, 0), |(s, a, l), p| (s + p.sent, a + p.answered, l + p.lost));
+        assert!(
+            counts.iter().all(|proxy| proxy.connections >= 2),
+            "some proxy did not reconnect: {counts:?}"
+        );
+        assert_eq!((lost, answered), (0, sent), "{counts:?}");
     }
 }
--- a/crates/gradepin/tests/calls.rs
+++ b/crates/gradepin/tests/upstream_calls.rs
@@ -1,32 +1,33 @@
-//! Calls to the shared ledger: a run asks through the processor, the module calls, the reply goes back to the run.
+//! Calls to the shared upstream (the ledger): a run requests a call through the processor, the server makes it, and
+//! the reply goes back to the run.
 
 mod scenario;
 use scenario::play;
-use scenario::sockets::Sockets;
-use scenario::virtually::Virtually;
+use scenario::socket_stage::SocketStage;
+use scenario::virtual_stage::VirtualStage;
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpListener;
 use std::thread;
 
-/// A server whose runs may call the ledger: reads and claims both, four calls out at the most.
-fn calling(config: &mut Value) {
+/// Settings that allow upstream calls for both classes, at most four in flight.
+fn enable_upstream_calls(config: &mut Value) {
     config["ledger"] = json!("127.0.0.1:4");
     config["settings"]["specifics"]["below"] = json!("shared");
     config["settings"]["specifics"]["calls_by_class"] = json!([true, true]);
     config["settings"]["specifics"]["calls_out"] = json!(4.0);
 }
 
-fn stage() -> Virtually {
-    let mut stage = Virtually::with(calling);
+fn stage() -> VirtualStage {
+    let mut stage = VirtualStage::with(enable_upstream_calls);
     play(&mut stage, "send processor hi WARM 0");
     stage
 }
 
 #[test]
-fn a_run_that_asks_is_called_for_and_has_its_reply() {
-    // Guards the path of a call: the body the processor gave goes to the ledger unchanged, the reply goes back to
-    // the run unchanged, and the request is served when its run ends. A notice told twice is applied once.
+fn a_requested_call_is_made_and_its_reply_reaches_the_run() {
+    // Guards the path of a call: the body goes to the upstream unchanged, the reply returns to the run unchanged, and
+    // the request is served when its run ends. A duplicate notice is applied once.
     play(
         &mut stage(),
         "send a call 1 rid=1 body=form
@@ -43,9 +44,9 @@
 }
 
 #[test]
-fn a_keyed_call_that_may_have_run_is_never_made_again() {
-    // Guards the rule on effects: after a reply that proves nothing, a claim's call is not repeated and the request
-    // fails; after one that proves the call never ran, it is made again.
+fn a_keyed_call_that_may_have_run_is_never_retried() {
+    // Guards idempotency: after a reply that does not prove the call was not executed, the call of a keyed request is
+    // not retried and the request fails; after one that proves it, the call is retried.
     play(
         &mut stage(),
         "send a call 1 rid=1 method=claim token=t1 body=save
@@ -68,12 +69,12 @@
     );
 }
 
-/// Guards the start at a deployment whose pages know of no ledger, or of tiers: all that `specifics.below` may say is served
-/// with, and a call that a run asks for all the same ends as one that was never made.
+/// Guards the start of a deployment whose configuration names no ledger or tiers: every value of `specifics.below` is
+/// accepted, and a call that a run requests anyway fails as one that was never made.
 #[test]
-fn without_a_ledger_all_is_served_but_the_calls() {
+fn without_an_upstream_everything_but_its_calls_is_served() {
     for below in ["shared", "tier", "off"] {
-        let mut stage = Sockets::with(&format!("no-ledger-{below}"), 1024, |config| {
+        let mut stage = SocketStage::with(&format!("no-ledger-{below}"), 1024, |config| {
             config["settings"]["specifics"]["below"] = json!(below);
             config["settings"]["specifics"]["class_skip_worth"] = json!([]);
             assert!(config.get("ledger").is_none());
@@ -98,16 +99,17 @@
     }
 }
 
-/// Guards against runs that wait for calls nobody makes: a server that began without any makes them once a file says so.
+/// Guards against runs that wait forever for a call: a server that started without upstream calls makes them once a
+/// reload enables them.
 #[test]
-fn a_reload_may_be_the_first_to_ask_for_calls() {
+fn a_reload_can_enable_upstream_calls() {
     let ledger = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = ledger.local_addr().expect("bound");
     thread::spawn(move || {
         for socket in ledger.incoming().flatten() {
             let mut reads = BufReader::new(socket);
             let mut line = String::new();
-            // The head, then the five bytes of the call.
+            // The head, followed by the five bytes of the body.
             while reads.read_line(&mut line).is_ok_and(|len| len > 2) {
                 line.clear();
             }
@@ -116,7 +118,7 @@
             reads.get_mut().write_all(reply).expect("a reader");
         }
     });
-    let mut stage = Sockets::with("late-calls", 1024, |config| {
+    let mut stage = SocketStage::with("late-calls", 1024, |config| {
         config["ledger"] = json!(address.to_string());
     });
     play(
@@ -136,8 +138,9 @@
 }
 
 #[test]
-fn a_reload_moves_the_calls_to_the_ledger() {
-    // Guards the days on which every party moves at a SIGHUP: calls to the old address would all fail.
+fn a_reload_moves_upstream_calls_to_the_new_address() {
+    // Guards a migration in which every peer changes its address at a SIGHUP: calls to the old address would all
+    // fail.
     let mut stage = stage();
     play(
         &mut stage,
@@ -153,9 +156,9 @@
 }
 
 #[test]
-fn a_reply_that_a_fallen_link_may_have_lost_is_given_again() {
-    // Guards against runs that wait for their reply until their callers give up, and against keyed requests failed
-    // because the link was down as their call ended; and against a second reply to a run that went on.
+fn a_reply_that_a_broken_link_may_have_lost_is_sent_again() {
+    // Guards against runs that wait for a lost reply until their callers give up, against failing keyed requests
+    // because the link was down when their call ended, and against a second reply to a run that has continued.
     play(
         &mut stage(),
         "send a call 1 rid=1 body=form
@@ -202,12 +205,12 @@
 }
 
 #[test]
-fn a_run_that_the_processor_stops_leaves_nothing_behind() {
-    // Guards against requests that stay in the books for good, as if they ran: a run that the processor ends at a call,
-    // since its caller left, may be told before its caller's cancel comes. Their bodies filled the memory kept for
-    // bodies, and then every request was turned away.
-    let mut stage = Virtually::with(|config| {
-        calling(config);
+fn a_run_stopped_by_the_processor_is_forgotten() {
+    // Guards against requests that are tracked forever as running: when the processor stops a run at a call because
+    // its caller left, the notice may precede the caller's cancel. Their bodies filled the memory budget, and then
+    // every request was rejected.
+    let mut stage = VirtualStage::with(|config| {
+        enable_upstream_calls(config);
         config["limits"]["memory_mb"] = json!(16);
     });
     play(&mut stage, "send processor hi WARM 0");
@@ -227,8 +230,9 @@
 }
 
 #[test]
-fn a_cancel_that_crosses_the_end_of_its_stopped_run_leaves_nothing_behind() {
-    // Guards the same where the two come in one step, in either order; a rid that is free again shows it.
+fn a_request_is_forgotten_when_its_cancel_crosses_the_end_of_its_stopped_run() {
+    // Guards the same when both arrive in one step, in either order; a reusable rid shows that the request is
+    // forgotten.
     for crossing in [
         "send processor complete 1 1 STOPPED\nsend a cancel 1",
         "send a cancel 1\nsend processor complete 1 1 STOPPED",
@@ -248,9 +252,9 @@
 }
 
 #[test]
-fn a_rid_that_comes_again_is_not_given_the_reply_to_its_call_before() {
-    // Guards against a reply that the dependency made for another request: a call may be out yet when its run is stopped
-    // and its rid comes again, with a call of its own.
+fn a_reused_rid_does_not_get_the_reply_to_its_earlier_call() {
+    // Guards against delivering a reply that belongs to another request: a call may still be in flight when its run
+    // is stopped and its rid is reused with a call of its own.
     play(
         &mut stage(),
         "send a call 1 rid=1 body=one
--- a/crates/gradepin/tests/node.rs
+++ b/crates/gradepin/tests/virtual_scenarios.rs
@@ -1,4 +1,4 @@
-//! Scenarios of the whole server on a virtual clock; the language is described in `scenario/mod.rs`.
+//! Scenarios of the whole server on a virtual clock; `scenario/mod.rs` describes the language.
 
 mod scenario;
 use gradepin_admission::{Span, Time};
@@ -6,26 +6,29 @@
 use gradepin_registry::instance::Instance;
 use gradepin_registry::membership::{Membership, MembershipSettings};
 use scenario::play;
-use scenario::virtually::Virtually;
+use scenario::virtual_stage::VirtualStage;
 
-fn up(text: &str) {
-    play(&mut Virtually::up(), text);
+/// Executes a scenario on a server whose processor has greeted.
+fn play_ready(text: &str) {
+    play(&mut VirtualStage::ready(), text);
 }
 
 #[test]
 fn a_request_runs_once_and_is_answered_once() {
-    up("send a call 1 rid=1 body=hello
+    play_ready(
+        "send a call 1 rid=1 body=hello
         expect processor begin 1 read hello
         send processor complete 1 1 OK out
         expect a 1 served out
         send processor complete 2 1 OK again
-        expect no a 1");
+        expect no a 1",
+    );
 }
 
 #[test]
-fn before_the_processor_is_up_health_is_bad_and_requests_are_turned_away() {
+fn before_the_processor_is_up_health_is_bad_and_requests_are_rejected() {
     play(
-        &mut Virtually::new(),
+        &mut VirtualStage::new(),
         "send a health 1
          expect a 1 bad
          send a call 2 rid=1
@@ -41,10 +44,11 @@
 }
 
 #[test]
-fn a_notice_to_leave_before_the_processor_is_up_is_waited_out() {
-    // Guards against a turn of the module that was due at once, again and again, with no module there.
+fn sigterm_before_the_processor_is_up_drains_until_exit() {
+    // Guards against an admission timer that was due immediately, again and again, because admission had no processor
+    // yet.
     play(
-        &mut Virtually::new(),
+        &mut VirtualStage::new(),
         "send server TERM
          send a health 1
          expect a draining
@@ -59,8 +63,9 @@
 }
 
 #[test]
-fn a_cancel_ends_what_is_owed_even_if_it_crosses_the_answer() {
-    up("send a call 1 rid=1
+fn a_cancel_ends_a_request_even_if_it_crosses_the_answer() {
+    play_ready(
+        "send a call 1 rid=1
         send a cancel 1
         send processor complete 1 1 OK out
         expect no a 1
@@ -69,24 +74,28 @@
         expect a 2 served out
         send a cancel 2
         send a call 3 rid=3
-        expect processor begin 3");
+        expect processor begin 3",
+    );
 }
 
 #[test]
-fn a_closed_connection_takes_its_requests_along() {
-    up("send a call 1 rid=1
+fn a_closed_connection_drops_its_open_requests() {
+    play_ready(
+        "send a call 1 rid=1
         close a
         expect a closed
         send processor complete 1 1 OK out
         expect no a 1
         send b call 1 rid=2
-        expect processor begin 2");
+        expect processor begin 2",
+    );
 }
 
-/// Guards against owed answers lost because their peer sends nothing more: a shut half is no close.
+/// Guards against losing answers because the peer sends nothing more: a half-close is not a close.
 #[test]
-fn a_half_closed_connection_is_answered_whole_and_then_closed() {
-    up("send a call 1 rid=1
+fn a_half_closed_connection_gets_every_answer_before_it_closes() {
+    play_ready(
+        "send a call 1 rid=1
         send a call 2 rid=2
         half-close a
         expect a draining
@@ -99,12 +108,14 @@
         expect a closed
         send b health 1
         half-close b
-        expect b closed");
+        expect b closed",
+    );
 }
 
 #[test]
-fn a_reused_seqid_closes_the_connection_once_its_first_is_answered_and_a_reused_rid_is_an_exception() {
-    up("send a call 1 rid=1
+fn a_reused_seqid_closes_the_connection_after_its_answer_and_a_reused_rid_is_invalid() {
+    play_ready(
+        "send a call 1 rid=1
         expect processor begin 1
         send b call 1 rid=1
         expect b 1 invalid the rid
@@ -118,12 +129,14 @@
         expect a closed
         expect no processor begin
         send b health 2
-        expect b 2 good");
+        expect b 2 good",
+    );
 }
 
 #[test]
-fn what_makes_no_sense_gets_an_exception() {
-    up("send a call 1 method=novelty
+fn an_invalid_request_gets_an_exception() {
+    play_ready(
+        "send a call 1 method=novelty
         expect a 1 invalid unknown method \"novelty\"
         send a call 2 acct=nobody
         expect a 2 invalid unknown tenant \"nobody\"
@@ -135,12 +148,14 @@
         expect a 5 invalid no token
         send a call 6 t0=0 budget=soon
         expect a 6 invalid no number as budget
-        expect no processor begin");
+        expect no processor begin",
+    );
 }
 
 #[test]
-fn a_repeat_of_a_running_request_waits_for_its_result() {
-    up("send a call 1 method=claim token=t rid=1
+fn a_retry_of_a_running_request_waits_for_its_result() {
+    play_ready(
+        "send a call 1 method=claim token=t rid=1
         expect processor begin 1 claim
         send b call 1 method=claim token=t rid=2
         expect no b 1
@@ -149,24 +164,28 @@
         expect b 1 served out
         send a call 2 method=claim token=t rid=3
         expect a 2 served out
-        expect no processor begin");
+        expect no processor begin",
+    );
 }
 
 #[test]
-fn a_repeat_of_a_cancelled_run_gets_its_result() {
-    up("send a call 1 method=claim token=t rid=1
+fn a_retry_of_a_cancelled_run_gets_its_result() {
+    play_ready(
+        "send a call 1 method=claim token=t rid=1
         expect processor begin 1
         send a cancel 1
         send a call 2 method=claim token=t rid=2
         send processor complete 1 1 OK out
         expect a 2 served out
         expect no a 1
-        expect no processor begin");
+        expect no processor begin",
+    );
 }
 
 #[test]
-fn a_repeat_of_a_failed_run_fails_and_does_not_run() {
-    up("send a call 1 method=claim token=t rid=1
+fn a_retry_of_a_failed_run_fails_without_a_run() {
+    play_ready(
+        "send a call 1 method=claim token=t rid=1
         expect processor begin 1
         send b call 1 method=claim token=t rid=2
         send processor complete 1 1 ERROR
@@ -174,23 +193,27 @@
         expect b 1 failed
         send a call 2 method=claim token=t rid=3
         expect a 2 failed
-        expect no processor begin");
+        expect no processor begin",
+    );
 }
 
 #[test]
 fn a_run_that_was_never_started_leaves_the_key_free() {
-    up("send a call 1 method=claim token=t rid=1
+    play_ready(
+        "send a call 1 method=claim token=t rid=1
         expect processor begin 1
         send a cancel 1
         send processor complete 1 1 MOOT
         send a call 2 method=claim token=t rid=2
-        expect processor begin 2");
+        expect processor begin 2",
+    );
 }
 
 #[test]
-fn within_the_window_from_t0_nothing_runs_again() {
-    // The window is 9 s. The last repeat was sent within it, but read after the entry had run out.
-    up("open a
+fn no_retry_runs_within_the_window_counted_from_t0() {
+    // The window is 9 s. The second retry was sent within it but read after the entry expired.
+    play_ready(
+        "open a
         wait 500
         send a call 1 method=claim token=t rid=1 t0=-500
         expect processor begin 1
@@ -203,12 +226,14 @@
         expect b 2 served out
         expect no processor begin
         send b call 3 method=claim token=t rid=4
-        expect processor begin 4");
+        expect processor begin 4",
+    );
 }
 
 #[test]
-fn a_stamp_from_the_future_counts_as_now() {
-    up("send a call 1 method=claim token=t rid=1 t0=9000000000000000000
+fn a_timestamp_in_the_future_counts_as_now() {
+    play_ready(
+        "send a call 1 method=claim token=t rid=1 t0=9000000000000000000
         expect processor begin 1
         send processor complete 1 1 OK out
         wait 9100
@@ -217,14 +242,16 @@
         wait 3990
         expect no b 1
         wait 20
-        expect b 1 failed");
+        expect b 1 failed",
+    );
 }
 
-/// Guards against a second run within an older run's window, and against two tries that both end without a result: the one
-/// stamped first may belong to that older run, so it fails, and the other runs.
+/// Guards against a second run within the window of an earlier run, and against two attempts that both end without a
+/// result. The attempt with the earlier timestamp may belong to the earlier run, so it fails and the other one runs.
 #[test]
-fn of_two_read_together_in_the_other_order_the_later_stamped_runs() {
-    up("open a
+fn of_two_attempts_read_together_out_of_order_the_later_stamped_one_runs() {
+    play_ready(
+        "open a
         wait 500
         send a + call 1 method=claim token=t rid=1
         send a call 2 method=claim token=t rid=2 t0=-20
@@ -232,24 +259,29 @@
         expect processor begin 1
         send processor complete 1 1 OK out
         expect a 1 served out
-        expect no processor begin");
+        expect no processor begin",
+    );
 }
 
 #[test]
-fn two_tries_that_arrive_together_run_once() {
-    up("send a + call 1 method=claim token=t rid=1
+fn two_attempts_that_arrive_together_run_once() {
+    play_ready(
+        "send a + call 1 method=claim token=t rid=1
         send b call 1 method=claim token=t rid=2
         expect processor begin
         expect no processor begin
         send processor complete 1 2 OK out
         expect b 1 served out
-        expect a 1 refused");
+        expect a 1 refused",
+    );
 }
 
 #[test]
-fn a_fallen_link_loses_no_request() {
-    // The first begin was proven by an answered question, the second may be lost; the third came meanwhile.
-    up("send a call 1 rid=1
+fn a_link_failure_loses_no_request() {
+    // An answered gauge query proves that the first `begin` arrived; the second may be lost; the third request
+    // arrives while the link is down.
+    play_ready(
+        "send a call 1 rid=1
         expect processor begin 1
         wait 150
         send processor mute
@@ -267,8 +299,10 @@
         expect processor begin 3
         expect no processor begin
         send processor complete 1 1 OK one
-        expect a 1 served one");
-    up("send processor mute
+        expect a 1 served one",
+    );
+    play_ready(
+        "send processor mute
         send a call 1 rid=1
         expect processor begin 1
         close processor
@@ -282,12 +316,14 @@
         send processor complete 1 1 OK old
         expect no a 1
         send processor complete 2 1 OK one
-        expect a 1 served one");
+        expect a 1 served one",
+    );
 }
 
 #[test]
-fn what_ended_while_the_link_was_down_is_not_begun_again() {
-    up("send processor mute
+fn a_run_that_ended_while_the_link_was_down_is_not_begun_again() {
+    play_ready(
+        "send processor mute
         send a call 1 rid=1
         expect processor begin 1
         close processor
@@ -296,13 +332,15 @@
         expect a 1 served one
         send processor unmute
         wait 200
-        expect no processor begin");
+        expect no processor begin",
+    );
 }
 
 #[test]
-fn a_processor_that_restarts_alone_fails_its_runs_and_is_served_on() {
-    // Guards against runs that stay in the books for ever, and notices taken for old ones.
-    up("send a call 1 rid=1
+fn a_processor_restart_fails_its_runs_and_later_requests_are_served() {
+    // Guards against runs that are tracked forever, and against treating notices of the new processor as old ones.
+    play_ready(
+        "send a call 1 rid=1
         send processor complete 1 1 OK one
         send a call 2 rid=2
         expect processor begin 2
@@ -313,38 +351,46 @@
         send a call 3 rid=3
         expect processor begin 3
         send processor complete 1 3 OK three
-        expect a 3 served three");
+        expect a 3 served three",
+    );
 }
 
 #[test]
 fn a_rejected_begin_is_answered() {
-    up("send a call 1 rid=1
+    play_ready(
+        "send a call 1 rid=1
         send processor reject 1
-        expect a 1 failed");
+        expect a 1 failed",
+    );
 }
 
 #[test]
-fn timers_fire_and_what_is_due_is_answered_with_the_link_down_or_silent() {
-    up("send a call 1 rid=1 budget=1000
+fn due_requests_are_answered_while_the_link_is_down_or_silent() {
+    play_ready(
+        "send a call 1 rid=1 budget=1000
         close processor
         wait 990
         expect no a 1
         wait 20
-        expect a 1 failed");
-    up("send a call 1 rid=1 budget=1000
+        expect a 1 failed",
+    );
+    play_ready(
+        "send a call 1 rid=1 budget=1000
         send processor mute
         wait 1040
         expect a 1 failed
         expect no renew
         wait 5000
-        expect renew");
+        expect renew",
+    );
 }
 
-/// Guards against a site whose callers don't tell how long they wait (`propagates_deadline` off): the field is absent there, and
-/// every request was turned down as one that makes no sense. The deadline of its class, 4 s here, counts then.
+/// Guards a deployment whose callers do not send their remaining budget (`propagates_deadline` off): the field is
+/// absent there, and every request was rejected as invalid. The class deadline applies instead, 4 s here.
 #[test]
 fn a_request_without_a_budget_is_due_at_the_deadline_of_its_class() {
-    up("send a call 1 rid=1 budget=-
+    play_ready(
+        "send a call 1 rid=1 budget=-
         expect processor begin 1
         send processor complete 1 1 OK out
         expect a 1 served out
@@ -353,31 +399,37 @@
         wait 2900
         expect no a 2
         wait 200
-        expect a 2 failed");
+        expect a 2 failed",
+    );
 }
 
 #[test]
-fn time_waited_unread_counts_from_t0() {
-    up("send a call 1 rid=1 t0=-800 budget=1000
+fn time_spent_unread_counts_from_t0() {
+    play_ready(
+        "send a call 1 rid=1 t0=-800 budget=1000
         wait 190
         expect no a 1
         wait 20
-        expect a 1 failed");
+        expect a 1 failed",
+    );
 }
 
 #[test]
-fn reports_repeat_well_inside_their_lapse() {
-    up("expect control Ready
+fn reports_repeat_well_before_they_expire() {
+    play_ready(
+        "expect control Ready
         wait 900
         expect control Ready
         wait 900
-        expect control Ready");
+        expect control Ready",
+    );
 }
 
 #[test]
-fn a_server_told_to_leave_answers_everything_and_starts_nothing_late() {
-    // Grace is 1 s, the stop comes after 2 s; nobody ends the process before it.
-    up("send a call 1 rid=1 budget=4000
+fn a_draining_server_answers_everything_and_starts_no_run_after_the_grace_period() {
+    // The grace period is 1 s and the stop time 2 s; nothing kills the process before that.
+    play_ready(
+        "send a call 1 rid=1 budget=4000
         expect processor begin 1
         expect control Ready
         send server TERM
@@ -397,12 +449,14 @@
         wait 1000
         expect no exit
         wait 1100
-        expect exit");
+        expect exit",
+    );
 }
 
 #[test]
-fn idle_connections_are_asked_to_drain_and_closed_only_if_they_stay() {
-    up("send a call 1 rid=1
+fn idle_connections_are_asked_to_drain_and_closed_if_they_stay() {
+    play_ready(
+        "send a call 1 rid=1
         send b health 1
         wait 1000
         expect no b draining
@@ -411,13 +465,16 @@
         expect no b closed
         wait 1500
         expect b closed
-        expect no a draining");
+        expect no a draining",
+    );
 }
 
 #[test]
-fn a_reload_moves_the_link_and_the_reports_and_settles_what_was_under_way() {
-    // Guards against commands lost with the old link, and a new control plane that hears nothing for a while.
-    up("send processor mute
+fn a_reload_moves_the_link_and_the_reports_and_completes_open_requests() {
+    // Guards against losing commands with the old link, and against a new control plane that gets no report for a
+    // while.
+    play_ready(
+        "send processor mute
         send a call 1 rid=1
         expect processor begin 1
         expect control Ready
@@ -432,14 +489,16 @@
         send processor complete 1 1 OK out
         expect a 1 served out
         send server HUP moved
-        expect no link to");
+        expect no link to",
+    );
 }
 
 #[test]
-fn a_token_with_another_body_or_class_is_an_exception_and_never_served() {
-    // Guards against a stranger served with the result of a run whose token it sent with a body of its own:
-    // while the first try is held, runs and has ended, and when both come together.
-    up("send a call 1 method=claim token=t rid=1 body=mine
+fn a_token_with_another_body_or_class_is_invalid_and_never_served() {
+    // Guards against serving the result of a run to another client that sends its token with a different body: while
+    // the first attempt waits, runs and has ended, and when both arrive together.
+    play_ready(
+        "send a call 1 method=claim token=t rid=1 body=mine
         expect processor begin 1
         send b call 1 method=claim token=t rid=2 body=other
         expect b 1 invalid the token
@@ -453,15 +512,16 @@
         send b call 4 method=claim token=u rid=6 body=other
         expect b 4 invalid the token
         expect processor begin 5 claim mine
-        expect no processor begin");
+        expect no processor begin",
+    );
 }
 
 #[test]
-fn a_full_table_makes_room_by_closing_what_rests() {
-    // Guards against silent connections, hundreds at a time, that keep clients and health checks out. What has a
-    // request open is never closed for room, and what once spoke only after all that never did.
+fn a_full_connection_table_closes_idle_connections() {
+    // Guards against hundreds of silent connections that lock out clients and health checks. A connection with an
+    // open request is never evicted, and one that has sent a message only after all that never did.
     let silent = |from, to| (from..to).map(|n| format!("open s{n}\n")).collect::<String>();
-    up(&format!(
+    play_ready(&format!(
         "send a call 1 rid=1
          expect processor begin 1
          send b health 1
@@ -487,12 +547,12 @@
 }
 
 #[test]
-fn the_33rd_request_open_on_a_connection_is_refused_at_once() {
-    // Guards against requests past the window left unread: behind them, neither cancels nor the close are seen.
-    // The repeats wait for the first one's run, so that the window alone turns one away.
+fn the_33rd_open_request_on_a_connection_is_rejected_at_once() {
+    // Guards against leaving requests beyond the per-connection window unread: cancels and the close behind them
+    // would not be seen. The retries wait for the first run, so only the window can cause a rejection.
     let repeats: String =
         (2..=32).map(|n| format!("send a call {n} method=claim token=t rid={n}\n")).collect();
-    up(&format!(
+    play_ready(&format!(
         "send a call 1 method=claim token=t rid=1
          expect processor begin 1
          {repeats}
@@ -508,9 +568,11 @@
 }
 
 #[test]
-fn a_change_of_state_is_reported_more_than_once_at_once() {
-    // Guards against a change that the list hears of half a second late, or never: reports get lost.
-    up("wait 1000
+fn a_readiness_change_is_reported_repeatedly_at_once() {
+    // Guards against a readiness change that reaches the server list half a second late or never because a report was
+    // lost.
+    play_ready(
+        "wait 1000
         send server TERM
         wait 150
         expect control NotReady
@@ -519,17 +581,19 @@
         expect no control NotReady
         wait 900
         expect control NotReady
-        expect control NotReady");
+        expect control NotReady",
+    );
 }
 
 #[test]
-fn figures_out_of_range_do_not_reach_the_module() {
-    // Guards against a stranger's figures that sway what the module thinks of queueing: a budget of years is an
-    // exception, and a stamp of long ago on a new connection is no time spent unread there. The level told on
-    // answers rises with that.
+fn values_out_of_range_do_not_reach_admission() {
+    // Guards against client values that distort the queueing estimate: a budget of years is an exception, and an old
+    // timestamp on a new connection does not count as time spent unread. The capacity hint in answers would rise with
+    // that.
     let ancient: String =
         (1..=3).map(|n| format!("send a{n} call 1 rid={n} t0=-900\nexpect processor begin {n}\n")).collect();
-    let mut stage = Virtually::with(|config| config["settings"]["specifics"]["advert"] = "threshold".into());
+    let mut stage =
+        VirtualStage::with(|config| config["settings"]["specifics"]["advert"] = "threshold".into());
     let text = format!(
         "send processor hi WARM 0
          send b call 1 rid=99 budget=99999999999
@@ -546,9 +610,9 @@
 }
 
 #[test]
-fn more_bodies_than_the_memory_holds_are_refused_and_room_comes_back() {
-    // Guards against many connections that each stay within their window, and together fill the memory. The
-    // repeats wait for one run, so that the module turns none of them away.
+fn bodies_beyond_the_memory_limit_are_rejected_until_memory_is_free_again() {
+    // Guards against many connections that each stay within their window but together fill the memory. The retries
+    // wait for one run, so admission rejects none of them.
     let body = "x".repeat(2000);
     let mut text = String::new();
     for conn in 0..50 {
@@ -571,39 +635,44 @@
          send a call 3 method=claim token=u rid=90002
          expect processor begin 90002"
     );
-    play(&mut Virtually::with(|config| config["limits"]["memory_mb"] = 16.into()), &text);
+    play(&mut VirtualStage::with(|config| config["limits"]["memory_mb"] = 16.into()), &text);
 }
 
 #[test]
-fn a_processor_seen_late_after_a_pause_is_the_same_one() {
-    // Guards against a pause of the machine taken for another processor: its greeting, written before the pause
-    // and read after it, made its start look late, and all that ran was failed.
-    up("send a call 1 rid=1 budget=4000
+fn a_processor_greeting_read_late_after_a_pause_is_from_the_same_processor() {
+    // Guards against mistaking a pause of the machine for a processor restart: a greeting written before the pause
+    // and read after it made the start time look later, and all runs were failed.
+    play_ready(
+        "send a call 1 rid=1 budget=4000
         expect processor begin 1
         wait 1000
         close processor
         wait 1500
         send processor hi WARM 1600
         send processor complete 1 1 OK out
-        expect a 1 served out");
-    // Nor for a greeting that took some milliseconds, of a processor that told nothing since its first one.
-    up("send processor mute
+        expect a 1 served out",
+    );
+    // The same applies to a greeting that took a few milliseconds, from a processor that has sent nothing since its
+    // first one.
+    play_ready(
+        "send processor mute
         send a call 1 rid=1
         expect processor begin 1
         wait 300
         close processor
         send processor hi WARM 295
         send processor complete 1 1 OK out
-        expect a 1 served out");
+        expect a 1 served out",
+    );
 }
 
 const MS: u64 = 1_000_000;
 
 #[test]
-fn a_planned_leave_is_told_at_once_and_drains_only_when_callers_know() {
-    // Guards against arrivals turned away while callers' lists can still hold the server.
+fn a_planned_leave_is_reported_at_once_and_drains_after_the_hold_time() {
+    // Guards against rejecting requests while callers' server lists may still contain this server.
     play(
-        &mut Virtually::registered(Registration::new(None, Span(3_000 * MS))),
+        &mut VirtualStage::registered(Registration::new(None, Span(3_000 * MS))),
         "send a call 1 rid=1
          expect processor begin 1
          send server OUT
@@ -622,9 +691,9 @@
 }
 
 #[test]
-fn an_order_to_come_back_ends_a_planned_leave_that_has_not_begun_to_drain() {
+fn a_return_to_service_ends_a_planned_leave_that_has_not_begun_to_drain() {
     play(
-        &mut Virtually::registered(Registration::new(None, Span(3_000 * MS))),
+        &mut VirtualStage::registered(Registration::new(None, Span(3_000 * MS))),
         "send a call 1 rid=9
          send server OUT
          expect control NotReady
@@ -642,9 +711,9 @@
 }
 
 #[test]
-fn a_drain_waits_for_no_registry() {
-    // Guards against a leave that a registry which never answers holds up: here none of its answers ever comes.
-    let set = MembershipSettings {
+fn a_drain_does_not_wait_for_the_registry() {
+    // Guards against a drain that an unresponsive registry delays: here the registry never answers.
+    let settings = MembershipSettings {
         instance: Instance { id: "n1".into(), app: "TILES".into(), ..Instance::default() },
         urls: 2,
         heartbeat: Span(30_000 * MS),
@@ -657,9 +726,9 @@
         preferred_retry_interval: Span(60_000 * MS),
         cancel: true,
     };
-    let membership = Membership::new(set, 7, Time(0));
+    let membership = Membership::new(settings, 7, Time(0));
     play(
-        &mut Virtually::registered(Registration::new(Some(membership), Span(0))),
+        &mut VirtualStage::registered(Registration::new(Some(membership), Span(0))),
         "expect registry Register
          send a call 1 rid=1
          expect processor begin 1
