--- a/crates/gradepin/src/config/client.rs
+++ b/crates/gradepin/src/config/client.rs
@@ -48,7 +48,7 @@
                 Err(error) => why.push(error.to_string()),
             }
         }
-        Err(ConfigError::NotTaken(why.join("; ")))
+        Err(ConfigError::NotAccepted(why.join("; ")))
     }
 
     /// Posts a change to each server in turn, under its request id, until an answer is final or the timeout expires.
@@ -69,16 +69,16 @@
                     if Instant::now() + after >= deadline {
                         let request_id = request_id.clone();
                         return Err(if may_have_committed {
-                            ConfigError::Unknown { request_id, why }
+                            ConfigError::OutcomeUnknown { request_id, why }
                         } else {
-                            ConfigError::NotTaken(why)
+                            ConfigError::NotAccepted(why)
                         });
                     }
                     thread::sleep(after);
                 }
             }
         }
-        Err(ConfigError::NotTaken("no server was named".into()))
+        Err(ConfigError::NotAccepted("no server was named".into()))
     }
 
     fn propose(
@@ -148,5 +148,5 @@
 
 fn read<T: DeserializeOwned>(body: &str) -> Result<T, ConfigError> {
     serde_json::from_str(body)
-        .map_err(|why| ConfigError::Unusable(format!("invalid answer of the server: {why}")))
+        .map_err(|why| ConfigError::Invalid(format!("invalid answer of the server: {why}")))
 }
--- a/crates/gradepin/src/config/mod.rs
+++ b/crates/gradepin/src/config/mod.rs
@@ -143,19 +143,19 @@
 pub(crate) enum ConfigError {
     /// A server rejected the request; nothing was changed.
     #[error("refused: {0}")]
-    Refused(#[from] AdminError),
+    Rejected(#[from] AdminError),
     /// No server could be reached, or none could accept the request now; nothing was changed.
     #[error("not taken: {0}")]
-    NotTaken(String),
+    NotAccepted(String),
     /// The change may have been committed. Repeating the command with this request id returns the outcome and commits
     /// the change at most once.
     #[error(
         "not known whether it was committed: {why}\nask again with --request-id {request_id}: it is committed once at the most"
     )]
-    Unknown { request_id: Name, why: String },
+    OutcomeUnknown { request_id: Name, why: String },
     /// The input or a server's answer is invalid.
     #[error("{0}")]
-    Unusable(String),
+    Invalid(String),
 }
 
 impl ConfigError {
@@ -164,11 +164,11 @@
     /// line.)
     pub(crate) fn exit_status(&self) -> u8 {
         match self {
-            Self::Refused(AdminError::Stale { .. }) => 3,
-            Self::Refused(error) if error.is_transient() => 4,
-            Self::Refused(_) | Self::Unusable(_) => 1,
-            Self::NotTaken(_) => 4,
-            Self::Unknown { .. } => 5,
+            Self::Rejected(AdminError::Stale { .. }) => 3,
+            Self::Rejected(error) if error.is_transient() => 4,
+            Self::Rejected(_) | Self::Invalid(_) => 1,
+            Self::NotAccepted(_) => 4,
+            Self::OutcomeUnknown { .. } => 5,
         }
     }
 }
@@ -199,14 +199,14 @@
 }
 
 fn apply(file: &Path, change: ChangeArguments) -> Result<()> {
-    let unusable = |why: String| ConfigError::Unusable(format!("{}: {why}", file.display()));
-    let text = std::fs::read_to_string(file).map_err(|why| unusable(why.to_string()))?;
+    let invalid = |why: String| ConfigError::Invalid(format!("{}: {why}", file.display()));
+    let text = std::fs::read_to_string(file).map_err(|why| invalid(why.to_string()))?;
     let transaction = transaction::parse(&text, Form::of(file)).map_err(|problems| {
         let lines = problems.iter().map(|problem| format!("{}:{problem}", file.display()));
-        ConfigError::Unusable(lines.collect::<Vec<String>>().join("\n"))
+        ConfigError::Invalid(lines.collect::<Vec<String>>().join("\n"))
     })?;
     if transaction.changes.is_empty() {
-        return Err(unusable("expected at least one change, got none".into()));
+        return Err(invalid("expected at least one change, got none".into()));
     }
     let (request_id, author) = (change.request_id(), change.author());
     let (reason, expected) = (Arc::from(change.why.as_str()), change.expected.map(Revision));
@@ -254,7 +254,7 @@
 
 fn print<T: Serialize>(reply: &T, json: bool, text: impl Fn(&T) -> String) -> Result<()> {
     if json {
-        let line = serde_json::to_string(reply).map_err(|why| ConfigError::Unusable(why.to_string()))?;
+        let line = serde_json::to_string(reply).map_err(|why| ConfigError::Invalid(why.to_string()))?;
         println!("{line}");
     } else {
         println!("{}", text(reply));
@@ -289,7 +289,7 @@
     }
 
     fn commit(&self, path: &str, request: &impl Serialize, request_id: &Name) -> Result<()> {
-        let body = serde_json::to_string(request).map_err(|why| ConfigError::Unusable(why.to_string()))?;
+        let body = serde_json::to_string(request).map_err(|why| ConfigError::Invalid(why.to_string()))?;
         let reply = self.servers.client().commit(path, &body, request_id)?;
         let text = match reply {
             ApplyReply::Committed { revision, repeated: false } => {
--- a/crates/gradepin/src/config/render.rs
+++ b/crates/gradepin/src/config/render.rs
@@ -56,12 +56,12 @@
     )
 }
 
-fn lagging(one: &Lagging) -> String {
-    let has = one.revision.map_or("never heard".to_string(), |revision| format!("revision {revision}"));
-    let heard = if one.reachable { "" } else { ", not heard now" };
-    let why = one.cannot_apply.as_ref().map(|why| format!(", can't apply the next: {why}"));
-    let (server, zone, since) = (&one.server, &one.zone, one.since_s);
-    format!("  {server} in {zone}: {has}, for {since:.0} s{heard}{}", why.unwrap_or_default())
+fn lagging(server: &Lagging) -> String {
+    let has = server.revision.map_or("never heard".to_string(), |revision| format!("revision {revision}"));
+    let heard = if server.reachable { "" } else { ", not heard now" };
+    let why = server.cannot_apply.as_ref().map(|why| format!(", can't apply the next: {why}"));
+    let (name, zone, since) = (&server.server, &server.zone, server.since_s);
+    format!("  {name} in {zone}: {has}, for {since:.0} s{heard}{}", why.unwrap_or_default())
 }
 
 /// Renders the reply to `history`.
@@ -129,7 +129,7 @@
     reply.entries.iter().map(entry).collect::<Vec<String>>().join("\n")
 }
 
-/// Uses the keys of a configuration document, so that the output can be copied into one.
+/// Uses the keys of a configuration document, so that the output can be copied into server.
 fn entry(entry: &Entry) -> String {
     match entry {
         Entry::Class(class) => format!("class {}", as_json(&ClassEntry::from(&**class))),
--- a/crates/gradepin/src/fleet.rs
+++ b/crates/gradepin/src/fleet.rs
@@ -55,26 +55,30 @@
         caller: Caller,
     },
     /// Withdraw the request to leave, or end its permit
-    Stay {
+    #[command(name = "stay")]
+    CancelLeave {
         #[command(flatten)]
         caller: Caller,
     },
     /// Grant a permit for all servers of a zone (`zone NAME`) or for a member of a service (`service GROUP/MEMBER`)
-    Out {
+    #[command(name = "out")]
+    GrantPermit {
         #[command(flatten)]
         caller: Caller,
         #[command(subcommand)]
         subject: Subject,
     },
     /// End a permit that was granted with `out`
-    In {
+    #[command(name = "in")]
+    EndPermit {
         #[command(flatten)]
         caller: Caller,
         #[command(subcommand)]
         subject: Subject,
     },
     /// Release a permit whose holder will not return
-    Free {
+    #[command(name = "free")]
+    ReleasePermit {
         #[command(flatten)]
         caller: Caller,
         /// Epoch of the permit
@@ -83,8 +87,9 @@
         #[arg(long)]
         why: String,
     },
-    /// Remove a server that will not return from the roster
-    Strike {
+    /// Remove from the roster a server that will not return
+    #[command(name = "strike")]
+    RemoveServer {
         #[command(flatten)]
         caller: Caller,
         /// Name of the server
@@ -101,8 +106,8 @@
         /// Name of the server
         name: String,
         /// Remove the voter instead of adding it
-        #[arg(long)]
-        out: bool,
+        #[arg(long = "out")]
+        remove: bool,
     },
 }
 
@@ -146,27 +151,27 @@
         FleetCommand::Status { address, json: false } => table::render(&status(address)?),
         FleetCommand::Found { caller } => post(caller.address, "/fleet/found")?,
         FleetCommand::Leave { caller } => post(caller.address, "/fleet/leave")?,
-        FleetCommand::Stay { caller } => post(caller.address, "/fleet/stay")?,
-        FleetCommand::Out { caller, subject } => {
+        FleetCommand::CancelLeave { caller } => post(caller.address, "/fleet/stay")?,
+        FleetCommand::GrantPermit { caller, subject } => {
             let order = OperatorCommand::GrantPermit { target: subject.target()?, operator: caller.by() };
             admin_client::order(caller.address, &order)?
         }
-        FleetCommand::In { caller, subject } => {
+        FleetCommand::EndPermit { caller, subject } => {
             let order = OperatorCommand::EndPermit { target: subject.target()?, operator: caller.by() };
             admin_client::order(caller.address, &order)?
         }
-        FleetCommand::Free { caller, epoch, why } => {
+        FleetCommand::ReleasePermit { caller, epoch, why } => {
             let order = OperatorCommand::ReleasePermit { epoch, operator: caller.by(), reason: why };
             admin_client::order(caller.address, &order)?
         }
-        FleetCommand::Strike { caller, name, why } => {
+        FleetCommand::RemoveServer { caller, name, why } => {
             let order =
                 OperatorCommand::RemoveServer { name: Arc::from(name), operator: caller.by(), reason: why };
             admin_client::order(caller.address, &order)?
         }
-        FleetCommand::Voter { caller, name, out } => {
+        FleetCommand::Voter { caller, name, remove } => {
             let name = Arc::from(name);
-            let order = OperatorCommand::ChangeVoter { name, add: !out, operator: caller.by() };
+            let order = OperatorCommand::ChangeVoter { name, add: !remove, operator: caller.by() };
             admin_client::order(caller.address, &order)?
         }
     };
--- a/crates/gradepin/src/main.rs
+++ b/crates/gradepin/src/main.rs
@@ -63,7 +63,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve until SIGTERM, then drain for up to the configured stop time
+    /// Serve until SIGTERM, then drain until the configured stop time
     Serve {
         #[command(flatten)]
         files: Files,
--- a/crates/gradepin/src/release.rs
+++ b/crates/gradepin/src/release.rs
@@ -63,7 +63,8 @@
         name: String,
     },
     /// Roll back a release, in reverse order and under the same limits
-    Back {
+    #[command(name = "back")]
+    RollBack {
         #[command(flatten)]
         caller: Caller,
         /// Name of the release
@@ -96,7 +97,7 @@
             let halt_count = status["release"]["halts"].as_u64().ok_or("there is no release")? as u32;
             order(&caller, RolloutCommand::Resume { name, halt_count, operator: caller.by() })?
         }
-        ReleaseCommand::Back { caller, name, why } => {
+        ReleaseCommand::RollBack { caller, name, why } => {
             order(&caller, RolloutCommand::RollBack { name, operator: caller.by(), reason: why })?
         }
     };
--- a/crates/gradepin/tests/config_cli.rs
+++ b/crates/gradepin/tests/config_cli.rs
@@ -12,7 +12,7 @@
     /// Answers with this status and body.
     Answer(u16, &'static str),
     /// Reads the call and closes the connection, so that the answer is lost.
-    Lose,
+    DropConnection,
 }
 
 /// Starts an admin server that executes one step per call; its thread returns head line and body of each call.
@@ -102,7 +102,7 @@
 /// that was committed.
 #[test]
 fn a_lost_answer_is_requested_from_the_next_server_under_the_same_id() {
-    let (first, first_calls) = start_admin_server(vec![Step::Lose]);
+    let (first, first_calls) = start_admin_server(vec![Step::DropConnection]);
     let (second, second_calls) = start_admin_server(vec![Step::Answer(200, COMMITTED_BEFORE)]);
     let output = apply(&[first, second], &[]);
     assert_eq!(outcome(&output), (Some(0), "was committed as revision 42 before".into(), String::new()));
@@ -160,7 +160,7 @@
     );
     calls.join().unwrap();
 
-    let (address, calls) = start_admin_server(vec![Step::Lose]);
+    let (address, calls) = start_admin_server(vec![Step::DropConnection]);
     let (code, _, text) = outcome(&apply(&[address], &["--wait", "0"]));
     assert_eq!(code, Some(5));
     assert!(text.contains("ask again with --request-id r-1"), "{text}");
--- a/crates/gradepin/tests/processor_link.rs
+++ b/crates/gradepin/tests/processor_link.rs
@@ -37,8 +37,8 @@
     let event = stage.take_any_event(&[&format!("a {seq}")]);
     let served =
         event.strip_prefix(&format!("a {seq} served")).unwrap_or_else(|| panic!("not served: {event}"));
-    let whole = served.rfind(" hint=").map_or(served, |hint| &served[..hint]);
-    whole.strip_prefix(' ').unwrap_or(whole).to_string()
+    let result = served.rfind(" hint=").map_or(served, |hint| &served[..hint]);
+    result.strip_prefix(' ').unwrap_or(result).to_string()
 }
 
 /// Checks id, class and body of the next run; returns the id.
@@ -276,9 +276,9 @@
             } else {
                 let notice = state.notice(&mut random);
                 ended = bodies.len() - state.open.len();
-                let whole = if random.one_in(3) { random.below(notice.len()) } else { notice.len() };
-                link.send(&notice[..whole]);
-                if whole < notice.len() {
+                let sent_bytes = if random.one_in(3) { random.below(notice.len()) } else { notice.len() };
+                link.send(&notice[..sent_bytes]);
+                if sent_bytes < notice.len() {
                     link.close(random.one_in(2));
                     link = state.link(&processor, &mut random);
                 } else if random.one_in(4) {
@@ -338,15 +338,15 @@
         send_request(&mut stage, seq, body);
         expect_run(&mut link, seq, body);
         link.send(&notice(n)[..cut]);
-        let whole = cut == notice(n).len();
-        if whole {
+        let is_complete = cut == notice(n).len();
+        if is_complete {
             assert_eq!(expect_result(&mut stage, seq).as_bytes(), made);
         }
         link.close(false);
         let (next, last) = processor.greet();
-        assert_eq!(last, u64::try_from(if whole { n } else { n - 1 }).expect("a number"), "{cut}");
+        assert_eq!(last, u64::try_from(if is_complete { n } else { n - 1 }).expect("a number"), "{cut}");
         link = next;
-        if !whole {
+        if !is_complete {
             link.send(&notice(n));
             assert_eq!(expect_result(&mut stage, seq).as_bytes(), made, "{cut}");
         }
--- a/crates/gradepin/tests/random_settings/simulation.rs
+++ b/crates/gradepin/tests/random_settings/simulation.rs
@@ -384,14 +384,14 @@
     }
 
     fn send_request(&mut self) {
-        let place = self.random_below(self.classes.len() as u64) as usize;
-        let name = self.classes[place].clone();
+        let index = self.random_below(self.classes.len() as u64) as usize;
+        let name = self.classes[index].clone();
         let Some((class, definition)) = self.names.class(&name) else { return };
         let profile = &definition.profile;
         let tenant = self.random_below(self.tenants.len() as u64 + 1) as usize;
         let tenant = self.tenants.get(tenant).and_then(|tenant| self.names.tenant(tenant));
         let keyed = profile.effect == Idempotency::Keyed;
-        let token = keyed.then(|| Arc::<str>::from(format!("{}-{}", self.random_below(5), place)));
+        let token = keyed.then(|| Arc::<str>::from(format!("{}-{}", self.random_below(5), index)));
         let longest = (profile.deadline.0 / MS).min(3_000);
         let budget = self.random_below(longest + 1);
         let t0 = self.unix_ms() - self.random_below(60);
@@ -440,8 +440,8 @@
         if self.running.is_empty() {
             return;
         }
-        let place = self.random_below(self.running.len() as u64) as usize;
-        let id = self.running.swap_remove(place);
+        let index = self.random_below(self.running.len() as u64) as usize;
+        let id = self.running.swap_remove(index);
         self.end_run(id);
     }
 
@@ -472,8 +472,8 @@
     }
 
     fn cancel_random_request(&mut self) {
-        let place = self.random_below(self.sent.len() as u64) as usize;
-        if let Some(sent) = self.sent.values_mut().nth(place).filter(|sent| sent.owed) {
+        let index = self.random_below(self.sent.len() as u64) as usize;
+        if let Some(sent) = self.sent.values_mut().nth(index).filter(|sent| sent.owed) {
             sent.owed = false;
             self.inputs.push(Input::Cancel { connection: sent.conn, sequence: sent.seq });
         }
--- a/crates/gradepin/tests/scenario/mod.rs
+++ b/crates/gradepin/tests/scenario/mod.rs
@@ -243,8 +243,8 @@
                 let found = (0..MAX_UNTIL_ATTEMPTS).any(|_| {
                     stage.send_admin_request(admin_request(call, &at));
                     // The response has arrived by now, so `take_event` does not wait.
-                    let came = stage.pending_events().iter().any(|event| matches_words(event, &line));
-                    let found = came && stage.take_event(&line).is_ok();
+                    let occurred = stage.pending_events().iter().any(|event| matches_words(event, &line));
+                    let found = occurred && stage.take_event(&line).is_ok();
                     stage.wait(if found { 0 } else { 20 });
                     found
                 });
--- a/crates/gradepin/tests/scenario/socket_stage.rs
+++ b/crates/gradepin/tests/scenario/socket_stage.rs
@@ -179,8 +179,8 @@
         let start = Instant::now();
         loop {
             let wanted = |event: &String| words.iter().any(|words| matches_words(event, words));
-            if let Some(place) = self.events.iter().position(wanted) {
-                return self.events.remove(place);
+            if let Some(index) = self.events.iter().position(wanted) {
+                return self.events.remove(index);
             }
             let next = self.receiver.recv_timeout(TIMEOUT.saturating_sub(start.elapsed()));
             self.events.push(next.unwrap_or_else(|_| panic!("no {words:?} in {:?}", self.events)));
@@ -513,8 +513,8 @@
     fn take_event(&mut self, words: &str) -> Result<String, Vec<String>> {
         let start = Instant::now();
         loop {
-            if let Some(place) = self.events.iter().position(|event| matches_words(event, words)) {
-                return Ok(self.events.remove(place));
+            if let Some(index) = self.events.iter().position(|event| matches_words(event, words)) {
+                return Ok(self.events.remove(index));
             }
             match self.receiver.recv_timeout(TIMEOUT.saturating_sub(start.elapsed())) {
                 Ok(event) => self.events.push(event),
--- a/crates/gradepin/tests/scenario/virtual_stage.rs
+++ b/crates/gradepin/tests/scenario/virtual_stage.rs
@@ -180,12 +180,12 @@
     }
 
     fn conn(&mut self, name: &str) -> ConnectionId {
-        let place = self.conns.iter().position(|known| known == name).unwrap_or_else(|| {
+        let index = self.conns.iter().position(|known| known == name).unwrap_or_else(|| {
             self.conns.push(name.to_string());
             self.pending_inputs.push(Input::ConnectionOpened(self.conns.len() as ConnectionId - 1));
             self.conns.len() - 1
         });
-        place as ConnectionId
+        index as ConnectionId
     }
 
     /// Steps until no input and no timer is due at this instant.
@@ -440,7 +440,7 @@
         let id = RequestId::new(&format!("{:016x}", rid.parse::<u64>().expect("a number")));
         // Ends the oldest call of this request; without one, the end is reported anyway.
         let out = self.calls_out.iter().position(|(known, _)| *known == id);
-        let number = out.map_or(0, |place| self.calls_out.remove(place).1);
+        let number = out.map_or(0, |index| self.calls_out.remove(index).1);
         self.pending_inputs.push(Input::UpstreamCallEnded { id, call: number, outcome, reply });
         self.settle();
     }
@@ -504,8 +504,8 @@
     }
 
     fn take_event(&mut self, words: &str) -> Result<String, Vec<String>> {
-        let place = self.events.iter().position(|event| matches_words(event, words));
-        place.map(|place| self.events.remove(place)).ok_or_else(|| self.events.clone())
+        let index = self.events.iter().position(|event| matches_words(event, words));
+        index.map(|index| self.events.remove(index)).ok_or_else(|| self.events.clone())
     }
 
     fn pending_events(&mut self) -> Vec<String> {
