--- a/crates/testkit/src/drill/faults/client.rs
+++ b/crates/testkit/src/drill/faults/client.rs
@@ -1,4 +1,4 @@
-//! Client proxies that keep to the protocol page, and write down what they send and read.
+//! Client proxies that follow the protocol page and record everything they send and read.
 
 use super::random::Random;
 use super::record::{Record, Request};
@@ -14,147 +14,150 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long anything may take before it counts as a hang: far past all that is due, so that no verdict rests on the machine.
-pub const PATIENCE: Duration = Duration::from_secs(20);
-/// Between tries to connect, and looks at whether the case is over.
-pub const LOOK: Duration = Duration::from_millis(5);
-/// How long a client waits for the end of a connection that it has ended.
-const END_PATIENCE: Duration = Duration::from_secs(2);
+/// Time after which an operation counts as hung; far above all due times, so that no verdict depends on the machine's
+/// speed.
+pub const HANG_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval between attempts to connect, and between checks whether the case is over.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Maximum wait for the server to close a connection that the client has finished.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A server as its clients see it.
 #[derive(Debug, Clone)]
 pub struct Target {
-    /// Its name.
+    /// The server's name.
     pub name: String,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Where it takes operators' calls.
+    /// Address for operators' calls.
     pub admin: SocketAddr,
-    /// What was sent and read.
+    /// Record of everything sent to and read from the server.
     pub record: Arc<Record>,
-    /// Its process.
+    /// Id of the current process; changes when the server is started again.
     pub pid: Arc<AtomicU32>,
-    /// Whether it has been told to leave: then a refused connection is as it should be.
-    pub leaving: Arc<AtomicBool>,
-    /// Whether the load is to end.
-    pub quiet: Arc<AtomicBool>,
-    /// Whether the next answer that comes is dropped: the seeded defect of the answers.
+    /// Whether the server received SIGTERM; a refused connection is then expected.
+    pub stopping: Arc<AtomicBool>,
+    /// Set when the steady clients shall stop.
+    pub load_stopped: Arc<AtomicBool>,
+    /// Whether the next successful answer is dropped: the seeded defect of
+    /// [`Oracle::Answers`](super::oracles::Oracle::Answers).
     pub drops_answer: Arc<AtomicBool>,
 }
 
 impl Target {
-    /// The states of its threads, for the text of a hang.
+    /// The states of the server's threads, for the message of a hang.
     pub fn threads(&self) -> String {
         threads::states(self.pid.load(Ordering::SeqCst))
     }
 
-    /// Whether it has been told to leave.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving.load(Ordering::SeqCst)
+    /// Whether the server received SIGTERM.
+    pub fn is_stopping(&self) -> bool {
+        self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Whether the load is to end.
-    pub fn is_quiet(&self) -> bool {
-        self.quiet.load(Ordering::SeqCst) || self.is_leaving()
+    /// Whether the steady clients shall stop; also true once the server is stopping.
+    pub fn load_is_over(&self) -> bool {
+        self.load_stopped.load(Ordering::SeqCst) || self.is_stopping()
     }
 
-    /// A connection, tried again while the server is killed and started anew. None once it is leaving.
+    /// Opens a connection, and retries while the server is killed and started again. Returns `None` once the server
+    /// is stopping or after [`HANG_TIMEOUT`].
     pub fn connect(&self) -> Option<Connection> {
         let start = Instant::now();
         loop {
-            // Before it is made: a server that is killed right after it must count as killed since.
+            // Taken before connecting: a kill right after the connect must count as later.
             let connected = Instant::now();
-            match TcpStream::connect_timeout(&self.address, PATIENCE) {
+            match TcpStream::connect_timeout(&self.address, HANG_TIMEOUT) {
                 Ok(stream) => {
                     let _ = stream.set_nodelay(true);
                     return Some(Connection::new(stream, self.clone(), connected));
                 }
-                Err(_) if self.is_leaving() => return None,
-                Err(e) if start.elapsed() > PATIENCE => {
+                Err(_) if self.is_stopping() => return None,
+                Err(e) if start.elapsed() > HANG_TIMEOUT => {
                     let hang = self.threads();
                     self.record.check("a new connection", Err(format!("{e}; threads\n{hang}")));
                     return None;
                 }
-                Err(_) => thread::sleep(LOOK),
+                Err(_) => thread::sleep(POLL_INTERVAL),
             }
         }
     }
 }
 
-/// What is read from a connection.
+/// The outcome of one read.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Came {
+pub enum ReadOutcome {
     /// An answer, or the notice that the server is draining.
     Message,
-    /// Nothing until the time was up.
-    Nothing,
-    /// The end.
-    End,
+    /// No message until the deadline.
+    TimedOut,
+    /// The connection closed or broke.
+    Closed,
 }
 
-/// A connection, its open requests, and what is left of the bytes read.
+/// A connection with its open requests and the unparsed bytes.
 pub struct Connection {
-    /// The socket.
+    /// The socket; misbehaving clients also use it directly.
     pub stream: TcpStream,
     target: Target,
     next: i32,
-    /// By their numbers, requests by their places in the record.
+    /// Indexes in the record by sequence number; answered requests stay, so that a second answer is noticed.
     open: BTreeMap<i32, usize>,
     checks: BTreeMap<i32, Option<bool>>,
     bytes: Vec<u8>,
-    /// The server asked for no more requests.
+    /// Whether the server has announced that it drains and takes no more requests here.
     pub draining: bool,
     ended: bool,
     connected: Instant,
 }
 
-/// A request that is ready to be written.
+/// A recorded request that is ready to be written.
 #[derive(Debug, Clone)]
 pub struct Prepared {
-    /// Its frame.
+    /// The encoded frame.
     pub frame: Vec<u8>,
-    /// Its place in the record.
-    pub place: usize,
+    /// Index in the record.
+    pub index: usize,
 }
 
-/// What is special about a request.
+/// Deviations from the usual request.
 #[derive(Debug, Clone, Default)]
-pub struct Special {
-    /// A further try of the keyed request of this place.
-    pub again: Option<usize>,
-    /// The same try as that of this place, which crossed the end of another connection.
-    pub crossed: Option<usize>,
-    /// The length of its body.
+pub struct RequestOptions {
+    /// Makes a further attempt of the keyed request with this index.
+    pub retry_of: Option<usize>,
+    /// Repeats the attempt with this index, which crossed the close of another connection.
+    pub resend_of: Option<usize>,
+    /// Length of the body, in bytes.
     pub body: Option<usize>,
-    /// A field that means nothing, of this length.
+    /// Adds a field without meaning of this length, in bytes.
     pub padding: Option<usize>,
-    /// Its class.
+    /// Class to use instead of a drawn one.
     pub class: Option<&'static str>,
-    /// Fields in place of the usual ones.
+    /// Fields that replace the usual ones of the same name.
     pub fields: Vec<(&'static str, String)>,
 }
 
 impl Connection {
-    /// On a socket that was connected after this time.
+    /// Wraps a socket; `connected` must have been taken before it was connected.
     pub fn new(stream: TcpStream, target: Target, connected: Instant) -> Self {
         let (open, checks, bytes) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
         Self { stream, target, next: 1, open, checks, bytes, draining: false, ended: false, connected }
     }
 
-    /// Makes a request of drawn class and body, and writes it down as not sent yet.
-    pub fn prepare(&mut self, random: &mut Random, special: &Special) -> Prepared {
+    /// Prepares a request with drawn class and body, and records it as not yet written.
+    pub fn prepare(&mut self, random: &mut Random, options: &RequestOptions) -> Prepared {
         let mut entries = self.target.record.entries();
-        let earlier = special.again.or(special.crossed).map(|place| entries.requests[place].clone());
-        let class = special.class.unwrap_or_else(|| random.one_of(&CLASSES));
+        let earlier = options.retry_of.or(options.resend_of).map(|index| entries.requests[index].clone());
+        let class = options.class.unwrap_or_else(|| random.one_of(&CLASSES));
         let class = earlier.as_ref().map_or(class, |earlier| earlier.class);
         let body = earlier.as_ref().map(|earlier| earlier.body.clone());
-        let body = body.unwrap_or_else(|| body_of(random, special.body));
+        let body = body.unwrap_or_else(|| body_of(random, options.body));
         let token = earlier.as_ref().and_then(|earlier| earlier.token.clone());
         let new_token = || format!("{:016x}{:016x}", random.number(), random.number());
         let token = token.or_else(|| (class == CLAIM).then(new_token));
-        let same = earlier.as_ref().filter(|_| special.crossed.is_some());
+        let same = earlier.as_ref().filter(|_| options.resend_of.is_some());
         let rid = same.map_or_else(|| format!("{:016x}", random.number()), |same| same.rid.clone());
-        let place = entries.request(Request {
+        let index = entries.request(Request {
             rid: rid.clone(),
             class,
             body: body.clone(),
@@ -166,7 +169,7 @@
             answers: Vec::new(),
             ended: None,
             hang: None,
-            crossed: false,
+            sent_again: false,
         });
         drop(entries);
         let mut fields = vec![
@@ -180,20 +183,20 @@
             ("prio", "0.6250".to_string()),
         ];
         fields.extend(token.map(|token| ("token", token)));
-        fields.extend(special.again.map(|_| ("again", "1".to_string())));
-        fields.extend(special.padding.map(|length| ("padding", "p".repeat(length))));
-        for (name, value) in &special.fields {
+        fields.extend(options.retry_of.map(|_| ("again", "1".to_string())));
+        fields.extend(options.padding.map(|length| ("padding", "p".repeat(length))));
+        for (name, value) in &options.fields {
             fields.retain(|(known, _)| known != name);
             fields.push((name, value.clone()));
         }
         let fields: Vec<(&str, &str)> = fields.iter().map(|(name, value)| (*name, value.as_str())).collect();
         let seq = self.next;
         self.next += 1;
-        self.open.insert(seq, place);
-        Prepared { frame: thrift::call(seq, &fields, &body), place }
+        self.open.insert(seq, index);
+        Prepared { frame: thrift::call(seq, &fields, &body), index }
     }
 
-    /// A health check; how it was answered is told by [`Connection::checked`].
+    /// Prepares a health check; [`Connection::checked`] tells whether it was answered.
     pub fn prepare_check(&mut self) -> Vec<u8> {
         let seq = self.next;
         self.next += 1;
@@ -201,53 +204,53 @@
         thrift::health(seq)
     }
 
-    /// Whether all health checks so far are answered.
+    /// Whether all health checks sent so far were answered.
     pub fn checked(&self) -> bool {
         self.checks.values().all(Option::is_some)
     }
 
-    /// Whether the health checks were answered well.
+    /// Whether all health checks were answered positively.
     pub fn is_good(&self) -> bool {
         self.checks.values().all(|good| *good == Some(true))
     }
 
-    /// Whether its server was killed since it was made: then nothing is owed on it.
+    /// Whether the server was killed since this connection was opened; nothing is owed on it then.
     pub fn was_killed(&self) -> bool {
         self.target.record.entries().killed_since(self.connected)
     }
 
-    /// When it was made.
+    /// When the connection was opened.
     pub fn connected(&self) -> Instant {
         self.connected
     }
 
-    /// How long ago it was made.
+    /// Time since the connection was opened.
     pub fn age(&self) -> Duration {
         self.connected.elapsed()
     }
 
-    /// Writes bytes, whatever they are.
+    /// Writes raw bytes, which need not be a valid frame.
     pub fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes)
     }
 
-    /// The last byte of these was written.
+    /// Records that the last byte of these requests was written.
     pub fn written(&self, all: &[Prepared]) {
         let mut entries = self.target.record.entries();
         for prepared in all {
-            entries.requests[prepared.place].written = Some(Instant::now());
+            entries.requests[prepared.index].written = Some(Instant::now());
         }
     }
 
-    /// No answer is owed to these.
+    /// Records that no answer is owed to these requests.
     pub fn not_owed(&self, all: &[Prepared]) {
         let mut entries = self.target.record.entries();
         for prepared in all {
-            entries.requests[prepared.place].owed = false;
+            entries.requests[prepared.index].owed = false;
         }
     }
 
-    /// Writes whole requests in one go.
+    /// Writes complete requests in one call.
     pub fn send(&mut self, all: &[Prepared]) -> io::Result<()> {
         let bytes: Vec<u8> = all.iter().flat_map(|prepared| prepared.frame.clone()).collect();
         self.write(&bytes)?;
@@ -255,27 +258,27 @@
         Ok(())
     }
 
-    /// Reads one message, waiting until then.
-    pub fn read(&mut self, until: Instant) -> Came {
+    /// Reads one message, waiting until the deadline.
+    pub fn read(&mut self, until: Instant) -> ReadOutcome {
         loop {
             match thrift::frame(&self.bytes) {
                 Ok(Some(len)) => {
                     let frame: Vec<u8> = self.bytes.drain(..len).collect();
                     self.message(&frame[4..]);
-                    return Came::Message;
+                    return ReadOutcome::Message;
                 }
                 Ok(None) => {}
                 Err(why) => {
                     let shown = self.bytes[..self.bytes.len().min(64)].escape_ascii();
                     self.target
                         .record
-                        .foreign(format!("bytes to a client that are no frame, {why}: '{shown}'"));
-                    return self.end("bytes that are no frame".to_string());
+                        .unattributed(format!("bytes to a client that are not a frame, {why}: '{shown}'"));
+                    return self.end("bytes that are not a frame".to_string());
                 }
             }
             let left = until.saturating_duration_since(Instant::now());
             if left.is_zero() {
-                return Came::Nothing;
+                return ReadOutcome::TimedOut;
             }
             let _ = self.stream.set_read_timeout(Some(left.max(Duration::from_millis(1))));
             let mut chunk = [0; 16 * 1024];
@@ -289,19 +292,21 @@
         }
     }
 
-    fn end(&mut self, how: String) -> Came {
+    fn end(&mut self, how: String) -> ReadOutcome {
         self.ended = true;
         let mut entries = self.target.record.entries();
-        for place in self.open.values() {
-            entries.requests[*place].ended = Some(how.clone());
+        for index in self.open.values() {
+            entries.requests[*index].ended = Some(how.clone());
         }
         if !self.bytes.is_empty() {
             let shown = self.bytes[..self.bytes.len().min(64)].escape_ascii().to_string();
             if entries.kills.is_empty() {
-                entries.foreign.push(format!("half a frame to a client before the end: '{shown}'"));
+                entries
+                    .unattributed
+                    .push(format!("an incomplete frame to a client before the connection closed: '{shown}'"));
             }
         }
-        Came::End
+        ReadOutcome::Closed
     }
 
     fn message(&mut self, frame: &[u8]) {
@@ -310,7 +315,9 @@
             Ok(Message::Answer(seq, answer)) => self.answer(seq, answer),
             Err(why) => {
                 let shown = frame[..frame.len().min(64)].escape_ascii();
-                self.target.record.foreign(format!("a message to a client that is none, {why}: '{shown}'"));
+                self.target
+                    .record
+                    .unattributed(format!("a message to a client that can't be decoded, {why}: '{shown}'"));
             }
         }
     }
@@ -319,68 +326,70 @@
         if let Some(check) = self.checks.get_mut(&seq) {
             let good = matches!(answer, Answer::Served(..));
             if check.replace(good).is_some() {
-                self.target.record.foreign(format!("a second answer to health check {seq}"));
+                self.target.record.unattributed(format!("a second answer to health check {seq}"));
             }
             return;
         }
-        // It stays known after its answer, so that a second one is told as such.
-        let Some(place) = self.open.get(&seq) else {
-            // With number 0 a peer is told that its bytes make no sense, which is no answer to any request.
+        // The request stays known after its answer, so that a second answer is recognised.
+        let Some(index) = self.open.get(&seq) else {
+            // Sequence number 0 reports bytes that are not a message; it answers no request.
             if seq != 0 {
                 self.target
                     .record
-                    .foreign(format!("an answer to number {seq}, which was not sent: {answer:?}"));
+                    .unattributed(format!("an answer to number {seq}, which was not sent: {answer:?}"));
             }
             return;
         };
-        // Of a run that began: a rejected request counts as crossed, and is sent again, where the connection drains meanwhile.
+        // Drops only an answer of a run that began: a rejected request counts as crossed and is sent again if the
+        // connection drains meanwhile.
         if matches!(answer, Answer::Served(..)) && self.target.drops_answer.swap(false, Ordering::SeqCst) {
             return;
         }
-        self.target.record.entries().requests[*place].answers.push((Instant::now(), answer));
+        self.target.record.entries().requests[*index].answers.push((Instant::now(), answer));
     }
 
-    /// The places of the requests that have no answer yet.
+    /// Indexes of the requests that are owed an answer and have none.
     fn unanswered(&self) -> Vec<usize> {
         let entries = self.target.record.entries();
         let open = self.open.values().copied();
-        open.filter(|place| {
-            let request = &entries.requests[*place];
+        open.filter(|index| {
+            let request = &entries.requests[*index];
             request.owed && request.written.is_some() && request.answers.is_empty()
         })
         .collect()
     }
 
-    /// Reads until all is answered, or the connection ends; where the wait is over, writes down what the threads do.
-    pub fn wait_for_answers(&mut self) -> Came {
-        let until = Instant::now() + PATIENCE;
+    /// Reads until everything is answered or the connection closes; on a timeout, records the states of the server's
+    /// threads.
+    pub fn wait_for_answers(&mut self) -> ReadOutcome {
+        let until = Instant::now() + HANG_TIMEOUT;
         while !self.unanswered().is_empty() || !self.checked() {
             match self.read(until) {
-                Came::Message => {}
-                Came::End => return Came::End,
-                Came::Nothing => {
+                ReadOutcome::Message => {}
+                ReadOutcome::Closed => return ReadOutcome::Closed,
+                ReadOutcome::TimedOut => {
                     let hang = self.target.threads();
                     let mut entries = self.target.record.entries();
-                    for place in self.open.values() {
-                        let request = &mut entries.requests[*place];
+                    for index in self.open.values() {
+                        let request = &mut entries.requests[*index];
                         request.hang = Some(hang.clone());
                     }
-                    return Came::Nothing;
+                    return ReadOutcome::TimedOut;
                 }
             }
         }
-        Came::Message
+        ReadOutcome::Message
     }
 
-    /// Ends the connection's half, and reads what still comes: an answer too many would be seen.
+    /// Closes the sending half and reads until the server closes, so that a surplus answer is seen.
     pub fn finish(mut self) {
         let _ = self.stream.shutdown(Shutdown::Write);
-        let until = Instant::now() + END_PATIENCE;
-        while !self.ended && self.read(until) == Came::Message {}
+        let until = Instant::now() + CLOSE_TIMEOUT;
+        while !self.ended && self.read(until) == ReadOutcome::Message {}
     }
 
-    /// Sends what crossed the end of this connection once more on a new one, as the protocol page has it: only what the
-    /// server had not read, and only where it had asked for no more requests.
+    /// Sends requests that crossed the close of this connection once more on a new one. As on the protocol page,
+    /// these are only requests that the server had not read, and only after it announced that it drains.
     pub fn send_crossed_again(self, target: &Target) {
         let unanswered = self.unanswered();
         if !self.draining || unanswered.is_empty() {
@@ -388,33 +397,33 @@
         }
         let crossed: Vec<usize> = {
             let mut entries = target.record.entries();
-            let of = |place: &usize| !entries.began(&entries.requests[*place].rid);
+            let of = |index: &usize| !entries.began(&entries.requests[*index].rid);
             let crossed: Vec<usize> = unanswered.into_iter().filter(of).collect();
-            for place in &crossed {
-                entries.requests[*place].crossed = true;
+            for index in &crossed {
+                entries.requests[*index].sent_again = true;
             }
             crossed
         };
-        let Some(mut again) = target.connect() else { return };
-        // Nothing is drawn for what is sent as it was.
+        let Some(mut connection) = target.connect() else { return };
+        // The content is copied from the record, so nothing is drawn.
         let mut random = Random::new(0, 0);
-        let special = |place: usize| Special { crossed: Some(place), ..Special::default() };
+        let options = |index: usize| RequestOptions { resend_of: Some(index), ..RequestOptions::default() };
         let prepared: Vec<Prepared> =
-            crossed.into_iter().map(|place| again.prepare(&mut random, &special(place))).collect();
-        if again.send(&prepared).is_ok() {
-            again.wait_for_answers();
-            again.finish();
+            crossed.into_iter().map(|index| connection.prepare(&mut random, &options(index))).collect();
+        if connection.send(&prepared).is_ok() {
+            connection.wait_for_answers();
+            connection.finish();
         }
     }
 }
 
-/// A body of any bytes; lengths at the limits come often.
+/// Draws a body of random bytes; lengths at the limits are frequent.
 fn body_of(random: &mut Random, length: Option<usize>) -> Vec<u8> {
     let limits = [0, 1, 2, 2_047, 2_048];
     let drawn = if random.once_in(4) { random.one_of(&limits) } else { random.count(0..=500) };
     let mut body = random.bytes(length.unwrap_or(drawn));
     if body.len() > 40 {
-        // What a reader that looks for line ends would trip over.
+        // Would confuse a parser that searches the body for line ends.
         body[..10].copy_from_slice(b"\r\nbegin x ");
     }
     body
--- a/crates/testkit/src/drill/faults/control.rs
+++ b/crates/testkit/src/drill/faults/control.rs
@@ -1,4 +1,4 @@
-//! A control plane that writes down each report for the server that it is about, and may be away.
+//! A stand-in for the control plane. It records each report for the server named in it, and can be made unreachable.
 
 use super::record::Record;
 use std::io;
@@ -8,45 +8,48 @@
 use std::thread;
 use std::time::Duration;
 
-/// Between looks at whether it is to end or to be away.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval between checks whether to stop or to close the socket.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 struct Shared {
-    ends: AtomicBool,
+    stopping: AtomicBool,
     away: AtomicBool,
     servers: Mutex<Vec<(String, Arc<Record>)>>,
 }
 
-/// A running stand-in; it ends when this is dropped.
+/// A running stand-in; it stops when this is dropped.
 pub struct ControlPlane {
     shared: Arc<Shared>,
     address: SocketAddr,
 }
 
 impl ControlPlane {
-    /// Listens on a loopback address of its own.
+    /// Starts a control plane on its own loopback address.
     pub fn start() -> io::Result<Self> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         let address = socket.local_addr()?;
         let servers = Mutex::default();
-        let shared = Arc::new(Shared { ends: AtomicBool::new(false), away: AtomicBool::new(false), servers });
+        let shared =
+            Arc::new(Shared { stopping: AtomicBool::new(false), away: AtomicBool::new(false), servers });
         let mine = Arc::clone(&shared);
-        thread::Builder::new().name("control".into()).spawn(move || take(socket, address, &mine))?;
+        thread::Builder::new()
+            .name("control".into())
+            .spawn(move || receive_reports(socket, address, &mine))?;
         Ok(Self { shared, address })
     }
 
-    /// Where it listens.
+    /// The address to which servers report.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// A server that reports here.
+    /// Adds a server whose reports are recorded.
     pub fn expect(&self, name: &str, record: &Arc<Record>) {
         let mut servers = self.shared.servers.lock().unwrap_or_else(PoisonError::into_inner);
         servers.push((name.to_string(), Arc::clone(record)));
     }
 
-    /// Closes its address, or opens it again.
+    /// Closes or reopens the socket.
     pub fn away(&self, away: bool) {
         self.shared.away.store(away, Ordering::SeqCst);
     }
@@ -54,24 +57,24 @@
 
 impl Drop for ControlPlane {
     fn drop(&mut self) {
-        self.shared.ends.store(true, Ordering::SeqCst);
+        self.shared.stopping.store(true, Ordering::SeqCst);
     }
 }
 
-fn take(socket: UdpSocket, address: SocketAddr, shared: &Shared) {
+fn receive_reports(socket: UdpSocket, address: SocketAddr, shared: &Shared) {
     let mut datagram = [0; 2048];
     let mut socket = Some(socket);
-    while !shared.ends.load(Ordering::SeqCst) {
+    while !shared.stopping.load(Ordering::SeqCst) {
         if shared.away.load(Ordering::SeqCst) {
             socket = None;
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
             continue;
         }
         if socket.is_none() {
             socket = UdpSocket::bind(address).ok();
         }
         let Some(open) = &socket else { continue };
-        let _ = open.set_read_timeout(Some(LOOK));
+        let _ = open.set_read_timeout(Some(POLL_INTERVAL));
         if let Ok((len, from)) = open.recv_from(&mut datagram) {
             shared.report(&datagram[..len], from);
         }
@@ -79,7 +82,8 @@
 }
 
 impl Shared {
-    /// Told to the server that it names; where it names none, to all of them as foreign.
+    /// Records a report for the server that it names; a report without a known name is recorded as unattributed for
+    /// all servers.
     fn report(&self, datagram: &[u8], from: SocketAddr) {
         let servers = self.servers.lock().unwrap_or_else(PoisonError::into_inner);
         let text = String::from_utf8_lossy(datagram).into_owned();
@@ -88,7 +92,7 @@
             Some((_, record)) => record.entries().reports.push(datagram.to_vec()),
             None => {
                 for (_, record) in &*servers {
-                    record.foreign(format!("the report '{}' from {from}", datagram.escape_ascii()));
+                    record.unattributed(format!("the report '{}' from {from}", datagram.escape_ascii()));
                 }
             }
         }
--- a/crates/testkit/src/drill/faults/dependency.rs
+++ b/crates/testkit/src/drill/faults/dependency.rs
@@ -1,9 +1,9 @@
-//! The shared dependency below the servers: HTTP/1.1, `POST /post`, a connection a thread, with answers that go wrong as a
-//! script says. It writes down which calls came, and which replies were whole.
+//! A stand-in for the shared dependency: HTTP/1.1, `POST /post`, one thread per connection, with scripted faults in
+//! the replies. It records the calls read and the complete replies sent.
 
 use super::plan::DependencyFault;
 use super::random::Random;
-use super::record::{Record, Told};
+use super::record::{Payload, Record};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,22 +11,22 @@
 use std::thread;
 use std::time::Duration;
 
-/// Between looks at new connections, and at whether it ends.
-const LOOK: Duration = Duration::from_millis(2);
-/// A connection on which nothing comes for so long is looked at again.
-const READ_PATIENCE: Duration = Duration::from_millis(50);
-/// The largest head that is read.
-const LARGEST_HEAD: usize = 8 * 1024;
-/// Between bytes that come one at a time.
-const BETWEEN_BYTES: Duration = Duration::from_micros(100);
-/// Of a usual reply at the most.
-const LONGEST_REPLY: usize = 200;
+/// Interval between checks for new connections, and whether to stop.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Read timeout, after which a connection checks whether to stop.
+const READ_TIMEOUT: Duration = Duration::from_millis(50);
+/// Maximum length of a request head, in bytes.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Interval between bytes that are sent one at a time.
+const BYTE_INTERVAL: Duration = Duration::from_micros(100);
+/// Maximum length of a usual reply, in bytes.
+const MAX_USUAL_REPLY_BYTES: usize = 200;
 
 struct Shared {
     record: Arc<Record>,
     random: Mutex<Random>,
     fault: Mutex<Option<DependencyFault>>,
-    ends: AtomicBool,
+    stopping: AtomicBool,
 }
 
 impl Shared {
@@ -35,14 +35,14 @@
     }
 }
 
-/// A running stand-in; it ends when this is dropped.
+/// A running stand-in; it stops when this is dropped.
 pub struct Dependency {
     shared: Arc<Shared>,
     address: SocketAddr,
 }
 
 impl Dependency {
-    /// Listens on a loopback address of its own, for one server.
+    /// Starts a dependency for one server on its own loopback address.
     pub fn start(record: &Arc<Record>, seed: u64) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -50,19 +50,19 @@
             record: Arc::clone(record),
             random: Mutex::new(Random::new(seed, 8)),
             fault: Mutex::default(),
-            ends: AtomicBool::new(false),
+            stopping: AtomicBool::new(false),
         });
         let mine = Arc::clone(&shared);
         thread::Builder::new().name("dependency".into()).spawn(move || accept(listener, address, &mine))?;
         Ok(Self { shared, address })
     }
 
-    /// Where it listens.
+    /// The address for calls.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What goes wrong from now on; none for nothing.
+    /// Sets the fault of the following replies; `None` for none.
     pub fn set(&self, fault: Option<DependencyFault>) {
         *self.shared.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
     }
@@ -70,13 +70,13 @@
 
 impl Drop for Dependency {
     fn drop(&mut self) {
-        self.shared.ends.store(true, Ordering::SeqCst);
+        self.shared.stopping.store(true, Ordering::SeqCst);
     }
 }
 
 fn accept(listener: TcpListener, address: SocketAddr, shared: &Arc<Shared>) {
     let mut listener = Some(listener);
-    while !shared.ends.load(Ordering::SeqCst) {
+    while !shared.stopping.load(Ordering::SeqCst) {
         if shared.fault() == Some(DependencyFault::Refused) {
             listener = None;
         } else if listener.is_none() {
@@ -90,17 +90,17 @@
                 let _ = thread::Builder::new().name("dependency-call".into()).spawn(serve);
             }
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
 fn serve(mut stream: TcpStream, shared: &Shared) {
     let _ = stream.set_nonblocking(false);
     let _ = stream.set_nodelay(true);
-    let _ = stream.set_read_timeout(Some(READ_PATIENCE));
+    let _ = stream.set_read_timeout(Some(READ_TIMEOUT));
     let mut bytes = Vec::new();
     while let Some(call) = next_call(&mut stream, &mut bytes, shared) {
-        shared.record.entries().calls.push(call.clone());
+        shared.record.entries().received_calls.push(call.clone());
         if !answer(&mut stream, &call, shared) {
             break;
         }
@@ -108,11 +108,11 @@
     let _ = stream.shutdown(Shutdown::Both);
 }
 
-/// The next whole call on a connection; none at its end.
-fn next_call(stream: &mut TcpStream, bytes: &mut Vec<u8>, shared: &Shared) -> Option<Told> {
+/// Reads the next complete call; `None` when the connection closes or the stand-in stops.
+fn next_call(stream: &mut TcpStream, bytes: &mut Vec<u8>, shared: &Shared) -> Option<Payload> {
     let mut chunk = [0; 4 * 1024];
-    while !shared.ends.load(Ordering::SeqCst) {
-        match cut_call(bytes) {
+    while !shared.stopping.load(Ordering::SeqCst) {
+        match parse_call(bytes) {
             Ok(Some((length, call))) => {
                 bytes.drain(..length);
                 return Some(call);
@@ -120,7 +120,7 @@
             Ok(None) => {}
             Err(why) => {
                 let shown = bytes[..bytes.len().min(100)].escape_ascii();
-                shared.record.foreign(format!("{why} to the dependency: '{shown}'"));
+                shared.record.unattributed(format!("{why} to the dependency: '{shown}'"));
                 return None;
             }
         }
@@ -134,54 +134,54 @@
     None
 }
 
-fn cut_call(bytes: &[u8]) -> Result<Option<(usize, Told)>, &'static str> {
+fn parse_call(bytes: &[u8]) -> Result<Option<(usize, Payload)>, &'static str> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut head = httparse::Request::new(&mut headers);
     let length = match head.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if bytes.len() <= LARGEST_HEAD => return Ok(None),
-        _ => return Err("what is no HTTP request"),
+        Ok(httparse::Status::Partial) if bytes.len() <= MAX_HEAD_BYTES => return Ok(None),
+        _ => return Err("bytes that are not an HTTP request"),
     };
     if (head.method, head.path) != (Some("POST"), Some("/post")) {
-        return Err("another request than POST /post");
+        return Err("a request other than POST /post");
     }
     let header = |name: &str| {
         let found = head.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name))?;
         std::str::from_utf8(found.value).ok().map(str::trim)
     };
     let body = header("content-length").and_then(|text| text.parse::<usize>().ok());
-    let body = body.ok_or("a request with no length")?;
-    let rid = header("x-txn-ref").ok_or("a request with no id")?.to_string();
+    let body = body.ok_or("a request without Content-Length")?;
+    let rid = header("x-txn-ref").ok_or("a request without an id")?.to_string();
     let Some(body) = bytes.get(length..length + body) else { return Ok(None) };
-    Ok(Some((length + body.len(), Told { rid, bytes: body.to_vec() })))
+    Ok(Some((length + body.len(), Payload { rid, bytes: body.to_vec() })))
 }
 
-/// Answers a call as the script says; whether the connection goes on.
-fn answer(stream: &mut TcpStream, call: &Told, shared: &Shared) -> bool {
+/// Answers a call as the fault says; returns whether the connection stays open.
+fn answer(stream: &mut TcpStream, call: &Payload, shared: &Shared) -> bool {
     let fault = shared.fault();
     let reply = {
         let mut random = shared.random.lock().unwrap_or_else(PoisonError::into_inner);
         let length = match fault {
             Some(DependencyFault::ReplyLength(length)) => length,
-            _ => random.count(1..=LONGEST_REPLY),
+            _ => random.count(1..=MAX_USUAL_REPLY_BYTES),
         };
         random.bytes(length)
     };
     let head = |length: usize| format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n").into_bytes();
     let whole = [head(reply.len()), reply.clone()].concat();
-    let tell = || {
-        let told = Told { rid: call.rid.clone(), bytes: reply.clone() };
-        shared.record.entries().replies.push(told);
+    let record_reply = || {
+        let payload = Payload { rid: call.rid.clone(), bytes: reply.clone() };
+        shared.record.entries().sent_replies.push(payload);
     };
     match fault {
         None | Some(DependencyFault::ReplyLength(_) | DependencyFault::Refused) => {
-            tell();
+            record_reply();
             stream.write_all(&whole).is_ok()
         }
         Some(DependencyFault::ByteByByte) => {
-            tell();
+            record_reply();
             whole.iter().all(|byte| {
-                thread::sleep(BETWEEN_BYTES);
+                thread::sleep(BYTE_INTERVAL);
                 stream.write_all(std::slice::from_ref(byte)).is_ok()
             })
         }
@@ -195,8 +195,8 @@
             false
         }
         Some(DependencyFault::LengthTooSmall) => {
-            // What is behind the told length is no part of the reply.
-            tell();
+            // Bytes beyond the announced length are not part of the reply.
+            record_reply();
             let _ = stream.write_all(&[whole, b"more bytes than were told".to_vec()].concat());
             false
         }
@@ -206,9 +206,9 @@
             false
         }
         Some(DependencyFault::Silent) => {
-            // Until the caller gives up.
+            // Waits until the caller closes the connection.
             let mut byte = [0];
-            while !shared.ends.load(Ordering::SeqCst) {
+            while !shared.stopping.load(Ordering::SeqCst) {
                 match stream.read(&mut byte) {
                     Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
                     _ => break,
--- a/crates/testkit/src/drill/faults/inject.rs
+++ b/crates/testkit/src/drill/faults/inject.rs
@@ -1,4 +1,5 @@
-//! Does to a running server what a fault says, and takes it back: when this returns, all stand-ins behave again.
+//! Injects a fault into a running server and reverts it: when [`inject`] returns, all stand-ins behave normally
+//! again.
 
 use super::client::Target;
 use super::control::ControlPlane;
@@ -17,28 +18,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a standing fault lasts under load.
-const STANDS: Duration = Duration::from_millis(400);
-/// How long cuts may take to be used up: a link that nothing comes over is not cut.
-const CUTS_PATIENCE: Duration = Duration::from_millis(1_500);
-/// Between steps of one fault.
-const STEP: Duration = Duration::from_millis(5);
-/// How often notices that are told again at each link are told so.
-const REPEATS: usize = 3;
+/// How long a fault without a duration of its own stays active under load.
+const FAULT_DURATION: Duration = Duration::from_millis(400);
+/// Maximum wait until all cuts were made: a link that carries no traffic is never cut.
+const CUTS_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Interval between checks for remaining cuts.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Number of links on which the notices are repeated.
+const REPEATED_LINKS: usize = 3;
 
-/// What a fault is done to.
-pub struct Victim<'a> {
-    /// The server. Locked only for what needs its process.
+/// The server and the stand-ins that a fault affects.
+pub struct FaultTarget<'a> {
+    /// The server; locked only while its process is accessed, so that faults can overlap.
     pub server: &'a Mutex<Server>,
-    /// As clients see it.
+    /// The server's addresses and record, as its clients use them.
     pub target: Target,
-    /// Its control plane.
+    /// The control plane in the server's configuration.
     pub control: &'a ControlPlane,
-    /// One to move to.
+    /// The control plane that [`ControlFault::Moved`] switches to.
     pub other_control: &'a ControlPlane,
 }
 
-impl Victim<'_> {
+impl FaultTarget<'_> {
     fn with_server<T>(&self, act: impl FnOnce(&mut Server) -> T) -> T {
         act(&mut self.server.lock().unwrap_or_else(PoisonError::into_inner))
     }
@@ -48,30 +49,31 @@
     }
 }
 
-/// Plays one fault.
-pub fn play(fault: Fault, victim: &Victim<'_>, random: &mut Random) -> io::Result<()> {
+/// Injects one fault and returns once it is reverted.
+pub fn inject(fault: Fault, fault_target: &FaultTarget<'_>, random: &mut Random) -> io::Result<()> {
     match fault {
         Fault::Client(ClientFault::IdleToTheLimit) => {
-            victim.control.away(true);
-            misuse::play(ClientFault::IdleToTheLimit, &victim.target, random);
-            victim.control.away(false);
+            fault_target.control.away(true);
+            misuse::misbehave(ClientFault::IdleToTheLimit, &fault_target.target, random);
+            fault_target.control.away(false);
         }
-        Fault::Client(fault) => misuse::play(fault, &victim.target, random),
-        Fault::Processor(fault) => processor(fault, victim),
-        Fault::Dependency(fault) => dependency(fault, victim),
+        Fault::Client(fault) => misuse::misbehave(fault, &fault_target.target, random),
+        Fault::Processor(fault) => processor(fault, fault_target),
+        Fault::Dependency(fault) => dependency(fault, fault_target),
         Fault::Datagrams(fault) => {
-            // No lock is held while it sends.
-            let peer = victim.with_server(|server| server.peer.clone());
-            peer.into_iter().for_each(|peer| peer.play(fault, random));
+            // The peer is cloned so that the server is not locked while datagrams are sent.
+            let peer = fault_target.with_server(|server| server.peer.clone());
+            peer.into_iter().for_each(|peer| peer.send(fault, random));
         }
-        Fault::Control(fault) => control(fault, victim)?,
-        Fault::Signal(fault) => signal(fault, victim, random)?,
+        Fault::Control(fault) => control(fault, fault_target)?,
+        Fault::Signal(fault) => signal(fault, fault_target, random)?,
     }
     Ok(())
 }
 
-fn processor(fault: ProcessorFault, victim: &Victim<'_>) {
-    let script = |change: &dyn Fn(&mut super::processor::Script)| victim.with_processor(|p| p.script(change));
+fn processor(fault: ProcessorFault, fault_target: &FaultTarget<'_>) {
+    let script =
+        |change: &dyn Fn(&mut super::processor::Script)| fault_target.with_processor(|p| p.script(change));
     match fault {
         ProcessorFault::Refused(ms) => {
             script(&|s| s.refuses = true);
@@ -79,22 +81,22 @@
             script(&|s| s.refuses = false);
         }
         ProcessorFault::HiLate(ms) => {
-            script(&|s| s.holds_hi = true);
-            victim.with_processor(Processor::restart);
+            script(&|s| s.holds_greeting = true);
+            fault_target.with_processor(Processor::restart);
             thread::sleep(Duration::from_millis(ms));
-            script(&|s| s.holds_hi = false);
+            script(&|s| s.holds_greeting = false);
         }
         ProcessorFault::CutCommand(after, times) => {
             script(&|s| s.cut_commands = Some(Cut { after, resets: false, times }));
-            wait_for_cuts(victim);
+            wait_for_cuts(fault_target);
         }
         ProcessorFault::CutNotice(after, times) => {
             script(&|s| s.cut_notices = Some(Cut { after, resets: false, times }));
-            wait_for_cuts(victim);
+            wait_for_cuts(fault_target);
         }
         ProcessorFault::ResetNotice(after, times) => {
             script(&|s| s.cut_notices = Some(Cut { after, resets: true, times }));
-            wait_for_cuts(victim);
+            wait_for_cuts(fault_target);
         }
         ProcessorFault::SlowReader(ms) => {
             script(&|s| s.holds_reads = true);
@@ -103,161 +105,161 @@
         }
         ProcessorFault::Restart(times) => {
             for _ in 0..times {
-                victim.with_processor(Processor::restart);
-                thread::sleep(STANDS);
+                fault_target.with_processor(Processor::restart);
+                thread::sleep(FAULT_DURATION);
             }
         }
         ProcessorFault::RepeatNotices => {
             script(&|s| s.repeats = true);
-            for _ in 0..REPEATS {
+            for _ in 0..REPEATED_LINKS {
                 script(&|s| s.cut_notices = Some(Cut { after: 9, resets: false, times: 1 }));
-                thread::sleep(STANDS / 2);
+                thread::sleep(FAULT_DURATION / 2);
             }
             script(&|s| s.repeats = false);
         }
         ProcessorFault::OutOfOrder => {
             script(&|s| s.out_of_order = true);
-            thread::sleep(STANDS);
-            victim.with_processor(Processor::tell_in_order);
+            thread::sleep(FAULT_DURATION);
+            fault_target.with_processor(Processor::restore_notice_order);
         }
         ProcessorFault::LongRemark(length) => {
             script(&|s| s.remark = Some(length));
-            thread::sleep(STANDS);
+            thread::sleep(FAULT_DURATION);
             script(&|s| s.remark = None);
         }
         ProcessorFault::ResultLength(length) => {
             script(&|s| s.result_length = Some(length));
-            thread::sleep(STANDS);
+            thread::sleep(FAULT_DURATION);
             script(&|s| s.result_length = None);
         }
         ProcessorFault::Reject(which) => {
             script(&|s| s.reject = Some(which));
-            thread::sleep(STANDS);
+            thread::sleep(FAULT_DURATION);
             script(&|s| s.reject = None);
         }
         ProcessorFault::EndsAs(end) => {
             script(&|s| s.end = end);
-            thread::sleep(STANDS);
+            thread::sleep(FAULT_DURATION);
             script(&|s| s.end = "OK");
         }
         ProcessorFault::ByteByByte => {
             script(&|s| s.byte_by_byte = true);
-            thread::sleep(STANDS);
+            thread::sleep(FAULT_DURATION);
             script(&|s| s.byte_by_byte = false);
         }
     }
 }
 
-/// Until all cuts were made, or nothing comes that they could be made in.
-fn wait_for_cuts(victim: &Victim<'_>) {
+/// Waits until all cuts were made or the timeout has passed, then removes the remaining ones.
+fn wait_for_cuts(fault_target: &FaultTarget<'_>) {
     let start = Instant::now();
-    while start.elapsed() < CUTS_PATIENCE && victim.with_processor(Processor::has_cuts) {
-        thread::sleep(STEP);
+    while start.elapsed() < CUTS_TIMEOUT && fault_target.with_processor(Processor::has_cuts) {
+        thread::sleep(POLL_INTERVAL);
     }
-    victim.with_processor(|p| p.script(|s| (s.cut_commands, s.cut_notices) = (None, None)));
+    fault_target.with_processor(|p| p.script(|s| (s.cut_commands, s.cut_notices) = (None, None)));
 }
 
-fn control(fault: ControlFault, victim: &Victim<'_>) -> io::Result<()> {
+fn control(fault: ControlFault, fault_target: &FaultTarget<'_>) -> io::Result<()> {
     match fault {
         ControlFault::Refused(ms) => {
-            victim.control.away(true);
+            fault_target.control.away(true);
             thread::sleep(Duration::from_millis(ms));
-            victim.control.away(false);
+            fault_target.control.away(false);
         }
         ControlFault::Moved => {
-            victim.with_server(|server| {
-                server.configuration["control"] = serde_json::json!(victim.other_control.address());
+            fault_target.with_server(|server| {
+                server.configuration["control"] = serde_json::json!(fault_target.other_control.address());
                 server.write_configuration(&server.configuration.to_string())?;
                 server.signal(Signal::HUP);
                 io::Result::Ok(())
             })?;
-            thread::sleep(STANDS);
+            thread::sleep(FAULT_DURATION);
         }
         ControlFault::ProcessorMoved => {
-            victim.with_server(|server| {
+            fault_target.with_server(|server| {
                 server.configuration["processor"] = serde_json::json!(server.processor.moves()?);
                 server.write_configuration(&server.configuration.to_string())?;
                 server.signal(Signal::HUP);
                 io::Result::Ok(())
             })?;
-            thread::sleep(STANDS);
+            thread::sleep(FAULT_DURATION);
         }
     }
     Ok(())
 }
 
-fn dependency(fault: DependencyFault, victim: &Victim<'_>) {
+fn dependency(fault: DependencyFault, fault_target: &FaultTarget<'_>) {
     let set = |fault| {
-        victim.with_server(|server| {
+        fault_target.with_server(|server| {
             if let Some(dependency) = &server.dependency {
                 dependency.set(fault);
             }
         });
     };
     set(Some(fault));
-    thread::sleep(STANDS);
+    thread::sleep(FAULT_DURATION);
     set(None);
 }
 
-fn signal(fault: SignalFault, victim: &Victim<'_>, random: &mut Random) -> io::Result<()> {
+fn signal(fault: SignalFault, fault_target: &FaultTarget<'_>, random: &mut Random) -> io::Result<()> {
     match fault {
         SignalFault::HangupStorm(count) => {
-            let usual = victim.with_server(|server| server.configuration.clone());
+            let usual = fault_target.with_server(|server| server.configuration.clone());
             let changed = settings::retuned(&usual);
             for n in 0..count {
                 let text = if n % 2 == 0 { &changed } else { &usual }.to_string();
-                victim.with_server(|server| {
+                fault_target.with_server(|server| {
                     server.write_configuration(&text)?;
                     server.signal(Signal::HUP);
                     io::Result::Ok(())
                 })?;
                 thread::sleep(Duration::from_millis(random.within(0..=5)));
             }
-            reload(victim, &usual.to_string())?;
+            reload(fault_target, &usual.to_string())?;
         }
         SignalFault::BadFile(kind) => {
-            let usual = victim.with_server(|server| server.configuration.clone());
+            let usual = fault_target.with_server(|server| server.configuration.clone());
             match bad_file(kind, &usual) {
-                Some(text) => reload(victim, &text)?,
+                Some(text) => reload(fault_target, &text)?,
                 None => {
-                    victim.with_server(|server| fs::remove_file(&server.config))?;
-                    victim.with_server(|server| server.signal(Signal::HUP));
+                    fault_target.with_server(|server| fs::remove_file(&server.config))?;
+                    fault_target.with_server(|server| server.signal(Signal::HUP));
                 }
             }
-            thread::sleep(STANDS);
-            reload(victim, &usual.to_string())?;
-            thread::sleep(STANDS);
+            thread::sleep(FAULT_DURATION);
+            reload(fault_target, &usual.to_string())?;
+            thread::sleep(FAULT_DURATION);
         }
         SignalFault::Pause(ms) => {
-            victim.with_server(|server| server.signal(Signal::STOP));
+            fault_target.with_server(|server| server.signal(Signal::STOP));
             let start = Instant::now();
             thread::sleep(Duration::from_millis(ms));
-            victim.with_server(|server| server.signal(Signal::CONT));
-            victim.target.record.entries().paused += start.elapsed();
+            fault_target.with_server(|server| server.signal(Signal::CONT));
+            fault_target.target.record.entries().paused += start.elapsed();
         }
         SignalFault::Interrupts(count) => {
             for _ in 0..count {
-                victim.with_server(|server| server.signal(Signal::STOP));
-                victim.with_server(|server| server.signal(Signal::CONT));
+                fault_target.with_server(|server| server.signal(Signal::STOP));
+                fault_target.with_server(|server| server.signal(Signal::CONT));
                 thread::sleep(Duration::from_millis(random.within(0..=3)));
             }
         }
         SignalFault::Kill => {
-            victim.with_server(Server::kill_and_start)?;
+            fault_target.with_server(Server::kill_and_start)?;
         }
     }
     Ok(())
 }
 
-fn reload(victim: &Victim<'_>, text: &str) -> io::Result<()> {
-    victim.with_server(|server| {
+fn reload(fault_target: &FaultTarget<'_>, text: &str) -> io::Result<()> {
+    fault_target.with_server(|server| {
         server.write_configuration(text)?;
         server.signal(Signal::HUP);
         Ok(())
     })
 }
 
-/// The text of a bad file; none if there is to be no file.
+/// The content of an unusable configuration file; `None` if the file is to be missing.
 fn bad_file(kind: BadFile, usual: &Value) -> Option<String> {
     let text = usual.to_string();
     match kind {
--- a/crates/testkit/src/drill/faults/misuse.rs
+++ b/crates/testkit/src/drill/faults/misuse.rs
@@ -1,9 +1,9 @@
-//! Clients that misbehave, each in one way. What they are owed all the same is written down like that of the others.
+//! Clients that misbehave, each in one way. Answers that they are still owed are recorded as for other clients.
 
-use super::client::{Came, Connection, PATIENCE, Prepared, Special, Target};
-use super::plan::{BadFrame, ClientFault, LARGEST_BODY, LARGEST_FRAME};
+use super::client::{Connection, HANG_TIMEOUT, Prepared, ReadOutcome, RequestOptions, Target};
+use super::plan::{BadFrame, ClientFault, MAX_BODY_BYTES, MAX_FRAME_BYTES};
 use super::random::Random;
-use super::settings::{FEW_SOCKETS, READ};
+use super::settings::{FEW_DESCRIPTORS, READ};
 use super::traffic::health;
 use crate::thrift;
 use rustix::net::{AddressFamily, SendFlags, SocketType, connect, send, socket, sockopt};
@@ -11,17 +11,17 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Between bytes that come one at a time.
-const BETWEEN_BYTES: Duration = Duration::from_micros(200);
-/// Between two halves of a write: so long that the first is mostly read before the second comes.
-const BETWEEN_HALVES: Duration = Duration::from_millis(2);
-/// The system keeps so little for a client that reads nothing.
-const RECEIVE_BUFFER: usize = 4 * 1024;
-/// How long idle connections stay after the descriptors are full.
-const IDLE_FOR: Duration = Duration::from_millis(300);
+/// Interval between bytes that are sent one at a time.
+const BYTE_INTERVAL: Duration = Duration::from_micros(200);
+/// Delay between the two parts of a write; long enough that the server mostly reads the first part alone.
+const HALF_WRITE_DELAY: Duration = Duration::from_millis(2);
+/// Receive buffer in bytes of a client that doesn't read.
+const RECEIVE_BUFFER_BYTES: usize = 4 * 1024;
+/// Time for which idle connections stay open once the descriptors are exhausted.
+const IDLE_DURATION: Duration = Duration::from_millis(300);
 
-/// Plays a client's fault against a server.
-pub fn play(fault: ClientFault, target: &Target, random: &mut Random) {
+/// Carries out a client's fault against a server.
+pub fn misbehave(fault: ClientFault, target: &Target, random: &mut Random) {
     match fault {
         ClientFault::ConnectAndClose(count) => connect_and_end(target, count, false),
         ClientFault::ResetAfterAccept(count) => connect_and_end(target, count, true),
@@ -46,7 +46,7 @@
     }
 }
 
-/// The connection ends with a reset.
+/// Makes the close of the connection a reset.
 fn reset(connection: &Connection) {
     let _ = sockopt::set_socket_linger(&connection.stream, Some(Duration::ZERO));
 }
@@ -64,7 +64,8 @@
     let mut at = first;
     loop {
         let Some(mut connection) = target.connect() else { return };
-        let prepared = connection.prepare(random, &Special { body: Some(60), ..Special::default() });
+        let prepared =
+            connection.prepare(random, &RequestOptions { body: Some(60), ..RequestOptions::default() });
         let length = prepared.frame.len();
         let at_most = at.min(length);
         let written = connection.write(&prepared.frame[..at_most]).is_ok();
@@ -75,7 +76,7 @@
             connection.not_owed(std::slice::from_ref(&prepared));
             reset(&connection);
         } else {
-            // What is whole before the end of the client's half is owed its answer.
+            // Requests that were complete before the client's half closed are owed an answer.
             let _ = connection.stream.shutdown(Shutdown::Write);
             if at_most == length {
                 connection.wait_for_answers();
@@ -91,15 +92,16 @@
 fn byte_by_byte(target: &Target, random: &mut Random, count: usize) {
     let Some(mut connection) = target.connect() else { return };
     for _ in 0..count {
-        let prepared = connection.prepare(random, &Special { body: Some(80), ..Special::default() });
+        let prepared =
+            connection.prepare(random, &RequestOptions { body: Some(80), ..RequestOptions::default() });
         for byte in &prepared.frame {
             if connection.write(std::slice::from_ref(byte)).is_err() {
                 break;
             }
-            thread::sleep(BETWEEN_BYTES);
+            thread::sleep(BYTE_INTERVAL);
         }
         connection.written(std::slice::from_ref(&prepared));
-        if connection.wait_for_answers() != Came::Message || connection.draining {
+        if connection.wait_for_answers() != ReadOutcome::Message || connection.draining {
             return;
         }
     }
@@ -110,14 +112,14 @@
     connection: &mut Connection,
     random: &mut Random,
     count: usize,
-    special: &Special,
+    options: &RequestOptions,
 ) -> Vec<Prepared> {
-    (0..count).map(|_| connection.prepare(random, special)).collect()
+    (0..count).map(|_| connection.prepare(random, options)).collect()
 }
 
 fn one_segment(target: &Target, random: &mut Random, count: usize) {
     let Some(mut connection) = target.connect() else { return };
-    let all = prepare_all(&mut connection, random, count, &Special::default());
+    let all = prepare_all(&mut connection, random, count, &RequestOptions::default());
     if connection.send(&all).is_ok() {
         connection.wait_for_answers();
     }
@@ -127,12 +129,12 @@
 fn split_requests(target: &Target, random: &mut Random, count: usize) {
     for _ in 0..count {
         let Some(mut connection) = target.connect() else { return };
-        let special = Special { body: Some(random.count(0..=90)), ..Special::default() };
-        let all = prepare_all(&mut connection, random, 2, &special);
+        let options = RequestOptions { body: Some(random.count(0..=90)), ..RequestOptions::default() };
+        let all = prepare_all(&mut connection, random, 2, &options);
         let bytes: Vec<u8> = all.iter().flat_map(|prepared| prepared.frame.clone()).collect();
         let (first, second) = bytes.split_at(random.count(1..=bytes.len() - 1));
         let sent = connection.write(first);
-        thread::sleep(BETWEEN_HALVES);
+        thread::sleep(HALF_WRITE_DELAY);
         if sent.and_then(|()| connection.write(second)).is_ok() {
             connection.written(&all);
             connection.wait_for_answers();
@@ -141,10 +143,10 @@
     }
 }
 
-/// A connection for which the system keeps little of what is not read.
-fn narrow(target: &Target) -> Option<Connection> {
+/// Opens a connection with a small receive buffer.
+fn connect_with_small_buffer(target: &Target) -> Option<Connection> {
     let socket = socket(AddressFamily::INET, SocketType::STREAM, None).ok()?;
-    sockopt::set_socket_recv_buffer_size(&socket, RECEIVE_BUFFER).ok()?;
+    sockopt::set_socket_recv_buffer_size(&socket, RECEIVE_BUFFER_BYTES).ok()?;
     let connected = Instant::now();
     connect(&socket, &target.address).ok()?;
     let stream = TcpStream::from(socket);
@@ -153,21 +155,25 @@
 }
 
 fn stop_reading(target: &Target, random: &mut Random, count: usize) {
-    let Some(mut connection) = narrow(target) else { return };
-    let all =
-        prepare_all(&mut connection, random, count, &Special { class: Some(READ), ..Special::default() });
+    let Some(mut connection) = connect_with_small_buffer(target) else { return };
+    let all = prepare_all(
+        &mut connection,
+        random,
+        count,
+        &RequestOptions { class: Some(READ), ..RequestOptions::default() },
+    );
     if connection.send(&all).is_err() {
         return;
     }
-    // Until the processor has made all the results, or some did not run: the answers are on their way by then.
+    // Waits until the processor has produced all results, or the budget is over: by then the answers have been sent.
     let until = Instant::now() + super::settings::BUDGET;
-    let made = |target: &Target| {
+    let results_of = |target: &Target| {
         let entries = target.record.entries();
-        let rids = all.iter().map(|prepared| entries.requests[prepared.place].rid.clone());
-        rids.filter(|rid| entries.made.iter().any(|made| made.rid == *rid)).count()
+        let rids = all.iter().map(|prepared| entries.requests[prepared.index].rid.clone());
+        rids.filter(|rid| entries.results.iter().any(|result| result.rid == *rid)).count()
     };
-    while made(target) < count && Instant::now() < until && !target.is_leaving() {
-        thread::sleep(BETWEEN_HALVES);
+    while results_of(target) < count && Instant::now() < until && !target.is_stopping() {
+        thread::sleep(HALF_WRITE_DELAY);
     }
     connection.wait_for_answers();
     connection.finish();
@@ -175,12 +181,12 @@
 
 fn bad_frame(target: &Target, random: &mut Random, kind: BadFrame) {
     let Some(mut connection) = target.connect() else { return };
-    let prepared = connection.prepare(random, &Special::default());
+    let prepared = connection.prepare(random, &RequestOptions::default());
     let bad: Vec<u8> = match kind {
         BadFrame::Empty => vec![0; 4],
         BadFrame::TooLarge => {
-            let mut frame = ((LARGEST_FRAME + 1) as u32).to_be_bytes().to_vec();
-            frame.resize(4 + LARGEST_FRAME + 1, 7);
+            let mut frame = ((MAX_FRAME_BYTES + 1) as u32).to_be_bytes().to_vec();
+            frame.resize(4 + MAX_FRAME_BYTES + 1, 7);
             frame
         }
         BadFrame::Negative => (-5_i32).to_be_bytes().to_vec(),
@@ -196,24 +202,33 @@
 
 fn largest_frame(target: &Target, random: &mut Random) {
     let Some(mut connection) = target.connect() else { return };
-    let special =
-        Special { body: Some(LARGEST_BODY), padding: Some(0), class: Some(READ), ..Special::default() };
-    let probe = connection.prepare(random, &special);
-    connection.not_owed(std::slice::from_ref(&probe));
-    let padding = Some(LARGEST_FRAME + 4 - probe.frame.len());
-    let prepared = connection.prepare(random, &Special { padding, ..special });
-    assert_eq!(prepared.frame.len(), LARGEST_FRAME + 4, "a frame of the largest size");
+    let options = RequestOptions {
+        body: Some(MAX_BODY_BYTES),
+        padding: Some(0),
+        class: Some(READ),
+        ..RequestOptions::default()
+    };
+    let sample = connection.prepare(random, &options);
+    connection.not_owed(std::slice::from_ref(&sample));
+    let padding = Some(MAX_FRAME_BYTES + 4 - sample.frame.len());
+    let prepared = connection.prepare(random, &RequestOptions { padding, ..options });
+    assert_eq!(prepared.frame.len(), MAX_FRAME_BYTES + 4, "a frame of the largest size");
     if connection.send(std::slice::from_ref(&prepared)).is_ok() {
         connection.wait_for_answers();
     }
     connection.finish();
 }
 
-/// Urgent data is no part of the stream, but a read stops short of it.
+/// Urgent data is not part of the stream, but a read stops before it.
 fn urgent(target: &Target, random: &mut Random, count: usize) {
     for _ in 0..count {
         let Some(mut connection) = target.connect() else { return };
-        let all = prepare_all(&mut connection, random, 2, &Special { body: Some(60), ..Special::default() });
+        let all = prepare_all(
+            &mut connection,
+            random,
+            2,
+            &RequestOptions { body: Some(60), ..RequestOptions::default() },
+        );
         let bytes: Vec<u8> = all.iter().flat_map(|prepared| prepared.frame.clone()).collect();
         let (first, second) = bytes.split_at(random.count(1..=bytes.len() - 1));
         let sent = connection.write(first);
@@ -228,28 +243,29 @@
 
 fn idle_to_the_limit(target: &Target, random: &mut Random) {
     let mut idle = Vec::new();
-    for _ in 0..FEW_SOCKETS {
-        // Those that find no place wait to be accepted.
-        match TcpStream::connect_timeout(&target.address, PATIENCE) {
+    for _ in 0..FEW_DESCRIPTORS {
+        // Connections beyond the limit wait in the listener's queue.
+        match TcpStream::connect_timeout(&target.address, HANG_TIMEOUT) {
             Ok(stream) => idle.push(stream),
             Err(_) => break,
         }
     }
     health(target);
     let Some(mut connection) = target.connect() else { return };
-    let prepared = connection.prepare(random, &Special::default());
+    let prepared = connection.prepare(random, &RequestOptions::default());
     if connection.send(std::slice::from_ref(&prepared)).is_ok() {
         connection.wait_for_answers();
     }
-    thread::sleep(IDLE_FOR);
+    thread::sleep(IDLE_DURATION);
     drop(idle);
 }
 
 fn cancels(target: &Target, random: &mut Random, count: usize) {
     let Some(mut connection) = target.connect() else { return };
     for n in 0..count {
-        let prepared = connection.prepare(random, &Special { class: Some(READ), ..Special::default() });
-        // The numbers of requests and of these messages count together.
+        let prepared =
+            connection.prepare(random, &RequestOptions { class: Some(READ), ..RequestOptions::default() });
+        // Requests and cancellations share one sequence of numbers.
         let of = n as i32 + 1;
         let cancel = thrift::cancel(10_000 + of, of);
         let (together, bytes) = (random.once_in(2), [&prepared.frame[..], &cancel].concat());
@@ -258,7 +274,7 @@
             connection.write(&bytes)
         } else {
             connection.write(&prepared.frame).and_then(|()| {
-                thread::sleep(BETWEEN_HALVES);
+                thread::sleep(HALF_WRITE_DELAY);
                 connection.write(&cancel)
             })
         };
@@ -270,7 +286,7 @@
     connection.finish();
 }
 
-/// Each is a whole message, so each is owed an answer that says no.
+/// Each request is a complete message, so each is owed an answer that rejects it.
 fn odd_fields(target: &Target, random: &mut Random) {
     let odd: [(&'static str, String); 14] = [
         ("method", "nobody's".into()),
@@ -290,10 +306,10 @@
     ];
     let Some(mut connection) = target.connect() else { return };
     for field in odd {
-        let special = Special { class: Some(READ), fields: vec![field], ..Special::default() };
-        let prepared = connection.prepare(random, &special);
+        let options = RequestOptions { class: Some(READ), fields: vec![field], ..RequestOptions::default() };
+        let prepared = connection.prepare(random, &options);
         if connection.send(std::slice::from_ref(&prepared)).is_err()
-            || connection.wait_for_answers() != Came::Message
+            || connection.wait_for_answers() != ReadOutcome::Message
         {
             return;
         }
@@ -304,7 +320,7 @@
 fn half_close(target: &Target, random: &mut Random, count: usize) {
     for _ in 0..count {
         let Some(mut connection) = target.connect() else { return };
-        let all = prepare_all(&mut connection, random, count, &Special::default());
+        let all = prepare_all(&mut connection, random, count, &RequestOptions::default());
         if connection.send(&all).is_err() {
             return;
         }
@@ -313,7 +329,7 @@
     }
 }
 
-/// Half a request now; what is left of it comes with [`HalfSent::rest`].
+/// A request of which only the first part was sent; [`HalfSent::rest`] sends the remainder.
 pub struct HalfSent {
     connection: Connection,
     prepared: Prepared,
@@ -324,13 +340,13 @@
     /// Sends the first bytes of a request.
     pub fn begin(target: &Target, random: &mut Random) -> Option<Self> {
         let mut connection = target.connect()?;
-        let prepared = connection.prepare(random, &Special::default());
+        let prepared = connection.prepare(random, &RequestOptions::default());
         let at = random.count(1..=prepared.frame.len() - 1);
         connection.write(&prepared.frame[..at]).ok()?;
         Some(Self { connection, prepared, at })
     }
 
-    /// Sends the rest, and waits for the answer.
+    /// Sends the remaining bytes and waits for the answer.
     pub fn rest(mut self) {
         if self.connection.write(&self.prepared.frame[self.at..]).is_ok() {
             self.connection.written(std::slice::from_ref(&self.prepared));
--- a/crates/testkit/src/drill/faults/mod.rs
+++ b/crates/testkit/src/drill/faults/mod.rs
@@ -1,11 +1,12 @@
-//! Fault injection against the real daemon: seeded faults, each alone and in pairs, with stand-ins on loopback, and four
-//! oracles that hold for each run whatever was injected.
+//! Fault injection against the real daemon: seeded faults, each alone and in pairs, with stand-ins on loopback, and
+//! four oracles that every run must satisfy whatever was injected.
 //!
 //! - [`plan`]: the faults as types, and the schedule of a seed.
-//! - [`settings`], [`control`], [`processor`], [`dependency`], [`peer`], [`client`], [`traffic`], [`misuse`]: the configuration and the stand-ins.
-//! - [`record`]: what all of them sent and read.
+//! - [`settings`], [`control`], [`processor`], [`dependency`], [`peer`], [`client`], [`traffic`], [`misuse`]: the
+//!   configuration and the stand-ins.
+//! - [`record`]: everything that clients and stand-ins sent and read.
 //! - [`server`], [`inject`], [`session`], [`starts`]: one server, one fault, one case, one start.
-//! - [`oracles`]: what is held, in one place.
+//! - [`oracles`]: the checks of the recorded traffic.
 
 pub mod client;
 pub mod control;
@@ -40,63 +41,63 @@
 use std::thread;
 use std::time::Duration;
 
-/// Within this a valid configuration serves.
-const STARTS_WITHIN: Duration = Duration::from_secs(10);
-/// Past this the machine was so late that times say nothing of the servers.
-const BOUNDS: Bounds =
+/// Maximum time until a server with a valid configuration serves.
+const MAX_START_TIME: Duration = Duration::from_secs(10);
+/// Bounds on the machine's scheduling lag; past them, measured times say nothing about the servers.
+const LAG_BOUNDS: Bounds =
     Bounds { mean_beat: Duration::from_millis(4), latest_beat: Duration::from_millis(100), starved: 0.25 };
-/// Failures that are printed of one case.
+/// Maximum failures printed for one case.
 const SHOWN_FAILURES: usize = 4;
 
-static RUNS: AtomicUsize = AtomicUsize::new(0);
+static DRILLS_STARTED: AtomicUsize = AtomicUsize::new(0);
 
-/// A fault of the drill itself, which one oracle must see.
+/// A defect seeded into the drill itself, which the oracle of the same name must detect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Defect {
-    /// A server is killed.
+    /// A server is killed before its stop.
     Alive,
     /// A client drops an answer.
     Answers,
-    /// Another process holds the address for good.
+    /// Another process occupies the server's address for the whole start.
     Starts,
-    /// The processor tells another result than it made.
+    /// The processor sends a result that differs from the recorded one.
     Provenance,
 }
 
-/// What is drilled.
+/// Parameters of a drill.
 #[derive(Debug, Clone)]
 pub struct Drill {
-    /// The daemon's program.
+    /// Path of the daemon's executable.
     pub daemon: PathBuf,
-    /// For everything that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// How much of the schedule.
+    /// How many faults, pairs and fleets are scheduled.
     pub size: Size,
-    /// Only the case of this number.
+    /// Runs only the case with this number; `None` runs all.
     pub only: Option<usize>,
-    /// Cases beside each other.
+    /// Number of cases that run in parallel.
     pub beside: usize,
-    /// Something that one oracle must see.
+    /// The seeded defect; only the first case and the first start run with it.
     pub defect: Option<Defect>,
 }
 
-/// What it came to.
+/// The result of a drill.
 #[derive(Debug)]
 pub struct Report {
-    /// The claims together.
+    /// The verdict over all claims.
     pub verdict: Verdict,
-    /// What was not held, with its case.
+    /// Violations of the oracles, each with its case.
     pub failures: Vec<(String, Failure)>,
 }
 
 impl Report {
-    /// Whether an oracle was held.
+    /// Whether no violation of the oracle was found.
     pub fn held(&self, oracle: Oracle) -> bool {
         self.failures.iter().all(|(_, failure)| failure.oracle != oracle)
     }
 }
 
-/// What all cases came to so far.
+/// Totals over the cases finished so far.
 #[derive(Debug, Default)]
 struct Tally {
     failures: Vec<(String, Failure)>,
@@ -106,17 +107,17 @@
     cases: usize,
     starts: usize,
     slowest_start: Duration,
-    /// Cases and failures by family.
+    /// Numbers of cases and of failed cases by family of faults.
     families: BTreeMap<&'static str, [usize; 2]>,
 }
 
-/// Plays it, prints plan and claims, and says what it came to.
+/// Runs the drill and prints the schedule and the claims.
 pub fn run(drill: &Drill) -> io::Result<Report> {
-    // Runs may be beside each other in one process.
-    let run = RUNS.fetch_add(1, Ordering::Relaxed);
+    // Several drills may run in parallel in one process; the number keeps their folders apart.
+    let run = DRILLS_STARTED.fetch_add(1, Ordering::Relaxed);
     let folder = fleet::folder(&format!("faults-{}-{run}", drill.seed))?;
     let cases: Vec<Case> = match drill.defect {
-        // One quiet case: what fails then is the defect.
+        // The first case has no fault, so any failure comes from the defect.
         Some(_) => plan::schedule(drill.seed, drill.size).into_iter().take(1).collect(),
         None => plan::schedule(drill.seed, drill.size),
     };
@@ -125,15 +126,15 @@
     println!("seed {}, {} cases", drill.seed, cases.len());
     let monitor = LagMonitor::start()?;
     let tally = Mutex::new(Tally::default());
-    play_cases(drill, &cases, &folder, &tally)?;
+    run_cases(drill, &cases, &folder, &tally)?;
     if drill.only.is_none() {
-        play_starts(drill, &folder, &tally)?;
+        run_starts(drill, &folder, &tally)?;
     }
     let lag = monitor.lag();
     drop(monitor);
     let tally = tally.into_inner().unwrap_or_else(PoisonError::into_inner);
     println!("machine: {}", lag.summary());
-    let claims = claim(&tally, Claims::on_machine(lag.past(&BOUNDS)));
+    let claims = claim(&tally, Claims::on_machine(lag.past(&LAG_BOUNDS)));
     if tally.failures.is_empty() {
         fleet::remove(&folder);
     } else {
@@ -142,16 +143,16 @@
     Ok(Report { verdict: claims.verdict(), failures: tally.failures })
 }
 
-fn play_cases(drill: &Drill, cases: &[Case], folder: &Path, tally: &Mutex<Tally>) -> io::Result<()> {
-    // The longest first: else all wait for them in the end.
+fn run_cases(drill: &Drill, cases: &[Case], folder: &Path, tally: &Mutex<Tally>) -> io::Result<()> {
+    // Start the longest cases first, so that the workers finish at about the same time.
     let mut cases: Vec<&Case> = cases.iter().collect();
     cases.sort_by_key(|case| std::cmp::Reverse(case.servers));
     let next = AtomicUsize::new(0);
     let work = || -> io::Result<()> {
         while let Some(case) = cases.get(next.fetch_add(1, Ordering::SeqCst)) {
             let outcome =
-                session::play(case, drill, &folder.join(format!("case{}", case.number)), drill.defect)?;
-            tell(case, &outcome);
+                session::run_case(case, drill, &folder.join(format!("case{}", case.number)), drill.defect)?;
+            print_outcome(case, &outcome);
             lock(tally).add(case, outcome);
         }
         Ok(())
@@ -159,27 +160,27 @@
     beside(drill.beside, work)
 }
 
-/// The same work in so many threads.
+/// Runs the same work in `count` threads.
 fn beside(count: usize, work: impl Fn() -> io::Result<()> + Sync) -> io::Result<()> {
     thread::scope(|scope| {
         let workers: Vec<_> = (0..count.max(1)).map(|_| scope.spawn(&work)).collect();
         for worker in workers {
-            worker.join().map_err(|_| io::Error::other("a thread of the drill has panicked"))??;
+            worker.join().map_err(|_| io::Error::other("a thread of the drill panicked"))??;
         }
         Ok(())
     })
 }
 
-fn play_starts(drill: &Drill, folder: &Path, tally: &Mutex<Tally>) -> io::Result<()> {
+fn run_starts(drill: &Drill, folder: &Path, tally: &Mutex<Tally>) -> io::Result<()> {
     let starts = starts::starts(&mut Random::new(drill.seed, 6));
-    let held = drill.defect == Some(Defect::Starts);
+    let occupied = drill.defect == Some(Defect::Starts);
     let tried = if drill.defect.is_some() { 1 } else { starts.len() };
     let next = AtomicUsize::new(0);
     let work = || -> io::Result<()> {
         loop {
             let number = next.fetch_add(1, Ordering::SeqCst);
             let Some(start) = starts.get(number).filter(|_| number < tried) else { return Ok(()) };
-            let started = starts::try_start(start, &drill.daemon, folder, number, held)?;
+            let started = starts::try_start(start, &drill.daemon, folder, number, occupied)?;
             let failures = oracles::starts(&started);
             failures.iter().for_each(|failure| println!("  {failure}"));
             let mut tally = lock(tally);
@@ -196,13 +197,13 @@
     tally.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A line for each case, and what was not held in it.
-fn tell(case: &Case, outcome: &Outcome) {
+/// Prints one line for the case, and its failures.
+fn print_outcome(case: &Case, outcome: &Outcome) {
     let Outcome { requests, runs, failures, .. } = outcome;
     let mut text = format!("  {case}: {requests} requests, {runs} runs, {} failures", failures.len());
     if outcome.late.count > 0 {
-        let Late { count, most } = outcome.late;
-        text.push_str(&format!(", {count} late, by {} ms", most.as_millis()));
+        let Late { count, max_delay } = outcome.late;
+        text.push_str(&format!(", {count} late, by {} ms", max_delay.as_millis()));
     }
     for failure in failures.iter().take(SHOWN_FAILURES) {
         text.push_str(&format!("\n    {failure}"));
@@ -230,9 +231,9 @@
         self.runs += outcome.runs;
         self.slowest_start = self.slowest_start.max(outcome.slowest_start);
         self.late.count += outcome.late.count;
-        self.late.most = self.late.most.max(outcome.late.most);
-        let named = |failure| (case.to_string(), failure);
-        self.failures.extend(outcome.failures.into_iter().map(named));
+        self.late.max_delay = self.late.max_delay.max(outcome.late.max_delay);
+        let with_case = |failure| (case.to_string(), failure);
+        self.failures.extend(outcome.failures.into_iter().map(with_case));
     }
 }
 
@@ -250,15 +251,15 @@
         };
         claims.claim(failed == 0, oracle.claim(), format!("{failed} failures, {of}"));
     }
-    let Late { count, most } = tally.late;
+    let Late { count, max_delay } = tally.late;
     claims.timed(
         count == 0,
         "answers by their due time",
-        format!("{count} late, by {} ms", most.as_millis()),
+        format!("{count} late, by {} ms", max_delay.as_millis()),
     );
     let slowest = tally.slowest_start;
     claims.timed(
-        slowest <= STARTS_WITHIN,
+        slowest <= MAX_START_TIME,
         "every start serves within 10 s",
         format!("the slowest took {} ms", slowest.as_millis()),
     );
--- a/crates/testkit/src/drill/faults/oracles.rs
+++ b/crates/testkit/src/drill/faults/oracles.rs
@@ -1,14 +1,15 @@
-//! The four oracles that hold for each run, whatever was injected. They judge by what was recorded, and know nothing of the
-//! server's code.
+//! The four oracles, which every run must satisfy whatever was injected. They judge only by the recorded traffic and
+//! don't use the server's code.
 //!
-//! - alive: the process doesn't end before its stop, no thread panics or ends unnoticed, no invariant is logged as failed;
-//! - answers: each request whose last byte was written on an accepted connection gets exactly one final answer by its due
-//!   time, and health checks and operators' calls are answered;
-//! - starts: a valid configuration serves within 10 s; an invalid one ends with status 1 and a message that names path,
-//!   expected and got;
-//! - provenance: each command, result and report is what some client or processor really sent, by id and by content.
+//! - alive: the process doesn't end before it is stopped, no thread panics or ends early, and no failed invariant is
+//!   logged;
+//! - answers: each request whose last byte was written on an accepted connection gets exactly one final answer by its
+//!   due time, and health checks and operators' calls are answered;
+//! - starts: a server with a valid configuration serves within 10 s; an invalid one ends with status 1 and a message
+//!   that names the path and the expected and actual values;
+//! - provenance: each command, result and report was sent by a client or processor, with the same id and content.
 
-use super::record::{Command, Entries, Request, Told};
+use super::record::{Command, Entries, Payload, Request};
 use super::settings;
 use crate::thrift::Answer;
 use rustix::process::Signal;
@@ -18,24 +19,24 @@
 use std::process::ExitStatus;
 use std::time::Duration;
 
-/// What is held.
+/// A property that every run must satisfy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Oracle {
-    /// No process or thread ends before its time.
+    /// No process or thread ends before it is stopped.
     Alive,
-    /// Exactly one final answer.
+    /// Each request gets exactly one final answer.
     Answers,
-    /// Valid configurations serve, others end with a reason.
+    /// A server with a valid configuration serves; any other ends with a reason.
     Starts,
-    /// Nothing is sent that nobody sent.
+    /// Every command, result and report originates from a client or a processor.
     Provenance,
 }
 
 impl Oracle {
-    /// All of them.
+    /// All oracles, in the order of their claims.
     pub const ALL: [Self; 4] = [Self::Alive, Self::Answers, Self::Starts, Self::Provenance];
 
-    /// What is claimed.
+    /// The text of the claim in the drill's output.
     pub fn claim(self) -> &'static str {
         match self {
             Self::Alive => "alive: no process or thread ended before its stop, no panic, no failed invariant",
@@ -46,12 +47,12 @@
     }
 }
 
-/// An oracle that was not held, and how.
+/// A violation of an oracle.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Failure {
-    /// Which.
+    /// The violated oracle.
     pub oracle: Oracle,
-    /// What was seen.
+    /// The observation that violates it, with the server's name.
     pub seen: String,
 }
 
@@ -61,74 +62,74 @@
     }
 }
 
-/// How the life of a process ended, as far as it is known.
+/// The observed end of a server process.
 #[derive(Debug, Clone, Default)]
-pub struct Life {
-    /// Its name.
+pub struct ProcessOutcome {
+    /// The server's name.
     pub name: String,
-    /// The status, where it ended before it was told to.
+    /// The exit status if the process ended before it was told to stop.
     pub ended_early: Option<ExitStatus>,
-    /// Threads that were there when it was ready, and not before its stop.
+    /// Names of threads that existed when the server became ready and were gone right before its stop.
     pub missing_threads: BTreeSet<String>,
-    /// How it ended after its stop; none if it did not within the wait.
+    /// The exit status after the stop; `None` if the process did not end within the timeout.
     pub end: Option<ExitStatus>,
-    /// Whether it was told to leave.
-    pub was_told: bool,
-    /// The states of its threads where it did not end.
+    /// Whether the process received SIGTERM.
+    pub was_stopped: bool,
+    /// The states of the threads of a process that did not end.
     pub hang: String,
-    /// What it wrote to standard error.
+    /// The standard error of the process.
     pub log: String,
 }
 
-/// Words on standard error that only a failed invariant or a panic writes.
-const FAILED: [&str; 5] = ["panicked at", "invariant", "assertion", "RUST_BACKTRACE", "stack overflow"];
-/// Of a log, at the most, in a failure.
+/// Texts on standard error that indicate a panic or a failed invariant.
+const FAILURE_TEXTS: [&str; 5] =
+    ["panicked at", "invariant", "assertion", "RUST_BACKTRACE", "stack overflow"];
+/// Maximum lines of a log shown in a failure.
 const SHOWN_LOG_LINES: usize = 12;
-/// Of bytes.
+/// Maximum bytes of a payload shown in a failure.
 const SHOWN_BYTES: usize = 48;
 
-/// A tail of a log.
-fn tail(log: &str) -> String {
+fn log_tail(log: &str) -> String {
     let lines: Vec<&str> = log.lines().collect();
     let from = lines.len().saturating_sub(SHOWN_LOG_LINES);
     lines[from..].iter().map(|line| format!("\n      {line}")).collect()
 }
 
-/// The process is there until its stop, and ends well then.
-pub fn alive(life: &Life) -> Vec<Failure> {
+/// Checks that the process and its threads ran until the stop, and that the drain succeeded.
+pub fn alive(life: &ProcessOutcome) -> Vec<Failure> {
     let mut failures = Vec::new();
     let mut fail = |seen: String| failures.push(Failure { oracle: Oracle::Alive, seen });
     let name = &life.name;
     if let Some(status) = life.ended_early {
-        fail(format!("{name} ended before its stop: {status}; its log ends{}", tail(&life.log)));
+        fail(format!("{name} ended before its stop: {status}; its log ends{}", log_tail(&life.log)));
     }
     if !life.missing_threads.is_empty() {
-        let (missing, log) = (&life.missing_threads, tail(&life.log));
+        let (missing, log) = (&life.missing_threads, log_tail(&life.log));
         fail(format!("threads of {name} ended while it ran: {missing:?}; its log ends{log}"));
     }
-    if life.was_told && life.ended_early.is_none() {
+    if life.was_stopped && life.ended_early.is_none() {
         match life.end {
             Some(status) if status.success() => {}
-            Some(status) => fail(format!("{name} ended its drain with {status}{}", tail(&life.log))),
+            Some(status) => fail(format!("{name} ended its drain with {status}{}", log_tail(&life.log))),
             None => fail(format!("{name} did not end after SIGTERM; its threads\n{}", life.hang)),
         }
     }
-    for line in life.log.lines().filter(|line| FAILED.iter().any(|words| line.contains(words))) {
+    for line in life.log.lines().filter(|line| FAILURE_TEXTS.iter().any(|words| line.contains(words))) {
         fail(format!("{name} wrote '{line}'"));
     }
     failures
 }
 
-/// Answers that came after they were due, which a late machine changes.
+/// Answers after their due time. A late machine causes them too, so they are claimed separately.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Late {
-    /// How many.
+    /// Number of late answers.
     pub count: usize,
-    /// By how much at the most.
-    pub most: Duration,
+    /// Delay of the latest answer past its due time.
+    pub max_delay: Duration,
 }
 
-/// Each whole request has one final answer; how many of them were late.
+/// Checks that each complete request has exactly one final answer, and counts the late ones.
 pub fn answers(name: &str, entries: &Entries) -> (Vec<Failure>, Late) {
     let (mut failures, mut late) = (Vec::new(), Late::default());
     let mut fail = |seen: String| failures.push(Failure { oracle: Oracle::Answers, seen });
@@ -142,9 +143,9 @@
         if let Some((at, _)) = request.answers.first() {
             let due = written + request.due + entries.paused;
             if let Some(by) = at.checked_duration_since(due).filter(|by| !by.is_zero()) {
-                late = Late { count: late.count + 1, most: late.most.max(by) };
+                late = Late { count: late.count + 1, max_delay: late.max_delay.max(by) };
             }
-        } else if !entries.killed_since(request.connected) && !request.crossed {
+        } else if !entries.killed_since(request.connected) && !request.sent_again {
             let began = if entries.began(rid) { "its run began" } else { "it never began to run" };
             let end = request.ended.clone().unwrap_or_else(|| "no answer within the wait".to_string());
             let hang = request.hang.as_ref().map(|states| format!("; threads\n{states}")).unwrap_or_default();
@@ -173,13 +174,13 @@
     bytes[..bytes.len().min(SHOWN_BYTES)].escape_ascii().to_string()
 }
 
-/// Everything that was read is what somebody sent.
+/// Checks that everything read by a client, the processor or the control plane was sent by a known sender.
 pub fn provenance(name: &str, entries: &Entries) -> Vec<Failure> {
-    let mut failures: Vec<String> = entries.foreign.clone();
-    failures.extend(entries.commands.iter().filter_map(|command| foreign_command(entries, command)));
+    let mut failures: Vec<String> = entries.unattributed.clone();
+    failures.extend(entries.commands.iter().filter_map(|command| unattributed_command(entries, command)));
     failures.extend(repeated_runs(entries));
-    failures.extend(foreign_results(entries));
-    failures.extend(foreign_calls(entries));
+    failures.extend(unattributed_results(entries));
+    failures.extend(unattributed_calls(entries));
     for report in &entries.reports {
         let known =
             ["Ready", "NotReady"].iter().any(|state| *report == format!("lease {name} {state}").as_bytes());
@@ -191,11 +192,11 @@
     failures.into_iter().map(failure).collect()
 }
 
-/// A run that no client asked for, or of another class or body.
-fn foreign_command(entries: &Entries, command: &Command) -> Option<String> {
+/// Reports a run that no client requested, or whose class or body differs from its request.
+fn unattributed_command(entries: &Entries, command: &Command) -> Option<String> {
     let Command { rid, class, body, link, .. } = command;
-    let Some(request) = entries.of(rid).next() else {
-        return Some(format!("a run of {rid} ({class}) began on link {link}, and no client sent it"));
+    let Some(request) = entries.requests_of(rid).next() else {
+        return Some(format!("a run of {rid} ({class}) began on link {link}, but no client requested it"));
     };
     if request.class != class {
         return Some(format!("request {rid} of class {} began to run as {class}", request.class));
@@ -203,54 +204,57 @@
     if request.body != *body {
         let at = request.body.iter().zip(body).take_while(|(a, b)| a == b).count();
         let (sent, came) = (request.body.len(), body.len());
-        return Some(format!("the body of {rid} changed at byte {at}: {sent} bytes were sent, {came} came"));
+        return Some(format!(
+            "the body of {rid} changed at byte {at}: {sent} bytes were sent, {came} received"
+        ));
     }
-    if entries.of(rid).all(|request| request.written.is_none()) {
-        return Some(format!("a run of {rid} began though its request was never whole"));
+    if entries.requests_of(rid).all(|request| request.written.is_none()) {
+        return Some(format!("a run of {rid} began although its request was never complete"));
     }
     None
 }
 
-/// Runs that began twice and must not.
+/// Reports runs that began twice on one link, or again for a class that runs at most once.
 fn repeated_runs(entries: &Entries) -> Vec<String> {
     let mut found = Vec::new();
     let mut on_link: HashSet<(&str, u64, u64)> = HashSet::new();
-    // By what must run once, the first that ran for it.
+    // The first run by idempotency key (or request id) and server generation.
     let mut once: HashMap<(&str, u64), &Command> = HashMap::new();
     for command in entries.commands.iter().filter(|command| !command.refused) {
-        let Command { rid, class, link, server_life, .. } = command;
-        if !on_link.insert((rid, *link, command.processor_life)) {
+        let Command { rid, class, link, server_generation, .. } = command;
+        if !on_link.insert((rid, *link, command.processor_generation)) {
             found.push(format!("the run of {rid} ({class}) began twice on link {link}"));
         }
-        let Some(request) = entries.of(rid).next().filter(|request| settings::runs_once(request.class))
+        let Some(request) =
+            entries.requests_of(rid).next().filter(|request| settings::runs_once(request.class))
         else {
             continue;
         };
         let key = request.token.as_deref().unwrap_or(rid);
-        let first = *once.entry((key, *server_life)).or_insert(command);
-        if first.rid != *rid || first.processor_life != command.processor_life {
+        let first = *once.entry((key, *server_generation)).or_insert(command);
+        if first.rid != *rid || first.processor_generation != command.processor_generation {
             found.push(format!("{class} ran for {rid} after it ran for {} under the same token", first.rid));
         }
     }
     found
 }
 
-/// Results that no run made for the request.
-fn foreign_results(entries: &Entries) -> Vec<String> {
+/// Reports answers whose result no run produced for the request or for another attempt with its key.
+fn unattributed_results(entries: &Entries) -> Vec<String> {
     let mut made: HashMap<&str, Vec<&[u8]>> = HashMap::new();
-    for result in &entries.made {
+    for result in &entries.results {
         made.entry(&result.rid).or_default().push(&result.result);
     }
-    let mut tries: HashMap<&str, Vec<&str>> = HashMap::new();
+    let mut attempts: HashMap<&str, Vec<&str>> = HashMap::new();
     for request in &entries.requests {
         if let Some(token) = &request.token {
-            tries.entry(token).or_default().push(&request.rid);
+            attempts.entry(token).or_default().push(&request.rid);
         }
     }
     let mut found = Vec::new();
     for request in &entries.requests {
         let own = [request.rid.as_str()];
-        let all = request.token.as_deref().and_then(|token| tries.get(token));
+        let all = request.token.as_deref().and_then(|token| attempts.get(token));
         let all: &[&str] = all.map_or(&own, |all| all);
         for (_, answer) in &request.answers {
             let Answer::Served(body, fields) = answer else { continue };
@@ -271,86 +275,102 @@
     found
 }
 
-/// Calls that no run asked for, and replies that the dependency did not give to it. An empty reply stands for a call that
-/// was left out.
-fn foreign_calls(entries: &Entries) -> Vec<String> {
-    let asks: HashSet<&Told> = entries.asks.iter().collect();
-    let replies: HashSet<&Told> = entries.replies.iter().collect();
-    let calls = entries.calls.iter().filter(|call| !asks.contains(call));
+/// Reports calls to the dependency that no run made, and replies to a run that the dependency did not send. An empty
+/// reply stands for a call that the server skipped.
+fn unattributed_calls(entries: &Entries) -> Vec<String> {
+    let asks: HashSet<&Payload> = entries.requested_calls.iter().collect();
+    let replies: HashSet<&Payload> = entries.sent_replies.iter().collect();
+    let calls = entries.received_calls.iter().filter(|call| !asks.contains(call));
     let calls = calls.map(|call| (call, "a call to the dependency that no run asked for"));
     let answered =
-        entries.answered.iter().filter(|reply| !reply.bytes.is_empty() && !replies.contains(reply));
+        entries.received_replies.iter().filter(|reply| !reply.bytes.is_empty() && !replies.contains(reply));
     let answered = answered.map(|reply| (reply, "a reply to a run that the dependency did not give"));
-    let text = |(told, what): (&Told, &str)| {
-        let Told { rid, bytes } = told;
+    let text = |(payload, what): (&Payload, &str)| {
+        let Payload { rid, bytes } = payload;
         format!("{what}, for {rid}: {} bytes '{}'", bytes.len(), shown_bytes(bytes))
     };
     calls.chain(answered).map(text).collect()
 }
 
-/// How a start went that was tried.
+/// The observed course of one server start.
 #[derive(Debug, Clone)]
 pub struct Started {
-    /// What is special about the configuration.
+    /// Description of the configuration, used in failure messages.
     pub what: String,
-    /// What a message must name, where it is not valid; none where it is.
-    pub names: Option<Vec<String>>,
-    /// Whether it was told to leave while it started.
-    pub told: bool,
-    /// Whether and when it answered a health check.
+    /// Names that the error message must contain if the configuration is invalid; `None` if it is valid.
+    pub required_names: Option<Vec<String>>,
+    /// Whether SIGTERM was sent during the start.
+    pub stopped: bool,
+    /// Time from the start to the first answered health check.
     pub served: Option<Duration>,
-    /// How it ended, where it did by itself.
+    /// The exit status if the process ended by itself.
     pub ended: Option<ExitStatus>,
-    /// What it wrote.
+    /// The standard error of the process.
     pub log: String,
-    /// Its threads, where it neither served nor ended.
+    /// The states of the threads if the process neither served nor ended.
     pub hang: String,
 }
 
-/// Words of which a message that turns a configuration down has one each.
-const EXPECTED: [&str; 1] = ["expected"];
-const GOT: [&str; 5] = ["got", "found", "invalid type", "missing field", "unknown"];
+/// A message that rejects a configuration contains one text of each list.
+const EXPECTED_TEXTS: [&str; 1] = ["expected"];
+const ACTUAL_TEXTS: [&str; 5] = ["got", "found", "invalid type", "missing field", "unknown"];
 
-/// A valid configuration serves; another ends with status 1 and a message.
+/// Checks that a valid configuration serves, and that an invalid one ends with status 1 and a complete message.
 pub fn starts(started: &Started) -> Vec<Failure> {
     let mut failures = Vec::new();
     let what = &started.what;
     let mut fail =
         |seen: String| failures.push(Failure { oracle: Oracle::Starts, seen: format!("{what}: {seen}") });
-    match &started.names {
-        None if started.told => match started.ended {
-            // Before it has its handlers, the notice ends it as the system does; nothing listened by then.
+    match &started.required_names {
+        None if started.stopped => match started.ended {
+            // Until its signal handlers are installed, SIGTERM ends the process by default; it doesn't listen yet.
             Some(status) if status.success() => {}
             Some(status)
                 if status.signal() == Some(Signal::TERM.as_raw()) && !started.log.contains("serving") => {}
-            Some(status) => fail(format!("it ended with {status}{}", tail(&started.log))),
-            None => fail(format!("it did not end; threads\n{}", started.hang)),
+            Some(status) => fail(format!("an early stop ended with {status}{}", log_tail(&started.log))),
+            None => fail(format!("did not end after an early stop; threads\n{}", started.hang)),
         },
         None => {
             if let Some(status) = started.ended {
-                fail(format!("valid, and it ended with {status}{}", tail(&started.log)));
+                fail(format!(
+                    "the configuration is valid, but the server ended with {status}{}",
+                    log_tail(&started.log)
+                ));
             } else if started.served.is_none() {
-                fail(format!("valid, and it doesn't serve{}\n{}", tail(&started.log), started.hang));
+                fail(format!(
+                    "the configuration is valid, but the server doesn't serve{}\n{}",
+                    log_tail(&started.log),
+                    started.hang
+                ));
             }
         }
         Some(names) => {
             let message = &started.log;
             match started.ended {
                 Some(status) if status.code() == Some(1) => {}
-                Some(status) => fail(format!("not valid, and it ended with {status}{}", tail(message))),
-                None => fail(format!("not valid, and it did not end{}", tail(message))),
+                Some(status) => fail(format!(
+                    "the configuration is invalid, but the server ended with {status}{}",
+                    log_tail(message)
+                )),
+                None => fail(format!(
+                    "the configuration is invalid, but the server did not end{}",
+                    log_tail(message)
+                )),
             }
             let has = |words: &[&str]| words.iter().any(|word| message.contains(word));
             for name in names.iter().filter(|name| !message.contains(name.as_str())) {
-                fail(format!("the message doesn't name '{name}'{}", tail(message)));
+                fail(format!("the message doesn't name '{name}'{}", log_tail(message)));
             }
-            if !has(&EXPECTED) || !has(&GOT) {
-                fail(format!("the message doesn't say what was expected and what came{}", tail(message)));
+            if !has(&EXPECTED_TEXTS) || !has(&ACTUAL_TEXTS) {
+                fail(format!(
+                    "the message doesn't state the expected and the actual value{}",
+                    log_tail(message)
+                ));
             }
         }
     }
-    for line in started.log.lines().filter(|line| FAILED.iter().any(|words| line.contains(words))) {
-        fail(format!("it wrote '{line}'"));
+    for line in started.log.lines().filter(|line| FAILURE_TEXTS.iter().any(|words| line.contains(words))) {
+        fail(format!("the server wrote '{line}'"));
     }
     failures
 }
--- a/crates/testkit/src/drill/faults/peer.rs
+++ b/crates/testkit/src/drill/faults/peer.rs
@@ -1,5 +1,5 @@
-//! A peer of one server that only takes what the server sends it, and sends back datagrams that are garbage, cut, changed or
-//! replayed. It has no key, so nothing that it sends may be believed.
+//! A stand-in for a peer of one server. It sends datagrams that are random, truncated, altered or replayed. It has no
+//! key, so the server must not accept any of them.
 
 use super::plan::DatagramFault;
 use super::random::Random;
@@ -11,28 +11,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The largest datagram that is taken or sent.
-const LARGEST: usize = 2_048;
-/// How long real datagrams are waited for, of which the others are made.
-const COLLECTS: Duration = Duration::from_millis(400);
-/// Between datagrams: they are to be read, not dropped by the system.
-const BETWEEN: Duration = Duration::from_micros(300);
+/// Maximum datagram length, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 2_048;
+/// Time for which the server's datagrams are collected, from which the invalid ones are derived.
+const COLLECT_DURATION: Duration = Duration::from_millis(400);
+/// Interval between datagrams, so that the server reads them and the system drops none.
+const SEND_INTERVAL: Duration = Duration::from_micros(300);
 
-/// A stand-in for a peer.
+/// A stand-in for a peer of one server.
 pub struct Peer {
     socket: UdpSocket,
     server: SocketAddr,
 }
 
 impl Peer {
-    /// Knows where a server takes datagrams.
+    /// Opens a socket; `server` is the server's gossip address.
     pub fn start(server: SocketAddr) -> io::Result<Self> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
-        socket.set_read_timeout(Some(BETWEEN))?;
+        socket.set_read_timeout(Some(SEND_INTERVAL))?;
         Ok(Self { socket, server })
     }
 
-    /// Writes the server's own settings, in which this peer is one that it joins by.
+    /// Writes the server's own settings, with this peer as a seed of the cluster.
     pub fn write_settings(&self, folder: &Path, name: &str) -> io::Result<PathBuf> {
         let (key, path) = (folder.join(format!("{name}.keys")), folder.join(format!("{name}.kdl")));
         fs::write(&key, KEY)?;
@@ -47,8 +47,8 @@
         Ok(path)
     }
 
-    /// Sends so many datagrams of a kind.
-    pub fn play(&self, fault: DatagramFault, random: &mut Random) {
+    /// Sends the datagrams of a fault.
+    pub fn send(&self, fault: DatagramFault, random: &mut Random) {
         let real = self.collect();
         let count = match fault {
             DatagramFault::Garbage(count)
@@ -57,16 +57,16 @@
             | DatagramFault::Replayed(count) => count,
         };
         for n in 0..count {
-            let Some(datagram) = made(fault, &real, n, random) else { return };
-            // A server that has ended says so here, and the oracle sees it.
+            let Some(datagram) = derive_datagram(fault, &real, n, random) else { return };
+            // Sending fails if the server has ended; the oracle reports that.
             let _ = self.socket.send_to(&datagram, self.server);
-            thread::sleep(BETWEEN);
+            thread::sleep(SEND_INTERVAL);
         }
     }
 
     fn collect(&self) -> Vec<Vec<u8>> {
-        let (start, mut real, mut datagram) = (Instant::now(), Vec::new(), [0; LARGEST]);
-        while start.elapsed() < COLLECTS {
+        let (start, mut real, mut datagram) = (Instant::now(), Vec::new(), [0; MAX_DATAGRAM_BYTES]);
+        while start.elapsed() < COLLECT_DURATION {
             if let Ok(len) = self.socket.recv(&mut datagram) {
                 real.push(datagram[..len].to_vec());
             }
@@ -75,10 +75,10 @@
     }
 }
 
-/// The next datagram; none where there is no real one to make it of.
-fn made(fault: DatagramFault, real: &[Vec<u8>], n: usize, random: &mut Random) -> Option<Vec<u8>> {
+/// Derives the next datagram; `None` if no datagram of the server was collected.
+fn derive_datagram(fault: DatagramFault, real: &[Vec<u8>], n: usize, random: &mut Random) -> Option<Vec<u8>> {
     if let DatagramFault::Garbage(_) = fault {
-        let length = random.count(0..=LARGEST);
+        let length = random.count(0..=MAX_DATAGRAM_BYTES);
         return Some(random.bytes(length));
     }
     let mut datagram = real.get(n % real.len().max(1))?.clone();
--- a/crates/testkit/src/drill/faults/plan.rs
+++ b/crates/testkit/src/drill/faults/plan.rs
@@ -1,223 +1,223 @@
-//! What is injected, as types, and the seeded schedule: each fault alone and then drawn pairs, each in a case of its own with
+//! The faults as types, and the seeded schedule: each fault alone, then drawn pairs, each in a case of its own with
 //! fresh processes.
 
 use super::random::Random;
 use std::fmt::{self, Display};
 
-/// Bytes of a frame at the most that a server reads.
-pub const LARGEST_FRAME: usize = 4_604;
-/// Bytes of a body and of a result at the most, by the protocol page.
-pub const LARGEST_BODY: usize = 2_048;
-/// See [`LARGEST_BODY`].
-pub const LARGEST_RESULT: usize = 4_096;
+/// Maximum frame length that a server reads, in bytes.
+pub const MAX_FRAME_BYTES: usize = 4_604;
+/// Maximum length of a request body by the protocol page, in bytes.
+pub const MAX_BODY_BYTES: usize = 2_048;
+/// Maximum length of a result by the protocol page, in bytes.
+pub const MAX_RESULT_BYTES: usize = 4_096;
 
-/// What a client does beside the steady ones.
+/// Misbehaviour of a client, in addition to the steady clients.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClientFault {
-    /// So many connections that end with no byte sent.
+    /// Opens this many connections and closes each without sending a byte.
     ConnectAndClose(usize),
-    /// So many that are reset at once.
+    /// Opens this many connections and resets each at once.
     ResetAfterAccept(usize),
-    /// A request cut at each byte boundary from this one on, in these steps; by a reset.
+    /// Sends requests cut after a growing number of bytes (first cut, step); each connection is reset.
     ResetAtBytes(usize, usize),
-    /// The same by an orderly end.
+    /// Like `ResetAtBytes`, but the client closes its sending half in order.
     CloseAtBytes(usize, usize),
-    /// Requests that come one byte at a time.
+    /// Sends this many requests one byte at a time.
     ByteByByte(usize),
-    /// So many messages in one segment.
+    /// Sends this many requests in one write.
     OneSegment(usize),
-    /// Two requests cut into two writes, at each of so many drawn places.
+    /// Sends this many pairs of requests, each pair split into two writes at a drawn byte.
     SplitRequests(usize),
-    /// Requests whose answers nobody reads until all were sent.
+    /// Sends this many requests and reads no answer until all runs are over.
     StopReading(usize),
-    /// A frame that can't be taken, behind a request that can.
+    /// Sends an invalid frame after a valid request.
     BadFrame(BadFrame),
-    /// A request of the largest frame that is taken.
+    /// Sends a request with the maximum frame length.
     LargestFrame,
-    /// Urgent bytes between and within requests.
+    /// Sends this many pairs of requests with an urgent (out-of-band) byte in between.
     Urgent(usize),
-    /// Idle connections up to the descriptor limit, while nobody takes reports.
+    /// Opens idle connections up to the descriptor limit while the control plane is away.
     IdleToTheLimit,
-    /// Requests that are cancelled at once.
+    /// Sends this many requests and cancels each at once.
     Cancels(usize),
-    /// Health checks, each on its own connection.
+    /// Sends this many health checks, each on its own connection.
     HealthChecks(usize),
-    /// Requests with fields that can't be taken.
+    /// Sends requests with invalid field values.
     OddFields,
-    /// Connections that end their half with requests open.
+    /// Opens this many connections and closes the sending half of each while requests are open.
     HalfClose(usize),
 }
 
-/// A frame that no server takes.
+/// A frame that a server must reject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BadFrame {
-    /// Of no bytes.
+    /// Length 0.
     Empty,
-    /// One byte past the largest.
+    /// One byte longer than the maximum.
     TooLarge,
-    /// With a length below 0.
+    /// A negative length.
     Negative,
-    /// With a length of the largest that can be said.
+    /// The largest length that the field can hold.
     Huge,
 }
 
-/// What the processor does wrong.
+/// Misbehaviour of the processor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessorFault {
-    /// Takes no connection for so many milliseconds.
+    /// Refuses connections for this many milliseconds.
     Refused(u64),
-    /// Takes the link, and greets so many milliseconds late.
+    /// Restarts, accepts the link and sends its greeting this many milliseconds late.
     HiLate(u64),
-    /// Ends the link within a command, after so many bytes of what comes, so many times.
+    /// Closes the link after reading this many bytes of commands (bytes, number of links).
     CutCommand(usize, usize),
-    /// Ends the link within a notice, after so many of its bytes, so many times.
+    /// Closes the link after writing this many bytes of a notice (bytes, number of notices).
     CutNotice(usize, usize),
-    /// The same by a reset.
+    /// Like `CutNotice`, with a reset.
     ResetNotice(usize, usize),
-    /// Reads nothing for so many milliseconds.
+    /// Reads nothing for this many milliseconds.
     SlowReader(u64),
-    /// Starts anew: runs are lost, notices begin at 1.
+    /// Restarts this many times: its runs are lost and its notices are numbered from 1 again.
     Restart(usize),
-    /// Tells all kept notices again at each link.
+    /// Sends all stored notices again on each new link.
     RepeatNotices,
-    /// Tells each two notices in the wrong order.
+    /// Swaps each pair of consecutive notices.
     OutOfOrder,
-    /// Tells remarks of this length.
+    /// Sends a remark of this length, in bytes, before the end of each run.
     LongRemark(usize),
-    /// Results of this length.
+    /// All results have this length, in bytes.
     ResultLength(usize),
-    /// Rejects instead of running, after the end of a run, or for an id that nobody sent.
+    /// Sends rejections that no server expects.
     Reject(Rejected),
-    /// Runs end otherwise than well.
+    /// All runs end with this status instead of `OK`.
     EndsAs(&'static str),
-    /// Sends its lines byte by byte.
+    /// Writes one byte at a time.
     ByteByByte,
 }
 
-/// For which ids the processor rejects.
+/// The request ids that the processor rejects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rejected {
-    /// One that it was told to run.
+    /// A request that it was commanded to run.
     InsteadOfRun,
-    /// One whose run is over.
+    /// A request whose run has ended.
     Finished,
-    /// One that no client sent.
+    /// An id that no client sent.
     Unknown,
 }
 
-/// What the shared dependency does with calls.
+/// Misbehaviour of the shared dependency.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DependencyFault {
-    /// Takes no connection.
+    /// Refuses connections.
     Refused,
-    /// Ends the connection within a reply, after so many bytes.
+    /// Closes the connection after this many bytes of a reply.
     CutReply(usize),
-    /// Ends it with no reply.
+    /// Closes the connection without a reply.
     CloseUnanswered,
-    /// Tells a length that is larger than the reply.
+    /// Announces a length larger than the reply.
     LengthTooLarge,
-    /// Or smaller.
+    /// Announces a length smaller than the reply.
     LengthTooSmall,
-    /// Answers with bytes that are no HTTP.
+    /// Answers with random bytes that are not HTTP.
     Garbage,
-    /// Never answers.
+    /// Never answers a call.
     Silent,
-    /// Answers with this status.
+    /// Answers with this HTTP status.
     Status(u16),
-    /// Replies of this length.
+    /// All replies have this length, in bytes.
     ReplyLength(usize),
-    /// Replies one byte at a time.
+    /// Writes its replies one byte at a time.
     ByteByByte,
 }
 
-/// Datagrams to the address that the server's peers use; so many.
+/// Datagrams sent to the server's gossip address; the value is their number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DatagramFault {
-    /// Any bytes.
+    /// Random bytes.
     Garbage(usize),
-    /// Real ones cut at each length.
+    /// Datagrams of the server, truncated to varying lengths.
     Cut(usize),
-    /// Real ones with one bit changed.
+    /// Datagrams of the server with one bit flipped.
     Flipped(usize),
-    /// Real ones sent back.
+    /// Datagrams of the server, sent back unchanged.
     Replayed(usize),
 }
 
-/// What the control plane does.
+/// Misbehaviour of the control plane.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ControlFault {
-    /// Its address is closed: the system says so to each report.
+    /// Its socket is closed for this many milliseconds, so that the system answers each report with an error.
     Refused(u64),
-    /// It moves, and a reload names the new address.
+    /// The server is reloaded with another control plane's address.
     Moved,
-    /// The processor does so.
+    /// The processor moves and the server is reloaded with its new address.
     ProcessorMoved,
 }
 
-/// Signals and files.
+/// Signals to the server, and changes of its configuration file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SignalFault {
-    /// So many SIGHUP, with files that change between them.
+    /// Sends this many SIGHUP while the file alternates between two configurations.
     HangupStorm(usize),
-    /// SIGHUP with a file that can't be used.
+    /// Sends SIGHUP with a changed file.
     BadFile(BadFile),
-    /// The process stands still for so many milliseconds.
+    /// Stops the process (SIGSTOP) for this many milliseconds.
     Pause(u64),
-    /// It stands still and goes on, so many times: its waits are interrupted.
+    /// Stops and continues the process this many times, which interrupts its system calls.
     Interrupts(usize),
-    /// SIGKILL of server and processor, and a new start.
+    /// Kills server and processor and starts both again.
     Kill,
 }
 
-/// A file that holds no usable configuration.
+/// A replaced configuration file; all but `OtherSite` are unusable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BadFile {
-    /// There is none.
+    /// The file is missing.
     Missing,
-    /// Of no bytes.
+    /// The file is empty.
     Empty,
-    /// The first half of one.
+    /// The first half of a valid file.
     Half,
-    /// With a text where a number belongs.
+    /// A text in place of a number.
     Word,
-    /// Of a site with other classes and other tenants: this one can be used.
+    /// A valid configuration with other classes and other tenants.
     OtherSite,
 }
 
-/// How the case ends.
+/// How the servers of a case are stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
-    /// SIGTERM once all is quiet.
+    /// SIGTERM once all faults are reverted and the load has stopped.
     Quiet,
     /// SIGTERM under load.
     Serving,
-    /// SIGTERM twice.
+    /// SIGTERM twice, under load.
     Twice,
-    /// SIGTERM right behind SIGHUP.
+    /// SIGTERM right after SIGHUP.
     BehindReload,
-    /// SIGTERM with half a request on a connection; the rest follows it.
+    /// SIGTERM after half a request was written; the rest is written afterwards.
     HalfFrame,
 }
 
-/// One fault.
+/// A fault, by its origin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Of a client.
+    /// A misbehaving client.
     Client(ClientFault),
-    /// Of the processor.
+    /// A misbehaving processor.
     Processor(ProcessorFault),
-    /// Of the shared dependency; the settings have it then.
+    /// A misbehaving dependency; the settings then include one.
     Dependency(DependencyFault),
-    /// Of peers' datagrams; the settings have a cluster then.
+    /// Invalid datagrams; the settings then include a cluster.
     Datagrams(DatagramFault),
-    /// Of the control plane.
+    /// A misbehaving control plane.
     Control(ControlFault),
-    /// Of a signal or a file.
+    /// A signal or a file change.
     Signal(SignalFault),
 }
 
 impl Fault {
-    /// The family that it is counted under.
+    /// The family under which the drill counts the fault.
     pub fn family(self) -> &'static str {
         match self {
             Self::Client(_) => "clients",
@@ -243,30 +243,30 @@
     }
 }
 
-/// Fresh processes, and what is done to them.
+/// One case: fresh processes with the faults injected into them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Case {
-    /// Its place in the schedule.
+    /// Position in the schedule, from 0.
     pub number: usize,
-    /// For what is drawn within it.
+    /// Seed of the draws within the case.
     pub seed: u64,
-    /// Servers beside each other.
+    /// Number of servers, each with its own stand-ins.
     pub servers: usize,
-    /// What is injected at the same time.
+    /// Faults that are injected at the same time.
     pub faults: Vec<Fault>,
-    /// How it ends.
+    /// How the servers are stopped.
     pub ending: Ending,
-    /// Milliseconds from the begin of the faults to the ending where that doesn't wait for quiet.
+    /// Milliseconds from the start of the faults to an ending under load.
     pub ends_after_ms: u64,
 }
 
 impl Case {
-    /// Whether runs of this case call the shared dependency.
+    /// Whether the runs of this case call the shared dependency.
     pub fn calls_dependency(&self) -> bool {
         self.faults.iter().any(|fault| matches!(fault, Fault::Dependency(_)))
     }
 
-    /// Whether servers of this case have peers.
+    /// Whether the servers of this case belong to a cluster.
     pub fn has_peers(&self) -> bool {
         self.faults.iter().any(|fault| matches!(fault, Fault::Datagrams(_)))
     }
@@ -282,30 +282,30 @@
     }
 }
 
-/// How large a schedule is.
+/// The size of a schedule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Size {
-    /// Every so many of the faults alone; 1 is all of them.
+    /// Step over the list of single faults; 1 takes all of them.
     pub alone_step: usize,
-    /// Drawn pairs.
+    /// Number of drawn pairs.
     pub pairs: usize,
-    /// Cases with a handful of servers.
+    /// Number of drawn pairs that run with several servers.
     pub fleets: usize,
 }
 
 impl Size {
-    /// All faults alone, and pairs.
+    /// All single faults and 24 pairs.
     pub const FULL: Self = Self { alone_step: 1, pairs: 24, fleets: 2 };
-    /// For a test: some of the faults, by the seed, and some pairs.
+    /// A sixth of the single faults, chosen by the seed, and few pairs; for tests.
     pub const SMALL: Self = Self { alone_step: 6, pairs: 3, fleets: 0 };
 }
 
-/// Servers of a case with a handful of them.
-const HANDFUL: usize = 5;
-/// Until an ending that doesn't wait for quiet.
-const LATEST_ENDING_MS: u64 = 400;
+/// Number of servers in a case with several servers.
+const LARGE_CASE_SERVERS: usize = 5;
+/// Maximum milliseconds until an ending under load.
+const MAX_ENDING_DELAY_MS: u64 = 400;
 
-/// The schedule of a seed.
+/// Draws the schedule of a seed: all endings without a fault, single faults, pairs, and cases with several servers.
 pub fn schedule(seed: u64, size: Size) -> Vec<Case> {
     let mut random = Random::new(seed, 1);
     let all = faults(&mut random);
@@ -313,7 +313,7 @@
     let mut cases = Vec::new();
     let mut add = |random: &mut Random, faults: Vec<Fault>, ending: Ending, servers: usize| {
         let number = cases.len();
-        let (seed, ends_after_ms) = (random.number(), random.within(0..=LATEST_ENDING_MS));
+        let (seed, ends_after_ms) = (random.number(), random.within(0..=MAX_ENDING_DELAY_MS));
         cases.push(Case { number, seed, servers, faults, ending, ends_after_ms });
     };
     for ending in ENDINGS {
@@ -327,12 +327,13 @@
         let ending = random.one_of(&ENDINGS);
         add(&mut random, pair, ending, 1);
     }
-    // The operators' own: idle clients fill the descriptors while nobody takes reports, and processes start again.
+    // A combination from operation: idle clients exhaust the descriptors while the control plane is away, and
+    // processes restart.
     let idle = vec![Fault::Client(ClientFault::IdleToTheLimit), Fault::Signal(SignalFault::Kill)];
-    add(&mut random, idle, Ending::Quiet, HANDFUL);
+    add(&mut random, idle, Ending::Quiet, LARGE_CASE_SERVERS);
     for _ in 0..size.fleets {
         let pair = pair(&all, &mut random);
-        add(&mut random, pair, Ending::Quiet, HANDFUL);
+        add(&mut random, pair, Ending::Quiet, LARGE_CASE_SERVERS);
     }
     cases
 }
@@ -340,14 +341,14 @@
 const ENDINGS: [Ending; 5] =
     [Ending::Quiet, Ending::Serving, Ending::Twice, Ending::BehindReload, Ending::HalfFrame];
 
-/// Two different kinds of faults.
+/// Draws two different faults.
 fn pair(all: &[Fault], random: &mut Random) -> Vec<Fault> {
     let first = random.count(0..=all.len() - 1);
     let second = (first + random.count(1..=all.len() - 1)) % all.len();
     vec![all[first], all[second]]
 }
 
-/// Each kind of fault once, with drawn figures.
+/// One fault of each kind, with drawn parameters.
 fn faults(random: &mut Random) -> Vec<Fault> {
     use ClientFault as C;
     use ProcessorFault as P;
@@ -389,7 +390,7 @@
         P::LongRemark(remark),
         P::LongRemark(random.count(4_609..=70_000)),
         P::ResultLength(0),
-        P::ResultLength(LARGEST_RESULT),
+        P::ResultLength(MAX_RESULT_BYTES),
         P::Reject(Rejected::InsteadOfRun),
         P::Reject(Rejected::Finished),
         P::Reject(Rejected::Unknown),
@@ -409,10 +410,10 @@
         DependencyFault::Silent,
         DependencyFault::Status(random.one_of(&[204, 301, 409, 500, 503, 504])),
         DependencyFault::ReplyLength(0),
-        DependencyFault::ReplyLength(LARGEST_RESULT),
-        DependencyFault::ReplyLength(random.count(LARGEST_RESULT + 1..=4_560)),
-        DependencyFault::ReplyLength(random.count(4_561..=LARGEST_FRAME + 4)),
-        DependencyFault::ReplyLength(random.count(LARGEST_FRAME + 5..=70_000)),
+        DependencyFault::ReplyLength(MAX_RESULT_BYTES),
+        DependencyFault::ReplyLength(random.count(MAX_RESULT_BYTES + 1..=4_560)),
+        DependencyFault::ReplyLength(random.count(4_561..=MAX_FRAME_BYTES + 4)),
+        DependencyFault::ReplyLength(random.count(MAX_FRAME_BYTES + 5..=70_000)),
         DependencyFault::ByteByByte,
     ];
     all.extend(dependencies.map(Fault::Dependency));
--- a/crates/testkit/src/drill/faults/processor.rs
+++ b/crates/testkit/src/drill/faults/processor.rs
@@ -1,14 +1,14 @@
-//! A processor that follows a script of misbehaviour, writes down what it reads and what it makes, and keeps to the protocol
-//! page in all that the script doesn't name.
+//! A processor with scripted misbehaviour. It records what it reads and produces, and otherwise follows the protocol
+//! page.
 
 mod link;
 mod script;
 
 pub use script::{Cut, Script};
 
-use super::plan::{LARGEST_RESULT, Rejected};
+use super::plan::{MAX_RESULT_BYTES, Rejected};
 use super::random::Random;
-use super::record::{Command, Made, Record, Told};
+use super::record::{Command, Payload, Record, RunResult};
 use rustix::net::sockopt;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::io::{self, Write};
@@ -18,30 +18,30 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Between steps of the runs, and looks at what the script says.
+/// Interval between steps of the runs, and between checks of the script.
 const TICK: Duration = Duration::from_millis(1);
-/// Notices kept for a link that comes later, by the protocol page.
-const KEPT: usize = 4_000;
-/// Bytes of a run's call at the most.
-const LONGEST_CALL: usize = 400;
-/// How long a run takes at the most.
-const LONGEST_RUN_MS: u64 = 30;
-/// From the end of a processor to the start of the next.
-const RESTART: Duration = Duration::from_millis(150);
-/// A server that takes nothing for so long has lost its link.
-const WRITE_PATIENCE: Duration = Duration::from_secs(5);
-/// The system keeps so little of what is not read: a slow reader is felt soon.
-const RECEIVE_BUFFER: usize = 4 * 1024;
+/// Notices stored for a later link, as on the protocol page.
+const MAX_STORED_NOTICES: usize = 4_000;
+/// Maximum length of a run's call, in bytes.
+const MAX_CALL_BYTES: usize = 400;
+/// Maximum duration of a run.
+const MAX_RUN_MS: u64 = 30;
+/// Time from the end of a processor to the next start.
+const RESTART_DELAY: Duration = Duration::from_millis(150);
+/// Write timeout after which the link counts as lost.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Receive buffer in bytes; small, so that a slow reader is soon noticed by the server.
+const RECEIVE_BUFFER_BYTES: usize = 4 * 1024;
 
 struct Run {
     rid: String,
-    /// A call that it makes before it ends.
+    /// The call to make before the run ends.
     call: Option<Vec<u8>>,
     ends: Instant,
     since: Instant,
 }
 
-/// The link in use.
+/// The link in use; a new hello replaces it.
 struct Current {
     number: u64,
     stream: TcpStream,
@@ -50,32 +50,32 @@
 struct State {
     script: Script,
     random: Random,
-    life: u64,
-    server_life: u64,
+    generation: u64,
+    server_generation: u64,
     started: Instant,
     running: BTreeMap<String, Run>,
     /// Runs that wait for the reply to their call.
-    calling: BTreeMap<String, Run>,
+    awaiting_reply: BTreeMap<String, Run>,
     /// Whether runs make calls.
-    calls: bool,
+    makes_calls: bool,
     address: SocketAddr,
     known: HashSet<String>,
     notices: VecDeque<(u64, Vec<u8>)>,
     last_notice: u64,
-    /// A notice that is told after the next one.
+    /// A notice that is written after the next one.
     held_back: Option<Vec<u8>>,
     current: Option<Current>,
     links: u64,
-    /// A listener that takes the place of the one before.
+    /// A listener that replaces the current one.
     moved: Option<TcpListener>,
-    /// Makes one result other than what is written down: the seeded defect of provenance.
+    /// Whether to corrupt one result on the link: the seeded defect of provenance.
     corrupts: bool,
 }
 
 struct Shared {
     state: Mutex<State>,
     record: Arc<Record>,
-    ends: AtomicBool,
+    stopping: AtomicBool,
 }
 
 impl Shared {
@@ -84,25 +84,25 @@
     }
 }
 
-/// A running stand-in; it ends when this is dropped.
+/// A running stand-in; it stops when this is dropped.
 pub struct Processor {
     shared: Arc<Shared>,
 }
 
 impl Processor {
-    /// Listens on a loopback address of its own.
-    pub fn start(record: &Arc<Record>, seed: u64, calls: bool, corrupts: bool) -> io::Result<Self> {
+    /// Starts a processor on its own loopback address.
+    pub fn start(record: &Arc<Record>, seed: u64, makes_calls: bool, corrupts: bool) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let state = State {
             script: Script::default(),
             random: Random::new(seed, 2),
-            life: 1,
-            server_life: 1,
+            generation: 1,
+            server_generation: 1,
             started: Instant::now(),
             running: BTreeMap::new(),
-            calling: BTreeMap::new(),
-            calls,
+            awaiting_reply: BTreeMap::new(),
+            makes_calls,
             address,
             known: HashSet::new(),
             notices: VecDeque::new(),
@@ -114,19 +114,19 @@
             corrupts,
         };
         let record = Arc::clone(record);
-        let shared = Arc::new(Shared { state: Mutex::new(state), record, ends: AtomicBool::new(false) });
+        let shared = Arc::new(Shared { state: Mutex::new(state), record, stopping: AtomicBool::new(false) });
         let mine = Arc::clone(&shared);
         let serve = move || serve(listener, &mine);
         thread::Builder::new().name("scripted-processor".into()).spawn(serve)?;
         Ok(Self { shared })
     }
 
-    /// Where it listens.
+    /// The address on which new links are accepted.
     pub fn address(&self) -> SocketAddr {
         self.shared.state().address
     }
 
-    /// Listens on another address from now on; the link stands until the server leaves it.
+    /// Accepts links on another address from now on; the current link stays until the server closes it.
     pub fn moves(&self) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let mut state = self.shared.state();
@@ -135,19 +135,19 @@
         Ok(state.address)
     }
 
-    /// Changes what it does wrong from now on.
+    /// Changes the scripted misbehaviour.
     pub fn script(&self, change: impl FnOnce(&mut Script)) {
         change(&mut self.shared.state().script);
     }
 
-    /// Whether links or notices are still to be cut.
+    /// Whether cuts of links or notices remain.
     pub fn has_cuts(&self) -> bool {
         let state = self.shared.state();
         state.script.cut_commands.is_some() || state.script.cut_notices.is_some()
     }
 
-    /// Tells notices in their order from now on, and what it held back.
-    pub fn tell_in_order(&self) {
+    /// Writes notices in order from now on, beginning with the held-back one.
+    pub fn restore_notice_order(&self) {
         let mut state = self.shared.state();
         state.script.out_of_order = false;
         if let Some(held) = state.held_back.take() {
@@ -155,14 +155,15 @@
         }
     }
 
-    /// Dies and starts again: what ran is lost, notices begin at 1. Between the two it takes no connection, for a time that no
-    /// real start of a processor undercuts: the server tells a new processor by its age.
+    /// Ends the processor and starts it again: its runs are lost and notices are numbered from 1. Between the two it
+    /// refuses connections for `RESTART_DELAY`, no longer than a real start takes, because the server recognises a
+    /// new processor by its age.
     pub fn restart(&self) {
         let mut state = self.shared.state();
-        state.life += 1;
-        state.started = Instant::now() + RESTART;
+        state.generation += 1;
+        state.started = Instant::now() + RESTART_DELAY;
         state.running.clear();
-        state.calling.clear();
+        state.awaiting_reply.clear();
         state.known.clear();
         state.notices.clear();
         state.held_back = None;
@@ -170,27 +171,27 @@
         state.drop_link();
     }
 
-    /// The server has been killed, and the processor with it.
+    /// Restarts the processor together with a killed server.
     pub fn restart_with_server(&self) {
         self.restart();
-        self.shared.state().server_life += 1;
+        self.shared.state().server_generation += 1;
     }
 }
 
 impl Drop for Processor {
     fn drop(&mut self) {
-        self.shared.ends.store(true, Ordering::SeqCst);
+        self.shared.stopping.store(true, Ordering::SeqCst);
         self.shared.state().drop_link();
     }
 }
 
-/// Takes links, and steps the runs.
+/// Accepts links and advances the runs.
 fn serve(listener: TcpListener, shared: &Arc<Shared>) {
     let mut listener = Some(listener);
-    while !shared.ends.load(Ordering::SeqCst) {
+    while !shared.stopping.load(Ordering::SeqCst) {
         let (refuses, moved, address) = {
             let mut state = shared.state();
-            (state.is_away(), state.moved.take(), state.address)
+            (state.refuses_connections(), state.moved.take(), state.address)
         };
         listener = moved.or(listener);
         if refuses {
@@ -201,7 +202,7 @@
         }
         if let Some(open) = &listener {
             let _ = open.set_nonblocking(true);
-            let _ = sockopt::set_socket_recv_buffer_size(open, RECEIVE_BUFFER);
+            let _ = sockopt::set_socket_recv_buffer_size(open, RECEIVE_BUFFER_BYTES);
             while let Ok((stream, _)) = open.accept() {
                 let shared = Arc::clone(shared);
                 let _ = thread::Builder::new()
@@ -214,7 +215,7 @@
     }
 }
 
-/// Ends the runs whose time has come.
+/// Completes the runs that are due.
 fn step(shared: &Shared) {
     let mut state = shared.state();
     if state.script.holds_runs {
@@ -229,8 +230,8 @@
 }
 
 impl State {
-    /// Whether its address is closed.
-    fn is_away(&self) -> bool {
+    /// Whether the processor refuses connections.
+    fn refuses_connections(&self) -> bool {
         self.script.refuses || Instant::now() < self.started
     }
 
@@ -240,16 +241,16 @@
         }
     }
 
-    /// A command to run a request.
-    fn begin(&mut self, rid: &str, class: &str, body: Vec<u8>, link: u64, record: &Record) {
+    /// Handles a command to begin a run.
+    fn begin_run(&mut self, rid: &str, class: &str, body: Vec<u8>, link: u64, record: &Record) {
         let rejected = self.script.reject == Some(Rejected::InsteadOfRun) && !self.known.contains(rid);
         record.entries().commands.push(Command {
             rid: rid.to_string(),
             class: class.to_string(),
             body,
             link,
-            processor_life: self.life,
-            server_life: self.server_life,
+            processor_generation: self.generation,
+            server_generation: self.server_generation,
             refused: rejected || self.script.end == "MOOT",
         });
         if rejected {
@@ -263,38 +264,39 @@
             return;
         }
         let since = Instant::now();
-        let ends = since + self.some_time();
-        let length = self.random.count(0..=LONGEST_CALL);
-        let call = self.calls.then(|| self.random.bytes(length));
+        let ends = since + self.draw_run_time();
+        let length = self.random.count(0..=MAX_CALL_BYTES);
+        let call = self.makes_calls.then(|| self.random.bytes(length));
         self.running.insert(rid.to_string(), Run { rid: rid.to_string(), call, ends, since });
     }
 
-    fn some_time(&mut self) -> Duration {
-        Duration::from_millis(self.random.within(0..=LONGEST_RUN_MS))
+    fn draw_run_time(&mut self) -> Duration {
+        Duration::from_millis(self.random.within(0..=MAX_RUN_MS))
     }
 
-    /// The reply to a run's call came; given again after a link that may have lost it, it goes on once.
-    fn answered(&mut self, rid: &str, reply: Vec<u8>, record: &Record) {
-        record.entries().answered.push(Told { rid: rid.to_string(), bytes: reply });
-        let ends = Instant::now() + self.some_time();
-        if let Some(run) = self.calling.remove(rid) {
+    /// Continues a run with the reply to its call. A reply may be sent again after a lost link; the run continues
+    /// once.
+    fn resume_run(&mut self, rid: &str, reply: Vec<u8>, record: &Record) {
+        record.entries().received_replies.push(Payload { rid: rid.to_string(), bytes: reply });
+        let ends = Instant::now() + self.draw_run_time();
+        if let Some(run) = self.awaiting_reply.remove(rid) {
             self.running.insert(rid.to_string(), Run { ends, ..run });
         }
     }
 
-    /// A run is to stop.
+    /// Stops a run.
     fn interrupt(&mut self, rid: &str) {
-        if self.running.remove(rid).or_else(|| self.calling.remove(rid)).is_some() {
+        if self.running.remove(rid).or_else(|| self.awaiting_reply.remove(rid)).is_some() {
             self.notify(|n| format!("complete {n} {rid} STOPPED 1.000 0\r\n\r\n").into_bytes());
         }
     }
 
-    /// Ends a run as the script says.
+    /// Completes a run as the script says; a run with a call makes the call first.
     fn complete(&mut self, rid: &str, record: &Record) {
         let Some(mut run) = self.running.remove(rid) else { return };
         if let Some(call) = run.call.take() {
-            record.entries().asks.push(Told { rid: rid.to_string(), bytes: call.clone() });
-            self.calling.insert(rid.to_string(), run);
+            record.entries().requested_calls.push(Payload { rid: rid.to_string(), bytes: call.clone() });
+            self.awaiting_reply.insert(rid.to_string(), run);
             return self.notify(|n| {
                 let head = format!("ask {n} {rid} {}\r\n", call.len());
                 [head.as_bytes(), &call, b"\r\n"].concat()
@@ -304,27 +306,27 @@
         let end = self.script.end;
         let result = if end == "OK" { self.result() } else { Vec::new() };
         if end == "OK" {
-            record.entries().made.push(Made { rid: rid.to_string(), result: result.clone() });
+            record.entries().results.push(RunResult { rid: rid.to_string(), result: result.clone() });
         }
-        let told = if std::mem::take(&mut self.corrupts) { corrupted(&result) } else { result };
+        let sent = if std::mem::take(&mut self.corrupts) { corrupted(&result) } else { result };
         if let Some(length) = self.script.remark {
             let words = "x".repeat(length);
             self.notify(|n| format!("remark {n} {words}\r\n").into_bytes());
         }
         self.notify(|n| {
-            let head = format!("complete {n} {rid} {end} {took:.3} {}\r\n", told.len());
-            [head.as_bytes(), &told, b"\r\n"].concat()
+            let head = format!("complete {n} {rid} {end} {took:.3} {}\r\n", sent.len());
+            [head.as_bytes(), &sent, b"\r\n"].concat()
         });
         if self.script.reject == Some(Rejected::Finished) {
             self.send(format!("reject begin {rid}\r\n").as_bytes());
         }
     }
 
-    /// Bytes of a run's own: any values, line ends among them.
+    /// Draws a result of random bytes that includes a line end.
     fn result(&mut self) -> Vec<u8> {
         let length = match self.script.result_length {
             Some(length) => length,
-            None if self.random.once_in(8) => LARGEST_RESULT,
+            None if self.random.once_in(8) => MAX_RESULT_BYTES,
             None => self.random.count(0..=600),
         };
         let mut result = self.random.bytes(length);
@@ -334,28 +336,28 @@
         result
     }
 
-    /// Tells a notice, and keeps it.
+    /// Numbers, stores and writes a notice.
     fn notify(&mut self, text: impl FnOnce(u64) -> Vec<u8>) {
         self.last_notice += 1;
         let text = text(self.last_notice);
         self.notices.push_back((self.last_notice, text.clone()));
-        if self.notices.len() > KEPT {
+        if self.notices.len() > MAX_STORED_NOTICES {
             self.notices.pop_front();
         }
         if !self.script.out_of_order {
-            return self.tell(&text);
+            return self.write_notice(&text);
         }
         match self.held_back.take() {
             None => self.held_back = Some(text),
             Some(before) => {
-                self.tell(&text);
-                self.tell(&before);
+                self.write_notice(&text);
+                self.write_notice(&before);
             }
         }
     }
 
-    /// Writes a notice, whole or as much of it as the script lets through.
-    fn tell(&mut self, text: &[u8]) {
+    /// Writes a notice, or the part of it that the script lets through.
+    fn write_notice(&mut self, text: &[u8]) {
         let Some(cut) = self.script.take_notice_cut() else { return self.send(text) };
         self.send(&text[..cut.after.min(text.len())]);
         if let Some(current) = self.current.as_ref().filter(|_| cut.resets) {
@@ -375,7 +377,7 @@
     }
 }
 
-/// The same with one byte changed, or with one byte more where there is none.
+/// Returns the result with one byte changed, or one byte added if it is empty.
 fn corrupted(result: &[u8]) -> Vec<u8> {
     let mut changed = result.to_vec();
     match changed.last_mut() {
--- a/crates/testkit/src/drill/faults/processor/link.rs
+++ b/crates/testkit/src/drill/faults/processor/link.rs
@@ -1,26 +1,26 @@
-//! One link of the scripted processor: bytes to commands, with what the script does to them.
+//! One link of the scripted processor: parses commands, and applies the scripted faults to them.
 
-use super::{Current, Shared, TICK, WRITE_PATIENCE};
-use crate::drill::faults::plan::LARGEST_BODY;
+use super::{Current, Shared, TICK, WRITE_TIMEOUT};
+use crate::drill::faults::plan::MAX_BODY_BYTES;
 use std::io::{ErrorKind, Read};
 use std::net::{Shutdown, TcpStream};
 use std::sync::atomic::Ordering;
 use std::thread;
 
-/// Bytes that are read at a time.
-const CHUNK: usize = 16 * 1024;
-/// The longest line before a body.
-const LONGEST_LINE: usize = 1_024;
-/// The longest reply of the dependency that a run is given.
-const LARGEST_REPLY: usize = 64 * 1024;
-/// Of bytes that are no command, in a failure.
-const SHOWN: usize = 100;
+/// Maximum bytes per read.
+const READ_BYTES: usize = 16 * 1024;
+/// Maximum length of a command line, in bytes.
+const MAX_LINE_BYTES: usize = 1_024;
+/// Maximum length of a dependency's reply that a run receives, in bytes.
+const MAX_REPLY_BYTES: usize = 64 * 1024;
+/// Maximum bytes of an invalid command shown in a failure.
+const SHOWN_BYTES: usize = 100;
 
-/// Reads commands until the link ends.
+/// Reads commands until the link closes.
 pub fn serve(stream: TcpStream, shared: &Shared) {
     let _ = stream.set_nonblocking(false);
     let _ = stream.set_nodelay(true);
-    let _ = stream.set_write_timeout(Some(WRITE_PATIENCE));
+    let _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
     let _ = stream.set_read_timeout(Some(TICK * 5));
     let number = {
         let mut state = shared.state();
@@ -35,26 +35,27 @@
 
 fn read(mut stream: &TcpStream, number: u64, shared: &Shared) {
     let mut bytes = Vec::new();
-    let mut chunk = vec![0; CHUNK];
+    let mut chunk = vec![0; READ_BYTES];
     let mut greeted = false;
-    let mut left: Option<usize> = None;
-    while !shared.ends.load(Ordering::SeqCst) {
+    let mut bytes_before_cut: Option<usize> = None;
+    while !shared.stopping.load(Ordering::SeqCst) {
         if shared.state().script.holds_reads {
             thread::sleep(TICK);
             continue;
         }
-        if greeted && left.is_none() {
-            left = shared.state().script.take_command_cut().map(|cut| cut.after);
+        if greeted && bytes_before_cut.is_none() {
+            bytes_before_cut = shared.state().script.take_command_cut().map(|cut| cut.after);
         }
-        let room = left.map_or(CHUNK, |left| left.min(CHUNK));
-        if room == 0 {
+        let read_limit =
+            bytes_before_cut.map_or(READ_BYTES, |bytes_before_cut| bytes_before_cut.min(READ_BYTES));
+        if read_limit == 0 {
             return;
         }
-        match stream.read(&mut chunk[..room]) {
+        match stream.read(&mut chunk[..read_limit]) {
             Ok(0) => return,
             Ok(len) => {
                 bytes.extend_from_slice(&chunk[..len]);
-                left = left.map(|left| left - len);
+                bytes_before_cut = bytes_before_cut.map(|bytes_before_cut| bytes_before_cut - len);
             }
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
@@ -64,8 +65,8 @@
             match command(&bytes) {
                 Ok(None) => break,
                 Ok(Some((len, command))) => {
-                    // Held until the script says so; only hello is read before it, since nothing else may come.
-                    if matches!(command, Command::Hello(_)) && !wait_for_hi(shared) {
+                    // The greeting is held back as scripted; the server sends nothing between hello and the greeting.
+                    if matches!(command, Command::Hello(_)) && !wait_for_greeting(shared) {
                         return;
                     }
                     greeted = true;
@@ -73,8 +74,8 @@
                     bytes.drain(..len);
                 }
                 Err(why) => {
-                    let shown = bytes[..bytes.len().min(SHOWN)].escape_ascii();
-                    shared.record.foreign(format!("{why} on link {number} to the processor: '{shown}'"));
+                    let shown = bytes[..bytes.len().min(SHOWN_BYTES)].escape_ascii();
+                    shared.record.unattributed(format!("{why} on link {number} to the processor: '{shown}'"));
                     return;
                 }
             }
@@ -82,10 +83,10 @@
     }
 }
 
-/// False if the processor ends meanwhile.
-fn wait_for_hi(shared: &Shared) -> bool {
-    while shared.state().script.holds_hi {
-        if shared.ends.load(Ordering::SeqCst) {
+/// Waits while the script holds the greeting; false if the processor stops meanwhile.
+fn wait_for_greeting(shared: &Shared) -> bool {
+    while shared.state().script.holds_greeting {
+        if shared.stopping.load(Ordering::SeqCst) {
             return false;
         }
         thread::sleep(TICK);
@@ -102,38 +103,39 @@
     Interrupt(String),
 }
 
-/// The first command, if it is whole, and its length.
+/// Parses the first command; returns its length, or `None` if it is incomplete.
 fn command(bytes: &[u8]) -> Result<Option<(usize, Command)>, &'static str> {
     let Some(end) = bytes.windows(2).position(|two| two == b"\r\n") else {
-        return if bytes.len() > LONGEST_LINE { Err("a line with no end") } else { Ok(None) };
+        return if bytes.len() > MAX_LINE_BYTES { Err("a line without an end") } else { Ok(None) };
     };
-    let text = std::str::from_utf8(&bytes[..end]).map_err(|_| "a line that is no text")?;
+    let text = std::str::from_utf8(&bytes[..end]).map_err(|_| "a line that is not UTF-8")?;
     let words: Vec<&str> = text.split(' ').collect();
     match words[..] {
         ["hello", n] => Ok(Some((end + 2, Command::Hello(n.parse().map_err(|_| "a hello with no number")?)))),
         ["usage", tag] if !tag.is_empty() => Ok(Some((end + 2, Command::Usage(tag.to_string())))),
         ["interrupt", id] => Ok(Some((end + 2, Command::Interrupt(id.to_string())))),
         ["begin", id, class, length] => {
-            let body = body(&bytes[end + 2..], length, LARGEST_BODY)?;
+            let body = body(&bytes[end + 2..], length, MAX_BODY_BYTES)?;
             let command = |body| Command::Begin(id.to_string(), class.to_string(), body);
             Ok(body.map(|(len, body)| (end + 2 + len, command(body))))
         }
         ["answer", id, length] => {
-            let body = body(&bytes[end + 2..], length, LARGEST_REPLY)?;
+            let body = body(&bytes[end + 2..], length, MAX_REPLY_BYTES)?;
             Ok(body.map(|(len, body)| (end + 2 + len, Command::Answer(id.to_string(), body))))
         }
-        _ => Err("what is no command"),
+        _ => Err("bytes that are not a command"),
     }
 }
 
-/// The body behind a line that ends in its length, if it is whole, and how many bytes it takes with its end.
-fn body(bytes: &[u8], length: &str, most: usize) -> Result<Option<(usize, Vec<u8>)>, &'static str> {
-    let length: usize = length.parse().map_err(|_| "a command with no length")?;
-    if length > most {
+/// Parses the body after a line that ends in its length; returns the bytes it takes with its line end, or `None` if
+/// it is incomplete.
+fn body(bytes: &[u8], length: &str, max_length: usize) -> Result<Option<(usize, Vec<u8>)>, &'static str> {
+    let length: usize = length.parse().map_err(|_| "a command without a length")?;
+    if length > max_length {
         return Err("a body over the limit");
     }
     let Some(body) = bytes.get(..length + 2) else { return Ok(None) };
-    let body = body.strip_suffix(b"\r\n").ok_or("a body with no end of its line")?;
+    let body = body.strip_suffix(b"\r\n").ok_or("a body without a line end")?;
     Ok(Some((length + 2, body.to_vec())))
 }
 
@@ -141,8 +143,8 @@
     let mut state = shared.state();
     match command {
         Command::Hello(after) => {
-            // It came in the instant of the processor's end.
-            let Some(stream) = stream.try_clone().ok().filter(|_| !state.is_away()) else {
+            // The hello may arrive while the processor is going away.
+            let Some(stream) = stream.try_clone().ok().filter(|_| !state.refuses_connections()) else {
                 let _ = stream.shutdown(Shutdown::Both);
                 return;
             };
@@ -155,14 +157,14 @@
             let after = if state.script.repeats { 0 } else { after };
             let missed: Vec<Vec<u8>> =
                 state.notices.iter().filter(|(n, _)| *n > after).map(|(_, text)| text.clone()).collect();
-            missed.iter().for_each(|text| state.tell(text));
+            missed.iter().for_each(|text| state.write_notice(text));
         }
         Command::Usage(tag) => {
             let on = state.running.len();
             state.send(format!("used {tag} {:.3} {on} 0.0100 4\r\n", on as f64 / 16.0).as_bytes());
         }
-        Command::Begin(rid, class, body) => state.begin(&rid, &class, body, number, &shared.record),
-        Command::Answer(rid, reply) => state.answered(&rid, reply, &shared.record),
+        Command::Begin(rid, class, body) => state.begin_run(&rid, &class, body, number, &shared.record),
+        Command::Answer(rid, reply) => state.resume_run(&rid, reply, &shared.record),
         Command::Interrupt(rid) => state.interrupt(&rid),
     }
 }
--- a/crates/testkit/src/drill/faults/processor/script.rs
+++ b/crates/testkit/src/drill/faults/processor/script.rs
@@ -1,46 +1,46 @@
-//! What a processor does wrong.
+//! The scripted misbehaviour of the processor.
 
 use crate::drill::faults::plan::Rejected;
 
-/// A notice that is cut.
+/// A cut of commands or notices.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Cut {
-    /// After so many bytes.
+    /// Bytes that are let through before the cut.
     pub after: usize,
-    /// By a reset, or by an orderly end.
+    /// Whether the link is reset rather than closed in order.
     pub resets: bool,
-    /// So many times more.
+    /// Number of cuts that remain, this one included.
     pub times: usize,
 }
 
-/// What a processor does wrong; by default nothing.
+/// The processor's misbehaviour; the default is none.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Script {
-    /// Its address is closed.
+    /// Refuses connections.
     pub refuses: bool,
-    /// It takes the link and doesn't greet.
-    pub holds_hi: bool,
-    /// It reads nothing.
+    /// Accepts the link and sends no greeting.
+    pub holds_greeting: bool,
+    /// Reads nothing from the links.
     pub holds_reads: bool,
-    /// No run ends.
+    /// Completes no run.
     pub holds_runs: bool,
-    /// It ends the link after so many more bytes, so many times.
+    /// Closes a link after a number of bytes of commands.
     pub cut_commands: Option<Cut>,
-    /// It ends the link within the next notice.
+    /// Closes the link within the next notice.
     pub cut_notices: Option<Cut>,
-    /// It tells all kept notices at each link, also those that were read.
+    /// Sends all stored notices on each new link, including those already read.
     pub repeats: bool,
-    /// It tells each two notices in the wrong order.
+    /// Swaps each pair of consecutive notices.
     pub out_of_order: bool,
-    /// Before the end of each run it tells a remark of this length.
+    /// Sends a remark of this length, in bytes, before the end of each run.
     pub remark: Option<usize>,
-    /// All results have this length.
+    /// Length of all results, in bytes.
     pub result_length: Option<usize>,
-    /// It rejects.
+    /// Sends rejections that no server expects.
     pub reject: Option<Rejected>,
-    /// How runs end.
+    /// The status with which runs end.
     pub end: &'static str,
-    /// It writes one byte at a time.
+    /// Writes one byte at a time.
     pub byte_by_byte: bool,
 }
 
@@ -48,7 +48,7 @@
     fn default() -> Self {
         Self {
             refuses: false,
-            holds_hi: false,
+            holds_greeting: false,
             holds_reads: false,
             holds_runs: false,
             cut_commands: None,
@@ -65,12 +65,12 @@
 }
 
 impl Script {
-    /// The cut of the next notice, which is used up by it.
+    /// Takes one cut for the next notice.
     pub fn take_notice_cut(&mut self) -> Option<Cut> {
         take(&mut self.cut_notices)
     }
 
-    /// The cut of the commands of a new link, which is used up by it.
+    /// Takes one cut for the commands of a new link.
     pub fn take_command_cut(&mut self) -> Option<Cut> {
         take(&mut self.cut_commands)
     }
--- a/crates/testkit/src/drill/faults/record.rs
+++ b/crates/testkit/src/drill/faults/record.rs
@@ -1,166 +1,168 @@
-//! What clients, processor and control plane of one server really sent and read. The oracles judge by this alone.
+//! The traffic that the clients, the processor, the dependency and the control plane of one server sent and read. The
+//! oracles judge by this record alone.
 
 use crate::thrift::Answer;
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A request that was written, whole or in part.
+/// A request that was written completely or in part.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Its id, new with every try.
+    /// Request id; each attempt has a new one.
     pub rid: String,
-    /// Its class.
+    /// Class named in the request.
     pub class: &'static str,
-    /// Its body.
+    /// Request body.
     pub body: Vec<u8>,
-    /// The same for all tries of one keyed request.
+    /// Idempotency key, shared by all attempts of one keyed request.
     pub token: Option<String>,
-    /// When its connection was made.
+    /// When the connection was opened.
     pub connected: Instant,
-    /// When its last byte was written; none while it is not whole.
+    /// When the last byte was written; `None` while the request is incomplete.
     pub written: Option<Instant>,
-    /// From then until an answer is due.
+    /// Time from `written` until an answer is due.
     pub due: Duration,
-    /// Whether one is owed: not where the client reset, cancelled, or sent what can't be taken.
+    /// Whether an answer is owed: false if the client reset or cancelled, or sent an invalid request.
     pub owed: bool,
-    /// What came for it, and when.
+    /// Answers read, with the time of each.
     pub answers: Vec<(Instant, Answer)>,
-    /// How its connection ended while it was open, if it did.
+    /// How the connection closed while the request was open, if it did.
     pub ended: Option<String>,
-    /// Threads of the server at the time when the wait for its answer was given up.
+    /// Thread states of the server when the wait for the answer timed out.
     pub hang: Option<String>,
-    /// Where it crossed the end of a connection and was sent again once, as the protocol page has it.
-    pub crossed: bool,
+    /// Whether the request crossed the close of its connection and was sent once more on a new one, as the protocol
+    /// page allows.
+    pub sent_again: bool,
 }
 
 /// A health check or an operator's call.
 #[derive(Debug, Clone)]
 pub struct Check {
-    /// What was asked.
+    /// Description of the check, used in failure messages.
     pub what: String,
-    /// How it was answered; an error says how it was not.
+    /// The answer, or the reason why there was none.
     pub answer: Result<String, String>,
-    /// When its connection was made, where it had one of its own.
+    /// When its connection was opened, if it had one of its own.
     pub connected: Option<Instant>,
 }
 
-/// A run that the processor was told to begin.
+/// A command to the processor to begin a run.
 #[derive(Debug, Clone)]
 pub struct Command {
-    /// The request.
+    /// Request id.
     pub rid: String,
-    /// Its class.
+    /// Class in the command.
     pub class: String,
-    /// Its body.
+    /// Body in the command.
     pub body: Vec<u8>,
-    /// On which link.
+    /// Number of the link, counted over all links to this processor.
     pub link: u64,
-    /// In which life of the processor, and of the server.
-    pub processor_life: u64,
-    /// See `processor_life`.
-    pub server_life: u64,
-    /// Whether the processor said that it would not run.
+    /// Number of the processor's start that received the command.
+    pub processor_generation: u64,
+    /// Number of the server's start that sent the command.
+    pub server_generation: u64,
+    /// Whether the processor rejected the run.
     pub refused: bool,
 }
 
-/// A result that the processor told.
+/// The result of a run, as the processor produced it.
 #[derive(Debug, Clone)]
-pub struct Made {
-    /// Of the run of this request.
+pub struct RunResult {
+    /// Request id.
     pub rid: String,
-    /// The bytes.
+    /// Result bytes.
     pub result: Vec<u8>,
 }
 
-/// Bytes that were told for a request: a run's call, the dependency's reply, or what the processor read of it.
+/// A payload that belongs to a request: a run's call, the dependency's reply, or the reply as the processor read it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Told {
-    /// The request.
+pub struct Payload {
+    /// Request id.
     pub rid: String,
-    /// The bytes.
+    /// Payload bytes.
     pub bytes: Vec<u8>,
 }
 
-/// All of it.
+/// All records of one server.
 #[derive(Debug, Default)]
 pub struct Entries {
-    /// Requests, in the order of their writes.
+    /// Requests in the order in which clients prepared them.
     pub requests: Vec<Request>,
-    /// Health checks and calls.
+    /// Health checks and operators' calls.
     pub checks: Vec<Check>,
-    /// What the processor read.
+    /// Commands that the processor read.
     pub commands: Vec<Command>,
-    /// And what it made.
-    pub made: Vec<Made>,
-    /// Calls that runs asked for, and what was read of replies to them.
-    pub asks: Vec<Told>,
-    /// See `asks`.
-    pub answered: Vec<Told>,
-    /// Calls that the dependency read, and its whole replies.
-    pub calls: Vec<Told>,
-    /// See `calls`.
-    pub replies: Vec<Told>,
+    /// Results that the processor produced.
+    pub results: Vec<RunResult>,
+    /// Calls that runs asked the server to make.
+    pub requested_calls: Vec<Payload>,
+    /// Replies that the processor read from the server.
+    pub received_replies: Vec<Payload>,
+    /// Calls that the dependency read.
+    pub received_calls: Vec<Payload>,
+    /// Complete replies that the dependency sent.
+    pub sent_replies: Vec<Payload>,
     /// Datagrams that the control plane read.
     pub reports: Vec<Vec<u8>>,
-    /// What nobody can have sent or asked for, in words.
-    pub foreign: Vec<String>,
-    /// When the server was killed: what was open then is owed no answer.
+    /// Descriptions of traffic that no client or stand-in can have caused.
+    pub unattributed: Vec<String>,
+    /// When the server was killed; requests open at that time are owed no answer.
     pub kills: Vec<Instant>,
-    /// Time in which the server was kept from running.
+    /// Total time for which the server was stopped by SIGSTOP.
     pub paused: Duration,
-    /// By what is sent with each.
-    places: HashMap<String, Vec<usize>>,
+    /// Indexes of the requests by request id.
+    indexes_by_id: HashMap<String, Vec<usize>>,
 }
 
 impl Entries {
-    /// A request is about to be written; its place.
+    /// Adds a request before it is written; returns its index.
     pub fn request(&mut self, request: Request) -> usize {
-        let place = self.requests.len();
-        self.places.entry(request.rid.clone()).or_default().push(place);
+        let index = self.requests.len();
+        self.indexes_by_id.entry(request.rid.clone()).or_default().push(index);
         self.requests.push(request);
-        place
+        index
     }
 
-    /// The requests of an id: more than one where it crossed the end of a connection.
-    pub fn of(&self, rid: &str) -> impl Iterator<Item = &Request> {
-        self.places.get(rid).into_iter().flatten().map(|place| &self.requests[*place])
+    /// The requests with an id: several if one was sent again after a connection closed.
+    pub fn requests_of(&self, rid: &str) -> impl Iterator<Item = &Request> {
+        self.indexes_by_id.get(rid).into_iter().flatten().map(|index| &self.requests[*index])
     }
 
-    /// Whether the processor has read of this one.
+    /// Whether the processor has read a command to run the request.
     pub fn began(&self, rid: &str) -> bool {
         self.commands.iter().any(|command| command.rid == rid)
     }
 
-    /// Whether the server was killed after a connection was made: what is written to it is not owed an answer then, also
-    /// where the client had not heard of the end yet.
+    /// Whether the server was killed after a connection was opened. Nothing written to that connection is owed an
+    /// answer, even if the client had not noticed the close yet.
     pub fn killed_since(&self, connected: Instant) -> bool {
         self.kills.iter().any(|at| *at >= connected)
     }
 }
 
-/// The entries of one server, shared by all that write them.
+/// The record of one server, shared by its clients and stand-ins.
 #[derive(Debug, Default)]
 pub struct Record(Mutex<Entries>);
 
 impl Record {
-    /// To read and to add.
+    /// Locks the entries for reading and writing.
     pub fn entries(&self) -> MutexGuard<'_, Entries> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Something came that nobody can have sent or asked for.
-    pub fn foreign(&self, what: String) {
-        self.entries().foreign.push(what);
+    /// Records traffic that no client or stand-in can have caused.
+    pub fn unattributed(&self, what: String) {
+        self.entries().unattributed.push(what);
     }
 
-    /// A check was answered, or was not.
+    /// Records the outcome of a check.
     pub fn check(&self, what: &str, answer: Result<String, String>) {
         self.entries().checks.push(Check { what: what.to_string(), answer, connected: None });
     }
 
-    /// The same for one on a connection of its own, which was made then: whether the server was killed meanwhile is known only
-    /// once its process has ended, and that may be told after the connection's end.
+    /// Records the outcome of a check on its own connection, opened at `connected`. Whether the server was killed
+    /// meanwhile is known only once the process has ended, possibly after the connection closed.
     pub fn check_on(&self, connected: Instant, what: &str, answer: Result<String, String>) {
         self.entries().checks.push(Check { what: what.to_string(), answer, connected: Some(connected) });
     }
--- a/crates/testkit/src/drill/faults/server.rs
+++ b/crates/testkit/src/drill/faults/server.rs
@@ -1,9 +1,9 @@
-//! One real server with its stand-ins: started, signalled, killed, and its end.
+//! One real server with its stand-ins: start, signals, kill and stop.
 
-use super::client::{PATIENCE, Target};
+use super::client::{HANG_TIMEOUT, Target};
 use super::control::ControlPlane;
 use super::dependency::Dependency;
-use super::oracles::Life;
+use super::oracles::ProcessOutcome;
 use super::peer::Peer;
 use super::processor::Processor;
 use super::record::Record;
@@ -23,104 +23,104 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Ports below those that the system gives away, of which each process of a test has its own.
+/// First and number of ports, below the system's ephemeral range; each test process uses a port of its own.
 const FIRST_PORT: u32 = 20_000;
-const PORTS: u32 = 12_000;
-/// Between looks at a process.
-const LOOK: Duration = Duration::from_millis(5);
+const PORT_COUNT: u32 = 12_000;
+/// Interval between checks of a process.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 static NEXT_ADDRESS: AtomicU32 = AtomicU32::new(1);
 
-/// A loopback address and port that nothing else of this process has, and most likely nothing else at all.
+/// Returns a loopback address and port that nothing else in this process uses, and most likely no other process.
 pub fn next_address() -> SocketAddr {
     let n = NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed);
-    let port = (FIRST_PORT + std::process::id() % PORTS) as u16;
+    let port = (FIRST_PORT + std::process::id() % PORT_COUNT) as u16;
     let [_, high, middle, low] = n.to_be_bytes();
     SocketAddr::from(([127, 140 + high, middle, low], port))
 }
 
-/// The files of a process.
+/// The files of a server process.
 pub struct Files<'a> {
-    /// Its configuration.
+    /// The configuration file.
     pub config: &'a Path,
-    /// The settings that are the daemon's own.
-    pub own: Option<&'a Path>,
-    /// Its standard error.
+    /// The file with settings of the daemon itself, if it has one.
+    pub daemon_settings: Option<&'a Path>,
+    /// The file that receives standard error.
     pub log: &'a Path,
 }
 
-/// Starts the daemon's program with so many descriptors.
-pub fn spawn(daemon: &Path, files: &Files<'_>, sockets: usize) -> io::Result<Child> {
+/// Starts the daemon with a limit of `sockets` descriptors.
+pub fn spawn(daemon: &Path, files: &Files<'_>, descriptors: usize) -> io::Result<Child> {
     let stderr = File::options().create(true).append(true).open(files.log)?;
-    // The shell sets the limit, and becomes the program.
-    let script = format!("ulimit -n {sockets} && exec \"$0\" serve \"$@\"");
+    // The shell sets the limit and replaces itself with the daemon.
+    let script = format!("ulimit -n {descriptors} && exec \"$0\" serve \"$@\"");
     let mut command = Command::new("/bin/sh");
     command.args(["-c", &script]).arg(daemon).arg("--config").arg(files.config);
-    if let Some(own) = files.own {
-        command.arg("--settings").arg(own);
+    if let Some(daemon_settings) = files.daemon_settings {
+        command.arg("--settings").arg(daemon_settings);
     }
     command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(stderr).spawn()
 }
 
-/// Waits until a process has ended.
-pub fn wait(child: &mut Child, patience: Duration) -> Option<ExitStatus> {
+/// Waits for the exit of a process; `None` after `patience`.
+pub fn wait(child: &mut Child, timeout: Duration) -> Option<ExitStatus> {
     let start = Instant::now();
     loop {
         match child.try_wait() {
             Ok(Some(status)) => return Some(status),
-            _ if start.elapsed() > patience => return None,
-            _ => thread::sleep(LOOK),
+            _ if start.elapsed() > timeout => return None,
+            _ => thread::sleep(POLL_INTERVAL),
         }
     }
 }
 
-/// A server under test.
+/// A server under test with its stand-ins; the process is killed on drop.
 pub struct Server {
-    /// As clients see it.
+    /// The server's addresses and record, as its clients use them.
     pub target: Target,
-    /// Its processor.
+    /// The processor that the server is linked to.
     pub processor: Processor,
-    /// The dependency that its runs call, if they do.
+    /// The dependency that its runs call, if the settings have one.
     pub dependency: Option<Dependency>,
-    /// What it takes for a peer, if it has any.
+    /// The stand-in for a peer, if the server belongs to a cluster.
     pub peer: Option<Arc<Peer>>,
-    /// Its configuration in force.
+    /// The configuration in force.
     pub configuration: Value,
-    /// Where that is read from.
+    /// The file from which the server reads the configuration.
     pub config: PathBuf,
-    /// The file of the settings that are the daemon's own, if it has one.
-    own: Option<PathBuf>,
+    /// The file with settings of the daemon itself, if it has one.
+    daemon_settings: Option<PathBuf>,
     daemon: PathBuf,
     log: PathBuf,
-    sockets: usize,
+    descriptors: usize,
     child: Option<Child>,
     threads: BTreeSet<String>,
-    life: Life,
-    /// Of all its starts.
+    outcome: ProcessOutcome,
+    /// Duration of the slowest start so far.
     pub slowest_start: Duration,
 }
 
-/// What a server is started with.
+/// Parameters of a server.
 pub struct Plan<'a> {
-    /// The daemon's program.
+    /// Path of the daemon's executable.
     pub daemon: &'a Path,
-    /// For its files.
+    /// Folder for configuration and log.
     pub folder: &'a Path,
-    /// Its name.
+    /// The server's name, also used in file names.
     pub name: &'a str,
-    /// For its processor and its own draws.
+    /// Seed of its stand-ins and of the server.
     pub seed: u64,
-    /// Descriptors.
-    pub sockets: usize,
+    /// Limit on open descriptors.
+    pub descriptors: usize,
     /// Whether runs call a shared dependency.
     pub calls: bool,
-    /// Whether it is one of a cluster.
+    /// Whether the server belongs to a cluster.
     pub peers: bool,
-    /// The seeded defect of provenance.
+    /// Whether the processor corrupts one result: the seeded defect of provenance.
     pub corrupts: bool,
 }
 
 impl Server {
-    /// Starts the process and its processor.
+    /// Starts the processor, the other stand-ins and the server process.
     pub fn start(plan: &Plan<'_>, control: &ControlPlane) -> io::Result<Self> {
         let record = Arc::<Record>::default();
         control.expect(plan.name, &record);
@@ -132,13 +132,14 @@
             processor: processor.address(),
             control: control.address(),
         };
-        let configuration = settings::configuration(plan.name, &addresses, plan.sockets, plan.seed);
+        let configuration = settings::configuration(plan.name, &addresses, plan.descriptors, plan.seed);
         let configuration = match &dependency {
             Some(dependency) => settings::with_dependency(&configuration, dependency.address()),
             None => configuration,
         };
         let peer = plan.peers.then(|| Peer::start(next_address())).transpose()?;
-        let own = peer.as_ref().map(|peer| peer.write_settings(plan.folder, plan.name)).transpose()?;
+        let daemon_settings =
+            peer.as_ref().map(|peer| peer.write_settings(plan.folder, plan.name)).transpose()?;
         let config = plan.folder.join(format!("{}.json", plan.name));
         let target = Target {
             name: plan.name.to_string(),
@@ -146,8 +147,8 @@
             admin: addresses.admin,
             record,
             pid: Arc::default(),
-            leaving: Arc::default(),
-            quiet: Arc::default(),
+            stopping: Arc::default(),
+            load_stopped: Arc::default(),
             drops_answer: Arc::default(),
         };
         let mut server = Self {
@@ -157,13 +158,13 @@
             peer: peer.map(Arc::new),
             configuration,
             config,
-            own,
+            daemon_settings,
             daemon: plan.daemon.to_path_buf(),
             log: plan.folder.join(format!("{}.log", plan.name)),
-            sockets: plan.sockets,
+            descriptors: plan.descriptors,
             child: None,
             threads: BTreeSet::new(),
-            life: Life { name: plan.name.to_string(), ..Life::default() },
+            outcome: ProcessOutcome { name: plan.name.to_string(), ..ProcessOutcome::default() },
             slowest_start: Duration::ZERO,
         };
         server.write_configuration(&server.configuration.to_string())?;
@@ -171,23 +172,25 @@
         Ok(server)
     }
 
-    /// Writes its file.
+    /// Writes the server's configuration file.
     pub fn write_configuration(&self, text: &str) -> io::Result<()> {
         fs::write(&self.config, text)
     }
 
     fn spawn(&mut self) -> io::Result<()> {
-        let files = Files { config: &self.config, own: self.own.as_deref(), log: &self.log };
-        let child = spawn(&self.daemon, &files, self.sockets)?;
+        let files =
+            Files { config: &self.config, daemon_settings: self.daemon_settings.as_deref(), log: &self.log };
+        let child = spawn(&self.daemon, &files, self.descriptors)?;
         self.target.pid.store(child.id(), Ordering::SeqCst);
         self.child = Some(child);
         Ok(())
     }
 
-    /// Waits until it answers a health check well; how long that took from now.
+    /// Waits for the first positive health check; returns the time since the call, or `None` if the process ended or
+    /// the wait timed out.
     pub fn wait_ready(&mut self) -> Option<Duration> {
         let start = Instant::now();
-        while start.elapsed() < PATIENCE {
+        while start.elapsed() < HANG_TIMEOUT {
             if health(&self.target) == Some(true) {
                 self.threads = self.thread_names();
                 return Some(start.elapsed());
@@ -195,7 +198,7 @@
             if self.ended().is_some() {
                 return None;
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
         None
     }
@@ -208,21 +211,21 @@
         self.child.as_mut().and_then(|child| child.try_wait().ok().flatten())
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         let pid = self.child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32));
-        // One that has ended is not there to be told; the oracle sees that.
+        // A process that has ended can't be signalled; the oracle reports its end.
         let _ = pid.map(|pid| kill_process(pid, signal));
     }
 
-    /// Kills it and its processor, and starts both again.
+    /// Kills server and processor, starts both again and waits until the server is ready.
     pub fn kill_and_start(&mut self) -> io::Result<()> {
         self.note_early_end();
         if let Some(mut child) = self.child.take() {
             self.target.record.entries().kills.push(Instant::now());
             let _ = child.kill();
             let _ = child.wait();
-            // What was written until its end was owed by it, too.
+            // Whatever was written before the process ended is owed no answer either.
             self.target.record.entries().kills.push(Instant::now());
         }
         self.processor.restart_with_server();
@@ -240,7 +243,7 @@
         Ok(())
     }
 
-    /// Kills it and leaves it so: the seeded defect of the first oracle.
+    /// Kills the process without a restart: the seeded defect of [`Oracle::Alive`](super::oracles::Oracle::Alive).
     pub fn kill(&mut self) {
         if let Some(child) = &mut self.child {
             let _ = child.kill();
@@ -250,39 +253,39 @@
 
     fn note_early_end(&mut self) {
         if let Some(status) = self.ended() {
-            self.life.ended_early.get_or_insert(status);
+            self.outcome.ended_early.get_or_insert(status);
         }
     }
 
-    /// Looks at process and threads right before its stop.
+    /// Records an early end and missing threads right before the stop.
     pub fn look_before_stop(&mut self) {
         self.note_early_end();
-        if self.life.ended_early.is_none() {
+        if self.outcome.ended_early.is_none() {
             let now = self.thread_names();
-            self.life.missing_threads = self.threads.difference(&now).cloned().collect();
+            self.outcome.missing_threads = self.threads.difference(&now).cloned().collect();
         }
     }
 
-    /// The notice to leave.
+    /// Sends SIGTERM, after the checks of [`Server::look_before_stop`].
     pub fn terminate(&mut self) {
         self.look_before_stop();
-        self.target.leaving.store(true, Ordering::SeqCst);
-        self.life.was_told = true;
+        self.target.stopping.store(true, Ordering::SeqCst);
+        self.outcome.was_stopped = true;
         self.signal(Signal::TERM);
     }
 
-    /// Waits for its end after the notice to leave.
-    pub fn end(&mut self) -> &Life {
+    /// Waits for the exit after SIGTERM, kills the process after the timeout and reads the log.
+    pub fn end(&mut self) -> &ProcessOutcome {
         if let Some(mut child) = self.child.take() {
-            self.life.end = wait(&mut child, PATIENCE);
-            if self.life.end.is_none() {
-                self.life.hang = self.target.threads();
+            self.outcome.end = wait(&mut child, HANG_TIMEOUT);
+            if self.outcome.end.is_none() {
+                self.outcome.hang = self.target.threads();
             }
             let _ = child.kill();
             let _ = child.wait();
         }
-        self.life.log = fs::read_to_string(&self.log).unwrap_or_default();
-        &self.life
+        self.outcome.log = fs::read_to_string(&self.log).unwrap_or_default();
+        &self.outcome
     }
 }
 
--- a/crates/testkit/src/drill/faults/session.rs
+++ b/crates/testkit/src/drill/faults/session.rs
@@ -1,14 +1,14 @@
-//! Plays one case: fresh processes, steady load, faults at the same time, an ending, and then the oracles.
+//! Runs one case: fresh processes under steady load, concurrent faults, an ending, and the oracles.
 
 use super::client::Target;
 use super::control::ControlPlane;
-use super::inject::{self, Victim};
+use super::inject::{self, FaultTarget};
 use super::misuse::HalfSent;
 use super::oracles::{self, Failure, Late, Oracle};
 use super::plan::{Case, ClientFault, Ending, Fault, SignalFault};
 use super::random::Random;
 use super::server::{Plan, Server};
-use super::settings::FEW_SOCKETS;
+use super::settings::FEW_DESCRIPTORS;
 use super::traffic::{admin, health, serves_again, steady};
 use super::{Defect, Drill};
 use rustix::process::Signal;
@@ -19,34 +19,34 @@
 use std::thread;
 use std::time::Duration;
 
-/// Steady clients of each server.
+/// Steady clients per server.
 const CLIENTS: u64 = 3;
-/// Descriptors where no fault is about them.
-const SOCKETS: usize = 1_024;
-/// Load before the first fault, and after the last.
-const BEFORE: Duration = Duration::from_millis(60);
-const AFTER: Duration = Duration::from_millis(100);
+/// Descriptor limit unless a fault exhausts the descriptors.
+const DESCRIPTORS: usize = 1_024;
+/// Time under load before the first fault and after the last.
+const LOAD_BEFORE_FAULTS: Duration = Duration::from_millis(60);
+const LOAD_AFTER_FAULTS: Duration = Duration::from_millis(100);
 
-/// What a case came to.
+/// The result of a case.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Oracles that were not held.
+    /// Violations of the oracles.
     pub failures: Vec<Failure>,
-    /// Answers after they were due.
+    /// Late answers.
     pub late: Late,
-    /// Requests that were owed an answer, and runs.
+    /// Number of requests that were owed an answer.
     pub requests: usize,
-    /// See `requests`.
+    /// Number of runs.
     pub runs: usize,
-    /// The slowest start.
+    /// Duration of the slowest start.
     pub slowest_start: Duration,
 }
 
-/// Plays it.
-pub fn play(case: &Case, drill: &Drill, folder: &Path, defect: Option<Defect>) -> io::Result<Outcome> {
+/// Runs a case in a folder of its own.
+pub fn run_case(case: &Case, drill: &Drill, folder: &Path, defect: Option<Defect>) -> io::Result<Outcome> {
     std::fs::create_dir_all(folder)?;
     let (control, other_control) = (ControlPlane::start()?, ControlPlane::start()?);
-    let fills = case.faults.contains(&Fault::Client(ClientFault::IdleToTheLimit));
+    let exhausts_descriptors = case.faults.contains(&Fault::Client(ClientFault::IdleToTheLimit));
     let mut servers = Vec::new();
     for n in 0..case.servers {
         let name = format!("n{n}");
@@ -55,7 +55,7 @@
             folder,
             name: &name,
             seed: case.seed.wrapping_add(n as u64),
-            sockets: if fills { FEW_SOCKETS } else { SOCKETS },
+            descriptors: if exhausts_descriptors { FEW_DESCRIPTORS } else { DESCRIPTORS },
             calls: case.calls_dependency(),
             peers: case.has_peers(),
             corrupts: defect == Some(Defect::Provenance),
@@ -83,25 +83,25 @@
                     scope.spawn(move || steady(target, seed));
                 }
             }
-            thread::sleep(BEFORE);
-            let played = course(case, &servers, &targets, [&control, &other_control], defect);
-            targets.iter().for_each(|target| target.quiet.store(true, Ordering::SeqCst));
+            thread::sleep(LOAD_BEFORE_FAULTS);
+            let played = inject_and_end(case, &servers, &targets, [&control, &other_control], defect);
+            targets.iter().for_each(|target| target.load_stopped.store(true, Ordering::SeqCst));
             played
         })?;
     }
     if defect == Some(Defect::Alive) {
-        // With nothing open: only its end is to be seen.
+        // Killed when no request is open, so that only the early end is visible.
         lock(&servers[0]).kill();
     }
-    // All are told before any is waited for: else their drains would follow one another.
+    // All servers are signalled before any is waited for, so that they drain in parallel.
     for server in &servers {
         let mut server = lock(server);
-        if !server.target.is_leaving() {
+        if !server.target.is_stopping() {
             server.terminate();
         }
     }
     for server in &servers {
-        judge(&mut lock(server), &mut outcome);
+        evaluate_oracles(&mut lock(server), &mut outcome);
     }
     Ok(outcome)
 }
@@ -110,8 +110,8 @@
     server.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The faults, and the ending.
-fn course(
+/// Injects the faults and carries out the ending.
+fn inject_and_end(
     case: &Case,
     servers: &[Mutex<Server>],
     targets: &[Target],
@@ -128,8 +128,8 @@
                 let target = targets[n].clone();
                 let seed = case.seed ^ ((n as u64) << 8) ^ which as u64;
                 let injects = move || {
-                    let victim = Victim { server, target, control, other_control };
-                    inject::play(*fault, &victim, &mut Random::new(seed, 4))
+                    let fault_target = FaultTarget { server, target, control, other_control };
+                    inject::inject(*fault, &fault_target, &mut Random::new(seed, 4))
                 };
                 played.push(scope.spawn(injects));
             }
@@ -141,14 +141,14 @@
             }
         }
         for fault in played {
-            fault.join().map_err(|_| io::Error::other("a fault's thread has panicked"))??;
+            fault.join().map_err(|_| io::Error::other("a thread that injects a fault panicked"))??;
         }
         io::Result::Ok(())
     })?;
     if ends_under_load(case) {
         return Ok(());
     }
-    thread::sleep(AFTER);
+    thread::sleep(LOAD_AFTER_FAULTS);
     for target in targets {
         health(target);
         serves_again(target, case.seed);
@@ -158,7 +158,8 @@
     Ok(())
 }
 
-/// A server that is killed and started anew in the case can't be told to leave meanwhile: nobody would know of which life.
+/// Whether the case ends under load. Not with [`SignalFault::Kill`]: it would be unclear which process receives the
+/// SIGTERM.
 fn ends_under_load(case: &Case) -> bool {
     case.ending != Ending::Quiet && !case.faults.contains(&Fault::Signal(SignalFault::Kill))
 }
@@ -183,15 +184,15 @@
     }
 }
 
-fn judge(server: &mut Server, outcome: &mut Outcome) {
-    let life = server.end().clone();
-    outcome.failures.extend(oracles::alive(&life));
+fn evaluate_oracles(server: &mut Server, outcome: &mut Outcome) {
+    let process = server.end().clone();
+    outcome.failures.extend(oracles::alive(&process));
     outcome.slowest_start = outcome.slowest_start.max(server.slowest_start);
     let entries = server.target.record.entries();
     let (failures, late) = oracles::answers(&server.target.name, &entries);
     outcome.failures.extend(failures);
     outcome.late.count += late.count;
-    outcome.late.most = outcome.late.most.max(late.most);
+    outcome.late.max_delay = outcome.late.max_delay.max(late.max_delay);
     outcome.failures.extend(oracles::provenance(&server.target.name, &entries));
     outcome.requests += entries.requests.iter().filter(|r| r.owed && r.written.is_some()).count();
     outcome.runs += entries.commands.len();
--- a/crates/testkit/src/drill/faults/settings.rs
+++ b/crates/testkit/src/drill/faults/settings.rs
@@ -1,42 +1,42 @@
-//! The configuration of the servers under fault injection, and what a reload changes of it.
+//! The configuration of the servers under fault injection, and the changes made to it by reloads.
 
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 const MS: u64 = 1_000_000;
-/// Safe to repeat; keyed; and one that must run once at the most.
+/// A class whose requests are safe to repeat.
 pub const READ: &str = "read";
-/// See [`READ`].
+/// A class whose requests have an idempotency key.
 pub const CLAIM: &str = "claim";
-/// See [`READ`].
+/// A class whose requests run at most once.
 pub const PAY: &str = "pay";
 /// The classes that clients name.
 pub const CLASSES: [&str; 3] = [READ, CLAIM, PAY];
-/// How long a client waits, and a class at the most.
+/// Time budget that a client states in its requests; below the deadline of the classes.
 pub const BUDGET: Duration = Duration::from_millis(3_000);
 const DEADLINE_MS: u64 = 4_000;
-/// By how much an answer may be late: the slack of the settings and that of the protocol page.
+/// Permitted delay of an answer: the slack of the settings plus that of the protocol page.
 pub const SLACK: Duration = Duration::from_millis(60 + 50);
-/// From SIGTERM to the kill.
+/// Time from SIGTERM to the kill, as stated in the configuration.
 pub const STOP: Duration = Duration::from_millis(800);
-/// Descriptors of a server that idle clients are to fill.
-pub const FEW_SOCKETS: usize = 192;
+/// Descriptor limit of a server that idle clients shall exhaust.
+pub const FEW_DESCRIPTORS: usize = 192;
 
-/// Where the stand-ins of a server are, and its own addresses.
+/// The addresses of a server and of its stand-ins.
 #[derive(Debug, Clone, Copy)]
 pub struct Addresses {
-    /// Where clients connect.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Where operators call.
+    /// Address for operators' calls.
     pub admin: SocketAddr,
-    /// The processor.
+    /// Address of the processor.
     pub processor: SocketAddr,
-    /// The control plane.
+    /// Address of the control plane.
     pub control: SocketAddr,
 }
 
-/// Whether two runs for the same request are a fault.
+/// Whether a second run for the same request violates the class's effect.
 pub fn runs_once(class: &str) -> bool {
     class != READ
 }
@@ -46,7 +46,7 @@
            "window": 9_000 * MS, "worth": priority_weight})
 }
 
-/// The settings of the site.
+/// The settings of the site, with the classes [`READ`], [`CLAIM`] and [`PAY`].
 pub fn site() -> Value {
     json!({
         "granularity": 5 * MS,
@@ -65,14 +65,14 @@
     })
 }
 
-/// A whole configuration.
+/// A complete configuration.
 pub fn configuration(name: &str, addresses: &Addresses, sockets: usize, seed: u64) -> Value {
     json!({"name": name, "listen": addresses.listen, "processor": addresses.processor, "control": addresses.control,
            "admin_addr": addresses.admin, "seed": format!("{seed:016x}"), "stop_ms": STOP.as_millis() as u64,
            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets}, "settings": site()})
 }
 
-/// The same with a shared dependency that runs call.
+/// Adds a shared dependency that all runs call.
 pub fn with_dependency(configuration: &Value, dependency: SocketAddr) -> Value {
     let mut changed = configuration.clone();
     changed["ledger"] = json!(dependency);
@@ -84,7 +84,7 @@
     changed
 }
 
-/// The same with the classes in another order, one of them gone and a new one.
+/// Reorders the classes, replaces one and changes weights.
 pub fn retuned(configuration: &Value) -> Value {
     let mut changed = configuration.clone();
     changed["settings"]["profiles"] = json!([
@@ -95,7 +95,7 @@
     changed
 }
 
-/// The same with other classes and another tenant alone.
+/// Replaces all classes and tenants.
 pub fn other_site(configuration: &Value) -> Value {
     let mut changed = configuration.clone();
     changed["settings"]["profiles"] =
