--- a/crates/testkit/src/drill/faults/starts.rs
+++ b/crates/testkit/src/drill/faults/starts.rs
@@ -1,6 +1,6 @@
-//! Starts with configurations that are valid, and with such as are not.
+//! Starts of servers with valid and invalid configurations.
 
-use super::client::{PATIENCE, Target};
+use super::client::{HANG_TIMEOUT, Target};
 use super::oracles::Started;
 use super::random::Random;
 use super::record::Record;
@@ -19,57 +19,63 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Between looks at a process that starts.
-const LOOK: Duration = Duration::from_millis(5);
-/// Starts that are told to leave, and when at the latest: most of a start takes less.
-const TOLD_STARTS: usize = 8;
-const LATEST_TOLD_MS: u64 = 30;
-/// Longer than any start is tried.
-const FOR_GOOD: Duration = Duration::from_secs(3_600);
-/// Descriptors of the processes.
-const SOCKETS: usize = 256;
+/// Interval between checks of a starting process.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Number of starts that are stopped, and the latest time of SIGTERM; most of a start takes less.
+const STOPPED_STARTS: usize = 8;
+const LATEST_STOP_MS: u64 = 30;
+/// Longer than the timeout of a start: the address is never released.
+const PERMANENTLY: Duration = Duration::from_secs(3_600);
+/// Descriptor limit of the processes.
+const DESCRIPTORS: usize = 256;
 
-/// A configuration, and what is special about it.
+/// A start to try.
 pub struct Start {
-    /// In words.
+    /// Description of the case, used in failure messages.
     pub what: String,
-    /// Changes the usual one.
+    /// Changes the usual configuration.
     pub change: Box<dyn Fn(&mut Value) + Send + Sync>,
-    /// What a message must name, where it is not valid.
-    pub names: Option<Vec<&'static str>>,
-    /// How long another process holds its address.
-    pub held: Option<Duration>,
-    /// When it is told to leave, counted from its begin.
-    pub told: Option<Duration>,
+    /// Names that the error message must contain if the configuration is invalid.
+    pub required_names: Option<Vec<&'static str>>,
+    /// How long another process occupies the server's address.
+    pub occupied: Option<Duration>,
+    /// When SIGTERM is sent, counted from the start.
+    pub stop_after: Option<Duration>,
 }
 
 fn valid(what: &str, change: impl Fn(&mut Value) + Send + Sync + 'static) -> Start {
-    Start { what: what.to_string(), change: Box::new(change), names: None, held: None, told: None }
+    Start {
+        what: what.to_string(),
+        change: Box::new(change),
+        required_names: None,
+        occupied: None,
+        stop_after: None,
+    }
 }
 
 fn invalid(what: &str, names: &[&'static str], change: impl Fn(&mut Value) + Send + Sync + 'static) -> Start {
-    Start { names: Some(names.to_vec()), ..valid(what, change) }
+    Start { required_names: Some(names.to_vec()), ..valid(what, change) }
 }
 
 fn class(name: &str, effect: &str) -> Value {
     json!({"name": name, "promise": 1_000_000, "deadline": 3_000_000, "effect": effect, "worth": 1.0})
 }
 
-/// All starts that are tried, with drawn figures.
+/// All starts to try, with drawn parameters.
 pub fn starts(random: &mut Random) -> Vec<Start> {
     let mut all = valid_starts(random);
     all.extend(invalid_starts());
-    let held = Some(Duration::from_millis(random.within(500..=3_000)));
-    all.push(Start { held, ..valid("an address that another process holds for a while", |_| ()) });
-    for _ in 0..TOLD_STARTS {
-        let told = Some(Duration::from_millis(random.within(0..=LATEST_TOLD_MS)));
-        let what = format!("told to leave {told:?} after its begin");
-        all.push(Start { told, ..valid(&what, |_| ()) });
+    let occupied = Some(Duration::from_millis(random.within(500..=3_000)));
+    all.push(Start { occupied, ..valid("an address that another process holds for a while", |_| ()) });
+    for _ in 0..STOPPED_STARTS {
+        let stop_after = Some(Duration::from_millis(random.within(0..=LATEST_STOP_MS)));
+        let what = format!("told to leave {stop_after:?} after its begin");
+        all.push(Start { stop_after, ..valid(&what, |_| ()) });
     }
     all
 }
 
-/// Each of these is allowed by the protocol, deploy and wire pages.
+/// Configurations that the protocol, deploy and wire pages allow.
 fn valid_starts(random: &mut Random) -> Vec<Start> {
     let (classes, tenants) = (random.count(100..=400), random.count(1_000..=3_000));
     let hours = random.within(1..=48) * 3_600 * 1_000_000_000;
@@ -157,13 +163,13 @@
     ]
 }
 
-/// Tries one. A holder of its address is the seeded defect: then it never serves.
+/// Runs one start. With `held`, the address stays occupied (the seeded defect), so the server never serves.
 pub fn try_start(
     start: &Start,
     daemon: &Path,
     folder: &Path,
     number: usize,
-    held: bool,
+    occupied: bool,
 ) -> io::Result<Started> {
     let control = UdpSocket::bind("127.0.0.1:0")?;
     let processor = TcpListener::bind("127.0.0.1:0")?;
@@ -173,49 +179,49 @@
         processor: processor.local_addr()?,
         control: control.local_addr()?,
     };
-    let held = if held { Some(FOR_GOOD) } else { start.held };
-    let mut holder = held.map(|_| TcpListener::bind(addresses.listen)).transpose()?;
-    let mut configuration = settings::configuration("n0", &addresses, SOCKETS, number as u64);
+    let occupied = if occupied { Some(PERMANENTLY) } else { start.occupied };
+    let mut holder = occupied.map(|_| TcpListener::bind(addresses.listen)).transpose()?;
+    let mut configuration = settings::configuration("n0", &addresses, DESCRIPTORS, number as u64);
     (start.change)(&mut configuration);
     let config = folder.join(format!("start{number}.json"));
     let log = folder.join(format!("start{number}.log"));
     fs::write(&config, configuration.to_string())?;
-    let begun = Instant::now();
-    let mut child = spawn(daemon, &Files { config: &config, own: None, log: &log }, SOCKETS)?;
+    let started_at = Instant::now();
+    let mut child = spawn(daemon, &Files { config: &config, daemon_settings: None, log: &log }, DESCRIPTORS)?;
     let target = target(addresses.listen, addresses.admin, child.id());
     let mut started = Started {
         what: format!("start {number}, {}", start.what),
-        names: start.names.as_ref().map(|names| {
+        required_names: start.required_names.as_ref().map(|names| {
             let file = config.display().to_string();
             names.iter().map(ToString::to_string).chain([file]).collect()
         }),
-        told: start.told.is_some(),
+        stopped: start.stop_after.is_some(),
         served: None,
         ended: None,
         log: String::new(),
         hang: String::new(),
     };
-    if let Some(told) = start.told {
-        thread::sleep(told);
+    if let Some(stop_after) = start.stop_after {
+        thread::sleep(stop_after);
         let _ = Pid::from_raw(child.id() as i32).map(|pid| kill_process(pid, Signal::TERM));
-        started.ended = wait(&mut child, PATIENCE);
+        started.ended = wait(&mut child, HANG_TIMEOUT);
         started.hang = threads::states(child.id());
-    } else if start.names.is_some() {
-        started.ended = wait(&mut child, PATIENCE);
+    } else if start.required_names.is_some() {
+        started.ended = wait(&mut child, HANG_TIMEOUT);
     } else {
-        while begun.elapsed() < PATIENCE && started.served.is_none() {
+        while started_at.elapsed() < HANG_TIMEOUT && started.served.is_none() {
             started.ended = child.try_wait()?;
             if started.ended.is_some() {
                 break;
             }
-            if held.is_some_and(|held| begun.elapsed() >= held) {
+            if occupied.is_some_and(|occupied| started_at.elapsed() >= occupied) {
                 holder = None;
             }
-            // Before that the holder would be asked.
+            // Until then a connection would reach the listener that occupies the address.
             if holder.is_none() && TcpStream::connect(addresses.listen).is_ok() && health(&target).is_some() {
-                started.served = Some(begun.elapsed());
+                started.served = Some(started_at.elapsed());
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
         if started.served.is_none() && started.ended.is_none() {
             started.hang = threads::states(child.id());
@@ -236,8 +242,8 @@
         admin,
         record: Arc::<Record>::default(),
         pid,
-        leaving: Arc::default(),
-        quiet: Arc::default(),
+        stopping: Arc::default(),
+        load_stopped: Arc::default(),
         drops_answer: Arc::default(),
     }
 }
--- a/crates/testkit/src/drill/faults/threads.rs
+++ b/crates/testkit/src/drill/faults/threads.rs
@@ -1,26 +1,26 @@
-//! What each thread of a process does now, from the system's tables: for the text of a failure that is a hang.
+//! The states of a process's threads from `/proc`, shown in the failure message of a hang.
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
 use std::fs;
 use std::path::PathBuf;
 
-/// The tables of a thread that are shown, where the system lets them be read.
+/// Files of a thread's directory in `/proc` that are shown where the system permits reading them.
 const SHOWN: [&str; 3] = ["stat", "wchan", "syscall"];
 
-/// The folders of a process's threads.
+/// The directories of a process's threads in `/proc`.
 fn tasks(pid: u32) -> Vec<PathBuf> {
     let entries = fs::read_dir(format!("/proc/{pid}/task")).into_iter().flatten().flatten();
     entries.map(|entry| entry.path()).collect()
 }
 
-/// The names of a process's threads.
+/// The names of a process's threads; empty if the process has ended.
 pub fn names(pid: u32) -> BTreeSet<String> {
     let name = |task: &PathBuf| fs::read_to_string(task.join("comm")).ok();
     tasks(pid).iter().filter_map(name).map(|name| name.trim().to_string()).collect()
 }
 
-/// A line for each thread: its name, state, and where it waits.
+/// One line for each thread with its name, state and the place where it waits.
 pub fn states(pid: u32) -> String {
     let mut text = String::new();
     for task in tasks(pid) {
