--- a/crates/testkit/src/drill/faults/plan.rs
+++ b/crates/testkit/src/drill/faults/plan.rs
@@ -86,7 +86,7 @@
     LongRemark(usize),
     /// All results have this length, in bytes.
     ResultLength(usize),
-    /// Sends rejections that no server expects.
+    /// Rejects instead of running, after a run has ended, or for an id that no client sent.
     Reject(Rejected),
     /// All runs end with this status instead of `OK`.
     EndsAs(&'static str),
--- a/crates/testkit/src/drill/faults/processor/script.rs
+++ b/crates/testkit/src/drill/faults/processor/script.rs
@@ -36,7 +36,7 @@
     pub remark: Option<usize>,
     /// Length of all results, in bytes.
     pub result_length: Option<usize>,
-    /// Sends rejections that no server expects.
+    /// The requests that it rejects, if any.
     pub reject: Option<Rejected>,
     /// The status with which runs end.
     pub end: &'static str,
--- a/crates/testkit/src/drill/faults/threads.rs
+++ b/crates/testkit/src/drill/faults/threads.rs
@@ -14,7 +14,7 @@
     entries.map(|entry| entry.path()).collect()
 }
 
-/// The names of a process's threads; empty if the process has ended.
+/// The names of a process's threads, without duplicates.
 pub fn names(pid: u32) -> BTreeSet<String> {
     let name = |task: &PathBuf| fs::read_to_string(task.join("comm")).ok();
     tasks(pid).iter().filter_map(name).map(|name| name.trim().to_string()).collect()
--- a/crates/testkit/src/drill/mod.rs
+++ b/crates/testkit/src/drill/mod.rs
@@ -1,4 +1,4 @@
-//! Drills: real processes on loopback, with faults, and claims that are kept or not.
+//! Drills: real processes on loopback under load with injected faults, and claims that are kept or not.
 
 pub mod faults;
 pub mod recovery;
@@ -10,8 +10,8 @@
 
 pub use verdict::{Claims, NotScored, Verdict};
 
-/// The share of a sorted list at a quantile.
+/// The value at quantile `q` (0 to 1) of a sorted list; 0 if the list is empty.
 pub fn quantile(sorted: &[u64], q: f64) -> u64 {
-    let place = ((sorted.len() as f64 * q).ceil() as usize).clamp(1, sorted.len().max(1)) - 1;
-    sorted.get(place).copied().unwrap_or(0)
+    let index = ((sorted.len() as f64 * q).ceil() as usize).clamp(1, sorted.len().max(1)) - 1;
+    sorted.get(index).copied().unwrap_or(0)
 }
--- a/crates/testkit/src/drill/registry.rs
+++ b/crates/testkit/src/drill/registry.rs
@@ -1,5 +1,5 @@
-//! Drains under load while the registry fails: does the server still answer everything, run nothing late or twice, and
-//! do callers that follow the registry learn in time?
+//! Drains under load while the registry fails. Checks that the server still answers everything and runs nothing late
+//! or twice, and that callers that follow the registry notice the drain in time.
 
 use super::{Claims, quantile};
 use crate::fleet::{self, Fleet, FleetSpec};
@@ -22,48 +22,48 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The drain rule's limit, and the slack on sockets.
+/// Time limit of the drain rule, and the slack for transmission over sockets.
 const GRACE_MS: u64 = 1_800;
 const SLACK_MS: u64 = 50;
-/// What a caller of the rules on sockets grants beyond the due time.
+/// Time that a caller grants beyond the due time by the rules on sockets.
 const ANSWER_SLACK_MS: u64 = 150;
-/// Written so shortly before the kill, a request may never have been read.
+/// A request written this shortly before the kill may never have been read.
 const UNREAD_MS: u64 = 100;
 
-/// What is drilled.
+/// Parameters of a drill.
 #[derive(Debug, Clone)]
 pub struct Drill {
-    /// The daemon's program.
+    /// Path of the daemon's executable.
     pub daemon: PathBuf,
-    /// For everything that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Drains in all.
+    /// Number of drains over all fleets.
     pub drains: usize,
-    /// Fleets beside one another.
+    /// Number of fleets that run in parallel.
     pub fleets: usize,
-    /// Servers in each.
+    /// Number of servers per fleet.
     pub servers: usize,
-    /// First tries a second in each.
+    /// First attempts per second and fleet.
     pub rate: f64,
-    /// Without the protection: servers register nowhere, callers go by a fixed list.
+    /// Runs without a registry: servers don't register and callers use a fixed list.
     pub plain: bool,
 }
 
-/// One drain as it went; times in Unix milliseconds.
+/// The course of one drain; times in Unix milliseconds.
 #[derive(Debug, Clone)]
 struct Drain {
     fault: Fault,
     server: SocketAddr,
-    told: u64,
-    killed: u64,
-    back: u64,
+    sigterm_ms: u64,
+    killed_ms: u64,
+    back_ms: u64,
     out_after: Option<u64>,
     up_after: Option<u64>,
 }
 
 #[derive(Debug, Default)]
-struct Run {
-    books: Vec<Books>,
+struct FleetRun {
+    clients: Vec<Books>,
     drains: Vec<Drain>,
     begun: BTreeMap<SocketAddr, Vec<Begun>>,
     cpu_ms: u64,
@@ -71,7 +71,7 @@
     seconds: f64,
 }
 
-/// Plays it, prints the claims, and says whether all are kept.
+/// Runs the drill, prints the claims and returns whether all are kept.
 pub fn run(drill: &Drill) -> io::Result<bool> {
     let folder = fleet::folder("drill-registry")?;
     println!(
@@ -79,22 +79,22 @@
         drill.seed, drill.drains, drill.fleets, drill.servers
     );
     let each = drill.drains.div_ceil(drill.fleets.max(1));
-    let play = |n: usize, with: bool, drains: usize| {
+    let start_fleet = |n: usize, with: bool, drains: usize| {
         let (drill, folder) = (drill.clone(), folder.join(format!("fleet{n}")));
-        thread::spawn(move || -> io::Result<Run> {
+        thread::spawn(move || -> io::Result<FleetRun> {
             std::fs::create_dir_all(&folder)?;
-            play(&drill, drill.seed + 1000 * n as u64, with, drains, folder)
+            run_fleet(&drill, drill.seed + 1000 * n as u64, with, drains, folder)
         })
     };
-    // The same drains without a registry, beside the others, for what callers of a fixed list meet.
-    let plain = play(drill.fleets, false, each.min(20));
-    let fleets: Vec<_> = (0..drill.fleets).map(|n| play(n, !drill.plain, each)).collect();
-    let join = |handle: thread::JoinHandle<io::Result<Run>>| {
+    // The same drains without a registry run in parallel, to count the failed attempts of callers with a fixed list.
+    let plain = start_fleet(drill.fleets, false, each.min(20));
+    let fleets: Vec<_> = (0..drill.fleets).map(|n| start_fleet(n, !drill.plain, each)).collect();
+    let join = |handle: thread::JoinHandle<io::Result<FleetRun>>| {
         handle.join().map_err(|_| io::Error::other("a fleet's thread has panicked"))?
     };
-    let runs = fleets.into_iter().map(join).collect::<io::Result<Vec<Run>>>()?;
+    let runs = fleets.into_iter().map(join).collect::<io::Result<Vec<FleetRun>>>()?;
     let plain = join(plain)?;
-    let kept = judge(drill, &runs, &plain);
+    let kept = make_claims(drill, &runs, &plain);
     if kept {
         fleet::remove(&folder);
     } else {
@@ -107,7 +107,7 @@
     ServiceUrl { url: server.url(), login: None }
 }
 
-fn play(drill: &Drill, seed: u64, with: bool, drains: usize, folder: PathBuf) -> io::Result<Run> {
+fn run_fleet(drill: &Drill, seed: u64, with: bool, drains: usize, folder: PathBuf) -> io::Result<FleetRun> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let rules = RegistrySettings { cache_ms: 50, evict_every_ms: 500, ..RegistrySettings::default() };
     let set = ServerSettings { rules, peer_delay: Duration::from_millis(30), ..ServerSettings::default() };
@@ -137,14 +137,14 @@
     let mut proxies = Vec::new();
     let all: Vec<SocketAddr> = fleet.nodes.iter().map(|node| node.address).collect();
     if with {
-        wait(Duration::from_secs(20), || {
-            fleet.nodes.iter().all(|node| shows(&registries, &node.name) == Some(InstanceStatus::Up))
+        wait_until(Duration::from_secs(20), || {
+            fleet.nodes.iter().all(|node| listed_status(&registries, &node.name) == Some(InstanceStatus::Up))
         });
     }
     for n in 0..2 {
         let servers: Box<dyn Servers> = if with {
             let watcher = Watcher::start(&urls, set.clone(), Duration::from_millis(300), seed + n)?;
-            wait(Duration::from_secs(10), || watcher.view().len() == drill.servers);
+            wait_until(Duration::from_secs(10), || watcher.view().len() == drill.servers);
             let servers = watcher.servers("tiles");
             watchers.push(watcher);
             servers
@@ -154,14 +154,14 @@
         let habit = Habit::thrift(drill.rate / 2.0, 4, false);
         proxies.push(Proxy::start(n + 1, seed + 7 * n, habit, servers)?);
     }
-    let mut run = Run::default();
+    let mut run = FleetRun::default();
     let start = Instant::now();
     let kinds = Fault::kinds();
     for k in 0..drains {
         thread::sleep(Duration::from_millis(200 + rng.next_u64() % 200));
         let which = k % fleet.nodes.len();
         let fault = kinds[(seed as usize + k) % kinds.len()].clone();
-        // Before the notice or after it, by up to 300 ms.
+        // The fault begins up to 300 ms before or after SIGTERM.
         let offset = rng.next_u64() % 600;
         let faulty = &registries[0];
         if offset < 300 {
@@ -171,7 +171,7 @@
         let node = &mut fleet.nodes[which];
         let cpu = node.cpu();
         node.terminate();
-        let (told, at) = (unix_ms(), Instant::now());
+        let (sigterm_ms, at) = (unix_ms(), Instant::now());
         let mut late = (offset >= 300).then(|| Duration::from_millis(offset - 300));
         let mut out_after = None;
         while at.elapsed() < spec.stop {
@@ -179,13 +179,15 @@
                 late = None;
                 faulty.fail(fault.clone());
             }
-            if out_after.is_none() && shows(&registries, &node.name) == Some(InstanceStatus::OutOfService) {
+            if out_after.is_none()
+                && listed_status(&registries, &node.name) == Some(InstanceStatus::OutOfService)
+            {
                 out_after = Some(at.elapsed().as_millis() as u64);
             }
             thread::sleep(Duration::from_millis(2));
         }
         run.cpu_ms += node.cpu().zip(cpu).map_or(0, |(after, before)| (after - before).as_millis() as u64);
-        let killed = unix_ms();
+        let killed_ms = unix_ms();
         node.kill();
         faulty.fail(Fault::None);
         node.processor.restart(0.21);
@@ -194,19 +196,27 @@
         let name = node.name.clone();
         let up = || {
             if with {
-                shows(&registries, &name) == Some(InstanceStatus::Up)
+                listed_status(&registries, &name) == Some(InstanceStatus::Up)
             } else {
                 fleet.control.roster().ready(Instant::now(), Duration::ZERO).contains(&name)
             }
         };
-        let is_up = wait(Duration::from_secs(15), up);
+        let is_up = wait_until(Duration::from_secs(15), up);
         let up_after = is_up.then(|| again.elapsed().as_millis() as u64);
-        let back = unix_ms();
-        run.drains.push(Drain { fault, server: all[which], told, killed, back, out_after, up_after });
+        let back_ms = unix_ms();
+        run.drains.push(Drain {
+            fault,
+            server: all[which],
+            sigterm_ms,
+            killed_ms,
+            back_ms,
+            out_after,
+            up_after,
+        });
     }
     run.seconds = start.elapsed().as_secs_f64();
     run.calls = registries.iter().map(Server::requests).sum();
-    run.books = proxies.into_iter().map(Proxy::stop).collect();
+    run.clients = proxies.into_iter().map(Proxy::stop).collect();
     fleet.drain();
     for node in &mut fleet.nodes {
         run.begun.insert(node.address, std::mem::take(&mut node.begun));
@@ -214,16 +224,16 @@
     Ok(run)
 }
 
-/// The state at the first registry that shows one; both are looked at, as callers may ask either.
-fn shows(registries: &[Server; 2], id: &str) -> Option<InstanceStatus> {
+/// The status of an instance over both registries, since callers may ask either; out of service takes precedence.
+fn listed_status(registries: &[Server; 2], id: &str) -> Option<InstanceStatus> {
     let of = |registry: &Server| registry.instance("TILE-SERVER", id).map(|i| i.status);
     let states = registries.iter().filter_map(of);
     states.clone().find(|status| *status == InstanceStatus::OutOfService).or_else(|| states.clone().next())
 }
 
-fn wait(patience: Duration, done: impl Fn() -> bool) -> bool {
+fn wait_until(timeout: Duration, done: impl Fn() -> bool) -> bool {
     let start = Instant::now();
-    while start.elapsed() < patience {
+    while start.elapsed() < timeout {
         if done() {
             return true;
         }
@@ -232,26 +242,28 @@
     false
 }
 
-/// Tries at a server that is out or away which a notice in time would have spared their callers.
-fn in_vain(run: &Run, drain: &Drain) -> usize {
-    let vain = |t: &&Try| {
-        let at = (drain.told..drain.back).contains(&t.t0_ms) && t.server == drain.server;
+/// Number of failed attempts at a drained server that a notice in time would have avoided.
+fn failed_attempts(run: &FleetRun, drain: &Drain) -> usize {
+    let avoidable = |t: &&Try| {
+        let at = (drain.sigterm_ms..drain.back_ms).contains(&t.t0_ms) && t.server == drain.server;
         at && matches!(t.end, End::Refused | End::NoConnection | End::Lost | End::Failed)
     };
-    run.books.iter().flat_map(|books| &books.tries).filter(vain).count()
+    run.clients.iter().flat_map(|client| &client.tries).filter(avoidable).count()
 }
 
-fn judge(drill: &Drill, runs: &[Run], plain: &Run) -> bool {
+fn make_claims(drill: &Drill, runs: &[FleetRun], plain: &FleetRun) -> bool {
     let mut claims = Claims::default();
     let drains: Vec<&Drain> = runs.iter().flat_map(|run| &run.drains).collect();
-    let tries: Vec<&Try> = runs.iter().flat_map(|run| &run.books).flat_map(|books| &books.tries).collect();
-    let requests = || runs.iter().flat_map(|run| &run.books).flat_map(|books| &books.requests);
+    let tries: Vec<&Try> =
+        runs.iter().flat_map(|run| &run.clients).flat_map(|client| &client.tries).collect();
+    let requests = || runs.iter().flat_map(|run| &run.clients).flat_map(|client| &client.requests);
     let served = requests().filter(|asked| asked.took_ms.is_some()).count();
     println!("{} requests, {served} served, {} tries", requests().count(), tries.len());
 
-    // What was written to a server that could still read it.
+    // Attempts written to a server that could still read them.
     let read = |t: &&&Try| {
-        let killed = |d: &&&Drain| d.server == t.server && (d.killed - UNREAD_MS..d.back).contains(&t.t0_ms);
+        let killed =
+            |d: &&&Drain| d.server == t.server && (d.killed_ms - UNREAD_MS..d.back_ms).contains(&t.t0_ms);
         t.end != End::NoConnection && !drains.iter().any(|d| killed(&d))
     };
     let owed: Vec<&&Try> = tries.iter().filter(read).collect();
@@ -267,7 +279,7 @@
     claims.claim(false_answers == 0, "served with what no run made", false_answers);
 
     let written: BTreeMap<&str, &Try> = tries.iter().map(|t| (t.rid.as_str(), *t)).collect();
-    let (mut past, mut twice, mut began, mut keyed) = (0, 0, 0, 0);
+    let (mut late_runs, mut twice, mut began, mut keyed) = (0, 0, 0, 0);
     for run in runs {
         for (server, begun) in &run.begun {
             began += begun.len();
@@ -275,32 +287,36 @@
             for b in begun {
                 let Some(t) = written.get(b.id.as_str()) else { continue };
                 let after = |d: &&&Drain| {
-                    t.t0_ms > d.told + GRACE_MS + SLACK_MS && t.t0_ms < d.killed && b.at_ms < d.killed
+                    t.t0_ms > d.sigterm_ms + GRACE_MS + SLACK_MS
+                        && t.t0_ms < d.killed_ms
+                        && b.at_ms < d.killed_ms
                 };
-                past += usize::from(drained.iter().any(|d| after(&d)));
+                late_runs += usize::from(drained.iter().any(|d| after(&d)));
             }
-            // A life ends with the kill: what ran before it is not known to the next.
-            let life = |b: &Begun| drained.iter().filter(|d| d.killed <= b.at_ms).count();
+            // A killed server doesn't know what ran before, so runs are counted separately for each start of the
+            // process.
+            let generation = |b: &Begun| drained.iter().filter(|d| d.killed_ms <= b.at_ms).count();
             let saves = begun.iter().filter(|b| b.class == "label-save");
             let mut counts = BTreeMap::<(usize, &[u8]), usize>::new();
             for b in saves {
                 keyed += 1;
-                *counts.entry((life(b), &b.body)).or_default() += 1;
+                *counts.entry((generation(b), &b.body)).or_default() += 1;
             }
             twice += counts.values().filter(|count| **count > 1).count();
         }
     }
     claims.claim(
-        past == 0 && began > 0,
+        late_runs == 0 && began > 0,
         "runs past 1.8 s after the notice",
-        format!("{past} of {began} runs"),
+        format!("{late_runs} of {began} runs"),
     );
     claims.claim(twice == 0 && keyed > 0, "label-save run twice", format!("{twice} of {keyed} runs"));
 
-    let vain: usize = runs.iter().map(|run| run.drains.iter().map(|d| in_vain(run, d)).sum::<usize>()).sum();
-    let plain_vain: usize = plain.drains.iter().map(|d| in_vain(plain, d)).sum();
-    let each = vain as f64 / drains.len().max(1) as f64;
-    let plain_each = plain_vain as f64 / plain.drains.len().max(1) as f64;
+    let failed_count: usize =
+        runs.iter().map(|run| run.drains.iter().map(|d| failed_attempts(run, d)).sum::<usize>()).sum();
+    let plain_failed: usize = plain.drains.iter().map(|d| failed_attempts(plain, d)).sum();
+    let each = failed_count as f64 / drains.len().max(1) as f64;
+    let plain_each = plain_failed as f64 / plain.drains.len().max(1) as f64;
     claims.claim(
         plain_each > 0.0 && each < 0.01 * plain_each,
         "tries in vain at a server that left, under 1% of those by a fixed list",
@@ -332,14 +348,14 @@
             for d in &run.drains {
                 let entry = by_fault.entry(d.fault.to_string()).or_default();
                 entry.0 += 1;
-                entry.1 += in_vain(run, d);
+                entry.1 += failed_attempts(run, d);
                 entry.2.extend(d.out_after);
             }
         }
-        for (fault, (count, vain, mut out)) in by_fault {
+        for (fault, (count, failed_count, mut out)) in by_fault {
             out.sort_unstable();
             println!(
-                "  {fault:<22} {count:>3} drains, {vain:>3} in vain, out after p50 {} ms, most {} ms",
+                "  {fault:<22} {count:>3} drains, {failed_count:>3} in vain, out after p50 {} ms, most {} ms",
                 quantile(&out, 0.5),
                 quantile(&out, 1.0)
             );
--- a/crates/testkit/src/drill/release/claims.rs
+++ b/crates/testkit/src/drill/release/claims.rs
@@ -1,9 +1,9 @@
-//! The claims of the drill, of what was seen. Those that hold whatever the machine does are apart from those that rest on its
-//! speed: a server's or a client's times, and what has to be over within a time.
+//! The claims of the drill. Claims that hold on any machine are separate from those that depend on its speed: times
+//! of servers and clients, and everything with a time limit.
 
 use super::scenario::Observed;
 use super::session::Session;
-use super::{KEEPS, LONGER, SEEN, STEP};
+use super::{MIN_SERVICE_RATIO, OVERRUN_LIMIT, REGRESSION_DETECTION_TIME, STEP_DURATION};
 use crate::drill::Claims;
 use crate::load::{Books, End, Try};
 use crate::processor::runs_by;
@@ -11,23 +11,23 @@
 use crate::rig::supervisor::Began;
 use std::time::Duration;
 
-/// Makes all of them.
-pub fn claim(claims: &mut Claims, session: &Session<'_>, seen: &Observed) {
+/// Makes all claims from the observations.
+pub fn claim(claims: &mut Claims, session: &Session<'_>, observed: &Observed) {
     outages(claims, session);
-    sound(claims, session, seen);
-    bad(claims, session, seen);
-    service(claims, session, seen);
-    answers(claims, session, seen);
+    good_release(claims, session, observed);
+    bad_release(claims, session, observed);
+    service(claims, session, observed);
+    answers(claims, session, observed);
     saves(claims, session);
 }
 
 fn outages(claims: &mut Claims, session: &Session<'_>) {
-    let (most, zone) = session.drill.most();
+    let (max_out, max_zone_out) = session.drill.max_out();
     let all = &session.supervisor.began;
     let past = |began: &&Began| {
         let out: Vec<usize> = began.agreed.iter().chain(&began.unplanned).copied().collect();
         let of_zone = out.iter().filter(|n| *n % 3 == began.server % 3).count();
-        out.len() > most as usize || of_zone > zone as usize
+        out.len() > max_out as usize || of_zone > max_zone_out as usize
     };
     let over: Vec<&Began> = all.iter().filter(past).collect();
     let first = over.first().map(|began| {
@@ -43,71 +43,74 @@
     claims.timed(all.len() >= session.drill.servers, "each server had its turn", all.len());
 }
 
-fn sound(claims: &mut Claims, session: &Session<'_>, seen: &Observed) {
-    let (drill, sound) = (session.drill, &seen.sound);
+fn good_release(claims: &mut Claims, session: &Session<'_>, observed: &Observed) {
+    let (drill, good) = (session.drill, &observed.good);
     claims.timed(
-        sound.through && sound.had_v1,
+        good.completed && good.had_v1,
         "the release is everywhere in the end, and all that ran before runs after",
-        format!("{:.1} s", sound.took.as_secs_f64()),
+        format!("{:.1} s", good.took.as_secs_f64()),
     );
     if !drill.timed || drill.faults || drill.plain {
         return;
     }
-    // One first, then as many at a time as may be out.
-    let rest = (drill.servers as u32 - 1).div_ceil(drill.most().0);
-    let parts = STEP * (1 + rest) + Duration::from_millis(3_000 + 1_000);
-    let times = sound.took.as_secs_f64() / parts.as_secs_f64();
+    // One server first, then as many at a time as may be out.
+    let rest = (drill.servers as u32 - 1).div_ceil(drill.max_out().0);
+    let parts = STEP_DURATION * (1 + rest) + Duration::from_millis(3_000 + 1_000);
+    let times = good.took.as_secs_f64() / parts.as_secs_f64();
     claims.timed(
-        times <= LONGER,
+        times <= OVERRUN_LIMIT,
         "undisturbed it takes no more than 1.3 times what its parts take",
-        format!("{:.1} s of {:.1} s, {times:.2} times", sound.took.as_secs_f64(), parts.as_secs_f64()),
+        format!("{:.1} s of {:.1} s, {times:.2} times", good.took.as_secs_f64(), parts.as_secs_f64()),
     );
 }
 
-fn bad(claims: &mut Claims, session: &Session<'_>, seen: &Observed) {
-    let (drill, bad) = (session.drill, &seen.bad);
-    let in_time = !drill.timed || bad.halted_after <= SEEN && bad.servers == 1;
+fn bad_release(claims: &mut Claims, session: &Session<'_>, observed: &Observed) {
+    let (drill, bad) = (session.drill, &observed.bad);
+    let in_time = !drill.timed || bad.halted_after <= REGRESSION_DETECTION_TIME && bad.servers == 1;
     claims.timed(
-        bad.first && bad.stopped && in_time,
+        bad.started_first && bad.stopped && in_time,
         "a version that turns saves away is stopped, within 10 s of its first server",
         format!("{:.1} s, {} servers had it: {}", bad.halted_after.as_secs_f64(), bad.servers, bad.why),
     );
-    claims.timed(bad.gone, "and is gone everywhere, with nobody's help", &bad.last_state);
+    claims.timed(bad.rolled_back, "and is gone everywhere, with nobody's help", &bad.last_state);
 }
 
-/// How many of the requests that came between two moments were served, and how many came.
-fn served(books: &[Books], from_ms: u64, to_ms: u64) -> (f64, usize) {
-    let of = books.iter().flat_map(|b| &b.requests).filter(|r| (from_ms..to_ms).contains(&r.arrived_ms));
+/// The fraction served of the requests that arrived in a period, and their number.
+fn served(clients: &[Books], from_ms: u64, to_ms: u64) -> (f64, usize) {
+    let of = clients
+        .iter()
+        .flat_map(|client| &client.requests)
+        .filter(|r| (from_ms..to_ms).contains(&r.arrived_ms));
     let of: Vec<bool> = of.map(|request| request.took_ms.is_some()).collect();
     (of.iter().filter(|served| **served).count() as f64 / of.len().max(1) as f64, of.len())
 }
 
-fn service(claims: &mut Claims, session: &Session<'_>, seen: &Observed) {
-    let (drill, sound) = (session.drill, &seen.sound);
-    let (quiet, quiet_of) = served(&seen.books, seen.loaded_ms + 1_000, sound.begin_ms);
-    let (during, during_of) = served(&seen.books, sound.begin_ms, sound.done_ms);
-    let kept = during / quiet.max(1e-9);
-    let least = match (drill.timed, drill.faults) {
+fn service(claims: &mut Claims, session: &Session<'_>, observed: &Observed) {
+    let (drill, good) = (session.drill, &observed.good);
+    let (before, before_of) = served(&observed.clients, observed.loaded_ms + 1_000, good.begin_ms);
+    let (during, during_of) = served(&observed.clients, good.begin_ms, good.done_ms);
+    let ratio = during / before.max(1e-9);
+    let min_ratio = match (drill.timed, drill.faults) {
         (false, _) => 0.5,
         (true, true) => 0.9,
-        (true, false) => KEEPS,
+        (true, false) => MIN_SERVICE_RATIO,
     };
     claims.timed(
-        kept >= least && quiet_of > 0 && during_of > 0,
-        &format!("service during the release at least {least} of that without one"),
-        format!("{during:.3} of {during_of}, {quiet:.3} of {quiet_of} before: {kept:.3}"),
+        ratio >= min_ratio && before_of > 0 && during_of > 0,
+        &format!("service during the release at least {min_ratio} of that without one"),
+        format!("{during:.3} of {during_of}, {before:.3} of {before_of} before: {ratio:.3}"),
     );
-    let (share, of) = served(&seen.books, seen.bad.begin_ms, unix_ms());
+    let (share, of) = served(&observed.clients, observed.bad.begin_ms, unix_ms());
     println!("  served {share:.3} of {of} while the bad version came and went");
 }
 
-fn answers(claims: &mut Claims, session: &Session<'_>, seen: &Observed) {
-    let hurt = |one: &Try| {
+fn answers(claims: &mut Claims, session: &Session<'_>, observed: &Observed) {
+    let in_outage = |one: &Try| {
         let server = session.fleet.nodes.iter().position(|node| node.address == one.server);
-        server.is_some_and(|server| session.faults.took(server, one.t0_ms, one.end_ms))
+        server.is_some_and(|server| session.faults.caused_outage(server, one.t0_ms, one.end_ms))
     };
-    let tries: Vec<&Try> = seen.books.iter().flat_map(|books| &books.tries).collect();
-    let owed: Vec<&&Try> = tries.iter().filter(|one| !hurt(one)).collect();
+    let tries: Vec<&Try> = observed.clients.iter().flat_map(|client| &client.tries).collect();
+    let owed: Vec<&&Try> = tries.iter().filter(|one| !in_outage(one)).collect();
     let lost = owed.iter().filter(|one| matches!(one.end, End::Lost | End::TimedOut)).count();
     let false_ones = tries.iter().filter(|one| one.end == End::Served && !one.genuine).count();
     claims.timed(
--- a/crates/testkit/src/drill/release/clients.rs
+++ b/crates/testkit/src/drill/release/clients.rs
@@ -1,6 +1,7 @@
-//! Clients of the drill: open-loop load from several of them, whose list of servers follows the control plane's, some time late.
+//! Clients of the drill: open-loop load from several proxies whose server list follows the control plane's with a
+//! delay.
 
-use super::{CORES, Drill, WORK};
+use super::{CORES, Drill, RUN_WORK};
 use crate::fleet::Fleet;
 use crate::load::{Books, Fixed, Habit, Proxy};
 use std::collections::HashMap;
@@ -10,25 +11,25 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Clients, their tries of a request, and how much later than the control plane they learn who is ready.
+/// Number of clients, maximum attempts per request, and delay of the clients' server list behind the control plane.
 const CLIENTS: usize = 6;
-const TRIES: usize = 4;
-const LATE: Duration = Duration::from_millis(300);
+const MAX_ATTEMPTS: usize = 4;
+const LIST_DELAY: Duration = Duration::from_millis(300);
 
-/// Clients whose list is kept up by calls of [`Clients::update`].
+/// Clients whose server list is updated by calls of [`Clients::update`].
 pub struct Clients {
     list: Arc<Mutex<Fixed>>,
     proxies: Vec<Proxy>,
 }
 
 impl Clients {
-    /// Starts all of them.
+    /// Starts all clients.
     pub fn start(drill: &Drill, fleet: &Fleet) -> io::Result<Self> {
         let all = fleet.nodes.iter().map(|node| node.address).collect();
         let list = Arc::new(Mutex::new(Fixed { all, turn: 0 }));
-        let rate = drill.load * f64::from(CORES) * drill.servers as f64 / WORK.as_secs_f64();
+        let rate = drill.load * f64::from(CORES) * drill.servers as f64 / RUN_WORK.as_secs_f64();
         let start = |n: usize| {
-            let habit = Habit::thrift(rate / CLIENTS as f64, TRIES, true);
+            let habit = Habit::thrift(rate / CLIENTS as f64, MAX_ATTEMPTS, true);
             let servers = Box::new(Arc::clone(&list));
             Proxy::start_with(n as u64 + 1, drill.seed * 100 + n as u64, habit, servers, &HashMap::new(), 4)
         };
@@ -36,9 +37,9 @@
         Ok(Self { list, proxies })
     }
 
-    /// Takes the list of who is ready.
+    /// Updates the server list with the servers that are ready; keeps the old list if none is.
     pub fn update(&self, fleet: &Fleet) {
-        let ready = fleet.control.roster().ready(Instant::now(), LATE);
+        let ready = fleet.control.roster().ready(Instant::now(), LIST_DELAY);
         let all: Vec<SocketAddr> =
             fleet.nodes.iter().filter(|node| ready.contains(&node.name)).map(|node| node.address).collect();
         if !all.is_empty() {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Stops them, and gives what each counted.
+    /// Stops all clients and returns their records.
     pub fn stop(self) -> Vec<Books> {
         let stops: Vec<_> =
             self.proxies.into_iter().map(|proxy| thread::spawn(move || proxy.stop())).collect();
--- a/crates/testkit/src/drill/release/faults.rs
+++ b/crates/testkit/src/drill/release/faults.rs
@@ -1,65 +1,67 @@
-//! Faults that are drawn from the seed while a release goes: one at a time, on one server.
+//! Faults drawn from the seed while a release is in progress: one at a time, on one server.
 
 use super::session::Session;
 use crate::registry::server::unix_ms;
 use std::io;
 use std::time::{Duration, Instant};
 
-/// What a server that a fault took was asked is owed no answer until so long after the fault.
-const RECOVERS_MS: u64 = 4_000;
+/// Time after a fault for which requests to the affected server are still owed no answer.
+const RECOVERY_MS: u64 = 4_000;
 
-/// A fault that is drawn while a release goes.
+/// A fault injected during a release.
 #[derive(Debug, Clone, Copy)]
 pub enum Fault {
-    /// Its process is killed.
+    /// The server process is killed and not restarted for a while.
     Kill,
-    /// Its process is stopped for a while.
+    /// The server process is stopped for a while.
     Stop,
-    /// Its network is cut.
+    /// The server is cut off from its peers.
     Cut,
 }
 
-/// Faults of a run so far, and the next one.
+/// The faults of a drill so far, and the time of the next one.
 #[derive(Debug)]
 pub struct Faults {
-    /// When the next one begins.
+    /// Start of the next fault.
     pub next: Instant,
-    /// The one that is on, which server has it, and when it ends.
+    /// The active fault, its server and its end.
     pub current: Option<(Fault, usize, Instant)>,
-    /// Servers that a fault took, from when until when, in Unix milliseconds: what they were asked then is owed nothing.
-    pub hurt: Vec<Hurt>,
+    /// Outages that faults caused; requests to a server during its outage are owed no answer.
+    pub outages: Vec<ServerOutage>,
 }
 
-/// A server that a fault took.
+/// An outage of a server caused by a fault.
 #[derive(Debug, Clone, Copy)]
-pub struct Hurt {
-    /// Which.
+pub struct ServerOutage {
+    /// Index of the server in the fleet.
     pub server: usize,
-    /// From when, in Unix milliseconds.
+    /// Start, in Unix milliseconds.
     pub from_ms: u64,
-    /// Until when.
+    /// End including recovery, in Unix milliseconds.
     pub to_ms: u64,
 }
 
 impl Faults {
-    /// None yet, and none for the time being.
+    /// No faults so far, and none until `next` is set.
     pub fn none(now: Instant) -> Self {
-        Self { next: now + Duration::from_secs(3_600), current: None, hurt: Vec::new() }
+        Self { next: now + Duration::from_secs(3_600), current: None, outages: Vec::new() }
     }
 
-    /// No further ones.
+    /// Starts no further faults; an active one still ends.
     pub fn pause(&mut self) {
         self.next = Instant::now() + Duration::from_secs(3_600);
     }
 
-    /// Whether a server that was asked from one moment to another was taken by a fault meanwhile.
-    pub fn took(&self, server: usize, from_ms: u64, to_ms: u64) -> bool {
-        self.hurt.iter().any(|hurt| hurt.server == server && to_ms >= hurt.from_ms && from_ms <= hurt.to_ms)
+    /// Whether an outage of the server overlaps a period, in Unix milliseconds.
+    pub fn caused_outage(&self, server: usize, from_ms: u64, to_ms: u64) -> bool {
+        self.outages
+            .iter()
+            .any(|outage| outage.server == server && to_ms >= outage.from_ms && from_ms <= outage.to_ms)
     }
 }
 
 impl Session<'_> {
-    /// Ends the fault that is over, and begins another now and then.
+    /// Ends the active fault when it is over, and starts the next one when it is due.
     pub(super) fn advance_faults(&mut self) -> io::Result<()> {
         let now = Instant::now();
         if let Some((fault, n, over)) = self.faults.current {
@@ -69,8 +71,8 @@
                     Fault::Stop => self.fleet.nodes[n].go_on(),
                     Fault::Cut => self.net.heal(),
                 }
-                if let Some(hurt) = self.faults.hurt.last_mut() {
-                    hurt.to_ms = unix_ms() + RECOVERS_MS;
+                if let Some(outage) = self.faults.outages.last_mut() {
+                    outage.to_ms = unix_ms() + RECOVERY_MS;
                 }
                 self.faults.current = None;
                 self.faults.next = now + Duration::from_millis(1_500 + self.draw(3_000));
@@ -82,7 +84,7 @@
         }
         let n = self.draw(self.drill.servers as u64) as usize;
         let fault = [Fault::Kill, Fault::Stop, Fault::Cut][self.draw(3) as usize];
-        let lasts = Duration::from_millis(500 + self.draw(2_500));
+        let duration = Duration::from_millis(500 + self.draw(2_500));
         match fault {
             Fault::Kill => {
                 self.supervisor.held[n] = true;
@@ -91,11 +93,11 @@
             Fault::Stop => self.fleet.nodes[n].pause(),
             Fault::Cut => self.net.cut(&[n], true),
         }
-        println!("  n{n}: {fault:?} for {:.1} s", lasts.as_secs_f64());
+        println!("  n{n}: {fault:?} for {:.1} s", duration.as_secs_f64());
         if !matches!(fault, Fault::Cut) {
-            self.faults.hurt.push(Hurt { server: n, from_ms: unix_ms(), to_ms: u64::MAX });
+            self.faults.outages.push(ServerOutage { server: n, from_ms: unix_ms(), to_ms: u64::MAX });
         }
-        self.faults.current = Some((fault, n, now + lasts));
+        self.faults.current = Some((fault, n, now + duration));
         Ok(())
     }
 }
--- a/crates/testkit/src/drill/release/founding/tests.rs
+++ b/crates/testkit/src/drill/release/founding/tests.rs
@@ -1,30 +1,30 @@
-//! Answers of the founding that are lost, late or refused, without servers.
+//! Responses to the founding call, without servers.
 
 use super::*;
 
 #[test]
-fn a_lost_answer_is_asked_for_again_and_the_same_success_is_taken() {
+fn lost_or_rejected_responses_are_retried_until_the_founding_succeeds() {
     let mut answers = Answers::default();
     let refused = |text: &str| Some((409, text.to_string()));
-    assert!(!answers.take(None));
-    assert!(!answers.take(refused("n1 isn't heard")));
-    assert!(!answers.take(Some((503, "the server did not answer in time".into()))));
-    assert!(!answers.take(None));
-    assert!(answers.take(Some((200, "a council of n0, n1, n2 is founded".into()))));
+    assert!(!answers.record(None));
+    assert!(!answers.record(refused("n1 isn't heard")));
+    assert!(!answers.record(Some((503, "the server did not answer in time".into()))));
+    assert!(!answers.record(None));
+    assert!(answers.record(Some((200, "a council of n0, n1, n2 is founded".into()))));
 }
 
 #[test]
-fn a_failure_tells_each_answer_and_how_often_it_came() {
+fn failure_summary_counts_each_distinct_response() {
     let mut answers = Answers::default();
     for _ in 0..3 {
-        assert!(!answers.take(Some((409, "n1 belongs to another group".into()))));
+        assert!(!answers.record(Some((409, "n1 belongs to another group".into()))));
     }
-    answers.take(None);
+    answers.record(None);
     assert_eq!(answers.summary(), "3 x '409: n1 belongs to another group', 1 x 'no answer'");
 }
 
 #[test]
-fn a_failure_shows_the_latest_lines_that_tell_of_it() {
+fn excerpt_shows_the_latest_log_lines_about_the_founding() {
     let mut log = "INFO listens on 127.0.0.1:1\n".to_string();
     (0..20).for_each(|n| log.push_str(&format!("INFO council: line {n}\nINFO another thing\n")));
     let lines = excerpt("n0", &log);
--- a/crates/testkit/src/drill/release/mod.rs
+++ b/crates/testkit/src/drill/release/mod.rs
@@ -1,6 +1,6 @@
-//! Real daemons that agree on who may be out: each is replaced under load, by a release and by a bad one that is to stop and go
-//! back, with faults drawn between them. How many are out is counted by those who see it: the list of the stand-in control
-//! plane and the stand-in supervisor.
+//! Rollouts in a real fleet under load: a good release, and a bad one that must stop and roll back, with faults drawn
+//! in between. The fleet limits how many servers are out at a time; the drill counts them independently by the list
+//! of the stand-in control plane and by the stand-in supervisor.
 
 mod claims;
 mod clients;
@@ -32,62 +32,66 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// What a run takes of a core, and cores of a processor.
-const WORK: Duration = Duration::from_millis(20);
+/// CPU time of a run, and cores of each processor.
+const RUN_WORK: Duration = Duration::from_millis(20);
 const CORES: u32 = 1;
-/// From SIGTERM to the kill.
-const STOP: Duration = Duration::from_millis(900);
-/// What a step takes by the plan: the stop, a start, steady as the council and as the plan say, and the looks between.
-const STEP: Duration = Duration::from_millis(900 + 500 + 1_000 + 1_200);
-/// Between the leader's eye on the first server with the bad version and the halt.
-const SEEN: Duration = Duration::from_secs(10);
-/// Service with a release beside the same load without one.
-const KEEPS: f64 = 0.97;
-/// A release that nothing disturbs takes at most so many times what its parts take.
-const LONGER: f64 = 1.3;
+/// Time from SIGTERM to the kill.
+const STOP_TIMEOUT: Duration = Duration::from_millis(900);
+/// Planned duration of a rollout step: stop, start, the stable periods of the consensus group and of the plan, and
+/// the polls in between.
+const STEP_DURATION: Duration = Duration::from_millis(900 + 500 + 1_000 + 1_200);
+/// Maximum time from the first server with the bad version to the halt.
+const REGRESSION_DETECTION_TIME: Duration = Duration::from_secs(10);
+/// Minimum service during a release, relative to the same load without one.
+const MIN_SERVICE_RATIO: f64 = 0.97;
+/// Maximum duration of an undisturbed release, relative to the sum of its steps.
+const OVERRUN_LIMIT: f64 = 1.3;
 
-/// Past this the machine was too late for claims on times. Between two trials on a busy machine: with beats late by 0.10 ms in the
-/// mean, 24 ms at the most and 6.4% of the time waited all went as planned; with 0.85 ms, 255 ms and 19.9% a sound release was
-/// undone for a class that was served late.
-const IN_TIME: Bounds =
+/// Bounds on the machine's scheduling lag; past them, timed claims are not scored. They lie between two runs on a
+/// busy machine: with beats late by 0.10 ms on average and 24 ms at most, and 6.4% of the time spent waiting, all
+/// went as planned; with 0.85 ms, 255 ms and 19.9%, a good release was rolled back because a class was served late.
+const LAG_BOUNDS: Bounds =
     Bounds { mean_beat: Duration::from_micros(500), latest_beat: Duration::from_millis(150), starved: 0.12 };
 
-/// What is drilled.
+/// Parameters of a drill.
 #[derive(Debug, Clone)]
 pub struct Drill {
-    /// The daemon's program.
+    /// Path of the daemon's executable.
     pub daemon: PathBuf,
-    /// For everything that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Servers, in three zones; three of them are voters.
+    /// Number of servers, in three zones; three of them are voters.
     pub servers: usize,
-    /// Whether faults are drawn between them.
+    /// Whether faults are injected during the good release.
     pub faults: bool,
-    /// Without limits on what may be out. Must fail.
+    /// Runs the fleet without limits on servers that are out. The drill must fail then.
     pub plain: bool,
-    /// Whether claims are made that hang on the machine's speed: how long a release takes, how soon a bad one is stopped, and service.
+    /// Whether claims that depend on the machine's speed are made: the duration of a release, the time to stop a bad
+    /// one, and service.
     pub timed: bool,
-    /// The part of all cores that is asked for.
+    /// Offered load, as a fraction of the capacity of all cores.
     pub load: f64,
-    /// Seconds of load without a release, to hold the others against.
+    /// Seconds of load without a release, for comparison.
     pub quiet_s: u64,
 }
 
 impl Drill {
-    fn most(&self) -> (u32, u32) {
+    fn max_out(&self) -> (u32, u32) {
         if self.servers >= 9 { (2, 1) } else { (1, 1) }
     }
 }
 
-/// A plan of one server first, then shares. After the first server of what is bad it is looked for as long as it may take to see.
+/// Plans a batch of one server, then of half and of all. After the first server with the bad version the pause is as
+/// long as its detection may take.
 fn plan(version: &str) -> RolloutPlan {
-    let looks = if version == NO_SAVES { SEEN.as_millis() as u64 } else { 3_000 };
-    let waves = [(0.0, looks), (0.5, 1_000), (1.0, 0)].map(|(share, pause_ms)| Batch { share, pause_ms });
+    let pause_ms = if version == NO_SAVES { REGRESSION_DETECTION_TIME.as_millis() as u64 } else { 3_000 };
+    let batches =
+        [(0.0, pause_ms), (0.5, 1_000), (1.0, 0)].map(|(share, pause_ms)| Batch { share, pause_ms });
     RolloutPlan {
         name: format!("to {version}"),
         kind: ReleaseKind::Program,
         version: version.into(),
-        batches: waves.into(),
+        batches: batches.into(),
         zone_by_zone: false,
         ready_timeout_ms: 15_000,
         stabilization_ms: 1_000,
@@ -102,30 +106,30 @@
     for signal in [SIGINT, SIGTERM] {
         signal_hook::flag::register(signal, Arc::clone(&stop))?;
     }
-    let (most, zone) = drill.most();
+    let (max_out, max_zone_out) = drill.max_out();
     println!(
-        "seed {}, {} servers in 3 zones, {most} may be out, {zone} of a zone{}",
+        "seed {}, {} servers in 3 zones, {max_out} may be out, {max_zone_out} of a zone{}",
         drill.seed,
         drill.servers,
         if drill.plain { ", and nothing holds them to it" } else { "" }
     );
     let folder = fleet::folder(if drill.plain { "drill-release-plain" } else { "drill-release" })?;
     let mut session = set_up(drill, &folder, &stop)?;
-    let played = scenario::play(&mut session);
+    let observed = scenario::run(&mut session);
     let lag = session.lag.lag();
     println!("  the machine: {}", lag.summary());
     // Claims that don't rest on times are made of every run.
-    let late = if drill.timed { lag.past(&IN_TIME) } else { None };
+    let late = if drill.timed { lag.past(&LAG_BOUNDS) } else { None };
     let mut claims = Claims::on_machine(late);
-    match &played {
-        Ok(seen) => claims::claim(&mut claims, &session, seen),
+    match &observed {
+        Ok(observations) => claims::claim(&mut claims, &session, observations),
         Err(why) => claims.timed(false, "it could be played", why),
     }
     let cut_short = stop.load(Ordering::Relaxed);
     drop(session);
     fleet::remove(&folder);
     if cut_short {
-        println!("ended before its time");
+        println!("stopped before its end");
         return Ok(Verdict::NotKept);
     }
     Ok(claims.verdict())
@@ -158,18 +162,18 @@
 }
 
 fn spec(drill: &Drill, folder: &Path, listen: Vec<SocketAddr>, net: &Net, ledger: &Ledger) -> FleetSpec {
-    let (most, zone) = drill.most();
+    let (most, zone) = drill.max_out();
     FleetSpec {
         daemon: drill.daemon.clone(),
         servers: drill.servers,
         processor: Spec {
-            classes: classes().into_iter().map(|class| (class.name, WORK)).collect(),
+            classes: classes().into_iter().map(|class| (class.name, RUN_WORK)).collect(),
             cores: CORES,
             seed: drill.seed,
             ..Spec::default()
         },
         scale: 4,
-        stop: STOP,
+        stop: STOP_TIMEOUT,
         store: true,
         peers: Some(PeersSpec {
             listen,
--- a/crates/testkit/src/drill/release/scenario.rs
+++ b/crates/testkit/src/drill/release/scenario.rs
@@ -1,119 +1,120 @@
-//! What the drill plays, in its order: load by itself, a sound release, a bad one that is to stop and go back. Gives what was
-//! seen; [`super::claims`] judges it.
+//! The course of the drill: load alone, a good release, then a bad one that must stop and roll back. Returns the
+//! observations, which [`super::claims`] judges.
 
 use super::clients::Clients;
 use super::session::Session;
-use super::{SEEN, STEP};
+use super::{REGRESSION_DETECTION_TIME, STEP_DURATION};
 use crate::load::Books;
 use crate::registry::server::unix_ms;
 use crate::rig::supervisor::NO_SAVES;
 use std::io;
 use std::time::{Duration, Instant};
 
-/// What was seen of the sound release.
+/// Observations of the good release.
 #[derive(Debug)]
-pub struct Sound {
-    /// Unix time in ms at which it was started, and at which all had it.
+pub struct GoodRelease {
+    /// Unix time in ms at which it was started.
     pub begin_ms: u64,
-    /// See `begin_ms`.
+    /// Unix time in ms at which all servers had it.
     pub done_ms: u64,
-    /// From the one to the other.
+    /// Time from the start until all servers had it.
     pub took: Duration,
-    /// Whether it came to its end, and all servers had it.
-    pub through: bool,
-    /// Whether all had the earlier version before.
+    /// Whether it completed and all servers had it.
+    pub completed: bool,
+    /// Whether all servers ran the earlier version before.
     pub had_v1: bool,
 }
 
-/// What was seen of the bad release.
+/// Observations of the bad release.
 #[derive(Debug)]
-pub struct Bad {
+pub struct BadRelease {
     /// Unix time in ms at which it was started.
     pub begin_ms: u64,
-    /// Whether a first server came to have it, and whether the release stopped then.
-    pub first: bool,
-    /// See `first`.
+    /// Whether any server ran it.
+    pub started_first: bool,
+    /// Whether the release stopped after that.
     pub stopped: bool,
-    /// From the first server to the stop.
+    /// Time from the first server to the stop.
     pub halted_after: Duration,
-    /// The state of the release when it stopped.
+    /// State of the release when it stopped.
     pub why: String,
-    /// Whether it was gone everywhere in the end, and the state then.
-    pub gone: bool,
-    /// See `gone`.
+    /// Whether it was rolled back on all servers.
+    pub rolled_back: bool,
+    /// State of the release at the end.
     pub last_state: String,
-    /// How many servers had it.
+    /// Number of servers that ran it.
     pub servers: usize,
 }
 
-/// What was seen of all of it.
+/// All observations of the drill.
 #[derive(Debug)]
 pub struct Observed {
     /// Unix time in ms at which the load began.
     pub loaded_ms: u64,
-    /// The two releases.
-    pub sound: Sound,
-    /// See `sound`.
-    pub bad: Bad,
-    /// What the clients counted.
-    pub books: Vec<Books>,
+    /// Observations of the good release.
+    pub good: GoodRelease,
+    /// Observations of the bad release.
+    pub bad: BadRelease,
+    /// Records of the clients.
+    pub clients: Vec<Books>,
 }
 
-/// Plays all of it.
-pub fn play(session: &mut Session<'_>) -> io::Result<Observed> {
-    session.found()?;
+/// Runs the whole scenario.
+pub fn run(session: &mut Session<'_>) -> io::Result<Observed> {
+    session.found_group()?;
     session.clients = Some(Clients::start(session.drill, &session.fleet)?);
     let loaded_ms = unix_ms();
     session.until(Duration::from_secs(session.drill.quiet_s), |_| false)?;
-    let sound = sound(session)?;
+    let good = good_release(session)?;
     session.until(Duration::from_secs(2), |_| false)?;
-    let bad = bad(session)?;
+    let bad = bad_release(session)?;
     session.until(Duration::from_secs(2), |_| false)?;
-    let books = session.clients.take().map(Clients::stop).unwrap_or_default();
+    let clients = session.clients.take().map(Clients::stop).unwrap_or_default();
     session.fleet.collect();
-    Ok(Observed { loaded_ms, sound, bad, books })
+    Ok(Observed { loaded_ms, good, bad, clients })
 }
 
-fn sound(session: &mut Session<'_>) -> io::Result<Sound> {
+fn good_release(session: &mut Session<'_>) -> io::Result<GoodRelease> {
     let drill = session.drill;
     let (begin, begin_ms) = (Instant::now(), unix_ms());
     let had_v1 = session.fleet.nodes.iter().all(|node| node.version == "v1");
     session.faults.next = Instant::now() + Duration::from_secs(2);
     let started = session.start("v2")?;
     println!("  the release of v2: {started:?}");
-    let patience =
-        STEP * (2 * drill.servers as u32) + Duration::from_secs(if drill.faults { 90 } else { 30 });
-    let through = session.through("v2", patience)?;
+    let timeout =
+        STEP_DURATION * (2 * drill.servers as u32) + Duration::from_secs(if drill.faults { 90 } else { 30 });
+    let completed = session.complete_release("v2", timeout)?;
     session.faults.pause();
-    let whole = session
+    let all_have = session
         .until(Duration::from_secs(15), |session| session.supervisor.all_have(&session.fleet, Some("v2")))?;
     let (took, done_ms) = (begin.elapsed(), unix_ms());
-    Ok(Sound { begin_ms, done_ms, took, through: through && whole, had_v1 })
+    Ok(GoodRelease { begin_ms, done_ms, took, completed: completed && all_have, had_v1 })
 }
 
-/// A version that turns saves away: it is to stop and go back by itself.
-fn bad(session: &mut Session<'_>) -> io::Result<Bad> {
+/// Starts a version that rejects saves, which must stop and roll back without an operator.
+fn bad_release(session: &mut Session<'_>) -> io::Result<BadRelease> {
     let began = session.supervisor.began.len();
     let begin_ms = unix_ms();
     let started = session.start(NO_SAVES)?;
     println!("  the release of {NO_SAVES}: {started:?}");
-    let first = session.until(Duration::from_secs(15), |session| {
+    let started_first = session.until(Duration::from_secs(15), |session| {
         session.fleet.nodes.iter().any(|node| node.version == NO_SAVES)
     })?;
-    let seen = Instant::now();
-    let patience = if session.drill.timed { 2 * SEEN } else { 6 * SEEN };
-    let stopped = session.until(patience, |session| {
+    let first_seen = Instant::now();
+    let timeout =
+        if session.drill.timed { 2 * REGRESSION_DETECTION_TIME } else { 6 * REGRESSION_DETECTION_TIME };
+    let stopped = session.until(timeout, |session| {
         let state = session.release_state();
         state.starts_with("going back") || state.starts_with("undone") || state.starts_with("halted")
     })?;
-    let halted_after = seen.elapsed();
+    let halted_after = first_seen.elapsed();
     let why = session.release_state();
-    let gone = session.until(STEP * 4 + Duration::from_secs(10), |session| {
+    let rolled_back = session.until(STEP_DURATION * 4 + Duration::from_secs(10), |session| {
         session.release_state().starts_with("undone")
             && session.supervisor.all_have(&session.fleet, Some("v2"))
     })?;
     let last_state = session.release_state();
     let began = &session.supervisor.began[began..];
     let servers = began.iter().filter(|began| began.version == NO_SAVES).count();
-    Ok(Bad { begin_ms, first, stopped, halted_after, why, gone, last_state, servers })
+    Ok(BadRelease { begin_ms, started_first, stopped, halted_after, why, rolled_back, last_state, servers })
 }
--- a/crates/testkit/src/drill/release/session.rs
+++ b/crates/testkit/src/drill/release/session.rs
@@ -1,4 +1,5 @@
-//! A run under way: the fleet with its relays, supervisor and clients, the time that passes, and the orders that are given.
+//! A drill in progress: the fleet with its relays, supervisor and clients, the passage of time, and operators'
+//! commands.
 
 use super::clients::Clients;
 use super::faults::Faults;
@@ -20,29 +21,30 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What a run is made of.
+/// The parts of a drill in progress.
 pub struct Session<'d> {
     pub(super) drill: &'d Drill,
     pub(super) fleet: Fleet,
     pub(super) net: Net,
-    /// Ends when this does.
+    /// Owned only to keep the ledger running.
     pub(super) _ledger: Ledger,
     pub(super) supervisor: Supervisor,
     pub(super) clients: Option<Clients>,
     pub(super) rng: Pcg64Mcg,
     pub(super) stop: &'d AtomicBool,
     pub(super) faults: Faults,
-    /// How late the machine is.
+    /// Measures the scheduling lag of the machine.
     pub(super) lag: LagMonitor,
-    /// Releases that were started.
+    /// Number of releases started so far.
     pub(super) starts: u32,
 }
 
 impl Session<'_> {
-    /// Lets time pass until something holds; whether it did before the time was up.
+    /// Advances supervisor, clients and faults until `holds` returns true; returns false on timeout or if the drill
+    /// is stopped.
     pub(super) fn until(
         &mut self,
-        patience: Duration,
+        timeout: Duration,
         mut holds: impl FnMut(&mut Self) -> bool,
     ) -> io::Result<bool> {
         let begin = Instant::now();
@@ -50,7 +52,7 @@
             if holds(self) {
                 return Ok(true);
             }
-            if begin.elapsed() > patience {
+            if begin.elapsed() > timeout {
                 return Ok(false);
             }
             self.supervisor.look(&mut self.fleet)?;
@@ -64,8 +66,8 @@
         Ok(false)
     }
 
-    pub(super) fn draw(&mut self, most: u64) -> u64 {
-        self.rng.next_u64() % most
+    pub(super) fn draw(&mut self, bound: u64) -> u64 {
+        self.rng.next_u64() % bound
     }
 
     fn watch_processes(&self) {
@@ -76,7 +78,7 @@
 
     pub(super) fn status(&self) -> Option<Value> {
         let order = (0..self.drill.servers).map(|n| self.fleet.nodes[n].admin());
-        let all = order.filter_map(|door| ask(door, "/fleet/status"));
+        let all = order.filter_map(|admin| ask(admin, "/fleet/status"));
         all.filter(|status| status["index"].is_u64()).max_by_key(|status| status["index"].as_u64())
     }
 
@@ -85,19 +87,19 @@
         status["release"]["state"].as_str().unwrap_or_default().to_string()
     }
 
-    /// Gives an order at some door until one takes it, and waits for what came of it.
+    /// Sends a command to the servers in turn until one accepts it, and waits for the outcome.
     fn order(&mut self, order: &OperatorCommand) -> io::Result<Result<String, String>> {
         let text = serde_json::to_string(order).map_err(io::Error::other)?;
-        let mut last = Err("no door took it".to_string());
+        let mut last = Err("no server accepted the command".to_string());
         for n in (0..self.drill.servers).cycle().take(2 * self.drill.servers) {
-            let door = self.fleet.nodes[n].admin();
-            let Some((202, ticket)) = call(door, "POST", "/fleet/order", &text) else {
+            let admin = self.fleet.nodes[n].admin();
+            let Some((202, ticket)) = call(admin, "POST", "/fleet/order", &text) else {
                 self.until(Duration::from_millis(50), |_| false)?;
                 continue;
             };
             let mut answer = None;
             self.until(Duration::from_secs(10), |_| {
-                answer = call(door, "GET", &format!("/fleet/order?ticket={ticket}"), "")
+                answer = call(admin, "GET", &format!("/fleet/order?ticket={ticket}"), "")
                     .filter(|(s, _)| *s != 202);
                 answer.is_some()
             })?;
@@ -110,7 +112,7 @@
         Ok(last)
     }
 
-    /// Starts a release; each under a name of its own.
+    /// Starts a release under a unique name.
     pub(super) fn start(&mut self, version: &str) -> io::Result<Result<String, String>> {
         self.starts += 1;
         let mut plan = plan(version);
@@ -118,10 +120,10 @@
         self.order(&OperatorCommand::StartRollout { plan: Box::new(plan), operator: Arc::from("the drill") })
     }
 
-    /// Sees a release through to its end; one that stood still for a fault is resumed, one that went back is started again.
-    pub(super) fn through(&mut self, version: &str, patience: Duration) -> io::Result<bool> {
+    /// Drives a release to its end: resumes it when a fault halted it, and starts it again when it was rolled back.
+    pub(super) fn complete_release(&mut self, version: &str, timeout: Duration) -> io::Result<bool> {
         let begin = Instant::now();
-        while begin.elapsed() < patience && !self.stop.load(Ordering::Relaxed) {
+        while begin.elapsed() < timeout && !self.stop.load(Ordering::Relaxed) {
             let version = version.to_string();
             self.until(Duration::from_secs(2), |session| session.release_state() == "done")?;
             let status = self.status().unwrap_or_default();
--- a/crates/testkit/src/drill/scgi.rs
+++ b/crates/testkit/src/drill/scgi.rs
@@ -1,4 +1,5 @@
-//! Mixed traffic past capacity: do both fronts get equal service for their worth, and does Thrift lose by SCGI's company?
+//! Mixed Thrift and SCGI traffic beyond capacity. Checks that both frontends get equal service per unit of priority
+//! weight, and that Thrift clients are served no worse than without SCGI.
 
 use super::Claims;
 use crate::fleet::{self, Fleet, FleetSpec};
@@ -11,43 +12,43 @@
 use std::thread;
 use std::time::Duration;
 
-/// Worth of the classes, in the order of [`classes`], and the part that a late answer earns.
-const WORTH: [(f64, f64); 4] = [(1.0, 0.0), (1.0, 0.0), (2.0, 0.0), (4.0, 0.2)];
-/// The mean work of a run, on cores of speed 1.
+/// Priority weights of the classes in the order of [`classes`], and the fraction of it that a late answer earns.
+const CLASS_WEIGHTS: [(f64, f64); 4] = [(1.0, 0.0), (1.0, 0.0), (2.0, 0.0), (4.0, 0.2)];
+/// Mean work of a run in milliseconds, on cores of speed 1.
 const WORK_MS: u64 = 40;
-/// The part of the saves that comes a second time, over the other front.
-const REPEATED: f64 = 0.5;
-/// Servers in each fleet, and proxies.
+/// Fraction of the saves that is repeated over the other frontend.
+const REPEATED_SHARE: f64 = 0.5;
+/// Number of servers per fleet, and of proxies.
 const SERVERS: usize = 2;
 const PROXIES: usize = 3;
 
-/// What is drilled.
+/// Parameters of a drill.
 #[derive(Debug, Clone)]
 pub struct Drill {
-    /// The daemon's program.
+    /// Path of the daemon's executable.
     pub daemon: PathBuf,
-    /// The first seed; each run has the next.
+    /// Seed of the first run; each further run uses the next one.
     pub seed: u64,
-    /// Runs.
+    /// Number of runs.
     pub runs: usize,
-    /// Seconds of each.
+    /// Duration of each run, in seconds.
     pub seconds: u64,
-    /// Load as a part of what the cores can do.
+    /// Offered load, as a fraction of the capacity of the cores.
     pub load: f64,
-    /// Whether the repeats of a save don't share its token.
+    /// Whether the repeats of a save use another token.
     pub plain: bool,
 }
 
-/// What one run came to.
+/// Observations of one run.
 #[derive(Debug, Default)]
 struct Run {
-    books: Vec<Books>,
-    /// Runs of label-save by their request, for each server.
+    clients: Vec<Books>,
+    /// Number of runs of label-save by server and request body.
     saves: HashMap<(SocketAddr, Vec<u8>), usize>,
     began: usize,
 }
 
-/// Plays it, prints the claims, and says whether all are kept.
+/// Runs the drill, prints the claims and returns whether all are kept.
 pub fn run(drill: &Drill) -> io::Result<bool> {
     let folder = fleet::folder("drill-scgi")?;
     println!(
@@ -59,23 +60,24 @@
     );
     let mut claims = Claims::default();
     let (mut mixed, mut alone) = (Vec::new(), Vec::new());
-    // One after another: two at a time would share this machine's cores unevenly.
+    // Runs follow one another: in parallel they would share this machine's cores unevenly.
     for n in 0..drill.runs {
         let seed = drill.seed + n as u64;
-        mixed.push(play(drill, seed, 0.5, folder.join(format!("mixed{n}")))?);
-        alone.push(play(drill, seed, 0.0, folder.join(format!("alone{n}")))?);
+        mixed.push(run_traffic(drill, seed, 0.5, folder.join(format!("mixed{n}")))?);
+        alone.push(run_traffic(drill, seed, 0.0, folder.join(format!("alone{n}")))?);
     }
     let share = |runs: &[Run], scgi: Option<bool>| {
-        let (mut got, mut asked) = (0.0, 0.0);
-        for one in runs.iter().flat_map(|run| &run.books).flat_map(|books| &books.requests) {
+        let (mut earned, mut offered) = (0.0, 0.0);
+        for one in runs.iter().flat_map(|run| &run.clients).flat_map(|client| &client.requests) {
             if scgi.is_none_or(|scgi| scgi == one.scgi) {
                 let ((priority_weight, late), aim) =
-                    (WORTH[one.class], classes()[one.class].aim.as_millis() as u64);
-                asked += priority_weight;
-                got += priority_weight * one.took_ms.map_or(0.0, |took| if took <= aim { 1.0 } else { late });
+                    (CLASS_WEIGHTS[one.class], classes()[one.class].aim.as_millis() as u64);
+                offered += priority_weight;
+                earned +=
+                    priority_weight * one.took_ms.map_or(0.0, |took| if took <= aim { 1.0 } else { late });
             }
         }
-        100.0 * got / f64::max(asked, 1e-9)
+        100.0 * earned / f64::max(offered, 1e-9)
     };
     let (thrift, scgi) = (share(&mixed, Some(false)), share(&mixed, Some(true)));
     let without = share(&alone, None);
@@ -96,7 +98,8 @@
         "label-save run twice at a server",
         format!("{twice} of {saves} runs"),
     );
-    let tries: Vec<&Try> = mixed.iter().flat_map(|run| &run.books).flat_map(|books| &books.tries).collect();
+    let tries: Vec<&Try> =
+        mixed.iter().flat_map(|run| &run.clients).flat_map(|client| &client.tries).collect();
     let silent =
         tries.iter().filter(|t| matches!(t.end, End::Lost | End::TimedOut | End::NoConnection)).count();
     let false_answers = tries.iter().filter(|t| t.end == End::Served && !t.genuine).count();
@@ -113,7 +116,7 @@
     Ok(claims.all_kept())
 }
 
-fn play(drill: &Drill, seed: u64, scgi_share: f64, folder: PathBuf) -> io::Result<Run> {
+fn run_traffic(drill: &Drill, seed: u64, scgi_share: f64, folder: PathBuf) -> io::Result<Run> {
     std::fs::create_dir_all(&folder)?;
     let work = classes().into_iter().map(|class| (class.name, Duration::from_millis(WORK_MS))).collect();
     let spec = FleetSpec {
@@ -129,8 +132,8 @@
     let all: Vec<SocketAddr> = fleet.nodes.iter().map(|node| node.address).collect();
     let capacity = SERVERS as f64 * f64::from(spec.processor.cores) * 1e3 / WORK_MS as f64;
     let mut proxies = Vec::new();
-    // Half of the saves come a second time over the other front, before, while or after the first runs.
-    let share = if scgi_share > 0.0 { REPEATED } else { 0.0 };
+    // Half of the saves are repeated over the other frontend before, during or after the first run.
+    let share = if scgi_share > 0.0 { REPEATED_SHARE } else { 0.0 };
     let repeats = Repeats { share, within_ms: 600, strangers: drill.plain };
     for n in 0..PROXIES {
         let rate = drill.load * capacity / PROXIES as f64;
@@ -139,7 +142,7 @@
         proxies.push(Proxy::start(n as u64 + 1, 100 * seed + n as u64, habit, Box::new(list))?);
     }
     thread::sleep(Duration::from_secs(drill.seconds));
-    let mut run = Run { books: proxies.into_iter().map(Proxy::stop).collect(), ..Run::default() };
+    let mut run = Run { clients: proxies.into_iter().map(Proxy::stop).collect(), ..Run::default() };
     fleet.drain();
     for node in &mut fleet.nodes {
         run.began += node.begun.len();
--- a/crates/testkit/src/drill/shared.rs
+++ b/crates/testkit/src/drill/shared.rs
@@ -1,5 +1,6 @@
-//! Real daemons that share the ledger's slots, and faults between them: do calls keep to the bound by the ledger's own count,
-//! does each go by a slot of its own or one that was lent and isn't over, and do all agree again who is there?
+//! Real daemons that share the ledger's slots, with faults between them. Checks that the calls under way stay within
+//! the bound by the ledger's own count, that each call uses a slot of its server or one with a valid lease, and that
+//! all servers agree on the membership again.
 
 use super::Claims;
 use crate::fleet;
@@ -13,39 +14,43 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
-/// Slots of each server; the load leans so that some need more and some less.
-const SHARE: f64 = 3.0;
+/// Slots per server. The load is skewed, so that some servers need more slots and some fewer.
+const SLOTS_PER_SERVER: f64 = 3.0;
 const LOAD: f64 = 0.85;
-const LEAN: f64 = 4.0;
-/// How far the clocks of one machine are apart in their rate: nothing to speak of, but the settings allow so much.
-const DRIFT: f64 = 0.01;
-/// A server is well after so long, and nobody may hold it dead for so long then.
-const SETTLED_US: u64 = 5_000_000;
-const WRONG_US: u64 = 10_000_000;
-/// After the last fault all agree within this.
-const AGREE_US: u64 = 5_000_000;
+const LOAD_SKEW: f64 = 4.0;
+/// Permitted relative clock drift in the settings; clocks on one machine have practically none.
+const MAX_CLOCK_DRIFT: f64 = 0.01;
+/// Time after which a running server counts as stable, and the maximum time for which a stable server may be
+/// considered dead.
+const SETTLING_TIME_US: u64 = 5_000_000;
+const MAX_WRONGLY_DEAD_US: u64 = 10_000_000;
+/// Time after the last fault until all servers must agree.
+const AGREEMENT_TIME_US: u64 = 5_000_000;
 
-/// What is drilled.
+/// Parameters of a drill.
 #[derive(Debug, Clone)]
 pub struct Drill {
-    /// The daemon's program.
+    /// Path of the daemon's executable.
     pub daemon: PathBuf,
-    /// For everything that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Servers.
+    /// Number of servers.
     pub servers: usize,
-    /// How long.
+    /// Duration of the load, in seconds.
     pub seconds: u64,
-    /// Leases without their rules of time. Must fail.
+    /// Runs leases without their time rules. The drill must fail then.
     pub plain: bool,
-    /// Where the history goes, if it is wanted.
+    /// File to write the history to, if wanted.
     pub history: Option<PathBuf>,
 }
 
-/// Plays it, prints the claims, and says whether all are kept.
+/// Runs the drill, prints the claims and returns whether all are kept.
 pub fn run(drill: &Drill) -> io::Result<bool> {
     let schedule = Schedule::draw(drill.seed, drill.servers, drill.seconds * 1_000);
-    println!("seed {}, {} servers with {SHARE} slots each, {} s:", drill.seed, drill.servers, drill.seconds);
+    println!(
+        "seed {}, {} servers with {SLOTS_PER_SERVER} slots each, {} s:",
+        drill.seed, drill.servers, drill.seconds
+    );
     schedule.print();
     let stop = Arc::<AtomicBool>::default();
     for signal in [SIGINT, SIGTERM] {
@@ -56,11 +61,11 @@
         seed: drill.seed,
         servers: drill.servers,
         length: Duration::from_secs(drill.seconds),
-        share: SHARE,
+        share: SLOTS_PER_SERVER,
         lends: true,
         plain: drill.plain,
         load: LOAD,
-        lean: LEAN,
+        lean: LOAD_SKEW,
         schedule,
     };
     let folder = fleet::folder(if drill.plain { "drill-shared-plain" } else { "drill-shared" })?;
@@ -73,14 +78,14 @@
     let mut claims = Claims::default();
     claim(&mut claims, &plan, &played);
     if played.cut_short {
-        println!("ended before its time: the claims are of what was played");
+        println!("stopped before its end: the claims cover what was run");
     }
     Ok(claims.all_kept() && !played.cut_short)
 }
 
-/// The claims of what was played.
+/// Makes the claims from the recorded history.
 pub fn claim(claims: &mut Claims, plan: &Plan, played: &Played) {
-    let calls = history::calls(&played.history, played.bound, plan.share, DRIFT);
+    let calls = history::calls(&played.history, played.bound, plan.share, MAX_CLOCK_DRIFT);
     claims.claim(
         calls.over_bound.is_empty() && calls.count > 0,
         "calls under way never past the bound, by the ledger's own count",
@@ -89,26 +94,27 @@
             calls.most,
             played.bound,
             calls.count,
-            first(&calls.over_bound)
+            first_violation(&calls.over_bound)
         ),
     );
     claims.claim(
         calls.without_slot.is_empty() && calls.borrowed > 0,
         "no call by a lease that was over, and some by one that wasn't",
-        format!("{} past a server's own slots{}", calls.borrowed, first(&calls.without_slot)),
+        format!("{} past a server's own slots{}", calls.borrowed, first_violation(&calls.without_slot)),
     );
-    let wrong = history::wrongly_dead(&played.history, plan.servers, SETTLED_US, WRONG_US);
+    let wrong = history::wrongly_dead(&played.history, plan.servers, SETTLING_TIME_US, MAX_WRONGLY_DEAD_US);
     claims.claim(
         wrong.is_empty(),
         "no server that was there all along held dead for 10 s",
-        format!("{}{}", wrong.len(), first(&wrong)),
+        format!("{}{}", wrong.len(), first_violation(&wrong)),
     );
-    let healed = played.history.iter().filter(|entry| fault(&entry.what)).map(|entry| entry.at_us).max();
-    let apart = history::disagreements(&played.history, healed.unwrap_or(0) + AGREE_US);
+    let last_fault =
+        played.history.iter().filter(|entry| is_fault(&entry.what)).map(|entry| entry.at_us).max();
+    let disagreements = history::disagreements(&played.history, last_fault.unwrap_or(0) + AGREEMENT_TIME_US);
     claims.claim(
-        apart.is_empty(),
+        disagreements.is_empty(),
         "5 s after the last fault all agree who is there",
-        format!("{} disagree{}", apart.len(), first(&apart)),
+        format!("{} disagree{}", disagreements.len(), first_violation(&disagreements)),
     );
     let unanswered = 1_000.0 * played.unanswered as f64 / played.owed.max(1) as f64;
     claims.claim(
@@ -126,13 +132,13 @@
     println!("  served {service:.1}% of {} requests", played.asked);
 }
 
-fn fault(what: &history::What) -> bool {
+fn is_fault(what: &history::What) -> bool {
     use history::What;
     matches!(what, What::Stopped | What::WentOn | What::Killed | What::Started | What::Net(_))
 }
 
-/// The first of what breaks a claim, and how many there are.
-fn first(broken: &[Broken]) -> String {
+/// Describes the first violation of a claim and the number of violations.
+fn first_violation(broken: &[Broken]) -> String {
     match broken.first() {
         None => String::new(),
         Some(one) => format!(
--- a/crates/testkit/src/drill/verdict.rs
+++ b/crates/testkit/src/drill/verdict.rs
@@ -1,37 +1,38 @@
-//! The verdict of a drill: claims that hold whatever the machine does, claims that rest on its speed, and whether it was late.
+//! The verdict of a drill, from claims that hold on any machine, claims that depend on its speed, and whether the
+//! machine was late.
 //!
-//! On a machine that was late past the stated bounds the claims that rest on its speed are neither kept nor not kept, and the run
-//! is not scored. It never counts as kept, also if all claims would have been kept: else a late machine could only turn up
-//! runs that pass. A claim that holds whatever the machine does is judged all the same.
+//! If the machine's scheduling lag exceeded the stated bounds, the claims that depend on its speed are neither kept
+//! nor not kept, and the run is not scored. Such a run never counts as kept, even if all claims held; otherwise a
+//! late machine could only add passing runs. Claims that hold on any machine are judged in any case.
 
 use std::fmt::{self, Display};
 
 #[cfg(test)]
 mod tests;
 
-/// What a drill came to.
+/// The result of a drill.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// All claims are kept.
     Kept,
-    /// One is not.
+    /// At least one claim is not kept.
     NotKept,
-    /// The machine was late, and nothing that it can't excuse is broken.
+    /// The machine was late, and no claim that holds on any machine is broken.
     NotScored,
 }
 
-/// The error that ends the program with a status of its own where a run is not scored.
+/// The error that ends the program with a separate exit status if a run is not scored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("not scored: the machine was late; this run is neither kept nor not kept")]
 pub struct NotScored;
 
 impl NotScored {
-    /// The exit status; 0 is kept, 1 not kept, 2 a call that makes no sense or a rig that could not be set up.
+    /// The exit status of a run that is not scored; 0 is kept, 1 not kept, 2 a usage error or a failed setup.
     pub const EXIT_STATUS: u8 = 3;
 }
 
 impl Verdict {
-    /// Of two runs together: broken if one is, and only kept if both are.
+    /// Combines the verdicts of two runs: not kept if one is not kept, and kept only if both are.
     pub fn and(self, other: Self) -> Self {
         match (self, other) {
             (Self::NotKept, _) | (_, Self::NotKept) => Self::NotKept,
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Whether it is kept, or the error of a run that isn't scored.
+    /// Whether the run is kept, or an error if it is not scored.
     pub fn kept(self) -> Result<bool, NotScored> {
         match self {
             Self::Kept => Ok(true),
@@ -60,25 +61,25 @@
     }
 }
 
-/// What a claim rests on.
+/// Whether a claim depends on the machine's speed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Kind {
-    /// It holds whatever the machine does.
+    /// The claim holds on any machine.
     Always,
-    /// It is about times and rates, which a late machine changes.
+    /// The claim concerns times or rates, which a late machine changes.
     Timed,
 }
 
-/// Claims with their figures, as they are printed.
+/// The claims made so far, which are printed as they are made.
 #[derive(Debug, Default)]
 pub struct Claims {
     lines: Vec<(Kind, bool, String)>,
-    /// By what the machine was late.
+    /// By how much the machine was late, if it exceeded the bounds.
     late: Option<String>,
 }
 
 impl Claims {
-    /// For a run on a machine that was late by this much, if it was past the bounds.
+    /// Claims of a run; `late` says by how much the machine exceeded the bounds on its lag, if it did.
     pub fn on_machine(late: Option<String>) -> Self {
         if let Some(late) = &late {
             println!("not scored: the machine was late by {late}");
@@ -86,12 +87,12 @@
         Self { lines: Vec::new(), late }
     }
 
-    /// A claim that holds whatever the machine does, whether it is kept, and its figure.
+    /// Makes a claim that holds on any machine, with its figure.
     pub fn claim(&mut self, kept: bool, what: &str, figure: impl Display) {
         self.add(Kind::Always, kept, what, &figure);
     }
 
-    /// A claim that rests on the machine's speed.
+    /// Makes a claim that depends on the machine's speed, with its figure.
     pub fn timed(&mut self, kept: bool, what: &str, figure: impl Display) {
         self.add(Kind::Timed, kept, what, &figure);
     }
@@ -107,12 +108,12 @@
         self.lines.push((kind, kept, line));
     }
 
-    /// Whether all are kept, for drills that don't measure the machine.
+    /// Whether all claims are kept, for drills that don't measure the machine's lag.
     pub fn all_kept(&self) -> bool {
         self.verdict() == Verdict::Kept
     }
 
-    /// What they come to.
+    /// The verdict over all claims.
     pub fn verdict(&self) -> Verdict {
         let broken = |kind: Kind| self.lines.iter().any(|(of, kept, _)| *of == kind && !kept);
         if broken(Kind::Always) {
--- a/crates/testkit/src/drill/verdict/tests.rs
+++ b/crates/testkit/src/drill/verdict/tests.rs
@@ -1,4 +1,4 @@
-//! What claims come to on a machine in time and on a late one.
+//! Verdicts on a punctual and on a late machine.
 
 use super::*;
 
@@ -10,14 +10,14 @@
 }
 
 #[test]
-fn a_run_that_is_not_scored_never_counts_as_kept() {
+fn late_machine_is_not_scored_and_never_counts_as_kept() {
     let cases = [
         (false, true, true, Verdict::Kept),
         (false, true, false, Verdict::NotKept),
         (false, false, true, Verdict::NotKept),
         (true, true, true, Verdict::NotScored),
         (true, true, false, Verdict::NotScored),
-        // What a late machine can't excuse is not kept.
+        // A claim that holds on any machine is not excused by lag.
         (true, false, true, Verdict::NotKept),
         (true, false, false, Verdict::NotKept),
     ];
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_lines_and_the_status_tell_the_three_apart() {
+fn lines_and_exit_status_distinguish_kept_not_kept_and_not_scored() {
     let words = |late, always, timed| -> Vec<String> {
         let claims = claims(late, always, timed);
         claims.lines.iter().map(|(_, _, line)| line[..10].trim().to_string()).collect()
