--- a/crates/testkit/src/drill/release/mod.rs
+++ b/crates/testkit/src/drill/release/mod.rs
@@ -100,7 +100,7 @@
     }
 }
 
-/// Plays it, prints the claims, and says what they come to.
+/// Runs the drill, prints the claims and returns their verdict.
 pub fn run(drill: &Drill) -> io::Result<Verdict> {
     let stop = Arc::<AtomicBool>::default();
     for signal in [SIGINT, SIGTERM] {
@@ -118,7 +118,7 @@
     let observed = scenario::run(&mut session);
     let lag = session.lag.lag();
     println!("  the machine: {}", lag.summary());
-    // Claims that don't rest on times are made of every run.
+    // The lag of the machine matters only if claims depend on its speed.
     let late = if drill.timed { lag.past(&LAG_BOUNDS) } else { None };
     let mut claims = Claims::on_machine(late);
     match &observed {
