--- a/crates/model/src/config/mod.rs
+++ b/crates/model/src/config/mod.rs
@@ -9,14 +9,14 @@
 //! A day is compressed: what happens in an ordinary day happens so many times as often, and a region split, a burst, a mass
 //! restart, a rack and a zone come on top, once each.
 
-mod account;
 mod network;
 mod script;
 mod tamper;
+mod traffic;
 mod truth;
 mod world;
 
-pub use script::{Incident, Kind, day};
+pub use script::{Incident, Kind, scenario};
 pub use truth::Truth;
 pub use world::play;
 
@@ -88,7 +88,7 @@
             bad: servers / 300,
             settings: DisseminationSettings { selection, ..DisseminationSettings::default() },
         };
-        spec.incidents = day(&spec);
+        spec.incidents = scenario(&spec);
         spec
     }
 }
--- a/crates/model/src/config/script.rs
+++ b/crates/model/src/config/script.rs
@@ -59,7 +59,7 @@
 }
 
 /// The incidents of an ordinary day's model, spread over it.
-pub fn day(spec: &Spec) -> Vec<Incident> {
+pub fn scenario(spec: &Spec) -> Vec<Incident> {
     let at = |part: f64, kind| Incident { at_s: part * spec.seconds, kind };
     // The split lasts three minutes where the day has room for it.
     let seconds = (spec.seconds * 0.45).min(180.0);
--- a/crates/model/src/config/account.rs
+++ b/crates/model/src/config/traffic.rs
@@ -22,7 +22,7 @@
 
 /// Bytes of all servers.
 #[derive(Debug)]
-pub struct Account {
+pub struct TrafficCounter {
     senders: Vec<Sender>,
     rate: f64,
     over: u64,
@@ -30,7 +30,7 @@
     sent: Sent,
 }
 
-impl Account {
+impl TrafficCounter {
     /// Nothing sent yet.
     pub fn new(spec: &Spec) -> Self {
         let rate = spec.settings.send_bytes_s + spec.settings.snapshot_bytes_s;
--- a/crates/model/src/config/world.rs
+++ b/crates/model/src/config/world.rs
@@ -1,9 +1,9 @@
 //! Plays a day, an event after another.
 
-use super::account::Account;
 use super::network::Network;
 use super::script::{Action, Disk, actions};
 use super::tamper::tamper;
+use super::traffic::TrafficCounter;
 use super::truth::{Truth, class, tenant};
 use super::{Outcome, PROMISE_S, Spec};
 use crate::queue::{At, Calendar, Queue, nanos};
@@ -76,7 +76,7 @@
     committed_at: Vec<At>,
     base: Revision,
     proposed: VecDeque<At>,
-    account: Account,
+    traffic: TrafficCounter,
     messages_rng: Pcg64Mcg,
     world_rng: Pcg64Mcg,
     out: Outcome,
@@ -133,7 +133,7 @@
             base: truth.revision(),
             truth,
             proposed: VecDeque::new(),
-            account: Account::new(spec),
+            traffic: TrafficCounter::new(spec),
             messages_rng: streams.of("config messages", 0),
             world_rng: streams.of("config world", 0),
             out: Outcome::default(),
@@ -168,7 +168,7 @@
             }
         }
         self.out.changes = (self.truth.revision().0 - self.base.0) as usize;
-        self.out.bytes = self.account.sum_up(self.spec.voters);
+        self.out.bytes = self.traffic.sum_up(self.spec.voters);
         self.out
     }
 
@@ -181,7 +181,7 @@
             }
             Event::Message { from, to, bytes } => self.message(from, to, &bytes),
             Event::Act(action) => self.act(action),
-            Event::Agreed(voter, revision) => self.agreed(voter, revision),
+            Event::Agreed(voter, revision) => self.consensus(voter, revision),
             Event::News { zone, about } => self.news(zone, about),
             Event::Learn(n, life) => {
                 if self.servers[n].life == life {
@@ -260,7 +260,7 @@
         let server = &self.servers[n];
         let Some(machine) = &server.machine else { return };
         let status = machine.status();
-        self.account.ended(n, self.now - server.started, status.sent);
+        self.traffic.ended(n, self.now - server.started, status.sent);
         self.out.installed += status.installed;
         self.out.left_out += status.quarantined;
     }
@@ -363,7 +363,7 @@
         }
     }
 
-    fn agreed(&mut self, voter: usize, revision: Revision) {
+    fn consensus(&mut self, voter: usize, revision: Revision) {
         if self.network.is_cut_off(voter) {
             return;
         }
@@ -441,7 +441,7 @@
         };
         // A byte says that the message is about the configuration.
         let length = bytes.len() + 1;
-        self.account.sent(self.now, from, self.spec.settings.wire_bytes(length));
+        self.traffic.sent(self.now, from, self.spec.settings.wire_bytes(length));
         let bytes = Arc::new(bytes);
         for after in self.network.arrivals(from, to, length, &mut self.messages_rng).into_iter().flatten() {
             let message = Event::Message { from, to, bytes: Arc::clone(&bytes) };
--- a/crates/model/src/agreed/mod.rs
+++ b/crates/model/src/consensus/mod.rs
@@ -4,9 +4,9 @@
 //!
 //! [`Fleet::check_permit_limits`] holds the promise against what those saw who see the truth.
 
-mod days;
+mod scenario;
 
-pub use days::{Day, Outcome, play};
+pub use scenario::{Outcome, Scenario, play};
 
 use gradepin_admission::{Span, Time, time_after};
 use gradepin_coordination::consensus::{DurableRecord, VoterState};
@@ -34,13 +34,13 @@
 /// See `VIEW`.
 pub const SAVE: Cell = 2;
 /// What a sound version serves of them.
-pub const SOUND: f64 = 0.97;
+pub const HEALTHY_SERVICE: f64 = 0.97;
 
 /// What happens to a process next.
 #[derive(Debug, Clone, PartialEq)]
 enum Next {
     Ends { version: Option<String> },
-    Starts { version: String },
+    NodeFactories { version: String },
 }
 
 /// A server, and what its machine has.
@@ -80,8 +80,8 @@
     /// Which server.
     pub who: usize,
     /// Who was out by agreement, that one among them, and who was known to be out otherwise.
-    pub agreed: Vec<usize>,
-    /// See `agreed`.
+    pub consensus: Vec<usize>,
+    /// See `consensus`.
     pub unplanned: Vec<usize>,
 }
 
@@ -154,8 +154,8 @@
             next_count: now,
             began: Vec::new(),
             notes: Vec::new(),
-            slight: SOUND - 0.05,
-            sound: SOUND,
+            slight: HEALTHY_SERVICE - 0.05,
+            sound: HEALTHY_SERVICE,
             ticket: 0,
             supervised: true,
         };
@@ -321,9 +321,9 @@
                 self.kill(n);
                 let version = version.unwrap_or_else(|| self.wanted(n));
                 self.servers[n].out = out.or(Some((now, false)));
-                self.servers[n].next = Some((time_after(now, STARTS), Next::Starts { version }));
+                self.servers[n].next = Some((time_after(now, STARTS), Next::NodeFactories { version }));
             }
-            Next::Starts { version } => {
+            Next::NodeFactories { version } => {
                 // What was wanted may have changed while it was down.
                 let wanted = self.wanted(n);
                 self.servers[n].program = if self.supervised { wanted } else { version };
@@ -405,16 +405,16 @@
         self.servers[n].out = Some((now, true));
         self.servers[n].next = Some((time_after(now, DRAINS), Next::Ends { version }));
         let roster = self.record().roster.clone();
-        let of = |agreed: bool| {
+        let of = |consensus: bool| {
             let of = |(n, server): (usize, &Server)| {
                 let (since, by) = server.out?;
                 // What happened a moment ago is not known to have happened, and who was struck is no server of the fleet.
-                let counts = roster.contains_key(&server.name) && by == agreed;
+                let counts = roster.contains_key(&server.name) && by == consensus;
                 (counts && (by || now >= time_after(since, Span(4_000 * MS)))).then_some(n)
             };
             self.servers.iter().enumerate().filter_map(of).collect()
         };
-        let began = Began { at: now, who: n, agreed: of(true), unplanned: of(false) };
+        let began = Began { at: now, who: n, consensus: of(true), unplanned: of(false) };
         self.began.push(began);
     }
 
@@ -502,13 +502,13 @@
     /// The promise, by those who see the truth: at each moment at which somebody began to be out, those out by agreement and
     /// those known to be out otherwise were no more than the limits allow.
     pub fn check_permit_limits(&self, limits: &Limits) -> Result<(), String> {
-        for Began { at, who, agreed, unplanned } in &self.began {
-            let all: BTreeSet<usize> = agreed.iter().chain(unplanned).copied().collect();
+        for Began { at, who, consensus, unplanned } in &self.began {
+            let all: BTreeSet<usize> = consensus.iter().chain(unplanned).copied().collect();
             let zone = all.iter().filter(|n| *n % 3 == who % 3).count();
             if all.len() > limits.fleet as usize || zone > limits.zone as usize {
                 let at_s = at.0 as f64 / 1e9;
                 return Err(format!(
-                    "at {at_s:.2} s n{who} began beside {agreed:?}, and {unplanned:?} unplanned"
+                    "at {at_s:.2} s n{who} began beside {consensus:?}, and {unplanned:?} unplanned"
                 ));
             }
         }
--- a/crates/model/src/agreed/days.rs
+++ b/crates/model/src/consensus/scenario.rs
@@ -1,6 +1,6 @@
 //! Days of a large fleet: a release goes while zones lose power and servers are cut off, drawn from a seed.
 
-use super::{Fleet, SOUND, limits, plan};
+use super::{Fleet, HEALTHY_SERVICE, limits, plan};
 use gradepin_admission::Time;
 use gradepin_coordination::replicated_state::Limits;
 use gradepin_coordination::rollout::{Batch, ReleaseKind, RolloutState};
@@ -9,7 +9,7 @@
 
 /// What is played.
 #[derive(Debug, Clone)]
-pub struct Day {
+pub struct Scenario {
     /// Of everything that is drawn.
     pub seed: u64,
     /// Servers, in three zones.
@@ -23,7 +23,7 @@
     /// How much worse the new version serves, from 0 to 1.
     pub worse_by: f64,
     /// Whether a zone loses power and others are cut off.
-    pub troubles: bool,
+    pub faults: bool,
     /// How long is looked after each wave, in ms.
     pub looks_ms: u64,
     /// The longest that the release may take, in seconds.
@@ -46,13 +46,13 @@
 }
 
 /// Plays a day.
-pub fn play(day: &Day) -> Outcome {
-    let most = limits(day.most, day.zone);
-    let mut fleet = Fleet::new(day.servers, day.voters, most.clone(), day.seed);
-    let version = if day.worse_by > 0.0 { "v-slight" } else { "v2" };
-    fleet.slight = SOUND - day.worse_by;
+pub fn play(scenario: &Scenario) -> Outcome {
+    let most = limits(scenario.most, scenario.zone);
+    let mut fleet = Fleet::new(scenario.servers, scenario.voters, most.clone(), scenario.seed);
+    let version = if scenario.worse_by > 0.0 { "v-slight" } else { "v2" };
+    fleet.slight = HEALTHY_SERVICE - scenario.worse_by;
     let mut plan = plan(version, ReleaseKind::Program);
-    let waves = [(0.0, day.looks_ms), (0.1, day.looks_ms), (1.0, 0)];
+    let waves = [(0.0, scenario.looks_ms), (0.1, scenario.looks_ms), (1.0, 0)];
     plan.batches = waves.map(|(share, pause_ms)| Batch { share, pause_ms }).into();
     let begin = fleet.now;
     let started = fleet.release(plan);
@@ -65,18 +65,18 @@
     let (mut ready, mut looks, mut had) = (0.0, 0.0, 0);
     let mut done = [false; 4];
     let over = |fleet: &Fleet| matches!(fleet.state(), RolloutState::Done | RolloutState::RolledBack(_));
-    while started.is_ok() && !over(&fleet) && fleet.now.0 - begin.0 < day.patience_s * 1_000 * MS {
+    while started.is_ok() && !over(&fleet) && fleet.now.0 - begin.0 < scenario.patience_s * 1_000 * MS {
         fleet.run(500);
         let at_ms = (fleet.now.0 - begin.0) / MS;
-        if day.troubles {
+        if scenario.faults {
             let due = [dark_at, dark_at + dark_for, cut_at, cut_at + cut_for].map(|at| at_ms >= at);
             for n in 0..4 {
                 if due[n] && !std::mem::replace(&mut done[n], true) {
-                    trouble(&mut fleet, n, zone, day);
+                    fault(&mut fleet, n, zone, scenario);
                 }
             }
         }
-        ready += fleet.servers.iter().filter(|server| server.ready).count() as f64 / day.servers as f64;
+        ready += fleet.servers.iter().filter(|server| server.ready).count() as f64 / scenario.servers as f64;
         looks += 1.0;
         had = had.max(fleet.servers.iter().filter(|server| server.program == version).count());
     }
@@ -94,8 +94,8 @@
     fleet.check_permit_limits(most).err()
 }
 
-fn trouble(fleet: &mut Fleet, which: usize, zone: usize, day: &Day) {
-    let of_zone: Vec<usize> = (0..day.servers).filter(|n| n % 3 == zone).collect();
+fn fault(fleet: &mut Fleet, which: usize, zone: usize, scenario: &Scenario) {
+    let of_zone: Vec<usize> = (0..scenario.servers).filter(|n| n % 3 == zone).collect();
     match which {
         0 => of_zone.iter().for_each(|&n| {
             fleet.servers[n].dark = true;
@@ -106,8 +106,9 @@
             fleet.revive(n);
         }),
         2 => {
-            let first = fleet.draw(day.servers as u64) as usize;
-            let some: Vec<usize> = (0..day.servers / 4).map(|n| (first + n) % day.servers).collect();
+            let first = fleet.draw(scenario.servers as u64) as usize;
+            let some: Vec<usize> =
+                (0..scenario.servers / 4).map(|n| (first + n) % scenario.servers).collect();
             fleet.isolate(&some);
         }
         _ => fleet.cut.clear(),
--- a/crates/model/src/net.rs
+++ b/crates/model/src/net.rs
@@ -1,7 +1,7 @@
 //! The network between machine rooms: delays, messages lost and sent again, rooms cut off.
 
-use crate::day::NetSpec;
 use crate::queue::At;
+use crate::scenario::NetSpec;
 use crate::streams::{chance, unit};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/model/src/peers/mod.rs
+++ b/crates/model/src/peers/mod.rs
@@ -4,12 +4,12 @@
 //! It is for seeds by the thousand, at sizes that sockets don't reach, and for what sharing earns beside static shares and
 //! beside a divider that knows all.
 
+mod faults;
 mod traffic;
-mod troubles;
 mod world;
 
+pub use faults::{Fault, FaultKind, Faults, draw};
 pub use traffic::{Kind, Sent, Traffic};
-pub use troubles::{Trouble, Troubles, What, draw};
 pub use world::play;
 
 /// How slots of the ledger are shared.
@@ -61,7 +61,7 @@
     /// A stand-in that costs more: each server sends so many more bytes a second, as membership. For trying a measurement out.
     pub stand_in_bytes_s: usize,
     /// What happens.
-    pub troubles: Troubles,
+    pub faults: Faults,
 }
 
 impl Default for Spec {
@@ -83,7 +83,7 @@
             starved: 0,
             call_s: 0.1,
             stand_in_bytes_s: 0,
-            troubles: Troubles::default(),
+            faults: Faults::default(),
         }
     }
 }
--- a/crates/model/src/peers/world.rs
+++ b/crates/model/src/peers/world.rs
@@ -1,6 +1,6 @@
 //! Plays a day of the peers: datagrams, clocks, processes and the ledger, an event after another.
 
-use super::{Break, Outcome, Sharing, Spec, Trouble, What};
+use super::{Break, Fault, FaultKind, Outcome, Sharing, Spec};
 use crate::queue::{At, Heap, Queue, nanos};
 use crate::streams::{Streams, unit, within};
 use gradepin_admission::{Outcome as Ended, Span, Time, span_from_seconds, span_seconds};
@@ -52,7 +52,7 @@
     HangUp(u64),
     /// The ledger notices that the caller is gone.
     Gone(u64),
-    Trouble(usize, bool),
+    Fault(usize, bool),
     Look,
 }
 
@@ -173,7 +173,7 @@
         call_no: 0,
         there: 0,
         pool: VecDeque::new(),
-        on: vec![false; spec.troubles.0.len()],
+        on: vec![false; spec.faults.0.len()],
         watched: Vec::new(),
         wrong: HashMap::new(),
         wrongs: 0,
@@ -190,9 +190,9 @@
             self.start(n);
             self.next_arrival(n);
         }
-        for (n, trouble) in self.spec.troubles.0.iter().enumerate() {
-            self.queue.push(nanos(trouble.from_s), Event::Trouble(n, true));
-            self.queue.push(nanos(trouble.to_s), Event::Trouble(n, false));
+        for (n, fault) in self.spec.faults.0.iter().enumerate() {
+            self.queue.push(nanos(fault.from_s), Event::Fault(n, true));
+            self.queue.push(nanos(fault.to_s), Event::Fault(n, false));
         }
         self.queue.push(nanos(LOOK_S), Event::Look);
         let end = nanos(self.spec.seconds);
@@ -323,7 +323,7 @@
             Event::Done(call) => self.done(call, None),
             Event::HangUp(call) => self.hang_up(call),
             Event::Gone(call) => self.gone(call),
-            Event::Trouble(n, begins) => self.trouble(n, begins),
+            Event::Fault(n, begins) => self.fault(n, begins),
             Event::Look => {
                 self.look();
                 self.send_of_stand_ins();
@@ -394,27 +394,27 @@
         }
     }
 
-    fn troubles(&self) -> impl Iterator<Item = &Trouble> {
-        self.spec.troubles.0.iter().zip(&self.on).filter(|(_, on)| **on).map(|(trouble, _)| trouble)
+    fn faults(&self) -> impl Iterator<Item = &Fault> {
+        self.spec.faults.0.iter().zip(&self.on).filter(|(_, on)| **on).map(|(fault, _)| fault)
     }
 
     fn slow_s(&self) -> f64 {
-        let slow = self.troubles().map(|trouble| if let What::Slow(s) = trouble.what { s } else { 0.0 });
+        let slow = self.faults().map(|fault| if let FaultKind::Slow(s) = fault.what { s } else { 0.0 });
         slow.fold(0.0, f64::max)
     }
 
     fn is_cut(&self, from: usize, to: usize) -> bool {
-        self.troubles().any(|trouble| match &trouble.what {
-            What::Deaf(some) => some.contains(&to) && !some.contains(&from),
-            What::Cut(some) => some.contains(&to) != some.contains(&from),
+        self.faults().any(|fault| match &fault.what {
+            FaultKind::Deaf(some) => some.contains(&to) && !some.contains(&from),
+            FaultKind::Cut(some) => some.contains(&to) != some.contains(&from),
             _ => false,
         })
     }
 
-    fn trouble(&mut self, number: usize, begins: bool) {
+    fn fault(&mut self, number: usize, begins: bool) {
         self.on[number] = begins;
-        match &self.spec.troubles.0[number].what {
-            What::Stop(some) => {
+        match &self.spec.faults.0[number].what {
+            FaultKind::Stop(some) => {
                 for &n in some {
                     self.servers[n].stopped = begins;
                     self.servers[n].well_since = self.now;
@@ -423,7 +423,7 @@
                     }
                 }
             }
-            What::Kill(some, back_s) => {
+            FaultKind::Kill(some, back_s) => {
                 for &n in some {
                     if begins {
                         self.kill(n);
@@ -433,11 +433,11 @@
                     }
                 }
             }
-            What::Deaf(_) | What::Cut(_) | What::Slow(_) => {
+            FaultKind::Deaf(_) | FaultKind::Cut(_) | FaultKind::Slow(_) => {
                 let now = self.now;
                 self.servers.iter_mut().for_each(|server| server.well_since = now);
             }
-            What::NoLedger(_) | What::SlowLedger(_) => {}
+            FaultKind::NoLedger(_) | FaultKind::SlowLedger(_) => {}
         }
     }
 
@@ -466,18 +466,18 @@
     fn arrive(&mut self, n: usize) {
         self.out.asked += usize::from(self.counts_now());
         let mut dice = unit(&mut self.work);
-        let office = OFFICES.iter().position(|(_, part)| {
+        let tenant = OFFICES.iter().position(|(_, part)| {
             dice -= part;
             dice < 0.0
         });
-        let office = office.unwrap_or(0);
+        let tenant = tenant.unwrap_or(0);
         let server = &mut self.servers[n];
-        server.asked[office].push_back(self.now);
+        server.asked[tenant].push_back(self.now);
         let local = server.local(self.now);
         let Some(cluster) = &mut server.cluster else { return };
         cluster.arrived(
             local,
-            CellId::of(OFFICES[office].0, "c"),
+            CellId::of(OFFICES[tenant].0, "c"),
             false,
             span_from_seconds(self.spec.call_s),
         );
@@ -584,13 +584,14 @@
             }
             limit = span_seconds(max_call) / self.servers[n].rate;
         }
-        let closed = self.troubles().any(|t| matches!(&t.what, What::NoLedger(some) if some.contains(&n)));
+        let closed = self.faults().any(|t| matches!(&t.what, FaultKind::NoLedger(some) if some.contains(&n)));
         if closed {
             self.calls.remove(&id);
             self.out.refused += 1;
             return self.told_of(n, id, Ended::ConnectFailed, Span(0));
         }
-        let slower = self.troubles().map(|t| if let What::SlowLedger(times) = t.what { times } else { 1.0 });
+        let slower =
+            self.faults().map(|t| if let FaultKind::SlowLedger(times) = t.what { times } else { 1.0 });
         let slower = slower.fold(1.0, f64::max);
         let tail = -(1.0 - unit(&mut self.work)).ln();
         let took = (self.spec.call_s * slower * tail).min(self.spec.call_s * MOST_OF_MEAN);
@@ -719,7 +720,9 @@
 
     /// Those that are there and well, and believed dead by one that is well.
     fn beliefs(&mut self, now: At) {
-        let apart = self.troubles().any(|t| matches!(t.what, What::Deaf(_) | What::Cut(_) | What::Slow(_)));
+        let apart = self
+            .faults()
+            .any(|t| matches!(t.what, FaultKind::Deaf(_) | FaultKind::Cut(_) | FaultKind::Slow(_)));
         if apart {
             return self.wrong.clear();
         }
@@ -749,11 +752,11 @@
         let window = nanos(WINDOW_S);
         let mut sums = [0.0; OFFICES.len()];
         for server in &mut self.servers {
-            for (office, asked) in server.asked.iter_mut().enumerate() {
+            for (tenant, asked) in server.asked.iter_mut().enumerate() {
                 while asked.front().is_some_and(|at| at + window < self.now) {
                     asked.pop_front();
                 }
-                sums[office] += asked.len() as f64;
+                sums[tenant] += asked.len() as f64;
             }
         }
         if self.now < window {
@@ -765,7 +768,7 @@
         for (n, server) in self.servers.iter().enumerate().filter(|(_, server)| server.runs()) {
             let Some(cluster) = &server.cluster else { continue };
             let local = server.local(self.now);
-            for (office, (name, part)) in OFFICES.iter().enumerate() {
+            for (tenant, (name, part)) in OFFICES.iter().enumerate() {
                 let quota = capacity * part * spec.load;
                 let cell = CellId::of(name, "c");
                 let told = match spec.sharing {
@@ -773,9 +776,9 @@
                     Sharing::AllKnowing => f64::INFINITY,
                     _ => cluster.quota(local, quota, |id| id == cell),
                 };
-                let own = server.asked[office].len() as f64;
+                let own = server.asked[tenant].len() as f64;
                 let within = |quota: f64, asked: f64| (quota * WINDOW_S / asked.max(1e-9)).min(1.0);
-                let truth = within(quota, sums[office]);
+                let truth = within(quota, sums[tenant]);
                 let judged = if told.is_infinite() { truth } else { within(told / spec.servers as f64, own) };
                 self.judged[0] += own * (judged - truth).abs();
                 self.judged[1] += own;
@@ -789,7 +792,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::{Troubles, draw};
+    use super::super::{Faults, draw};
     use super::*;
 
     fn seeds(count: u64, spec: impl Fn(u64) -> Spec) -> Vec<(u64, Outcome)> {
@@ -800,11 +803,11 @@
     #[test]
     fn leases_keep_the_bound_and_without_their_rules_of_time_they_dont() {
         let spec = |seed, sharing| {
-            let troubles = draw(seed, 12, 20.0);
-            Spec { seed, sharing, seconds: 20.0, troubles, ..Spec::default() }
+            let faults = draw(seed, 12, 20.0);
+            Spec { seed, sharing, seconds: 20.0, faults, ..Spec::default() }
         };
         for (seed, outcome) in seeds(24, |seed| spec(seed, Sharing::Lending)) {
-            assert_eq!(outcome.breaks, [], "seed {seed}: {:?}", spec(seed, Sharing::Lending).troubles);
+            assert_eq!(outcome.breaks, [], "seed {seed}: {:?}", spec(seed, Sharing::Lending).faults);
             assert!(outcome.most <= outcome.bound && outcome.served > 0);
         }
         let broken = seeds(6, |seed| spec(seed, Sharing::Plain));
@@ -813,7 +816,7 @@
 
     #[test]
     fn one_seed_one_result() {
-        let spec = Spec { troubles: draw(3, 12, 12.0), seconds: 12.0, ..Spec::default() };
+        let spec = Spec { faults: draw(3, 12, 12.0), seconds: 12.0, ..Spec::default() };
         assert_eq!(format!("{:?}", play(&spec)), format!("{:?}", play(&spec)));
     }
 
@@ -821,11 +824,11 @@
     /// cut to pieces has what static shares give.
     #[test]
     fn lending_earns_where_traffic_leans_and_costs_nothing_where_all_are_cut_off() {
-        let service = |sharing, troubles: Troubles| {
-            let spec = Spec { sharing, troubles, seconds: 60.0, count_from_s: 10.0, ..Spec::default() };
+        let service = |sharing, faults: Faults| {
+            let spec = Spec { sharing, faults, seconds: 60.0, count_from_s: 10.0, ..Spec::default() };
             play(&spec).service()
         };
-        let none = Troubles::default;
+        let none = Faults::default;
         let [fixed, lent, all] =
             [Sharing::Static, Sharing::Lending, Sharing::AllKnowing].map(|sharing| service(sharing, none()));
         assert!(
@@ -833,8 +836,9 @@
             "static {fixed:.3}, lent {lent:.3}, all-knowing {all:.3}"
         );
         // Each hears nobody, from before the first word on.
-        let alone = (0..12).map(|n| Trouble { from_s: 0.0, to_s: 59.9, what: What::Cut(vec![n]) }).collect();
-        let cut = service(Sharing::Lending, Troubles(alone));
+        let alone =
+            (0..12).map(|n| Fault { from_s: 0.0, to_s: 59.9, what: FaultKind::Cut(vec![n]) }).collect();
+        let cut = service(Sharing::Lending, Faults(alone));
         assert!(cut > fixed - 0.01, "static {fixed:.3}, cut off {cut:.3}");
     }
 }
--- a/crates/model/src/policies/mod.rs
+++ b/crates/model/src/policies/mod.rs
@@ -9,7 +9,7 @@
 mod gradient;
 pub mod shell;
 
-use crate::day::{Day, What};
+use crate::scenario::{FaultKind, Scenario};
 use gradepin_admission::{
     Callers, CapacitySignal, ClassProfile, Goal, Idempotency, Limits as Site, Prices, Rules, Settings, Span,
     Specifics, StopMode, Tenant, Time, UpstreamKind, WeightBasis,
@@ -84,7 +84,7 @@
 
 /// What makes a server's node at each of its starts.
 #[derive(Debug, Clone)]
-pub struct Starts {
+pub struct NodeFactories {
     settings: Vec<Arc<Settings>>,
     stop_ms: u64,
 }
@@ -98,11 +98,11 @@
     pub seed: u64,
 }
 
-impl Starts {
+impl NodeFactories {
     /// What the servers of a day are told; the same for all policies.
-    pub fn new(day: &Day) -> Self {
-        let shared = settings(day);
-        let settings = day
+    pub fn new(scenario: &Scenario) -> Self {
+        let shared = settings(scenario);
+        let settings = scenario
             .machines
             .iter()
             .map(|machine| {
@@ -113,8 +113,8 @@
             })
             .collect();
         // Servers are told one time from the notice to the stop: the shortest of the day's deploys.
-        let drains = day.troubles.iter().filter_map(|trouble| match trouble.what {
-            What::Deploy { drain_s, .. } => Some((drain_s * 1e3) as u64),
+        let drains = scenario.faults.iter().filter_map(|fault| match fault.what {
+            FaultKind::Deploy { drain_s, .. } => Some((drain_s * 1e3) as u64),
             _ => None,
         });
         Self { settings, stop_ms: drains.min().unwrap_or(4_000) }
@@ -169,33 +169,33 @@
 }
 
 /// What the operators tell a server of a day, as the platform does: not the speed of its cores, nor what callers are like.
-fn settings(day: &Day) -> Settings {
-    let terms = day.terms();
+fn settings(scenario: &Scenario) -> Settings {
+    let terms = scenario.terms();
     Settings {
         min_batch_interval: ms(2),
-        servers: day.machines.iter().filter(|machine| !machine.spare).count() as u32,
+        servers: scenario.machines.iter().filter(|machine| !machine.spare).count() as u32,
         tier: 0,
         profiles: terms
             .classes
             .iter()
             .map(|class| ClassProfile {
                 name: class.name.clone(),
-                latency_objective: ms(class.aim_ms),
+                latency_objective: ms(class.latency_objective_ms),
                 deadline: ms(class.deadline_ms),
                 effect: if class.window_ms.is_some() { Idempotency::Keyed } else { Idempotency::Idempotent },
-                late_value: class.late,
+                late_value: class.late_value,
                 window: ms(class.window_ms.unwrap_or(0)),
                 priority_weight: class.priority_weight,
                 objective_stretch: 0.0,
             })
             .collect(),
         tenants: terms
-            .offices
+            .tenants
             .iter()
-            .map(|office| Tenant {
-                name: office.name.clone(),
-                quota_rps: office.share * terms.capacity,
-                portion: office.share,
+            .map(|tenant| Tenant {
+                name: tenant.name.clone(),
+                quota_rps: tenant.share * terms.capacity,
+                portion: tenant.share,
             })
             .collect(),
         callers: Callers { marks_retries: true },
@@ -203,7 +203,7 @@
         limits: Site { max_retry_after: ms(1_000), retry_after: true },
         prices: Prices { late_fail: 0.083, waste: 0.08, ..Prices::default() },
         weight_basis: WeightBasis::Request,
-        over_quota_weight: terms.beyond,
+        over_quota_weight: terms.over_quota_weight,
         rules: Rules {
             answer_slack: ms(100),
             warm_up_time: ms(18_000),
@@ -217,16 +217,16 @@
             upstream: UpstreamKind::Off,
             calls_by_class: vec![false; terms.classes.len()],
             class_skip_weights: vec![0.0; terms.classes.len()],
-            clients_total: day.proxies.len() as u32,
+            clients_total: scenario.proxies.len() as u32,
             gauges: ["core_use", "on_cores", "heap_share", "links"].map(str::to_string).to_vec(),
             signal_lifetime: ms(1_000),
             client_idle_timeout: ms(15_000),
-            idempotency_key_kb: day.key_kb,
+            idempotency_key_kb: scenario.key_kb,
             endpoint_list_follows_health: true,
             memory_kb: 1.0,
             n_cores: 1,
             propagates_deadline: true,
-            run_factor: day.run_factor,
+            run_factor: scenario.run_factor,
             call_share_window: ms(5_000),
             stop_mode: StopMode::Off,
             reports_disconnects: true,
--- a/crates/model/src/proxy/mod.rs
+++ b/crates/model/src/proxy/mod.rs
@@ -1,8 +1,8 @@
 //! What a client proxy decides: which server of its list a try goes to, and whether there is another try. Without I/O; the
 //! world carries it out.
 
-use crate::day::{Habit, Pick, ProxySpec};
 use crate::queue::At;
+use crate::scenario::{Pick, ProxySpec, RetryPolicy};
 use crate::streams::{chance, one_of, shuffle};
 use rand_pcg::Pcg64Mcg;
 use siphasher::sip::SipHasher13;
@@ -114,8 +114,8 @@
     }
 
     /// Its habit.
-    pub fn habit(&self) -> &Habit {
-        &self.spec.habit
+    pub fn retry_policy(&self) -> &RetryPolicy {
+        &self.spec.retry_policy
     }
 
     /// The list now has a server, or no longer.
@@ -142,9 +142,9 @@
 
     /// A server has answered with its level, if it told one, so many milliseconds after the try was sent.
     pub fn heard(&mut self, now: At, server: u32, level: Option<f64>, took_ms: f64, served: bool) {
-        let heeds = self.spec.heeds;
+        let respects_advice = self.spec.respects_advice;
         let known = &mut self.known[server as usize];
-        if let Some(level) = level.filter(|_| heeds) {
+        if let Some(level) = level.filter(|_| respects_advice) {
             (known.level, known.level_until) = (level, now + LEVEL_HOLDS);
         }
         if served {
@@ -155,7 +155,7 @@
 
     /// A server asks to stay away until then.
     pub fn stay_away(&mut self, server: u32, until: At) {
-        if self.spec.heeds {
+        if self.spec.respects_advice {
             let known = &mut self.known[server as usize];
             known.away_until = known.away_until.max(until);
         }
@@ -163,7 +163,7 @@
 
     /// A first try has come: a budget for further ones grows.
     pub fn first_try(&mut self) {
-        if let Some(budget) = self.spec.habit.budget {
+        if let Some(budget) = self.spec.retry_policy.budget {
             self.saved = (self.saved + budget).min(SAVED);
         }
     }
@@ -195,7 +195,7 @@
             listed[if at < count { at } else { (at - count) % count }]
         };
         let free = |proxy: &Self, server: u32| proxy.bars(now, server, wanted).is_none();
-        let chosen = match self.spec.habit.pick {
+        let chosen = match self.spec.retry_policy.pick {
             Pick::Round => (0..count).map(open).find(|&server| free(self, server)),
             Pick::Two => {
                 // Two at random; where neither will do, whichever comes next.
@@ -263,18 +263,18 @@
 
     /// Whether there is another try after one that came to nothing; `failures` counts those of this request that failed.
     pub fn next(&mut self, loss: Loss, failures: u32) -> Next {
-        let habit = &self.spec.habit;
-        let pause = (habit.backoff_ms * 1e6) as At;
+        let retry_policy = &self.spec.retry_policy;
+        let pause = (retry_policy.backoff_ms * 1e6) as At;
         let next = match loss {
-            Loss::Refused { last } if last && self.spec.heeds => Next::GiveUp,
-            Loss::Refused { .. } if habit.walks => Next::Again(0),
+            Loss::Refused { last } if last && self.spec.respects_advice => Next::GiveUp,
+            Loss::Refused { .. } if retry_policy.walks => Next::Again(0),
             Loss::Refused { .. } => Next::GiveUp,
             // Nothing ran: the next on the list, as any proxy does.
             Loss::Unreached => return Next::Again(0),
-            Loss::Failed if failures <= habit.retries => Next::Again(pause),
+            Loss::Failed if failures <= retry_policy.retries => Next::Again(pause),
             Loss::Failed => Next::GiveUp,
         };
-        if next == Next::GiveUp || habit.budget.is_none() {
+        if next == Next::GiveUp || retry_policy.budget.is_none() {
             return next;
         }
         if self.saved < 1.0 {
--- a/crates/model/src/proxy/tests.rs
+++ b/crates/model/src/proxy/tests.rs
@@ -3,9 +3,9 @@
 
 const S: At = 1_000_000_000;
 
-fn proxy(habit: &str, pick: Pick, heeds: bool) -> Proxy {
-    let habit = Habit { pick, ..Habit::named(habit).unwrap() };
-    let spec = ProxySpec { zone: 0, habit, heeds, subset: 0 };
+fn proxy(retry_policy: &str, pick: Pick, respects_advice: bool) -> Proxy {
+    let retry_policy = RetryPolicy { pick, ..RetryPolicy::named(retry_policy).unwrap() };
+    let spec = ProxySpec { zone: 0, retry_policy, respects_advice, subset: 0 };
     let mut proxy = Proxy::new(spec, &[1.0, 1.0, 2.0], Streams::new(4).of("proxy", 0));
     (0..3).for_each(|server| proxy.list(server, true));
     proxy
@@ -52,14 +52,14 @@
 /// Guards against a proxy that doesn't heed, and against one that heeds though its spec says it doesn't.
 #[test]
 fn advice_and_level_are_heeded_by_those_who_do() {
-    for heeds in [true, false] {
-        let mut proxy = proxy("unlimited", Pick::Round, heeds);
+    for respects_advice in [true, false] {
+        let mut proxy = proxy("unlimited", Pick::Round, respects_advice);
         proxy.stay_away(0, 2 * S);
         proxy.stay_away(1, 3 * S);
         proxy.heard(S, 2, Some(0.6), 10.0, false);
         let low = proxy.choose(S, wanted(0.5, &[]));
         let high = proxy.choose(S, wanted(0.7, &[]));
-        if heeds {
+        if respects_advice {
             assert_eq!((low, high), (Choice::Away(2 * S), Choice::Server(2)));
             assert_eq!(proxy.choose(S, wanted(0.5, &[0, 1])), Choice::Level);
             // A level is old after a second, and then all are tried.
--- a/crates/model/src/day/mod.rs
+++ b/crates/model/src/scenario/mod.rs
@@ -2,9 +2,9 @@
 
 mod ranges;
 
-pub use ranges::{BadSetting, Ranges};
+pub use ranges::{Ranges, SettingError};
 
-use crate::account::{Class, Ms, Office, Terms};
+use crate::service_report::{Class, Ms, Tenant, Terms};
 use serde::{Deserialize, Serialize};
 
 /// A class of requests.
@@ -25,9 +25,10 @@
 
 /// An office.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct OfficeSpec {
+pub struct TenantSpec {
     /// Its name and its share.
-    pub office: Office,
+    #[serde(rename = "office")]
+    pub tenant: Tenant,
     /// Its part of the traffic, which may be more.
     pub traffic: f64,
 }
@@ -78,7 +79,7 @@
 
 /// What a client proxy does when a try comes to nothing.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Habit {
+pub struct RetryPolicy {
     /// See [`Pick`].
     pub pick: Pick,
     /// Further tries after one that failed or timed out.
@@ -95,7 +96,7 @@
     pub copy_after: Option<f64>,
 }
 
-impl Habit {
+impl RetryPolicy {
     /// One that asks once.
     pub fn plain(pick: Pick) -> Self {
         Self {
@@ -132,9 +133,11 @@
     /// Machine room.
     pub zone: usize,
     /// What it does.
-    pub habit: Habit,
+    #[serde(rename = "habit")]
+    pub retry_policy: RetryPolicy,
     /// Whether it heeds the level, the advice to stay away and the wish not to try elsewhere.
-    pub heeds: bool,
+    #[serde(rename = "heeds")]
+    pub respects_advice: bool,
     /// Servers that it keeps to; 0 for all.
     pub subset: usize,
 }
@@ -161,7 +164,7 @@
 /// How client proxies learn of servers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum RosterSpec {
+pub enum DiscoverySpec {
     /// The platform's list: changes reach each client proxy so many seconds late; a server that is silent for so long is
     /// taken off.
     List {
@@ -187,7 +190,7 @@
 /// What goes wrong.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum FaultKind {
     /// Traffic times `size`; it rises and falls within `edge_s`.
     Burst {
         /// How much.
@@ -228,20 +231,20 @@
 
 /// A trouble, when, and where.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Trouble {
+pub struct Fault {
     /// Seconds from the day's beginning.
     pub at_s: f64,
     /// How long.
     pub len_s: f64,
     /// What.
-    pub what: What,
+    pub what: FaultKind,
     /// The machines that it strikes.
     pub on: Vec<usize>,
 }
 
 /// A whole day.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Day {
+pub struct Scenario {
     /// Of all that happens in it.
     pub seed: u64,
     /// Seconds in which first tries come.
@@ -253,7 +256,8 @@
     /// Classes.
     pub classes: Vec<ClassSpec>,
     /// Offices.
-    pub offices: Vec<OfficeSpec>,
+    #[serde(rename = "offices")]
+    pub tenants: Vec<TenantSpec>,
     /// Part of the capacity that the shares are of.
     pub quota_of_capacity: f64,
     /// Machines, each with one server.
@@ -263,9 +267,11 @@
     /// Network.
     pub net: NetSpec,
     /// Roster.
-    pub roster: RosterSpec,
+    #[serde(rename = "roster")]
+    pub discovery: DiscoverySpec,
     /// Troubles.
-    pub troubles: Vec<Trouble>,
+    #[serde(rename = "troubles")]
+    pub faults: Vec<Fault>,
     /// Of the mean work, what reading a request takes, whatever is then decided.
     pub read_share: f64,
     /// Unread requests a core; more get no connection.
@@ -282,7 +288,7 @@
     pub restart_s: f64,
 }
 
-impl Day {
+impl Scenario {
     /// Mean work of a request, in milliseconds.
     pub fn mean_work_ms(&self) -> f64 {
         let sum: f64 = self.classes.iter().map(|class| class.share * class.work_ms).sum();
@@ -299,9 +305,9 @@
     /// What counts on it.
     pub fn terms(&self) -> Terms {
         let classes = self.classes.iter().map(|class| class.class.clone()).collect();
-        let offices = self.offices.iter().map(|office| office.office.clone()).collect();
+        let tenants = self.tenants.iter().map(|tenant| tenant.tenant.clone()).collect();
         let capacity = self.capacity() * self.quota_of_capacity;
-        Terms { classes, offices, ..Terms::brief(capacity) }
+        Terms { classes, tenants, ..Terms::brief(capacity) }
     }
 
     /// First tries a second before the day's course: its load of what the cores can do.
@@ -319,15 +325,15 @@
                 f0 + (f1 - f0) * (at_s - s0) / (s1 - s0).max(1e-9)
             }
         };
-        let bursts: f64 = self.troubles.iter().map(|trouble| trouble.burst(at_s)).product();
+        let bursts: f64 = self.faults.iter().map(|fault| fault.burst(at_s)).product();
         pace * course * bursts
     }
 
-    /// The most that [`Day::rate`] ever is.
+    /// The most that [`Scenario::rate`] ever is.
     pub fn top_rate(&self, pace: f64) -> f64 {
         let course = self.shape.iter().map(|(_, factor)| *factor).fold(0.0, f64::max);
         let course = if self.shape.is_empty() { 1.0 } else { course };
-        let bursts: f64 = self.troubles.iter().map(|trouble| trouble.top_burst()).product();
+        let bursts: f64 = self.faults.iter().map(|fault| fault.top_burst()).product();
         pace * course * bursts
     }
 
@@ -337,13 +343,13 @@
     }
 }
 
-impl Trouble {
+impl Fault {
     fn top_burst(&self) -> f64 {
-        if let What::Burst { size, .. } = self.what { size.max(1.0) } else { 1.0 }
+        if let FaultKind::Burst { size, .. } = self.what { size.max(1.0) } else { 1.0 }
     }
 
     fn burst(&self, at_s: f64) -> f64 {
-        let What::Burst { size, edge_s } = self.what else { return 1.0 };
+        let FaultKind::Burst { size, edge_s } = self.what else { return 1.0 };
         let (since, left) = (at_s - self.at_s, self.at_s + self.len_s - at_s);
         let height = (since.min(left) / edge_s.max(1e-9)).clamp(0.0, 1.0);
         1.0 + (size - 1.0) * height
@@ -352,7 +358,7 @@
     /// All machines that it names.
     pub fn machines(&self) -> impl Iterator<Item = &usize> {
         let successors = match &self.what {
-            What::Deploy { successors, .. } => &successors[..],
+            FaultKind::Deploy { successors, .. } => &successors[..],
             _ => &[],
         };
         self.on.iter().chain(successors)
@@ -361,14 +367,14 @@
     /// In a word.
     pub fn word(&self) -> &'static str {
         match self.what {
-            What::Burst { .. } => "burst",
-            What::Crash => "crash",
-            What::Slow { .. } => "slow",
-            What::Deploy { .. } => "deploy",
-            What::Hang => "hang",
-            What::Pause => "pause",
-            What::RegistryAway => "registry away",
-            What::ZoneCut { .. } => "zone cut",
+            FaultKind::Burst { .. } => "burst",
+            FaultKind::Crash => "crash",
+            FaultKind::Slow { .. } => "slow",
+            FaultKind::Deploy { .. } => "deploy",
+            FaultKind::Hang => "hang",
+            FaultKind::Pause => "pause",
+            FaultKind::RegistryAway => "registry away",
+            FaultKind::ZoneCut { .. } => "zone cut",
         }
     }
 }
--- a/crates/model/src/day/ranges.rs
+++ b/crates/model/src/scenario/ranges.rs
@@ -1,9 +1,10 @@
 //! From which days are drawn: the brief's ranges, each of which an experiment may set otherwise.
 
 use super::{
-    ClassSpec, Day, Habit, Machine, NetSpec, OfficeSpec, Pick, ProxySpec, RosterSpec, Trouble, What,
+    ClassSpec, DiscoverySpec, Fault, FaultKind, Machine, NetSpec, Pick, ProxySpec, RetryPolicy, Scenario,
+    TenantSpec,
 };
-use crate::account::{Class, Terms};
+use crate::service_report::{Class, Terms};
 use crate::streams::{Streams, chance, one_of, shuffle, unit, within};
 use rand_pcg::Pcg64Mcg;
 
@@ -26,11 +27,11 @@
     proxies: [f64; 2],
     subset: usize,
     obeys: [f64; 2],
-    habits: Vec<String>,
+    retry_policies: Vec<String>,
     picks: Vec<Pick>,
     swing: [f64; 2],
-    troubles: Vec<String>,
-    trouble_count: [f64; 2],
+    faults: Vec<String>,
+    fault_count: [f64; 2],
     slow_factor: [f64; 2],
     deploy_part: [f64; 2],
     burst_size: [f64; 2],
@@ -45,7 +46,7 @@
 
 /// A setting that there isn't, or that can't be so.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum BadSetting {
+pub enum SettingError {
     /// No such setting.
     #[error("expected one of {expected}, got setting '{name}'", expected = NAMES.join(", "))]
     Name {
@@ -89,7 +90,7 @@
 ];
 
 /// The troubles that can be asked for by name.
-const TROUBLES: [&str; 8] =
+const FAULT_KINDS: [&str; 8] =
     ["burst", "crash", "slow", "deploy", "hang", "pause", "registry_away", "zone_cut"];
 
 /// All picks by name.
@@ -132,12 +133,12 @@
             proxies: [3.0, 5.0],
             subset: 0,
             obeys: [0.8, 1.0],
-            habits: vec!["unlimited".into()],
+            retry_policies: vec!["unlimited".into()],
             // The list tells nominal weights, and callers go by them.
             picks: vec![Pick::Weighted],
             swing: [0.11, 0.29],
-            troubles: TROUBLES[..4].iter().map(ToString::to_string).collect(),
-            trouble_count: [1.0, 2.99],
+            faults: FAULT_KINDS[..4].iter().map(ToString::to_string).collect(),
+            fault_count: [1.0, 2.99],
             slow_factor: [2.6, 8.4],
             deploy_part: [0.56, 1.0],
             burst_size: [1.3, 1.6],
@@ -152,8 +153,8 @@
     }
 
     /// Sets one of them: a number, `FROM..TO`, or words with commas between.
-    pub fn set(&mut self, name: &str, value: &str) -> Result<(), BadSetting> {
-        let bad = |expected: &str| BadSetting::Value {
+    pub fn set(&mut self, name: &str, value: &str) -> Result<(), SettingError> {
+        let bad = |expected: &str| SettingError::Value {
             name: name.to_string(),
             expected: expected.to_string(),
             value: value.to_string(),
@@ -176,7 +177,7 @@
             "subset" => self.subset = range(0.0, 100_000.0)?[1] as usize,
             "obeys" => self.obeys = range(0.0, 1.0)?,
             "swing" => self.swing = range(0.0, 0.9)?,
-            "trouble_count" => self.trouble_count = range(0.0, 20.99)?,
+            "trouble_count" => self.fault_count = range(0.0, 20.99)?,
             "slow_factor" => self.slow_factor = range(1.0, 1_000.0)?,
             "deploy_part" => self.deploy_part = range(0.0, 1.0)?,
             "burst_size" => self.burst_size = range(1.0, 100.0)?,
@@ -186,10 +187,10 @@
             "read_share" => self.read_share = range(0.0, 2.0)?,
             "retry" => {
                 let names: Vec<String> = words();
-                if names.is_empty() || names.iter().any(|name| Habit::named(name).is_none()) {
-                    return Err(bad(&format!("some of {}", Habit::NAMES.join(", "))));
+                if names.is_empty() || names.iter().any(|name| RetryPolicy::named(name).is_none()) {
+                    return Err(bad(&format!("some of {}", RetryPolicy::NAMES.join(", "))));
                 }
-                self.habits = names;
+                self.retry_policies = names;
             }
             "pick" => {
                 let named =
@@ -200,10 +201,10 @@
             }
             "troubles" => {
                 let names: Vec<String> = if value == "none" { Vec::new() } else { words() };
-                if names.iter().any(|name| !TROUBLES.contains(&name.as_str())) {
-                    return Err(bad(&format!("none, or some of {}", TROUBLES.join(", "))));
+                if names.iter().any(|name| !FAULT_KINDS.contains(&name.as_str())) {
+                    return Err(bad(&format!("none, or some of {}", FAULT_KINDS.join(", "))));
                 }
-                self.troubles = names;
+                self.faults = names;
             }
             "roster" => {
                 self.registry = match value {
@@ -214,21 +215,21 @@
             }
             "flood" => {
                 // As `1:5`: the second office at five times its share.
-                let parsed = value.split_once(':').and_then(|(office, times)| {
-                    Some((office.trim().parse::<usize>().ok()?, times.trim().parse::<f64>().ok()?))
+                let parsed = value.split_once(':').and_then(|(tenant, times)| {
+                    Some((tenant.trim().parse::<usize>().ok()?, times.trim().parse::<f64>().ok()?))
                 });
-                let offices = Terms::brief(1.0).offices.len();
+                let tenants = Terms::brief(1.0).tenants.len();
                 let ok =
-                    parsed.filter(|(office, times)| *office < offices && *times > 0.0 && *times <= 100.0);
+                    parsed.filter(|(tenant, times)| *tenant < tenants && *times > 0.0 && *times <= 100.0);
                 self.office_load = Some(ok.ok_or_else(|| bad("OFFICE:TIMES, as 1:5"))?);
             }
-            _ => return Err(BadSetting::Name { name: name.to_string() }),
+            _ => return Err(SettingError::Name { name: name.to_string() }),
         }
         Ok(())
     }
 
     /// The day of a seed. What of it was set to one value does not change what else is drawn.
-    pub fn draw(&self, seed: u64) -> Day {
+    pub fn draw(&self, seed: u64) -> Scenario {
         let streams = Streams::new(seed);
         let mut rng = streams.of("day", 0);
         let seconds = within(&mut rng, self.seconds);
@@ -255,13 +256,13 @@
         let memory: f64 = machines.iter().map(|machine| machine.memory_kb).sum();
         let cores: f64 = machines.iter().map(|machine| f64::from(machine.cores) * machine.speed).sum();
         let keys = cores * 1e3 / mean_ms * classes[3].share * 12.075;
-        let mut day = Day {
+        let mut scenario = Scenario {
             seed,
             seconds,
             load,
             shape: shape(seconds, within(&mut rng, self.swing), &mut streams.of("shape", 0)),
             classes,
-            offices: Vec::new(),
+            tenants: Vec::new(),
             quota_of_capacity: within(&mut rng, [0.62, 1.0]),
             machines,
             proxies: Vec::new(),
@@ -274,13 +275,18 @@
                 resend_ms: 200.0,
                 deaf: within(&mut rng, [0.0, 0.05]),
             },
-            roster: if self.registry {
+            discovery: if self.registry {
                 let refresh_s = self.refresh_s;
-                RosterSpec::Registry { heartbeat_s: 5.0, refresh_s, cache_s: refresh_s / 2.0, lease_s: 15.0 }
+                DiscoverySpec::Registry {
+                    heartbeat_s: 5.0,
+                    refresh_s,
+                    cache_s: refresh_s / 2.0,
+                    lease_s: 15.0,
+                }
             } else {
-                RosterSpec::List { notice_s: self.notice_s, silent_s: 3.0 }
+                DiscoverySpec::List { notice_s: self.notice_s, silent_s: 3.0 }
             },
-            troubles: Vec::new(),
+            faults: Vec::new(),
             read_share: within(&mut rng, self.read_share),
             backlog_per_core: 128,
             hold_kb,
@@ -289,25 +295,25 @@
             key_kb: memory * key_room / keys.max(1.0),
             restart_s: within(&mut rng, [4.0, 8.0]),
         };
-        day.offices = self.offices(&mut streams.of("offices", 0));
-        day.proxies = self.proxies(proxies, zones, within(&mut rng, self.obeys), &streams);
-        day.troubles = self.troubles(&day, &mut streams.of("troubles", 0));
-        succeed(&mut day, &streams);
-        day
+        scenario.tenants = self.tenants(&mut streams.of("offices", 0));
+        scenario.proxies = self.proxies(proxies, zones, within(&mut rng, self.obeys), &streams);
+        scenario.faults = self.faults(&scenario, &mut streams.of("troubles", 0));
+        succeed(&mut scenario, &streams);
+        scenario
     }
 
-    fn offices(&self, rng: &mut Pcg64Mcg) -> Vec<OfficeSpec> {
-        let mut offices: Vec<OfficeSpec> = Terms::brief(1.0)
-            .offices
+    fn tenants(&self, rng: &mut Pcg64Mcg) -> Vec<TenantSpec> {
+        let mut tenants: Vec<TenantSpec> = Terms::brief(1.0)
+            .tenants
             .into_iter()
-            .map(|office| OfficeSpec { traffic: office.share * within(rng, [0.75, 1.3]), office })
+            .map(|tenant| TenantSpec { traffic: tenant.share * within(rng, [0.75, 1.3]), tenant })
             .collect();
         if let Some((flooded, times)) = self.office_load {
-            offices[flooded].traffic = offices[flooded].office.share * times;
+            tenants[flooded].traffic = tenants[flooded].tenant.share * times;
         }
-        let sum: f64 = offices.iter().map(|office| office.traffic).sum();
-        offices.iter_mut().for_each(|office| office.traffic /= sum);
-        offices
+        let sum: f64 = tenants.iter().map(|tenant| tenant.traffic).sum();
+        tenants.iter_mut().for_each(|tenant| tenant.traffic /= sum);
+        tenants
     }
 
     fn proxies(&self, count: usize, zones: usize, obeys: f64, streams: &Streams) -> Vec<ProxySpec> {
@@ -317,30 +323,36 @@
         (0..count)
             .map(|number| {
                 let mut rng = streams.of("proxy-kind", number as u64);
-                let name = &self.habits[one_of(&mut rng, self.habits.len())];
+                let name = &self.retry_policies[one_of(&mut rng, self.retry_policies.len())];
                 let pick = self.picks[one_of(&mut rng, self.picks.len())];
                 let backoff = within(&mut rng, [0.7, 1.4]);
-                let habit = Habit::named(name).unwrap_or_else(|| Habit::plain(pick));
-                let habit = Habit { pick, backoff_ms: habit.backoff_ms * backoff, ..habit };
-                ProxySpec { zone: number % zones, habit, heeds: heed[number], subset: self.subset }
+                let retry_policy = RetryPolicy::named(name).unwrap_or_else(|| RetryPolicy::plain(pick));
+                let retry_policy =
+                    RetryPolicy { pick, backoff_ms: retry_policy.backoff_ms * backoff, ..retry_policy };
+                ProxySpec {
+                    zone: number % zones,
+                    retry_policy,
+                    respects_advice: heed[number],
+                    subset: self.subset,
+                }
             })
             .collect()
     }
 
-    fn troubles(&self, day: &Day, rng: &mut Pcg64Mcg) -> Vec<Trouble> {
-        if self.troubles.is_empty() {
+    fn faults(&self, scenario: &Scenario, rng: &mut Pcg64Mcg) -> Vec<Fault> {
+        if self.faults.is_empty() {
             return Vec::new();
         }
         let some = |rng: &mut Pcg64Mcg, part: f64| {
-            let mut all: Vec<usize> = (0..day.machines.len()).collect();
+            let mut all: Vec<usize> = (0..scenario.machines.len()).collect();
             shuffle(rng, &mut all);
             all.truncate(((part * all.len() as f64).round() as usize).max(1));
             all
         };
-        let count = within(rng, self.trouble_count) as usize;
-        let mut troubles: Vec<Trouble> = (0..count)
+        let count = within(rng, self.fault_count) as usize;
+        let mut faults: Vec<Fault> = (0..count)
             .map(|_| {
-                let name = &self.troubles[one_of(rng, self.troubles.len())];
+                let name = &self.faults[one_of(rng, self.faults.len())];
                 // Drawn for whichever it is: a range set otherwise moves nothing else.
                 let (part, len, more) = (unit(rng), unit(rng), unit(rng));
                 let at = |range: [f64; 2], t: f64| range[0] + (range[1] - range[0]) * t;
@@ -348,49 +360,49 @@
                     "burst" => (
                         at([2.1, 9.9], len),
                         0.0,
-                        What::Burst { size: at(self.burst_size, part), edge_s: at([0.59, 1.8], more) },
+                        FaultKind::Burst { size: at(self.burst_size, part), edge_s: at([0.59, 1.8], more) },
                     ),
-                    "crash" => (at([6.2, 24.0], len), at([0.08, 0.2], part), What::Crash),
+                    "crash" => (at([6.2, 24.0], len), at([0.08, 0.2], part), FaultKind::Crash),
                     "slow" => (
                         at([14.0, 30.0], len),
                         at([0.1, 0.25], part),
-                        What::Slow { factor: at(self.slow_factor, more) },
+                        FaultKind::Slow { factor: at(self.slow_factor, more) },
                     ),
                     "deploy" => {
-                        let batch = (at([0.053, 0.19], part) * day.machines.len() as f64) as usize;
-                        let what = What::Deploy {
+                        let batch = (at([0.053, 0.19], part) * scenario.machines.len() as f64) as usize;
+                        let what = FaultKind::Deploy {
                             batch: batch.max(1),
                             drain_s: at([3.2, 5.3], more),
                             successors: Vec::new(),
                         };
                         (at([37.0, 22.0], len), at(self.deploy_part, part), what)
                     }
-                    "hang" => (at([2.0, 8.0], len), at([0.05, 0.2], part), What::Hang),
-                    "pause" => (at([0.5, 3.0], len), at([0.05, 0.2], part), What::Pause),
-                    "registry_away" => (at([8.0, 25.0], len), 0.0, What::RegistryAway),
-                    _ => (at([3.0, 12.0], len), 0.0, What::ZoneCut { zone: (part * 3.0) as usize % 3 }),
+                    "hang" => (at([2.0, 8.0], len), at([0.05, 0.2], part), FaultKind::Hang),
+                    "pause" => (at([0.5, 3.0], len), at([0.05, 0.2], part), FaultKind::Pause),
+                    "registry_away" => (at([8.0, 25.0], len), 0.0, FaultKind::RegistryAway),
+                    _ => (at([3.0, 12.0], len), 0.0, FaultKind::ZoneCut { zone: (part * 3.0) as usize % 3 }),
                 };
                 let on = if share > 0.0 { some(rng, share) } else { Vec::new() };
-                let at_s = within(rng, [0.1, 0.6]) * day.seconds;
-                Trouble { at_s, len_s, what, on }
+                let at_s = within(rng, [0.1, 0.6]) * scenario.seconds;
+                Fault { at_s, len_s, what, on }
             })
             .collect();
-        troubles.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
-        troubles
+        faults.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
+        faults
     }
 }
 
 /// A machine for each successor of a deploy: of the same kind as the one that it follows, and not quite as fast or a little faster.
-fn succeed(day: &mut Day, streams: &Streams) {
-    for number in 0..day.troubles.len() {
-        let on = day.troubles[number].on.clone();
-        if let What::Deploy { successors, .. } = &mut day.troubles[number].what {
+fn succeed(scenario: &mut Scenario, streams: &Streams) {
+    for number in 0..scenario.faults.len() {
+        let on = scenario.faults[number].on.clone();
+        if let FaultKind::Deploy { successors, .. } = &mut scenario.faults[number].what {
             for old in on {
-                let mut rng = streams.of("successor", day.machines.len() as u64);
-                let machine = &day.machines[old];
+                let mut rng = streams.of("successor", scenario.machines.len() as u64);
+                let machine = &scenario.machines[old];
                 let speed = machine.speed * within(&mut rng, [0.85, 1.15]);
-                successors.push(day.machines.len());
-                day.machines.push(Machine { speed, spare: true, ..machine.clone() });
+                successors.push(scenario.machines.len());
+                scenario.machines.push(Machine { speed, spare: true, ..machine.clone() });
             }
         }
     }
@@ -485,16 +497,18 @@
         other.set("slow_factor", "4").unwrap();
         other.set("retry", "none").unwrap();
         let (a, b) = (base.draw(5), other.draw(5));
-        let used = |day: &Day| day.machines.iter().filter(|m| !m.spare).cloned().collect::<Vec<Machine>>();
+        let used = |scenario: &Scenario| {
+            scenario.machines.iter().filter(|m| !m.spare).cloned().collect::<Vec<Machine>>()
+        };
         assert_eq!(used(&a), used(&b));
-        assert_eq!((&a.classes, &a.offices, &a.net), (&b.classes, &b.offices, &b.net));
-        assert_eq!(a.troubles.len(), b.troubles.len());
+        assert_eq!((&a.classes, &a.tenants, &a.net), (&b.classes, &b.tenants, &b.net));
+        assert_eq!(a.faults.len(), b.faults.len());
         assert_eq!(b.load, 3.0);
         assert_eq!(a.draw_again(&base), a);
     }
 
-    impl Day {
-        fn draw_again(&self, ranges: &Ranges) -> Day {
+    impl Scenario {
+        fn draw_again(&self, ranges: &Ranges) -> Scenario {
             ranges.draw(self.seed)
         }
     }
@@ -516,10 +530,10 @@
             let error = ranges.set(name, value).unwrap_err();
             assert!(error.to_string().contains(name), "{error}");
         }
-        assert!(matches!(ranges.set("colour", "1"), Err(BadSetting::Name { .. })));
+        assert!(matches!(ranges.set("colour", "1"), Err(SettingError::Name { .. })));
         assert_eq!(ranges, Ranges::brief());
         for name in NAMES {
-            assert!(!matches!(ranges.set(name, "?"), Err(BadSetting::Name { .. })), "{name}");
+            assert!(!matches!(ranges.set(name, "?"), Err(SettingError::Name { .. })), "{name}");
         }
     }
 
@@ -528,12 +542,12 @@
     fn a_drawn_day_is_of_the_brief() {
         let rates: Vec<f64> = (0..40)
             .map(|seed| {
-                let day = Ranges::brief().draw(seed);
-                let used = day.machines.iter().filter(|machine| !machine.spare).count();
-                assert!((10..=12).contains(&used) && (3..=5).contains(&day.proxies.len()));
-                assert!(day.troubles.len() <= 2 && !day.troubles.is_empty());
-                assert!(day.rate(day.pace(), 10.0) <= day.top_rate(day.pace()) + 1e-9);
-                day.pace()
+                let scenario = Ranges::brief().draw(seed);
+                let used = scenario.machines.iter().filter(|machine| !machine.spare).count();
+                assert!((10..=12).contains(&used) && (3..=5).contains(&scenario.proxies.len()));
+                assert!(scenario.faults.len() <= 2 && !scenario.faults.is_empty());
+                assert!(scenario.rate(scenario.pace(), 10.0) <= scenario.top_rate(scenario.pace()) + 1e-9);
+                scenario.pace()
             })
             .collect();
         let mean = rates.iter().sum::<f64>() / rates.len() as f64;
--- a/crates/model/src/account/mod.rs
+++ b/crates/model/src/service_report/mod.rs
@@ -1,8 +1,8 @@
 //! The account of the brief: worth served within its aim over worth asked for, retries folded into the first try, and the
 //! four rules, checked at every event.
 //!
-//! Whoever plays a fleet (a model, a rehearsal, a report) tells what happened; [`service::Service`] counts and
-//! [`rules::Rules`] checks. Neither knows where its events come from.
+//! Whoever plays a fleet (a model, a rehearsal, a report) tells what happened; [`service::ServiceCounter`] counts and
+//! [`rules::RuleChecker`] checks. Neither knows where its events come from.
 
 pub mod rules;
 pub mod service;
@@ -22,9 +22,11 @@
     #[serde(rename = "worth")]
     pub priority_weight: f64,
     /// The part of it that an answer after the aim earns, while the caller waits.
-    pub late: f64,
+    #[serde(rename = "late")]
+    pub late_value: f64,
     /// From the first try on.
-    pub aim_ms: Ms,
+    #[serde(rename = "aim_ms")]
+    pub latency_objective_ms: Ms,
     /// How long callers wait.
     pub deadline_ms: Ms,
     /// How long after it ran it must not run again at the same server; none where it is safe to repeat.
@@ -33,7 +35,7 @@
 
 /// An office and its share of the fleet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Office {
+pub struct Tenant {
     /// As `etela-kasvio`.
     pub name: String,
     /// From 0 to 1; all together are 1.
@@ -46,11 +48,13 @@
     /// The classes; events name them by their place.
     pub classes: Vec<Class>,
     /// The offices; events name them by their place.
-    pub offices: Vec<Office>,
+    #[serde(rename = "offices")]
+    pub tenants: Vec<Tenant>,
     /// First tries a second that the whole fleet can serve: a share is a part of this.
     pub capacity: f64,
     /// What traffic beyond a share is worth, as a part of the usual.
-    pub beyond: f64,
+    #[serde(rename = "beyond")]
+    pub over_quota_weight: f64,
     /// Weights of the whole, the worst window, the worst class and the worst office; together 1.
     pub weights: [f64; 4],
     /// The length of the worst window.
@@ -61,9 +65,9 @@
 
 /// Why terms can't be counted by.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub enum BadTerms {
+pub enum TermsError {
     /// There is nothing to count.
-    #[error("expected at least one class and one office")]
+    #[error("expected at least one class and one tenant")]
     Empty,
     /// Parts that don't make a whole.
     #[error("expected {what} to be 1 together, got {sum}")]
@@ -87,15 +91,16 @@
     /// Those of the brief, for a fleet that can serve so many first tries a second. Times are whole; a model at another scale
     /// divides them.
     pub fn brief(capacity: f64) -> Self {
-        let class = |name: &str, priority_weight, late, aim_ms, deadline_ms, window_ms| Class {
-            name: name.to_string(),
-            priority_weight,
-            late,
-            aim_ms,
-            deadline_ms,
-            window_ms,
-        };
-        let office = |name: &str, share| Office { name: name.to_string(), share };
+        let class =
+            |name: &str, priority_weight, late_value, latency_objective_ms, deadline_ms, window_ms| Class {
+                name: name.to_string(),
+                priority_weight,
+                late_value,
+                latency_objective_ms,
+                deadline_ms,
+                window_ms,
+            };
+        let tenant = |name: &str, share| Tenant { name: name.to_string(), share };
         Self {
             classes: vec![
                 class("sheet-view", 1.0, 0.0, 1_600, 4_000, None),
@@ -103,14 +108,14 @@
                 class("label-read", 2.0, 0.0, 1_600, 4_000, None),
                 class("label-save", 4.0, 0.2, 1_600, 4_000, Some(12_075)),
             ],
-            offices: vec![
-                office("etela-kasvio", 0.42),
-                office("lansi-kasvio", 0.26),
-                office("ita-kasvio", 0.18),
-                office("pohjois-kasvio", 0.14),
+            tenants: vec![
+                tenant("etela-kasvio", 0.42),
+                tenant("lansi-kasvio", 0.26),
+                tenant("ita-kasvio", 0.18),
+                tenant("pohjois-kasvio", 0.14),
             ],
             capacity,
-            beyond: 0.05,
+            over_quota_weight: 0.05,
             weights: [0.4, 0.3, 0.2, 0.1],
             window_ms: 10_000,
             deductions: [8.3, 8.0],
@@ -118,34 +123,38 @@
     }
 
     /// Whether they make sense.
-    pub fn check(&self) -> Result<(), BadTerms> {
-        if self.classes.is_empty() || self.offices.is_empty() {
-            return Err(BadTerms::Empty);
+    pub fn check(&self) -> Result<(), TermsError> {
+        if self.classes.is_empty() || self.tenants.is_empty() {
+            return Err(TermsError::Empty);
         }
         let near = |sum: f64| (sum - 1.0).abs() < 1e-6;
-        let shares = self.offices.iter().map(|office| office.share).sum();
+        let shares = self.tenants.iter().map(|tenant| tenant.share).sum();
         let weights = self.weights.iter().sum();
-        for (what, sum) in [("the shares of the offices", shares), ("the weights", weights)] {
+        for (what, sum) in [("the shares of the tenants", shares), ("the weights", weights)] {
             if !near(sum) {
-                return Err(BadTerms::Sum { what, sum });
+                return Err(TermsError::Sum { what, sum });
             }
         }
         let range =
-            |what, value: f64, ok: bool| if ok { Ok(()) } else { Err(BadTerms::Range { what, value }) };
+            |what, value: f64, ok: bool| if ok { Ok(()) } else { Err(TermsError::Range { what, value }) };
         range("a capacity above 0", self.capacity, self.capacity > 0.0 && self.capacity.is_finite())?;
-        range("a worth beyond the share from 0 to 1", self.beyond, (0.0..=1.0).contains(&self.beyond))?;
+        range(
+            "a priority weight over quota from 0 to 1",
+            self.over_quota_weight,
+            (0.0..=1.0).contains(&self.over_quota_weight),
+        )?;
         range("a window above 0", self.window_ms as f64, self.window_ms > 0)?;
         for class in &self.classes {
             range(
-                "a worth above 0",
+                "a priority weight above 0",
                 class.priority_weight,
                 class.priority_weight > 0.0 && class.priority_weight.is_finite(),
             )?;
-            range("a late part from 0 to 1", class.late, (0.0..=1.0).contains(&class.late))?;
+            range("a late value from 0 to 1", class.late_value, (0.0..=1.0).contains(&class.late_value))?;
             range(
-                "a deadline of the aim or more",
+                "a deadline no shorter than the latency objective",
                 class.deadline_ms as f64,
-                class.deadline_ms >= class.aim_ms,
+                class.deadline_ms >= class.latency_objective_ms,
             )?;
         }
         Ok(())
--- a/crates/model/src/account/rules.rs
+++ b/crates/model/src/service_report/rules.rs
@@ -33,7 +33,7 @@
 
 /// Which rule, and how it was broken.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
-pub enum Breach {
+pub enum Violation {
     /// A try that was read got no final answer in its time.
     #[error("lost: no final answer by {due_ms} ms")]
     Lost {
@@ -80,22 +80,27 @@
     /// Events at which a cold server was looked at.
     pub events: u64,
     /// The most runs at once, as a part of the budget then.
-    pub most_at_once: f64,
+    #[serde(rename = "most_at_once")]
+    pub max_concurrent_fraction: f64,
     /// The most in the mean of the span, as a part of what is survived then.
-    pub most_mean: f64,
+    #[serde(rename = "most_mean")]
+    pub max_mean_fraction: f64,
 }
 
 /// A breach with its place in the day.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Broken {
+pub struct ViolationRecord {
     /// When.
-    pub at: Ms,
+    #[serde(rename = "at")]
+    pub at_ms: Ms,
     /// Where.
     pub server: Server,
     /// Which try, if one.
-    pub request: Option<Try>,
+    #[serde(rename = "request")]
+    pub attempt: Option<Try>,
     /// How.
-    pub breach: Breach,
+    #[serde(rename = "breach")]
+    pub violation: Violation,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -119,7 +124,7 @@
 
 /// What was told so far.
 #[derive(Debug)]
-pub struct Rules {
+pub struct RuleChecker {
     figures: Figures,
     machines: HashMap<Server, Machine>,
     /// Tries that were read and are owed an answer, and those that may still get a second one.
@@ -130,10 +135,10 @@
     /// When a key ran last at a server, and its window.
     ran: HashMap<(Server, u64), (Ms, Ms)>,
     slow_start: SlowStart,
-    broken: Vec<Broken>,
+    violations: Vec<ViolationRecord>,
 }
 
-impl Rules {
+impl RuleChecker {
     /// With these figures.
     pub fn new(figures: Figures) -> Self {
         Self {
@@ -144,13 +149,13 @@
             dues: BTreeMap::new(),
             ran: HashMap::new(),
             slow_start: SlowStart::default(),
-            broken: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
     /// All breaches so far, in their order.
-    pub fn broken(&self) -> &[Broken] {
-        &self.broken
+    pub fn violations(&self) -> &[ViolationRecord] {
+        &self.violations
     }
 
     /// What cold servers had so far.
@@ -158,8 +163,8 @@
         self.slow_start
     }
 
-    fn breach(&mut self, at: Ms, server: Server, request: Option<Try>, breach: Breach) {
-        self.broken.push(Broken { at, server, request, breach });
+    fn record_violation(&mut self, at: Ms, server: Server, request: Option<Try>, violation: Violation) {
+        self.violations.push(ViolationRecord { at_ms: at, server, attempt: request, violation });
     }
 
     /// A server has started.
@@ -218,14 +223,14 @@
             if let Some((Read { server, .. }, answered)) = self.over.get_mut(&request) {
                 let server = *server;
                 if std::mem::replace(answered, true) {
-                    self.breach(at, server, Some(request), Breach::Answered);
+                    self.record_violation(at, server, Some(request), Violation::Answered);
                 }
             }
             return;
         };
         let run = read.key.and_then(|(key, _)| self.ran.get(&(read.server, key)).copied());
         if let Some((before_ms, _)) = run.filter(|(ran, window)| turned_away && read.came < ran + window) {
-            self.breach(at, read.server, Some(request), Breach::TurnedAway { before_ms });
+            self.record_violation(at, read.server, Some(request), Violation::TurnedAway { before_ms });
         }
     }
 
@@ -238,13 +243,13 @@
         let notice = self.machines.get(&server).and_then(|machine| machine.notice);
         let after_ms = notice.and_then(|notice| came.checked_sub(notice)).unwrap_or(0);
         if after_ms > self.figures.grace_ms {
-            self.breach(at, server, Some(request), Breach::Drain { after_ms });
+            self.record_violation(at, server, Some(request), Violation::Drain { after_ms });
         }
         if let Some((key, window)) = key {
             // The window counts from when the try that ran came.
             let before = self.ran.insert((server, key), (came, window));
             if let Some((before_ms, _)) = before.filter(|(ran, window)| came < ran + window) {
-                self.breach(at, server, Some(request), Breach::Ran { before_ms });
+                self.record_violation(at, server, Some(request), Violation::Ran { before_ms });
             }
         }
         self.count(server, at, 1);
@@ -270,11 +275,11 @@
         }
         if cold {
             self.looked_at_cold(server, at, runs, most);
-            self.slow_start.most_mean = self.slow_start.most_mean.max(mean / most);
+            self.slow_start.max_mean_fraction = self.slow_start.max_mean_fraction.max(mean / most);
         }
         if fell {
             let text = format!("{:.1} running a core in the mean of {span} ms", mean / cores);
-            self.breach(at, server, None, Breach::Fell(text));
+            self.record_violation(at, server, None, Violation::Fell(text));
         }
     }
 
@@ -282,9 +287,10 @@
     fn looked_at_cold(&mut self, server: Server, at: Ms, runs: u32, allowed: f64) {
         let most = budget(allowed);
         self.slow_start.events += 1;
-        self.slow_start.most_at_once = self.slow_start.most_at_once.max(f64::from(runs) / most);
+        self.slow_start.max_concurrent_fraction =
+            self.slow_start.max_concurrent_fraction.max(f64::from(runs) / most);
         if f64::from(runs) > most {
-            self.breach(at, server, None, Breach::SlowStart { runs, most: most as u32 });
+            self.record_violation(at, server, None, Violation::SlowStart { runs, most: most as u32 });
         }
     }
 
@@ -292,11 +298,11 @@
     pub fn memory(&mut self, server: Server, at: Ms, used_kb: f64) {
         let most = self.machines.get(&server).map_or(f64::INFINITY, |machine| machine.memory_kb);
         if used_kb > most {
-            self.breach(
+            self.record_violation(
                 at,
                 server,
                 None,
-                Breach::Fell(format!("{used_kb:.0} kB of memory, there are {most:.0}")),
+                Violation::Fell(format!("{used_kb:.0} kB of memory, there are {most:.0}")),
             );
         }
     }
@@ -311,7 +317,7 @@
         for request in open {
             let due_ms = self.settle(request, false).map_or(at, |read| read.due);
             if !died {
-                self.breach(at, server, Some(request), Breach::Lost { due_ms });
+                self.record_violation(at, server, Some(request), Violation::Lost { due_ms });
             }
         }
         self.machines.remove(&server);
@@ -326,7 +332,7 @@
             }
             let server = self.settle(request, false).map_or(0, |read| read.server);
             self.dues.remove(&(due_ms, request));
-            self.breach(due_ms, server, Some(request), Breach::Lost { due_ms });
+            self.record_violation(due_ms, server, Some(request), Violation::Lost { due_ms });
         }
     }
 }
@@ -337,14 +343,18 @@
 
     const WINDOW: Ms = 12_075;
 
-    fn rules() -> Rules {
-        let mut rules = Rules::new(Figures::default());
+    fn rules() -> RuleChecker {
+        let mut rules = RuleChecker::new(Figures::default());
         rules.started(1, 6.0, 1_000.0);
         rules
     }
 
-    fn breaches(rules: &Rules) -> Vec<(Ms, Option<Try>, Breach)> {
-        rules.broken().iter().map(|broken| (broken.at, broken.request, broken.breach.clone())).collect()
+    fn violations_of(rules: &RuleChecker) -> Vec<(Ms, Option<Try>, Violation)> {
+        rules
+            .violations()
+            .iter()
+            .map(|record| (record.at_ms, record.attempt, record.violation.clone()))
+            .collect()
     }
 
     /// Guards against a checker that sees breaches where there are none.
@@ -372,7 +382,7 @@
         rules.answered(5, 31_802, true);
         rules.stopped(1, 33_000, false);
         rules.pass(90_000);
-        assert_eq!(breaches(&rules), []);
+        assert_eq!(violations_of(&rules), []);
     }
 
     /// Guards against a rule that nobody checks: each is broken on purpose, and told with its time and its try.
@@ -381,33 +391,33 @@
         let mut lost = rules();
         lost.read(1, 1, 0, 4_000, None);
         lost.pass(4_100);
-        assert_eq!(breaches(&lost), []);
+        assert_eq!(violations_of(&lost), []);
         lost.pass(4_101);
-        assert_eq!(breaches(&lost), [(4_100, Some(1), Breach::Lost { due_ms: 4_100 })]);
+        assert_eq!(violations_of(&lost), [(4_100, Some(1), Violation::Lost { due_ms: 4_100 })]);
 
         // A pause of the machine is not the server's.
         let mut paused = rules();
         paused.read(1, 1, 0, 4_000, None);
         paused.pauses(1, 500);
         paused.pass(4_600);
-        assert_eq!(breaches(&paused), []);
+        assert_eq!(violations_of(&paused), []);
         paused.pass(4_601);
-        assert_eq!(breaches(&paused), [(4_600, Some(1), Breach::Lost { due_ms: 4_600 })]);
+        assert_eq!(violations_of(&paused), [(4_600, Some(1), Violation::Lost { due_ms: 4_600 })]);
 
         let mut twice = rules();
         twice.read(1, 1, 0, 4_000, None);
         twice.answered(1, 5, false);
         twice.answered(1, 6, false);
-        assert_eq!(breaches(&twice), [(6, Some(1), Breach::Answered)]);
+        assert_eq!(violations_of(&twice), [(6, Some(1), Violation::Answered)]);
 
         // An answer that crosses a cancel does no harm, a second one does.
         let mut crossed = rules();
         crossed.read(1, 1, 0, 4_000, None);
         crossed.gone(1);
         crossed.answered(1, 5, false);
-        assert_eq!(breaches(&crossed), []);
+        assert_eq!(violations_of(&crossed), []);
         crossed.answered(1, 6, false);
-        assert_eq!(breaches(&crossed), [(6, Some(1), Breach::Answered)]);
+        assert_eq!(violations_of(&crossed), [(6, Some(1), Violation::Answered)]);
 
         let mut ran = rules();
         for request in [1, 2] {
@@ -417,10 +427,10 @@
         ran.read(1, 3, 3_000, 9_000, Some((7, WINDOW)));
         ran.answered(3, 3_001, true);
         assert_eq!(
-            breaches(&ran),
+            violations_of(&ran),
             [
-                (2_000, Some(2), Breach::Ran { before_ms: 1_000 }),
-                (3_001, Some(3), Breach::TurnedAway { before_ms: 2_000 })
+                (2_000, Some(2), Violation::Ran { before_ms: 1_000 }),
+                (3_001, Some(3), Violation::TurnedAway { before_ms: 2_000 })
             ]
         );
 
@@ -430,17 +440,17 @@
         drain.began(1, 2_802);
         drain.stopped(1, 3_000, false);
         assert_eq!(
-            breaches(&drain),
+            violations_of(&drain),
             [
-                (2_802, Some(1), Breach::Drain { after_ms: 1_801 }),
-                (3_000, Some(1), Breach::Lost { due_ms: 6_000 })
+                (2_802, Some(1), Violation::Drain { after_ms: 1_801 }),
+                (3_000, Some(1), Violation::Lost { due_ms: 6_000 })
             ]
         );
 
         let mut full = rules();
         full.memory(1, 5, 1_000.0);
         full.memory(1, 6, 1_000.5);
-        assert!(matches!(breaches(&full)[..], [(6, None, Breach::Fell(_))]));
+        assert!(matches!(violations_of(&full)[..], [(6, None, Violation::Fell(_))]));
     }
 
     /// Guards against a mean that a short burst tips, and against one that a long crowd doesn't.
@@ -456,7 +466,7 @@
                 rules.ended(1, ms);
                 rules.answered(request, ms, false);
             }
-            rules.broken().len()
+            rules.violations().len()
         };
         // Six cores: 48 running at once are the limit.
         assert_eq!([crowd(48, 5_000), crowd(60, 1_000), crowd(60, 1_500)], [0, 0, 1]);
@@ -469,6 +479,6 @@
         rules.read(1, 1, 0, 4_000, None);
         rules.stopped(1, 100, true);
         rules.pass(9_000);
-        assert_eq!(breaches(&rules), []);
+        assert_eq!(violations_of(&rules), []);
     }
 }
--- a/crates/model/src/account/service.rs
+++ b/crates/model/src/service_report/service.rs
@@ -3,7 +3,7 @@
 //! A request counts once, however many tries it took, from its first try on and in the window in which that came. Windows
 //! are counted by arrivals in steps of a second, so that one bad stretch is found wherever it begins.
 
-use super::{BadTerms, Ms, Terms};
+use super::{Ms, Terms, TermsError};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -27,7 +27,7 @@
 struct Asked {
     at: Ms,
     class: usize,
-    office: usize,
+    tenant: usize,
     /// Within its office's share, or beyond it.
     within: bool,
     end: End,
@@ -74,21 +74,27 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// All requests.
-    pub whole: Sum,
+    #[serde(rename = "whole")]
+    pub total: Sum,
     /// Each class, in the order of the terms.
     pub classes: Vec<Sum>,
     /// Each office within its share.
-    pub offices: Vec<Sum>,
+    #[serde(rename = "offices")]
+    pub tenants: Vec<Sum>,
     /// Each office beyond it.
-    pub beyond: Vec<Sum>,
+    #[serde(rename = "beyond")]
+    pub over_quota: Vec<Sum>,
     /// The beginning of the worst window, and its sum.
     pub worst: (Ms, Sum),
     /// Requests in each place: open, in time, late, given up.
-    pub places: [u64; 4],
+    #[serde(rename = "places")]
+    pub states: [u64; 4],
     /// The part of the requests that failed only after their aim, and wasted work as a part of that asked for.
-    pub prices: [f64; 2],
+    #[serde(rename = "prices")]
+    pub deduction_rates: [f64; 2],
     /// The one figure, deductions taken off.
-    pub g: f64,
+    #[serde(rename = "g")]
+    pub score: f64,
 }
 
 impl Report {
@@ -98,13 +104,13 @@
             let asked = sums.iter().filter(|sum| sum.count > 0).map(Sum::share);
             asked.fold(1.0, f64::min)
         };
-        [self.whole.share(), self.worst.1.share(), least(&self.classes), least(&self.offices)]
+        [self.total.share(), self.worst.1.share(), least(&self.classes), least(&self.tenants)]
     }
 }
 
 /// The books of a day.
 #[derive(Debug, Clone)]
-pub struct Service {
+pub struct ServiceCounter {
     terms: Terms,
     asked: Vec<Asked>,
     /// Requests that an office may still ask for within its share, and when that was counted last.
@@ -113,12 +119,12 @@
     work_wasted_ms: f64,
 }
 
-impl Service {
+impl ServiceCounter {
     /// Empty books.
-    pub fn new(terms: Terms) -> Result<Self, BadTerms> {
+    pub fn new(terms: Terms) -> Result<Self, TermsError> {
         terms.check()?;
         let buckets =
-            terms.offices.iter().map(|office| (office.share * terms.capacity * BURST_S, 0)).collect();
+            terms.tenants.iter().map(|tenant| (tenant.share * terms.capacity * BURST_S, 0)).collect();
         Ok(Self { terms, asked: Vec::new(), buckets, work_asked_ms: 0.0, work_wasted_ms: 0.0 })
     }
 
@@ -129,9 +135,9 @@
 
     /// A request's first try leaves its caller. Times of first tries must not go back. `work_ms` is what a run of it takes
     /// on a core of speed 1, if that is known.
-    pub fn ask(&mut self, at: Ms, class: usize, office: usize, work_ms: f64) -> Request {
-        let rate = self.terms.offices[office].share * self.terms.capacity;
-        let (tokens, since) = &mut self.buckets[office];
+    pub fn ask(&mut self, at: Ms, class: usize, tenant: usize, work_ms: f64) -> Request {
+        let rate = self.terms.tenants[tenant].share * self.terms.capacity;
+        let (tokens, since) = &mut self.buckets[tenant];
         *tokens = (*tokens + rate * at.saturating_sub(*since) as f64 / 1e3).min((rate * BURST_S).max(1.0));
         *since = at;
         let within = *tokens >= 1.0;
@@ -139,7 +145,7 @@
             *tokens -= 1.0;
         }
         self.work_asked_ms += work_ms;
-        self.asked.push(Asked { at, class, office, within, end: End::Open });
+        self.asked.push(Asked { at, class, tenant, within, end: End::Open });
         self.asked.len() - 1
     }
 
@@ -171,7 +177,7 @@
         match asked.end {
             End::Open => Place::Open,
             End::GivenUp => Place::GivenUp,
-            End::Served(took) if took <= class.aim_ms => Place::InTime,
+            End::Served(took) if took <= class.latency_objective_ms => Place::InTime,
             End::Served(took) if took <= class.deadline_ms => Place::Late,
             End::Served(_) => Place::GivenUp,
         }
@@ -191,10 +197,11 @@
     fn priority_weight(&self, request: Request) -> (f64, f64) {
         let asked = &self.asked[request];
         let class = &self.terms.classes[asked.class];
-        let priority_weight = class.priority_weight * if asked.within { 1.0 } else { self.terms.beyond };
+        let priority_weight =
+            class.priority_weight * if asked.within { 1.0 } else { self.terms.over_quota_weight };
         let earned = match self.place(request) {
             Place::InTime => priority_weight,
-            Place::Late => priority_weight * class.late,
+            Place::Late => priority_weight * class.late_value,
             Place::Open | Place::GivenUp => 0.0,
         };
         (priority_weight, earned)
@@ -204,52 +211,53 @@
     pub fn seconds(&self) -> (Vec<Vec<Sum>>, Vec<Vec<Sum>>) {
         let last = self.asked.last().map_or(0, |asked| asked.at / STEP_MS) as usize;
         let mut classes = vec![vec![Sum::default(); self.terms.classes.len()]; last + 1];
-        let mut offices = vec![vec![Sum::default(); self.terms.offices.len()]; last + 1];
+        let mut tenants = vec![vec![Sum::default(); self.terms.tenants.len()]; last + 1];
         for (request, asked) in self.asked.iter().enumerate() {
             let (priority_weight, earned) = self.priority_weight(request);
             let second = (asked.at / STEP_MS) as usize;
             classes[second][asked.class].add(priority_weight, earned);
-            offices[second][asked.office].add(priority_weight, earned);
+            tenants[second][asked.tenant].add(priority_weight, earned);
         }
-        (classes, offices)
+        (classes, tenants)
     }
 
     /// What it came to; requests still open count as not served.
     pub fn report(&self) -> Report {
         let terms = &self.terms;
-        let mut whole = Sum::default();
+        let mut total = Sum::default();
         let mut classes = vec![Sum::default(); terms.classes.len()];
-        let mut offices = vec![Sum::default(); terms.offices.len()];
-        let mut beyond = offices.clone();
+        let mut tenants = vec![Sum::default(); terms.tenants.len()];
+        let mut over_quota = tenants.clone();
         let mut steps = BTreeMap::<Ms, Sum>::new();
-        let (mut places, mut late) = ([0; 4], 0_u64);
+        let (mut states, mut late) = ([0; 4], 0_u64);
         for (request, asked) in self.asked.iter().enumerate() {
             let (priority_weight, earned) = self.priority_weight(request);
             let place = self.place(request);
-            places[match place {
+            states[match place {
                 Place::Open => 0,
                 Place::InTime => 1,
                 Place::Late => 2,
                 Place::GivenUp => 3,
             }] += 1;
             late += u64::from(place == Place::Late);
-            whole.add(priority_weight, earned);
+            total.add(priority_weight, earned);
             classes[asked.class].add(priority_weight, earned);
-            let line = if asked.within { &mut offices } else { &mut beyond };
-            line[asked.office].add(priority_weight, earned);
+            let line = if asked.within { &mut tenants } else { &mut over_quota };
+            line[asked.tenant].add(priority_weight, earned);
             steps.entry(asked.at / STEP_MS).or_default().add(priority_weight, earned);
         }
-        let worst = worst_window(&steps, terms.window_ms.div_ceil(STEP_MS)).unwrap_or((0, whole));
-        let prices = [
+        let worst = worst_window(&steps, terms.window_ms.div_ceil(STEP_MS)).unwrap_or((0, total));
+        let deduction_rates = [
             late as f64 / self.asked.len().max(1) as f64,
             if self.work_asked_ms > 0.0 { self.work_wasted_ms / self.work_asked_ms } else { 0.0 },
         ];
-        let mut report = Report { whole, classes, offices, beyond, worst, places, prices, g: 0.0 };
+        let mut report =
+            Report { total, classes, tenants, over_quota, worst, states, deduction_rates, score: 0.0 };
         let weighted: f64 =
             report.parts().iter().zip(terms.weights).map(|(part, weight)| part * weight).sum();
         let off: f64 =
-            prices.iter().zip(terms.deductions).map(|(price, points)| price * points / 100.0).sum();
-        report.g = weighted - off;
+            deduction_rates.iter().zip(terms.deductions).map(|(rate, points)| rate * points / 100.0).sum();
+        report.score = weighted - off;
         report
     }
 }
@@ -277,8 +285,8 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn books() -> Service {
-        Service::new(Terms::brief(100.0)).expect("terms that make sense")
+    fn books() -> ServiceCounter {
+        ServiceCounter::new(Terms::brief(100.0)).expect("terms that make sense")
     }
 
     /// Guards against a calm day that is not counted as whole, and against deductions where nothing is late or wasted.
@@ -286,14 +294,14 @@
     fn all_in_time_is_one_and_nothing_served_is_none() {
         let (mut all, mut none) = (books(), books());
         for n in 0..6_000_u64 {
-            let (at, class, office) = (n * 10, (n % 4) as usize, (n / 4 % 4) as usize);
-            let request = all.ask(at, class, office, 270.0);
+            let (at, class, tenant) = (n * 10, (n % 4) as usize, (n / 4 % 4) as usize);
+            let request = all.ask(at, class, tenant, 270.0);
             all.served(request, at + 100);
-            let request = none.ask(at, class, office, 270.0);
+            let request = none.ask(at, class, tenant, 270.0);
             none.given_up(request);
         }
-        assert!((all.report().g - 1.0).abs() < 1e-12, "{:?}", all.report().g);
-        assert_eq!((none.report().g, none.report().places), (0.0, [0, 0, 0, 6_000]));
+        assert!((all.report().score - 1.0).abs() < 1e-12, "{:?}", all.report().score);
+        assert_eq!((none.report().score, none.report().states), (0.0, [0, 0, 0, 6_000]));
     }
 
     /// Guards against a late answer that earns nothing or everything, against one after the deadline that earns, and against
@@ -310,13 +318,13 @@
                 request
             })
             .to_vec();
-        let places: Vec<Place> = requests.iter().map(|&request| books.place(request)).collect();
-        assert_eq!(places, [Place::InTime, Place::Late, Place::Late, Place::GivenUp]);
+        let states: Vec<Place> = requests.iter().map(|&request| books.place(request)).collect();
+        assert_eq!(states, [Place::InTime, Place::Late, Place::Late, Place::GivenUp]);
         let report = books.report();
-        assert!((report.whole.earned - (4.0 + 0.8 + 0.8)).abs() < 1e-9 && report.whole.asked == 16.0);
-        assert_eq!(report.prices[0], 0.5);
+        assert!((report.total.earned - (4.0 + 0.8 + 0.8)).abs() < 1e-9 && report.total.asked == 16.0);
+        assert_eq!(report.deduction_rates[0], 0.5);
         let weighted = 5.6 / 16.0;
-        assert!((report.g - (weighted - 0.083 * 0.5)).abs() < 1e-9);
+        assert!((report.score - (weighted - 0.083 * 0.5)).abs() < 1e-9);
     }
 
     /// Guards against a flood that buys its office service: beyond the share a request is worth a twentieth, and the office's own
@@ -335,9 +343,9 @@
         }
         assert!((140..=155).contains(&within), "{within} within 10 s and a burst");
         let report = books.report();
-        assert_eq!(report.offices[3].share(), 1.0);
-        assert_eq!((report.beyond[3].count, report.beyond[3].earned), (1_400 - within, 0.0));
-        assert!((report.whole.asked - (within as f64 + 0.05 * (1_400 - within) as f64)).abs() < 1e-6);
+        assert_eq!(report.tenants[3].share(), 1.0);
+        assert_eq!((report.over_quota[3].count, report.over_quota[3].earned), (1_400 - within, 0.0));
+        assert!((report.total.asked - (within as f64 + 0.05 * (1_400 - within) as f64)).abs() < 1e-6);
     }
 
     /// Guards against a bad stretch that hides between windows.
@@ -353,7 +361,7 @@
         }
         let report = books.report();
         assert_eq!((report.worst.0, report.worst.1.earned), (23_000, 0.0));
-        assert!((report.whole.share() - 5.0 / 6.0).abs() < 0.01);
+        assert!((report.total.share() - 5.0 / 6.0).abs() < 0.01);
     }
 
     /// Guards against terms that would count nonsense without a word.
@@ -362,13 +370,13 @@
         let with = |change: fn(&mut Terms)| {
             let mut terms = Terms::brief(10.0);
             change(&mut terms);
-            Service::new(terms).err()
+            ServiceCounter::new(terms).err()
         };
         assert_eq!(with(|_| {}), None);
-        assert_eq!(with(|terms| terms.classes.clear()), Some(BadTerms::Empty));
-        assert!(matches!(with(|terms| terms.offices[0].share = 0.5), Some(BadTerms::Sum { .. })));
-        assert!(matches!(with(|terms| terms.capacity = f64::NAN), Some(BadTerms::Range { .. })));
-        assert!(matches!(with(|terms| terms.classes[0].deadline_ms = 1), Some(BadTerms::Range { .. })));
+        assert_eq!(with(|terms| terms.classes.clear()), Some(TermsError::Empty));
+        assert!(matches!(with(|terms| terms.tenants[0].share = 0.5), Some(TermsError::Sum { .. })));
+        assert!(matches!(with(|terms| terms.capacity = f64::NAN), Some(TermsError::Range { .. })));
+        assert!(matches!(with(|terms| terms.classes[0].deadline_ms = 1), Some(TermsError::Range { .. })));
     }
 
     proptest! {
@@ -380,9 +388,9 @@
         ) {
             let mut books = books();
             let mut now = 0;
-            for (class, office, gap, end, took) in events {
+            for (class, tenant, gap, end, took) in events {
                 now += gap;
-                let request = books.ask(now, class, office, 1.0);
+                let request = books.ask(now, class, tenant, 1.0);
                 match end {
                     0 => {}
                     1 => books.served(request, now + took),
@@ -390,15 +398,15 @@
                 }
             }
             let report = books.report();
-            prop_assert_eq!(report.places.iter().sum::<u64>(), books.len() as u64);
-            prop_assert_eq!(report.whole.count, books.len() as u64);
-            for sums in [vec![&report.classes], vec![&report.offices, &report.beyond]] {
+            prop_assert_eq!(report.states.iter().sum::<u64>(), books.len() as u64);
+            prop_assert_eq!(report.total.count, books.len() as u64);
+            for sums in [vec![&report.classes], vec![&report.tenants, &report.over_quota]] {
                 let sums: Vec<Sum> = sums.into_iter().flatten().copied().collect();
-                prop_assert_eq!(sums.iter().map(|sum| sum.count).sum::<u64>(), report.whole.count);
+                prop_assert_eq!(sums.iter().map(|sum| sum.count).sum::<u64>(), report.total.count);
                 let asked: f64 = sums.iter().map(|sum| sum.asked).sum();
-                prop_assert!((asked - report.whole.asked).abs() < 1e-6);
+                prop_assert!((asked - report.total.asked).abs() < 1e-6);
             }
-            prop_assert!(report.g <= 1.0);
+            prop_assert!(report.score <= 1.0);
         }
     }
 }
--- a/crates/model/src/world/callers.rs
+++ b/crates/model/src/world/clients.rs
@@ -17,7 +17,7 @@
 pub(super) struct Request {
     /// Its class and office, and until when its caller waits.
     pub class: u32,
-    pub office: u32,
+    pub tenant: u32,
     until: At,
     proxy: u32,
     pub rank: f64,
@@ -94,43 +94,44 @@
 
 impl World {
     /// The next first try of an office: a Poisson stream, thinned by the day's course.
-    pub(super) fn plan_ask(&mut self, office: usize) {
-        let part = self.day.offices[office].traffic;
+    pub(super) fn plan_ask(&mut self, tenant: usize) {
+        let part = self.scenario.tenants[tenant].traffic;
         let top = self.top_rate * part;
         if top <= 0.0 {
             return;
         }
-        let rng = &mut self.offices[office];
-        let (end, mut at_s) = (self.day.seconds, self.now as f64 / 1e9);
+        let rng = &mut self.tenants[tenant];
+        let (end, mut at_s) = (self.scenario.seconds, self.now as f64 / 1e9);
         loop {
             let gap: f64 = Exp1.sample(rng);
             at_s += gap / top;
             if at_s >= end {
                 return;
             }
-            if unit(rng) * top < self.day.rate(self.pace, at_s) * part {
+            if unit(rng) * top < self.scenario.rate(self.pace, at_s) * part {
                 break;
             }
         }
-        self.queue.push((nanos(at_s)).max(self.now), Event::Ask(office));
+        self.queue.push((nanos(at_s)).max(self.now), Event::Ask(tenant));
     }
 
     /// A first try comes.
-    pub(super) fn ask(&mut self, office: usize) {
-        let rng = &mut self.offices[office];
-        let (class, below) = draw_class(&self.day, rng);
-        let spec = &self.day.classes[class];
-        let total: f64 = self.day.classes.iter().map(|class| class.share).sum();
+    pub(super) fn ask(&mut self, tenant: usize) {
+        let rng = &mut self.tenants[tenant];
+        let (class, below) = draw_class(&self.scenario, rng);
+        let spec = &self.scenario.classes[class];
+        let total: f64 = self.scenario.classes.iter().map(|class| class.share).sum();
         // Ranks are by worth: a class has its band, as wide as its part of the traffic.
         let rank = ((below + unit(rng) * spec.share) / total).clamp(0.0, 0.9999);
         let work_s = (lognormal(spec.work_ms, spec.cv, rng) / 1e3).min(MOST_OF_MEAN * spec.work_ms / 1e3);
-        let size_kb = lognormal(self.day.hold_kb * spec.memory, self.day.size_cv, rng).clamp(0.5, 1_900.0);
+        let size_kb =
+            lognormal(self.scenario.hold_kb * spec.memory, self.scenario.size_cv, rng).clamp(0.5, 1_900.0);
         let proxy = (unit(rng) * self.proxies.len() as f64) as u32;
         let until = self.now + spec.class.deadline_ms * MS;
-        let number = self.service.ask(self.ms(), class, office, work_s * 1e3) as RequestNo;
+        let number = self.service.ask(self.ms(), class, tenant, work_s * 1e3) as RequestNo;
         self.requests.push(Request {
             class: class as u32,
-            office: office as u32,
+            tenant: tenant as u32,
             until,
             proxy,
             rank,
@@ -145,12 +146,12 @@
         });
         self.watch.now.asked += 1;
         self.proxies[proxy as usize].first_try();
-        self.plan_ask(office);
+        self.plan_ask(tenant);
         self.attempt(number);
-        let habit = self.proxies[proxy as usize].habit();
-        let spec = &self.day.classes[class];
-        if let Some(part) = habit.copy_after.filter(|_| spec.class.window_ms.is_none()) {
-            let at = self.now + (part * spec.class.aim_ms as f64) as At * MS;
+        let retry_policy = self.proxies[proxy as usize].retry_policy();
+        let spec = &self.scenario.classes[class];
+        if let Some(part) = retry_policy.copy_after.filter(|_| spec.class.window_ms.is_none()) {
+            let at = self.now + (part * spec.class.latency_objective_ms as f64) as At * MS;
             self.queue.push(at, Event::Copy(number));
         }
     }
@@ -167,16 +168,16 @@
             self.requests[number as usize].tried.clear();
         }
         let request = &self.requests[number as usize];
-        let key = if self.day.classes[request.class as usize].class.window_ms.is_some() {
+        let key = if self.scenario.classes[request.class as usize].class.window_ms.is_some() {
             u64::from(number)
         } else {
-            u64::from(request.office) << 32 | (request.rank * 1024.0) as u64
+            u64::from(request.tenant) << 32 | (request.rank * 1024.0) as u64
         };
         let wanted = Wanted { rank: request.rank, key, tried: &request.tried };
         match proxy.choose(self.now, wanted) {
             Choice::Server(server) => self.send(number, server),
             // Those that go on through their list come back when the first of it lets them.
-            Choice::Away(until) if proxy.habit().walks && until < request.until => {
+            Choice::Away(until) if proxy.retry_policy().walks && until < request.until => {
                 self.watch.now.away += 1;
                 self.plan_again(number, until);
             }
@@ -226,13 +227,13 @@
         let request = &self.requests[number as usize];
         let (proxy, until, class) = (request.proxy, request.until, request.class);
         let conn = self.way(proxy, server);
-        let habit = self.proxies[proxy as usize].habit();
+        let retry_policy = self.proxies[proxy as usize].retry_policy();
         let request = &mut self.requests[number as usize];
         let left = until.saturating_sub(self.now);
-        let deadline = self.day.classes[class as usize].class.deadline_ms * MS;
+        let deadline = self.scenario.classes[class as usize].class.deadline_ms * MS;
         // The last try has all that is left.
-        let own = (habit.try_share * deadline as f64) as At;
-        let wait = if request.failures >= habit.retries { left } else { own.min(left) };
+        let own = (retry_policy.try_share * deadline as f64) as At;
+        let wait = if request.failures >= retry_policy.retries { left } else { own.min(left) };
         let id = self.tries.len() as TryId;
         let retry = request.tries > 0;
         request.tries += 1;
@@ -254,7 +255,7 @@
             told_left: false,
             runs: false,
         });
-        self.story(|now| super::Story::sent(number, server, now));
+        self.trace(|now| super::AttemptTrace::sent(number, server, now));
         self.watch.tried(retry);
         self.queue.push(self.now + wait, Event::TimedOut(id));
         self.upward(conn, Event::Reaches(id));
@@ -263,7 +264,10 @@
     /// A message goes up a connection; behind the one before it. The first waits for the handshake.
     fn upward(&mut self, conn: u64, event: Event) {
         let way = &mut self.conns[conn as usize];
-        let zones = (self.day.proxies[way.proxy as usize].zone, self.day.machines[way.machine as usize].zone);
+        let zones = (
+            self.scenario.proxies[way.proxy as usize].zone,
+            self.scenario.machines[way.machine as usize].zone,
+        );
         let rng = &mut self.proxy_rngs[way.proxy as usize];
         let shakes = way.sent == 0;
         let mut at = self.net.arrives(self.now, zones.0, zones.1, rng);
@@ -279,7 +283,10 @@
     /// A message comes down a connection.
     pub(super) fn downward(&mut self, conn: u64, event: Event) {
         let way = &mut self.conns[conn as usize];
-        let zones = (self.day.machines[way.machine as usize].zone, self.day.proxies[way.proxy as usize].zone);
+        let zones = (
+            self.scenario.machines[way.machine as usize].zone,
+            self.scenario.proxies[way.proxy as usize].zone,
+        );
         let rng = &mut self.machine_rngs[way.machine as usize];
         let at = self.net.arrives(self.now, zones.0, zones.1, rng).max(way.last_down);
         way.last_down = at;
@@ -441,9 +448,9 @@
                 open += 1;
             }
             let place = self.service.place(number);
-            if (place == crate::account::service::Place::Open) == request.done {
+            if (place == crate::service_report::service::Place::Open) == request.done {
                 return Err(format!(
-                    "request {number} is {place:?} in the account, over here: {}",
+                    "request {number} is {place:?} in the service report, over here: {}",
                     request.done
                 ));
             }
@@ -464,16 +471,16 @@
     }
 }
 
-fn draw_class(day: &crate::day::Day, rng: &mut Pcg64Mcg) -> (usize, f64) {
-    let total: f64 = day.classes.iter().map(|class| class.share).sum();
+fn draw_class(scenario: &crate::scenario::Scenario, rng: &mut Pcg64Mcg) -> (usize, f64) {
+    let total: f64 = scenario.classes.iter().map(|class| class.share).sum();
     let (mut point, mut class) = (unit(rng) * total, 0);
-    while class + 1 < day.classes.len() && point >= day.classes[class].share {
-        point -= day.classes[class].share;
+    while class + 1 < scenario.classes.len() && point >= scenario.classes[class].share {
+        point -= scenario.classes[class].share;
         class += 1;
     }
     // What is worth less, and of those worth the same what comes first, ranks below.
-    let priority_weight = day.classes[class].class.priority_weight;
-    let below = day.classes.iter().enumerate().filter(|(other, spec)| {
+    let priority_weight = scenario.classes[class].class.priority_weight;
+    let below = scenario.classes.iter().enumerate().filter(|(other, spec)| {
         spec.class.priority_weight < priority_weight
             || spec.class.priority_weight == priority_weight && *other < class
     });
--- a/crates/model/src/world/roster.rs
+++ b/crates/model/src/world/discovery.rs
@@ -1,10 +1,10 @@
 //! The list's keeper or the registry, and what client proxies hear of it.
 
 use super::{EPOCH_MS, Event, MS, S, World};
-use crate::day::RosterSpec;
+use crate::discovery::registry::Outcome;
+use crate::discovery::{self, APP, VIP};
 use crate::queue::{At, Queue, nanos};
-use crate::roster::registry::Outcome;
-use crate::roster::{self, APP, VIP};
+use crate::scenario::DiscoverySpec;
 use crate::streams::within;
 use gradepin_admission::span_from_seconds;
 use gradepin_registry::instance::{Applications, InstanceStatus};
@@ -19,11 +19,11 @@
     /// As the day begins, all servers are listed and known.
     pub(super) fn open_roster(&mut self) {
         for proxy in &mut self.proxies {
-            for (machine, spec) in self.day.machines.iter().enumerate() {
+            for (machine, spec) in self.scenario.machines.iter().enumerate() {
                 proxy.list(machine as u32, !spec.spare);
             }
         }
-        let RosterSpec::Registry { heartbeat_s, refresh_s, lease_s, .. } = self.day.roster else {
+        let DiscoverySpec::Registry { heartbeat_s, refresh_s, lease_s, .. } = self.scenario.discovery else {
             for machine in
                 (0..self.machines.len()).filter(|machine| self.entries[*machine].listed).collect::<Vec<_>>()
             {
@@ -31,17 +31,17 @@
             }
             return;
         };
-        for (machine, spec) in self.day.machines.iter().enumerate().filter(|(_, spec)| !spec.spare) {
-            let mut instance = roster::instance(machine, spec.zone, heartbeat_s, lease_s);
+        for (machine, spec) in self.scenario.machines.iter().enumerate().filter(|(_, spec)| !spec.spare) {
+            let mut instance = discovery::instance(machine, spec.zone, heartbeat_s, lease_s);
             instance.status = InstanceStatus::Up;
             self.registry.register(instance, false, EPOCH_MS);
         }
         let set = ViewSettings { refresh: span_from_seconds(refresh_s), ..ViewSettings::default() };
         for proxy in 0..self.proxies.len() {
             let seed = self.proxy_rngs[proxy].next_u64();
-            let mut view = View::new(set.clone(), seed, roster::time(0));
-            if let Some(fetch) = view.poll(roster::time(0)) {
-                view.fetched(roster::time(0), fetch, Some(self.registry.full(EPOCH_MS)));
+            let mut view = View::new(set.clone(), seed, discovery::time(0));
+            if let Some(fetch) = view.poll(discovery::time(0)) {
+                view.fetched(discovery::time(0), fetch, Some(self.registry.full(EPOCH_MS)));
             }
             self.views.push(view);
             self.plan_fetch(proxy);
@@ -51,9 +51,9 @@
     // ---- the platform's list
 
     fn silent_after(&self) -> At {
-        match self.day.roster {
-            RosterSpec::List { silent_s, .. } => nanos(silent_s),
-            RosterSpec::Registry { .. } => 0,
+        match self.scenario.discovery {
+            DiscoverySpec::List { silent_s, .. } => nanos(silent_s),
+            DiscoverySpec::Registry { .. } => 0,
         }
     }
 
@@ -64,7 +64,7 @@
 
     /// A server reports whether it takes work.
     pub(super) fn reported(&mut self, machine: usize, ready: bool) {
-        if matches!(self.day.roster, RosterSpec::Registry { .. }) || self.now < self.away_until {
+        if matches!(self.scenario.discovery, DiscoverySpec::Registry { .. }) || self.now < self.away_until {
             return;
         }
         let entry = &mut self.entries[machine];
@@ -93,12 +93,12 @@
 
     /// Each client proxy hears of a change in its own time.
     fn spread(&mut self, machine: usize) {
-        let RosterSpec::List { notice_s, .. } = self.day.roster else { return };
+        let DiscoverySpec::List { notice_s, .. } = self.scenario.discovery else { return };
         let entry = self.entries[machine];
         for proxy in 0..self.proxies.len() {
-            let late = nanos(within(&mut self.proxy_rngs[proxy], notice_s));
+            let delay = nanos(within(&mut self.proxy_rngs[proxy], notice_s));
             let (listed, version) = (entry.listed, entry.version);
-            self.queue.push(self.now + late, Event::Listed { proxy, machine, listed, version });
+            self.queue.push(self.now + delay, Event::Listed { proxy, machine, listed, version });
         }
     }
 
@@ -130,7 +130,7 @@
     }
 
     pub(super) fn asks_registry(&mut self, machine: usize, ask: RegistryRequest) {
-        let zone = self.day.machines[machine].zone;
+        let zone = self.scenario.machines[machine].zone;
         let life = self.machines[machine].life;
         match self.exchange(zone, Some(machine), 0) {
             Some(took) => {
@@ -175,7 +175,7 @@
             }
             RegistryOperation::Cancel => done(self.registry.cancel(APP, &id, now_ms)),
         };
-        let zone = self.day.machines[machine].zone;
+        let zone = self.scenario.machines[machine].zone;
         let at = self.net.arrives(self.now, REGISTRY_ZONE, zone, &mut self.machine_rngs[machine]);
         let (ticket, reply) = (ask.ticket, Box::new(reply));
         self.queue.push(at, Event::RegistryReplied { machine, life, ticket, reply });
@@ -191,16 +191,16 @@
 
     fn plan_fetch(&mut self, proxy: usize) {
         if let Some(at) = self.views[proxy].wake_at() {
-            let wait = at.0.saturating_sub(roster::time(self.now).0);
+            let wait = at.0.saturating_sub(discovery::time(self.now).0);
             self.queue.push(self.now + wait.max(1), Event::Fetches(proxy));
         }
     }
 
     pub(super) fn fetches(&mut self, proxy: usize) {
-        let Some(fetch) = self.views[proxy].poll(roster::time(self.now)) else {
+        let Some(fetch) = self.views[proxy].poll(discovery::time(self.now)) else {
             return self.plan_fetch(proxy);
         };
-        let (zone, now_ms) = (self.day.proxies[proxy].zone, self.unix());
+        let (zone, now_ms) = (self.scenario.proxies[proxy].zone, self.unix());
         let (at, apps) = match self.exchange(zone, None, proxy) {
             None => (self.now + S, None),
             Some(took) => {
@@ -217,10 +217,10 @@
 
     pub(super) fn fetched(&mut self, proxy: usize, fetch: Fetch, apps: Option<&Applications>) {
         let view = &mut self.views[proxy];
-        view.fetched(roster::time(self.now), fetch, apps);
+        view.fetched(discovery::time(self.now), fetch, apps);
         if apps.is_some() {
             let mut up = vec![false; self.machines.len()];
-            for machine in view.all_up(VIP).into_iter().filter_map(roster::machine) {
+            for machine in view.all_up(VIP).into_iter().filter_map(discovery::machine) {
                 if let Some(up) = up.get_mut(machine) {
                     *up = true;
                 }
--- a/crates/model/src/world/troubles.rs
+++ b/crates/model/src/world/faults.rs
@@ -1,31 +1,31 @@
 //! Troubles begin, go on and end.
 
 use super::{Event, MS, World};
-use crate::day::What;
 use crate::queue::{At, Queue, nanos};
+use crate::scenario::FaultKind;
 use gradepin_core::messages::Input;
 
 impl World {
     /// A trouble begins, or goes on with its next step.
-    pub(super) fn trouble(&mut self, number: usize, step: u32) {
-        let day = std::sync::Arc::clone(&self.day);
-        let trouble = &day.troubles[number];
-        let len = nanos(trouble.len_s);
+    pub(super) fn fault(&mut self, number: usize, step: u32) {
+        let scenario = std::sync::Arc::clone(&self.scenario);
+        let fault = &scenario.faults[number];
+        let len = nanos(fault.len_s);
         let end = self.now + len;
-        match &trouble.what {
-            What::Burst { .. } => {}
-            What::Crash => {
-                for &machine in &trouble.on {
+        match &fault.what {
+            FaultKind::Burst { .. } => {}
+            FaultKind::Crash => {
+                for &machine in &fault.on {
                     if self.machines[machine].up {
                         self.stop(machine, true);
-                        self.queue.push(end, Event::Starts(machine));
+                        self.queue.push(end, Event::NodeFactories(machine));
                     }
                 }
             }
-            What::Deploy { batch, drain_s, successors } => {
-                let batches = trouble.on.len().div_ceil((*batch).max(1)).max(1);
+            FaultKind::Deploy { batch, drain_s, successors } => {
+                let batches = fault.on.len().div_ceil((*batch).max(1)).max(1);
                 let from = step as usize * batch;
-                for (place, &machine) in trouble.on.iter().enumerate().skip(from).take(*batch) {
+                for (place, &machine) in fault.on.iter().enumerate().skip(from).take(*batch) {
                     if let Some(&successor) = successors.get(place) {
                         self.machines[machine].succeeded = true;
                         self.start(successor, true);
@@ -33,14 +33,14 @@
                     self.told_to_leave(machine, nanos(*drain_s));
                 }
                 if (step as usize) + 1 < batches {
-                    let next = nanos(trouble.at_s) + len * u64::from(step + 1) / batches as u64;
-                    self.queue.push(next.max(self.now), Event::Trouble(number, step + 1));
+                    let next = nanos(fault.at_s) + len * u64::from(step + 1) / batches as u64;
+                    self.queue.push(next.max(self.now), Event::Fault(number, step + 1));
                 }
             }
-            What::RegistryAway => self.away_until = self.away_until.max(end),
-            What::ZoneCut { zone } => self.net.cut(*zone, end),
-            What::Slow { .. } | What::Hang | What::Pause => {
-                trouble.on.iter().for_each(|&machine| self.strike(machine));
+            FaultKind::RegistryAway => self.away_until = self.away_until.max(end),
+            FaultKind::ZoneCut { zone } => self.net.cut(*zone, end),
+            FaultKind::Slow { .. } | FaultKind::Hang | FaultKind::Pause => {
+                fault.on.iter().for_each(|&machine| self.strike(machine));
                 self.queue.push(end, Event::Eases(number));
             }
         }
@@ -59,23 +59,23 @@
     }
 
     pub(super) fn eases(&mut self, number: usize) {
-        let day = std::sync::Arc::clone(&self.day);
-        day.troubles[number].on.iter().for_each(|&machine| self.strike(machine));
+        let scenario = std::sync::Arc::clone(&self.scenario);
+        scenario.faults[number].on.iter().for_each(|&machine| self.strike(machine));
     }
 
     /// What troubles of this moment do to a machine.
     pub(super) fn strike(&mut self, number: usize) {
         let (mut slow, mut hangs, mut paused) = (1.0, false, None);
-        for trouble in self.day.troubles.iter().filter(|trouble| trouble.on.contains(&number)) {
-            let from = nanos(trouble.at_s);
-            let end = from + nanos(trouble.len_s);
+        for fault in self.scenario.faults.iter().filter(|fault| fault.on.contains(&number)) {
+            let from = nanos(fault.at_s);
+            let end = from + nanos(fault.len_s);
             if self.now < from || self.now >= end {
                 continue;
             }
-            match trouble.what {
-                What::Slow { factor } => slow *= factor,
-                What::Hang => hangs = true,
-                What::Pause => paused = paused.max(Some(end)),
+            match fault.what {
+                FaultKind::Slow { factor } => slow *= factor,
+                FaultKind::Hang => hangs = true,
+                FaultKind::Pause => paused = paused.max(Some(end)),
                 _ => {}
             }
         }
--- a/crates/model/src/world/machines.rs
+++ b/crates/model/src/world/machines.rs
@@ -1,13 +1,13 @@
 //! Machines: the server's life on them, its node's inputs and effects, their cores and their memory.
 
-use super::callers::Place;
+use super::clients::Place;
 use super::{EPOCH_MS, Event, Got, MS, TryId, World};
-use crate::account::rules::{Breach, Server};
-use crate::day::{Day, RosterSpec};
+use crate::discovery;
 use crate::policies::{Node, Start};
 use crate::processor::{Cores, CoresSpec, Done};
 use crate::queue::{At, Queue, nanos};
-use crate::roster;
+use crate::scenario::{DiscoverySpec, Scenario};
+use crate::service_report::rules::{Server, Violation};
 use gradepin_admission::{RequestId, Span};
 use gradepin_core::messages::{ClientRequest, Effect, Input, Response, RunEnd};
 use gradepin_core::registration::Registration;
@@ -57,8 +57,8 @@
     (work_s - read_s).max(LEAST_RUN * work_s)
 }
 
-fn cores(day: &Day, number: usize, now: At, is_cold: bool) -> Cores {
-    let machine = &day.machines[number];
+fn cores(scenario: &Scenario, number: usize, now: At, is_cold: bool) -> Cores {
+    let machine = &scenario.machines[number];
     Cores::new(CoresSpec {
         cores: machine.cores,
         speed: machine.speed,
@@ -73,13 +73,13 @@
 
 impl Machine {
     /// One on which nothing runs yet.
-    pub fn down(day: &Day, number: usize) -> Self {
+    pub fn down(scenario: &Scenario, number: usize) -> Self {
         Self {
             life: 0,
             ident: 0,
             up: false,
             node: None,
-            cores: cores(day, number, 0, false),
+            cores: cores(scenario, number, 0, false),
             inputs: Vec::new(),
             paused: false,
             links: 0,
@@ -109,25 +109,25 @@
             return;
         }
         self.idents += 1;
-        let spec = &self.day.machines[number];
+        let spec = &self.scenario.machines[number];
         self.rules.started(self.idents, f64::from(spec.cores), spec.memory_kb);
         let seed = self.machine_rngs[number].next_u64();
-        let registration = match self.day.roster {
-            RosterSpec::List { .. } => Registration::default(),
-            RosterSpec::Registry { heartbeat_s, lease_s, .. } => {
-                let instance = roster::instance(number, spec.zone, heartbeat_s, lease_s);
-                let set = roster::membership(instance, heartbeat_s);
-                let membership = Membership::new(set, seed, roster::time(self.now));
+        let registration = match self.scenario.discovery {
+            DiscoverySpec::List { .. } => Registration::default(),
+            DiscoverySpec::Registry { heartbeat_s, lease_s, .. } => {
+                let instance = discovery::instance(number, spec.zone, heartbeat_s, lease_s);
+                let set = discovery::membership(instance, heartbeat_s);
+                let membership = Membership::new(set, seed, discovery::time(self.now));
                 Registration::new(Some(membership), Span(0))
             }
         };
-        let node = (self.maker)(&self.starts, Start { machine: number, seed }, registration);
+        let node = (self.node_factory)(&self.starts, Start { machine: number, seed }, registration);
         let old = &self.machines[number];
         let (life, fell, paused) = (old.life + 1, old.fell, old.paused);
-        let mut machine = Machine::down(&self.day, number);
+        let mut machine = Machine::down(&self.scenario, number);
         (machine.life, machine.ident, machine.up, machine.fell) = (life, self.idents, true, fell);
         (machine.node, machine.paused) = (Some(node), paused);
-        machine.cores = cores(&self.day, number, self.now, cold);
+        machine.cores = cores(&self.scenario, number, self.now, cold);
         machine.links = 1;
         machine.inputs.push(Input::LinkUp { link: 1, cold, age: Span(0) });
         self.machines[number] = machine;
@@ -158,18 +158,18 @@
     }
 
     /// A new breach of this server's that its machine does not outlive.
-    fn falls(&mut self, number: usize, breaches: usize) {
+    fn falls(&mut self, number: usize, violations_before: usize) {
         let ident = self.machines[number].ident;
-        let fell = self.rules.broken()[breaches..]
+        let fell = self.rules.violations()[violations_before..]
             .iter()
-            .any(|broken| broken.server == ident && matches!(broken.breach, Breach::Fell(_)));
+            .any(|record| record.server == ident && matches!(record.violation, Violation::Fell(_)));
         if !fell {
             return;
         }
         self.stop(number, true);
         if !std::mem::replace(&mut self.machines[number].fell, true) {
-            let at = self.now + nanos(self.day.restart_s);
-            self.queue.push(at, Event::Starts(number));
+            let at = self.now + nanos(self.scenario.restart_s);
+            self.queue.push(at, Event::NodeFactories(number));
         }
     }
 
@@ -180,8 +180,8 @@
         let way = &self.conns[conn as usize];
         let machine = &mut self.machines[number];
         let here = machine.up && machine.life == way.life;
-        let room =
-            machine.cores.reading() < (self.day.backlog_per_core * self.day.machines[number].cores) as usize;
+        let room = machine.cores.reading()
+            < (self.scenario.backlog_per_core * self.scenario.machines[number].cores) as usize;
         if !here || !way.accepted && !room {
             // A connection that was never made proves that nothing ran.
             let got = if way.accepted { Got::Reset } else { Got::Unreached };
@@ -193,7 +193,7 @@
         machine.at.insert(id);
         let one = &mut self.tries[id as usize];
         (one.came, one.place) = (self.now, Place::Unread);
-        self.tell(id, |story, now| story.came = Some(now));
+        self.tell(id, |trace, now| trace.arrived = Some(now));
         if !std::mem::replace(&mut self.conns[conn as usize].accepted, true) {
             let machine = &mut self.machines[number];
             machine.conns.insert(conn);
@@ -216,12 +216,12 @@
         one.place = Place::Held;
         let request = &self.requests[one.request as usize];
         let class = request.class as usize;
-        let window = self.day.classes[class].class.window_ms;
+        let window = self.scenario.classes[class].class.window_ms;
         let came_ms = one.came / MS;
         let call = ClientRequest {
             id: RequestId::new(&format!("{id:016x}")),
             class: class.into(),
-            tenant: Some((request.office as usize).into()),
+            tenant: Some((request.tenant as usize).into()),
             client_proxy: u64::from(self.conns[one.conn as usize].proxy),
             arrived_unix_ms: EPOCH_MS + came_ms,
             budget_ms: one.budget_ms,
@@ -244,7 +244,7 @@
             request: Box::new(call),
         });
         machine.held_kb += size_kb;
-        self.tell(id, |story, now| story.read = Some(now));
+        self.tell(id, |trace, now| trace.read = Some(now));
         if told_left {
             self.hears_cancel(number, id);
         }
@@ -350,7 +350,7 @@
         let ident = self.machines[number].ident;
         let result = self.pool.exact(&one.request.to_be_bytes()).unwrap_or_else(|| self.pool.take());
         let machine = &mut self.machines[number];
-        machine.running_kb -= size_kb * self.day.run_factor;
+        machine.running_kb -= size_kb * self.scenario.run_factor;
         machine.notices += 1;
         let id_text = RequestId::new(&format!("{id:016x}"));
         let (notice, end) = (machine.notices, RunEnd::Ok);
@@ -360,7 +360,7 @@
             self.service.wasted(run_work(work_s, self.read_s) * 1e3);
         }
         self.rules.ended(ident, self.now / MS);
-        self.tell(id, |story, now| story.ended = Some(now));
+        self.tell(id, |trace, now| trace.ended = Some(now));
         self.book(number);
     }
 
@@ -382,7 +382,7 @@
             }
             let Some(node) = &mut machine.node else { return };
             machine.cores.advance(self.now);
-            let now = roster::time(self.now);
+            let now = discovery::time(self.now);
             let moment = Timestamp { now, unix_ms: EPOCH_MS + self.now / MS };
             let mut effects = std::mem::take(&mut self.effects);
             node.step(moment, &mut machine.inputs, &mut effects);
@@ -404,7 +404,7 @@
                 return self.plan_cores(number);
             }
         }
-        self.watch.restless.push((self.now / MS, number));
+        self.watch.unsettled.push((self.now / MS, number));
     }
 
     /// Has the cores looked at when something is done there next.
@@ -418,16 +418,16 @@
 
     /// Counts the memory; a machine that is full does not outlive it.
     fn book(&mut self, number: usize) {
-        let (now, kept) = (self.now, self.day.key_kb);
+        let (now, kept) = (self.now, self.scenario.key_kb);
         let machine = &mut self.machines[number];
         while machine.keys.peek().is_some_and(|Reverse(at)| *at <= now) {
             machine.keys.pop();
             machine.keys_kb -= kept;
         }
         let (ident, kb) = (machine.ident, machine.memory_kb());
-        let breaches = self.rules.broken().len();
+        let violations_before = self.rules.violations().len();
         self.rules.memory(ident, now / MS, kb);
-        self.falls(number, breaches);
+        self.falls(number, violations_before);
     }
 
     fn effect(&mut self, number: usize, effect: Effect) {
@@ -442,7 +442,7 @@
             }
             Effect::ReadGauges { number: tag, .. } => {
                 let machine = &mut self.machines[number];
-                let heap = machine.memory_kb() / self.day.machines[number].memory_kb.max(1.0);
+                let heap = machine.memory_kb() / self.scenario.machines[number].memory_kb.max(1.0);
                 let links = machine.conns.len() as f64;
                 let gauges = vec![machine.cores.cpu_utilization(), machine.cores.runnable(), heap, links];
                 machine.inputs.push(Input::GaugesRead { number: tag, values: gauges });
@@ -498,7 +498,9 @@
                 machine.held_kb -= self.requests[request].size_kb;
             }
         }
-        self.tell(id, |story, now| (story.answered, story.got) = (Some(now), super::StoryOf::of(&got)));
+        self.tell(id, |trace, now| {
+            (trace.answered, trace.outcome) = (Some(now), super::AttemptOutcome::of(&got))
+        });
         self.downward(conn, Event::Answered(id, got));
     }
 
@@ -506,7 +508,7 @@
         let one = &mut self.tries[id as usize];
         let request = &self.requests[one.request as usize];
         let (size_kb, work_s) = (request.size_kb, request.work_s);
-        let keyed = self.day.classes[request.class as usize].class.window_ms;
+        let keyed = self.scenario.classes[request.class as usize].class.window_ms;
         let (was_held, came) = (one.place == Place::Held, one.came);
         (one.began, one.runs) = (self.now, true);
         let machine = &mut self.machines[number];
@@ -514,18 +516,18 @@
         if was_held {
             machine.held_kb -= size_kb;
         }
-        machine.running_kb += size_kb * self.day.run_factor;
+        machine.running_kb += size_kb * self.scenario.run_factor;
         if let Some(window) = keyed {
             // The window counts from when it came.
             machine.keys.push(Reverse(came + window * MS));
-            machine.keys_kb += self.day.key_kb;
+            machine.keys_kb += self.scenario.key_kb;
         }
         let (ident, warmth) = (machine.ident, machine.cores.warmth());
-        let breaches = self.rules.broken().len();
+        let violations_before = self.rules.violations().len();
         self.rules.warmth(ident, warmth);
         self.rules.began(u64::from(id), self.now / MS);
-        self.tell(id, |story, now| story.began = Some(now));
-        self.falls(number, breaches);
+        self.tell(id, |trace, now| trace.started = Some(now));
+        self.falls(number, violations_before);
         if self.machines[number].up {
             self.book(number);
         }
--- a/crates/model/src/world/mod.rs
+++ b/crates/model/src/world/mod.rs
@@ -3,26 +3,26 @@
 //! One queue of events, one after another. What a server decides is its node's, what a client proxy decides its proxy's; the world
 //! moves what passes between them, keeps the books of tries, and tells the account what happened.
 
-mod callers;
+mod clients;
+mod discovery;
+mod faults;
 mod machines;
-mod roster;
-mod troubles;
-mod watch;
+mod outcome;
 
-pub use watch::{Course, Outcome, Second, Story, StoryOf};
+pub use outcome::{AttemptOutcome, AttemptTrace, Course, Outcome, Second};
 
-use crate::account::rules::{Figures, Rules};
-use crate::account::service::Service;
-use crate::account::{BadTerms, Ms};
-use crate::day::{Day, RosterSpec};
+use crate::discovery::Entry;
+use crate::discovery::registry::{Registry, RegistrySettings};
 use crate::net::Net;
-use crate::policies::{Kind, Node, Start, Starts};
+use crate::policies::{Kind, Node, NodeFactories, Start};
 use crate::proxy::Proxy;
 use crate::queue::{At, Calendar, Queue, nanos};
-use crate::roster::Entry;
-use crate::roster::registry::{Registry, RegistrySettings};
+use crate::scenario::{DiscoverySpec, Scenario};
+use crate::service_report::rules::{Figures, RuleChecker};
+use crate::service_report::service::ServiceCounter;
+use crate::service_report::{Ms, TermsError};
 use crate::streams::Streams;
-use callers::{Conn, Request, Try};
+use clients::{Conn, Request, Try};
 use gradepin_core::buffer_pool::BufferPool;
 use gradepin_core::messages::Effect;
 use gradepin_core::registration::Registration;
@@ -43,10 +43,10 @@
 
 /// Why a day can't be played.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub enum BadDay {
+pub enum ScenarioError {
     /// Its terms don't count.
     #[error(transparent)]
-    Terms(#[from] BadTerms),
+    Terms(#[from] TermsError),
     /// There is nobody to play it.
     #[error("expected at least one {0}")]
     Nobody(&'static str),
@@ -73,7 +73,7 @@
 }
 
 /// What makes the node of a server; the usual one hosts a policy's.
-pub type Maker = Box<dyn Fn(&Starts, Start, Registration) -> Box<dyn Node> + Send>;
+pub type NodeFactory = Box<dyn Fn(&NodeFactories, Start, Registration) -> Box<dyn Node> + Send>;
 
 /// Names a try.
 type TryId = u32;
@@ -128,11 +128,11 @@
         apps: Option<Box<gradepin_registry::instance::Applications>>,
     },
     /// A trouble begins, goes on to its next step, or ends.
-    Trouble(usize, u32),
+    Fault(usize, u32),
     Eases(usize),
     /// A machine's server is stopped, if it is still that life; one starts.
     Stops(usize, u32),
-    Starts(usize),
+    NodeFactories(usize),
     /// A second has passed.
     Second(u32),
 }
@@ -149,7 +149,7 @@
 
 /// A day that is played.
 pub struct World {
-    day: Arc<Day>,
+    scenario: Arc<Scenario>,
     /// First tries a second before the day's course, and at the most.
     pace: f64,
     top_rate: f64,
@@ -166,21 +166,21 @@
     ways: Vec<HashMap<u32, Vec<u64>>>,
     requests: Vec<Request>,
     tries: Vec<Try>,
-    stories: Option<Vec<Story>>,
+    traces: Option<Vec<AttemptTrace>>,
     entries: Vec<Entry>,
     registry: Registry,
     /// Until when the roster's keeper is away.
     away_until: At,
     net: Net,
-    starts: Starts,
-    maker: Maker,
-    service: Service,
-    rules: Rules,
-    watch: watch::Watch,
+    starts: NodeFactories,
+    node_factory: NodeFactory,
+    service: ServiceCounter,
+    rules: RuleChecker,
+    watch: outcome::Watch,
     pool: Arc<BufferPool>,
     effects: Vec<Effect>,
     /// Random numbers of each office, proxy and machine.
-    offices: Vec<Pcg64Mcg>,
+    tenants: Vec<Pcg64Mcg>,
     proxy_rngs: Vec<Pcg64Mcg>,
     machine_rngs: Vec<Pcg64Mcg>,
     /// Seconds of work of reading a request.
@@ -191,42 +191,45 @@
 
 impl World {
     /// A day with servers of a kind.
-    pub fn new(day: Day, kind: Kind) -> Result<Self, BadDay> {
-        Self::with(day, Box::new(move |starts, start, told| starts.node(kind, start, told)), Order::Forward)
+    pub fn new(scenario: Scenario, kind: Kind) -> Result<Self, ScenarioError> {
+        Self::with(
+            scenario,
+            Box::new(move |starts, start, told| starts.node(kind, start, told)),
+            Order::Forward,
+        )
     }
 
     /// A day with nodes of any make, built in some order.
-    pub fn with(day: Day, maker: Maker, order: Order) -> Result<Self, BadDay> {
+    pub fn with(scenario: Scenario, node_factory: NodeFactory, order: Order) -> Result<Self, ScenarioError> {
         for (what, none) in [
-            ("machine", day.machines.is_empty()),
-            ("client proxy", day.proxies.is_empty()),
-            ("class and office", day.classes.is_empty() || day.offices.is_empty()),
+            ("machine", scenario.machines.is_empty()),
+            ("client proxy", scenario.proxies.is_empty()),
+            ("class and tenant", scenario.classes.is_empty() || scenario.tenants.is_empty()),
         ] {
             if none {
-                return Err(BadDay::Nobody(what));
+                return Err(ScenarioError::Nobody(what));
             }
         }
-        let last = day.machines.len() - 1;
-        if let Some(&got) = day.troubles.iter().flat_map(|trouble| trouble.machines()).find(|on| **on > last)
-        {
-            return Err(BadDay::Machine { last, got });
+        let last = scenario.machines.len() - 1;
+        if let Some(&got) = scenario.faults.iter().flat_map(|fault| fault.machines()).find(|on| **on > last) {
+            return Err(ScenarioError::Machine { last, got });
         }
-        let streams = Streams::new(day.seed);
-        let weights: Vec<f64> = day.machines.iter().map(|machine| machine.weight).collect();
-        let proxies = built(day.proxies.len(), order, |n| {
-            Proxy::new(day.proxies[n].clone(), &weights, streams.of("proxy", n as u64))
+        let streams = Streams::new(scenario.seed);
+        let weights: Vec<f64> = scenario.machines.iter().map(|machine| machine.weight).collect();
+        let proxies = built(scenario.proxies.len(), order, |n| {
+            Proxy::new(scenario.proxies[n].clone(), &weights, streams.of("proxy", n as u64))
         });
-        let machines = built(day.machines.len(), order, |n| Machine::down(&day, n));
+        let machines = built(scenario.machines.len(), order, |n| Machine::down(&scenario, n));
         let rngs = |kind: &str, count: usize| built(count, order, |n| streams.of(kind, n as u64));
-        let cache_ms = match day.roster {
-            RosterSpec::Registry { cache_s, .. } => (cache_s * 1e3) as u64,
-            RosterSpec::List { .. } => 0,
+        let cache_ms = match scenario.discovery {
+            DiscoverySpec::Registry { cache_s, .. } => (cache_s * 1e3) as u64,
+            DiscoverySpec::List { .. } => 0,
         };
         let registry = RegistrySettings { cache_ms, evict_every_ms: 5_000, ..RegistrySettings::default() };
-        let pace = day.pace();
+        let pace = scenario.pace();
         let mut world = Self {
             pace,
-            top_rate: day.top_rate(pace),
+            top_rate: scenario.top_rate(pace),
             now: 0,
             queue: Calendar::default(),
             events: 0,
@@ -236,27 +239,27 @@
             ways: vec![HashMap::new(); proxies.len()],
             requests: Vec::new(),
             tries: Vec::new(),
-            stories: None,
+            traces: None,
             entries: vec![Entry::default(); machines.len()],
             registry: Registry::new(registry, EPOCH_MS),
             away_until: 0,
-            net: Net::new(day.net.clone()),
-            starts: Starts::new(&day),
-            maker,
-            service: Service::new(day.terms())?,
-            rules: Rules::new(Figures::default()),
-            watch: watch::Watch::new(&day),
+            net: Net::new(scenario.net.clone()),
+            starts: NodeFactories::new(&scenario),
+            node_factory,
+            service: ServiceCounter::new(scenario.terms())?,
+            rules: RuleChecker::new(Figures::default()),
+            watch: outcome::Watch::new(&scenario),
             pool: BufferPool::new(64),
             effects: Vec::new(),
-            offices: rngs("office", day.offices.len()),
+            tenants: rngs("office", scenario.tenants.len()),
             proxy_rngs: rngs("wire", proxies.len()),
             machine_rngs: rngs("machine-wire", machines.len()),
-            read_s: day.read_share * day.mean_work_ms() / 1e3,
+            read_s: scenario.read_share * scenario.mean_work_ms() / 1e3,
             reads: 0,
             idents: 0,
             machines,
             proxies,
-            day: Arc::new(day),
+            scenario: Arc::new(scenario),
         };
         world.open();
         Ok(world)
@@ -264,26 +267,26 @@
 
     /// Keeps the times of each try, to be told as stories.
     pub fn record(&mut self) {
-        self.stories = Some(Vec::new());
+        self.traces = Some(Vec::new());
     }
 
     /// The day begins: servers run and are known, and what comes by itself is planned. In the order of numbers, whatever was
     /// built first.
     fn open(&mut self) {
         for machine in 0..self.machines.len() {
-            let spare = self.day.machines[machine].spare;
+            let spare = self.scenario.machines[machine].spare;
             self.entries[machine].listed = !spare;
             if !spare {
                 self.start(machine, false);
             }
         }
         self.open_roster();
-        for office in 0..self.day.offices.len() {
-            self.plan_ask(office);
+        for tenant in 0..self.scenario.tenants.len() {
+            self.plan_ask(tenant);
         }
-        for number in 0..self.day.troubles.len() {
-            let at = (self.day.troubles[number].at_s * 1e9) as At;
-            self.queue.push(at, Event::Trouble(number, 0));
+        for number in 0..self.scenario.faults.len() {
+            let at = (self.scenario.faults[number].at_s * 1e9) as At;
+            self.queue.push(at, Event::Fault(number, 0));
         }
         self.queue.push(S, Event::Second(0));
     }
@@ -295,17 +298,17 @@
     /// When the day ends: once all that was asked for has its end, and a little later for what is still under way. Servers would
     /// go on for ever.
     pub fn end(&self) -> At {
-        nanos(self.day.seconds) + (self.day.longest_ms() + 1_000) * MS
+        nanos(self.scenario.seconds) + (self.scenario.longest_ms() + 1_000) * MS
     }
 
     /// Plays the day to its end.
-    pub fn play(mut self) -> Result<Outcome, BadDay> {
+    pub fn play(mut self) -> Result<Outcome, ScenarioError> {
         let end = self.end();
         let seconds = (end / S + 1) * self.machines.len() as u64;
-        let most = MOST_EVENTS * (seconds + (self.top_rate * self.day.seconds) as u64 + 1);
+        let most = MOST_EVENTS * (seconds + (self.top_rate * self.scenario.seconds) as u64 + 1);
         while self.step(end) {
             if self.events > most {
-                return Err(BadDay::Endless(most));
+                return Err(ScenarioError::Endless(most));
             }
         }
         Ok(self.finish())
@@ -322,7 +325,7 @@
 
     fn carry_out(&mut self, event: Event) {
         match event {
-            Event::Ask(office) => self.ask(office),
+            Event::Ask(tenant) => self.ask(tenant),
             Event::Reaches(id) => self.reaches(id),
             Event::Cancelled(id) => self.cancelled(id),
             Event::ClosedUp(conn) => self.closed_up(conn),
@@ -345,7 +348,7 @@
             }
             Event::Fetches(proxy) => self.fetches(proxy),
             Event::Fetched { proxy, fetch, apps } => self.fetched(proxy, fetch, apps.as_deref()),
-            Event::Trouble(number, step) => self.trouble(number, step),
+            Event::Fault(number, step) => self.fault(number, step),
             Event::Eases(number) => self.eases(number),
             Event::Stops(machine, life) => {
                 if self.machines[machine].life == life {
@@ -353,7 +356,7 @@
                     self.start(machine, true);
                 }
             }
-            Event::Starts(machine) => self.start(machine, true),
+            Event::NodeFactories(machine) => self.start(machine, true),
             Event::Second(number) => self.second(number),
         }
     }
--- a/crates/model/src/world/watch.rs
+++ b/crates/model/src/world/outcome.rs
@@ -1,10 +1,10 @@
 //! What is kept of a day beside the account: the course of each second, counts, and the stories of tries.
 
 use super::{Event, Got, MS, S, World};
-use crate::account::rules::{Broken, SlowStart};
-use crate::account::service::{Report, Sum};
-use crate::day::Day;
 use crate::queue::{At, Queue};
+use crate::scenario::Scenario;
+use crate::service_report::rules::{SlowStart, ViolationRecord};
+use crate::service_report::service::{Report, Sum};
 use serde::{Deserialize, Serialize};
 
 /// A second of the whole fleet.
@@ -46,13 +46,14 @@
     /// Worth asked for and earned by first tries of each second: by class, and by office.
     pub classes: Vec<Vec<Sum>>,
     /// See `classes`.
-    pub offices: Vec<Vec<Sum>>,
+    #[serde(rename = "offices")]
+    pub tenants: Vec<Vec<Sum>>,
 }
 
 /// What became of a try, for a story.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum StoryOf {
+pub enum AttemptOutcome {
     /// No answer was sent.
     #[default]
     Open,
@@ -64,7 +65,7 @@
     Failed,
 }
 
-impl StoryOf {
+impl AttemptOutcome {
     pub(super) fn of(got: &Got) -> Self {
         match got {
             Got::Served(_) => Self::Served,
@@ -76,7 +77,7 @@
 
 /// A try's life: nanoseconds from the day's beginning.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Story {
+pub struct AttemptTrace {
     /// Its request and its machine.
     pub request: u32,
     /// See `request`.
@@ -84,20 +85,23 @@
     /// Sent by its client proxy.
     pub sent: At,
     /// At the machine, read, begun, ended, answered.
-    pub came: Option<At>,
+    #[serde(rename = "came")]
+    pub arrived: Option<At>,
     /// See `came`.
     pub read: Option<At>,
     /// See `came`.
-    pub began: Option<At>,
+    #[serde(rename = "began")]
+    pub started: Option<At>,
     /// See `came`.
     pub ended: Option<At>,
     /// See `came`.
     pub answered: Option<At>,
     /// With what.
-    pub got: StoryOf,
+    #[serde(rename = "got")]
+    pub outcome: AttemptOutcome,
 }
 
-impl Story {
+impl AttemptTrace {
     pub(super) fn sent(request: u32, machine: u32, now: At) -> Self {
         Self { request, machine, sent: now, ..Self::default() }
     }
@@ -111,7 +115,8 @@
     /// The account.
     pub report: Report,
     /// Rules that were broken.
-    pub broken: Vec<Broken>,
+    #[serde(rename = "broken")]
+    pub violations: Vec<ViolationRecord>,
     /// What cold servers were given, beside their budget.
     #[serde(default)]
     pub slow_start: SlowStart,
@@ -122,12 +127,13 @@
     /// Further tries and second copies among the tries.
     pub retries: u64,
     /// Machines whose server never came to rest at one moment, with the time in ms. There are none.
-    pub restless: Vec<(u64, usize)>,
+    #[serde(rename = "restless")]
+    pub unsettled: Vec<(u64, usize)>,
     /// Second by second.
     pub course: Course,
     /// Each try's life, where that was asked for.
     #[serde(skip)]
-    pub stories: Vec<Story>,
+    pub traces: Vec<AttemptTrace>,
 }
 
 /// What is counted while a day is played.
@@ -137,14 +143,14 @@
     pub now: Second,
     total: Second,
     retries: u64,
-    pub restless: Vec<(u64, usize)>,
+    pub unsettled: Vec<(u64, usize)>,
     seconds: Vec<Second>,
 }
 
 impl Watch {
-    pub fn new(day: &Day) -> Self {
-        let seconds = Vec::with_capacity(day.seconds as usize + 8);
-        Self { now: Second::default(), total: Second::default(), retries: 0, restless: Vec::new(), seconds }
+    pub fn new(scenario: &Scenario) -> Self {
+        let seconds = Vec::with_capacity(scenario.seconds as usize + 8);
+        Self { now: Second::default(), total: Second::default(), retries: 0, unsettled: Vec::new(), seconds }
     }
 
     pub fn tried(&mut self, again: bool) {
@@ -189,17 +195,17 @@
         self.watch.close(running as u64, there.saturating_sub(running) as u64, up as u64);
     }
 
-    pub(super) fn story(&mut self, make: impl FnOnce(At) -> Story) {
+    pub(super) fn trace(&mut self, make: impl FnOnce(At) -> AttemptTrace) {
         let now = self.now;
-        if let Some(stories) = &mut self.stories {
-            stories.push(make(now));
+        if let Some(traces) = &mut self.traces {
+            traces.push(make(now));
         }
     }
 
-    pub(super) fn tell(&mut self, id: u32, change: impl FnOnce(&mut Story, At)) {
+    pub(super) fn tell(&mut self, id: u32, change: impl FnOnce(&mut AttemptTrace, At)) {
         let now = self.now;
-        if let Some(story) = self.stories.as_mut().and_then(|stories| stories.get_mut(id as usize)) {
-            change(story, now);
+        if let Some(trace) = self.traces.as_mut().and_then(|traces| traces.get_mut(id as usize)) {
+            change(trace, now);
         }
     }
 
@@ -210,18 +216,18 @@
         // Reading is work too; only that of the tries which brought an answer was of use.
         let useless = self.reads.saturating_sub(self.watch.total.served);
         self.service.wasted(useless as f64 * self.read_s * 1e3);
-        let (classes, offices) = self.service.seconds();
+        let (classes, tenants) = self.service.seconds();
         Outcome {
-            seed: self.day.seed,
+            seed: self.scenario.seed,
             report: self.service.report(),
-            broken: self.rules.broken().to_vec(),
+            violations: self.rules.violations().to_vec(),
             slow_start: self.rules.slow_start(),
             events: self.events,
             total: self.watch.total,
             retries: self.watch.retries,
-            restless: self.watch.restless,
-            course: Course { seconds: self.watch.seconds, classes, offices },
-            stories: self.stories.unwrap_or_default(),
+            unsettled: self.watch.unsettled,
+            course: Course { seconds: self.watch.seconds, classes, tenants },
+            traces: self.traces.unwrap_or_default(),
         }
     }
 }
--- a/crates/model/tests/agreed.rs
+++ b/crates/model/tests/agreed.rs
@@ -3,7 +3,7 @@
 use gradepin_coordination::messages::OperatorCommand;
 use gradepin_coordination::replicated_state::Target;
 use gradepin_coordination::rollout::{ReleaseKind, RolloutCommand, RolloutState, ServerProgress};
-use gradepin_model::agreed::{Day, Fleet, SOUND, limits, plan, play};
+use gradepin_model::consensus::{Fleet, HEALTHY_SERVICE, Scenario, limits, plan, play};
 use std::sync::Arc;
 
 fn all_have(fleet: &Fleet, version: &str) -> bool {
@@ -216,7 +216,7 @@
     assert!(fleet.began.is_empty() && fleet.state() == RolloutState::Running, "{:?}", fleet.notes);
     let held = fleet.notes.iter().filter(|note| note.contains("no server has the version")).count();
     assert_eq!(held, 1, "said once: {:?}", fleet.notes);
-    fleet.sound = SOUND;
+    fleet.sound = HEALTHY_SERVICE;
     assert!(fleet.until(20_000, |fleet| !fleet.began.is_empty()), "{:?}", fleet.notes);
     fleet.sound = 0.6;
     let goes =
@@ -423,18 +423,18 @@
 /// A large fleet, a zone without power and a cut in the middle of a release: the promise, and the release goes through.
 #[test]
 fn a_large_fleet_keeps_the_promise() {
-    let day = Day {
+    let scenario = Scenario {
         seed: 1,
         servers: 60,
         voters: 5,
         most: 6,
         zone: 3,
         worse_by: 0.0,
-        troubles: true,
+        faults: true,
         looks_ms: 2_000,
         patience_s: 400,
     };
-    let outcome = play(&day);
+    let outcome = play(&scenario);
     assert_eq!(outcome.broken, None);
     assert_eq!(outcome.state, RolloutState::Done, "{outcome:?}");
 }
--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -4,9 +4,9 @@
 use gradepin_admission::{RequestId, Span, Time};
 use gradepin_core::messages::{Effect, Input, Response};
 use gradepin_core::timestamp::Timestamp;
-use gradepin_model::day::{Day, Ranges, Trouble, What};
-use gradepin_model::policies::{Kind, Node, Start, Starts};
-use gradepin_model::world::{Maker, Order, Outcome, World};
+use gradepin_model::policies::{Kind, Node, NodeFactories, Start};
+use gradepin_model::scenario::{Fault, FaultKind, Ranges, Scenario};
+use gradepin_model::world::{NodeFactory, Order, Outcome, World};
 use std::collections::HashMap;
 
 /// The seed of a random test: told, and taken from the environment.
@@ -17,7 +17,7 @@
 }
 
 /// A day of the brief's ranges with some of them set.
-pub fn day(seed: u64, settings: &[(&str, &str)]) -> Day {
+pub fn scenario(seed: u64, settings: &[(&str, &str)]) -> Scenario {
     let mut ranges = Ranges::brief();
     for (name, value) in settings {
         ranges.set(name, value).expect("settings of the test make sense");
@@ -26,22 +26,22 @@
 }
 
 /// A short, small day without troubles.
-pub fn small(seed: u64, more: &[(&str, &str)]) -> Day {
+pub fn small(seed: u64, more: &[(&str, &str)]) -> Scenario {
     let base = [("seconds", "12"), ("servers", "4"), ("proxies", "3"), ("troubles", "none")];
-    day(seed, &[&base, more].concat())
+    scenario(seed, &[&base, more].concat())
 }
 
-pub fn trouble(at_s: f64, len_s: f64, what: What, on: &[usize]) -> Trouble {
-    Trouble { at_s, len_s, what, on: on.to_vec() }
+pub fn fault(at_s: f64, len_s: f64, what: FaultKind, on: &[usize]) -> Fault {
+    Fault { at_s, len_s, what, on: on.to_vec() }
 }
 
-pub fn play(day: Day, kind: Kind) -> Outcome {
-    World::new(day, kind).expect("a whole day").play().expect("an end")
+pub fn play(scenario: Scenario, kind: Kind) -> Outcome {
+    World::new(scenario, kind).expect("a whole day").play().expect("an end")
 }
 
 /// Plays with the books checked every so many events.
-pub fn audited(day: Day, kind: Kind, every: u64) -> (Outcome, u64) {
-    let mut world = World::new(day, kind).expect("a whole day");
+pub fn audited(scenario: Scenario, kind: Kind, every: u64) -> (Outcome, u64) {
+    let mut world = World::new(scenario, kind).expect("a whole day");
     let (mut events, mut audits) = (0, 0);
     let end = world.end();
     while world.step(end) {
@@ -57,7 +57,7 @@
 
 /// Rules that a [`Careless`] node breaks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fault {
+pub enum Defect {
     /// Every so many answers are never sent.
     Forgets,
     /// Every so many answers are sent twice.
@@ -74,7 +74,7 @@
     KnowsNoCold,
 }
 
-impl Fault {
+impl Defect {
     /// How many it has open at the most, or of one that knows no cold, how many it runs. A sound one waits for no crowd.
     fn most_open(self) -> usize {
         match self {
@@ -88,7 +88,7 @@
 
 /// A node that runs whatever comes and keeps nothing but what it must to answer; with one fault.
 pub struct Careless {
-    fault: Fault,
+    defect: Defect,
     open: HashMap<RequestId, (u64, i32)>,
     ran: HashMap<String, RequestId>,
     /// Runs, also those that nobody waits for.
@@ -98,10 +98,10 @@
 }
 
 impl Careless {
-    pub fn maker(fault: Fault) -> Maker {
-        Box::new(move |_: &Starts, _: Start, _| {
+    pub fn node_factory(defect: Defect) -> NodeFactory {
+        Box::new(move |_: &NodeFactories, _: Start, _| {
             Box::new(Self {
-                fault,
+                defect,
                 open: HashMap::new(),
                 ran: HashMap::new(),
                 running: 0,
@@ -128,12 +128,13 @@
                 Input::Request { connection: conn, sequence: seq, request: call } => {
                     let token = call.idempotency_key.as_deref().unwrap_or("").to_string();
                     let again = !token.is_empty() && self.ran.contains_key(&token);
-                    if again && self.fault == Fault::TurnsAway {
+                    if again && self.defect == Defect::TurnsAway {
                         effects.push(Self::refuse(conn, seq));
                         continue;
                     }
-                    let open = if self.fault == Fault::KnowsNoCold { self.running } else { self.open.len() };
-                    if open >= self.fault.most_open() {
+                    let open =
+                        if self.defect == Defect::KnowsNoCold { self.running } else { self.open.len() };
+                    if open >= self.defect.most_open() {
                         effects.push(Self::refuse(conn, seq));
                         continue;
                     }
@@ -152,11 +153,11 @@
                     let Some((conn, seq)) = self.open.remove(&id) else { continue };
                     self.count += 1;
                     let odd = self.count.is_multiple_of(20);
-                    if odd && self.fault == Fault::Forgets {
+                    if odd && self.defect == Defect::Forgets {
                         continue;
                     }
                     let answer = Response::Served(std::sync::Arc::new(result));
-                    if odd && self.fault == Fault::Repeats {
+                    if odd && self.defect == Defect::Repeats {
                         effects.push(Effect::Respond {
                             connection: conn,
                             sequence: seq,
@@ -189,6 +190,9 @@
 }
 
 /// A day with careless nodes.
-pub fn careless(day: Day, fault: Fault) -> Outcome {
-    World::with(day, Careless::maker(fault), Order::Forward).expect("a whole day").play().expect("an end")
+pub fn careless(scenario: Scenario, defect: Defect) -> Outcome {
+    World::with(scenario, Careless::node_factory(defect), Order::Forward)
+        .expect("a whole day")
+        .play()
+        .expect("an end")
 }
--- a/crates/model/tests/peers.rs
+++ b/crates/model/tests/peers.rs
@@ -1,13 +1,13 @@
 //! Hard cases of servers that share: each with the very trouble that it is for, on clocks that run 1% fast and slow.
 
-use gradepin_model::peers::{Outcome, Sharing, Spec, Trouble, Troubles, What, draw, play};
+use gradepin_model::peers::{Fault, FaultKind, Faults, Outcome, Sharing, Spec, draw, play};
 
-fn trouble(from_s: f64, to_s: f64, what: What) -> Trouble {
-    Trouble { from_s, to_s, what }
+fn fault(from_s: f64, to_s: f64, what: FaultKind) -> Fault {
+    Fault { from_s, to_s, what }
 }
 
-fn spec(seed: u64, seconds: f64, troubles: Vec<Trouble>) -> Spec {
-    Spec { seed, seconds, troubles: Troubles(troubles), ..Spec::default() }
+fn spec(seed: u64, seconds: f64, faults: Vec<Fault>) -> Spec {
+    Spec { seed, seconds, faults: Faults(faults), ..Spec::default() }
 }
 
 /// Plays some seeds; the bound holds on each.
@@ -15,7 +15,7 @@
     let outcomes = (1..=seeds).map(|seed| {
         let spec = spec(seed);
         let outcome = play(&spec);
-        assert_eq!(outcome.breaks, [], "seed {seed}, {:?}", spec.troubles);
+        assert_eq!(outcome.breaks, [], "seed {seed}, {:?}", spec.faults);
         outcome
     });
     outcomes.collect()
@@ -30,8 +30,9 @@
 #[test]
 fn a_third_that_hears_nothing_keeps_its_own_share_and_the_rest_goes_on_lending() {
     let third = vec![1, 4, 7, 10];
-    let troubles = vec![trouble(8.0, 23.0, What::Deaf(third.clone())), trouble(23.0, 38.0, What::Cut(third))];
-    let with = bounded(3, |seed| Spec { count_from_s: 8.0, ..spec(seed, 45.0, troubles.clone()) });
+    let faults =
+        vec![fault(8.0, 23.0, FaultKind::Deaf(third.clone())), fault(23.0, 38.0, FaultKind::Cut(third))];
+    let with = bounded(3, |seed| Spec { count_from_s: 8.0, ..spec(seed, 45.0, faults.clone()) });
     let fixed: Vec<Outcome> = (1..=3)
         .map(|seed| {
             play(&Spec { sharing: Sharing::Static, count_from_s: 8.0, ..spec(seed, 45.0, Vec::new()) })
@@ -45,18 +46,18 @@
 /// killed and comes back at once, and both at the same time; without the rules of time the same breaks it.
 #[test]
 fn a_stopped_borrower_and_a_killed_lender_spend_nothing_twice() {
-    let troubles = |seed: u64| {
+    let faults = |seed: u64| {
         let lender = 1 + (seed as usize * 3) % 11;
         vec![
-            trouble(8.0, 13.0, What::Stop(vec![0, 3])),
-            trouble(15.0, 15.3, What::Kill(vec![lender, 4], 0.0)),
-            trouble(18.0, 23.0, What::Stop(vec![6, 9])),
-            trouble(18.1, 18.5, What::Kill(vec![1, 2, 7], 0.0)),
-            trouble(25.0, 28.0, What::Cut(vec![0, 3, 6, 9])),
+            fault(8.0, 13.0, FaultKind::Stop(vec![0, 3])),
+            fault(15.0, 15.3, FaultKind::Kill(vec![lender, 4], 0.0)),
+            fault(18.0, 23.0, FaultKind::Stop(vec![6, 9])),
+            fault(18.1, 18.5, FaultKind::Kill(vec![1, 2, 7], 0.0)),
+            fault(25.0, 28.0, FaultKind::Cut(vec![0, 3, 6, 9])),
         ]
     };
     // All ask for more than there is: whatever is lent is missed.
-    let crowded = |seed| Spec { load: 1.15, ..spec(seed, 32.0, troubles(seed)) };
+    let crowded = |seed| Spec { load: 1.15, ..spec(seed, 32.0, faults(seed)) };
     bounded(8, crowded);
     let plain = (1..=8).map(|seed| play(&Spec { sharing: Sharing::Plain, ..crowded(seed) }));
     assert!(plain.map(|outcome| outcome.breaks.len()).sum::<usize>() > 0, "or this proves nothing");
@@ -65,8 +66,8 @@
 /// Guards against a machine whose wall clock jumps back an hour between two lives: it is heard again, and soon.
 #[test]
 fn a_wall_clock_that_jumps_an_hour_hides_nobody() {
-    let troubles = vec![trouble(8.0, 9.0, What::Kill(vec![2, 5], 3_600.0))];
-    for outcome in bounded(4, |seed| spec(seed, 30.0, troubles.clone())) {
+    let faults = vec![fault(8.0, 9.0, FaultKind::Kill(vec![2, 5], 3_600.0))];
+    for outcome in bounded(4, |seed| spec(seed, 30.0, faults.clone())) {
         assert_eq!(outcome.unknown, 0, "all know of the new lives");
         assert!(outcome.known_s.iter().all(|s| *s < 8.0), "{:?}", outcome.known_s);
     }
@@ -76,20 +77,20 @@
 /// are much further off break it.
 #[test]
 fn clocks_may_be_off_by_what_the_settings_say() {
-    let troubles = |_| {
+    let faults = |_| {
         vec![
-            trouble(9.0, 14.0, What::Cut(vec![0, 3, 6, 9])),
-            trouble(16.0, 21.0, What::Stop(vec![0, 6])),
-            trouble(23.0, 28.0, What::Cut((0..6).collect())),
+            fault(9.0, 14.0, FaultKind::Cut(vec![0, 3, 6, 9])),
+            fault(16.0, 21.0, FaultKind::Stop(vec![0, 6])),
+            fault(23.0, 28.0, FaultKind::Cut((0..6).collect())),
         ]
     };
-    bounded(6, |seed| Spec { load: 1.1, drift: 0.01, ..spec(seed, 30.0, troubles(seed)) });
+    bounded(6, |seed| Spec { load: 1.1, drift: 0.01, ..spec(seed, 30.0, faults(seed)) });
     // Seeds that found it: a clock that is thirty times further off than the settings say.
     let far = |seed| Spec {
         load: 1.1,
         drift: 0.3,
         seconds: 20.0,
-        troubles: draw(seed, 12, 20.0),
+        faults: draw(seed, 12, 20.0),
         ..spec(seed, 20.0, Vec::new())
     };
     let breaks: usize = [17, 22].into_iter().map(|seed| play(&far(seed)).breaks.len()).sum();
@@ -99,10 +100,10 @@
 /// Guards memory and counts against lives that come and go: the whole fleet in 3 s, then six in ten within 7 s.
 #[test]
 fn a_fleet_that_restarts_is_whole_again_soon() {
-    let all = |n: usize| trouble(8.0 + n as f64 * 0.2, 8.5 + n as f64 * 0.2, What::Kill(vec![n], 0.0));
-    let some = |n: usize| trouble(18.0 + n as f64, 18.6 + n as f64, What::Kill(vec![n], 0.0));
-    let troubles: Vec<Trouble> = (0..12).map(all).chain((0..7).map(some)).collect();
-    for outcome in bounded(3, |seed| spec(seed, 40.0, troubles.clone())) {
+    let all = |n: usize| fault(8.0 + n as f64 * 0.2, 8.5 + n as f64 * 0.2, FaultKind::Kill(vec![n], 0.0));
+    let some = |n: usize| fault(18.0 + n as f64, 18.6 + n as f64, FaultKind::Kill(vec![n], 0.0));
+    let faults: Vec<Fault> = (0..12).map(all).chain((0..7).map(some)).collect();
+    for outcome in bounded(3, |seed| spec(seed, 40.0, faults.clone())) {
         assert_eq!(outcome.unknown, 0);
         assert!(outcome.heard > 0.85, "a mean of {:.2} of the fleet was heard", outcome.heard);
     }
@@ -111,14 +112,14 @@
 /// Guards the fleet against what one server sees of the ledger, and the others against all but one.
 #[test]
 fn a_ledger_that_is_dead_for_one_is_used_by_the_others() {
-    let played = |what: Option<What>| {
-        let troubles = what.map(|what| vec![trouble(8.0, 18.0, what)]).unwrap_or_default();
+    let played = |what: Option<FaultKind>| {
+        let faults = what.map(|what| vec![fault(8.0, 18.0, what)]).unwrap_or_default();
         let load = 0.5;
-        bounded(3, |seed| Spec { load, lean: 1.0, ..spec(seed, 30.0, troubles.clone()) })
+        bounded(3, |seed| Spec { load, lean: 1.0, ..spec(seed, 30.0, faults.clone()) })
     };
-    let service = |what: Option<What>| mean(&played(what), Outcome::service);
+    let service = |what: Option<FaultKind>| mean(&played(what), Outcome::service);
     let well = service(None);
-    let one = played(Some(What::NoLedger(vec![5])));
+    let one = played(Some(FaultKind::NoLedger(vec![5])));
     // A twelfth of 180 calls a second: 150 in ten seconds for one that doesn't judge, and for one that does those of the
     // window in which the last good one counts, which is half of that, and some more.
     let vain = mean(&one, |outcome| outcome.refused as f64);
@@ -126,18 +127,18 @@
     let one = mean(&one, Outcome::service);
     // A twelfth of the calls for a third of the time, and some more until it tries again.
     assert!(one > well - 1.0 / 12.0 * 0.6, "{well:.3} while all is well, {one:.3} while one sees it dead");
-    let all_but_one = service(Some(What::NoLedger((0..11).collect())));
+    let all_but_one = service(Some(FaultKind::NoLedger((0..11).collect())));
     assert!(all_but_one > 0.55, "{all_but_one:.3}: it opens again, and the one goes on");
-    let slow = service(Some(What::SlowLedger(3.0)));
+    let slow = service(Some(FaultKind::SlowLedger(3.0)));
     assert!(slow > 0.55, "{slow:.3} while it takes three times as long, and answers");
 }
 
 /// Guards the bound and the heal: two halves that each believe the other dead for a minute, under full load on both sides.
 #[test]
 fn two_halves_keep_the_bound_and_the_heal_swings_nothing() {
-    let troubles = vec![trouble(8.0, 68.0, What::Cut((0..6).collect()))];
+    let faults = vec![fault(8.0, 68.0, FaultKind::Cut((0..6).collect()))];
     for outcome in
-        bounded(2, |seed| Spec { load: 1.0, count_from_s: 68.0, ..spec(seed, 85.0, troubles.clone()) })
+        bounded(2, |seed| Spec { load: 1.0, count_from_s: 68.0, ..spec(seed, 85.0, faults.clone()) })
     {
         assert!(outcome.service() > 0.8, "{:.3} served after the heal", outcome.service());
         assert!(outcome.longest_wrong_s < 5.0, "{:.1} s held dead after the heal", outcome.longest_wrong_s);
--- a/crates/model/tests/slow_start.rs
+++ b/crates/model/tests/slow_start.rs
@@ -3,16 +3,16 @@
 
 mod common;
 
-use common::{Fault, careless, seed, trouble};
+use common::{Defect, careless, fault, seed};
 use gradepin_admission::{RequestId, Time};
 use gradepin_core::messages::{Effect, Input, Response};
 use gradepin_core::registration::Registration;
 use gradepin_core::timestamp::Timestamp;
-use gradepin_model::account::rules::{Breach, Figures, Rules, SlowStart};
-use gradepin_model::account::slow_start::{budget, survived};
-use gradepin_model::day::{Day, What};
-use gradepin_model::policies::{Kind, Node, Start, Starts};
-use gradepin_model::world::{Maker, Order, Outcome, World};
+use gradepin_model::policies::{Kind, Node, NodeFactories, Start};
+use gradepin_model::scenario::{FaultKind, Scenario};
+use gradepin_model::service_report::rules::{Figures, RuleChecker, SlowStart, Violation};
+use gradepin_model::service_report::slow_start::{budget, survived};
+use gradepin_model::world::{NodeFactory, Order, Outcome, World};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 
@@ -23,7 +23,7 @@
 const TIP: f64 = 8.0;
 
 /// A day of so many servers that are as cold as the settings allow, each of so many cores.
-fn cold_day(seed: u64, servers: usize, cores: u32, more: &[(&str, &str)]) -> Day {
+fn cold_day(seed: u64, servers: usize, cores: u32, more: &[(&str, &str)]) -> Scenario {
     let (count, proxies) = (servers.to_string(), (3 + servers / 20).to_string());
     let base = [
         ("servers", &count[..]),
@@ -35,28 +35,28 @@
         ("retry", "budgeted,hasty"),
         ("pick", "round,two"),
     ];
-    let mut day = common::day(seed, &[&base[..], more].concat());
-    for machine in &mut day.machines {
+    let mut scenario = common::scenario(seed, &[&base[..], more].concat());
+    for machine in &mut scenario.machines {
         let times = f64::from(cores) / f64::from(machine.cores);
         (machine.cores, machine.knee) = (cores, machine.knee * times);
         machine.memory_kb *= times;
         (machine.cold_from, machine.cold_s) = (COLD_FROM, COLD_S);
     }
-    day
+    scenario
 }
 
 /// All of the callers heed what servers tell them of their start, or none.
-fn told(mut day: Day, heeds: bool) -> Day {
-    day.proxies.iter_mut().for_each(|proxy| proxy.heeds = heeds);
-    day
+fn told(mut scenario: Scenario, respects_advice: bool) -> Scenario {
+    scenario.proxies.iter_mut().for_each(|proxy| proxy.respects_advice = respects_advice);
+    scenario
 }
 
-fn all(day: &Day) -> Vec<usize> {
-    (0..day.machines.len()).collect()
+fn all(scenario: &Scenario) -> Vec<usize> {
+    (0..scenario.machines.len()).collect()
 }
 
-fn zone(day: &Day, zone: usize) -> Vec<usize> {
-    all(day).into_iter().filter(|machine| day.machines[*machine].zone == zone).collect()
+fn zone(scenario: &Scenario, zone: usize) -> Vec<usize> {
+    all(scenario).into_iter().filter(|machine| scenario.machines[*machine].zone == zone).collect()
 }
 
 /// The mass faults: all servers restart at once, the list falls silent beside that, a zone is lost and comes back cold.
@@ -70,20 +70,23 @@
 impl Mass {
     const ALL: [Self; 3] = [Self::Restart, Self::SilentList, Self::LostZone];
 
-    fn on(self, mut day: Day) -> Day {
-        let most = (0..3).map(|zone_no| zone(&day, zone_no)).max_by_key(Vec::len).unwrap_or_default();
-        let lost = day.machines[most[0]].zone;
-        day.troubles = match self {
-            Self::Restart => vec![trouble(1.5, 0.5, What::Crash, &all(&day))],
+    fn on(self, mut scenario: Scenario) -> Scenario {
+        let most = (0..3).map(|zone_no| zone(&scenario, zone_no)).max_by_key(Vec::len).unwrap_or_default();
+        let lost = scenario.machines[most[0]].zone;
+        scenario.faults = match self {
+            Self::Restart => vec![fault(1.5, 0.5, FaultKind::Crash, &all(&scenario))],
             Self::SilentList => {
-                vec![trouble(1.0, 4.0, What::RegistryAway, &[]), trouble(1.5, 0.5, What::Crash, &all(&day))]
+                vec![
+                    fault(1.0, 4.0, FaultKind::RegistryAway, &[]),
+                    fault(1.5, 0.5, FaultKind::Crash, &all(&scenario)),
+                ]
             }
             Self::LostZone => vec![
-                trouble(1.5, 1.5, What::ZoneCut { zone: lost }, &[]),
-                trouble(1.5, 1.5, What::Crash, &most),
+                fault(1.5, 1.5, FaultKind::ZoneCut { zone: lost }, &[]),
+                fault(1.5, 1.5, FaultKind::Crash, &most),
             ],
         };
-        day
+        scenario
     }
 }
 
@@ -104,9 +107,9 @@
 }
 
 impl Watched {
-    fn maker(seen: &Arc<Mutex<Provenance>>) -> Maker {
+    fn node_factory(seen: &Arc<Mutex<Provenance>>) -> NodeFactory {
         let seen = Arc::clone(seen);
-        Box::new(move |starts: &Starts, start: Start, told: Registration| {
+        Box::new(move |starts: &NodeFactories, start: Start, told: Registration| {
             Box::new(Self {
                 within: starts.node(Kind::Gradepin, start, told),
                 sent: HashMap::new(),
@@ -163,14 +166,14 @@
 }
 
 /// Plays a day with everything that is run and answered held against what was sent; nothing may be broken.
-fn sound(day: Day, which: &str) -> Outcome {
+fn sound(scenario: Scenario, which: &str) -> Outcome {
     let seen = Arc::new(Mutex::new(Provenance::default()));
-    let world = World::with(day, Watched::maker(&seen), Order::Forward).expect("a whole day");
+    let world = World::with(scenario, Watched::node_factory(&seen), Order::Forward).expect("a whole day");
     let outcome = world.play().expect("an end");
-    assert_eq!(outcome.broken, [], "{which}");
-    assert_eq!(outcome.restless, [], "{which}");
-    assert_eq!(outcome.report.places[0], 0, "{which}: requests with no end");
-    assert_eq!(outcome.report.whole.count, outcome.total.asked, "{which}");
+    assert_eq!(outcome.violations, [], "{which}");
+    assert_eq!(outcome.unsettled, [], "{which}");
+    assert_eq!(outcome.report.states[0], 0, "{which}: requests with no end");
+    assert_eq!(outcome.report.total.count, outcome.total.asked, "{which}");
     let seen = seen.lock().expect("no panic before");
     assert_eq!(seen.foreign, [] as [&str; 0], "{which}");
     assert!(seen.begun > 0 && seen.served > 0, "{which}: {seen:?}");
@@ -187,20 +190,23 @@
     assert!(allowed(1, 1.0) < 30.0 && allowed(6, COLD_FROM) < 30.0 && allowed(24, COLD_FROM) > 30.0);
     for (servers, cores) in [(1, 6), (2, 24), (5, 1), (5, 6), (20, 6), (30, 1), (30, 6), (100, 6), (300, 1)] {
         let mut looked_at = 0;
-        for heeds in [true, false] {
+        for respects_advice in [true, false] {
             // Of each fault at each size one kind of callers in turn.
-            for mass in
-                Mass::ALL.into_iter().filter(|mass| servers < 100 || (*mass == Mass::Restart) == heeds)
+            for mass in Mass::ALL
+                .into_iter()
+                .filter(|mass| servers < 100 || (*mass == Mass::Restart) == respects_advice)
             {
-                let day = mass.on(told(cold_day(seed, servers, cores, &[]), heeds));
-                let which =
-                    format!("{servers} servers of {cores} cores, {mass:?}, told {heeds}, SEED={seed}");
-                let SlowStart { events, most_at_once, most_mean } = sound(day, &which).slow_start;
+                let scenario = mass.on(told(cold_day(seed, servers, cores, &[]), respects_advice));
+                let which = format!(
+                    "{servers} servers of {cores} cores, {mass:?}, told {respects_advice}, SEED={seed}"
+                );
+                let SlowStart { events, max_concurrent_fraction, max_mean_fraction } =
+                    sound(scenario, &which).slow_start;
                 println!(
-                    "{which}: {events} events, {most_at_once:.2} of the budget, {most_mean:.2} of the mean"
+                    "{which}: {events} events, {max_concurrent_fraction:.2} of the budget, {max_mean_fraction:.2} of the mean"
                 );
                 assert!(events > 0, "{which}: no event of a cold server");
-                assert!(most_at_once <= 1.0 && most_mean <= 1.0, "{which}");
+                assert!(max_concurrent_fraction <= 1.0 && max_mean_fraction <= 1.0, "{which}");
                 looked_at += events;
             }
         }
@@ -214,16 +220,20 @@
 fn servers_that_know_no_cold_break_the_budget() {
     // Much comes and little of it is work to read, or reading alone keeps the cores.
     let drawn = || told(cold_day(seed(42), 5, 6, &[("load", "6"), ("read_share", "0.01")]), false);
-    let has = |outcome: &Outcome, which: fn(&Breach) -> bool| {
-        outcome.broken.iter().any(|broken| which(&broken.breach))
+    let has = |outcome: &Outcome, which: fn(&Violation) -> bool| {
+        outcome.violations.iter().any(|broken| which(&broken.violation))
     };
-    let outcome = careless(Mass::Restart.on(drawn()), Fault::KnowsNoCold);
-    assert!(has(&outcome, |breach| matches!(breach, Breach::SlowStart { .. })), "{:?}", outcome.slow_start);
-    assert!(has(&outcome, |breach| matches!(breach, Breach::Fell(_))), "{:?}", outcome.slow_start);
-    assert!(outcome.slow_start.most_at_once > 1.0 && outcome.slow_start.most_mean > 1.0);
+    let outcome = careless(Mass::Restart.on(drawn()), Defect::KnowsNoCold);
+    assert!(
+        has(&outcome, |breach| matches!(breach, Violation::SlowStart { .. })),
+        "{:?}",
+        outcome.slow_start
+    );
+    assert!(has(&outcome, |breach| matches!(breach, Violation::Fell(_))), "{:?}", outcome.slow_start);
+    assert!(outcome.slow_start.max_concurrent_fraction > 1.0 && outcome.slow_start.max_mean_fraction > 1.0);
     // Warm servers survive just that.
-    let calm = careless(drawn(), Fault::KnowsNoCold);
-    assert!(!has(&calm, |breach| matches!(breach, Breach::SlowStart { .. } | Breach::Fell(_))));
+    let calm = careless(drawn(), Defect::KnowsNoCold);
+    assert!(!has(&calm, |breach| matches!(breach, Violation::SlowStart { .. } | Violation::Fell(_))));
     assert_eq!(calm.slow_start, SlowStart::default());
 }
 
@@ -233,20 +243,23 @@
     for (cores, share) in [(1.0, 0.0), (1.0, 0.21), (6.0, 0.21), (6.0, 0.46), (12.0, 0.21), (24.0, 0.5)] {
         let most = budget(survived(cores, TIP, share)) as u64;
         let broken = |runs: u64| {
-            let mut rules = Rules::new(Figures::default());
+            let mut rules = RuleChecker::new(Figures::default());
             rules.started(7, cores, 1e9);
             rules.warmth(7, share);
             for run in 0..runs {
                 rules.read(7, run, 1_000, 9_000, None);
                 rules.began(run, 1_000);
             }
-            rules.broken().to_vec()
+            rules.violations().to_vec()
         };
         assert_eq!(broken(most), [], "{cores} cores at {share}");
         let over = broken(most + 1);
         assert_eq!(over.len(), 1, "{cores} cores at {share}: {over:?}");
         let runs = most as u32 + 1;
-        assert_eq!((over[0].server, &over[0].breach), (7, &Breach::SlowStart { runs, most: most as u32 }));
+        assert_eq!(
+            (over[0].server, &over[0].violation),
+            (7, &Violation::SlowStart { runs, most: most as u32 })
+        );
     }
 }
 
@@ -255,8 +268,10 @@
 fn mass_faults_at_three_hundred_servers_break_no_rule() {
     for (mass, default) in [(Mass::Restart, 51), (Mass::SilentList, 52), (Mass::LostZone, 53)] {
         let seed = seed(default);
-        let habits = [("retry", "unlimited,hasty,copies"), ("pick", "round,two,hash"), ("load", "0.35")];
-        let outcome = sound(mass.on(cold_day(seed, 300, 1, &habits)), &format!("{mass:?}, SEED={seed}"));
+        let retry_policies =
+            [("retry", "unlimited,hasty,copies"), ("pick", "round,two,hash"), ("load", "0.35")];
+        let outcome =
+            sound(mass.on(cold_day(seed, 300, 1, &retry_policies)), &format!("{mass:?}, SEED={seed}"));
         println!(
             "{mass:?}: {} asked, {} served, {} tries",
             outcome.total.asked, outcome.total.served, outcome.total.tries
--- a/crates/model/tests/slow_start_calls.rs
+++ b/crates/model/tests/slow_start_calls.rs
@@ -8,8 +8,8 @@
 
 use common::seed;
 use gradepin_admission::{Action, Controller, Event, Outcome, Request, Span, Time};
-use gradepin_model::account::slow_start::{MeanOver, budget};
 use gradepin_model::queue::{Heap, Queue};
+use gradepin_model::service_report::slow_start::{MeanOver, budget};
 use module::{MS, base, id, read, settings};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
--- a/crates/testkit/src/model/agreed.rs
+++ b/crates/testkit/src/model/agreed.rs
@@ -2,7 +2,7 @@
 
 use clap::Args;
 use gradepin_coordination::rollout::RolloutState;
-use gradepin_model::agreed::{Day, Outcome, play};
+use gradepin_model::consensus::{Outcome, Scenario, play};
 use rayon::prelude::*;
 use std::time::Instant;
 
@@ -44,14 +44,14 @@
 /// Plays them all and prints what they came to; whether the promise held on each.
 pub fn run(args: &ReleasesArgs) -> bool {
     let begin = Instant::now();
-    let day = |seed| Day {
+    let day = |seed| Scenario {
         seed,
         servers: args.servers,
         voters: args.voters,
         most: args.most,
         zone: args.zone,
         worse_by: args.worse_by,
-        troubles: !args.calm,
+        faults: !args.calm,
         looks_ms: args.looks_ms,
         patience_s: args.patience,
     };
--- a/crates/testkit/src/model/cli.rs
+++ b/crates/testkit/src/model/cli.rs
@@ -5,7 +5,7 @@
 use super::{Plan, agreed, config, peers, plots, report, trace};
 use crate::fleet::memory_of;
 use clap::{Args, Subcommand};
-use gradepin_model::day::Day;
+use gradepin_model::scenario::Scenario;
 use gradepin_model::world::{Outcome, World};
 use std::error::Error;
 use std::fs;
@@ -45,7 +45,7 @@
         Ok(plan)
     }
 
-    fn drawn(&self, plan: &Plan) -> Result<Day, Box<dyn Error>> {
+    fn drawn(&self, plan: &Plan) -> Result<Scenario, Box<dyn Error>> {
         match &self.day {
             Some(path) => Ok(serde_json::from_str(&fs::read_to_string(path)?)?),
             None => Ok(plan.ranges.draw(self.seed)),
@@ -186,12 +186,12 @@
                 fs::create_dir_all(&folder)?;
                 let names = |of: Vec<&String>| of.into_iter().cloned().collect::<Vec<String>>();
                 let classes = names(drawn.classes.iter().map(|class| &class.class.name).collect());
-                let offices = names(drawn.offices.iter().map(|office| &office.office.name).collect());
+                let offices = names(drawn.tenants.iter().map(|office| &office.tenant.name).collect());
                 for (name, plot) in plots::course(&outcome, &classes, &offices)? {
                     fs::write(folder.join(format!("{name}.svg")), plot)?;
                 }
             }
-            Ok(outcome.broken.is_empty())
+            Ok(outcome.violations.is_empty())
         }
         ModelCommand::Sweep { file, out, threads, quiet } => {
             let experiment = Experiment::parse(&fs::read_to_string(&file)?)?;
@@ -259,7 +259,7 @@
             let mut world = World::new(day.drawn(&plan)?, plan.policy)?;
             world.record();
             let outcome = world.play()?;
-            let (bytes, count) = trace::chrome(&outcome.stories, which);
+            let (bytes, count) = trace::chrome(&outcome.traces, which);
             if count == 0 {
                 return Err("expected a request or a machine of that day, got one without a try".into());
             }
@@ -288,7 +288,7 @@
     let parts = report.parts();
     println!(
         "G {:.4}: whole {:.4}, worst 10 s {:.4} from {} s, worst class {:.4}, worst office {:.4}",
-        report.g,
+        report.score,
         parts[0],
         parts[1],
         report.worst.0 / 1_000,
@@ -302,15 +302,20 @@
     );
     println!(
         "not sent: {} told to stay away, {} below the level, {} no server left; late {:.4}, wasted {:.4}; {} events",
-        t.away, t.below_level, t.exhausted, report.prices[0], report.prices[1], outcome.events
+        t.away,
+        t.below_level,
+        t.exhausted,
+        report.deduction_rates[0],
+        report.deduction_rates[1],
+        outcome.events
     );
-    for broken in outcome.broken.iter().take(10) {
+    for broken in outcome.violations.iter().take(10) {
         println!(
             "NOT KEPT at {} ms, server {}, try {:?}: {}",
-            broken.at, broken.server, broken.request, broken.breach
+            broken.at_ms, broken.server, broken.attempt, broken.violation
         );
     }
-    for (ms, machine) in &outcome.restless {
+    for (ms, machine) in &outcome.unsettled {
         println!("machine {machine} came to no rest at {ms} ms");
     }
 }
--- a/crates/testkit/src/model/mod.rs
+++ b/crates/testkit/src/model/mod.rs
@@ -12,9 +12,9 @@
 pub mod stats;
 pub mod trace;
 
-use gradepin_model::day::{BadSetting, Ranges};
 use gradepin_model::policies::Kind;
-use gradepin_model::world::{BadDay, Outcome, World};
+use gradepin_model::scenario::{Ranges, SettingError};
+use gradepin_model::world::{Outcome, ScenarioError, World};
 
 /// One day to be played: a policy, and what of the ranges is set otherwise.
 #[derive(Debug, Clone, PartialEq)]
@@ -30,7 +30,7 @@
 pub enum BadPlan {
     /// A setting of the ranges.
     #[error(transparent)]
-    Setting(#[from] BadSetting),
+    Setting(#[from] SettingError),
     /// No such policy.
     #[error("expected one of {known} as policy, got '{0}'", known = Kind::ALL.map(Kind::name).join(", "))]
     Policy(String),
@@ -54,7 +54,7 @@
     }
 
     /// Plays the day of a seed.
-    pub fn play(&self, seed: u64) -> Result<Outcome, BadDay> {
+    pub fn play(&self, seed: u64) -> Result<Outcome, ScenarioError> {
         World::new(self.ranges.draw(seed), self.policy)?.play()
     }
 }
--- a/crates/testkit/src/model/peers.rs
+++ b/crates/testkit/src/model/peers.rs
@@ -2,7 +2,7 @@
 
 use super::plots::{Curve, Labels, draw as svg};
 use clap::{Args, ValueEnum};
-use gradepin_model::peers::{Outcome, Sharing, Spec, Troubles, draw, play};
+use gradepin_model::peers::{Faults, Outcome, Sharing, Spec, draw, play};
 use rayon::prelude::*;
 use std::error::Error;
 use std::path::{Path, PathBuf};
@@ -66,7 +66,7 @@
 
 impl PeersArgs {
     fn spec(&self, seed: u64) -> Spec {
-        let troubles = if self.calm { Troubles::default() } else { draw(seed, self.servers, self.seconds) };
+        let troubles = if self.calm { Faults::default() } else { draw(seed, self.servers, self.seconds) };
         Spec {
             seed,
             servers: self.servers,
@@ -83,7 +83,7 @@
             starved: self.starved,
             drift: self.drift,
             count_from_s: self.count_from,
-            troubles,
+            faults: troubles,
             ..Spec::default()
         }
     }
--- a/crates/testkit/src/model/plots.rs
+++ b/crates/testkit/src/model/plots.rs
@@ -121,7 +121,7 @@
     classes: &[String],
     offices: &[String],
 ) -> Result<Vec<(&'static str, String)>> {
-    let service = |names: &[String], sums: &[Vec<gradepin_model::account::service::Sum>]| {
+    let service = |names: &[String], sums: &[Vec<gradepin_model::service_report::service::Sum>]| {
         let of = |place: usize| {
             let points = sums.iter().enumerate().filter(|(_, second)| second[place].count > 0);
             points.map(|(second, sums)| (second as f64, sums[place].share())).collect()
@@ -140,7 +140,7 @@
         ),
         (
             "service-by-office",
-            draw(&labels("Service by office", "earned / asked"), &service(offices, &outcome.course.offices))?,
+            draw(&labels("Service by office", "earned / asked"), &service(offices, &outcome.course.tenants))?,
         ),
         (
             "running-and-held",
--- a/crates/testkit/src/model/report.rs
+++ b/crates/testkit/src/model/report.rs
@@ -2,7 +2,7 @@
 
 use super::plots;
 use super::results::{Difference, Line, group};
-use gradepin_model::day::Day;
+use gradepin_model::scenario::Scenario;
 use gradepin_model::world::Outcome;
 use minijinja::{Environment, context};
 use std::error::Error;
@@ -20,52 +20,53 @@
 }
 
 /// A day that was played.
-pub fn day(title: &str, day: &Day, outcome: &Outcome) -> Result<String, Box<dyn Error>> {
+pub fn day(title: &str, day: &Scenario, outcome: &Outcome) -> Result<String, Box<dyn Error>> {
     let classes: Vec<String> = day.classes.iter().map(|class| class.class.name.clone()).collect();
-    let offices: Vec<String> = day.offices.iter().map(|office| office.office.name.clone()).collect();
+    let offices: Vec<String> = day.tenants.iter().map(|office| office.tenant.name.clone()).collect();
     let report = &outcome.report;
     let parts = report.parts();
     let figures = vec![
-        ("service, deductions taken off", percent(report.g)),
+        ("service, deductions taken off", percent(report.score)),
         ("the whole", percent(parts[0])),
         ("the worst 10 s", format!("{}, from {} s", percent(parts[1]), report.worst.0 / 1_000)),
         ("the worst class", percent(parts[2])),
         ("the worst office, within its share", percent(parts[3])),
-        ("requests answered late", percent(report.prices[0])),
-        ("work wasted, of that asked for", percent(report.prices[1])),
+        ("requests answered late", percent(report.deduction_rates[0])),
+        ("work wasted, of that asked for", percent(report.deduction_rates[1])),
         ("requests", outcome.total.asked.to_string()),
         ("tries", outcome.total.tries.to_string()),
         ("tries turned away", outcome.total.refused.to_string()),
-        ("rules broken", outcome.broken.len().to_string()),
+        ("rules broken", outcome.violations.len().to_string()),
     ];
-    let collapsed = report.whole.share() < 0.5;
+    let collapsed = report.total.share() < 0.5;
     let verdict = if collapsed {
         "Collapse: less than half of the worth asked for was served."
-    } else if outcome.broken.is_empty() {
+    } else if outcome.violations.is_empty() {
         "All rules were kept."
     } else {
         "Rules were broken."
     };
     let troubles: Vec<String> = day
-        .troubles
+        .faults
         .iter()
         .map(|t| format!("{} at {:.1} s for {:.1} s on {} machines", t.word(), t.at_s, t.len_s, t.on.len()))
         .collect();
     let broken: Vec<String> = outcome
-        .broken
+        .violations
         .iter()
         .take(50)
         .map(|b| {
-            let request = b.request.map_or_else(String::new, |request| format!(", try {request}"));
-            format!("{} ms, server {}{request}: {}", b.at, b.server, b.breach)
+            let request = b.attempt.map_or_else(String::new, |request| format!(", try {request}"));
+            format!("{} ms, server {}{request}: {}", b.at_ms, b.server, b.violation)
         })
         .collect();
-    let sums = |names: &[String], sums: &[gradepin_model::account::service::Sum]| -> Vec<Vec<String>> {
-        let row = |(name, sum): (&String, &gradepin_model::account::service::Sum)| {
-            vec![name.clone(), sum.count.to_string(), percent(sum.share())]
+    let sums =
+        |names: &[String], sums: &[gradepin_model::service_report::service::Sum]| -> Vec<Vec<String>> {
+            let row = |(name, sum): (&String, &gradepin_model::service_report::service::Sum)| {
+                vec![name.clone(), sum.count.to_string(), percent(sum.share())]
+            };
+            names.iter().zip(sums).map(row).collect()
         };
-        names.iter().zip(sums).map(row).collect()
-    };
     let plots: Vec<String> =
         plots::course(outcome, &classes, &offices)?.into_iter().map(|(_, svg)| svg).collect();
     page(context! {
@@ -74,8 +75,8 @@
         figures,
         tables => vec![
             ("By class", vec!["class", "requests", "service"], sums(&classes, &report.classes)),
-            ("By office, within shares", vec!["office", "requests", "service"], sums(&offices, &report.offices)),
-            ("By office, beyond shares", vec!["office", "requests", "service"], sums(&offices, &report.beyond)),
+            ("By office, within shares", vec!["office", "requests", "service"], sums(&offices, &report.tenants)),
+            ("By office, beyond shares", vec!["office", "requests", "service"], sums(&offices, &report.over_quota)),
         ],
         lists => vec![("Troubles", troubles), ("Broken rules", broken)],
         plots,
--- a/crates/testkit/src/model/trace.rs
+++ b/crates/testkit/src/model/trace.rs
@@ -3,7 +3,7 @@
 //! What happened becomes events of `tracing`, and a layer of `tracing-subscriber` writes them. Its formatter is ours, for times are
 //! those of the day: layers made for Chrome's format read the machine's clock.
 
-use gradepin_model::world::{Story, StoryOf};
+use gradepin_model::world::{AttemptOutcome, AttemptTrace};
 use serde_json::{Map, Value, json};
 use std::fmt;
 use std::io::{self, Write};
@@ -25,10 +25,10 @@
 }
 
 impl Which {
-    fn has(self, story: &Story) -> bool {
+    fn has(self, trace: &AttemptTrace) -> bool {
         match self {
-            Self::Request(request) => story.request == request,
-            Self::Machine(machine) => story.machine == machine,
+            Self::Request(request) => trace.request == request,
+            Self::Machine(machine) => trace.machine == machine,
         }
     }
 }
@@ -101,15 +101,15 @@
 }
 
 /// The trace of some tries, and how many they are.
-pub fn chrome(stories: &[Story], which: Which) -> (Vec<u8>, usize) {
+pub fn chrome(traces: &[AttemptTrace], which: Which) -> (Vec<u8>, usize) {
     let shared = Shared::default();
     let layer = tracing_subscriber::fmt::layer().event_format(Chrome).with_writer(shared.clone());
     let subscriber = tracing_subscriber::registry().with(layer);
     let mut count = 0;
     tracing::subscriber::with_default(subscriber, || {
-        for (number, story) in stories.iter().enumerate().filter(|(_, story)| which.has(story)) {
+        for (number, trace) in traces.iter().enumerate().filter(|(_, trace)| which.has(trace)) {
             count += 1;
-            tell(number, story);
+            tell(number, trace);
         }
     });
     let lines = shared.0.lock().unwrap_or_else(PoisonError::into_inner);
@@ -118,18 +118,18 @@
     (format!("{{\"displayTimeUnit\":\"ms\",\"traceEvents\":[\n{events}\n]}}\n").into_bytes(), count)
 }
 
-fn tell(number: usize, story: &Story) {
+fn tell(number: usize, trace: &AttemptTrace) {
     let phases = [
-        ("on the way", Some(story.sent), story.came),
-        ("unread", story.came, story.read),
-        ("held", story.read, story.began.or(story.answered)),
-        ("runs", story.began, story.ended),
+        ("on the way", Some(trace.sent), trace.arrived),
+        ("unread", trace.arrived, trace.read),
+        ("held", trace.read, trace.started.or(trace.answered)),
+        ("runs", trace.started, trace.ended),
     ];
-    let got = match story.got {
-        StoryOf::Open => "nothing",
-        StoryOf::Served => "served",
-        StoryOf::Refused => "refused",
-        StoryOf::Failed => "failed",
+    let got = match trace.outcome {
+        AttemptOutcome::Open => "nothing",
+        AttemptOutcome::Served => "served",
+        AttemptOutcome::Refused => "refused",
+        AttemptOutcome::Failed => "failed",
     };
     for (phase, from, to) in phases {
         let (Some(from), Some(to)) = (from, to) else { continue };
@@ -137,9 +137,9 @@
             phase,
             ts_us = from as f64 / 1e3,
             dur_us = to.saturating_sub(from) as f64 / 1e3,
-            machine = u64::from(story.machine),
+            machine = u64::from(trace.machine),
             try_no = number as u64,
-            request = u64::from(story.request),
+            request = u64::from(trace.request),
             got,
         );
     }
@@ -152,26 +152,26 @@
     /// Guards against a trace that no viewer reads, and against other requests in it.
     #[test]
     fn a_request_is_told_in_its_phases() {
-        let story = |request, machine| Story {
+        let trace = |request, machine| AttemptTrace {
             request,
             machine,
             sent: 1_000_000,
-            came: Some(2_000_000),
+            arrived: Some(2_000_000),
             read: Some(5_000_000),
-            began: Some(9_000_000),
+            started: Some(9_000_000),
             ended: Some(109_000_000),
             answered: Some(109_000_000),
-            got: StoryOf::Served,
+            outcome: AttemptOutcome::Served,
         };
-        let stories = [story(1, 0), Story { request: 2, ..Story::default() }, story(2, 1)];
-        let (bytes, count) = chrome(&stories, Which::Request(2));
+        let traces = [trace(1, 0), AttemptTrace { request: 2, ..AttemptTrace::default() }, trace(2, 1)];
+        let (bytes, count) = chrome(&traces, Which::Request(2));
         let trace: Value = serde_json::from_slice(&bytes).unwrap();
         let events = trace["traceEvents"].as_array().unwrap();
         assert_eq!((count, events.len()), (2, 4));
         assert_eq!((&events[3]["name"], &events[3]["ph"]), (&json!("runs"), &json!("X")));
         assert_eq!((&events[3]["ts"], &events[3]["dur"]), (&json!(9_000.0), &json!(100_000.0)));
         assert_eq!((&events[3]["pid"], &events[3]["args"]["got"]), (&json!(1), &json!("served")));
-        let none: Value = serde_json::from_slice(&chrome(&stories, Which::Machine(9)).0).unwrap();
+        let none: Value = serde_json::from_slice(&chrome(&traces, Which::Machine(9)).0).unwrap();
         assert_eq!(none["traceEvents"], json!([]));
     }
 }
--- a/crates/testkit/src/registry/mod.rs
+++ b/crates/testkit/src/registry/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod faults;
 pub mod server;
-pub use gradepin_model::roster::registry as state;
+pub use gradepin_model::discovery::registry as state;
 
 use gradepin_admission::Span;
 use gradepin_registry::instance::Instance;
