--- a/crates/model/src/discovery/mod.rs
+++ b/crates/model/src/discovery/mod.rs
@@ -1,5 +1,5 @@
-//! How client proxies learn of servers: the platform's list, a second or two late, or a registry of Eureka's kind, whose rules
-//! are in [`registry`].
+//! Service discovery of client proxies: the platform's list, with a delay of seconds, or a registry like Eureka, whose
+//! rules are in [`registry`].
 
 pub mod registry;
 
@@ -9,27 +9,27 @@
 use gradepin_registry::membership::MembershipSettings;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// The application and the name by which servers are looked up.
+/// Name of the application in the registry.
 pub const APP: &str = "TILE-SERVERS";
-/// See [`APP`].
+/// Name by which clients look up the servers.
 pub const VIP: &str = "tile-servers";
 const PORT: u16 = 9_080;
-/// Machines are numbered from here: 10.0.0.0.
+/// Address of machine 0: 10.0.0.0.
 const FIRST: u32 = 0x0a00_0000;
 
-/// What the keeper of the list knows of a server.
+/// A server's entry in the platform's list.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Entry {
-    /// On the list, and ready.
+    /// Whether the server is listed, that is, ready.
     pub listed: bool,
-    /// Counts changes, so that none is overtaken by an older one.
+    /// Number of changes; an older change never replaces a newer one.
     pub version: u32,
-    /// When it last reported.
+    /// Time of the last report.
     pub reported: At,
 }
 
 impl Entry {
-    /// A report, or word that it is gone; whether anything changed.
+    /// Updates the entry after a report or a timeout; returns whether it changed.
     pub fn is(&mut self, listed: bool) -> bool {
         let changed = std::mem::replace(&mut self.listed, listed) != listed;
         self.version += u32::from(changed);
@@ -37,12 +37,12 @@
     }
 }
 
-/// Where a machine's server is reached.
+/// Address of the server on a machine.
 pub fn address(machine: usize) -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::from(FIRST + machine as u32)), PORT)
 }
 
-/// The machine of an address.
+/// Machine number of an address.
 pub fn machine(address: SocketAddr) -> Option<usize> {
     match address.ip() {
         IpAddr::V4(ip) => u32::from(ip).checked_sub(FIRST).map(|machine| machine as usize),
@@ -50,7 +50,7 @@
     }
 }
 
-/// The instance that a machine registers.
+/// Registry record of the server on a machine.
 pub fn instance(machine: usize, zone: usize, heartbeat_s: f64, lease_s: f64) -> Instance {
     let address = address(machine);
     Instance {
@@ -71,7 +71,7 @@
     }
 }
 
-/// How a server's registration behaves.
+/// Registration settings of a server.
 pub fn membership(instance: Instance, heartbeat_s: f64) -> MembershipSettings {
     MembershipSettings {
         instance,
@@ -88,7 +88,7 @@
     }
 }
 
-/// The module's time of a moment of the world; not near 0, where what is before the start could not be told.
+/// Converts simulated time to the module's time. The offset keeps times before the start of a server representable.
 pub fn time(at: At) -> Time {
     Time(at + 1_000_000_000_000)
 }
@@ -97,7 +97,7 @@
 mod tests {
     use super::*;
 
-    /// Guards against changes that undo later ones, and addresses that are another machine's.
+    /// Guards against changes that undo later ones, and against addresses of the wrong machine.
     #[test]
     fn changes_are_counted_and_addresses_are_one_machines() {
         let mut entry = Entry::default();
--- a/crates/model/src/discovery/registry.rs
+++ b/crates/model/src/discovery/registry.rs
@@ -1,21 +1,21 @@
-//! What a registry holds and by which rules it changes, without I/O and without a clock: leases, overrides, eviction
-//! and self-preservation, the queue of changes, the cache of answers. From the public description of Eureka 1.x.
+//! State and rules of a registry without I/O or clock: leases, overrides, eviction with self-preservation, the queue of
+//! changes, and the response cache. Follows the public description of Eureka 1.x.
 
 use gradepin_registry::instance::{ActionType, Applications, Instance, InstanceStatus, hash_code};
 use std::collections::{BTreeMap, VecDeque};
 
-/// How a registry behaves; all times in milliseconds.
+/// Settings of a registry; all times in milliseconds.
 #[derive(Debug, Clone)]
 pub struct RegistrySettings {
-    /// Between looks for leases that ran out.
+    /// Interval between evictions of expired leases.
     pub evict_every_ms: u64,
-    /// The part of the expected heartbeats under which nothing is evicted.
+    /// Fraction of the expected heartbeats below which no lease is evicted.
     pub preserve_share: f64,
     /// Whether self-preservation is on.
     pub preserves: bool,
-    /// How old an answer with all applications, or with the changes, may be.
+    /// Lifetime of a cached response.
     pub cache_ms: u64,
-    /// How long a change stays in the queue that deltas are made of.
+    /// Time for which a change stays in the queue used for deltas.
     pub delta_ms: u64,
 }
 
@@ -26,16 +26,16 @@
     }
 }
 
-/// An answer without content.
+/// Result of an operation that returns no content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Done.
+    /// The operation succeeded.
     Done,
-    /// No such instance; or its record is older than the caller's, which must register again.
+    /// The instance is unknown, or its record is older than the instance's own and must be registered again.
     NotFound,
 }
 
-/// What one registry tells its peers.
+/// An operation that a registry replicates to its peers.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Replicated {
     /// A registration.
@@ -44,9 +44,9 @@
     Renew(String, String, u64),
     /// A removal.
     Cancel(String, String),
-    /// An override.
+    /// A status override.
     Override(String, String, InstanceStatus, u64),
-    /// An override removed, and the state then.
+    /// The removal of a status override, and the status from then on.
     ClearOverride(String, String, InstanceStatus, u64),
 }
 
@@ -56,10 +56,10 @@
     renewed_ms: u64,
 }
 
-/// The applications and when they were put together.
+/// A cached response and the time of its creation.
 type Cached = Option<(u64, Applications)>;
 
-/// One registry.
+/// A registry.
 #[derive(Debug)]
 pub struct Registry {
     set: RegistrySettings,
@@ -69,7 +69,7 @@
     full: Cached,
     delta: Cached,
     version: u64,
-    /// Times of heartbeats in the last minute.
+    /// Times of the heartbeats during the last minute.
     renewals: VecDeque<u64>,
     next_evict_ms: u64,
 }
@@ -81,7 +81,7 @@
 }
 
 impl Registry {
-    /// An empty registry that starts now.
+    /// Creates an empty registry that starts at `now_ms`.
     pub fn new(set: RegistrySettings, now_ms: u64) -> Self {
         Self {
             next_evict_ms: now_ms + set.evict_every_ms,
@@ -107,8 +107,8 @@
         }
     }
 
-    /// The state that callers see: what an instance says of itself if it is down or starting, else the override, else
-    /// what its lease shows if that is up or out of service, else what it says.
+    /// Effective status: the instance's own status if it is down or starting; otherwise the override, if any;
+    /// otherwise the status of the lease if that is up or out of service; otherwise the instance's own.
     fn status(&self, key: &Key, says: InstanceStatus, replicated: bool) -> InstanceStatus {
         if !matches!(says, InstanceStatus::Up | InstanceStatus::OutOfService) {
             return says;
@@ -122,7 +122,7 @@
             .unwrap_or(says)
     }
 
-    /// Registers, or replaces a record that is no newer.
+    /// Registers an instance, or replaces its record unless that is newer.
     pub fn register(&mut self, mut instance: Instance, replicated: bool, now_ms: u64) {
         let key = key(&instance.app, &instance.id);
         if let Some(lease) = self.leases.get(&key).filter(|lease| lease.instance.dirty_ms > instance.dirty_ms)
@@ -142,11 +142,11 @@
         self.changed(now_ms, &key, ActionType::Added);
     }
 
-    /// A heartbeat, with the time of the instance's own last change where it tells one.
+    /// Renews a lease. `dirty_ms` is the time of the instance's own last change, if it sent one.
     pub fn renew(&mut self, app: &str, id: &str, dirty_ms: Option<u64>, now_ms: u64) -> Outcome {
         let key = key(app, id);
         let Some(lease) = self.leases.get_mut(&key) else { return Outcome::NotFound };
-        // A record older than the instance's own is of no use: it is to register again.
+        // The record is older than the instance's own: it must register again.
         if lease.instance.status == InstanceStatus::Unknown
             || dirty_ms.is_some_and(|dirty| dirty > lease.instance.dirty_ms)
         {
@@ -173,7 +173,7 @@
         Outcome::Done
     }
 
-    /// Sets an override.
+    /// Sets a status override.
     pub fn override_status(
         &mut self,
         app: &str,
@@ -195,7 +195,7 @@
         Outcome::Done
     }
 
-    /// Removes an override; the instance then shows this state. Where there is none, nothing changes.
+    /// Removes a status override, after which the instance has this status. Without an override, nothing changes.
     pub fn clear_override(
         &mut self,
         app: &str,
@@ -216,7 +216,7 @@
         Outcome::Done
     }
 
-    /// Adds to an instance's metadata.
+    /// Adds entries to an instance's metadata.
     pub fn metadata(&mut self, app: &str, id: &str, pairs: &[(String, String)], now_ms: u64) -> Outcome {
         let key = key(app, id);
         let Some(lease) = self.leases.get_mut(&key) else { return Outcome::NotFound };
@@ -225,7 +225,7 @@
         Outcome::Done
     }
 
-    /// Takes a peer's word.
+    /// Applies an operation replicated by a peer.
     pub fn replicate(&mut self, told: Replicated, now_ms: u64) -> Outcome {
         match told {
             Replicated::Register(instance) => {
@@ -243,14 +243,15 @@
         }
     }
 
-    /// Whether too few heartbeats come for a lost lease to mean a lost instance.
+    /// Whether self-preservation is active: too few heartbeats arrive to conclude that an expired lease means a
+    /// failed instance.
     pub fn preserving(&self) -> bool {
         let expected: f64 =
             self.leases.values().map(|l| 60.0 / l.instance.lease.renewal_s.max(1) as f64).sum();
         self.set.preserves && (self.renewals.len() as f64) < self.set.preserve_share * expected
     }
 
-    /// Drops leases that ran out, if it is time to look; no more than the part that self-preservation allows.
+    /// Evicts expired leases when the interval has passed, at most as many as self-preservation allows.
     pub fn evict(&mut self, now_ms: u64) -> usize {
         if now_ms < self.next_evict_ms {
             return 0;
@@ -270,18 +271,18 @@
         late.len().min(most)
     }
 
-    /// Forgets one lease without a word, as a fault.
+    /// Drops a lease silently; used to inject a fault.
     pub fn forget(&mut self, app: &str, id: &str) {
         self.leases.remove(&key(app, id));
         self.overrides.remove(&key(app, id));
     }
 
-    /// One instance.
+    /// Returns an instance.
     pub fn instance(&self, app: &str, id: &str) -> Option<&Instance> {
         self.leases.get(&key(app, id)).map(|lease| &lease.instance)
     }
 
-    /// All instances, as they are now.
+    /// All instances, uncached.
     pub fn instances(&self) -> impl Iterator<Item = &Instance> {
         self.leases.values().map(|lease| &lease.instance)
     }
@@ -291,7 +292,7 @@
         Applications { version: self.version.to_string(), hash_code, instances }
     }
 
-    /// Everything, as the cache has it.
+    /// All applications from the response cache.
     pub fn full(&mut self, now_ms: u64) -> &Applications {
         if self.full.as_ref().is_none_or(|(at, _)| at + self.set.cache_ms <= now_ms) {
             self.full = Some((now_ms, self.applications(self.instances().cloned().collect())));
@@ -299,7 +300,7 @@
         &self.full.get_or_insert_with(Default::default).1
     }
 
-    /// The latest change of each instance that changed of late, as the cache has it.
+    /// Latest change of each recently changed instance, from the response cache.
     pub fn delta(&mut self, now_ms: u64) -> &Applications {
         if self.delta.as_ref().is_none_or(|(at, _)| at + self.set.cache_ms <= now_ms) {
             let mut last = BTreeMap::<(&str, &str), &Instance>::new();
@@ -374,7 +375,7 @@
         alive(&mut r, 19, 120_000);
         assert_eq!((r.evict(120_000), shows(&r, "n19")), (1, None));
         assert!(r.instances().count() == 19 && !r.preserving());
-        // Half of the rest fall silent: that is taken for the network's fault.
+        // Half of the remaining instances go silent, which is attributed to the network.
         let mut r = of(20);
         alive(&mut r, 10, 120_000);
         assert!(r.preserving());
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,10 +1,12 @@
-//! The fleet in virtual time, for designs at sizes that sockets don't reach: every server is the real reducer with the real
-//! decision module, or one of the policies that a user would pick instead. [`peers`], [`consensus`] and [`config`] are worlds of their own: what servers share,
-//! what they agree on, and how changes of the configuration reach them.
+//! Simulates the fleet in virtual time, to evaluate designs at sizes that can't be reached with sockets. Every server is
+//! the real reducer with the real decision module, or one of the comparison policies. [`peers`] (state shared between
+//! servers), [`consensus`] (drains and rollouts) and [`config`] (dissemination of configuration changes) are separate
+//! simulations.
 //!
-//! [`scenario`] draws what a day is like; [`world`] plays it, an event after another of its [`queue`]; around the servers are
-//! [`processor`], [`net`], [`proxy`] and [`discovery`]; [`service_report`] counts service and checks the rules. No I/O and no clock:
-//! one seed, one result.
+//!
+//! [`scenario`] draws the parameters of a run; [`world`] plays it, one event of its [`queue`] after another. The
+//! surroundings of the servers are in [`processor`], [`net`], [`proxy`] and [`discovery`]; [`service_report`] counts
+//! service and checks the rules. There is no I/O and no clock: the same seed gives the same result.
 
 pub mod config;
 pub mod consensus;
--- a/crates/model/src/net.rs
+++ b/crates/model/src/net.rs
@@ -1,4 +1,4 @@
-//! The network between machine rooms: delays, messages lost and sent again, rooms cut off.
+//! Network between zones: delays, lost and retransmitted messages, partitions.
 
 use crate::queue::At;
 use crate::scenario::NetSpec;
@@ -7,35 +7,35 @@
 
 const MS: f64 = 1e6;
 
-/// The network of a day.
+/// Network of a scenario.
 #[derive(Debug)]
 pub struct Net {
     spec: NetSpec,
-    /// Until when a room is cut off.
+    /// Time until which each zone is cut off.
     cut: Vec<At>,
 }
 
 impl Net {
-    /// With all rooms in reach.
+    /// Creates a network without partitions.
     pub fn new(spec: NetSpec) -> Self {
         Self { cut: vec![0; spec.zones.max(1)], spec }
     }
 
-    /// Cuts a room off until then.
+    /// Cuts a zone off until a time.
     pub fn cut(&mut self, zone: usize, until: At) {
         if let Some(cut) = self.cut.get_mut(zone) {
             *cut = until.max(*cut);
         }
     }
 
-    /// Until when nothing passes between two rooms; a time that is past where it does.
+    /// End of the partition between two zones; a time in the past if there is none.
     pub fn cut_until(&self, from: usize, to: usize) -> At {
         let until = |zone: usize| self.cut.get(zone).copied().unwrap_or(0);
         if from == to { 0 } else { until(from).max(until(to)) }
     }
 
-    /// When a message that is sent now arrives. What is lost or meets a cut is sent again by the transport, so it comes late and
-    /// not never.
+    /// Arrival time of a message sent now. The transport retransmits a message that is lost or meets a partition, so
+    /// that it arrives late but always arrives.
     pub fn arrives(&self, now: At, from: usize, to: usize, rng: &mut Pcg64Mcg) -> At {
         let mean = if from == to { self.spec.same_ms } else { self.spec.cross_ms };
         let delay = mean * (1.0 + self.spec.jitter * (2.0 * unit(rng) - 1.0));
@@ -48,7 +48,7 @@
         sent + ((delay + again) * MS) as At
     }
 
-    /// Whether a cancel gets lost where callers give up late or never tell.
+    /// Draws whether a cancellation gets lost, as with clients that cancel late or not at all.
     pub fn deaf(&self, rng: &mut Pcg64Mcg) -> bool {
         chance(rng, self.spec.deaf)
     }
@@ -59,7 +59,7 @@
     use super::*;
     use crate::streams::Streams;
 
-    /// Guards against messages that pass through a cut, and against ones that it swallows.
+    /// Guards against messages that pass through a partition, and against messages that it drops.
     #[test]
     fn a_cut_holds_messages_back_and_loses_none() {
         let spec = NetSpec {
--- a/crates/model/src/processor.rs
+++ b/crates/model/src/processor.rs
@@ -1,51 +1,51 @@
-//! A machine's cores: what runs and what is read shares them, past a crowd less is done in total, a cold start, hangs and
-//! pauses, and the memory.
+//! Cores of a machine: shared by runs and reads, slower under overload, with cold start, hangs and pauses.
 //!
-//! All jobs on the cores get the same part of them at any moment, so each job is done when the work that everyone got since
-//! its start reaches its own: one sum instead of a countdown for each job.
+//!
+//! All jobs of a kind get the same share of the cores at any time. A job is therefore done when the total work per job
+//! since its start reaches its own work: one sum replaces a countdown per job.
 
 use crate::queue::At;
 use std::cmp::Ordering;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// Names a job; the world's number of a try.
+/// Identifies a job: the attempt number in the world.
 pub type Job = u32;
 
-/// What happens on a machine.
+/// A finished job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Done {
     /// A request was read.
     Read(Job),
-    /// A run is over.
+    /// A run ended.
     Run(Job),
 }
 
-/// What the cores are like.
+/// Parameters of the cores of a machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CoresSpec {
-    /// How many.
+    /// Number of cores.
     pub cores: u32,
-    /// Work that each does in a second.
+    /// Seconds of work that a core does per second.
     pub speed: f64,
-    /// Runs past which less is done in total, and how quickly it falls: at twice as many it is `1 / (1 + thrash)`.
+    /// Number of runs above which throughput falls.
     pub knee: f64,
-    /// See `knee`.
+    /// How fast it falls: at twice `knee` runs, throughput is `1 / (1 + thrash)` of the full value.
     pub thrash: f64,
-    /// Part of the speed at a cold start, and nanoseconds until warm.
+    /// Fraction of the speed at a cold start.
     pub cold_from: f64,
-    /// See `cold_from`.
+    /// Nanoseconds until a cold processor reaches full speed.
     pub cold: At,
-    /// When it started, and whether cold.
+    /// Start time of the processor.
     pub started: At,
-    /// See `started`.
+    /// Whether it started cold.
     pub is_cold: bool,
 }
 
-/// Between looks at how warm it is.
+/// Interval in nanoseconds at which the speed of a cold processor is updated.
 const WARMING: At = 100_000_000;
-/// The span of the gauge of busy cores.
+/// Averaging time of the utilization gauge, in nanoseconds.
 const GAUGE: At = 500_000_000;
-/// Work that counts as done, in seconds: less than a nanosecond of the fastest core.
+/// Remaining work in seconds that counts as done; less than the fastest core does in a nanosecond.
 const NOTHING: f64 = 1e-10;
 
 #[derive(Debug, Clone, Copy)]
@@ -70,13 +70,13 @@
 }
 
 impl Ord for Entry {
-    /// The soonest done is the greatest: the heap's top.
+    /// The job that ends first is the greatest, at the top of the heap.
     fn cmp(&self, other: &Self) -> Ordering {
         other.target.total_cmp(&self.target).then(other.number.cmp(&self.number))
     }
 }
 
-/// Jobs that share, and what each has got since the beginning.
+/// Jobs that share the cores, and the work that each has received since the beginning.
 #[derive(Debug, Default)]
 struct Shared {
     got: f64,
@@ -94,26 +94,26 @@
     }
 }
 
-/// The cores of a machine, and what is on them.
+/// The cores of a machine and the jobs on them.
 #[derive(Debug)]
 pub struct Cores {
     spec: CoresSpec,
     now: At,
     runs: Shared,
     reads: Shared,
-    /// Requests that wait to be read, with their work.
+    /// Requests waiting to be read, with the work of reading.
     unread: VecDeque<(Job, f64)>,
     number: u64,
     slow: f64,
     hangs: bool,
     paused: bool,
-    /// Busy nanoseconds of cores until then, for the gauge.
+    /// Busy core-nanoseconds so far, and their history for the gauge.
     busy: f64,
     course: VecDeque<(At, f64)>,
 }
 
 impl Cores {
-    /// Idle ones.
+    /// Creates idle cores.
     pub fn new(spec: CoresSpec) -> Self {
         Self {
             now: spec.started,
@@ -130,12 +130,12 @@
         }
     }
 
-    /// Runs on the cores.
+    /// Number of runs.
     pub fn running(&self) -> usize {
         self.runs.jobs.len()
     }
 
-    /// Requests that wait to be read, or are.
+    /// Number of requests being read or waiting to be read.
     pub fn reading(&self) -> usize {
         self.unread.len() + self.reads.jobs.len()
     }
@@ -144,12 +144,12 @@
         self.runs.jobs.len() + self.reads.jobs.len()
     }
 
-    /// When the processor started.
+    /// Start time of the processor.
     pub fn started(&self) -> At {
         self.spec.started
     }
 
-    /// Part of its speed that it has by now.
+    /// Fraction of full speed, which rises linearly after a cold start.
     pub fn warmth(&self) -> f64 {
         let since = (self.now - self.spec.started) as f64 / (self.spec.cold.max(1)) as f64;
         if self.spec.is_cold && since < 1.0 {
@@ -159,19 +159,19 @@
         }
     }
 
-    /// Work that each job gets in a nanosecond, in seconds.
+    /// Seconds of work that each job receives per nanosecond.
     fn rate(&self) -> f64 {
         let on = self.on() as f64;
         if on < 0.5 || self.paused {
             return 0.0;
         }
-        // What is read waits its turn, one a core; it is runs that get into each other's way.
+        // Reads are limited to one per core; only runs slow each other down.
         let crowd = (self.runs.jobs.len() as f64 / self.spec.knee - 1.0).max(0.0);
         let total = (1.0 + self.spec.thrash * crowd).recip() * self.spec.speed * self.warmth() / self.slow;
         (f64::from(self.spec.cores) / on).min(1.0) * total / 1e9
     }
 
-    /// Brings all up to a time, which no job may be done before.
+    /// Advances to `now`; no job may end before that time.
     pub fn advance(&mut self, now: At) {
         let (rate, passed) = (self.rate(), now.saturating_sub(self.now) as f64);
         if passed > 0.0 {
@@ -191,7 +191,7 @@
         self.now = self.now.max(now);
     }
 
-    /// When something is done next, or how fast things go changes; none while nothing goes on.
+    /// Time of the next finished job or change of speed; `None` while there is no progress.
     pub fn next_at(&self) -> Option<At> {
         let rate = self.rate();
         if rate <= 0.0 {
@@ -204,7 +204,7 @@
         Some(if warming { at.min(self.now + WARMING) } else { at })
     }
 
-    /// What is done by now, one at a time; after [`Cores::advance`].
+    /// Returns a job that is done, if any. Call [`Cores::advance`] first.
     pub fn done(&mut self) -> Option<Done> {
         if self.paused {
             return None;
@@ -226,7 +226,7 @@
         shared.jobs.push(Entry { target: shared.got + work_s, number, job });
     }
 
-    /// One a core at a time is read.
+    /// Starts reads until there is one per core.
     fn feed(&mut self) {
         while self.reads.jobs.len() < self.spec.cores as usize
             && let Some((job, work_s)) = self.unread.pop_front()
@@ -235,48 +235,48 @@
         }
     }
 
-    /// A request has come and is to be read; in the order of their coming.
+    /// Queues a request to be read, in order of arrival.
     pub fn read(&mut self, job: Job, work_s: f64) {
         self.unread.push_back((job, work_s));
         self.feed();
     }
 
-    /// Takes one out that waits to be read; false if it is being read, or was.
+    /// Removes a request that waits to be read; returns false if it is being read or was read.
     pub fn forget(&mut self, job: Job) -> bool {
         let place = self.unread.iter().position(|(unread, _)| *unread == job);
         place.is_some_and(|place| self.unread.remove(place).is_some())
     }
 
-    /// A run begins.
+    /// Starts a run.
     pub fn run(&mut self, job: Job, work_s: f64) {
         self.put(false, job, work_s);
     }
 
-    /// So many times slower from now on.
+    /// Slows all jobs down by a factor.
     pub fn slow(&mut self, factor: f64) {
         self.slow = factor.max(1e-6);
     }
 
-    /// Whether runs make no progress.
+    /// Sets whether runs make no progress.
     pub fn hang(&mut self, hangs: bool) {
         self.hangs = hangs;
     }
 
-    /// Whether nothing happens at all.
+    /// Sets whether there is no progress at all.
     pub fn pause(&mut self, paused: bool) {
         self.paused = paused;
     }
 
-    /// All that needs a core now.
+    /// Number of jobs that need a core.
     pub fn runnable(&self) -> f64 {
         self.on() as f64
     }
 
-    /// Part of the cores that was busy in the last half second.
+    /// Fraction of the cores busy during the last 0.5 s.
     pub fn cpu_utilization(&self) -> f64 {
         let from = self.now.saturating_sub(GAUGE).max(self.spec.started);
         let Some(&(first_at, first)) = self.course.front() else { return 0.0 };
-        // Between two entries it rose evenly.
+        // Busy time grows linearly between two entries.
         let base = match self.course.get(1) {
             Some(&(next_at, next)) if first_at < from && next_at > first_at => {
                 first + (next - first) * (from - first_at) as f64 / (next_at - first_at) as f64
@@ -308,7 +308,7 @@
         })
     }
 
-    /// Plays until nothing goes on; what was done when, in ms.
+    /// Plays until there is no progress; returns finished jobs with their times in milliseconds.
     fn play(cores: &mut Cores) -> Vec<(u64, Done)> {
         let mut all = Vec::new();
         while let Some(at) = cores.next_at() {
@@ -320,29 +320,29 @@
         all
     }
 
-    /// Guards against cores that do more than they can, or jobs that don't share them.
+    /// Guards against more throughput than the cores have, and against jobs that don't share them.
     #[test]
     fn jobs_share_the_cores() {
         let mut alone = cores(false);
         alone.run(1, 0.1);
         assert_eq!(play(&mut alone), [(100, Done::Run(1))]);
         let mut shared = cores(false);
-        // Three on two cores: each gets two thirds; once the short one is done, all of a core.
+        // Three runs on two cores get two thirds of a core each, and a full core once the short one ends.
         (1..=2).for_each(|job| shared.run(job, 0.1));
         shared.run(3, 0.05);
         assert_eq!(play(&mut shared), [(75, Done::Run(3)), (125, Done::Run(1)), (125, Done::Run(2))]);
     }
 
-    /// Twice the crowd of the knee: half is done in total.
+    /// At twice the knee, throughput is half.
     #[test]
     fn past_a_crowd_less_is_done() {
         let mut crowd = cores(false);
         (0..6).for_each(|job| crowd.run(job, 0.1));
-        // 0.6 s of work, 2 cores, half the speed.
+        // 0.6 s of work on 2 cores at half the speed.
         assert_eq!(play(&mut crowd).last(), Some(&(600, Done::Run(5))));
     }
 
-    /// Reading is one a core at a time, in the order of coming; the rest waits.
+    /// Reads are limited to one per core, in order of arrival.
     #[test]
     fn requests_wait_unread() {
         let mut reading = cores(false);
@@ -352,20 +352,20 @@
         assert_eq!(play(&mut reading), [read(10, 0), read(10, 1), read(20, 2), read(20, 3)]);
     }
 
-    /// Guards against a cold server that is as quick as a warm one, and against one that never warms.
+    /// Guards against a cold start without effect, and against one that never ends.
     #[test]
     fn a_cold_one_warms() {
         let mut cold = cores(true);
         cold.run(1, 1.0);
         let done = play(&mut cold)[0].0;
-        // Half the speed at first, 0.55 after a second, 0.6 after two: 1 s of work by 1.83 s.
+        // Half the speed at first, 0.55 after 1 s and 0.6 after 2 s: 1 s of work ends at 1.83 s.
         assert!((1_800..1_870).contains(&done), "{done}");
         cold.advance(20_000 * MS);
         cold.run(2, 1.0);
         assert_eq!(play(&mut cold), [(21_000, Done::Run(2))]);
     }
 
-    /// A hang stops runs, not reading; a pause stops all; a slowdown stretches.
+    /// A hang stops runs but not reads, a pause stops everything, and a slowdown lengthens the runs.
     #[test]
     fn troubles_strike() {
         let mut hung = cores(false);
@@ -385,7 +385,7 @@
         assert_eq!(play(&mut paused), [(250, Done::Run(1))]);
     }
 
-    /// The gauge is of the last half second.
+    /// The gauge covers only the last 0.5 s.
     #[test]
     fn the_gauge_forgets() {
         let mut cores = cores(false);
--- a/crates/model/src/proxy/mod.rs
+++ b/crates/model/src/proxy/mod.rs
@@ -1,5 +1,5 @@
-//! What a client proxy decides: which server of its list a try goes to, and whether there is another try. Without I/O; the
-//! world carries it out.
+//! Decisions of a client proxy: the server of each attempt, and whether a failed attempt is retried. There is no I/O;
+//! the world carries out the decisions.
 
 use crate::queue::At;
 use crate::scenario::{Pick, ProxySpec, RetryPolicy};
@@ -8,234 +8,245 @@
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// The part of what a fast server took that the next answer changes.
-const SMOOTH: f64 = 0.2;
-/// Tries at random, so that a server that was slow once is not left for ever.
-const EXPLORE: f64 = 0.1;
-/// Further tries that a budget may save up.
-const SAVED: f64 = 10.0;
-/// A level counts for so long after the answer that told it.
-const LEVEL_HOLDS: At = 1_000_000_000;
+/// Weight of the latest answer in the moving average of a server's latency.
+const LATENCY_SMOOTHING: f64 = 0.2;
+/// Fraction of attempts sent to a random server, so that a server that was slow once is not avoided forever.
+const RANDOM_PICK_FRACTION: f64 = 0.1;
+/// Largest number of retries that a retry budget can accumulate.
+const MAX_RETRY_CREDIT: f64 = 10.0;
+/// Lifetime of a precedence threshold in nanoseconds after the answer that carried it.
+const THRESHOLD_LIFETIME: At = 1_000_000_000;
 
-/// What a client proxy knows of a server.
+/// State of a server as the client proxy knows it.
 #[derive(Debug, Clone, Copy, Default)]
-struct Known {
+struct ServerState {
     listed: bool,
     open: u32,
     away_until: At,
-    level: f64,
-    level_until: At,
-    /// Milliseconds that it took of late.
-    took: f64,
+    threshold: f64,
+    threshold_until: At,
+    /// Moving average of the latency in milliseconds.
+    latency_ms: f64,
     weight: f64,
-    /// For choosing by weights.
+    /// Current weight in the smooth weighted round robin.
     credit: f64,
 }
 
-/// What a try is for.
+/// An attempt for which a server is chosen.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted<'a> {
-    /// Its rank.
+pub struct AttemptQuery<'a> {
+    /// Precedence of the request, from 0 to 1.
     pub rank: f64,
-    /// What it is hashed by.
+    /// Key for rendezvous hashing.
     pub key: u64,
-    /// Servers that it was sent to already.
-    pub tried: &'a [u32],
+    /// Servers that the request was already sent to.
+    pub tried_servers: &'a [u32],
 }
 
-/// Where a try goes.
+/// Result of choosing a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Choice {
-    /// To this server.
+    /// Send the attempt to this server.
     Server(u32),
-    /// All that are left are to be stayed away from, until then.
-    Away(At),
-    /// All that are left take nothing of this rank.
-    Level,
-    /// None is left on the list.
-    Nobody,
+    /// Every remaining server asked for a Retry-After; the earliest one ends at this time.
+    RetryAfter(At),
+    /// Every remaining server has a precedence threshold above the request's.
+    BelowThreshold,
+    /// No server is left on the list.
+    NoServer,
 }
 
-/// Why a try came to nothing.
+/// Reason why an attempt brought no result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Loss {
-    /// Turned away; whether with the wish that no other server be tried.
+pub enum Failure {
+    /// Rejected by the server.
     Refused {
-        /// See above.
-        last: bool,
+        /// The server asked not to fail over to another server.
+        no_failover: bool,
     },
-    /// Failed, timed out, or its connection was reset.
+    /// Failed, timed out, or the connection was reset.
     Failed,
-    /// No connection: it proves that nothing ran.
-    Unreached,
+    /// No connection was made, which proves that nothing ran.
+    NotConnected,
 }
 
-/// What comes after a try that came to nothing.
+/// What follows an attempt without a result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// Another one, so much later.
+    /// A retry after this many nanoseconds.
     Again(At),
-    /// None.
+    /// The request is given up.
     GiveUp,
 }
 
 /// A client proxy.
 #[derive(Debug)]
 pub struct Proxy {
-    /// What it is like.
+    /// Its parameters.
     pub spec: ProxySpec,
-    known: Vec<Known>,
-    /// Servers that it keeps to, in its own order, and those of them that are listed.
-    own: Vec<u32>,
+    servers: Vec<ServerState>,
+    /// Subset of servers that it uses, in an order of its own, and those of them that are listed.
+    subset: Vec<u32>,
     listed: Vec<u32>,
-    turn: usize,
-    saved: f64,
+    next_index: usize,
+    retry_credit: f64,
     rng: Pcg64Mcg,
 }
 
 impl Proxy {
-    /// One that knows these servers by their weights; none is listed yet.
+    /// Creates a client proxy that knows the servers' weights; no server is listed yet.
     pub fn new(spec: ProxySpec, weights: &[f64], mut rng: Pcg64Mcg) -> Self {
-        let mut own: Vec<u32> = (0..weights.len() as u32).collect();
-        shuffle(&mut rng, &mut own);
+        let mut subset: Vec<u32> = (0..weights.len() as u32).collect();
+        shuffle(&mut rng, &mut subset);
         if spec.subset > 0 {
-            own.truncate(spec.subset);
+            subset.truncate(spec.subset);
         }
-        let known = weights.iter().map(|&weight| Known { weight, ..Known::default() }).collect();
+        let servers =
+            weights.iter().map(|&weight| ServerState { weight, ..ServerState::default() }).collect();
         Self {
-            turn: one_of(&mut rng, own.len().max(1)),
+            next_index: one_of(&mut rng, subset.len().max(1)),
             spec,
-            known,
-            own,
+            servers,
+            subset,
             listed: Vec::new(),
-            saved: SAVED,
+            retry_credit: MAX_RETRY_CREDIT,
             rng,
         }
     }
 
-    /// Its habit.
+    /// The policy by which it picks servers and retries.
     pub fn retry_policy(&self) -> &RetryPolicy {
         &self.spec.retry_policy
     }
 
-    /// The list now has a server, or no longer.
+    /// Updates whether a server is on the list.
     pub fn list(&mut self, server: u32, listed: bool) {
-        self.known[server as usize].listed = listed;
-        self.listed = self.own.iter().copied().filter(|&s| self.known[s as usize].listed).collect();
+        self.servers[server as usize].listed = listed;
+        self.listed = self.subset.iter().copied().filter(|&s| self.servers[s as usize].listed).collect();
     }
 
-    /// Whether it lists a server.
+    /// Whether a server is on the list.
     pub fn lists(&self, server: u32) -> bool {
-        self.known[server as usize].listed
+        self.servers[server as usize].listed
     }
 
-    /// Whether it lists any server but these.
-    pub fn any_but(&self, tried: &[u32]) -> bool {
-        self.listed.iter().any(|server| !tried.contains(server))
+    /// Whether a server other than these is on the list.
+    pub fn lists_other_than(&self, tried_servers: &[u32]) -> bool {
+        self.listed.iter().any(|server| !tried_servers.contains(server))
     }
 
-    /// A try goes to a server, or one that went is over.
+    /// Changes the number of open attempts at a server.
     pub fn opened(&mut self, server: u32, change: i32) {
-        let known = &mut self.known[server as usize];
-        known.open = known.open.saturating_add_signed(change);
+        let servers = &mut self.servers[server as usize];
+        servers.open = servers.open.saturating_add_signed(change);
     }
 
-    /// A server has answered with its level, if it told one, so many milliseconds after the try was sent.
-    pub fn heard(&mut self, now: At, server: u32, level: Option<f64>, took_ms: f64, served: bool) {
+    /// Records an answer: the server's precedence threshold, if it sent one, and the latency of a served request.
+    pub fn record_answer(
+        &mut self,
+        now: At,
+        server: u32,
+        threshold: Option<f64>,
+        took_ms: f64,
+        served: bool,
+    ) {
         let respects_advice = self.spec.respects_advice;
-        let known = &mut self.known[server as usize];
-        if let Some(level) = level.filter(|_| respects_advice) {
-            (known.level, known.level_until) = (level, now + LEVEL_HOLDS);
+        let servers = &mut self.servers[server as usize];
+        if let Some(threshold) = threshold.filter(|_| respects_advice) {
+            (servers.threshold, servers.threshold_until) = (threshold, now + THRESHOLD_LIFETIME);
         }
         if served {
-            known.took =
-                if known.took == 0.0 { took_ms } else { known.took + SMOOTH * (took_ms - known.took) };
+            servers.latency_ms = if servers.latency_ms == 0.0 {
+                took_ms
+            } else {
+                servers.latency_ms + LATENCY_SMOOTHING * (took_ms - servers.latency_ms)
+            };
         }
     }
 
-    /// A server asks to stay away until then.
+    /// Records a Retry-After that ends at `until`.
     pub fn stay_away(&mut self, server: u32, until: At) {
         if self.spec.respects_advice {
-            let known = &mut self.known[server as usize];
-            known.away_until = known.away_until.max(until);
+            let servers = &mut self.servers[server as usize];
+            servers.away_until = servers.away_until.max(until);
         }
     }
 
-    /// A first try has come: a budget for further ones grows.
-    pub fn first_try(&mut self) {
+    /// Adds the credit for retries that a first attempt earns.
+    pub fn earn_retry_credit(&mut self) {
         if let Some(budget) = self.spec.retry_policy.budget {
-            self.saved = (self.saved + budget).min(SAVED);
+            self.retry_credit = (self.retry_credit + budget).min(MAX_RETRY_CREDIT);
         }
     }
 
-    /// Whether a server may be sent a request: 0 if so, else why not.
-    fn bars(&self, now: At, server: u32, wanted: Wanted<'_>) -> Option<Choice> {
-        let known = &self.known[server as usize];
-        if wanted.tried.contains(&server) {
-            Some(Choice::Nobody)
-        } else if known.away_until > now {
-            Some(Choice::Away(known.away_until))
-        } else if known.level_until > now && known.level > wanted.rank {
-            Some(Choice::Level)
+    /// Reason why an attempt can't go to a server; `None` if it can.
+    fn obstacle(&self, now: At, server: u32, query: AttemptQuery<'_>) -> Option<Choice> {
+        let servers = &self.servers[server as usize];
+        if query.tried_servers.contains(&server) {
+            Some(Choice::NoServer)
+        } else if servers.away_until > now {
+            Some(Choice::RetryAfter(servers.away_until))
+        } else if servers.threshold_until > now && servers.threshold > query.rank {
+            Some(Choice::BelowThreshold)
         } else {
             None
         }
     }
 
-    /// Where the next try of a request goes.
-    pub fn choose(&mut self, now: At, wanted: Wanted<'_>) -> Choice {
+    /// Chooses the server of the next attempt.
+    pub fn choose(&mut self, now: At, query: AttemptQuery<'_>) -> Choice {
         let count = self.listed.len();
         if count == 0 {
-            return Choice::Nobody;
+            return Choice::NoServer;
         }
-        let start = self.turn % count;
+        let start = self.next_index % count;
         let listed = std::mem::take(&mut self.listed);
         let open = |place: usize| {
             let at = start + place;
             listed[if at < count { at } else { (at - count) % count }]
         };
-        let free = |proxy: &Self, server: u32| proxy.bars(now, server, wanted).is_none();
+        let free = |proxy: &Self, server: u32| proxy.obstacle(now, server, query).is_none();
         let chosen = match self.spec.retry_policy.pick {
             Pick::Round => (0..count).map(open).find(|&server| free(self, server)),
             Pick::Two => {
-                // Two at random; where neither will do, whichever comes next.
+                // Two random servers; if neither is usable, the next one that is.
                 let two = [one_of(&mut self.rng, count), one_of(&mut self.rng, count)];
                 let two = two.into_iter().map(open).filter(|&server| free(self, server));
-                let fewer = two.min_by_key(|&server| self.known[server as usize].open);
+                let fewer = two.min_by_key(|&server| self.servers[server as usize].open);
                 fewer.or_else(|| (0..count).map(open).find(|&server| free(self, server)))
             }
             Pick::Least => (0..count)
                 .map(open)
                 .filter(|&server| free(self, server))
-                .min_by_key(|&server| self.known[server as usize].open),
-            Pick::Fastest if chance(&mut self.rng, EXPLORE) => {
+                .min_by_key(|&server| self.servers[server as usize].open),
+            Pick::Fastest if chance(&mut self.rng, RANDOM_PICK_FRACTION) => {
                 let at = one_of(&mut self.rng, count);
                 (0..count).map(|place| open(place + at)).find(|&server| free(self, server))
             }
-            Pick::Fastest => (0..count)
-                .map(open)
-                .filter(|&server| free(self, server))
-                .min_by(|&a, &b| self.known[a as usize].took.total_cmp(&self.known[b as usize].took)),
+            Pick::Fastest => (0..count).map(open).filter(|&server| free(self, server)).min_by(|&a, &b| {
+                self.servers[a as usize].latency_ms.total_cmp(&self.servers[b as usize].latency_ms)
+            }),
             Pick::Hash => (0..count)
                 .map(open)
                 .filter(|&server| free(self, server))
-                .max_by_key(|&server| rendezvous(wanted.key, server)),
+                .max_by_key(|&server| rendezvous(query.key, server)),
             Pick::Weighted => {
-                // Smooth weighted round robin: all gain their weight, the richest pays for all.
+                // Smooth weighted round robin: every server gains its weight, the chosen one pays the
+                // total.
                 let (mut total, mut richest) = (0.0, None::<(f64, u32)>);
                 for server in (0..count).map(open) {
-                    if self.bars(now, server, wanted).is_some() {
+                    if self.obstacle(now, server, query).is_some() {
                         continue;
                     }
-                    let known = &mut self.known[server as usize];
-                    known.credit += known.weight;
-                    total += known.weight;
-                    if richest.is_none_or(|(credit, _)| known.credit > credit) {
-                        richest = Some((known.credit, server));
+                    let servers = &mut self.servers[server as usize];
+                    servers.credit += servers.weight;
+                    total += servers.weight;
+                    if richest.is_none_or(|(credit, _)| servers.credit > credit) {
+                        richest = Some((servers.credit, server));
                     }
                 }
                 richest.map(|(_, server)| {
-                    self.known[server as usize].credit -= total;
+                    self.servers[server as usize].credit -= total;
                     server
                 })
             }
@@ -244,43 +255,43 @@
             Some(server) => Choice::Server(server),
             None => listed
                 .iter()
-                .filter_map(|&server| self.bars(now, server, wanted))
+                .filter_map(|&server| self.obstacle(now, server, query))
                 .min_by_key(|bar| match bar {
-                    Choice::Away(until) => (0, *until),
-                    Choice::Level => (1, 0),
+                    Choice::RetryAfter(until) => (0, *until),
+                    Choice::BelowThreshold => (1, 0),
                     _ => (2, 0),
                 })
-                .unwrap_or(Choice::Nobody),
+                .unwrap_or(Choice::NoServer),
         };
         if let Choice::Server(server) = choice
             && let Some(place) = listed.iter().position(|&other| other == server)
         {
-            self.turn = place + 1;
+            self.next_index = place + 1;
         }
         self.listed = listed;
         choice
     }
 
-    /// Whether there is another try after one that came to nothing; `failures` counts those of this request that failed.
-    pub fn next(&mut self, loss: Loss, failures: u32) -> Next {
+    /// Decides whether a request is retried; `failures` is the number of its attempts that failed.
+    pub fn next(&mut self, loss: Failure, failures: u32) -> Next {
         let retry_policy = &self.spec.retry_policy;
         let pause = (retry_policy.backoff_ms * 1e6) as At;
         let next = match loss {
-            Loss::Refused { last } if last && self.spec.respects_advice => Next::GiveUp,
-            Loss::Refused { .. } if retry_policy.walks => Next::Again(0),
-            Loss::Refused { .. } => Next::GiveUp,
-            // Nothing ran: the next on the list, as any proxy does.
-            Loss::Unreached => return Next::Again(0),
-            Loss::Failed if failures <= retry_policy.retries => Next::Again(pause),
-            Loss::Failed => Next::GiveUp,
+            Failure::Refused { no_failover } if no_failover && self.spec.respects_advice => Next::GiveUp,
+            Failure::Refused { .. } if retry_policy.walks => Next::Again(0),
+            Failure::Refused { .. } => Next::GiveUp,
+            // Nothing ran, so the next server is tried, as any proxy does.
+            Failure::NotConnected => return Next::Again(0),
+            Failure::Failed if failures <= retry_policy.retries => Next::Again(pause),
+            Failure::Failed => Next::GiveUp,
         };
         if next == Next::GiveUp || retry_policy.budget.is_none() {
             return next;
         }
-        if self.saved < 1.0 {
+        if self.retry_credit < 1.0 {
             return Next::GiveUp;
         }
-        self.saved -= 1.0;
+        self.retry_credit -= 1.0;
         next
     }
 }
--- a/crates/model/src/proxy/tests.rs
+++ b/crates/model/src/proxy/tests.rs
@@ -11,14 +11,14 @@
     proxy
 }
 
-fn wanted(rank: f64, tried: &[u32]) -> Wanted<'_> {
-    Wanted { rank, key: 9, tried }
+fn query(rank: f64, tried_servers: &[u32]) -> AttemptQuery<'_> {
+    AttemptQuery { rank, key: 9, tried_servers }
 }
 
 fn counts(proxy: &mut Proxy, times: usize) -> [usize; 3] {
     let mut counts = [0; 3];
     for n in 0..times {
-        match proxy.choose(S, Wanted { rank: 0.5, key: n as u64, tried: &[] }) {
+        match proxy.choose(S, AttemptQuery { rank: 0.5, key: n as u64, tried_servers: &[] }) {
             Choice::Server(server) => counts[server as usize] += 1,
             other => panic!("{other:?}"),
         }
@@ -26,7 +26,7 @@
     counts
 }
 
-/// Guards against habits that all choose alike.
+/// Guards against pick policies that behave alike.
 #[test]
 fn habits_choose_as_their_names_say() {
     assert_eq!(counts(&mut proxy("none", Pick::Round, true), 300), [100; 3]);
@@ -34,8 +34,8 @@
     let hashed = counts(&mut proxy("none", Pick::Hash, true), 300);
     assert!(hashed.iter().all(|count| (70..130).contains(count)), "{hashed:?}");
     let mut same = proxy("none", Pick::Hash, true);
-    let first = same.choose(S, wanted(0.5, &[]));
-    assert!((0..20).all(|_| same.choose(S, wanted(0.5, &[])) == first));
+    let first = same.choose(S, query(0.5, &[]));
+    assert!((0..20).all(|_| same.choose(S, query(0.5, &[])) == first));
     let mut least = proxy("none", Pick::Least, true);
     (0..2).for_each(|server| least.opened(server, 5));
     assert_eq!(counts(&mut least, 20), [0, 0, 20]);
@@ -44,57 +44,57 @@
     let counted = counts(&mut two, 300);
     assert!(counted[0] < 60, "{counted:?}");
     let mut fastest = proxy("none", Pick::Fastest, true);
-    (0..3).for_each(|server| fastest.heard(S, server, None, 100.0 - f64::from(server), true));
+    (0..3).for_each(|server| fastest.record_answer(S, server, None, 100.0 - f64::from(server), true));
     let counted = counts(&mut fastest, 300);
     assert!(counted[2] > 250 && counted[0] > 0, "{counted:?}");
 }
 
-/// Guards against a proxy that doesn't heed, and against one that heeds though its spec says it doesn't.
+/// Guards against a proxy that ignores advice, and against one that respects it though its parameters say otherwise.
 #[test]
 fn advice_and_level_are_heeded_by_those_who_do() {
     for respects_advice in [true, false] {
         let mut proxy = proxy("unlimited", Pick::Round, respects_advice);
         proxy.stay_away(0, 2 * S);
         proxy.stay_away(1, 3 * S);
-        proxy.heard(S, 2, Some(0.6), 10.0, false);
-        let low = proxy.choose(S, wanted(0.5, &[]));
-        let high = proxy.choose(S, wanted(0.7, &[]));
+        proxy.record_answer(S, 2, Some(0.6), 10.0, false);
+        let low = proxy.choose(S, query(0.5, &[]));
+        let high = proxy.choose(S, query(0.7, &[]));
         if respects_advice {
-            assert_eq!((low, high), (Choice::Away(2 * S), Choice::Server(2)));
-            assert_eq!(proxy.choose(S, wanted(0.5, &[0, 1])), Choice::Level);
-            // A level is old after a second, and then all are tried.
-            assert_eq!(proxy.choose(2 * S + 1, wanted(0.5, &[0, 1])), Choice::Server(2));
-            assert_eq!(proxy.next(Loss::Refused { last: true }, 0), Next::GiveUp);
+            assert_eq!((low, high), (Choice::RetryAfter(2 * S), Choice::Server(2)));
+            assert_eq!(proxy.choose(S, query(0.5, &[0, 1])), Choice::BelowThreshold);
+            // The threshold expires after a second; then all servers are used again.
+            assert_eq!(proxy.choose(2 * S + 1, query(0.5, &[0, 1])), Choice::Server(2));
+            assert_eq!(proxy.next(Failure::Refused { no_failover: true }, 0), Next::GiveUp);
         } else {
             assert!(matches!((low, high), (Choice::Server(_), Choice::Server(_))));
-            assert_eq!(proxy.next(Loss::Refused { last: true }, 0), Next::Again(0));
+            assert_eq!(proxy.next(Failure::Refused { no_failover: true }, 0), Next::Again(0));
         }
-        assert_eq!(proxy.choose(S, wanted(0.9, &[0, 1, 2])), Choice::Nobody);
+        assert_eq!(proxy.choose(S, query(0.9, &[0, 1, 2])), Choice::NoServer);
     }
 }
 
-/// Guards against a budget that is none, and against one that starves the first failures of a quiet day.
+/// Guards against an unlimited retry budget, and against one that blocks the first retries after a quiet period.
 #[test]
 fn a_budget_bounds_further_tries() {
     let mut proxy = proxy("budgeted", Pick::Round, true);
-    let refused = Loss::Refused { last: false };
+    let refused = Failure::Refused { no_failover: false };
     let mut again = 0;
     for _ in 0..1_000 {
-        proxy.first_try();
+        proxy.earn_retry_credit();
         again += usize::from(proxy.next(refused, 0) == Next::Again(0));
     }
     assert!((100..=111).contains(&again), "{again}");
-    assert_eq!(proxy.next(Loss::Unreached, 0), Next::Again(0));
+    assert_eq!(proxy.next(Failure::NotConnected, 0), Next::Again(0));
 }
 
-/// What is no longer listed is not chosen; what comes back is.
+/// A delisted server is not chosen; a server that is listed again is.
 #[test]
 fn the_list_is_followed() {
     let mut proxy = proxy("none", Pick::Round, true);
     proxy.list(1, false);
     assert_eq!(counts(&mut proxy, 10), [5, 0, 5]);
     (0..3).for_each(|server| proxy.list(server, false));
-    assert_eq!(proxy.choose(S, wanted(0.9, &[])), Choice::Nobody);
+    assert_eq!(proxy.choose(S, query(0.9, &[])), Choice::NoServer);
     proxy.list(1, true);
     assert_eq!(counts(&mut proxy, 5), [0, 5, 0]);
 }
--- a/crates/model/src/queue.rs
+++ b/crates/model/src/queue.rs
@@ -1,33 +1,34 @@
-//! The engine's queue of events: a calendar queue (R. Brown, "Calendar queues", CACM 31(10), 1988), beside a heap and an
-//! ordered map that do the same.
+//! Event queue of the simulation: a calendar queue (R. Brown, "Calendar queues", CACM 31(10), 1988), with a heap and an
+//! ordered map as references.
 //!
-//! Whatever the queue, events come out by time, and those of one time in the order in which they went in: a day must not
-//! depend on which of them is used.
+//!
+//! Every implementation returns events by time, and events of the same time in insertion order, so that the result of a
+//! simulation doesn't depend on the queue.
 
 use gradepin_admission::span_from_seconds;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// A moment, in nanoseconds.
+/// Simulated time in nanoseconds.
 pub type At = u64;
 
-/// Nanoseconds of so many seconds.
+/// Converts seconds to nanoseconds.
 pub fn nanos(seconds: f64) -> At {
     span_from_seconds(seconds).0
 }
 
-/// A queue of events.
+/// A queue of timed events.
 pub trait Queue<T> {
-    /// Puts an event in; not earlier than the last one that came out.
+    /// Inserts an event; `at` must not be before the last event removed.
     fn push(&mut self, at: At, event: T);
 
-    /// The next event with its time.
+    /// Removes the next event and returns it with its time.
     fn pop(&mut self) -> Option<(At, T)>;
 
-    /// Events in it.
+    /// Number of events in the queue.
     fn len(&self) -> usize;
 
-    /// Whether there are none.
+    /// Whether the queue has no events.
     fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -36,7 +37,7 @@
 #[derive(Debug, Clone)]
 struct Entry<T> {
     at: At,
-    /// In the order of the pushes.
+    /// Insertion order.
     number: u64,
     event: T,
 }
@@ -62,13 +63,13 @@
 }
 
 impl<T> Ord for Entry<T> {
-    /// The earliest is the greatest: the heap's top.
+    /// The earliest event is the greatest, at the top of the heap.
     fn cmp(&self, other: &Self) -> Ordering {
         other.key().cmp(&self.key())
     }
 }
 
-/// A binary heap.
+/// Event queue on a binary heap.
 #[derive(Debug)]
 pub struct Heap<T>(BinaryHeap<Entry<T>>, u64);
 
@@ -93,7 +94,7 @@
     }
 }
 
-/// An ordered map.
+/// Event queue on an ordered map.
 #[derive(Debug)]
 pub struct Map<T>(BTreeMap<(At, u64), T>, u64);
 
@@ -118,25 +119,25 @@
     }
 }
 
-/// Buckets at the least.
+/// Minimum number of buckets.
 const FEWEST: usize = 16;
-/// Events of the front by which the width of a bucket is chosen, and events that one should hold.
+/// Number of next events that determine the width of a bucket, and target number of events per bucket.
 const SAMPLE: usize = 64;
 const EACH: u64 = 2;
-/// Years without an event before the width is chosen anew.
+/// Number of years without an event after which the width is recomputed.
 const IDLE_YEARS: usize = 16;
 
-/// A calendar: a year of buckets, each for a day of some width, in which the events of all years lie in order.
+/// Calendar queue: a year has one bucket per day, and a bucket holds the events of that day in all years.
 #[derive(Debug)]
 pub struct Calendar<T> {
     buckets: Vec<BinaryHeap<Entry<T>>>,
-    /// Nanoseconds of a bucket.
+    /// Width of a bucket (a day) in nanoseconds.
     width: u64,
-    /// The day that is looked at, counted from the beginning of time: its bucket is the rest by their number.
+    /// Current day since time 0; its bucket is the remainder by the number of buckets.
     day: u64,
     count: usize,
     number: u64,
-    /// Years without an event, in a row or not, since the width was chosen.
+    /// Years without an event since the width was computed, not necessarily consecutive.
     idle_years: usize,
 }
 
@@ -156,13 +157,13 @@
     }
 
     fn put(&mut self, entry: Entry<T>) {
-        // One that comes before the day that is looked at: nothing has come out since, or it would be late.
+        // An event before the current day: nothing was removed since, or the event would be in the past.
         self.day = self.day.min(entry.at / self.width);
         let place = self.place(entry.at);
         self.buckets[place].push(entry);
     }
 
-    /// Takes out the first event: the top of the first bucket from this day on whose top belongs to its day.
+    /// Removes the first event: the top of the first bucket, from the current day on, whose top is due that day.
     fn take(&mut self) -> Option<Entry<T>> {
         if self.count == 0 {
             return None;
@@ -174,7 +175,7 @@
             }
             self.day += 1;
         }
-        // A whole year without an event: straight to the first one.
+        // No event for a whole year: skip to the first one.
         self.idle_years += 1;
         let first = self.buckets.iter().filter_map(|bucket| bucket.peek()).map(Entry::key).min()?;
         self.day = first.0 / self.width;
@@ -182,7 +183,7 @@
         self.buckets[place].pop()
     }
 
-    /// As many buckets as events, more or less, each as wide as some of those that come next are apart.
+    /// Resizes to about as many buckets as events, each as wide as a few gaps between the next events.
     fn resize(&mut self) {
         let mut front = Vec::with_capacity(SAMPLE);
         while front.len() < SAMPLE
@@ -199,7 +200,7 @@
         let old = std::mem::replace(&mut self.buckets, empty(buckets));
         self.width = (gap * EACH).max(1);
         self.idle_years = 0;
-        // From the first event on, which is among the front.
+        // Continue at the first event, which is among the sampled ones.
         self.day = front.first().map_or(0, |first| first.at / self.width);
         for entry in front.into_iter().chain(old.into_iter().flatten()) {
             self.put(entry);
@@ -220,7 +221,8 @@
     fn pop(&mut self) -> Option<(At, T)> {
         let entry = self.take()?;
         self.count -= 1;
-        // Guards against a width chosen by a burst of one moment, with which each later event costs a look at all buckets.
+        // Recompute a width chosen from a burst at a single time: with it, each later event would scan all
+        // buckets.
         let narrow = self.idle_years > IDLE_YEARS;
         if narrow || self.count < self.buckets.len() / 4 && self.buckets.len() > FEWEST {
             self.resize();
@@ -239,8 +241,8 @@
     use rand_pcg::Pcg64Mcg;
     use rand_pcg::rand_core::{Rng, SeedableRng};
 
-    /// Guards against an event that is lost, overtakes another, or comes in another order where times are equal: all
-    /// three queues give the same course, with bursts, long silences and many events of one moment.
+    /// Guards against an event that is lost, overtakes another, or is reordered among equal times: all three queues
+    /// return the same sequence with bursts, long gaps and many events at one time.
     #[test]
     fn all_queues_give_the_same_course() {
         let seed = std::env::var("SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(3);
@@ -249,7 +251,7 @@
         let (mut calendar, mut heap, mut map) = (Calendar::default(), Heap::default(), Map::default());
         let (mut now, mut n) = (0, 0_u64);
         for round in 0..30_000_u64 {
-            // Grows to some thousands, empties, and grows again.
+            // Grows to several thousand events, drains, and grows again.
             let pushes = if round / 5_000 % 2 == 0 { rng.next_u64() % 4 } else { rng.next_u64() % 2 };
             for _ in 0..pushes {
                 let ahead = match rng.next_u64() % 10 {
--- a/crates/model/src/scenario/mod.rs
+++ b/crates/model/src/scenario/mod.rs
@@ -1,4 +1,5 @@
-//! A day: everything of it that is drawn before it begins. [`Ranges`] says what days there are; a seed draws one.
+//! A scenario: every parameter that is drawn before a simulation starts. [`Ranges`] defines the possible scenarios; a
+//! seed draws one.
 
 mod ranges;
 
@@ -7,97 +8,96 @@
 use crate::service_report::{Class, Ms, Tenant, Terms};
 use serde::{Deserialize, Serialize};
 
-/// A class of requests.
+/// A request class with its traffic.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassSpec {
-    /// What counts of it.
+    /// Class as used in the score.
     pub class: Class,
-    /// Its part of the traffic.
+    /// Fraction of the traffic.
     pub share: f64,
-    /// Mean work of a request on a core of speed 1, reading included, in milliseconds, and its coefficient of variation
-    /// (lognormal).
+    /// Mean work of a request in milliseconds on a core of speed 1, reading included; lognormally distributed.
     pub work_ms: f64,
-    /// See `work_ms`.
+    /// Coefficient of variation of the work.
     pub cv: f64,
-    /// Memory as a multiple of the day's.
+    /// Memory of a request as a multiple of the scenario's `hold_kb`.
     pub memory: f64,
 }
 
-/// An office.
+/// A tenant with its traffic.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TenantSpec {
-    /// Its name and its share.
+    /// Name and quota.
     #[serde(rename = "office")]
     pub tenant: Tenant,
-    /// Its part of the traffic, which may be more.
+    /// Fraction of the traffic, which may exceed the quota.
     pub traffic: f64,
 }
 
 /// A machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Machine {
-    /// Cores.
+    /// Number of cores.
     pub cores: u32,
-    /// Speed of each; 1 is the yardstick.
+    /// Speed of each core, relative to 1.
     pub speed: f64,
-    /// Machine room.
+    /// Zone of the machine.
     pub zone: usize,
-    /// Jobs on the cores past which less is done in total, and how quickly it falls.
+    /// Number of runs above which throughput falls.
     pub knee: f64,
-    /// See `knee`.
+    /// How fast throughput falls above `knee`.
     pub thrash: f64,
-    /// Part of its speed when it starts cold, and seconds until it is warm.
+    /// Fraction of the speed at a cold start.
     pub cold_from: f64,
-    /// See `cold_from`.
+    /// Seconds from a cold start to full speed.
     pub cold_s: f64,
-    /// Memory for held and running requests and remembered keys.
+    /// Memory for waiting requests, running requests and idempotency keys.
     pub memory_kb: f64,
-    /// As callers that weigh servers know it.
+    /// Weight of the server for client proxies that weight servers.
     pub weight: f64,
-    /// Nothing runs on it until a deploy puts a successor there.
+    /// No server runs here until a deployment starts a successor.
     #[serde(default)]
     pub spare: bool,
 }
 
-/// How a client proxy chooses among the servers of its list.
+/// Load-balancing policy of a client proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Pick {
-    /// One after the other.
+    /// Round robin.
     Round,
-    /// The one with the fewest of its own requests open.
+    /// Fewest open attempts of this client proxy.
     Least,
-    /// Of two at random the one with fewer open.
+    /// Fewer open attempts among two random servers.
     Two,
-    /// One after the other, by the weights of the machines.
+    /// Round robin weighted by machine.
     Weighted,
-    /// By the request's key, else by its office and rank (rendezvous hashing).
+    /// Rendezvous hashing by idempotency key, or by tenant and precedence.
     Hash,
-    /// The one that answered fastest of late; one in ten at random.
+    /// Lowest recent latency; one attempt in ten goes to a random server.
     Fastest,
 }
 
-/// What a client proxy does when a try comes to nothing.
+/// Load balancing and retries of a client proxy.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RetryPolicy {
-    /// See [`Pick`].
+    /// Load-balancing policy.
     pub pick: Pick,
-    /// Further tries after one that failed or timed out.
+    /// Number of retries after a failure or timeout.
     pub retries: u32,
-    /// Goes on through its list after a refusal, until every server on it was tried.
+    /// Whether a rejected request is tried at every server of the list.
     pub walks: bool,
-    /// Further tries at the most, as a part of the first ones; none for no limit.
+    /// Retry budget as a fraction of the first attempts; `None` for no limit.
     pub budget: Option<f64>,
-    /// How long it waits for a try, as a part of the deadline.
+    /// Attempt timeout as a fraction of the deadline.
     pub try_share: f64,
-    /// Before a further try after a failure, in milliseconds, more or less.
+    /// Mean backoff in milliseconds before a retry after a failure.
     pub backoff_ms: f64,
-    /// A second copy of a request that is safe to repeat, after this part of its aim.
+    /// Delay of a hedged request, as a fraction of the latency objective; only for classes that are safe to repeat.
     pub copy_after: Option<f64>,
 }
 
 impl RetryPolicy {
-    /// One that asks once.
+    /// A policy without retries.
     pub fn plain(pick: Pick) -> Self {
         Self {
             pick,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// By its name.
+    /// Returns the policy with this name.
     pub fn named(name: &str) -> Option<Self> {
         let plain = Self::plain(Pick::Round);
         Some(match name {
@@ -123,142 +123,142 @@
         })
     }
 
-    /// The names of all.
+    /// Names of all policies.
     pub const NAMES: [&str; 5] = ["none", "unlimited", "budgeted", "hasty", "copies"];
 }
 
 /// A client proxy.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ProxySpec {
-    /// Machine room.
+    /// Zone of the client proxy.
     pub zone: usize,
-    /// What it does.
+    /// Load balancing and retries.
     #[serde(rename = "habit")]
     pub retry_policy: RetryPolicy,
-    /// Whether it heeds the level, the advice to stay away and the wish not to try elsewhere.
+    /// Whether it respects the precedence threshold, Retry-After and the request not to fail over.
     #[serde(rename = "heeds")]
     pub respects_advice: bool,
-    /// Servers that it keeps to; 0 for all.
+    /// Number of servers that it uses; 0 for all.
     pub subset: usize,
 }
 
-/// The network.
+/// Parameters of the network.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct NetSpec {
-    /// Machine rooms.
+    /// Number of zones.
     pub zones: usize,
-    /// One way within a room and between rooms, in milliseconds.
+    /// One-way delay within a zone, in milliseconds.
     pub same_ms: f64,
-    /// See `same_ms`.
+    /// One-way delay between zones, in milliseconds.
     pub cross_ms: f64,
-    /// What a delay is off by at the most, as a part of it.
+    /// Largest deviation of a delay, as a fraction of it.
     pub jitter: f64,
-    /// Part of the messages that are lost once and sent again by the transport.
+    /// Fraction of messages that are lost once and retransmitted.
     pub loss: f64,
-    /// How long that takes, in milliseconds.
+    /// Retransmission delay in milliseconds.
     pub resend_ms: f64,
-    /// Part of the cancels that never come.
+    /// Fraction of cancellations that are lost.
     pub deaf: f64,
 }
 
-/// How client proxies learn of servers.
+/// How client proxies discover servers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DiscoverySpec {
-    /// The platform's list: changes reach each client proxy so many seconds late; a server that is silent for so long is
-    /// taken off.
+    /// The platform's list: each client proxy learns of a change after a delay, and a server that stops reporting is
+    /// removed.
     List {
-        /// Seconds that a change of state is late, drawn for each change and proxy.
+        /// Range of the delay in seconds, drawn for each change and client proxy.
         notice_s: [f64; 2],
-        /// Seconds without a report.
+        /// Seconds without a report after which a server is removed.
         silent_s: f64,
     },
-    /// A registry of Eureka's kind: servers register and renew leases, client proxies fetch by their own clock, and answers
-    /// come from a cache.
+    /// A registry like Eureka: servers register and renew leases, client proxies poll at their own interval, and
+    /// answers come from a cache.
     Registry {
         /// Seconds between heartbeats.
         heartbeat_s: f64,
-        /// Seconds between fetches.
+        /// Seconds between polls.
         refresh_s: f64,
-        /// Seconds that an answer may be old.
+        /// Largest age of a cached answer in seconds.
         cache_s: f64,
         /// Seconds without a heartbeat after which a lease may be evicted.
         lease_s: f64,
     },
 }
 
-/// What goes wrong.
+/// Kind of a fault.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Traffic times `size`; it rises and falls within `edge_s`.
+    /// Traffic rises to `size` times its rate, with ramps of `edge_s`.
     Burst {
-        /// How much.
+        /// Factor on the traffic.
         size: f64,
-        /// Seconds of rise and of fall.
+        /// Seconds of the ramp at the start and at the end.
         edge_s: f64,
     },
-    /// Machines die and come back cold after the trouble's length.
+    /// Machines crash and start cold after the duration of the fault.
     Crash,
-    /// Machines run so many times slower.
+    /// Machines run slower.
     Slow {
-        /// How much.
+        /// Factor on the duration of all work.
         factor: f64,
     },
-    /// Servers are replaced, so many at a time, by cold successors; each has `drain_s` from the notice to the stop.
+    /// A rolling deployment replaces servers with cold successors.
     Deploy {
-        /// At a time.
+        /// Servers replaced at a time.
         batch: usize,
-        /// Seconds.
+        /// Seconds from the shutdown notice to the stop of a server.
         drain_s: f64,
-        /// Where the successors start, at the notice; without any each starts on the machine of the one before, once that
-        /// is stopped.
+        /// Machines on which the successors start at the shutdown notice. If empty, each successor starts on the
+        /// same machine after the stop.
         #[serde(default)]
         successors: Vec<usize>,
     },
     /// Runs make no progress; requests are still read.
     Hang,
-    /// Nothing happens on the machines: neither runs nor the server.
+    /// Neither runs nor the server make progress.
     Pause,
-    /// The roster's keeper can't be reached.
+    /// The list service or registry is unreachable.
     RegistryAway,
-    /// A machine room is cut off from the others.
+    /// A zone is partitioned from the others.
     ZoneCut {
-        /// Which.
+        /// Number of the zone.
         zone: usize,
     },
 }
 
-/// A trouble, when, and where.
+/// A fault with its time and machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
-    /// Seconds from the day's beginning.
+    /// Start in seconds.
     pub at_s: f64,
-    /// How long.
+    /// Duration in seconds.
     pub len_s: f64,
-    /// What.
+    /// Kind of the fault.
     pub what: FaultKind,
-    /// The machines that it strikes.
+    /// Machines affected.
     pub on: Vec<usize>,
 }
 
-/// A whole day.
+/// All parameters of a simulation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Scenario {
-    /// Of all that happens in it.
+    /// Seed of everything drawn during the simulation.
     pub seed: u64,
-    /// Seconds in which first tries come.
+    /// Seconds during which first attempts arrive.
     pub seconds: f64,
-    /// First tries as a part of what the cores can do.
+    /// First attempts as a fraction of the capacity of the cores.
     pub load: f64,
-    /// Course of the traffic: seconds and a factor, linear between.
+    /// Traffic over time: seconds and a factor, interpolated linearly.
     pub shape: Vec<(f64, f64)>,
-    /// Classes.
+    /// Request classes.
     pub classes: Vec<ClassSpec>,
-    /// Offices.
+    /// Tenants.
     #[serde(rename = "offices")]
     pub tenants: Vec<TenantSpec>,
-    /// Part of the capacity that the shares are of.
+    /// Fraction of the capacity that the quotas refer to.
     pub quota_of_capacity: f64,
     /// Machines, each with one server.
     pub machines: Vec<Machine>,
@@ -266,25 +266,25 @@
     pub proxies: Vec<ProxySpec>,
     /// Network.
     pub net: NetSpec,
-    /// Roster.
+    /// Service discovery.
     #[serde(rename = "roster")]
     pub discovery: DiscoverySpec,
-    /// Troubles.
+    /// Faults in order of their start.
     #[serde(rename = "troubles")]
     pub faults: Vec<Fault>,
-    /// Of the mean work, what reading a request takes, whatever is then decided.
+    /// Work of reading a request as a fraction of the mean work; it is spent whatever the decision.
     pub read_share: f64,
-    /// Unread requests a core; more get no connection.
+    /// Unread requests per core above which connections are refused.
     pub backlog_per_core: u32,
-    /// Memory of a held request, its variation, and what a running one takes of it.
+    /// Mean memory of a waiting request.
     pub hold_kb: f64,
-    /// See `hold_kb`.
+    /// Coefficient of variation of the memory of a request.
     pub size_cv: f64,
-    /// See `hold_kb`.
+    /// Memory of a running request as a multiple of that of a waiting one.
     pub run_factor: f64,
-    /// Memory of a remembered key.
+    /// Memory of a stored idempotency key.
     pub key_kb: f64,
-    /// Seconds until a server that fell over starts again.
+    /// Seconds until a server that failed from overload is restarted.
     pub restart_s: f64,
 }
 
@@ -295,14 +295,14 @@
         sum / self.classes.iter().map(|class| class.share).sum::<f64>()
     }
 
-    /// Requests a second that the cores can run.
+    /// Requests per second that the cores can run.
     pub fn capacity(&self) -> f64 {
         let used = self.machines.iter().filter(|machine| !machine.spare);
         let cores: f64 = used.map(|machine| f64::from(machine.cores) * machine.speed).sum();
         cores * 1e3 / self.mean_work_ms()
     }
 
-    /// What counts on it.
+    /// Parameters of the score.
     pub fn terms(&self) -> Terms {
         let classes = self.classes.iter().map(|class| class.class.clone()).collect();
         let tenants = self.tenants.iter().map(|tenant| tenant.tenant.clone()).collect();
@@ -310,12 +310,12 @@
         Terms { classes, tenants, ..Terms::brief(capacity) }
     }
 
-    /// First tries a second before the day's course: its load of what the cores can do.
+    /// First attempts per second before the traffic shape and bursts are applied.
     pub fn pace(&self) -> f64 {
         self.load * self.capacity()
     }
 
-    /// First tries a second at a time, of a day with this pace.
+    /// First attempts per second at a time, given the base rate.
     pub fn rate(&self, pace: f64, at_s: f64) -> f64 {
         let course = match self.shape.iter().position(|(s, _)| *s > at_s) {
             None => self.shape.last().map_or(1.0, |(_, factor)| *factor),
@@ -329,7 +329,7 @@
         pace * course * bursts
     }
 
-    /// The most that [`Scenario::rate`] ever is.
+    /// Upper bound of [`Scenario::rate`].
     pub fn top_rate(&self, pace: f64) -> f64 {
         let course = self.shape.iter().map(|(_, factor)| *factor).fold(0.0, f64::max);
         let course = if self.shape.is_empty() { 1.0 } else { course };
@@ -337,7 +337,7 @@
         pace * course * bursts
     }
 
-    /// The longest that any caller waits.
+    /// Longest deadline of all classes.
     pub fn longest_ms(&self) -> Ms {
         self.classes.iter().map(|class| class.class.deadline_ms).max().unwrap_or(0)
     }
@@ -355,7 +355,7 @@
         1.0 + (size - 1.0) * height
     }
 
-    /// All machines that it names.
+    /// All machines that the fault names, successors included.
     pub fn machines(&self) -> impl Iterator<Item = &usize> {
         let successors = match &self.what {
             FaultKind::Deploy { successors, .. } => &successors[..],
@@ -364,7 +364,7 @@
         self.on.iter().chain(successors)
     }
 
-    /// In a word.
+    /// Name of the kind, as used in reports.
     pub fn word(&self) -> &'static str {
         match self.what {
             FaultKind::Burst { .. } => "burst",
--- a/crates/model/src/scenario/ranges.rs
+++ b/crates/model/src/scenario/ranges.rs
@@ -1,4 +1,4 @@
-//! From which days are drawn: the brief's ranges, each of which an experiment may set otherwise.
+//! Ranges from which scenarios are drawn: the ranges of the specification, each of which an experiment can override.
 
 use super::{
     ClassSpec, DiscoverySpec, Fault, FaultKind, Machine, NetSpec, Pick, ProxySpec, RetryPolicy, Scenario,
@@ -8,7 +8,7 @@
 use crate::streams::{Streams, chance, one_of, shuffle, unit, within};
 use rand_pcg::Pcg64Mcg;
 
-/// A kind of machines: cores, speed, and what it starts with when cold, for how long.
+/// Ranges of a kind of machine.
 #[derive(Debug, Clone, PartialEq)]
 struct Kind {
     speed: [f64; 2],
@@ -18,7 +18,7 @@
     weight: f64,
 }
 
-/// From which days are drawn.
+/// Ranges of all parameters of a scenario.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Ranges {
     seconds: [f64; 2],
@@ -44,28 +44,28 @@
     office_load: Option<(usize, f64)>,
 }
 
-/// A setting that there isn't, or that can't be so.
+/// Error for an unknown setting or an invalid value.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SettingError {
-    /// No such setting.
+    /// The setting doesn't exist.
     #[error("expected one of {expected}, got setting '{name}'", expected = NAMES.join(", "))]
     Name {
-        /// What was told.
+        /// Name of the setting.
         name: String,
     },
-    /// A value that it can't have.
+    /// The value is invalid for the setting.
     #[error("expected {expected} as '{name}', got '{value}'")]
     Value {
-        /// Which setting.
+        /// Name of the setting.
         name: String,
-        /// What it takes.
+        /// Values that the setting accepts.
         expected: String,
-        /// What was told.
+        /// Value found.
         value: String,
     },
 }
 
-/// All settings by name.
+/// Names of all settings.
 const NAMES: [&str; 20] = [
     "seconds",
     "load",
@@ -89,11 +89,11 @@
     "flood",
 ];
 
-/// The troubles that can be asked for by name.
+/// Names of the faults that can be selected.
 const FAULT_KINDS: [&str; 8] =
     ["burst", "crash", "slow", "deploy", "hang", "pause", "registry_away", "zone_cut"];
 
-/// All picks by name.
+/// Names of all load-balancing policies.
 const PICKS: [(&str, Pick); 6] = [
     ("round", Pick::Round),
     ("least", Pick::Least),
@@ -110,7 +110,7 @@
 }
 
 impl Ranges {
-    /// Those of the brief, with the troubles that were seen in service.
+    /// Ranges of the specification, with the faults seen in production.
     pub fn brief() -> Self {
         let small = Kind {
             speed: [0.5, 0.7],
@@ -134,7 +134,7 @@
             subset: 0,
             obeys: [0.8, 1.0],
             retry_policies: vec!["unlimited".into()],
-            // The list tells nominal weights, and callers go by them.
+            // The list publishes nominal weights, and clients use them.
             picks: vec![Pick::Weighted],
             swing: [0.11, 0.29],
             faults: FAULT_KINDS[..4].iter().map(ToString::to_string).collect(),
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Sets one of them: a number, `FROM..TO`, or words with commas between.
+    /// Changes a setting: a number, `FROM..TO`, or names separated by commas.
     pub fn set(&mut self, name: &str, value: &str) -> Result<(), SettingError> {
         let bad = |expected: &str| SettingError::Value {
             name: name.to_string(),
@@ -214,7 +214,7 @@
                 }
             }
             "flood" => {
-                // As `1:5`: the second office at five times its share.
+                // For example `1:5`: the second tenant at five times its quota.
                 let parsed = value.split_once(':').and_then(|(tenant, times)| {
                     Some((tenant.trim().parse::<usize>().ok()?, times.trim().parse::<f64>().ok()?))
                 });
@@ -228,7 +228,7 @@
         Ok(())
     }
 
-    /// The day of a seed. What of it was set to one value does not change what else is drawn.
+    /// Draws the scenario of a seed. A setting fixed to one value doesn't change what else is drawn.
     pub fn draw(&self, seed: u64) -> Scenario {
         let streams = Streams::new(seed);
         let mut rng = streams.of("day", 0);
@@ -353,7 +353,7 @@
         let mut faults: Vec<Fault> = (0..count)
             .map(|_| {
                 let name = &self.faults[one_of(rng, self.faults.len())];
-                // Drawn for whichever it is: a range set otherwise moves nothing else.
+                // Drawn for every kind, so that a changed range affects nothing else.
                 let (part, len, more) = (unit(rng), unit(rng), unit(rng));
                 let at = |range: [f64; 2], t: f64| range[0] + (range[1] - range[0]) * t;
                 let (len_s, share, what) = match name.as_str() {
@@ -392,7 +392,8 @@
     }
 }
 
-/// A machine for each successor of a deploy: of the same kind as the one that it follows, and not quite as fast or a little faster.
+/// Adds a machine for each successor of a deployment: the same kind as the machine it replaces, with a slightly
+/// different speed.
 fn succeed(scenario: &mut Scenario, streams: &Streams) {
     for number in 0..scenario.faults.len() {
         let on = scenario.faults[number].on.clone();
@@ -428,7 +429,7 @@
 
 fn machines(kinds: &[Kind; 2], count: usize, zones: usize, streams: &Streams) -> Vec<Machine> {
     let mut rng = streams.of("kinds", 0);
-    // What all machines of a kind share is drawn once for the kind.
+    // Parameters shared by all machines of a kind are drawn once.
     let drawn: Vec<(f64, f64, f64, f64, f64)> = kinds
         .iter()
         .map(|kind| {
@@ -443,7 +444,7 @@
             )
         })
         .collect();
-    // Half and half, in random places.
+    // Half of the machines of each kind, in random order.
     let mut places: Vec<usize> = (0..count).map(|n| n % 2).collect();
     shuffle(&mut rng, &mut places);
     let cores = 6;
@@ -471,7 +472,7 @@
         .collect()
 }
 
-/// Steady or a wave, and never quite even.
+/// Constant or sinusoidal traffic with some noise.
 fn shape(seconds: f64, swing: f64, rng: &mut Pcg64Mcg) -> Vec<(f64, f64)> {
     let (wave, phase, length) = (chance(rng, 0.5), unit(rng), within(rng, [15.0, 45.0]));
     (0..=seconds.ceil() as usize)
@@ -488,7 +489,7 @@
 mod tests {
     use super::*;
 
-    /// Guards against a range set in one place that reshuffles the rest of the day.
+    /// Guards against a changed setting that affects other parameters.
     #[test]
     fn what_is_set_changes_nothing_else() {
         let base = Ranges::brief();
@@ -513,7 +514,7 @@
         }
     }
 
-    /// Guards against settings that are taken though they mean nothing.
+    /// Guards against invalid settings that are accepted.
     #[test]
     fn settings_that_make_no_sense_are_told() {
         let mut ranges = Ranges::brief();
@@ -537,7 +538,8 @@
         }
     }
 
-    /// The brief's figures: some 110 requests a second on a usual day, within the ranges.
+    /// The figures of the specification: about 110 requests per second on average, and every parameter within its
+    /// range.
     #[test]
     fn a_drawn_day_is_of_the_brief() {
         let rates: Vec<f64> = (0..40)
--- a/crates/model/src/service_report/mod.rs
+++ b/crates/model/src/service_report/mod.rs
@@ -1,8 +1,9 @@
-//! The account of the brief: worth served within its aim over worth asked for, retries folded into the first try, and the
-//! four rules, checked at every event.
+//! Service report: the priority weight served within its latency objective as a fraction of the weight requested, with
+//! retries counted as part of their first attempt, and the four rules of the specification, checked at every event.
 //!
-//! Whoever plays a fleet (a model, a rehearsal, a report) tells what happened; [`service::ServiceCounter`] counts and
-//! [`rules::RuleChecker`] checks. Neither knows where its events come from.
+//!
+//! The caller (a model, a drill or a report) passes in the events; [`service::ServiceCounter`] counts and
+//! [`rules::RuleChecker`] checks. Neither depends on the source of the events.
 
 pub mod rules;
 pub mod service;
@@ -10,86 +11,88 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A moment, in milliseconds of the world that is played.
+/// Time in milliseconds on the caller's clock.
 pub type Ms = u64;
 
-/// A class of requests.
+/// A request class.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// As `label-save`.
+    /// Class name, for example `label-save`.
     pub name: String,
-    /// Of a request that is answered within its aim.
+    /// Priority weight earned by an answer within the latency objective.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// The part of it that an answer after the aim earns, while the caller waits.
+    /// Fraction of the priority weight earned by an answer after the latency objective but before the deadline.
     #[serde(rename = "late")]
     pub late_value: f64,
-    /// From the first try on.
+    /// Latency objective, measured from the first attempt.
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: Ms,
-    /// How long callers wait.
+    /// Time after which the client gives up, measured from the first attempt.
     pub deadline_ms: Ms,
-    /// How long after it ran it must not run again at the same server; none where it is safe to repeat.
+    /// Time after a run during which the same server must not run the request again; `None` if the class is
+    /// idempotent.
     pub window_ms: Option<Ms>,
 }
 
-/// An office and its share of the fleet.
+/// A tenant and its quota.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// As `etela-kasvio`.
+    /// Tenant name, for example `etela-kasvio`.
     pub name: String,
-    /// From 0 to 1; all together are 1.
+    /// Fraction of the fleet's capacity, from 0 to 1; the shares of all tenants add up to 1.
     pub share: f64,
 }
 
-/// What counts, and for how much.
+/// Parameters of the score.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Terms {
-    /// The classes; events name them by their place.
+    /// Classes; events refer to them by index.
     pub classes: Vec<Class>,
-    /// The offices; events name them by their place.
+    /// Tenants; events refer to them by index.
     #[serde(rename = "offices")]
     pub tenants: Vec<Tenant>,
-    /// First tries a second that the whole fleet can serve: a share is a part of this.
+    /// First attempts per second that the whole fleet can serve; tenant shares are fractions of it.
     pub capacity: f64,
-    /// What traffic beyond a share is worth, as a part of the usual.
+    /// Priority weight of a request over its tenant's quota, as a fraction of the usual weight.
     #[serde(rename = "beyond")]
     pub over_quota_weight: f64,
-    /// Weights of the whole, the worst window, the worst class and the worst office; together 1.
+    /// Weights of the total, the worst window, the worst class and the worst tenant in the score; they add up to 1.
     pub weights: [f64; 4],
-    /// The length of the worst window.
+    /// Length of the window in which the worst service is searched for.
     pub window_ms: Ms,
-    /// Points in 100 off for all failing only after the aim, and for as much wasted work as was asked for.
+    /// Points out of 100 deducted if every request were answered late, and if as much work were wasted as was
+    /// requested.
     pub deductions: [f64; 2],
 }
 
-/// Why terms can't be counted by.
+/// Error for parameters that no score can be computed from.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum TermsError {
-    /// There is nothing to count.
+    /// There are no classes or no tenants.
     #[error("expected at least one class and one tenant")]
     Empty,
-    /// Parts that don't make a whole.
+    /// Fractions that don't add up to 1.
     #[error("expected {what} to be 1 together, got {sum}")]
     Sum {
-        /// Which.
+        /// Which fractions.
         what: &'static str,
-        /// What they are.
+        /// Their sum.
         sum: f64,
     },
-    /// A figure out of its range.
+    /// A value out of range.
     #[error("expected {what}, got {value}")]
     Range {
-        /// What was expected.
+        /// The expected range.
         what: &'static str,
-        /// What there is.
+        /// The value found.
         value: f64,
     },
 }
 
 impl Terms {
-    /// Those of the brief, for a fleet that can serve so many first tries a second. Times are whole; a model at another scale
-    /// divides them.
+    /// Parameters of the specification for a fleet that serves `capacity` first attempts per second. Times are
+    /// unscaled; a model on another time scale divides them.
     pub fn brief(capacity: f64) -> Self {
         let class =
             |name: &str, priority_weight, late_value, latency_objective_ms, deadline_ms, window_ms| Class {
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Whether they make sense.
+    /// Checks ranges and sums.
     pub fn check(&self) -> Result<(), TermsError> {
         if self.classes.is_empty() || self.tenants.is_empty() {
             return Err(TermsError::Empty);
--- a/crates/model/src/service_report/service.rs
+++ b/crates/model/src/service_report/service.rs
@@ -1,141 +1,143 @@
-//! Service: what was asked for, what became of it, and the one figure.
+//! Counts requests, their outcomes and the score.
 //!
-//! A request counts once, however many tries it took, from its first try on and in the window in which that came. Windows
-//! are counted by arrivals in steps of a second, so that one bad stretch is found wherever it begins.
+//!
+//! A request counts once, at the time of its first attempt, however many attempts it took. Windows start at every full
+//! second, so that a stretch of bad service is found wherever it begins.
 
 use super::{Ms, Terms, TermsError};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Between beginnings of windows.
+/// Distance between the starts of two windows.
 const STEP_MS: Ms = 1_000;
-/// Seconds of an office's share that it may ask for at once.
+/// Burst that a tenant may send within its quota, in seconds of that quota.
 const BURST_S: f64 = 1.0;
 
-/// A request in the books: its place among all that were asked.
+/// Index of a request in the order of the first attempts.
 pub type Request = usize;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum End {
+enum Ending {
     Open,
-    /// So long after its first try.
+    /// Time from the first attempt to the answer.
     Served(Ms),
     GivenUp,
 }
 
 #[derive(Debug, Clone)]
-struct Asked {
+struct RequestRecord {
     at: Ms,
     class: usize,
     tenant: usize,
-    /// Within its office's share, or beyond it.
+    /// Whether the request was within its tenant's quota.
     within: bool,
-    end: End,
+    end: Ending,
 }
 
-/// How a request ended.
+/// State of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Place {
-    /// Some try of it is still to be answered, or another to come.
+pub enum RequestState {
+    /// An attempt is unanswered, or another one is planned.
     Open,
-    /// Answered within its aim.
+    /// Answered within the latency objective.
     InTime,
-    /// Answered while its caller waited, after the aim.
+    /// Answered after the latency objective and before the deadline.
     Late,
-    /// Its caller has given it up.
+    /// The client gave up.
     GivenUp,
 }
 
-/// Worth that was asked for and earned, and how many requests.
+/// Priority weight requested and earned.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Sum {
-    /// Requests.
+    /// Number of requests.
     pub count: u64,
-    /// Their worth.
-    pub asked: f64,
-    /// What of it was earned.
+    /// Priority weight requested.
+    #[serde(rename = "asked")]
+    pub requested: f64,
+    /// Priority weight earned.
     pub earned: f64,
 }
 
 impl Sum {
-    /// From 0 to 1; 1 where nothing was asked for.
+    /// Earned fraction of the requested weight, from 0 to 1; 1 if nothing was requested.
     pub fn share(&self) -> f64 {
-        if self.asked > 0.0 { self.earned / self.asked } else { 1.0 }
+        if self.requested > 0.0 { self.earned / self.requested } else { 1.0 }
     }
 
     fn add(&mut self, priority_weight: f64, earned: f64) {
         self.count += 1;
-        self.asked += priority_weight;
+        self.requested += priority_weight;
         self.earned += earned;
     }
 }
 
-/// What a day came to.
+/// Service of a whole scenario.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// All requests.
     #[serde(rename = "whole")]
     pub total: Sum,
-    /// Each class, in the order of the terms.
+    /// One sum per class, in the order of the terms.
     pub classes: Vec<Sum>,
-    /// Each office within its share.
+    /// One sum per tenant, of the requests within its quota.
     #[serde(rename = "offices")]
     pub tenants: Vec<Sum>,
-    /// Each office beyond it.
+    /// One sum per tenant, of the requests over its quota.
     #[serde(rename = "beyond")]
     pub over_quota: Vec<Sum>,
-    /// The beginning of the worst window, and its sum.
+    /// Start of the worst window and its sum.
     pub worst: (Ms, Sum),
-    /// Requests in each place: open, in time, late, given up.
+    /// Number of requests by state: open, in time, late, given up.
     #[serde(rename = "places")]
-    pub states: [u64; 4],
-    /// The part of the requests that failed only after their aim, and wasted work as a part of that asked for.
+    pub request_states: [u64; 4],
+    /// Fraction of the requests that were answered late, and wasted work as a fraction of the work requested.
     #[serde(rename = "prices")]
     pub deduction_rates: [f64; 2],
-    /// The one figure, deductions taken off.
+    /// Weighted score after deductions.
     #[serde(rename = "g")]
     pub score: f64,
 }
 
 impl Report {
-    /// What the one figure is made of: the whole, the worst window, the worst class, the worst office within its share.
+    /// Components of the score: total, worst window, worst class, worst tenant within its quota.
     pub fn parts(&self) -> [f64; 4] {
         let least = |sums: &[Sum]| {
-            let asked = sums.iter().filter(|sum| sum.count > 0).map(Sum::share);
-            asked.fold(1.0, f64::min)
+            let requested = sums.iter().filter(|sum| sum.count > 0).map(Sum::share);
+            requested.fold(1.0, f64::min)
         };
         [self.total.share(), self.worst.1.share(), least(&self.classes), least(&self.tenants)]
     }
 }
 
-/// The books of a day.
+/// Counts the service of a scenario.
 #[derive(Debug, Clone)]
 pub struct ServiceCounter {
     terms: Terms,
-    asked: Vec<Asked>,
-    /// Requests that an office may still ask for within its share, and when that was counted last.
+    requested: Vec<RequestRecord>,
+    /// Token bucket of each tenant: requests left within its quota, and the time of the last refill.
     buckets: Vec<(f64, Ms)>,
     work_asked_ms: f64,
     work_wasted_ms: f64,
 }
 
 impl ServiceCounter {
-    /// Empty books.
+    /// Creates a counter without requests.
     pub fn new(terms: Terms) -> Result<Self, TermsError> {
         terms.check()?;
         let buckets =
             terms.tenants.iter().map(|tenant| (tenant.share * terms.capacity * BURST_S, 0)).collect();
-        Ok(Self { terms, asked: Vec::new(), buckets, work_asked_ms: 0.0, work_wasted_ms: 0.0 })
+        Ok(Self { terms, requested: Vec::new(), buckets, work_asked_ms: 0.0, work_wasted_ms: 0.0 })
     }
 
-    /// The terms.
+    /// Parameters of the score.
     pub fn terms(&self) -> &Terms {
         &self.terms
     }
 
-    /// A request's first try leaves its caller. Times of first tries must not go back. `work_ms` is what a run of it takes
-    /// on a core of speed 1, if that is known.
-    pub fn ask(&mut self, at: Ms, class: usize, tenant: usize, work_ms: f64) -> Request {
+    /// Records the first attempt of a request. Times must not decrease. `work_ms` is the time of a run on a core of
+    /// speed 1, or 0 if unknown.
+    pub fn first_attempt(&mut self, at: Ms, class: usize, tenant: usize, work_ms: f64) -> Request {
         let rate = self.terms.tenants[tenant].share * self.terms.capacity;
         let (tokens, since) = &mut self.buckets[tenant];
         *tokens = (*tokens + rate * at.saturating_sub(*since) as f64 / 1e3).min((rate * BURST_S).max(1.0));
@@ -145,83 +147,84 @@
             *tokens -= 1.0;
         }
         self.work_asked_ms += work_ms;
-        self.asked.push(Asked { at, class, tenant, within, end: End::Open });
-        self.asked.len() - 1
+        self.requested.push(RequestRecord { at, class, tenant, within, end: Ending::Open });
+        self.requested.len() - 1
     }
 
-    /// Any try of a request was answered with a result; only the first counts, and none after its caller gave up.
+    /// Records that an attempt was answered with a result. Only the first answer counts, and none after the client
+    /// gave up.
     pub fn served(&mut self, request: Request, at: Ms) {
-        let asked = &mut self.asked[request];
-        if asked.end == End::Open {
-            asked.end = End::Served(at.saturating_sub(asked.at));
+        let requested = &mut self.requested[request];
+        if requested.end == Ending::Open {
+            requested.end = Ending::Served(at.saturating_sub(requested.at));
         }
     }
 
-    /// Its caller waits no longer.
+    /// Records that the client gave up.
     pub fn given_up(&mut self, request: Request) {
-        let asked = &mut self.asked[request];
-        if asked.end == End::Open {
-            asked.end = End::GivenUp;
+        let requested = &mut self.requested[request];
+        if requested.end == Ending::Open {
+            requested.end = Ending::GivenUp;
         }
     }
 
-    /// Work was done for an answer that no caller got.
+    /// Adds work done for an answer that no client received.
     pub fn wasted(&mut self, work_ms: f64) {
         self.work_wasted_ms += work_ms;
     }
 
-    /// Where a request is.
-    pub fn place(&self, request: Request) -> Place {
-        let asked = &self.asked[request];
-        let class = &self.terms.classes[asked.class];
-        match asked.end {
-            End::Open => Place::Open,
-            End::GivenUp => Place::GivenUp,
-            End::Served(took) if took <= class.latency_objective_ms => Place::InTime,
-            End::Served(took) if took <= class.deadline_ms => Place::Late,
-            End::Served(_) => Place::GivenUp,
+    /// State of a request.
+    pub fn state(&self, request: Request) -> RequestState {
+        let requested = &self.requested[request];
+        let class = &self.terms.classes[requested.class];
+        match requested.end {
+            Ending::Open => RequestState::Open,
+            Ending::GivenUp => RequestState::GivenUp,
+            Ending::Served(took) if took <= class.latency_objective_ms => RequestState::InTime,
+            Ending::Served(took) if took <= class.deadline_ms => RequestState::Late,
+            Ending::Served(_) => RequestState::GivenUp,
         }
     }
 
-    /// Requests so far.
+    /// Number of requests recorded.
     pub fn len(&self) -> usize {
-        self.asked.len()
+        self.requested.len()
     }
 
-    /// Whether there are none.
+    /// Whether no request was recorded.
     pub fn is_empty(&self) -> bool {
-        self.asked.is_empty()
+        self.requested.is_empty()
     }
 
-    /// What a request is worth, and what of it was earned.
+    /// Requested and earned priority weight of a request.
     fn priority_weight(&self, request: Request) -> (f64, f64) {
-        let asked = &self.asked[request];
-        let class = &self.terms.classes[asked.class];
+        let requested = &self.requested[request];
+        let class = &self.terms.classes[requested.class];
         let priority_weight =
-            class.priority_weight * if asked.within { 1.0 } else { self.terms.over_quota_weight };
-        let earned = match self.place(request) {
-            Place::InTime => priority_weight,
-            Place::Late => priority_weight * class.late_value,
-            Place::Open | Place::GivenUp => 0.0,
+            class.priority_weight * if requested.within { 1.0 } else { self.terms.over_quota_weight };
+        let earned = match self.state(request) {
+            RequestState::InTime => priority_weight,
+            RequestState::Late => priority_weight * class.late_value,
+            RequestState::Open | RequestState::GivenUp => 0.0,
         };
         (priority_weight, earned)
     }
 
-    /// By the second of the first try: each class's sum, and each office's, within its share and beyond it.
+    /// Sums of each second of first attempts: one per class, and one per tenant within and over its quota together.
     pub fn seconds(&self) -> (Vec<Vec<Sum>>, Vec<Vec<Sum>>) {
-        let last = self.asked.last().map_or(0, |asked| asked.at / STEP_MS) as usize;
+        let last = self.requested.last().map_or(0, |requested| requested.at / STEP_MS) as usize;
         let mut classes = vec![vec![Sum::default(); self.terms.classes.len()]; last + 1];
         let mut tenants = vec![vec![Sum::default(); self.terms.tenants.len()]; last + 1];
-        for (request, asked) in self.asked.iter().enumerate() {
+        for (request, requested) in self.requested.iter().enumerate() {
             let (priority_weight, earned) = self.priority_weight(request);
-            let second = (asked.at / STEP_MS) as usize;
-            classes[second][asked.class].add(priority_weight, earned);
-            tenants[second][asked.tenant].add(priority_weight, earned);
+            let second = (requested.at / STEP_MS) as usize;
+            classes[second][requested.class].add(priority_weight, earned);
+            tenants[second][requested.tenant].add(priority_weight, earned);
         }
         (classes, tenants)
     }
 
-    /// What it came to; requests still open count as not served.
+    /// Computes the report; open requests count as not served.
     pub fn report(&self) -> Report {
         let terms = &self.terms;
         let mut total = Sum::default();
@@ -229,30 +232,38 @@
         let mut tenants = vec![Sum::default(); terms.tenants.len()];
         let mut over_quota = tenants.clone();
         let mut steps = BTreeMap::<Ms, Sum>::new();
-        let (mut states, mut late) = ([0; 4], 0_u64);
-        for (request, asked) in self.asked.iter().enumerate() {
+        let (mut request_states, mut late) = ([0; 4], 0_u64);
+        for (request, requested) in self.requested.iter().enumerate() {
             let (priority_weight, earned) = self.priority_weight(request);
-            let place = self.place(request);
-            states[match place {
-                Place::Open => 0,
-                Place::InTime => 1,
-                Place::Late => 2,
-                Place::GivenUp => 3,
+            let state = self.state(request);
+            request_states[match state {
+                RequestState::Open => 0,
+                RequestState::InTime => 1,
+                RequestState::Late => 2,
+                RequestState::GivenUp => 3,
             }] += 1;
-            late += u64::from(place == Place::Late);
+            late += u64::from(state == RequestState::Late);
             total.add(priority_weight, earned);
-            classes[asked.class].add(priority_weight, earned);
-            let line = if asked.within { &mut tenants } else { &mut over_quota };
-            line[asked.tenant].add(priority_weight, earned);
-            steps.entry(asked.at / STEP_MS).or_default().add(priority_weight, earned);
+            classes[requested.class].add(priority_weight, earned);
+            let line = if requested.within { &mut tenants } else { &mut over_quota };
+            line[requested.tenant].add(priority_weight, earned);
+            steps.entry(requested.at / STEP_MS).or_default().add(priority_weight, earned);
         }
         let worst = worst_window(&steps, terms.window_ms.div_ceil(STEP_MS)).unwrap_or((0, total));
         let deduction_rates = [
-            late as f64 / self.asked.len().max(1) as f64,
+            late as f64 / self.requested.len().max(1) as f64,
             if self.work_asked_ms > 0.0 { self.work_wasted_ms / self.work_asked_ms } else { 0.0 },
         ];
-        let mut report =
-            Report { total, classes, tenants, over_quota, worst, states, deduction_rates, score: 0.0 };
+        let mut report = Report {
+            total,
+            classes,
+            tenants,
+            over_quota,
+            worst,
+            request_states,
+            deduction_rates,
+            score: 0.0,
+        };
         let weighted: f64 =
             report.parts().iter().zip(terms.weights).map(|(part, weight)| part * weight).sum();
         let off: f64 =
@@ -262,8 +273,8 @@
     }
 }
 
-/// The window of so many steps with the least service, among those that lie wholly within the day; the whole day where it
-/// is shorter than a window.
+/// The window of `length` steps with the worst service, among those that lie completely within the scenario, or the
+/// whole scenario if it is shorter than a window.
 fn worst_window(steps: &BTreeMap<Ms, Sum>, length: u64) -> Option<(Ms, Sum)> {
     let (first, last) = (*steps.keys().next()?, *steps.keys().next_back()?);
     let last_start = (last + 1).saturating_sub(length).max(first);
@@ -271,12 +282,12 @@
         let mut sum = Sum::default();
         for step in steps.range(start..start + length).map(|(_, step)| step) {
             sum.count += step.count;
-            sum.asked += step.asked;
+            sum.requested += step.requested;
             sum.earned += step.earned;
         }
         (start * STEP_MS, sum)
     });
-    // The first of equals, so that the same day gives the same report.
+    // The first of equal windows, so that the report is deterministic.
     windows.filter(|(_, sum)| sum.count > 0).min_by(|a, b| a.1.share().total_cmp(&b.1.share()))
 }
 
@@ -285,86 +296,91 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn books() -> ServiceCounter {
+    fn counter() -> ServiceCounter {
         ServiceCounter::new(Terms::brief(100.0)).expect("terms that make sense")
     }
 
-    /// Guards against a calm day that is not counted as whole, and against deductions where nothing is late or wasted.
+    /// Guards against perfect service that doesn't score 1, and against deductions where nothing is late or wasted.
     #[test]
     fn all_in_time_is_one_and_nothing_served_is_none() {
-        let (mut all, mut none) = (books(), books());
+        let (mut all, mut none) = (counter(), counter());
         for n in 0..6_000_u64 {
             let (at, class, tenant) = (n * 10, (n % 4) as usize, (n / 4 % 4) as usize);
-            let request = all.ask(at, class, tenant, 270.0);
+            let request = all.first_attempt(at, class, tenant, 270.0);
             all.served(request, at + 100);
-            let request = none.ask(at, class, tenant, 270.0);
+            let request = none.first_attempt(at, class, tenant, 270.0);
             none.given_up(request);
         }
         assert!((all.report().score - 1.0).abs() < 1e-12, "{:?}", all.report().score);
-        assert_eq!((none.report().score, none.report().states), (0.0, [0, 0, 0, 6_000]));
+        assert_eq!((none.report().score, none.report().request_states), (0.0, [0, 0, 0, 6_000]));
     }
 
-    /// Guards against a late answer that earns nothing or everything, against one after the deadline that earns, and against
-    /// a second answer that counts.
+    /// Guards against a late answer that earns nothing or everything, an answer after the deadline that earns
+    /// anything, and a second answer that counts.
     #[test]
     fn late_answers_earn_their_part_and_only_the_first_counts() {
-        let mut books = books();
+        let mut counter = counter();
         let requests: Vec<_> = [1_600, 1_601, 4_000, 4_001]
             .map(|took| {
-                let request = books.ask(0, 3, 0, 0.0);
-                books.served(request, took);
-                books.served(request, 1);
-                books.given_up(request);
+                let request = counter.first_attempt(0, 3, 0, 0.0);
+                counter.served(request, took);
+                counter.served(request, 1);
+                counter.given_up(request);
                 request
             })
             .to_vec();
-        let states: Vec<Place> = requests.iter().map(|&request| books.place(request)).collect();
-        assert_eq!(states, [Place::InTime, Place::Late, Place::Late, Place::GivenUp]);
-        let report = books.report();
-        assert!((report.total.earned - (4.0 + 0.8 + 0.8)).abs() < 1e-9 && report.total.asked == 16.0);
+        let request_states: Vec<RequestState> =
+            requests.iter().map(|&request| counter.state(request)).collect();
+        assert_eq!(
+            request_states,
+            [RequestState::InTime, RequestState::Late, RequestState::Late, RequestState::GivenUp]
+        );
+        let report = counter.report();
+        assert!((report.total.earned - (4.0 + 0.8 + 0.8)).abs() < 1e-9 && report.total.requested == 16.0);
         assert_eq!(report.deduction_rates[0], 0.5);
         let weighted = 5.6 / 16.0;
         assert!((report.score - (weighted - 0.083 * 0.5)).abs() < 1e-9);
     }
 
-    /// Guards against a flood that buys its office service: beyond the share a request is worth a twentieth, and the office's own
-    /// line counts what is within.
+    /// Guards against a tenant that gains by flooding: requests over quota have a twentieth of the weight and are
+    /// summed separately.
     #[test]
     fn traffic_beyond_a_share_is_worth_little() {
-        let mut books = books();
-        // pohjois-kasvio holds 14 of 100 a second and asks for 140; everything is refused beyond its share.
+        let mut counter = counter();
+        // pohjois-kasvio has a quota of 14 requests per second and sends 140; everything over its quota is
+        // rejected.
         let mut within = 0;
         for n in 0..1_400_u64 {
-            let request = books.ask(n * 1_000 / 140, 0, 3, 0.0);
-            if books.asked[request].within {
+            let request = counter.first_attempt(n * 1_000 / 140, 0, 3, 0.0);
+            if counter.requested[request].within {
                 within += 1;
-                books.served(request, n * 1_000 / 140 + 5);
+                counter.served(request, n * 1_000 / 140 + 5);
             }
         }
         assert!((140..=155).contains(&within), "{within} within 10 s and a burst");
-        let report = books.report();
+        let report = counter.report();
         assert_eq!(report.tenants[3].share(), 1.0);
         assert_eq!((report.over_quota[3].count, report.over_quota[3].earned), (1_400 - within, 0.0));
-        assert!((report.total.asked - (within as f64 + 0.05 * (1_400 - within) as f64)).abs() < 1e-6);
+        assert!((report.total.requested - (within as f64 + 0.05 * (1_400 - within) as f64)).abs() < 1e-6);
     }
 
-    /// Guards against a bad stretch that hides between windows.
+    /// Guards against bad service that spans two windows and is found in neither.
     #[test]
     fn the_worst_window_is_found_wherever_it_begins() {
-        let mut books = books();
+        let mut counter = counter();
         for n in 0..6_000_u64 {
             let at = n * 10;
-            let request = books.ask(at, 0, (n % 4) as usize, 0.0);
+            let request = counter.first_attempt(at, 0, (n % 4) as usize, 0.0);
             if !(23_000..33_000).contains(&at) {
-                books.served(request, at);
+                counter.served(request, at);
             }
         }
-        let report = books.report();
+        let report = counter.report();
         assert_eq!((report.worst.0, report.worst.1.earned), (23_000, 0.0));
         assert!((report.total.share() - 5.0 / 6.0).abs() < 0.01);
     }
 
-    /// Guards against terms that would count nonsense without a word.
+    /// Guards against invalid parameters that are accepted.
     #[test]
     fn terms_that_make_no_sense_are_errors() {
         let with = |change: fn(&mut Terms)| {
@@ -380,31 +396,31 @@
     }
 
     proptest! {
-        /// Conservation: each first try is in exactly one place, and the sums by class, by office and by window hold all
-        /// that was asked, whatever happens in whatever order.
+        /// Each request is in exactly one state, and the sums by class, tenant and window contain every request,
+        /// whatever the order of the events.
         #[test]
         fn nothing_is_lost_or_counted_twice(
             events in proptest::collection::vec((0..4_usize, 0..4_usize, 0..400_u64, 0..3_u8, 0..8_000_u64), 1..300)
         ) {
-            let mut books = books();
+            let mut counter = counter();
             let mut now = 0;
             for (class, tenant, gap, end, took) in events {
                 now += gap;
-                let request = books.ask(now, class, tenant, 1.0);
+                let request = counter.first_attempt(now, class, tenant, 1.0);
                 match end {
                     0 => {}
-                    1 => books.served(request, now + took),
-                    _ => books.given_up(request),
+                    1 => counter.served(request, now + took),
+                    _ => counter.given_up(request),
                 }
             }
-            let report = books.report();
-            prop_assert_eq!(report.states.iter().sum::<u64>(), books.len() as u64);
-            prop_assert_eq!(report.total.count, books.len() as u64);
+            let report = counter.report();
+            prop_assert_eq!(report.request_states.iter().sum::<u64>(), counter.len() as u64);
+            prop_assert_eq!(report.total.count, counter.len() as u64);
             for sums in [vec![&report.classes], vec![&report.tenants, &report.over_quota]] {
                 let sums: Vec<Sum> = sums.into_iter().flatten().copied().collect();
                 prop_assert_eq!(sums.iter().map(|sum| sum.count).sum::<u64>(), report.total.count);
-                let asked: f64 = sums.iter().map(|sum| sum.asked).sum();
-                prop_assert!((asked - report.total.asked).abs() < 1e-6);
+                let requested: f64 = sums.iter().map(|sum| sum.requested).sum();
+                prop_assert!((requested - report.total.requested).abs() < 1e-6);
             }
             prop_assert!(report.score <= 1.0);
         }
--- a/crates/model/src/service_report/slow_start.rs
+++ b/crates/model/src/service_report/slow_start.rs
@@ -1,20 +1,21 @@
-//! The budget of a server in slow start, and the means over time that it is held against. What is counted, over which
-//! time, and what the pages leave open is in `docs/design/slow-start.md`.
+//! Budget of a server in slow start, and the moving averages that are compared with it. What is counted, over which
+//! time, and what the specification leaves open is described in `docs/design/slow-start.md`.
 
 use std::collections::VecDeque;
 
-/// From so many on the wider margin, which guards small counts against chance, is not given any more.
+/// From this allowance on the wider margin, which covers chance at small counts, no longer applies.
 const MANY: f64 = 30.0;
 
-/// The most that a server in slow start may be given at once, where the settings let it have `allowed` in the mean: `allowed`
-/// and what chance adds to it. It counts what all senders together give it.
+/// Largest number of concurrent runs for a server in slow start whose average may be `allowed`: the allowance plus a
+/// margin for chance. It applies to the load from all senders together.
 pub fn budget(allowed: f64) -> f64 {
     let allowed = allowed.max(0.0);
     let (roots, more) = if allowed < MANY { (3.0, 3.0) } else { (2.0, 2.0) };
     allowed + roots * allowed.sqrt() + more
 }
 
-/// Runs that a server survives on its cores in the mean, at a share of its full speed: rule 4 of the wire page.
+/// Average number of concurrent runs that a server sustains at a fraction of its full speed (rule 4 of the wire
+/// specification).
 pub fn survived(cores: f64, max_concurrency_per_core: f64, share: f64) -> f64 {
     (1.0 + (max_concurrency_per_core - 1.0) * share) * cores
 }
@@ -22,13 +23,13 @@
 #[derive(Debug, Clone, Copy)]
 struct Step {
     at: u64,
-    /// How many there are from then on, and the sum of how many there were, times how long, until then.
+    /// Number from `at` on, and the integral of the number over time up to `at`.
     count: f64,
     area: f64,
 }
 
-/// How many there are of something, in the mean of the span that ends now. Before the first word there were none. Times are
-/// in any unit, and don't go backwards.
+/// Average of a quantity over the most recent `span`; the quantity is 0 before the first update. Times can have any unit
+/// and must not decrease.
 #[derive(Debug, Clone)]
 pub struct MeanOver {
     span: u64,
@@ -36,12 +37,12 @@
 }
 
 impl MeanOver {
-    /// Over this span; one of 0 tells what there is now.
+    /// Creates an average over `span`; with a span of 0, the mean is the current value.
     pub fn new(span: u64) -> Self {
         Self { span, steps: VecDeque::new() }
     }
 
-    /// From now on there are so many.
+    /// Sets the value from `at` on.
     pub fn set(&mut self, at: u64, count: f64) {
         let area = self.steps.back().map_or(0.0, |last| last.area + last.count * (at - last.at) as f64);
         self.steps.push_back(Step { at, count, area });
@@ -50,7 +51,7 @@
         }
     }
 
-    /// The mean over the span that ends at this time.
+    /// Average over the span that ends at `at`.
     pub fn mean(&self, at: u64) -> f64 {
         let Some(last) = self.steps.back() else { return 0.0 };
         if self.span == 0 {
@@ -63,7 +64,7 @@
         (area(last, at) - before) / self.span as f64
     }
 
-    /// Forgets all.
+    /// Removes all updates.
     pub fn clear(&mut self) {
         self.steps.clear();
     }
--- a/crates/model/src/service_report/slow_start/tests.rs
+++ b/crates/model/src/service_report/slow_start/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use proptest::prelude::*;
 
-/// The figures of the operators: under 30, at 30 and over.
+/// The budgets that the operators specify, below, at and above an allowance of 30.
 #[test]
 fn the_budget_is_the_operators() {
     let rounded = |allowed: f64| (budget(allowed) * 100.0).round() / 100.0;
@@ -13,7 +13,8 @@
     assert_eq!(rounded(-1.0), 3.0);
 }
 
-/// Rule 4 of the wire page: tip_multiple a core when warm, less with the share of the speed, and one a core with none.
+/// Rule 4 of the wire specification: `tip_multiple` runs per core at full speed, fewer at a lower speed, and one per
+/// core at speed 0.
 #[test]
 fn a_cold_server_survives_what_the_wire_page_says() {
     assert_eq!(survived(6.0, 8.0, 1.0), 48.0);
@@ -22,7 +23,7 @@
 }
 
 proptest! {
-    /// The same as a sum over each moment of the span.
+    /// The moving average equals the sum over every time unit of the span.
     #[test]
     fn the_mean_is_that_of_each_moment(
         steps in proptest::collection::vec((0..40_u64, 0..9_u32), 1..60),
--- a/crates/model/src/streams.rs
+++ b/crates/model/src/streams.rs
@@ -1,4 +1,4 @@
-//! A stream of random numbers for each entity: what one of them draws more or less of does not reshuffle the others.
+//! Independent random number streams for each entity: the number of draws of one entity doesn't affect the others.
 
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
@@ -10,12 +10,12 @@
 pub struct Streams(u64);
 
 impl Streams {
-    /// Those of this seed.
+    /// Creates the streams of a seed.
     pub fn new(seed: u64) -> Self {
         Self(seed)
     }
 
-    /// The stream of one entity: what it is and its number.
+    /// Returns the stream of an entity, given its kind and number.
     pub fn of(&self, kind: &str, number: u64) -> Pcg64Mcg {
         let mut hasher = SipHasher13::new_with_keys(self.0, 0x6d6f_6465_6c00_0001);
         hasher.write(kind.as_bytes());
@@ -25,27 +25,27 @@
     }
 }
 
-/// From 0 to below 1.
+/// Uniform number from 0 to below 1.
 pub fn unit(rng: &mut Pcg64Mcg) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
 }
 
-/// From a range, both ends included.
+/// Uniform number from a range.
 pub fn within(rng: &mut Pcg64Mcg, range: [f64; 2]) -> f64 {
     range[0] + (range[1] - range[0]) * unit(rng)
 }
 
-/// One of so many, at least one.
+/// Uniform index below `count`, which must be at least 1.
 pub fn one_of(rng: &mut Pcg64Mcg, count: usize) -> usize {
     (unit(rng) * count as f64) as usize % count.max(1)
 }
 
-/// Whether something of this chance happens.
+/// Draws true with this probability.
 pub fn chance(rng: &mut Pcg64Mcg, part: f64) -> bool {
     unit(rng) < part
 }
 
-/// Puts a list in random order.
+/// Shuffles a list.
 pub fn shuffle<T>(rng: &mut Pcg64Mcg, list: &mut [T]) {
     for last in (1..list.len()).rev() {
         list.swap(last, one_of(rng, last + 1));
@@ -56,7 +56,7 @@
 mod tests {
     use super::*;
 
-    /// Guards against streams that are one stream, or depend on who was asked first.
+    /// Guards against streams that coincide or depend on the order of their creation.
     #[test]
     fn streams_are_apart_and_the_same_each_time() {
         let draw = |kind, number| Streams::new(7).of(kind, number).next_u64();
--- a/crates/model/src/world/discovery.rs
+++ b/crates/model/src/world/discovery.rs
@@ -1,4 +1,4 @@
-//! The list's keeper or the registry, and what client proxies hear of it.
+//! Service discovery by the platform's list or the registry, and what client proxies learn from it.
 
 use super::{EPOCH_MS, Event, MS, S, World};
 use crate::discovery::registry::Outcome;
@@ -12,12 +12,12 @@
 use gradepin_registry::view::{Fetch, View, ViewSettings};
 use rand_pcg::rand_core::Rng;
 
-/// The registry stands in this machine room.
+/// Zone of the registry.
 const REGISTRY_ZONE: usize = 0;
 
 impl World {
-    /// As the day begins, all servers are listed and known.
-    pub(super) fn open_roster(&mut self) {
+    /// At the start of the scenario every server that runs is listed and known to all client proxies.
+    pub(super) fn init_discovery(&mut self) {
         for proxy in &mut self.proxies {
             for (machine, spec) in self.scenario.machines.iter().enumerate() {
                 proxy.list(machine as u32, !spec.spare);
@@ -48,7 +48,7 @@
         }
     }
 
-    // ---- the platform's list
+    // ---- platform list
 
     fn silent_after(&self) -> At {
         match self.scenario.discovery {
@@ -59,10 +59,10 @@
 
     fn watch_silence(&mut self, machine: usize) {
         let at = self.entries[machine].reported.max(self.away_until).max(self.now) + self.silent_after();
-        self.queue.push(at, Event::Silent(machine));
+        self.queue.push(at, Event::CheckSilence(machine));
     }
 
-    /// A server reports whether it takes work.
+    /// Handles a readiness report of a server.
     pub(super) fn reported(&mut self, machine: usize, ready: bool) {
         if matches!(self.scenario.discovery, DiscoverySpec::Registry { .. }) || self.now < self.away_until {
             return;
@@ -73,12 +73,12 @@
             if ready {
                 self.watch_silence(machine);
             }
-            self.spread(machine);
+            self.notify_proxies(machine);
         }
     }
 
-    /// No entry lapses while the keeper is away.
-    pub(super) fn silent(&mut self, machine: usize) {
+    /// Removes a server that stopped reporting. Entries don't expire while the list service is down.
+    pub(super) fn check_silence(&mut self, machine: usize) {
         let entry = &mut self.entries[machine];
         if !entry.listed {
             return;
@@ -88,35 +88,35 @@
             return self.watch_silence(machine);
         }
         self.entries[machine].is(false);
-        self.spread(machine);
+        self.notify_proxies(machine);
     }
 
-    /// Each client proxy hears of a change in its own time.
-    fn spread(&mut self, machine: usize) {
+    /// Notifies each client proxy of a change after a delay of its own.
+    fn notify_proxies(&mut self, machine: usize) {
         let DiscoverySpec::List { notice_s, .. } = self.scenario.discovery else { return };
         let entry = self.entries[machine];
         for proxy in 0..self.proxies.len() {
             let delay = nanos(within(&mut self.proxy_rngs[proxy], notice_s));
             let (listed, version) = (entry.listed, entry.version);
-            self.queue.push(self.now + delay, Event::Listed { proxy, machine, listed, version });
+            self.queue.push(self.now + delay, Event::ListChange { proxy, machine, listed, version });
         }
     }
 
-    pub(super) fn hears(&mut self, proxy: usize, machine: usize, listed: bool, version: u32) {
-        // One that is overtaken tells nothing new.
+    pub(super) fn list_change(&mut self, proxy: usize, machine: usize, listed: bool, version: u32) {
+        // Ignore notifications that a newer one has overtaken.
         if version > self.seen[proxy][machine] {
             self.seen[proxy][machine] = version;
             self.proxies[proxy].list(machine as u32, listed);
         }
     }
 
-    // ---- the registry
+    // ---- registry
 
     fn unix(&self) -> u64 {
         EPOCH_MS + self.now / MS
     }
 
-    /// How long a question and its answer take, or none while the registry can't be reached.
+    /// Round-trip time of a request to the registry; `None` while the registry is unreachable.
     fn exchange(&mut self, zone: usize, by_machine: Option<usize>, by_proxy: usize) -> Option<At> {
         if self.now < self.away_until || self.now < self.net.cut_until(zone, REGISTRY_ZONE) {
             return None;
@@ -129,31 +129,31 @@
         Some(self.net.arrives(there, REGISTRY_ZONE, zone, rng) - self.now)
     }
 
-    pub(super) fn asks_registry(&mut self, machine: usize, ask: RegistryRequest) {
+    pub(super) fn asks_registry(&mut self, machine: usize, request: RegistryRequest) {
         let zone = self.scenario.machines[machine].zone;
-        let life = self.machines[machine].life;
+        let incarnation = self.machines[machine].incarnation;
         match self.exchange(zone, Some(machine), 0) {
             Some(took) => {
-                let ask = Box::new(ask);
-                self.queue.push(self.now + took / 2, Event::RegistryAsked { machine, life, ask });
+                let request = Box::new(request);
+                self.queue.push(self.now + took / 2, Event::RegistryAsked { machine, incarnation, request });
             }
             None => {
-                let (ticket, reply) = (ask.ticket, Box::new(RegistryReply::Failed("no answer".into())));
-                let at = self.now + ask.timeout.0;
-                self.queue.push(at, Event::RegistryReplied { machine, life, ticket, reply });
+                let (ticket, reply) = (request.ticket, Box::new(RegistryReply::Failed("no answer".into())));
+                let at = self.now + request.timeout.0;
+                self.queue.push(at, Event::RegistryReplied { machine, incarnation, ticket, reply });
             }
         }
     }
 
-    /// The registry does what it is asked, whatever became of who asked.
-    pub(super) fn registry_asked(&mut self, machine: usize, life: u32, ask: RegistryRequest) {
+    /// Carries out a request in the registry, even if the server that sent it has ended since.
+    pub(super) fn registry_asked(&mut self, machine: usize, incarnation: u32, request: RegistryRequest) {
         let (now_ms, id) = (self.unix(), format!("n{machine}"));
         self.registry.evict(now_ms);
         let done = |outcome| match outcome {
             Outcome::Done => RegistryReply::Done,
             Outcome::NotFound => RegistryReply::NotFound,
         };
-        let reply = match ask.operation {
+        let reply = match request.operation {
             RegistryOperation::Register(instance) => {
                 self.registry.register(*instance, false, now_ms);
                 RegistryReply::Done
@@ -177,15 +177,21 @@
         };
         let zone = self.scenario.machines[machine].zone;
         let at = self.net.arrives(self.now, REGISTRY_ZONE, zone, &mut self.machine_rngs[machine]);
-        let (ticket, reply) = (ask.ticket, Box::new(reply));
-        self.queue.push(at, Event::RegistryReplied { machine, life, ticket, reply });
+        let (ticket, reply) = (request.ticket, Box::new(reply));
+        self.queue.push(at, Event::RegistryReplied { machine, incarnation, ticket, reply });
     }
 
-    pub(super) fn registry_replied(&mut self, machine: usize, life: u32, ticket: u64, reply: RegistryReply) {
+    pub(super) fn registry_replied(
+        &mut self,
+        machine: usize,
+        incarnation: u32,
+        ticket: u64,
+        reply: RegistryReply,
+    ) {
         let here = &mut self.machines[machine];
-        if here.up && here.life == life {
+        if here.up && here.incarnation == incarnation {
             here.inputs.push(gradepin_core::messages::Input::RegistryReply { ticket, reply });
-            self.settle(machine);
+            self.run_node(machine);
         }
     }
 
--- a/crates/model/src/world/faults.rs
+++ b/crates/model/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Troubles begin, go on and end.
+//! Start, steps and end of the faults of a scenario.
 
 use super::{Event, MS, World};
 use crate::queue::{At, Queue, nanos};
@@ -6,7 +6,7 @@
 use gradepin_core::messages::Input;
 
 impl World {
-    /// A trouble begins, or goes on with its next step.
+    /// Starts a fault or carries out its next step.
     pub(super) fn fault(&mut self, number: usize, step: u32) {
         let scenario = std::sync::Arc::clone(&self.scenario);
         let fault = &scenario.faults[number];
@@ -30,7 +30,7 @@
                         self.machines[machine].succeeded = true;
                         self.start(successor, true);
                     }
-                    self.told_to_leave(machine, nanos(*drain_s));
+                    self.notify_shutdown(machine, nanos(*drain_s));
                 }
                 if (step as usize) + 1 < batches {
                     let next = nanos(fault.at_s) + len * u64::from(step + 1) / batches as u64;
@@ -40,31 +40,31 @@
             FaultKind::RegistryAway => self.away_until = self.away_until.max(end),
             FaultKind::ZoneCut { zone } => self.net.cut(*zone, end),
             FaultKind::Slow { .. } | FaultKind::Hang | FaultKind::Pause => {
-                fault.on.iter().for_each(|&machine| self.strike(machine));
-                self.queue.push(end, Event::Eases(number));
+                fault.on.iter().for_each(|&machine| self.apply_faults(machine));
+                self.queue.push(end, Event::FaultEnds(number));
             }
         }
     }
 
-    fn told_to_leave(&mut self, machine: usize, drain: At) {
+    fn notify_shutdown(&mut self, machine: usize, drain: At) {
         let here = &mut self.machines[machine];
         if !here.up {
             return;
         }
         here.inputs.push(Input::ShutdownNotice);
-        let (ident, life) = (here.ident, here.life);
-        self.rules.told_to_leave(ident, self.now / MS);
-        self.queue.push(self.now + drain, Event::Stops(machine, life));
-        self.settle(machine);
+        let (server_number, incarnation) = (here.server_number, here.incarnation);
+        self.rules.shutdown_notice(server_number, self.now / MS);
+        self.queue.push(self.now + drain, Event::Stops(machine, incarnation));
+        self.run_node(machine);
     }
 
-    pub(super) fn eases(&mut self, number: usize) {
+    pub(super) fn fault_ends(&mut self, number: usize) {
         let scenario = std::sync::Arc::clone(&self.scenario);
-        scenario.faults[number].on.iter().for_each(|&machine| self.strike(machine));
+        scenario.faults[number].on.iter().for_each(|&machine| self.apply_faults(machine));
     }
 
-    /// What troubles of this moment do to a machine.
-    pub(super) fn strike(&mut self, number: usize) {
+    /// Applies all faults active at this time to a machine.
+    pub(super) fn apply_faults(&mut self, number: usize) {
         let (mut slow, mut hangs, mut paused) = (1.0, false, None);
         for fault in self.scenario.faults.iter().filter(|fault| fault.on.contains(&number)) {
             let from = nanos(fault.at_s);
@@ -86,8 +86,8 @@
         machine.cores.pause(paused.is_some());
         let was = std::mem::replace(&mut machine.paused, paused.is_some());
         match paused {
-            Some(end) if !was => self.rules.pauses(machine.ident, (end - self.now).div_ceil(MS)),
-            None if was => self.settle(number),
+            Some(end) if !was => self.rules.pauses(machine.server_number, (end - self.now).div_ceil(MS)),
+            None if was => self.run_node(number),
             _ => {}
         }
         self.plan_cores(number);
--- a/crates/model/src/world/machines.rs
+++ b/crates/model/src/world/machines.rs
@@ -1,7 +1,7 @@
-//! Machines: the server's life on them, its node's inputs and effects, their cores and their memory.
+//! Machines: the incarnations of their server, inputs and effects of its node, cores and memory.
 
-use super::clients::Place;
-use super::{EPOCH_MS, Event, Got, MS, TryId, World};
+use super::clients::AttemptState;
+use super::{AttemptId, AttemptReply, EPOCH_MS, Event, MS, World};
 use crate::discovery;
 use crate::policies::{Node, Start};
 use crate::processor::{Cores, CoresSpec, Done};
@@ -18,16 +18,16 @@
 use std::collections::{BTreeSet, BinaryHeap};
 use std::sync::Arc;
 
-/// Of a request's work, what its run takes at the least.
+/// Smallest work of a run, as a fraction of the request's work.
 const LEAST_RUN: f64 = 0.05;
-/// Steps of a node at one moment at the most.
+/// Largest number of steps of a node at one point in time.
 const MOST_STEPS: usize = 10_000;
 
-/// A machine and the server on it.
+/// A machine and its server.
 pub(super) struct Machine {
-    /// Which of its lives, and how the rules name it.
-    pub life: u32,
-    pub ident: Server,
+    /// Number of the incarnation, and the server's number in the rules.
+    pub incarnation: u32,
+    pub server_number: Server,
     pub up: bool,
     node: Option<Box<dyn Node>>,
     pub cores: Cores,
@@ -35,24 +35,24 @@
     pub paused: bool,
     links: u64,
     notices: u64,
-    /// Memory of held and running requests and of keys, and when which of these goes.
+    /// Memory of waiting requests, running requests and idempotency keys, and when each key expires.
     held_kb: f64,
     running_kb: f64,
     keys_kb: f64,
     keys: BinaryHeap<Reverse<At>>,
-    /// Tries that came and have no answer yet.
-    pub at: BTreeSet<TryId>,
+    /// Attempts at the machine without an answer.
+    pub at: BTreeSet<AttemptId>,
     conns: BTreeSet<u64>,
-    /// When the next look at the cores, and the next step, are planned.
+    /// Times of the next planned check of the cores and of the next step.
     cores_at: At,
     wake_at: At,
-    /// Whether it fell over before: it starts again once.
+    /// Whether the server failed from overload before: it is restarted only once.
     fell: bool,
-    /// A successor has its place: nothing starts here again.
+    /// A successor replaced this server on another machine; no server starts here again.
     pub succeeded: bool,
 }
 
-/// What is left of a request's work once it was read: reading is part of it. Some is left of the shortest too.
+/// Work left after reading, which is part of the request's work. Even the shortest request has some left.
 fn run_work(work_s: f64, read_s: f64) -> f64 {
     (work_s - read_s).max(LEAST_RUN * work_s)
 }
@@ -72,11 +72,11 @@
 }
 
 impl Machine {
-    /// One on which nothing runs yet.
+    /// A machine without a running server.
     pub fn down(scenario: &Scenario, number: usize) -> Self {
         Self {
-            life: 0,
-            ident: 0,
+            incarnation: 0,
+            server_number: 0,
             up: false,
             node: None,
             cores: cores(scenario, number, 0, false),
@@ -103,14 +103,14 @@
 }
 
 impl World {
-    /// A server starts on a machine, unless one is there.
+    /// Starts a server, unless one runs or a successor replaced it.
     pub(super) fn start(&mut self, number: usize, cold: bool) {
         if self.machines[number].up || self.machines[number].succeeded {
             return;
         }
-        self.idents += 1;
+        self.last_server_number += 1;
         let spec = &self.scenario.machines[number];
-        self.rules.started(self.idents, f64::from(spec.cores), spec.memory_kb);
+        self.rules.started(self.last_server_number, f64::from(spec.cores), spec.memory_kb);
         let seed = self.machine_rngs[number].next_u64();
         let registration = match self.scenario.discovery {
             DiscoverySpec::List { .. } => Registration::default(),
@@ -123,19 +123,20 @@
         };
         let node = (self.node_factory)(&self.starts, Start { machine: number, seed }, registration);
         let old = &self.machines[number];
-        let (life, fell, paused) = (old.life + 1, old.fell, old.paused);
+        let (incarnation, fell, paused) = (old.incarnation + 1, old.fell, old.paused);
         let mut machine = Machine::down(&self.scenario, number);
-        (machine.life, machine.ident, machine.up, machine.fell) = (life, self.idents, true, fell);
+        (machine.incarnation, machine.server_number, machine.up, machine.fell) =
+            (incarnation, self.last_server_number, true, fell);
         (machine.node, machine.paused) = (Some(node), paused);
         machine.cores = cores(&self.scenario, number, self.now, cold);
         machine.links = 1;
         machine.inputs.push(Input::LinkUp { link: 1, cold, age: Span(0) });
         self.machines[number] = machine;
-        self.strike(number);
-        self.settle(number);
+        self.apply_faults(number);
+        self.run_node(number);
     }
 
-    /// A server ends: with its machine, or stopped by whoever told it to leave. What it had read and owes ends with it.
+    /// Ends a server, because its machine died or after the drain. Unanswered requests are lost with it.
     pub(super) fn stop(&mut self, number: usize, died: bool) {
         let at = self.ms();
         let machine = &mut self.machines[number];
@@ -144,25 +145,25 @@
         }
         machine.up = false;
         machine.node = None;
-        let (ident, tries) = (machine.ident, std::mem::take(&mut machine.at));
+        let (server_number, attempts) = (machine.server_number, std::mem::take(&mut machine.at));
         let conns = std::mem::take(&mut machine.conns);
-        self.rules.stopped(ident, at, died);
-        for id in tries {
-            let conn = self.tries[id as usize].conn;
-            self.tries[id as usize].place = Place::Down;
-            self.downward(conn, Event::Answered(id, Got::Reset));
+        self.rules.stopped(server_number, at, died);
+        for id in attempts {
+            let conn = self.attempts[id as usize].conn;
+            self.attempts[id as usize].state = AttemptState::Down;
+            self.send_down(conn, Event::Answered(id, AttemptReply::Reset));
         }
         for conn in conns {
-            self.downward(conn, Event::ClosedDown(conn));
+            self.send_down(conn, Event::ServerClosed(conn));
         }
     }
 
-    /// A new breach of this server's that its machine does not outlive.
-    fn falls(&mut self, number: usize, violations_before: usize) {
-        let ident = self.machines[number].ident;
-        let fell = self.rules.violations()[violations_before..]
-            .iter()
-            .any(|record| record.server == ident && matches!(record.violation, Violation::Fell(_)));
+    /// Crashes the machine if the server violated a rule that it doesn't survive.
+    fn crash_if_overloaded(&mut self, number: usize, violations_before: usize) {
+        let server_number = self.machines[number].server_number;
+        let fell = self.rules.violations()[violations_before..].iter().any(|record| {
+            record.server == server_number && matches!(record.violation, Violation::Overloaded(_))
+        });
         if !fell {
             return;
         }
@@ -173,147 +174,147 @@
         }
     }
 
-    /// A try reaches its machine.
-    pub(super) fn reaches(&mut self, id: TryId) {
-        let one = &self.tries[id as usize];
-        let (conn, number) = (one.conn, one.machine as usize);
-        let way = &self.conns[conn as usize];
+    /// Handles the arrival of an attempt at its machine.
+    pub(super) fn arrive(&mut self, id: AttemptId) {
+        let attempt = &self.attempts[id as usize];
+        let (conn, number) = (attempt.conn, attempt.machine as usize);
+        let connection = &self.conns[conn as usize];
         let machine = &mut self.machines[number];
-        let here = machine.up && machine.life == way.life;
+        let here = machine.up && machine.incarnation == connection.incarnation;
         let room = machine.cores.reading()
             < (self.scenario.backlog_per_core * self.scenario.machines[number].cores) as usize;
-        if !here || !way.accepted && !room {
-            // A connection that was never made proves that nothing ran.
-            let got = if way.accepted { Got::Reset } else { Got::Unreached };
-            self.tries[id as usize].place = Place::Down;
-            return self.downward(conn, Event::Answered(id, got));
+        if !here || !connection.accepted && !room {
+            // A connection that was never accepted proves that nothing ran.
+            let got = if connection.accepted { AttemptReply::Reset } else { AttemptReply::NotConnected };
+            self.attempts[id as usize].state = AttemptState::Down;
+            return self.send_down(conn, Event::Answered(id, got));
         }
         machine.cores.advance(self.now);
         machine.cores.read(id, self.read_s);
         machine.at.insert(id);
-        let one = &mut self.tries[id as usize];
-        (one.came, one.place) = (self.now, Place::Unread);
-        self.tell(id, |trace, now| trace.arrived = Some(now));
+        let attempt = &mut self.attempts[id as usize];
+        (attempt.came, attempt.state) = (self.now, AttemptState::Unread);
+        self.update_trace(id, |trace, now| trace.arrived = Some(now));
         if !std::mem::replace(&mut self.conns[conn as usize].accepted, true) {
             let machine = &mut self.machines[number];
             machine.conns.insert(conn);
             machine.inputs.push(Input::ConnectionOpened(conn));
-            self.settle(number);
+            self.run_node(number);
         }
         self.plan_cores(number);
     }
 
-    /// It was read.
-    fn read(&mut self, number: usize, id: TryId) {
+    /// Handles a request that the cores finished reading.
+    fn read(&mut self, number: usize, id: AttemptId) {
         self.reads += 1;
-        let one = &mut self.tries[id as usize];
-        if self.conns[one.conn as usize].closed {
-            // Its connection ended while it waited unread.
-            one.place = Place::Over;
+        let attempt = &mut self.attempts[id as usize];
+        if self.conns[attempt.conn as usize].closed {
+            // The connection was closed while the request waited to be read.
+            attempt.state = AttemptState::Over;
             self.machines[number].at.remove(&id);
             return;
         }
-        one.place = Place::Held;
-        let request = &self.requests[one.request as usize];
+        attempt.state = AttemptState::Held;
+        let request = &self.requests[attempt.request as usize];
         let class = request.class as usize;
         let window = self.scenario.classes[class].class.window_ms;
-        let came_ms = one.came / MS;
+        let came_ms = attempt.came / MS;
         let call = ClientRequest {
             id: RequestId::new(&format!("{id:016x}")),
             class: class.into(),
             tenant: Some((request.tenant as usize).into()),
-            client_proxy: u64::from(self.conns[one.conn as usize].proxy),
+            client_proxy: u64::from(self.conns[attempt.conn as usize].proxy),
             arrived_unix_ms: EPOCH_MS + came_ms,
-            budget_ms: one.budget_ms,
-            retry: one.retry,
+            budget_ms: attempt.budget_ms,
+            retry: attempt.retry,
             size_kb: request.size_kb,
             precedence: request.rank,
-            idempotency_key: window.map(|_| Arc::from(format!("{:032x}", one.request))),
+            idempotency_key: window.map(|_| Arc::from(format!("{:032x}", attempt.request))),
             has_subject: false,
-            body: self.pool.exact(&one.request.to_be_bytes()).unwrap_or_else(|| self.pool.take()),
+            body: self.pool.exact(&attempt.request.to_be_bytes()).unwrap_or_else(|| self.pool.take()),
         };
-        let (conn, told_left, size_kb) = (one.conn, one.told_left, request.size_kb);
-        let key = window.map(|window| (u64::from(one.request), window));
+        let (conn, server_notified, size_kb) = (attempt.conn, attempt.server_notified, request.size_kb);
+        let key = window.map(|window| (u64::from(attempt.request), window));
         let machine = &mut self.machines[number];
-        // One that was read only after its time is answered at once.
+        // A request read after its deadline needs an answer immediately.
         let due = (came_ms + call.budget_ms).max(self.now / MS);
-        self.rules.read(machine.ident, u64::from(id), came_ms, due, key);
+        self.rules.read(machine.server_number, u64::from(id), came_ms, due, key);
         machine.inputs.push(Input::Request {
             connection: conn,
             sequence: id as i32,
             request: Box::new(call),
         });
         machine.held_kb += size_kb;
-        self.tell(id, |trace, now| trace.read = Some(now));
-        if told_left {
-            self.hears_cancel(number, id);
+        self.update_trace(id, |trace, now| trace.read = Some(now));
+        if server_notified {
+            self.deliver_cancel(number, id);
         }
-        self.book(number);
+        self.update_memory(number);
     }
 
-    /// Word that nobody waits for a try.
-    pub(super) fn cancelled(&mut self, id: TryId) {
-        let one = &mut self.tries[id as usize];
-        one.told_left = true;
-        let (number, conn, place) = (one.machine as usize, one.conn, one.place);
+    /// Handles the cancellation of an attempt at the machine.
+    pub(super) fn cancel_arrives(&mut self, id: AttemptId) {
+        let attempt = &mut self.attempts[id as usize];
+        attempt.server_notified = true;
+        let (number, conn, state) = (attempt.machine as usize, attempt.conn, attempt.state);
         let machine = &mut self.machines[number];
-        if !machine.up || machine.life != self.conns[conn as usize].life {
+        if !machine.up || machine.incarnation != self.conns[conn as usize].incarnation {
             return;
         }
-        if place == Place::Unread {
-            // What waits to be read and is wanted no more is never read.
+        if state == AttemptState::Unread {
+            // A cancelled request that was not read yet is never read.
             if machine.cores.forget(id) {
                 machine.at.remove(&id);
-                self.tries[id as usize].place = Place::Over;
+                self.attempts[id as usize].state = AttemptState::Over;
             }
             return;
         }
-        self.hears_cancel(number, id);
-        self.settle(number);
+        self.deliver_cancel(number, id);
+        self.run_node(number);
     }
 
-    fn hears_cancel(&mut self, number: usize, id: TryId) {
-        let one = &self.tries[id as usize];
-        self.machines[number].inputs.push(Input::Cancel { connection: one.conn, sequence: id as i32 });
-        if one.place == Place::Held {
-            self.leaves(number, id);
+    fn deliver_cancel(&mut self, number: usize, id: AttemptId) {
+        let attempt = &self.attempts[id as usize];
+        self.machines[number].inputs.push(Input::Cancel { connection: attempt.conn, sequence: id as i32 });
+        if attempt.state == AttemptState::Held {
+            self.release_cancelled(number, id);
         }
     }
 
-    /// The server knows that nobody waits for a try that it holds.
-    fn leaves(&mut self, number: usize, id: TryId) {
-        let one = &mut self.tries[id as usize];
-        one.place = Place::Over;
-        let (runs, request) = (one.runs, one.request as usize);
+    /// The server learned that the client no longer waits for an attempt.
+    fn release_cancelled(&mut self, number: usize, id: AttemptId) {
+        let attempt = &mut self.attempts[id as usize];
+        attempt.state = AttemptState::Over;
+        let (runs, request) = (attempt.runs, attempt.request as usize);
         let machine = &mut self.machines[number];
         machine.at.remove(&id);
         if !runs {
             machine.held_kb -= self.requests[request].size_kb;
         }
-        self.rules.gone(u64::from(id));
+        self.rules.cancelled(u64::from(id));
     }
 
-    /// A client proxy's close reaches the server.
-    pub(super) fn closed_up(&mut self, conn: u64) {
-        let way = &self.conns[conn as usize];
-        let (number, life) = (way.machine as usize, way.life);
+    /// Handles the close of a connection by its client proxy.
+    pub(super) fn client_closed(&mut self, conn: u64) {
+        let connection = &self.conns[conn as usize];
+        let (number, incarnation) = (connection.machine as usize, connection.incarnation);
         let machine = &mut self.machines[number];
-        if machine.up && machine.life == life && machine.conns.remove(&conn) {
+        if machine.up && machine.incarnation == incarnation && machine.conns.remove(&conn) {
             machine.inputs.push(Input::ConnectionClosed(conn));
             self.conns[conn as usize].closed = true;
-            // Nobody waits for what was still open on it: a caller that gave up without a word.
-            let tries = &self.tries;
-            let held = |id: &&TryId| {
-                let one = &tries[**id as usize];
-                one.conn == conn && one.place == Place::Held
+            // Requests still open on the connection were abandoned by a client that sent no cancellation.
+            let attempts = &self.attempts;
+            let held = |id: &&AttemptId| {
+                let attempt = &attempts[**id as usize];
+                attempt.conn == conn && attempt.state == AttemptState::Held
             };
-            let open: Vec<TryId> = self.machines[number].at.iter().filter(held).copied().collect();
-            open.into_iter().for_each(|id| self.leaves(number, id));
-            self.settle(number);
+            let open: Vec<AttemptId> = self.machines[number].at.iter().filter(held).copied().collect();
+            open.into_iter().for_each(|id| self.release_cancelled(number, id));
+            self.run_node(number);
         }
     }
 
-    /// Something may be done on the cores.
+    /// Handles work that the cores finished.
     pub(super) fn cores(&mut self, number: usize) {
         let machine = &mut self.machines[number];
         if machine.cores_at == self.now {
@@ -335,20 +336,20 @@
             }
         }
         if any {
-            self.settle(number);
+            self.run_node(number);
         } else {
             self.plan_cores(number);
         }
     }
 
-    fn ran(&mut self, number: usize, id: TryId) {
-        let one = &mut self.tries[id as usize];
-        one.runs = false;
-        let took = Span(self.now - one.began);
-        let request = &self.requests[one.request as usize];
+    fn ran(&mut self, number: usize, id: AttemptId) {
+        let attempt = &mut self.attempts[id as usize];
+        attempt.runs = false;
+        let took = Span(self.now - attempt.began);
+        let request = &self.requests[attempt.request as usize];
         let (size_kb, work_s, done) = (request.size_kb, request.work_s, request.done);
-        let ident = self.machines[number].ident;
-        let result = self.pool.exact(&one.request.to_be_bytes()).unwrap_or_else(|| self.pool.take());
+        let server_number = self.machines[number].server_number;
+        let result = self.pool.exact(&attempt.request.to_be_bytes()).unwrap_or_else(|| self.pool.take());
         let machine = &mut self.machines[number];
         machine.running_kb -= size_kb * self.scenario.run_factor;
         machine.notices += 1;
@@ -356,25 +357,25 @@
         let (notice, end) = (machine.notices, RunEnd::Ok);
         machine.inputs.push(Input::RunCompleted { notice, id: id_text, end, took, result });
         if done {
-            // Whoever asked has the answer already, or waits no more.
+            // The client already has an answer, or has given up.
             self.service.wasted(run_work(work_s, self.read_s) * 1e3);
         }
-        self.rules.ended(ident, self.now / MS);
-        self.tell(id, |trace, now| trace.ended = Some(now));
-        self.book(number);
+        self.rules.ended(server_number, self.now / MS);
+        self.update_trace(id, |trace, now| trace.ended = Some(now));
+        self.update_memory(number);
     }
 
-    /// The server has something to do.
+    /// Handles the wake-up time of a node.
     pub(super) fn wake(&mut self, number: usize) {
         let machine = &mut self.machines[number];
         if machine.wake_at == self.now {
             machine.wake_at = At::MAX;
         }
-        self.settle(number);
+        self.run_node(number);
     }
 
-    /// Steps a node until nothing more happens at this moment.
-    pub(super) fn settle(&mut self, number: usize) {
+    /// Steps a node until it has no more input at this point in time.
+    pub(super) fn run_node(&mut self, number: usize) {
         for _ in 0..MOST_STEPS {
             let machine = &mut self.machines[number];
             if !machine.up || machine.paused {
@@ -404,10 +405,10 @@
                 return self.plan_cores(number);
             }
         }
-        self.watch.unsettled.push((self.now / MS, number));
+        self.counters.unsettled.push((self.now / MS, number));
     }
 
-    /// Has the cores looked at when something is done there next.
+    /// Plans the next check of the cores.
     pub(super) fn plan_cores(&mut self, number: usize) {
         let machine = &mut self.machines[number];
         if let Some(at) = machine.cores.next_at().filter(|at| *at < machine.cores_at) {
@@ -416,24 +417,24 @@
         }
     }
 
-    /// Counts the memory; a machine that is full does not outlive it.
-    fn book(&mut self, number: usize) {
+    /// Updates the memory in use; a machine whose memory is full crashes.
+    fn update_memory(&mut self, number: usize) {
         let (now, kept) = (self.now, self.scenario.key_kb);
         let machine = &mut self.machines[number];
         while machine.keys.peek().is_some_and(|Reverse(at)| *at <= now) {
             machine.keys.pop();
             machine.keys_kb -= kept;
         }
-        let (ident, kb) = (machine.ident, machine.memory_kb());
+        let (server_number, kb) = (machine.server_number, machine.memory_kb());
         let violations_before = self.rules.violations().len();
-        self.rules.memory(ident, now / MS, kb);
-        self.falls(number, violations_before);
+        self.rules.memory(server_number, now / MS, kb);
+        self.crash_if_overloaded(number, violations_before);
     }
 
     fn effect(&mut self, number: usize, effect: Effect) {
         match effect {
             Effect::Respond { connection: conn, sequence: seq, response: answer, capacity_hint: level } => {
-                self.answers(number, conn, seq as TryId, answer, level)
+                self.answers(number, conn, seq as AttemptId, answer, level)
             }
             Effect::StartRun { id, .. } => {
                 if let Ok(id) = u32::from_str_radix(&id.0, 16) {
@@ -447,13 +448,13 @@
                 let gauges = vec![machine.cores.cpu_utilization(), machine.cores.runnable(), heap, links];
                 machine.inputs.push(Input::GaugesRead { number: tag, values: gauges });
             }
-            Effect::RequestDrain(conn) => self.downward(conn, Event::Draining(conn)),
+            Effect::RequestDrain(conn) => self.send_down(conn, Event::Draining(conn)),
             Effect::CloseIdleConnection { connection: conn, messages_received: taken } => {
-                // Only what the server has taken in was sent: nothing is under way on it.
-                let way = &self.conns[conn as usize];
-                if way.sent == taken && self.machines[number].conns.remove(&conn) {
+                // All messages sent on the connection were received, so none is in flight.
+                let connection = &self.conns[conn as usize];
+                if connection.sent == taken && self.machines[number].conns.remove(&conn) {
                     self.machines[number].inputs.push(Input::ConnectionClosed(conn));
-                    self.downward(conn, Event::ClosedDown(conn));
+                    self.send_down(conn, Event::ServerClosed(conn));
                 }
             }
             Effect::ReconnectProcessor { .. } => {
@@ -464,7 +465,7 @@
                 machine.inputs.extend([Input::LinkDown, Input::LinkUp { link, cold: false, age }]);
             }
             Effect::ReportReadiness { ready } => self.reported(number, ready),
-            Effect::AskRegistry(ask) => self.asks_registry(number, ask),
+            Effect::AskRegistry(request) => self.asks_registry(number, request),
             Effect::Exit => {
                 self.stop(number, false);
                 self.start(number, true);
@@ -473,44 +474,44 @@
         }
     }
 
-    fn answers(&mut self, number: usize, conn: u64, id: TryId, answer: Response, level: Option<f64>) {
+    fn answers(&mut self, number: usize, conn: u64, id: AttemptId, answer: Response, level: Option<f64>) {
         let got = match answer {
-            Response::Served(_) => Got::Served(level),
+            Response::Served(_) => AttemptReply::Served(level),
             Response::Rejected { retry_after: backoff, no_failover: last } => {
-                self.watch.now.refused += 1;
-                Got::Refused { away: backoff.0, last, level }
+                self.counters.now.refused += 1;
+                AttemptReply::Refused { away: backoff.0, last, level }
             }
             Response::Failed { .. } | Response::OutcomeUnknown | Response::Invalid { .. } => {
-                self.watch.now.failed += 1;
-                Got::Failed(level)
+                self.counters.now.failed += 1;
+                AttemptReply::Failed(level)
             }
             Response::Health { .. } => return,
         };
-        self.rules.answered(u64::from(id), self.now / MS, matches!(got, Got::Refused { .. }));
-        let one = &mut self.tries[id as usize];
-        let held = one.place == Place::Held;
-        let (runs, request) = (one.runs, one.request as usize);
+        self.rules.answered(u64::from(id), self.now / MS, matches!(got, AttemptReply::Refused { .. }));
+        let attempt = &mut self.attempts[id as usize];
+        let held = attempt.state == AttemptState::Held;
+        let (runs, request) = (attempt.runs, attempt.request as usize);
         let machine = &mut self.machines[number];
         machine.at.remove(&id);
         if held {
-            self.tries[id as usize].place = Place::Down;
-            if !runs && !self.tries[id as usize].began_once() {
+            self.attempts[id as usize].state = AttemptState::Down;
+            if !runs && !self.attempts[id as usize].began_once() {
                 machine.held_kb -= self.requests[request].size_kb;
             }
         }
-        self.tell(id, |trace, now| {
+        self.update_trace(id, |trace, now| {
             (trace.answered, trace.outcome) = (Some(now), super::AttemptOutcome::of(&got))
         });
-        self.downward(conn, Event::Answered(id, got));
+        self.send_down(conn, Event::Answered(id, got));
     }
 
-    fn begins(&mut self, number: usize, id: TryId) {
-        let one = &mut self.tries[id as usize];
-        let request = &self.requests[one.request as usize];
+    fn begins(&mut self, number: usize, id: AttemptId) {
+        let attempt = &mut self.attempts[id as usize];
+        let request = &self.requests[attempt.request as usize];
         let (size_kb, work_s) = (request.size_kb, request.work_s);
         let keyed = self.scenario.classes[request.class as usize].class.window_ms;
-        let (was_held, came) = (one.place == Place::Held, one.came);
-        (one.began, one.runs) = (self.now, true);
+        let (was_held, came) = (attempt.state == AttemptState::Held, attempt.came);
+        (attempt.began, attempt.runs) = (self.now, true);
         let machine = &mut self.machines[number];
         machine.cores.run(id, run_work(work_s, self.read_s));
         if was_held {
@@ -518,18 +519,18 @@
         }
         machine.running_kb += size_kb * self.scenario.run_factor;
         if let Some(window) = keyed {
-            // The window counts from when it came.
+            // The window starts at the arrival of the attempt.
             machine.keys.push(Reverse(came + window * MS));
             machine.keys_kb += self.scenario.key_kb;
         }
-        let (ident, warmth) = (machine.ident, machine.cores.warmth());
+        let (server_number, warmth) = (machine.server_number, machine.cores.warmth());
         let violations_before = self.rules.violations().len();
-        self.rules.warmth(ident, warmth);
+        self.rules.warmth(server_number, warmth);
         self.rules.began(u64::from(id), self.now / MS);
-        self.tell(id, |trace, now| trace.started = Some(now));
-        self.falls(number, violations_before);
+        self.update_trace(id, |trace, now| trace.started = Some(now));
+        self.crash_if_overloaded(number, violations_before);
         if self.machines[number].up {
-            self.book(number);
+            self.update_memory(number);
         }
     }
 }
--- a/crates/model/src/world/mod.rs
+++ b/crates/model/src/world/mod.rs
@@ -1,7 +1,8 @@
-//! The engine: a day in virtual time, with real servers, or others, and all that surrounds them.
+//! Simulation engine: plays a scenario in virtual time, with real servers or comparison policies.
 //!
-//! One queue of events, one after another. What a server decides is its node's, what a client proxy decides its proxy's; the world
-//! moves what passes between them, keeps the books of tries, and tells the account what happened.
+//!
+//! All events go through one queue. The node of a server makes its decisions, and a client proxy its own; the world
+//! carries messages between them, tracks the attempts, and reports the events to the service counter and the rules.
 
 mod clients;
 mod discovery;
@@ -18,11 +19,11 @@
 use crate::proxy::Proxy;
 use crate::queue::{At, Calendar, Queue, nanos};
 use crate::scenario::{DiscoverySpec, Scenario};
-use crate::service_report::rules::{Figures, RuleChecker};
+use crate::service_report::rules::{RuleChecker, RuleLimits};
 use crate::service_report::service::ServiceCounter;
 use crate::service_report::{Ms, TermsError};
 use crate::streams::Streams;
-use clients::{Conn, Request, Try};
+use clients::{Attempt, Conn, Request};
 use gradepin_core::buffer_pool::BufferPool;
 use gradepin_core::messages::Effect;
 use gradepin_core::registration::Registration;
@@ -32,38 +33,38 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Nanoseconds of a millisecond and of a second.
+/// Nanoseconds per millisecond.
 pub const MS: At = 1_000_000;
-/// See [`MS`].
+/// Nanoseconds per second.
 pub const S: At = 1_000 * MS;
-/// What the Unix clocks show as the day begins.
+/// Unix time in milliseconds at the start of a scenario.
 const EPOCH_MS: u64 = 1_760_000_000_000;
-/// Events in a day at the most, for each first try and each second of each server: a day that never ends is told.
+/// Limit of events per first attempt and per server and second; a scenario that exceeds it is reported as endless.
 const MOST_EVENTS: u64 = 2_000;
 
-/// Why a day can't be played.
+/// Reason why a scenario can't be played.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum ScenarioError {
-    /// Its terms don't count.
+    /// Invalid parameters of the score.
     #[error(transparent)]
     Terms(#[from] TermsError),
-    /// There is nobody to play it.
+    /// The scenario lacks machines, client proxies, classes or tenants.
     #[error("expected at least one {0}")]
-    Nobody(&'static str),
-    /// A trouble on a machine that there isn't.
+    Empty(&'static str),
+    /// A fault names a machine that doesn't exist.
     #[error("expected machines 0 to {last}, got a trouble on {got}")]
     Machine {
-        /// The last one.
+        /// Largest valid machine number.
         last: usize,
-        /// What was told.
+        /// Machine number of the fault.
         got: usize,
     },
-    /// It never came to an end.
+    /// The event limit was reached.
     #[error("expected an end after {0} events")]
     Endless(u64),
 }
 
-/// In which order what makes up the world is built. A day must not depend on it.
+/// Order in which the parts of the world are built. The result must not depend on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Order {
     /// First to last.
@@ -72,52 +73,53 @@
     Backward,
 }
 
-/// What makes the node of a server; the usual one hosts a policy's.
+/// Creates the node of a server at each start; the default creates nodes of a policy.
 pub type NodeFactory = Box<dyn Fn(&NodeFactories, Start, Registration) -> Box<dyn Node> + Send>;
 
-/// Names a try.
-type TryId = u32;
-/// Names a request.
+/// Index of an attempt.
+type AttemptId = u32;
+/// Index of a request.
 type RequestNo = u32;
 
 #[derive(Debug)]
 enum Event {
-    /// The next first try of an office.
-    Ask(usize),
-    /// A try reaches its machine, or word that nobody waits for it.
-    Reaches(TryId),
-    Cancelled(TryId),
-    /// A client proxy's close reaches the server.
-    ClosedUp(u64),
+    /// A tenant sends the next first attempt.
+    FirstAttempt(usize),
+    /// An attempt, or its cancellation, reaches the machine.
+    Arrives(AttemptId),
+    Cancelled(AttemptId),
+    /// The close of a connection by its client proxy reaches the server.
+    ClientClosed(u64),
     /// An answer, a reset or a refused connection reaches the client proxy.
-    Answered(TryId, Got),
-    /// A connection is to be drained, or is closed, at the client proxy.
+    Answered(AttemptId, AttemptReply),
+    /// The request to drain a connection, or its close, reaches the client proxy.
     Draining(u64),
-    ClosedDown(u64),
-    /// The client proxy waits no longer for a try; tries again; sends a second copy.
-    TimedOut(TryId),
-    Again(RequestNo),
-    Copy(RequestNo),
-    /// Something may be done on the cores; the server has something to do.
+    ServerClosed(u64),
+    /// At a client proxy: an attempt times out, a retry is due, a hedged request is due.
+    TimedOut(AttemptId),
+    Retry(RequestNo),
+    Hedge(RequestNo),
+    /// Work on the cores may be finished; the node's wake-up time is reached.
     Cores(usize),
     Wake(usize),
-    /// The list's keeper looks whether a server is silent; a proxy hears of a change.
-    Silent(usize),
-    Listed {
+    /// The list checks whether a server stopped reporting; a client proxy learns of a change.
+    CheckSilence(usize),
+    ListChange {
         proxy: usize,
         machine: usize,
         listed: bool,
         version: u32,
     },
-    /// A question reaches the registry; its reply reaches the server's life; a proxy fetches; and has fetched.
+    /// A request reaches the registry, its reply reaches the server's incarnation, a client proxy polls, a poll
+    /// completes.
     RegistryAsked {
         machine: usize,
-        life: u32,
-        ask: Box<gradepin_registry::membership::RegistryRequest>,
+        incarnation: u32,
+        request: Box<gradepin_registry::membership::RegistryRequest>,
     },
     RegistryReplied {
         machine: usize,
-        life: u32,
+        incarnation: u32,
         ticket: u64,
         reply: Box<gradepin_registry::membership::RegistryReply>,
     },
@@ -127,30 +129,30 @@
         fetch: gradepin_registry::view::Fetch,
         apps: Option<Box<gradepin_registry::instance::Applications>>,
     },
-    /// A trouble begins, goes on to its next step, or ends.
+    /// A fault starts or continues with its next step; a fault ends.
     Fault(usize, u32),
-    Eases(usize),
-    /// A machine's server is stopped, if it is still that life; one starts.
+    FaultEnds(usize),
+    /// Stops a machine's server if it is still the given incarnation; starts a server.
     Stops(usize, u32),
     NodeFactories(usize),
     /// A second has passed.
     Second(u32),
 }
 
-/// What reaches a client proxy for a try.
+/// Result of an attempt as it reaches the client proxy.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Got {
+enum AttemptReply {
     Served(Option<f64>),
     Refused { away: At, last: bool, level: Option<f64> },
     Failed(Option<f64>),
     Reset,
-    Unreached,
+    NotConnected,
 }
 
-/// A day that is played.
+/// A scenario being played.
 pub struct World {
     scenario: Arc<Scenario>,
-    /// First tries a second before the day's course, and at the most.
+    /// First attempts per second before the traffic shape is applied, and the largest rate.
     pace: f64,
     top_rate: f64,
     now: At,
@@ -159,38 +161,38 @@
     machines: Vec<Machine>,
     proxies: Vec<Proxy>,
     views: Vec<View>,
-    /// Versions of the list's entries as each proxy knows them.
+    /// Version of each list entry known to each client proxy.
     seen: Vec<Vec<u32>>,
     conns: Vec<Conn>,
-    /// Usable connections of each proxy to each machine.
-    ways: Vec<HashMap<u32, Vec<u64>>>,
+    /// Usable connections of each client proxy to each machine.
+    connections: Vec<HashMap<u32, Vec<u64>>>,
     requests: Vec<Request>,
-    tries: Vec<Try>,
+    attempts: Vec<Attempt>,
     traces: Option<Vec<AttemptTrace>>,
     entries: Vec<Entry>,
     registry: Registry,
-    /// Until when the roster's keeper is away.
+    /// The list service or registry is unreachable until this time.
     away_until: At,
     net: Net,
     starts: NodeFactories,
     node_factory: NodeFactory,
     service: ServiceCounter,
     rules: RuleChecker,
-    watch: outcome::Watch,
+    counters: outcome::Counters,
     pool: Arc<BufferPool>,
     effects: Vec<Effect>,
-    /// Random numbers of each office, proxy and machine.
+    /// Random number generators of each tenant, client proxy and machine.
     tenants: Vec<Pcg64Mcg>,
     proxy_rngs: Vec<Pcg64Mcg>,
     machine_rngs: Vec<Pcg64Mcg>,
-    /// Seconds of work of reading a request.
+    /// Seconds of work for reading a request.
     read_s: f64,
     reads: u64,
-    idents: u32,
+    last_server_number: u32,
 }
 
 impl World {
-    /// A day with servers of a kind.
+    /// Builds a scenario with servers of one policy.
     pub fn new(scenario: Scenario, kind: Kind) -> Result<Self, ScenarioError> {
         Self::with(
             scenario,
@@ -199,7 +201,7 @@
         )
     }
 
-    /// A day with nodes of any make, built in some order.
+    /// Builds a scenario with nodes from a factory, in the given order of construction.
     pub fn with(scenario: Scenario, node_factory: NodeFactory, order: Order) -> Result<Self, ScenarioError> {
         for (what, none) in [
             ("machine", scenario.machines.is_empty()),
@@ -207,7 +209,7 @@
             ("class and tenant", scenario.classes.is_empty() || scenario.tenants.is_empty()),
         ] {
             if none {
-                return Err(ScenarioError::Nobody(what));
+                return Err(ScenarioError::Empty(what));
             }
         }
         let last = scenario.machines.len() - 1;
@@ -216,11 +218,11 @@
         }
         let streams = Streams::new(scenario.seed);
         let weights: Vec<f64> = scenario.machines.iter().map(|machine| machine.weight).collect();
-        let proxies = built(scenario.proxies.len(), order, |n| {
+        let proxies = build_all(scenario.proxies.len(), order, |n| {
             Proxy::new(scenario.proxies[n].clone(), &weights, streams.of("proxy", n as u64))
         });
-        let machines = built(scenario.machines.len(), order, |n| Machine::down(&scenario, n));
-        let rngs = |kind: &str, count: usize| built(count, order, |n| streams.of(kind, n as u64));
+        let machines = build_all(scenario.machines.len(), order, |n| Machine::down(&scenario, n));
+        let rngs = |kind: &str, count: usize| build_all(count, order, |n| streams.of(kind, n as u64));
         let cache_ms = match scenario.discovery {
             DiscoverySpec::Registry { cache_s, .. } => (cache_s * 1e3) as u64,
             DiscoverySpec::List { .. } => 0,
@@ -236,9 +238,9 @@
             views: Vec::new(),
             seen: vec![vec![0; machines.len()]; proxies.len()],
             conns: Vec::new(),
-            ways: vec![HashMap::new(); proxies.len()],
+            connections: vec![HashMap::new(); proxies.len()],
             requests: Vec::new(),
-            tries: Vec::new(),
+            attempts: Vec::new(),
             traces: None,
             entries: vec![Entry::default(); machines.len()],
             registry: Registry::new(registry, EPOCH_MS),
@@ -247,8 +249,8 @@
             starts: NodeFactories::new(&scenario),
             node_factory,
             service: ServiceCounter::new(scenario.terms())?,
-            rules: RuleChecker::new(Figures::default()),
-            watch: outcome::Watch::new(&scenario),
+            rules: RuleChecker::new(RuleLimits::default()),
+            counters: outcome::Counters::new(&scenario),
             pool: BufferPool::new(64),
             effects: Vec::new(),
             tenants: rngs("office", scenario.tenants.len()),
@@ -256,7 +258,7 @@
             machine_rngs: rngs("machine-wire", machines.len()),
             read_s: scenario.read_share * scenario.mean_work_ms() / 1e3,
             reads: 0,
-            idents: 0,
+            last_server_number: 0,
             machines,
             proxies,
             scenario: Arc::new(scenario),
@@ -265,13 +267,13 @@
         Ok(world)
     }
 
-    /// Keeps the times of each try, to be told as stories.
+    /// Records the times of each attempt.
     pub fn record(&mut self) {
         self.traces = Some(Vec::new());
     }
 
-    /// The day begins: servers run and are known, and what comes by itself is planned. In the order of numbers, whatever was
-    /// built first.
+    /// Starts the servers and plans the first events, in the order of machine and tenant numbers whatever the order
+    /// of construction.
     fn open(&mut self) {
         for machine in 0..self.machines.len() {
             let spare = self.scenario.machines[machine].spare;
@@ -280,9 +282,9 @@
                 self.start(machine, false);
             }
         }
-        self.open_roster();
+        self.init_discovery();
         for tenant in 0..self.scenario.tenants.len() {
-            self.plan_ask(tenant);
+            self.plan_first_attempt(tenant);
         }
         for number in 0..self.scenario.faults.len() {
             let at = (self.scenario.faults[number].at_s * 1e9) as At;
@@ -295,13 +297,13 @@
         self.now / MS
     }
 
-    /// When the day ends: once all that was asked for has its end, and a little later for what is still under way. Servers would
-    /// go on for ever.
+    /// Time at which the simulation ends: every request has ended, and messages under way had a second to arrive.
+    /// Servers alone would never stop.
     pub fn end(&self) -> At {
         nanos(self.scenario.seconds) + (self.scenario.longest_ms() + 1_000) * MS
     }
 
-    /// Plays the day to its end.
+    /// Plays the scenario to its end.
     pub fn play(mut self) -> Result<Outcome, ScenarioError> {
         let end = self.end();
         let seconds = (end / S + 1) * self.machines.len() as u64;
@@ -314,7 +316,7 @@
         Ok(self.finish())
     }
 
-    /// One event, if any is left before `end`.
+    /// Handles the next event; returns false if none is left before `end`.
     pub fn step(&mut self, end: At) -> bool {
         let Some((at, event)) = self.queue.pop().filter(|(at, _)| *at <= end) else { return false };
         self.now = at;
@@ -325,33 +327,37 @@
 
     fn carry_out(&mut self, event: Event) {
         match event {
-            Event::Ask(tenant) => self.ask(tenant),
-            Event::Reaches(id) => self.reaches(id),
-            Event::Cancelled(id) => self.cancelled(id),
-            Event::ClosedUp(conn) => self.closed_up(conn),
+            Event::FirstAttempt(tenant) => self.first_attempt(tenant),
+            Event::Arrives(id) => self.arrive(id),
+            Event::Cancelled(id) => self.cancel_arrives(id),
+            Event::ClientClosed(conn) => self.client_closed(conn),
             Event::Answered(id, got) => self.answered(id, got),
             Event::Draining(conn) => self.draining(conn),
-            Event::ClosedDown(conn) => self.no_more(conn),
+            Event::ServerClosed(conn) => self.retire_connection(conn),
             Event::TimedOut(id) => self.timed_out(id),
-            Event::Again(request) => {
+            Event::Retry(request) => {
                 self.requests[request as usize].pending = false;
-                self.attempt(request);
+                self.start_attempt(request);
             }
-            Event::Copy(request) => self.second_copy(request),
+            Event::Hedge(request) => self.hedge(request),
             Event::Cores(machine) => self.cores(machine),
             Event::Wake(machine) => self.wake(machine),
-            Event::Silent(machine) => self.silent(machine),
-            Event::Listed { proxy, machine, listed, version } => self.hears(proxy, machine, listed, version),
-            Event::RegistryAsked { machine, life, ask } => self.registry_asked(machine, life, *ask),
-            Event::RegistryReplied { machine, life, ticket, reply } => {
-                self.registry_replied(machine, life, ticket, *reply)
+            Event::CheckSilence(machine) => self.check_silence(machine),
+            Event::ListChange { proxy, machine, listed, version } => {
+                self.list_change(proxy, machine, listed, version)
+            }
+            Event::RegistryAsked { machine, incarnation, request } => {
+                self.registry_asked(machine, incarnation, *request)
+            }
+            Event::RegistryReplied { machine, incarnation, ticket, reply } => {
+                self.registry_replied(machine, incarnation, ticket, *reply)
             }
             Event::Fetches(proxy) => self.fetches(proxy),
             Event::Fetched { proxy, fetch, apps } => self.fetched(proxy, fetch, apps.as_deref()),
             Event::Fault(number, step) => self.fault(number, step),
-            Event::Eases(number) => self.eases(number),
-            Event::Stops(machine, life) => {
-                if self.machines[machine].life == life {
+            Event::FaultEnds(number) => self.fault_ends(number),
+            Event::Stops(machine, incarnation) => {
+                if self.machines[machine].incarnation == incarnation {
                     self.stop(machine, false);
                     self.start(machine, true);
                 }
@@ -362,7 +368,7 @@
     }
 }
 
-fn built<T>(count: usize, order: Order, make: impl Fn(usize) -> T) -> Vec<T> {
+fn build_all<T>(count: usize, order: Order, make: impl Fn(usize) -> T) -> Vec<T> {
     match order {
         Order::Forward => (0..count).map(make).collect(),
         Order::Backward => {
--- a/crates/model/src/world/outcome.rs
+++ b/crates/model/src/world/outcome.rs
@@ -1,102 +1,102 @@
-//! What is kept of a day beside the account: the course of each second, counts, and the stories of tries.
+//! Results besides the service report: counters for each second, totals, and traces of attempts.
 
-use super::{Event, Got, MS, S, World};
+use super::{AttemptReply, Event, MS, S, World};
 use crate::queue::{At, Queue};
 use crate::scenario::Scenario;
 use crate::service_report::rules::{SlowStart, ViolationRecord};
 use crate::service_report::service::{Report, Sum};
 use serde::{Deserialize, Serialize};
 
-/// A second of the whole fleet.
+/// Counters of the whole fleet for one second.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Second {
-    /// Runs, and requests that were read or wait to be read, as it ends.
+    /// Concurrent runs at the end of the second.
     pub running: u64,
-    /// See `running`.
+    /// Requests at the servers that are waiting or not read yet, at the end of the second.
     pub waiting: u64,
     /// Servers that are up.
     pub up: u64,
-    /// First tries, all tries, and requests answered with a result.
+    /// First attempts.
     pub asked: u64,
-    /// See `asked`.
+    /// All attempts.
     pub tries: u64,
-    /// See `asked`.
+    /// Requests answered with a result.
     pub served: u64,
-    /// Tries that came to nothing: turned away by a server, failed by one, timed out.
+    /// Attempts rejected by a server.
     pub refused: u64,
-    /// See `refused`.
+    /// Attempts failed by a server.
     pub failed: u64,
-    /// See `refused`.
+    /// Attempts that timed out.
     pub timed_out: u64,
-    /// What client proxies didn't send: to be stayed away from, below the level, no server left.
+    /// Requests not sent because of a Retry-After.
     pub away: u64,
-    /// See `away`.
+    /// Requests not sent because their precedence was below the server's threshold.
     pub below_level: u64,
-    /// See `away`.
+    /// Requests not sent because no listed server was left.
     pub exhausted: u64,
     /// Requests given up.
     pub given_up: u64,
 }
 
-/// A day's course, second by second.
+/// Results of each second.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Course {
-    /// Of the fleet.
+    /// Counters of the fleet.
     pub seconds: Vec<Second>,
-    /// Worth asked for and earned by first tries of each second: by class, and by office.
+    /// Priority weight requested and earned by the first attempts of each second, by class.
     pub classes: Vec<Vec<Sum>>,
-    /// See `classes`.
+    /// Same by tenant.
     #[serde(rename = "offices")]
     pub tenants: Vec<Vec<Sum>>,
 }
 
-/// What became of a try, for a story.
+/// Answer to an attempt.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptOutcome {
     /// No answer was sent.
     #[default]
     Open,
-    /// Served.
+    /// A result.
     Served,
-    /// Turned away.
+    /// A rejection.
     Refused,
-    /// Failed.
+    /// An error.
     Failed,
 }
 
 impl AttemptOutcome {
-    pub(super) fn of(got: &Got) -> Self {
+    pub(super) fn of(got: &AttemptReply) -> Self {
         match got {
-            Got::Served(_) => Self::Served,
-            Got::Refused { .. } => Self::Refused,
+            AttemptReply::Served(_) => Self::Served,
+            AttemptReply::Refused { .. } => Self::Refused,
             _ => Self::Failed,
         }
     }
 }
 
-/// A try's life: nanoseconds from the day's beginning.
+/// Times of an attempt, in nanoseconds from the start of the scenario.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct AttemptTrace {
-    /// Its request and its machine.
+    /// Index of the request.
     pub request: u32,
-    /// See `request`.
+    /// Machine that the attempt was sent to.
     pub machine: u32,
-    /// Sent by its client proxy.
+    /// Sent by the client proxy.
     pub sent: At,
-    /// At the machine, read, begun, ended, answered.
+    /// Arrived at the machine.
     #[serde(rename = "came")]
     pub arrived: Option<At>,
-    /// See `came`.
+    /// Read by the server.
     pub read: Option<At>,
-    /// See `came`.
+    /// Started to run.
     #[serde(rename = "began")]
     pub started: Option<At>,
-    /// See `came`.
+    /// Run ended.
     pub ended: Option<At>,
-    /// See `came`.
+    /// Answered by the server.
     pub answered: Option<At>,
-    /// With what.
+    /// Kind of answer.
     #[serde(rename = "got")]
     pub outcome: AttemptOutcome,
 }
@@ -107,39 +107,39 @@
     }
 }
 
-/// What a day came to.
+/// Result of a scenario.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Outcome {
-    /// The day's seed.
+    /// Seed of the scenario.
     pub seed: u64,
-    /// The account.
+    /// Service report.
     pub report: Report,
-    /// Rules that were broken.
+    /// Rule violations.
     #[serde(rename = "broken")]
     pub violations: Vec<ViolationRecord>,
-    /// What cold servers were given, beside their budget.
+    /// Load of servers in slow start, relative to their budget.
     #[serde(default)]
     pub slow_start: SlowStart,
-    /// Events that were played.
+    /// Number of events handled.
     pub events: u64,
-    /// Totals of the whole day.
+    /// Totals of the scenario; `running`, `waiting` and `up` are maxima.
     pub total: Second,
-    /// Further tries and second copies among the tries.
+    /// Retries and hedged requests among the attempts.
     pub retries: u64,
-    /// Machines whose server never came to rest at one moment, with the time in ms. There are none.
+    /// Nodes that exceeded the step limit at one point in time: milliseconds and machine. Expected to be empty.
     #[serde(rename = "restless")]
     pub unsettled: Vec<(u64, usize)>,
-    /// Second by second.
+    /// Results of each second.
     pub course: Course,
-    /// Each try's life, where that was asked for.
+    /// Trace of each attempt, if recorded.
     #[serde(skip)]
     pub traces: Vec<AttemptTrace>,
 }
 
-/// What is counted while a day is played.
+/// Counters kept while a scenario is played.
 #[derive(Debug)]
-pub(super) struct Watch {
-    /// Counts of the second that goes on.
+pub(super) struct Counters {
+    /// Counters of the current second.
     pub now: Second,
     total: Second,
     retries: u64,
@@ -147,7 +147,7 @@
     seconds: Vec<Second>,
 }
 
-impl Watch {
+impl Counters {
     pub fn new(scenario: &Scenario) -> Self {
         let seconds = Vec::with_capacity(scenario.seconds as usize + 8);
         Self { now: Second::default(), total: Second::default(), retries: 0, unsettled: Vec::new(), seconds }
@@ -179,10 +179,10 @@
 }
 
 impl World {
-    /// A second has passed.
+    /// Closes the current second and plans the next.
     pub(super) fn second(&mut self, number: u32) {
         self.close_second();
-        self.rules.pass(self.now / MS);
+        self.rules.advance(self.now / MS);
         if self.now < self.end() {
             self.queue.push(self.now + S, Event::Second(number + 1));
         }
@@ -192,7 +192,7 @@
         let running: usize = self.machines.iter().filter(|m| m.up).map(|m| m.cores.running()).sum();
         let there: usize = self.machines.iter().filter(|m| m.up).map(|m| m.at.len()).sum();
         let up = self.machines.iter().filter(|machine| machine.up).count();
-        self.watch.close(running as u64, there.saturating_sub(running) as u64, up as u64);
+        self.counters.close(running as u64, there.saturating_sub(running) as u64, up as u64);
     }
 
     pub(super) fn trace(&mut self, make: impl FnOnce(At) -> AttemptTrace) {
@@ -202,19 +202,19 @@
         }
     }
 
-    pub(super) fn tell(&mut self, id: u32, change: impl FnOnce(&mut AttemptTrace, At)) {
+    pub(super) fn update_trace(&mut self, id: u32, change: impl FnOnce(&mut AttemptTrace, At)) {
         let now = self.now;
         if let Some(trace) = self.traces.as_mut().and_then(|traces| traces.get_mut(id as usize)) {
             change(trace, now);
         }
     }
 
-    /// Closes the books.
+    /// Computes the result.
     pub(super) fn finish(mut self) -> Outcome {
-        self.rules.pass(self.now / MS + 1_000);
+        self.rules.advance(self.now / MS + 1_000);
         self.close_second();
-        // Reading is work too; only that of the tries which brought an answer was of use.
-        let useless = self.reads.saturating_sub(self.watch.total.served);
+        // Reading is work too; it is of use only for attempts that brought a result.
+        let useless = self.reads.saturating_sub(self.counters.total.served);
         self.service.wasted(useless as f64 * self.read_s * 1e3);
         let (classes, tenants) = self.service.seconds();
         Outcome {
@@ -223,10 +223,10 @@
             violations: self.rules.violations().to_vec(),
             slow_start: self.rules.slow_start(),
             events: self.events,
-            total: self.watch.total,
-            retries: self.watch.retries,
-            unsettled: self.watch.unsettled,
-            course: Course { seconds: self.watch.seconds, classes, tenants },
+            total: self.counters.total,
+            retries: self.counters.retries,
+            unsettled: self.counters.unsettled,
+            course: Course { seconds: self.counters.seconds, classes, tenants },
             traces: self.traces.unwrap_or_default(),
         }
     }
--- a/crates/model/tests/days.rs
+++ b/crates/model/tests/days.rs
@@ -29,16 +29,16 @@
                 &[&retry_policies[..], &[("troubles", FAULT_KINDS), ("trouble_count", "8")]].concat(),
             );
             let (outcome, audits) = audited(scenario, kind, 29);
-            let places: u64 = outcome.report.states.iter().sum();
+            let places: u64 = outcome.report.request_states.iter().sum();
             assert!(audits > 100, "{audits}");
             assert_eq!(
-                (outcome.report.states[0], places),
+                (outcome.report.request_states[0], places),
                 (0, outcome.total.asked),
                 "{kind:?} {retry_policy}"
             );
             assert_eq!(outcome.report.total.count, outcome.total.asked);
-            let priority_weight: f64 = outcome.report.classes.iter().map(|sum| sum.asked).sum();
-            assert!((priority_weight - outcome.report.total.asked).abs() < 1e-6);
+            let priority_weight: f64 = outcome.report.classes.iter().map(|sum| sum.requested).sum();
+            assert!((priority_weight - outcome.report.total.requested).abs() < 1e-6);
             assert_eq!(outcome.unsettled, []);
         }
     }
@@ -108,7 +108,7 @@
             assert_eq!((scenario.faults[0].at_s * 1e9) as u64, at);
             let (outcome, _) = audited(scenario, Kind::Gradepin, 53);
             assert_eq!(outcome.violations, [], "at {at}");
-            assert_eq!(outcome.report.states[0], 0);
+            assert_eq!(outcome.report.request_states[0], 0);
         }
     }
 }
@@ -128,7 +128,7 @@
             outcome.traces.iter().filter(|trace| trace.outcome == AttemptOutcome::Served).count() as u64;
         // More answers than requests with one: the rest crossed a cancel, or came second.
         assert!(served > outcome.total.served + 5, "{kind:?}: {served} {}", outcome.total.served);
-        let [open, in_time, late_value, given_up] = outcome.report.states;
+        let [open, in_time, late_value, given_up] = outcome.report.request_states;
         assert_eq!((open, in_time + late_value + given_up), (0, outcome.total.asked));
         assert!(in_time + late_value <= outcome.total.served);
         assert_eq!(outcome.violations, [], "{kind:?}");
@@ -168,11 +168,11 @@
     type Is = fn(&Violation) -> bool;
     let cases: [(Defect, Is); 6] = [
         (Defect::Forgets, |b| matches!(b, Violation::Lost { .. })),
-        (Defect::Repeats, |b| matches!(b, Violation::Answered)),
-        (Defect::RunsAgain, |b| matches!(b, Violation::Ran { .. })),
-        (Defect::TurnsAway, |b| matches!(b, Violation::TurnedAway { .. })),
-        (Defect::RunsInDrain, |b| matches!(b, Violation::Drain { .. })),
-        (Defect::Crowds, |b| matches!(b, Violation::Fell(_))),
+        (Defect::Repeats, |b| matches!(b, Violation::AnsweredTwice)),
+        (Defect::RunsAgain, |b| matches!(b, Violation::RanTwice { .. })),
+        (Defect::TurnsAway, |b| matches!(b, Violation::RejectedAfterRun { .. })),
+        (Defect::RunsInDrain, |b| matches!(b, Violation::RanDuringDrain { .. })),
+        (Defect::Crowds, |b| matches!(b, Violation::Overloaded(_))),
     ];
     for (defect, is) in cases {
         // Not on each day does a caller come back to what ran.
@@ -231,7 +231,7 @@
     for kind in Kind::ALL {
         let outcome = play(deploy("1..2", "list"), kind);
         assert_eq!(outcome.violations, [], "{kind:?}");
-        assert_eq!(outcome.report.states[0], 0, "{kind:?}");
+        assert_eq!(outcome.report.request_states[0], 0, "{kind:?}");
     }
     // Tries sent to a machine from a second after its notice until its stop.
     let in_vain = |notice: &str| {
--- a/crates/model/tests/slow_start.rs
+++ b/crates/model/tests/slow_start.rs
@@ -10,7 +10,7 @@
 use gradepin_core::timestamp::Timestamp;
 use gradepin_model::policies::{Kind, Node, NodeFactories, Start};
 use gradepin_model::scenario::{FaultKind, Scenario};
-use gradepin_model::service_report::rules::{Figures, RuleChecker, SlowStart, Violation};
+use gradepin_model::service_report::rules::{RuleChecker, RuleLimits, SlowStart, Violation};
 use gradepin_model::service_report::slow_start::{budget, survived};
 use gradepin_model::world::{NodeFactory, Order, Outcome, World};
 use std::collections::HashMap;
@@ -172,7 +172,7 @@
     let outcome = world.play().expect("an end");
     assert_eq!(outcome.violations, [], "{which}");
     assert_eq!(outcome.unsettled, [], "{which}");
-    assert_eq!(outcome.report.states[0], 0, "{which}: requests with no end");
+    assert_eq!(outcome.report.request_states[0], 0, "{which}: requests with no end");
     assert_eq!(outcome.report.total.count, outcome.total.asked, "{which}");
     let seen = seen.lock().expect("no panic before");
     assert_eq!(seen.foreign, [] as [&str; 0], "{which}");
@@ -229,11 +229,11 @@
         "{:?}",
         outcome.slow_start
     );
-    assert!(has(&outcome, |breach| matches!(breach, Violation::Fell(_))), "{:?}", outcome.slow_start);
+    assert!(has(&outcome, |breach| matches!(breach, Violation::Overloaded(_))), "{:?}", outcome.slow_start);
     assert!(outcome.slow_start.max_concurrent_fraction > 1.0 && outcome.slow_start.max_mean_fraction > 1.0);
     // Warm servers survive just that.
     let calm = careless(drawn(), Defect::KnowsNoCold);
-    assert!(!has(&calm, |breach| matches!(breach, Violation::SlowStart { .. } | Violation::Fell(_))));
+    assert!(!has(&calm, |breach| matches!(breach, Violation::SlowStart { .. } | Violation::Overloaded(_))));
     assert_eq!(calm.slow_start, SlowStart::default());
 }
 
@@ -243,7 +243,7 @@
     for (cores, share) in [(1.0, 0.0), (1.0, 0.21), (6.0, 0.21), (6.0, 0.46), (12.0, 0.21), (24.0, 0.5)] {
         let most = budget(survived(cores, TIP, share)) as u64;
         let broken = |runs: u64| {
-            let mut rules = RuleChecker::new(Figures::default());
+            let mut rules = RuleChecker::new(RuleLimits::default());
             rules.started(7, cores, 1e9);
             rules.warmth(7, share);
             for run in 0..runs {
@@ -258,7 +258,7 @@
         let runs = most as u32 + 1;
         assert_eq!(
             (over[0].server, &over[0].violation),
-            (7, &Violation::SlowStart { runs, most: most as u32 })
+            (7, &Violation::SlowStart { runs, limit: most as u32 })
         );
     }
 }
