--- a/crates/model/src/config/truth.rs
+++ b/crates/model/src/config/committed_log.rs
@@ -5,19 +5,19 @@
 use gradepin_config::{Configuration, Snapshot, Version};
 use std::sync::Arc;
 
-/// Changes in one of the transactions that the first state is made of.
-const FIRST: usize = 500;
+/// Changes per transaction of the initial state.
+const CHANGES_PER_TRANSACTION: usize = 500;
 
-/// The committed log. It is written by the world alone.
+/// The committed log; only the simulation writes it.
 #[derive(Debug, Clone)]
-pub struct Truth {
+pub struct CommittedLog {
     state: Configuration,
     base: Configuration,
     commits: Vec<Arc<Commit>>,
     versions: Vec<Version>,
 }
 
-/// A class of this name.
+/// A change that defines a class.
 pub fn class(name: &str, priority_weight: f64) -> Change {
     let profile = ClassProfile {
         name: name.to_string(),
@@ -32,15 +32,15 @@
     Change::PutClass(Arc::new(ClassDefinition { profile, calls: false, skip_weight: 0.0 }))
 }
 
-/// A tenant of this name.
+/// A change that defines a tenant.
 pub fn tenant(name: &str, quota_rps: f64) -> Change {
     Change::PutTenant(Arc::new(Tenant { name: name.to_string(), quota_rps, portion: 0.001 }))
 }
 
-impl Truth {
-    /// With so many classes and tenants to begin with.
+impl CommittedLog {
+    /// Creates a log whose initial state has this many classes and tenants.
     pub fn new(classes: usize, tenants: usize) -> Self {
-        let mut truth = Self {
+        let mut committed_log = Self {
             state: Configuration::default(),
             base: Configuration::default(),
             commits: Vec::new(),
@@ -49,29 +49,29 @@
         let classes = (0..classes.max(1)).map(|n| class(&format!("class-{n}"), 1.0));
         let tenants = (0..tenants).map(|n| tenant(&format!("tenant-{n}"), 10.0));
         let all: Vec<Change> = classes.chain(tenants).collect();
-        for changes in all.chunks(FIRST) {
-            truth.commit(changes.to_vec(), 0);
+        for changes in all.chunks(CHANGES_PER_TRANSACTION) {
+            committed_log.commit(changes.to_vec(), 0);
         }
-        truth.base = truth.state.clone();
-        truth
+        committed_log.base = committed_log.state.clone();
+        committed_log
     }
 
-    /// The state that the day begins with.
+    /// Initial state of the run.
     pub fn base(&self) -> &Configuration {
         &self.base
     }
 
-    /// The last state.
+    /// Latest state.
     pub fn state(&self) -> &Configuration {
         &self.state
     }
 
-    /// The last revision.
+    /// Latest revision.
     pub fn revision(&self) -> Revision {
         self.state.revision()
     }
 
-    /// Commits a change; whether it could be applied.
+    /// Commits a change; returns false if it can't be applied.
     pub fn commit(&mut self, changes: Vec<Change>, proposed_at_ms: u64) -> bool {
         let revision = self.revision().next();
         let commit = Arc::new(Commit {
@@ -90,19 +90,19 @@
         good
     }
 
-    /// A commit by its revision.
+    /// Returns a commit by its revision.
     pub fn get(&self, revision: Revision) -> Option<&Arc<Commit>> {
         self.commits.get(revision.0.checked_sub(1)? as usize)
     }
 
-    /// Why a state can't be one of a server; none if it is a prefix.
-    pub fn breach(&self, version: Version) -> Option<String> {
+    /// Describes why a version is no prefix of the log; `None` if it is one.
+    pub fn violation(&self, version: Version) -> Option<String> {
         let expected = self.versions.get(version.revision.0 as usize);
         (expected != Some(&version)).then(|| format!("state {version} is no prefix of the log"))
     }
 
-    /// Why a commit can't come into force after a revision.
-    pub fn breach_of_commit(&self, before: Revision, commit: &Commit) -> Option<String> {
+    /// Describes why a commit must not come into force after a revision.
+    pub fn commit_violation(&self, before: Revision, commit: &Commit) -> Option<String> {
         if commit.revision != before.next() {
             return Some(format!("{} came into force after {before}", commit.revision));
         }
@@ -110,12 +110,12 @@
         (!same).then(|| format!("another commit of revision {} came into force", commit.revision))
     }
 
-    /// Why a snapshot can't come into force after a revision.
-    pub fn breach_of_snapshot(&self, before: Revision, snapshot: &Snapshot) -> Option<String> {
+    /// Describes why a snapshot must not come into force after a revision.
+    pub fn snapshot_violation(&self, before: Revision, snapshot: &Snapshot) -> Option<String> {
         let version = snapshot.version();
         if version.revision < before {
             return Some(format!("a snapshot of {} came into force after {before}", version.revision));
         }
-        self.breach(version)
+        self.violation(version)
     }
 }
--- a/crates/model/src/config/mod.rs
+++ b/crates/model/src/config/mod.rs
@@ -1,73 +1,76 @@
-//! How changes of the configuration reach a fleet, over modelled datagrams: the real [`gradepin_config::dissemination`] on
-//! every server, with regions, zones, loss, cuts, kills, newcomers with an empty disk and servers that serve bad data.
+//! Simulates the dissemination of configuration changes in a fleet: the real [`gradepin_config::dissemination`] on every
+//! server, over simulated datagrams, with regions, zones, loss, partitions, killed servers, new servers with an empty
+//! disk, and servers that send bad data.
 //!
-//! What is modelled and not real: the consensus group (a change is committed when a majority of the voters is up and on one
-//! side of the cut, and voters learn it some milliseconds later), membership (who is up is learned some seconds late), and
-//! the cluster's datagrams, of which the size, the fragments and their loss are kept. Nothing here drops what is late or
-//! doubled, as the cluster's replay window would: dissemination has to stand it.
 //!
-//! A day is compressed: what happens in an ordinary day happens so many times as often, and a region split, a burst, a mass
-//! restart, a rack and a zone come on top, once each.
+//! Simplified parts: the consensus group (a change is committed while a majority of the voters is up and on one side of
+//! a partition, and voters learn of it some milliseconds later), membership (changes are learned some seconds late), and
+//! the cluster's datagrams, of which size, fragmentation and loss are kept. Late and duplicated messages are delivered,
+//! although the cluster's replay window would drop them: dissemination must tolerate them.
+//!
+//!
+//! A run compresses a day: ordinary changes and faults occur `compression` times as often, and one partition of a
+//! region, burst, mass restart, rack failure and zone failure are added.
 
+mod committed_log;
 mod network;
 mod script;
 mod tamper;
 mod traffic;
-mod truth;
 mod world;
 
+pub use committed_log::CommittedLog;
 pub use script::{Incident, Kind, scenario};
-pub use truth::Truth;
 pub use world::play;
 
 use gradepin_config::dissemination::{DisseminationSettings, Selection};
 
-/// A committed change has to be in force within this long.
+/// Largest permitted time in seconds until a committed change is in force.
 pub const PROMISE_S: f64 = 14.0;
-/// Lags are counted in steps of so many seconds.
+/// Resolution of [`Lags`] in seconds.
 pub const LAG_STEP_S: f64 = 0.01;
-/// Longer ones count as this long.
+/// Longer delays are counted as this many seconds.
 const MOST_LAG_S: f64 = 60.0;
 
-/// A day to be played.
+/// Parameters of a run.
 #[derive(Debug, Clone)]
 pub struct Spec {
-    /// For everything that is drawn.
+    /// Seed of everything drawn.
     pub seed: u64,
-    /// Servers; server `n` is in zone `n % zones`, and the first ones are the voters.
+    /// Number of servers; server `n` is in zone `n % zones`, and the first ones are the voters.
     pub servers: usize,
-    /// Zones; zone `z` is in region `z % regions`.
+    /// Number of zones; zone `z` is in region `z % regions`.
     pub zones: usize,
-    /// Regions.
+    /// Number of regions.
     pub regions: usize,
-    /// Voters, each in another zone.
+    /// Number of voters, each in a different zone.
     pub voters: usize,
-    /// How long it lasts. The last 20 s bring no change and no fault.
+    /// Duration in seconds. The last 20 s have no change and no fault.
     pub seconds: f64,
-    /// Changes, machines lost and restarts come so many times as often as on an ordinary day.
+    /// Factor on the daily rates of changes, machine failures and restarts.
     pub compression: f64,
-    /// Whether ordinary changes and faults happen at all.
+    /// Whether ordinary changes and faults occur.
     pub ordinary: bool,
-    /// What happens beside.
+    /// Additional incidents.
     pub incidents: Vec<Incident>,
-    /// The part of datagrams that is lost.
+    /// Fraction of datagrams lost.
     pub loss: f64,
-    /// The part of messages that comes twice.
+    /// Fraction of messages duplicated.
     pub doubled: f64,
-    /// The part of messages that comes up to 30 s late.
+    /// Fraction of messages delayed by up to 30 s.
     pub late: f64,
-    /// Classes and tenants that the day begins with.
+    /// Classes in the initial configuration.
     pub classes: usize,
-    /// See `classes`.
+    /// Tenants in the initial configuration.
     pub tenants: usize,
-    /// Servers whose answers are tampered with; none of them a voter.
+    /// Servers that send tampered messages; none of them is a voter.
     pub bad: usize,
-    /// Of dissemination.
+    /// Settings of the dissemination.
     pub settings: DisseminationSettings,
 }
 
 impl Spec {
-    /// An ordinary day of so many servers, with the incidents.
+    /// A compressed ordinary day with all incidents.
     pub fn ordinary(seed: u64, servers: usize, seconds: f64, selection: Selection) -> Self {
         let zones = (servers / 4).clamp(1, 15);
         let mut spec = Self {
@@ -93,14 +96,14 @@
     }
 }
 
-/// How long changes took to be in force, counted in steps.
+/// Histogram of the times until changes were in force.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Lags {
     counts: Vec<u64>,
 }
 
 impl Lags {
-    /// One more.
+    /// Adds a delay.
     pub fn add(&mut self, seconds: f64) {
         let place = (seconds.clamp(0.0, MOST_LAG_S) / LAG_STEP_S) as usize;
         if self.counts.len() <= place {
@@ -109,18 +112,18 @@
         self.counts[place] += 1;
     }
 
-    /// Those of another day.
+    /// Adds the delays of another run.
     pub fn merge(&mut self, other: &Self) {
         self.counts.resize(self.counts.len().max(other.counts.len()), 0);
         self.counts.iter_mut().zip(&other.counts).for_each(|(sum, count)| *sum += count);
     }
 
-    /// How many.
+    /// Number of delays.
     pub fn count(&self) -> u64 {
         self.counts.iter().sum()
     }
 
-    /// The time in seconds within which this part of them is, to the end of its step.
+    /// Delay in seconds below which this fraction of the delays lies, rounded up to the resolution.
     pub fn quantile(&self, part: f64) -> f64 {
         let wanted = (self.count() as f64 * part).ceil() as u64;
         let mut sum = 0;
@@ -131,67 +134,67 @@
         place.map_or(0.0, |place| (place + 1) as f64 * LAG_STEP_S)
     }
 
-    /// The latest one in seconds.
+    /// Largest delay in seconds.
     pub fn latest(&self) -> f64 {
         self.counts.len() as f64 * LAG_STEP_S
     }
 
-    /// How many took longer.
+    /// Number of delays longer than this many seconds.
     pub fn beyond(&self, seconds: f64) -> u64 {
         self.counts.iter().skip((seconds / LAG_STEP_S) as usize).sum()
     }
 }
 
-/// Bytes that servers sent, with envelopes and without the headers of IP and UDP.
+/// Bytes sent by servers, with envelopes and without IP and UDP headers.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Bytes {
-    /// A second of a server that is up, in the mean.
+    /// Mean bytes per second of a server while it is up.
     pub mean_s: f64,
-    /// Of these, adverts, requests and refusals.
+    /// Part of the mean: adverts, requests and rejections.
     pub small_s: f64,
-    /// Of these, commits.
+    /// Part of the mean: commits.
     pub commits_s: f64,
-    /// Of these, parts of snapshots.
+    /// Part of the mean: snapshots.
     pub snapshots_s: f64,
-    /// The most of any server in one second.
+    /// Largest number of bytes that any server sent in one second.
     pub most_s: f64,
-    /// The mean of the voters.
+    /// Mean bytes per second of the voters.
     pub voters_s: f64,
-    /// The most of any voter in one second.
+    /// Largest number of bytes that any voter sent in one second.
     pub voters_most_s: f64,
-    /// What a server may send in a second at a burst.
+    /// Bytes that a server may send in a burst.
     pub limit: f64,
-    /// Times that a server was above its limit.
+    /// Number of messages that exceeded a server's limit.
     pub over_limit: u64,
 }
 
-/// What a day came to.
+/// Result of a run.
 #[derive(Debug, Clone, Default)]
 pub struct Outcome {
-    /// Changes committed.
+    /// Number of changes committed.
     pub changes: usize,
-    /// Times until a change was in force on a server that was reachable.
+    /// Delays until changes were in force on reachable servers.
     pub lags: Lags,
-    /// States that were no prefix of the committed log, and revisions that fell; the first few in words.
+    /// Number of states that were no prefix of the committed log, and of revisions that decreased.
     pub broken: u64,
-    /// See `broken`.
+    /// Descriptions of the first of them.
     pub broken_first: Vec<String>,
-    /// Servers that didn't have all changes at the end.
+    /// Servers that lacked a change at the end.
     pub behind_at_end: usize,
-    /// Bytes.
+    /// Bytes sent.
     pub bytes: Bytes,
-    /// Snapshots installed.
+    /// Number of snapshots installed.
     pub installed: u64,
-    /// Times that a source was left out; how many of them were servers that are not bad.
+    /// Number of times that a source was quarantined.
     pub left_out: u64,
-    /// See `left_out`.
+    /// Number of times that a good source was quarantined.
     pub left_out_wrongly: u64,
-    /// Messages delivered.
+    /// Number of messages delivered.
     pub messages: u64,
 }
 
 impl Outcome {
-    /// Whether all that is promised was kept.
+    /// Whether the run met all guarantees.
     pub fn kept(&self) -> bool {
         self.broken == 0
             && self.behind_at_end == 0
--- a/crates/model/src/config/traffic.rs
+++ b/crates/model/src/config/traffic.rs
@@ -1,12 +1,12 @@
-//! What servers sent, and whether one was ever above its limit.
+//! Counts the bytes sent by servers and checks them against the rate limit.
 
 use super::{Bytes, Spec};
 use crate::queue::At;
 use gradepin_config::dissemination::Sent;
 
-/// What the burst of a server may go over its limit by: one message longer than is left.
+/// Tolerance in bytes for a burst: a single message may exceed what is left of the limit.
 const MESSAGE_BYTES: f64 = 40_000.0;
-/// Seconds' worth of bytes that a burst may take.
+/// Burst size in seconds of the rate limit.
 const BURST_S: f64 = 4.0;
 const SECOND: At = 1_000_000_000;
 
@@ -20,7 +20,7 @@
     at: At,
 }
 
-/// Bytes of all servers.
+/// Bytes sent by all servers.
 #[derive(Debug)]
 pub struct TrafficCounter {
     senders: Vec<Sender>,
@@ -31,7 +31,7 @@
 }
 
 impl TrafficCounter {
-    /// Nothing sent yet.
+    /// Creates a counter without traffic.
     pub fn new(spec: &Spec) -> Self {
         let rate = spec.settings.send_bytes_s + spec.settings.snapshot_bytes_s;
         Self {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// A server sent so many bytes.
+    /// Counts bytes sent by a server.
     pub fn sent(&mut self, now: At, n: usize, bytes: usize) {
         let sender = &mut self.senders[n];
         if now / SECOND != sender.second {
@@ -52,14 +52,14 @@
         sender.total += bytes as u64;
         sender.this_second += bytes as u64;
         sender.most = sender.most.max(sender.this_second);
-        // A bucket of its own, which knows nothing of the sender's.
+        // A token bucket independent of the sender's own.
         let passed = (now - sender.at) as f64 / SECOND as f64;
         sender.level = (sender.level - passed * self.rate).max(0.0) + bytes as f64;
         sender.at = now;
         self.over += u64::from(sender.level > BURST_S * self.rate + MESSAGE_BYTES);
     }
 
-    /// A process ends that was up for so long and sent this.
+    /// Adds the uptime and the sent bytes of a process that ends.
     pub fn ended(&mut self, n: usize, up: At, sent: Sent) {
         self.up_ns[n] += up;
         self.sent.small += sent.small;
@@ -67,7 +67,7 @@
         self.sent.snapshots += sent.snapshots;
     }
 
-    /// All together.
+    /// Computes the totals.
     pub fn sum_up(&self, voters: usize) -> Bytes {
         let seconds = |up: &[u64]| up.iter().sum::<u64>().max(1) as f64 / SECOND as f64;
         let total = |senders: &[Sender]| senders.iter().map(|sender| sender.total).sum::<u64>() as f64;
--- a/crates/model/src/config/world.rs
+++ b/crates/model/src/config/world.rs
@@ -1,10 +1,10 @@
-//! Plays a day, an event after another.
+//! Event loop of the simulation.
 
+use super::committed_log::{CommittedLog, class, tenant};
 use super::network::Network;
 use super::script::{Action, Disk, actions};
 use super::tamper::tamper;
 use super::traffic::TrafficCounter;
-use super::truth::{Truth, class, tenant};
 use super::{Outcome, PROMISE_S, Spec};
 use crate::queue::{At, Calendar, Queue, nanos};
 use crate::streams::{Streams, chance, one_of, within};
@@ -17,20 +17,20 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// That a server is up or down, or out of reach, is learned within this long by a zone.
-const NEWS_S: [f64; 2] = [1.0, 4.0];
-/// A server that starts knows the voters, and all others after this long.
-const LEARN_S: [f64; 2] = [0.5, 2.0];
-/// Until a voter that was away has the log of the others.
+/// Seconds until a zone learns that a server went up, down or out of reach.
+const MEMBERSHIP_DELAY_S: [f64; 2] = [1.0, 4.0];
+/// Seconds until a server that starts learns of all others; it knows the voters at once.
+const STARTUP_LEARN_S: [f64; 2] = [0.5, 2.0];
+/// Seconds until a voter that was away has the log of the others.
 const CATCH_UP_S: [f64; 2] = [0.5, 1.5];
-/// A proposal that finds no majority is tried again after so long.
+/// Seconds until a proposal without a majority is retried.
 const RETRY_S: f64 = 0.5;
-/// The state is written to the disk this often at the most.
+/// Minimum interval in seconds between writes of the state to disk.
 const WRITE_S: f64 = 5.0;
-/// A step does not ask to be called again sooner.
-const LEAST_WAKE: At = 1_000_000;
-/// Breaches that are kept in words.
-const MOST_WORDS: usize = 5;
+/// Minimum time in nanoseconds between two steps.
+const MIN_WAKE_INTERVAL: At = 1_000_000;
+/// Number of violations that are described.
+const MAX_DESCRIPTIONS: usize = 5;
 
 enum Event {
     Wake(usize),
@@ -39,27 +39,27 @@
         to: usize,
         bytes: Arc<Vec<u8>>,
     },
-    Act(Action),
-    /// A voter is told the log up to a revision by the consensus group.
-    Agreed(usize, Revision),
-    /// A zone learns whether a server is up and in reach.
-    News {
+    CarryOut(Action),
+    /// The consensus group delivers the log up to a revision to a voter.
+    Committed(usize, Revision),
+    /// A zone learns whether a server is up and reachable.
+    ZoneUpdate {
         zone: usize,
         about: usize,
     },
-    /// A server that started learns who is up.
+    /// A server that started learns which servers are up.
     Learn(usize, u32),
 }
 
 struct Server {
-    machine: Option<Dissemination>,
-    /// What came into force here, as the world saw it.
+    dissemination: Option<Dissemination>,
+    /// Latest revision in force on the server.
     in_force: Revision,
     disk: Configuration,
     written: At,
-    life: u32,
+    incarnation: u32,
     started: At,
-    /// Since when it is up and in reach.
+    /// Since when the server has been up and reachable.
     reachable: At,
     wake: At,
 }
@@ -72,7 +72,7 @@
     members: Vec<Arc<Member>>,
     by_zone: Vec<Vec<usize>>,
     network: Network,
-    truth: Truth,
+    committed_log: CommittedLog,
     committed_at: Vec<At>,
     base: Revision,
     proposed: VecDeque<At>,
@@ -82,22 +82,22 @@
     out: Outcome,
 }
 
-/// Plays a day.
+/// Plays a run.
 pub fn play(spec: &Spec) -> Outcome {
     let mut world = World::new(spec);
     world.run();
-    world.sum_up()
+    world.finish()
 }
 
 fn members(spec: &Spec, network: &Network) -> Vec<Arc<Member>> {
     let zones: Vec<Name> = (0..spec.zones).map(|zone| Arc::from(format!("zone-{zone}"))).collect();
     let regions: Vec<Name> = (0..spec.regions).map(|region| Arc::from(format!("region-{region}"))).collect();
     let member = |n: usize| {
-        let place = network.place(n);
+        let location = network.location(n);
         Arc::new(Member {
             name: Arc::from(format!("s{n:05}")),
-            zone: zones[place.zone].clone(),
-            region: regions[place.region].clone(),
+            zone: zones[location.zone].clone(),
+            region: regions[location.region].clone(),
             voter: n < spec.voters,
         })
     };
@@ -108,19 +108,19 @@
     fn new(spec: &'s Spec) -> Self {
         let streams = Streams::new(spec.seed);
         let network = Network::new(spec);
-        let truth = Truth::new(spec.classes, spec.tenants);
+        let committed_log = CommittedLog::new(spec.classes, spec.tenants);
         let server = |_| Server {
-            machine: None,
+            dissemination: None,
             in_force: Revision(0),
-            disk: truth.base().clone(),
+            disk: committed_log.base().clone(),
             written: 0,
-            life: 0,
+            incarnation: 0,
             started: 0,
             reachable: 0,
             wake: 0,
         };
         let mut by_zone = vec![Vec::new(); spec.zones];
-        (0..spec.servers).for_each(|n| by_zone[network.place(n).zone].push(n));
+        (0..spec.servers).for_each(|n| by_zone[network.location(n).zone].push(n));
         Self {
             spec,
             now: 0,
@@ -129,9 +129,9 @@
             members: members(spec, &network),
             by_zone,
             network,
-            committed_at: vec![0; truth.revision().0 as usize + 1],
-            base: truth.revision(),
-            truth,
+            committed_at: vec![0; committed_log.revision().0 as usize + 1],
+            base: committed_log.revision(),
+            committed_log,
             proposed: VecDeque::new(),
             traffic: TrafficCounter::new(spec),
             messages_rng: streams.of("config messages", 0),
@@ -148,7 +148,7 @@
             self.learn(n);
         }
         for (at, action) in actions(self.spec) {
-            self.queue.push(at, Event::Act(action));
+            self.queue.push(at, Event::CarryOut(action));
         }
         let end = nanos(self.spec.seconds);
         while let Some((at, event)) = self.queue.pop().filter(|(at, _)| *at <= end) {
@@ -158,16 +158,16 @@
         self.now = end;
     }
 
-    fn sum_up(mut self) -> Outcome {
+    fn finish(mut self) -> Outcome {
         for n in 0..self.servers.len() {
-            if self.servers[n].machine.is_some() {
-                let behind = self.lacks_for(n).is_some();
+            if self.servers[n].dissemination.is_some() {
+                let behind = self.missing_change_lag(n).is_some();
                 self.out.behind_at_end += usize::from(behind && !self.network.is_cut_off(n));
-                self.count_lack(n);
-                self.account_of(n);
+                self.count_missing_change(n);
+                self.add_process_totals(n);
             }
         }
-        self.out.changes = (self.truth.revision().0 - self.base.0) as usize;
+        self.out.changes = (self.committed_log.revision().0 - self.base.0) as usize;
         self.out.bytes = self.traffic.sum_up(self.spec.voters);
         self.out
     }
@@ -180,18 +180,18 @@
                 }
             }
             Event::Message { from, to, bytes } => self.message(from, to, &bytes),
-            Event::Act(action) => self.act(action),
-            Event::Agreed(voter, revision) => self.consensus(voter, revision),
-            Event::News { zone, about } => self.news(zone, about),
-            Event::Learn(n, life) => {
-                if self.servers[n].life == life {
+            Event::CarryOut(action) => self.carry_out(action),
+            Event::Committed(voter, revision) => self.deliver_committed(voter, revision),
+            Event::ZoneUpdate { zone, about } => self.update_zone(zone, about),
+            Event::Learn(n, incarnation) => {
+                if self.servers[n].incarnation == incarnation {
                     self.learn(n);
                 }
             }
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn carry_out(&mut self, action: Action) {
         match action {
             Action::Propose => {
                 self.proposed.push_back(self.now);
@@ -199,21 +199,21 @@
             }
             Action::Kill(n) => self.kill(n),
             Action::Start(n, disk) => {
-                if self.servers[n].machine.is_none() {
+                if self.servers[n].dissemination.is_none() {
                     self.start(n, disk);
-                    self.tell_zones(n);
+                    self.notify_zones(n);
                 }
             }
             Action::Cut(servers) => {
-                servers.iter().for_each(|&n| self.count_lack(n));
+                servers.iter().for_each(|&n| self.count_missing_change(n));
                 self.network.set_side(&servers, 1);
-                servers.iter().for_each(|&n| self.tell_zones(n));
+                servers.iter().for_each(|&n| self.notify_zones(n));
             }
             Action::Heal(servers) => {
                 self.network.set_side(&servers, 0);
                 for &n in &servers {
                     self.servers[n].reachable = self.now;
-                    self.tell_zones(n);
+                    self.notify_zones(n);
                     self.catch_up(n);
                     self.learn_later(n);
                 }
@@ -231,35 +231,36 @@
             server.disk = Configuration::default();
         }
         let own = Member::clone(&self.members[n]);
-        let machine = Dissemination::new(self.spec.settings.clone(), own, server.disk.clone(), draw, now);
+        let dissemination =
+            Dissemination::new(self.spec.settings.clone(), own, server.disk.clone(), draw, now);
         server.in_force = server.disk.revision();
-        server.machine = Some(machine);
-        server.life += 1;
+        server.dissemination = Some(dissemination);
+        server.incarnation += 1;
         (server.started, server.reachable) = (self.now, self.now);
         for voter in 0..self.spec.voters {
-            self.tell(n, voter);
+            self.update_member(n, voter);
         }
         self.learn_later(n);
         self.catch_up(n);
-        // Processes that start together don't wake together.
+        // Processes that start at the same time must not wake at the same time.
         let first = self.now + nanos(within(&mut self.world_rng, [0.0, 1.0]));
         self.schedule(n, first);
     }
 
     fn kill(&mut self, n: usize) {
-        if self.servers[n].machine.is_none() {
+        if self.servers[n].dissemination.is_none() {
             return;
         }
-        self.count_lack(n);
-        self.account_of(n);
-        self.servers[n].machine = None;
-        self.tell_zones(n);
+        self.count_missing_change(n);
+        self.add_process_totals(n);
+        self.servers[n].dissemination = None;
+        self.notify_zones(n);
     }
 
-    fn account_of(&mut self, n: usize) {
+    fn add_process_totals(&mut self, n: usize) {
         let server = &self.servers[n];
-        let Some(machine) = &server.machine else { return };
-        let status = machine.status();
+        let Some(dissemination) = &server.dissemination else { return };
+        let status = dissemination.status();
         self.traffic.ended(n, self.now - server.started, status.sent);
         self.out.installed += status.installed;
         self.out.left_out += status.quarantined;
@@ -274,72 +275,72 @@
         Time(self.now)
     }
 
-    // ---- who is up
+    // ---- membership
 
-    /// Every zone learns some seconds later whether a server is up and in reach.
-    fn tell_zones(&mut self, about: usize) {
+    /// Notifies every zone, some seconds later, whether a server is up and reachable.
+    fn notify_zones(&mut self, about: usize) {
         for zone in 0..self.spec.zones {
-            let lag = nanos(within(&mut self.world_rng, NEWS_S));
-            self.queue.push(self.now + lag, Event::News { zone, about });
+            let lag = nanos(within(&mut self.world_rng, MEMBERSHIP_DELAY_S));
+            self.queue.push(self.now + lag, Event::ZoneUpdate { zone, about });
         }
     }
 
-    fn news(&mut self, zone: usize, about: usize) {
-        for place in 0..self.by_zone[zone].len() {
-            let n = self.by_zone[zone][place];
-            self.tell(n, about);
+    fn update_zone(&mut self, zone: usize, about: usize) {
+        for index in 0..self.by_zone[zone].len() {
+            let n = self.by_zone[zone][index];
+            self.update_member(n, about);
         }
     }
 
     fn learn_later(&mut self, n: usize) {
-        let lag = nanos(within(&mut self.world_rng, LEARN_S));
-        self.queue.push(self.now + lag, Event::Learn(n, self.servers[n].life));
+        let lag = nanos(within(&mut self.world_rng, STARTUP_LEARN_S));
+        self.queue.push(self.now + lag, Event::Learn(n, self.servers[n].incarnation));
     }
 
     fn learn(&mut self, n: usize) {
         for about in 0..self.spec.servers {
-            self.tell(n, about);
+            self.update_member(n, about);
         }
     }
 
-    fn tell(&mut self, n: usize, about: usize) {
+    fn update_member(&mut self, n: usize, about: usize) {
         if n == about {
             return;
         }
-        let up = self.servers[about].machine.is_some() && self.network.reaches(n, about);
-        let Some(machine) = &mut self.servers[n].machine else { return };
+        let up = self.servers[about].dissemination.is_some() && self.network.reaches(n, about);
+        let Some(dissemination) = &mut self.servers[n].dissemination else { return };
         let member = &self.members[about];
         if up {
-            machine.member_up(Arc::clone(member));
+            dissemination.member_up(Arc::clone(member));
         } else {
-            machine.member_down(&member.name);
+            dissemination.member_down(&member.name);
         }
     }
 
-    // ---- the consensus group
+    // ---- consensus group
 
-    /// Commits what is proposed if a majority of the voters is up on one side.
+    /// Commits the proposals if a majority of the voters is up on one side.
     fn commit(&mut self) {
-        let can = |n: &usize| self.servers[*n].machine.is_some() && !self.network.is_cut_off(*n);
+        let can = |n: &usize| self.servers[*n].dissemination.is_some() && !self.network.is_cut_off(*n);
         let voters: Vec<usize> = (0..self.spec.voters).filter(can).collect();
         if voters.len() * 2 <= self.spec.voters {
-            // The side that is cut off is never the one with a majority here: the others go on.
+            // In this model the partitioned side never has a majority, so the other side continues.
             let again = self.now + nanos(RETRY_S);
             if self.proposed.pop_front().is_some() {
-                self.queue.push(again, Event::Act(Action::Propose));
+                self.queue.push(again, Event::CarryOut(Action::Propose));
             }
             return;
         }
         while let Some(at) = self.proposed.pop_front() {
             let changes = self.changes();
-            if self.truth.commit(changes, at / 1_000_000) {
+            if self.committed_log.commit(changes, at / 1_000_000) {
                 self.committed_at.push(self.now);
             }
         }
-        let revision = self.truth.revision();
+        let revision = self.committed_log.revision();
         for voter in voters {
             let lag = nanos(within(&mut self.world_rng, [0.002, 0.08]));
-            self.queue.push(self.now + lag, Event::Agreed(voter, revision));
+            self.queue.push(self.now + lag, Event::Committed(voter, revision));
         }
     }
 
@@ -355,24 +356,24 @@
         if chance(&mut self.world_rng, 0.3) { vec![first, second] } else { vec![first] }
     }
 
-    /// A voter that was away gets the log of the others.
+    /// Delivers the log of the others to a voter that was away.
     fn catch_up(&mut self, n: usize) {
         if n < self.spec.voters {
             let lag = nanos(within(&mut self.world_rng, CATCH_UP_S));
-            self.queue.push(self.now + lag, Event::Agreed(n, self.truth.revision()));
+            self.queue.push(self.now + lag, Event::Committed(n, self.committed_log.revision()));
         }
     }
 
-    fn consensus(&mut self, voter: usize, revision: Revision) {
+    fn deliver_committed(&mut self, voter: usize, revision: Revision) {
         if self.network.is_cut_off(voter) {
             return;
         }
         let now = self.time();
-        let Some(machine) = &mut self.servers[voter].machine else { return };
-        let mut next = machine.state().revision().next();
+        let Some(dissemination) = &mut self.servers[voter].dissemination else { return };
+        let mut next = dissemination.state().revision().next();
         while next <= revision {
-            if let Some(commit) = self.truth.get(next) {
-                machine.committed(now, Arc::clone(commit));
+            if let Some(commit) = self.committed_log.get(next) {
+                dissemination.committed(now, Arc::clone(commit));
             }
             next = next.next();
         }
@@ -383,19 +384,19 @@
 
     fn message(&mut self, from: usize, to: usize, bytes: &[u8]) {
         let now = self.time();
-        let Some(machine) = &mut self.servers[to].machine else { return };
+        let Some(dissemination) = &mut self.servers[to].dissemination else { return };
         self.out.messages += 1;
-        machine.receive(now, &self.members[from].name, bytes);
+        dissemination.receive(now, &self.members[from].name, bytes);
         self.step(to);
     }
 
     fn step(&mut self, n: usize) {
         let now = self.time();
         let mut effects = Vec::new();
-        let Some(machine) = &mut self.servers[n].machine else { return };
-        machine.step(now, &mut effects);
-        let wake = machine.wake_at(now).0.max(self.now + LEAST_WAKE);
-        let version = machine.state().version();
+        let Some(dissemination) = &mut self.servers[n].dissemination else { return };
+        dissemination.step(now, &mut effects);
+        let wake = dissemination.wake_at(now).0.max(self.now + MIN_WAKE_INTERVAL);
+        let version = dissemination.state().version();
         for effect in effects {
             self.effect(n, effect);
         }
@@ -411,21 +412,21 @@
         match effect {
             DisseminationEffect::Send { to, bytes } => self.send(n, &to, bytes),
             DisseminationEffect::Apply(commit) => {
-                let breach = self.truth.breach_of_commit(before, &commit);
-                self.breach(n, breach);
+                let violation = self.committed_log.commit_violation(before, &commit);
+                self.violation(n, violation);
                 self.came_into_force(n, commit.revision);
             }
             DisseminationEffect::Install(snapshot) => {
-                let breach = self.truth.breach_of_snapshot(before, &snapshot);
-                self.breach(n, breach);
+                let violation = self.committed_log.snapshot_violation(before, &snapshot);
+                self.violation(n, violation);
                 self.came_into_force(n, snapshot.version().revision);
             }
-            DisseminationEffect::Note { text, .. } => self.note(&text),
+            DisseminationEffect::Note { text, .. } => self.count_wrong_quarantine(&text),
         }
     }
 
-    /// Counts sources that are quarantined though nothing is wrong with them.
-    fn note(&mut self, text: &str) {
+    /// Counts good sources that are quarantined.
+    fn count_wrong_quarantine(&mut self, text: &str) {
         let is_quarantine = text.contains(" quarantined: ");
         let quarantined = is_quarantine.then(|| text.get(1..6)?.parse::<usize>().ok()).flatten();
         if quarantined.is_some_and(|n| !self.is_bad(n)) {
@@ -436,10 +437,10 @@
     fn send(&mut self, from: usize, to: &Name, bytes: Vec<u8>) {
         let Some(to) = to.get(1..).and_then(|number| number.parse::<usize>().ok()) else { return };
         let bytes = match self.is_bad(from) {
-            true => tamper(&bytes, self.truth.base(), &mut self.messages_rng),
+            true => tamper(&bytes, self.committed_log.base(), &mut self.messages_rng),
             false => bytes,
         };
-        // A byte says that the message is about the configuration.
+        // One more byte marks the message as configuration.
         let length = bytes.len() + 1;
         self.traffic.sent(self.now, from, self.spec.settings.wire_bytes(length));
         let bytes = Arc::new(bytes);
@@ -449,25 +450,25 @@
         }
     }
 
-    /// Bad servers are the last ones.
+    /// The last servers are the bad ones.
     fn is_bad(&self, n: usize) -> bool {
         n >= self.spec.servers - self.spec.bad.min(self.spec.servers)
     }
 
-    // ---- what is checked
+    // ---- checks
 
-    fn breach(&mut self, n: usize, breach: Option<String>) {
-        let Some(breach) = breach else { return };
+    fn violation(&mut self, n: usize, violation: Option<String>) {
+        let Some(violation) = violation else { return };
         self.out.broken += 1;
-        if self.out.broken_first.len() < MOST_WORDS {
+        if self.out.broken_first.len() < MAX_DESCRIPTIONS {
             let at = self.now as f64 / 1e9;
-            self.out.broken_first.push(format!("{at:.3} s, {}: {breach}", self.members[n].name));
+            self.out.broken_first.push(format!("{at:.3} s, {}: {violation}", self.members[n].name));
         }
     }
 
     fn check_state(&mut self, n: usize, version: Version) {
-        let breach = self.truth.breach(version);
-        self.breach(n, breach);
+        let violation = self.committed_log.violation(version);
+        self.violation(n, violation);
     }
 
     fn came_into_force(&mut self, n: usize, revision: Revision) {
@@ -475,9 +476,9 @@
         let server = &mut self.servers[n];
         server.in_force = revision;
         if self.now >= server.written + nanos(WRITE_S)
-            && let Some(machine) = &server.machine
+            && let Some(dissemination) = &server.dissemination
         {
-            server.disk = machine.state().clone();
+            server.disk = dissemination.state().clone();
             server.written = self.now;
         }
         if self.network.is_cut_off(n) {
@@ -501,18 +502,18 @@
         }
     }
 
-    /// How long a server has lacked a change, if it lacks one.
-    fn lacks_for(&self, n: usize) -> Option<f64> {
+    /// Time for which a server has lacked a change, if it lacks one.
+    fn missing_change_lag(&self, n: usize) -> Option<f64> {
         let server = &self.servers[n];
-        if server.machine.is_none() || server.in_force >= self.truth.revision() {
+        if server.dissemination.is_none() || server.in_force >= self.committed_log.revision() {
             return None;
         }
         self.lag(n, server.in_force.next())
     }
 
-    /// Before a server goes: a change that it has lacked for too long counts.
-    fn count_lack(&mut self, n: usize) {
-        let lack = self.lacks_for(n).filter(|_| !self.network.is_cut_off(n));
+    /// Counts a change that a server has lacked for too long, before the server stops.
+    fn count_missing_change(&mut self, n: usize) {
+        let lack = self.missing_change_lag(n).filter(|_| !self.network.is_cut_off(n));
         if let Some(lack) = lack.filter(|lack| *lack > PROMISE_S) {
             self.out.lags.add(lack);
         }
--- a/crates/model/src/net.rs
+++ b/crates/model/src/net.rs
@@ -49,8 +49,8 @@
     }
 
     /// Draws whether a cancellation gets lost, as with clients that cancel late or not at all.
-    pub fn deaf(&self, rng: &mut Pcg64Mcg) -> bool {
-        chance(rng, self.spec.deaf)
+    pub fn cancellation_loss(&self, rng: &mut Pcg64Mcg) -> bool {
+        chance(rng, self.spec.cancellation_loss)
     }
 }
 
@@ -69,7 +69,7 @@
             jitter: 0.1,
             loss: 0.0,
             resend_ms: 200.0,
-            deaf: 0.0,
+            cancellation_loss: 0.0,
         };
         let (mut net, mut rng) = (Net::new(spec), Streams::new(1).of("net", 0));
         net.cut(1, 1_000_000_000);
--- a/crates/model/src/peers/mod.rs
+++ b/crates/model/src/peers/mod.rs
@@ -1,8 +1,10 @@
-//! What servers share, over modelled datagrams: the real [`gradepin_cluster`] on every server, clocks that drift, cuts,
-//! stops, kills and a ledger that counts the calls under way. No requests and no module: a run is one call.
+//! Simulates the state shared between servers: the real [`gradepin_cluster`] on every server, over simulated datagrams,
+//! with clock drift, partitions, stopped and killed processes, and a ledger that counts concurrent calls. There are no
+//! client requests and no decision module; a run is a single call.
 //!
-//! It is for seeds by the thousand, at sizes that sockets don't reach, and for what sharing earns beside static shares and
-//! beside a divider that knows all.
+//!
+//! Runs thousands of seeds at fleet sizes that can't be reached with sockets, and compares lending with static shares
+//! and with an allocator that has complete information.
 
 mod faults;
 mod traffic;
@@ -12,55 +14,55 @@
 pub use traffic::{Kind, Sent, Traffic};
 pub use world::play;
 
-/// How slots of the ledger are shared.
+/// How the slots of the ledger are divided.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sharing {
-    /// Each server its own share, and no word between them.
+    /// Each server has its own fixed share.
     Static,
-    /// Leases, as they are.
+    /// Servers lend and borrow slots by leases.
     Lending,
-    /// Leases without their rules of time: it must break the bound.
-    Plain,
-    /// One pool, and whoever waits longest gets the next slot: nobody can have that.
-    AllKnowing,
+    /// Leases whose expiry is ignored; the bound must be violated.
+    IgnoreExpiry,
+    /// A single pool in which the longest waiting run gets the next slot; no real system has this information.
+    SinglePool,
 }
 
-/// A day of the peers.
+/// Parameters of a run.
 #[derive(Debug, Clone)]
 pub struct Spec {
-    /// For everything that is drawn.
+    /// Seed of everything drawn.
     pub seed: u64,
-    /// Servers, in so many zones.
+    /// Number of servers; server `n` is in zone `n % zones`.
     pub servers: usize,
-    /// See `servers`.
+    /// Number of zones.
     pub zones: usize,
-    /// How long it lasts.
+    /// Duration in seconds.
     pub seconds: f64,
-    /// From when on service is counted: a server that starts lends nothing for some seconds.
+    /// Time in seconds from which service is counted; a server lends nothing for some seconds after its start.
     pub count_from_s: f64,
-    /// How slots are shared.
+    /// How slots are divided.
     pub sharing: Sharing,
     /// Slots of each server.
     pub share: f64,
-    /// The part of the ledger's capacity that is asked for.
+    /// Offered load as a fraction of the ledger's capacity.
     pub load: f64,
-    /// How much more each server of the first zone is asked than one of another.
+    /// Load on a server of the first zone as a multiple of the load on the others.
     pub lean: f64,
-    /// The part of datagrams that is lost, and that comes twice.
+    /// Fraction of datagrams lost.
     pub loss: f64,
-    /// See `loss`.
+    /// Fraction of datagrams duplicated.
     pub doubled: f64,
-    /// The least and the most that a datagram takes, in seconds.
+    /// Smallest and largest delay of a datagram in seconds.
     pub delay_s: [f64; 2],
-    /// Clocks run so much too fast or too slow at the most.
+    /// Largest relative deviation of a clock's rate.
     pub drift: f64,
-    /// One of so many servers has a fifth of a core; none at 0.
+    /// One of this many servers gets a fifth of a core; 0 for none.
     pub starved: usize,
-    /// The mean of what a call takes in seconds.
+    /// Mean duration of a call in seconds.
     pub call_s: f64,
-    /// A stand-in that costs more: each server sends so many more bytes a second, as membership. For trying a measurement out.
+    /// Additional membership bytes per second sent by each server, to test the measurement of traffic.
     pub stand_in_bytes_s: usize,
-    /// What happens.
+    /// Faults injected.
     pub faults: Faults,
 }
 
@@ -88,54 +90,54 @@
     }
 }
 
-/// A moment at which more calls were under way than the ledger has slots.
+/// A time at which more calls were in progress than the ledger has slots.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Break {
-    /// When, in seconds.
+pub struct BoundViolation {
+    /// Time in seconds.
     pub at_s: f64,
-    /// The server whose call was one too many.
+    /// Server that made the excess call.
     pub server: usize,
-    /// Calls under way then.
+    /// Number of calls in progress.
     pub calls: usize,
 }
 
-/// What a day came to.
+/// Result of a run.
 #[derive(Debug, Clone, Default)]
 pub struct Outcome {
-    /// Slots in all.
+    /// Total number of slots.
     pub bound: usize,
-    /// The most calls that were under way.
+    /// Largest number of concurrent calls.
     pub most: usize,
-    /// Each time that the bound was passed.
-    pub breaks: Vec<Break>,
-    /// Runs that wanted a call, and those whose call went well.
+    /// All violations of the bound.
+    pub breaks: Vec<BoundViolation>,
+    /// Number of runs that needed a call.
     pub asked: usize,
-    /// See `asked`.
+    /// Number of runs whose call succeeded.
     pub served: usize,
-    /// Calls that were refused by a ledger that is dead for their server.
+    /// Calls that failed because the server couldn't connect to the ledger.
     pub refused: usize,
-    /// For each change, the time in seconds until all that could know did.
+    /// For each membership change, seconds until all reachable servers knew it.
     pub known_s: Vec<f64>,
-    /// Changes that not all knew at the end.
+    /// Changes that were not known everywhere at the end.
     pub unknown: usize,
-    /// Bytes a second that a server sent, the mean and the most of all.
+    /// Bytes per second sent by a server, averaged over all servers.
     pub bytes_s: f64,
-    /// See `bytes_s`.
+    /// Largest value of any server.
     pub most_bytes_s: f64,
-    /// What all servers sent, by kind, from `count_from_s` on.
+    /// Datagrams and bytes sent by all servers since `count_from_s`, by kind.
     pub traffic: Traffic,
-    /// Times that a server that was there all along was believed dead, for each server and minute.
+    /// Times that a healthy server was believed dead, per server and minute.
     pub wrongly_dead: f64,
-    /// The longest time in seconds that one was.
+    /// Longest time in seconds for which a healthy server was believed dead.
     pub longest_wrong_s: f64,
-    /// The part of the requests' weight whose office was misjudged as within or beyond its share.
+    /// Fraction of the request weight whose tenant was wrongly judged to be within or over its quota.
     pub misjudged: f64,
-    /// The mean part of the fleet that a server's counts were of.
+    /// Mean fraction of the fleet covered by a server's counters.
     pub heard: f64,
 }
 
 impl Outcome {
-    /// The part of the runs whose call went well.
+    /// Fraction of the runs whose call succeeded.
     pub fn service(&self) -> f64 {
         self.served as f64 / self.asked.max(1) as f64
     }
--- a/crates/model/src/peers/traffic.rs
+++ b/crates/model/src/peers/traffic.rs
@@ -1,26 +1,26 @@
-//! Datagrams by what they carry, so that each part of the talk between servers is charged with its own bytes.
+//! Counts datagrams by kind, so that each protocol is charged for its own bytes.
 
-/// What a datagram carries.
+/// Content of a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// Membership: SWIM, and a life told to one that is mistaken about it.
+    /// Membership: SWIM, including the correction of a server that has an outdated incarnation.
     Membership,
     /// Counter rows.
     Rows,
-    /// Messages about leases.
+    /// Lease messages.
     Leases,
-    /// Pieces of longer messages: consensus, configuration.
+    /// Fragments of longer messages: consensus and configuration.
     Posts,
-    /// Nothing that is known here.
+    /// None of the known kinds.
     Unknown,
 }
 
 impl Kind {
-    /// All kinds, in the order of [`Traffic`]'s counts.
+    /// All kinds, in the order of [`Traffic`]'s counters.
     pub const ALL: [Self; 5] = [Self::Membership, Self::Rows, Self::Leases, Self::Posts, Self::Unknown];
 
-    /// Of a datagram as it leaves: its kind is the byte behind the envelope's head, which is a version, a name with its length, and
-    /// four numbers of eight bytes.
+    /// Kind of an outgoing datagram: the byte after the envelope header, which is a version, a length-prefixed name
+    /// and four 8-byte numbers.
     pub fn of(datagram: &[u8]) -> Self {
         const NUMBERS: usize = 4 * 8;
         let Some(&name) = datagram.get(1) else { return Self::Unknown };
@@ -37,30 +37,30 @@
 /// Datagrams and bytes of one kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Sent {
-    /// Datagrams.
+    /// Number of datagrams.
     pub datagrams: u64,
-    /// Their bytes, without what UDP and IP add.
+    /// Number of bytes without UDP and IP headers.
     pub bytes: u64,
 }
 
-/// What all servers sent, by kind.
+/// Datagrams sent by all servers, by kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Traffic([Sent; Kind::ALL.len()]);
 
 impl Traffic {
-    /// A datagram left.
+    /// Counts a datagram.
     pub fn add(&mut self, datagram: &[u8]) {
         let sent = &mut self.0[Kind::of(datagram) as usize];
         sent.datagrams += 1;
         sent.bytes += datagram.len() as u64;
     }
 
-    /// What was sent of a kind.
+    /// Sum of a kind.
     pub fn of(&self, kind: Kind) -> Sent {
         self.0[kind as usize]
     }
 
-    /// What was sent in all.
+    /// Sum of all kinds.
     pub fn all(&self) -> Sent {
         self.0.iter().fold(Sent::default(), |sum, sent| Sent {
             datagrams: sum.datagrams + sent.datagrams,
--- a/crates/model/src/peers/traffic/tests.rs
+++ b/crates/model/src/peers/traffic/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::peers::{Spec, play};
 
-/// Guards the byte by which kinds are told apart: if the envelope or the kinds change, datagrams become unknown or move to a kind that a
-/// fleet without consensus doesn't send.
+/// Guards the position of the kind byte: if the envelope or the kinds change, datagrams become unknown or are counted as
+/// a kind that a fleet without consensus doesn't send.
 #[test]
 fn every_datagram_of_a_fleet_is_charged_to_its_kind() {
     let outcome = play(&Spec { servers: 6, seconds: 12.0, lean: 8.0, load: 1.2, ..Spec::default() });
@@ -11,13 +11,13 @@
         assert!(of(kind).datagrams > 0, "{kind:?} {:?}", outcome.traffic);
     }
     assert_eq!((of(Kind::Posts), of(Kind::Unknown)), (Sent::default(), Sent::default()));
-    // A row a tick of 100 ms from each of six servers is 720 in 12 s; looks are one a second.
+    // One row per 100 ms tick from each of six servers is 720 in 12 s; health checks are sent once per second.
     assert!(of(Kind::Rows).datagrams > of(Kind::Membership).datagrams / 4, "{:?}", outcome.traffic);
     let rate = outcome.traffic.all().bytes as f64 / 12.0 / 6.0;
     assert!((rate / outcome.bytes_s - 1.0).abs() < 0.01, "{rate} beside {}", outcome.bytes_s);
 }
 
-/// Guards a stand-in's datagrams against going uncounted.
+/// Guards against datagrams of a stand-in that are not counted.
 #[test]
 fn a_stand_in_that_sends_more_is_charged_for_it() {
     let plain = Spec { servers: 4, seconds: 6.0, ..Spec::default() };
--- a/crates/model/src/peers/world.rs
+++ b/crates/model/src/peers/world.rs
@@ -1,6 +1,6 @@
-//! Plays a day of the peers: datagrams, clocks, processes and the ledger, an event after another.
+//! Event loop of the simulation: datagrams, clocks, processes and the ledger.
 
-use super::{Break, Fault, FaultKind, Outcome, Sharing, Spec};
+use super::{BoundViolation, Fault, FaultKind, Outcome, Sharing, Spec};
 use crate::queue::{At, Heap, Queue, nanos};
 use crate::streams::{Streams, unit, within};
 use gradepin_admission::{Outcome as Ended, Span, Time, span_from_seconds, span_seconds};
@@ -16,76 +16,76 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How long a run waits for its call, and how long a call on an own slot may take, in seconds.
-const PATIENCE_S: f64 = 1.0;
-const OWN_LIMIT_S: f64 = 4.0;
-/// How long the ledger goes on with a call whose caller is gone.
+/// Seconds for which a run waits for its call, and time limit of a call on an own slot.
+const CALL_WAIT_LIMIT_S: f64 = 1.0;
+const OWN_CALL_LIMIT_S: f64 = 4.0;
+/// Seconds for which the ledger continues a call whose client is gone.
 const LINGER_S: f64 = 0.2;
-/// Calls take no more than so many times their mean.
-const MOST_OF_MEAN: f64 = 30.0;
-/// From the decision to call to the call's last look at the clock.
+/// Upper bound of the duration of a call, as a multiple of the mean.
+const MAX_MULTIPLE_OF_MEAN: f64 = 30.0;
+/// Seconds between the decision to call and the last check of the lease.
 const SEND_S: f64 = 0.000_3;
-/// A starved process runs for the first part of each period.
-const PERIOD: At = 100_000_000;
-const RUNS_FOR: At = 20_000_000;
-/// Between looks at what all believe.
-const LOOK_S: f64 = 0.25;
-/// Observers whose beliefs are looked at for wrong ones, at the most.
+/// A starved process runs only during the first part of each period; both in nanoseconds.
+const STARVED_PERIOD: At = 100_000_000;
+const STARVED_RUN_TIME: At = 20_000_000;
+/// Interval in seconds at which the servers' views are checked.
+const CHECK_INTERVAL_S: f64 = 0.25;
+/// Largest number of servers whose views are checked for errors.
 const OBSERVERS: usize = 40;
-/// A server is well if nothing happened to it for so long.
-const WELL_S: f64 = 5.0;
-/// Datagrams that wait in the socket of a process that doesn't run.
-const SOCKET: usize = 200;
-const OFFICES: [(&str, f64); 4] = [("o1", 0.42), ("o2", 0.26), ("o3", 0.18), ("o4", 0.14)];
-/// What is told of calls a second, for each office's quota.
-const WINDOW_S: f64 = 10.0;
+/// A server counts as healthy after this many seconds without a fault.
+const HEALTHY_AFTER_S: f64 = 5.0;
+/// Capacity in datagrams of the socket of a process that doesn't run.
+const SOCKET_CAPACITY: usize = 200;
+const TENANTS: [(&str, f64); 4] = [("o1", 0.42), ("o2", 0.26), ("o3", 0.18), ("o4", 0.14)];
+/// Seconds of requests that are compared with each tenant's quota.
+const QUOTA_WINDOW_S: f64 = 10.0;
 
 enum Event {
     Wake(usize, u64),
     Arrive(usize),
     Datagram(usize, Arc<Vec<u8>>),
-    /// A decided call has its last look at the clock and leaves.
-    Leave(u64),
-    /// The ledger is done with a call.
+    /// Last lease check before a call is sent.
+    SendCall(u64),
+    /// The ledger finished a call.
     Done(u64),
-    /// Its caller gives it up.
+    /// The client of a call times out.
     HangUp(u64),
-    /// The ledger notices that the caller is gone.
-    Gone(u64),
+    /// The ledger notices that the client of a call is gone.
+    ClientGone(u64),
     Fault(usize, bool),
-    Look,
+    CheckViews,
 }
 
 struct Call {
     server: usize,
-    life: u32,
-    /// With the ledger.
-    there: bool,
-    /// The caller waits for it.
+    start_count: u32,
+    /// Whether the call is in progress at the ledger.
+    in_progress: bool,
+    /// Whether the client still waits for the call.
     awaited: bool,
     slot: Option<Slot>,
-    made: At,
+    sent_at: At,
     good: bool,
 }
 
 struct Server {
     cluster: Option<Cluster>,
-    /// Of its clock: what it shows is `offset + t * rate`.
+    /// Clock of the server: it shows `offset + t * rate`.
     rate: f64,
     offset: u64,
-    life: u32,
+    start_count: u32,
     wall_back_s: f64,
     stopped: bool,
     starved: bool,
     wake: u64,
     inbox: VecDeque<Arc<Vec<u8>>>,
-    /// Calls that ended while it was stopped.
+    /// Calls that ended while the process was stopped.
     ended: Vec<(u64, Ended)>,
     waiting: VecDeque<At>,
     calls: usize,
-    /// Since when nothing happened to it.
-    well_since: At,
-    /// What it was asked lately, by office.
+    /// Time of the last fault that affected it.
+    healthy_since: At,
+    /// Recent requests by tenant.
     asked: Vec<VecDeque<At>>,
 }
 
@@ -102,17 +102,21 @@
         !self.stopped && self.cluster.is_some()
     }
 
-    /// When it has the core next.
+    /// Next time at which the process has the core.
     fn slot(&self, at: At) -> At {
-        if self.starved && at % PERIOD >= RUNS_FOR { at - at % PERIOD + PERIOD } else { at }
+        if self.starved && at % STARVED_PERIOD >= STARVED_RUN_TIME {
+            at - at % STARVED_PERIOD + STARVED_PERIOD
+        } else {
+            at
+        }
     }
 }
 
-/// A change whose spread is watched.
+/// A membership change whose dissemination is measured.
 struct Watched {
     since: At,
     name: Arc<str>,
-    life: u32,
+    start_count: u32,
     up: bool,
 }
 
@@ -127,20 +131,20 @@
     work: Pcg64Mcg,
     calls: HashMap<u64, Call>,
     call_no: u64,
-    /// Calls with the ledger.
-    there: usize,
-    /// Runs that wait, oldest first, where one pool serves all.
+    /// Calls in progress at the ledger.
+    in_progress: usize,
+    /// Waiting runs of all servers, oldest first; used only with a single pool.
     pool: VecDeque<(usize, At)>,
-    on: Vec<bool>,
+    active: Vec<bool>,
     watched: Vec<Watched>,
-    wrong: HashMap<(usize, usize), At>,
-    wrongs: usize,
-    judged: [f64; 2],
+    false_suspicions: HashMap<(usize, usize), At>,
+    false_suspicion_count: usize,
+    quota_error: [f64; 2],
     heard: [f64; 2],
     out: Outcome,
 }
 
-/// Plays a day.
+/// Plays a run to its end.
 pub fn play(spec: &Spec) -> Outcome {
     let streams = Streams::new(spec.seed);
     let mut rng = streams.of("peers", 0);
@@ -148,7 +152,7 @@
         cluster: None,
         rate: 1.0 + within(&mut rng, [-spec.drift, spec.drift]),
         offset: nanos(within(&mut rng, [1.0, 1e6])),
-        life: 0,
+        start_count: 0,
         wall_back_s: 0.0,
         stopped: false,
         starved: spec.starved > 0 && n.is_multiple_of(spec.starved),
@@ -157,8 +161,8 @@
         ended: Vec::new(),
         waiting: VecDeque::new(),
         calls: 0,
-        well_since: 0,
-        asked: vec![VecDeque::new(); OFFICES.len()],
+        healthy_since: 0,
+        asked: vec![VecDeque::new(); TENANTS.len()],
     });
     let world = World {
         spec,
@@ -171,13 +175,13 @@
         work: streams.of("peer work", 0),
         calls: HashMap::new(),
         call_no: 0,
-        there: 0,
+        in_progress: 0,
         pool: VecDeque::new(),
-        on: vec![false; spec.faults.0.len()],
+        active: vec![false; spec.faults.0.len()],
         watched: Vec::new(),
-        wrong: HashMap::new(),
-        wrongs: 0,
-        judged: [0.0; 2],
+        false_suspicions: HashMap::new(),
+        false_suspicion_count: 0,
+        quota_error: [0.0; 2],
         heard: [0.0; 2],
         out: Outcome { bound: (spec.share * spec.servers as f64).floor() as usize, ..Outcome::default() },
     };
@@ -194,7 +198,7 @@
             self.queue.push(nanos(fault.from_s), Event::Fault(n, true));
             self.queue.push(nanos(fault.to_s), Event::Fault(n, false));
         }
-        self.queue.push(nanos(LOOK_S), Event::Look);
+        self.queue.push(nanos(CHECK_INTERVAL_S), Event::CheckViews);
         let end = nanos(self.spec.seconds);
         while let Some((at, event)) = self.queue.pop().filter(|(at, _)| *at <= end) {
             self.now = at;
@@ -215,14 +219,14 @@
             }
         }
         self.out.unknown = self.watched.len();
-        self.out.wrongly_dead = self.wrongs as f64 / minutes;
-        self.out.misjudged = self.judged[0] / self.judged[1].max(1.0);
+        self.out.wrongly_dead = self.false_suspicion_count as f64 / minutes;
+        self.out.misjudged = self.quota_error[0] / self.quota_error[1].max(1.0);
         self.out.heard = self.heard[0] / self.heard[1].max(1.0);
         self.out
     }
 
-    fn shares(&self) -> bool {
-        matches!(self.spec.sharing, Sharing::Lending | Sharing::Plain)
+    fn uses_leases(&self) -> bool {
+        matches!(self.spec.sharing, Sharing::Lending | Sharing::IgnoreExpiry)
     }
 
     fn address(n: usize) -> SocketAddr {
@@ -232,18 +236,19 @@
     fn start(&mut self, n: usize) {
         let spec = self.spec;
         let server = &mut self.servers[n];
-        server.life += 1;
-        server.well_since = self.now;
-        // The wall clock of a machine may be set back between two lives.
+        server.start_count += 1;
+        server.healthy_since = self.now;
+        // A machine's wall clock may be set back between two incarnations.
         let wall_ms = (1_700_000_000.0 + self.now as f64 / 1e9 - server.wall_back_s) * 1e3;
-        let draw = Streams::new(spec.seed).of("life", (n as u64) << 32 | u64::from(server.life)).next_u64();
+        let draw =
+            Streams::new(spec.seed).of("life", (n as u64) << 32 | u64::from(server.start_count)).next_u64();
         let own = Peer {
             name: Arc::clone(&self.names[n]),
             incarnation: Incarnation::starting(wall_ms as u64, draw),
             address: Self::address(n),
             zone: Arc::from(format!("z{}", n % spec.zones)),
         };
-        let plain = spec.sharing == Sharing::Plain;
+        let plain = spec.sharing == Sharing::IgnoreExpiry;
         let settings = ClusterSettings {
             own,
             seeds: (0..3.min(spec.servers)).map(Self::address).collect(),
@@ -263,11 +268,11 @@
         server.waiting.clear();
         server.inbox.clear();
         server.ended.clear();
-        if self.shares() {
-            let (name, life) = (Arc::clone(&self.names[n]), self.servers[n].life);
+        if self.uses_leases() {
+            let (name, start_count) = (Arc::clone(&self.names[n]), self.servers[n].start_count);
             if self.now > 0 {
                 self.watched.retain(|watched| watched.name != name);
-                self.watched.push(Watched { since: self.now, name, life, up: true });
+                self.watched.push(Watched { since: self.now, name, start_count, up: true });
             }
             self.wake(n, self.now);
         }
@@ -308,7 +313,7 @@
             }
             Event::Datagram(n, data) => {
                 let server = &mut self.servers[n];
-                if server.cluster.is_some() && server.inbox.len() < SOCKET {
+                if server.cluster.is_some() && server.inbox.len() < SOCKET_CAPACITY {
                     server.inbox.push_back(data);
                 }
                 if server.runs() {
@@ -319,22 +324,22 @@
                     }
                 }
             }
-            Event::Leave(call) => self.leave(call),
+            Event::SendCall(call) => self.send_call(call),
             Event::Done(call) => self.done(call, None),
             Event::HangUp(call) => self.hang_up(call),
-            Event::Gone(call) => self.gone(call),
+            Event::ClientGone(call) => self.client_gone(call),
             Event::Fault(n, begins) => self.fault(n, begins),
-            Event::Look => {
-                self.look();
+            Event::CheckViews => {
+                self.check_views();
                 self.send_of_stand_ins();
-                self.queue.push(self.now + nanos(LOOK_S), Event::Look);
+                self.queue.push(self.now + nanos(CHECK_INTERVAL_S), Event::CheckViews);
             }
         }
     }
 
     // ---- processes and datagrams
 
-    /// One turn of a server's process.
+    /// One step of a server's process.
     fn step(&mut self, n: usize) {
         let server = &mut self.servers[n];
         let local = server.local(self.now);
@@ -349,7 +354,7 @@
         cluster.step(local, &mut effects);
         let next = cluster.wake_at(local);
         for (call, how) in std::mem::take(&mut server.ended) {
-            self.told(n, call, how);
+            self.finish_late_call(n, call, how);
         }
         for effect in effects {
             if let ClusterEffect::Send { to, datagram: data } = effect {
@@ -379,11 +384,11 @@
         }
     }
 
-    /// What stand-ins send more: an envelope of no name and no tag that says membership, for nobody to take.
+    /// Additional bytes of the stand-ins: a membership envelope without name and tag, which every receiver drops.
     fn send_of_stand_ins(&mut self) {
         const HEAD: usize = 2 + 4 * 8 + 1;
-        let bytes = (self.spec.stand_in_bytes_s as f64 * LOOK_S) as usize;
-        if bytes <= HEAD || !self.shares() {
+        let bytes = (self.spec.stand_in_bytes_s as f64 * CHECK_INTERVAL_S) as usize;
+        if bytes <= HEAD || !self.uses_leases() {
             return;
         }
         let mut data = vec![0; bytes];
@@ -395,7 +400,7 @@
     }
 
     fn faults(&self) -> impl Iterator<Item = &Fault> {
-        self.spec.faults.0.iter().zip(&self.on).filter(|(_, on)| **on).map(|(fault, _)| fault)
+        self.spec.faults.0.iter().zip(&self.active).filter(|(_, active)| **active).map(|(fault, _)| fault)
     }
 
     fn slow_s(&self) -> f64 {
@@ -412,12 +417,12 @@
     }
 
     fn fault(&mut self, number: usize, begins: bool) {
-        self.on[number] = begins;
+        self.active[number] = begins;
         match &self.spec.faults.0[number].what {
             FaultKind::Stop(some) => {
                 for &n in some {
                     self.servers[n].stopped = begins;
-                    self.servers[n].well_since = self.now;
+                    self.servers[n].healthy_since = self.now;
                     if !begins && self.servers[n].runs() {
                         self.step(n);
                     }
@@ -435,7 +440,7 @@
             }
             FaultKind::Deaf(_) | FaultKind::Cut(_) | FaultKind::Slow(_) => {
                 let now = self.now;
-                self.servers.iter_mut().for_each(|server| server.well_since = now);
+                self.servers.iter_mut().for_each(|server| server.healthy_since = now);
             }
             FaultKind::NoLedger(_) | FaultKind::SlowLedger(_) => {}
         }
@@ -446,17 +451,17 @@
             return;
         }
         self.servers[n].stopped = false;
-        self.servers[n].well_since = self.now;
+        self.servers[n].healthy_since = self.now;
         let mut open: Vec<u64> =
             self.calls.iter().filter(|(_, call)| call.server == n).map(|(id, _)| *id).collect();
         open.sort_unstable();
         for id in open {
-            self.queue.push(self.now + nanos(LINGER_S), Event::Gone(id));
+            self.queue.push(self.now + nanos(LINGER_S), Event::ClientGone(id));
         }
-        if self.shares() {
-            let (name, life) = (Arc::clone(&self.names[n]), self.servers[n].life);
+        if self.uses_leases() {
+            let (name, start_count) = (Arc::clone(&self.names[n]), self.servers[n].start_count);
             self.watched.retain(|watched| watched.name != name);
-            self.watched.push(Watched { since: self.now, name, life, up: false });
+            self.watched.push(Watched { since: self.now, name, start_count, up: false });
         }
         self.pool.retain(|(server, _)| *server != n);
     }
@@ -465,10 +470,10 @@
 
     fn arrive(&mut self, n: usize) {
         self.out.asked += usize::from(self.counts_now());
-        let mut dice = unit(&mut self.work);
-        let tenant = OFFICES.iter().position(|(_, part)| {
-            dice -= part;
-            dice < 0.0
+        let mut draw = unit(&mut self.work);
+        let tenant = TENANTS.iter().position(|(_, part)| {
+            draw -= part;
+            draw < 0.0
         });
         let tenant = tenant.unwrap_or(0);
         let server = &mut self.servers[n];
@@ -477,28 +482,28 @@
         let Some(cluster) = &mut server.cluster else { return };
         cluster.arrived(
             local,
-            CellId::of(OFFICES[tenant].0, "c"),
+            CellId::of(TENANTS[tenant].0, "c"),
             false,
             span_from_seconds(self.spec.call_s),
         );
         server.waiting.push_back(self.now);
-        if self.spec.sharing == Sharing::AllKnowing {
+        if self.spec.sharing == Sharing::SinglePool {
             self.pool.push_back((n, self.now));
-            self.pour();
+            self.serve_pool();
         } else {
             self.serve(n);
         }
     }
 
-    /// Makes the calls that may be made.
+    /// Starts all calls that the server may make.
     fn serve(&mut self, n: usize) {
-        if self.spec.sharing == Sharing::AllKnowing {
-            return self.pour();
+        if self.spec.sharing == Sharing::SinglePool {
+            return self.serve_pool();
         }
         loop {
-            let lends = self.shares();
+            let lends = self.uses_leases();
             let server = &mut self.servers[n];
-            let patience = nanos(PATIENCE_S);
+            let patience = nanos(CALL_WAIT_LIMIT_S);
             while server.waiting.front().is_some_and(|since| since + patience < self.now) {
                 server.waiting.pop_front();
             }
@@ -527,19 +532,19 @@
                     self.decide(n, Some(slot));
                 }
                 CallDecision::Wait => return,
-                // As in the server: what finds the door closed is given up at once, and asks no second time.
+                // As in the server: a run rejected by the breaker fails at once and is not retried.
                 CallDecision::Rejected => drop(server.waiting.pop_front()),
             }
         }
     }
 
-    /// One pool for all, and whoever waits longest.
-    fn pour(&mut self) {
-        let patience = nanos(PATIENCE_S);
+    /// Starts calls from the single pool, oldest run first.
+    fn serve_pool(&mut self) {
+        let patience = nanos(CALL_WAIT_LIMIT_S);
         while self.pool.front().is_some_and(|(_, since)| since + patience < self.now) {
             self.pool.pop_front();
         }
-        while self.there < self.out.bound {
+        while self.in_progress < self.out.bound {
             let runs = |(n, _): &(usize, At)| self.servers[*n].runs();
             let Some(place) = self.pool.iter().position(runs) else { return };
             if let Some((n, _)) = self.pool.remove(place) {
@@ -551,36 +556,44 @@
 
     fn decide(&mut self, n: usize, slot: Option<Slot>) {
         self.call_no += 1;
-        let (id, life) = (self.call_no, self.servers[n].life);
+        let (id, start_count) = (self.call_no, self.servers[n].start_count);
         self.servers[n].calls += 1;
-        let call = Call { server: n, life, there: false, awaited: true, slot, made: self.now, good: true };
+        let call = Call {
+            server: n,
+            start_count,
+            in_progress: false,
+            awaited: true,
+            slot,
+            sent_at: self.now,
+            good: true,
+        };
         self.calls.insert(id, call);
         if slot.is_some() {
-            self.queue.push(self.now + nanos(SEND_S), Event::Leave(id));
+            self.queue.push(self.now + nanos(SEND_S), Event::SendCall(id));
         } else {
-            self.leave(id);
+            self.send_call(id);
         }
     }
 
-    /// The last look at the clock before a call leaves.
-    fn leave(&mut self, id: u64) {
+    /// Checks the lease a last time and sends the call.
+    fn send_call(&mut self, id: u64) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let n = call.server;
-        if self.servers[n].life != call.life || self.servers[n].cluster.is_none() {
+        if self.servers[n].start_count != call.start_count || self.servers[n].cluster.is_none() {
             self.calls.remove(&id);
             return;
         }
         if self.servers[n].stopped {
-            // It goes on where it was when the process does.
-            self.queue.push(self.now + nanos(0.01), Event::Leave(id));
+            // The process continues here once it runs again.
+            self.queue.push(self.now + nanos(0.01), Event::SendCall(id));
             return;
         }
         let local = self.servers[n].local(self.now);
-        let mut limit = OWN_LIMIT_S;
+        let mut limit = OWN_CALL_LIMIT_S;
         if let Some(Slot::Borrowed { until, max_call }) = call.slot {
             if local >= until {
                 self.calls.remove(&id);
-                return self.told_of(n, id, Ended::Rejected, Span(0));
+                return self.report_call_end(n, id, Ended::Rejected, Span(0));
             }
             limit = span_seconds(max_call) / self.servers[n].rate;
         }
@@ -588,21 +601,25 @@
         if closed {
             self.calls.remove(&id);
             self.out.refused += 1;
-            return self.told_of(n, id, Ended::ConnectFailed, Span(0));
+            return self.report_call_end(n, id, Ended::ConnectFailed, Span(0));
         }
         let slower =
             self.faults().map(|t| if let FaultKind::SlowLedger(times) = t.what { times } else { 1.0 });
         let slower = slower.fold(1.0, f64::max);
         let tail = -(1.0 - unit(&mut self.work)).ln();
-        let took = (self.spec.call_s * slower * tail).min(self.spec.call_s * MOST_OF_MEAN);
+        let took = (self.spec.call_s * slower * tail).min(self.spec.call_s * MAX_MULTIPLE_OF_MEAN);
         if let Some(call) = self.calls.get_mut(&id) {
-            call.there = true;
-            call.made = self.now;
-        }
-        self.there += 1;
-        self.out.most = self.out.most.max(self.there);
-        if self.there > self.out.bound {
-            self.out.breaks.push(Break { at_s: self.now as f64 / 1e9, server: n, calls: self.there });
+            call.in_progress = true;
+            call.sent_at = self.now;
+        }
+        self.in_progress += 1;
+        self.out.most = self.out.most.max(self.in_progress);
+        if self.in_progress > self.out.bound {
+            self.out.breaks.push(BoundViolation {
+                at_s: self.now as f64 / 1e9,
+                server: n,
+                calls: self.in_progress,
+            });
         }
         self.queue.push(self.now + nanos(took).max(1), Event::Done(id));
         if took > limit {
@@ -610,84 +627,88 @@
         }
     }
 
-    /// The ledger has an answer, or with none gives it up.
-    fn done(&mut self, id: u64, gone: Option<()>) {
+    /// Ends a call, with an answer or, if `client_gone` is set, without one.
+    fn done(&mut self, id: u64, client_gone: Option<()>) {
         let Some(call) = self.calls.remove(&id) else { return };
-        if call.there {
-            self.there -= 1;
+        if call.in_progress {
+            self.in_progress -= 1;
         }
         let n = call.server;
-        if gone.is_none() && call.awaited && self.servers[n].life == call.life && call.good {
-            let took = span_from_seconds((self.now - call.made) as f64 / 1e9);
-            self.told_of(n, id, Ended::Success, took);
+        if client_gone.is_none()
+            && call.awaited
+            && self.servers[n].start_count == call.start_count
+            && call.good
+        {
+            let took = span_from_seconds((self.now - call.sent_at) as f64 / 1e9);
+            self.report_call_end(n, id, Ended::Success, took);
         }
-        if self.spec.sharing == Sharing::AllKnowing {
-            self.pour();
+        if self.spec.sharing == Sharing::SinglePool {
+            self.serve_pool();
         }
     }
 
     fn hang_up(&mut self, id: u64) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let n = call.server;
-        if self.servers[n].life != call.life || self.servers[n].cluster.is_none() {
+        if self.servers[n].start_count != call.start_count || self.servers[n].cluster.is_none() {
             return;
         }
         if self.servers[n].stopped {
-            // The ledger was told its limit, and goes by it.
-            self.queue.push(self.now + nanos(LINGER_S), Event::Gone(id));
+            // The ledger knows the call's time limit and applies it.
+            self.queue.push(self.now + nanos(LINGER_S), Event::ClientGone(id));
             return;
         }
         call.awaited = false;
-        let took = span_from_seconds((self.now - call.made) as f64 / 1e9);
-        self.queue.push(self.now + nanos(LINGER_S), Event::Gone(id));
-        self.told_of(n, id, Ended::TimedOut, took);
+        let took = span_from_seconds((self.now - call.sent_at) as f64 / 1e9);
+        self.queue.push(self.now + nanos(LINGER_S), Event::ClientGone(id));
+        self.report_call_end(n, id, Ended::TimedOut, took);
     }
 
-    fn gone(&mut self, id: u64) {
+    fn client_gone(&mut self, id: u64) {
         let awaited = self.calls.get(&id).is_some_and(|call| {
             call.awaited
-                && self.servers[call.server].life == call.life
+                && self.servers[call.server].start_count == call.start_count
                 && self.servers[call.server].cluster.is_some()
         });
         let server = self.calls.get(&id).map(|call| call.server);
         self.done(id, Some(()));
         if let (true, Some(n)) = (awaited, server) {
-            self.told_of(n, id, Ended::TimedOut, span_from_seconds(OWN_LIMIT_S));
+            self.report_call_end(n, id, Ended::TimedOut, span_from_seconds(OWN_CALL_LIMIT_S));
         }
     }
 
-    /// The server's process is told, now or when it goes on.
-    fn told_of(&mut self, n: usize, id: u64, how: Ended, took: Span) {
+    /// Reports the end of a call to the server's process, now or when it continues.
+    fn report_call_end(&mut self, n: usize, id: u64, how: Ended, took: Span) {
         self.out.served += usize::from(how == Ended::Success && self.counts_now());
         if self.servers[n].stopped {
             self.servers[n].ended.push((id, how));
             return;
         }
-        self.tell(n, how, took);
+        self.finish_call(n, how, took);
         self.serve(n);
     }
 
-    fn told(&mut self, n: usize, _id: u64, how: Ended) {
-        self.tell(n, how, span_from_seconds(self.spec.call_s));
+    fn finish_late_call(&mut self, n: usize, _id: u64, how: Ended) {
+        self.finish_call(n, how, span_from_seconds(self.spec.call_s));
     }
 
-    fn tell(&mut self, n: usize, how: Ended, took: Span) {
+    fn finish_call(&mut self, n: usize, how: Ended, took: Span) {
         let server = &mut self.servers[n];
         server.calls = server.calls.saturating_sub(1);
         let local = server.local(self.now);
-        if let Some(cluster) = server.cluster.as_mut().filter(|_| server.life > 0) {
+        if let Some(cluster) = server.cluster.as_mut().filter(|_| server.start_count > 0) {
             cluster.call_ended(local, how, took);
         }
     }
 
-    // ---- what is looked at
+    // ---- checks
 
-    fn look(&mut self) {
-        if !self.shares() {
-            return self.judge();
+    fn check_views(&mut self) {
+        if !self.uses_leases() {
+            return self.compare_quotas();
         }
         let now = self.now;
-        let lives: Vec<Incarnation> = self
+        let incarnations: Vec<Incarnation> = self
             .servers
             .iter()
             .map(|s| s.cluster.as_ref().map_or(Incarnation(0), |c| c.members().own().incarnation))
@@ -698,11 +719,11 @@
         self.watched.retain(|watched| {
             let n = names.iter().position(|name| *name == watched.name).unwrap_or(0);
             let knows = |seen: Option<&KnownMember>| match watched.up {
-                true => seen.is_some_and(|seen| seen.up && seen.peer.incarnation == lives[n]),
+                true => seen.is_some_and(|seen| seen.up && seen.peer.incarnation == incarnations[n]),
                 false => seen.is_some_and(|seen| !seen.up),
             };
             let mut others = servers.iter().enumerate().filter(|(m, server)| *m != n && server.runs());
-            let all = servers[n].life == watched.life
+            let all = servers[n].start_count == watched.start_count
                 && others.all(|(_, server)| {
                     server
                         .cluster
@@ -714,43 +735,43 @@
             }
             !all
         });
-        self.beliefs(now);
-        self.judge();
+        self.check_suspicions(now);
+        self.compare_quotas();
     }
 
-    /// Those that are there and well, and believed dead by one that is well.
-    fn beliefs(&mut self, now: At) {
+    /// Counts healthy servers that a healthy server believes dead.
+    fn check_suspicions(&mut self, now: At) {
         let apart = self
             .faults()
             .any(|t| matches!(t.what, FaultKind::Deaf(_) | FaultKind::Cut(_) | FaultKind::Slow(_)));
         if apart {
-            return self.wrong.clear();
+            return self.false_suspicions.clear();
         }
-        let well = |server: &Server| server.runs() && now >= server.well_since + nanos(WELL_S);
+        let healthy = |server: &Server| server.runs() && now >= server.healthy_since + nanos(HEALTHY_AFTER_S);
         let step = self.servers.len().div_ceil(OBSERVERS);
         let mut still = HashSet::new();
-        for observer in (0..self.servers.len()).step_by(step).filter(|n| well(&self.servers[*n])) {
+        for observer in (0..self.servers.len()).step_by(step).filter(|n| healthy(&self.servers[*n])) {
             let Some(cluster) = &self.servers[observer].cluster else { continue };
             for seen in cluster.members().known().filter(|seen| !seen.up) {
                 let number = seen.peer.name.get(1..).and_then(|number| number.parse::<usize>().ok());
-                let Some(n) = number.filter(|n| well(&self.servers[*n])) else { continue };
+                let Some(n) = number.filter(|n| healthy(&self.servers[*n])) else { continue };
                 still.insert((observer, n));
             }
         }
-        self.wrong.retain(|pair, _| still.contains(pair));
+        self.false_suspicions.retain(|pair, _| still.contains(pair));
         for pair in still {
-            let since = *self.wrong.entry(pair).or_insert_with(|| {
-                self.wrongs += 1;
+            let since = *self.false_suspicions.entry(pair).or_insert_with(|| {
+                self.false_suspicion_count += 1;
                 now
             });
             self.out.longest_wrong_s = self.out.longest_wrong_s.max((now - since) as f64 / 1e9);
         }
     }
 
-    /// What each server takes an office's part beyond its share to be, and what it is.
-    fn judge(&mut self) {
-        let window = nanos(WINDOW_S);
-        let mut sums = [0.0; OFFICES.len()];
+    /// Compares each server's estimate of a tenant's over-quota traffic with the actual value.
+    fn compare_quotas(&mut self) {
+        let window = nanos(QUOTA_WINDOW_S);
+        let mut sums = [0.0; TENANTS.len()];
         for server in &mut self.servers {
             for (tenant, asked) in server.asked.iter_mut().enumerate() {
                 while asked.front().is_some_and(|at| at + window < self.now) {
@@ -768,20 +789,21 @@
         for (n, server) in self.servers.iter().enumerate().filter(|(_, server)| server.runs()) {
             let Some(cluster) = &server.cluster else { continue };
             let local = server.local(self.now);
-            for (tenant, (name, part)) in OFFICES.iter().enumerate() {
+            for (tenant, (name, part)) in TENANTS.iter().enumerate() {
                 let quota = capacity * part * spec.load;
                 let cell = CellId::of(name, "c");
-                let told = match spec.sharing {
+                let estimate = match spec.sharing {
                     Sharing::Static => quota,
-                    Sharing::AllKnowing => f64::INFINITY,
+                    Sharing::SinglePool => f64::INFINITY,
                     _ => cluster.quota(local, quota, |id| id == cell),
                 };
                 let own = server.asked[tenant].len() as f64;
-                let within = |quota: f64, asked: f64| (quota * WINDOW_S / asked.max(1e-9)).min(1.0);
+                let within = |quota: f64, asked: f64| (quota * QUOTA_WINDOW_S / asked.max(1e-9)).min(1.0);
                 let truth = within(quota, sums[tenant]);
-                let judged = if told.is_infinite() { truth } else { within(told / spec.servers as f64, own) };
-                self.judged[0] += own * (judged - truth).abs();
-                self.judged[1] += own;
+                let estimated =
+                    if estimate.is_infinite() { truth } else { within(estimate / spec.servers as f64, own) };
+                self.quota_error[0] += own * (estimated - truth).abs();
+                self.quota_error[1] += own;
             }
             heard.insert(n, cluster.read(local, |_| true).coverage(spec.servers));
         }
@@ -799,9 +821,10 @@
         (1..=count).map(|seed| (seed, play(&spec(seed)))).collect()
     }
 
-    /// The bound, attacked by drawn troubles; and the same without the rules of time, or this proves nothing.
+    /// The bound must hold under drawn faults, and must be violated when lease expiry is ignored; otherwise the test
+    /// proves nothing.
     #[test]
-    fn leases_keep_the_bound_and_without_their_rules_of_time_they_dont() {
+    fn the_bound_holds_with_lease_expiry_and_breaks_without() {
         let spec = |seed, sharing| {
             let faults = draw(seed, 12, 20.0);
             Spec { seed, sharing, seconds: 20.0, faults, ..Spec::default() }
@@ -810,32 +833,32 @@
             assert_eq!(outcome.breaks, [], "seed {seed}: {:?}", spec(seed, Sharing::Lending).faults);
             assert!(outcome.most <= outcome.bound && outcome.served > 0);
         }
-        let broken = seeds(6, |seed| spec(seed, Sharing::Plain));
+        let broken = seeds(6, |seed| spec(seed, Sharing::IgnoreExpiry));
         assert!(broken.iter().any(|(_, outcome)| !outcome.breaks.is_empty()));
     }
 
     #[test]
-    fn one_seed_one_result() {
+    fn one_seed_gives_one_result() {
         let spec = Spec { faults: draw(3, 12, 12.0), seconds: 12.0, ..Spec::default() };
         assert_eq!(format!("{:?}", play(&spec)), format!("{:?}", play(&spec)));
     }
 
-    /// Guards the point of it all: where traffic leans, lending earns most of what one that knows all would, and a fleet
-    /// cut to pieces has what static shares give.
+    /// Guards the benefit of lending: with uneven load it gains most of what complete information would, and a fully
+    /// partitioned fleet serves as much as with static shares.
     #[test]
-    fn lending_earns_where_traffic_leans_and_costs_nothing_where_all_are_cut_off() {
+    fn lending_gains_under_uneven_load_and_costs_nothing_in_a_full_partition() {
         let service = |sharing, faults: Faults| {
             let spec = Spec { sharing, faults, seconds: 60.0, count_from_s: 10.0, ..Spec::default() };
             play(&spec).service()
         };
         let none = Faults::default;
         let [fixed, lent, all] =
-            [Sharing::Static, Sharing::Lending, Sharing::AllKnowing].map(|sharing| service(sharing, none()));
+            [Sharing::Static, Sharing::Lending, Sharing::SinglePool].map(|sharing| service(sharing, none()));
         assert!(
             (lent - fixed) / (all - fixed) > 0.8,
             "static {fixed:.3}, lent {lent:.3}, all-knowing {all:.3}"
         );
-        // Each hears nobody, from before the first word on.
+        // Each server is partitioned from all others before the first message.
         let alone =
             (0..12).map(|n| Fault { from_s: 0.0, to_s: 59.9, what: FaultKind::Cut(vec![n]) }).collect();
         let cut = service(Sharing::Lending, Faults(alone));
--- a/crates/model/src/policies/codel.rs
+++ b/crates/model/src/policies/codel.rs
@@ -1,45 +1,46 @@
-//! Controlled delay for a server's line, as in "Fail at Scale" (B. Maurer, ACM Queue 13(8), 2015): once the line has not been
-//! empty for an interval, nothing waits longer than a short target, and the newest goes first.
+//! Controlled delay for a request queue, as in "Fail at Scale" (B. Maurer, ACM Queue 13(8), 2015): if the queue was not
+//! empty during the last interval, the waiting time is limited to a short target and the newest request runs first.
 
-use super::shell::{Ask, Load, Policy};
-use super::shortest_aim;
+use super::shell::{Load, Policy, RequestInfo};
+use super::shortest_objective;
 use gradepin_admission::{Settings, Span, Time, time_after};
 
-/// The target as a part of the shortest aim, and the interval.
-const TARGET: f64 = 0.05;
-const INTERVAL: f64 = 0.25;
+/// Target and interval as fractions of the shortest latency objective.
+const TARGET_FRACTION: f64 = 0.05;
+const INTERVAL_FRACTION: f64 = 0.25;
 
-/// The state of a line.
+/// Queue limits and the state of the queue.
 #[derive(Debug)]
 pub struct Codel {
     runs: usize,
-    line: usize,
+    waiting_queue: usize,
     target: Span,
     interval: Span,
     empty_at: Time,
-    stands: bool,
+    backlogged: bool,
 }
 
 impl Codel {
-    /// One and a half runs a core; the target is a twentieth of the shortest aim, the interval a quarter.
+    /// Limits of 1.5 runs per core; the target is a twentieth of the shortest latency objective, the interval a
+    /// quarter.
     pub fn new(settings: &Settings) -> Self {
-        let aim = shortest_aim(settings);
+        let objective = shortest_objective(settings);
         let cores = settings.specifics.n_cores as usize;
         Self {
             runs: cores * 3 / 2,
-            line: 16 * cores,
-            target: Span((TARGET * aim) as u64),
-            interval: Span((INTERVAL * aim) as u64),
+            waiting_queue: 16 * cores,
+            target: Span((TARGET_FRACTION * objective) as u64),
+            interval: Span((INTERVAL_FRACTION * objective) as u64),
             empty_at: Time(0),
-            stands: false,
+            backlogged: false,
         }
     }
 }
 
 impl Policy for Codel {
-    fn takes(&mut self, now: Time, _ask: &Ask, load: Load) -> bool {
-        self.stands = load.waiting > 0 && time_after(self.empty_at, self.interval) < now;
-        load.waiting < self.line
+    fn admits(&mut self, now: Time, _ask: &RequestInfo, load: Load) -> bool {
+        self.backlogged = load.waiting > 0 && time_after(self.empty_at, self.interval) < now;
+        load.waiting < self.waiting_queue
     }
 
     fn may_run(&self, load: Load) -> bool {
@@ -47,15 +48,15 @@
     }
 
     fn newest_first(&self) -> bool {
-        self.stands
+        self.backlogged
     }
 
-    fn drops(&mut self, now: Time, ask: &Ask) -> bool {
-        let most = if self.stands { self.target } else { self.interval };
-        time_after(ask.read, most) < now || ask.due <= now
+    fn discards(&mut self, now: Time, info: &RequestInfo) -> bool {
+        let wait_limit = if self.backlogged { self.target } else { self.interval };
+        time_after(info.read, wait_limit) < now || info.due <= now
     }
 
     fn idle(&mut self, now: Time) {
-        (self.empty_at, self.stands) = (now, false);
+        (self.empty_at, self.backlogged) = (now, false);
     }
 }
--- a/crates/model/src/policies/fixed.rs
+++ b/crates/model/src/policies/fixed.rs
@@ -1,40 +1,40 @@
-//! Fixed limits: a plain pool, and a limit with a short line that drops what comes too late.
+//! Fixed limits: a plain pool, and a limit with a short queue that discards expired requests.
 
-use super::shell::{Ask, Load, Policy};
+use super::shell::{Load, Policy, RequestInfo};
 use gradepin_admission::Time;
 
-/// So many runs and so many waiting, first come first served.
+/// Fixed limits of running and waiting requests, in FIFO order.
 #[derive(Debug)]
 pub struct Fixed {
     runs: usize,
-    line: usize,
-    drops: bool,
+    waiting_queue: usize,
+    discards: bool,
 }
 
 impl Fixed {
-    /// Two runs and four waiting requests a core: what a thread pool with a bounded queue does.
+    /// Two runs and four waiting requests per core, like a thread pool with a bounded queue.
     pub fn pool(cores: u32) -> Self {
         let cores = cores as usize;
-        Self { runs: 2 * cores, line: 4 * cores, drops: false }
+        Self { runs: 2 * cores, waiting_queue: 4 * cores, discards: false }
     }
 
-    /// One and a half runs and two waiting requests a core; one whose caller has gone by its turn is dropped.
-    pub fn line(cores: u32) -> Self {
+    /// 1.5 runs and two waiting requests per core; requests past their deadline are discarded instead of run.
+    pub fn waiting_queue(cores: u32) -> Self {
         let cores = cores as usize;
-        Self { runs: cores * 3 / 2, line: 2 * cores, drops: true }
+        Self { runs: cores * 3 / 2, waiting_queue: 2 * cores, discards: true }
     }
 }
 
 impl Policy for Fixed {
-    fn takes(&mut self, _now: Time, _ask: &Ask, load: Load) -> bool {
-        load.running < self.runs || load.waiting < self.line
+    fn admits(&mut self, _now: Time, _ask: &RequestInfo, load: Load) -> bool {
+        load.running < self.runs || load.waiting < self.waiting_queue
     }
 
     fn may_run(&self, load: Load) -> bool {
         load.running < self.runs
     }
 
-    fn drops(&mut self, now: Time, ask: &Ask) -> bool {
-        self.drops && ask.due <= now
+    fn discards(&mut self, now: Time, info: &RequestInfo) -> bool {
+        self.discards && info.due <= now
     }
 }
--- a/crates/model/src/policies/mod.rs
+++ b/crates/model/src/policies/mod.rs
@@ -1,7 +1,9 @@
-//! Servers to try a day with: the real one, which is the reducer with its module, and what a user would pick instead.
+//! Servers for a simulation: the real one, which is the reducer with its decision module, and common alternatives for
+//! comparison.
 //!
-//! All fill [`Node`]. The others share [`shell::Shell`], which keeps what any server has to keep (one final answer, keys, the
-//! drain), and differ in a [`shell::Policy`] that says what is let in and run.
+//!
+//! All implement [`Node`]. The alternatives share [`shell::Shell`], which has the duties of every server (a single final
+//! answer, idempotency keys, the drain), and differ in the [`shell::Policy`] that admits and orders requests.
 
 mod codel;
 mod dagor;
@@ -22,12 +24,12 @@
 use shell::{Shell, ShellSpec};
 use std::sync::Arc;
 
-/// A server, as a world drives it.
+/// A server driven by a simulation.
 pub trait Node: Send {
-    /// Takes in all inputs and appends what is to be done.
+    /// Processes all inputs and appends the resulting effects.
     fn step(&mut self, moment: Timestamp, inputs: &mut Vec<Input>, effects: &mut Vec<Effect>);
 
-    /// When it must be stepped again though nothing came in.
+    /// Time of the next step if there is no input before.
     fn wake_at(&self) -> Option<Time>;
 }
 
@@ -41,30 +43,30 @@
     }
 }
 
-/// Which server.
+/// Kind of server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// The product's own: the real reducer with the real module.
+    /// The product: the real reducer with the real decision module.
     Gradepin,
-    /// A pool: two runs and four waiting requests a core, first come first served.
+    /// Thread pool: two runs and four waiting requests per core, FIFO.
     Pool,
-    /// A fixed limit of runs with a short line that drops what comes too late.
+    /// Fixed concurrency limit with a short queue that discards expired requests.
     Fixed,
-    /// Controlled delay: short waits once a line stands, newest first.
+    /// Controlled delay: a short waiting time and LIFO order while the queue doesn't drain.
     Codel,
-    /// A limit that follows the time of runs (Netflix concurrency-limits, Gradient2).
+    /// Concurrency limit that follows the run time (Netflix concurrency-limits, Gradient2).
     Gradient,
-    /// By rank, with a level that follows the wait (DAGOR).
+    /// Precedence threshold that follows the waiting time (DAGOR).
     Dagor,
 }
 
 impl Kind {
-    /// All, the own first.
+    /// All kinds, the product first.
     pub const ALL: [Self; 6] =
         [Self::Gradepin, Self::Pool, Self::Fixed, Self::Codel, Self::Gradient, Self::Dagor];
 
-    /// Its name.
+    /// Name in settings and reports.
     pub fn name(self) -> &'static str {
         match self {
             Self::Gradepin => "gradepin",
@@ -76,30 +78,30 @@
         }
     }
 
-    /// By its name.
+    /// Returns the kind with this name.
     pub fn named(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.name() == name)
     }
 }
 
-/// What makes a server's node at each of its starts.
+/// Creates the node of a server at each start.
 #[derive(Debug, Clone)]
 pub struct NodeFactories {
     settings: Vec<Arc<Settings>>,
     stop_ms: u64,
 }
 
-/// A start: which machine, and a seed for what the server draws itself.
+/// Parameters of a server start.
 #[derive(Debug, Clone, Copy)]
 pub struct Start {
-    /// The machine.
+    /// Machine on which the server starts.
     pub machine: usize,
-    /// For random numbers.
+    /// Seed of the server's random numbers.
     pub seed: u64,
 }
 
 impl NodeFactories {
-    /// What the servers of a day are told; the same for all policies.
+    /// Settings of the servers in a scenario; the same for all policies.
     pub fn new(scenario: &Scenario) -> Self {
         let shared = settings(scenario);
         let settings = scenario
@@ -112,7 +114,8 @@
                 Arc::new(own)
             })
             .collect();
-        // Servers are told one time from the notice to the stop: the shortest of the day's deploys.
+        // Servers know a single time from the shutdown notice to the stop: the shortest one of the scenario's
+        // deployments.
         let drains = scenario.faults.iter().filter_map(|fault| match fault.what {
             FaultKind::Deploy { drain_s, .. } => Some((drain_s * 1e3) as u64),
             _ => None,
@@ -120,7 +123,7 @@
         Self { settings, stop_ms: drains.min().unwrap_or(4_000) }
     }
 
-    /// The node of a machine that starts.
+    /// Creates the node of a server that starts.
     pub fn node(&self, kind: Kind, start: Start, registration: Registration) -> Box<dyn Node> {
         let settings = &self.settings[start.machine];
         let cores = settings.specifics.n_cores;
@@ -128,11 +131,11 @@
         match kind {
             Kind::Gradepin => {
                 let config = config(settings, start, self.stop_ms);
-                let made = Reducer::new(&config, Arc::clone(settings), registration);
-                Box::new(made.expect("a seed that was written as hex digits is one"))
+                let reducer = Reducer::new(&config, Arc::clone(settings), registration);
+                Box::new(reducer.expect("a seed that was written as hex digits is one"))
             }
             Kind::Pool => Box::new(Shell::new(spec, fixed::Fixed::pool(cores), registration)),
-            Kind::Fixed => Box::new(Shell::new(spec, fixed::Fixed::line(cores), registration)),
+            Kind::Fixed => Box::new(Shell::new(spec, fixed::Fixed::waiting_queue(cores), registration)),
             Kind::Codel => Box::new(Shell::new(spec, codel::Codel::new(settings), registration)),
             Kind::Gradient => Box::new(Shell::new(spec, gradient::Gradient::new(settings), registration)),
             Kind::Dagor => Box::new(Shell::new(spec, dagor::Dagor::new(settings), registration)),
@@ -140,23 +143,24 @@
     }
 }
 
-/// The shortest aim of all classes, in nanoseconds: what plain policies take their waits from.
-fn shortest_aim(settings: &Settings) -> f64 {
+/// Shortest latency objective of all classes in nanoseconds, from which the comparison policies derive their waiting
+/// times.
+fn shortest_objective(settings: &Settings) -> f64 {
     settings.profiles.iter().map(|profile| profile.latency_objective.0).min().unwrap_or(0) as f64
 }
 
 fn config(settings: &Settings, start: Start, stop_ms: u64) -> Config {
-    let nowhere = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
+    let unused_address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
     Config {
         name: format!("n{}", start.machine),
-        listen: nowhere,
-        processor: nowhere,
-        control: nowhere,
+        listen: unused_address,
+        processor: unused_address,
+        control: unused_address,
         seed: format!("{:016x}", start.seed),
         stop_ms,
         lends: false,
         admin_addr: None,
-        upstream: Some(nowhere),
+        upstream: Some(unused_address),
         limits: Limits { sockets: 4_096, memory_mb: 192 },
         settings: settings.clone(),
     }
@@ -168,7 +172,8 @@
     Span(ms * MS)
 }
 
-/// What the operators tell a server of a day, as the platform does: not the speed of its cores, nor what callers are like.
+/// The settings that operators configure, as the platform supplies them: neither the speed of the cores nor the
+/// behaviour of clients is known.
 fn settings(scenario: &Scenario) -> Settings {
     let terms = scenario.terms();
     Settings {
--- a/crates/model/src/processor.rs
+++ b/crates/model/src/processor.rs
@@ -42,11 +42,11 @@
 }
 
 /// Interval in nanoseconds at which the speed of a cold processor is updated.
-const WARMING: At = 100_000_000;
+const SPEED_UPDATE_INTERVAL: At = 100_000_000;
 /// Averaging time of the utilization gauge, in nanoseconds.
-const GAUGE: At = 500_000_000;
+const GAUGE_WINDOW: At = 500_000_000;
 /// Remaining work in seconds that counts as done; less than the fastest core does in a nanosecond.
-const NOTHING: f64 = 1e-10;
+const NEGLIGIBLE_WORK_S: f64 = 1e-10;
 
 #[derive(Debug, Clone, Copy)]
 struct Entry {
@@ -79,17 +79,17 @@
 /// Jobs that share the cores, and the work that each has received since the beginning.
 #[derive(Debug, Default)]
 struct Shared {
-    got: f64,
+    received: f64,
     jobs: BinaryHeap<Entry>,
 }
 
 impl Shared {
-    fn left(&self) -> Option<f64> {
-        self.jobs.peek().map(|entry| (entry.target - self.got).max(0.0))
+    fn remaining(&self) -> Option<f64> {
+        self.jobs.peek().map(|entry| (entry.target - self.received).max(0.0))
     }
 
     fn pop(&mut self) -> Option<Job> {
-        let done = self.left().is_some_and(|left| left <= NOTHING);
+        let done = self.remaining().is_some_and(|remaining| remaining <= NEGLIGIBLE_WORK_S);
         if done { self.jobs.pop().map(|entry| entry.job) } else { None }
     }
 }
@@ -109,7 +109,7 @@
     paused: bool,
     /// Busy core-nanoseconds so far, and their history for the gauge.
     busy: f64,
-    course: VecDeque<(At, f64)>,
+    busy_history: VecDeque<(At, f64)>,
 }
 
 impl Cores {
@@ -117,7 +117,7 @@
     pub fn new(spec: CoresSpec) -> Self {
         Self {
             now: spec.started,
-            course: [(spec.started, 0.0)].into(),
+            busy_history: [(spec.started, 0.0)].into(),
             spec,
             runs: Shared::default(),
             reads: Shared::default(),
@@ -140,7 +140,7 @@
         self.unread.len() + self.reads.jobs.len()
     }
 
-    fn on(&self) -> usize {
+    fn jobs_on_cores(&self) -> usize {
         self.runs.jobs.len() + self.reads.jobs.len()
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// Fraction of full speed, which rises linearly after a cold start.
-    pub fn warmth(&self) -> f64 {
+    pub fn speed_fraction(&self) -> f64 {
         let since = (self.now - self.spec.started) as f64 / (self.spec.cold.max(1)) as f64;
         if self.spec.is_cold && since < 1.0 {
             self.spec.cold_from + (1.0 - self.spec.cold_from) * since
@@ -161,31 +161,32 @@
 
     /// Seconds of work that each job receives per nanosecond.
     fn rate(&self) -> f64 {
-        let on = self.on() as f64;
-        if on < 0.5 || self.paused {
+        let jobs_on_cores = self.jobs_on_cores() as f64;
+        if jobs_on_cores < 0.5 || self.paused {
             return 0.0;
         }
         // Reads are limited to one per core; only runs slow each other down.
-        let crowd = (self.runs.jobs.len() as f64 / self.spec.knee - 1.0).max(0.0);
-        let total = (1.0 + self.spec.thrash * crowd).recip() * self.spec.speed * self.warmth() / self.slow;
-        (f64::from(self.spec.cores) / on).min(1.0) * total / 1e9
+        let excess = (self.runs.jobs.len() as f64 / self.spec.knee - 1.0).max(0.0);
+        let total =
+            (1.0 + self.spec.thrash * excess).recip() * self.spec.speed * self.speed_fraction() / self.slow;
+        (f64::from(self.spec.cores) / jobs_on_cores).min(1.0) * total / 1e9
     }
 
     /// Advances to `now`; no job may end before that time.
     pub fn advance(&mut self, now: At) {
         let (rate, passed) = (self.rate(), now.saturating_sub(self.now) as f64);
         if passed > 0.0 {
-            let on = self.on() as f64;
-            self.reads.got += rate * passed;
+            let jobs_on_cores = self.jobs_on_cores() as f64;
+            self.reads.received += rate * passed;
             if !self.hangs {
-                self.runs.got += rate * passed;
+                self.runs.received += rate * passed;
             }
             if !self.paused {
-                self.busy += on.min(f64::from(self.spec.cores)) * passed;
+                self.busy += jobs_on_cores.min(f64::from(self.spec.cores)) * passed;
             }
-            self.course.push_back((now, self.busy));
-            while self.course.get(1).is_some_and(|(at, _)| at + GAUGE <= now) {
-                self.course.pop_front();
+            self.busy_history.push_back((now, self.busy));
+            while self.busy_history.get(1).is_some_and(|(at, _)| at + GAUGE_WINDOW <= now) {
+                self.busy_history.pop_front();
             }
         }
         self.now = self.now.max(now);
@@ -197,11 +198,11 @@
         if rate <= 0.0 {
             return None;
         }
-        let runs = self.runs.left().filter(|_| !self.hangs);
-        let left = [runs, self.reads.left()].into_iter().flatten().min_by(f64::total_cmp)?;
-        let at = self.now + ((left / rate).ceil() as At).max(u64::from(left > NOTHING));
+        let runs = self.runs.remaining().filter(|_| !self.hangs);
+        let remaining = [runs, self.reads.remaining()].into_iter().flatten().min_by(f64::total_cmp)?;
+        let at = self.now + ((remaining / rate).ceil() as At).max(u64::from(remaining > NEGLIGIBLE_WORK_S));
         let warming = self.spec.is_cold && self.now < self.spec.started + self.spec.cold;
-        Some(if warming { at.min(self.now + WARMING) } else { at })
+        Some(if warming { at.min(self.now + SPEED_UPDATE_INTERVAL) } else { at })
     }
 
     /// Returns a job that is done, if any. Call [`Cores::advance`] first.
@@ -210,7 +211,7 @@
             return None;
         }
         if let Some(job) = self.reads.pop() {
-            self.feed();
+            self.start_reads();
             return Some(Done::Read(job));
         }
         if self.hangs {
@@ -219,37 +220,37 @@
         self.runs.pop().map(Done::Run)
     }
 
-    fn put(&mut self, reads: bool, job: Job, work_s: f64) {
+    fn enqueue(&mut self, reads: bool, job: Job, work_s: f64) {
         self.number += 1;
         let number = self.number;
         let shared = if reads { &mut self.reads } else { &mut self.runs };
-        shared.jobs.push(Entry { target: shared.got + work_s, number, job });
+        shared.jobs.push(Entry { target: shared.received + work_s, number, job });
     }
 
     /// Starts reads until there is one per core.
-    fn feed(&mut self) {
+    fn start_reads(&mut self) {
         while self.reads.jobs.len() < self.spec.cores as usize
             && let Some((job, work_s)) = self.unread.pop_front()
         {
-            self.put(true, job, work_s);
+            self.enqueue(true, job, work_s);
         }
     }
 
     /// Queues a request to be read, in order of arrival.
     pub fn read(&mut self, job: Job, work_s: f64) {
         self.unread.push_back((job, work_s));
-        self.feed();
+        self.start_reads();
     }
 
     /// Removes a request that waits to be read; returns false if it is being read or was read.
-    pub fn forget(&mut self, job: Job) -> bool {
+    pub fn remove_unread(&mut self, job: Job) -> bool {
         let place = self.unread.iter().position(|(unread, _)| *unread == job);
         place.is_some_and(|place| self.unread.remove(place).is_some())
     }
 
     /// Starts a run.
     pub fn run(&mut self, job: Job, work_s: f64) {
-        self.put(false, job, work_s);
+        self.enqueue(false, job, work_s);
     }
 
     /// Slows all jobs down by a factor.
@@ -269,22 +270,22 @@
 
     /// Number of jobs that need a core.
     pub fn runnable(&self) -> f64 {
-        self.on() as f64
+        self.jobs_on_cores() as f64
     }
 
     /// Fraction of the cores busy during the last 0.5 s.
     pub fn cpu_utilization(&self) -> f64 {
-        let from = self.now.saturating_sub(GAUGE).max(self.spec.started);
-        let Some(&(first_at, first)) = self.course.front() else { return 0.0 };
+        let from = self.now.saturating_sub(GAUGE_WINDOW).max(self.spec.started);
+        let Some(&(first_at, first)) = self.busy_history.front() else { return 0.0 };
         // Busy time grows linearly between two entries.
-        let base = match self.course.get(1) {
+        let base = match self.busy_history.get(1) {
             Some(&(next_at, next)) if first_at < from && next_at > first_at => {
                 first + (next - first) * (from - first_at) as f64 / (next_at - first_at) as f64
             }
             _ => first,
         };
         let span = (self.now - from.max(first_at.min(self.now))) as f64;
-        let last = self.course.back().map_or(0.0, |(_, busy)| *busy);
+        let last = self.busy_history.back().map_or(0.0, |(_, busy)| *busy);
         if span <= 0.0 { 0.0 } else { ((last - base) / span / f64::from(self.spec.cores)).clamp(0.0, 1.0) }
     }
 }
@@ -335,16 +336,16 @@
 
     /// At twice the knee, throughput is half.
     #[test]
-    fn past_a_crowd_less_is_done() {
-        let mut crowd = cores(false);
-        (0..6).for_each(|job| crowd.run(job, 0.1));
+    fn throughput_falls_above_the_knee() {
+        let mut excess = cores(false);
+        (0..6).for_each(|job| excess.run(job, 0.1));
         // 0.6 s of work on 2 cores at half the speed.
-        assert_eq!(play(&mut crowd).last(), Some(&(600, Done::Run(5))));
+        assert_eq!(play(&mut excess).last(), Some(&(600, Done::Run(5))));
     }
 
     /// Reads are limited to one per core, in order of arrival.
     #[test]
-    fn requests_wait_unread() {
+    fn requests_wait_to_be_read() {
         let mut reading = cores(false);
         (0..4).for_each(|job| reading.read(job, 0.01));
         let read = |at, job| (at, Done::Read(job));
@@ -354,7 +355,7 @@
 
     /// Guards against a cold start without effect, and against one that never ends.
     #[test]
-    fn a_cold_one_warms() {
+    fn a_cold_processor_warms_up() {
         let mut cold = cores(true);
         cold.run(1, 1.0);
         let done = play(&mut cold)[0].0;
@@ -367,7 +368,7 @@
 
     /// A hang stops runs but not reads, a pause stops everything, and a slowdown lengthens the runs.
     #[test]
-    fn troubles_strike() {
+    fn hang_pause_and_slowdown() {
         let mut hung = cores(false);
         hung.hang(true);
         hung.run(1, 0.1);
@@ -387,7 +388,7 @@
 
     /// The gauge covers only the last 0.5 s.
     #[test]
-    fn the_gauge_forgets() {
+    fn the_gauge_covers_half_a_second() {
         let mut cores = cores(false);
         cores.run(1, 0.25);
         play(&mut cores);
--- a/crates/model/src/scenario/mod.rs
+++ b/crates/model/src/scenario/mod.rs
@@ -158,7 +158,8 @@
     /// Retransmission delay in milliseconds.
     pub resend_ms: f64,
     /// Fraction of cancellations that are lost.
-    pub deaf: f64,
+    #[serde(rename = "deaf")]
+    pub cancellation_loss: f64,
 }
 
 /// How client proxies discover servers.
@@ -307,16 +308,16 @@
         let classes = self.classes.iter().map(|class| class.class.clone()).collect();
         let tenants = self.tenants.iter().map(|tenant| tenant.tenant.clone()).collect();
         let capacity = self.capacity() * self.quota_of_capacity;
-        Terms { classes, tenants, ..Terms::brief(capacity) }
+        Terms { classes, tenants, ..Terms::specified(capacity) }
     }
 
     /// First attempts per second before the traffic shape and bursts are applied.
-    pub fn pace(&self) -> f64 {
+    pub fn base_rate(&self) -> f64 {
         self.load * self.capacity()
     }
 
     /// First attempts per second at a time, given the base rate.
-    pub fn rate(&self, pace: f64, at_s: f64) -> f64 {
+    pub fn rate(&self, base_rate: f64, at_s: f64) -> f64 {
         let course = match self.shape.iter().position(|(s, _)| *s > at_s) {
             None => self.shape.last().map_or(1.0, |(_, factor)| *factor),
             Some(0) => self.shape[0].1,
@@ -326,19 +327,19 @@
             }
         };
         let bursts: f64 = self.faults.iter().map(|fault| fault.burst(at_s)).product();
-        pace * course * bursts
+        base_rate * course * bursts
     }
 
     /// Upper bound of [`Scenario::rate`].
-    pub fn top_rate(&self, pace: f64) -> f64 {
+    pub fn max_rate(&self, base_rate: f64) -> f64 {
         let course = self.shape.iter().map(|(_, factor)| *factor).fold(0.0, f64::max);
         let course = if self.shape.is_empty() { 1.0 } else { course };
         let bursts: f64 = self.faults.iter().map(|fault| fault.top_burst()).product();
-        pace * course * bursts
+        base_rate * course * bursts
     }
 
     /// Longest deadline of all classes.
-    pub fn longest_ms(&self) -> Ms {
+    pub fn longest_deadline_ms(&self) -> Ms {
         self.classes.iter().map(|class| class.class.deadline_ms).max().unwrap_or(0)
     }
 }
--- a/crates/model/src/scenario/ranges.rs
+++ b/crates/model/src/scenario/ranges.rs
@@ -26,14 +26,14 @@
     servers: [f64; 2],
     proxies: [f64; 2],
     subset: usize,
-    obeys: [f64; 2],
+    advice_fraction: [f64; 2],
     retry_policies: Vec<String>,
-    picks: Vec<Pick>,
+    pick_policies: Vec<Pick>,
     swing: [f64; 2],
     faults: Vec<String>,
     fault_count: [f64; 2],
     slow_factor: [f64; 2],
-    deploy_part: [f64; 2],
+    deploy_fraction: [f64; 2],
     burst_size: [f64; 2],
     loss: [f64; 2],
     notice_s: [f64; 2],
@@ -41,7 +41,7 @@
     refresh_s: f64,
     read_share: [f64; 2],
     kinds: [Kind; 2],
-    office_load: Option<(usize, f64)>,
+    tenant_flood: Option<(usize, f64)>,
 }
 
 /// Error for an unknown setting or an invalid value.
@@ -105,13 +105,13 @@
 
 impl Default for Ranges {
     fn default() -> Self {
-        Self::brief()
+        Self::specified()
     }
 }
 
 impl Ranges {
     /// Ranges of the specification, with the faults seen in production.
-    pub fn brief() -> Self {
+    pub fn specified() -> Self {
         let small = Kind {
             speed: [0.5, 0.7],
             cv: [0.051, 0.23],
@@ -132,15 +132,15 @@
             servers: [10.0, 12.0],
             proxies: [3.0, 5.0],
             subset: 0,
-            obeys: [0.8, 1.0],
+            advice_fraction: [0.8, 1.0],
             retry_policies: vec!["unlimited".into()],
             // The list publishes nominal weights, and clients use them.
-            picks: vec![Pick::Weighted],
+            pick_policies: vec![Pick::Weighted],
             swing: [0.11, 0.29],
             faults: FAULT_KINDS[..4].iter().map(ToString::to_string).collect(),
             fault_count: [1.0, 2.99],
             slow_factor: [2.6, 8.4],
-            deploy_part: [0.56, 1.0],
+            deploy_fraction: [0.56, 1.0],
             burst_size: [1.3, 1.6],
             loss: [0.0, 0.0],
             notice_s: [1.0, 5.0],
@@ -148,7 +148,7 @@
             refresh_s: 5.0,
             read_share: [0.22, 0.28],
             kinds: [small, large],
-            office_load: None,
+            tenant_flood: None,
         }
     }
 
@@ -175,11 +175,11 @@
             "servers" => self.servers = range(1.0, 100_000.0)?,
             "proxies" => self.proxies = range(1.0, 10_000.0)?,
             "subset" => self.subset = range(0.0, 100_000.0)?[1] as usize,
-            "obeys" => self.obeys = range(0.0, 1.0)?,
+            "obeys" => self.advice_fraction = range(0.0, 1.0)?,
             "swing" => self.swing = range(0.0, 0.9)?,
             "trouble_count" => self.fault_count = range(0.0, 20.99)?,
             "slow_factor" => self.slow_factor = range(1.0, 1_000.0)?,
-            "deploy_part" => self.deploy_part = range(0.0, 1.0)?,
+            "deploy_part" => self.deploy_fraction = range(0.0, 1.0)?,
             "burst_size" => self.burst_size = range(1.0, 100.0)?,
             "loss" => self.loss = range(0.0, 0.5)?,
             "notice_s" => self.notice_s = range(0.0, 600.0)?,
@@ -195,9 +195,10 @@
             "pick" => {
                 let named =
                     |word: &String| PICKS.iter().find(|(name, _)| name == word).map(|(_, pick)| *pick);
-                let picks: Option<Vec<Pick>> = words().iter().map(named).collect();
-                let some = picks.filter(|picks| !picks.is_empty());
-                self.picks = some.ok_or_else(|| bad("some of round, least, two, weighted, hash, fastest"))?;
+                let pick_policies: Option<Vec<Pick>> = words().iter().map(named).collect();
+                let machine_sample = pick_policies.filter(|pick_policies| !pick_policies.is_empty());
+                self.pick_policies = machine_sample
+                    .ok_or_else(|| bad("some of round, least, two, weighted, hash, fastest"))?;
             }
             "troubles" => {
                 let names: Vec<String> = if value == "none" { Vec::new() } else { words() };
@@ -218,10 +219,10 @@
                 let parsed = value.split_once(':').and_then(|(tenant, times)| {
                     Some((tenant.trim().parse::<usize>().ok()?, times.trim().parse::<f64>().ok()?))
                 });
-                let tenants = Terms::brief(1.0).tenants.len();
+                let tenants = Terms::specified(1.0).tenants.len();
                 let ok =
                     parsed.filter(|(tenant, times)| *tenant < tenants && *times > 0.0 && *times <= 100.0);
-                self.office_load = Some(ok.ok_or_else(|| bad("OFFICE:TIMES, as 1:5"))?);
+                self.tenant_flood = Some(ok.ok_or_else(|| bad("OFFICE:TIMES, as 1:5"))?);
             }
             _ => return Err(SettingError::Name { name: name.to_string() }),
         }
@@ -273,7 +274,7 @@
                 jitter: within(&mut rng, [0.1, 0.4]),
                 loss: within(&mut rng, self.loss),
                 resend_ms: 200.0,
-                deaf: within(&mut rng, [0.0, 0.05]),
+                cancellation_loss: within(&mut rng, [0.0, 0.05]),
             },
             discovery: if self.registry {
                 let refresh_s = self.refresh_s;
@@ -296,19 +297,19 @@
             restart_s: within(&mut rng, [4.0, 8.0]),
         };
         scenario.tenants = self.tenants(&mut streams.of("offices", 0));
-        scenario.proxies = self.proxies(proxies, zones, within(&mut rng, self.obeys), &streams);
+        scenario.proxies = self.proxies(proxies, zones, within(&mut rng, self.advice_fraction), &streams);
         scenario.faults = self.faults(&scenario, &mut streams.of("troubles", 0));
-        succeed(&mut scenario, &streams);
+        add_successors(&mut scenario, &streams);
         scenario
     }
 
     fn tenants(&self, rng: &mut Pcg64Mcg) -> Vec<TenantSpec> {
-        let mut tenants: Vec<TenantSpec> = Terms::brief(1.0)
+        let mut tenants: Vec<TenantSpec> = Terms::specified(1.0)
             .tenants
             .into_iter()
             .map(|tenant| TenantSpec { traffic: tenant.share * within(rng, [0.75, 1.3]), tenant })
             .collect();
-        if let Some((flooded, times)) = self.office_load {
+        if let Some((flooded, times)) = self.tenant_flood {
             tenants[flooded].traffic = tenants[flooded].tenant.share * times;
         }
         let sum: f64 = tenants.iter().map(|tenant| tenant.traffic).sum();
@@ -316,15 +317,15 @@
         tenants
     }
 
-    fn proxies(&self, count: usize, zones: usize, obeys: f64, streams: &Streams) -> Vec<ProxySpec> {
-        let mut heed: Vec<bool> =
-            (0..count).map(|n| n < (obeys * count as f64).round().max(0.0) as usize).collect();
-        shuffle(&mut streams.of("heed", 0), &mut heed);
+    fn proxies(&self, count: usize, zones: usize, advice_fraction: f64, streams: &Streams) -> Vec<ProxySpec> {
+        let mut respects: Vec<bool> =
+            (0..count).map(|n| n < (advice_fraction * count as f64).round().max(0.0) as usize).collect();
+        shuffle(&mut streams.of("heed", 0), &mut respects);
         (0..count)
             .map(|number| {
                 let mut rng = streams.of("proxy-kind", number as u64);
                 let name = &self.retry_policies[one_of(&mut rng, self.retry_policies.len())];
-                let pick = self.picks[one_of(&mut rng, self.picks.len())];
+                let pick = self.pick_policies[one_of(&mut rng, self.pick_policies.len())];
                 let backoff = within(&mut rng, [0.7, 1.4]);
                 let retry_policy = RetryPolicy::named(name).unwrap_or_else(|| RetryPolicy::plain(pick));
                 let retry_policy =
@@ -332,7 +333,7 @@
                 ProxySpec {
                     zone: number % zones,
                     retry_policy,
-                    respects_advice: heed[number],
+                    respects_advice: respects[number],
                     subset: self.subset,
                 }
             })
@@ -343,7 +344,7 @@
         if self.faults.is_empty() {
             return Vec::new();
         }
-        let some = |rng: &mut Pcg64Mcg, part: f64| {
+        let machine_sample = |rng: &mut Pcg64Mcg, part: f64| {
             let mut all: Vec<usize> = (0..scenario.machines.len()).collect();
             shuffle(rng, &mut all);
             all.truncate(((part * all.len() as f64).round() as usize).max(1));
@@ -375,14 +376,14 @@
                             drain_s: at([3.2, 5.3], more),
                             successors: Vec::new(),
                         };
-                        (at([37.0, 22.0], len), at(self.deploy_part, part), what)
+                        (at([37.0, 22.0], len), at(self.deploy_fraction, part), what)
                     }
                     "hang" => (at([2.0, 8.0], len), at([0.05, 0.2], part), FaultKind::Hang),
                     "pause" => (at([0.5, 3.0], len), at([0.05, 0.2], part), FaultKind::Pause),
                     "registry_away" => (at([8.0, 25.0], len), 0.0, FaultKind::RegistryAway),
                     _ => (at([3.0, 12.0], len), 0.0, FaultKind::ZoneCut { zone: (part * 3.0) as usize % 3 }),
                 };
-                let on = if share > 0.0 { some(rng, share) } else { Vec::new() };
+                let on = if share > 0.0 { machine_sample(rng, share) } else { Vec::new() };
                 let at_s = within(rng, [0.1, 0.6]) * scenario.seconds;
                 Fault { at_s, len_s, what, on }
             })
@@ -394,7 +395,7 @@
 
 /// Adds a machine for each successor of a deployment: the same kind as the machine it replaces, with a slightly
 /// different speed.
-fn succeed(scenario: &mut Scenario, streams: &Streams) {
+fn add_successors(scenario: &mut Scenario, streams: &Streams) {
     for number in 0..scenario.faults.len() {
         let on = scenario.faults[number].on.clone();
         if let FaultKind::Deploy { successors, .. } = &mut scenario.faults[number].what {
@@ -414,7 +415,7 @@
     let cvs = [[0.5, 1.2], [0.58, 1.2], [0.42, 1.2], [0.41, 1.1]];
     let shares = [0.36, 0.29, 0.23, 0.12];
     let memory = [2.0, 1.0, 2.0, 2.0];
-    let all: Vec<Class> = Terms::brief(1.0).classes;
+    let all: Vec<Class> = Terms::specified(1.0).classes;
     all.into_iter()
         .enumerate()
         .map(|(n, class)| ClassSpec {
@@ -491,8 +492,8 @@
 
     /// Guards against a changed setting that affects other parameters.
     #[test]
-    fn what_is_set_changes_nothing_else() {
-        let base = Ranges::brief();
+    fn a_setting_changes_no_other_parameter() {
+        let base = Ranges::specified();
         let mut other = base.clone();
         other.set("load", "3").unwrap();
         other.set("slow_factor", "4").unwrap();
@@ -505,19 +506,19 @@
         assert_eq!((&a.classes, &a.tenants, &a.net), (&b.classes, &b.tenants, &b.net));
         assert_eq!(a.faults.len(), b.faults.len());
         assert_eq!(b.load, 3.0);
-        assert_eq!(a.draw_again(&base), a);
+        assert_eq!(a.redraw(&base), a);
     }
 
     impl Scenario {
-        fn draw_again(&self, ranges: &Ranges) -> Scenario {
+        fn redraw(&self, ranges: &Ranges) -> Scenario {
             ranges.draw(self.seed)
         }
     }
 
     /// Guards against invalid settings that are accepted.
     #[test]
-    fn settings_that_make_no_sense_are_told() {
-        let mut ranges = Ranges::brief();
+    fn invalid_settings_are_rejected() {
+        let mut ranges = Ranges::specified();
         for (name, value) in [
             ("load", "much"),
             ("load", "2..1"),
@@ -532,7 +533,7 @@
             assert!(error.to_string().contains(name), "{error}");
         }
         assert!(matches!(ranges.set("colour", "1"), Err(SettingError::Name { .. })));
-        assert_eq!(ranges, Ranges::brief());
+        assert_eq!(ranges, Ranges::specified());
         for name in NAMES {
             assert!(!matches!(ranges.set(name, "?"), Err(SettingError::Name { .. })), "{name}");
         }
@@ -541,15 +542,18 @@
     /// The figures of the specification: about 110 requests per second on average, and every parameter within its
     /// range.
     #[test]
-    fn a_drawn_day_is_of_the_brief() {
+    fn drawn_scenarios_match_the_specification() {
         let rates: Vec<f64> = (0..40)
             .map(|seed| {
-                let scenario = Ranges::brief().draw(seed);
+                let scenario = Ranges::specified().draw(seed);
                 let used = scenario.machines.iter().filter(|machine| !machine.spare).count();
                 assert!((10..=12).contains(&used) && (3..=5).contains(&scenario.proxies.len()));
                 assert!(scenario.faults.len() <= 2 && !scenario.faults.is_empty());
-                assert!(scenario.rate(scenario.pace(), 10.0) <= scenario.top_rate(scenario.pace()) + 1e-9);
-                scenario.pace()
+                assert!(
+                    scenario.rate(scenario.base_rate(), 10.0)
+                        <= scenario.max_rate(scenario.base_rate()) + 1e-9
+                );
+                scenario.base_rate()
             })
             .collect();
         let mean = rates.iter().sum::<f64>() / rates.len() as f64;
--- a/crates/model/src/service_report/mod.rs
+++ b/crates/model/src/service_report/mod.rs
@@ -93,7 +93,7 @@
 impl Terms {
     /// Parameters of the specification for a fleet that serves `capacity` first attempts per second. Times are
     /// unscaled; a model on another time scale divides them.
-    pub fn brief(capacity: f64) -> Self {
+    pub fn specified(capacity: f64) -> Self {
         let class =
             |name: &str, priority_weight, late_value, latency_objective_ms, deadline_ms, window_ms| Class {
                 name: name.to_string(),
--- a/crates/model/src/service_report/rules.rs
+++ b/crates/model/src/service_report/rules.rs
@@ -122,7 +122,7 @@
     cores: f64,
     memory_kb: f64,
     /// Fraction of full speed; a server in slow start fails at proportionally fewer runs.
-    warmth: f64,
+    speed_fraction: f64,
     notice: Option<Ms>,
     running: u32,
     average: MeanOver,
@@ -177,14 +177,14 @@
     /// Records the start of a server.
     pub fn started(&mut self, server: Server, cores: f64, memory_kb: f64) {
         let average = MeanOver::new(self.limits.overload_window_ms);
-        let machine = Machine { cores, memory_kb, warmth: 1.0, notice: None, running: 0, average };
+        let machine = Machine { cores, memory_kb, speed_fraction: 1.0, notice: None, running: 0, average };
         self.machines.insert(server, machine);
     }
 
     /// Sets the fraction of full speed that a server has, from 0 to 1.
-    pub fn warmth(&mut self, server: Server, warmth: f64) {
+    pub fn speed_fraction(&mut self, server: Server, speed_fraction: f64) {
         if let Some(machine) = self.machines.get_mut(&server) {
-            machine.warmth = warmth;
+            machine.speed_fraction = speed_fraction;
         }
     }
 
@@ -279,8 +279,8 @@
         machine.running = machine.running.saturating_add_signed(change);
         machine.average.set(at, f64::from(machine.running));
         let (runs, mean) = (machine.running, machine.average.mean(at));
-        let limit = survived(machine.cores, max_concurrency_per_core, machine.warmth);
-        let (cold, cores) = (machine.warmth < 1.0, machine.cores.max(1e-9));
+        let limit = survived(machine.cores, max_concurrency_per_core, machine.speed_fraction);
+        let (cold, cores) = (machine.speed_fraction < 1.0, machine.cores.max(1e-9));
         let fell = mean > limit;
         if fell {
             machine.average.clear();
--- a/crates/model/src/service_report/service.rs
+++ b/crates/model/src/service_report/service.rs
@@ -297,7 +297,7 @@
     use proptest::prelude::*;
 
     fn counter() -> ServiceCounter {
-        ServiceCounter::new(Terms::brief(100.0)).expect("terms that make sense")
+        ServiceCounter::new(Terms::specified(100.0)).expect("terms that make sense")
     }
 
     /// Guards against perfect service that doesn't score 1, and against deductions where nothing is late or wasted.
@@ -384,7 +384,7 @@
     #[test]
     fn terms_that_make_no_sense_are_errors() {
         let with = |change: fn(&mut Terms)| {
-            let mut terms = Terms::brief(10.0);
+            let mut terms = Terms::specified(10.0);
             change(&mut terms);
             ServiceCounter::new(terms).err()
         };
--- a/crates/model/src/world/clients.rs
+++ b/crates/model/src/world/clients.rs
@@ -96,7 +96,7 @@
     /// Plans the next first attempt of a tenant: a Poisson process, thinned by the traffic shape of the scenario.
     pub(super) fn plan_first_attempt(&mut self, tenant: usize) {
         let part = self.scenario.tenants[tenant].traffic;
-        let top = self.top_rate * part;
+        let top = self.max_rate * part;
         if top <= 0.0 {
             return;
         }
@@ -108,7 +108,7 @@
             if at_s >= end {
                 return;
             }
-            if unit(rng) * top < self.scenario.rate(self.pace, at_s) * part {
+            if unit(rng) * top < self.scenario.rate(self.base_rate, at_s) * part {
                 break;
             }
         }
@@ -328,7 +328,7 @@
     fn cancel(&mut self, id: AttemptId) {
         let conn = self.attempts[id as usize].conn;
         let rng = &mut self.proxy_rngs[self.conns[conn as usize].proxy as usize];
-        if !self.net.deaf(rng) {
+        if !self.net.cancellation_loss(rng) {
             self.send_up(conn, Event::Cancelled(id));
         }
         self.end_attempt(id);
--- a/crates/model/src/world/machines.rs
+++ b/crates/model/src/world/machines.rs
@@ -263,7 +263,7 @@
         }
         if state == AttemptState::Unread {
             // A cancelled request that was not read yet is never read.
-            if machine.cores.forget(id) {
+            if machine.cores.remove_unread(id) {
                 machine.at.remove(&id);
                 self.attempts[id as usize].state = AttemptState::Over;
             }
@@ -523,9 +523,9 @@
             machine.keys.push(Reverse(came + window * MS));
             machine.keys_kb += self.scenario.key_kb;
         }
-        let (server_number, warmth) = (machine.server_number, machine.cores.warmth());
+        let (server_number, speed_fraction) = (machine.server_number, machine.cores.speed_fraction());
         let violations_before = self.rules.violations().len();
-        self.rules.warmth(server_number, warmth);
+        self.rules.speed_fraction(server_number, speed_fraction);
         self.rules.began(u64::from(id), self.now / MS);
         self.update_trace(id, |trace, now| trace.started = Some(now));
         self.crash_if_overloaded(number, violations_before);
--- a/crates/model/src/world/mod.rs
+++ b/crates/model/src/world/mod.rs
@@ -153,8 +153,8 @@
 pub struct World {
     scenario: Arc<Scenario>,
     /// First attempts per second before the traffic shape is applied, and the largest rate.
-    pace: f64,
-    top_rate: f64,
+    base_rate: f64,
+    max_rate: f64,
     now: At,
     queue: Calendar<Event>,
     events: u64,
@@ -228,10 +228,10 @@
             DiscoverySpec::List { .. } => 0,
         };
         let registry = RegistrySettings { cache_ms, evict_every_ms: 5_000, ..RegistrySettings::default() };
-        let pace = scenario.pace();
+        let base_rate = scenario.base_rate();
         let mut world = Self {
-            pace,
-            top_rate: scenario.top_rate(pace),
+            base_rate,
+            max_rate: scenario.max_rate(base_rate),
             now: 0,
             queue: Calendar::default(),
             events: 0,
@@ -300,14 +300,14 @@
     /// Time at which the simulation ends: every request has ended, and messages under way had a second to arrive.
     /// Servers alone would never stop.
     pub fn end(&self) -> At {
-        nanos(self.scenario.seconds) + (self.scenario.longest_ms() + 1_000) * MS
+        nanos(self.scenario.seconds) + (self.scenario.longest_deadline_ms() + 1_000) * MS
     }
 
     /// Plays the scenario to its end.
     pub fn play(mut self) -> Result<Outcome, ScenarioError> {
         let end = self.end();
         let seconds = (end / S + 1) * self.machines.len() as u64;
-        let most = MOST_EVENTS * (seconds + (self.top_rate * self.scenario.seconds) as u64 + 1);
+        let most = MOST_EVENTS * (seconds + (self.max_rate * self.scenario.seconds) as u64 + 1);
         while self.step(end) {
             if self.events > most {
                 return Err(ScenarioError::Endless(most));
--- a/crates/model/tests/agreed.rs
+++ b/crates/model/tests/agreed.rs
@@ -15,11 +15,11 @@
 fn all_who_want_out_get_their_turn_one_by_one() {
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 1);
-    (0..9).for_each(|n| fleet.leave(n));
-    assert!(fleet.until(120_000, |fleet| fleet.began.len() == 9), "{:?}", fleet.notes);
+    (0..9).for_each(|n| fleet.request_permit_at(n));
+    assert!(fleet.run_until(120_000, |fleet| fleet.permitted_outages.len() == 9), "{:?}", fleet.log_lines);
     fleet.check_permit_limits(&most).unwrap();
-    assert!(fleet.until(20_000, |fleet| fleet.record().permits.is_empty()));
-    let waited = fleet.began.last().unwrap().at.0 - fleet.began[0].at.0;
+    assert!(fleet.run_until(20_000, |fleet| fleet.record().permits.is_empty()));
+    let waited = fleet.permitted_outages.last().unwrap().at.0 - fleet.permitted_outages[0].at.0;
     assert!(waited > 5_000_000_000, "they went at once");
 }
 
@@ -30,7 +30,7 @@
         let most = limits(1, 1);
         let mut fleet = Fleet::new(7, 3, most.clone(), seed);
         for n in 3..7 {
-            fleet.leave(n);
+            fleet.request_permit_at(n);
         }
         for _ in 0..6 {
             let pause = 200 + fleet.draw(3_000);
@@ -38,10 +38,14 @@
             if let Some(leader) = fleet.leader() {
                 fleet.kill(leader);
                 fleet.run(1_000);
-                fleet.revive(leader);
+                fleet.restart(leader);
             }
         }
-        assert!(fleet.until(120_000, |fleet| fleet.began.len() >= 4), "seed {seed}: {:?}", fleet.notes);
+        assert!(
+            fleet.run_until(120_000, |fleet| fleet.permitted_outages.len() >= 4),
+            "seed {seed}: {:?}",
+            fleet.log_lines
+        );
         fleet.check_permit_limits(&most).unwrap();
     }
 }
@@ -54,20 +58,20 @@
     let mut fleet = Fleet::new(7, 3, most.clone(), 3);
     let leader = fleet.leader().unwrap();
     fleet.isolate(&[leader, 5]);
-    fleet.leave(5);
+    fleet.request_permit_at(5);
     fleet.run(8_000);
-    assert!(fleet.began.is_empty());
-    let waits = fleet.servers[5].part.as_ref().unwrap().status(fleet.now).waiting_request.expect("it waits");
+    assert!(fleet.permitted_outages.is_empty());
+    let waits = fleet.servers[5].agent.as_ref().unwrap().status(fleet.now).waiting_request.expect("it waits");
     assert!(waits.waiting_s > 7.0 && !waits.reason.is_empty(), "{waits:?}");
-    fleet.cut.clear();
-    assert!(fleet.until(20_000, |fleet| fleet.began.len() == 1));
+    fleet.partitioned.clear();
+    assert!(fleet.run_until(20_000, |fleet| fleet.permitted_outages.len() == 1));
     // Out and cut off: nobody else may go until it is back and was steady.
     fleet.isolate(&[5]);
-    fleet.leave(6);
+    fleet.request_permit_at(6);
     fleet.run(15_000);
-    assert_eq!(fleet.began.len(), 1);
-    fleet.cut.clear();
-    assert!(fleet.until(20_000, |fleet| fleet.began.len() == 2));
+    assert_eq!(fleet.permitted_outages.len(), 1);
+    fleet.partitioned.clear();
+    assert!(fleet.run_until(20_000, |fleet| fleet.permitted_outages.len() == 2));
     fleet.check_permit_limits(&most).unwrap();
 }
 
@@ -78,32 +82,39 @@
     for seed in 0..12 {
         let most = limits(1, 1);
         let mut fleet = Fleet::new(7, 3, most.clone(), seed);
-        fleet.leave(5);
+        fleet.request_permit_at(5);
         // Stopped somewhere between its first question and its leaving.
         fleet.run(10 + 10 * seed);
-        if !fleet.began.is_empty() {
+        if !fleet.permitted_outages.is_empty() {
             continue;
         }
         fleet.servers[5].stopped = true;
         fleet.run(3_000);
-        fleet.leave(6);
+        fleet.request_permit_at(6);
         fleet.run(5_000);
         let holder = Target::Server(Arc::from("n5"));
         if let Some(epoch) = fleet.record().permit_of(&holder).map(|(epoch, _)| epoch) {
-            assert!(fleet.began.is_empty(), "seed {seed}: the place is kept");
+            assert!(fleet.permitted_outages.is_empty(), "seed {seed}: the place is kept");
             let free = OperatorCommand::ReleasePermit {
                 epoch,
                 operator: Arc::from("kaisa"),
                 reason: "its board is dead".into(),
             };
-            fleet.order(4, free).expect("it is freed");
-            assert!(fleet.began.is_empty(), "seed {seed}: it counts until the holder's time is over");
+            fleet.submit_command(4, free).expect("it is freed");
+            assert!(
+                fleet.permitted_outages.is_empty(),
+                "seed {seed}: it counts until the holder's time is over"
+            );
         }
         fleet.run(15_000);
         // It isn't heard, so it is out without a permit: nobody goes beside it.
-        assert!(fleet.began.is_empty(), "seed {seed}: {:?}", fleet.began);
+        assert!(fleet.permitted_outages.is_empty(), "seed {seed}: {:?}", fleet.permitted_outages);
         fleet.servers[5].stopped = false;
-        assert!(fleet.until(60_000, |fleet| fleet.began.len() == 2), "seed {seed}: {:?}", fleet.notes);
+        assert!(
+            fleet.run_until(60_000, |fleet| fleet.permitted_outages.len() == 2),
+            "seed {seed}: {:?}",
+            fleet.log_lines
+        );
         fleet.check_permit_limits(&most).unwrap();
     }
 }
@@ -114,24 +125,24 @@
 fn a_zone_that_loses_power_stops_grants_and_fails_no_release() {
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 4);
-    fleet.release(plan("v2", ReleaseKind::Program)).expect("it starts");
-    assert!(fleet.until(40_000, |fleet| fleet.began.len() >= 2));
+    fleet.start_rollout(plan("v2", ReleaseKind::Program)).expect("it starts");
+    assert!(fleet.run_until(40_000, |fleet| fleet.permitted_outages.len() >= 2));
     let zone: Vec<usize> = (0..9).filter(|n| n % 3 == 1).collect();
     for &n in &zone {
-        fleet.servers[n].dark = true;
+        fleet.servers[n].unpowered = true;
         fleet.kill(n);
     }
     fleet.run(6_000);
-    let began = fleet.began.len();
+    let permitted_outages = fleet.permitted_outages.len();
     fleet.run(20_000);
-    assert_eq!(fleet.began.len(), began, "three are out, two may be");
-    assert_eq!(fleet.state(), RolloutState::Running, "{:?}", fleet.notes);
+    assert_eq!(fleet.permitted_outages.len(), permitted_outages, "three are out, two may be");
+    assert_eq!(fleet.state(), RolloutState::Running, "{:?}", fleet.log_lines);
     for &n in &zone {
-        fleet.servers[n].dark = false;
-        fleet.revive(n);
+        fleet.servers[n].unpowered = false;
+        fleet.restart(n);
     }
     assert!(
-        fleet.until(200_000, |fleet| fleet.state() == RolloutState::Done),
+        fleet.run_until(200_000, |fleet| fleet.state() == RolloutState::Done),
         "{:?}",
         fleet.record().rollout
     );
@@ -145,18 +156,18 @@
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 5);
     let begin = fleet.now;
-    fleet.release(plan("v2", ReleaseKind::Program)).expect("it starts");
+    fleet.start_rollout(plan("v2", ReleaseKind::Program)).expect("it starts");
     // Said twice it is one; another has to wait.
-    assert!(fleet.release(plan("v2", ReleaseKind::Program)).is_ok());
-    assert!(fleet.release(plan("v3", ReleaseKind::Program)).unwrap_err().contains("to v2 is running"));
+    assert!(fleet.start_rollout(plan("v2", ReleaseKind::Program)).is_ok());
+    assert!(fleet.start_rollout(plan("v3", ReleaseKind::Program)).unwrap_err().contains("to v2 is running"));
     fleet.run(6_000);
     assert!(fleet.servers.iter().filter(|server| server.program == "v2").count() <= 1, "one first");
     assert!(
-        fleet.until(120_000, |fleet| fleet.state() == RolloutState::Done),
+        fleet.run_until(120_000, |fleet| fleet.state() == RolloutState::Done),
         "{:?}",
         fleet.record().rollout
     );
-    assert!(all_have(&fleet, "v2") && fleet.began.len() == 9);
+    assert!(all_have(&fleet, "v2") && fleet.permitted_outages.len() == 9);
     fleet.check_permit_limits(&most).unwrap();
     let took = (fleet.now.0 - begin.0) as f64 / 1e9;
     // A step: drain, start, steady as the plan and the permit say, and some looks. One first, then two at a time.
@@ -178,16 +189,21 @@
             // Long looks: a slight fall takes some thousand tries.
             plan.batches.iter_mut().for_each(|wave| wave.pause_ms = 60_000);
         }
-        fleet.release(plan).expect("it starts");
+        fleet.start_rollout(plan).expect("it starts");
         let goes = |fleet: &Fleet| {
             matches!(fleet.state(), RolloutState::RollingBack(_) | RolloutState::RolledBack(_))
         };
-        assert!(fleet.until(within_ms, goes), "{version}: {:?} {:?}", fleet.state(), fleet.notes);
+        assert!(fleet.run_until(within_ms, goes), "{version}: {:?} {:?}", fleet.state(), fleet.log_lines);
         let had = fleet.servers.iter().filter(|server| server.program == version).count();
         assert!(had <= most_had, "{version}: {had} had it");
         let undone = |fleet: &Fleet| matches!(fleet.state(), RolloutState::RolledBack(_));
-        assert!(fleet.until(120_000, undone), "{version}: {:?} {:?}", fleet.record().rollout, fleet.notes);
-        assert!(fleet.until(10_000, |fleet| all_have(fleet, "v1")), "{version}");
+        assert!(
+            fleet.run_until(120_000, undone),
+            "{version}: {:?} {:?}",
+            fleet.record().rollout,
+            fleet.log_lines
+        );
+        assert!(fleet.run_until(10_000, |fleet| all_have(fleet, "v1")), "{version}");
         fleet.check_permit_limits(&most).unwrap();
     }
 }
@@ -201,27 +217,31 @@
     let most = limits(1, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), seed);
     // One is out already, so that no step of the release fits.
-    fleet.servers[8].dark = true;
+    fleet.servers[8].unpowered = true;
     fleet.kill(8);
     fleet.run(5_000);
-    fleet.release(plan("v2", ReleaseKind::Program)).expect("it starts");
+    fleet.start_rollout(plan("v2", ReleaseKind::Program)).expect("it starts");
     fleet.run(7_000);
-    fleet.sound = 0.6;
+    fleet.healthy_service = 0.6;
     fleet.run(15_000);
-    assert_eq!(fleet.state(), RolloutState::Running, "{:?}", fleet.notes);
+    assert_eq!(fleet.state(), RolloutState::Running, "{:?}", fleet.log_lines);
     // It would fit now, and is held.
-    fleet.servers[8].dark = false;
-    fleet.revive(8);
+    fleet.servers[8].unpowered = false;
+    fleet.restart(8);
     fleet.run(20_000);
-    assert!(fleet.began.is_empty() && fleet.state() == RolloutState::Running, "{:?}", fleet.notes);
-    let held = fleet.notes.iter().filter(|note| note.contains("no server has the version")).count();
-    assert_eq!(held, 1, "said once: {:?}", fleet.notes);
-    fleet.sound = HEALTHY_SERVICE;
-    assert!(fleet.until(20_000, |fleet| !fleet.began.is_empty()), "{:?}", fleet.notes);
-    fleet.sound = 0.6;
+    assert!(
+        fleet.permitted_outages.is_empty() && fleet.state() == RolloutState::Running,
+        "{:?}",
+        fleet.log_lines
+    );
+    let held = fleet.log_lines.iter().filter(|note| note.contains("no server has the version")).count();
+    assert_eq!(held, 1, "said once: {:?}", fleet.log_lines);
+    fleet.healthy_service = HEALTHY_SERVICE;
+    assert!(fleet.run_until(20_000, |fleet| !fleet.permitted_outages.is_empty()), "{:?}", fleet.log_lines);
+    fleet.healthy_service = 0.6;
     let goes =
         |fleet: &Fleet| matches!(fleet.state(), RolloutState::RollingBack(_) | RolloutState::RolledBack(_));
-    assert!(fleet.until(20_000, goes), "{:?} {:?}", fleet.state(), fleet.notes);
+    assert!(fleet.run_until(20_000, goes), "{:?} {:?}", fleet.state(), fleet.log_lines);
     fleet.check_permit_limits(&most).unwrap();
 }
 
@@ -231,23 +251,27 @@
 fn settings_are_staged_checked_and_taken_back() {
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 7);
-    let missing = fleet.release(plan("s-nowhere", ReleaseKind::Settings)).unwrap_err();
+    let missing = fleet.start_rollout(plan("s-nowhere", ReleaseKind::Settings)).unwrap_err();
     assert!(missing.contains("aren't staged on n0"), "{missing}");
-    fleet.release(plan("s2", ReleaseKind::Settings)).expect("it starts");
-    assert!(fleet.until(60_000, |fleet| fleet.state() == RolloutState::Done), "{:?}", fleet.record().rollout);
-    assert!(fleet.servers.iter().all(|server| server.settings == "s2") && fleet.began.is_empty());
+    fleet.start_rollout(plan("s2", ReleaseKind::Settings)).expect("it starts");
+    assert!(
+        fleet.run_until(60_000, |fleet| fleet.state() == RolloutState::Done),
+        "{:?}",
+        fleet.record().rollout
+    );
+    assert!(fleet.servers.iter().all(|server| server.settings == "s2") && fleet.permitted_outages.is_empty());
     // Valid, and starves saves: seen, halted, taken back.
-    fleet.release(plan("s-bad", ReleaseKind::Settings)).expect("it starts");
+    fleet.start_rollout(plan("s-bad", ReleaseKind::Settings)).expect("it starts");
     assert!(
-        fleet.until(60_000, |fleet| matches!(fleet.state(), RolloutState::RolledBack(_))),
+        fleet.run_until(60_000, |fleet| matches!(fleet.state(), RolloutState::RolledBack(_))),
         "{:?}",
         fleet.state()
     );
     assert!(fleet.servers.iter().all(|server| server.settings == "s2"));
     // One that no server can take.
-    fleet.release(plan("s-broken", ReleaseKind::Settings)).expect("it starts");
+    fleet.start_rollout(plan("s-broken", ReleaseKind::Settings)).expect("it starts");
     assert!(
-        fleet.until(60_000, |fleet| matches!(fleet.state(), RolloutState::RolledBack(_))),
+        fleet.run_until(60_000, |fleet| matches!(fleet.state(), RolloutState::RolledBack(_))),
         "{:?}",
         fleet.state()
     );
@@ -260,14 +284,14 @@
 fn a_halt_needs_no_majority_and_a_resume_names_its_halt() {
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 8);
-    fleet.release(plan("v2", ReleaseKind::Program)).expect("it starts");
+    fleet.start_rollout(plan("v2", ReleaseKind::Program)).expect("it starts");
     let half = |fleet: &Fleet| fleet.servers.iter().filter(|server| server.program == "v2").count() >= 4;
-    assert!(fleet.until(60_000, half));
-    fleet.order(6, fleet.halt("to v2")).expect("it is halted");
+    assert!(fleet.run_until(60_000, half));
+    fleet.submit_command(6, fleet.halt_command("to v2")).expect("it is halted");
     fleet.run(6_000);
-    let began = fleet.began.len();
+    let permitted_outages = fleet.permitted_outages.len();
     fleet.run(20_000);
-    assert_eq!(fleet.began.len(), began, "it stands still");
+    assert_eq!(fleet.permitted_outages.len(), permitted_outages, "it stands still");
     let resume = |halts| {
         OperatorCommand::Rollout(RolloutCommand::Resume {
             name: "to v2".into(),
@@ -275,48 +299,51 @@
             operator: Arc::from("kaisa"),
         })
     };
-    assert!(fleet.order(6, resume(0)).is_err(), "it names another halt");
-    fleet.order(6, resume(1)).expect("it goes on");
+    assert!(fleet.submit_command(6, resume(0)).is_err(), "it names another halt");
+    fleet.submit_command(6, resume(1)).expect("it goes on");
     fleet.run(1_000);
     // All voters but one hear nothing of the one where the halt is said; no majority agrees on it.
     let leader = fleet.leader().unwrap();
     let others: Vec<usize> = (0..9).filter(|n| *n != leader).collect();
     fleet.isolate(&others);
-    let halt = fleet.halt("to v2");
-    let _ = fleet.order(leader, halt);
-    let began = fleet.began.len();
+    let halt_command = fleet.halt_command("to v2");
+    let _ = fleet.submit_command(leader, halt_command);
+    let permitted_outages = fleet.permitted_outages.len();
     fleet.run(5_000);
-    let of_leader: Vec<usize> =
-        fleet.began[began..].iter().map(|began| began.who).filter(|n| *n == leader).collect();
+    let of_leader: Vec<usize> = fleet.permitted_outages[permitted_outages..]
+        .iter()
+        .map(|permitted_outages| permitted_outages.server_index)
+        .filter(|n| *n == leader)
+        .collect();
     assert!(of_leader.is_empty());
-    fleet.cut.clear();
+    fleet.partitioned.clear();
     fleet.run(3_000);
     fleet.check_permit_limits(&most).unwrap();
 }
 
-/// Hard case 8: `back` and `halt` from both ends of a cut, and a back by hand in the middle of a wave.
+/// Hard case 8: `rollback_command` and `halt_command` from both ends of a cut, and a back by hand in the middle of a wave.
 #[test]
 fn back_by_hand_in_the_middle_of_a_wave() {
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 9);
-    fleet.release(plan("v2", ReleaseKind::Program)).expect("it starts");
+    fleet.start_rollout(plan("v2", ReleaseKind::Program)).expect("it starts");
     let some = |fleet: &Fleet| fleet.servers.iter().filter(|server| server.program == "v2").count() >= 3;
-    assert!(fleet.until(60_000, some));
+    assert!(fleet.run_until(60_000, some));
     // The one with the minority can't have anything agreed; the other one can.
     let leader = fleet.leader().unwrap();
     fleet.isolate(&[leader]);
-    let halt = fleet.halt("to v2");
-    let alone = fleet.order(leader, halt);
+    let halt_command = fleet.halt_command("to v2");
+    let alone = fleet.submit_command(leader, halt_command);
     assert!(alone.is_err(), "{alone:?}");
-    let back = fleet.back("to v2");
-    fleet.order(6, back).expect("it goes back");
-    fleet.cut.clear();
+    let rollback_command = fleet.rollback_command("to v2");
+    fleet.submit_command(6, rollback_command).expect("it goes back");
+    fleet.partitioned.clear();
     assert!(
-        fleet.until(120_000, |fleet| matches!(fleet.state(), RolloutState::RolledBack(_))),
+        fleet.run_until(120_000, |fleet| matches!(fleet.state(), RolloutState::RolledBack(_))),
         "{:?}",
         fleet.record().rollout
     );
-    assert!(fleet.until(10_000, |fleet| all_have(fleet, "v1")));
+    assert!(fleet.run_until(10_000, |fleet| all_have(fleet, "v1")));
     let steps: Vec<&ServerProgress> =
         fleet.record().rollout.as_ref().unwrap().servers.values().map(|s| &s.progress).collect();
     assert!(steps.iter().all(|step| matches!(step, ServerProgress::Pending | ServerProgress::RolledBack)));
@@ -328,21 +355,21 @@
 fn a_release_outlives_its_council() {
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 10);
-    fleet.release(plan("v2", ReleaseKind::Program)).expect("it starts");
-    assert!(fleet.until(60_000, |fleet| fleet.began.len() >= 2));
+    fleet.start_rollout(plan("v2", ReleaseKind::Program)).expect("it starts");
+    assert!(fleet.run_until(60_000, |fleet| fleet.permitted_outages.len() >= 2));
     for n in 0..3 {
         fleet.kill(n);
     }
-    fleet.servers[1].dark = true;
+    fleet.servers[1].unpowered = true;
     fleet.run(3_000);
     for n in [0, 2] {
-        fleet.revive(n);
+        fleet.restart(n);
     }
     fleet.run(15_000);
     // The one that never comes back is struck from the roster, and its place is free.
     let by = Arc::from("kaisa");
     fleet
-        .order(
+        .submit_command(
             5,
             OperatorCommand::RemoveServer { name: Arc::from("n1"), operator: by, reason: "burnt".into() },
         )
@@ -350,7 +377,7 @@
     let rest = |fleet: &Fleet| {
         fleet.servers.iter().enumerate().all(|(n, server)| n == 1 || server.ready && server.program == "v2")
     };
-    assert!(fleet.until(200_000, rest), "{:?} {:?}", fleet.record().rollout, fleet.notes);
+    assert!(fleet.run_until(200_000, rest), "{:?} {:?}", fleet.record().rollout, fleet.log_lines);
     fleet.check_permit_limits(&most).unwrap();
 }
 
@@ -364,44 +391,44 @@
         let most = limits(2, 1);
         let mut fleet = Fleet::new(9, 3, most.clone(), seed);
         fleet.loss = fleet.draw(15) as f64 / 100.0;
-        let _ = fleet.release(plan("v2", ReleaseKind::Program));
+        let _ = fleet.start_rollout(plan("v2", ReleaseKind::Program));
         for _ in 0..20 {
             let n = fleet.draw(9) as usize;
             match fleet.draw(7) {
                 0 => fleet.isolate(&[n]),
                 1 => fleet.isolate(&[n, (n + 1) % 9, (n + 4) % 9]),
-                2 => fleet.cut.clear(),
+                2 => fleet.partitioned.clear(),
                 3 => fleet.kill(n),
-                4 if fleet.servers[n].part.is_some() => fleet.servers[n].stopped = !fleet.servers[n].stopped,
-                5 if fleet.servers[n].part.is_some() => fleet.leave(n),
+                4 if fleet.servers[n].agent.is_some() => fleet.servers[n].stopped = !fleet.servers[n].stopped,
+                5 if fleet.servers[n].agent.is_some() => fleet.request_permit_at(n),
                 _ => {}
             }
             let pause = 100 + fleet.draw(2_500);
             fleet.run(pause);
             for n in 0..9 {
                 if fleet.draw(3) == 0 {
-                    fleet.revive(n);
+                    fleet.restart(n);
                 }
             }
         }
-        fleet.cut.clear();
+        fleet.partitioned.clear();
         fleet.loss = 0.0;
         for n in 0..9 {
             fleet.servers[n].stopped = false;
-            fleet.revive(n);
+            fleet.restart(n);
         }
         fleet.check_permit_limits(&most).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
         fleet.run(20_000);
         // A release that was halted or went back for the faults is put through by hand.
         for _ in 0..4 {
             if fleet.record().rollout.is_none() {
-                let _ = fleet.release(plan("v2", ReleaseKind::Program));
+                let _ = fleet.start_rollout(plan("v2", ReleaseKind::Program));
             }
-            let halts = fleet.record().rollout.as_ref().map_or(0, |release| release.halt_count);
+            let halts = fleet.record().rollout.as_ref().map_or(0, |start_rollout| start_rollout.halt_count);
             if matches!(fleet.record().rollout.as_ref().map(|r| &r.state), Some(RolloutState::Halted(_))) {
                 let by = Arc::from("kaisa");
                 let resume = RolloutCommand::Resume { name: "to v2".into(), halt_count: halts, operator: by };
-                let _ = fleet.order(5, OperatorCommand::Rollout(resume));
+                let _ = fleet.submit_command(5, OperatorCommand::Rollout(resume));
             }
             fleet.run(40_000);
         }
@@ -409,10 +436,10 @@
         assert!(
             matches!(state, RolloutState::Done | RolloutState::RolledBack(_)),
             "seed {seed}: {state:?} {:?}",
-            fleet.notes
+            fleet.log_lines
         );
         assert!(
-            fleet.until(30_000, |fleet| fleet.record().permits.is_empty()),
+            fleet.run_until(30_000, |fleet| fleet.record().permits.is_empty()),
             "seed {seed}: {:?}",
             fleet.record()
         );
--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -18,7 +18,7 @@
 
 /// A day of the brief's ranges with some of them set.
 pub fn scenario(seed: u64, settings: &[(&str, &str)]) -> Scenario {
-    let mut ranges = Ranges::brief();
+    let mut ranges = Ranges::specified();
     for (name, value) in settings {
         ranges.set(name, value).expect("settings of the test make sense");
     }
--- a/crates/model/tests/days.rs
+++ b/crates/model/tests/days.rs
@@ -151,7 +151,7 @@
     };
     match defect {
         // Callers that tell of giving up take the owed answer back with it.
-        Defect::Forgets => scenario.net.deaf = 1.0,
+        Defect::Forgets => scenario.net.cancellation_loss = 1.0,
         Defect::RunsInDrain => {
             let what = FaultKind::Deploy { batch: 4, drain_s: 4.5, successors: Vec::new() };
             scenario.faults = vec![fault(3.0, 5.0, what, &[0, 1, 2, 3])];
--- a/crates/model/tests/peers.rs
+++ b/crates/model/tests/peers.rs
@@ -59,7 +59,7 @@
     // All ask for more than there is: whatever is lent is missed.
     let crowded = |seed| Spec { load: 1.15, ..spec(seed, 32.0, faults(seed)) };
     bounded(8, crowded);
-    let plain = (1..=8).map(|seed| play(&Spec { sharing: Sharing::Plain, ..crowded(seed) }));
+    let plain = (1..=8).map(|seed| play(&Spec { sharing: Sharing::IgnoreExpiry, ..crowded(seed) }));
     assert!(plain.map(|outcome| outcome.breaks.len()).sum::<usize>() > 0, "or this proves nothing");
 }
 
--- a/crates/model/tests/slow_start.rs
+++ b/crates/model/tests/slow_start.rs
@@ -245,7 +245,7 @@
         let broken = |runs: u64| {
             let mut rules = RuleChecker::new(RuleLimits::default());
             rules.started(7, cores, 1e9);
-            rules.warmth(7, share);
+            rules.speed_fraction(7, share);
             for run in 0..runs {
                 rules.read(7, run, 1_000, 9_000, None);
                 rules.began(run, 1_000);
--- a/crates/testkit/src/model/mod.rs
+++ b/crates/testkit/src/model/mod.rs
@@ -38,7 +38,7 @@
 
 impl Default for Plan {
     fn default() -> Self {
-        Self { policy: Kind::Gradepin, ranges: Ranges::brief() }
+        Self { policy: Kind::Gradepin, ranges: Ranges::specified() }
     }
 }
 
