--- a/crates/model/src/proxy/mod.rs
+++ b/crates/model/src/proxy/mod.rs
@@ -137,8 +137,8 @@
 
     /// Changes the number of open attempts at a server.
     pub fn opened(&mut self, server: u32, change: i32) {
-        let servers = &mut self.servers[server as usize];
-        servers.open = servers.open.saturating_add_signed(change);
+        let state = &mut self.servers[server as usize];
+        state.open = state.open.saturating_add_signed(change);
     }
 
     /// Records an answer: the server's precedence threshold, if it sent one, and the latency of a served request.
@@ -151,15 +151,15 @@
         served: bool,
     ) {
         let respects_advice = self.spec.respects_advice;
-        let servers = &mut self.servers[server as usize];
+        let state = &mut self.servers[server as usize];
         if let Some(threshold) = threshold.filter(|_| respects_advice) {
-            (servers.threshold, servers.threshold_until) = (threshold, now + THRESHOLD_LIFETIME);
+            (state.threshold, state.threshold_until) = (threshold, now + THRESHOLD_LIFETIME);
         }
         if served {
-            servers.latency_ms = if servers.latency_ms == 0.0 {
+            state.latency_ms = if state.latency_ms == 0.0 {
                 took_ms
             } else {
-                servers.latency_ms + LATENCY_SMOOTHING * (took_ms - servers.latency_ms)
+                state.latency_ms + LATENCY_SMOOTHING * (took_ms - state.latency_ms)
             };
         }
     }
@@ -167,8 +167,8 @@
     /// Records a Retry-After that ends at `until`.
     pub fn stay_away(&mut self, server: u32, until: At) {
         if self.spec.respects_advice {
-            let servers = &mut self.servers[server as usize];
-            servers.away_until = servers.away_until.max(until);
+            let state = &mut self.servers[server as usize];
+            state.away_until = state.away_until.max(until);
         }
     }
 
@@ -181,12 +181,12 @@
 
     /// Reason why an attempt can't go to a server; `None` if it can.
     fn obstacle(&self, now: At, server: u32, query: AttemptQuery<'_>) -> Option<Choice> {
-        let servers = &self.servers[server as usize];
+        let state = &self.servers[server as usize];
         if query.tried_servers.contains(&server) {
             Some(Choice::NoServer)
-        } else if servers.away_until > now {
-            Some(Choice::RetryAfter(servers.away_until))
-        } else if servers.threshold_until > now && servers.threshold > query.rank {
+        } else if state.away_until > now {
+            Some(Choice::RetryAfter(state.away_until))
+        } else if state.threshold_until > now && state.threshold > query.rank {
             Some(Choice::BelowThreshold)
         } else {
             None
@@ -238,11 +238,11 @@
                     if self.obstacle(now, server, query).is_some() {
                         continue;
                     }
-                    let servers = &mut self.servers[server as usize];
-                    servers.credit += servers.weight;
-                    total += servers.weight;
-                    if richest.is_none_or(|(credit, _)| servers.credit > credit) {
-                        richest = Some((servers.credit, server));
+                    let state = &mut self.servers[server as usize];
+                    state.credit += state.weight;
+                    total += state.weight;
+                    if richest.is_none_or(|(credit, _)| state.credit > credit) {
+                        richest = Some((state.credit, server));
                     }
                 }
                 richest.map(|(_, server)| {
--- a/crates/model/src/service_report/rules.rs
+++ b/crates/model/src/service_report/rules.rs
@@ -170,8 +170,14 @@
         self.slow_start
     }
 
-    fn record_violation(&mut self, at: Ms, server: Server, request: Option<AttemptId>, violation: Violation) {
-        self.violations.push(ViolationRecord { at_ms: at, server, attempt: request, violation });
+    fn record_violation(
+        &mut self,
+        at_ms: Ms,
+        server: Server,
+        attempt: Option<AttemptId>,
+        violation: Violation,
+    ) {
+        self.violations.push(ViolationRecord { at_ms, server, attempt, violation });
     }
 
     /// Records the start of a server.
--- a/crates/model/tests/consensus.rs
+++ b/crates/model/tests/consensus.rs
@@ -20,7 +20,7 @@
     fleet.check_permit_limits(&most).unwrap();
     assert!(fleet.run_until(20_000, |fleet| fleet.record().permits.is_empty()));
     let waited = fleet.permitted_outages.last().unwrap().at.0 - fleet.permitted_outages[0].at.0;
-    assert!(waited > 5_000_000_000, "they went at once");
+    assert!(waited > 5_000_000_000, "permits were granted without waiting");
 }
 
 /// Hard case 1: the leader is killed repeatedly while servers request permits.
@@ -61,7 +61,13 @@
     fleet.request_permit_at(5);
     fleet.run(8_000);
     assert!(fleet.permitted_outages.is_empty());
-    let waits = fleet.servers[5].agent.as_ref().unwrap().status(fleet.now).waiting_request.expect("it waits");
+    let waits = fleet.servers[5]
+        .agent
+        .as_ref()
+        .unwrap()
+        .status(fleet.now)
+        .waiting_request
+        .expect("the request is waiting");
     assert!(waits.waiting_s > 7.0 && !waits.reason.is_empty(), "{waits:?}");
     fleet.partitioned.clear();
     assert!(fleet.run_until(20_000, |fleet| fleet.permitted_outages.len() == 1));
@@ -95,13 +101,13 @@
         fleet.run(5_000);
         let holder = Target::Server(Arc::from("n5"));
         if let Some(epoch) = fleet.record().permit_of(&holder).map(|(epoch, _)| epoch) {
-            assert!(fleet.permitted_outages.is_empty(), "seed {seed}: the place is kept");
+            assert!(fleet.permitted_outages.is_empty(), "seed {seed}: the slot is still held");
             let free = OperatorCommand::ReleasePermit {
                 epoch,
                 operator: Arc::from("kaisa"),
                 reason: "its board is dead".into(),
             };
-            fleet.submit_command(4, free).expect("it is freed");
+            fleet.submit_command(4, free).expect("the slot is released");
             assert!(
                 fleet.permitted_outages.is_empty(),
                 "seed {seed}: it counts until the holder's time is over"
@@ -126,7 +132,7 @@
 fn power_loss_in_a_zone_stops_grants_and_fails_no_rollout() {
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 4);
-    fleet.start_rollout(plan("v2", ReleaseKind::Program)).expect("it starts");
+    fleet.start_rollout(plan("v2", ReleaseKind::Program)).expect("the rollout starts");
     assert!(fleet.run_until(40_000, |fleet| fleet.permitted_outages.len() >= 2));
     let zone: Vec<usize> = (0..9).filter(|n| n % 3 == 1).collect();
     for &n in &zone {
@@ -136,7 +142,7 @@
     fleet.run(6_000);
     let permitted_outages = fleet.permitted_outages.len();
     fleet.run(20_000);
-    assert_eq!(fleet.permitted_outages.len(), permitted_outages, "three are out, two may be");
+    assert_eq!(fleet.permitted_outages.len(), permitted_outages, "three servers are out, two are allowed");
     assert_eq!(fleet.state(), RolloutState::Running, "{:?}", fleet.log_lines);
     for &n in &zone {
         fleet.servers[n].unpowered = false;
@@ -157,12 +163,12 @@
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 5);
     let begin = fleet.now;
-    fleet.start_rollout(plan("v2", ReleaseKind::Program)).expect("it starts");
+    fleet.start_rollout(plan("v2", ReleaseKind::Program)).expect("the rollout starts");
     // A repeated command has no further effect; a different rollout has to wait.
     assert!(fleet.start_rollout(plan("v2", ReleaseKind::Program)).is_ok());
     assert!(fleet.start_rollout(plan("v3", ReleaseKind::Program)).unwrap_err().contains("to v2 is running"));
     fleet.run(6_000);
-    assert!(fleet.servers.iter().filter(|server| server.program == "v2").count() <= 1, "one first");
+    assert!(fleet.servers.iter().filter(|server| server.program == "v2").count() <= 1, "one server first");
     assert!(
         fleet.run_until(120_000, |fleet| fleet.state() == RolloutState::Done),
         "{:?}",
@@ -191,13 +197,13 @@
             // Long observation times: a small regression takes several thousand requests to detect.
             plan.batches.iter_mut().for_each(|wave| wave.pause_ms = 60_000);
         }
-        fleet.start_rollout(plan).expect("it starts");
+        fleet.start_rollout(plan).expect("the rollout starts");
         let goes = |fleet: &Fleet| {
             matches!(fleet.state(), RolloutState::RollingBack(_) | RolloutState::RolledBack(_))
         };
         assert!(fleet.run_until(within_ms, goes), "{version}: {:?} {:?}", fleet.state(), fleet.log_lines);
         let had = fleet.servers.iter().filter(|server| server.program == version).count();
-        assert!(had <= most_had, "{version}: {had} had it");
+        assert!(had <= most_had, "{version}: {had} servers had the version");
         let undone = |fleet: &Fleet| matches!(fleet.state(), RolloutState::RolledBack(_));
         assert!(
             fleet.run_until(120_000, undone),
@@ -223,7 +229,7 @@
     fleet.servers[8].unpowered = true;
     fleet.kill(8);
     fleet.run(5_000);
-    fleet.start_rollout(plan("v2", ReleaseKind::Program)).expect("it starts");
+    fleet.start_rollout(plan("v2", ReleaseKind::Program)).expect("the rollout starts");
     fleet.run(7_000);
     fleet.healthy_service = 0.6;
     fleet.run(15_000);
@@ -238,7 +244,7 @@
         fleet.log_lines
     );
     let held = fleet.log_lines.iter().filter(|note| note.contains("no server has the version")).count();
-    assert_eq!(held, 1, "said once: {:?}", fleet.log_lines);
+    assert_eq!(held, 1, "reported once: {:?}", fleet.log_lines);
     fleet.healthy_service = HEALTHY_SERVICE;
     assert!(fleet.run_until(20_000, |fleet| !fleet.permitted_outages.is_empty()), "{:?}", fleet.log_lines);
     fleet.healthy_service = 0.6;
@@ -256,7 +262,7 @@
     let mut fleet = Fleet::new(9, 3, most.clone(), 7);
     let missing = fleet.start_rollout(plan("s-nowhere", ReleaseKind::Settings)).unwrap_err();
     assert!(missing.contains("aren't staged on n0"), "{missing}");
-    fleet.start_rollout(plan("s2", ReleaseKind::Settings)).expect("it starts");
+    fleet.start_rollout(plan("s2", ReleaseKind::Settings)).expect("the rollout starts");
     assert!(
         fleet.run_until(60_000, |fleet| fleet.state() == RolloutState::Done),
         "{:?}",
@@ -264,7 +270,7 @@
     );
     assert!(fleet.servers.iter().all(|server| server.settings == "s2") && fleet.permitted_outages.is_empty());
     // Valid settings that make saves fail: detected, halted and rolled back.
-    fleet.start_rollout(plan("s-bad", ReleaseKind::Settings)).expect("it starts");
+    fleet.start_rollout(plan("s-bad", ReleaseKind::Settings)).expect("the rollout starts");
     assert!(
         fleet.run_until(60_000, |fleet| matches!(fleet.state(), RolloutState::RolledBack(_))),
         "{:?}",
@@ -272,13 +278,13 @@
     );
     assert!(fleet.servers.iter().all(|server| server.settings == "s2"));
     // Settings that no server can apply.
-    fleet.start_rollout(plan("s-broken", ReleaseKind::Settings)).expect("it starts");
+    fleet.start_rollout(plan("s-broken", ReleaseKind::Settings)).expect("the rollout starts");
     assert!(
         fleet.run_until(60_000, |fleet| matches!(fleet.state(), RolloutState::RolledBack(_))),
         "{:?}",
         fleet.state()
     );
-    let RolloutState::RolledBack(why) = fleet.state() else { panic!("undone") };
+    let RolloutState::RolledBack(why) = fleet.state() else { panic!("not rolled back") };
     assert_eq!(why, "n0: it can't be read");
 }
 
@@ -288,14 +294,14 @@
 fn a_halt_needs_no_majority_and_a_resume_names_its_halt() {
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 8);
-    fleet.start_rollout(plan("v2", ReleaseKind::Program)).expect("it starts");
+    fleet.start_rollout(plan("v2", ReleaseKind::Program)).expect("the rollout starts");
     let half = |fleet: &Fleet| fleet.servers.iter().filter(|server| server.program == "v2").count() >= 4;
     assert!(fleet.run_until(60_000, half));
-    fleet.submit_command(6, fleet.halt_command("to v2")).expect("it is halted");
+    fleet.submit_command(6, fleet.halt_command("to v2")).expect("the rollout is halted");
     fleet.run(6_000);
     let permitted_outages = fleet.permitted_outages.len();
     fleet.run(20_000);
-    assert_eq!(fleet.permitted_outages.len(), permitted_outages, "it stands still");
+    assert_eq!(fleet.permitted_outages.len(), permitted_outages, "no step while halted");
     let resume = |halts| {
         OperatorCommand::Rollout(RolloutCommand::Resume {
             name: "to v2".into(),
@@ -303,8 +309,8 @@
             operator: Arc::from("kaisa"),
         })
     };
-    assert!(fleet.submit_command(6, resume(0)).is_err(), "it names another halt");
-    fleet.submit_command(6, resume(1)).expect("it goes on");
+    assert!(fleet.submit_command(6, resume(0)).is_err(), "the resume names another halt");
+    fleet.submit_command(6, resume(1)).expect("the rollout resumes");
     fleet.run(1_000);
     // The other voters don't hear from the one at which the halt is submitted, so no majority commits it.
     let leader = fleet.leader().unwrap();
@@ -330,7 +336,7 @@
 fn manual_rollback_during_a_batch() {
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 9);
-    fleet.start_rollout(plan("v2", ReleaseKind::Program)).expect("it starts");
+    fleet.start_rollout(plan("v2", ReleaseKind::Program)).expect("the rollout starts");
     let some = |fleet: &Fleet| fleet.servers.iter().filter(|server| server.program == "v2").count() >= 3;
     assert!(fleet.run_until(60_000, some));
     // The one in the minority can't commit; the other one can.
@@ -340,7 +346,7 @@
     let alone = fleet.submit_command(leader, halt_command);
     assert!(alone.is_err(), "{alone:?}");
     let rollback_command = fleet.rollback_command("to v2");
-    fleet.submit_command(6, rollback_command).expect("it goes back");
+    fleet.submit_command(6, rollback_command).expect("the rollout is rolled back");
     fleet.partitioned.clear();
     assert!(
         fleet.run_until(120_000, |fleet| matches!(fleet.state(), RolloutState::RolledBack(_))),
@@ -360,7 +366,7 @@
 fn a_rollout_survives_the_loss_of_the_consensus_group() {
     let most = limits(2, 1);
     let mut fleet = Fleet::new(9, 3, most.clone(), 10);
-    fleet.start_rollout(plan("v2", ReleaseKind::Program)).expect("it starts");
+    fleet.start_rollout(plan("v2", ReleaseKind::Program)).expect("the rollout starts");
     assert!(fleet.run_until(60_000, |fleet| fleet.permitted_outages.len() >= 2));
     for n in 0..3 {
         fleet.kill(n);
@@ -378,7 +384,7 @@
             5,
             OperatorCommand::RemoveServer { name: Arc::from("n1"), operator: by, reason: "burnt".into() },
         )
-        .expect("it is struck");
+        .expect("the voter is removed");
     let rest = |fleet: &Fleet| {
         fleet.servers.iter().enumerate().all(|(n, server)| n == 1 || server.ready && server.program == "v2")
     };
--- a/crates/model/tests/peers.rs
+++ b/crates/model/tests/peers.rs
@@ -60,7 +60,10 @@
     let crowded = |seed| Spec { load: 1.15, ..spec(seed, 32.0, faults(seed)) };
     bounded(8, crowded);
     let plain = (1..=8).map(|seed| play(&Spec { sharing: Sharing::IgnoreExpiry, ..crowded(seed) }));
-    assert!(plain.map(|outcome| outcome.breaks.len()).sum::<usize>() > 0, "or this proves nothing");
+    assert!(
+        plain.map(|outcome| outcome.breaks.len()).sum::<usize>() > 0,
+        "otherwise the test proves nothing"
+    );
 }
 
 /// Guards against a machine that is ignored after its wall clock jumps back an hour between two incarnations.
@@ -68,7 +71,7 @@
 fn a_wall_clock_set_back_an_hour_hides_no_server() {
     let faults = vec![fault(8.0, 9.0, FaultKind::Kill(vec![2, 5], 3_600.0))];
     for outcome in bounded(4, |seed| spec(seed, 30.0, faults.clone())) {
-        assert_eq!(outcome.unknown, 0, "all know of the new lives");
+        assert_eq!(outcome.unknown, 0, "all servers know the new incarnations");
         assert!(outcome.known_s.iter().all(|s| *s < 8.0), "{:?}", outcome.known_s);
     }
 }
@@ -94,7 +97,7 @@
         ..spec(seed, 20.0, Vec::new())
     };
     let breaks: usize = [17, 22].into_iter().map(|seed| play(&far(seed)).breaks.len()).sum();
-    assert!(breaks > 0, "or the allowance is for nothing");
+    assert!(breaks > 0, "otherwise the drift limit is not needed");
 }
 
 /// Guards memory and counters against restarts: the whole fleet within 3 s, then six in ten servers within 7 s.
