--- a/crates/model/src/policies/mod.rs
+++ b/crates/model/src/policies/mod.rs
@@ -1,7 +1,9 @@
-//! Servers to try a day with: the real one, which is the reducer with its module, and what a user would pick instead.
+//! Servers for a simulation: the real one, which is the reducer with its decision module, and common alternatives for
+//! comparison.
 //!
-//! All fill [`Node`]. The others share [`shell::Shell`], which keeps what any server has to keep (one final answer, keys, the
-//! drain), and differ in a [`shell::Policy`] that says what is let in and run.
+//!
+//! All implement [`Node`]. The alternatives share [`shell::Shell`], which has the duties of every server (a single final
+//! answer, idempotency keys, the drain), and differ in the [`shell::Policy`] that admits and orders requests.
 
 mod codel;
 mod dagor;
@@ -9,7 +11,7 @@
 mod gradient;
 pub mod shell;
 
-use crate::day::{Day, What};
+use crate::scenario::{FaultKind, Scenario};
 use gradepin_admission::{
     Callers, CapacitySignal, ClassProfile, Goal, Idempotency, Limits as Site, Prices, Rules, Settings, Span,
     Specifics, StopMode, Tenant, Time, UpstreamKind, WeightBasis,
@@ -22,12 +24,12 @@
 use shell::{Shell, ShellSpec};
 use std::sync::Arc;
 
-/// A server, as a world drives it.
+/// A server driven by a simulation.
 pub trait Node: Send {
-    /// Takes in all inputs and appends what is to be done.
+    /// Processes all inputs and appends the resulting effects.
     fn step(&mut self, moment: Timestamp, inputs: &mut Vec<Input>, effects: &mut Vec<Effect>);
 
-    /// When it must be stepped again though nothing came in.
+    /// Time of the next step if there is no input before.
     fn wake_at(&self) -> Option<Time>;
 }
 
@@ -41,30 +43,30 @@
     }
 }
 
-/// Which server.
+/// Kind of server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// The product's own: the real reducer with the real module.
+    /// The product: the real reducer with the real decision module.
     Gradepin,
-    /// A pool: two runs and four waiting requests a core, first come first served.
+    /// Thread pool: two runs and four waiting requests per core, FIFO.
     Pool,
-    /// A fixed limit of runs with a short line that drops what comes too late.
+    /// Fixed concurrency limit with a short queue that discards expired requests.
     Fixed,
-    /// Controlled delay: short waits once a line stands, newest first.
+    /// Controlled delay: a short waiting time and LIFO order while the queue doesn't drain.
     Codel,
-    /// A limit that follows the time of runs (Netflix concurrency-limits, Gradient2).
+    /// Concurrency limit that follows the run time (Netflix concurrency-limits, Gradient2).
     Gradient,
-    /// By rank, with a level that follows the wait (DAGOR).
+    /// Precedence threshold that follows the waiting time (DAGOR).
     Dagor,
 }
 
 impl Kind {
-    /// All, the own first.
+    /// All kinds, the product first.
     pub const ALL: [Self; 6] =
         [Self::Gradepin, Self::Pool, Self::Fixed, Self::Codel, Self::Gradient, Self::Dagor];
 
-    /// Its name.
+    /// Name in settings and reports.
     pub fn name(self) -> &'static str {
         match self {
             Self::Gradepin => "gradepin",
@@ -76,33 +78,33 @@
         }
     }
 
-    /// By its name.
+    /// Returns the kind with this name.
     pub fn named(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.name() == name)
     }
 }
 
-/// What makes a server's node at each of its starts.
+/// Creates the node of a server at each start.
 #[derive(Debug, Clone)]
-pub struct Starts {
+pub struct NodeFactories {
     settings: Vec<Arc<Settings>>,
     stop_ms: u64,
 }
 
-/// A start: which machine, and a seed for what the server draws itself.
+/// Parameters of a server start.
 #[derive(Debug, Clone, Copy)]
 pub struct Start {
-    /// The machine.
+    /// Machine on which the server starts.
     pub machine: usize,
-    /// For random numbers.
+    /// Seed of the server's random numbers.
     pub seed: u64,
 }
 
-impl Starts {
-    /// What the servers of a day are told; the same for all policies.
-    pub fn new(day: &Day) -> Self {
-        let shared = settings(day);
-        let settings = day
+impl NodeFactories {
+    /// Settings of the servers in a scenario; the same for all policies.
+    pub fn new(scenario: &Scenario) -> Self {
+        let shared = settings(scenario);
+        let settings = scenario
             .machines
             .iter()
             .map(|machine| {
@@ -112,15 +114,16 @@
                 Arc::new(own)
             })
             .collect();
-        // Servers are told one time from the notice to the stop: the shortest of the day's deploys.
-        let drains = day.troubles.iter().filter_map(|trouble| match trouble.what {
-            What::Deploy { drain_s, .. } => Some((drain_s * 1e3) as u64),
+        // Servers know a single time from the shutdown notice to the stop: the shortest one of the scenario's
+        // deployments.
+        let drains = scenario.faults.iter().filter_map(|fault| match fault.what {
+            FaultKind::Deploy { drain_s, .. } => Some((drain_s * 1e3) as u64),
             _ => None,
         });
         Self { settings, stop_ms: drains.min().unwrap_or(4_000) }
     }
 
-    /// The node of a machine that starts.
+    /// Creates the node of a server that starts.
     pub fn node(&self, kind: Kind, start: Start, registration: Registration) -> Box<dyn Node> {
         let settings = &self.settings[start.machine];
         let cores = settings.specifics.n_cores;
@@ -128,11 +131,11 @@
         match kind {
             Kind::Gradepin => {
                 let config = config(settings, start, self.stop_ms);
-                let made = Reducer::new(&config, Arc::clone(settings), registration);
-                Box::new(made.expect("a seed that was written as hex digits is one"))
+                let reducer = Reducer::new(&config, Arc::clone(settings), registration);
+                Box::new(reducer.expect("formatted hex digits are a valid seed"))
             }
             Kind::Pool => Box::new(Shell::new(spec, fixed::Fixed::pool(cores), registration)),
-            Kind::Fixed => Box::new(Shell::new(spec, fixed::Fixed::line(cores), registration)),
+            Kind::Fixed => Box::new(Shell::new(spec, fixed::Fixed::waiting_queue(cores), registration)),
             Kind::Codel => Box::new(Shell::new(spec, codel::Codel::new(settings), registration)),
             Kind::Gradient => Box::new(Shell::new(spec, gradient::Gradient::new(settings), registration)),
             Kind::Dagor => Box::new(Shell::new(spec, dagor::Dagor::new(settings), registration)),
@@ -140,23 +143,24 @@
     }
 }
 
-/// The shortest aim of all classes, in nanoseconds: what plain policies take their waits from.
-fn shortest_aim(settings: &Settings) -> f64 {
+/// Shortest latency objective of all classes in nanoseconds, from which the comparison policies derive their waiting
+/// times.
+fn shortest_objective(settings: &Settings) -> f64 {
     settings.profiles.iter().map(|profile| profile.latency_objective.0).min().unwrap_or(0) as f64
 }
 
 fn config(settings: &Settings, start: Start, stop_ms: u64) -> Config {
-    let nowhere = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
+    let unused_address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
     Config {
         name: format!("n{}", start.machine),
-        listen: nowhere,
-        processor: nowhere,
-        control: nowhere,
+        listen: unused_address,
+        processor: unused_address,
+        control: unused_address,
         seed: format!("{:016x}", start.seed),
         stop_ms,
         lends: false,
         admin_addr: None,
-        upstream: Some(nowhere),
+        upstream: Some(unused_address),
         limits: Limits { sockets: 4_096, memory_mb: 192 },
         settings: settings.clone(),
     }
@@ -168,34 +172,35 @@
     Span(ms * MS)
 }
 
-/// What the operators tell a server of a day, as the platform does: not the speed of its cores, nor what callers are like.
-fn settings(day: &Day) -> Settings {
-    let terms = day.terms();
+/// The settings that operators configure, as the platform supplies them: neither the speed of the cores nor the
+/// behaviour of clients is known.
+fn settings(scenario: &Scenario) -> Settings {
+    let terms = scenario.terms();
     Settings {
         min_batch_interval: ms(2),
-        servers: day.machines.iter().filter(|machine| !machine.spare).count() as u32,
+        servers: scenario.machines.iter().filter(|machine| !machine.spare).count() as u32,
         tier: 0,
         profiles: terms
             .classes
             .iter()
             .map(|class| ClassProfile {
                 name: class.name.clone(),
-                latency_objective: ms(class.aim_ms),
+                latency_objective: ms(class.latency_objective_ms),
                 deadline: ms(class.deadline_ms),
                 effect: if class.window_ms.is_some() { Idempotency::Keyed } else { Idempotency::Idempotent },
-                late_value: class.late,
+                late_value: class.late_value,
                 window: ms(class.window_ms.unwrap_or(0)),
                 priority_weight: class.priority_weight,
                 objective_stretch: 0.0,
             })
             .collect(),
         tenants: terms
-            .offices
+            .tenants
             .iter()
-            .map(|office| Tenant {
-                name: office.name.clone(),
-                quota_rps: office.share * terms.capacity,
-                portion: office.share,
+            .map(|tenant| Tenant {
+                name: tenant.name.clone(),
+                quota_rps: tenant.share * terms.capacity,
+                portion: tenant.share,
             })
             .collect(),
         callers: Callers { marks_retries: true },
@@ -203,7 +208,7 @@
         limits: Site { max_retry_after: ms(1_000), retry_after: true },
         prices: Prices { late_fail: 0.083, waste: 0.08, ..Prices::default() },
         weight_basis: WeightBasis::Request,
-        over_quota_weight: terms.beyond,
+        over_quota_weight: terms.over_quota_weight,
         rules: Rules {
             answer_slack: ms(100),
             warm_up_time: ms(18_000),
@@ -217,16 +222,16 @@
             upstream: UpstreamKind::Off,
             calls_by_class: vec![false; terms.classes.len()],
             class_skip_weights: vec![0.0; terms.classes.len()],
-            clients_total: day.proxies.len() as u32,
+            clients_total: scenario.proxies.len() as u32,
             gauges: ["core_use", "on_cores", "heap_share", "links"].map(str::to_string).to_vec(),
             signal_lifetime: ms(1_000),
             client_idle_timeout: ms(15_000),
-            idempotency_key_kb: day.key_kb,
+            idempotency_key_kb: scenario.key_kb,
             endpoint_list_follows_health: true,
             memory_kb: 1.0,
             n_cores: 1,
             propagates_deadline: true,
-            run_factor: day.run_factor,
+            run_factor: scenario.run_factor,
             call_share_window: ms(5_000),
             stop_mode: StopMode::Off,
             reports_disconnects: true,
--- a/crates/testkit/src/model/peers.rs
+++ b/crates/testkit/src/model/peers.rs
@@ -2,7 +2,7 @@
 
 use super::plots::{Curve, Labels, draw as svg};
 use clap::{Args, ValueEnum};
-use gradepin_model::peers::{Outcome, Sharing, Spec, Troubles, draw, play};
+use gradepin_model::peers::{Faults, Outcome, Sharing, Spec, draw, play};
 use rayon::prelude::*;
 use std::error::Error;
 use std::path::{Path, PathBuf};
@@ -13,8 +13,8 @@
 enum Ways {
     Static,
     Lending,
-    Plain,
-    AllKnowing,
+    IgnoreExpiry,
+    SinglePool,
 }
 
 /// Settings on the command line.
@@ -66,7 +66,7 @@
 
 impl PeersArgs {
     fn spec(&self, seed: u64) -> Spec {
-        let troubles = if self.calm { Troubles::default() } else { draw(seed, self.servers, self.seconds) };
+        let troubles = if self.calm { Faults::default() } else { draw(seed, self.servers, self.seconds) };
         Spec {
             seed,
             servers: self.servers,
@@ -74,8 +74,8 @@
             sharing: match self.sharing {
                 Ways::Static => Sharing::Static,
                 Ways::Lending => Sharing::Lending,
-                Ways::Plain => Sharing::Plain,
-                Ways::AllKnowing => Sharing::AllKnowing,
+                Ways::IgnoreExpiry => Sharing::IgnoreExpiry,
+                Ways::SinglePool => Sharing::SinglePool,
             },
             load: self.load,
             lean: self.lean,
@@ -83,7 +83,7 @@
             starved: self.starved,
             drift: self.drift,
             count_from_s: self.count_from,
-            troubles,
+            faults: troubles,
             ..Spec::default()
         }
     }
@@ -94,7 +94,7 @@
     let ways = [
         ("static shares", Sharing::Static),
         ("leases", Sharing::Lending),
-        ("one that knows all", Sharing::AllKnowing),
+        ("one that knows all", Sharing::SinglePool),
     ];
     let curve = |(name, sharing): (&str, Sharing)| {
         let points = [1.0, 1.5, 2.0, 3.0, 4.0, 6.0, 8.0].map(|lean| {
