--- a/crates/testkit/src/drill/faults/mod.rs
+++ b/crates/testkit/src/drill/faults/mod.rs
@@ -27,7 +27,7 @@
 
 use super::{Claims, Verdict};
 use crate::fleet;
-use crate::rig::lag::{Bounds, LagMonitor};
+use crate::harness::machine_delay::{Bounds, MachineDelayMonitor};
 use oracles::{Failure, Late, Oracle};
 use plan::{Case, Size};
 use random::Random;
@@ -43,8 +43,11 @@
 /// Within this a valid configuration serves.
 const STARTS_WITHIN: Duration = Duration::from_secs(10);
 /// Past this the machine was so late that times say nothing of the servers.
-const BOUNDS: Bounds =
-    Bounds { mean_beat: Duration::from_millis(4), latest_beat: Duration::from_millis(100), starved: 0.25 };
+const BOUNDS: Bounds = Bounds {
+    mean_wakeup_delay: Duration::from_millis(4),
+    max_wakeup_delay: Duration::from_millis(100),
+    run_delay_fraction: 0.25,
+};
 /// Failures that are printed of one case.
 const SHOWN_FAILURES: usize = 4;
 
@@ -123,17 +126,17 @@
     let only = |case: &Case| drill.only.is_none_or(|only| only == case.number);
     let cases: Vec<Case> = cases.into_iter().filter(only).collect();
     println!("seed {}, {} cases", drill.seed, cases.len());
-    let monitor = LagMonitor::start()?;
+    let monitor = MachineDelayMonitor::start()?;
     let tally = Mutex::new(Tally::default());
     play_cases(drill, &cases, &folder, &tally)?;
     if drill.only.is_none() {
         play_starts(drill, &folder, &tally)?;
     }
-    let lag = monitor.lag();
+    let lag = monitor.measured();
     drop(monitor);
     let tally = tally.into_inner().unwrap_or_else(PoisonError::into_inner);
     println!("machine: {}", lag.summary());
-    let claims = claim(&tally, Claims::on_machine(lag.past(&BOUNDS)));
+    let claims = claim(&tally, Claims::on_machine(lag.exceeded(&BOUNDS)));
     if tally.failures.is_empty() {
         fleet::remove(&folder);
     } else {
--- a/crates/testkit/src/drill/release/claims.rs
+++ b/crates/testkit/src/drill/release/claims.rs
@@ -5,10 +5,10 @@
 use super::session::Session;
 use super::{KEEPS, LONGER, SEEN, STEP};
 use crate::drill::Claims;
+use crate::harness::supervisor::Replacement;
 use crate::load::{Books, End, Try};
 use crate::processor::runs_by;
 use crate::registry::server::unix_ms;
-use crate::rig::supervisor::Began;
 use std::time::Duration;
 
 /// Makes all of them.
@@ -23,13 +23,13 @@
 
 fn outages(claims: &mut Claims, session: &Session<'_>) {
     let (most, zone) = session.drill.most();
-    let all = &session.supervisor.began;
-    let past = |began: &&Began| {
+    let all = &session.supervisor.replacements;
+    let past = |began: &&Replacement| {
         let out: Vec<usize> = began.agreed.iter().chain(&began.unplanned).copied().collect();
         let of_zone = out.iter().filter(|n| *n % 3 == began.server % 3).count();
         out.len() > most as usize || of_zone > zone as usize
     };
-    let over: Vec<&Began> = all.iter().filter(past).collect();
+    let over: Vec<&Replacement> = all.iter().filter(past).collect();
     let first = over.first().map(|began| {
         let at_s = began.at.as_secs_f64();
         let (server, agreed, unplanned) = (began.server, &began.agreed, &began.unplanned);
--- a/crates/testkit/src/drill/release/faults.rs
+++ b/crates/testkit/src/drill/release/faults.rs
@@ -65,7 +65,7 @@
         if let Some((fault, n, over)) = self.faults.current {
             if now >= over {
                 match fault {
-                    Fault::Kill => self.supervisor.held[n] = false,
+                    Fault::Kill => self.supervisor.restart_blocked[n] = false,
                     Fault::Stop => self.fleet.nodes[n].go_on(),
                     Fault::Cut => self.net.heal(),
                 }
@@ -85,7 +85,7 @@
         let lasts = Duration::from_millis(500 + self.draw(2_500));
         match fault {
             Fault::Kill => {
-                self.supervisor.held[n] = true;
+                self.supervisor.restart_blocked[n] = true;
                 self.fleet.nodes[n].kill();
             }
             Fault::Stop => self.fleet.nodes[n].pause(),
--- a/crates/testkit/src/drill/release/founding.rs
+++ b/crates/testkit/src/drill/release/founding.rs
@@ -2,7 +2,7 @@
 //! and explained by the answers and the servers' logs where it fails.
 
 use super::session::Session;
-use crate::rig::play::call;
+use crate::harness::play::call;
 use std::io;
 use std::time::Duration;
 
--- a/crates/testkit/src/drill/release/mod.rs
+++ b/crates/testkit/src/drill/release/mod.rs
@@ -11,13 +11,13 @@
 
 use super::{Claims, Verdict};
 use crate::fleet::{self, CouncilSpec, Fleet, FleetSpec, PeersSpec};
+use crate::harness::history::History;
+use crate::harness::ledger::Ledger;
+use crate::harness::machine_delay::{Bounds, MachineDelayMonitor};
+use crate::harness::relay::Net;
+use crate::harness::supervisor::{NO_SAVES, Supervisor};
 use crate::load::classes;
 use crate::processor::Spec;
-use crate::rig::history::History;
-use crate::rig::lag::{Bounds, LagMonitor};
-use crate::rig::ledger::Ledger;
-use crate::rig::relay::Net;
-use crate::rig::supervisor::{NO_SAVES, Supervisor};
 use faults::Faults;
 use gradepin_cluster::authentication::AuthenticationKeys;
 use gradepin_coordination::rollout::{Batch, ReleaseKind, RolloutPlan};
@@ -49,8 +49,11 @@
 /// Past this the machine was too late for claims on times. Between two trials on a busy machine: with beats late by 0.10 ms in the
 /// mean, 24 ms at the most and 6.4% of the time waited all went as planned; with 0.85 ms, 255 ms and 19.9% a sound release was
 /// undone for a class that was served late.
-const IN_TIME: Bounds =
-    Bounds { mean_beat: Duration::from_micros(500), latest_beat: Duration::from_millis(150), starved: 0.12 };
+const IN_TIME: Bounds = Bounds {
+    mean_wakeup_delay: Duration::from_micros(500),
+    max_wakeup_delay: Duration::from_millis(150),
+    run_delay_fraction: 0.12,
+};
 
 /// What is drilled.
 #[derive(Debug, Clone)]
@@ -112,10 +115,10 @@
     let folder = fleet::folder(if drill.plain { "drill-release-plain" } else { "drill-release" })?;
     let mut session = set_up(drill, &folder, &stop)?;
     let played = scenario::play(&mut session);
-    let lag = session.lag.lag();
+    let lag = session.lag.measured();
     println!("  the machine: {}", lag.summary());
     // Claims that don't rest on times are made of every run.
-    let late = if drill.timed { lag.past(&IN_TIME) } else { None };
+    let late = if drill.timed { lag.exceeded(&IN_TIME) } else { None };
     let mut claims = Claims::on_machine(late);
     match &played {
         Ok(seen) => claims::claim(&mut claims, &session, seen),
@@ -133,7 +136,7 @@
 
 /// Starts the fleet with its relays, its ledger and its supervisor.
 fn set_up<'d>(drill: &'d Drill, folder: &Path, stop: &'d AtomicBool) -> io::Result<Session<'d>> {
-    let lag = LagMonitor::start()?;
+    let lag = MachineDelayMonitor::start()?;
     let listen: Vec<SocketAddr> = (0..drill.servers).map(|_| fleet::peer_address()).collect();
     let history = Arc::<History>::default();
     let keys = AuthenticationKeys::parse(fleet::KEY).map_err(io::Error::other)?;
--- a/crates/testkit/src/drill/release/scenario.rs
+++ b/crates/testkit/src/drill/release/scenario.rs
@@ -4,9 +4,9 @@
 use super::clients::Clients;
 use super::session::Session;
 use super::{SEEN, STEP};
+use crate::harness::supervisor::NO_SAVES;
 use crate::load::Books;
 use crate::registry::server::unix_ms;
-use crate::rig::supervisor::NO_SAVES;
 use std::io;
 use std::time::{Duration, Instant};
 
@@ -93,7 +93,7 @@
 
 /// A version that turns saves away: it is to stop and go back by itself.
 fn bad(session: &mut Session<'_>) -> io::Result<Bad> {
-    let began = session.supervisor.began.len();
+    let began = session.supervisor.replacements.len();
     let begin_ms = unix_ms();
     let started = session.start(NO_SAVES)?;
     println!("  the release of {NO_SAVES}: {started:?}");
@@ -113,7 +113,7 @@
             && session.supervisor.all_have(&session.fleet, Some("v2"))
     })?;
     let last_state = session.release_state();
-    let began = &session.supervisor.began[began..];
+    let began = &session.supervisor.replacements[began..];
     let servers = began.iter().filter(|began| began.version == NO_SAVES).count();
     Ok(Bad { begin_ms, first, stopped, halted_after, why, gone, last_state, servers })
 }
--- a/crates/testkit/src/drill/release/session.rs
+++ b/crates/testkit/src/drill/release/session.rs
@@ -4,11 +4,11 @@
 use super::faults::Faults;
 use super::{Drill, plan};
 use crate::fleet::Fleet;
-use crate::rig::lag::{LagMonitor, Watched};
-use crate::rig::ledger::Ledger;
-use crate::rig::play::{ask, call};
-use crate::rig::relay::Net;
-use crate::rig::supervisor::Supervisor;
+use crate::harness::ledger::Ledger;
+use crate::harness::machine_delay::{MachineDelayMonitor, MonitoredProcess};
+use crate::harness::play::{ask, call};
+use crate::harness::relay::Net;
+use crate::harness::supervisor::Supervisor;
 use gradepin_coordination::messages::OperatorCommand;
 use gradepin_coordination::rollout::RolloutCommand;
 use rand_pcg::Pcg64Mcg;
@@ -33,7 +33,7 @@
     pub(super) stop: &'d AtomicBool,
     pub(super) faults: Faults,
     /// How late the machine is.
-    pub(super) lag: LagMonitor,
+    pub(super) lag: MachineDelayMonitor,
     /// Releases that were started.
     pub(super) starts: u32,
 }
@@ -53,7 +53,7 @@
             if begin.elapsed() > patience {
                 return Ok(false);
             }
-            self.supervisor.look(&mut self.fleet)?;
+            self.supervisor.supervise(&mut self.fleet)?;
             self.watch_processes();
             if let Some(clients) = &self.clients {
                 clients.update(&self.fleet);
@@ -70,8 +70,9 @@
 
     fn watch_processes(&self) {
         let nodes = self.fleet.nodes.iter();
-        let watched = nodes.filter_map(|node| Some(Watched { name: node.name.clone(), pid: node.pid()? }));
-        self.lag.watch(watched.collect());
+        let watched =
+            nodes.filter_map(|node| Some(MonitoredProcess { name: node.name.clone(), pid: node.pid()? }));
+        self.lag.set_processes(watched.collect());
     }
 
     pub(super) fn status(&self) -> Option<Value> {
--- a/crates/testkit/src/drill/shared.rs
+++ b/crates/testkit/src/drill/shared.rs
@@ -3,9 +3,9 @@
 
 use super::Claims;
 use crate::fleet;
-use crate::rig::history::{self, Broken, History};
-use crate::rig::play::{Plan, Played, play};
-use crate::rig::schedule::Schedule;
+use crate::harness::history::{self, History, Violation};
+use crate::harness::play::{Plan, Played, play};
+use crate::harness::schedule::Schedule;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use std::io;
 use std::path::PathBuf;
@@ -60,7 +60,7 @@
         lends: true,
         plain: drill.plain,
         load: LOAD,
-        lean: LEAN,
+        busy_zone_weight: LEAN,
         schedule,
     };
     let folder = fleet::folder(if drill.plain { "drill-shared-plain" } else { "drill-shared" })?;
@@ -86,7 +86,7 @@
         "calls under way never past the bound, by the ledger's own count",
         format!(
             "{} at the most of {}, {} calls{}",
-            calls.most,
+            calls.max_in_flight,
             played.bound,
             calls.count,
             first(&calls.over_bound)
@@ -103,36 +103,47 @@
         "no server that was there all along held dead for 10 s",
         format!("{}{}", wrong.len(), first(&wrong)),
     );
-    let healed = played.history.iter().filter(|entry| fault(&entry.what)).map(|entry| entry.at_us).max();
+    let healed =
+        played.history.iter().filter(|entry| fault(&entry.observation)).map(|entry| entry.at_us).max();
     let apart = history::disagreements(&played.history, healed.unwrap_or(0) + AGREE_US);
     claims.claim(
         apart.is_empty(),
         "5 s after the last fault all agree who is there",
         format!("{} disagree{}", apart.len(), first(&apart)),
     );
-    let unanswered = 1_000.0 * played.unanswered as f64 / played.owed.max(1) as f64;
+    let unanswered = 1_000.0 * played.unanswered as f64 / played.answerable.max(1) as f64;
     claims.claim(
-        unanswered < 3.0 && played.owed > 0 && played.false_answers == 0,
+        unanswered < 3.0 && played.answerable > 0 && played.false_answers == 0,
         "tries answered by servers that ran, all but 3 in 1,000, and none falsely",
-        format!("{} of {} without an answer, {} false", played.unanswered, played.owed, played.false_answers),
+        format!(
+            "{} of {} without an answer, {} false",
+            played.unanswered, played.answerable, played.false_answers
+        ),
     );
     claims.claim(
-        played.twice == 0 && played.saves > 0,
+        played.repeated_saves == 0 && played.saves > 0,
         "saves run twice",
-        format!("{} of {}", played.twice, played.saves),
+        format!("{} of {}", played.repeated_saves, played.saves),
     );
     claims.claim(played.crashed.is_empty(), "no process ended by itself", format!("{:?}", played.crashed));
     let service = 100.0 * played.served as f64 / played.asked.max(1) as f64;
     println!("  served {service:.1}% of {} requests", played.asked);
 }
 
-fn fault(what: &history::What) -> bool {
-    use history::What;
-    matches!(what, What::Stopped | What::WentOn | What::Killed | What::Started | What::Net(_))
+fn fault(what: &history::Observation) -> bool {
+    use history::Observation;
+    matches!(
+        what,
+        Observation::Stopped
+            | Observation::WentOn
+            | Observation::Killed
+            | Observation::Started
+            | Observation::Net(_)
+    )
 }
 
 /// The first of what breaks a claim, and how many there are.
-fn first(broken: &[Broken]) -> String {
+fn first(broken: &[Violation]) -> String {
     match broken.first() {
         None => String::new(),
         Some(one) => format!(
--- a/crates/testkit/src/rig/ledger.rs
+++ b/crates/testkit/src/harness/ledger.rs
@@ -1,8 +1,8 @@
-//! A stand-in for the ledger that all servers share: HTTP/1.1, `POST /post`, an address for each server, so that it knows who
-//! calls. It answers after a drawn time, ends a call whose caller hung up or whose told limit is over, and writes down
-//! each call's begin and end: by that history, calls under way are counted.
+//! Stand-in for the ledger that all servers share: HTTP/1.1 with `POST /post`, and a separate address for each server, which
+//! identifies the caller. It answers after a random time, ends a call when the caller hangs up or the limit in the request
+//! has passed, and records the start and end of each call in the history.
 
-use super::history::{History, What};
+use super::history::{History, Observation};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::io::{self, ErrorKind, Read, Write};
@@ -12,36 +12,36 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Between looks at a caller that may have hung up.
-const LOOK: Duration = Duration::from_millis(4);
-/// The largest head and body that are read.
-const MOST_HEAD: usize = 8 * 1024;
-const MOST_BODY: usize = 64 * 1024;
+/// Interval at which a call checks whether its caller has hung up.
+const HANGUP_CHECK_INTERVAL: Duration = Duration::from_millis(4);
+/// Largest request head and body, in bytes.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
 struct Shared {
     mean: Duration,
-    /// Times longer than usual.
-    slow: AtomicU32,
-    /// Servers whose calls are refused.
+    /// Factor on the time of each call.
+    slowdown: AtomicU32,
+    /// Servers whose calls are dropped.
     closed: Mutex<Vec<usize>>,
     rng: Mutex<Pcg64Mcg>,
     ends: AtomicBool,
     history: Arc<History>,
 }
 
-/// A running stand-in; it ends when this is dropped.
+/// Running stand-in ledger; ends when dropped.
 pub struct Ledger {
     shared: Arc<Shared>,
-    /// Where each server reaches it.
+    /// Address of the ledger for each server.
     pub addresses: Vec<SocketAddr>,
 }
 
 impl Ledger {
-    /// For so many servers, with calls of half of this to half as much again.
+    /// Starts a ledger for `servers` servers. Each call takes between 0.5 and 1.5 times `mean`.
     pub fn start(servers: usize, mean: Duration, seed: u64, history: &Arc<History>) -> io::Result<Self> {
         let shared = Arc::new(Shared {
             mean,
-            slow: AtomicU32::new(1),
+            slowdown: AtomicU32::new(1),
             closed: Mutex::default(),
             rng: Mutex::new(Pcg64Mcg::seed_from_u64(seed)),
             ends: AtomicBool::new(false),
@@ -70,14 +70,14 @@
         Ok(Self { shared, addresses })
     }
 
-    /// Takes no calls of these from now on: their connections end unanswered.
+    /// Drops the calls of these servers from now on: their connections end without an answer. Replaces the previous list.
     pub fn close(&self, servers: &[usize]) {
         *self.shared.closed.lock().unwrap_or_else(PoisonError::into_inner) = servers.to_vec();
     }
 
-    /// Takes so many times as long.
+    /// Multiplies the time of each call by `times`.
     pub fn slow(&self, times: u32) {
-        self.shared.slow.store(times.max(1), Ordering::Relaxed);
+        self.shared.slowdown.store(times.max(1), Ordering::Relaxed);
     }
 }
 
@@ -92,15 +92,15 @@
         self.closed.lock().unwrap_or_else(PoisonError::into_inner).contains(&server)
     }
 
-    fn takes(&self) -> Duration {
+    fn call_time(&self) -> Duration {
         let mut rng = self.rng.lock().unwrap_or_else(PoisonError::into_inner);
         let unit = (rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64;
-        let times = (0.5 + unit) * f64::from(self.slow.load(Ordering::Relaxed));
+        let times = (0.5 + unit) * f64::from(self.slowdown.load(Ordering::Relaxed));
         self.mean.mul_f64(times)
     }
 }
 
-/// One connection: call after call until it ends.
+/// Serves the calls of one connection until it ends.
 fn serve(mut stream: TcpStream, server: usize, shared: &Shared) -> io::Result<()> {
     stream.set_nonblocking(false)?;
     stream.set_nodelay(true)?;
@@ -110,19 +110,19 @@
         if shared.is_closed(server) {
             return Ok(());
         }
-        let begun = shared.history.write(server, What::CallBegan(id.clone()));
-        let (since, takes) = (Instant::now(), shared.takes());
-        let until = takes.min(limit);
-        let mut gone = false;
-        while since.elapsed() < until && !gone && !shared.ends.load(Ordering::Relaxed) {
-            thread::sleep(LOOK.min(until.saturating_sub(since.elapsed())));
-            gone = hung_up(&stream);
+        let begun = shared.history.write(server, Observation::CallBegan(id.clone()));
+        let (since, call_time) = (Instant::now(), shared.call_time());
+        let until = call_time.min(limit);
+        let mut hung_up_early = false;
+        while since.elapsed() < until && !hung_up_early && !shared.ends.load(Ordering::Relaxed) {
+            thread::sleep(HANGUP_CHECK_INTERVAL.min(until.saturating_sub(since.elapsed())));
+            hung_up_early = hung_up(&stream);
         }
-        shared.history.write(server, What::CallEnded(begun));
-        if gone {
+        shared.history.write(server, Observation::CallEnded(begun));
+        if hung_up_early {
             return Ok(());
         }
-        let answer: &[u8] = if takes <= limit {
+        let answer: &[u8] = if call_time <= limit {
             b"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nrecorded"
         } else {
             b"HTTP/1.1 504 Late\r\nContent-Length: 0\r\n\r\n"
@@ -131,7 +131,7 @@
     }
 }
 
-/// Whether the other side has closed, as far as can be seen.
+/// Whether the peer has visibly closed the connection.
 fn hung_up(stream: &TcpStream) -> bool {
     let mut byte = [0_u8];
     if stream.set_nonblocking(true).is_err() {
@@ -146,13 +146,13 @@
     }
 }
 
-/// Reads a whole call: its id and the limit that it tells; none at the end of the connection.
+/// Reads a complete call and returns its request ID and time limit; `None` at the end of the connection.
 fn request(
     stream: &mut TcpStream,
     bytes: &mut Vec<u8>,
     shared: &Shared,
 ) -> io::Result<Option<(String, Duration)>> {
-    let bad = |what: &str| io::Error::new(ErrorKind::InvalidData, what.to_string());
+    let bad = |message: &str| io::Error::new(ErrorKind::InvalidData, message.to_string());
     stream.set_read_timeout(Some(Duration::from_millis(200)))?;
     let mut chunk = [0_u8; 2_048];
     loop {
@@ -168,15 +168,15 @@
             }
             let body = header("content-length").and_then(|text| text.parse::<usize>().ok());
             let body =
-                body.filter(|body| *body <= MOST_BODY).ok_or_else(|| bad("expected Content-Length"))?;
+                body.filter(|body| *body <= MAX_BODY_BYTES).ok_or_else(|| bad("expected Content-Length"))?;
             let id = header("x-txn-ref").unwrap_or_default().to_string();
             let limit = header("x-limit-ms").and_then(|text| text.parse().ok()).unwrap_or(60_000);
             if bytes.len() >= length + body {
                 bytes.drain(..length + body);
                 return Ok(Some((id, Duration::from_millis(limit))));
             }
-        } else if bytes.len() > MOST_HEAD {
-            return Err(bad("expected a head of 8 kB at the most"));
+        } else if bytes.len() > MAX_HEAD_BYTES {
+            return Err(bad("request head exceeds the maximum of 8 KiB"));
         }
         match stream.read(&mut chunk) {
             Ok(0) => return Ok(None),
--- a/crates/testkit/src/rig/play.rs
+++ b/crates/testkit/src/harness/play.rs
@@ -1,6 +1,6 @@
-//! Plays a schedule against a fleet of real daemons under load, and gives what was seen.
+//! Runs a fault schedule against a fleet of real daemons under load and collects the observations.
 
-use super::history::{Entry, History, What};
+use super::history::{History, HistoryEntry, Observation};
 use super::ledger::Ledger;
 use super::relay::Net;
 use super::schedule::{Disk, Fault, Schedule};
@@ -19,86 +19,88 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Between looks at what each server believes.
-const LOOK: Duration = Duration::from_millis(250);
-/// What the ledger takes for a call, and what a run takes of a core beside it.
-const CALL: Duration = Duration::from_millis(60);
-const WORK: Duration = Duration::from_millis(20);
-/// How long a phase of the callers lasts, and what all ask for in every second one, as a part of the ledger's capacity.
-const PHASE: Duration = Duration::from_millis(4_500);
-const ALL_ASK: f64 = 1.2;
-/// Times of the classes: the brief's own.
-const SCALE: u32 = 4;
-/// A process that was started is given so long before its tries count as owed an answer.
-const STARTS_US: u64 = 3_000_000;
+/// Interval between polls of each server's membership list.
+const MEMBERSHIP_POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Mean time of a ledger call.
+const LEDGER_CALL_TIME: Duration = Duration::from_millis(60);
+/// CPU time of a run beside its ledger call.
+const RUN_CPU_TIME: Duration = Duration::from_millis(20);
+/// Length of a load phase.
+const PHASE_LENGTH: Duration = Duration::from_millis(4_500);
+/// Total demand in every second phase, as a fraction of the ledger's capacity.
+const OVERLOAD_DEMAND: f64 = 1.2;
+/// Factor on the times of [`classes`]; 4 gives the full times.
+const CLASS_TIME_SCALE: u32 = 4;
+/// Start-up allowance of a restarted process, in microseconds; attempts in this time need no answer.
+const STARTUP_ALLOWANCE_US: u64 = 3_000_000;
 
-/// What is played.
+/// Parameters of a run.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// The daemon's program.
+    /// Path of the daemon's program.
     pub daemon: PathBuf,
-    /// For everything that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Servers, in three zones.
+    /// Number of servers, spread over three zones.
     pub servers: usize,
-    /// How long.
+    /// Length of the run.
     pub length: Duration,
-    /// The ledger's slots of each.
+    /// Ledger slots of each server.
     pub share: f64,
-    /// Whether they are lent, and whether without the rules of time.
+    /// Whether servers lend slots to each other.
     pub lends: bool,
-    /// See `lends`.
+    /// Whether lenders ignore the expiry of leases, to show that the checks catch it.
     pub plain: bool,
-    /// The part of the ledger's capacity that is asked for while one zone asks for more than the others, and how much more.
+    /// Total demand while one zone is busier than the others, as a fraction of the ledger's capacity.
     pub load: f64,
-    /// See `load`.
-    pub lean: f64,
-    /// What happens.
+    /// Weight of a server of the busy zone in phases of partial demand; servers of other zones have weight 1.
+    pub busy_zone_weight: f64,
+    /// Faults to inject.
     pub schedule: Schedule,
 }
 
-/// What was seen.
+/// Results of a run.
 #[derive(Debug, Default)]
 pub struct Played {
-    /// By the stand-ins, the relays and those who did it.
-    pub history: Vec<Entry>,
-    /// Slots in all.
+    /// Observations of the stand-ins, the relays and the fault injector.
+    pub history: Vec<HistoryEntry>,
+    /// Total number of ledger slots.
     pub bound: usize,
-    /// Requests that came, and those that were served.
+    /// Requests that arrived.
     pub asked: usize,
-    /// See `asked`.
+    /// Requests that were served.
     pub served: usize,
-    /// Tries that a server which ran all the while did not answer, of all of those.
+    /// Attempts that got no answer although their server ran all the while.
     pub unanswered: usize,
-    /// See `unanswered`.
-    pub owed: usize,
-    /// Served with what no run made.
+    /// Attempts at servers that ran all the while.
+    pub answerable: usize,
+    /// Attempts served with a result that no run produced.
     pub false_answers: usize,
-    /// Saves that ran twice on a server that never lost its store, of all saves.
-    pub twice: usize,
-    /// See `twice`.
+    /// Saves that ran more than once on a server that never lost its store.
+    pub repeated_saves: usize,
+    /// Distinct saves that ran.
     pub saves: usize,
-    /// Processes that ended though nobody ended them.
+    /// Names of servers whose process ended by itself.
     pub crashed: Vec<String>,
-    /// Whether it was ended before its time.
+    /// Whether the run was stopped early.
     pub cut_short: bool,
 }
 
-/// One server's standing, as those know who do things to it.
+/// State of a server as known to the fault injector.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Standing {
+struct ServerState {
     up: bool,
     stopped: bool,
-    well: bool,
+    undisturbed: bool,
     lost_store: bool,
 }
 
-/// Plays it; `stop` ends it early, and no process is left behind either way.
+/// Runs the plan; `stop` ends it early. No process is left behind either way.
 pub fn play(plan: &Plan, folder: &Path, history: &Arc<History>, stop: &AtomicBool) -> io::Result<Played> {
     let listen: Vec<SocketAddr> = (0..plan.servers).map(|_| fleet::peer_address()).collect();
     let keys = AuthenticationKeys::parse(fleet::KEY).map_err(io::Error::other)?;
     let net = Net::start(&listen, plan.seed, &keys, history)?;
-    let ledger = Ledger::start(plan.servers, CALL, plan.seed, history)?;
+    let ledger = Ledger::start(plan.servers, LEDGER_CALL_TIME, plan.seed, history)?;
     let peers = PeersSpec {
         listen,
         advertise: net.advertise.clone(),
@@ -108,12 +110,12 @@
         lends: plan.lends,
         plain: plan.plain,
     };
-    let work = classes().into_iter().map(|class| (class.name, WORK)).collect();
+    let work = classes().into_iter().map(|class| (class.name, RUN_CPU_TIME)).collect();
     let spec = FleetSpec {
         daemon: plan.daemon.clone(),
         servers: plan.servers,
         processor: Spec { classes: work, cores: 12, calls: 1.0, seed: plan.seed, ..Spec::default() },
-        scale: u64::from(SCALE),
+        scale: u64::from(CLASS_TIME_SCALE),
         store: true,
         peers: Some(peers),
         folder: folder.to_path_buf(),
@@ -122,32 +124,36 @@
     let mut fleet = Fleet::start(&spec)?;
     let begin_ms = unix_ms();
     let begin_us = history.elapsed_us();
-    let ends = Arc::<AtomicBool>::default();
-    let looks: Vec<_> = fleet
+    let stop_polling = Arc::<AtomicBool>::default();
+    let polls: Vec<_> = fleet
         .nodes
         .iter()
         .enumerate()
         .map(|(n, node)| {
-            let (admin, ends, history) = (node.admin(), Arc::clone(&ends), Arc::clone(history));
-            thread::spawn(move || look(n, admin, &ends, &history))
+            let (admin, stop_polling, history) =
+                (node.admin(), Arc::clone(&stop_polling), Arc::clone(history));
+            thread::spawn(move || poll_membership(n, admin, &stop_polling, &history))
         })
         .collect();
-    let mut callers = Callers::start(plan, &fleet)?;
-    let mut player = Player {
-        standing: vec![Standing { up: true, stopped: false, well: true, lost_store: false }; plan.servers],
+    let mut clients = ClientPhases::start(plan, &fleet)?;
+    let mut injector = FaultInjector {
+        state: vec![
+            ServerState { up: true, stopped: false, undisturbed: true, lost_store: false };
+            plan.servers
+        ],
         cut: false,
-        rough: false,
+        disturbed: false,
         copied: false,
         crashed: Vec::new(),
         history,
     };
     for n in 0..plan.servers {
-        history.write(n, What::Started);
+        history.write(n, Observation::Started);
     }
     let begin = Instant::now();
     let mut wait = |until: Duration| -> io::Result<()> {
         while begin.elapsed() < until && !stop.load(Ordering::Relaxed) {
-            callers.look(begin.elapsed())?;
+            clients.advance(begin.elapsed())?;
             thread::sleep(Duration::from_millis(5).min(until.saturating_sub(begin.elapsed())));
         }
         Ok(())
@@ -157,29 +163,29 @@
         if stop.load(Ordering::Relaxed) {
             break;
         }
-        player.act(fault, &mut fleet, &net, &ledger, folder)?;
+        injector.apply(fault, &mut fleet, &net, &ledger, folder)?;
     }
     wait(plan.length)?;
     let cut_short = stop.load(Ordering::Relaxed);
-    player.watch(&mut fleet);
-    let books = callers.stop();
-    ends.store(true, Ordering::Relaxed);
-    looks.into_iter().for_each(|look| drop(look.join()));
+    injector.record_crashes(&mut fleet);
+    let books = clients.stop();
+    stop_polling.store(true, Ordering::Relaxed);
+    polls.into_iter().for_each(|poll| drop(poll.join()));
     fleet.collect();
     let mut played = Played {
         bound: (plan.share * plan.servers as f64 + 1e-9) as usize,
-        crashed: std::mem::take(&mut player.crashed),
+        crashed: std::mem::take(&mut injector.crashed),
         cut_short,
         ..Played::default()
     };
-    for (node, standing) in fleet.nodes.iter().zip(&player.standing) {
+    for (node, state) in fleet.nodes.iter().zip(&injector.state) {
         let mut runs = HashMap::<&[u8], usize>::new();
-        for begun in node.begun.iter().filter(|begun| begun.class == "label-save") {
-            *runs.entry(&begun.body).or_default() += 1;
+        for run in node.begun.iter().filter(|run| run.class == "label-save") {
+            *runs.entry(&run.body).or_default() += 1;
         }
         played.saves += runs.len();
-        if !standing.lost_store {
-            played.twice += runs.values().filter(|count| **count > 1).count();
+        if !state.lost_store {
+            played.repeated_saves += runs.values().filter(|count| **count > 1).count();
         }
     }
     fleet.nodes.iter_mut().for_each(fleet::Node::kill);
@@ -189,51 +195,51 @@
     Ok(played)
 }
 
-/// Callers by phases: one zone asks for more than its share while the others lend, then all ask for more than there is, so
-/// that whatever is lent is missed, then another zone.
-struct Callers<'p> {
+/// Client proxies in phases. First one zone demands more than its quota while the others lend; then all together demand more
+/// than the capacity, so that lenders need their slots back; then the next zone follows.
+struct ClientPhases<'p> {
     plan: &'p Plan,
     servers: Vec<SocketAddr>,
     phase: usize,
     now: Vec<Proxy>,
-    /// Those of phases that are over, while they wait for what is open.
+    /// Proxies of past phases that wait for their open requests.
     over: Vec<thread::JoinHandle<Books>>,
 }
 
-impl<'p> Callers<'p> {
+impl<'p> ClientPhases<'p> {
     fn start(plan: &'p Plan, fleet: &Fleet) -> io::Result<Self> {
         let servers = fleet.nodes.iter().map(|node| node.address).collect();
-        let mut callers = Self { plan, servers, phase: 0, now: Vec::new(), over: Vec::new() };
-        callers.now = callers.proxies()?;
-        Ok(callers)
+        let mut clients = Self { plan, servers, phase: 0, now: Vec::new(), over: Vec::new() };
+        clients.now = clients.proxies()?;
+        Ok(clients)
     }
 
     fn proxies(&self) -> io::Result<Vec<Proxy>> {
         let plan = self.plan;
-        let capacity = plan.share * plan.servers as f64 / CALL.as_secs_f64();
+        let capacity = plan.share * plan.servers as f64 / LEDGER_CALL_TIME.as_secs_f64();
         let zone = self.phase / 2 % 3;
-        let all_ask = self.phase % 2 == 1;
-        let weight = |n: usize| if n % 3 == zone && !all_ask { plan.lean } else { 1.0 };
+        let overloaded = self.phase % 2 == 1;
+        let weight = |n: usize| if n % 3 == zone && !overloaded { plan.busy_zone_weight } else { 1.0 };
         let weights: f64 = (0..plan.servers).map(weight).sum();
-        let load = if all_ask { ALL_ASK } else { plan.load };
+        let load = if overloaded { OVERLOAD_DEMAND } else { plan.load };
         let all = self.servers.iter().enumerate().map(|(n, server)| {
             let habit = Habit::thrift(capacity * load * weight(n) / weights, 1, true);
             let list = Fixed { all: vec![*server], turn: 0 };
             let number = (self.phase * self.plan.servers + n) as u64 + 1;
             let seed = plan.seed * 100_000 + number;
-            Proxy::start_with(number, seed, habit, Box::new(list), &HashMap::new(), SCALE)
+            Proxy::start_with(number, seed, habit, Box::new(list), &HashMap::new(), CLASS_TIME_SCALE)
         });
         all.collect()
     }
 
-    /// Moves on to the phase of this time.
-    fn look(&mut self, at: Duration) -> io::Result<()> {
-        let phase = (at.as_millis() / PHASE.as_millis()) as usize;
+    /// Starts the proxies of the next phase once its time has come.
+    fn advance(&mut self, at: Duration) -> io::Result<()> {
+        let phase = (at.as_millis() / PHASE_LENGTH.as_millis()) as usize;
         if phase != self.phase {
             self.phase = phase;
             let next = self.proxies()?;
             let old = std::mem::replace(&mut self.now, next);
-            // Each waits for what it has open; all send nothing more at once.
+            // Stopped in parallel, because each waits for its open requests.
             self.over.extend(old.into_iter().map(|proxy| thread::spawn(move || proxy.stop())));
         }
         Ok(())
@@ -246,11 +252,11 @@
     }
 }
 
-struct Player<'h> {
-    standing: Vec<Standing>,
+struct FaultInjector<'h> {
+    state: Vec<ServerState>,
     cut: bool,
-    rough: bool,
-    /// Whether the stores were copied, for a server that finds an old one.
+    disturbed: bool,
+    /// Whether the stores were copied, as needed for `Disk::OldCopy`.
     copied: bool,
     crashed: Vec<String>,
     history: &'h History,
@@ -260,7 +266,7 @@
     store.with_extension("old")
 }
 
-/// Copies the files of a folder. A server may write to them meanwhile: then the copy's tail is torn, as a disk's may be.
+/// Copies the files of a folder. If a server writes to them meanwhile, the copy ends in a torn write, as on a real disk.
 fn copy(from: &Path, to: &Path) -> io::Result<()> {
     std::fs::create_dir_all(to)?;
     for entry in std::fs::read_dir(from)? {
@@ -272,8 +278,8 @@
     Ok(())
 }
 
-impl Player<'_> {
-    fn act(
+impl FaultInjector<'_> {
+    fn apply(
         &mut self,
         fault: &Fault,
         fleet: &mut Fleet,
@@ -281,7 +287,7 @@
         ledger: &Ledger,
         folder: &Path,
     ) -> io::Result<()> {
-        self.watch(fleet);
+        self.record_crashes(fleet);
         if !std::mem::replace(&mut self.copied, true) {
             for node in &fleet.nodes {
                 let store = folder.join(format!("{}.store", node.name));
@@ -289,7 +295,7 @@
             }
         }
         match fault {
-            Fault::Deafen(some) => {
+            Fault::CutInbound(some) => {
                 net.cut(some, false);
                 self.cut = true;
             }
@@ -301,30 +307,30 @@
                 net.heal();
                 self.cut = false;
             }
-            Fault::Rough { slow_ms, lost, doubled } => {
+            Fault::Disturb { slow_ms, lost, doubled } => {
                 net.rough(*slow_ms, *lost, *doubled);
-                self.rough = *slow_ms > 0 || *lost > 0;
+                self.disturbed = *slow_ms > 0 || *lost > 0;
             }
             Fault::Stop(n) => {
                 fleet.nodes[*n].pause();
-                self.standing[*n].stopped = true;
-                self.history.write(*n, What::Stopped);
+                self.state[*n].stopped = true;
+                self.history.write(*n, Observation::Stopped);
             }
-            Fault::GoOn(n) => {
+            Fault::Resume(n) => {
                 fleet.nodes[*n].go_on();
-                self.standing[*n].stopped = false;
-                self.history.write(*n, What::WentOn);
+                self.state[*n].stopped = false;
+                self.history.write(*n, Observation::WentOn);
             }
             Fault::Kill(n) => {
                 fleet.nodes[*n].kill();
-                self.standing[*n] = Standing { up: false, stopped: false, ..self.standing[*n] };
-                self.history.write(*n, What::Killed);
+                self.state[*n] = ServerState { up: false, stopped: false, ..self.state[*n] };
+                self.history.write(*n, Observation::Killed);
             }
             Fault::Start { server, disk } => {
                 let store = folder.join(format!("{}.store", fleet.nodes[*server].name));
                 if *disk != Disk::Kept {
                     let _ = std::fs::remove_dir_all(&store);
-                    self.standing[*server].lost_store = true;
+                    self.state[*server].lost_store = true;
                 }
                 if *disk == Disk::OldCopy {
                     copy(&old_copy(&store), &store)?;
@@ -332,26 +338,26 @@
                 if !fleet.nodes[*server].is_up() {
                     fleet.nodes[*server].spawn()?;
                 }
-                self.standing[*server].up = true;
-                self.history.write(*server, What::Started);
+                self.state[*server].up = true;
+                self.history.write(*server, Observation::Started);
             }
             Fault::CloseLedger(some) => ledger.close(some),
             Fault::SlowLedger(times) => ledger.slow(*times),
         }
-        for (n, standing) in self.standing.iter_mut().enumerate() {
-            let well = standing.up && !standing.stopped && !self.cut && !self.rough;
-            if well != standing.well {
-                standing.well = well;
-                self.history.write(n, What::Net(well));
+        for (n, state) in self.state.iter_mut().enumerate() {
+            let undisturbed = state.up && !state.stopped && !self.cut && !self.disturbed;
+            if undisturbed != state.undisturbed {
+                state.undisturbed = undisturbed;
+                self.history.write(n, Observation::Net(undisturbed));
             }
         }
         Ok(())
     }
 
-    /// Whether a process has ended by itself.
-    fn watch(&mut self, fleet: &mut Fleet) {
+    /// Records processes that have ended by themselves.
+    fn record_crashes(&mut self, fleet: &mut Fleet) {
         for (n, node) in fleet.nodes.iter_mut().enumerate() {
-            if self.standing[n].up && node.crashed() && !self.crashed.contains(&node.name) {
+            if self.state[n].up && node.crashed() && !self.crashed.contains(&node.name) {
                 self.crashed.push(node.name.clone());
             }
         }
@@ -359,18 +365,18 @@
 }
 
 impl Played {
-    /// Takes in the proxies' books; a try counts as owed an answer if its server ran all the while.
+    /// Evaluates the proxies' records. An attempt must be answered if its server ran all the while.
     fn count(&mut self, books: &[Books], servers: &[SocketAddr], begin_ms: u64, begin_us: u64) {
-        let mut away: Vec<Vec<(u64, u64)>> = vec![Vec::new(); servers.len()];
+        let mut outages: Vec<Vec<(u64, u64)>> = vec![Vec::new(); servers.len()];
         let mut since: Vec<Option<u64>> = vec![None; servers.len()];
         for entry in &self.history {
-            match entry.what {
-                What::Stopped | What::Killed => {
+            match entry.observation {
+                Observation::Stopped | Observation::Killed => {
                     since[entry.server].get_or_insert(entry.at_us);
                 }
-                What::WentOn | What::Started => {
+                Observation::WentOn | Observation::Started => {
                     if let Some(from) = since[entry.server].take() {
-                        away[entry.server].push((from, entry.at_us + STARTS_US));
+                        outages[entry.server].push((from, entry.at_us + STARTUP_ALLOWANCE_US));
                     }
                 }
                 _ => {}
@@ -381,8 +387,8 @@
             let Some(server) = servers.iter().position(|address| *address == one.server) else { continue };
             let (from, to) = (at_us(one.t0_ms), at_us(one.end_ms) + 1_000);
             self.false_answers += usize::from(one.end == End::Served && !one.genuine);
-            if !away[server].iter().any(|(begin, end)| *begin <= to && from <= *end) {
-                self.owed += 1;
+            if !outages[server].iter().any(|(begin, end)| *begin <= to && from <= *end) {
+                self.answerable += 1;
                 self.unanswered += usize::from(matches!(one.end, End::TimedOut | End::Lost));
             }
         }
@@ -393,33 +399,33 @@
     }
 }
 
-/// Asks a server again and again what it believes of the others.
-fn look(n: usize, admin: SocketAddr, ends: &AtomicBool, history: &History) {
-    while !ends.load(Ordering::Relaxed) {
+/// Polls a server's membership list and records it.
+fn poll_membership(n: usize, admin: SocketAddr, stop_polling: &AtomicBool, history: &History) {
+    while !stop_polling.load(Ordering::Relaxed) {
         if let Some(view) = ask(admin, "/fleet") {
             for member in view["members"].as_array().into_iter().flatten() {
                 let other = member["name"].as_str().and_then(|name| name.get(1..)?.parse::<usize>().ok());
                 if let (Some(other), Some(up)) = (other, member["up"].as_bool()) {
-                    history.write(n, What::Believes { other, up });
+                    history.write(n, Observation::Believes { other, up });
                 }
             }
         }
-        thread::sleep(LOOK);
+        thread::sleep(MEMBERSHIP_POLL_INTERVAL);
     }
 }
 
-/// What a server's door answers, if it does.
+/// Calls a server's admin endpoint with `GET` and parses the JSON answer.
 pub fn ask(admin: SocketAddr, path: &str) -> Option<Value> {
     serde_json::from_str(&ask_text(admin, path)?).ok()
 }
 
-/// The same as text, without the end of its line.
+/// Calls a server's admin endpoint with `GET`; returns the trimmed body if the status is 200.
 pub fn ask_text(admin: SocketAddr, path: &str) -> Option<String> {
     let (status, body) = call(admin, "GET", path, "")?;
     (status == 200).then_some(body)
 }
 
-/// A call at a server's door: the status and the body.
+/// Calls a server's admin endpoint; returns the status and the trimmed body.
 pub fn call(admin: SocketAddr, method: &str, path: &str, body: &str) -> Option<(u16, String)> {
     let patience = Duration::from_millis(900);
     let mut stream = TcpStream::connect_timeout(&admin, patience).ok()?;
--- a/crates/testkit/tests/configuration.rs
+++ b/crates/testkit/tests/configuration.rs
@@ -3,12 +3,12 @@
 
 use gradepin_cluster::authentication::AuthenticationKeys;
 use gradepin_testkit::fleet::{self, CouncilSpec, Fleet, FleetSpec, PeersSpec};
+use gradepin_testkit::harness::history::History;
+use gradepin_testkit::harness::ledger::Ledger;
+use gradepin_testkit::harness::play::{ask, ask_text, call};
+use gradepin_testkit::harness::relay::Net;
 use gradepin_testkit::load::classes;
 use gradepin_testkit::processor::Spec;
-use gradepin_testkit::rig::history::History;
-use gradepin_testkit::rig::ledger::Ledger;
-use gradepin_testkit::rig::play::{ask, ask_text, call};
-use gradepin_testkit::rig::relay::Net;
 use gradepin_testkit::thrift;
 use serde_json::{Value, json};
 use std::io::{Read, Write};
--- a/crates/testkit/tests/shared.rs
+++ b/crates/testkit/tests/shared.rs
@@ -5,12 +5,12 @@
 use gradepin_testkit::drill::shared::{Drill, run};
 use gradepin_testkit::drill::{Verdict, release};
 use gradepin_testkit::fleet::{self, Fleet, FleetSpec, PeersSpec};
+use gradepin_testkit::harness::history::{History, Observation};
+use gradepin_testkit::harness::ledger::Ledger;
+use gradepin_testkit::harness::play::ask;
+use gradepin_testkit::harness::relay::Net;
 use gradepin_testkit::load::{Fixed, Habit, Proxy, classes};
 use gradepin_testkit::processor::Spec;
-use gradepin_testkit::rig::history::{History, What};
-use gradepin_testkit::rig::ledger::Ledger;
-use gradepin_testkit::rig::play::ask;
-use gradepin_testkit::rig::relay::Net;
 use std::net::UdpSocket;
 use std::sync::Arc;
 use std::thread;
@@ -152,17 +152,17 @@
     callers.into_iter().for_each(|caller| drop(caller.stop()));
     drop(fleet);
     fleet::remove(&folder);
-    // What is in its hands, and when it changes.
-    let (mut hands, mut course) = (0_usize, vec![(back_us, 0_usize)]);
+    // Number of calls in flight at the ledger, and the time of its last change.
+    let (mut in_flight, mut course) = (0_usize, vec![(back_us, 0_usize)]);
     for entry in history.read().into_iter().filter(|entry| entry.at_us >= back_us) {
-        match entry.what {
-            What::CallBegan(_) => hands += 1,
-            What::CallEnded(_) => hands = hands.saturating_sub(1),
+        match entry.observation {
+            Observation::CallBegan(_) => in_flight += 1,
+            Observation::CallEnded(_) => in_flight = in_flight.saturating_sub(1),
             _ => continue,
         }
-        course.push((entry.at_us, hands));
+        course.push((entry.at_us, in_flight));
     }
-    let most = course.iter().map(|(_, hands)| *hands).max().unwrap();
+    let most = course.iter().map(|(_, in_flight)| *in_flight).max().unwrap();
     let begun = course.windows(2).filter(|two| two[1].1 > two[0].1).count();
     let held: f64 = course
         .windows(2)
