--- a/crates/testkit/src/bench/mod.rs
+++ b/crates/testkit/src/bench/mod.rs
@@ -1,7 +1,7 @@
 //! Measurements that compare two ways in one run, and a client that measures a server's door.
 
 use crate::fleet::{self, Fleet, FleetSpec};
-use crate::load::{Fixed, Habit, Proxy, classes};
+use crate::load::{Proxy, ProxyBehavior, StaticServers, classes};
 use crate::processor::Spec;
 use crate::registry::member as settings_of;
 use crate::registry::server::{Server, ServerSettings, unix_ms};
@@ -184,8 +184,8 @@
             let with = !registries.is_empty();
             let folder = fleet::folder(if with { "bench-with" } else { "bench-without" })?;
             let mut fleet = Fleet::start(&spec(daemon, registries, folder.clone(), 10))?;
-            let habit = Habit::thrift(200.0, 1, true);
-            let list = Fixed { all: vec![fleet.nodes[0].address], turn: 0 };
+            let habit = ProxyBehavior::thrift(200.0, 1, true);
+            let list = StaticServers { all: vec![fleet.nodes[0].address], turn: 0 };
             let proxy = Proxy::start(1, 3, habit, Box::new(list))?;
             let before = fleet.nodes[0].cpu().unwrap_or_default();
             thread::sleep(Duration::from_secs(seconds));
--- a/crates/testkit/src/bench/peers.rs
+++ b/crates/testkit/src/bench/peers.rs
@@ -3,7 +3,7 @@
 
 use super::{nanos, spec};
 use crate::fleet::{self, Fleet, FleetSpec, PeersSpec};
-use crate::load::{Fixed, Habit, Proxy};
+use crate::load::{Proxy, ProxyBehavior, StaticServers};
 use gradepin_admission::{Span, Time, time_after};
 use gradepin_cluster::circuit_breaker::Observation;
 use gradepin_cluster::counters::{
@@ -174,8 +174,8 @@
     // Until all know each other.
     thread::sleep(Duration::from_secs(2));
     let proxies = fleet.nodes.iter().enumerate().map(|(n, node)| {
-        let list = Fixed { all: vec![node.address], turn: 0 };
-        Proxy::start(n as u64 + 1, seed + n as u64, Habit::thrift(rate, 1, true), Box::new(list))
+        let list = StaticServers { all: vec![node.address], turn: 0 };
+        Proxy::start(n as u64 + 1, seed + n as u64, ProxyBehavior::thrift(rate, 1, true), Box::new(list))
     });
     let proxies = proxies.collect::<io::Result<Vec<Proxy>>>()?;
     let used = |fleet: &Fleet| fleet.nodes.iter().filter_map(fleet::Node::cpu).sum::<Duration>();
--- a/crates/testkit/src/bench/ready.rs
+++ b/crates/testkit/src/bench/ready.rs
@@ -3,7 +3,7 @@
 
 use crate::drill::quantile;
 use crate::fleet::{self, Fleet, FleetSpec, Node};
-use crate::load::{Fixed, Habit, Proxy, classes};
+use crate::load::{Proxy, ProxyBehavior, StaticServers, classes};
 use crate::processor::Spec;
 use crate::thrift::{self, Answer, Message};
 use std::io::{self, Read, Write};
@@ -66,8 +66,8 @@
     let rate = LOAD * servers as f64 * f64::from(spec.processor.cores) * 1e3 / WORK_MS as f64;
     let proxies = (0..PROXIES)
         .map(|n| {
-            let habit = Habit::thrift(rate / PROXIES as f64, 1, true);
-            let list = Fixed { all: all.clone(), turn: n };
+            let habit = ProxyBehavior::thrift(rate / PROXIES as f64, 1, true);
+            let list = StaticServers { all: all.clone(), turn: n };
             Proxy::start(n as u64 + 1, 100 * seed + n as u64, habit, Box::new(list))
         })
         .collect::<io::Result<Vec<Proxy>>>()?;
--- a/crates/testkit/src/bench/restart.rs
+++ b/crates/testkit/src/bench/restart.rs
@@ -4,7 +4,7 @@
 //! anew just before the measurement, its processor being warm; in the other it goes on.
 
 use crate::fleet::{self, Fleet, FleetSpec};
-use crate::load::{Books, Fixed, Habit, Proxy, classes};
+use crate::load::{Proxy, ProxyBehavior, Records, StaticServers, classes};
 use crate::processor::Spec;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -27,12 +27,12 @@
     }
 }
 
-fn load(fleet: &Fleet, spec: &FleetSpec, seed: u64, load: f64, time: Duration) -> io::Result<Vec<Books>> {
+fn load(fleet: &Fleet, spec: &FleetSpec, seed: u64, load: f64, time: Duration) -> io::Result<Vec<Records>> {
     let capacity = f64::from(spec.processor.cores) * 1e3 / WORK_MS as f64;
     let proxies = (0..PROXIES)
         .map(|n| {
-            let habit = Habit::thrift(load * capacity / PROXIES as f64, 1, true);
-            let list = Fixed { all: vec![fleet.nodes[0].address], turn: n };
+            let habit = ProxyBehavior::thrift(load * capacity / PROXIES as f64, 1, true);
+            let list = StaticServers { all: vec![fleet.nodes[0].address], turn: n };
             Proxy::start(n as u64 + 1, 100 * seed + n as u64, habit, Box::new(list))
         })
         .collect::<io::Result<Vec<Proxy>>>()?;
@@ -41,7 +41,7 @@
 }
 
 /// The part of the requests served within their aim, in hundredths.
-fn share(books: &[Books]) -> f64 {
+fn share(books: &[Records]) -> f64 {
     let all = || books.iter().flat_map(|books| &books.requests);
     let aim = |class: usize| classes()[class].aim.as_millis() as u64;
     let served = all().filter(|asked| asked.took_ms.is_some_and(|ms| ms <= aim(asked.class))).count();
--- a/crates/testkit/src/commands/fleet.rs
+++ b/crates/testkit/src/commands/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::shared::{daemon, each_second};
 use crate::fleet::{self, Fleet, FleetSpec};
-use crate::load::{Books, Fixed, Habit, Live, Proxy, classes};
+use crate::load::{IntervalCounts, Proxy, ProxyBehavior, Records, StaticServers, classes};
 use crate::processor::Spec;
 use clap::Args;
 use hdrhistogram::Histogram;
@@ -53,7 +53,7 @@
         args.seconds == 0 || second < args.seconds
     })?;
     println!("draining");
-    let books: Vec<Books> = running.into_iter().map(Proxy::stop).collect();
+    let books: Vec<Records> = running.into_iter().map(Proxy::stop).collect();
     fleet.drain();
     let requests: usize = books.iter().map(|books| books.requests.len()).sum();
     let served =
@@ -96,15 +96,15 @@
 
 fn proxies(args: &FleetArgs, servers: &[SocketAddr]) -> io::Result<Vec<Proxy>> {
     let start = |n: usize| {
-        let list = Fixed { all: servers.to_vec(), turn: n };
-        let habit = Habit::thrift(args.rate / args.proxies.max(1) as f64, 3, true);
+        let list = StaticServers { all: servers.to_vec(), turn: n };
+        let habit = ProxyBehavior::thrift(args.rate / args.proxies.max(1) as f64, 3, true);
         Proxy::start(n as u64 + 1, args.seed + n as u64, habit, Box::new(list))
     };
     (0..args.proxies).map(start).collect()
 }
 
 fn print_second(second: u64, proxies: &[Proxy], fleet: &Fleet) {
-    let mut sum = Live::default();
+    let mut sum = IntervalCounts::default();
     proxies.iter().map(Proxy::live).for_each(|live| sum.add(live));
     let mut times = Histogram::<u64>::new(3).ok();
     for &us in &sum.times_us {
--- a/crates/testkit/src/commands/load.rs
+++ b/crates/testkit/src/commands/load.rs
@@ -1,6 +1,6 @@
 //! `gradepin-testkit load`: open-loop load on servers that run already.
 
-use crate::load::{Habit, Repeats, Retry};
+use crate::load::{ProxyBehavior, Repeats, Retry};
 use crate::measure::{self, Load};
 use clap::Args;
 use std::error::Error;
@@ -31,8 +31,8 @@
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     /// What becomes of a refused request
-    #[arg(long, value_enum, default_value_t = RetryHabit::Listed)]
-    pub retry: RetryHabit,
+    #[arg(long, value_enum, default_value_t = RetryPolicy::Listed)]
+    pub retry: RetryPolicy,
     /// Tries of one request with the habit 'listed'
     #[arg(long, default_value_t = 3)]
     pub tries: usize,
@@ -49,7 +49,7 @@
 
 /// What a client proxy does about a refusal.
 #[derive(Debug, Clone, Copy, clap::ValueEnum)]
-pub enum RetryHabit {
+pub enum RetryPolicy {
     /// Tries each other server of its list, up to a number of tries
     Listed,
     /// Tries at once, down the list and round again
@@ -66,13 +66,15 @@
 /// Plays the load, and says whether every try was answered.
 pub fn run(args: LoadArgs) -> Result<bool, Box<dyn Error>> {
     let retry = match args.retry {
-        RetryHabit::Listed => Retry::Listed(args.tries),
-        RetryHabit::Unlimited => Retry::Unlimited,
-        RetryHabit::Patient => Retry::Patient,
+        RetryPolicy::Listed => Retry::Listed(args.tries),
+        RetryPolicy::Unlimited => Retry::Unlimited,
+        RetryPolicy::Patient => Retry::Patient,
     };
-    let repeats = Repeats { share: args.repeats, within_ms: 250 * u64::from(args.scale), strangers: false };
-    let heeds = !args.deaf && retry != Retry::Unlimited;
-    let habit = Habit { rate: args.rate, retry, heeds, scgi_share: args.scgi_share, repeats };
+    let repeats =
+        Repeats { share: args.repeats, within_ms: 250 * u64::from(args.scale), separate_keys: false };
+    let honors_retry_after = !args.deaf && retry != Retry::Unlimited;
+    let habit =
+        ProxyBehavior { rate: args.rate, retry, honors_retry_after, scgi_share: args.scgi_share, repeats };
     let LoadArgs { thrift, scgi, proxies, seconds, seed, scale, .. } = args;
     Ok(measure::run(&Load { thrift, scgi, proxies, seconds, seed, habit, scale })?)
 }
--- a/crates/testkit/src/drill/registry.rs
+++ b/crates/testkit/src/drill/registry.rs
@@ -3,7 +3,7 @@
 
 use super::{Claims, quantile};
 use crate::fleet::{self, Fleet, FleetSpec};
-use crate::load::{Books, End, Fixed, Habit, Proxy, Servers, Try, classes};
+use crate::load::{Attempt, End, Proxy, ProxyBehavior, Records, Servers, StaticServers, classes};
 use crate::processor::{Begun, Spec};
 use crate::registry::faults::Fault;
 use crate::registry::server::{Server, ServerSettings, unix_ms};
@@ -63,7 +63,7 @@
 
 #[derive(Debug, Default)]
 struct Run {
-    books: Vec<Books>,
+    books: Vec<Records>,
     drains: Vec<Drain>,
     begun: BTreeMap<SocketAddr, Vec<Begun>>,
     cpu_ms: u64,
@@ -149,9 +149,9 @@
             watchers.push(watcher);
             servers
         } else {
-            Box::new(Fixed { all: all.clone(), turn: n as usize })
+            Box::new(StaticServers { all: all.clone(), turn: n as usize })
         };
-        let habit = Habit::thrift(drill.rate / 2.0, 4, false);
+        let habit = ProxyBehavior::thrift(drill.rate / 2.0, 4, false);
         proxies.push(Proxy::start(n + 1, seed + 7 * n, habit, servers)?);
     }
     let mut run = Run::default();
@@ -234,7 +234,7 @@
 
 /// Tries at a server that is out or away which a notice in time would have spared their callers.
 fn in_vain(run: &Run, drain: &Drain) -> usize {
-    let vain = |t: &&Try| {
+    let vain = |t: &&Attempt| {
         let at = (drain.told..drain.back).contains(&t.t0_ms) && t.server == drain.server;
         at && matches!(t.end, End::Refused | End::NoConnection | End::Lost | End::Failed)
     };
@@ -244,17 +244,18 @@
 fn judge(drill: &Drill, runs: &[Run], plain: &Run) -> bool {
     let mut claims = Claims::default();
     let drains: Vec<&Drain> = runs.iter().flat_map(|run| &run.drains).collect();
-    let tries: Vec<&Try> = runs.iter().flat_map(|run| &run.books).flat_map(|books| &books.tries).collect();
+    let tries: Vec<&Attempt> =
+        runs.iter().flat_map(|run| &run.books).flat_map(|books| &books.tries).collect();
     let requests = || runs.iter().flat_map(|run| &run.books).flat_map(|books| &books.requests);
     let served = requests().filter(|asked| asked.took_ms.is_some()).count();
     println!("{} requests, {served} served, {} tries", requests().count(), tries.len());
 
     // What was written to a server that could still read it.
-    let read = |t: &&&Try| {
+    let read = |t: &&&Attempt| {
         let killed = |d: &&&Drain| d.server == t.server && (d.killed - UNREAD_MS..d.back).contains(&t.t0_ms);
         t.end != End::NoConnection && !drains.iter().any(|d| killed(&d))
     };
-    let owed: Vec<&&Try> = tries.iter().filter(read).collect();
+    let owed: Vec<&&Attempt> = tries.iter().filter(read).collect();
     let unanswered = owed.iter().filter(|t| matches!(t.end, End::Lost | End::TimedOut));
     let late = owed.iter().filter(|t| t.end_ms > t.t0_ms + t.budget_ms + ANSWER_SLACK_MS);
     let (unanswered, late) = (unanswered.count(), late.count());
@@ -263,10 +264,10 @@
         "answered by the due time",
         format!("{} of {}, {unanswered} never, {late} late", owed.len() - unanswered - late, owed.len()),
     );
-    let false_answers = tries.iter().filter(|t| t.end == End::Served && !t.genuine).count();
+    let false_answers = tries.iter().filter(|t| t.end == End::Served && !t.correct_result).count();
     claims.claim(false_answers == 0, "served with what no run made", false_answers);
 
-    let written: BTreeMap<&str, &Try> = tries.iter().map(|t| (t.rid.as_str(), *t)).collect();
+    let written: BTreeMap<&str, &Attempt> = tries.iter().map(|t| (t.rid.as_str(), *t)).collect();
     let (mut past, mut twice, mut began, mut keyed) = (0, 0, 0, 0);
     for run in runs {
         for (server, begun) in &run.begun {
--- a/crates/testkit/src/drill/release/claims.rs
+++ b/crates/testkit/src/drill/release/claims.rs
@@ -6,7 +6,7 @@
 use super::{KEEPS, LONGER, SEEN, STEP};
 use crate::drill::Claims;
 use crate::harness::supervisor::Replacement;
-use crate::load::{Books, End, Try};
+use crate::load::{Attempt, End, Records};
 use crate::processor::runs_by;
 use crate::registry::server::unix_ms;
 use std::time::Duration;
@@ -76,7 +76,7 @@
 }
 
 /// How many of the requests that came between two moments were served, and how many came.
-fn served(books: &[Books], from_ms: u64, to_ms: u64) -> (f64, usize) {
+fn served(books: &[Records], from_ms: u64, to_ms: u64) -> (f64, usize) {
     let of = books.iter().flat_map(|b| &b.requests).filter(|r| (from_ms..to_ms).contains(&r.arrived_ms));
     let of: Vec<bool> = of.map(|request| request.took_ms.is_some()).collect();
     (of.iter().filter(|served| **served).count() as f64 / of.len().max(1) as f64, of.len())
@@ -102,14 +102,14 @@
 }
 
 fn answers(claims: &mut Claims, session: &Session<'_>, seen: &Observed) {
-    let hurt = |one: &Try| {
+    let hurt = |one: &Attempt| {
         let server = session.fleet.nodes.iter().position(|node| node.address == one.server);
         server.is_some_and(|server| session.faults.took(server, one.t0_ms, one.end_ms))
     };
-    let tries: Vec<&Try> = seen.books.iter().flat_map(|books| &books.tries).collect();
-    let owed: Vec<&&Try> = tries.iter().filter(|one| !hurt(one)).collect();
+    let tries: Vec<&Attempt> = seen.books.iter().flat_map(|books| &books.tries).collect();
+    let owed: Vec<&&Attempt> = tries.iter().filter(|one| !hurt(one)).collect();
     let lost = owed.iter().filter(|one| matches!(one.end, End::Lost | End::TimedOut)).count();
-    let false_ones = tries.iter().filter(|one| one.end == End::Served && !one.genuine).count();
+    let false_ones = tries.iter().filter(|one| one.end == End::Served && !one.correct_result).count();
     claims.timed(
         lost * 1_000 < 3 * owed.len().max(1),
         "tries answered, all but 3 in 1,000",
--- a/crates/testkit/src/drill/release/clients.rs
+++ b/crates/testkit/src/drill/release/clients.rs
@@ -2,7 +2,7 @@
 
 use super::{CORES, Drill, WORK};
 use crate::fleet::Fleet;
-use crate::load::{Books, Fixed, Habit, Proxy};
+use crate::load::{Proxy, ProxyBehavior, Records, StaticServers};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 
 /// Clients whose list is kept up by calls of [`Clients::update`].
 pub struct Clients {
-    list: Arc<Mutex<Fixed>>,
+    list: Arc<Mutex<StaticServers>>,
     proxies: Vec<Proxy>,
 }
 
@@ -25,10 +25,10 @@
     /// Starts all of them.
     pub fn start(drill: &Drill, fleet: &Fleet) -> io::Result<Self> {
         let all = fleet.nodes.iter().map(|node| node.address).collect();
-        let list = Arc::new(Mutex::new(Fixed { all, turn: 0 }));
+        let list = Arc::new(Mutex::new(StaticServers { all, turn: 0 }));
         let rate = drill.load * f64::from(CORES) * drill.servers as f64 / WORK.as_secs_f64();
         let start = |n: usize| {
-            let habit = Habit::thrift(rate / CLIENTS as f64, TRIES, true);
+            let habit = ProxyBehavior::thrift(rate / CLIENTS as f64, TRIES, true);
             let servers = Box::new(Arc::clone(&list));
             Proxy::start_with(n as u64 + 1, drill.seed * 100 + n as u64, habit, servers, &HashMap::new(), 4)
         };
@@ -47,7 +47,7 @@
     }
 
     /// Stops them, and gives what each counted.
-    pub fn stop(self) -> Vec<Books> {
+    pub fn stop(self) -> Vec<Records> {
         let stops: Vec<_> =
             self.proxies.into_iter().map(|proxy| thread::spawn(move || proxy.stop())).collect();
         stops.into_iter().filter_map(|stop| stop.join().ok()).collect()
--- a/crates/testkit/src/drill/release/scenario.rs
+++ b/crates/testkit/src/drill/release/scenario.rs
@@ -5,7 +5,7 @@
 use super::session::Session;
 use super::{SEEN, STEP};
 use crate::harness::supervisor::NO_SAVES;
-use crate::load::Books;
+use crate::load::Records;
 use crate::registry::server::unix_ms;
 use std::io;
 use std::time::{Duration, Instant};
@@ -56,7 +56,7 @@
     /// See `sound`.
     pub bad: Bad,
     /// What the clients counted.
-    pub books: Vec<Books>,
+    pub books: Vec<Records>,
 }
 
 /// Plays all of it.
--- a/crates/testkit/src/drill/scgi.rs
+++ b/crates/testkit/src/drill/scgi.rs
@@ -2,7 +2,7 @@
 
 use super::Claims;
 use crate::fleet::{self, Fleet, FleetSpec};
-use crate::load::{Books, End, Fixed, Habit, Proxy, Repeats, Try, classes, tally};
+use crate::load::{Attempt, End, Proxy, ProxyBehavior, Records, Repeats, StaticServers, classes, tally};
 use crate::processor::Spec;
 use std::collections::HashMap;
 use std::io;
@@ -41,7 +41,7 @@
 /// What one run came to.
 #[derive(Debug, Default)]
 struct Run {
-    books: Vec<Books>,
+    books: Vec<Records>,
     /// Runs of label-save by their request, for each server.
     saves: HashMap<(SocketAddr, Vec<u8>), usize>,
     began: usize,
@@ -96,10 +96,11 @@
         "label-save run twice at a server",
         format!("{twice} of {saves} runs"),
     );
-    let tries: Vec<&Try> = mixed.iter().flat_map(|run| &run.books).flat_map(|books| &books.tries).collect();
+    let tries: Vec<&Attempt> =
+        mixed.iter().flat_map(|run| &run.books).flat_map(|books| &books.tries).collect();
     let silent =
         tries.iter().filter(|t| matches!(t.end, End::Lost | End::TimedOut | End::NoConnection)).count();
-    let false_answers = tries.iter().filter(|t| t.end == End::Served && !t.genuine).count();
+    let false_answers = tries.iter().filter(|t| t.end == End::Served && !t.correct_result).count();
     claims.claim(silent == 0, "without a final answer in its time", format!("{silent} of {}", tries.len()));
     claims.claim(false_answers == 0, "served with what no run made", false_answers);
     tally(tries.iter().copied());
@@ -131,11 +132,11 @@
     let mut proxies = Vec::new();
     // Half of the saves come a second time over the other front, before, while or after the first runs.
     let share = if scgi_share > 0.0 { REPEATED } else { 0.0 };
-    let repeats = Repeats { share, within_ms: 600, strangers: drill.plain };
+    let repeats = Repeats { share, within_ms: 600, separate_keys: drill.plain };
     for n in 0..PROXIES {
         let rate = drill.load * capacity / PROXIES as f64;
-        let habit = Habit { scgi_share, repeats, ..Habit::thrift(rate, 2, true) };
-        let list = Fixed { all: all.clone(), turn: n };
+        let habit = ProxyBehavior { scgi_share, repeats, ..ProxyBehavior::thrift(rate, 2, true) };
+        let list = StaticServers { all: all.clone(), turn: n };
         proxies.push(Proxy::start(n as u64 + 1, 100 * seed + n as u64, habit, Box::new(list))?);
     }
     thread::sleep(Duration::from_secs(drill.seconds));
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet on loopback addresses: real daemons, each with a stand-in processor, and one control plane.
+//! Fleets on loopback addresses: real daemons, each with a stand-in processor, and one stand-in control plane.
 
 use crate::control::Control;
 use crate::processor::{Begun, Processor, Spec};
@@ -13,73 +13,73 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Port of every server; each has a loopback address of its own.
+/// Thrift port of every server; each server has its own loopback address.
 const PORT: u16 = 18_443;
-static NEXT: AtomicU8 = AtomicU8::new(1);
+static NEXT_HOST: AtomicU8 = AtomicU8::new(1);
 
 /// The SCGI address of a server.
 pub fn scgi_of(server: SocketAddr) -> SocketAddr {
     SocketAddr::new(server.ip(), PORT + 1)
 }
 
-/// Where a server's operators call.
+/// The admin address of a server.
 pub fn admin_of(server: SocketAddr) -> SocketAddr {
     SocketAddr::new(server.ip(), PORT + 2)
 }
 
-/// An address for a server's datagrams that no other server of this process has.
+/// Reserves a gossip address that no other server of this process uses.
 pub fn peer_address() -> SocketAddr {
     SocketAddr::new(next_address().ip(), PORT + 3)
 }
 
-/// What a fleet is made of.
+/// Configuration of a fleet.
 #[derive(Debug, Clone)]
 pub struct FleetSpec {
-    /// The daemon's program.
+    /// Path of the daemon's program.
     pub daemon: PathBuf,
-    /// Servers.
+    /// Number of servers.
     pub servers: usize,
-    /// What their processors are like.
+    /// Behavior of the stand-in processors.
     pub processor: Spec,
-    /// Times of the classes, in quarters of the brief's.
+    /// Factor on the times of [`crate::load::classes`]; 4 gives the full times.
     pub scale: u64,
-    /// From SIGTERM to the kill.
+    /// Time from SIGTERM to SIGKILL.
     pub stop: Duration,
-    /// Client proxies that there will be.
+    /// Number of client proxies, as announced in the settings.
     pub callers: usize,
-    /// Service URLs of registries; none for none.
+    /// Service URLs of registries; empty to run without.
     pub registries: Vec<String>,
-    /// Whether the servers take SCGI too, on [`scgi_of`] their addresses and a UNIX socket in the folder.
+    /// Whether servers also accept SCGI, at [`scgi_of`] their address and at a UNIX socket in the folder.
     pub scgi: bool,
-    /// Whether the servers keep keyed runs in folders beside their logs.
+    /// Whether servers store keyed runs, in folders beside their logs.
     pub store: bool,
-    /// More lines for the registry's settings.
+    /// Additional lines for the `registry` block of the settings.
     pub registry_more: String,
-    /// Servers that talk to each other, if they do.
+    /// Gossip membership and leases, if used.
     pub peers: Option<PeersSpec>,
-    /// And agree on who may be out.
+    /// Consensus group that limits how many servers are out, if used; needs `peers`.
     pub council: Option<CouncilSpec>,
-    /// Lines of the `config` block beside the folder, where classes, tenants and rules come from committed revisions.
+    /// Lines of the `config` block beside `folder`, if classes, tenants and rules come from committed revisions.
     pub configuration: Option<String>,
-    /// Descriptors that each server may have.
+    /// Limit of sockets in the configuration of each server.
     pub sockets: u32,
-    /// Classes and tenants of the settings beside those of the brief, which no request names.
+    /// Additional classes and tenants in the settings that no request uses.
     pub unused: Unused,
-    /// Where files and logs go.
+    /// Folder for configuration files, stores and logs.
     pub folder: PathBuf,
 }
 
-/// Classes and tenants that make the settings as large as those of a big installation.
+/// Unused classes and tenants that bring the settings to the size of a large installation.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Unused {
-    /// Classes.
+    /// Number of unused classes.
     pub classes: usize,
-    /// Tenants.
+    /// Number of unused tenants.
     pub tenants: usize,
 }
 
 impl Unused {
-    /// Adds them to the settings.
+    /// Adds the unused classes and tenants to `settings`.
     fn add_to(self, settings: &mut Value) {
         const MS: u64 = 1_000_000;
         let class = |n: usize| {
@@ -96,43 +96,43 @@
     }
 }
 
-/// How servers of a fleet reach each other and the ledger.
+/// Gossip, lease and ledger settings of a fleet. All lists are indexed by server.
 #[derive(Debug, Clone)]
 pub struct PeersSpec {
-    /// Where each takes datagrams, and where the others reach that.
+    /// Address that each server receives datagrams at.
     pub listen: Vec<SocketAddr>,
-    /// See `listen`.
+    /// Address that the other servers send datagrams to, by server.
     pub advertise: Vec<SocketAddr>,
-    /// The zone of each.
+    /// Zone of each server.
     pub zones: Vec<String>,
-    /// Where each reaches the ledger.
+    /// Ledger address of each server.
     pub ledgers: Vec<SocketAddr>,
-    /// The ledger's slots of each.
+    /// Ledger slots of each server; may be fractional.
     pub share: f64,
-    /// Whether slots are lent, and whether without the rules of time.
+    /// Whether servers lend slots to each other.
     pub lends: bool,
-    /// See `lends`.
+    /// Whether lenders ignore the expiry of leases; only drills use this, to show that their checks catch it.
     pub plain: bool,
 }
 
-/// Servers that agree on who may be out.
+/// Consensus group that decides which servers may be out.
 #[derive(Debug, Clone)]
 pub struct CouncilSpec {
-    /// The first so many are voters.
+    /// Number of voters: the first servers of the fleet.
     pub voters: usize,
-    /// The most that may be out, of the fleet and of a zone.
+    /// Maximum number of servers of the fleet that may be out at once.
     pub most: u32,
-    /// See `most`.
+    /// Maximum number of servers of one zone that may be out at once.
     pub zone: u32,
-    /// A drill's: nothing is ever too many.
+    /// Whether the limits are ignored; only drills use this, to show that their checks catch it.
     pub plain: bool,
 }
 
 impl CouncilSpec {
-    /// The block of server `n` in its settings file.
+    /// The `council` block in the settings file of server `n`.
     fn settings(&self, n: usize, folder: &Path) -> String {
         let voters: String = (0..self.voters).map(|n| format!("    voter \"n{n}\"\n")).collect();
-        let path = |what: &str| folder.join(format!("n{n}.{what}")).display().to_string();
+        let path = |suffix: &str| folder.join(format!("n{n}.{suffix}")).display().to_string();
         let own = if n < self.voters { format!("    folder {:?}\n", path("council")) } else { String::new() };
         let plain = if self.plain { "    drill-ignores-limits #true\n" } else { "" };
         let (most, zone) = (self.most, self.zone);
@@ -145,7 +145,7 @@
     }
 }
 
-/// The command that daemons run to be replaced: it leaves the version where the stand-in for a supervisor looks.
+/// Writes the replace command of the daemons, which leaves the wanted version in a file for the stand-in supervisor.
 fn write_replace(folder: &Path) -> io::Result<()> {
     use std::os::unix::fs::PermissionsExt;
     let path = folder.join("replace");
@@ -157,11 +157,11 @@
     std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755))
 }
 
-/// The fleet's key in a rig: no secret.
+/// Gossip authentication key of test fleets; not a secret.
 pub const KEY: &str = "a1b2c3d4e5f60718293a4b5c6d7e8f90a1b2c3d4e5f60718293a4b5c6d7e8f90";
 
 impl PeersSpec {
-    /// The block of server `n` in its settings file, with the key in this folder.
+    /// The `cluster` block in the settings file of server `n`; the key file is in `folder`.
     fn settings(&self, n: usize, folder: &Path) -> String {
         let seeds: String =
             self.advertise.iter().take(3).map(|seed| format!("    seed \"{seed}\"\n")).collect();
@@ -177,7 +177,7 @@
 }
 
 impl Default for FleetSpec {
-    /// One server with the brief's processor and nothing that has to be switched on; daemon and folder are to be named.
+    /// One server with a default processor and no optional parts; the caller sets `daemon` and `folder`.
     fn default() -> Self {
         Self {
             daemon: PathBuf::new(),
@@ -200,7 +200,7 @@
     }
 }
 
-/// The daemon beside the running program.
+/// Finds the daemon's program in the folder of the running program or in its parent.
 pub fn daemon() -> io::Result<PathBuf> {
     let own = std::env::current_exe()?;
     let folders = own.ancestors().skip(1).take(2);
@@ -210,7 +210,7 @@
     })
 }
 
-/// The CPU that a process used so far.
+/// CPU time of a process so far, at 100 ticks per second.
 pub fn cpu_of(pid: u32) -> Option<Duration> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
@@ -218,27 +218,27 @@
     Some(Duration::from_millis(ticks * 10))
 }
 
-/// A figure of a process's memory in bytes, by its name in the system's table: `VmRSS` now, `VmHWM` at the most.
+/// Memory of a process in bytes by its field in `/proc/PID/status`: `VmRSS` for the current, `VmHWM` for the peak size.
 pub fn memory_of(pid: u32, figure: &str) -> Option<u64> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let line = status.lines().find_map(|line| line.strip_prefix(figure)?.strip_prefix(':'))?;
     Some(line.split_whitespace().next()?.parse::<u64>().ok()? * 1024)
 }
 
-/// A folder for a run's files, made new.
+/// Creates a temporary folder for the files of a run.
 pub fn folder(name: &str) -> io::Result<PathBuf> {
     let folder = std::env::temp_dir().join(format!("gradepin-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
     Ok(folder)
 }
 
-/// The next loopback address that no other server of this process has.
+/// Next loopback address that no other server of this process uses.
 fn next_address() -> SocketAddr {
-    let (pid, n) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+    let (pid, n) = (std::process::id(), NEXT_HOST.fetch_add(1, Ordering::Relaxed));
     SocketAddr::from(([127, 64 + ((pid >> 8) % 64) as u8, (pid % 256) as u8, n], PORT))
 }
 
-/// The settings of the brief's deployment; at a scale of 1 its times are those of [`crate::load::classes`].
+/// Settings of the standard deployment; at a scale of 1 its times are those of [`crate::load::classes`].
 pub fn settings(spec: &FleetSpec) -> Value {
     const MS: u64 = 1_000_000;
     let profile = |name: &str, aim: u64, deadline: u64, priority_weight: f64, effect: &str, late: f64| {
@@ -273,7 +273,7 @@
     })
 }
 
-/// A route for each class, as `/sheet-view/7`.
+/// The `scgi` block with a route for each class, such as `/sheet-view/7`.
 fn scgi_settings(listen: SocketAddr, socket: &Path) -> String {
     let mut text = format!(
         "scgi {{\n    listen \"{listen}\"\n    unix {:?}\n    health \"/health\"\n",
@@ -287,30 +287,30 @@
     text + "}\n"
 }
 
-/// One server with its processor.
+/// One server process with its stand-in processor.
 pub struct Node {
-    /// Its name.
+    /// Server name: `n` and its index.
     pub name: String,
-    /// Where it takes requests.
+    /// Thrift address.
     pub address: SocketAddr,
-    /// Its processor.
+    /// Stand-in processor, which outlives restarts of the server.
     pub processor: Processor,
-    /// Every run so far.
+    /// Runs collected from the processor so far.
     pub begun: Vec<Begun>,
-    /// Its process, while there is one.
+    /// The server process, unless killed.
     child: Option<Child>,
     config: PathBuf,
-    /// Its settings file, if it has one.
+    /// Settings file, if the server has one.
     pub own: Option<PathBuf>,
     log: PathBuf,
     daemon: PathBuf,
     stop: Duration,
-    /// What its program is called in releases, from its next start on.
+    /// Program version that the next start announces.
     pub version: String,
 }
 
 impl Node {
-    /// Starts the daemon's process.
+    /// Starts the server process; its log is appended to.
     pub fn spawn(&mut self) -> io::Result<()> {
         let log = File::options().create(true).append(true).open(&self.log)?;
         let mut command = Command::new(&self.daemon);
@@ -330,67 +330,67 @@
         Ok(())
     }
 
-    /// Changes its configuration file, which it reads at its next start or when it is told to.
+    /// Edits the configuration file, which takes effect at the next start or reload.
     pub fn edit(&self, change: impl FnOnce(&mut Value)) -> io::Result<()> {
         let mut config = serde_json::from_slice(&std::fs::read(&self.config)?)?;
         change(&mut config);
         std::fs::write(&self.config, config.to_string())
     }
 
-    /// The size of its configuration file in bytes.
+    /// Size of the configuration file in bytes.
     pub fn config_bytes(&self) -> io::Result<u64> {
         Ok(std::fs::metadata(&self.config)?.len())
     }
 
     fn signal(&self, signal: Signal) {
         let pid = self.child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32));
-        // One that has ended is not there to be told.
+        // Fails if the process has ended, which is not an error here.
         let _ = pid.map(|pid| kill_process(pid, signal));
     }
 
-    /// What it has written to its log.
+    /// Content of the log over all starts; empty if it can't be read.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// How long its last start took to read the store, in ms.
+    /// Time that the last start took to read the store, in ms, from the log.
     pub fn opened(&self) -> Option<u64> {
         let log = self.log();
         let (_, last) = log.rsplit_once("the store was read in ")?;
         last.split_once(" ms")?.0.parse().ok()
     }
 
-    /// The notice to leave.
+    /// Sends SIGTERM, which starts a graceful shutdown.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// It runs no more until it is told to go on.
+    /// Suspends the process with SIGSTOP.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// It goes on.
+    /// Resumes the process with SIGCONT.
     pub fn go_on(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Where its operators call.
+    /// Address of the admin endpoint.
     pub fn admin(&self) -> SocketAddr {
         admin_of(self.address)
     }
 
-    /// Reads its files again.
+    /// Sends SIGHUP, which makes the server reload its files.
     pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Whether its process is there, as far as is known.
+    /// Whether the process was started and not killed since; it may have crashed.
     pub fn is_up(&self) -> bool {
         self.child.is_some()
     }
 
-    /// The end, at once.
+    /// Kills the process and collects the runs of its processor.
     pub fn kill(&mut self) {
         self.begun.extend(self.processor.begun());
         if let Some(mut child) = self.child.take() {
@@ -399,27 +399,27 @@
         }
     }
 
-    /// Whether its process has ended though nobody ended it.
+    /// Whether the process has ended without [`Node::kill`].
     pub fn crashed(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
     }
 
-    /// The CPU that its process used so far.
+    /// CPU time of the process so far.
     pub fn cpu(&self) -> Option<Duration> {
         cpu_of(self.child.as_ref()?.id())
     }
 
-    /// Its process's id, while there is one.
+    /// Process ID, unless killed.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// The descriptors that its process has open.
+    /// Number of open descriptors of the process.
     pub fn descriptors(&self) -> Option<usize> {
         Some(std::fs::read_dir(format!("/proc/{}/fd", self.child.as_ref()?.id())).ok()?.count())
     }
 
-    /// The memory that its process holds now, in bytes.
+    /// Current resident memory of the process in bytes.
     pub fn memory(&self) -> Option<u64> {
         memory_of(self.child.as_ref()?.id(), "VmRSS")
     }
@@ -436,21 +436,21 @@
     }
 }
 
-/// A running fleet; all of its processes end when this is dropped.
+/// Running fleet; its processes are killed when it is dropped.
 pub struct Fleet {
-    /// The servers.
+    /// Servers by index.
     pub nodes: Vec<Node>,
-    /// Their control plane.
+    /// Stand-in control plane that all servers report to.
     pub control: Control,
 }
 
 impl Fleet {
-    /// Starts all servers, and waits until each takes connections and is reported as ready.
+    /// Starts all servers and waits until the control plane lists each as ready.
     pub fn start(spec: &FleetSpec) -> io::Result<Self> {
         let control = Control::start(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let mut nodes = Vec::new();
         if spec.peers.is_some() {
-            // Once, before any server reads it.
+            // Written once, before any server reads it.
             std::fs::write(spec.folder.join("fleet.keys"), KEY)?;
             write_replace(&spec.folder)?;
         }
@@ -482,8 +482,9 @@
                 specifics["class_skip_worth"] = json!([0.0, 0.0, 0.0, 0.0]);
             }
             std::fs::write(&config, text.to_string())?;
-            let on = spec.scgi || spec.store || spec.peers.is_some() || !spec.registries.is_empty();
-            let own = on.then(|| spec.folder.join(format!("{name}.kdl")));
+            let needs_settings =
+                spec.scgi || spec.store || spec.peers.is_some() || !spec.registries.is_empty();
+            let own = needs_settings.then(|| spec.folder.join(format!("{name}.kdl")));
             if let Some(own) = &own {
                 let urls: String = spec.registries.iter().map(|url| format!("    url \"{url}\"\n")).collect();
                 let more = &spec.registry_more;
@@ -500,9 +501,9 @@
                 let folder = spec.folder.join(format!("{name}.configuration")).display().to_string();
                 let service = spec.configuration.as_ref();
                 let service = service.map(|more| format!("config {{\n    folder {folder:?}\n{more}\n}}\n"));
-                let rest =
+                let other_blocks =
                     peers.unwrap_or_default() + &council.unwrap_or_default() + &service.unwrap_or_default();
-                std::fs::write(own, registry + &scgi + &store + &rest)?;
+                std::fs::write(own, registry + &scgi + &store + &other_blocks)?;
             }
             let (log, daemon) = (spec.folder.join(format!("{name}.log")), spec.daemon.clone());
             let mut node = Node {
@@ -526,7 +527,7 @@
         Ok(fleet)
     }
 
-    fn wait_ready(&mut self, patience: Duration) -> io::Result<()> {
+    fn wait_ready(&mut self, timeout: Duration) -> io::Result<()> {
         let start = Instant::now();
         loop {
             let ready = self.control.roster().ready(Instant::now(), Duration::ZERO).len();
@@ -534,23 +535,29 @@
                 return Ok(());
             }
             if let Some(node) = self.nodes.iter_mut().find_map(|node| node.crashed().then_some(&node.log)) {
-                return Err(io::Error::other(format!("a server ended at its start; see {}", node.display())));
+                return Err(io::Error::other(format!(
+                    "a server exited during start-up; see its log {}",
+                    node.display()
+                )));
             }
-            if start.elapsed() > patience {
-                return Err(io::Error::new(io::ErrorKind::TimedOut, "the fleet did not become ready"));
+            if start.elapsed() > timeout {
+                return Err(io::Error::new(
+                    io::ErrorKind::TimedOut,
+                    "the fleet did not become ready within the start-up timeout",
+                ));
             }
             thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// Takes in what the processors ran.
+    /// Collects the runs of all processors.
     pub fn collect(&mut self) {
         for node in &mut self.nodes {
             node.begun.extend(node.processor.begun());
         }
     }
 
-    /// Tells all to leave, waits as long as they may take, and ends them.
+    /// Shuts all servers down with SIGTERM and kills them after the stop time.
     pub fn drain(&mut self) {
         self.nodes.iter().for_each(Node::terminate);
         let stop = self.nodes.iter().map(Node::stop).max().unwrap_or_default();
@@ -559,7 +566,7 @@
     }
 }
 
-/// Ends what a folder of a run holds, where it may go.
+/// Removes the folder of a run; failures are ignored.
 pub fn remove(folder: &Path) {
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/testkit/src/harness/play.rs
+++ b/crates/testkit/src/harness/play.rs
@@ -5,7 +5,7 @@
 use super::relay::Net;
 use super::schedule::{Disk, Fault, Schedule};
 use crate::fleet::{self, Fleet, FleetSpec, PeersSpec};
-use crate::load::{Books, End, Fixed, Habit, Proxy, classes};
+use crate::load::{End, Proxy, ProxyBehavior, Records, StaticServers, classes};
 use crate::processor::Spec;
 use crate::registry::server::unix_ms;
 use gradepin_cluster::authentication::AuthenticationKeys;
@@ -203,7 +203,7 @@
     phase: usize,
     now: Vec<Proxy>,
     /// Proxies of past phases that wait for their open requests.
-    over: Vec<thread::JoinHandle<Books>>,
+    over: Vec<thread::JoinHandle<Records>>,
 }
 
 impl<'p> ClientPhases<'p> {
@@ -223,8 +223,8 @@
         let weights: f64 = (0..plan.servers).map(weight).sum();
         let load = if overloaded { OVERLOAD_DEMAND } else { plan.load };
         let all = self.servers.iter().enumerate().map(|(n, server)| {
-            let habit = Habit::thrift(capacity * load * weight(n) / weights, 1, true);
-            let list = Fixed { all: vec![*server], turn: 0 };
+            let habit = ProxyBehavior::thrift(capacity * load * weight(n) / weights, 1, true);
+            let list = StaticServers { all: vec![*server], turn: 0 };
             let number = (self.phase * self.plan.servers + n) as u64 + 1;
             let seed = plan.seed * 100_000 + number;
             Proxy::start_with(number, seed, habit, Box::new(list), &HashMap::new(), CLASS_TIME_SCALE)
@@ -245,7 +245,7 @@
         Ok(())
     }
 
-    fn stop(mut self) -> Vec<Books> {
+    fn stop(mut self) -> Vec<Records> {
         let now = std::mem::take(&mut self.now);
         self.over.extend(now.into_iter().map(|proxy| thread::spawn(move || proxy.stop())));
         self.over.into_iter().filter_map(|over| over.join().ok()).collect()
@@ -366,7 +366,7 @@
 
 impl Played {
     /// Evaluates the proxies' records. An attempt must be answered if its server ran all the while.
-    fn count(&mut self, books: &[Books], servers: &[SocketAddr], begin_ms: u64, begin_us: u64) {
+    fn count(&mut self, books: &[Records], servers: &[SocketAddr], begin_ms: u64, begin_us: u64) {
         let mut outages: Vec<Vec<(u64, u64)>> = vec![Vec::new(); servers.len()];
         let mut since: Vec<Option<u64>> = vec![None; servers.len()];
         for entry in &self.history {
@@ -386,7 +386,7 @@
         for one in books.iter().flat_map(|books| &books.tries) {
             let Some(server) = servers.iter().position(|address| *address == one.server) else { continue };
             let (from, to) = (at_us(one.t0_ms), at_us(one.end_ms) + 1_000);
-            self.false_answers += usize::from(one.end == End::Served && !one.genuine);
+            self.false_answers += usize::from(one.end == End::Served && !one.correct_result);
             if !outages[server].iter().any(|(begin, end)| *begin <= to && from <= *end) {
                 self.answerable += 1;
                 self.unanswered += usize::from(matches!(one.end, End::TimedOut | End::Lost));
--- a/crates/testkit/src/load/classes.rs
+++ b/crates/testkit/src/load/classes.rs
@@ -1,23 +1,23 @@
-//! The classes of requests as callers know them.
+//! Request classes with the settings that client proxies use.
 
 use std::time::Duration;
 
-/// A class as callers know it.
+/// A request class as seen by client proxies.
 #[derive(Debug, Clone)]
 pub struct Class {
-    /// Its name.
+    /// Class name on the wire.
     pub name: String,
-    /// Its part of the requests.
+    /// Fraction of all requests.
     pub share: f64,
-    /// How long callers wait.
+    /// Time that callers wait for a request.
     pub deadline: Duration,
-    /// How long until the full worth is lost.
+    /// Latency objective; a request served later counts as late.
     pub aim: Duration,
-    /// Whether its tries share a token and must run once.
+    /// Whether requests carry an idempotency key, common to all attempts, and must run once.
     pub keyed: bool,
 }
 
-/// The classes of the brief, at a quarter of its times.
+/// The standard classes, with a quarter of their full times to keep tests short.
 pub fn classes() -> Vec<Class> {
     let class = |name: &str, share, aim, deadline, keyed| Class {
         name: name.to_string(),
@@ -34,7 +34,7 @@
     ]
 }
 
-/// The same with aims and deadlines so many times as long; 4 gives the brief's own.
+/// The standard classes with latency objectives and deadlines multiplied by `scale`; 4 gives the full times.
 pub fn scaled_classes(scale: u32) -> Vec<Class> {
     let scaled = |class: Class| Class { aim: class.aim * scale, deadline: class.deadline * scale, ..class };
     classes().into_iter().map(scaled).collect()
--- a/crates/testkit/src/load/mod.rs
+++ b/crates/testkit/src/load/mod.rs
@@ -1,14 +1,14 @@
-//! Client proxies: each draws its requests from a seed, finds servers by a list, speaks Thrift, tries again elsewhere,
-//! and keeps books of every try.
+//! Client proxies. Each draws its requests from a seed, picks servers from a list, sends over Thrift or SCGI, retries at
+//! other servers, and records every attempt.
 
-mod books;
+mod behavior;
 mod classes;
-mod habit;
 mod proxy;
+mod records;
 mod servers;
 
-pub use books::{Asked, Books, End, Live, Try, tally};
+pub use behavior::{ProxyBehavior, Repeats, Retry};
 pub use classes::{Class, classes, scaled_classes};
-pub use habit::{Habit, Repeats, Retry};
 pub use proxy::Proxy;
-pub use servers::{Fixed, Servers};
+pub use records::{Attempt, End, IntervalCounts, Records, RequestRecord, tally};
+pub use servers::{Servers, StaticServers};
--- a/crates/testkit/src/load/proxy/tries.rs
+++ b/crates/testkit/src/load/proxy/attempts.rs
@@ -1,7 +1,7 @@
-//! Tries: what is written, over which protocol, and what the books say of its end.
+//! Sending of attempts over both protocols, and the records of their ends.
 
-use super::{LATE, Later, Open, State};
-use crate::load::{End, Repeats, Try};
+use super::{Later, Open, State, TIMEOUT_GRACE};
+use crate::load::{Attempt, End, Repeats};
 use crate::registry::server::unix_ms;
 use crate::thrift;
 use gradepin_node::frontend::scgi::codec as scgi;
@@ -10,34 +10,34 @@
 use std::net::{Shutdown, SocketAddr};
 use std::time::{Duration, Instant};
 
-/// What a try is made of.
-pub(super) struct Sent {
+/// Parameters of an attempt.
+pub(super) struct AttemptSpec {
     class: usize,
-    again: bool,
+    is_retry: bool,
     token: String,
     scgi: bool,
     repeat: bool,
 }
 
 impl State {
-    /// Writes a try; false if there is no connection to be had.
+    /// Sends an attempt; returns `false` if no connection could be established.
     pub(super) fn write(&mut self, request: u64, server: SocketAddr, left: Duration) -> bool {
         let Some(pending) = self.pending.get_mut(&request) else { return true };
-        pending.tries += 1;
-        pending.tried.insert(server);
+        pending.attempts += 1;
+        pending.tried_servers.insert(server);
         pending.written.get_or_insert_with(Instant::now);
-        let (class, again, token, scgi) =
-            (pending.class, pending.tries > 1, pending.token.clone(), pending.scgi);
-        let Repeats { share, within_ms, strangers } = self.habit.repeats;
-        if !again && self.classes[class].keyed && self.unit() < share {
-            let by = Duration::from_secs_f64(within_ms as f64 / 1e3 * self.unit());
-            let token = if strangers { format!("{:032x}", self.rng.next_u64()) } else { token.clone() };
-            self.put_off(by, Later::Repeat { request, class, token, server, scgi: !scgi });
+        let (class, is_retry, token, scgi) =
+            (pending.class, pending.attempts > 1, pending.token.clone(), pending.scgi);
+        let Repeats { share, within_ms, separate_keys } = self.behavior.repeats;
+        if !is_retry && self.classes[class].keyed && self.unit() < share {
+            let delay = Duration::from_secs_f64(within_ms as f64 / 1e3 * self.unit());
+            let token = if separate_keys { format!("{:032x}", self.rng.next_u64()) } else { token.clone() };
+            self.schedule(delay, Later::Repeat { request, class, token, server, scgi: !scgi });
         }
-        self.put(request, server, left, Sent { class, again, token, scgi, repeat: false })
+        self.send_attempt(request, server, left, AttemptSpec { class, is_retry, token, scgi, repeat: false })
     }
 
-    /// Sends a keyed request's second copy, whatever became of the first.
+    /// Sends the duplicate copy of a keyed request, whatever the outcome of the first.
     pub(super) fn repeat(
         &mut self,
         request: u64,
@@ -47,23 +47,34 @@
         scgi: bool,
     ) {
         let left = self.classes[class].deadline;
-        self.put(request, server, left, Sent { class, again: true, token, scgi, repeat: true });
+        self.send_attempt(
+            request,
+            server,
+            left,
+            AttemptSpec { class, is_retry: true, token, scgi, repeat: true },
+        );
     }
 
-    /// Puts a try on a connection; false if there is none to be had.
-    pub(super) fn put(&mut self, request: u64, server: SocketAddr, left: Duration, sent: Sent) -> bool {
-        let Sent { class, again, token, scgi: over, repeat } = sent;
+    /// Writes an attempt to a connection; returns `false` if none could be established.
+    pub(super) fn send_attempt(
+        &mut self,
+        request: u64,
+        server: SocketAddr,
+        left: Duration,
+        spec: AttemptSpec,
+    ) -> bool {
+        let AttemptSpec { class, is_retry, token, scgi: over_scgi, repeat } = spec;
         let rid = format!("{:016x}", self.rng.next_u64());
         let memory = 8.0 + 56.0 * self.unit();
-        // Cut, not rounded: a rank is under 1, and servers reject what isn't.
+        // Truncated, because rounding could give 1, and servers reject ranks that aren't below 1.
         let rank = (self.unit() * 1e4).floor() / 1e4;
         let (keyed, name) = (self.classes[class].keyed, self.classes[class].name.clone());
         let (t0_ms, budget_ms) = (unix_ms(), left.as_millis() as u64);
-        let due = Instant::now() + left + LATE;
-        let open = Open { rid: rid.clone(), request, t0_ms, due, scgi: over, repeat };
-        let conn = if over { self.scgi_connection(server) } else { self.connection(server) };
+        let due = Instant::now() + left + TIMEOUT_GRACE;
+        let open = Open { rid: rid.clone(), request, t0_ms, due, scgi: over_scgi, repeat };
+        let conn = if over_scgi { self.scgi_connection(server) } else { self.connection(server) };
         let Some(conn) = conn else {
-            self.end(server, &open, class, End::NoConnection, false);
+            self.record_attempt(server, &open, class, End::NoConnection, false);
             return false;
         };
         conn.next_seq += 1;
@@ -84,13 +95,13 @@
             ("mem", &memory),
             ("prio", &rank),
         ];
-        if again {
+        if is_retry {
             fields.push(("again", "1"));
         }
         if keyed {
             fields.push(("token", &token));
         }
-        let bytes = if over {
+        let bytes = if over_scgi {
             let path = format!("/{name}/{request}");
             let quoted = format!("\"{token}\"");
             let mut headers: Vec<(&str, &str)> = vec![
@@ -103,7 +114,7 @@
                 ("HTTP_X_MEMORY_KB", &memory),
                 ("HTTP_X_RANK", &rank),
             ];
-            if again {
+            if is_retry {
                 headers.push(("HTTP_X_RETRY", "1"));
             }
             if keyed {
@@ -120,19 +131,27 @@
         true
     }
 
-    pub(super) fn end(&mut self, server: SocketAddr, open: &Open, class: usize, end: End, genuine: bool) {
-        self.books.tries.push(Try {
+    pub(super) fn record_attempt(
+        &mut self,
+        server: SocketAddr,
+        open: &Open,
+        class: usize,
+        end: End,
+        correct_result: bool,
+    ) {
+        self.records.tries.push(Attempt {
             rid: open.rid.clone(),
             request: open.request,
             class,
             server,
             scgi: open.scgi,
             t0_ms: open.t0_ms,
-            budget_ms: (open.due - LATE).saturating_duration_since(Instant::now()).as_millis() as u64
+            budget_ms: (open.due - TIMEOUT_GRACE).saturating_duration_since(Instant::now()).as_millis()
+                as u64
                 + unix_ms().saturating_sub(open.t0_ms),
             end_ms: unix_ms(),
             end,
-            genuine,
+            correct_result,
         });
     }
 }
--- a/crates/testkit/src/load/proxy/mod.rs
+++ b/crates/testkit/src/load/proxy/mod.rs
@@ -1,10 +1,12 @@
-//! A proxy: its threads, its schedule, and what becomes of its requests. Connections and what goes over them are in the modules below.
+//! A client proxy: threads, arrival schedule, retries and timers. The submodules handle connections, events and attempts.
 
+mod attempts;
 mod connections;
 mod events;
-mod tries;
 
-use super::{Asked, Books, Class, Habit, Live, Retry, Servers, classes, scaled_classes};
+use super::{
+    Class, IntervalCounts, ProxyBehavior, Records, RequestRecord, Retry, Servers, classes, scaled_classes,
+};
 use crate::registry::server::unix_ms;
 use crate::thrift::Message;
 use connections::Conn;
@@ -18,12 +20,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// For a connection to a server on this machine.
-const CONNECT: Duration = Duration::from_millis(200);
-/// Requests open on one connection, as the protocol allows.
-const WINDOW: usize = 32;
-/// Past the time that its caller waits an answer is late, and past this again it is none.
-const LATE: Duration = Duration::from_millis(150);
+/// Connect timeout; all servers are on this machine.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
+/// Maximum number of open requests per connection, as the protocol allows.
+const MAX_OPEN_REQUESTS: usize = 32;
+/// Grace time after the caller's deadline; without an answer by then, an attempt counts as timed out.
+const TIMEOUT_GRACE: Duration = Duration::from_millis(150);
 
 enum Event {
     Frame(u64, Message),
@@ -37,15 +39,15 @@
     t0_ms: u64,
     due: Instant,
     scgi: bool,
-    /// A second copy: what becomes of it ends nothing but itself, unless it is served.
+    /// Whether this is a duplicate copy; its outcome doesn't affect the request, unless it is served.
     repeat: bool,
 }
 
-/// What is to be sent later.
+/// A send scheduled for later.
 enum Later {
-    /// A request's next try.
-    Again(u64),
-    /// A second copy of a keyed request.
+    /// The next attempt of a request.
+    Attempt(u64),
+    /// A duplicate copy of a keyed request.
     Repeat { request: u64, class: usize, token: String, server: SocketAddr, scgi: bool },
 }
 
@@ -53,63 +55,68 @@
     class: usize,
     arrived: Instant,
     arrived_ms: u64,
-    tries: usize,
-    tried: HashSet<SocketAddr>,
+    attempts: usize,
+    tried_servers: HashSet<SocketAddr>,
     token: String,
     scgi: bool,
-    /// When its first try was written.
+    /// Time of the first attempt.
     written: Option<Instant>,
 }
 
 impl Pending {
-    fn asked(&self, took_ms: Option<u64>) -> Asked {
-        Asked { class: self.class, scgi: self.scgi, arrived_ms: self.arrived_ms, took_ms }
+    fn record(&self, took_ms: Option<u64>) -> RequestRecord {
+        RequestRecord { class: self.class, scgi: self.scgi, arrived_ms: self.arrived_ms, took_ms }
     }
 }
 
-/// A proxy that runs in threads of its own until it is told to stop.
+/// A client proxy that runs in its own threads until it is stopped.
 pub struct Proxy {
     stop: Arc<AtomicBool>,
-    done: Receiver<Books>,
-    live: Arc<Mutex<Live>>,
+    done: Receiver<Records>,
+    live: Arc<Mutex<IntervalCounts>>,
 }
 
 impl Proxy {
-    /// Starts one; `peer` is its number.
-    pub fn start(peer: u64, seed: u64, habit: Habit, servers: Box<dyn Servers>) -> std::io::Result<Self> {
-        Self::start_with(peer, seed, habit, servers, &HashMap::new(), 1)
+    /// Starts a proxy; `peer` is its number on the wire.
+    pub fn start(
+        peer: u64,
+        seed: u64,
+        behavior: ProxyBehavior,
+        servers: Box<dyn Servers>,
+    ) -> std::io::Result<Self> {
+        Self::start_with(peer, seed, behavior, servers, &HashMap::new(), 1)
     }
 
-    /// The same with the addresses of SCGI listeners by those of their servers, and with times so many times as long.
+    /// Starts a proxy with the SCGI address of each Thrift address, and with the times of all classes multiplied by `scale`.
     pub fn start_with(
         peer: u64,
         seed: u64,
-        habit: Habit,
+        behavior: ProxyBehavior,
         servers: Box<dyn Servers>,
-        doors: &HashMap<SocketAddr, SocketAddr>,
+        scgi_addresses: &HashMap<SocketAddr, SocketAddr>,
         scale: u32,
     ) -> std::io::Result<Self> {
-        let (stop, live) = (Arc::<AtomicBool>::default(), Arc::<Mutex<Live>>::default());
+        let (stop, live) = (Arc::<AtomicBool>::default(), Arc::<Mutex<IntervalCounts>>::default());
         let (send, done) = unbounded();
-        let (stops, counts) = (Arc::clone(&stop), Arc::clone(&live));
-        let doors = doors.clone();
+        let (stop_flag, counts) = (Arc::clone(&stop), Arc::clone(&live));
+        let scgi_addresses = scgi_addresses.clone();
         let run = move || {
-            let mut state = State::new(peer, seed, habit, servers, counts);
-            (state.doors, state.classes) = (doors, scaled_classes(scale));
-            state.run(&stops);
-            let _ = send.send(state.books);
+            let mut state = State::new(peer, seed, behavior, servers, counts);
+            (state.scgi_addresses, state.classes) = (scgi_addresses, scaled_classes(scale));
+            state.run(&stop_flag);
+            let _ = send.send(state.records);
         };
         thread::Builder::new().name("proxy".into()).spawn(run)?;
         Ok(Self { stop, done, live })
     }
 
-    /// Counts since the last call.
-    pub fn live(&self) -> Live {
+    /// Takes the counts since the previous call.
+    pub fn live(&self) -> IntervalCounts {
         std::mem::take(&mut *self.live.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Sends no more, waits for what is open, and gives the books.
-    pub fn stop(self) -> Books {
+    /// Stops sending, waits for the open requests and returns all records.
+    pub fn stop(self) -> Records {
         self.stop.store(true, Ordering::Relaxed);
         self.done.recv().unwrap_or_default()
     }
@@ -118,18 +125,18 @@
 struct State {
     peer: u64,
     rng: Pcg64Mcg,
-    habit: Habit,
+    behavior: ProxyBehavior,
     servers: Box<dyn Servers>,
     classes: Vec<Class>,
-    /// Where servers take SCGI, if that is not where a fleet's would.
-    doors: HashMap<SocketAddr, SocketAddr>,
+    /// SCGI addresses by Thrift address, for servers not listed at [`crate::fleet::scgi_of`].
+    scgi_addresses: HashMap<SocketAddr, SocketAddr>,
     conns: HashMap<SocketAddr, Vec<Conn>>,
     pending: HashMap<u64, Pending>,
-    away: HashMap<SocketAddr, Instant>,
-    /// By time and number.
+    avoided_until: HashMap<SocketAddr, Instant>,
+    /// Scheduled sends by time and sequence number.
     later: BTreeMap<(Instant, u64), Later>,
-    books: Books,
-    live: Arc<Mutex<Live>>,
+    records: Records,
+    live: Arc<Mutex<IntervalCounts>>,
     events: Receiver<Event>,
     sender: Sender<Event>,
     next_conn: u64,
@@ -138,20 +145,26 @@
 }
 
 impl State {
-    fn new(peer: u64, seed: u64, habit: Habit, servers: Box<dyn Servers>, live: Arc<Mutex<Live>>) -> Self {
+    fn new(
+        peer: u64,
+        seed: u64,
+        behavior: ProxyBehavior,
+        servers: Box<dyn Servers>,
+        live: Arc<Mutex<IntervalCounts>>,
+    ) -> Self {
         let (sender, events) = unbounded();
         Self {
             peer,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            habit,
+            behavior,
             servers,
             classes: classes(),
-            doors: HashMap::new(),
+            scgi_addresses: HashMap::new(),
             conns: HashMap::new(),
             pending: HashMap::new(),
-            away: HashMap::new(),
+            avoided_until: HashMap::new(),
             later: BTreeMap::new(),
-            books: Books::default(),
+            records: Records::default(),
             live,
             events,
             sender,
@@ -165,7 +178,7 @@
         (self.rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    fn count(&self, change: impl FnOnce(&mut Live)) {
+    fn count(&self, change: impl FnOnce(&mut IntervalCounts)) {
         change(&mut self.live.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
@@ -179,15 +192,15 @@
             }
             let now = Instant::now();
             while !stopping && next <= now {
-                // Counted from its moment in the schedule: a sender that is held up must not hide the wait.
+                // Times count from the scheduled arrival, so that a delayed sender doesn't hide the wait.
                 self.arrive(next);
-                let gap = -(1.0 - self.unit()).ln() / self.habit.rate.max(1e-3);
+                let gap = -(1.0 - self.unit()).ln() / self.behavior.rate.max(1e-3);
                 next += Duration::from_secs_f64(gap.min(60.0));
             }
-            self.time_out(now);
+            self.expire_attempts(now);
             while let Some(entry) = self.later.first_entry().filter(|entry| entry.key().0 <= now) {
                 match entry.remove() {
-                    Later::Again(request) => self.send(request),
+                    Later::Attempt(request) => self.send(request),
                     Later::Repeat { request, class, token, server, scgi } => {
                         self.repeat(request, class, token, server, scgi);
                     }
@@ -222,56 +235,59 @@
         let request = (self.peer << 40) | self.next_request;
         let token = format!("{:016x}{:016x}", self.rng.next_u64(), request);
         let arrived_ms = unix_ms();
-        let scgi = self.unit() < self.habit.scgi_share;
-        let (tried, written) = (HashSet::new(), None);
-        let pending = Pending { class, arrived, arrived_ms, tries: 0, tried, token, scgi, written };
+        let scgi = self.unit() < self.behavior.scgi_share;
+        let (tried_servers, written) = (HashSet::new(), None);
+        let pending =
+            Pending { class, arrived, arrived_ms, attempts: 0, tried_servers, token, scgi, written };
         self.pending.insert(request, pending);
         self.count(|live| live.arrived += 1);
         self.send(request);
     }
 
-    /// Sends a request's next try, or gives the request up.
+    /// Sends the next attempt of a request, or gives the request up.
     fn send(&mut self, request: u64) {
         loop {
             let Some(pending) = self.pending.get(&request) else { return };
             let deadline = self.classes[pending.class].deadline;
             let left = deadline.saturating_sub(pending.arrived.elapsed());
-            let over = matches!(self.habit.retry, Retry::Listed(most) if pending.tries >= most);
-            if over || left < Duration::from_millis(20) {
+            let exhausted = matches!(self.behavior.retry, Retry::Listed(limit) if pending.attempts >= limit);
+            if exhausted || left < Duration::from_millis(20) {
                 return self.give_up(request);
             }
             let now = Instant::now();
-            let (away, tried) = (&self.away, &pending.tried);
-            let avoided =
-                |server| tried.contains(&server) || away.get(&server).is_some_and(|until| *until > now);
+            let (avoided_until, tried_servers) = (&self.avoided_until, &pending.tried_servers);
+            let avoided = |server| {
+                tried_servers.contains(&server)
+                    || avoided_until.get(&server).is_some_and(|until| *until > now)
+            };
             let Some(server) = self.servers.pick(&avoided) else { return self.give_up(request) };
-            if tried.contains(&server) {
-                if matches!(self.habit.retry, Retry::Listed(_)) {
+            if tried_servers.contains(&server) {
+                if matches!(self.behavior.retry, Retry::Listed(_)) {
                     return self.give_up(request);
                 }
-                // The list begins anew.
+                // All servers were tried; starts over.
                 if let Some(pending) = self.pending.get_mut(&request) {
-                    pending.tried.clear();
+                    pending.tried_servers.clear();
                 }
             }
             if self.write(request, server, left) {
                 return;
             }
-            if !matches!(self.habit.retry, Retry::Listed(_)) {
-                // No connection is to be had: not again at full speed.
-                return self.put_off(CONNECT / 10, Later::Again(request));
+            if !matches!(self.behavior.retry, Retry::Listed(_)) {
+                // No connection could be established; a short pause avoids a busy loop.
+                return self.schedule(CONNECT_TIMEOUT / 10, Later::Attempt(request));
             }
         }
     }
 
-    fn put_off(&mut self, by: Duration, what: Later) {
+    fn schedule(&mut self, delay: Duration, send: Later) {
         self.next_later += 1;
-        self.later.insert((Instant::now() + by, self.next_later), what);
+        self.later.insert((Instant::now() + delay, self.next_later), send);
     }
 
     fn give_up(&mut self, request: u64) {
         if let Some(pending) = self.pending.remove(&request) {
-            self.books.requests.push(pending.asked(None));
+            self.records.requests.push(pending.record(None));
             self.count(|live| live.unserved += 1);
         }
     }
--- a/crates/testkit/src/load/servers.rs
+++ b/crates/testkit/src/load/servers.rs
@@ -1,23 +1,23 @@
-//! How a proxy finds servers.
+//! Server selection of client proxies.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// How a proxy finds servers. A name stands for a server in the books.
+/// Source of the servers that a proxy sends to.
 pub trait Servers: Send {
-    /// A server to send to, none of the avoided ones if there is another.
+    /// Picks a server to send to; an avoided one only if there is no other.
     fn pick(&mut self, avoided: &dyn Fn(SocketAddr) -> bool) -> Option<SocketAddr>;
 }
 
-/// A list that never changes, each in its turn.
-pub struct Fixed {
-    /// The servers.
+/// Fixed list of servers, used round robin.
+pub struct StaticServers {
+    /// Addresses of the servers.
     pub all: Vec<SocketAddr>,
-    /// Whose turn it is.
+    /// Index of the previously picked server, before wrapping around.
     pub turn: usize,
 }
 
-impl Servers for Fixed {
+impl Servers for StaticServers {
     fn pick(&mut self, avoided: &dyn Fn(SocketAddr) -> bool) -> Option<SocketAddr> {
         self.turn += 1;
         let turns = (0..self.all.len()).map(|n| self.all[(self.turn + n) % self.all.len()]);
@@ -25,8 +25,8 @@
     }
 }
 
-/// A list that somebody else keeps up.
-impl Servers for Arc<Mutex<Fixed>> {
+/// A shared list that its owner updates.
+impl Servers for Arc<Mutex<StaticServers>> {
     fn pick(&mut self, avoided: &dyn Fn(SocketAddr) -> bool) -> Option<SocketAddr> {
         self.lock().unwrap_or_else(PoisonError::into_inner).pick(avoided)
     }
--- a/crates/testkit/src/measure.rs
+++ b/crates/testkit/src/measure.rs
@@ -4,7 +4,7 @@
 //! has its request come. So a server that stalls is charged for all that would have come meanwhile, which a client
 //! that waits for answers omits (coordinated omission).
 
-use crate::load::{Books, End, Fixed, Habit, Live, Proxy, tally};
+use crate::load::{End, IntervalCounts, Proxy, ProxyBehavior, Records, StaticServers, tally};
 use hdrhistogram::Histogram;
 use std::io;
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
     /// Of requests and arrivals.
     pub seed: u64,
     /// Of each proxy, its rate that of all together.
-    pub habit: Habit,
+    pub habit: ProxyBehavior,
     /// Aims and deadlines in quarters of the brief's.
     pub scale: u32,
 }
@@ -51,19 +51,19 @@
     }
     let doors = load.thrift.iter().copied().zip(load.scgi.iter().copied()).collect();
     let proxies = load.proxies.max(1);
-    let habit = Habit { rate: load.habit.rate / proxies as f64, ..load.habit.clone() };
+    let habit = ProxyBehavior { rate: load.habit.rate / proxies as f64, ..load.habit.clone() };
     let start = |n: usize| {
-        let list = Fixed { all: load.thrift.clone(), turn: n };
+        let list = StaticServers { all: load.thrift.clone(), turn: n };
         let seed = load.seed.wrapping_mul(1_000).wrapping_add(n as u64);
         Proxy::start_with(n as u64 + 1, seed, habit.clone(), Box::new(list), &doors, load.scale)
     };
     let running = (0..proxies).map(start).collect::<io::Result<Vec<Proxy>>>()?;
     let (mut times, mut writes) = (histogram()?, histogram()?);
-    let mut sum = Live::default();
+    let mut sum = IntervalCounts::default();
     let begun = Instant::now();
     for second in 1..=load.seconds {
         thread::sleep(Duration::from_secs(second).saturating_sub(begun.elapsed()));
-        let mut now = Live::default();
+        let mut now = IntervalCounts::default();
         running.iter().map(Proxy::live).for_each(|live| now.add(live));
         println!(
             "{second:>4} s  asked {:>6}  in time {:>6}  late {:>5}  unserved {:>5}  refused {:>6}",
@@ -73,7 +73,7 @@
         record(&mut writes, &mut now.writes_us)?;
         sum.add(now);
     }
-    let books: Vec<Books> = running.into_iter().map(Proxy::stop).collect();
+    let books: Vec<Records> = running.into_iter().map(Proxy::stop).collect();
     println!("{} arrivals, {} served in their aim, {} after it", sum.arrived, sum.served, sum.late);
     for (name, times) in [("from the schedule", &times), ("from the first write", &writes)] {
         let at = |q: f64| times.value_at_quantile(q) as f64 / 1e3;
--- a/crates/testkit/src/processor.rs
+++ b/crates/testkit/src/processor.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the processor: cores that are shared, a cold start, slowdowns, gauges, kept notices, and the
-//! platform's protocol whole. What runs is simulated by the clock; no core is burnt.
+//! Stand-in for the processor: shared cores, cold start, slowdowns, gauges, buffered notices, and the complete protocol of the
+//! platform. Runs are simulated by the clock and use no CPU time.
 
 use crossbeam_channel::{Receiver, Sender, unbounded};
 use rand_pcg::Pcg64Mcg;
@@ -12,39 +12,39 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Notices kept for a server that comes back.
-const KEPT: usize = 4_000;
-/// Between steps of the cores.
+/// Maximum number of notices buffered for a server that reconnects.
+const MAX_BUFFERED_NOTICES: usize = 4_000;
+/// Interval between steps of the simulated cores.
 const TICK: Duration = Duration::from_millis(1);
-/// The largest body that is read.
-const MOST_BODY: usize = 64 * 1024;
-/// The most that one run takes of the mean: lognormal tails are cut there.
-const MOST_OF_MEAN: f64 = 8.0;
+/// Largest accepted body of a command, in bytes.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Upper bound of the work of a run, as a multiple of the mean; it truncates the lognormal tail.
+const MAX_WORK_FACTOR: f64 = 8.0;
 
-/// What a processor is like.
+/// Behavior of a stand-in processor.
 #[derive(Debug, Clone)]
 pub struct Spec {
-    /// Its cores.
+    /// Number of cores.
     pub cores: u32,
-    /// Their speed; 1 is the yardstick.
+    /// Speed of a core; work is given for speed 1.
     pub speed: f64,
-    /// The share of its speed that it begins with; 1 is a warm start.
+    /// Fraction of full speed at the start; 1 for a warm start.
     pub cold_capacity: f64,
-    /// How long until it is warm.
+    /// Time from the start until full speed; the speed rises linearly.
     pub warms_in: Duration,
-    /// Runs a core past which less is done in total.
+    /// Runs per core beyond which total throughput drops.
     pub thrash_at: f64,
-    /// And how much of the work is done then.
+    /// Fraction of the throughput beyond `thrash_at`.
     pub thrash: f64,
-    /// The mean work of a run by class, on a core of speed 1; for a class not named the first one.
+    /// Mean work of a run by class, on a core of speed 1. A single entry applies to all classes; with several, requests of an unlisted class are rejected.
     pub classes: Vec<(String, Duration)>,
-    /// The memory in kB, and what a run takes of it on the average.
+    /// Memory in kB.
     pub memory_kb: f64,
-    /// See `memory_kb`.
+    /// Average memory of a run in kB.
     pub run_kb: f64,
-    /// The part of the runs that call the ledger, halfway through their work.
+    /// Fraction of the runs that call the ledger, halfway through their work.
     pub calls: f64,
-    /// For the work of each run.
+    /// Seed of the work of each run.
     pub seed: u64,
 }
 
@@ -66,26 +66,26 @@
     }
 }
 
-/// A run as the processor saw it, for those who check the rules.
+/// A run that began, as recorded for checks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Begun {
-    /// The try.
+    /// Request ID of the attempt.
     pub id: String,
-    /// Its class.
+    /// Class of the request.
     pub class: String,
-    /// Its body.
+    /// Request body.
     pub body: Vec<u8>,
-    /// When it began, in Unix milliseconds.
+    /// Start time in Unix milliseconds.
     pub at_ms: u64,
 }
 
 #[derive(Debug)]
 struct Run {
-    /// Work left, in seconds of a core of speed 1.
+    /// Remaining work in seconds of a core of speed 1; up to the ledger call, if there is one.
     work_s: f64,
     since: Instant,
     body: Vec<u8>,
-    /// Work still to do after its call, if it has one to make.
+    /// Work after the ledger call, while that call is still to be made.
     call: Option<f64>,
 }
 
@@ -95,7 +95,7 @@
     started: Instant,
     slow: f64,
     runs: BTreeMap<String, Run>,
-    /// Runs that wait for the reply to their call.
+    /// Runs that wait for the answer to their ledger call.
     calling: BTreeMap<String, Run>,
     known: HashSet<String>,
     notices: VecDeque<(u64, Vec<u8>)>,
@@ -118,7 +118,7 @@
     }
 }
 
-/// A running stand-in; it ends when this is dropped.
+/// Running stand-in processor; ends when dropped.
 pub struct Processor {
     shared: Arc<Shared>,
     address: SocketAddr,
@@ -126,7 +126,7 @@
 }
 
 impl Processor {
-    /// Listens on a loopback address; it starts now, cold or warm as its spec says.
+    /// Starts a processor that listens at `address`; port 0 picks a free port.
     pub fn start(address: SocketAddr, spec: Spec) -> io::Result<Self> {
         let listener = TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
@@ -135,19 +135,19 @@
         let state = State::new(spec, Instant::now());
         let shared =
             Arc::new(Shared { state: Mutex::new(state), begun: sender, ended: AtomicBool::new(false) });
-        let mine = Arc::clone(&shared);
+        let worker = Arc::clone(&shared);
         let run = move || {
-            while !mine.ended.load(Ordering::Relaxed) {
+            while !worker.ended.load(Ordering::Relaxed) {
                 while let Ok((stream, _)) = listener.accept() {
-                    let mine = Arc::clone(&mine);
+                    let worker = Arc::clone(&worker);
                     let _ = thread::Builder::new()
                         .name("processor-link".into())
-                        .spawn(move || link(stream, &mine));
+                        .spawn(move || link(stream, &worker));
                 }
-                mine.state().step();
+                worker.state().step();
                 thread::sleep(TICK);
             }
-            if let Some((_, stream)) = mine.state().link.take() {
+            if let Some((_, stream)) = worker.state().link.take() {
                 let _ = stream.shutdown(Shutdown::Both);
             }
         };
@@ -155,22 +155,22 @@
         Ok(Self { shared, address, begun })
     }
 
-    /// Where it listens.
+    /// Address that the processor listens at.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Runs so many times slower from now on; 1 is the usual.
+    /// Divides the speed by `times` from now on; 1 is full speed.
     pub fn slow_down(&self, times: f64) {
         self.shared.state().slow = times.max(1.0);
     }
 
-    /// All runs that began since the last call.
+    /// Takes the runs that began since the previous call.
     pub fn begun(&self) -> Vec<Begun> {
         self.begun.try_iter().collect()
     }
 
-    /// It dies and comes back cold or warm at once: what ran is lost, notices begin at 1.
+    /// Simulates a crash and immediate restart: all runs are lost and notices are numbered from 1 again.
     pub fn restart(&self, cold_capacity: f64) {
         let mut state = self.shared.state();
         state.spec.cold_capacity = cold_capacity;
@@ -185,14 +185,14 @@
         }
     }
 
-    /// Its link falls; runs go on, and the server connects again.
+    /// Closes the link; runs continue, and the server reconnects.
     pub fn cut_link(&self) {
         if let Some((_, stream)) = self.shared.state().link.take() {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Runs now on its cores.
+    /// Number of runs on the cores, without those that wait for the ledger.
     pub fn running(&self) -> usize {
         self.shared.state().runs.len()
     }
@@ -205,7 +205,7 @@
 }
 
 impl State {
-    /// A processor that starts now.
+    /// Creates the state of a processor that starts at `now`.
     fn new(spec: Spec, now: Instant) -> Self {
         Self {
             rng: Pcg64Mcg::seed_from_u64(spec.seed),
@@ -224,34 +224,36 @@
         }
     }
 
-    /// Its share of full speed now.
-    fn warmth(&self, now: Instant) -> f64 {
-        let part = (now - self.started).as_secs_f64() / self.spec.warms_in.as_secs_f64().max(1e-9);
-        self.spec.cold_capacity + (1.0 - self.spec.cold_capacity) * part.min(1.0)
+    /// Current fraction of full speed.
+    fn speed_fraction(&self, now: Instant) -> f64 {
+        let elapsed_fraction =
+            (now - self.started).as_secs_f64() / self.spec.warms_in.as_secs_f64().max(1e-9);
+        self.spec.cold_capacity + (1.0 - self.spec.cold_capacity) * elapsed_fraction.min(1.0)
     }
 
-    /// Lets the cores work until now.
+    /// Advances all runs to the current time.
     fn step(&mut self) {
         let now = Instant::now();
         let passed = (now - self.stepped).as_secs_f64();
         self.stepped = now;
-        let (cores, on) = (f64::from(self.spec.cores), self.runs.len() as f64);
-        let thrash = if on > self.spec.thrash_at * cores { self.spec.thrash } else { 1.0 };
-        let each =
-            passed * self.spec.speed * self.warmth(now) / self.slow * thrash * (cores / on.max(1.0)).min(1.0);
-        let can = passed * cores * self.spec.speed * self.warmth(now) / self.slow * thrash;
+        let (cores, running) = (f64::from(self.spec.cores), self.runs.len() as f64);
+        let thrash = if running > self.spec.thrash_at * cores { self.spec.thrash } else { 1.0 };
+        let work_per_run = passed * self.spec.speed * self.speed_fraction(now) / self.slow
+            * thrash
+            * (cores / running.max(1.0)).min(1.0);
+        let capacity = passed * cores * self.spec.speed * self.speed_fraction(now) / self.slow * thrash;
         let mut done = 0.0;
-        let mut over = Vec::new();
+        let mut finished = Vec::new();
         for (id, run) in &mut self.runs {
-            done += run.work_s.min(each);
-            run.work_s -= each;
+            done += run.work_s.min(work_per_run);
+            run.work_s -= work_per_run;
             if run.work_s <= 0.0 {
-                over.push(id.clone());
+                finished.push(id.clone());
             }
         }
-        let used = if can > 0.0 { (done / can).min(1.0) } else { 0.0 };
+        let used = if capacity > 0.0 { (done / capacity).min(1.0) } else { 0.0 };
         self.cpu_utilization += (passed / 0.5).min(1.0) * (used - self.cpu_utilization);
-        for id in over {
+        for id in finished {
             let Some(mut run) = self.runs.remove(&id) else { continue };
             if let Some(rest) = run.call.take() {
                 let body = run.body.clone();
@@ -261,19 +263,19 @@
                 continue;
             }
             let took = (now - run.since).as_secs_f64() * 1e3;
-            // The same for all who ask, and not the body itself, so that a test sees a run's own result.
+            // Differs from the body, so that tests can tell a result from an echo.
             let result = [&b"result of "[..], &run.body].concat();
             self.notify(|n| format!("complete {n} {id} OK {took:.3} {}", result.len()), &result);
         }
     }
 
-    /// A notice with bytes behind it: kept, and sent if a link stands.
+    /// Buffers a notice with its payload and sends it if a link is open.
     fn notify(&mut self, head: impl FnOnce(u64) -> String, bytes: &[u8]) {
         self.last_notice += 1;
         let text = [head(self.last_notice).as_bytes(), b"\r\n", bytes, b"\r\n"].concat();
         self.send(&text);
         self.notices.push_back((self.last_notice, text));
-        if self.notices.len() > KEPT {
+        if self.notices.len() > MAX_BUFFERED_NOTICES {
             self.notices.pop_front();
         }
     }
@@ -287,7 +289,7 @@
         }
     }
 
-    /// Work of a run: lognormal about its class's mean, with a coefficient of variation of 0.8.
+    /// Draws the work of a run: lognormal with the mean of its class and a coefficient of variation of 0.8.
     fn work_s(&mut self, class: &str) -> f64 {
         let classes = &self.spec.classes;
         let mean = classes.iter().find(|(name, _)| name == class).or(classes.first());
@@ -295,11 +297,11 @@
         let mut unit = || (self.rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64;
         let normal = (-2.0 * (1.0 - unit()).ln()).sqrt() * (std::f64::consts::TAU * unit()).cos();
         let sigma = (1.0_f64 + 0.8 * 0.8).ln().sqrt();
-        (mean * (sigma * normal - sigma * sigma / 2.0).exp()).min(MOST_OF_MEAN * mean)
+        (mean * (sigma * normal - sigma * sigma / 2.0).exp()).min(MAX_WORK_FACTOR * mean)
     }
 }
 
-/// Reads commands off one link until it ends or another takes its place.
+/// Serves the commands of one link until it ends; a new link replaces it.
 fn link(stream: TcpStream, shared: &Shared) {
     let _ = stream.set_nonblocking(false);
     let _ = stream.set_nodelay(true);
@@ -316,7 +318,7 @@
     state.link.take_if(|(known, _)| *known == number);
 }
 
-/// None when the link ends, or when something came that is no command.
+/// Returns `None` when the link ends or an invalid command arrives.
 fn commands(reads: &mut BufReader<TcpStream>, writes: TcpStream, number: u64, shared: &Shared) -> Option<()> {
     let mut line = String::new();
     let mut writes = Some(writes);
@@ -344,13 +346,13 @@
             ["usage", tag] => {
                 let mut state = shared.state();
                 state.step();
-                let on = state.runs.len() as f64;
-                let heap = on * state.spec.run_kb / state.spec.memory_kb;
-                let text = format!("used {tag} {:.3} {on} {heap:.4} 0\r\n", state.cpu_utilization);
+                let running = state.runs.len() as f64;
+                let heap = running * state.spec.run_kb / state.spec.memory_kb;
+                let text = format!("used {tag} {:.3} {running} {heap:.4} 0\r\n", state.cpu_utilization);
                 state.send(text.as_bytes());
             }
             ["begin", id, class, length] => {
-                let length = length.parse::<usize>().ok().filter(|&len| len <= MOST_BODY)?;
+                let length = length.parse::<usize>().ok().filter(|&len| len <= MAX_BODY_BYTES)?;
                 let mut body = vec![0; length + 2];
                 io::Read::read_exact(reads, &mut body).ok()?;
                 body.strip_suffix(b"\r\n")?;
@@ -358,13 +360,13 @@
                 begin(id, class, body, shared);
             }
             ["answer", id, length] => {
-                let length = length.parse::<usize>().ok().filter(|&len| len <= MOST_BODY)?;
+                let length = length.parse::<usize>().ok().filter(|&len| len <= MAX_BODY_BYTES)?;
                 let mut body = vec![0; length + 2];
                 io::Read::read_exact(reads, &mut body).ok()?;
                 body.strip_suffix(b"\r\n")?;
                 let mut state = shared.state();
                 state.step();
-                // Given again after a link that may have lost it: the run goes on once.
+                // May be repeated after a lost link; the run continues only once.
                 if let Some(run) = state.calling.remove(id) {
                     state.runs.insert(id.to_string(), run);
                 }
@@ -387,7 +389,7 @@
     if state.spec.classes.len() > 1 && !state.spec.classes.iter().any(|(name, _)| name == class) {
         return state.send(format!("reject begin {id}\r\n").as_bytes());
     }
-    // One that runs already, or has run, is not run again.
+    // Ignores a request that is running or has run.
     if !state.known.insert(id.to_string()) {
         return;
     }
@@ -403,7 +405,7 @@
     let _ = shared.begun.send(Begun { id: id.to_string(), class: class.to_string(), body, at_ms });
 }
 
-/// Counts of runs by what their tries share.
+/// Counts runs by `key`; runs without a key are skipped.
 pub fn runs_by<K: std::hash::Hash + Eq>(
     begun: &[Begun],
     key: impl Fn(&Begun) -> Option<K>,
@@ -419,10 +421,10 @@
 mod tests {
     use super::*;
 
-    /// Guards against a stand-in that is kinder than the platform: a link made anew is told what it missed, a run
-    /// asked for twice runs once, and what is no command ends the link.
+    /// Guards against a stand-in that is more lenient than the platform: a new link receives the missed notices, a repeated
+    /// `begin` runs once, and an unknown command ends the link.
     #[test]
-    fn the_protocol_is_kept() {
+    fn links_follow_the_protocol() {
         let spec = Spec { classes: vec![("a".into(), Duration::from_millis(1))], ..Spec::default() };
         let processor = Processor::start("127.0.0.1:0".parse().unwrap(), spec).unwrap();
         let connect = |n: u64| {
@@ -443,8 +445,8 @@
             first.read_line(&mut line).unwrap();
         }
         assert_eq!(processor.begun().len(), 1);
-        for (told, expected) in [(0, true), (1, false)] {
-            let mut again = connect(told);
+        for (last_notice, expected) in [(0, true), (1, false)] {
+            let mut again = connect(last_notice);
             again.get_mut().write_all(b"usage y\r\n").unwrap();
             line.clear();
             again.read_line(&mut line).unwrap();
@@ -457,12 +459,12 @@
     }
 
     #[test]
-    fn a_cold_start_warms_and_a_crowd_gets_less_done() {
+    fn speed_rises_linearly_after_a_cold_start() {
         let cold = Spec { cold_capacity: 0.21, warms_in: Duration::from_secs(10), ..Spec::default() };
         let now = Instant::now();
         let state = State::new(cold, now);
-        assert!((state.warmth(now) - 0.21).abs() < 1e-9);
-        assert!((state.warmth(now + Duration::from_secs(5)) - 0.605).abs() < 1e-9);
-        assert!((state.warmth(now + Duration::from_secs(60)) - 1.0).abs() < 1e-9);
+        assert!((state.speed_fraction(now) - 0.21).abs() < 1e-9);
+        assert!((state.speed_fraction(now + Duration::from_secs(5)) - 0.605).abs() < 1e-9);
+        assert!((state.speed_fraction(now + Duration::from_secs(60)) - 1.0).abs() < 1e-9);
     }
 }
--- a/crates/testkit/src/scale/fleet/daemons.rs
+++ b/crates/testkit/src/scale/fleet/daemons.rs
@@ -6,7 +6,7 @@
 use super::resources::cpu_ns_of;
 use crate::fleet::{self, Fleet, FleetSpec, PeersSpec};
 use crate::harness::play::ask_text;
-use crate::load::{Fixed, Habit, Proxy};
+use crate::load::{Proxy, ProxyBehavior, StaticServers};
 use crate::processor::Spec;
 use crate::registry::server::unix_ms;
 use std::io;
@@ -81,8 +81,8 @@
             ..FleetSpec::default()
         })?;
         let proxy = |(n, node): (usize, &fleet::Node)| {
-            let list = Fixed { all: vec![node.address], turn: 0 };
-            let habit = Habit::thrift(spec.rate, 1, true);
+            let list = StaticServers { all: vec![node.address], turn: 0 };
+            let habit = ProxyBehavior::thrift(spec.rate, 1, true);
             Proxy::start(n as u64 + 1, spec.seed + n as u64, habit, Box::new(list))
         };
         let proxies = if spec.rate > 0.0 {
--- a/crates/testkit/src/scale/lag.rs
+++ b/crates/testkit/src/scale/lag.rs
@@ -1,6 +1,6 @@
 //! The lag of a load itself: what it measures of a server while it is late is of the load.
 
-use crate::load::Live;
+use crate::load::IntervalCounts;
 use hdrhistogram::Histogram;
 
 /// By how much a load was later than its schedule.
@@ -16,7 +16,7 @@
 pub struct NothingServed;
 
 /// For each request that was served, by how many microseconds it was written later than its schedule has it.
-pub fn times(live: &Live) -> Vec<u64> {
+pub fn times(live: &IntervalCounts) -> Vec<u64> {
     live.times_us
         .iter()
         .zip(&live.writes_us)
--- a/crates/testkit/src/scale/lag/tests.rs
+++ b/crates/testkit/src/scale/lag/tests.rs
@@ -13,6 +13,7 @@
 
 #[test]
 fn lag_is_from_the_schedule_to_the_write() {
-    let live = Live { times_us: vec![900, 700], writes_us: vec![600, 700], ..Live::default() };
+    let live =
+        IntervalCounts { times_us: vec![900, 700], writes_us: vec![600, 700], ..IntervalCounts::default() };
     assert_eq!(times(&live), [300, 0]);
 }
--- a/crates/testkit/src/scale/requests.rs
+++ b/crates/testkit/src/scale/requests.rs
@@ -6,7 +6,7 @@
 use super::options::{Options, check_resources, go_on, progress};
 use super::report::Report;
 use super::server::{Server, Wanted};
-use crate::load::{Fixed, Habit, Live, Proxy};
+use crate::load::{IntervalCounts, Proxy, ProxyBehavior, StaticServers};
 use crate::{fleet, interrupt};
 use clap::Args;
 use hdrhistogram::Histogram;
@@ -106,16 +106,16 @@
     beside: Beside,
     end: &AtomicBool,
 ) -> Result<Measured, Box<dyn Error>> {
-    let list = Fixed { all: vec![server.node().address], turn: 0 };
+    let list = StaticServers { all: vec![server.node().address], turn: 0 };
     // A number and a seed for each measurement: a server and its processor know the ids of the one before.
     let number = beside as u64 + 1;
     let seed = args.options.seed.wrapping_mul(1_000).wrapping_add(number);
-    let proxy = Proxy::start(number, seed, Habit::thrift(args.rate, 1, false), Box::new(list))?;
+    let proxy = Proxy::start(number, seed, ProxyBehavior::thrift(args.rate, 1, false), Box::new(list))?;
     // The first requests open the connection.
     thread::sleep(Duration::from_millis(300));
     proxy.live();
     let (cpu, begin) = (server.cpu(), Instant::now());
-    let (mut next, mut live) = (begin + EVENT_EVERY / 2, Live::default());
+    let (mut next, mut live) = (begin + EVENT_EVERY / 2, IntervalCounts::default());
     while begin.elapsed().as_secs_f64() < args.seconds {
         go_on(end)?;
         thread::sleep(Duration::from_millis(20));
@@ -147,7 +147,7 @@
     Ok(())
 }
 
-fn summed(live: &Live, cpu: Duration) -> Result<Measured, Box<dyn Error>> {
+fn summed(live: &IntervalCounts, cpu: Duration) -> Result<Measured, Box<dyn Error>> {
     let mut added = Histogram::<u64>::new(3)?;
     let unserved = live.unserved + live.refused;
     live.times_us.iter().try_for_each(|&us| added.record(us))?;
--- a/crates/testkit/tests/load.rs
+++ b/crates/testkit/tests/load.rs
@@ -1,6 +1,6 @@
 //! The kit's open-loop client against a scripted server on loopback. No verdict hangs on how fast the machine is.
 
-use gradepin_testkit::load::{Asked, Books, Fixed, Habit, Proxy, Repeats, Retry};
+use gradepin_testkit::load::{Proxy, ProxyBehavior, Records, Repeats, RequestRecord, Retry, StaticServers};
 use gradepin_testkit::thrift;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -55,8 +55,8 @@
     }
 }
 
-fn play(address: SocketAddr, habit: Habit, seconds: f64) -> Books {
-    let list = Fixed { all: vec![address], turn: 0 };
+fn play(address: SocketAddr, habit: ProxyBehavior, seconds: f64) -> Records {
+    let list = StaticServers { all: vec![address], turn: 0 };
     let proxy = Proxy::start(1, 11, habit, Box::new(list)).expect("a proxy");
     thread::sleep(Duration::from_secs_f64(seconds));
     proxy.stop()
@@ -68,7 +68,13 @@
 fn a_patient_proxy_waits_as_told_and_an_unlimited_one_never_does() {
     let tries = |retry| {
         let (address, calls) = server(Script::Refuse(200));
-        let habit = Habit { rate: 20.0, retry, heeds: false, scgi_share: 0.0, repeats: Repeats::default() };
+        let habit = ProxyBehavior {
+            rate: 20.0,
+            retry,
+            honors_retry_after: false,
+            scgi_share: 0.0,
+            repeats: Repeats::default(),
+        };
         let books = play(address, habit, 1.0);
         assert!(books.requests.iter().all(|asked| asked.took_ms.is_none()));
         let (tries, requests) = (books.tries.len(), books.requests.len());
@@ -88,9 +94,10 @@
 #[test]
 fn a_stall_is_charged_to_every_request_that_was_to_come_in_it() {
     let (address, _) = server(Script::Stall(Duration::from_millis(500)));
-    let books = play(address, Habit::thrift(200.0, 1, false), 0.7);
+    let books = play(address, ProxyBehavior::thrift(200.0, 1, false), 0.7);
     let begun = books.requests.iter().map(|asked| asked.arrived_ms).min().expect("requests");
-    let early: Vec<&Asked> = books.requests.iter().filter(|asked| asked.arrived_ms < begun + 250).collect();
+    let early: Vec<&RequestRecord> =
+        books.requests.iter().filter(|asked| asked.arrived_ms < begun + 250).collect();
     assert!(early.len() >= 20, "{} came in the first 250 ms", early.len());
     let waited = early.iter().filter(|asked| asked.took_ms.is_some_and(|ms| ms >= 200)).count();
     assert_eq!(waited, early.len(), "each of them waited for the end of the stall");
--- a/crates/testkit/tests/shared.rs
+++ b/crates/testkit/tests/shared.rs
@@ -9,7 +9,7 @@
 use gradepin_testkit::harness::ledger::Ledger;
 use gradepin_testkit::harness::play::ask;
 use gradepin_testkit::harness::relay::Net;
-use gradepin_testkit::load::{Fixed, Habit, Proxy, classes};
+use gradepin_testkit::load::{Proxy, ProxyBehavior, StaticServers, classes};
 use gradepin_testkit::processor::Spec;
 use std::net::UdpSocket;
 use std::sync::Arc;
@@ -141,8 +141,8 @@
     let fleet = Fleet::start(&spec).unwrap();
     let callers: Vec<Proxy> = (0..SERVERS)
         .map(|n| {
-            let list = Fixed { all: vec![fleet.nodes[n].address], turn: 0 };
-            Proxy::start(n as u64 + 1, n as u64, Habit::thrift(6.0, 1, true), Box::new(list)).unwrap()
+            let list = StaticServers { all: vec![fleet.nodes[n].address], turn: 0 };
+            Proxy::start(n as u64 + 1, n as u64, ProxyBehavior::thrift(6.0, 1, true), Box::new(list)).unwrap()
         })
         .collect();
     thread::sleep(Duration::from_secs(2));
--- a/crates/testkit/tests/sockets.rs
+++ b/crates/testkit/tests/sockets.rs
@@ -8,7 +8,7 @@
 use gradepin_registry::view::Fetch;
 use gradepin_registry::wire::Format;
 use gradepin_testkit::fleet::{self, Fleet, FleetSpec};
-use gradepin_testkit::load::{End, Fixed, Habit, Proxy, classes};
+use gradepin_testkit::load::{End, Proxy, ProxyBehavior, StaticServers, classes};
 use gradepin_testkit::processor::Spec;
 use gradepin_testkit::registry::faults::Fault;
 use gradepin_testkit::registry::server::{Server, ServerSettings};
@@ -62,11 +62,12 @@
     let url = format!("http://{}:{}@{}/eureka", login.0, login.1, registry.address());
     let spec = spec("away", url, "format \"xml\"\nzone \"lahti-1\"\nmetadata { rack \"b7\"; }");
     let fleet = Fleet::start(&spec).expect("it is ready without a registry");
-    let habit = Habit::thrift(50.0, 1, false);
-    let proxy = Proxy::start(1, 5, habit, Box::new(Fixed { all: vec![fleet.nodes[0].address], turn: 0 }));
+    let habit = ProxyBehavior::thrift(50.0, 1, false);
+    let proxy =
+        Proxy::start(1, 5, habit, Box::new(StaticServers { all: vec![fleet.nodes[0].address], turn: 0 }));
     thread::sleep(Duration::from_millis(500));
     let books = proxy.expect("a proxy").stop();
-    assert!(books.tries.iter().any(|t| t.end == End::Served && t.genuine), "{:?}", books.tries);
+    assert!(books.tries.iter().any(|t| t.end == End::Served && t.correct_result), "{:?}", books.tries);
     assert_eq!(registry.instance("TILE-SERVER", "n0"), None);
     registry.fail(Fault::None);
     assert!(shows(&registry, Some(InstanceStatus::Up)), "{}", registry.summary());
@@ -91,8 +92,9 @@
         let spec = spec(&format!("drain-{}", fault.to_string().replace(' ', "-")), registry.url(), "");
         let mut fleet = Fleet::start(&spec).expect("a fleet");
         assert!(shows(&registry, Some(InstanceStatus::Up)));
-        let habit = Habit::thrift(100.0, 1, false);
-        let proxy = Proxy::start(1, 5, habit, Box::new(Fixed { all: vec![fleet.nodes[0].address], turn: 0 }));
+        let habit = ProxyBehavior::thrift(100.0, 1, false);
+        let proxy =
+            Proxy::start(1, 5, habit, Box::new(StaticServers { all: vec![fleet.nodes[0].address], turn: 0 }));
         thread::sleep(Duration::from_millis(300));
         registry.fail(fault.clone());
         fleet.nodes[0].terminate();
