--- a/crates/testkit/src/bench/council.rs
+++ b/crates/testkit/src/bench/council.rs
@@ -1,5 +1,5 @@
-//! What a permit costs: voters with files on a real disk in one process, no net between them. Time from a server's question until it may
-//! begin, syncs, and what the files keep.
+//! Cost of permits: voters with files on a real disk in one process, without a network. Measures the time from a request until
+//! the permit is granted, disk syncs, and file sizes.
 
 use gradepin_admission::{Span, Time, time_after};
 use gradepin_coordination::consensus::VoterState;
@@ -20,33 +20,34 @@
 
 struct Voter {
     name: Name,
-    part: ServerAgent,
+    agent: ServerAgent,
     log: VoterLog,
-    found: VoterState,
+    stored_state: VoterState,
 }
 
-struct World {
+struct Group {
     voters: Vec<Voter>,
     net: VecDeque<(usize, usize, Vec<u8>)>,
     begin: Instant,
     syncs: u64,
-    may: Option<usize>,
+    granted_to: Option<usize>,
 }
 
-impl World {
+impl Group {
     fn new(folder: &Path, count: usize) -> io::Result<Self> {
         let names: Vec<Name> = (0..count).map(|n| Arc::from(format!("n{n}"))).collect();
         let mut voters = Vec::new();
         for (n, name) in names.iter().enumerate() {
             let files = Folder::open(&folder.join(format!("{count}-{n}"))).map_err(io::Error::other)?;
-            let (log, found) = VoterLog::open(Box::new(files), 100 + n as u64).map_err(io::Error::other)?;
+            let (log, stored_state) =
+                VoterLog::open(Box::new(files), 100 + n as u64).map_err(io::Error::other)?;
             let limits = Limits { fleet: 1, zone: 1, ..Limits::default() };
             let set = AgentSettings {
                 name: Arc::clone(name),
                 incarnation: 1 << 20,
                 zone: format!("z{n}"),
                 voters: names.clone(),
-                voter_state: Some(found.clone()),
+                voter_state: Some(stored_state.clone()),
                 controller: ControllerSettings {
                     limits,
                     stabilization: Span(MS),
@@ -55,31 +56,36 @@
                 waits_for_permit: true,
                 seed: n as u64,
             };
-            voters.push(Voter { name: Arc::clone(name), part: ServerAgent::new(set, Time(MS)), log, found });
+            voters.push(Voter {
+                name: Arc::clone(name),
+                agent: ServerAgent::new(set, Time(MS)),
+                log,
+                stored_state,
+            });
         }
-        Ok(Self { voters, net: VecDeque::new(), begin: Instant::now(), syncs: 0, may: None })
+        Ok(Self { voters, net: VecDeque::new(), begin: Instant::now(), syncs: 0, granted_to: None })
     }
 
     fn now(&self) -> Time {
         time_after(Time(MS), Span(self.begin.elapsed().as_nanos() as u64))
     }
 
-    /// One turn of all; whether anything happened.
-    fn turn(&mut self) -> io::Result<bool> {
+    /// Delivers all messages and steps every voter; returns whether anything happened.
+    fn step_all(&mut self) -> io::Result<bool> {
         let mut busy = !self.net.is_empty();
         for (from, to, bytes) in std::mem::take(&mut self.net) {
             let (now, name) = (self.now(), Arc::clone(&self.voters[from].name));
-            self.voters[to].part.receive(now, &name, 1 << 20, &bytes);
+            self.voters[to].agent.receive(now, &name, 1 << 20, &bytes);
         }
         for n in 0..self.voters.len() {
             let now = self.now();
             let voter = &mut self.voters[n];
-            voter.part.set_report(
+            voter.agent.set_report(
                 now,
                 ServerReport { zone: format!("z{n}"), ready: true, ..ServerReport::default() },
             );
             let mut effects = Vec::new();
-            voter.part.step(now, &mut effects);
+            voter.agent.step(now, &mut effects);
             for effect in effects {
                 busy = true;
                 match effect {
@@ -89,11 +95,11 @@
                     }
                     AgentEffect::Write { number, records } => {
                         let voter = &mut self.voters[n];
-                        voter.log.write(&voter.found, &records).map_err(io::Error::other)?;
+                        voter.log.write(&voter.stored_state, &records).map_err(io::Error::other)?;
                         self.syncs += 1;
-                        voter.part.write_completed(number);
+                        voter.agent.write_completed(number);
                     }
-                    AgentEffect::PermitGranted { .. } => self.may = Some(n),
+                    AgentEffect::PermitGranted { .. } => self.granted_to = Some(n),
                     _ => {}
                 }
             }
@@ -101,13 +107,13 @@
         Ok(busy)
     }
 
-    fn until(&mut self, most: Duration, holds: impl Fn(&Self) -> bool) -> io::Result<bool> {
+    fn until(&mut self, timeout: Duration, condition: impl Fn(&Self) -> bool) -> io::Result<bool> {
         let begin = Instant::now();
-        while !holds(self) {
-            if begin.elapsed() > most {
+        while !condition(self) {
+            if begin.elapsed() > timeout {
                 return Ok(false);
             }
-            if !self.turn()? {
+            if !self.step_all()? {
                 std::thread::sleep(Duration::from_micros(100));
             }
         }
@@ -115,23 +121,23 @@
     }
 }
 
-/// What grants came to.
+/// Figures of a series of grants.
 #[derive(Debug, Clone, Copy)]
-pub struct Granted {
-    /// Half of the grants, in ms until a server may begin.
+pub struct GrantFigures {
+    /// Median time until a permit is granted, in ms.
     pub p50_ms: f64,
-    /// 99 in 100 of them.
+    /// 99th percentile of that time, in ms.
     pub p99_ms: f64,
-    /// Syncs of all voters for a grant and its end.
+    /// Syncs of all voters per grant, including its end.
     pub syncs: f64,
-    /// The most that a voter keeps, in bytes.
+    /// Largest total file size of a voter, in bytes.
     pub bytes: u64,
 }
 
-/// Prints a line for each size.
+/// Measures each number of voters and prints one line each.
 pub fn run(folder: &Path, sizes: &[usize], grants: u64) -> io::Result<()> {
     for &count in sizes {
-        let Granted { p50_ms, p99_ms, syncs, bytes } = measure(folder, count, grants)?;
+        let GrantFigures { p50_ms, p99_ms, syncs, bytes } = measure(folder, count, grants)?;
         println!(
             "{count} voters, {grants} grants: p50 {p50_ms:.1} ms, p99 {p99_ms:.1} ms until a server may begin; {syncs:.1} syncs a grant and its end, of all \
              voters; {bytes} bytes kept by a voter"
@@ -140,50 +146,50 @@
     Ok(())
 }
 
-/// So many voters, and so many grants, one after another.
-pub fn measure(folder: &Path, count: usize, grants: u64) -> io::Result<Granted> {
-    let mut world = World::new(folder, count)?;
-    let slow = Duration::from_secs(20);
-    world.until(Duration::from_secs(2), |_| false)?;
-    let now = world.now();
-    world.voters[0].part.found(now).map_err(io::Error::other)?;
-    let whole = |world: &World| {
-        let record = world.voters[0].part.state();
-        record.is_some_and(|record| record.roster.len() == world.voters.len() && record.limits.fleet == 1)
+/// Measures `grants` consecutive grants with `count` voters.
+pub fn measure(folder: &Path, count: usize, grants: u64) -> io::Result<GrantFigures> {
+    let mut group = Group::new(folder, count)?;
+    let timeout = Duration::from_secs(20);
+    group.until(Duration::from_secs(2), |_| false)?;
+    let now = group.now();
+    group.voters[0].agent.found(now).map_err(io::Error::other)?;
+    let is_founded = |group: &Group| {
+        let record = group.voters[0].agent.state();
+        record.is_some_and(|record| record.roster.len() == group.voters.len() && record.limits.fleet == 1)
     };
-    if !world.until(slow, whole)? {
-        return Err(io::Error::other("the council was not founded"));
+    if !group.until(timeout, is_founded)? {
+        return Err(io::Error::other("the consensus group was not founded within 20 s"));
     }
     let mut times = Histogram::<u64>::new(3).map_err(io::Error::other)?;
-    let syncs = world.syncs;
+    let syncs = group.syncs;
     for grant in 0..grants {
         let n = grant as usize % count;
-        let (asked, now) = (Instant::now(), world.now());
-        world.may = None;
-        world.voters[n].part.request_permit(now);
-        if !world.until(slow, |world| world.may == Some(n))? {
-            let why = world.voters[n].part.status(world.now()).waiting_request;
-            return Err(io::Error::other(format!("grant {grant} was not given: {why:?}")));
+        let (asked, now) = (Instant::now(), group.now());
+        group.granted_to = None;
+        group.voters[n].agent.request_permit(now);
+        if !group.until(timeout, |group| group.granted_to == Some(n))? {
+            let why = group.voters[n].agent.status(group.now()).waiting_request;
+            return Err(io::Error::other(format!("permit {grant} was not granted within 20 s: {why:?}")));
         }
         times.record(asked.elapsed().as_micros() as u64).map_err(io::Error::other)?;
-        let now = world.now();
-        world.voters[n].part.cancel_permit(now);
-        let over = |world: &World| {
-            world
+        let now = group.now();
+        group.voters[n].agent.cancel_permit(now);
+        let permit_ended = |group: &Group| {
+            group
                 .voters
                 .iter()
-                .all(|voter| voter.part.state().is_some_and(|record| record.permits.is_empty()))
+                .all(|voter| voter.agent.state().is_some_and(|record| record.permits.is_empty()))
         };
-        world.until(slow, over)?;
+        group.until(timeout, permit_ended)?;
     }
     let bytes = |n: usize| -> u64 {
         let files = std::fs::read_dir(folder.join(format!("{count}-{n}"))).into_iter().flatten().flatten();
         files.filter_map(|file| file.metadata().ok()).map(|meta| meta.len()).sum()
     };
-    Ok(Granted {
+    Ok(GrantFigures {
         p50_ms: times.value_at_quantile(0.5) as f64 / 1e3,
         p99_ms: times.value_at_quantile(0.99) as f64 / 1e3,
-        syncs: (world.syncs - syncs) as f64 / grants as f64,
+        syncs: (group.syncs - syncs) as f64 / grants as f64,
         bytes: (0..count).map(bytes).max().unwrap_or_default(),
     })
 }
--- a/crates/testkit/src/bench/doors.rs
+++ b/crates/testkit/src/bench/doors.rs
@@ -1,5 +1,4 @@
-//! What a door goes by, measured against plain ones: the sketch of heavy clients beside a map of all, and two ways to take
-//! turns.
+//! Data structures of admission: the heavy-client sketch compared to a map of all clients, and two fair queueing algorithms.
 
 use gradepin_fair_queue::heavy::Heavy;
 use gradepin_fair_queue::turns::{Drr, Sfq, Turns};
@@ -8,33 +7,33 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-/// Places of the sketch.
-const PLACES: usize = 1_024;
+/// Capacity of the sketch.
+const SKETCH_CAPACITY: usize = 1_024;
 const ARRIVALS: usize = 1_000_000;
-/// Arrivals of the steady heavy clients among all.
-const HEAVY_PART: f64 = 0.2;
-const HEAVY: u64 = 8;
+/// Fraction of arrivals from the heavy clients.
+const HEAVY_FRACTION: f64 = 0.2;
+const HEAVY_CLIENTS: u64 = 8;
 
 fn nanos(start: Instant, times: usize) -> f64 {
     start.elapsed().as_nanos() as f64 / times as f64
 }
 
-/// Nanoseconds an arrival, bytes and error, at each number of clients.
+/// Prints time per arrival, memory and error for each number of clients, and the times of fair queueing.
 pub fn run(sizes: &[usize]) {
     for &clients in sizes {
         let mut rng = Streams::new(1).of("clients", clients as u64);
         let arrivals: Vec<(u64, f64)> = (0..ARRIVALS)
             .map(|_| {
-                let heavy = unit(&mut rng) < HEAVY_PART;
+                let heavy = unit(&mut rng) < HEAVY_FRACTION;
                 let client = if heavy {
-                    one_of(&mut rng, HEAVY as usize) as u64
+                    one_of(&mut rng, HEAVY_CLIENTS as usize) as u64
                 } else {
-                    HEAVY + one_of(&mut rng, clients) as u64
+                    HEAVY_CLIENTS + one_of(&mut rng, clients) as u64
                 };
                 (client, 0.05 + 0.5 * unit(&mut rng))
             })
             .collect();
-        let mut heavy = Heavy::new(PLACES, 1e9, 7);
+        let mut heavy = Heavy::new(SKETCH_CAPACITY, 1e9, 7);
         let start = Instant::now();
         for (client, work) in &arrivals {
             let client = heavy.client(0, *client);
@@ -48,15 +47,15 @@
         }
         let map_ns = nanos(start, ARRIVALS);
         let map_kb = map.capacity() * 8 / 7 * (size_of::<((usize, u64), f64)>() + 1) / 1_000;
-        let found = heavy.above(HEAVY_PART / HEAVY as f64 / 2.0).len();
-        let error = (0..HEAVY)
+        let found = heavy.above(HEAVY_FRACTION / HEAVY_CLIENTS as f64 / 2.0).len();
+        let error = (0..HEAVY_CLIENTS)
             .filter_map(|client| {
-                let told = heavy.get(heavy.client(0, client))?.work;
-                Some((told / map.get(&(0, client))? - 1.0).abs())
+                let estimate = heavy.get(heavy.client(0, client))?.work;
+                Some((estimate / map.get(&(0, client))? - 1.0).abs())
             })
             .fold(0.0, f64::max);
         println!(
-            "{clients} clients: sketch {sketch_ns:.0} ns an arrival, {} of {PLACES} places, {found} of {HEAVY} heavy ones found, \
+            "{clients} clients: sketch {sketch_ns:.0} ns an arrival, {} of {SKETCH_CAPACITY} places, {found} of {HEAVY_CLIENTS} heavy ones found, \
              worst error {:.2}%; map {map_ns:.0} ns, {map_kb} kB",
             heavy.len(),
             100.0 * error
@@ -72,7 +71,7 @@
     }
 }
 
-/// Nanoseconds of an item in and one out.
+/// Nanoseconds per push and pop with `waiting` items in the queue.
 fn turns(turns: &mut dyn Turns<u32>, waiting: usize) -> f64 {
     let mut rng = Streams::new(2).of("turns", waiting as u64);
     let mut push = |turns: &mut dyn Turns<u32>| {
--- a/crates/testkit/src/bench/fronts.rs
+++ b/crates/testkit/src/bench/fronts.rs
@@ -1,7 +1,7 @@
-//! What a request costs and what a connection takes: over Thrift, over SCGI, with another build of the daemon, and beside a
-//! bare forwarder of the same bytes, side by side in one run.
+//! CPU time per request and memory per connection: over Thrift, over SCGI, with another build of the daemon, and with a
+//! minimal forwarder of the same bytes, side by side in one run.
 
-use super::{Met, closed_loop, spec};
+use super::{LoopResults, closed_loop, spec};
 use crate::fleet::{self, Fleet, scgi_of};
 use crate::processor::{Processor, Spec};
 use gradepin_node::frontend::scgi::codec::{ScgiResponse, encode};
@@ -14,35 +14,35 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Connections opened to see what each takes: under half of the places, since SCGI has no more.
-const STANDING: usize = 400;
+/// Idle connections opened to measure their memory; below half of the connection limit, which is all that SCGI may use.
+const IDLE_CONNECTIONS: usize = 400;
 
-/// What is measured.
+/// Parameters of the benchmark.
 #[derive(Debug, Clone)]
 pub struct Measure {
-    /// The daemon's program.
+    /// Path of the daemon's program.
     pub daemon: PathBuf,
-    /// Another build of it, to be measured beside it.
+    /// Path of another build to compare with.
     pub before: Option<PathBuf>,
-    /// Connections at work.
+    /// Number of active connections.
     pub connections: usize,
-    /// Requests open on each.
+    /// Open requests per connection.
     pub open: usize,
-    /// Requests of each measurement.
+    /// Requests per measurement.
     pub requests: usize,
-    /// Measurements of each way, in turn; the middle one counts.
+    /// Measurements per alternative, interleaved; the median counts.
     pub rounds: usize,
-    /// The core that what is measured has to itself and may not leave, as on the platform; any if none.
+    /// Core that the measured process is pinned to, as on the platform; `None` for no pinning.
     pub core: Option<usize>,
 }
 
-/// A way of serving, and what each round came to: CPU a request in microseconds, requests a second.
-struct Way {
+/// A measured alternative. Each round has CPU time per request in microseconds, and requests per second.
+struct Alternative {
     name: &'static str,
     rounds: Vec<(f64, f64)>,
 }
 
-/// A forwarder's process; it ends with this.
+/// Forwarder process; killed when dropped.
 struct Forwarder(Child);
 
 impl Drop for Forwarder {
@@ -53,7 +53,7 @@
 }
 
 /// Keeps a process to one core: all the threads that it has, and so those that they start.
-fn hold_to(core: Option<usize>, pid: Option<u32>) -> io::Result<()> {
+fn pin_to_core(core: Option<usize>, pid: Option<u32>) -> io::Result<()> {
     let (Some(core), Some(pid)) = (core, pid) else { return Ok(()) };
     let mut only = CpuSet::new();
     only.set(core);
@@ -66,12 +66,13 @@
 
 /// Measures all ways in turn and prints a line for each, and the ratios.
 pub fn run(measure: &Measure) -> io::Result<()> {
-    let mut ways: Vec<Way> = [("Thrift", true), ("SCGI", true), ("Thrift, before", measure.before.is_some())]
-        .into_iter()
-        .chain([("SCGI, before", measure.before.is_some()), ("bare forwarder", true)])
-        .filter(|(_, on)| *on)
-        .map(|(name, _)| Way { name, rounds: Vec::new() })
-        .collect();
+    let mut ways: Vec<Alternative> =
+        [("Thrift", true), ("SCGI", true), ("Thrift, before", measure.before.is_some())]
+            .into_iter()
+            .chain([("SCGI, before", measure.before.is_some()), ("bare forwarder", true)])
+            .filter(|(_, on)| *on)
+            .map(|(name, _)| Alternative { name, rounds: Vec::new() })
+            .collect();
     // In turn, so that a machine that slows down slows all of them.
     for round in 0..measure.rounds {
         for way in &mut ways {
@@ -85,7 +86,7 @@
             });
         }
     }
-    let mut middles = Vec::new();
+    let mut medians = Vec::new();
     for way in &mut ways {
         way.rounds.sort_by(|a, b| a.0.total_cmp(&b.0));
         let (cpu, rate) = way.rounds[way.rounds.len() / 2];
@@ -94,10 +95,10 @@
             "{:<15} {cpu:>6.1} us of CPU a request ({least:.1} to {most:.1}), {rate:.0} a second",
             way.name
         );
-        middles.push((way.name, cpu));
+        medians.push((way.name, cpu));
     }
-    let bare = middles.last().map_or(1.0, |(_, cpu)| *cpu);
-    for (name, cpu) in &middles[..middles.len() - 1] {
+    let bare = medians.last().map_or(1.0, |(_, cpu)| *cpu);
+    for (name, cpu) in &medians[..medians.len() - 1] {
         println!("{name:<15} {:>6.2} times the bare forwarder", cpu / bare);
     }
     let builds = [("", Some(&measure.daemon)), (", before", measure.before.as_ref())];
@@ -114,29 +115,29 @@
     Ok(())
 }
 
-/// Plays so many closed loops, and says how many requests they had answered.
+/// Runs a closed loop per connection and returns the number of answered requests.
 fn play(
     measure: &Measure,
-    one: impl Fn(u64, usize) -> io::Result<Met> + Copy + Send + 'static,
+    one: impl Fn(u64, usize) -> io::Result<LoopResults> + Copy + Send + 'static,
 ) -> io::Result<u64> {
     let each = measure.requests.div_ceil(measure.connections.max(1));
     let loops: Vec<_> =
         (0..measure.connections as u64).map(|n| thread::spawn(move || one(n, each))).collect();
     let mut total = 0;
     for one in loops {
-        let met = one.join().map_err(|_| io::Error::other("a client's thread has panicked"))??;
-        total += met.served + met.refused + met.other;
+        let results = one.join().map_err(|_| io::Error::other("a client's thread has panicked"))??;
+        total += results.served + results.refused + results.other;
     }
     Ok(total.max(1))
 }
 
 fn daemon_cpu(measure: &Measure, daemon: &Path, scgi: bool) -> io::Result<(f64, f64)> {
     let folder = fleet::folder("bench-fronts")?;
-    // A processor that ends each run within a millisecond, and has cores to spare; the brief's own times.
+    // Each run ends within a millisecond and cores are never exhausted; the classes have their full times.
     let mut spec = spec(daemon.into(), Vec::new(), folder.clone(), 1);
     (spec.scale, spec.processor.speed, spec.scgi) = (4, 16.0, true);
     let fleet = Fleet::start(&spec)?;
-    hold_to(measure.core, fleet.nodes[0].pid())?;
+    pin_to_core(measure.core, fleet.nodes[0].pid())?;
     let (address, open) = (fleet.nodes[0].address, measure.open);
     let before = fleet.nodes[0].cpu().unwrap_or_default();
     let start = Instant::now();
@@ -151,9 +152,9 @@
     Ok((cpu.as_secs_f64() * 1e6 / total as f64, total as f64 / took))
 }
 
-/// A connection a request, one after another.
-fn scgi_loop(address: SocketAddr, requests: usize) -> io::Result<Met> {
-    let mut met = Met::default();
+/// Sends requests one after another, each over a new connection.
+fn scgi_loop(address: SocketAddr, requests: usize) -> io::Result<LoopResults> {
+    let mut results = LoopResults::default();
     let request = encode(&[("REQUEST_METHOD", "GET"), ("DOCUMENT_URI", "/sheet-view/7")], b"x");
     for _ in 0..requests {
         let mut stream = TcpStream::connect(address)?;
@@ -162,12 +163,12 @@
         let mut bytes = Vec::new();
         stream.read_to_end(&mut bytes)?;
         match ScgiResponse::read(&bytes).map(|response| response.status) {
-            Some(200) => met.served += 1,
-            Some(503) => met.refused += 1,
-            _ => met.other += 1,
+            Some(200) => results.served += 1,
+            Some(503) => results.refused += 1,
+            _ => results.other += 1,
         }
     }
-    Ok(met)
+    Ok(results)
 }
 
 fn forwarder(measure: &Measure, round: usize) -> io::Result<(f64, f64)> {
@@ -177,7 +178,7 @@
     let processors = (0..measure.connections)
         .map(|_| Processor::start(local, one.clone()))
         .collect::<io::Result<Vec<Processor>>>()?;
-    // A loopback address of this process's own, as the fleets have.
+    // A loopback address that only this process uses, as for fleets.
     let pid = std::process::id();
     let listen = SocketAddr::from(([127, 63, (pid % 256) as u8, (1 + round % 250) as u8], 18_400));
     let mut command = Command::new(std::env::current_exe()?);
@@ -186,8 +187,8 @@
         command.arg("--processor").arg(processor.address().to_string());
     }
     let child = Forwarder(command.stdin(Stdio::null()).spawn()?);
-    hold_to(measure.core, Some(child.0.id()))?;
-    // Its first connection is taken by whoever comes: so nobody asks whether it is there yet but the clients themselves.
+    pin_to_core(measure.core, Some(child.0.id()))?;
+    // The forwarder assigns connections in order of arrival, so a probe would take the place of a client; clients retry instead.
     let open = measure.open;
     let start = Instant::now();
     let total = play(measure, move |n, each| {
@@ -205,7 +206,7 @@
     Ok((cpu.as_secs_f64() * 1e6 / total as f64, total as f64 / took))
 }
 
-/// What each of many connections adds to the daemon's memory, in bytes.
+/// Measures the memory that each of many idle connections adds to the daemon, in bytes.
 fn standing(daemon: &Path, scgi: bool, half: bool) -> io::Result<f64> {
     let folder = fleet::folder("bench-standing")?;
     let mut spec = spec(daemon.into(), Vec::new(), folder.clone(), 1);
@@ -219,18 +220,18 @@
     };
     let before = fleet.nodes[0].memory().unwrap_or(0);
     let mut streams = Vec::new();
-    for _ in 0..STANDING {
+    for _ in 0..IDLE_CONNECTIONS {
         let mut stream = TcpStream::connect(address)?;
         if half {
             stream.write_all(&request[..request.len() / 2])?;
         }
         streams.push(stream);
     }
-    // All are accepted within a tick; none is closed for its silence before 2 s.
+    // All connections are accepted within a tick, and idle ones are closed only after 2 s.
     thread::sleep(Duration::from_millis(500));
     let after = fleet.nodes[0].memory().unwrap_or(0);
     drop(streams);
     drop(fleet);
     fleet::remove(&folder);
-    Ok((after.saturating_sub(before)) as f64 / STANDING as f64)
+    Ok((after.saturating_sub(before)) as f64 / IDLE_CONNECTIONS as f64)
 }
--- a/crates/testkit/src/bench/keys.rs
+++ b/crates/testkit/src/bench/keys.rs
@@ -1,4 +1,4 @@
-//! The table of keyed requests: the wheel beside a sweep over everything (as it was), and beside an ordered set.
+//! Idempotency table: the timing wheel in use, compared to a sweep over all keys and to an ordered set.
 
 use gradepin_admission::{RequestId, Time};
 use gradepin_core::idempotency_table::{IdempotencyTable, MAX_READ_DELAY, RunOutcome};
@@ -9,23 +9,24 @@
 use std::time::{Duration, Instant};
 
 const MS: u64 = 1_000_000;
-/// The brief's window, and the time between sweeps.
+/// Idempotency window, in ms.
 const WINDOW_MS: u64 = 12_075;
+/// Interval between sweeps, in ms.
 const SWEEP_MS: u64 = 250;
 
-/// A table that keys come into and run out of.
+/// Table whose keys expire.
 trait Table {
     fn put(&mut self, token: &Arc<str>, id: &RequestId, now_ms: u64);
-    /// One step's share of forgetting; whether more is to do.
+    /// Removes some expired keys; returns whether more remain.
     fn sweep(&mut self, now_ms: u64) -> bool;
     fn len(&self) -> usize;
 }
 
-fn life_ms() -> u64 {
+fn retention_ms() -> u64 {
     WINDOW_MS + MAX_READ_DELAY.0 / MS
 }
 
-/// The table as it is.
+/// The table in use, based on a timing wheel.
 struct Wheel(IdempotencyTable);
 
 impl Table for Wheel {
@@ -45,20 +46,20 @@
     }
 }
 
-/// What the plain ones keep of a key.
-type Kept = (RequestId, u64, u64);
+/// Entry of the simple tables: request ID, fingerprint and expiry time in ms.
+type Entry = (RequestId, u64, u64);
 
-/// As it was: everything is looked at in every sweep.
+/// Map that checks every key in each sweep.
 #[derive(Default)]
-struct Retain(HashMap<Arc<str>, Kept>);
+struct Retain(HashMap<Arc<str>, Entry>);
 
 impl Table for Retain {
     fn put(&mut self, token: &Arc<str>, id: &RequestId, now_ms: u64) {
-        self.0.insert(Arc::clone(token), (id.clone(), 7, now_ms + life_ms()));
+        self.0.insert(Arc::clone(token), (id.clone(), 7, now_ms + retention_ms()));
     }
 
     fn sweep(&mut self, now_ms: u64) -> bool {
-        self.0.retain(|_, (_, _, over)| *over > now_ms);
+        self.0.retain(|_, (_, _, expires_ms)| *expires_ms > now_ms);
         false
     }
 
@@ -67,19 +68,19 @@
     }
 }
 
-/// A map, and an ordered set of the times at which its keys are over.
+/// Map with an ordered set of expiry times.
 #[derive(Default)]
-struct Ordered(HashMap<Arc<str>, Kept>, BTreeSet<(u64, Arc<str>)>);
+struct Ordered(HashMap<Arc<str>, Entry>, BTreeSet<(u64, Arc<str>)>);
 
 impl Table for Ordered {
     fn put(&mut self, token: &Arc<str>, id: &RequestId, now_ms: u64) {
-        let over = now_ms + life_ms();
-        self.0.insert(Arc::clone(token), (id.clone(), 7, over));
-        self.1.insert((over, Arc::clone(token)));
+        let expires_ms = now_ms + retention_ms();
+        self.0.insert(Arc::clone(token), (id.clone(), 7, expires_ms));
+        self.1.insert((expires_ms, Arc::clone(token)));
     }
 
     fn sweep(&mut self, now_ms: u64) -> bool {
-        while self.1.first().is_some_and(|(over, _)| *over <= now_ms) {
+        while self.1.first().is_some_and(|(expires_ms, _)| *expires_ms <= now_ms) {
             if let Some((_, token)) = self.1.pop_first() {
                 self.0.remove(&token);
             }
@@ -92,25 +93,25 @@
     }
 }
 
-/// What a table came to.
-struct Took {
+/// Measured times of a table.
+struct Timings {
     put_ns: f64,
-    put_most: Duration,
+    put_max: Duration,
     sweep_ns: f64,
     pause: Duration,
 }
 
-/// Fills a table at a steady rate until it holds so many keys, and then goes on for as long again.
-fn play(table: &mut dyn Table, keys: usize) -> Took {
-    let (rounds, mut n) = (life_ms() / SWEEP_MS, 0_u64);
+/// Fills a table at a steady rate until it holds `keys` keys, then continues for the same time.
+fn play(table: &mut dyn Table, keys: usize) -> Timings {
+    let (rounds, mut n) = (retention_ms() / SWEEP_MS, 0_u64);
     let each = (keys as u64).div_ceil(rounds).max(1);
     let (mut puts, mut sweeps) = (Duration::ZERO, Duration::ZERO);
-    let (mut put_most, mut pause, mut counted) = (Duration::ZERO, Duration::ZERO, 0_u64);
+    let (mut put_max, mut pause, mut counted) = (Duration::ZERO, Duration::ZERO, 0_u64);
     for round in 0..2 * rounds {
         let now = 1_000_000 + round * SWEEP_MS;
         for _ in 0..each {
             n += 1;
-            // Spread, as tokens are.
+            // Spread like random idempotency keys.
             let text =
                 format!("{:032x}", u128::from(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)) << 64 | u128::from(n));
             let (token, id) = (Arc::from(text.as_str()), RequestId::new(&text[16..]));
@@ -118,7 +119,7 @@
             table.put(&token, &id, now);
             let took = start.elapsed();
             puts += took;
-            put_most = put_most.max(took);
+            put_max = put_max.max(took);
         }
         loop {
             let start = Instant::now();
@@ -135,15 +136,15 @@
         counted += if round >= rounds { each } else { 0 };
     }
     black_box(table.len());
-    Took {
+    Timings {
         put_ns: puts.as_nanos() as f64 / n as f64,
-        put_most,
+        put_max,
         sweep_ns: sweeps.as_nanos() as f64 / counted.max(1) as f64,
         pause,
     }
 }
 
-/// Prints a line for each table and size.
+/// Prints one line per size and table.
 pub fn run(sizes: &[usize]) {
     println!(
         "{:<10} {:>9} {:>9} {:>13} {:>16} {:>15}",
@@ -161,7 +162,7 @@
                 "{name:<10} {:>9} {:>9.0} {:>13.0} {:>16.0} {:>15.0}",
                 table.len(),
                 took.put_ns,
-                took.put_most.as_nanos() as f64 / 1e3,
+                took.put_max.as_nanos() as f64 / 1e3,
                 took.sweep_ns,
                 took.pause.as_nanos() as f64 / 1e3
             );
--- a/crates/testkit/src/bench/mod.rs
+++ b/crates/testkit/src/bench/mod.rs
@@ -1,4 +1,4 @@
-//! Measurements that compare two ways in one run, and a client that measures a server's door.
+//! Benchmarks that compare alternatives in one run, and a closed-loop client for a single server.
 
 use crate::fleet::{self, Fleet, FleetSpec};
 use crate::load::{Proxy, ProxyBehavior, StaticServers, classes};
@@ -58,7 +58,7 @@
     Applications { version: "1".into(), hash_code, instances }
 }
 
-/// Calls at a registry by so many servers in virtual time: in the first 30 s, and a second later on.
+/// Counts registry calls of `servers` servers in virtual time: the total of the first 30 s, and the rate per second after it.
 fn calls(servers: usize) -> (u64, f64) {
     let rules = RegistrySettings { preserves: false, ..RegistrySettings::default() };
     let mut registry = Registry::new(rules, 0);
@@ -71,7 +71,7 @@
         })
         .collect();
     let total = |members: &[Membership]| members.iter().map(Membership::requests_sent).sum::<u64>();
-    let (mut early, until) = (0, 330_000);
+    let (mut startup_calls, until) = (0, 330_000);
     for ms in (0..until).step_by(50) {
         let now = Time(ms * MS);
         for (n, member) in members.iter_mut().enumerate() {
@@ -97,10 +97,10 @@
             }
         }
         if ms == 30_000 {
-            early = total(&members);
+            startup_calls = total(&members);
         }
     }
-    (early, (total(&members) - early) as f64 / 300.0)
+    (startup_calls, (total(&members) - startup_calls) as f64 / 300.0)
 }
 
 fn zipped(bytes: &[u8]) -> usize {
@@ -109,12 +109,12 @@
     written.map_or(0, |bytes| bytes.len())
 }
 
-/// What a plain map of whole instances takes on the heap.
+/// Estimates the heap size of a plain map of complete instances, in bytes.
 fn map_bytes(map: &HashMap<String, Instance>) -> usize {
     let text = |i: &Instance| {
         let strings = [&i.id, &i.app, &i.host, &i.vip, &i.secure_vip, &i.health_url, &i.status_url];
         let pairs: usize = i.metadata.iter().map(|(k, v)| k.capacity() + v.capacity()).sum();
-        // A node of the metadata's tree holds eleven pairs.
+        // A node of the metadata's B-tree holds eleven pairs.
         strings.iter().map(|s| s.capacity()).sum::<usize>() + pairs + 11 * 48 + 16
     };
     let slots = map.capacity() * 8 / 7 * (size_of::<(String, Instance)>() + 1);
@@ -129,17 +129,17 @@
     start.elapsed().as_nanos() as f64 / f64::from(times)
 }
 
-/// The registry's figures: calls, bytes, memory, and the daemon's CPU with and without.
+/// Measures the registry client: calls, bytes and memory, and CPU time of the daemon with and without a registry.
 pub fn registry(daemon: PathBuf, seconds: u64) -> io::Result<()> {
-    let (early, later) = calls(1_000);
-    println!("1,000 servers: {early} calls in their first 30 s, then {later:.1} a second");
+    let (startup_calls, later) = calls(1_000);
+    println!("1,000 servers: {startup_calls} calls in their first 30 s, then {later:.1} a second");
 
     let everything = all(1_000);
-    let mut some = everything.clone();
-    some.instances.truncate(5);
+    let mut changed = everything.clone();
+    changed.instances.truncate(5);
     for format in [Format::Json, Format::Xml] {
         let (full, delta) =
-            (wire::write_applications(&everything, format), wire::write_applications(&some, format));
+            (wire::write_applications(&everything, format), wire::write_applications(&changed, format));
         println!(
             "{format:?}: full fetch of 1,000 {} B ({} B gzip), delta of 5 {} B ({} B gzip): 1 to {:.0}",
             full.len(),
@@ -150,12 +150,12 @@
         );
     }
 
-    let many = all(10_000);
-    let map: HashMap<String, Instance> = many.instances.iter().map(|i| (i.id.clone(), i.clone())).collect();
+    let large = all(10_000);
+    let map: HashMap<String, Instance> = large.instances.iter().map(|i| (i.id.clone(), i.clone())).collect();
     let mut view =
         View::new(ViewSettings { zone: Some("lahti-1".into()), ..ViewSettings::default() }, 7, Time(0));
     view.poll(Time(0));
-    view.fetched(Time(0), Fetch::Full, Some(&many));
+    view.fetched(Time(0), Fetch::Full, Some(&large));
     let (plain, compact) = (map_bytes(&map), view.heap_bytes());
     println!(
         "10,000 instances: view {} kB, plain map {} kB: 1 to {:.1}",
@@ -163,11 +163,11 @@
         plain / 1000,
         plain as f64 / compact as f64
     );
-    let mut turn = 0;
+    let mut iteration = 0;
     let scan = nanos(200, || {
-        turn += 1;
+        iteration += 1;
         let up = map.values().filter(|i| i.status == InstanceStatus::Up && i.zone() == Some("lahti-1"));
-        black_box(up.clone().nth(turn % 3_000));
+        black_box(up.clone().nth(iteration % 3_000));
     });
     let pick = nanos(100_000, || {
         black_box(view.pick("tiles", |_| false));
@@ -184,9 +184,9 @@
             let with = !registries.is_empty();
             let folder = fleet::folder(if with { "bench-with" } else { "bench-without" })?;
             let mut fleet = Fleet::start(&spec(daemon, registries, folder.clone(), 10))?;
-            let habit = ProxyBehavior::thrift(200.0, 1, true);
+            let behavior = ProxyBehavior::thrift(200.0, 1, true);
             let list = StaticServers { all: vec![fleet.nodes[0].address], turn: 0 };
-            let proxy = Proxy::start(1, 3, habit, Box::new(list))?;
+            let proxy = Proxy::start(1, 3, behavior, Box::new(list))?;
             let before = fleet.nodes[0].cpu().unwrap_or_default();
             thread::sleep(Duration::from_secs(seconds));
             let used = fleet.nodes[0].cpu().unwrap_or_default() - before;
@@ -219,20 +219,20 @@
     }
 }
 
-/// What a closed loop met.
+/// Results of a closed-loop client.
 #[derive(Debug, Default)]
-struct Met {
+struct LoopResults {
     served: u64,
     refused: u64,
     other: u64,
     times_us: Vec<u64>,
 }
 
-/// So many connections, each with so many requests open, that ask once and never again: how many are turned away, and
-/// how long the others take. Runs take about a millisecond, so that nothing need be refused.
+/// Measures rejections, latency and CPU time with `connections` closed-loop clients, each with `open` requests open and
+/// without retries. Runs take about a millisecond, so that no request needs to be rejected.
 pub fn door(daemon: PathBuf, connections: usize, open: usize, requests: usize) -> io::Result<()> {
     let folder = fleet::folder("bench-door")?;
-    // A processor that ends each run within a millisecond, and has cores to spare; the brief's own times.
+    // Each run ends within a millisecond and cores are never exhausted; the classes have their full times.
     let mut spec = spec(daemon, Vec::new(), folder.clone(), 1);
     (spec.scale, spec.processor.speed) = (4, 16.0);
     let fleet = Fleet::start(&spec)?;
@@ -242,13 +242,13 @@
     let each = requests.div_ceil(connections.max(1));
     let loops: Vec<_> =
         (0..connections).map(|n| thread::spawn(move || closed_loop(address, n as u64, open, each))).collect();
-    let mut sum = Met::default();
+    let mut sum = LoopResults::default();
     for one in loops {
-        let met = one.join().map_err(|_| io::Error::other("a client's thread has panicked"))??;
-        sum.served += met.served;
-        sum.refused += met.refused;
-        sum.other += met.other;
-        sum.times_us.extend(met.times_us);
+        let results = one.join().map_err(|_| io::Error::other("a client's thread has panicked"))??;
+        sum.served += results.served;
+        sum.refused += results.refused;
+        sum.other += results.other;
+        sum.times_us.extend(results.times_us);
     }
     let (took, cpu) = (start.elapsed().as_secs_f64(), fleet.nodes[0].cpu().unwrap_or_default() - before);
     let mut times = Histogram::<u64>::new(3).map_err(io::Error::other)?;
@@ -269,12 +269,12 @@
     Ok(())
 }
 
-/// One connection over Thrift with so many requests open at a time, until so many are answered.
-fn closed_loop(address: SocketAddr, client: u64, open: usize, requests: usize) -> io::Result<Met> {
+/// Keeps `open` requests open on a Thrift connection until `requests` are answered.
+fn closed_loop(address: SocketAddr, client: u64, open: usize, requests: usize) -> io::Result<LoopResults> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_nodelay(true)?;
     stream.set_read_timeout(Some(Duration::from_secs(10)))?;
-    let (mut met, mut sent, mut answered) = (Met::default(), 0, 0);
+    let (mut results, mut sent, mut answered) = (LoopResults::default(), 0, 0);
     let mut started = HashMap::new();
     let (mut bytes, mut chunk) = (Vec::new(), [0; 16 * 1024]);
     while answered < requests {
@@ -307,13 +307,13 @@
             let took = started.remove(&seq).map_or(0, |at| at.elapsed().as_micros() as u64);
             match answer {
                 Answer::Served(..) => {
-                    met.served += 1;
-                    met.times_us.push(took);
+                    results.served += 1;
+                    results.times_us.push(took);
                 }
-                Answer::Refused { .. } => met.refused += 1,
-                _ => met.other += 1,
+                Answer::Refused { .. } => results.refused += 1,
+                _ => results.other += 1,
             }
         }
     }
-    Ok(met)
+    Ok(results)
 }
--- a/crates/testkit/src/bench/queue.rs
+++ b/crates/testkit/src/bench/queue.rs
@@ -1,4 +1,4 @@
-//! The model's queue of events: the calendar beside a heap and an ordered map, at so many pending events.
+//! Event queue of the model: calendar queue, heap and ordered map by the number of pending events.
 
 use gradepin_model::queue::{Calendar, Heap, Map, Queue};
 use rand_pcg::Pcg64Mcg;
@@ -6,12 +6,12 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-/// Steps of each measurement; each takes one event out and puts one in.
+/// Steps per measurement; each pops one event and pushes one.
 const STEPS: u64 = 2_000_000;
-/// The mean time until an event is due.
+/// Mean time until an event is due, in nanoseconds.
 const MEAN_NS: f64 = 50e6;
 
-/// Nanoseconds a step with so many events pending (the "hold" model).
+/// Nanoseconds per step with `pending` events in the queue (the "hold" model).
 fn hold(queue: &mut dyn Queue<u64>, pending: usize) -> f64 {
     let mut rng = Pcg64Mcg::seed_from_u64(pending as u64);
     let mut ahead = || {
@@ -34,7 +34,7 @@
     start.elapsed().as_nanos() as f64 / STEPS as f64
 }
 
-/// Prints a line for each size.
+/// Measures each size and prints one line each.
 pub fn run(sizes: &[usize]) {
     println!("{:>10} {:>13} {:>9} {:>13}", "pending", "calendar, ns", "heap, ns", "BTreeMap, ns");
     for &pending in sizes {
--- a/crates/testkit/src/bench/ready.rs
+++ b/crates/testkit/src/bench/ready.rs
@@ -1,5 +1,5 @@
-//! How soon servers are ready after they were started anew: under load, several at once, after a graceful shutdown and
-//! after a kill in turn. Ready is a health check answered as good.
+//! Time until restarted servers pass a health check: under load, several at once, alternately after a graceful shutdown and
+//! after a kill.
 
 use crate::drill::quantile;
 use crate::fleet::{self, Fleet, FleetSpec, Node};
@@ -12,20 +12,22 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Nine in ten are to be ready within this, and all within that.
-const MOST: Duration = Duration::from_secs(10);
-const ALL: Duration = Duration::from_secs(30);
-/// Of a request's work, the fleet's cores, and the load on them.
+/// Nine in ten servers must be ready within this time.
+const READY_WITHIN_P90: Duration = Duration::from_secs(10);
+/// All servers must be ready within this time.
+const READY_WITHIN_MAX: Duration = Duration::from_secs(30);
+/// Mean work of a request, in ms.
 const WORK_MS: u64 = 40;
+/// Load as a fraction of the capacity of all cores.
 const LOAD: f64 = 0.8;
 const PROXIES: usize = 4;
-const STOP: Duration = Duration::from_millis(1_000);
+const STOP_TIME: Duration = Duration::from_millis(1_000);
 
-/// Whether a health check on a connection of its own is answered as good.
+/// Whether a health check over a new connection passes.
 fn is_good(address: SocketAddr) -> bool {
     let ask = || -> io::Result<bool> {
         let mut socket = TcpStream::connect(address)?;
-        socket.set_read_timeout(Some(ALL))?;
+        socket.set_read_timeout(Some(READY_WITHIN_MAX))?;
         socket.write_all(&thrift::health(1))?;
         let mut prefix = [0; 4];
         socket.read_exact(&mut prefix)?;
@@ -39,7 +41,7 @@
 fn ready(node: &mut Node) -> io::Result<Option<Duration>> {
     let (start, address) = (Instant::now(), node.address);
     node.spawn()?;
-    while start.elapsed() < ALL {
+    while start.elapsed() < READY_WITHIN_MAX {
         if is_good(address) {
             return Ok(Some(start.elapsed()));
         }
@@ -48,7 +50,7 @@
     Ok(None)
 }
 
-/// So many rounds, in each of which so many of the servers are started anew at once. Says whether all were ready in time.
+/// Restarts `at_once` servers in each of `rounds` rounds; returns whether enough were ready in time.
 pub fn run(daemon: PathBuf, servers: usize, at_once: usize, rounds: usize, seed: u64) -> io::Result<bool> {
     let folder = fleet::folder(&format!("bench-ready-{seed}"))?;
     let work = classes().into_iter().map(|class| (class.name, Duration::from_millis(WORK_MS))).collect();
@@ -57,7 +59,7 @@
         servers,
         processor: Spec { classes: work, seed, ..Spec::default() },
         callers: PROXIES,
-        stop: STOP,
+        stop: STOP_TIME,
         folder: folder.clone(),
         ..FleetSpec::default()
     };
@@ -66,9 +68,9 @@
     let rate = LOAD * servers as f64 * f64::from(spec.processor.cores) * 1e3 / WORK_MS as f64;
     let proxies = (0..PROXIES)
         .map(|n| {
-            let habit = ProxyBehavior::thrift(rate / PROXIES as f64, 1, true);
+            let behavior = ProxyBehavior::thrift(rate / PROXIES as f64, 1, true);
             let list = StaticServers { all: all.clone(), turn: n };
-            Proxy::start(n as u64 + 1, 100 * seed + n as u64, habit, Box::new(list))
+            Proxy::start(n as u64 + 1, 100 * seed + n as u64, behavior, Box::new(list))
         })
         .collect::<io::Result<Vec<Proxy>>>()?;
     let (mut took, mut never) = (Vec::new(), 0);
@@ -79,7 +81,7 @@
         chosen.truncate(at_once);
         if round % 2 == 0 {
             chosen.iter().for_each(|node| node.terminate());
-            thread::sleep(STOP);
+            thread::sleep(STOP_TIME);
         }
         chosen.iter_mut().for_each(|node| node.kill());
         let times = thread::scope(|scope| {
@@ -109,6 +111,6 @@
         ms(0.99),
         ms(1.0),
     );
-    let prompt = took.iter().filter(|time| **time <= MOST).count();
-    Ok(never == 0 && prompt * 10 >= starts * 9)
+    let in_time = took.iter().filter(|time| **time <= READY_WITHIN_P90).count();
+    Ok(never == 0 && in_time * 10 >= starts * 9)
 }
--- a/crates/testkit/src/bench/restart.rs
+++ b/crates/testkit/src/bench/restart.rs
@@ -1,7 +1,7 @@
-//! What a server loses by what its module must learn again after a restart: the most that a snapshot of it could gain.
+//! Loss while the admission control of a restarted server learns its estimates again, which bounds the gain of a snapshot.
 //!
-//! Two fleets of one server each, with the same load at capacity and the same seed. In one the server's process is started
-//! anew just before the measurement, its processor being warm; in the other it goes on.
+//! Two fleets of one server each have the same seed and the same load near capacity. In one, the server is restarted just
+//! before the measurement, with its processor warm; in the other, it continues.
 
 use crate::fleet::{self, Fleet, FleetSpec};
 use crate::load::{Proxy, ProxyBehavior, Records, StaticServers, classes};
@@ -13,8 +13,8 @@
 
 const WORK_MS: u64 = 40;
 const PROXIES: usize = 3;
-/// Load before the measurement, so that the module that goes on has learned what there is to learn.
-const BEFORE: Duration = Duration::from_secs(12);
+/// Length of the load before the measurement, long enough for the estimates to settle.
+const WARM_UP: Duration = Duration::from_secs(12);
 
 fn spec(daemon: &Path, seed: u64, folder: PathBuf) -> FleetSpec {
     let work = classes().into_iter().map(|class| (class.name, Duration::from_millis(WORK_MS))).collect();
@@ -31,63 +31,63 @@
     let capacity = f64::from(spec.processor.cores) * 1e3 / WORK_MS as f64;
     let proxies = (0..PROXIES)
         .map(|n| {
-            let habit = ProxyBehavior::thrift(load * capacity / PROXIES as f64, 1, true);
+            let behavior = ProxyBehavior::thrift(load * capacity / PROXIES as f64, 1, true);
             let list = StaticServers { all: vec![fleet.nodes[0].address], turn: n };
-            Proxy::start(n as u64 + 1, 100 * seed + n as u64, habit, Box::new(list))
+            Proxy::start(n as u64 + 1, 100 * seed + n as u64, behavior, Box::new(list))
         })
         .collect::<io::Result<Vec<Proxy>>>()?;
     thread::sleep(time);
     Ok(proxies.into_iter().map(Proxy::stop).collect())
 }
 
-/// The part of the requests served within their aim, in hundredths.
-fn share(books: &[Records]) -> f64 {
-    let all = || books.iter().flat_map(|books| &books.requests);
+/// Percentage of the requests served within their latency objective.
+fn percent_in_time(records: &[Records]) -> f64 {
+    let all = || records.iter().flat_map(|records| &records.requests);
     let aim = |class: usize| classes()[class].aim.as_millis() as u64;
     let served = all().filter(|asked| asked.took_ms.is_some_and(|ms| ms <= aim(asked.class))).count();
     100.0 * served as f64 / all().count().max(1) as f64
 }
 
-fn one(daemon: &Path, seed: u64, at: f64, seconds: u64, anew: bool) -> io::Result<f64> {
-    let folder = fleet::folder(&format!("bench-restart-{seed}-{anew}-{at}"))?;
+fn one(daemon: &Path, seed: u64, at: f64, seconds: u64, restarted: bool) -> io::Result<f64> {
+    let folder = fleet::folder(&format!("bench-restart-{seed}-{restarted}-{at}"))?;
     let spec = spec(daemon, seed, folder.clone());
     let mut fleet = Fleet::start(&spec)?;
-    load(&fleet, &spec, seed + 1_000, at, BEFORE)?;
-    if anew {
+    load(&fleet, &spec, seed + 1_000, at, WARM_UP)?;
+    if restarted {
         fleet.nodes[0].kill();
         fleet.nodes[0].spawn()?;
         let start = Instant::now();
         while std::net::TcpStream::connect(fleet.nodes[0].address).is_err() {
-            if start.elapsed() > BEFORE {
-                return Err(io::Error::other("the server doesn't come back"));
+            if start.elapsed() > WARM_UP {
+                return Err(io::Error::other("the restarted server didn't accept connections in time"));
             }
             thread::sleep(Duration::from_millis(2));
         }
     }
-    let books = load(&fleet, &spec, seed, at, Duration::from_secs(seconds))?;
+    let records = load(&fleet, &spec, seed, at, Duration::from_secs(seconds))?;
     drop(fleet);
     fleet::remove(&folder);
-    Ok(share(&books))
+    Ok(percent_in_time(&records))
 }
 
-/// So many seeds at each load, and the mean of each way.
+/// Measures `seeds` seeds at each load and prints the means of both alternatives.
 pub fn run(daemon: PathBuf, seeds: u64, loads: &[f64], seconds: u64) -> io::Result<()> {
     for &at in loads {
         let mut sums = [0.0; 2];
         for seed in 1..=seeds {
-            let pair = [false, true].map(|anew| {
+            let pair = [false, true].map(|restarted| {
                 let daemon = daemon.clone();
-                thread::spawn(move || one(&daemon, seed, at, seconds, anew))
+                thread::spawn(move || one(&daemon, seed, at, seconds, restarted))
             });
             for (sum, one) in sums.iter_mut().zip(pair) {
                 *sum += one.join().map_err(|_| io::Error::other("a fleet's thread has panicked"))??;
             }
         }
-        let [on, anew] = sums.map(|sum| sum / seeds.max(1) as f64);
+        let [on, restarted] = sums.map(|sum| sum / seeds.max(1) as f64);
         println!(
-            "{:.0}% load, the first {seconds} s: {on:.2}% in time by a server that goes on, {anew:.2}% by one started anew: {:+.2} to be gained",
+            "{:.0}% load, the first {seconds} s: {on:.2}% in time by a server that goes on, {restarted:.2}% by one started anew: {:+.2} to be gained",
             100.0 * at,
-            on - anew
+            on - restarted
         );
     }
     Ok(())
--- a/crates/testkit/src/bench/store.rs
+++ b/crates/testkit/src/bench/store.rs
@@ -1,8 +1,8 @@
-//! Ways to keep keyed runs, on this very load: records that live for a window, results of 4 KiB, group commit.
+//! Stores for keyed runs under the load of the daemon: records that expire after a window, results of 4 KiB, group commit.
 //!
-//! Each way has one thread that takes all that waits and makes it durable with one sync, as the daemon's does. Arrivals
-//! are open loop; each request is an intent, and with it goes the end of one before. An intent's time counts from its
-//! moment in the schedule until it is durable.
+//! Each store has one thread that makes all waiting records durable with one sync, as in the daemon. Arrivals are open loop;
+//! each request writes an intent, together with the outcome of an earlier one. The time of an intent counts from its
+//! scheduled arrival until it is durable.
 
 use gradepin_admission::{RequestId, Span};
 use gradepin_core::buffer_pool::BufferPool;
@@ -18,24 +18,24 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Shorter than the brief's window, so that records run out while this runs.
-const LIFE: Duration = Duration::from_millis(1_500);
-const RESULT: usize = 4096;
+/// Record lifetime; shorter than the real window, so that records expire during the benchmark.
+const RECORD_LIFETIME: Duration = Duration::from_millis(1_500);
+const RESULT_BYTES: usize = 4096;
 const MS: u64 = 1_000_000;
 
-/// A record of the load: whose, and a result if it is the end.
-struct One {
+/// A record to write: the intent of a run, or its outcome with a result.
+struct Record {
     token: Arc<str>,
     end: bool,
 }
 
-/// A way to keep them.
-trait Way {
-    /// Makes these durable with one sync, and drops what is over.
-    fn commit(&mut self, group: &[One], result: &[u8], now: Duration) -> io::Result<()>;
+/// A store under test.
+trait Store {
+    /// Makes the records durable with one sync and removes expired ones.
+    fn commit(&mut self, group: &[Record], result: &[u8], now: Duration) -> io::Result<()>;
 }
 
-/// The segmented log.
+/// The segmented log of the daemon.
 struct Segments {
     log: Log,
     result: Arc<gradepin_core::buffer_pool::Buffer>,
@@ -52,22 +52,23 @@
             window: Span(0),
         };
         let (log, _) = Log::open(Box::new(disk), limits, 1).map_err(io::Error::other)?;
-        let result =
-            BufferPool::new(0).exact(&vec![7; RESULT]).ok_or_else(|| io::Error::other("a long result"))?;
+        let result = BufferPool::new(0)
+            .exact(&vec![7; RESULT_BYTES])
+            .ok_or_else(|| io::Error::other("a long result"))?;
         Ok(Self { log, result: Arc::new(result) })
     }
 }
 
-impl Way for Segments {
-    fn commit(&mut self, group: &[One], _: &[u8], now: Duration) -> io::Result<()> {
-        // Late readers are granted 30 s beyond a window, which this must not wait for: they are taken off the clock.
+impl Store for Segments {
+    fn commit(&mut self, group: &[Record], _: &[u8], now: Duration) -> io::Result<()> {
+        // Keys are retained for 30 s beyond their window for late readers; the clock is advanced to skip this time.
         let mono_ms = now.as_millis() as u64;
-        let left = Span(LIFE.as_nanos() as u64);
+        let left = Span(RECORD_LIFETIME.as_nanos() as u64);
         let records: Vec<LogRecord> = group
             .iter()
-            .map(|one| {
-                let (token, id) = (Arc::clone(&one.token), RequestId(Arc::clone(&one.token)));
-                match one.end {
+            .map(|record| {
+                let (token, id) = (Arc::clone(&record.token), RequestId(Arc::clone(&record.token)));
+                match record.end {
                     true => LogRecord::Outcome {
                         key: token,
                         fingerprint: 7,
@@ -86,7 +87,7 @@
 
 const TABLE: TableDefinition<'static, &str, &[u8]> = TableDefinition::new("runs");
 
-/// An embedded B-tree with copy on write.
+/// redb, an embedded copy-on-write B-tree.
 struct Redb {
     database: Database,
     live: VecDeque<(Duration, Arc<str>)>,
@@ -99,20 +100,20 @@
     }
 }
 
-impl Way for Redb {
-    fn commit(&mut self, group: &[One], result: &[u8], now: Duration) -> io::Result<()> {
+impl Store for Redb {
+    fn commit(&mut self, group: &[Record], result: &[u8], now: Duration) -> io::Result<()> {
         let mut write = self.database.begin_write().map_err(io::Error::other)?;
         write.set_durability(Durability::Immediate).map_err(io::Error::other)?;
         {
             let mut table = write.open_table(TABLE).map_err(io::Error::other)?;
-            for one in group {
-                let value = if one.end { result } else { &[] };
-                table.insert(&*one.token, value).map_err(io::Error::other)?;
-                if !one.end {
-                    self.live.push_back((now + LIFE, Arc::clone(&one.token)));
+            for record in group {
+                let value = if record.end { result } else { &[] };
+                table.insert(&*record.token, value).map_err(io::Error::other)?;
+                if !record.end {
+                    self.live.push_back((now + RECORD_LIFETIME, Arc::clone(&record.token)));
                 }
             }
-            while self.live.front().is_some_and(|(over, _)| *over <= now) {
+            while self.live.front().is_some_and(|(expires_at, _)| *expires_at <= now) {
                 if let Some((_, token)) = self.live.pop_front() {
                     table.remove(&*token).map_err(io::Error::other)?;
                 }
@@ -122,7 +123,7 @@
     }
 }
 
-/// An embedded log-structured merge tree.
+/// fjall, an embedded log-structured merge tree.
 struct Fjall {
     database: fjall::Database,
     runs: fjall::Keyspace,
@@ -138,16 +139,16 @@
     }
 }
 
-impl Way for Fjall {
-    fn commit(&mut self, group: &[One], result: &[u8], now: Duration) -> io::Result<()> {
+impl Store for Fjall {
+    fn commit(&mut self, group: &[Record], result: &[u8], now: Duration) -> io::Result<()> {
         let mut batch = self.database.batch().durability(Some(fjall::PersistMode::SyncData));
-        for one in group {
-            batch.insert(&self.runs, one.token.as_bytes(), if one.end { result } else { &[] });
-            if !one.end {
-                self.live.push_back((now + LIFE, Arc::clone(&one.token)));
+        for record in group {
+            batch.insert(&self.runs, record.token.as_bytes(), if record.end { result } else { &[] });
+            if !record.end {
+                self.live.push_back((now + RECORD_LIFETIME, Arc::clone(&record.token)));
             }
         }
-        while self.live.front().is_some_and(|(over, _)| *over <= now) {
+        while self.live.front().is_some_and(|(expires_at, _)| *expires_at <= now) {
             if let Some((_, token)) = self.live.pop_front() {
                 batch.remove(&self.runs, token.as_bytes());
             }
@@ -156,10 +157,10 @@
     }
 }
 
-/// Opens a way in a folder.
-type Open = fn(&Path) -> io::Result<Box<dyn Way>>;
+/// Opens a store in a folder.
+type Open = fn(&Path) -> io::Result<Box<dyn Store>>;
 
-/// Bytes that this process gave to the disk so far, as the system counts them.
+/// Bytes that this process has written to disk so far, according to the kernel.
 fn written() -> u64 {
     let text = std::fs::read_to_string("/proc/self/io").unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix("write_bytes: "));
@@ -177,11 +178,11 @@
         .sum()
 }
 
-/// Plays a load of so many requests a second against one way, in this thread.
+/// Runs a load of `rate` requests per second against one store in this thread; returns a line of figures.
 fn play(open: Open, folder: &Path, rate: u64, seconds: u64) -> io::Result<String> {
     std::fs::create_dir_all(folder)?;
-    let mut way = open(folder)?;
-    let result = vec![7; RESULT];
+    let mut store = open(folder)?;
+    let result = vec![7; RESULT_BYTES];
     let mut times = Histogram::<u64>::new_with_bounds(1, 600_000_000, 3).map_err(io::Error::other)?;
     let (start, until) = (Instant::now(), Duration::from_secs(seconds));
     let before = written();
@@ -192,7 +193,7 @@
         if now >= until {
             break;
         }
-        // All that the schedule has come by now shares the next sync; as many runs end as begin.
+        // All requests that have arrived by now share the next sync; as many runs end as begin.
         let due = ((now.as_nanos() as u64) * rate / 1_000_000_000 + 1).min(n + 20_000);
         if due == n {
             let next = Duration::from_nanos(n * 1_000_000_000 / rate);
@@ -203,17 +204,17 @@
         for number in n..due {
             let token: Arc<str> =
                 Arc::from(format!("{:016x}{number:016x}", number.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
-            group.push(One { token: Arc::clone(&token), end: false });
+            group.push(Record { token: Arc::clone(&token), end: false });
             running.push_back(token);
         }
         while running.len() > (rate / 20) as usize {
-            group.extend(running.pop_front().map(|token| One { token, end: true }));
+            group.extend(running.pop_front().map(|token| Record { token, end: true }));
         }
-        way.commit(&group, &result, now)?;
+        store.commit(&group, &result, now)?;
         let done = start.elapsed();
         for number in n..due {
-            let came = Duration::from_nanos(number * 1_000_000_000 / rate);
-            let us = done.saturating_sub(came).as_micros() as u64;
+            let arrived = Duration::from_nanos(number * 1_000_000_000 / rate);
+            let us = done.saturating_sub(arrived).as_micros() as u64;
             times.record(us.clamp(1, 600_000_000)).map_err(io::Error::other)?;
         }
         (n, syncs) = (due, syncs + 1);
@@ -232,8 +233,8 @@
     ))
 }
 
-/// Each way at each rate, and one line for each.
-pub fn ways(folder: &Path, rates: &[u64], seconds: u64) -> io::Result<()> {
+/// Measures each store at each rate and prints one line per measurement.
+pub fn compare(folder: &Path, rates: &[u64], seconds: u64) -> io::Result<()> {
     let all: [(&str, Open); 3] = [
         ("segments", |folder| Ok(Box::new(Segments::open(folder)?))),
         ("redb", |folder| Ok(Box::new(Redb::open(folder)?))),
@@ -245,16 +246,16 @@
     );
     for &rate in rates {
         for (name, open) in all {
-            let place = folder.join(format!("{name}-{rate}"));
-            let line = play(open, &place, rate, seconds)?;
+            let store_folder = folder.join(format!("{name}-{rate}"));
+            let line = play(open, &store_folder, rate, seconds)?;
             println!("{name:<9} {rate:>9} {line}");
-            std::fs::remove_dir_all(&place)?;
+            std::fs::remove_dir_all(&store_folder)?;
         }
     }
     Ok(())
 }
 
-/// A folder with so many records of runs whose windows are open: half with a result of `result` bytes.
+/// Fills a folder with records of unexpired runs, half of them with a result of `result` bytes.
 pub fn fill(folder: &Path, records: usize, result: usize) -> io::Result<()> {
     let disk = Folder::open(folder).map_err(io::Error::other)?;
     let limits = Limits {
@@ -292,7 +293,7 @@
     Ok(())
 }
 
-/// How long a start takes with so many records, and what memory: the daemon itself, until it has told that it is ready.
+/// Measures start-up time, up to the ready report, and memory of the daemon by the number of stored records.
 pub fn starts(daemon: PathBuf, sizes: &[usize]) -> io::Result<()> {
     use crate::fleet::{self, Fleet};
     for &records in sizes {
@@ -303,7 +304,7 @@
         let start = Instant::now();
         let fleet = Fleet::start(&spec)?;
         let ready = start.elapsed();
-        // A long read goes on beside the service of all else.
+        // The server is ready before a long read of the store ends, because other requests don't wait for it.
         while fleet.nodes[0].opened().is_none() && start.elapsed().as_secs() < 60 {
             thread::sleep(Duration::from_millis(10));
         }
--- a/crates/testkit/src/cli.rs
+++ b/crates/testkit/src/cli.rs
@@ -12,8 +12,8 @@
     command: Command,
 }
 
-/// Carries out the command of this process: status 0 if all was kept, 1 if something was not, 2 for an error, or 3 if the
-/// machine was too late to judge by.
+/// Runs the command of this process. The exit status is 0 if all checks passed, 1 if one failed, 2 for an error, and 3 if
+/// the machine was too slow for a verdict.
 pub fn main() -> ExitCode {
     match Cli::parse().command.run() {
         Ok(true) => ExitCode::SUCCESS,
--- a/crates/testkit/src/commands/ask.rs
+++ b/crates/testkit/src/commands/ask.rs
@@ -1,4 +1,4 @@
-//! `gradepin-testkit ask`: one question to a registry.
+//! `gradepin-testkit ask`: a single call to a registry.
 
 use clap::{Args, Subcommand};
 use gradepin_node::registry::Client;
@@ -10,48 +10,47 @@
 use std::error::Error;
 use std::time::Duration;
 
-/// Settings of `ask`.
+/// Arguments of `ask`.
 #[derive(Debug, Args)]
 pub struct AskArgs {
-    /// Its service URL
+    /// Service URL of the registry
     #[arg(long, default_value = "http://127.0.0.1:8761/eureka/v2")]
     pub url: String,
-    /// Speak XML
+    /// Use XML instead of JSON
     #[arg(long)]
     pub xml: bool,
     #[command(subcommand)]
     pub what: Question,
 }
 
-/// What is asked.
+/// Call to make.
 #[derive(Debug, Subcommand)]
 pub enum Question {
-    /// All instances
+    /// List all instances
     Apps,
-    /// What changed of late
+    /// List the recent changes
     Delta,
-    /// The instances of one application
+    /// List the instances of an application
     App { app: String },
-    /// The instances under one VIP address
+    /// List the instances under a VIP address
     Vip { vip: String },
-    /// One instance
+    /// Show one instance
     Instance { app: String, id: String },
-    /// Set an override: out of service
+    /// Override the status of an instance with OUT_OF_SERVICE
     Out { app: String, id: String },
-    /// Remove the override: up
+    /// Remove the status override of an instance
     In { app: String, id: String },
-    /// Set one key of an instance's metadata
+    /// Set one metadata key of an instance
     Metadata { app: String, id: String, key: String, value: String },
     /// Remove a registration
     Cancel { app: String, id: String },
 }
 
-/// Puts the question; false if the registry doesn't know the instance, or won't.
+/// Makes the call; returns `false` if the registry doesn't know the instance or rejects the call.
 pub fn run(args: AskArgs) -> Result<bool, Box<dyn Error>> {
     ask(&args.url, if args.xml { Format::Xml } else { Format::Json }, args.what)
 }
 
-/// Puts one question; false if the registry doesn't know the instance, or won't.
 fn ask(url: &str, format: Format, what: Question) -> Result<bool, Box<dyn Error>> {
     const TIMEOUT: Duration = Duration::from_secs(5);
     let client = Client::new(&ServiceUrl::parse(url)?, format);
@@ -59,9 +58,9 @@
         let (zone, address) = (i.zone().unwrap_or("-"), i.ip.map_or(i.host.clone(), |ip| ip.to_string()));
         println!("{} {} {} {address}:{} zone {zone} vip {}", i.app, i.id, i.status, i.port.number, i.vip);
     };
-    let all = |came: Applications| {
-        came.instances.iter().for_each(line);
-        println!("{} instances, code {}", came.instances.len(), came.hash_code);
+    let all = |applications: Applications| {
+        applications.instances.iter().for_each(line);
+        println!("{} instances, code {}", applications.instances.len(), applications.hash_code);
         Ok(true)
     };
     let (app, id, op) = match what {
--- a/crates/testkit/src/commands/bench.rs
+++ b/crates/testkit/src/commands/bench.rs
@@ -1,4 +1,4 @@
-//! `gradepin-testkit bench`: measurements that compare two ways in one run.
+//! `gradepin-testkit bench`: benchmarks that compare alternatives in one run.
 
 use super::shared::daemon;
 use crate::{bench, fleet};
@@ -6,211 +6,211 @@
 use std::error::Error;
 use std::path::PathBuf;
 
-/// Settings of `bench`.
+/// Arguments of `bench`.
 #[derive(Debug, Args)]
 pub struct BenchArgs {
     #[command(subcommand)]
     what: Benchmark,
 }
 
-/// What is measured.
+/// Benchmark to run.
 #[derive(Debug, Subcommand)]
 pub enum Benchmark {
-    /// Calls at a registry, bytes, memory, and the daemon's CPU with and without
+    /// Registry client: calls, bytes and memory, and CPU time of the daemon with and without a registry
     Registry(RegistryArgs),
-    /// The table of keyed requests: the wheel, a sweep over everything, an ordered set
+    /// Idempotency table: timing wheel, full sweep and ordered set
     Keys(KeysArgs),
-    /// The model's queue of events: calendar, heap, ordered map
+    /// Event queue of the model: calendar queue, heap and ordered map
     Queue(QueueArgs),
-    /// Servers that talk: a merge, the membership by itself, the daemon's CPU and memory with it and without
+    /// Gossip: counter merges, membership alone, and CPU time and memory of the daemon with and without it
     Peers(PeersArgs),
-    /// What a permit costs: time until a server may begin, syncs, bytes kept
+    /// Permits: time until granted, disk syncs and stored bytes
     Council(CouncilArgs),
-    /// The sketch of heavy clients beside a map of all, and two ways to take turns
+    /// Heavy-client sketch compared to a complete map, and two fair queueing algorithms
     Doors(DoorsArgs),
-    /// Ways to keep keyed runs: the segmented log, redb and fjall, on the same load
+    /// Stores for keyed runs: segmented log, redb and fjall under the same load
     Store(StoreArgs),
-    /// What a server loses by what its module learns again after a restart
+    /// Loss while the admission control of a restarted server learns its estimates again
     Restart(RestartArgs),
-    /// How soon servers that are started anew under load answer health checks as good
+    /// Time until servers restarted under load pass health checks
     Ready(ReadyArgs),
-    /// How long a start takes with so many records in the store, and what memory
+    /// Start-up time and memory by the number of records in the store
     Starts(StartsArgs),
-    /// CPU a request and bytes a connection: Thrift, SCGI, another build, and a bare forwarder of the same bytes
+    /// CPU time per request and memory per connection: Thrift, SCGI, another build, and a minimal forwarder
     Fronts(FrontsArgs),
-    /// Callers that ask once, with so many requests open: how many are turned away, and how long the others take
+    /// Closed-loop clients without retries: fraction of rejected requests and latency of the others
     Door(DoorArgs),
 }
 
-/// Settings of `bench registry`.
+/// Arguments of `bench registry`.
 #[derive(Debug, Args)]
 pub struct RegistryArgs {
     /// Seconds of load for the CPU
     #[arg(long, default_value_t = 10)]
     pub seconds: u64,
-    /// The daemon's program, if it is not beside this one
+    /// Path of the daemon's program; by default the one beside this program
     #[arg(long)]
     pub daemon: Option<PathBuf>,
 }
 
-/// Settings of `bench keys`.
+/// Arguments of `bench keys`.
 #[derive(Debug, Args)]
 pub struct KeysArgs {
-    /// Keys
+    /// Numbers of keys
     #[arg(long, value_delimiter = ',', default_values_t = [1_000, 10_000, 100_000, 1_000_000])]
     pub sizes: Vec<usize>,
 }
 
-/// Settings of `bench queue`.
+/// Arguments of `bench queue`.
 #[derive(Debug, Args)]
 pub struct QueueArgs {
-    /// Pending events
+    /// Numbers of pending events
     #[arg(long, value_delimiter = ',', default_values_t = [10_000, 100_000, 1_000_000, 10_000_000])]
     pub sizes: Vec<usize>,
 }
 
-/// Settings of `bench peers`.
+/// Arguments of `bench peers`.
 #[derive(Debug, Args)]
 pub struct PeersArgs {
-    /// Members of the membership by itself
+    /// Numbers of members in the benchmark of membership alone
     #[arg(long, value_delimiter = ',', default_values_t = [12, 300, 2_000])]
     pub sizes: Vec<usize>,
-    /// Requests a second of each of three servers
+    /// Request rates per second and server, for three servers
     #[arg(long, value_delimiter = ',', default_values_t = [50.0, 400.0])]
     pub rates: Vec<f64>,
     /// Seconds of load for the CPU
     #[arg(long, default_value_t = 6)]
     pub seconds: u64,
-    /// The daemon's program, if it is not beside this one
+    /// Path of the daemon's program; by default the one beside this program
     #[arg(long)]
     pub daemon: Option<PathBuf>,
 }
 
-/// Settings of `bench council`.
+/// Arguments of `bench council`.
 #[derive(Debug, Args)]
 pub struct CouncilArgs {
-    /// Voters
+    /// Numbers of voters
     #[arg(long, value_delimiter = ',', default_values_t = [3, 5])]
     pub sizes: Vec<usize>,
-    /// Grants of each
+    /// Grants per number of voters
     #[arg(long, default_value_t = 10_000)]
     pub grants: u64,
 }
 
-/// Settings of `bench doors`.
+/// Arguments of `bench doors`.
 #[derive(Debug, Args)]
 pub struct DoorsArgs {
-    /// Clients
+    /// Numbers of clients
     #[arg(long, value_delimiter = ',', default_values_t = [100, 10_000, 1_000_000])]
     pub sizes: Vec<usize>,
 }
 
-/// Settings of `bench store`.
+/// Arguments of `bench store`.
 #[derive(Debug, Args)]
 pub struct StoreArgs {
-    /// Keyed requests a second
+    /// Rates of keyed requests per second
     #[arg(long, value_delimiter = ',', default_values_t = [100, 1_000, 10_000])]
     pub rates: Vec<u64>,
-    /// Seconds of each
+    /// Seconds per measurement
     #[arg(long, default_value_t = 5)]
     pub seconds: u64,
-    /// Where the files go; a folder that doesn't survive is made there
+    /// Parent folder of the files; they are removed at the end
     #[arg(long)]
     pub folder: Option<PathBuf>,
 }
 
-/// Settings of `bench restart`.
+/// Arguments of `bench restart`.
 #[derive(Debug, Args)]
 pub struct RestartArgs {
-    /// Seeds
+    /// Number of seeds
     #[arg(long, default_value_t = 3)]
     pub seeds: u64,
-    /// Loads, as parts of what the cores can do
+    /// Loads as fractions of the capacity of the cores
     #[arg(long, value_delimiter = ',', default_values_t = [0.9, 1.1])]
     pub loads: Vec<f64>,
-    /// Seconds from the start
+    /// Seconds measured after the restart
     #[arg(long, default_value_t = 18)]
     pub seconds: u64,
-    /// The daemon's program, if it is not beside this one
+    /// Path of the daemon's program; by default the one beside this program
     #[arg(long)]
     pub daemon: Option<PathBuf>,
 }
 
-/// Settings of `bench ready`.
+/// Arguments of `bench ready`.
 #[derive(Debug, Args)]
 pub struct ReadyArgs {
-    /// Servers
+    /// Number of servers
     #[arg(long, default_value_t = 6)]
     pub servers: usize,
-    /// Started anew at a time
+    /// Servers restarted at once
     #[arg(long, default_value_t = 3)]
     pub at_once: usize,
-    /// Times
+    /// Rounds of restarts
     #[arg(long, default_value_t = 10)]
     pub rounds: usize,
-    /// Seed
+    /// Random seed
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// The daemon's program, if it is not beside this one
+    /// Path of the daemon's program; by default the one beside this program
     #[arg(long)]
     pub daemon: Option<PathBuf>,
 }
 
-/// Settings of `bench starts`.
+/// Arguments of `bench starts`.
 #[derive(Debug, Args)]
 pub struct StartsArgs {
-    /// Records
+    /// Numbers of records
     #[arg(long, value_delimiter = ',', default_values_t = [1_000, 100_000, 1_000_000])]
     pub sizes: Vec<usize>,
-    /// The daemon's program, if it is not beside this one
+    /// Path of the daemon's program; by default the one beside this program
     #[arg(long)]
     pub daemon: Option<PathBuf>,
 }
 
-/// Settings of `bench fronts`.
+/// Arguments of `bench fronts`.
 #[derive(Debug, Args)]
 pub struct FrontsArgs {
-    /// Connections at work
+    /// Active connections
     #[arg(long, default_value_t = 16)]
     pub connections: usize,
-    /// Requests open on each
+    /// Open requests per connection
     #[arg(long, default_value_t = 1)]
     pub open: usize,
-    /// Requests of each measurement
+    /// Requests per measurement
     #[arg(long, default_value_t = 30_000)]
     pub requests: usize,
-    /// Measurements of each way
+    /// Measurements per alternative
     #[arg(long, default_value_t = 3)]
     pub rounds: usize,
-    /// Hold what is measured to this core, as on a machine with one
+    /// Pin the measured process to this core, as on a machine with one core
     #[arg(long)]
     pub core: Option<usize>,
-    /// Another build of the daemon, measured beside it
+    /// Another build of the daemon to compare with
     #[arg(long)]
     pub before: Option<PathBuf>,
-    /// The daemon's program, if it is not beside this one
+    /// Path of the daemon's program; by default the one beside this program
     #[arg(long)]
     pub daemon: Option<PathBuf>,
 }
 
-/// Settings of `bench door`.
+/// Arguments of `bench door`.
 #[derive(Debug, Args)]
 pub struct DoorArgs {
-    /// Connections
+    /// Number of connections
     #[arg(long, default_value_t = 16)]
     pub connections: usize,
-    /// Requests open on each
+    /// Open requests per connection
     #[arg(long, default_value_t = 4)]
     pub open: usize,
-    /// Requests in all
+    /// Total number of requests
     #[arg(long, default_value_t = 30_000)]
     pub requests: usize,
-    /// The daemon's program, if it is not beside this one
+    /// Path of the daemon's program; by default the one beside this program
     #[arg(long)]
     pub daemon: Option<PathBuf>,
 }
 
-/// Measures.
+/// Runs a benchmark.
 pub fn run(args: BenchArgs) -> Result<bool, Box<dyn Error>> {
     match args.what {
         Benchmark::Registry(args) => bench::registry(daemon(args.daemon)?, args.seconds)?,
@@ -248,7 +248,7 @@
         None => fleet::folder("bench-store")?,
     };
     std::fs::create_dir_all(&folder)?;
-    let result = bench::store::ways(&folder, &args.rates, args.seconds);
+    let result = bench::store::compare(&folder, &args.rates, args.seconds);
     fleet::remove(&folder);
     Ok(result?)
 }
@@ -259,8 +259,8 @@
 }
 
 fn fronts(args: FrontsArgs) -> Result<(), Box<dyn Error>> {
-    let FrontsArgs { connections, open, requests, rounds, core, before, daemon: told } = args;
-    let (daemon, rounds) = (daemon(told)?, rounds.max(1));
+    let FrontsArgs { connections, open, requests, rounds, core, before, daemon: daemon_arg } = args;
+    let (daemon, rounds) = (daemon(daemon_arg)?, rounds.max(1));
     let measure = bench::fronts::Measure { daemon, before, connections, open, requests, rounds, core };
     Ok(bench::fronts::run(&measure)?)
 }
--- a/crates/testkit/src/commands/control.rs
+++ b/crates/testkit/src/commands/control.rs
@@ -7,15 +7,15 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Settings of `control`.
+/// Arguments of `control`.
 #[derive(Debug, Args)]
 pub struct ControlArgs {
-    /// Where to listen
+    /// Address to listen at
     #[arg(long, default_value = "127.0.0.1:7946")]
     pub listen: SocketAddr,
 }
 
-/// Runs one until a signal, with a line a second.
+/// Runs the stand-in until a signal, with one line per second.
 pub fn run(args: ControlArgs) -> Result<bool, Box<dyn Error>> {
     let control = Control::start(args.listen)?;
     println!("a control plane at {}", control.address());
--- a/crates/testkit/src/commands/drill.rs
+++ b/crates/testkit/src/commands/drill.rs
@@ -1,4 +1,4 @@
-//! `gradepin-testkit drill`: failures against real servers, a line a claim.
+//! `gradepin-testkit drill`: fault drills against real servers, with one line per claim.
 
 use super::shared::daemon;
 use crate::drill::{Verdict, faults, recovery, registry, release, scgi, shared};
@@ -6,60 +6,60 @@
 use std::error::Error;
 use std::path::PathBuf;
 
-/// Settings of `drill`.
+/// Arguments of `drill`.
 #[derive(Debug, Args)]
 pub struct DrillArgs {
     #[command(subcommand)]
     which: Drill,
 }
 
-/// Which failures are played.
+/// Drill to run.
 #[derive(Debug, Subcommand)]
 pub enum Drill {
-    /// Faults of clients, processor link, control plane, signals and files, alone and in pairs, with four oracles
+    /// Faults of clients, processor link, control plane, signals and files, alone and in pairs, judged by four oracles
     Faults(FaultsArgs),
-    /// Kills under load: saves run once, and stations that insist get their answers
+    /// Kills under load: each save runs once, and clients that retry get their answers
     Recovery(RecoveryArgs),
-    /// Servers that agree on who may be out: a release, and a bad one that stops and goes back, under load
+    /// Permits under load: a rollout, and a faulty one that halts and rolls back
     Release(ReleaseArgs),
-    /// Servers that share the ledger's slots, with faults between them: the bound, leases, and who is there
+    /// Shared ledger slots with network and process faults: total bound, leases and membership
     Shared(SharedArgs),
-    /// Mixed traffic over both fronts, past capacity
+    /// Mixed Thrift and SCGI traffic beyond capacity
     Scgi(ScgiArgs),
     /// Drains under load while the registry fails
     Registry(RegistryArgs),
 }
 
-/// Settings of `drill faults`.
+/// Arguments of `drill faults`.
 #[derive(Debug, Args)]
 pub struct FaultsArgs {
     /// The first seed
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Seeds, one after another
+    /// Number of consecutive seeds
     #[arg(long, default_value_t = 1)]
     pub seeds: u64,
-    /// Some of the faults and pairs, as in the tests
+    /// Play a smaller selection of faults and pairs, as the tests do
     #[arg(long)]
     pub small: bool,
-    /// Drawn pairs of faults; each fault is played alone too
+    /// Number of random pairs of faults, beside each fault alone
     #[arg(long)]
     pub pairs: Option<usize>,
-    /// Only the case of this number
+    /// Play only the case with this number
     #[arg(long)]
     pub only: Option<usize>,
-    /// Cases beside each other
+    /// Concurrent cases
     #[arg(long, default_value_t = 6)]
     pub beside: usize,
-    /// A fault of the drill itself, which the oracle of that name must see. Must fail
+    /// Inject a defect that the oracle of this name must detect. The drill must fail
     #[arg(long)]
     pub defect: Option<DefectArg>,
-    /// The daemon's program, if it is not beside this one
+    /// Path of the daemon's program; by default the one beside this program
     #[arg(long)]
     pub daemon: Option<PathBuf>,
 }
 
-/// Which oracle is to fail.
+/// Oracle that must detect the injected defect.
 #[derive(Debug, Clone, Copy, ValueEnum)]
 pub enum DefectArg {
     /// A server is killed
@@ -68,158 +68,158 @@
     Answers,
     /// Another process holds a server's address
     Starts,
-    /// The processor tells another result than it made
+    /// The processor reports a result that it didn't compute
     Provenance,
 }
 
-/// Settings of `drill recovery`.
+/// Arguments of `drill recovery`.
 #[derive(Debug, Args)]
 pub struct RecoveryArgs {
-    /// Seed of everything that is drawn
+    /// Random seed
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Kills with the store; half as many without
+    /// Number of kills with the store; half as many without
     #[arg(long, default_value_t = 50)]
     pub kills: usize,
-    /// Without the protection: servers have no store. Must fail
+    /// Disable the protection: servers have no store. The drill must fail
     #[arg(long)]
     pub plain: bool,
-    /// The daemon's program, if it is not beside this one
+    /// Path of the daemon's program; by default the one beside this program
     #[arg(long)]
     pub daemon: Option<PathBuf>,
 }
 
-/// Settings of `drill release`.
+/// Arguments of `drill release`.
 #[derive(Debug, Args)]
 pub struct ReleaseArgs {
-    /// Seed of everything that is drawn
+    /// Random seed
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Servers, in three zones; three are voters
+    /// Number of servers in three zones; three of them are voters
     #[arg(long, default_value_t = 9)]
     pub servers: usize,
-    /// With faults drawn between them: kills, stops, cuts
+    /// Add random faults: kills, suspensions and partitions
     #[arg(long)]
     pub faults: bool,
-    /// Without limits on what may be out. Must fail
+    /// Disable the limits on servers out. The drill must fail
     #[arg(long)]
     pub plain: bool,
-    /// The part of all cores that is asked for
+    /// Load as a fraction of the capacity of all cores
     #[arg(long, default_value_t = 0.8)]
     pub load: f64,
-    /// Seconds of load without a release, to hold the others against
+    /// Seconds of load without a rollout, as a baseline
     #[arg(long, default_value_t = 15)]
     pub quiet: u64,
-    /// The daemon's program, if it is not beside this one
+    /// Path of the daemon's program; by default the one beside this program
     #[arg(long)]
     pub daemon: Option<PathBuf>,
 }
 
-/// Settings of `drill shared`.
+/// Arguments of `drill shared`.
 #[derive(Debug, Args)]
 pub struct SharedArgs {
-    /// Seed of everything that is drawn
+    /// Random seed
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Servers
+    /// Number of servers
     #[arg(long, default_value_t = 8)]
     pub servers: usize,
-    /// Seconds; faults begin after 12 and end 9 before the end
+    /// Length in seconds; faults begin after 12 s and end 9 s before the end
     #[arg(long, default_value_t = 60)]
     pub seconds: u64,
-    /// Without the protection: leases have no rules of time. Must fail
+    /// Disable the protection: leases don't expire. The drill must fail
     #[arg(long)]
     pub plain: bool,
-    /// Write what was seen there, an entry a line
+    /// Write the history of observations to this file, one per line
     #[arg(long)]
     pub history: Option<PathBuf>,
-    /// The daemon's program, if it is not beside this one
+    /// Path of the daemon's program; by default the one beside this program
     #[arg(long)]
     pub daemon: Option<PathBuf>,
 }
 
-/// Settings of `drill scgi`.
+/// Arguments of `drill scgi`.
 #[derive(Debug, Args)]
 pub struct ScgiArgs {
     /// The first seed
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Runs, each with the next seed
+    /// Number of runs with consecutive seeds
     #[arg(long, default_value_t = 5)]
     pub runs: usize,
-    /// Seconds of each
+    /// Seconds per run
     #[arg(long, default_value_t = 30)]
     pub seconds: u64,
-    /// Load as a part of what the cores can do
+    /// Load as a fraction of the capacity of the cores
     #[arg(long, default_value_t = 1.1)]
     pub load: f64,
-    /// Without the protection: repeats don't share a token, as if each front had a table of its own. Must fail
+    /// Disable the protection: duplicates don't share an idempotency key. The drill must fail
     #[arg(long)]
     pub plain: bool,
-    /// The daemon's program, if it is not beside this one
+    /// Path of the daemon's program; by default the one beside this program
     #[arg(long)]
     pub daemon: Option<PathBuf>,
 }
 
-/// Settings of `drill registry`.
+/// Arguments of `drill registry`.
 #[derive(Debug, Args)]
 pub struct RegistryArgs {
-    /// Seed of everything that is drawn
+    /// Random seed
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Drains in all
+    /// Total number of drains
     #[arg(long, default_value_t = 100)]
     pub drains: usize,
-    /// Fleets beside one another
+    /// Concurrent fleets
     #[arg(long, default_value_t = 5)]
     pub fleets: usize,
-    /// Servers in each
+    /// Servers per fleet
     #[arg(long, default_value_t = 4)]
     pub servers: usize,
-    /// First tries a second in each
+    /// Requests per second and fleet, without retries
     #[arg(long, default_value_t = 120.0)]
     pub rate: f64,
-    /// Without the protection: servers register nowhere. Must fail
+    /// Disable the protection: servers don't register. The drill must fail
     #[arg(long)]
     pub plain: bool,
-    /// The daemon's program, if it is not beside this one
+    /// Path of the daemon's program; by default the one beside this program
     #[arg(long)]
     pub daemon: Option<PathBuf>,
 }
 
-/// Plays it, and says whether every claim was kept.
+/// Runs the drill; returns whether every claim was kept.
 pub fn run(args: DrillArgs) -> Result<bool, Box<dyn Error>> {
     match args.which {
         Drill::Faults(args) => faults(args),
-        Drill::Recovery(RecoveryArgs { seed, kills, plain, daemon: told }) => {
-            Ok(recovery::run(&recovery::Drill { daemon: daemon(told)?, seed, kills, plain })?)
+        Drill::Recovery(RecoveryArgs { seed, kills, plain, daemon: daemon_arg }) => {
+            Ok(recovery::run(&recovery::Drill { daemon: daemon(daemon_arg)?, seed, kills, plain })?)
         }
         Drill::Release(args) => release(args),
-        Drill::Shared(SharedArgs { seed, servers, seconds, plain, history, daemon: told }) => {
-            let daemon = daemon(told)?;
+        Drill::Shared(SharedArgs { seed, servers, seconds, plain, history, daemon: daemon_arg }) => {
+            let daemon = daemon(daemon_arg)?;
             Ok(shared::run(&shared::Drill { daemon, seed, servers, seconds, plain, history })?)
         }
-        Drill::Scgi(ScgiArgs { seed, runs, seconds, load, plain, daemon: told }) => {
-            let daemon = daemon(told)?;
+        Drill::Scgi(ScgiArgs { seed, runs, seconds, load, plain, daemon: daemon_arg }) => {
+            let daemon = daemon(daemon_arg)?;
             Ok(scgi::run(&scgi::Drill { daemon, seed, runs, seconds, load, plain })?)
         }
-        Drill::Registry(RegistryArgs { seed, drains, fleets, servers, rate, plain, daemon: told }) => {
-            let daemon = daemon(told)?;
+        Drill::Registry(RegistryArgs { seed, drains, fleets, servers, rate, plain, daemon: daemon_arg }) => {
+            let daemon = daemon(daemon_arg)?;
             Ok(registry::run(&registry::Drill { daemon, seed, drains, fleets, servers, rate, plain })?)
         }
     }
 }
 
 fn release(args: ReleaseArgs) -> Result<bool, Box<dyn Error>> {
-    let ReleaseArgs { seed, servers, faults, plain, load, quiet, daemon: told } = args;
-    let (daemon, quiet_s) = (daemon(told)?, quiet);
+    let ReleaseArgs { seed, servers, faults, plain, load, quiet, daemon: daemon_arg } = args;
+    let (daemon, quiet_s) = (daemon(daemon_arg)?, quiet);
     let drill = release::Drill { daemon, seed, servers, faults, plain, timed: true, load, quiet_s };
     Ok(release::run(&drill)?.kept()?)
 }
 
 fn faults(args: FaultsArgs) -> Result<bool, Box<dyn Error>> {
-    let FaultsArgs { seed: first, seeds, small, pairs, only, beside, defect, daemon: told } = args;
-    let daemon = daemon(told)?;
+    let FaultsArgs { seed: first, seeds, small, pairs, only, beside, defect, daemon: daemon_arg } = args;
+    let daemon = daemon(daemon_arg)?;
     let size = if small { faults::plan::Size::SMALL } else { faults::plan::Size::FULL };
     let size = faults::plan::Size { pairs: pairs.unwrap_or(size.pairs), ..size };
     let defect = defect.map(|defect| match defect {
--- a/crates/testkit/src/commands/explore.rs
+++ b/crates/testkit/src/commands/explore.rs
@@ -1,39 +1,39 @@
-//! `gradepin-testkit explore`: permits, exhaustively in the small.
+//! `gradepin-testkit explore`: exhaustive exploration of the permit protocol within small bounds.
 
-use crate::explore::permits::{self, Small, Without};
+use crate::explore::permits::{self, Bounds, Without};
 use clap::Args;
 use std::error::Error;
 use std::time::Duration;
 
-/// Settings of `explore`.
+/// Arguments of `explore`.
 #[derive(Debug, Args)]
 pub struct ExploreArgs {
-    /// Servers; one may be out
+    /// Number of servers, of which one may be out
     #[arg(long, default_value_t = 4)]
     pub servers: usize,
-    /// Entries at the most
+    /// Maximum number of log entries
     #[arg(long, default_value_t = 6)]
     pub entries: u64,
-    /// Eras of time
+    /// Number of eras of time
     #[arg(long, default_value_t = 1)]
     pub eras: u8,
-    /// Crashes, and permits that an operator frees
+    /// Maximum number of crashes
     #[arg(long, default_value_t = 1)]
     pub crashes: u8,
-    /// See `crashes`
+    /// Maximum number of permits that an operator releases
     #[arg(long, default_value_t = 1)]
     pub frees: u8,
-    /// Seconds for each of the four at the most
+    /// Time limit in seconds for each rule set
     #[arg(long, default_value_t = 300)]
     pub seconds: u64,
-    /// Threads
+    /// Number of threads
     #[arg(long, default_value_t = 4)]
     pub threads: usize,
 }
 
-/// Explores, and says whether each expectation was met.
+/// Explores all rule sets; returns whether each result is as expected.
 pub fn run(args: ExploreArgs) -> Result<bool, Box<dyn Error>> {
     let ExploreArgs { servers, entries, eras, crashes, frees, seconds, threads } = args;
-    let small = Small { servers, entries, eras, crashes, frees, without: Without::Nothing };
-    Ok(permits::run(&small, threads, Duration::from_secs(seconds)))
+    let bounds = Bounds { servers, entries, eras, crashes, frees, without: Without::Nothing };
+    Ok(permits::run(&bounds, threads, Duration::from_secs(seconds)))
 }
--- a/crates/testkit/src/commands/fleet.rs
+++ b/crates/testkit/src/commands/fleet.rs
@@ -1,4 +1,4 @@
-//! `gradepin-testkit fleet`: real servers under load, a line a second.
+//! `gradepin-testkit fleet`: real servers under load, with one line per second.
 
 use super::shared::{daemon, each_second};
 use crate::fleet::{self, Fleet, FleetSpec};
@@ -12,36 +12,36 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Settings of `fleet`.
+/// Arguments of `fleet`.
 #[derive(Debug, Args)]
 pub struct FleetArgs {
-    /// Servers
+    /// Number of servers
     #[arg(long, default_value_t = 3)]
     pub servers: usize,
-    /// First tries a second, of all proxies
+    /// Requests per second of all proxies, without retries
     #[arg(long, default_value_t = 120.0)]
     pub rate: f64,
-    /// Client proxies
+    /// Number of client proxies
     #[arg(long, default_value_t = 3)]
     pub proxies: usize,
-    /// Seconds until it drains by itself; 0 for no end
+    /// Seconds until the fleet drains; 0 to run until a signal
     #[arg(long, default_value_t = 0)]
     pub seconds: u64,
-    /// Seed of everything that is drawn
+    /// Random seed
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Servers start cold, at 21% of their speed
+    /// Start processors cold, at 21% of their speed
     #[arg(long)]
     pub cold: bool,
-    /// Take SCGI too
+    /// Accept SCGI too
     #[arg(long)]
     pub scgi: bool,
-    /// The daemon's program, if it is not beside this one
+    /// Path of the daemon's program; by default the one beside this program
     #[arg(long)]
     pub daemon: Option<PathBuf>,
 }
 
-/// Starts the fleet and its proxies, prints a line a second until the end, and drains it.
+/// Starts the fleet and its proxies, prints one line per second until the end, and drains the fleet.
 pub fn run(args: FleetArgs) -> Result<bool, Box<dyn Error>> {
     let folder = fleet::folder("fleet")?;
     let mut fleet = start(&args, &folder)?;
--- a/crates/testkit/src/commands/forward.rs
+++ b/crates/testkit/src/commands/forward.rs
@@ -1,22 +1,22 @@
-//! `gradepin-testkit forward`: a bare forwarder, for measurements.
+//! `gradepin-testkit forward`: a minimal forwarder for benchmarks.
 
 use crate::forward;
 use clap::Args;
 use std::error::Error;
 use std::net::SocketAddr;
 
-/// Settings of `forward`.
+/// Arguments of `forward`.
 #[derive(Debug, Args)]
 pub struct ForwardArgs {
-    /// Where it listens for Thrift
+    /// Thrift address to listen at
     #[arg(long)]
     pub listen: SocketAddr,
-    /// The processor of each connection
+    /// Processor address; repeat it for each connection
     #[arg(long, required = true)]
     pub processor: Vec<SocketAddr>,
 }
 
-/// Forwards until it is ended.
+/// Forwards until all connections have ended.
 pub fn run(args: ForwardArgs) -> Result<bool, Box<dyn Error>> {
     forward::forward(args.listen, &args.processor)?;
     Ok(true)
--- a/crates/testkit/src/commands/mod.rs
+++ b/crates/testkit/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands of the kit, a module each.
+//! Commands of the test kit, one module each.
 
 mod ask;
 mod bench;
@@ -18,40 +18,40 @@
 use clap::Subcommand;
 use std::error::Error;
 
-/// What the kit does.
+/// Command of the test kit.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Explore permits exhaustively in the small, with every rule and without each of three
+    /// Explore the permit protocol exhaustively within small bounds, with all rules and with one left out
     Explore(explore::ExploreArgs),
-    /// A fleet of real servers with all their stand-ins and client proxies; a line a second, Ctrl-C drains it
+    /// Run a fleet of real servers with stand-ins and client proxies; one line per second, Ctrl-C drains it
     Fleet(fleet::FleetArgs),
-    /// A stand-in processor
+    /// Run a stand-in processor
     Processor(processor::ProcessorArgs),
-    /// A stand-in control plane; a line a second with who is ready
+    /// Run a stand-in control plane; one line per second with the ready servers
     Control(control::ControlArgs),
-    /// A stand-in registry with Eureka's API; a line a second with what it holds
+    /// Run a stand-in registry with Eureka's API; one line per second with its contents
     Registry(registry::RegistryArgs),
-    /// Asks a registry, or takes an instance out there: for people, and for trying a registry out
+    /// Query a registry, or change an instance there
     Ask(ask::AskArgs),
-    /// Measurements that compare two ways in one run
+    /// Run benchmarks that compare alternatives
     Bench(bench::BenchArgs),
-    /// Open-loop load on servers that run already: Poisson arrivals, times from the schedule, whatever the servers do
+    /// Run open-loop load on running servers: Poisson arrivals, with times counted from the schedule
     Load(load::LoadArgs),
-    /// A bare forwarder, for measurements: a thread and a processor link a connection, no decisions
+    /// Run a minimal forwarder for benchmarks: a thread and a processor link per connection
     Forward(forward::ForwardArgs),
-    /// The fleet in virtual time: days, sweeps of them, plots
+    /// Simulate the fleet in virtual time: single days, sweeps and plots
     Model {
         #[command(subcommand)]
         command: ModelCommand,
     },
-    /// Plays failures against real servers; a line a claim, status 1 if any is not kept, 3 if the machine was too late to say
+    /// Run fault drills against real servers; one line per claim, status 1 if one is not kept, 3 if the machine was too slow
     Drill(drill::DrillArgs),
-    /// What a server, and a fleet, cost by size: figures, fits, and budgets at the size that an installation is planned for
+    /// Measure the cost of a server or fleet by size: figures, fits, and budgets at the planned size
     Scale(ScaleArgs),
 }
 
 impl Command {
-    /// Carries it out; false if a claim, a drill or a budget was not kept.
+    /// Runs the command; returns `false` if a claim, check or budget was not kept.
     pub fn run(self) -> Result<bool, Box<dyn Error>> {
         match self {
             Self::Explore(args) => explore::run(args),
--- a/crates/testkit/src/commands/processor.rs
+++ b/crates/testkit/src/commands/processor.rs
@@ -8,36 +8,36 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Settings of `processor`.
+/// Arguments of `processor`.
 #[derive(Debug, Args)]
 pub struct ProcessorArgs {
-    /// Where to listen
+    /// Address to listen at
     #[arg(long, default_value = "127.0.0.1:9300")]
     pub listen: SocketAddr,
-    /// Cores
+    /// Number of cores
     #[arg(long, default_value_t = 6)]
     pub cores: u32,
-    /// Speed of a core; 1 is the yardstick
+    /// Speed of a core; work is given for speed 1
     #[arg(long, default_value_t = 1.0)]
     pub speed: f64,
-    /// Share of the speed that it begins with
+    /// Fraction of full speed at the start
     #[arg(long = "cold-share", default_value_t = 1.0)]
     pub cold_capacity: f64,
-    /// Seconds until it is warm
+    /// Seconds until full speed
     #[arg(long, default_value_t = 18.0)]
     pub warms_in_s: f64,
-    /// Mean work of a run, ms on a core of speed 1
+    /// Mean work of a run, in ms on a core of speed 1
     #[arg(long, default_value_t = 60)]
     pub work_ms: u64,
     /// Seed of the work of each run
     #[arg(long, default_value_t = 7)]
     pub seed: u64,
-    /// Slowdowns by time, as '5000 8.4; 20000 1': from 5 s on 8.4 times slower, from 20 s on as usual
+    /// Slowdowns by time, such as '5000 8.4; 20000 1': 8.4 times slower from 5 s on, full speed from 20 s on
     #[arg(long, default_value = "", value_parser = slowdowns)]
     pub slow: Arc<[(u64, f64)]>,
 }
 
-/// Steps of so many milliseconds since the start, and how many times slower from then on.
+/// Parses slowdown steps into milliseconds since the start and the factor from then on.
 fn slowdowns(text: &str) -> Result<Arc<[(u64, f64)]>, String> {
     let steps = text.split(';').map(str::trim).filter(|step| !step.is_empty()).map(|step| {
         let (ms, times) = step.split_once(' ').ok_or("expected MS TIMES")?;
@@ -48,7 +48,7 @@
     steps.collect()
 }
 
-/// Runs one until a signal, with a line a second.
+/// Runs the stand-in until a signal, with one line per second.
 pub fn run(args: ProcessorArgs) -> Result<bool, Box<dyn Error>> {
     let ProcessorArgs { listen, cores, speed, cold_capacity, warms_in_s, work_ms, seed, slow } = args;
     let classes = vec![("any".to_string(), Duration::from_millis(work_ms))];
--- a/crates/testkit/src/commands/registry.rs
+++ b/crates/testkit/src/commands/registry.rs
@@ -8,30 +8,30 @@
 use std::error::Error;
 use std::net::SocketAddr;
 
-/// Settings of `registry`.
+/// Arguments of `registry`.
 #[derive(Debug, Args)]
 pub struct RegistryArgs {
-    /// Where to listen
+    /// Address to listen at
     #[arg(long, default_value = "127.0.0.1:8761")]
     pub listen: SocketAddr,
-    /// User and password to ask for, as USER:PASSWORD
+    /// Required login, as USER:PASSWORD
     #[arg(long)]
     pub login: Option<String>,
-    /// How old an answer with all applications may be, ms
+    /// Maximum age of cached answers with all applications, in ms
     #[arg(long, default_value_t = 30_000)]
     pub cache_ms: u64,
-    /// Between looks for leases that ran out, ms
+    /// Interval between evictions of expired leases, in ms
     #[arg(long, default_value_t = 60_000)]
     pub evict_every_ms: u64,
-    /// Evict whatever ran out, however many heartbeats are missing
+    /// Evict expired leases even if many heartbeats are missing
     #[arg(long)]
     pub no_self_preservation: bool,
-    /// Faults by time, as '500 hang; 2500 none'
+    /// Faults by time, such as '500 hang; 2500 none'
     #[arg(long, default_value = "")]
     pub faults: Script,
 }
 
-/// Runs one until a signal, with a line a second.
+/// Runs the stand-in until a signal, with one line per second.
 pub fn run(args: RegistryArgs) -> Result<bool, Box<dyn Error>> {
     let RegistryArgs { listen, login, cache_ms, evict_every_ms, no_self_preservation, faults } = args;
     let preserves = !no_self_preservation;
--- a/crates/testkit/src/commands/shared.rs
+++ b/crates/testkit/src/commands/shared.rs
@@ -1,4 +1,4 @@
-//! What several commands share: the daemon to start, and a line a second.
+//! Helpers shared by several commands.
 
 use crate::{fleet, interrupt};
 use std::io;
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Calls once a second until the end.
+/// Calls `line` once a second until it returns `false` or a signal arrives.
 pub fn each_second(mut line: impl FnMut(u64) -> bool) -> io::Result<()> {
     let (end, start) = (interrupt::flag()?, Instant::now());
     for second in 1.. {
@@ -24,7 +24,7 @@
     Ok(())
 }
 
-/// The daemon's program: the one that was told, or the one beside the running program.
-pub fn daemon(told: Option<PathBuf>) -> io::Result<PathBuf> {
-    told.map_or_else(fleet::daemon, Ok)
+/// Path of the daemon's program: `path` if given, else the one beside this program.
+pub fn daemon(path: Option<PathBuf>) -> io::Result<PathBuf> {
+    path.map_or_else(fleet::daemon, Ok)
 }
--- a/crates/testkit/src/explore/mod.rs
+++ b/crates/testkit/src/explore/mod.rs
@@ -1,3 +1,3 @@
-//! Protocols explored in the small, all that can happen: a counterexample is a course of events.
+//! Exhaustive exploration of protocols within small bounds. A counterexample is a sequence of events.
 
 pub mod permits;
--- a/crates/testkit/src/explore/permits.rs
+++ b/crates/testkit/src/explore/permits.rs
@@ -1,12 +1,14 @@
-//! Permits, explored exhaustively: three voters, four servers, of which one may be out; the record is the daemon's own.
+//! Exhaustive exploration of the permit protocol with three voters and four servers, of which one may be out. It uses the
+//! daemon's own replicated state.
 //!
-//! What is assumed, as `crates/coordination/tests/consensus.rs` attacks it by seeds: entries that are agreed on have one order and
-//! stay. All else is left open, and more than the library allows: any voter may propose at any time by the record, a proposal may be
-//! agreed on whenever, or never, or after its proposer died, and then nobody answers. Words are lost, doubled and reordered: they stay on
-//! the net and come any number of times, or never. Servers crash and come back; an operator frees a permit at any time.
+//! The only assumption is that committed log entries have one order and are never lost; the seeded tests in
+//! `crates/coordination/tests/consensus.rs` check it. Everything else is unconstrained, beyond what the library allows: any
+//! voter may propose at any time according to the replicated state, and a proposal may be committed at any time, never, or
+//! after its proposer died, which then sends no answer. Messages are lost, duplicated and reordered: they stay on the network
+//! and arrive any number of times, or never. Servers crash and come back; an operator may release a permit at any time.
 //!
-//! Time passes in eras: a right to begin that was asked for in one is over in the next, by the holder's clock; a permit that was freed in
-//! one counts until the next, by the leader's. That is what the lengths in the daemon are chosen for.
+//! Time passes in eras. A right to begin that was requested in one era has expired in the next by the holder's clock; a permit
+//! released in one era counts until the next by the leader's clock. The durations in the daemon guarantee this.
 
 use gradepin_coordination::replicated_state::{
     Command, CommandOutcome, Limits, Name, Permit, PermitEnd, PermitStage, Purpose, ReplicatedState, Target,
@@ -17,49 +19,49 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Which rule is left out, if any.
+/// Rule that an exploration leaves out. The names are printed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Without {
-    /// None: the promise has to hold.
+    /// No rule is left out; the limit must hold.
     Nothing,
-    /// Whether all fits is looked at again when the holder begins.
+    /// The limits are checked again when the holder begins.
     TheSecondLook,
-    /// The epoch is looked at when the holder begins to leave.
+    /// The epoch is checked when the holder begins to leave.
     TheEpochsLook,
-    /// A right to begin is over with its time, and a freed permit counts until then.
+    /// A right to begin expires, and a released permit counts until then.
     Time,
-    /// An end names how many beginnings its leader saw.
+    /// The end of a permit names the number of begin grants that its leader has seen.
     TheEndsLook,
 }
 
-/// What is explored.
+/// Bounds of an exploration.
 #[derive(Debug, Clone)]
-pub struct Small {
-    /// Servers.
+pub struct Bounds {
+    /// Number of servers.
     pub servers: usize,
-    /// Entries at the most.
+    /// Maximum number of log entries.
     pub entries: u64,
-    /// Eras at the most.
+    /// Maximum number of era changes.
     pub eras: u8,
-    /// Crashes at the most, and permits that an operator frees.
+    /// Maximum number of crashes.
     pub crashes: u8,
-    /// See `crashes`.
+    /// Maximum number of permits released by an operator.
     pub frees: u8,
-    /// Which rule is left out.
+    /// Rule to leave out.
     pub without: Without,
 }
 
-impl Default for Small {
+impl Default for Bounds {
     fn default() -> Self {
         Self { servers: 4, entries: 9, eras: 2, crashes: 1, frees: 1, without: Without::Nothing }
     }
 }
 
-/// A record that is told apart by what it holds.
+/// Replicated state that is hashed by the parts that matter to the protocol.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Agreed(ReplicatedState);
+pub struct HashedState(ReplicatedState);
 
-impl Hash for Agreed {
+impl Hash for HashedState {
     fn hash<H: Hasher>(&self, state: &mut H) {
         for (epoch, permit) in &self.0.permits {
             (epoch, &permit.target, &permit.holder, stage(&permit.stage), permit.begin_grants).hash(state);
@@ -76,59 +78,59 @@
     }
 }
 
-/// A server, as it is.
+/// State of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Server {
-    /// It serves.
+    /// In service.
     In,
-    /// It serves, and wants out.
+    /// In service; has requested a permit.
     Wants,
-    /// It serves, has the word that a permit is kept for it, and asked to begin in this era.
+    /// In service; knows of its reserved permit of this epoch, and requested to begin in this era.
     Asks(u64, u8),
-    /// It is out by what was agreed.
+    /// Out under the permit of this epoch.
     Out(u64),
-    /// It is out though nobody agreed; whether that is known.
+    /// Crashed; the flag says whether the fleet has noticed.
     Dead(bool),
 }
 
-/// A word on the net.
+/// Message on the network.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Word {
-    /// A server wants out.
+pub enum Message {
+    /// A server requests a permit.
     Out(usize),
-    /// It asks to begin by a permit, in an era.
+    /// The server requests to begin under a permit: server, epoch, era of the request.
     Begin(usize, u64, u8),
-    /// A permit is kept for it.
+    /// A permit is reserved for the server: server, epoch.
     Kept(usize, u64),
-    /// It may begin, as it asked in that era.
+    /// The server may begin: server, epoch, era of its request.
     May(usize, u64, u8),
 }
 
-/// A proposal that isn't agreed on yet.
+/// Proposal that isn't committed yet.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Proposal {
-    /// A place for a server.
+    /// Reserves a permit for a server.
     Reserve(usize),
-    /// A server begins; asked in that era.
+    /// A server begins: server, epoch, era of its request.
     Begin(usize, u64, u8),
-    /// A permit ends, seen after so many beginnings.
+    /// A permit ends: epoch, begin grants seen by the leader.
     End(u64, u32),
-    /// An operator frees it.
+    /// An operator releases a permit.
     Free(u64),
-    /// A freed one counts no more.
+    /// A released permit no longer counts.
     Gone(u64),
 }
 
-/// All of it.
+/// Complete state of the model.
 #[derive(Debug, Clone, PartialEq, Hash)]
 pub struct State {
-    record: Agreed,
+    record: HashedState,
     servers: Vec<Server>,
-    net: BTreeSet<Word>,
-    /// Proposals, and whether who made them lives to answer.
+    net: BTreeSet<Message>,
+    /// Open proposals, and whether their proposer lives to answer.
     pending: BTreeSet<(Proposal, bool)>,
     era: u8,
-    /// The era in which a permit was seen begun, or freed.
+    /// Era in which a permit began or was released, by epoch.
     since: BTreeMap<u64, u8>,
     crashes: u8,
     frees: u8,
@@ -136,30 +138,30 @@
     broken: bool,
 }
 
-/// What happens next.
+/// Event of the model. The names are printed in counterexamples.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// A server wants out.
+    /// A server in service decides to request a permit.
     Want(usize),
-    /// A word comes.
-    Hear(Word),
-    /// A proposal is agreed on; whether its proposer answers.
+    /// A message arrives.
+    Hear(Message),
+    /// A proposal is committed; the flag says whether its proposer answers.
     Agree(Proposal, bool),
-    /// Its proposer dies.
+    /// The proposer of a proposal dies.
     Die(Proposal),
-    /// A server is back.
+    /// A server returns to service.
     Back(usize),
-    /// A server dies; it is known to have; it comes back.
+    /// A server crashes.
     Crash(usize),
-    /// See `Crash`.
+    /// The fleet notices that a server is dead.
     Know(usize),
-    /// An operator frees a permit.
+    /// An operator releases the permit of this epoch.
     Free(u64),
-    /// A leader sees that a permit may end, or that a freed one counts no more.
+    /// A leader proposes the end of a permit that may end.
     End(u64),
-    /// See `End`.
+    /// A leader proposes that a released permit no longer counts.
     Gone(u64),
-    /// Time passes.
+    /// The next era begins.
     Pass,
 }
 
@@ -167,24 +169,24 @@
     Arc::from(format!("n{n}"))
 }
 
-impl Small {
+impl Bounds {
     fn unplanned(&self, state: &State) -> BTreeSet<Name> {
-        let gone = |server: &Server| matches!(server, Server::Dead(true) | Server::Out(_));
-        let gone = state.servers.iter().enumerate().filter(|(_, server)| gone(server));
-        gone.map(|(n, _)| name(n)).collect()
+        let is_out = |server: &Server| matches!(server, Server::Dead(true) | Server::Out(_));
+        let is_out = state.servers.iter().enumerate().filter(|(_, server)| is_out(server));
+        is_out.map(|(n, _)| name(n)).collect()
     }
 
     fn fits(&self, state: &State, n: usize) -> bool {
         state.record.0.fits(&Target::Server(name(n)), &self.unplanned(state)).is_ok()
     }
 
-    /// Whether a permit's server is there, and the right that it may have is over.
+    /// Whether the server of a begun permit is in service and its right to begin has expired.
     fn may_end(&self, state: &State, epoch: u64, permit: &Permit) -> bool {
-        let Target::Server(of) = &permit.target else { return false };
-        let there = (0..self.servers).find(|n| name(*n) == *of).map(|n| state.servers[n]);
-        let there = matches!(there, Some(Server::In | Server::Wants | Server::Asks(..)));
+        let Target::Server(server_name) = &permit.target else { return false };
+        let in_service = (0..self.servers).find(|n| name(*n) == *server_name).map(|n| state.servers[n]);
+        let in_service = matches!(in_service, Some(Server::In | Server::Wants | Server::Asks(..)));
         let over = state.since.get(&epoch).is_some_and(|since| state.era > *since);
-        there && over && permit.stage == PermitStage::Begun
+        in_service && over && permit.stage == PermitStage::Begun
     }
 
     fn agree(&self, state: &mut State, proposal: &Proposal, answers: bool) {
@@ -197,7 +199,7 @@
                 let outcome =
                     record.apply(index, Command::Reserve { target, holder, incarnation: 1, purpose });
                 if let (CommandOutcome::Permit { epoch, .. }, true) = (outcome, answers) {
-                    state.net.insert(Word::Kept(*n, epoch));
+                    state.net.insert(Message::Kept(*n, epoch));
                 }
             }
             Proposal::Begin(n, epoch, era) => {
@@ -205,12 +207,12 @@
                     record.apply(index, Command::Begin { epoch: *epoch, holder: name(*n), incarnation: 1 });
                 if let CommandOutcome::Permit { epoch, stage: PermitStage::Begun } = outcome {
                     state.since.insert(epoch, state.era);
-                    // Looked at once more by who answers.
+                    // The answering leader checks the limits again.
                     if answers && (self.without == Without::TheSecondLook || self.fits(state, *n)) {
                         let out =
                             self.unplanned(state).into_iter().filter(|other| *other != name(*n)).count();
                         state.broken |= out >= 1;
-                        state.net.insert(Word::May(*n, epoch, *era));
+                        state.net.insert(Message::May(*n, epoch, *era));
                     }
                 }
             }
@@ -229,7 +231,7 @@
                 {
                     state.since.insert(*epoch, state.era);
                 }
-                // What operators did doesn't tell states apart.
+                // The log of operator actions must not distinguish states.
                 record.operator_actions.clear();
             }
             Proposal::Gone(epoch) => drop(record.apply(index, Command::PermitExpired { epoch: *epoch })),
@@ -248,7 +250,7 @@
     }
 }
 
-impl Model for Small {
+impl Model for Bounds {
     type State = State;
     type Action = Action;
 
@@ -259,7 +261,7 @@
         }
         record.apply(0, Command::Limits(Limits { fleet: 1, zone: 1, ..Limits::default() }));
         vec![State {
-            record: Agreed(record),
+            record: HashedState(record),
             servers: vec![Server::In; self.servers],
             net: BTreeSet::new(),
             pending: BTreeSet::new(),
@@ -285,7 +287,7 @@
                 actions.push(Action::Crash(n));
             }
         }
-        actions.extend(state.net.iter().map(|word| Action::Hear(*word)));
+        actions.extend(state.net.iter().map(|message| Action::Hear(*message)));
         for (proposal, answers) in &state.pending {
             actions.push(Action::Agree(proposal.clone(), *answers));
             if *answers {
@@ -314,33 +316,34 @@
         match action {
             Action::Want(n) => {
                 state.servers[n] = Server::Wants;
-                state.net.insert(Word::Out(n));
+                state.net.insert(Message::Out(n));
             }
-            Action::Hear(Word::Out(n)) => {
+            Action::Hear(Message::Out(n)) => {
                 if self.fits(&state, n) {
                     state.pending.insert((Proposal::Reserve(n), true));
                 }
             }
-            Action::Hear(Word::Begin(n, epoch, era)) => {
+            Action::Hear(Message::Begin(n, epoch, era)) => {
                 let looks = self.without != Without::TheSecondLook;
                 if state.record.0.permits.contains_key(&epoch) && (!looks || self.fits(&state, n)) {
                     state.pending.insert((Proposal::Begin(n, epoch, era), true));
                 }
             }
-            Action::Hear(Word::Kept(n, epoch)) => match state.servers[n] {
+            Action::Hear(Message::Kept(n, epoch)) => match state.servers[n] {
                 Server::Wants | Server::Asks(..) if self.without == Without::TheEpochsLook => {
                     Self::leave(&mut state, n, epoch);
                 }
                 Server::Wants | Server::Asks(..) => {
                     let era = state.era;
                     state.servers[n] = Server::Asks(epoch, era);
-                    state.net.insert(Word::Begin(n, epoch, era));
+                    state.net.insert(Message::Begin(n, epoch, era));
                 }
                 _ => {}
             },
-            Action::Hear(Word::May(n, epoch, era)) => {
+            Action::Hear(Message::May(n, epoch, era)) => {
                 let in_time = era == state.era || self.without == Without::Time;
-                if matches!(state.servers[n], Server::Asks(of, _) if of == epoch) && in_time {
+                if matches!(state.servers[n], Server::Asks(server_name, _) if server_name == epoch) && in_time
+                {
                     Self::leave(&mut state, n, epoch);
                 }
             }
@@ -387,41 +390,41 @@
     }
 }
 
-/// What an exploration came to.
+/// Result of an exploration.
 #[derive(Debug, Clone)]
-pub struct Explored {
-    /// States that were told apart.
+pub struct Exploration {
+    /// Number of distinct states.
     pub states: usize,
-    /// How long it took.
+    /// Time taken.
     pub took: Duration,
-    /// The course of events that breaks the promise, if there is one.
+    /// Sequence of events that breaks the limit, if found.
     pub counterexample: Option<Vec<String>>,
-    /// Properties that were never seen to hold though they must be sometimes.
+    /// Properties that must be reachable but were never seen.
     pub never: Vec<&'static str>,
-    /// Whether all that can happen within the bounds was looked at.
-    pub whole: bool,
+    /// Whether all states within the bounds were explored.
+    pub complete: bool,
 }
 
-/// Explores it, for so long at the most.
-pub fn explore(small: &Small, threads: usize, most: Duration) -> Explored {
+/// Explores all states within the bounds, or as many as the time limit allows.
+pub fn explore(bounds: &Bounds, threads: usize, time_limit: Duration) -> Exploration {
     let begin = Instant::now();
-    let checker = small.clone().checker().threads(threads).timeout(most).spawn_bfs().join();
+    let checker = bounds.clone().checker().threads(threads).timeout(time_limit).spawn_bfs().join();
     let counterexample = checker
         .discovery("no more is out than may be")
         .map(|path| path.into_actions().into_iter().map(|action| format!("{action:?}")).collect());
     let never = ["two get their turn", "a freed place is had by another"];
     let never = never.into_iter().filter(|name| checker.discovery(name).is_none()).collect();
-    Explored {
+    Exploration {
         states: checker.unique_state_count(),
         took: begin.elapsed(),
         counterexample,
         never,
-        whole: checker.is_done() && begin.elapsed() < most,
+        complete: checker.is_done() && begin.elapsed() < time_limit,
     }
 }
 
-/// Explores all of them, prints what came of it, and says whether each is as it has to be.
-pub fn run(small: &Small, threads: usize, most: Duration) -> bool {
+/// Explores with every rule and with each one left out, prints the results, and returns whether all are as expected.
+pub fn run(bounds: &Bounds, threads: usize, time_limit: Duration) -> bool {
     let mut good = true;
     for without in [
         Without::Nothing,
@@ -430,13 +433,16 @@
         Without::Time,
         Without::TheEndsLook,
     ] {
-        let explored = explore(&Small { without, ..small.clone() }, threads, most);
+        let explored = explore(&Bounds { without, ..bounds.clone() }, threads, time_limit);
         let (states, took) = (explored.states, explored.took.as_secs_f64());
         match (&explored.counterexample, without) {
             (None, Without::Nothing) => {
-                good &= explored.whole && explored.never.is_empty();
-                let whole = if explored.whole { "all that can happen" } else { "NOT ALL that can happen" };
-                println!("kept      the promise, with every rule: {states} states in {took:.1} s, {whole}");
+                good &= explored.complete && explored.never.is_empty();
+                let complete =
+                    if explored.complete { "all that can happen" } else { "NOT ALL that can happen" };
+                println!(
+                    "kept      the promise, with every rule: {states} states in {took:.1} s, {complete}"
+                );
                 explored.never.iter().for_each(|name| println!("NOT SEEN  {name}"));
             }
             (Some(course), Without::Nothing) => {
@@ -463,22 +469,22 @@
 mod tests {
     use super::*;
 
-    /// Guards the protocol in the small: the promise in all that can happen within the bounds, and a course of
-    /// events that breaks it where the rule is left out. The command explores wider ones.
+    /// Checks that the limit on servers out holds in every state within small bounds, and that leaving out a rule breaks it.
+    /// The command explores larger bounds.
     #[test]
-    fn the_promise_holds_and_each_rule_is_needed() {
+    fn limit_holds_with_all_rules_and_breaks_without_each() {
         let long = Duration::from_secs(600);
-        let small =
-            Small { servers: 2, entries: 3, eras: 1, crashes: 1, frees: 1, without: Without::Nothing };
-        let explored = explore(&small, 4, long);
+        let bounds =
+            Bounds { servers: 2, entries: 3, eras: 1, crashes: 1, frees: 1, without: Without::Nothing };
+        let explored = explore(&bounds, 4, long);
         assert_eq!(explored.counterexample, None);
-        assert!(explored.whole && explored.states > 100_000, "{explored:?}");
+        assert!(explored.complete && explored.states > 100_000, "{explored:?}");
         for (entries, crashes, frees, without) in
             [(4, 1, 0, Without::TheSecondLook), (4, 0, 1, Without::TheEpochsLook), (5, 0, 1, Without::Time)]
         {
-            let small = Small { servers: 2, entries, eras: 1, crashes, frees, without };
-            let explored = explore(&small, 4, long);
-            println!("{small:?}: {} states, {:.1} s", explored.states, explored.took.as_secs_f64());
+            let bounds = Bounds { servers: 2, entries, eras: 1, crashes, frees, without };
+            let explored = explore(&bounds, 4, long);
+            println!("{bounds:?}: {} states, {:.1} s", explored.states, explored.took.as_secs_f64());
             assert!(explored.counterexample.is_some(), "{without:?}");
         }
     }
--- a/crates/testkit/src/forward.rs
+++ b/crates/testkit/src/forward.rs
@@ -1,15 +1,15 @@
-//! A bare forwarder: what a server costs that only passes bytes on. A blocking thread and a processor link for each
-//! connection, no table, no decision, no limit. It exists to be measured beside the daemon, and serves nothing else.
+//! Minimal forwarder as a baseline for benchmarks of the daemon. It has a blocking thread and a processor link per
+//! connection, and no request table, admission control or limits.
 
 use crate::thrift;
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread;
 
-/// A body longer than this is none of the benchmark's.
-const MOST: usize = 64 * 1024;
+/// Largest accepted result, in bytes; benchmarks use smaller ones.
+const MAX_RESULT_BYTES: usize = 64 * 1024;
 
-/// Takes as many connections as there are processors, gives each a processor of its own, and returns when all of them
+/// Accepts one connection per processor, connects each to its own processor, and returns when all connections
 /// have ended.
 pub fn forward(listen: SocketAddr, processors: &[SocketAddr]) -> io::Result<()> {
     let listener = TcpListener::bind(listen)?;
@@ -59,13 +59,13 @@
             let mut words = line.trim_end().split(' ').skip(2);
             let (Some(id), Some(len)) = (words.next(), words.nth(2)) else { continue };
             let len: usize = len.parse().map_err(io::Error::other)?;
-            if len > MOST {
+            if len > MAX_RESULT_BYTES {
                 return Err(io::ErrorKind::InvalidData.into());
             }
             body.resize(len + 2, 0);
             notices.read_exact(&mut body)?;
-            if let Some(place) = open.iter().position(|(rid, _)| rid == id) {
-                let (_, seq) = open.swap_remove(place);
+            if let Some(index) = open.iter().position(|(rid, _)| rid == id) {
+                let (_, seq) = open.swap_remove(index);
                 client.write_all(&thrift::served(seq, &body[..len]))?;
             }
         }
--- a/crates/testkit/src/interrupt.rs
+++ b/crates/testkit/src/interrupt.rs
@@ -1,11 +1,11 @@
-//! The end by a signal.
+//! Termination by signals.
 
 use signal_hook::consts::{SIGINT, SIGTERM};
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 
-/// A flag that Ctrl-C and SIGTERM set from now on, in place of ending the process.
+/// Registers a flag that SIGINT and SIGTERM set from now on instead of ending the process.
 pub fn flag() -> io::Result<Arc<AtomicBool>> {
     let end = Arc::<AtomicBool>::default();
     for signal in [SIGINT, SIGTERM] {
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for everything that a tile server talks to, and tools that play with them: a registry, processors, a
-//! control plane, client proxies, fleets of real daemons, and drills.
+//! Test kit: stand-ins for everything that a tile server talks to (registry, processors, control plane, client proxies), and
+//! tools that use them: fleets of real daemons, load, benchmarks, drills and models.
 
 pub mod bench;
 pub mod cli;
--- a/crates/testkit/src/measure.rs
+++ b/crates/testkit/src/measure.rs
@@ -1,8 +1,7 @@
-//! Open-loop load on servers that run already, and what came of it.
+//! Open-loop load on running servers, with a summary of the results.
 //!
-//! Arrivals are drawn from a seed and don't wait for answers, and each time counts from the moment that the schedule
-//! has its request come. So a server that stalls is charged for all that would have come meanwhile, which a client
-//! that waits for answers omits (coordinated omission).
+//! Arrivals are drawn from a seed and don't wait for answers, and each time counts from the scheduled arrival. So a stalled
+//! server is charged for all requests that arrive meanwhile, which a closed-loop client would omit (coordinated omission).
 
 use crate::load::{End, IntervalCounts, Proxy, ProxyBehavior, Records, StaticServers, tally};
 use hdrhistogram::Histogram;
@@ -11,58 +10,58 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Which load.
+/// Parameters of a load.
 #[derive(Debug, Clone)]
 pub struct Load {
-    /// Where servers take Thrift.
+    /// Thrift addresses of the servers.
     pub thrift: Vec<SocketAddr>,
-    /// Where the same servers take SCGI.
+    /// SCGI addresses of the same servers, in the same order; may be empty without SCGI requests.
     pub scgi: Vec<SocketAddr>,
-    /// Client proxies.
+    /// Number of client proxies; at least one is used.
     pub proxies: usize,
-    /// How long.
+    /// Length of the load in seconds.
     pub seconds: u64,
-    /// Of requests and arrivals.
+    /// Seed of requests and arrivals.
     pub seed: u64,
-    /// Of each proxy, its rate that of all together.
-    pub habit: ProxyBehavior,
-    /// Aims and deadlines in quarters of the brief's.
+    /// Behavior of each proxy; `rate` is the total of all proxies.
+    pub behavior: ProxyBehavior,
+    /// Factor on the times of the classes; 4 gives the full times.
     pub scale: u32,
 }
 
-/// What a load can't be played with.
+/// Parameters that no load can run with.
 #[derive(Debug, thiserror::Error)]
-enum Unplayable {
+enum InvalidLoad {
     #[error("expected an SCGI address for each of {servers} servers, got {scgi}: some requests go over SCGI")]
     Scgi { servers: usize, scgi: usize },
     #[error("expected a rate above 0, got {0}")]
     Rate(f64),
 }
 
-/// Plays it, prints a line a second and a summary; false if anything went without an answer.
+/// Runs the load and prints one line per second and a summary; returns `false` if an attempt got no answer.
 pub fn run(load: &Load) -> io::Result<bool> {
-    let uses_scgi = load.habit.scgi_share > 0.0 || load.habit.repeats.share > 0.0;
+    let uses_scgi = load.behavior.scgi_share > 0.0 || load.behavior.repeats.share > 0.0;
     if uses_scgi && load.scgi.len() != load.thrift.len() {
         let (servers, scgi) = (load.thrift.len(), load.scgi.len());
-        return Err(io::Error::other(Unplayable::Scgi { servers, scgi }));
+        return Err(io::Error::other(InvalidLoad::Scgi { servers, scgi }));
     }
-    if load.habit.rate.is_nan() || load.habit.rate <= 0.0 {
-        return Err(io::Error::other(Unplayable::Rate(load.habit.rate)));
+    if load.behavior.rate.is_nan() || load.behavior.rate <= 0.0 {
+        return Err(io::Error::other(InvalidLoad::Rate(load.behavior.rate)));
     }
-    let doors = load.thrift.iter().copied().zip(load.scgi.iter().copied()).collect();
+    let scgi_addresses = load.thrift.iter().copied().zip(load.scgi.iter().copied()).collect();
     let proxies = load.proxies.max(1);
-    let habit = ProxyBehavior { rate: load.habit.rate / proxies as f64, ..load.habit.clone() };
+    let behavior = ProxyBehavior { rate: load.behavior.rate / proxies as f64, ..load.behavior.clone() };
     let start = |n: usize| {
         let list = StaticServers { all: load.thrift.clone(), turn: n };
         let seed = load.seed.wrapping_mul(1_000).wrapping_add(n as u64);
-        Proxy::start_with(n as u64 + 1, seed, habit.clone(), Box::new(list), &doors, load.scale)
+        Proxy::start_with(n as u64 + 1, seed, behavior.clone(), Box::new(list), &scgi_addresses, load.scale)
     };
     let running = (0..proxies).map(start).collect::<io::Result<Vec<Proxy>>>()?;
     let (mut times, mut writes) = (histogram()?, histogram()?);
     let mut sum = IntervalCounts::default();
-    let begun = Instant::now();
+    let start_time = Instant::now();
     for second in 1..=load.seconds {
-        thread::sleep(Duration::from_secs(second).saturating_sub(begun.elapsed()));
+        thread::sleep(Duration::from_secs(second).saturating_sub(start_time.elapsed()));
         let mut now = IntervalCounts::default();
         running.iter().map(Proxy::live).for_each(|live| now.add(live));
         println!(
@@ -90,7 +89,7 @@
     Ok(!ends.keys().any(|(_, end)| matches!(end, End::Lost | End::TimedOut)))
 }
 
-/// Of microseconds up to a minute, to three digits.
+/// Histogram of microseconds up to a minute, with three significant digits.
 fn histogram() -> io::Result<Histogram<u64>> {
     Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)
 }
--- a/crates/testkit/src/processor.rs
+++ b/crates/testkit/src/processor.rs
@@ -36,7 +36,8 @@
     pub thrash_at: f64,
     /// Fraction of the throughput beyond `thrash_at`.
     pub thrash: f64,
-    /// Mean work of a run by class, on a core of speed 1. A single entry applies to all classes; with several, requests of an unlisted class are rejected.
+    /// Mean work of a run by class, on a core of speed 1. A single entry applies to all classes; with several, requests of
+    /// an unlisted class are rejected.
     pub classes: Vec<(String, Duration)>,
     /// Memory in kB.
     pub memory_kb: f64,
--- a/crates/testkit/src/registry/faults.rs
+++ b/crates/testkit/src/registry/faults.rs
@@ -1,39 +1,39 @@
-//! What a stand-in registry does wrong, and when.
+//! Faults of the stand-in registry, and scripts that switch them by time.
 
 use std::fmt;
 use std::str::FromStr;
 use std::time::Duration;
 
-/// One way to fail.
+/// A fault of the registry.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub enum Fault {
-    /// All is well.
+    /// Normal operation.
     #[default]
     None,
-    /// Connections are refused.
+    /// The listener is closed, so that connections are refused.
     Refuse,
-    /// Connections are accepted, and nothing is ever answered.
+    /// Connections are accepted, but requests are never answered.
     Hang,
-    /// Each answer comes so much later.
+    /// Each answer is delayed by this time.
     Delay(Duration),
-    /// Nothing is done, and each answer has this status.
+    /// Requests are not executed, and each answer has this status.
     Status(u16),
-    /// Answers are bytes that are no HTTP.
+    /// Answers are not valid HTTP.
     Garbage,
-    /// Answers have a body of 100 MB.
+    /// Answers have a body of 100 MiB.
     Huge,
-    /// Answers end in the middle.
+    /// Answers are truncated in the body.
     Cut,
-    /// All that is held is forgotten, once; then all is well.
+    /// All registrations are lost once; normal operation follows.
     RestartEmpty,
-    /// One lease is forgotten, once: `APP/ID`; then all is well.
+    /// The lease of instance `ID` in `APP` is lost once; normal operation follows. `*` picks the first instance.
     Forget(String, String),
-    /// Nothing is told to peers, nor taken from them.
+    /// Changes are neither sent to peers nor accepted from them.
     Apart,
 }
 
 impl Fault {
-    /// One of each kind, to draw from.
+    /// A fault of each kind, for random selection.
     pub fn kinds() -> Vec<Self> {
         let late = Duration::from_millis(700);
         let forget = Self::Forget("TILE-SERVER".into(), "*".into());
@@ -71,18 +71,18 @@
     }
 }
 
-/// Why a script can't be read.
+/// Part of a script that can't be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error(
     "expected '[MS] none|refuse|hang|delay MS|status CODE|garbage|huge|cut|restart-empty|forget APP/ID|apart', got '{0}'"
 )]
-pub struct BadFault(String);
+pub struct ParseFaultError(String);
 
 impl FromStr for Fault {
-    type Err = BadFault;
+    type Err = ParseFaultError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let bad = || BadFault(text.to_string());
+        let bad = || ParseFaultError(text.to_string());
         let words: Vec<&str> = text.split_whitespace().collect();
         Ok(match words[..] {
             ["none"] => Self::None,
@@ -106,28 +106,28 @@
     }
 }
 
-/// Faults by the time since the start, each until the next.
+/// Faults by time since the start; each stays in force until the next.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Script(Vec<(Duration, Fault)>);
 
 impl Script {
-    /// The fault in force so long after the start.
+    /// Returns the fault in force at a time since the start.
     pub fn at(&self, since: Duration) -> Option<&Fault> {
         self.0.iter().rev().find(|(from, _)| *from <= since).map(|(_, fault)| fault)
     }
 }
 
 impl FromStr for Script {
-    type Err = BadFault;
+    type Err = ParseFaultError;
 
-    /// Steps such as `500 hang; 2500 none`, each with the milliseconds from which on it holds.
+    /// Parses steps such as `500 hang; 2500 none`, each with its start in milliseconds.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let steps = text.split(';').map(str::trim).filter(|step| !step.is_empty()).map(|step| {
-            let (ms, fault) = step.split_once(' ').ok_or_else(|| BadFault(step.to_string()))?;
-            let ms = ms.parse().map_err(|_| BadFault(step.to_string()))?;
+            let (ms, fault) = step.split_once(' ').ok_or_else(|| ParseFaultError(step.to_string()))?;
+            let ms = ms.parse().map_err(|_| ParseFaultError(step.to_string()))?;
             Ok((Duration::from_millis(ms), fault.parse()?))
         });
-        let mut steps = steps.collect::<Result<Vec<_>, BadFault>>()?;
+        let mut steps = steps.collect::<Result<Vec<_>, ParseFaultError>>()?;
         steps.sort_by_key(|(from, _)| *from);
         Ok(Self(steps))
     }
@@ -138,7 +138,7 @@
     use super::*;
 
     #[test]
-    fn a_script_says_what_holds_when_and_bad_ones_are_told() {
+    fn scripts_switch_faults_by_time_and_malformed_ones_are_rejected() {
         let script: Script = "2500 none; 500 hang".parse().unwrap();
         let at = |ms| script.at(Duration::from_millis(ms)).cloned();
         assert_eq!(
--- a/crates/testkit/src/registry/mod.rs
+++ b/crates/testkit/src/registry/mod.rs
@@ -1,5 +1,5 @@
-//! A stand-in for Eureka's server: the rules are the model's ([`state`]), HTTP in [`server`], faults by script in
-//! [`faults`].
+//! Stand-in for the Eureka server: registration rules shared with the model ([`state`]), HTTP API ([`server`]) and scripted
+//! faults ([`faults`]).
 
 pub mod faults;
 pub mod server;
@@ -9,7 +9,7 @@
 use gradepin_registry::instance::Instance;
 use gradepin_registry::membership::MembershipSettings;
 
-/// How a member behaves that benches and tests play with, with one service URL and an operator's usual times.
+/// Membership settings for benches and tests, with one service URL and the usual production intervals.
 pub fn member(instance: Instance) -> MembershipSettings {
     let ms = |ms: u64| Span(ms * 1_000_000);
     MembershipSettings {
--- a/crates/testkit/src/registry/server.rs
+++ b/crates/testkit/src/registry/server.rs
@@ -1,4 +1,4 @@
-//! The stand-in registry's HTTP: its routes over [`super::state`], its peers, and its faults.
+//! HTTP server of the stand-in registry: routes over [`super::state`], replication to peers, and faults.
 
 use super::faults::{Fault, Script};
 use super::state::{Outcome, Registry, RegistrySettings, Replicated};
@@ -13,33 +13,33 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Connections served at a time; more are closed.
-const MOST_CONNECTIONS: usize = 4096;
-/// The largest registration that is read.
-const MOST_BODY: usize = 1 << 20;
-const MOST_HEAD: usize = 16 * 1024;
-/// How long a connection may say nothing.
-const IDLE: Duration = Duration::from_secs(60);
-/// Between looks at the script, the leases and what peers are to be told.
+/// Maximum number of concurrent connections; more are closed.
+const MAX_CONNECTIONS: usize = 4096;
+/// Largest request body and head, in bytes.
+const MAX_BODY_BYTES: usize = 1 << 20;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Read timeout of idle connections.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval at which the script, expired leases and due replication are processed.
 const TICK: Duration = Duration::from_millis(10);
-/// The body of [`Fault::Huge`].
-const HUGE: usize = 100 << 20;
+/// Body size of [`Fault::Huge`], in bytes.
+const HUGE_BODY_BYTES: usize = 100 << 20;
 
-/// Unix milliseconds.
+/// Current time in Unix milliseconds.
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
-/// How a stand-in is run.
+/// Settings of the stand-in registry.
 #[derive(Debug, Clone, Default)]
 pub struct ServerSettings {
-    /// Its rules.
+    /// Registration and cache rules.
     pub rules: RegistrySettings,
-    /// User and password, where they are asked for.
+    /// User and password, if requests must authenticate.
     pub login: Option<(String, String)>,
-    /// How late its peers hear of a change.
+    /// Replication delay to peers.
     pub peer_delay: Duration,
-    /// What it does wrong, and when.
+    /// Scripted faults.
     pub script: Script,
 }
 
@@ -82,18 +82,18 @@
         *self.fault.lock().unwrap_or_else(PoisonError::into_inner) = lasting;
     }
 
-    fn tell_peers(&self, told: &Replicated) {
+    fn replicate_to_peers(&self, change: &Replicated) {
         if self.fault() == Fault::Apart {
             return;
         }
         let due = Instant::now() + self.set.peer_delay;
         for peer in self.peers.lock().unwrap_or_else(PoisonError::into_inner).iter() {
-            let _ = peer.send((due, told.clone()));
+            let _ = peer.send((due, change.clone()));
         }
     }
 }
 
-/// A running stand-in; it ends when this is dropped.
+/// Running stand-in registry; ends when dropped.
 pub struct Server {
     shared: Arc<Shared>,
     address: SocketAddr,
@@ -101,7 +101,7 @@
 }
 
 impl Server {
-    /// Listens on a loopback address and serves.
+    /// Starts a registry that listens at `address`; port 0 picks a free port.
     pub fn start(address: SocketAddr, set: ServerSettings) -> io::Result<Self> {
         let listener = TcpListener::bind(address)?;
         let address = listener.local_addr()?;
@@ -115,46 +115,46 @@
             ended: AtomicBool::new(false),
             started: Instant::now(),
         });
-        let (from_peers, told) = unbounded();
+        let (from_peers, change) = unbounded();
         let for_ticks = Arc::clone(&shared);
-        thread::Builder::new().name("registry-tick".into()).spawn(move || tick(&for_ticks, &told))?;
+        thread::Builder::new().name("registry-tick".into()).spawn(move || tick(&for_ticks, &change))?;
         let accepts = Arc::clone(&shared);
         thread::Builder::new().name("registry".into()).spawn(move || accept(address, listener, &accepts))?;
         Ok(Self { shared, address, from_peers })
     }
 
-    /// Where it listens.
+    /// Address that the registry listens at.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its service URL.
+    /// Service URL of the registry.
     pub fn url(&self) -> String {
         format!("http://{}/eureka/v2", self.address)
     }
 
-    /// From now on this one hears of the other's changes.
+    /// Replicates changes of `other` to this registry from now on.
     pub fn follows(&self, other: &Server) {
         let mut peers = other.shared.peers.lock().unwrap_or_else(PoisonError::into_inner);
         peers.push(self.from_peers.clone());
     }
 
-    /// Fails from now on.
+    /// Switches to a fault, until the script or another call changes it.
     pub fn fail(&self, fault: Fault) {
         self.shared.set_fault(fault);
     }
 
-    /// Requests so far.
+    /// Number of requests received so far.
     pub fn requests(&self) -> u64 {
         self.shared.requests.load(Ordering::Relaxed)
     }
 
-    /// An instance as it is now, whatever the caches say.
+    /// Current record of an instance, bypassing the response caches.
     pub fn instance(&self, app: &str, id: &str) -> Option<Instance> {
         self.shared.registry().instance(app, id).cloned()
     }
 
-    /// A line about what it holds.
+    /// One-line summary of the registrations and the fault.
     pub fn summary(&self) -> String {
         let registry = self.shared.registry();
         let code = gradepin_registry::instance::hash_code(registry.instances().map(|i| i.status));
@@ -166,27 +166,27 @@
 impl Drop for Server {
     fn drop(&mut self) {
         self.shared.ended.store(true, Ordering::Relaxed);
-        // Wakes the accepting thread.
+        // Unblocks the accepting thread.
         let _ = TcpStream::connect_timeout(&self.address, Duration::from_millis(100));
     }
 }
 
-fn tick(shared: &Shared, told: &Receiver<(Instant, Replicated)>) {
+fn tick(shared: &Shared, change: &Receiver<(Instant, Replicated)>) {
     let mut scripted = None;
-    let mut late: Vec<(Instant, Replicated)> = Vec::new();
+    let mut delayed: Vec<(Instant, Replicated)> = Vec::new();
     while !shared.ended.load(Ordering::Relaxed) {
         let step = shared.set.script.at(shared.started.elapsed()).cloned();
         if step != scripted {
             shared.set_fault(step.clone().unwrap_or_default());
             scripted = step;
         }
-        late.extend(told.try_iter());
+        delayed.extend(change.try_iter());
         let apart = shared.fault() == Fault::Apart;
         let mut registry = shared.registry();
-        late.retain(|(due, told)| {
+        delayed.retain(|(due, change)| {
             let is_due = *due <= Instant::now();
             if is_due && !apart {
-                registry.replicate(told.clone(), unix_ms());
+                registry.replicate(change.clone(), unix_ms());
             }
             !is_due
         });
@@ -200,7 +200,7 @@
     let mut listener = Some(first);
     while !shared.ended.load(Ordering::Relaxed) {
         if shared.fault() == Fault::Refuse {
-            // Only a closed listener refuses.
+            // Connections are refused only while no listener is open.
             listener = None;
             thread::sleep(TICK);
             continue;
@@ -215,7 +215,7 @@
         }
         match open.accept() {
             Ok((stream, _)) => {
-                if shared.connections.load(Ordering::Relaxed) >= MOST_CONNECTIONS {
+                if shared.connections.load(Ordering::Relaxed) >= MAX_CONNECTIONS {
                     continue;
                 }
                 shared.connections.fetch_add(1, Ordering::Relaxed);
@@ -234,7 +234,7 @@
     }
 }
 
-/// A request as read.
+/// A complete HTTP request.
 struct Request {
     method: String,
     path: String,
@@ -258,7 +258,7 @@
     }
 }
 
-/// `%41` and `+` as what they stand for.
+/// Decodes percent escapes, and `+` as a space.
 fn unescape(text: &str) -> String {
     let mut out = Vec::new();
     let mut bytes = text.bytes();
@@ -277,11 +277,11 @@
     String::from_utf8_lossy(&out).into_owned()
 }
 
-/// Reads requests off one connection and answers them, until it ends.
+/// Serves the requests of one connection until it ends.
 fn serve(mut stream: TcpStream, shared: &Shared) -> io::Result<()> {
     stream.set_nonblocking(false)?;
     stream.set_nodelay(true)?;
-    stream.set_read_timeout(Some(IDLE))?;
+    stream.set_read_timeout(Some(IDLE_TIMEOUT))?;
     stream.set_write_timeout(Some(Duration::from_secs(5)))?;
     let mut bytes = Vec::new();
     while !shared.ended.load(Ordering::Relaxed) {
@@ -290,7 +290,7 @@
         let fault = shared.fault();
         match fault {
             Fault::Hang => {
-                // Until the fault ends; then the connection ends without an answer.
+                // Waits until the fault ends, then closes the connection without an answer.
                 while shared.fault() == Fault::Hang && !shared.ended.load(Ordering::Relaxed) {
                     thread::sleep(TICK);
                 }
@@ -303,9 +303,11 @@
                 return Ok(());
             }
             Fault::Huge => {
-                stream.write_all(format!("HTTP/1.1 200 OK\r\nContent-Length: {HUGE}\r\n\r\n").as_bytes())?;
+                stream.write_all(
+                    format!("HTTP/1.1 200 OK\r\nContent-Length: {HUGE_BODY_BYTES}\r\n\r\n").as_bytes(),
+                )?;
                 let piece = vec![b' '; 64 * 1024];
-                for _ in 0..HUGE / piece.len() {
+                for _ in 0..HUGE_BODY_BYTES / piece.len() {
                     stream.write_all(&piece)?;
                 }
                 continue;
@@ -356,12 +358,12 @@
                 body: Vec::new(),
             };
             let length: usize = request.header("content-length").parse().unwrap_or(0);
-            if length > MOST_BODY {
-                return Err(bad("a body over the limit"));
+            if length > MAX_BODY_BYTES {
+                return Err(bad("request body exceeds the limit"));
             }
             while bytes.len() < len + length {
                 match stream.read(&mut chunk)? {
-                    0 => return Err(bad("half a body")),
+                    0 => return Err(bad("connection closed in the middle of a request body")),
                     n => bytes.extend_from_slice(&chunk[..n]),
                 }
             }
@@ -369,8 +371,8 @@
             bytes.drain(..len + length);
             return Ok(Some(request));
         }
-        if bytes.len() > MOST_HEAD {
-            return Err(bad("a head over the limit"));
+        if bytes.len() > MAX_HEAD_BYTES {
+            return Err(bad("request head exceeds the limit"));
         }
         match stream.read(&mut chunk)? {
             0 => return Ok(None),
@@ -419,7 +421,7 @@
     stream.write_all(&[head.as_bytes(), body].concat())
 }
 
-/// Carries out a request: its status and the body of the answer.
+/// Executes a request; returns the status and body of the answer.
 fn route(request: &Request, format: Format, shared: &Shared) -> (u16, Vec<u8>) {
     if let Some((user, password)) = &shared.set.login {
         let token = base64::engine::general_purpose::STANDARD.encode(format!("{user}:{password}"));
@@ -432,12 +434,12 @@
     else {
         return (404, Vec::new());
     };
-    let words: Vec<String> = path.split('/').filter(|word| !word.is_empty()).map(unescape).collect();
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
+    let segments: Vec<String> = path.split('/').filter(|word| !word.is_empty()).map(unescape).collect();
+    let segments: Vec<&str> = segments.iter().map(String::as_str).collect();
     let now = unix_ms();
     let mut registry = shared.registry();
-    let some = |bytes: Vec<u8>| (200, bytes);
-    let found = |bytes: Option<Vec<u8>>| bytes.map_or((404, Vec::new()), some);
+    let ok = |bytes: Vec<u8>| (200, bytes);
+    let found = |bytes: Option<Vec<u8>>| bytes.map_or((404, Vec::new()), ok);
     let several = |registry: &Registry, is: &dyn Fn(&Instance) -> bool| {
         let instances: Vec<Instance> = registry.instances().filter(|i| is(i)).cloned().collect();
         let hash_code = gradepin_registry::instance::hash_code(instances.iter().map(|i| i.status));
@@ -445,9 +447,9 @@
         if all.instances.is_empty() { None } else { Some(wire::write_applications(&all, format)) }
     };
     let status_of = |outcome: Outcome| (if outcome == Outcome::Done { 200 } else { 404 }, Vec::new());
-    let (result, told) = match (request.method.as_str(), &words[..]) {
-        ("GET", ["apps"]) => (some(wire::write_applications(registry.full(now), format)), None),
-        ("GET", ["apps", "delta"]) => (some(wire::write_applications(registry.delta(now), format)), None),
+    let (result, change) = match (request.method.as_str(), &segments[..]) {
+        ("GET", ["apps"]) => (ok(wire::write_applications(registry.full(now), format)), None),
+        ("GET", ["apps", "delta"]) => (ok(wire::write_applications(registry.delta(now), format)), None),
         ("GET", ["apps", app]) => {
             let instances: Vec<Instance> =
                 registry.instances().filter(|i| i.app.eq_ignore_ascii_case(app)).cloned().collect();
@@ -469,7 +471,7 @@
                     registry.register(instance.clone(), false, now);
                     ((204, Vec::new()), Some(Replicated::Register(Box::new(instance))))
                 }
-                Ok(_) => ((400, b"the application is not that of the path".to_vec()), None),
+                Ok(_) => ((400, b"the application differs from that in the path".to_vec()), None),
                 Err(why) => ((400, why.to_string().into_bytes()), None),
             }
         }
@@ -507,8 +509,8 @@
         _ => ((405, Vec::new()), None),
     };
     drop(registry);
-    if let Some(told) = told.filter(|_| result.0 < 300) {
-        shared.tell_peers(&told);
+    if let Some(change) = change.filter(|_| result.0 < 300) {
+        shared.replicate_to_peers(&change);
     }
     result
 }
--- a/crates/testkit/src/saver.rs
+++ b/crates/testkit/src/saver.rs
@@ -1,5 +1,5 @@
-//! A station that saves and insists: it asks the same server for the same save, over connections of its own, until it has a
-//! final answer or its window is over, whatever becomes of the server meanwhile.
+//! A client that repeats a save at the same server, reconnecting as necessary, until it has a final answer or its time is
+//! over, even if the server restarts meanwhile.
 
 use crate::registry::server::unix_ms;
 use crate::thrift::{self, Answer, Message};
@@ -7,27 +7,28 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How long a try's caller waits, and how much longer the station does for its answer.
-const WAIT: Duration = Duration::from_millis(1_000);
-const SLACK: Duration = Duration::from_millis(200);
-const CONNECT: Duration = Duration::from_millis(200);
+/// Time that the caller of an attempt waits, as sent to the server.
+const CALLER_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Additional time that the client waits for the answer.
+const ANSWER_SLACK: Duration = Duration::from_millis(200);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What became of one try.
+/// Outcome of one attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Tried {
     /// Served, with this result.
     Served(Vec<u8>),
-    /// Turned away, with the time to stay away in ms.
+    /// Rejected, with the Retry-After time in ms.
     Refused(u64),
-    /// Failed; with a text that says why, if there was one.
+    /// Failed, with the reason if the server sent one.
     Failed(Option<String>),
-    /// No connection could be had: nothing came to the server.
+    /// No connection could be established, so the server received nothing.
     NoConnection,
-    /// The connection ended, or its time ran out, without an answer.
+    /// The connection closed or the time ran out before an answer.
     Lost,
 }
 
-/// One connection to a server, as long as it lasts.
+/// Client of one server that reconnects when its connection is lost.
 #[derive(Debug)]
 pub struct Saver {
     server: SocketAddr,
@@ -37,15 +38,15 @@
 }
 
 impl Saver {
-    /// For a server; `number` tells savers apart.
+    /// Creates a client; `number` must differ between clients and makes their request IDs unique.
     pub fn new(server: SocketAddr, number: u64) -> Self {
         Self { server, stream: None, seq: 0, rids: number << 32 }
     }
 
     /// Sends a save once.
-    pub fn save(&mut self, token: &str, body: &str, again: bool) -> Tried {
+    pub fn save(&mut self, token: &str, body: &str, is_retry: bool) -> Tried {
         let mut fields = vec![("method", "label-save"), ("token", token)];
-        if again {
+        if is_retry {
             fields.push(("again", "1"));
         }
         self.call(&fields, body)
@@ -58,10 +59,12 @@
 
     fn call(&mut self, fields: &[(&str, &str)], body: &str) -> Tried {
         if self.stream.is_none() {
-            let Ok(stream) = TcpStream::connect_timeout(&self.server, CONNECT) else {
+            let Ok(stream) = TcpStream::connect_timeout(&self.server, CONNECT_TIMEOUT) else {
                 return Tried::NoConnection;
             };
-            let set = stream.set_nodelay(true).and_then(|()| stream.set_read_timeout(Some(WAIT + SLACK)));
+            let set = stream
+                .set_nodelay(true)
+                .and_then(|()| stream.set_read_timeout(Some(CALLER_TIMEOUT + ANSWER_SLACK)));
             if set.is_err() {
                 return Tried::NoConnection;
             }
@@ -79,7 +82,7 @@
         self.seq += 1;
         self.rids += 1;
         let (rid, t0) = (format!("{:016x}", self.rids), unix_ms().to_string());
-        let wait = WAIT.as_millis().to_string();
+        let wait = CALLER_TIMEOUT.as_millis().to_string();
         let mut all = vec![
             ("rid", rid.as_str()),
             ("t0", &t0),
@@ -98,7 +101,7 @@
                 bytes.drain(..len);
                 match message {
                     Message::Answer(seq, answer) if seq == self.seq => return Ok(tried(answer)),
-                    // What is on its way is still answered on it.
+                    // A draining connection still answers the open request.
                     Message::Draining | Message::Answer(..) => {}
                 }
             }
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Sends a save until it is served or has failed, for as long as this at the most; each try is counted.
+    /// Repeats a save until it is served or fails, for at most `within`; `count` is called with each outcome.
     pub fn insist(
         &mut self,
         token: &str,
@@ -119,16 +122,16 @@
         mut count: impl FnMut(&Tried),
     ) -> Option<Tried> {
         let start = Instant::now();
-        let mut again = false;
+        let mut is_retry = false;
         while start.elapsed() < within {
-            let tried = self.save(token, body, again);
+            let tried = self.save(token, body, is_retry);
             count(&tried);
             let pause = match &tried {
                 Tried::Served(_) | Tried::Failed(_) => return Some(tried),
-                Tried::Refused(told) => Duration::from_millis((*told).clamp(5, 500)),
+                Tried::Refused(backoff_ms) => Duration::from_millis((*backoff_ms).clamp(5, 500)),
                 Tried::NoConnection | Tried::Lost => Duration::from_millis(5),
             };
-            again |= tried != Tried::NoConnection;
+            is_retry |= tried != Tried::NoConnection;
             std::thread::sleep(pause);
         }
         None
--- a/crates/testkit/src/scale/consensus.rs
+++ b/crates/testkit/src/scale/consensus.rs
@@ -3,7 +3,7 @@
 use super::figure::Figure;
 use super::options::{Options, check_resources, go_on, progress};
 use super::report::Report;
-use crate::bench::council::{Granted, measure};
+use crate::bench::council::{GrantFigures, measure};
 use crate::{fleet, interrupt};
 use clap::Args;
 use std::error::Error;
@@ -43,7 +43,7 @@
         let folder = fleet::folder(&format!("scale-consensus-{size}"))?;
         let granted = measure(&folder, args.voters, size);
         fleet::remove(&folder);
-        let Granted { p50_ms, p99_ms, syncs: syncs_each, bytes: kept } = granted?;
+        let GrantFigures { p50_ms, p99_ms, syncs: syncs_each, bytes: kept } = granted?;
         p50.add(size, p50_ms);
         p99.add(size, p99_ms);
         syncs.add(size, syncs_each);
--- a/crates/testkit/src/thrift.rs
+++ b/crates/testkit/src/thrift.rs
@@ -1,5 +1,5 @@
-//! The client proxy's half of the Thrift front: calls to bytes and answers from bytes. Written apart from the server's
-//! half, so that both can't share a mistake.
+//! Client side of the Thrift protocol: encodes calls and decodes answers. Implemented separately from the server side, so
+//! that the two can't share a mistake.
 
 use std::collections::HashMap;
 
@@ -13,8 +13,8 @@
 const REPLY: u8 = 2;
 const EXCEPTION: u8 = 3;
 const ONEWAY: u8 = 4;
-/// The largest frame that a server may send.
-const MOST_FRAME: usize = 64 * 1024;
+/// Largest accepted frame, in bytes.
+const MAX_FRAME_BYTES: usize = 64 * 1024;
 
 fn string(out: &mut Vec<u8>, bytes: &[u8]) {
     out.extend((bytes.len() as u32).to_be_bytes());
@@ -32,7 +32,7 @@
     out
 }
 
-/// A request.
+/// Encodes a request.
 pub fn call(seq: i32, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     message(CALL, "call", seq, |out| {
         out.extend([MAP, 0, 1, STRING, STRING]);
@@ -46,7 +46,7 @@
     })
 }
 
-/// Nobody waits for an answer any more.
+/// Encodes the cancellation of request `of`, whose answer is no longer needed.
 pub fn cancel(seq: i32, of: i32) -> Vec<u8> {
     message(ONEWAY, "cancel", seq, |out| {
         out.extend([I32, 0, 1]);
@@ -54,25 +54,25 @@
     })
 }
 
-/// A health check.
+/// Encodes a health check.
 pub fn health(seq: i32) -> Vec<u8> {
     message(CALL, "health", seq, |out| out.extend([BOOL, 0, 1, 0]))
 }
 
-/// A request, as far as a forwarder has to know it.
+/// Decoded request with the fields that a forwarder needs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Called {
-    /// Its number on the connection.
+    /// Sequence number on the connection.
     pub seq: i32,
-    /// Its id.
+    /// Request ID.
     pub rid: String,
-    /// Its class.
+    /// Class name.
     pub method: String,
-    /// Its body.
+    /// Request body.
     pub body: Vec<u8>,
 }
 
-/// Reads a request that [`call`] made, its length prefix taken off.
+/// Decodes a request encoded by [`call`], without its length prefix.
 pub fn read_call(frame: &[u8]) -> Result<Called, Malformed> {
     let mut r = Reader(frame);
     let kind = r.take(4)?[3];
@@ -100,7 +100,7 @@
     Ok(Called { seq, rid: field("rid")?, method: field("method")?, body })
 }
 
-/// An answer with a result and nothing beside it.
+/// Encodes an answer with a result and no further fields.
 pub fn served(seq: i32, body: &[u8]) -> Vec<u8> {
     message(REPLY, "call", seq, |out| {
         out.extend([STRUCT, 0, 0, STRING, 0, 1]);
@@ -109,7 +109,7 @@
     })
 }
 
-/// A refusal with the time to stay away.
+/// Encodes a rejection with its Retry-After time.
 pub fn refused(seq: i32, backoff_ms: u64) -> Vec<u8> {
     message(REPLY, "call", seq, |out| {
         out.extend([STRUCT, 0, 1, MAP, 0, 1, STRING, STRING, 0, 0, 0, 1]);
@@ -119,45 +119,45 @@
     })
 }
 
-/// What a server sent.
+/// Answer of a server.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
-    /// The result of a run, or of a health check that is good; with the fields beside it.
+    /// Result of a run or of a passing health check, with its additional fields.
     Served(Vec<u8>, HashMap<String, String>),
-    /// A health check that is bad.
+    /// Failing health check.
     Bad,
-    /// Turned away.
+    /// Rejected request.
     Refused {
-        /// Milliseconds to stay away.
+        /// Retry-After time in milliseconds.
         backoff_ms: u64,
-        /// Whether no other server should be tried.
+        /// Whether the request must not be retried at another server.
         last: bool,
-        /// The free value.
+        /// Value of the optional `hint` field.
         hint: Option<f64>,
     },
-    /// Failed, or made no sense; with a text that says why, if one came.
+    /// Failure or protocol exception, with its reason if the server sent one.
     Failed(Option<String>),
 }
 
-/// A frame of a server.
+/// Message of a server.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
-    /// To a request of this number.
+    /// Answer to the request with this sequence number.
     Answer(i32, Answer),
-    /// No more requests on this connection.
+    /// The server accepts no more requests on this connection.
     Draining,
 }
 
-/// Bytes that are none of the protocol.
+/// Bytes that violate the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("expected {0}")]
 pub struct Malformed(&'static str);
 
-/// The length of the first whole frame with its prefix, if it is there.
+/// Length of the first complete frame including its prefix; `None` if it is incomplete.
 pub fn frame(bytes: &[u8]) -> Result<Option<usize>, Malformed> {
     let Some(prefix) = bytes.first_chunk::<4>() else { return Ok(None) };
     let len = u32::from_be_bytes(*prefix) as usize;
-    if len > MOST_FRAME {
+    if len > MAX_FRAME_BYTES {
         return Err(Malformed("a frame within its limit"));
     }
     Ok((bytes.len() >= len + 4).then_some(len + 4))
@@ -198,7 +198,7 @@
     }
 }
 
-/// Reads the message in a frame, its length prefix taken off.
+/// Decodes the message of a frame, without its length prefix.
 pub fn decode(frame: &[u8]) -> Result<Message, Malformed> {
     let mut r = Reader(frame);
     let head = r.take(4)?;
--- a/crates/testkit/src/watch.rs
+++ b/crates/testkit/src/watch.rs
@@ -1,4 +1,4 @@
-//! A caller's view of a fleet, kept up from registries by a thread of its own.
+//! A client's view of a fleet, updated from registries by a background thread.
 
 use crate::load::Servers;
 use gradepin_admission::Time;
@@ -12,17 +12,17 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Between looks at whether a fetch is due.
+/// Interval between checks for a due fetch.
 const TICK: Duration = Duration::from_millis(5);
 
-/// A view that follows its registries until it is dropped.
+/// Keeps a view up to date until it is dropped.
 pub struct Watcher {
     view: Arc<Mutex<View>>,
     ended: Arc<AtomicBool>,
 }
 
 impl Watcher {
-    /// Follows registries in the order of preference; one that fails hands over to the next.
+    /// Starts to fetch from the first registry; each failure switches to the next one.
     pub fn start(
         urls: &[ServiceUrl],
         set: ViewSettings,
@@ -34,18 +34,18 @@
         let view = Arc::new(Mutex::new(View::new(set, seed, now())));
         let ended = Arc::<AtomicBool>::default();
         let clients: Vec<Client> = urls.iter().map(|url| Client::new(url, Format::Json)).collect();
-        let (mine, over) = (Arc::clone(&view), Arc::clone(&ended));
+        let (shared_view, stop_flag) = (Arc::clone(&view), Arc::clone(&ended));
         let follow = move || {
-            let lock = || mine.lock().unwrap_or_else(PoisonError::into_inner);
-            let mut at = 0;
-            while !over.load(Ordering::Relaxed) {
+            let lock = || shared_view.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut url_index = 0;
+            while !stop_flag.load(Ordering::Relaxed) {
                 let due = lock().poll(now());
                 if let Some(fetch) = due {
-                    let came = clients[at % clients.len()].fetch(fetch, timeout).ok();
-                    if came.is_none() {
-                        at += 1;
+                    let received = clients[url_index % clients.len()].fetch(fetch, timeout).ok();
+                    if received.is_none() {
+                        url_index += 1;
                     }
-                    lock().fetched(now(), fetch, came.as_ref());
+                    lock().fetched(now(), fetch, received.as_ref());
                 }
                 thread::sleep(TICK);
             }
@@ -54,14 +54,14 @@
         Ok(Self { view, ended })
     }
 
-    /// The view as it is now.
+    /// Locks the current view.
     pub fn view(&self) -> MutexGuard<'_, View> {
         self.view.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// For a proxy: the instances under a name.
+    /// Server source for a proxy: the instances under a VIP address.
     pub fn servers(&self, vip: &str) -> Box<dyn Servers> {
-        Box::new(Viewed { view: Arc::clone(&self.view), vip: vip.to_string() })
+        Box::new(ViewServers { view: Arc::clone(&self.view), vip: vip.to_string() })
     }
 }
 
@@ -71,12 +71,12 @@
     }
 }
 
-struct Viewed {
+struct ViewServers {
     view: Arc<Mutex<View>>,
     vip: String,
 }
 
-impl Servers for Viewed {
+impl Servers for ViewServers {
     fn pick(&mut self, avoided: &dyn Fn(SocketAddr) -> bool) -> Option<SocketAddr> {
         let mut view = self.view.lock().unwrap_or_else(PoisonError::into_inner);
         view.pick(&self.vip, avoided).map(|picked| picked.address)
