--- a/crates/testkit/src/scale/cli.rs
+++ b/crates/testkit/src/scale/cli.rs
@@ -11,36 +11,36 @@
 use clap::{Args, Subcommand};
 use std::error::Error;
 
-/// Settings of `scale`.
+/// Arguments of `scale`.
 #[derive(Debug, Args)]
 pub struct ScaleArgs {
     #[command(subcommand)]
     command: ScaleCommand,
 }
 
-/// What is measured.
+/// Measurement to run.
 #[derive(Debug, Subcommand)]
 enum ScaleCommand {
-    /// A server by the classes and tenants of its settings: start, memory, CPU, gaps while it reloads
+    /// A server by the classes and tenants of its settings: start-up time, memory, CPU, gaps during reloads
     Settings(SettingsArgs),
-    /// A request by the size of the settings: CPU, and the time that the server adds
+    /// A request by the size of the settings: CPU time and added latency
     Requests(RequestsArgs),
-    /// A connection: bytes and CPU, up to what descriptors allow
+    /// A connection: memory and CPU, up to the descriptor limit
     Connections(ConnectionsArgs),
     /// Membership by the number of servers: messages, bytes and CPU
     Membership(GossipArgs),
-    /// Gossiped counter rows and leases by the number of servers: bytes by the kind of message
+    /// Gossiped counter rows and leases by the number of servers: bytes by message kind
     Counters(GossipArgs),
-    /// Consensus by entries, voters and the size of the snapshot
+    /// Consensus by the number of grants: latency, syncs and bytes on disk
     Consensus(ConsensusArgs),
-    /// Many servers without a processor in a few processes, with real ones among them
+    /// Many hollow servers (without processor and threads) in a few processes, with real daemons among them
     Fleet(FleetArgs),
     /// Host hollow servers, for `fleet`
     #[command(hide = true)]
     FleetHost(HostArgs),
 }
 
-/// Measures; false if a budget that is claimed to hold doesn't.
+/// Runs the measurements; returns `false` if a budget that is claimed to hold doesn't.
 pub fn run(args: ScaleArgs) -> Result<bool, Box<dyn Error>> {
     match args.command {
         ScaleCommand::Settings(args) => settings::run(&args),
--- a/crates/testkit/src/scale/connections.rs
+++ b/crates/testkit/src/scale/connections.rs
@@ -1,39 +1,39 @@
-//! `gradepin-testkit scale connections`: what connections that rest take of a real server, up to what descriptors allow.
+//! `gradepin-testkit scale connections`: cost of idle connections to a real server, up to the descriptor limit.
 
 use super::budgets::{CALLERS, CPU_PERCENT, MEMORY_MB};
 use super::figure::{Budget, Claim, Figure};
 use super::gaps::Prober;
-use super::options::{Options, check_resources, go_on, progress, rest};
+use super::options::{Options, check_interrupted, check_resources, progress, wait};
 use super::report::Report;
-use super::server::{Server, Wanted};
+use super::server::{Server, ServerSpec};
 use crate::{fleet, interrupt};
 use clap::Args;
 use std::error::Error;
 use std::path::PathBuf;
 use std::sync::atomic::AtomicBool;
 
-/// Connections of the sizes without others; the largest is half of what a process may have here.
+/// Default sizes, in connections; the largest is half of the descriptor limit of a process.
 const SIZES: [u64; 5] = [560, 1_120, 2_250, 4_500, 9_000];
-/// Descriptors of the server that are no places for callers, and as many of this process.
-const KEPT_BACK: u64 = 256;
+/// Descriptors reserved for other uses than connections, in the server and in this process.
+const RESERVED_DESCRIPTORS: u64 = 256;
 const MEMORY_NEEDED_MB: u64 = 400;
 const TENANTS: u64 = 11;
 
-/// Settings on the command line.
+/// Arguments of the command.
 #[derive(Debug, Args)]
 pub struct ConnectionsArgs {
-    /// Settings of all commands; sizes are connections to one server
+    /// Common arguments; sizes are connections to one server
     #[command(flatten)]
     pub options: Options,
-    /// Seconds for which they rest
+    /// Seconds for which the connections are idle
     #[arg(long, default_value_t = 2.0)]
     pub seconds: f64,
-    /// The daemon's program, if it is not beside this one
+    /// Path of the daemon's program; by default the one beside this program
     #[arg(long)]
     pub daemon: Option<PathBuf>,
 }
 
-/// What one size came to.
+/// Results for one size.
 struct Row {
     memory_mb: f64,
     bytes: f64,
@@ -42,12 +42,12 @@
     held: f64,
 }
 
-/// Measures; false if a budget that is claimed to hold doesn't.
+/// Runs the measurements; returns `false` if a budget that is claimed to hold doesn't.
 pub fn run(args: &ConnectionsArgs) -> Result<bool, Box<dyn Error>> {
     let end = interrupt::flag()?;
     let sizes = args.options.sizes_or(&SIZES);
     let largest = sizes.last().copied().unwrap_or(0);
-    check_resources(largest * 8 / 7 + KEPT_BACK, MEMORY_NEEDED_MB)?;
+    check_resources(largest * 8 / 7 + RESERVED_DESCRIPTORS, MEMORY_NEEDED_MB)?;
     let daemon = args.daemon.clone().map_or_else(fleet::daemon, Ok)?;
     let mut memory = Figure::new("connections.memory", "resident memory with so many", "MB")
         .within(Budget::at_most(MEMORY_MB, Claim::Holds));
@@ -59,10 +59,10 @@
     let bar = progress(sizes.len(), "connections");
     for size in sizes {
         bar.set_message(format!("{size} connections"));
-        // Past seven eighths of its table a server closes what rests for each newcomer.
-        let sockets = u32::try_from(size * 8 / 7 + KEPT_BACK)?;
-        let wanted = Wanted { daemon: &daemon, tenants: TENANTS, sockets, seed: args.options.seed };
-        let row = measure(&wanted, size, args.seconds, &end)?;
+        // With over seven eighths of its connection limit in use, a server closes an idle connection for each new one.
+        let sockets = u32::try_from(size * 8 / 7 + RESERVED_DESCRIPTORS)?;
+        let spec = ServerSpec { daemon: &daemon, tenants: TENANTS, sockets, seed: args.options.seed };
+        let row = measure(&spec, size, args.seconds, &end)?;
         memory.add(size, row.memory_mb);
         bytes.add(size, row.bytes);
         cpu.add(size, row.cpu_us);
@@ -81,27 +81,27 @@
     })
 }
 
-fn measure(wanted: &Wanted<'_>, size: u64, rest_s: f64, end: &AtomicBool) -> Result<Row, Box<dyn Error>> {
-    let server = Server::start(wanted)?;
+fn measure(spec: &ServerSpec<'_>, size: u64, rest_s: f64, end: &AtomicBool) -> Result<Row, Box<dyn Error>> {
+    let server = Server::start(spec)?;
     let (memory_before, cpu_before) = (server.memory_mb(), server.cpu());
-    let mut callers = Vec::new();
+    let mut clients = Vec::new();
     for _ in 0..size {
-        go_on(end)?;
-        let mut caller = Prober::connect(server.node().address)?;
-        caller.ask()?;
-        callers.push(caller);
+        check_interrupted(end)?;
+        let mut client = Prober::connect(server.node().address)?;
+        client.ask()?;
+        clients.push(client);
     }
     let cpu_opened = server.cpu();
     let memory_mb = server.memory_mb();
-    rest(end, rest_s)?;
+    wait(end, rest_s)?;
     let rest_cpu = server.cpu().saturating_sub(cpu_opened);
-    let standing = callers.iter_mut().filter_map(|caller| caller.ask().ok()).filter(|good| *good).count();
+    let still_open = clients.iter_mut().filter_map(|client| client.ask().ok()).filter(|good| *good).count();
     let each = size.max(1) as f64;
     Ok(Row {
         memory_mb,
         bytes: (memory_mb - memory_before).max(0.0) * 1e6 / each,
         cpu_us: cpu_opened.saturating_sub(cpu_before).as_secs_f64() * 1e6 / each,
         rest_percent: 100.0 * rest_cpu.as_secs_f64() / rest_s,
-        held: standing as f64 / each,
+        held: still_open as f64 / each,
     })
 }
--- a/crates/testkit/src/scale/counters.rs
+++ b/crates/testkit/src/scale/counters.rs
@@ -1,4 +1,4 @@
-//! `gradepin-testkit scale counters`: gossiped counter rows and leases by the number of servers, apart by the kind of message.
+//! `gradepin-testkit scale counters`: gossiped counter rows and leases by the number of servers, split by message kind.
 
 use super::budgets::{BYTES_S, SERVERS};
 use super::figure::{Budget, Claim, Figure};
@@ -7,17 +7,17 @@
 use gradepin_model::peers::Kind;
 use std::error::Error;
 
-/// The least part of the fleet that a server's counts should be of: a quota of the fleet is divided by what is heard.
-const HEARD: f64 = 0.95;
+/// Minimum fraction of the fleet whose counts a server should know; fleet-wide quotas are divided by the known counts.
+const MIN_HEARD: f64 = 0.95;
 
-/// Measures; false if a budget that is claimed to hold doesn't.
+/// Runs the measurements; returns `false` if a budget that is claimed to hold doesn't.
 pub fn run(args: &GossipArgs) -> Result<bool, Box<dyn Error>> {
     let mut rows = Figure::new("counters.bytes", "counter rows, sent by a server", "B/s")
         .within(Budget::at_most(BYTES_S, Claim::Fails));
     let mut datagrams =
         Figure::new("counters.messages", "datagrams of counter rows, sent by a server", "1/s");
     let mut heard = Figure::new("counters.heard", "part of the fleet that a server's counts are of", "of 1")
-        .within(Budget::at_least(HEARD, Claim::Fails));
+        .within(Budget::at_least(MIN_HEARD, Claim::Fails));
     let mut leases = Figure::new("leases.bytes", "messages about leases, sent by a server", "B/s")
         .within(Budget::at_most(BYTES_S, Claim::Holds));
     let mut lease_datagrams =
--- a/crates/testkit/src/scale/figure.rs
+++ b/crates/testkit/src/scale/figure.rs
@@ -1,57 +1,57 @@
-//! A figure with its budget: what was measured, what the fit says of the planned size, and whether that is within the budget.
+//! Figures with budgets: measured points, the value at the planned size, and whether it is within the budget.
 
-use super::fit::{Fit, Point, Refusal};
+use super::fit::{Fit, FitError, Point};
 
-/// What the capacity page says of a budget.
+/// Statement of the capacity page about a budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Claim {
-    /// It holds; where it doesn't, the command ends with status 1.
+    /// The budget holds; if it doesn't, the command ends with status 1.
     Holds,
-    /// It is known to fail, and the page says by which factor.
+    /// The budget is known to fail; the page states the factor.
     Fails,
 }
 
-/// Which side of the limit is the good one.
+/// Direction of a limit. The names go into the JSON report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Side {
-    /// The limit and less.
+    /// Values up to the limit are acceptable.
     AtMost,
-    /// The limit and more.
+    /// Values from the limit on are acceptable.
     AtLeast,
 }
 
-/// What a figure may come to at the planned size.
+/// Limit on a figure at the planned size.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Budget {
-    /// In the figure's unit.
+    /// Limit in the unit of the figure.
     pub limit: f64,
-    /// Which side of it is good.
+    /// Direction of the limit.
     pub side: Side,
-    /// What the page claims.
+    /// Statement of the capacity page.
     pub claim: Claim,
 }
 
-/// A budget beside a figure.
+/// Comparison of a value with its budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Verdict {
-    /// Whether it holds.
+    /// Whether the value is within the budget.
     pub holds: bool,
-    /// By which factor it holds or fails, 1 or more.
+    /// Factor by which the budget holds or fails, at least 1.
     pub factor: f64,
 }
 
 impl Budget {
-    /// No more than so much.
+    /// Budget with an upper limit.
     pub fn at_most(limit: f64, claim: Claim) -> Self {
         Self { limit, side: Side::AtMost, claim }
     }
 
-    /// No less than so much.
+    /// Budget with a lower limit.
     pub fn at_least(limit: f64, claim: Claim) -> Self {
         Self { limit, side: Side::AtLeast, claim }
     }
 
-    /// Whether a value is within it, and by which factor.
+    /// Compares a value with the budget; NaN fails.
     pub fn judge(&self, value: f64) -> Verdict {
         let ratio = match self.side {
             Side::AtMost => value / self.limit,
@@ -62,59 +62,60 @@
     }
 }
 
-/// What one command measured of one thing.
+/// One measured quantity by size.
 #[derive(Debug, Clone)]
 pub struct Figure {
-    /// Its name, as the page has it.
+    /// Identifier, as on the capacity page.
     pub id: &'static str,
-    /// What it is, in words.
+    /// Description for the report.
     pub what: &'static str,
-    /// Its unit.
+    /// Unit of the values.
     pub unit: &'static str,
-    /// At each size.
+    /// Measured values by size.
     pub points: Vec<Point>,
-    /// What it may come to, if that is limited.
+    /// Budget at the planned size, if there is one.
     pub budget: Option<Budget>,
 }
 
 impl Figure {
-    /// One without points yet.
+    /// Creates a figure without points or budget.
     pub fn new(id: &'static str, what: &'static str, unit: &'static str) -> Self {
         Self { id, what, unit, points: Vec::new(), budget: None }
     }
 
-    /// The same with a budget.
+    /// Sets the budget.
     pub fn within(mut self, budget: Budget) -> Self {
         self.budget = Some(budget);
         self
     }
 
-    /// It came to so much at a size.
+    /// Adds the measured value of a size.
     pub fn add(&mut self, size: u64, value: f64) {
         self.points.push(Point { size: size as f64, value });
     }
 
-    /// What it comes to at the planned size: as measured there, or by the fit.
-    pub fn at_target(&self, target: f64) -> Result<Told, Refusal> {
+    /// Value at the planned size: measured there, or extrapolated by the fit.
+    pub fn at_target(&self, target: f64) -> Result<TargetValue, FitError> {
         if let Some(point) = self.points.iter().find(|point| point.size == target) {
-            return Ok(Told { value: point.value, measured: true });
+            return Ok(TargetValue { value: point.value, measured: true });
         }
-        Ok(Told { value: Fit::of(&self.points)?.extrapolate(target)?, measured: false })
+        Ok(TargetValue { value: Fit::of(&self.points)?.extrapolate(target)?, measured: false })
     }
 
-    /// Whether the page's claim stands: the budget holds, or is said to fail, or there is none. A claim without a figure doesn't.
+    /// Whether the claim of the page stands: the budget holds, is stated to fail, or doesn't exist. Without a value at the
+    /// planned size, a claim that the budget holds is not kept.
     pub fn keeps_claim(&self, target: f64) -> bool {
         let Some(budget) = self.budget.filter(|budget| budget.claim == Claim::Holds) else { return true };
-        self.at_target(target).is_ok_and(|told| budget.judge(told.value).holds)
+        self.at_target(target).is_ok_and(|target_value| budget.judge(target_value.value).holds)
     }
 }
 
-/// A figure at the planned size.
+/// Value of a figure at the planned size.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Told {
-    /// What it comes to.
+pub struct TargetValue {
+    /// The value.
     pub value: f64,
-    /// Whether that size was measured.
+    /// Whether the value was measured rather than extrapolated.
     pub measured: bool,
 }
 
--- a/crates/testkit/src/scale/fit.rs
+++ b/crates/testkit/src/scale/fit.rs
@@ -1,55 +1,55 @@
-//! Fits of a figure to the sizes at which it was measured, by least squares of relative errors, and what they may be used for.
+//! Least-squares fits, by relative errors, of figures to the sizes at which they were measured.
 //!
-//! A fit is refused where it would lie: with too few sizes, with sizes that are too close or unevenly spaced in the logarithm, past a
-//! factor beyond the largest size, and where the slope changes at the largest sizes.
+//! A fit is refused where it would mislead: with too few sizes, with sizes that are too close or unevenly spaced in the
+//! logarithm, beyond a maximum factor of extrapolation, and where the slope changes at the largest sizes.
 
 use std::fmt;
 
-/// The fewest sizes that a fit may rest on.
-pub const FEWEST_SIZES: usize = 5;
-/// The farthest that a fit may be used beyond the largest size.
-pub const MOST_FACTOR: f64 = 4.0;
-/// Each size is at least so many times the one before: closer ones tell noise from a slope badly.
-pub const LEAST_STEP: f64 = 1.5;
-/// The steps in the logarithm may differ from their mean by so much of it.
+/// Minimum number of sizes for a fit.
+pub const MIN_SIZES: usize = 5;
+/// Maximum extrapolation, as a multiple of the largest size.
+pub const MAX_EXTRAPOLATION: f64 = 4.0;
+/// Minimum ratio of consecutive sizes; with closer ones a slope can't be told from noise.
+pub const MIN_STEP: f64 = 1.5;
+/// Maximum deviation of a logarithmic step from the mean step, as a fraction of it.
 const STEP_TOLERANCE: f64 = 0.2;
-/// What a parameter has to earn in residual to be taken.
-const PENALTY: f64 = 0.01;
-/// The largest size may be off the fit of the others by so much, and by twice that fit's residual.
-const LAST_TOLERANCE: f64 = 0.25;
-/// A bend is looked for where there are so many sizes: of fewer, its four numbers say anything.
-const BEND_SIZES: usize = 6;
-/// Sizes that a slope past a bend must rest on to be extrapolated.
-const PAST_BEND: usize = 3;
-/// Figures smaller than this part of the largest count with this weight: a zero has no relative error.
-const FLOOR: f64 = 1e-3;
+/// Score penalty per parameter, in units of the residual.
+const PARAMETER_PENALTY: f64 = 0.01;
+/// Allowed relative deviation of the largest size from the fit of the others, beside twice the residual of that fit.
+const LARGEST_SIZE_TOLERANCE: f64 = 0.25;
+/// Minimum number of sizes for a form with a bend; its four parameters would fit fewer sizes arbitrarily.
+const MIN_SIZES_WITH_BEND: usize = 6;
+/// Minimum number of sizes beyond a bend for extrapolation.
+const MIN_SIZES_BEYOND_BEND: usize = 3;
+/// Values below this fraction of the largest are scaled as if they had it, because zero has no relative error.
+const SCALE_FLOOR: f64 = 1e-3;
 
-/// A figure at a size.
+/// Measured value at a size.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Point {
-    /// The size.
+    /// Size in the unit of the command, such as servers or tenants.
     pub size: f64,
-    /// The figure.
+    /// Value in the unit of the figure.
     pub value: f64,
 }
 
-/// How a figure grows with the size.
+/// Growth of a figure with the size.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Form {
-    /// It doesn't.
+    /// Independent of the size.
     Constant,
-    /// With the logarithm.
+    /// Proportional to the logarithm, plus a constant.
     Logarithmic,
-    /// In proportion, from a base.
+    /// Proportional, plus a constant.
     Linear,
-    /// With the square, from a base.
+    /// Proportional to the square, plus a constant.
     Square,
-    /// In proportion, with another slope from this size on.
+    /// Linear, with another slope from this size on.
     Bent(f64),
 }
 
 impl Form {
-    /// The parts that a fit weighs, at a size.
+    /// Terms of the form at a size, to be multiplied by the weights.
     fn terms(self, size: f64) -> Vec<f64> {
         match self {
             Self::Constant => vec![1.0],
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Numbers that are drawn from the points, the place of a bend among them.
+    /// Number of fitted parameters, including the position of a bend.
     fn parameters(self) -> usize {
         match self {
             Self::Constant => 1,
@@ -82,149 +82,151 @@
     }
 }
 
-/// Why there is no fit, or why one isn't used.
+/// Reason why a fit is impossible or may not be used.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub enum Refusal {
-    /// Not enough sizes.
-    #[error("expected {FEWEST_SIZES} sizes or more, got {0}")]
+pub enum FitError {
+    /// Fewer sizes than the minimum.
+    #[error("expected {MIN_SIZES} sizes or more, got {0}")]
     TooFew(usize),
-    /// Sizes that say little apart from each other.
-    #[error("expected each size to be {LEAST_STEP} times the one before or more, got {before} and {after}")]
+    /// Consecutive sizes are too close.
+    #[error("expected each size to be {MIN_STEP} times the one before or more, got {before} and {after}")]
     TooClose {
-        /// A size.
+        /// The smaller size.
         before: f64,
-        /// The next one.
+        /// The next size.
         after: f64,
     },
-    /// Sizes that give some of them more weight than others.
+    /// Uneven steps, which would give some sizes more weight than others.
     #[error("expected sizes spaced evenly in the logarithm, got steps from {least:.2} to {most:.2} times")]
     Uneven {
-        /// The least step.
+        /// Smallest step.
         least: f64,
-        /// The greatest one.
+        /// Largest step.
         most: f64,
     },
-    /// A figure that is no number.
+    /// A value that is not finite.
     #[error("expected a finite figure at each size, got {value} at {size}")]
     NoNumber {
-        /// Where.
+        /// Size of the value.
         size: f64,
-        /// What.
+        /// The value.
         value: f64,
     },
-    /// Too far beyond what was measured.
-    #[error("{target:.0} is {factor:.1} times the largest size measured; a fit is used up to {MOST_FACTOR}")]
+    /// The target is too far beyond the measured sizes.
+    #[error(
+        "{target:.0} is {factor:.1} times the largest size measured; a fit is used up to {MAX_EXTRAPOLATION}"
+    )]
     TooFar {
-        /// The size asked for.
+        /// Requested size.
         target: f64,
-        /// Times the largest one.
+        /// Requested size as a multiple of the largest measured one.
         factor: f64,
     },
-    /// The others say something else of the largest size.
+    /// The fit of the other sizes contradicts the largest size.
     #[error(
         "the slope bends at the largest size: the others say {expected:.3}, measured {measured:.3}; measure larger ones"
     )]
     BendsAtTheEnd {
-        /// By the fit of the others.
+        /// Value at the largest size by the fit of the others.
         expected: f64,
-        /// What was measured.
+        /// Measured value at the largest size.
         measured: f64,
     },
 }
 
-/// A form with its numbers.
+/// A fitted form.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fit {
-    /// Which form.
+    /// Form with the best score.
     pub form: Form,
-    /// Weights of its terms.
+    /// Weights of the terms of the form.
     pub weights: Vec<f64>,
-    /// The root of the mean square of the relative errors.
+    /// Root mean square of the relative errors.
     pub residual: f64,
     points: Vec<Point>,
 }
 
 impl Fit {
-    /// The form that leaves the least, each parameter charged with a penalty.
-    pub fn of(points: &[Point]) -> Result<Self, Refusal> {
+    /// Fits the form with the smallest residual plus penalty for its parameters.
+    pub fn of(points: &[Point]) -> Result<Self, FitError> {
         let mut points = points.to_vec();
         points.sort_by(|a, b| a.size.total_cmp(&b.size));
         check(&points)?;
-        best(&points).ok_or(Refusal::TooFew(points.len()))
+        best(&points).ok_or(FitError::TooFew(points.len()))
     }
 
-    /// What the form says at a size, whether or not that may be trusted.
+    /// Value of the form at a size, without a check whether it may be used there.
     pub fn at(&self, size: f64) -> f64 {
         self.form.terms(size).iter().zip(&self.weights).map(|(term, weight)| term * weight).sum()
     }
 
-    /// The figure at a size, where the fit may be used for it.
-    pub fn extrapolate(&self, target: f64) -> Result<f64, Refusal> {
-        let Some((last, others)) = self.points.split_last() else { return Err(Refusal::TooFew(0)) };
+    /// Value at a size, if the fit may be used there.
+    pub fn extrapolate(&self, target: f64) -> Result<f64, FitError> {
+        let Some((last, others)) = self.points.split_last() else { return Err(FitError::TooFew(0)) };
         if target <= last.size {
             return Ok(self.at(target));
         }
         let factor = target / last.size;
-        if factor > MOST_FACTOR {
-            return Err(Refusal::TooFar { target, factor });
+        if factor > MAX_EXTRAPOLATION {
+            return Err(FitError::TooFar { target, factor });
         }
-        if let Some(expected) = self.other_end(*last, others) {
-            return Err(Refusal::BendsAtTheEnd { expected, measured: last.value });
+        if let Some(expected) = self.contradicted_value(*last, others) {
+            return Err(FitError::BendsAtTheEnd { expected, measured: last.value });
         }
         Ok(self.at(target))
     }
 
-    /// What the other sizes say of the largest one, if that is something else, or if the slope past a bend rests on too few.
-    fn other_end(&self, last: Point, others: &[Point]) -> Option<f64> {
+    /// Expected value at the largest size, if the fit of the other sizes contradicts it or too few sizes lie beyond a bend.
+    fn contradicted_value(&self, last: Point, others: &[Point]) -> Option<f64> {
         if let Form::Bent(at) = self.form {
             let past = self.points.iter().filter(|point| point.size > at).count();
-            return (past < PAST_BEND).then(|| self.at(last.size));
+            return (past < MIN_SIZES_BEYOND_BEND).then(|| self.at(last.size));
         }
         let without = best(others)?;
         let expected = without.at(last.size);
         let off = (expected - last.value).abs() / last.value.abs().max(f64::MIN_POSITIVE);
-        (off > LAST_TOLERANCE + 2.0 * without.residual).then_some(expected)
+        (off > LARGEST_SIZE_TOLERANCE + 2.0 * without.residual).then_some(expected)
     }
 }
 
-fn check(points: &[Point]) -> Result<(), Refusal> {
-    if points.len() < FEWEST_SIZES {
-        return Err(Refusal::TooFew(points.len()));
+fn check(points: &[Point]) -> Result<(), FitError> {
+    if points.len() < MIN_SIZES {
+        return Err(FitError::TooFew(points.len()));
     }
     if let Some(bad) = points.iter().find(|point| !point.value.is_finite()) {
-        return Err(Refusal::NoNumber { size: bad.size, value: bad.value });
+        return Err(FitError::NoNumber { size: bad.size, value: bad.value });
     }
     let steps: Vec<f64> = points.windows(2).map(|pair| pair[1].size / pair[0].size).collect();
-    if let Some(place) = steps.iter().position(|step| !step.is_finite() || *step < LEAST_STEP) {
-        return Err(Refusal::TooClose { before: points[place].size, after: points[place + 1].size });
+    if let Some(index) = steps.iter().position(|step| !step.is_finite() || *step < MIN_STEP) {
+        return Err(FitError::TooClose { before: points[index].size, after: points[index + 1].size });
     }
     let mean = steps.iter().map(|step| step.ln()).sum::<f64>() / steps.len() as f64;
     if steps.iter().any(|step| (step.ln() - mean).abs() > STEP_TOLERANCE * mean) {
         let least = steps.iter().copied().fold(f64::INFINITY, f64::min);
         let most = steps.iter().copied().fold(0.0, f64::max);
-        return Err(Refusal::Uneven { least, most });
+        return Err(FitError::Uneven { least, most });
     }
     Ok(())
 }
 
-/// The best of all forms for these points; a bend only where two sizes or more lie on each side of it.
+/// Best form for these points. A bend has at least two sizes on each side.
 fn best(points: &[Point]) -> Option<Fit> {
     let plain = [Form::Constant, Form::Logarithmic, Form::Linear, Form::Square];
-    let bends = points.len() >= BEND_SIZES;
+    let bends = points.len() >= MIN_SIZES_WITH_BEND;
     let inner = points.get(1..points.len().saturating_sub(2)).filter(|_| bends).unwrap_or_default();
     let bent = inner.iter().map(|point| Form::Bent(point.size));
     let fits = plain.into_iter().chain(bent).filter_map(|form| fit_form(form, points));
-    let score = |fit: &Fit| fit.residual + PENALTY * fit.form.parameters() as f64;
+    let score = |fit: &Fit| fit.residual + PARAMETER_PENALTY * fit.form.parameters() as f64;
     fits.min_by(|a, b| score(a).total_cmp(&score(b)))
 }
 
-/// Least squares of the relative errors; none if the points don't settle the form.
+/// Least squares of the relative errors; `None` if the points don't determine the form.
 fn fit_form(form: Form, points: &[Point]) -> Option<Fit> {
     if form.parameters() >= points.len() {
         return None;
     }
     let largest = points.iter().map(|point| point.value.abs()).fold(0.0, f64::max);
-    let scale = |point: &Point| point.value.abs().max(largest * FLOOR).max(f64::MIN_POSITIVE);
+    let scale = |point: &Point| point.value.abs().max(largest * SCALE_FLOOR).max(f64::MIN_POSITIVE);
     let rows: Vec<Vec<f64>> = points
         .iter()
         .map(|point| form.terms(point.size).iter().map(|term| term / scale(point)).collect())
@@ -237,7 +239,7 @@
     residual.is_finite().then_some(Fit { residual, ..fit })
 }
 
-/// The normal equations, each column scaled to its largest entry, by elimination with pivots.
+/// Solves the normal equations by elimination with pivoting, each column scaled to its largest entry.
 fn solve(rows: &[Vec<f64>], values: &[f64]) -> Option<Vec<f64>> {
     let count = rows.first()?.len();
     let scales: Vec<f64> =
@@ -261,13 +263,13 @@
             return None;
         }
         let head = matrix[column].clone();
-        for (place, row) in matrix.iter_mut().enumerate().filter(|(place, _)| *place != column) {
-            debug_assert_ne!(place, column);
+        for (index, row) in matrix.iter_mut().enumerate().filter(|(index, _)| *index != column) {
+            debug_assert_ne!(index, column);
             let times = row[column] / head[column];
             row.iter_mut().zip(&head).for_each(|(value, by)| *value -= times * by);
         }
     }
-    Some((0..count).map(|place| matrix[place][count] / matrix[place][place] / scales[place]).collect())
+    Some((0..count).map(|index| matrix[index][count] / matrix[index][index] / scales[index]).collect())
 }
 
 #[cfg(test)]
--- a/crates/testkit/src/scale/fit/tests.rs
+++ b/crates/testkit/src/scale/fit/tests.rs
@@ -6,7 +6,7 @@
     sizes.iter().map(|&size| Point { size, value: value(size) }).collect()
 }
 
-/// A deviation of up to so much of the value, the same for each size at each run.
+/// Deterministic noise factor of a size, up to `part` above or below 1.
 fn noisy(size: f64, part: f64) -> f64 {
     1.0 + part * (size * 12.9898).sin()
 }
@@ -25,50 +25,54 @@
         assert_eq!(fit.form, form);
         assert!(fit.residual < 0.02, "{fit:?}");
         let target = 4.0 * 2430.0;
-        let said = fit.extrapolate(target).unwrap();
-        assert!((said / value(target) - 1.0).abs() < 0.1, "{form}: {said} for {}", value(target));
+        let extrapolated = fit.extrapolate(target).unwrap();
+        assert!(
+            (extrapolated / value(target) - 1.0).abs() < 0.1,
+            "{form}: {extrapolated} for {}",
+            value(target)
+        );
     }
 }
 
 #[test]
-fn a_bend_is_found_and_its_slope_rests_on_three_sizes() {
+fn bend_is_found_and_needs_three_sizes_beyond_it() {
     let bent = |at: f64| move |size: f64| 10.0 + 0.2 * size.min(at) + 4.0 * (size - at).max(0.0);
     let fit = Fit::of(&points(&SIZES, bent(90.0))).unwrap();
     assert_eq!(fit.form, Form::Bent(90.0));
     assert!((fit.extrapolate(5000.0).unwrap() / bent(90.0)(5000.0) - 1.0).abs() < 1e-6);
     let late = Fit::of(&points(&SIZES, bent(270.0))).unwrap();
     assert_eq!(late.form, Form::Bent(270.0));
-    assert!(matches!(late.extrapolate(5000.0), Err(Refusal::BendsAtTheEnd { .. })));
+    assert!(matches!(late.extrapolate(5000.0), Err(FitError::BendsAtTheEnd { .. })));
 }
 
-/// A fit that lies, the first way: sizes that are too close, too few, or uneven.
+/// Guards against misleading fits of sizes that are too few, too close or uneven.
 #[test]
-fn sizes_that_say_little_are_refused() {
+fn too_few_close_or_uneven_sizes_are_refused() {
     let of = |sizes: &[f64]| Fit::of(&points(sizes, |size| size)).unwrap_err();
-    assert_eq!(of(&[1.0, 10.0, 100.0, 1000.0]), Refusal::TooFew(4));
-    assert!(matches!(of(&[100.0, 110.0, 120.0, 130.0, 140.0]), Refusal::TooClose { .. }));
-    assert!(matches!(of(&[10.0, 10.0, 30.0, 90.0, 270.0]), Refusal::TooClose { .. }));
-    assert!(matches!(of(&[10.0, 20.0, 40.0, 80.0, 800.0]), Refusal::Uneven { .. }));
+    assert_eq!(of(&[1.0, 10.0, 100.0, 1000.0]), FitError::TooFew(4));
+    assert!(matches!(of(&[100.0, 110.0, 120.0, 130.0, 140.0]), FitError::TooClose { .. }));
+    assert!(matches!(of(&[10.0, 10.0, 30.0, 90.0, 270.0]), FitError::TooClose { .. }));
+    assert!(matches!(of(&[10.0, 20.0, 40.0, 80.0, 800.0]), FitError::Uneven { .. }));
     let nan = points(&SIZES, |size| if size > 800.0 { f64::NAN } else { 1.0 });
-    assert!(matches!(Fit::of(&nan), Err(Refusal::NoNumber { .. })));
+    assert!(matches!(Fit::of(&nan), Err(FitError::NoNumber { .. })));
 }
 
-/// A fit that lies, the second way: flat as far as was measured, and steep just at the end.
+/// Guards against misleading fits of values that are flat up to the last size and steep there.
 #[test]
 fn a_slope_that_bends_at_the_largest_size_is_not_extrapolated() {
     for rise in [2.0, 10.0] {
         let fit = Fit::of(&points(&SIZES, |size| if size > 2000.0 { 5.0 * rise } else { 5.0 })).unwrap();
         let refused = fit.extrapolate(3000.0);
-        assert!(matches!(refused, Err(Refusal::BendsAtTheEnd { .. })), "{fit:?} {refused:?}");
-        assert!(fit.extrapolate(2430.0).is_ok(), "what was measured is said");
+        assert!(matches!(refused, Err(FitError::BendsAtTheEnd { .. })), "{fit:?} {refused:?}");
+        assert!(fit.extrapolate(2430.0).is_ok(), "measured sizes need no extrapolation");
     }
 }
 
 #[test]
-fn nothing_is_said_past_the_factor() {
+fn extrapolation_beyond_the_maximum_is_refused() {
     let fit = Fit::of(&points(&SIZES, |size| size)).unwrap();
-    assert!(fit.extrapolate(MOST_FACTOR * 2430.0).is_ok());
-    assert!(matches!(fit.extrapolate(MOST_FACTOR * 2430.0 + 1.0), Err(Refusal::TooFar { .. })));
+    assert!(fit.extrapolate(MAX_EXTRAPOLATION * 2430.0).is_ok());
+    assert!(matches!(fit.extrapolate(MAX_EXTRAPOLATION * 2430.0 + 1.0), Err(FitError::TooFar { .. })));
 }
 
 #[test]
--- a/crates/testkit/src/scale/fleet/budget.rs
+++ b/crates/testkit/src/scale/fleet/budget.rs
@@ -1,36 +1,37 @@
-//! What control may cost a server, and which servers cost more than the others: one that spends beside its work must be
-//! caught, also where the fleet's mean hides it.
+//! Budgets for the control cost of a server, and detection of servers that cost more than the others, which the mean of the
+//! fleet would hide.
 
 use super::figures::Rates;
 use serde::Serialize;
 
-/// CPU of control in ms a second: 4.2% of a core.
+/// CPU budget for control, in ms per second: 4.2% of a core.
 pub const CPU_MS: f64 = 42.0;
-/// Memory of a server, in bytes: 128 MB.
+/// Memory budget of a server, in bytes: 128 MB.
 pub const MEMORY: u64 = 128_000_000;
-/// Bytes sent in a second: 4 KB.
+/// Budget of bytes sent per second: 4 kB.
 pub const BYTES: f64 = 4_000.0;
-/// How far over the median of the hollow servers one of them may be, at least: half of the smallest expenses that must be
-/// caught, a kilobyte a second and a millisecond in each of ten ticks a second.
-const BYTES_OVER: f64 = 512.0;
-const CPU_MS_OVER: f64 = 5.0;
-/// And as a part of the median, where that is more: busy servers differ by more.
-const PART_OVER: f64 = 0.25;
+/// Minimum tolerated excess over the median of the hollow servers, in bytes per second. This and the limit on CPU time are
+/// half of the smallest excess that must be detected: 1 kB per second, and 1 ms in each of ten ticks per second.
+const MIN_EXCESS_BYTES: f64 = 512.0;
+/// Minimum tolerated excess of CPU time over the median, in ms per second.
+const MIN_EXCESS_CPU_MS: f64 = 5.0;
+/// Tolerated excess of CPU time as a fraction of the median, if larger, because busy servers differ more.
+const MIN_EXCESS_CPU_FRACTION: f64 = 0.25;
 
-/// Datagrams by which two servers alike differ by chance: at the ends of a span, and by who is asked for all members.
-const CHANCE: f64 = 4.0;
+/// Datagrams by which equal servers differ by chance: at the ends of a window, and by answering membership requests.
+const RANDOM_DATAGRAMS: f64 = 4.0;
 
-/// What is held against its bound.
+/// Kind of cost. The names go into the JSON file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum Cost {
-    /// Bytes sent in a second.
+    /// Bytes sent per second.
     Bytes,
-    /// CPU in ms a second.
+    /// CPU time in ms per second.
     Cpu,
 }
 
 impl Cost {
-    /// In words, with the unit.
+    /// Description with the unit.
     pub fn words(self) -> &'static str {
         match self {
             Self::Bytes => "bytes/s sent",
@@ -45,39 +46,39 @@
         }
     }
 
-    fn over(self) -> f64 {
+    fn min_excess(self) -> f64 {
         match self {
-            Self::Bytes => BYTES_OVER,
-            Self::Cpu => CPU_MS_OVER,
+            Self::Bytes => MIN_EXCESS_BYTES,
+            Self::Cpu => MIN_EXCESS_CPU_MS,
         }
     }
 
-    /// How far over the median one may be, where the median is of these. Bytes differ by a few datagrams; the CPU of busy servers differs by a part of it.
+    /// Tolerated excess over the median. Bytes differ by a few datagrams, the CPU time of busy servers by a fraction.
     fn margin(self, median: &Rates, seconds: f64) -> f64 {
         match self {
             Self::Bytes => {
                 let datagram = median.bytes / median.datagrams.max(1.0);
-                self.over() + CHANCE * datagram / seconds.max(1e-9)
+                self.min_excess() + RANDOM_DATAGRAMS * datagram / seconds.max(1e-9)
             }
-            Self::Cpu => self.over().max(PART_OVER * median.cpu_ms),
+            Self::Cpu => self.min_excess().max(MIN_EXCESS_CPU_FRACTION * median.cpu_ms),
         }
     }
 }
 
-/// A hollow server that costs more than the others.
+/// Hollow server with excess cost.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Uneven {
-    /// Its place among the hollow servers.
+    /// Index among the hollow servers.
     pub server: usize,
-    /// What it spends too much of.
+    /// Kind of cost.
     pub cost: Cost,
-    /// How much.
+    /// Cost of this server.
     pub value: f64,
-    /// What half of the servers stay under.
+    /// Median cost of all hollow servers.
     pub median: f64,
 }
 
-/// The servers that cost more than the others by more than chance explains, over a span of so many seconds.
+/// Finds servers whose cost over a window of `seconds` exceeds the median by more than chance explains.
 pub fn uneven(servers: &[Rates], seconds: f64) -> Vec<Uneven> {
     let of = |value: fn(&Rates) -> f64| median(servers.iter().map(value));
     let usual = Rates {
@@ -90,8 +91,13 @@
     for cost in [Cost::Bytes, Cost::Cpu] {
         let median = cost.of(&usual);
         let most = median + cost.margin(&usual, seconds);
-        let over = servers.iter().enumerate().filter(|(_, rates)| cost.of(rates) > most);
-        found.extend(over.map(|(server, rates)| Uneven { server, cost, value: cost.of(rates), median }));
+        let min_excess = servers.iter().enumerate().filter(|(_, rates)| cost.of(rates) > most);
+        found.extend(min_excess.map(|(server, rates)| Uneven {
+            server,
+            cost,
+            value: cost.of(rates),
+            median,
+        }));
     }
     found
 }
--- a/crates/testkit/src/scale/fleet/budget/tests.rs
+++ b/crates/testkit/src/scale/fleet/budget/tests.rs
@@ -10,16 +10,16 @@
     (0..12).map(one).collect()
 }
 
-/// Guards the check from chance: servers that do the same differ by some percent, and that is nothing.
+/// Guards against false alarms: servers with the same work differ by some percent.
 #[test]
-fn servers_alike_are_even() {
+fn equal_servers_have_no_excess_cost() {
     assert_eq!(uneven(&fleet(), 10.0), []);
 }
 
-/// Guards the budget: one server among many that sends a kilobyte or burns a millisecond a tick more is caught by its place,
-/// though the mean hardly moves.
+/// A server that sends an extra kilobyte per second or uses an extra millisecond per tick is detected, although the mean
+/// hardly changes.
 #[test]
-fn one_that_spends_beside_its_work_is_caught() {
+fn extra_cost_of_one_server_is_detected() {
     let mut servers = fleet();
     servers[7].bytes += 1_024.0;
     servers[3].cpu_ms += 10.0;
@@ -28,9 +28,9 @@
     assert_eq!(caught, [(7, Cost::Bytes), (3, Cost::Cpu)]);
 }
 
-/// Guards short spans: a datagram more or less is chance, as a feed of all members to one that asked for it.
+/// Guards against false alarms in short windows, where one datagram more or less is chance.
 #[test]
-fn a_datagram_in_a_short_span_is_no_expense() {
+fn single_datagram_in_a_short_window_is_tolerated() {
     let mut servers = fleet();
     servers[2].bytes += 830.0;
     assert_eq!(uneven(&servers, 1.0), [], "a feed of all members in a second");
--- a/crates/testkit/src/scale/fleet/cut/tests.rs
+++ b/crates/testkit/src/scale/fleet/cut/tests.rs
@@ -4,9 +4,9 @@
     SocketAddr::from(([127, 0, 0, n], 1))
 }
 
-/// Guards the cut of a region: nothing passes to or from it, all passes within either side, and strangers aren't cut.
+/// Datagrams pass within each side and from unknown addresses, but not between the sides.
 #[test]
-fn a_cut_is_between_its_regions_and_the_others() {
+fn partition_separates_its_regions_from_the_others() {
     let regions = Regions::new((0..4).map(|n| (address(n), Region(n))));
     let cut = Cut::of([Region(3), Region(2)]);
     for (own, other, passes) in
--- a/crates/testkit/src/scale/fleet/daemons.rs
+++ b/crates/testkit/src/scale/fleet/daemons.rs
@@ -1,5 +1,5 @@
-//! The real daemons of a fleet: started as the kit's fleets are, under the same load as a hollow server has, and asked at
-//! their admin endpoints for the same figures.
+//! Real daemons of a fleet, started as in other fleets of the test kit, under the same load as hollow servers. Their figures
+//! come from their admin endpoints.
 
 use super::layout::{Region, Shape};
 use super::messages::{Neighbour, ServerFigures};
@@ -14,44 +14,44 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Classes have the brief's own times.
-const SCALE: u64 = 4;
-/// Slots of the shared dependency of each, which no run asks for.
-const SHARE: f64 = 4.0;
+/// Factor on the times of the classes; 4 gives the full times.
+const CLASS_TIME_SCALE: u64 = 4;
+/// Ledger slots of each server, which no run uses.
+const LEDGER_SLOTS: f64 = 4.0;
 
-/// What the daemons are like.
+/// Parameters of the daemons.
 #[derive(Debug, Clone)]
 pub struct DaemonsSpec {
-    /// The program.
+    /// Path of the daemon's program.
     pub daemon: PathBuf,
-    /// How many.
+    /// Number of daemons.
     pub servers: usize,
-    /// Whether they talk to each other.
-    pub talks: bool,
-    /// Requests a second of each.
+    /// Whether the daemons form a cluster.
+    pub connected: bool,
+    /// Requests per second and daemon.
     pub rate: f64,
-    /// What a run takes in the mean.
+    /// Mean time of a run.
     pub run: Duration,
-    /// For what is drawn.
+    /// Random seed.
     pub seed: u64,
-    /// Zones of the fleet.
+    /// Zones and regions of the fleet.
     pub shape: Shape,
 }
 
-/// Running daemons; none is left when this is dropped.
+/// Running daemons; they are killed when dropped.
 pub struct Daemons {
     fleet: Fleet,
     listen: Vec<SocketAddr>,
     folder: PathBuf,
     others: u64,
-    /// Since when each has known all others.
+    /// Time since which the membership of each has been complete, in Unix ms.
     whole_since_ms: Vec<Option<u64>>,
-    /// The proxies that ask them, until this is dropped.
+    /// Client proxies, one per daemon.
     proxies: Vec<Proxy>,
 }
 
 impl Daemons {
-    /// Starts them, with a proxy for each, and waits until they serve. `others` is how many each is to know.
+    /// Starts the daemons with a proxy each and waits until they are ready. `others` is the size of a complete membership.
     pub fn start(spec: &DaemonsSpec, folder: &Path, others: usize) -> io::Result<Self> {
         let listen: Vec<SocketAddr> = (0..spec.servers).map(|_| fleet::peer_address()).collect();
         let zone = |n: usize| spec.shape.zone_name(n % spec.shape.zones_of_first());
@@ -60,7 +60,7 @@
             advertise: listen.clone(),
             zones: (0..spec.servers).map(zone).collect(),
             ledgers: vec![SocketAddr::from(([127, 0, 0, 1], 9)); spec.servers],
-            share: SHARE,
+            share: LEDGER_SLOTS,
             lends: true,
             plain: false,
         };
@@ -74,16 +74,16 @@
             daemon: spec.daemon.clone(),
             servers: spec.servers,
             processor,
-            scale: SCALE,
+            scale: CLASS_TIME_SCALE,
             callers: 1,
-            peers: spec.talks.then_some(peers),
+            peers: spec.connected.then_some(peers),
             folder: folder.into(),
             ..FleetSpec::default()
         })?;
         let proxy = |(n, node): (usize, &fleet::Node)| {
             let list = StaticServers { all: vec![node.address], turn: 0 };
-            let habit = ProxyBehavior::thrift(spec.rate, 1, true);
-            Proxy::start(n as u64 + 1, spec.seed + n as u64, habit, Box::new(list))
+            let behavior = ProxyBehavior::thrift(spec.rate, 1, true);
+            Proxy::start(n as u64 + 1, spec.seed + n as u64, behavior, Box::new(list))
         };
         let proxies = if spec.rate > 0.0 {
             fleet.nodes.iter().enumerate().map(proxy).collect::<io::Result<Vec<Proxy>>>()?
@@ -95,28 +95,28 @@
         Ok(Self { fleet, listen, folder: folder.into(), others, whole_since_ms, proxies })
     }
 
-    /// The files that hollow servers take their settings from: the configuration and the own settings of the first.
+    /// Configuration and settings files of the first daemon, which hollow servers use.
     pub fn files(&self) -> (PathBuf, PathBuf) {
         (self.folder.join("n0.json"), self.folder.join("n0.kdl"))
     }
 
-    /// The daemons as others of the fleet have to know them.
+    /// The daemons as known to the hosts.
     pub fn neighbours(&self) -> Vec<Neighbour> {
         let one = |address: &SocketAddr| Neighbour { address: *address, region: Region(0), real: true };
         self.listen.iter().map(one).collect()
     }
 
-    /// The ids of their processes.
+    /// Process IDs.
     pub fn pids(&self) -> Vec<u32> {
         self.fleet.nodes.iter().filter_map(fleet::Node::pid).collect()
     }
 
-    /// The resident memory of each, in bytes.
+    /// Resident memory of each daemon, in bytes.
     pub fn memory(&self) -> Vec<u64> {
         self.fleet.nodes.iter().filter_map(fleet::Node::memory).collect()
     }
 
-    /// What each did so far and knows now; one that doesn't answer in time has no figures.
+    /// Current figures of each daemon; `None` for one that doesn't answer in time.
     pub fn figures(&mut self) -> Vec<Option<ServerFigures>> {
         let now = unix_ms();
         let mut all = Vec::new();
@@ -125,16 +125,16 @@
                 cpu_ns: node.pid().and_then(cpu_ns_of).unwrap_or_default(),
                 ..parse(&text)
             });
-            let whole = figures.as_ref().is_some_and(|figures| figures.up >= self.others);
+            let complete = figures.as_ref().is_some_and(|figures| figures.up >= self.others);
             let since = &mut self.whole_since_ms[n];
-            *since = whole.then(|| since.unwrap_or(now));
+            *since = complete.then(|| since.unwrap_or(now));
             let since = *since;
             all.push(figures.map(|figures| ServerFigures { whole_since_ms: since, ..figures }));
         }
         all
     }
 
-    /// What can be known of daemons that don't talk, and have no admin endpoint: the CPU of each so far.
+    /// Figures of unconnected daemons, which have no admin endpoint: only the CPU time so far.
     pub fn figures_alone(&self) -> Vec<Option<ServerFigures>> {
         let one =
             |pid| ServerFigures { cpu_ns: cpu_ns_of(pid).unwrap_or_default(), ..ServerFigures::default() };
@@ -144,14 +144,14 @@
 
 impl Drop for Daemons {
     fn drop(&mut self) {
-        // Before the daemons end: a proxy goes on until it is told to stop.
+        // Proxies must stop before the daemons end.
         for proxy in self.proxies.drain(..) {
             proxy.stop();
         }
     }
 }
 
-/// Takes the figures out of a scrape.
+/// Extracts the figures from a metrics page.
 fn parse(text: &str) -> ServerFigures {
     let sum = |name: &str, label: &str| -> u64 {
         let value = |line: &str| {
--- a/crates/testkit/src/scale/fleet/daemons/tests.rs
+++ b/crates/testkit/src/scale/fleet/daemons/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Guards the figures of real daemons against names that changed: these are those of their endpoint.
+/// Guards against renamed metrics: the text has the names of the admin endpoint.
 #[test]
-fn a_scrape_becomes_the_figures_of_a_server() {
+fn metrics_page_is_parsed_into_figures() {
     let text = "\
 # HELP server_operations Final answers\n\
 server_operations_total{priority=\"sheet-view\",status=\"fulfilled\"} 7\n\
--- a/crates/testkit/src/scale/fleet/figures.rs
+++ b/crates/testkit/src/scale/fleet/figures.rs
@@ -1,31 +1,31 @@
-//! From two snapshots of a fleet to what a server does in a second, for hollow and real servers alike.
+//! Rates per server from two snapshots of a fleet, for hollow servers and real daemons.
 
 use super::messages::{KindFigures, Lateness, Report, ServerFigures};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// A fleet at one moment.
+/// Counters of a fleet at one time.
 #[derive(Debug, Clone)]
 pub struct Snapshot {
-    /// When.
+    /// Time of the snapshot.
     pub at: Instant,
-    /// Hollow servers, host by host.
+    /// Hollow servers, ordered by host.
     pub hollow: Vec<ServerFigures>,
-    /// Real daemons; none for one that didn't answer.
+    /// Real daemons; `None` for one that didn't answer.
     pub real: Vec<Option<ServerFigures>>,
-    /// CPU of the host processes in nanoseconds, without looks and reports, and of those.
+    /// CPU time of the hosts in nanoseconds, without polls and reports.
     pub hosts_cpu_ns: u64,
-    /// See `hosts_cpu_ns`.
+    /// CPU time of polls and reports in the hosts, in nanoseconds.
     pub beside_ns: u64,
-    /// The latest of the hosts' lateness since the snapshot before.
+    /// Largest delays of any host since the previous snapshot.
     pub late: Lateness,
-    /// What hollow servers received.
+    /// Datagrams received by hollow servers, by kind.
     pub kinds: Vec<KindFigures>,
 }
 
 impl Snapshot {
-    /// Of these reports and daemons, now.
+    /// Combines the reports of all hosts with the figures of the daemons.
     pub fn new(reports: &[Report], real: Vec<Option<ServerFigures>>) -> Self {
         let worst = |a: Lateness, b: &Lateness| Lateness {
             p50_ms: a.p50_ms.max(b.p50_ms),
@@ -59,21 +59,21 @@
     sums.into_iter().map(figures).collect()
 }
 
-/// What one server does in a second.
+/// Rates of one server, per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Rates {
     /// Datagrams sent.
     pub datagrams: f64,
     /// Bytes sent.
     pub bytes: f64,
-    /// CPU in ms.
+    /// CPU time in ms.
     pub cpu_ms: f64,
-    /// Requests that came.
+    /// Requests that arrived.
     pub asked: f64,
 }
 
 impl Rates {
-    /// Between two states of one server.
+    /// Rates between two states of a server.
     pub fn between(from: &ServerFigures, to: &ServerFigures, seconds: f64) -> Self {
         let each = |from: u64, to: u64| to.saturating_sub(from) as f64 / seconds.max(1e-9);
         Self {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The mean of some; nothing of none.
+    /// Mean rates; zero for an empty slice.
     pub fn mean(all: &[Self]) -> Self {
         let mean = |of: fn(&Self) -> f64| all.iter().map(of).sum::<f64>() / all.len().max(1) as f64;
         Self {
@@ -95,48 +95,48 @@
         }
     }
 
-    /// With the CPU of control: what its process uses with others less what the same uses under the same load without.
+    /// Replaces the CPU time by that for control: usage in the fleet less usage of an unconnected server under the same load.
     pub fn of_control(self, process_ms: f64, alone_ms: f64) -> Self {
         Self { cpu_ms: (process_ms - alone_ms).max(0.0), ..self }
     }
 }
 
-/// A span between two snapshots.
+/// Rates between two snapshots.
 #[derive(Debug, Clone)]
 pub struct Window {
-    /// Its length in seconds.
+    /// Length in seconds.
     pub seconds: f64,
-    /// Each hollow server.
+    /// Rates of each hollow server.
     pub hollow: Vec<Rates>,
-    /// Each real daemon that answered at both ends.
+    /// Rates of each real daemon that answered both times.
     pub real: Vec<Rates>,
-    /// CPU of the hosts by hollow server, in ms a second: with their waits for sockets, as a real process has them too.
+    /// CPU time of the hosts per hollow server, in ms per second, including waits for sockets as in a real daemon.
     pub host_cpu_ms: f64,
-    /// CPU of looks and reports, of all hosts, in ms a second.
+    /// CPU time of polls and reports of all hosts, in ms per second.
     pub beside_cpu_ms: f64,
-    /// Messages a second that a sender sent to hollow servers, by kind.
+    /// Datagrams per second and sender to hollow servers, by kind.
     pub kinds: Vec<KindRate>,
-    /// Of all datagrams sent, the part that nobody took or dropped for a reason.
+    /// Fraction of all sent datagrams that were neither accepted nor dropped for a counted reason.
     pub lost: f64,
-    /// How late the hosts were in it.
+    /// Delays of the hosts in the window.
     pub late: Lateness,
 }
 
-/// How much of one kind a server sends.
+/// Rate of one message kind.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct KindRate {
-    /// The kind.
+    /// Message kind.
     pub kind: String,
-    /// Whether real daemons sent them.
+    /// Whether the senders are real daemons.
     pub from_real: bool,
-    /// Datagrams a second of each sender, to hollow servers.
+    /// Datagrams per second and sender to hollow servers.
     pub datagrams: f64,
-    /// Their bytes.
+    /// Bytes per second and sender to hollow servers.
     pub bytes: f64,
 }
 
 impl Window {
-    /// Between two snapshots of the same fleet.
+    /// Rates between two snapshots of the same fleet.
     pub fn between(from: &Snapshot, to: &Snapshot) -> Self {
         let seconds = (to.at - from.at).as_secs_f64();
         let rates = |(from, to): (&ServerFigures, &ServerFigures)| Rates::between(from, to, seconds);
@@ -174,46 +174,46 @@
     }
 }
 
-/// Of what all sent, the part that none took and none dropped for a reason that it counts.
+/// Fraction of sent datagrams that no server accepted or dropped for a counted reason.
 fn lost(from: &Snapshot, to: &Snapshot) -> f64 {
     let sum = |snapshot: &Snapshot, of: fn(&ServerFigures) -> u64| -> u64 {
         snapshot.hollow.iter().chain(snapshot.real.iter().flatten()).map(of).sum()
     };
-    let moved = |of: fn(&ServerFigures) -> u64| sum(to, of).saturating_sub(sum(from, of)) as f64;
-    let (sent, arrived) = (moved(|one| one.sent), moved(|one| one.taken + one.dropped));
+    let increase = |of: fn(&ServerFigures) -> u64| sum(to, of).saturating_sub(sum(from, of)) as f64;
+    let (sent, arrived) = (increase(|one| one.sent), increase(|one| one.taken + one.dropped));
     if sent > 0.0 { ((sent - arrived) / sent).max(0.0) } else { 0.0 }
 }
 
-/// One hollow server beside one real one.
+/// Figures of a hollow server relative to those of a real daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
-pub struct Compared {
-    /// The hollow one's figures as parts of the real one's: messages, bytes, CPU of control.
+pub struct Comparison {
+    /// Ratio of datagrams.
     pub datagrams: f64,
-    /// See `datagrams`.
+    /// Ratio of bytes.
     pub bytes: f64,
-    /// See `datagrams`.
+    /// Ratio of CPU time for control.
     pub cpu: f64,
 }
 
-/// How far a hollow server's figures may be from a real one's before the difference is told.
-pub const WITHIN: f64 = 0.15;
+/// Relative difference between hollow servers and real daemons above which it is reported.
+pub const MAX_DIFFERENCE: f64 = 0.15;
 
-impl Compared {
-    /// Of both means. None where there is nothing to compare with.
+impl Comparison {
+    /// Compares mean rates; `None` if a rate of the real daemons is zero.
     pub fn of(hollow: &Rates, real: &Rates) -> Option<Self> {
-        let part = |hollow: f64, real: f64| (real > 0.0).then(|| hollow / real);
+        let ratio = |hollow: f64, real: f64| (real > 0.0).then(|| hollow / real);
         Some(Self {
-            datagrams: part(hollow.datagrams, real.datagrams)?,
-            bytes: part(hollow.bytes, real.bytes)?,
-            cpu: part(hollow.cpu_ms, real.cpu_ms)?,
+            datagrams: ratio(hollow.datagrams, real.datagrams)?,
+            bytes: ratio(hollow.bytes, real.bytes)?,
+            cpu: ratio(hollow.cpu_ms, real.cpu_ms)?,
         })
     }
 
-    /// The figures that differ by more than [`WITHIN`], each with the part.
+    /// Figures that differ by more than [`MAX_DIFFERENCE`], each with its ratio.
     pub fn differences(&self) -> Vec<(&'static str, f64)> {
         [("messages", self.datagrams), ("bytes", self.bytes), ("CPU of control", self.cpu)]
             .into_iter()
-            .filter(|(_, part)| (part - 1.0).abs() > WITHIN)
+            .filter(|(_, ratio)| (ratio - 1.0).abs() > MAX_DIFFERENCE)
             .collect()
     }
 }
--- a/crates/testkit/src/scale/fleet/figures/tests.rs
+++ b/crates/testkit/src/scale/fleet/figures/tests.rs
@@ -29,10 +29,9 @@
     }
 }
 
-/// Guards the rates of a span: by server and second, by sender for the kinds, and without a daemon that didn't answer at
-/// both ends.
+/// Rates are per server and second, those of message kinds per sender; a daemon that didn't answer both times is skipped.
 #[test]
-fn a_window_is_what_moved_between_two_snapshots() {
+fn window_has_the_rates_between_two_snapshots() {
     let begin = Instant::now();
     let from = snapshot(begin, &[(10, 10), (20, 20)], &[Some((5, 5)), None], 40);
     let to =
@@ -46,21 +45,21 @@
     assert_eq!((window.kinds[1].datagrams, window.kinds[1].from_real), (5.0, true));
 }
 
-/// Guards the balance: what nobody took and nobody dropped for a reason is lost.
+/// Datagrams that were neither accepted nor dropped for a counted reason are lost.
 #[test]
-fn what_was_sent_and_never_came_is_lost() {
+fn datagrams_that_never_arrived_are_lost() {
     let begin = Instant::now();
     let from = snapshot(begin, &[(0, 0), (0, 0)], &[], 0);
     let to = snapshot(begin + Duration::from_secs(1), &[(50, 45), (50, 45)], &[], 0);
     assert!((lost(&from, &to) - 0.1).abs() < 1e-9);
 }
 
-/// Guards the comparison of hollow and real servers: a difference of more than 15% is named, less is not.
+/// Only differences of more than 15% between hollow and real servers are reported.
 #[test]
-fn a_difference_of_more_than_15_percent_is_told() {
+fn differences_of_more_than_15_percent_are_reported() {
     let real = Rates { datagrams: 40.0, bytes: 9_000.0, cpu_ms: 10.0, asked: 0.0 };
     let hollow = Rates { datagrams: 44.0, bytes: 9_900.0, cpu_ms: 8.0, asked: 0.0 };
-    let compared = Compared::of(&hollow, &real).unwrap();
+    let compared = Comparison::of(&hollow, &real).unwrap();
     assert_eq!(compared.differences(), [("CPU of control", 0.8)]);
-    assert_eq!(Compared::of(&hollow, &Rates::default()), None);
+    assert_eq!(Comparison::of(&hollow, &Rates::default()), None);
 }
--- a/crates/testkit/src/scale/fleet/hosts.rs
+++ b/crates/testkit/src/scale/fleet/hosts.rs
@@ -1,5 +1,5 @@
-//! The host processes of a run: started from this program, told by their inputs, read by their outputs, and ended by the
-//! ends of their inputs or, where that takes too long, by their ids.
+//! Host processes of a run, started from this program. They receive orders over standard input, report over standard output,
+//! and end when their input closes; one that takes too long is killed.
 
 use super::cut::Cut;
 use super::messages::{HostPlan, Order, Report};
@@ -10,30 +10,30 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a host may take for a report that was asked for, on a machine that is busy.
-const REPORT_PATIENCE: Duration = Duration::from_secs(30);
-/// How long it may take to end once its input has ended.
-const END_PATIENCE: Duration = Duration::from_secs(3);
-/// Between looks at whether it has.
-const END_LOOK: Duration = Duration::from_millis(10);
+/// Timeout of an ordered report, generous for a busy machine.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time for a host to end after its input closes.
+const END_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval of checks whether a host has ended.
+const END_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why hosts can't be used any more.
+/// Failure of the host processes.
 #[derive(Debug, thiserror::Error)]
 pub enum HostsError {
-    /// The system denies something.
+    /// A system call failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A plan can't be written, or an order.
+    /// A plan or an order can't be serialized.
     #[error(transparent)]
     Form(#[from] serde_json::Error),
-    /// One ended.
+    /// A host ended early.
     #[error("a host of hollow servers ended by itself; see {log}")]
     Ended {
-        /// What it said.
+        /// Path of its log.
         log: String,
     },
-    /// One doesn't report.
-    #[error("a host of hollow servers did not report within {s} s", s = REPORT_PATIENCE.as_secs())]
+    /// A host doesn't report in time.
+    #[error("a host of hollow servers did not report within {s} s", s = REPORT_TIMEOUT.as_secs())]
     Silent,
 }
 
@@ -42,29 +42,29 @@
     input: Option<ChildStdin>,
     servers: usize,
     log: String,
-    /// The last report, whichever.
+    /// Latest report, periodic or ordered.
     latest: Option<Report>,
 }
 
-/// What came of a host: a report, or its end.
-struct Came {
+/// Event of a host: a report, or `None` for its end.
+struct HostEvent {
     host: usize,
     report: Option<Report>,
 }
 
-/// All hosts of a run. None of their processes is left when this is dropped.
+/// All host processes of a run; they are ended when dropped.
 pub struct Hosts {
     hosts: Vec<Host>,
-    came: Receiver<Came>,
-    numbers: u32,
+    events: Receiver<HostEvent>,
+    last_number: u32,
 }
 
 impl Hosts {
-    /// Starts a process for each plan; files go into the folder.
+    /// Starts a process for each plan; plans and logs go into `folder`.
     pub fn start(plans: &[HostPlan], folder: &Path) -> Result<Self, HostsError> {
         let program = std::env::current_exe()?;
-        let (sender, came) = unbounded();
-        let mut all = Self { hosts: Vec::new(), came, numbers: 0 };
+        let (sender, events) = unbounded();
+        let mut all = Self { hosts: Vec::new(), events, last_number: 0 };
         for (number, plan) in plans.iter().enumerate() {
             let file = folder.join(format!("host{number}.plan"));
             std::fs::write(&file, serde_json::to_string(plan)?)?;
@@ -94,40 +94,41 @@
         Ok(all)
     }
 
-    /// The ids of the processes.
+    /// Process IDs.
     pub fn pids(&self) -> Vec<u32> {
         self.hosts.iter().map(|host| host.child.id()).collect()
     }
 
-    /// Cuts regions from the others, or ends a cut.
+    /// Sets or ends a partition between regions.
     pub fn cut(&mut self, cut: &Cut) -> Result<(), HostsError> {
         self.order(&Order::Cut(cut.clone()))
     }
 
-    /// A report of each host as of now, in their order.
+    /// Orders and returns a current report of each host, in their order.
     pub fn report(&mut self) -> Result<Vec<Report>, HostsError> {
-        self.numbers += 1;
-        let number = self.numbers;
+        self.last_number += 1;
+        let number = self.last_number;
         self.order(&Order::Report(number))?;
         let begin = Instant::now();
-        let wanted = |host: &Host| host.latest.as_ref().is_some_and(|report| report.number == Some(number));
-        while !self.hosts.iter().all(wanted) {
-            let left = REPORT_PATIENCE.checked_sub(begin.elapsed()).ok_or(HostsError::Silent)?;
-            self.take(left, Some(number))?;
+        let has_report =
+            |host: &Host| host.latest.as_ref().is_some_and(|report| report.number == Some(number));
+        while !self.hosts.iter().all(has_report) {
+            let left = REPORT_TIMEOUT.checked_sub(begin.elapsed()).ok_or(HostsError::Silent)?;
+            self.process_event(left, Some(number))?;
         }
         Ok(self.hosts.iter().filter_map(|host| host.latest.clone()).collect())
     }
 
-    /// Takes in what came meanwhile, and gives each host's last report; none before all have reported once.
+    /// Processes pending events and returns the latest report of each host; `None` before all have reported once.
     pub fn latest(&mut self) -> Result<Option<Vec<&Report>>, HostsError> {
-        while !self.came.is_empty() {
-            self.take(Duration::ZERO, None)?;
+        while !self.events.is_empty() {
+            self.process_event(Duration::ZERO, None)?;
         }
         let latest: Vec<&Report> = self.hosts.iter().filter_map(|host| host.latest.as_ref()).collect();
         Ok((latest.len() == self.hosts.len()).then_some(latest))
     }
 
-    /// Servers of all hosts.
+    /// Number of servers of all hosts.
     pub fn servers(&self) -> usize {
         self.hosts.iter().map(|host| host.servers).sum()
     }
@@ -142,17 +143,18 @@
         Ok(())
     }
 
-    /// Takes one thing that came. While a numbered report is waited for, it isn't replaced by a later one.
-    fn take(&mut self, patience: Duration, number: Option<u32>) -> Result<(), HostsError> {
-        let came = match self.came.recv_timeout(patience) {
-            Ok(came) => came,
+    /// Processes one event. A report with the awaited `number` is not replaced by a later periodic one.
+    fn process_event(&mut self, timeout: Duration, number: Option<u32>) -> Result<(), HostsError> {
+        let event = match self.events.recv_timeout(timeout) {
+            Ok(event) => event,
             Err(RecvTimeoutError::Timeout) => return Ok(()),
             Err(RecvTimeoutError::Disconnected) => return Err(HostsError::Silent),
         };
-        let host = &mut self.hosts[came.host];
-        let Some(report) = came.report else { return Err(HostsError::Ended { log: host.log.clone() }) };
-        let keeps = number.is_some() && host.latest.as_ref().is_some_and(|latest| latest.number == number);
-        if !keeps {
+        let host = &mut self.hosts[event.host];
+        let Some(report) = event.report else { return Err(HostsError::Ended { log: host.log.clone() }) };
+        let keep_awaited =
+            number.is_some() && host.latest.as_ref().is_some_and(|latest| latest.number == number);
+        if !keep_awaited {
             host.latest = Some(report);
         }
         Ok(())
@@ -161,12 +163,12 @@
 
 impl Drop for Hosts {
     fn drop(&mut self) {
-        // The end of its input ends a host.
+        // Closing its input ends a host.
         self.hosts.iter_mut().for_each(|host| drop(host.input.take()));
         let begin = Instant::now();
         for host in &mut self.hosts {
-            while matches!(host.child.try_wait(), Ok(None)) && begin.elapsed() < END_PATIENCE {
-                thread::sleep(END_LOOK);
+            while matches!(host.child.try_wait(), Ok(None)) && begin.elapsed() < END_TIMEOUT {
+                thread::sleep(END_CHECK_INTERVAL);
             }
             if matches!(host.child.try_wait(), Ok(None)) {
                 let _ = host.child.kill();
@@ -176,12 +178,12 @@
     }
 }
 
-fn read_reports(host: usize, output: impl BufRead, sender: &Sender<Came>) {
+fn read_reports(host: usize, output: impl BufRead, sender: &Sender<HostEvent>) {
     for line in output.lines().map_while(Result::ok) {
         let Ok(report) = serde_json::from_str::<Report>(&line) else { break };
-        if sender.send(Came { host, report: Some(report) }).is_err() {
+        if sender.send(HostEvent { host, report: Some(report) }).is_err() {
             return;
         }
     }
-    let _ = sender.send(Came { host, report: None });
+    let _ = sender.send(HostEvent { host, report: None });
 }
--- a/crates/testkit/src/scale/fleet/layout/tests.rs
+++ b/crates/testkit/src/scale/fleet/layout/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Guards the target's shape: 15 zones in 4 regions, each zone in one region, none with two servers more than another.
+/// The target fleet has 15 zones in 4 regions; each zone is in one region, and zone sizes differ by at most one.
 #[test]
 fn servers_are_spread_evenly_over_zones_and_regions() {
     let shape = Shape::default();
@@ -18,7 +18,7 @@
     assert_eq!(regions.len(), REGIONS);
 }
 
-/// Guards against two servers on one address, and against addresses outside the loopback network.
+/// Addresses are unique and inside the loopback network.
 #[test]
 fn no_two_servers_share_an_address() {
     let places = Shape::default().hollow(2_000, u32::MAX);
@@ -27,9 +27,9 @@
     assert!(addresses.iter().all(|address| address.ip().is_loopback()));
 }
 
-/// Guards a cut in a small fleet: every region has servers, or there is nothing to cut.
+/// Every region of a small fleet has servers, because an empty region can't be partitioned.
 #[test]
-fn a_few_servers_stand_in_all_regions() {
+fn few_servers_are_spread_over_all_regions() {
     for servers in REGIONS..ZONES {
         let places = Shape::default().hollow(servers, 1);
         let regions: BTreeSet<Region> = places.iter().map(|place| place.region).collect();
--- a/crates/testkit/src/scale/fleet/messages.rs
+++ b/crates/testkit/src/scale/fleet/messages.rs
@@ -1,5 +1,5 @@
-//! What the supervisor and a host process tell each other: a plan in a file, orders a line each on the host's standard
-//! input, reports a line each on its standard output. The end of the input is the end of the host.
+//! Messages between the supervising process and its host processes, as JSON: a plan in a file, one order per line on the
+//! standard input of the host, and one report per line on its standard output. A host ends with its input.
 
 use super::cut::Cut;
 use super::layout::{Place, Region};
@@ -8,117 +8,118 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Another server as a host has to know it.
+/// A server of the fleet as known to hosts.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Neighbour {
-    /// Where it takes and sends datagrams.
+    /// Gossip address, which it also sends from.
     pub address: SocketAddr,
-    /// Its region.
+    /// Region of the server.
     pub region: Region,
-    /// Whether it is a real daemon.
+    /// Whether the server is a real daemon.
     pub real: bool,
 }
 
-/// What a host process is to do.
+/// Plan of a host process.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HostPlan {
-    /// The configuration of a real daemon of the fleet: hollow servers take its settings and limits.
+    /// Configuration file of a real daemon, whose settings and limits hollow servers use.
     pub config: PathBuf,
-    /// Its own settings, with the fleet's keys and seeds. None: hollow servers by themselves, to know what requests cost.
+    /// Settings file of that daemon, with keys and seeds of the fleet. `None` runs hollow servers without a cluster, to measure
+    /// the cost of requests alone.
     pub settings: Option<PathBuf>,
-    /// The servers that it hosts.
+    /// Hollow servers of this host.
     pub places: Vec<Place>,
-    /// All servers of the fleet, these among them.
+    /// All servers of the fleet, including those of this host.
     pub fleet: Vec<Neighbour>,
-    /// Requests a second of each server.
+    /// Requests per second and server.
     pub rate: f64,
-    /// What a run takes in the mean, in ms.
+    /// Mean time of a run, in ms.
     pub run_ms: f64,
-    /// For all that is drawn.
+    /// Random seed.
     pub seed: u64,
-    /// Between looks at what each server knows, in ms.
+    /// Interval between status polls of each server, in ms.
     pub look_ms: u64,
-    /// What the first of its servers spends beside its work, if anything.
+    /// Extra cost of the first server of this host, if any.
     pub spend: Spend,
 }
 
-/// What the supervisor orders.
+/// Order of the supervising process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Order {
-    /// Regions are cut from the others, or no longer.
+    /// Replace the partition between regions.
     Cut(Cut),
-    /// Report now, under this number.
+    /// Report now, with this number.
     Report(u32),
 }
 
-/// What one server did since its start, and what it knows now.
+/// Counters of a server since its start, and its current membership.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServerFigures {
-    /// Others that it holds to be up.
+    /// Other servers considered alive.
     pub up: u64,
-    /// Servers whose counts are young enough for it, itself among them.
+    /// Servers with recent enough counts, including itself.
     pub heard: u64,
-    /// Datagrams and bytes that it sent, those that a cut dropped among them.
+    /// Datagrams sent, including those dropped by a partition.
     pub sent: u64,
-    /// See `sent`.
+    /// Bytes sent, including dropped ones.
     pub sent_bytes: u64,
-    /// Datagrams taken, and those it dropped for a reason of its own.
+    /// Datagrams accepted.
     pub taken: u64,
-    /// See `taken`.
+    /// Datagrams dropped for a counted reason.
     pub dropped: u64,
-    /// Datagrams not sent for the bound on bytes.
+    /// Datagrams not sent because of the limit on bytes.
     pub withheld: u64,
-    /// CPU that its work took, in nanoseconds.
+    /// CPU time in nanoseconds.
     pub cpu_ns: u64,
-    /// Requests that came, and those that were served.
+    /// Requests that arrived.
     pub asked: u64,
-    /// See `asked`.
+    /// Requests that were served.
     pub served: u64,
-    /// Since when it has known all others, in Unix ms; none while it doesn't.
+    /// Time since which the membership has been complete, in Unix ms; `None` while it isn't.
     pub whole_since_ms: Option<u64>,
 }
 
 /// Datagrams of one kind that hollow servers received.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KindFigures {
-    /// What they carry.
+    /// Message kind.
     pub kind: String,
     /// Whether real daemons sent them.
     pub from_real: bool,
-    /// How many.
+    /// Number of datagrams.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Total size in bytes.
     pub bytes: u64,
 }
 
-/// How late a host did what was due.
+/// Delays of a host behind its due times.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Lateness {
-    /// At the 50th percentile, in ms.
+    /// Median, in ms.
     pub p50_ms: f64,
-    /// At the 99th.
+    /// 99th percentile, in ms.
     pub p99_ms: f64,
-    /// At the most.
+    /// Maximum, in ms.
     pub most_ms: f64,
 }
 
-/// What a host tells.
+/// Report of a host.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Report {
-    /// The order's number; none for those that come by themselves.
+    /// Number of the order; `None` for periodic reports.
     pub number: Option<u32>,
-    /// When, in Unix ms.
+    /// Time of the report, in Unix ms.
     pub at_ms: u64,
-    /// CPU of the whole process so far, in nanoseconds, without what looks and reports took.
+    /// CPU time of the process so far in nanoseconds, without polls and reports.
     pub cpu_ns: u64,
-    /// What those took.
+    /// CPU time of polls and reports so far, in nanoseconds.
     pub beside_ns: u64,
-    /// How late it was since the numbered report before.
+    /// Delays since the previous numbered report.
     pub late: Lateness,
-    /// Datagrams that a cut dropped.
+    /// Datagrams dropped by a partition.
     pub cut: u64,
-    /// Its servers, in the order of the plan.
+    /// Figures of the servers, in the order of the plan.
     pub servers: Vec<ServerFigures>,
-    /// By kind.
+    /// Received datagrams by kind.
     pub kinds: Vec<KindFigures>,
 }
--- a/crates/testkit/src/scale/fleet/mod.rs
+++ b/crates/testkit/src/scale/fleet/mod.rs
@@ -1,13 +1,14 @@
-//! `gradepin-testkit scale fleet`: fleets of hollow servers with real daemons among them, in real time on loopback addresses.
+//! `gradepin-testkit scale fleet`: fleets of hollow servers and some real daemons, in real time on loopback addresses.
 //!
-//! A hollow server is the real reducer, decision module and cluster on a real UDP socket, without threads, fronts and a
-//! processor. Many share a thread of a host process; the host measures how late it is, and what it was late for isn't scored.
+//! A hollow server has the real reducer, admission control and cluster on a real UDP socket, but no threads, front ends or
+//! processor. Many of them share the thread of a host process. The host measures its own delay, and a run with a late host
+//! isn't scored.
 //!
-//! - [`layout`]: places, zones, regions. [`cut`]: regions that are cut from each other.
-//! - [`host`], [`server`], [`requests`], [`spend`]: a host process and its servers.
-//! - [`hosts`], [`messages`]: the processes as the supervisor has them, and what they tell each other.
-//! - [`daemons`]: the real ones beside. [`play`]: a run. [`resources`]: what it may use and used.
-//! - [`figures`], [`budget`], [`report`]: from snapshots to what is printed.
+//! - [`layout`]: addresses, zones and regions. [`cut`]: partitions between regions.
+//! - [`host`], [`server`], [`requests`], [`spend`]: a host process and its hollow servers.
+//! - [`hosts`], [`messages`]: the host processes as seen by the supervising process, and the messages between them.
+//! - [`daemons`]: the real daemons. [`play`]: a run. [`resources`]: resource limits and usage.
+//! - [`figures`], [`budget`], [`report`]: evaluation of snapshots.
 
 pub mod budget;
 pub mod cut;
@@ -24,7 +25,7 @@
 pub mod server;
 pub mod spend;
 
-use crate::fleet as rig;
+use crate::fleet as daemon_fleet;
 use clap::Args;
 use layout::{REGIONS, Shape, ZONES};
 use play::{Alone, Plan, PlayError, play};
@@ -37,105 +38,105 @@
 use std::thread;
 use std::time::Duration;
 
-/// Hollow servers of one host process at least, before another process is started.
-const LEAST_A_HOST: usize = 8;
+/// Minimum number of hollow servers per host process, unless `--processes` is given.
+const MIN_SERVERS_PER_HOST: usize = 8;
 
-/// Settings of `scale fleet`.
+/// Arguments of `scale fleet`.
 #[derive(Debug, Clone, Args)]
 pub struct FleetArgs {
-    /// Servers of each fleet, real ones among them
+    /// Numbers of servers per fleet, including the real daemons
     #[arg(long, value_delimiter = ',', default_values_t = [12, 25, 50, 100, 200])]
     pub sizes: Vec<usize>,
-    /// Real daemons in each fleet
+    /// Real daemons per fleet
     #[arg(long, default_value_t = 3)]
     pub real: usize,
-    /// Seconds of the steady span that is measured
+    /// Length of the measured steady state, in seconds
     #[arg(long, default_value_t = 20)]
     pub seconds: u64,
-    /// Seconds for which the last region is cut from the others; 0 for no cut
+    /// Seconds for which the last region is partitioned from the others; 0 for no partition
     #[arg(long, default_value_t = 0)]
     pub cut: u64,
-    /// Seconds that all may take to know all, at the start and after a cut
+    /// Time limit in seconds for complete membership, at the start and after a partition
     #[arg(long, default_value_t = 60)]
     pub patience: u64,
-    /// Requests a second of each server
+    /// Requests per second and server
     #[arg(long, default_value_t = 20.0)]
     pub rate: f64,
-    /// What a run takes in the mean, in ms
+    /// Mean time of a run, in ms
     #[arg(long, default_value_t = 20)]
     pub run_ms: u64,
-    /// Zones
+    /// Number of zones
     #[arg(long, default_value_t = ZONES)]
     pub zones: usize,
-    /// Regions
+    /// Number of regions
     #[arg(long, default_value_t = REGIONS)]
     pub regions: usize,
-    /// Host processes; by the size and the cores where it isn't told
+    /// Number of host processes; by default chosen by size and cores
     #[arg(long)]
     pub processes: Option<usize>,
-    /// Seed of everything that is drawn
+    /// Random seed
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Where the figures go, as JSON
+    /// Write the figures as JSON to this file
     #[arg(long)]
     pub json: Option<PathBuf>,
-    /// Budgets whose failing ends with status 1
+    /// Budgets that must hold; a failure gives status 1
     #[arg(long, value_enum, value_delimiter = ',', default_values_t = [Claim::Cpu, Claim::Memory])]
     pub claims: Vec<Claim>,
-    /// Bytes a second that the first hollow server sends beside its work: must be caught
+    /// Extra bytes per second sent by the first hollow server, which the check must detect
     #[arg(long, default_value_t = 0)]
     pub spend_bytes: u32,
-    /// CPU in microseconds that it burns each tick beside its work: must be caught
+    /// Extra CPU time per tick of the first hollow server, in microseconds, which the check must detect
     #[arg(long, default_value_t = 0)]
     pub spend_us: u32,
-    /// The daemon's program, if it is not beside this one
+    /// Path of the daemon's program; by default the one beside this program
     #[arg(long)]
     pub daemon: Option<PathBuf>,
 }
 
-/// A budget that is claimed to hold.
+/// Budget that is claimed to hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub enum Claim {
-    /// Bytes sent in a second
+    /// Bytes sent per second
     Bytes,
-    /// CPU of control
+    /// CPU time for control
     Cpu,
-    /// Memory
+    /// Resident memory
     Memory,
 }
 
-/// Sizes that can't be played.
+/// Invalid sizes.
 #[derive(Debug, thiserror::Error)]
 pub enum BadSizes {
-    /// No daemon would write the settings that hollow servers take.
+    /// Without a real daemon there are no settings for the hollow servers.
     #[error("expected --real of 1 or more: hollow servers take their settings from a real one")]
     NoReal,
-    /// Nothing would be hollow.
+    /// The fleet would have no hollow servers.
     #[error("expected --sizes above --real {real}, got {size}")]
     TooSmall {
-        /// Real daemons.
+        /// Number of real daemons.
         real: usize,
-        /// A size.
+        /// Requested number of servers.
         size: usize,
     },
 }
 
-/// What goes into the file.
+/// Content of the JSON file.
 #[derive(Debug, Serialize)]
 struct Figures {
     outcomes: Vec<Outcome>,
-    /// The largest size at which the hosts kept up.
+    /// Largest size with a scored run.
     held: Option<usize>,
 }
 
-/// Plays fleets of all sizes; false if a claimed budget doesn't hold, or a server costs more than the others.
+/// Runs fleets of all sizes; returns `false` if a claimed budget doesn't hold or a server costs more than the others.
 pub fn run(args: FleetArgs) -> Result<bool, Box<dyn Error>> {
     args.check()?;
     let stop = crate::interrupt::flag()?;
-    let daemon = args.daemon.clone().map_or_else(rig::daemon, Ok)?;
-    let folder = rig::folder("scale-fleet")?;
-    let played = all_sizes(&args, &daemon, &folder, &stop);
-    rig::remove(&folder);
+    let daemon = args.daemon.clone().map_or_else(daemon_fleet::daemon, Ok)?;
+    let folder = daemon_fleet::folder("scale-fleet")?;
+    let played = run_sizes(&args, &daemon, &folder, &stop);
+    daemon_fleet::remove(&folder);
     let (outcomes, good) = played?;
     let scored = outcomes.iter().filter(|outcome| outcome.not_scored.is_none());
     let held = scored.map(|outcome| outcome.servers).max();
@@ -149,8 +150,8 @@
     Ok(good && held.is_some())
 }
 
-/// Each size in turn; past the first that isn't held in real time none is played.
-fn all_sizes(
+/// Runs the sizes in ascending order, up to the first whose run isn't scored.
+fn run_sizes(
     args: &FleetArgs,
     daemon: &Path,
     folder: &Path,
@@ -160,7 +161,7 @@
     let mut sizes = args.sizes.clone();
     sizes.sort_unstable();
     sizes.dedup();
-    // Without requests all CPU is that of control.
+    // Without requests, all CPU time is for control.
     let alone = if args.rate > 0.0 { alone(args, daemon, folder, stop)? } else { Alone::default() };
     for servers in sizes {
         if let Some(outcome) = outcomes.last().and_then(|last: &Outcome| last.not_scored.as_ref()) {
@@ -185,7 +186,7 @@
     play::alone(&args.plan(0, daemon), &folder, stop)
 }
 
-/// Prints the budgets and what is uneven; false if anything claimed doesn't hold. What isn't scored breaks no claim.
+/// Prints budgets and servers with excess cost; returns `false` on failure. A run without score breaks no claim.
 fn judge(outcome: &Outcome, claims: &[Claim]) -> bool {
     if outcome.not_scored.is_some() {
         return true;
@@ -229,7 +230,7 @@
     fn plan(&self, servers: usize, daemon: &Path) -> Plan {
         let hollow = servers.saturating_sub(self.real);
         let cores = thread::available_parallelism().map_or(1, usize::from);
-        let hosts = self.processes.unwrap_or(hollow.div_ceil(LEAST_A_HOST).min(cores)).max(1);
+        let hosts = self.processes.unwrap_or(hollow.div_ceil(MIN_SERVERS_PER_HOST).min(cores)).max(1);
         Plan {
             daemon: daemon.into(),
             servers,
--- a/crates/testkit/src/scale/fleet/play.rs
+++ b/crates/testkit/src/scale/fleet/play.rs
@@ -1,5 +1,4 @@
-//! One fleet of one size, from its start to its end: until all know all, a steady span that is measured, a cut of a region
-//! and its end.
+//! Run of a fleet of one size: start until complete membership, measured steady state, and optionally a partition and its end.
 
 use super::cut::Cut;
 use super::daemons::{Daemons, DaemonsSpec};
@@ -7,7 +6,7 @@
 use super::hosts::{Hosts, HostsError};
 use super::layout::{Region, Shape};
 use super::messages::{HostPlan, Neighbour, Report};
-use super::resources::{Available, MOST_MEMORY, Short, Used, Wanted};
+use super::resources::{Available, InsufficientResources, MAX_MEMORY_BYTES, RequiredResources, Used};
 use super::spend::Spend;
 use crate::fleet::memory_of;
 use crate::registry::server::unix_ms;
@@ -17,97 +16,97 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Between looks at the fleet.
-const LOOK: Duration = Duration::from_millis(250);
-/// Hollow servers are asked what they know this often, in larger fleets less often: an answer goes through all rows.
-const LOOK_MS: u64 = 250;
-const LARGE: usize = 300;
-const LARGE_LOOK_MS: u64 = 1_000;
-/// Servers without others, for what requests alone cost.
-const ALONE: usize = 3;
+/// Interval between checks of the fleet.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Poll interval of hollow servers in ms; longer in large fleets, because an answer iterates over all rows.
+const POLL_INTERVAL_MS: u64 = 250;
+const LARGE_FLEET: usize = 300;
+const LARGE_FLEET_POLL_INTERVAL_MS: u64 = 1_000;
+/// Number of unconnected servers in the baseline run.
+const BASELINE_SERVERS: usize = 3;
 
-/// What is played.
+/// Parameters of a run.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// The daemon's program.
+    /// Path of the daemon's program.
     pub daemon: PathBuf,
-    /// Servers in all, and how many of them are real.
+    /// Number of servers, including real daemons.
     pub servers: usize,
-    /// See `servers`.
+    /// Number of real daemons.
     pub real: usize,
-    /// Host processes.
+    /// Number of host processes.
     pub hosts: usize,
-    /// Zones and regions.
+    /// Numbers of zones and regions.
     pub shape: Shape,
-    /// Requests a second of each server, and what a run takes in the mean.
+    /// Requests per second and server.
     pub rate: f64,
-    /// See `rate`.
+    /// Mean time of a run.
     pub run: Duration,
-    /// How long the steady span lasts.
+    /// Length of the steady state.
     pub steady: Duration,
-    /// How long the last region is cut from the others; none for no cut.
+    /// Length of the partition of the last region; `None` for no partition.
     pub cut: Option<Duration>,
-    /// How long all may take to know all, at the start and after a cut.
+    /// Time limit for complete membership, at the start and after a partition.
     pub patience: Duration,
-    /// For all that is drawn.
+    /// Random seed.
     pub seed: u64,
-    /// What the first hollow server spends beside its work.
+    /// Extra cost of the first hollow server.
     pub spend: Spend,
 }
 
-/// What a run can't go on for.
+/// Failure of a run.
 #[derive(Debug, thiserror::Error)]
 pub enum PlayError {
-    /// There is no room for it.
+    /// Resources are insufficient.
     #[error(transparent)]
-    Short(#[from] Short),
-    /// The system denies something.
+    Resources(#[from] InsufficientResources),
+    /// A system call failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The hosts.
+    /// The host processes failed.
     #[error(transparent)]
     Hosts(#[from] HostsError),
-    /// It grew past what a run may use.
-    #[error("the run holds {0} MB of memory, more than the {most} MB that it may use", most = MOST_MEMORY >> 20)]
+    /// The run exceeded its memory limit; in MB.
+    #[error("the run holds {0} MB of memory, more than the {most} MB that it may use", most = MAX_MEMORY_BYTES >> 20)]
     Memory(u64),
-    /// Somebody interrupted it.
+    /// A signal interrupted the run.
     #[error("interrupted: all processes of the run were ended")]
     Interrupted,
 }
 
-/// CPU of a server by itself under the same load, in ms a second of its process.
+/// CPU time of unconnected servers under the same load, in ms per second.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Alone {
-    /// A hollow one.
+    /// Hollow server.
     pub hollow_cpu_ms: f64,
-    /// A real one.
+    /// Real daemon.
     pub real_cpu_ms: f64,
 }
 
-/// What was seen.
+/// Results of a run.
 #[derive(Debug, Clone)]
 pub struct Played {
-    /// From the start of the last host until all knew all; none if that took longer than the patience.
+    /// Seconds from the start of the last host until complete membership; `None` if the time limit passed.
     pub known_s: Option<f64>,
-    /// The same from the end of the cut.
+    /// Seconds from the end of the partition until complete membership.
     pub healed_s: Option<f64>,
-    /// Whether a region was cut, and how many datagrams were dropped for it.
+    /// Whether a region was partitioned.
     pub cut: bool,
-    /// See `cut`.
+    /// Datagrams dropped by the partition.
     pub cut_dropped: u64,
-    /// The steady span.
+    /// Rates in the steady state.
     pub steady: Window,
-    /// The state at its end.
+    /// Snapshot at the end of the steady state.
     pub last: Snapshot,
-    /// Memory of a hollow server with its part of its host, and of the real ones, in bytes.
+    /// Memory of the hosts per hollow server, in bytes.
     pub hollow_memory: u64,
-    /// See `hollow_memory`.
+    /// Memory of each real daemon, in bytes.
     pub real_memory: Vec<u64>,
-    /// What the run used in all.
+    /// Resource usage of the whole run.
     pub used: Used,
 }
 
-/// A fleet that runs.
+/// A running fleet.
 struct Running<'a> {
     plan: &'a Plan,
     daemons: Daemons,
@@ -116,11 +115,11 @@
     stop: &'a AtomicBool,
 }
 
-/// Plays a fleet; files go into the folder.
+/// Runs a fleet; files go into `folder`.
 pub fn play(plan: &Plan, folder: &Path, stop: &AtomicBool) -> Result<Played, PlayError> {
     let hollow = plan.servers.saturating_sub(plan.real);
-    let wanted = Wanted { hollow, real: plan.real, hosts: plan.hosts };
-    wanted.check(&Available::now())?;
+    let required = RequiredResources { hollow, real: plan.real, hosts: plan.hosts };
+    required.check(&Available::now())?;
     let daemons = Daemons::start(&plan.daemons(true), folder, plan.servers - 1)?;
     interrupted(stop)?;
     let hosts = Hosts::start(&plan.hosts(&daemons), folder)?;
@@ -139,14 +138,14 @@
     Ok(Played { known_s, healed_s, cut, cut_dropped, steady, last, hollow_memory, real_memory, used })
 }
 
-/// What servers use under this load without others, hollow and real, side by side.
+/// Measures the CPU time of unconnected hollow and real servers under the same load, side by side.
 pub fn alone(plan: &Plan, folder: &Path, stop: &AtomicBool) -> Result<Alone, PlayError> {
     let daemons = Daemons::start(&plan.daemons(false), folder, 0)?;
-    let places = plan.shape.hollow(ALONE, std::process::id());
+    let places = plan.shape.hollow(BASELINE_SERVERS, std::process::id());
     let host = HostPlan { settings: None, ..plan.host(&daemons, places, Vec::new(), 0) };
     let mut hosts = Hosts::start(&[host], folder)?;
-    // The first seconds hold the start itself.
-    wait(LOOK * 4, stop)?;
+    // Excludes the start-up itself.
+    wait(CHECK_INTERVAL * 4, stop)?;
     let from = Snapshot::new(&hosts.report()?, daemons.figures_alone());
     wait(plan.steady, stop)?;
     let to = Snapshot::new(&hosts.report()?, daemons.figures_alone());
@@ -155,11 +154,11 @@
 }
 
 impl Plan {
-    fn daemons(&self, talks: bool) -> DaemonsSpec {
+    fn daemons(&self, connected: bool) -> DaemonsSpec {
         DaemonsSpec {
             daemon: self.daemon.clone(),
             servers: self.real,
-            talks,
+            connected,
             rate: self.rate,
             run: self.run,
             seed: self.seed,
@@ -167,7 +166,7 @@
         }
     }
 
-    /// A plan for each host: hollow servers are dealt to them in turn, so that each has some of all zones.
+    /// Plans of the hosts. Hollow servers are assigned round robin, so that each host has some of all zones.
     fn hosts(&self, daemons: &Daemons) -> Vec<HostPlan> {
         let places = self.shape.hollow(self.servers.saturating_sub(self.real), std::process::id());
         let mut fleet = daemons.neighbours();
@@ -176,8 +175,8 @@
             region: place.region,
             real: false,
         }));
-        let of = |host: usize| places.iter().skip(host).step_by(self.hosts).cloned().collect();
-        (0..self.hosts).map(|host| self.host(daemons, of(host), fleet.clone(), host)).collect()
+        let places_of = |host: usize| places.iter().skip(host).step_by(self.hosts).cloned().collect();
+        (0..self.hosts).map(|host| self.host(daemons, places_of(host), fleet.clone(), host)).collect()
     }
 
     fn host(
@@ -196,18 +195,18 @@
             rate: self.rate,
             run_ms: self.run.as_secs_f64() * 1e3,
             seed: self.seed,
-            look_ms: if self.servers > LARGE { LARGE_LOOK_MS } else { LOOK_MS },
+            look_ms: if self.servers > LARGE_FLEET { LARGE_FLEET_POLL_INTERVAL_MS } else { POLL_INTERVAL_MS },
             spend: if host == 0 { self.spend } else { Spend::default() },
         }
     }
 }
 
 impl Running<'_> {
-    /// Waits until all know all since this time, and says how long that took.
+    /// Waits for complete membership and returns the seconds from `since_ms` until then.
     fn until_known(&mut self, since_ms: u64) -> Result<Option<f64>, PlayError> {
         let begin = Instant::now();
         while begin.elapsed() < self.plan.patience {
-            self.look()?;
+            self.check()?;
             let real: Vec<Option<u64>> = self
                 .daemons
                 .figures()
@@ -218,8 +217,11 @@
                 let fresh = |report: &&Report| report.at_ms >= since_ms;
                 let all = reports.iter().all(fresh);
                 let servers = reports.iter().flat_map(|report| &report.servers);
-                let whole: Option<Vec<u64>> = servers.map(|one| one.whole_since_ms).chain(real).collect();
-                if let Some(last) = whole.filter(|_| all).and_then(|whole| whole.into_iter().max()) {
+                let complete_since: Option<Vec<u64>> =
+                    servers.map(|one| one.whole_since_ms).chain(real).collect();
+                if let Some(last) =
+                    complete_since.filter(|_| all).and_then(|complete_since| complete_since.into_iter().max())
+                {
                     return Ok(Some(last.saturating_sub(since_ms) as f64 / 1e3));
                 }
             }
@@ -227,27 +229,27 @@
         Ok(None)
     }
 
-    /// The steady span.
+    /// Rates in the steady state.
     fn steady(&mut self) -> Result<(Window, Snapshot), PlayError> {
         let from = self.snapshot()?;
         let begin = Instant::now();
         while begin.elapsed() < self.plan.steady {
-            self.look()?;
+            self.check()?;
         }
         let to = self.snapshot()?;
         Ok((Window::between(&from, &to), to))
     }
 
-    /// Cuts the last region for so long, and waits until all know all again.
+    /// Partitions the last region for `length`, then waits for complete membership.
     fn cut(&mut self, length: Duration) -> Result<Option<f64>, PlayError> {
         let last = Region(self.plan.shape.regions.saturating_sub(1) as u8);
         self.hosts.cut(&Cut::of([last]))?;
         let begin = Instant::now();
         while begin.elapsed() < length {
-            self.look()?;
+            self.check()?;
         }
         self.hosts.cut(&Cut::default())?;
-        // A report of before the cut's end knows nothing of it.
+        // Reports from before the end of the partition don't count.
         let healed = unix_ms();
         self.hosts.report()?;
         self.until_known(healed)
@@ -258,15 +260,15 @@
         Ok(Snapshot::new(&reports, self.daemons.figures()))
     }
 
-    /// Waits a little, and looks at what the run uses and whether it is to end.
-    fn look(&mut self) -> Result<(), PlayError> {
-        wait(LOOK, self.stop)?;
+    /// Waits for an interval, then records resource usage and checks limits and interruption.
+    fn check(&mut self) -> Result<(), PlayError> {
+        wait(CHECK_INTERVAL, self.stop)?;
         let mut pids = self.hosts.pids();
         pids.extend(self.daemons.pids());
         pids.push(std::process::id());
-        self.used.look(&pids);
+        self.used.update(&pids);
         self.hosts.latest()?;
-        if self.used.memory > MOST_MEMORY {
+        if self.used.memory > MAX_MEMORY_BYTES {
             return Err(PlayError::Memory(self.used.memory >> 20));
         }
         Ok(())
@@ -281,7 +283,7 @@
     }
 }
 
-/// Cores that hosts and daemons use between them.
+/// Number of cores used by hosts and daemons together.
 fn cores(window: &Window) -> f64 {
     let hosts = window.host_cpu_ms * window.hollow.len() as f64 + window.beside_cpu_ms;
     let real: f64 = window.real.iter().map(|rates| rates.cpu_ms).sum();
@@ -292,12 +294,12 @@
     if stop.load(Ordering::Relaxed) { Err(PlayError::Interrupted) } else { Ok(()) }
 }
 
-/// Waits so long, or until the run is interrupted.
+/// Waits for `length`, or until the run is interrupted.
 fn wait(length: Duration, stop: &AtomicBool) -> Result<(), PlayError> {
     let begin = Instant::now();
     while begin.elapsed() < length {
         interrupted(stop)?;
-        thread::sleep(LOOK.min(length.saturating_sub(begin.elapsed())));
+        thread::sleep(CHECK_INTERVAL.min(length.saturating_sub(begin.elapsed())));
     }
     interrupted(stop)
 }
--- a/crates/testkit/src/scale/fleet/report.rs
+++ b/crates/testkit/src/scale/fleet/report.rs
@@ -1,76 +1,76 @@
-//! What a run found, as it is printed and as it stands in a file.
+//! Results of a run, as text and for the JSON file.
 
 use super::budget::{self, Uneven};
-use super::figures::{Compared, KindRate, Rates};
+use super::figures::{Comparison, KindRate, Rates};
 use super::messages::Lateness;
 use super::play::{Alone, Played};
 use super::resources::Used;
 use serde::Serialize;
 
-/// A host is late past this: beyond it the servers' own clocks leave time out, as of a process that was starved.
-pub const MOST_LATE_MS: f64 = 40.0;
-/// Datagrams that may be lost at full sockets.
-const MOST_LOST: f64 = 0.01;
-/// All is held to be the same within this.
-const SAME: f64 = 1e-9;
+/// Maximum 99th percentile of host delay in a scored run, in ms. Beyond it servers skip time like starved processes.
+pub const MAX_LATE_MS: f64 = 40.0;
+/// Maximum fraction of datagrams lost at full sockets in a scored run.
+const MAX_LOST: f64 = 0.01;
+/// Tolerance for rounding when a value is compared with its budget.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// One fleet of one size.
+/// Results for one fleet size. All fields go into the JSON file.
 #[derive(Debug, Clone, Serialize)]
 pub struct Outcome {
-    /// Servers in all.
+    /// Number of servers.
     pub servers: usize,
-    /// Real daemons among them.
+    /// Number of real daemons among them.
     pub real: usize,
-    /// Requests a second of each.
+    /// Requests per second and server.
     pub rate: f64,
-    /// Of all that was drawn.
+    /// Random seed.
     pub seed: u64,
-    /// Why its figures don't count, if they don't.
+    /// Reason why the run isn't scored, if so.
     pub not_scored: Option<String>,
-    /// How late the hosts were in the steady span.
+    /// Delays of the hosts in the steady state.
     pub late: Lateness,
-    /// The part of the datagrams that was lost.
+    /// Fraction of lost datagrams.
     pub lost: f64,
-    /// Seconds until all knew all, at the start and after a cut.
+    /// Seconds from the start until complete membership.
     pub known_s: Option<f64>,
-    /// See `known_s`.
+    /// Seconds from the end of the partition until complete membership.
     pub healed_s: Option<f64>,
-    /// A hollow server and a real one in the steady span; CPU is that of control.
+    /// Mean rates of a hollow server in the steady state; CPU time is that for control.
     pub hollow: Rates,
-    /// See `hollow`.
+    /// Mean rates of a real daemon in the steady state; CPU time is that for control.
     pub real_one: Rates,
-    /// CPU of each without others, in ms a second.
+    /// CPU time of an unconnected hollow server, in ms per second.
     pub alone_hollow_cpu_ms: f64,
-    /// See `alone_hollow_cpu_ms`.
+    /// CPU time of an unconnected real daemon, in ms per second.
     pub alone_real_cpu_ms: f64,
-    /// CPU that a hollow server's own turns take in all, without its host's waits for sockets, in ms a second.
+    /// Total CPU time of a hollow server without the waits of its host for sockets, in ms per second.
     pub turns_cpu_ms: f64,
-    /// The one by the other.
-    pub compared: Option<Compared>,
-    /// Messages by kind, to hollow servers.
+    /// Hollow server relative to real daemon.
+    pub compared: Option<Comparison>,
+    /// Datagrams to hollow servers by kind.
     pub kinds: Vec<KindRate>,
-    /// Memory of a hollow server and of a real one.
+    /// Memory of the hosts per hollow server, in bytes.
     pub hollow_memory: u64,
-    /// See `hollow_memory`.
+    /// Mean memory of a real daemon, in bytes.
     pub real_memory: u64,
-    /// Members and counts heard at the end of the steady span: least and mean, over hollow and real servers.
+    /// Smallest number of other servers considered alive by any server, at the end of the steady state.
     pub least_up: u64,
-    /// See `least_up`.
+    /// Mean number of other servers considered alive.
     pub mean_up: f64,
-    /// See `least_up`.
+    /// Smallest number of servers with recent counts.
     pub least_heard: u64,
-    /// See `least_up`.
+    /// Mean number of servers with recent counts.
     pub mean_heard: f64,
-    /// Datagrams that a cut between regions dropped.
+    /// Datagrams dropped by a partition.
     pub cut_dropped: u64,
-    /// Hollow servers that cost more than the others.
+    /// Hollow servers with excess cost.
     pub uneven: Vec<Uneven>,
-    /// What the run used.
+    /// Resource usage of the run.
     pub used: Used,
 }
 
 impl Outcome {
-    /// Of what was played.
+    /// Summarizes a run.
     pub fn new(servers: usize, real: usize, rate: f64, seed: u64, played: &Played, alone: &Alone) -> Self {
         let steady = &played.steady;
         let hollow_mean = Rates::mean(&steady.hollow);
@@ -95,7 +95,7 @@
             alone_hollow_cpu_ms: alone.hollow_cpu_ms,
             alone_real_cpu_ms: alone.real_cpu_ms,
             turns_cpu_ms: hollow_mean.cpu_ms,
-            compared: Compared::of(&hollow, &real_one),
+            compared: Comparison::of(&hollow, &real_one),
             kinds: steady.kinds.clone(),
             hollow_memory: played.hollow_memory,
             real_memory: mean(&played.real_memory) as u64,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Prints it.
+    /// Prints the results.
     pub fn print(&self, was_cut: bool) {
         let Self { servers, real, rate, seed, .. } = self;
         println!("{servers} servers, {real} of them real, {rate} requests/s each, seed {seed}");
@@ -185,49 +185,49 @@
         }
     }
 
-    /// A line for each budget, with whether it holds; the first of each is whether it is claimed.
-    pub fn budgets(&self) -> Vec<Held> {
+    /// Compares bytes, CPU time and memory, in this order, with their budgets.
+    pub fn budgets(&self) -> Vec<BudgetCheck> {
         let bytes = self.hollow.bytes.max(self.real_one.bytes);
         let cpu = self.hollow.cpu_ms.max(self.real_one.cpu_ms);
         let memory = self.hollow_memory.max(self.real_memory) as f64;
         vec![
-            Held::new("bytes/s sent a server", bytes, budget::BYTES),
-            Held::new("ms/s of CPU for control a server", cpu, budget::CPU_MS),
-            Held::new("bytes of memory a server", memory, budget::MEMORY as f64),
+            BudgetCheck::new("bytes/s sent a server", bytes, budget::BYTES),
+            BudgetCheck::new("ms/s of CPU for control a server", cpu, budget::CPU_MS),
+            BudgetCheck::new("bytes of memory a server", memory, budget::MEMORY as f64),
         ]
     }
 }
 
-/// A figure beside its budget.
+/// A value with its budget.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Held {
-    /// What is held.
+pub struct BudgetCheck {
+    /// Description of the value.
     pub what: String,
-    /// The figure.
+    /// Measured value.
     pub value: f64,
-    /// Its bound.
+    /// Upper limit.
     pub budget: f64,
 }
 
-impl Held {
+impl BudgetCheck {
     fn new(what: &str, value: f64, budget: f64) -> Self {
         Self { what: what.into(), value, budget }
     }
 
-    /// Whether it holds.
+    /// Whether the value is within the budget.
     pub fn holds(&self) -> bool {
-        self.value <= self.budget + SAME
+        self.value <= self.budget + ROUNDING_TOLERANCE
     }
 }
 
 fn not_scored(late: Lateness, lost: f64) -> Option<String> {
-    if late.p99_ms > MOST_LATE_MS {
+    if late.p99_ms > MAX_LATE_MS {
         return Some(format!(
-            "the host was late by {:.1} ms at p99, more than {MOST_LATE_MS:.0} ms",
+            "the host was late by {:.1} ms at p99, more than {MAX_LATE_MS:.0} ms",
             late.p99_ms
         ));
     }
-    (lost > MOST_LOST).then(|| format!("{:.1}% of the datagrams were lost at full sockets", 100.0 * lost))
+    (lost > MAX_LOST).then(|| format!("{:.1}% of the datagrams were lost at full sockets", 100.0 * lost))
 }
 
 fn mean(values: &[u64]) -> f64 {
--- a/crates/testkit/src/scale/fleet/requests.rs
+++ b/crates/testkit/src/scale/fleet/requests.rs
@@ -1,5 +1,5 @@
-//! Synthetic requests of one hollow server, and a processor that only keeps time: arrivals are drawn from a seed, a run is
-//! answered after a drawn time, and no work is done.
+//! Synthetic requests of a hollow server, and a simulated processor: arrivals are drawn from a seed, and a run ends after a
+//! random time without doing any work.
 
 use crate::load;
 use gradepin_admission::{RequestId, Settings, Span, Time, time_after};
@@ -12,25 +12,26 @@
 use std::collections::BinaryHeap;
 use std::sync::Arc;
 
-/// No run takes more of the mean than this: long tails are cut, as the stand-in processor does.
-const MOST_OF_MEAN: f64 = 8.0;
-/// The gauges that the stand-in for the processor tells: a part of the cores in use, runs on them, the heap's share, links.
-const CORE_USE: f64 = 0.1;
-const HEAP_SHARE: f64 = 0.1;
-/// The link to the processor, which never falls.
+/// Maximum time of a run as a multiple of the mean, as in the stand-in processor.
+const MAX_RUN_FACTOR: f64 = 8.0;
+/// Core utilization reported by the simulated processor.
+const CORE_UTILIZATION: f64 = 0.1;
+/// Heap utilization reported by the simulated processor.
+const HEAP_UTILIZATION: f64 = 0.1;
+/// Number of the processor link, which never fails.
 const LINK: u64 = 1;
 
-/// Requests and their runs.
+/// Requests of a hollow server and their runs.
 pub struct Requests {
     rng: Pcg64Mcg,
-    /// Arrivals a second; 0 for none.
+    /// Arrivals per second; 0 for none.
     rate: f64,
     mean_run_s: f64,
     next_arrival: Option<Time>,
-    /// Runs by when they end.
+    /// Runs by end time.
     runs: BinaryHeap<Reverse<(Time, RequestId)>>,
     notices: u64,
-    /// The connection that requests come on, while there is one.
+    /// Open connection of the simulated client, if any.
     conn: Option<ConnectionId>,
     last_conn: ConnectionId,
     last_seq: i32,
@@ -39,7 +40,7 @@
 }
 
 impl Requests {
-    /// Of a server with this number, from now on.
+    /// Creates the load of the server with this number, starting at `now`.
     pub fn new(number: u64, seed: u64, rate: f64, mean_run_ms: f64, now: Time) -> Self {
         let mut requests = Self {
             rng: Pcg64Mcg::seed_from_u64(seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
@@ -58,18 +59,18 @@
         requests
     }
 
-    /// The processor greets, at the server's start.
+    /// Greeting of the processor at the start of the server.
     pub fn greeting() -> Input {
         Input::LinkUp { link: LINK, cold: false, age: Span(0) }
     }
 
-    /// When something comes.
+    /// Time of the next arrival or end of a run.
     pub fn wake_at(&self) -> Option<Time> {
         let run = self.runs.peek().map(|Reverse((at, _))| *at);
         [run, self.next_arrival].into_iter().flatten().min()
     }
 
-    /// Appends what came by now, and says how many requests that are.
+    /// Appends all inputs due by now; returns the number of arrived requests.
     pub fn due(
         &mut self,
         moment: Timestamp,
@@ -94,15 +95,16 @@
         arrived
     }
 
-    /// Takes an effect that is the processor's or a connection's, and appends what comes of it at once.
-    pub fn take(&mut self, now: Time, effect: Effect, inputs: &mut Vec<Input>) {
+    /// Applies an effect on the processor or a connection, and appends its immediate results.
+    pub fn apply(&mut self, now: Time, effect: Effect, inputs: &mut Vec<Input>) {
         match effect {
             Effect::StartRun { id, .. } => {
-                let takes = self.exponential(self.mean_run_s).min(MOST_OF_MEAN * self.mean_run_s);
-                self.runs.push(Reverse((time_after(now, gradepin_admission::span_from_seconds(takes)), id)));
+                let duration_s = self.exponential(self.mean_run_s).min(MAX_RUN_FACTOR * self.mean_run_s);
+                self.runs
+                    .push(Reverse((time_after(now, gradepin_admission::span_from_seconds(duration_s)), id)));
             }
             Effect::ReadGauges { number: tag, .. } => {
-                let gauges = vec![CORE_USE, self.runs.len() as f64, HEAP_SHARE, 0.0];
+                let gauges = vec![CORE_UTILIZATION, self.runs.len() as f64, HEAP_UTILIZATION, 0.0];
                 inputs.push(Input::GaugesRead { number: tag, values: gauges });
             }
             Effect::CloseConnection(conn)
@@ -160,7 +162,7 @@
         self.last_conn
     }
 
-    /// A class by the shares that the client proxies of the kit draw by.
+    /// Draws a class with the fractions that the client proxies use.
     fn class(&mut self, settings: &Settings) -> usize {
         let mut draw = self.unit();
         let drawn = load::classes().into_iter().find(|class| {
--- a/crates/testkit/src/scale/fleet/requests/tests.rs
+++ b/crates/testkit/src/scale/fleet/requests/tests.rs
@@ -16,16 +16,16 @@
     Timestamp { now: Time(1_000_000_000_000 + ms * 1_000_000), unix_ms: ms }
 }
 
-/// Guards the load: arrivals come at the rate that is set, whatever the host's own turns are, with a token where the class is
-/// keyed; and each run that began ends once.
+/// Requests arrive at the configured rate regardless of the host's timing, with an idempotency key where the class is keyed,
+/// and each run ends exactly once.
 #[test]
-fn requests_come_at_their_rate_and_runs_end_once() {
+fn requests_arrive_at_their_rate_and_runs_end_once() {
     let settings = Config::parse(SETTINGS).unwrap().settings;
     let pool = BufferPool::new(8);
     let classes = settings.clone().split().classes;
     let mut requests = Requests::new(3, 11, 200.0, 20.0, moment(0).now);
     let (mut inputs, mut arrived, mut ended) = (Vec::new(), 0, 0);
-    // Turns of uneven length up to ten seconds.
+    // Uneven intervals, ten seconds in total.
     for ms in (0..=10_000).step_by(7) {
         arrived += requests.due(moment(ms), &settings, &pool, &mut inputs);
         for input in std::mem::take(&mut inputs) {
@@ -39,7 +39,7 @@
                     let body = Arc::new(call.body);
                     let class = Arc::clone(&classes[call.class.slot()]);
                     let begin = Effect::StartRun { link: LINK, id: call.id, class, body };
-                    requests.take(moment(ms).now, begin, &mut inputs);
+                    requests.apply(moment(ms).now, begin, &mut inputs);
                 }
                 Input::RunCompleted { notice, .. } => {
                     ended += 1;
@@ -53,9 +53,9 @@
     assert!(arrived - ended < 50, "{ended} of {arrived} ended");
 }
 
-/// Guards against a server that is asked on a connection which it has closed.
+/// Guards against requests on a connection that the server has closed.
 #[test]
-fn a_closed_connection_is_made_anew() {
+fn closed_connection_is_reopened() {
     let settings = Config::parse(SETTINGS).unwrap().settings;
     let pool = BufferPool::new(8);
     let mut requests = Requests::new(1, 5, 100.0, 5.0, moment(0).now);
@@ -63,7 +63,7 @@
     requests.due(moment(500), &settings, &pool, &mut inputs);
     assert!(matches!(inputs[0], Input::ConnectionOpened(1)));
     inputs.clear();
-    requests.take(
+    requests.apply(
         moment(500).now,
         Effect::CloseIdleConnection { connection: 1, messages_received: 9 },
         &mut inputs,
--- a/crates/testkit/src/scale/fleet/resources.rs
+++ b/crates/testkit/src/scale/fleet/resources.rs
@@ -1,115 +1,116 @@
-//! What a run may use and what it used: descriptors, memory and processes are looked at before anything starts, so that a
-//! run that can't end well doesn't begin.
+//! Resource limits and usage of a run. Descriptors, memory and processes are checked before anything starts, so that a run
+//! without enough of them doesn't begin.
 
 use crate::fleet::memory_of;
 use rustix::process::{Resource, getrlimit};
 use serde::Serialize;
 
-/// The most that a run may use of the machine's memory.
-pub const MOST_MEMORY: u64 = 12 << 30;
-/// And of processes, this one among them.
-pub const MOST_PROCESSES: usize = 300;
-/// Descriptors of a host beside its servers' sockets: standard streams, the queue of events, files being read.
-const DESCRIPTORS_BESIDE: u64 = 32;
-/// Memory of a hollow server by itself, and for each other server that it knows: a row of counts, a member, a window against
-/// replays. Taken from runs at 12 to 300 servers, and a half more.
-const BYTES_A_SERVER: u64 = 1_500_000;
-const BYTES_A_PAIR: u64 = 1_500;
-/// Memory of a process beside its servers, and of a real daemon.
-const BYTES_A_PROCESS: u64 = 30 << 20;
+/// Memory limit of a run, in bytes.
+pub const MAX_MEMORY_BYTES: u64 = 12 << 30;
+/// Process limit of a run, including this process.
+pub const MAX_PROCESSES: usize = 300;
+/// Descriptors of a host beside the sockets of its servers: standard streams, event queue, files being read.
+const HOST_DESCRIPTORS: u64 = 32;
+/// Estimated memory of a hollow server without its knowledge of others, in bytes. This and the memory per pair are measured
+/// at 12 to 300 servers, plus half as much again.
+const BYTES_PER_SERVER: u64 = 1_500_000;
+/// Estimated memory per pair of servers, in bytes: a counter row, a member, a replay window.
+const BYTES_PER_PAIR: u64 = 1_500;
+/// Estimated memory of a real daemon, or of a host without its servers, in bytes.
+const BYTES_PER_PROCESS: u64 = 30 << 20;
 
-/// What a run asks for.
+/// Numbers of servers and processes of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Wanted {
-    /// Hollow servers.
+pub struct RequiredResources {
+    /// Number of hollow servers.
     pub hollow: usize,
-    /// Real daemons.
+    /// Number of real daemons.
     pub real: usize,
-    /// Host processes.
+    /// Number of host processes.
     pub hosts: usize,
 }
 
-/// What there is.
+/// Available resources.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Available {
-    /// Descriptors of a process.
+    /// Descriptor limit of a process.
     pub descriptors: u64,
-    /// Bytes of memory that no process has.
+    /// Available memory, in bytes.
     pub memory: u64,
-    /// Processes that may be started yet.
+    /// Process limit.
     pub processes: u64,
 }
 
-/// Why a run can't begin.
+/// Resource that a run has too little of.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Short {
-    /// Of descriptors.
+pub enum InsufficientResources {
+    /// Descriptors.
     #[error(
         "a host needs {needed} descriptors for its servers' sockets, and may have {have}: raise ulimit -n, or take more --processes"
     )]
     Descriptors {
-        /// What a host needs.
+        /// Descriptors required by a host.
         needed: u64,
-        /// What it may have.
+        /// Descriptor limit.
         have: u64,
     },
-    /// Of memory.
+    /// Memory.
     #[error(
         "{servers} servers need about {needed_mb} MB of memory, and {have_mb} MB may be used: take smaller --sizes"
     )]
     Memory {
-        /// In all.
+        /// Number of servers.
         servers: usize,
-        /// What they need.
+        /// Required memory in MB.
         needed_mb: u64,
-        /// What the machine has free, or what a run may use at the most.
+        /// Available memory or limit of a run, in MB.
         have_mb: u64,
     },
-    /// Of processes.
+    /// Processes.
     #[error("the run needs {needed} processes, and may have {have}: take fewer --processes")]
     Processes {
-        /// Hosts, daemons and this one.
+        /// Required processes: hosts, daemons and this one.
         needed: usize,
-        /// What may be.
+        /// Process limit.
         have: u64,
     },
 }
 
-impl Wanted {
-    /// Whether there is room for it.
-    pub fn check(&self, available: &Available) -> Result<(), Short> {
-        let a_host = self.hollow.div_ceil(self.hosts.max(1)) as u64 + DESCRIPTORS_BESIDE;
+impl RequiredResources {
+    /// Checks that the resources suffice.
+    pub fn check(&self, available: &Available) -> Result<(), InsufficientResources> {
+        let a_host = self.hollow.div_ceil(self.hosts.max(1)) as u64 + HOST_DESCRIPTORS;
         if a_host > available.descriptors {
-            return Err(Short::Descriptors { needed: a_host, have: available.descriptors });
+            return Err(InsufficientResources::Descriptors { needed: a_host, have: available.descriptors });
         }
         let processes = self.processes();
-        let have = available.processes.min(MOST_PROCESSES as u64);
+        let have = available.processes.min(MAX_PROCESSES as u64);
         if processes as u64 > have {
-            return Err(Short::Processes { needed: processes, have });
+            return Err(InsufficientResources::Processes { needed: processes, have });
         }
         let servers = self.hollow + self.real;
         let needed = self.memory();
-        let have = available.memory.min(MOST_MEMORY);
+        let have = available.memory.min(MAX_MEMORY_BYTES);
         if needed > have {
             let (needed_mb, have_mb) = (needed >> 20, have >> 20);
-            return Err(Short::Memory { servers, needed_mb, have_mb });
+            return Err(InsufficientResources::Memory { servers, needed_mb, have_mb });
         }
         Ok(())
     }
 
-    /// This process, hosts and daemons.
+    /// Number of processes: this one, hosts and daemons.
     pub fn processes(&self) -> usize {
         1 + self.hosts + self.real
     }
 
     fn memory(&self) -> u64 {
         let servers = (self.hollow + self.real) as u64;
-        servers * (BYTES_A_SERVER + servers * BYTES_A_PAIR) + self.processes() as u64 * BYTES_A_PROCESS
+        servers * (BYTES_PER_SERVER + servers * BYTES_PER_PAIR) + self.processes() as u64 * BYTES_PER_PROCESS
     }
 }
 
 impl Available {
-    /// What the machine has now; what can't be read isn't held to be short.
+    /// Current resources of the machine; unlimited where they can't be read.
     pub fn now() -> Self {
         let descriptors = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
         let processes = getrlimit(Resource::Nproc).current.unwrap_or(u64::MAX);
@@ -123,22 +124,22 @@
     Some(line.split_whitespace().next()?.parse::<u64>().ok()? * 1024)
 }
 
-/// What a run used.
+/// Peak resource usage of a run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Used {
     /// Processes.
     pub processes: usize,
-    /// Resident memory of them all at the most, in bytes.
+    /// Peak resident memory of all processes, in bytes.
     pub memory: u64,
-    /// Descriptors of them all.
+    /// Peak number of open descriptors of all processes.
     pub descriptors: usize,
-    /// CPU of them all, as parts of a core.
+    /// CPU usage of all processes, in cores.
     pub cores: f64,
 }
 
 impl Used {
-    /// Takes in what these processes hold now.
-    pub fn look(&mut self, pids: &[u32]) {
+    /// Updates the peaks with the current usage of these processes.
+    pub fn update(&mut self, pids: &[u32]) {
         let memory = pids.iter().filter_map(|pid| memory_of(*pid, "VmRSS")).sum();
         self.memory = self.memory.max(memory);
         let descriptors = pids.iter().filter_map(|pid| descriptors_of(*pid)).sum();
@@ -151,8 +152,8 @@
     Some(std::fs::read_dir(format!("/proc/{pid}/fd")).ok()?.count())
 }
 
-/// The CPU that a process used so far, in nanoseconds, of all its threads that run still. To the nanosecond, where the system
-/// tells it; its table of ticks of 10 ms is too coarse for what a server needs to hear of others.
+/// CPU time of the running threads of a process so far, in nanoseconds. Uses the scheduler statistics where available, since
+/// ticks of 10 ms are too coarse for the cost of gossip.
 pub fn cpu_ns_of(pid: u32) -> Option<u64> {
     let tasks = std::fs::read_dir(format!("/proc/{pid}/task")).ok()?;
     let of_task = |task: std::fs::DirEntry| {
--- a/crates/testkit/src/scale/fleet/server.rs
+++ b/crates/testkit/src/scale/fleet/server.rs
@@ -1,8 +1,7 @@
-//! One hollow server: the real reducer with its decision module and its cluster, a real UDP socket, synthetic requests, and
-//! no processor.
+//! Hollow server: the real reducer with admission control and cluster, a real UDP socket, synthetic requests, and no processor.
 //!
-//! Beside the program of a real server it lacks the threads, the fronts, the link and the files. What it sends is counted
-//! here, by what leaves its socket; what it knows is asked of the reducer as operators ask it.
+//! Compared to the daemon it lacks the threads, the front ends, the processor link and the files. Sent datagrams are counted at
+//! the socket; the membership comes from the reducer's answers to admin requests.
 
 use super::cut::{Cut, Regions};
 use super::layout::{Place, Region};
@@ -30,39 +29,39 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 
-/// Datagrams read in one turn of a server; more wait for its next one, so that no server keeps the others of its host waiting.
-const AT_ONCE: usize = 16;
-/// Steps in one turn: what the stand-in processor answers at once is taken in the same turn.
-const STEPS: usize = 4;
-/// Until it has something to do a server is looked at this often.
-const IDLE: Span = Span(1_000_000_000);
+/// Maximum number of datagrams read in one pass of a server, so that it doesn't delay the other servers of its host.
+const MAX_DATAGRAMS_PER_PASS: usize = 16;
+/// Maximum number of reducer steps in one pass; immediate answers of the simulated processor are handled in the same pass.
+const MAX_STEPS_PER_PASS: usize = 4;
+/// Due time of a server that has nothing to do.
+const IDLE_INTERVAL: Span = Span(1_000_000_000);
 
-/// What servers of one host share.
-pub struct Surroundings {
-    /// The host's clock.
+/// State shared by the servers of a host.
+pub struct HostContext {
+    /// Clock of the host.
     pub clock: Clock,
-    /// Buffers of bodies and results.
+    /// Buffer pool for request bodies and results.
     pub pool: Arc<BufferPool>,
-    /// What servers are told.
+    /// Configuration of all servers, up to name and seed.
     pub config: Config,
-    /// The same, shared.
+    /// Settings of the configuration, shared by the reducers.
     pub settings: Arc<Settings>,
-    /// The fleet's keys and settings, where the servers talk.
+    /// Cluster settings and keys; `None` if the servers are unconnected.
     pub fleet: Option<(FleetSettings, AuthenticationKeys)>,
-    /// Regions by address.
+    /// Regions of all servers by address.
     pub regions: Regions,
-    /// The cut in force.
+    /// Partition in force.
     pub cut: Cut,
-    /// Datagrams that it dropped.
+    /// Number of datagrams dropped by partitions.
     pub cut_dropped: u64,
-    /// Addresses of real daemons.
-    pub reals: HashSet<SocketAddr>,
-    /// What hollow servers received, by kind and by whether a real daemon sent it.
+    /// Addresses of the real daemons.
+    pub real_addresses: HashSet<SocketAddr>,
+    /// Received datagrams and bytes, by kind and by whether a real daemon sent them.
     kinds: BTreeMap<(bool, &'static str), (u64, u64)>,
 }
 
-impl Surroundings {
-    /// For a host with this plan.
+impl HostContext {
+    /// Creates the shared state for a plan.
     pub fn new(plan: &HostPlan, config: Config, fleet: Option<(FleetSettings, AuthenticationKeys)>) -> Self {
         let settings = Arc::new(config.settings.clone());
         Self {
@@ -74,12 +73,12 @@
             regions: Regions::new(plan.fleet.iter().map(|one| (one.address, one.region))),
             cut: Cut::default(),
             cut_dropped: 0,
-            reals: plan.fleet.iter().filter(|one| one.real).map(|one| one.address).collect(),
+            real_addresses: plan.fleet.iter().filter(|one| one.real).map(|one| one.address).collect(),
             kinds: BTreeMap::new(),
         }
     }
 
-    /// What was received so far.
+    /// Datagrams received so far.
     pub fn kinds(&self) -> Vec<KindFigures> {
         let figures = |(&(from_real, kind), &(datagrams, bytes)): (&(bool, &'static str), &(u64, u64))| {
             KindFigures { kind: kind.to_string(), from_real, datagrams, bytes }
@@ -88,13 +87,13 @@
     }
 }
 
-/// The CPU that this thread used so far, in nanoseconds.
+/// CPU time of this thread so far, in nanoseconds.
 pub fn thread_cpu_ns() -> u64 {
     let used = clock_gettime(ClockId::ThreadCPUTime);
     used.tv_sec as u64 * 1_000_000_000 + used.tv_nsec as u64
 }
 
-/// One server.
+/// A hollow server.
 pub struct HollowServer {
     reducer: Reducer,
     socket: UdpSocket,
@@ -103,31 +102,31 @@
     limiter: RateLimiter,
     inputs: Vec<Input>,
     effects: Vec<Effect>,
-    /// Drops at the socket since the reducer was told.
+    /// Datagrams dropped at the socket and not yet reported to the reducer.
     dropped: BTreeMap<DropReason, u64>,
     due: Time,
-    looks: u64,
+    polls: u64,
     others: u64,
     spend: Spend,
     next_spend: Option<Time>,
-    /// Where bytes go that are spent: another server, which drops them unread.
+    /// Destination of the extra bytes: another server, which drops them.
     spend_to: Option<SocketAddr>,
     figures: ServerFigures,
 }
 
 impl HollowServer {
-    /// The server with this number among those of its host, which begins now.
-    pub fn start(plan: &HostPlan, number: usize, around: &Surroundings) -> Result<Self, Box<dyn Error>> {
+    /// Starts the server with this index in the plan.
+    pub fn start(plan: &HostPlan, number: usize, context: &HostContext) -> Result<Self, Box<dyn Error>> {
         let place = &plan.places[number];
-        let now = around.clock.read().now;
+        let now = context.clock.read().now;
         let seed = plan.seed.wrapping_mul(1_000_003).wrapping_add(name_number(&place.name));
         let config =
-            Config { name: place.name.clone(), seed: format!("{seed:016x}"), ..around.config.clone() };
+            Config { name: place.name.clone(), seed: format!("{seed:016x}"), ..context.config.clone() };
         let mut reducer =
-            Reducer::new(&config, Arc::clone(&around.settings), Registration::new(None, Span(0)))?;
-        if let Some((set, keys)) = &around.fleet {
-            let set = own_part(set, place);
-            let settings = cluster_settings(&set, &config, keys.clone(), around.clock, seed)?;
+            Reducer::new(&config, Arc::clone(&context.settings), Registration::new(None, Span(0)))?;
+        if let Some((set, keys)) = &context.fleet {
+            let set = own_settings(set, place);
+            let settings = cluster_settings(&set, &config, keys.clone(), context.clock, seed)?;
             reducer = reducer.with_cluster(Cluster::new(settings, now));
         }
         let socket = UdpSocket::bind(place.address)?;
@@ -143,7 +142,7 @@
             effects: Vec::new(),
             dropped: BTreeMap::new(),
             due: now,
-            looks: 0,
+            polls: 0,
             others: plan.fleet.len().saturating_sub(1) as u64,
             spend,
             next_spend: spend.is_any().then_some(now),
@@ -167,26 +166,26 @@
         &self.figures
     }
 
-    /// Takes what has come, does what is due, and sends; the CPU of it all is counted as the server's.
-    pub fn turn(&mut self, around: &mut Surroundings, has_mail: bool) -> io::Result<()> {
-        let begun = thread_cpu_ns();
+    /// Receives datagrams, runs due work and sends; the CPU time counts for this server.
+    pub fn run_once(&mut self, context: &mut HostContext, has_mail: bool) -> io::Result<()> {
+        let cpu_start = thread_cpu_ns();
         if has_mail {
-            self.receive(around)?;
+            self.receive(context)?;
         }
-        for _ in 0..STEPS {
-            let moment = around.clock.read();
+        for _ in 0..MAX_STEPS_PER_PASS {
+            let moment = context.clock.read();
             let Self { requests, inputs, .. } = self;
-            self.figures.asked += requests.due(moment, &around.settings, &around.pool, inputs);
+            self.figures.asked += requests.due(moment, &context.settings, &context.pool, inputs);
             self.reducer.step(moment, self.inputs.drain(..), &mut self.effects);
-            self.carry_out(moment.now, around);
+            self.carry_out(moment.now, context);
             if self.inputs.is_empty() {
                 break;
             }
         }
-        self.spend(around, begun);
-        let now = around.clock.read().now;
+        self.spend(context, cpu_start);
+        let now = context.clock.read().now;
         self.due = self.next_due(now);
-        self.figures.cpu_ns += thread_cpu_ns().saturating_sub(begun);
+        self.figures.cpu_ns += thread_cpu_ns().saturating_sub(cpu_start);
         Ok(())
     }
 
@@ -195,25 +194,25 @@
             return now;
         }
         let wakes = [self.reducer.wake_at(), self.requests.wake_at(), self.next_spend];
-        wakes.into_iter().flatten().min().unwrap_or(time_after(now, IDLE))
+        wakes.into_iter().flatten().min().unwrap_or(time_after(now, IDLE_INTERVAL))
     }
 
-    fn receive(&mut self, around: &mut Surroundings) -> io::Result<()> {
-        // One byte more than a datagram may have, so that a longer one isn't taken for a whole one.
+    fn receive(&mut self, context: &mut HostContext) -> io::Result<()> {
+        // One byte more than the maximum, so that a truncated datagram isn't mistaken for a complete one.
         let mut buffer = [0_u8; MAX_DATAGRAM_BYTES + 1];
-        for _ in 0..AT_ONCE {
+        for _ in 0..MAX_DATAGRAMS_PER_PASS {
             let (length, from) = match self.socket.recv_from(&mut buffer) {
-                Ok(came) => came,
+                Ok(received) => received,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
-                // What ICMP tells of earlier datagrams: a server that is not there any more.
+                // ICMP error of an earlier datagram: its receiver has gone.
                 Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => continue,
                 Err(e) => return Err(e),
             };
-            if !around.regions.passes(&around.cut, self.region, from) {
-                around.cut_dropped += 1;
+            if !context.regions.passes(&context.cut, self.region, from) {
+                context.cut_dropped += 1;
                 continue;
             }
-            self.open(around, &buffer[..length], from);
+            self.open(context, &buffer[..length], from);
         }
         if !self.dropped.is_empty() {
             let dropped: Vec<(DropReason, u64)> = std::mem::take(&mut self.dropped).into_iter().collect();
@@ -222,17 +221,19 @@
         Ok(())
     }
 
-    fn open(&mut self, around: &mut Surroundings, datagram: &[u8], from: SocketAddr) {
-        let Some((_, keys)) = &around.fleet else { return };
-        let opened = if self.limiter.admits(around.clock.read().now) {
+    fn open(&mut self, context: &mut HostContext, datagram: &[u8], from: SocketAddr) {
+        let Some((_, keys)) = &context.fleet else { return };
+        let opened = if self.limiter.admits(context.clock.read().now) {
             Envelope::open(keys, datagram)
         } else {
             Err(DropReason::RateLimited)
         };
         match opened {
             Ok(envelope) => {
-                let kind =
-                    around.kinds.entry((around.reals.contains(&from), kind_word(&envelope))).or_default();
+                let kind = context
+                    .kinds
+                    .entry((context.real_addresses.contains(&from), kind_label(&envelope)))
+                    .or_default();
                 *kind = (kind.0 + 1, kind.1 + datagram.len() as u64);
                 self.inputs.push(Input::PeerDatagram(Box::new(envelope)));
             }
@@ -240,11 +241,11 @@
         }
     }
 
-    fn carry_out(&mut self, now: Time, around: &mut Surroundings) {
+    fn carry_out(&mut self, now: Time, context: &mut HostContext) {
         let mut effects = std::mem::take(&mut self.effects);
         for effect in effects.drain(..) {
             match effect {
-                Effect::SendPeerDatagram { to, datagram } => self.send(around, to, &datagram),
+                Effect::SendPeerDatagram { to, datagram } => self.send(context, to, &datagram),
                 Effect::Respond { response: Response::Served(_), .. } => self.figures.served += 1,
                 Effect::AnswerAdmin { response: AdminResponse::Stats(stats), .. } => {
                     if let Some(status) = stats.fleet {
@@ -255,63 +256,63 @@
                         self.figures.dropped = status.dropped.values().sum();
                     }
                 }
-                other => self.requests.take(now, other, &mut self.inputs),
+                other => self.requests.apply(now, other, &mut self.inputs),
             }
         }
         self.effects = effects;
     }
 
-    fn send(&mut self, around: &mut Surroundings, to: SocketAddr, datagram: &[u8]) {
+    fn send(&mut self, context: &mut HostContext, to: SocketAddr, datagram: &[u8]) {
         self.figures.sent += 1;
         self.figures.sent_bytes += datagram.len() as u64;
-        if !around.regions.passes(&around.cut, self.region, to) {
-            around.cut_dropped += 1;
+        if !context.regions.passes(&context.cut, self.region, to) {
+            context.cut_dropped += 1;
             return;
         }
-        // A full buffer of the system, or a server that is not there: lost, as on any net.
+        // Fails if a socket buffer is full or the receiver has gone; the datagram is lost as on any network.
         let _ = self.socket.send_to(datagram, to);
     }
 
-    /// Spends what it is told to, each tick.
-    fn spend(&mut self, around: &mut Surroundings, begun: u64) {
-        let now = around.clock.read().now;
+    /// Spends the injected extra cost, once per tick.
+    fn spend(&mut self, context: &mut HostContext, cpu_start: u64) {
+        let now = context.clock.read().now;
         let Some(at) = self.next_spend.filter(|at| *at <= now) else { return };
         self.next_spend = Some(time_after(at, Span(TICK_MS * 1_000_000)));
-        let bytes = self.spend.bytes_a_tick();
+        let bytes = self.spend.bytes_per_tick();
         if let Some(to) = self.spend_to.filter(|_| bytes > 0) {
-            self.send(around, to, &vec![0; bytes]);
+            self.send(context, to, &vec![0; bytes]);
         }
-        let until = thread_cpu_ns().max(begun) + u64::from(self.spend.tick_us) * 1_000;
+        let until = thread_cpu_ns().max(cpu_start) + u64::from(self.spend.tick_us) * 1_000;
         while thread_cpu_ns() < until {
             std::hint::spin_loop();
         }
     }
 
-    /// Asks the reducer what it knows. That is the host's work, not the server's, and not counted as its CPU.
-    pub fn look(&mut self, around: &mut Surroundings) {
-        let moment = around.clock.read();
-        self.looks += 1;
-        let asked = Input::AdminRequest { id: self.looks, request: AdminRequest::Stats };
+    /// Polls the reducer for its status. The CPU time counts for the host, not for the server.
+    pub fn poll_state(&mut self, context: &mut HostContext) {
+        let moment = context.clock.read();
+        self.polls += 1;
+        let asked = Input::AdminRequest { id: self.polls, request: AdminRequest::Stats };
         self.reducer.step(moment, [asked], &mut self.effects);
-        self.carry_out(moment.now, around);
+        self.carry_out(moment.now, context);
         self.due = self.next_due(moment.now);
-        let whole = self.figures.up >= self.others;
+        let complete = self.figures.up >= self.others;
         let since = self.figures.whole_since_ms.unwrap_or(moment.unix_ms);
-        self.figures.whole_since_ms = whole.then_some(since);
+        self.figures.whole_since_ms = complete.then_some(since);
     }
 }
 
-/// The kind of a datagram's content, in a word.
-fn kind_word(envelope: &Envelope) -> &'static str {
+/// Label of the message kind of a datagram.
+fn kind_label(envelope: &Envelope) -> &'static str {
     envelope.kind().map_or("unknown", MessageKind::label)
 }
 
-/// The number in a hollow server's name.
+/// Number in the name of a hollow server.
 fn name_number(name: &str) -> u64 {
     name.trim_start_matches(|c: char| !c.is_ascii_digit()).parse().unwrap_or(0)
 }
 
-/// The fleet's settings as they would stand in this server's file.
-fn own_part(set: &FleetSettings, place: &Place) -> FleetSettings {
+/// Cluster settings with the addresses and zone of this server.
+fn own_settings(set: &FleetSettings, place: &Place) -> FleetSettings {
     FleetSettings { listen: place.address, advertise: place.address, zone: place.zone.clone(), ..set.clone() }
 }
--- a/crates/testkit/src/scale/gaps.rs
+++ b/crates/testkit/src/scale/gaps.rs
@@ -1,4 +1,4 @@
-//! How long a server leaves health checks without an answer: a caller that asks every two milliseconds over one connection.
+//! Longest time that a server leaves health checks unanswered, measured by a client that sends one every two milliseconds.
 
 use crate::thrift::{self, Answer, Message};
 use std::io::{self, Read, Write};
@@ -8,12 +8,12 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Between an answer and the next check.
-const EVERY: Duration = Duration::from_millis(2);
-/// The longest that one answer is waited for.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Pause between an answer and the next health check.
+const PROBE_PAUSE: Duration = Duration::from_millis(2);
+/// Timeout of one answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A connection that asks for health.
+/// Connection that sends health checks.
 pub struct Prober {
     stream: TcpStream,
     bytes: Vec<u8>,
@@ -21,15 +21,15 @@
 }
 
 impl Prober {
-    /// Connects.
+    /// Connects to a server's Thrift address.
     pub fn connect(address: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect_timeout(&address, Duration::from_millis(200))?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
         Ok(Self { stream, bytes: Vec::new(), seq: 0 })
     }
 
-    /// Asks once, and waits for the answer; whether health is good.
+    /// Sends a health check and waits for the answer; returns whether it passes.
     pub fn ask(&mut self) -> io::Result<bool> {
         self.seq += 1;
         self.stream.write_all(&thrift::health(self.seq))?;
@@ -53,49 +53,49 @@
     }
 }
 
-/// What a watch saw.
+/// Results of a monitor.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Gaps {
-    /// Checks that were answered.
+    /// Number of checks that passed.
     pub answered: u64,
-    /// The longest that an answer took.
+    /// Longest time until an answer or a failed connection.
     pub longest: Duration,
-    /// Checks that were answered as bad, or not.
+    /// Number of checks that failed or got no answer.
     pub bad: u64,
-    /// The most by which the caller itself was late to ask.
-    pub own_lag: Duration,
+    /// Longest delay of the monitor itself beyond its pause.
+    pub own_delay: Duration,
 }
 
-/// A caller in a thread of its own.
-pub struct Watch {
+/// Sends health checks in a background thread.
+pub struct HealthMonitor {
     stop: Arc<AtomicBool>,
     thread: JoinHandle<Gaps>,
 }
 
-impl Watch {
-    /// Begins to ask.
+impl HealthMonitor {
+    /// Connects and starts to send health checks.
     pub fn start(address: SocketAddr) -> io::Result<Self> {
         let mut prober = Prober::connect(address)?;
         let stop = Arc::<AtomicBool>::default();
-        let stops = Arc::clone(&stop);
+        let stop_flag = Arc::clone(&stop);
         let watch = move || {
             let mut gaps = Gaps::default();
-            while !stops.load(Ordering::Relaxed) {
+            while !stop_flag.load(Ordering::Relaxed) {
                 let asked = Instant::now();
                 match prober.ask() {
                     Ok(true) => gaps.answered += 1,
                     Ok(false) => gaps.bad += 1,
                     Err(_) => {
                         gaps.bad += 1;
-                        if let Ok(anew) = Prober::connect(address) {
-                            prober = anew;
+                        if let Ok(reconnected) = Prober::connect(address) {
+                            prober = reconnected;
                         }
                     }
                 }
                 gaps.longest = gaps.longest.max(asked.elapsed());
-                let rest = Instant::now();
-                thread::sleep(EVERY);
-                gaps.own_lag = gaps.own_lag.max(rest.elapsed().saturating_sub(EVERY));
+                let pause_start = Instant::now();
+                thread::sleep(PROBE_PAUSE);
+                gaps.own_delay = gaps.own_delay.max(pause_start.elapsed().saturating_sub(PROBE_PAUSE));
             }
             gaps
         };
@@ -103,7 +103,7 @@
         Ok(Self { stop, thread })
     }
 
-    /// Ends, and tells what was seen.
+    /// Stops the thread and returns the results.
     pub fn stop(self) -> io::Result<Gaps> {
         self.stop.store(true, Ordering::Relaxed);
         self.thread.join().map_err(|_| io::Error::other("a caller's thread has panicked"))
--- a/crates/testkit/src/scale/gossip.rs
+++ b/crates/testkit/src/scale/gossip.rs
@@ -1,5 +1,5 @@
-//! Fleets of the model that talk over modelled datagrams, for the commands that measure their parts: the real membership, counter rows
-//! and leases, in virtual time and without requests.
+//! Simulated fleets for the commands that measure gossip: the real membership, counter rows and leases over simulated
+//! datagrams, in virtual time and without requests.
 
 use super::budgets::ZONES;
 use super::options::{Options, check_resources, progress};
@@ -9,40 +9,40 @@
 use std::error::Error;
 use std::time::Duration;
 
-/// The sizes without others; the planned one is 2.5 times the largest, which takes minutes of CPU already.
+/// Default sizes. The planned size is 2.5 times the largest, which already takes minutes of CPU time.
 pub const SIZES: [u64; 6] = [12, 25, 52, 108, 224, 448];
-/// What the model holds for a pair of servers, in bytes; measured at 1,100.
+/// Memory of the model per pair of servers, in bytes, at 1,100 servers.
 const BYTES_A_PAIR: u64 = 1_000;
-/// Ticks of a server in a second, for a stand-in that burns more in each.
+/// Gossip ticks per second, for a simulated server with added cost per tick.
 const TICKS_S: f64 = 10.0;
 
-/// Settings on the command line.
+/// Arguments of the command.
 #[derive(Debug, Args)]
 pub struct GossipArgs {
-    /// Settings of all commands
+    /// Common arguments
     #[command(flatten)]
     pub options: Options,
     /// Seconds of virtual time
     #[arg(long, default_value_t = 40.0)]
     pub seconds: f64,
-    /// From when on is counted, in seconds: until then servers that all start at once tell each other of all of them
+    /// Start of the counted time, in seconds; before it, servers that start together spread the initial membership
     #[arg(long, default_value_t = 30.0)]
     pub from: f64,
-    /// A stand-in that costs more, to try the verdict out: so many bytes a second more of membership
+    /// Additional membership bytes per second, to test that the verdict detects them
     #[arg(long, default_value_t = 0)]
     pub stand_in_bytes: usize,
-    /// A stand-in that costs more: so many ms of CPU more in each tick of 100 ms
+    /// Additional CPU time in ms per tick of 100 ms, to test that the verdict detects it
     #[arg(long, default_value_t = 0)]
     pub stand_in_cpu_ms: u64,
 }
 
-/// What a fleet came to.
+/// Results of a fleet.
 pub struct Gossip {
-    /// Servers.
+    /// Number of servers.
     pub size: u64,
-    /// Seconds that were counted.
+    /// Counted virtual seconds.
     counted_s: f64,
-    /// Seconds that were played.
+    /// All simulated virtual seconds.
     played_s: f64,
     outcome: Outcome,
     cpu: Duration,
@@ -50,42 +50,42 @@
 }
 
 impl Gossip {
-    fn a_server_second(&self, count: u64) -> f64 {
+    fn per_server_second(&self, count: u64) -> f64 {
         count as f64 / self.size as f64 / self.counted_s
     }
 
-    /// Bytes a second that a server sent of a kind.
+    /// Bytes of a message kind sent per server and second.
     pub fn bytes_s(&self, kind: Kind) -> f64 {
-        self.a_server_second(self.outcome.traffic.of(kind).bytes)
+        self.per_server_second(self.outcome.traffic.of(kind).bytes)
     }
 
-    /// Datagrams a second that a server sent of a kind.
+    /// Datagrams of a message kind sent per server and second.
     pub fn datagrams_s(&self, kind: Kind) -> f64 {
-        self.a_server_second(self.outcome.traffic.of(kind).datagrams)
+        self.per_server_second(self.outcome.traffic.of(kind).datagrams)
     }
 
-    /// Bytes a second that a server sent in all.
+    /// Bytes of all kinds sent per server and second.
     pub fn all_bytes_s(&self) -> f64 {
-        self.a_server_second(self.outcome.traffic.all().bytes)
+        self.per_server_second(self.outcome.traffic.all().bytes)
     }
 
-    /// The part of the fleet that a server's counts are of.
+    /// Mean fraction of the fleet whose counts a server knows.
     pub fn heard(&self) -> f64 {
         self.outcome.heard
     }
 
-    /// Percent of a core that a server took, what the model takes round it included.
+    /// CPU time per server in percent of a core, including the cost of the simulation.
     pub fn cpu_percent(&self) -> f64 {
         100.0 * self.cpu.as_secs_f64() / self.size as f64 / self.played_s
     }
 
-    /// MB that a server took at the most, what the model takes round it included.
+    /// Peak memory per server in MB, including the cost of the simulation.
     pub fn memory_mb(&self) -> f64 {
         self.memory as f64 / 1e6 / self.size as f64
     }
 }
 
-/// Plays a fleet of each size.
+/// Simulates a fleet of each size.
 pub fn fleets(args: &GossipArgs) -> Result<Vec<Gossip>, Box<dyn Error>> {
     let sizes = args.options.sizes_or(&SIZES);
     let largest = sizes.last().copied().unwrap_or(0);
@@ -111,25 +111,25 @@
         stand_in_bytes_s: args.stand_in_bytes,
         ..Spec::default()
     };
-    let own = std::process::id();
-    let before = cpu_of(own).unwrap_or_default();
-    let base = memory_of(own, "VmRSS").unwrap_or(0);
+    let pid = std::process::id();
+    let before = cpu_of(pid).unwrap_or_default();
+    let base = memory_of(pid, "VmRSS").unwrap_or(0);
     let outcome = play(&spec);
-    burn(own, args.stand_in_cpu_ms as f64 / 1e3 * TICKS_S * args.seconds * size as f64);
+    burn(pid, args.stand_in_cpu_ms as f64 / 1e3 * TICKS_S * args.seconds * size as f64);
     Gossip {
         size,
         counted_s: (args.seconds - args.from).max(0.1),
         played_s: args.seconds,
         outcome,
-        cpu: cpu_of(own).unwrap_or_default().saturating_sub(before),
-        memory: memory_of(own, "VmHWM").unwrap_or(0).saturating_sub(base),
+        cpu: cpu_of(pid).unwrap_or_default().saturating_sub(before),
+        memory: memory_of(pid, "VmHWM").unwrap_or(0).saturating_sub(base),
     }
 }
 
-/// Uses so many seconds of CPU, by the system's own count of it.
-fn burn(own: u32, seconds: f64) {
-    let until = cpu_of(own).unwrap_or_default() + Duration::from_secs_f64(seconds);
-    while seconds > 0.0 && cpu_of(own).is_some_and(|used| used < until) {
+/// Uses `seconds` of CPU time, as accounted by the kernel.
+fn burn(pid: u32, seconds: f64) {
+    let until = cpu_of(pid).unwrap_or_default() + Duration::from_secs_f64(seconds);
+    while seconds > 0.0 && cpu_of(pid).is_some_and(|used| used < until) {
         std::hint::black_box((0..50_000_u64).fold(0, |sum, n| sum ^ n.wrapping_mul(n)));
     }
 }
--- a/crates/testkit/src/scale/membership.rs
+++ b/crates/testkit/src/scale/membership.rs
@@ -1,4 +1,4 @@
-//! `gradepin-testkit scale membership`: SWIM by the number of servers.
+//! `gradepin-testkit scale membership`: cost of the SWIM membership by the number of servers.
 
 use super::budgets::{BYTES_S, CPU_PERCENT, MEMORY_MB, SERVERS};
 use super::figure::{Budget, Claim, Figure};
@@ -7,7 +7,7 @@
 use gradepin_model::peers::Kind;
 use std::error::Error;
 
-/// Measures; false if a budget that is claimed to hold doesn't.
+/// Runs the measurements; returns `false` if a budget that is claimed to hold doesn't.
 pub fn run(args: &GossipArgs) -> Result<bool, Box<dyn Error>> {
     let mut bytes = Figure::new("membership.bytes", "SWIM, sent by a server", "B/s")
         .within(Budget::at_most(BYTES_S, Claim::Holds));
--- a/crates/testkit/src/scale/mod.rs
+++ b/crates/testkit/src/scale/mod.rs
@@ -1,5 +1,5 @@
-//! What a server and a fleet cost by size: each command measures a figure at several sizes, fits a form to it, and holds what the
-//! form says of the planned size against a budget. The figures are those of `docs/CAPACITY.md`.
+//! Cost of a server and a fleet by size. Each command measures figures at several sizes, fits a form to each, and compares the
+//! value at the planned size with a budget. The figures are those of `docs/CAPACITY.md`.
 
 pub mod budgets;
 pub mod cli;
@@ -11,7 +11,7 @@
 pub mod fleet;
 pub mod gaps;
 pub mod gossip;
-pub mod lag;
+pub mod load_delay;
 pub mod membership;
 pub mod options;
 pub mod report;
--- a/crates/testkit/src/scale/report.rs
+++ b/crates/testkit/src/scale/report.rs
@@ -1,4 +1,4 @@
-//! What a command prints, and the same as JSON and as a plot.
+//! Report of a command: text, JSON and plot.
 
 use super::figure::Figure;
 use super::fit::{Fit, Point};
@@ -8,33 +8,33 @@
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Points of a drawn fit.
-const DRAWN: usize = 60;
+/// Number of points of a plotted fit.
+const PLOTTED_POINTS: usize = 60;
 
-/// All that a command measured.
+/// Results of a command.
 #[derive(Debug, Clone)]
 pub struct Report {
-    /// The command's name.
+    /// Name of the command.
     pub command: &'static str,
-    /// What the size counts.
+    /// Unit of the sizes.
     pub sizes_of: &'static str,
-    /// The planned size.
+    /// Planned size.
     pub target: f64,
-    /// Of everything that was drawn.
+    /// Random seed of the run.
     pub seed: u64,
-    /// What was measured.
+    /// Measured figures.
     pub figures: Vec<Figure>,
-    /// Why the run isn't scored, if it isn't: what was measured then is of the tool, not of the server.
+    /// Reason why the run isn't scored, if so; the figures then describe the tool rather than the server.
     pub not_scored: Option<String>,
 }
 
 impl Report {
-    /// Whether each budget that the page claims to hold does; a run that is not scored shows nothing.
+    /// Whether each budget that the page claims to hold does; never for a run that isn't scored.
     pub fn keeps_claims(&self) -> bool {
         self.not_scored.is_none() && self.figures.iter().all(|figure| figure.keeps_claim(self.target))
     }
 
-    /// The lines for people.
+    /// Lines of the text report.
     pub fn lines(&self) -> Vec<String> {
         let mut lines = vec![format!(
             "scale {}: by {}, planned for {}; seed {}; {}",
@@ -44,7 +44,7 @@
             self.seed,
             machine()
         )];
-        self.figures.iter().for_each(|figure| lines.extend(self.of_figure(figure)));
+        self.figures.iter().for_each(|figure| lines.extend(self.figure_lines(figure)));
         lines.push(match &self.not_scored {
             Some(why) => format!("NOT SCORED: {why}"),
             None if self.keeps_claims() => "each budget that the page claims to hold does".into(),
@@ -53,7 +53,7 @@
         lines
     }
 
-    fn of_figure(&self, figure: &Figure) -> Vec<String> {
+    fn figure_lines(&self, figure: &Figure) -> Vec<String> {
         let unit = figure.unit;
         let points: Vec<String> =
             figure.points.iter().map(|point| format!("{}: {}", point.size, short(point.value))).collect();
@@ -63,10 +63,10 @@
             Err(why) => format!("  no fit: {why}"),
         });
         lines.push(match figure.at_target(self.target) {
-            Ok(told) => {
-                let how = if told.measured { "measured" } else { "by the fit" };
+            Ok(target_value) => {
+                let how = if target_value.measured { "measured" } else { "by the fit" };
                 let budget = figure.budget.map(|budget| {
-                    let verdict = budget.judge(told.value);
+                    let verdict = budget.judge(target_value.value);
                     let word = if verdict.holds { "holds" } else { "fails" };
                     format!(
                         "; budget {} {unit}: {word} by a factor of {:.2}",
@@ -77,7 +77,7 @@
                 format!(
                     "  at {}: {} {unit}, {how}{}",
                     self.target,
-                    short(told.value),
+                    short(target_value.value),
                     budget.unwrap_or_default()
                 )
             }
@@ -86,7 +86,7 @@
         lines
     }
 
-    /// All of it for programs.
+    /// Report as JSON.
     pub fn json(&self) -> Value {
         let figures: Vec<Value> = self.figures.iter().map(|figure| self.figure_json(figure)).collect();
         let date = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs());
@@ -107,11 +107,11 @@
             Err(why) => json!({"refused": why.to_string()}),
         };
         let target = match figure.at_target(self.target) {
-            Ok(told) => json!({"value": told.value, "measured": told.measured}),
+            Ok(target_value) => json!({"value": target_value.value, "measured": target_value.measured}),
             Err(why) => json!({"refused": why.to_string()}),
         };
         let budget = figure.budget.map(|budget| {
-            let verdict = figure.at_target(self.target).ok().map(|told| budget.judge(told.value));
+            let verdict = figure.at_target(self.target).ok().map(|target_value| budget.judge(target_value.value));
             let verdict = verdict.map(|verdict| json!({"holds": verdict.holds, "factor": verdict.factor}));
             json!({"limit": budget.limit, "side": format!("{:?}", budget.side), "claim": format!("{:?}", budget.claim),
                    "verdict": verdict})
@@ -120,7 +120,7 @@
                "at_target": target, "budget": budget})
     }
 
-    /// Points and fits of all figures, each as a part of its own largest value.
+    /// Plot of all points and fits, each figure scaled to its largest value.
     pub fn plot(&self) -> Result<String, Box<dyn Error>> {
         let mut curves = Vec::new();
         for figure in &self.figures {
@@ -128,10 +128,10 @@
             if largest <= 0.0 {
                 continue;
             }
-            let part = |point: &Point| (point.size, point.value / largest);
-            curves.push(Curve::plain(figure.id, figure.points.iter().map(part).collect()));
+            let scaled = |point: &Point| (point.size, point.value / largest);
+            curves.push(Curve::plain(figure.id, figure.points.iter().map(scaled).collect()));
             if let Ok(fit) = Fit::of(&figure.points) {
-                let sizes = drawn_sizes(&figure.points);
+                let sizes = plotted_sizes(&figure.points);
                 let points =
                     sizes.map(|size| (size, fit.at(size) / largest)).filter(|(_, value)| *value > 0.0);
                 curves.push(Curve::plain(&format!("{}: {}", figure.id, fit.form), points.collect()));
@@ -141,7 +141,7 @@
         draw(&Labels { title: &title, x: self.sizes_of, y: "part of the largest", log: true }, &curves)
     }
 
-    /// Prints it, writes what was asked for, and says whether the claims are kept.
+    /// Prints the report and writes the given files; returns whether the claims are kept.
     pub fn finish(&self, json: Option<&Path>, plot: Option<&Path>) -> Result<bool, Box<dyn Error>> {
         self.lines().iter().for_each(|line| println!("{line}"));
         if let Some(path) = json {
@@ -154,21 +154,21 @@
     }
 }
 
-/// Sizes from the least to the largest, spaced evenly in the logarithm.
-fn drawn_sizes(points: &[Point]) -> impl Iterator<Item = f64> {
-    let least = points.iter().map(|point| point.size).fold(f64::INFINITY, f64::min);
-    let most = points.iter().map(|point| point.size).fold(0.0, f64::max);
-    (0..=DRAWN).map(move |n| least * (most / least).powf(n as f64 / DRAWN as f64))
+/// Sizes from the smallest to the largest, evenly spaced in the logarithm.
+fn plotted_sizes(points: &[Point]) -> impl Iterator<Item = f64> {
+    let smallest = points.iter().map(|point| point.size).fold(f64::INFINITY, f64::min);
+    let largest = points.iter().map(|point| point.size).fold(0.0, f64::max);
+    (0..=PLOTTED_POINTS).map(move |n| smallest * (largest / smallest).powf(n as f64 / PLOTTED_POINTS as f64))
 }
 
-/// The machine, and how busy it was a minute ago.
+/// Number of cores and one-minute load average of the machine.
 fn machine() -> String {
     let cores = std::thread::available_parallelism().map_or(0, usize::from);
     let load = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
     format!("{cores} cores, load {}", load.split(' ').next().unwrap_or("unknown"))
 }
 
-/// Three digits or so, without an exponent.
+/// Formats a value with about three digits and without an exponent.
 fn short(value: f64) -> String {
     match value.abs() {
         size if size >= 100.0 || size == 0.0 => format!("{value:.0}"),
--- a/crates/testkit/src/scale/report/tests.rs
+++ b/crates/testkit/src/scale/report/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn it_tells_size_figure_fit_residual_and_budget() {
+fn report_contains_sizes_values_fit_and_budget() {
     let text = report(Claim::Fails).lines().join("\n");
     for part in [
         "seed 7",
@@ -25,9 +25,9 @@
     assert!(report(Claim::Fails).plot().unwrap().contains("x.bytes: linear"));
 }
 
-/// A load tool that was too slow shows nothing of the server, whatever the figures are.
+/// Guards against claims based on a load generator that was too slow, whatever the figures are.
 #[test]
-fn a_run_that_is_not_scored_keeps_no_claim() {
+fn run_without_score_keeps_no_claim() {
     let late = Report { not_scored: Some("late".into()), ..report(Claim::Fails) };
     assert!(!late.keeps_claims() && late.lines().join("\n").contains("NOT SCORED: late"));
 }
--- a/crates/testkit/src/scale/requests.rs
+++ b/crates/testkit/src/scale/requests.rs
@@ -1,11 +1,11 @@
-//! `gradepin-testkit scale requests`: what a request costs and how much later its answer is, by the size of the settings, open loop.
+//! `gradepin-testkit scale requests`: CPU time and added latency of a request by the size of the settings, under open-loop load.
 
 use super::budgets::{ADDED_MS, REQUESTS_S, TENANTS};
 use super::figure::{Budget, Claim, Figure};
-use super::lag::{Lag, times};
-use super::options::{Options, check_resources, go_on, progress};
+use super::load_delay::{LoadDelay, times};
+use super::options::{Options, check_interrupted, check_resources, progress};
 use super::report::Report;
-use super::server::{Server, Wanted};
+use super::server::{Server, ServerSpec};
 use crate::load::{IntervalCounts, Proxy, ProxyBehavior, StaticServers};
 use crate::{fleet, interrupt};
 use clap::Args;
@@ -17,56 +17,56 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Tenants of the sizes without others.
+/// Default sizes, in tenants.
 const SIZES: [u64; 5] = [11, 110, 1_100, 11_000, 110_000];
 const MEMORY_NEEDED_MB: u64 = 600;
 const DESCRIPTORS: u64 = 256;
-/// Between two events beside which requests are measured.
-const EVENT_EVERY: Duration = Duration::from_secs(1);
-/// A request that wasn't served counts as one that took so long.
-const UNSERVED_US: u64 = 10_000_000;
+/// Interval between two disturbances.
+const DISTURBANCE_INTERVAL: Duration = Duration::from_secs(1);
+/// Latency that a request without a result counts with, in microseconds.
+const UNSERVED_LATENCY_US: u64 = 10_000_000;
 
-/// Settings on the command line.
+/// Arguments of the command.
 #[derive(Debug, Args)]
 pub struct RequestsArgs {
-    /// Settings of all commands; sizes are tenants, with a class for each eleven of them
+    /// Common arguments; sizes are tenants, with one class per eleven tenants
     #[command(flatten)]
     pub options: Options,
-    /// Requests a second
+    /// Requests per second
     #[arg(long, default_value_t = REQUESTS_S)]
     pub rate: f64,
-    /// Seconds of each measurement
+    /// Seconds per measurement
     #[arg(long, default_value_t = 6.0)]
     pub seconds: f64,
-    /// The load's own lag for 99 in 100, in ms, past which a run isn't scored
+    /// Maximum 99th percentile of the load generator's own delay, in ms; beyond it a run isn't scored
     #[arg(long, default_value_t = 1.0)]
     pub most_lag_ms: f64,
-    /// Without reloads, which keep some older daemons busy for most of a minute
+    /// Skip the reloads, which keep some older daemons busy for most of a minute
     #[arg(long)]
     pub no_reloads: bool,
-    /// The daemon's program, if it is not beside this one
+    /// Path of the daemon's program; by default the one beside this program
     #[arg(long)]
     pub daemon: Option<PathBuf>,
 }
 
-/// Beside what requests are measured.
+/// Disturbance during a measurement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Beside {
+enum Disturbance {
     Nothing,
     Reloads,
     Links,
 }
 
-/// What one measurement came to.
+/// Results of one measurement.
 struct Measured {
     cpu_us: f64,
     p50_ms: f64,
     p99_ms: f64,
     unserved: u64,
-    lag: Lag,
+    lag: LoadDelay,
 }
 
-/// Measures; false if a budget that is claimed to hold doesn't, or the load was late itself.
+/// Runs the measurements; returns `false` if a budget that is claimed to hold doesn't, or if the load itself was late.
 pub fn run(args: &RequestsArgs) -> Result<bool, Box<dyn Error>> {
     let end = interrupt::flag()?;
     check_resources(DESCRIPTORS, MEMORY_NEEDED_MB)?;
@@ -74,17 +74,17 @@
     let sizes = args.options.sizes_or(&SIZES);
     let bar = progress(sizes.len() * 3, "requests");
     let mut table = Table::new();
-    let mut lag = Lag::default();
+    let mut lag = LoadDelay::default();
     for tenants in sizes {
-        let wanted = Wanted { daemon: &daemon, tenants, sockets: 1_024, seed: args.options.seed };
-        let server = Server::start(&wanted)?;
-        for beside in [Beside::Nothing, Beside::Links, Beside::Reloads] {
-            go_on(&end)?;
-            bar.set_message(format!("{tenants} tenants, beside {beside:?}"));
-            if beside != Beside::Reloads || !args.no_reloads {
-                let measured = measure(args, &server, beside, &end)?;
+        let spec = ServerSpec { daemon: &daemon, tenants, sockets: 1_024, seed: args.options.seed };
+        let server = Server::start(&spec)?;
+        for disturbance in [Disturbance::Nothing, Disturbance::Links, Disturbance::Reloads] {
+            check_interrupted(&end)?;
+            bar.set_message(format!("{tenants} tenants, beside {disturbance:?}"));
+            if disturbance != Disturbance::Reloads || !args.no_reloads {
+                let measured = measure(args, &server, disturbance, &end)?;
                 lag = lag.worse(measured.lag);
-                table.add(tenants, beside, &measured);
+                table.add(tenants, disturbance, &measured);
             }
             bar.inc(1);
         }
@@ -96,45 +96,45 @@
         target: args.options.target_or(TENANTS),
         seed: args.options.seed,
         figures: table.figures(),
-        not_scored: lag.too_late(args.most_lag_ms),
+        not_scored: lag.not_scored_reason(args.most_lag_ms),
     })
 }
 
 fn measure(
     args: &RequestsArgs,
     server: &Server,
-    beside: Beside,
+    disturbance: Disturbance,
     end: &AtomicBool,
 ) -> Result<Measured, Box<dyn Error>> {
     let list = StaticServers { all: vec![server.node().address], turn: 0 };
-    // A number and a seed for each measurement: a server and its processor know the ids of the one before.
-    let number = beside as u64 + 1;
+    // Each measurement has its own number and seed, because the server remembers the request IDs of the previous one.
+    let number = disturbance as u64 + 1;
     let seed = args.options.seed.wrapping_mul(1_000).wrapping_add(number);
     let proxy = Proxy::start(number, seed, ProxyBehavior::thrift(args.rate, 1, false), Box::new(list))?;
-    // The first requests open the connection.
+    // Excludes the first requests, which open the connection.
     thread::sleep(Duration::from_millis(300));
     proxy.live();
     let (cpu, begin) = (server.cpu(), Instant::now());
-    let (mut next, mut live) = (begin + EVENT_EVERY / 2, IntervalCounts::default());
+    let (mut next, mut counts) = (begin + DISTURBANCE_INTERVAL / 2, IntervalCounts::default());
     while begin.elapsed().as_secs_f64() < args.seconds {
-        go_on(end)?;
+        check_interrupted(end)?;
         thread::sleep(Duration::from_millis(20));
-        live.add(proxy.live());
+        counts.add(proxy.live());
         if Instant::now() >= next {
-            next += EVENT_EVERY;
-            disturb(server, beside)?;
+            next += DISTURBANCE_INTERVAL;
+            disturb(server, disturbance)?;
         }
     }
     let cpu = server.cpu().saturating_sub(cpu);
     proxy.stop();
-    summed(&live, cpu)
+    summarize(&counts, cpu)
 }
 
-fn disturb(server: &Server, beside: Beside) -> Result<(), Box<dyn Error>> {
-    match beside {
-        Beside::Nothing => {}
-        Beside::Links => server.node().processor.cut_link(),
-        Beside::Reloads => {
+fn disturb(server: &Server, disturbance: Disturbance) -> Result<(), Box<dyn Error>> {
+    match disturbance {
+        Disturbance::Nothing => {}
+        Disturbance::Links => server.node().processor.cut_link(),
+        Disturbance::Reloads => {
             server.node().edit(|config| {
                 let tenants = config["settings"]["customers"].as_array_mut();
                 if let Some(last) = tenants.and_then(|tenants| tenants.last_mut()) {
@@ -147,22 +147,22 @@
     Ok(())
 }
 
-fn summed(live: &IntervalCounts, cpu: Duration) -> Result<Measured, Box<dyn Error>> {
+fn summarize(counts: &IntervalCounts, cpu: Duration) -> Result<Measured, Box<dyn Error>> {
     let mut added = Histogram::<u64>::new(3)?;
-    let unserved = live.unserved + live.refused;
-    live.times_us.iter().try_for_each(|&us| added.record(us))?;
-    added.record_n(UNSERVED_US, unserved)?;
+    let unserved = counts.unserved + counts.refused;
+    counts.times_us.iter().try_for_each(|&us| added.record(us))?;
+    added.record_n(UNSERVED_LATENCY_US, unserved)?;
     let at = |part: f64| added.value_at_quantile(part) as f64 / 1e3;
     Ok(Measured {
-        cpu_us: cpu.as_secs_f64() * 1e6 / live.arrived.max(1) as f64,
+        cpu_us: cpu.as_secs_f64() * 1e6 / counts.arrived.max(1) as f64,
         p50_ms: at(0.5),
         p99_ms: at(0.99),
         unserved,
-        lag: Lag::of(&times(live))?,
+        lag: LoadDelay::of(&times(counts))?,
     })
 }
 
-/// The figures as they grow.
+/// Figures under construction.
 struct Table {
     cpu: Figure,
     p50: Figure,
@@ -191,19 +191,19 @@
         }
     }
 
-    fn add(&mut self, size: u64, beside: Beside, measured: &Measured) {
-        match beside {
-            Beside::Nothing => {
+    fn add(&mut self, size: u64, disturbance: Disturbance, measured: &Measured) {
+        match disturbance {
+            Disturbance::Nothing => {
                 self.cpu.add(size, measured.cpu_us);
                 self.p50.add(size, measured.p50_ms);
                 self.p99.add(size, measured.p99_ms);
                 self.unserved.add(size, measured.unserved as f64);
                 self.lag.add(size, measured.lag.p99_ms);
             }
-            Beside::Links => self.links_p99.add(size, measured.p99_ms),
-            Beside::Reloads => self.reloads_p99.add(size, measured.p99_ms),
+            Disturbance::Links => self.links_p99.add(size, measured.p99_ms),
+            Disturbance::Reloads => self.reloads_p99.add(size, measured.p99_ms),
         }
-        if let Some(last) = self.unserved.points.last_mut().filter(|_| beside != Beside::Nothing) {
+        if let Some(last) = self.unserved.points.last_mut().filter(|_| disturbance != Disturbance::Nothing) {
             last.value += measured.unserved as f64;
         }
     }
--- a/crates/testkit/src/scale/server.rs
+++ b/crates/testkit/src/scale/server.rs
@@ -1,4 +1,4 @@
-//! One real server whose settings have so many classes and tenants, and what is seen of it from outside.
+//! One real server with many classes and tenants in its settings, measured from outside.
 
 use super::budgets::TENANTS_A_CLASS;
 use crate::fleet::{self, Fleet, FleetSpec, Node, Unused};
@@ -10,48 +10,48 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Classes, and tenants, that requests name.
-const USED: u64 = 4;
-/// How long a reload may take until it isn't waited for.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+/// Number of classes, and of tenants, that requests use.
+const USED_BY_REQUESTS: u64 = 4;
+/// Timeout of start-up and reload.
+pub const RELOAD_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A server of its own, with its processor; all of it ends, and its folder goes, when this is dropped.
+/// Server with its processor; its processes and folder are removed when dropped.
 pub struct Server {
     fleet: Fleet,
     folder: PathBuf,
 }
 
-/// What a server is started with.
-pub struct Wanted<'a> {
-    /// The daemon's program.
+/// Parameters of a server.
+pub struct ServerSpec<'a> {
+    /// Path of the daemon's program.
     pub daemon: &'a Path,
-    /// Tenants of its settings; a class for each eleven of them.
+    /// Number of tenants in the settings, with one class per eleven tenants.
     pub tenants: u64,
-    /// Descriptors that it may have.
+    /// Limit of sockets.
     pub sockets: u32,
-    /// Of the processor's runs.
+    /// Seed of the processor.
     pub seed: u64,
 }
 
-/// Classes for so many tenants, four at the least.
+/// Number of classes for `tenants` tenants, at least four.
 pub fn classes_for(tenants: u64) -> u64 {
-    (tenants / TENANTS_A_CLASS).max(USED)
+    (tenants / TENANTS_A_CLASS).max(USED_BY_REQUESTS)
 }
 
 impl Server {
-    /// Starts one whose runs take no time but the stand-in's own tick of a millisecond.
-    pub fn start(wanted: &Wanted<'_>) -> io::Result<Self> {
-        let folder = fleet::folder(&format!("scale-{}", wanted.tenants))?;
+    /// Starts a server whose runs take only the tick of the stand-in processor, one millisecond.
+    pub fn start(server_spec: &ServerSpec<'_>) -> io::Result<Self> {
+        let folder = fleet::folder(&format!("scale-{}", server_spec.tenants))?;
         let work = classes().into_iter().map(|class| (class.name, Duration::from_micros(10))).collect();
         let unused = Unused {
-            classes: (classes_for(wanted.tenants) - USED) as usize,
-            tenants: wanted.tenants.max(USED + 1).saturating_sub(USED) as usize,
+            classes: (classes_for(server_spec.tenants) - USED_BY_REQUESTS) as usize,
+            tenants: server_spec.tenants.max(USED_BY_REQUESTS + 1).saturating_sub(USED_BY_REQUESTS) as usize,
         };
         let spec = FleetSpec {
-            daemon: wanted.daemon.to_path_buf(),
-            processor: Spec { classes: work, seed: wanted.seed, ..Spec::default() },
+            daemon: server_spec.daemon.to_path_buf(),
+            processor: Spec { classes: work, seed: server_spec.seed, ..Spec::default() },
             scale: 4,
-            sockets: wanted.sockets,
+            sockets: server_spec.sockets,
             unused,
             folder: folder.clone(),
             ..FleetSpec::default()
@@ -65,59 +65,59 @@
         }
     }
 
-    /// The server.
+    /// The server process.
     pub fn node(&self) -> &Node {
         &self.fleet.nodes[0]
     }
 
-    /// Kills it and starts it again; how long it takes until a health check is good.
+    /// Kills and restarts the server; returns the time until a health check passes.
     pub fn restart(&mut self) -> io::Result<Duration> {
         let node = &mut self.fleet.nodes[0];
         node.kill();
         let begin = Instant::now();
         node.spawn()?;
         while !is_healthy(node.address) {
-            if node.crashed() || begin.elapsed() > PATIENCE {
-                return Err(io::Error::other("the server did not become well"));
+            if node.crashed() || begin.elapsed() > RELOAD_TIMEOUT {
+                return Err(io::Error::other("the restarted server did not pass a health check in time"));
             }
             thread::sleep(Duration::from_millis(1));
         }
         Ok(begin.elapsed())
     }
 
-    /// CPU that it used so far, to the nanosecond.
+    /// CPU time of the server so far, with nanosecond resolution.
     pub fn cpu(&self) -> Duration {
         self.node().pid().map_or(Duration::ZERO, cpu_of_threads)
     }
 
-    /// Its resident memory in MB, now.
+    /// Current resident memory in MB.
     pub fn memory_mb(&self) -> f64 {
         self.node().memory().unwrap_or(0) as f64 / 1e6
     }
 
-    /// Its resident memory in MB, at the most.
+    /// Peak resident memory in MB.
     pub fn peak_mb(&self) -> f64 {
         let peak = self.node().pid().and_then(|pid| fleet::memory_of(pid, "VmHWM"));
         peak.unwrap_or(0) as f64 / 1e6
     }
 
-    /// Has it read its file again, and waits until that is in force or turned down.
+    /// Reloads the configuration file and waits until it is in force or rejected.
     pub fn reload(&self) -> io::Result<Reload> {
-        let (accepted, refused) = self.reloads()?;
+        let (accepted, rejected) = self.reloads()?;
         let begin = Instant::now();
         self.node().reload();
-        while begin.elapsed() < PATIENCE {
+        while begin.elapsed() < RELOAD_TIMEOUT {
             thread::sleep(Duration::from_millis(5));
-            // While the main thread is busy the operators' endpoint says so, and has no figures.
-            let Ok((accepted_now, refused_now)) = self.reloads() else { continue };
-            if accepted_now > accepted || refused_now > refused {
+            // While the main thread is busy, the admin endpoint has no metrics.
+            let Ok((accepted_now, rejected_now)) = self.reloads() else { continue };
+            if accepted_now > accepted || rejected_now > rejected {
                 return Ok(Reload { took: begin.elapsed(), accepted: accepted_now > accepted });
             }
         }
-        Ok(Reload { took: PATIENCE, accepted: false })
+        Ok(Reload { took: RELOAD_TIMEOUT, accepted: false })
     }
 
-    /// Files taken and turned down so far.
+    /// Numbers of accepted and rejected files so far.
     fn reloads(&self) -> io::Result<(u64, u64)> {
         let stats = get(self.node().admin(), "/stats")?;
         let figure = |name: &str| {
@@ -125,7 +125,7 @@
             line.and_then(|value| value.trim().parse::<f64>().ok()).map(|value| value as u64)
         };
         let both = figure("server_cfg_accepted_total").zip(figure("server_cfg_invalid_total"));
-        both.ok_or_else(|| io::Error::other("no figures of reloads"))
+        both.ok_or_else(|| io::Error::other("the admin endpoint has no reload metrics"))
     }
 }
 
@@ -136,16 +136,16 @@
     }
 }
 
-/// What became of a reload.
+/// Result of a reload.
 #[derive(Debug, Clone, Copy)]
 pub struct Reload {
-    /// From the signal until the figures of the server say so.
+    /// Time from the signal until the metrics of the server show the result.
     pub took: Duration,
-    /// Whether the file is in force; not if nothing was heard of it within [`PATIENCE`] either.
+    /// Whether the file is in force; `false` also if there was no result within [`RELOAD_TIMEOUT`].
     pub accepted: bool,
 }
 
-/// CPU of a process's threads, by the scheduler's own count.
+/// CPU time of all threads of a process, from the scheduler statistics.
 fn cpu_of_threads(pid: u32) -> Duration {
     let tasks = std::fs::read_dir(format!("/proc/{pid}/task")).into_iter().flatten().flatten();
     let nanos = tasks.filter_map(|task| {
--- a/crates/testkit/src/scale/settings.rs
+++ b/crates/testkit/src/scale/settings.rs
@@ -1,11 +1,11 @@
-//! `gradepin-testkit scale settings`: a real server by the classes and tenants of its settings.
+//! `gradepin-testkit scale settings`: cost of a real server by the classes and tenants of its settings.
 
 use super::budgets::{CPU_PERCENT, MEMORY_MB, TENANTS};
 use super::figure::{Budget, Claim, Figure};
-use super::gaps::{Gaps, Watch};
-use super::options::{Options, check_resources, go_on, progress, rest};
+use super::gaps::{Gaps, HealthMonitor};
+use super::options::{Options, check_interrupted, check_resources, progress, wait};
 use super::report::Report;
-use super::server::{Reload, Server, Wanted};
+use super::server::{Reload, Server, ServerSpec};
 use crate::{fleet, interrupt};
 use clap::Args;
 use serde_json::{Value, json};
@@ -15,29 +15,29 @@
 use std::thread;
 use std::time::Duration;
 
-/// Tenants of the sizes without others; a class for each eleven.
+/// Default sizes, in tenants, with one class per eleven tenants.
 const SIZES: [u64; 5] = [11, 110, 1_100, 11_000, 110_000];
-/// Memory that a run takes beside the server: the file as values and as text.
+/// Memory of a run beside the server, in MB: the configuration as values and as text.
 const MEMORY_NEEDED_MB: u64 = 600;
 const DESCRIPTORS: u64 = 64;
-/// A file that comes into force every so often is the planned 1,900 changes a day as whole files.
+/// Rate of the planned 1,900 changes per day, per second.
 const CHANGES_S: f64 = 1_900.0 / 86_400.0;
 
-/// Settings on the command line.
+/// Arguments of the command.
 #[derive(Debug, Args)]
 pub struct SettingsArgs {
-    /// Settings of all commands; sizes are tenants, with a class for each eleven of them
+    /// Common arguments; sizes are tenants, with one class per eleven tenants
     #[command(flatten)]
     pub options: Options,
-    /// Seconds without requests for the idle CPU
+    /// Seconds without requests, to measure idle CPU time
     #[arg(long, default_value_t = 5.0)]
     pub idle: f64,
-    /// The daemon's program, if it is not beside this one; an older one for its figures beside the new one's
+    /// Path of the daemon's program; by default the one beside this program. An older build allows comparison
     #[arg(long)]
     pub daemon: Option<PathBuf>,
 }
 
-/// What one size came to.
+/// Results for one size.
 struct Row {
     start: Duration,
     memory_mb: f64,
@@ -49,7 +49,7 @@
     all: (Gaps, Reload),
 }
 
-/// Measures; false if a budget that is claimed to hold doesn't.
+/// Runs the measurements; returns `false` if a budget that is claimed to hold doesn't.
 pub fn run(args: &SettingsArgs) -> Result<bool, Box<dyn Error>> {
     let end = interrupt::flag()?;
     check_resources(DESCRIPTORS, MEMORY_NEEDED_MB)?;
@@ -58,10 +58,10 @@
     let bar = progress(sizes.len(), "settings");
     let mut table = Table::new();
     for tenants in sizes {
-        go_on(&end)?;
+        check_interrupted(&end)?;
         bar.set_message(format!("{tenants} tenants"));
-        let wanted = Wanted { daemon: &daemon, tenants, sockets: 1_024, seed: args.options.seed };
-        table.add(tenants, &measure(&wanted, args.idle, &end)?);
+        let spec = ServerSpec { daemon: &daemon, tenants, sockets: 1_024, seed: args.options.seed };
+        table.add(tenants, &measure(&spec, args.idle, &end)?);
         bar.inc(1);
     }
     bar.finish_and_clear();
@@ -75,31 +75,31 @@
     })
 }
 
-fn measure(wanted: &Wanted<'_>, idle_s: f64, end: &AtomicBool) -> Result<Row, Box<dyn Error>> {
-    let mut server = Server::start(wanted)?;
+fn measure(spec: &ServerSpec<'_>, idle_s: f64, end: &AtomicBool) -> Result<Row, Box<dyn Error>> {
+    let mut server = Server::start(spec)?;
     let start = server.restart()?;
-    go_on(end)?;
-    rest(end, 0.5)?;
+    check_interrupted(end)?;
+    wait(end, 0.5)?;
     let before = server.cpu();
-    rest(end, idle_s)?;
+    wait(end, idle_s)?;
     let idle_percent = 100.0 * server.cpu().saturating_sub(before).as_secs_f64() / idle_s;
     let memory_mb = server.memory_mb();
     let file_bytes = server.node().config_bytes()?;
-    let watch = Watch::start(server.node().address)?;
-    rest(end, idle_s.min(1.0))?;
-    let quiet = watch.stop()?;
-    go_on(end)?;
+    let monitor = HealthMonitor::start(server.node().address)?;
+    wait(end, idle_s.min(1.0))?;
+    let quiet = monitor.stop()?;
+    check_interrupted(end)?;
     let one = reload(&server, |settings| change(settings, 1))?;
-    go_on(end)?;
+    check_interrupted(end)?;
     let all = reload(&server, |settings| change(settings, usize::MAX))?;
     let peak_mb = server.peak_mb();
     Ok(Row { start, memory_mb, peak_mb, idle_percent, file_bytes, quiet, one, all })
 }
 
-/// Other quotas for so many tenants that no request names.
-fn change(config: &mut Value, most: usize) {
+/// Changes the quotas of up to `count` tenants, from the last one, which requests don't use.
+fn change(config: &mut Value, count: usize) {
     let Some(tenants) = config["settings"]["customers"].as_array_mut() else { return };
-    for tenant in tenants.iter_mut().rev().take(most) {
+    for tenant in tenants.iter_mut().rev().take(count) {
         let quota = tenant["quota_rps"].as_f64().unwrap_or(0.0);
         tenant["quota_rps"] = json!(quota + 1.0);
     }
@@ -107,15 +107,15 @@
 
 fn reload(server: &Server, change: impl FnOnce(&mut Value)) -> Result<(Gaps, Reload), Box<dyn Error>> {
     server.node().edit(change)?;
-    let watch = Watch::start(server.node().address)?;
+    let monitor = HealthMonitor::start(server.node().address)?;
     thread::sleep(Duration::from_millis(100));
     let reload = server.reload();
     thread::sleep(Duration::from_millis(100));
-    let gaps = watch.stop()?;
+    let gaps = monitor.stop()?;
     Ok((gaps, reload?))
 }
 
-/// The figures as they grow.
+/// Figures under construction.
 struct Table {
     start: Figure,
     memory: Figure,
@@ -133,22 +133,22 @@
 
 impl Table {
     fn new() -> Self {
-        let most = |limit, claim| Budget::at_most(limit, claim);
+        let at_most = |limit, claim| Budget::at_most(limit, claim);
         Self {
             start: Figure::new("settings.start", "from the start until health is good", "s"),
             memory: Figure::new("settings.memory", "resident memory", "MB")
-                .within(most(MEMORY_MB, Claim::Holds)),
+                .within(at_most(MEMORY_MB, Claim::Holds)),
             peak: Figure::new(
                 "settings.memory-at-reload",
                 "resident memory at the most, reloads included",
                 "MB",
             )
-            .within(most(MEMORY_MB, Claim::Holds)),
+            .within(at_most(MEMORY_MB, Claim::Holds)),
             idle: Figure::new("settings.idle-cpu", "CPU without requests", "% of a core")
-                .within(most(CPU_PERCENT, Claim::Holds)),
+                .within(at_most(CPU_PERCENT, Claim::Holds)),
             bytes: Figure::new("settings.file", "the configuration as one file", "B"),
             files: Figure::new("settings.bytes-as-files", "1,900 changes a day as whole files", "B/s")
-                .within(most(super::budgets::BYTES_S, Claim::Fails)),
+                .within(at_most(super::budgets::BYTES_S, Claim::Fails)),
             quiet: Figure::new(
                 "settings.gap-quiet",
                 "longest wait for a health answer, nothing reloaded",
