--- a/crates/testkit/src/model/agreed.rs
+++ b/crates/testkit/src/model/agreed.rs
@@ -1,4 +1,4 @@
-//! `gradepin-testkit model releases`: seeds of releases over a large fleet in virtual time.
+//! `gradepin-testkit model releases`: seeded rollouts over a large fleet in virtual time.
 
 use clap::Args;
 use gradepin_coordination::rollout::RolloutState;
@@ -6,42 +6,42 @@
 use rayon::prelude::*;
 use std::time::Instant;
 
-/// Settings on the command line.
+/// Arguments of the command.
 #[derive(Debug, Args)]
 pub struct ReleasesArgs {
     /// The first seed
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Seeds, each with troubles of its own
+    /// Number of seeds, each with its own faults
     #[arg(long, default_value_t = 20)]
     seeds: u64,
-    /// Servers, in three zones
+    /// Number of servers in three zones
     #[arg(long, default_value_t = 300)]
     servers: usize,
-    /// Voters of the council
+    /// Number of voters of the consensus group
     #[arg(long, default_value_t = 3)]
     voters: usize,
-    /// The most that may be out, and of one zone
+    /// Maximum number of servers that may be out
     #[arg(long, default_value_t = 30)]
     most: u32,
-    /// See `most`
+    /// Maximum number of servers of one zone that may be out
     #[arg(long, default_value_t = 15)]
     zone: u32,
-    /// By how much the new version serves worse, from 0 to 1
+    /// Degradation of the new version, from 0 to 1
     #[arg(long, default_value_t = 0.0)]
     worse_by: f64,
-    /// Without troubles
+    /// Run without faults
     #[arg(long)]
     calm: bool,
-    /// How long is looked after each wave, in ms
+    /// Observation time after each wave, in ms
     #[arg(long, default_value_t = 10_000)]
     looks_ms: u64,
-    /// The longest that a release may take, in seconds
+    /// Time limit of a rollout, in seconds
     #[arg(long, default_value_t = 600)]
     patience: u64,
 }
 
-/// Plays them all and prints what they came to; whether the promise held on each.
+/// Simulates all seeds and prints a summary; returns whether the limit on servers out held for each.
 pub fn run(args: &ReleasesArgs) -> bool {
     let begin = Instant::now();
     let day = |seed| Day {
--- a/crates/testkit/src/model/cli.rs
+++ b/crates/testkit/src/model/cli.rs
@@ -1,4 +1,4 @@
-//! `gradepin-testkit model`: days of the fleet model, sweeps of them, and what is made of their results.
+//! `gradepin-testkit model`: simulated days of the fleet model, sweeps over settings, and evaluation of their results.
 
 use super::experiment::Experiment;
 use super::results::{self, FIGURES, Line};
@@ -13,19 +13,19 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Instant;
 
-/// Settings on the command line.
+/// Arguments of the command.
 #[derive(Debug, Args)]
 pub struct DayArgs {
-    /// Seed of the day and all that happens in it
+    /// Seed of the day and of all random events in it
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// gradepin, pool, fixed, codel, gradient or dagor
     #[arg(long, default_value = "gradepin")]
     policy: String,
-    /// A setting, as 'load=0.9..1.1'; several are possible
+    /// A setting, such as 'load=0.9..1.1'; may be repeated
     #[arg(long, value_parser = setting)]
     set: Vec<(String, String)>,
-    /// A whole day as JSON, in place of one that is drawn
+    /// Use the complete day in this JSON file instead of drawing one
     #[arg(long, conflicts_with = "set")]
     day: Option<PathBuf>,
 }
@@ -53,115 +53,115 @@
     }
 }
 
-/// What to do with the model.
+/// Command of the model.
 #[derive(Debug, Subcommand)]
 pub enum ModelCommand {
-    /// One day: its figures, and a page of HTML if asked for
+    /// Simulate one day: figures, and optionally an HTML report
     Run {
         #[command(flatten)]
         day: DayArgs,
-        /// Write a report there
+        /// Write an HTML report to this file
         #[arg(long)]
         html: Option<PathBuf>,
-        /// Write the outcome as JSON there
+        /// Write the outcome as JSON to this file
         #[arg(long)]
         json: Option<PathBuf>,
         /// Write the plots as SVG into this folder
         #[arg(long)]
         svg: Option<PathBuf>,
-        /// Write the day itself as JSON there, to be changed and played by --day
+        /// Write the day itself as JSON to this file, to be edited and run with --day
         #[arg(long)]
         save: Option<PathBuf>,
     },
-    /// What servers share, over modelled datagrams: seeds by the thousand, and whether the bound held on each
+    /// Shared ledger slots over simulated datagrams: many seeds, each checked against the bound
     Peers(peers::PeersArgs),
-    /// Releases over a large fleet, with zones that lose power and cuts
+    /// Rollouts over a large fleet, with power failures of zones and partitions
     Releases(agreed::ReleasesArgs),
-    /// How changes of the configuration reach a large fleet, and whether each is in force in time and in order
+    /// Dissemination of configuration changes in a large fleet, checked for delay and order
     Config(config::ConfigArgs),
-    /// All runs of an experiment that are not in the results yet; Ctrl-C ends it, and it goes on from there
+    /// Run the missing runs of an experiment; Ctrl-C stops, and the same command resumes
     Sweep {
-        /// The experiment, as KDL
+        /// Experiment file in KDL
         file: PathBuf,
-        /// Where results go, a line of JSON each; beside it a CSV file
+        /// Results file with one JSON line per run; a CSV file is written beside it
         #[arg(long)]
         out: PathBuf,
-        /// Threads; all cores if not told
+        /// Number of threads; by default one per core
         #[arg(long)]
         threads: Option<usize>,
-        /// No progress
+        /// Hide the progress bar
         #[arg(long)]
         quiet: bool,
     },
-    /// Differences between one value of a setting and the others, paired by seed
+    /// Compare one value of a setting with the others, paired by seed
     Compare {
-        /// Results of a sweep
+        /// Results file of a sweep
         results: PathBuf,
-        /// The setting
+        /// Setting to compare by
         #[arg(long, default_value = "policy")]
         by: String,
-        /// Its value that the others are compared with
+        /// Value that the others are compared with
         #[arg(long, default_value = "gradepin")]
         base: String,
-        /// The figure
+        /// Figure to evaluate
         #[arg(long, default_value = "g")]
         figure: String,
     },
-    /// Results of a sweep as a page of HTML with plots
+    /// Report the results of a sweep as an HTML page with plots
     Plot {
-        /// Results of a sweep
+        /// Results file of a sweep
         results: PathBuf,
-        /// The setting on the axis
+        /// Setting on the x axis
         #[arg(long, default_value = "load")]
         x: String,
-        /// The setting that has a curve for each value
+        /// Setting with one curve per value
         #[arg(long, default_value = "policy")]
         curves: String,
-        /// The figure
+        /// Figure to evaluate
         #[arg(long, default_value = "g")]
         figure: String,
-        /// What differences are from
+        /// Value that differences are relative to
         #[arg(long, default_value = "gradepin")]
         base: String,
-        /// Runs with these values only, as 'servers=12'
+        /// Use only runs with this value, such as 'servers=12'; may be repeated
         #[arg(long, value_parser = setting)]
         only: Vec<(String, String)>,
-        /// Where the page goes; a name that ends in .svg for the plot alone
+        /// Output file; a name that ends in .svg gives the plot alone
         #[arg(long)]
         out: PathBuf,
     },
-    /// A request's life, or a server's, as a Chrome trace
+    /// Write the attempts of a request, or at a machine, as a Chrome trace
     Trace {
         #[command(flatten)]
         day: DayArgs,
-        /// Which request, by its number in the day
+        /// Number of the request in the day
         #[arg(long, conflicts_with = "machine")]
         request: Option<u32>,
-        /// Which machine, by its number
+        /// Number of the machine
         #[arg(long)]
         machine: Option<u32>,
-        /// Where the trace goes
+        /// Output file
         #[arg(long)]
         out: PathBuf,
     },
-    /// How quickly days are played, by the number of servers
+    /// Measure simulation speed by the number of servers
     Speed {
-        /// Servers
+        /// Numbers of servers
         #[arg(long, value_delimiter = ',', default_values_t = [12, 50, 200, 1_000])]
         servers: Vec<usize>,
-        /// First tries a second of each server
+        /// Requests per second and server, without retries
         #[arg(long, default_value_t = 10.0)]
         rate: f64,
-        /// Seconds of each day
+        /// Length of each day in seconds
         #[arg(long, default_value_t = 60.0)]
         seconds: f64,
-        /// Write a plot there
+        /// Write a plot as SVG to this file
         #[arg(long)]
         svg: Option<PathBuf>,
     },
 }
 
-/// Carries a command out; `end` is set by Ctrl-C.
+/// Runs a command; `end` is set by Ctrl-C.
 pub fn run(command: ModelCommand, end: &AtomicBool) -> Result<bool, Box<dyn Error>> {
     match command {
         ModelCommand::Peers(args) => peers::run(&args),
@@ -315,7 +315,7 @@
     }
 }
 
-/// Days of more and more servers, on this thread.
+/// Simulates a day for each number of servers, in this thread.
 fn speed(servers: &[usize], rate: f64, seconds: f64, svg: Option<PathBuf>) -> Result<bool, Box<dyn Error>> {
     let mut curve = Vec::new();
     for &count in servers {
--- a/crates/testkit/src/model/config.rs
+++ b/crates/testkit/src/model/config.rs
@@ -1,4 +1,4 @@
-//! `gradepin-testkit model config`: seeds of how changes of the configuration reach a fleet in virtual time.
+//! `gradepin-testkit model config`: seeded dissemination of configuration changes in a fleet in virtual time.
 
 use clap::{Args, ValueEnum};
 use gradepin_config::dissemination::Selection;
@@ -6,7 +6,7 @@
 use rayon::prelude::*;
 use std::time::Instant;
 
-/// Which peers are talked to, on the command line.
+/// Peer selection, as a command-line value.
 #[derive(Debug, Clone, Copy, ValueEnum)]
 enum Way {
     Epidemic,
@@ -14,52 +14,52 @@
     Voters,
 }
 
-/// Settings on the command line.
+/// Arguments of the command.
 #[derive(Debug, Args)]
 pub struct ConfigArgs {
     /// The first seed
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Seeds, each a day with faults of its own
+    /// Number of seeds, each a day with its own faults
     #[arg(long, default_value_t = 10)]
     seeds: u64,
-    /// Servers, in up to 15 zones of up to 4 regions
+    /// Number of servers, in up to 15 zones of up to 4 regions
     #[arg(long, default_value_t = 1_100)]
     servers: usize,
-    /// Voters; 3 and 5 in turn if not told
+    /// Number of voters; by default alternately 3 and 5
     #[arg(long)]
     voters: Option<usize>,
     /// Seconds of virtual time; a shorter day has a shorter region split
     #[arg(long, default_value_t = 420.0)]
     seconds: f64,
-    /// Ordinary changes and faults come so many times as often as in an ordinary day
+    /// Factor on the rate of changes and faults of an ordinary day
     #[arg(long, default_value_t = 24.0)]
     compression: f64,
-    /// Which peers are talked to
+    /// Peer selection
     #[arg(long, value_enum, default_value = "epidemic")]
     way: Way,
-    /// Classes and tenants to begin with
+    /// Initial number of classes
     #[arg(long, default_value_t = 20)]
     classes: usize,
-    /// See `classes`
+    /// Initial number of tenants
     #[arg(long, default_value_t = 200)]
     tenants: usize,
-    /// The part of datagrams that is lost
+    /// Fraction of lost datagrams
     #[arg(long, default_value_t = 0.01)]
     loss: f64,
-    /// Servers that serve bad data; one of 300 if not told
+    /// Number of servers that serve bad data; by default one of 300
     #[arg(long)]
     bad: Option<usize>,
-    /// Without ordinary changes, faults and incidents, for what it costs at rest
+    /// Run without changes, faults and incidents, to measure the idle cost
     #[arg(long)]
     calm: bool,
-    /// Without the incidents
+    /// Run without the incidents
     #[arg(long)]
     no_incidents: bool,
-    /// Bytes a second that a server may send of snapshots
+    /// Limit of snapshot bytes that a server sends per second
     #[arg(long)]
     snapshot_bytes: Option<f64>,
-    /// Without the checks of digests and order: it must fail
+    /// Disable the checks of digests and order. The run must fail
     #[arg(long)]
     plain: bool,
 }
@@ -100,7 +100,7 @@
     outcomes.iter().map(|(_, outcome)| figure(outcome)).sum()
 }
 
-/// Plays them all and prints what they came to; whether all that is promised was kept.
+/// Simulates all seeds and prints a summary; returns whether all guarantees held.
 pub fn run(args: &ConfigArgs) -> bool {
     let begin = Instant::now();
     let seeds: Vec<u64> = (args.seed..args.seed + args.seeds).collect();
--- a/crates/testkit/src/model/experiment.rs
+++ b/crates/testkit/src/model/experiment.rs
@@ -1,4 +1,4 @@
-//! What is tried, as a KDL file says it: a base, a grid of settings, seeds.
+//! Experiment files in KDL: base settings, a grid of settings, and seeds.
 
 use super::{BadPlan, Plan};
 use gradepin_node::settings::kdl_text;
@@ -6,43 +6,43 @@
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// Runs of one experiment at the most: a grid grows quickly.
-const MOST_RUNS: usize = 1_000_000;
+/// Maximum number of runs of an experiment, since grids grow quickly.
+const MAX_RUNS: usize = 1_000_000;
 
-/// A setting and its value, as they stand in the file.
+/// Name and value of a setting, as in the file.
 pub type Setting = (String, String);
 
 /// An experiment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Experiment {
-    /// Its name.
+    /// Name of the experiment.
     pub name: String,
     base: Vec<Setting>,
-    /// What is varied: a setting and its values.
+    /// Varied settings with their values.
     pub grid: Vec<(String, Vec<String>)>,
-    /// The seeds, each played in every cell.
+    /// Seeds that each cell of the grid is run with.
     pub seeds: Vec<u64>,
 }
 
-/// Why a file is no experiment.
+/// Invalid experiment file.
 #[derive(Debug, thiserror::Error)]
 pub enum BadExperiment {
-    /// It is no KDL.
+    /// The file is not valid KDL.
     #[error("expected KDL: {0}")]
     Kdl(String),
-    /// A node where none is expected, or without what it needs.
+    /// A node is unexpected or incomplete.
     #[error("expected {expected}, got {got}")]
     Node {
-        /// What was expected.
+        /// Expected node or value.
         expected: &'static str,
-        /// What there is.
+        /// Actual node or value.
         got: String,
     },
-    /// A setting that can't be so.
+    /// A setting is invalid.
     #[error(transparent)]
     Plan(#[from] BadPlan),
-    /// It would take too long.
-    #[error("expected {MOST_RUNS} runs or fewer, got {0}")]
+    /// The experiment has too many runs.
+    #[error("expected {MAX_RUNS} runs or fewer, got {0}")]
     Large(usize),
 }
 
@@ -60,30 +60,30 @@
 }
 
 impl Experiment {
-    /// Reads a file's text.
+    /// Parses the text of an experiment file.
     pub fn parse(text: &str) -> Result<Self, BadExperiment> {
         let document = kdl_text::document(text).map_err(|problems| {
-            let told: Vec<String> = problems.iter().map(ToString::to_string).collect();
-            BadExperiment::Kdl(told.join("; "))
+            let message: Vec<String> = problems.iter().map(ToString::to_string).collect();
+            BadExperiment::Kdl(message.join("; "))
         })?;
-        let odd = |expected, got: &str| BadExperiment::Node { expected, got: format!("'{got}'") };
+        let invalid = |expected, got: &str| BadExperiment::Node { expected, got: format!("'{got}'") };
         let [node] = document.nodes() else {
-            return Err(odd("one node 'experiment'", &format!("{} nodes", document.nodes().len())));
+            return Err(invalid("one node 'experiment'", &format!("{} nodes", document.nodes().len())));
         };
         if node.name().value() != "experiment" {
-            return Err(odd("one node 'experiment'", node.name().value()));
+            return Err(invalid("one node 'experiment'", node.name().value()));
         }
-        let name = values(node).into_iter().next().ok_or_else(|| odd("the experiment's name", "none"))?;
+        let name = values(node).into_iter().next().ok_or_else(|| invalid("the experiment's name", "none"))?;
         let mut experiment = Self { name, base: Vec::new(), grid: Vec::new(), seeds: Vec::new() };
-        for part in node.children().map(KdlDocument::nodes).unwrap_or_default() {
-            let inner = part.children().map(KdlDocument::nodes).unwrap_or_default();
-            match part.name().value() {
+        for section in node.children().map(KdlDocument::nodes).unwrap_or_default() {
+            let inner = section.children().map(KdlDocument::nodes).unwrap_or_default();
+            match section.name().value() {
                 "base" => {
                     for setting in inner {
                         let name = setting.name().value();
                         match &values(setting)[..] {
                             [value] => experiment.base.push((name.into(), value.clone())),
-                            _ => return Err(odd("a setting with one value in 'base'", name)),
+                            _ => return Err(invalid("a setting with one value in 'base'", name)),
                         }
                     }
                 }
@@ -94,41 +94,44 @@
                         sorted.sort();
                         sorted.dedup();
                         if values.is_empty() || sorted.len() < values.len() {
-                            return Err(odd("a setting with values, none of them twice, in 'grid'", name));
+                            return Err(invalid(
+                                "a setting with values, none of them twice, in 'grid'",
+                                name,
+                            ));
                         }
                         experiment.grid.push((name.into(), values));
                     }
                 }
                 "seeds" => {
                     let number = |name: &str| {
-                        part.get(name).and_then(KdlValue::as_integer).and_then(|n| u64::try_from(n).ok())
+                        section.get(name).and_then(KdlValue::as_integer).and_then(|n| u64::try_from(n).ok())
                     };
-                    let count = values(part).first().and_then(|count| count.parse().ok());
+                    let count = values(section).first().and_then(|count| count.parse().ok());
                     let first = number("from").unwrap_or(1);
                     let count = count.filter(|count| (1..=100_000).contains(count));
                     let count: u64 =
-                        count.ok_or_else(|| odd("seeds COUNT, with from=FIRST if not 1", "seeds"))?;
+                        count.ok_or_else(|| invalid("seeds COUNT, with from=FIRST if not 1", "seeds"))?;
                     experiment.seeds = (first..first.saturating_add(count)).collect();
                 }
-                other => return Err(odd("base, grid or seeds", other)),
+                other => return Err(invalid("base, grid or seeds", other)),
             }
         }
         if experiment.seeds.is_empty() {
-            return Err(odd("a node 'seeds'", "none"));
+            return Err(invalid("a node 'seeds'", "none"));
         }
         let runs = experiment.grid.iter().map(|(_, values)| values.len()).product::<usize>();
         let runs = runs.saturating_mul(experiment.seeds.len());
-        if runs > MOST_RUNS {
+        if runs > MAX_RUNS {
             return Err(BadExperiment::Large(runs));
         }
-        // Whatever is wrong is told before the first run.
+        // Reports invalid settings before the first run.
         for cell in experiment.cells() {
             experiment.plan(&cell)?;
         }
         Ok(experiment)
     }
 
-    /// All combinations of the grid's values, the last setting the quickest to change.
+    /// All combinations of the grid's values; the last setting varies fastest.
     pub fn cells(&self) -> Vec<Vec<Setting>> {
         let mut cells = vec![Vec::new()];
         for (name, values) in &self.grid {
@@ -146,7 +149,7 @@
         cells
     }
 
-    /// What is played in a cell.
+    /// Plan of a cell: the base settings overridden by those of the cell.
     pub fn plan(&self, cell: &[Setting]) -> Result<Plan, BadPlan> {
         let mut plan = Plan::default();
         for (name, value) in self.base.iter().chain(cell) {
@@ -155,7 +158,7 @@
         Ok(plan)
     }
 
-    /// Names what every run has in common, so that results of another experiment are not taken for its own.
+    /// Fingerprint of the base settings and the program version, to recognize results of another experiment.
     pub fn print(&self) -> String {
         let mut hasher = SipHasher13::new();
         for (name, value) in &self.base {
@@ -179,9 +182,9 @@
         seeds 4 from=7
     }"#;
 
-    /// Guards against a grid with holes, and settings that come from nowhere.
+    /// Guards against missing cells and wrong settings.
     #[test]
-    fn a_file_says_what_is_tried() {
+    fn experiment_file_is_parsed_into_cells_and_plans() {
         let experiment = Experiment::parse(TEXT).unwrap();
         assert_eq!((experiment.name.as_str(), &experiment.seeds[..]), ("try", &[7, 8, 9, 10][..]));
         let cells = experiment.cells();
@@ -194,10 +197,10 @@
         assert_ne!(experiment.print(), other.print());
     }
 
-    /// Guards against an experiment that fails after an hour of runs, or plays something else than was written.
+    /// Guards against experiments that fail after an hour of runs, or run something other than written.
     #[test]
-    fn what_makes_no_sense_is_told_before_the_first_run() {
-        for (from, to, told) in [
+    fn invalid_files_are_rejected_before_the_first_run() {
+        for (from, to, message) in [
             ("experiment", "test", "one node 'experiment'"),
             ("\"try\"", "", "the experiment's name"),
             ("seconds 10", "seconds 10 11", "one value"),
@@ -211,7 +214,7 @@
             ("grid {", "grid {{", "KDL"),
         ] {
             let error = Experiment::parse(&TEXT.replace(from, to)).unwrap_err().to_string();
-            assert!(error.contains(told), "{to}: {error}");
+            assert!(error.contains(message), "{to}: {error}");
         }
     }
 }
--- a/crates/testkit/src/model/mod.rs
+++ b/crates/testkit/src/model/mod.rs
@@ -1,5 +1,5 @@
-//! Experiments with the fleet model: files that say what is tried, runs over all cores, figures with their intervals, plots and
-//! reports. The model itself is in `gradepin-model`.
+//! Experiments with the fleet model of `gradepin-model`: experiment files, parallel runs, figures with confidence intervals,
+//! plots and reports.
 
 pub mod agreed;
 pub mod cli;
@@ -16,22 +16,22 @@
 use gradepin_model::policies::Kind;
 use gradepin_model::world::{BadDay, Outcome, World};
 
-/// One day to be played: a policy, and what of the ranges is set otherwise.
+/// Plan of a simulated day: the policy, and the ranges that the day is drawn from.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// Which servers.
+    /// Admission policy of the servers.
     pub policy: Kind,
-    /// From which days are drawn.
+    /// Ranges that days are drawn from.
     pub ranges: Ranges,
 }
 
-/// Why a plan can't be made.
+/// Invalid setting of a plan.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum BadPlan {
-    /// A setting of the ranges.
+    /// Invalid setting of the ranges.
     #[error(transparent)]
     Setting(#[from] BadSetting),
-    /// No such policy.
+    /// Unknown policy.
     #[error("expected one of {known} as policy, got '{0}'", known = Kind::ALL.map(Kind::name).join(", "))]
     Policy(String),
 }
@@ -43,7 +43,7 @@
 }
 
 impl Plan {
-    /// Sets one thing.
+    /// Sets the policy or one of the ranges by name.
     pub fn set(&mut self, name: &str, value: &str) -> Result<(), BadPlan> {
         if name == "policy" {
             self.policy = Kind::named(value).ok_or_else(|| BadPlan::Policy(value.to_string()))?;
@@ -53,7 +53,7 @@
         Ok(())
     }
 
-    /// Plays the day of a seed.
+    /// Simulates the day drawn from a seed.
     pub fn play(&self, seed: u64) -> Result<Outcome, BadDay> {
         World::new(self.ranges.draw(seed), self.policy)?.play()
     }
--- a/crates/testkit/src/model/peers.rs
+++ b/crates/testkit/src/model/peers.rs
@@ -1,4 +1,4 @@
-//! `gradepin-testkit model peers`: seeds by the thousand of what servers share, over modelled datagrams.
+//! `gradepin-testkit model peers`: shared ledger slots over simulated datagrams, for many seeds.
 
 use super::plots::{Curve, Labels, draw as svg};
 use clap::{Args, ValueEnum};
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 
-/// How slots are shared, on the command line.
+/// Sharing of ledger slots, as a command-line value.
 #[derive(Debug, Clone, Copy, ValueEnum)]
 enum Ways {
     Static,
@@ -17,49 +17,49 @@
     AllKnowing,
 }
 
-/// Settings on the command line.
+/// Arguments of the command.
 #[derive(Debug, Args)]
 pub struct PeersArgs {
     /// The first seed
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Seeds, each a day with troubles of its own
+    /// Number of seeds, each a day with its own faults
     #[arg(long, default_value_t = 100)]
     seeds: u64,
-    /// Servers, in three zones
+    /// Number of servers in three zones
     #[arg(long, default_value_t = 12)]
     servers: usize,
-    /// Seconds of a day
+    /// Length of a day in seconds
     #[arg(long, default_value_t = 20.0)]
     seconds: f64,
-    /// How slots of the ledger are shared
+    /// Sharing of the ledger slots
     #[arg(long, value_enum, default_value = "lending")]
     sharing: Ways,
-    /// The part of the ledger's capacity that is asked for
+    /// Demand as a fraction of the ledger's capacity
     #[arg(long, default_value_t = 0.85)]
     load: f64,
-    /// How much more each server of the first zone is asked than one of another
+    /// Load factor of servers in the first zone relative to others
     #[arg(long, default_value_t = 4.0)]
     lean: f64,
-    /// The part of datagrams that is lost
+    /// Fraction of lost datagrams
     #[arg(long, default_value_t = 0.01)]
     loss: f64,
-    /// One of so many servers has a fifth of a core; none at 0
+    /// One of this many servers has only a fifth of a core; 0 for none
     #[arg(long, default_value_t = 0)]
     starved: usize,
-    /// The most by which clocks are off their rate
+    /// Maximum relative clock drift
     #[arg(long, default_value_t = 0.01)]
     drift: f64,
-    /// Days without troubles
+    /// Run without faults
     #[arg(long)]
     calm: bool,
-    /// From when on service is counted, in seconds
+    /// Start of the counted time, in seconds
     #[arg(long, default_value_t = 0.0)]
     count_from: f64,
-    /// Draw what each way of sharing serves, by how much traffic leans, into this SVG
+    /// Plot the served fraction of each way of sharing by load factor of the first zone, as SVG
     #[arg(long)]
     plot_lean: Option<PathBuf>,
-    /// Draw how soon all know a change, by the part of datagrams that is lost, into this SVG
+    /// Plot the time until all servers know a change by datagram loss, as SVG
     #[arg(long)]
     plot_known: Option<PathBuf>,
 }
@@ -89,7 +89,7 @@
     }
 }
 
-/// What each way serves, by the lean of the traffic.
+/// Plots the served fraction of each way of sharing by load factor of the first zone.
 fn plot_lean(args: &PeersArgs, path: &Path) -> Result<(), Box<dyn Error>> {
     let ways = [
         ("static shares", Sharing::Static),
@@ -116,7 +116,7 @@
     Ok(std::fs::write(path, svg(&labels, &ways.map(curve))?)?)
 }
 
-/// How soon all know a change, by loss.
+/// Plots the time until all servers know a change, by datagram loss.
 fn plot_known(args: &PeersArgs, path: &Path) -> Result<(), Box<dyn Error>> {
     let curve = |loss: f64| {
         let seeds: Vec<u64> = (args.seed..args.seed + args.seeds).collect();
@@ -132,7 +132,7 @@
     Ok(std::fs::write(path, svg(&labels, &[0.0, 0.1, 0.3].map(curve))?)?)
 }
 
-/// Plays them all and prints what they came to; whether the bound held on each.
+/// Simulates all seeds and prints a summary; returns whether the bound held for each.
 pub fn run(args: &PeersArgs) -> Result<bool, Box<dyn Error>> {
     if let Some(path) = &args.plot_lean {
         plot_lean(args, path)?;
--- a/crates/testkit/src/model/plots.rs
+++ b/crates/testkit/src/model/plots.rs
@@ -1,4 +1,4 @@
-//! Plots as SVG: a day's course, and sweeps with their bands.
+//! SVG plots: the course of a day, and sweeps with confidence bands.
 
 use super::results::{Line, group};
 use gradepin_model::world::{Outcome, Second};
@@ -10,7 +10,7 @@
 type Svg<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
 const SIZE: (u32, u32) = (900, 340);
-/// Colours that are told apart by those who don't see red and green as two (Okabe and Ito).
+/// Palette that is distinguishable with red-green colour blindness (Okabe and Ito).
 const COLOURS: [RGBColor; 8] = [
     RGBColor(0, 114, 178),
     RGBColor(213, 94, 0),
@@ -22,36 +22,36 @@
     RGBColor(160, 120, 60),
 ];
 
-/// A line of a plot: its name, its points, and the band about it if it has one.
+/// Curve of a plot, with an optional band.
 pub struct Curve {
-    /// As the legend has it.
+    /// Name in the legend.
     pub name: String,
-    /// From left to right.
+    /// Points from left to right.
     pub points: Vec<(f64, f64)>,
-    /// Below and above each point.
+    /// Lower and upper end of the band at each point; empty for no band.
     pub band: Vec<(f64, f64)>,
 }
 
 impl Curve {
-    /// One without a band.
+    /// Creates a curve without a band.
     pub fn plain(name: &str, points: Vec<(f64, f64)>) -> Self {
         Self { name: name.to_string(), points, band: Vec::new() }
     }
 }
 
-/// What a plot says beside its curves.
+/// Labels of a plot.
 pub struct Labels<'a> {
-    /// Above it.
+    /// Title above the plot.
     pub title: &'a str,
-    /// Below it, and beside it.
+    /// Label of the x axis.
     pub x: &'a str,
-    /// See `x`.
+    /// Label of the y axis.
     pub y: &'a str,
     /// Whether both axes are logarithmic.
     pub log: bool,
 }
 
-/// Draws curves; the SVG's text.
+/// Draws curves and returns the SVG text.
 pub fn draw(labels: &Labels<'_>, curves: &[Curve]) -> Result<String> {
     let mut text = String::new();
     {
@@ -66,11 +66,11 @@
 fn chart(area: &Svg<'_>, labels: &Labels<'_>, curves: &[Curve]) -> Result<()> {
     let all = || curves.iter().flat_map(|curve| &curve.points);
     let bands = || curves.iter().flat_map(|curve| &curve.band);
-    let least = all().map(|(x, _)| *x).fold(f64::INFINITY, f64::min);
-    let most = all().map(|(x, _)| *x).fold(f64::NEG_INFINITY, f64::max);
-    let (least, most) = if least < most { (least, most) } else { (0.0, 1.0) };
+    let x_min = all().map(|(x, _)| *x).fold(f64::INFINITY, f64::min);
+    let x_max = all().map(|(x, _)| *x).fold(f64::NEG_INFINITY, f64::max);
+    let (x_min, x_max) = if x_min < x_max { (x_min, x_max) } else { (0.0, 1.0) };
     let top = all().map(|(_, y)| *y).chain(bands().map(|(_, high)| *high)).fold(0.0, f64::max);
-    // Shares are shown up to 1.
+    // Fractions are shown up to 1.
     let top = if top <= 0.0 || (0.5..=1.0).contains(&top) { 1.0 } else { top * 1.05 };
     let mut builder = ChartBuilder::on(area);
     builder.caption(labels.title, ("sans-serif", 18)).margin(10).x_label_area_size(36).y_label_area_size(64);
@@ -78,7 +78,7 @@
         let floor = all().map(|(_, y)| *y).filter(|y| *y > 0.0).fold(f64::INFINITY, f64::min);
         let floor = if floor.is_finite() { floor * 0.8 } else { 0.1 };
         let mut chart =
-            builder.build_cartesian_2d((least..most).log_scale(), (floor..top * 1.2).log_scale())?;
+            builder.build_cartesian_2d((x_min..x_max).log_scale(), (floor..top * 1.2).log_scale())?;
         chart.configure_mesh().x_desc(labels.x).y_desc(labels.y).light_line_style(WHITE).draw()?;
         for (number, curve) in curves.iter().enumerate() {
             let colour = COLOURS[number % COLOURS.len()];
@@ -90,7 +90,7 @@
         chart.configure_series_labels().background_style(WHITE.mix(0.8)).draw()?;
         return Ok(());
     }
-    let mut chart = builder.build_cartesian_2d(least..most, 0.0..top)?;
+    let mut chart = builder.build_cartesian_2d(x_min..x_max, 0.0..top)?;
     chart.configure_mesh().x_desc(labels.x).y_desc(labels.y).light_line_style(WHITE).draw()?;
     for (number, curve) in curves.iter().enumerate() {
         let colour = COLOURS[number % COLOURS.len()];
@@ -115,18 +115,18 @@
     Ok(())
 }
 
-/// A day's course: service by class, by office, running and held, refusals by cause.
+/// Plots of a day: service by class and by tenant, running and waiting requests, and failures by cause.
 pub fn course(
     outcome: &Outcome,
     classes: &[String],
     offices: &[String],
 ) -> Result<Vec<(&'static str, String)>> {
     let service = |names: &[String], sums: &[Vec<gradepin_model::account::service::Sum>]| {
-        let of = |place: usize| {
-            let points = sums.iter().enumerate().filter(|(_, second)| second[place].count > 0);
-            points.map(|(second, sums)| (second as f64, sums[place].share())).collect()
+        let of = |index: usize| {
+            let points = sums.iter().enumerate().filter(|(_, second)| second[index].count > 0);
+            points.map(|(second, sums)| (second as f64, sums[index].share())).collect()
         };
-        names.iter().enumerate().map(|(place, name)| Curve::plain(name, of(place))).collect::<Vec<Curve>>()
+        names.iter().enumerate().map(|(index, name)| Curve::plain(name, of(index))).collect::<Vec<Curve>>()
     };
     let counted = |name: &str, count: fn(&Second) -> u64| {
         let points = outcome.course.seconds.iter().enumerate();
@@ -166,17 +166,17 @@
     ])
 }
 
-/// A sweep: a figure over one setting, a curve for each value of another, with the bands of the seeds.
+/// Plot of a sweep: a figure over one setting, with one curve per value of another and confidence bands over the seeds.
 pub fn sweep(lines: &[Line], x: &str, curves: &str, figure: &str, title: &str) -> Result<String> {
     let mut all: Vec<Curve> = Vec::new();
     for (key, estimate) in group(lines, &[curves, x], figure) {
         let at: f64 = key[1].parse().map_err(|_| format!("expected numbers as '{x}', got '{}'", key[1]))?;
-        let place = all.iter().position(|curve| curve.name == key[0]).unwrap_or_else(|| {
+        let index = all.iter().position(|curve| curve.name == key[0]).unwrap_or_else(|| {
             all.push(Curve::plain(&key[0], Vec::new()));
             all.len() - 1
         });
-        all[place].points.push((at, estimate.mean));
-        all[place].band.push((estimate.low, estimate.high));
+        all[index].points.push((at, estimate.mean));
+        all[index].band.push((estimate.low, estimate.high));
     }
     for curve in &mut all {
         let mut both: Vec<_> = curve.points.iter().copied().zip(curve.band.iter().copied()).collect();
@@ -190,9 +190,9 @@
 mod tests {
     use super::*;
 
-    /// Guards against a plot without what it is of, and against one that fails where there is nothing to show.
+    /// Guards against plots without labels, and against failures without data.
     #[test]
-    fn a_plot_names_its_curves() {
+    fn plot_has_title_labels_and_legend() {
         let labels = Labels { title: "Title", x: "across", y: "up", log: false };
         let curve = |name: &str| Curve {
             name: name.into(),
--- a/crates/testkit/src/model/report.rs
+++ b/crates/testkit/src/model/report.rs
@@ -1,4 +1,4 @@
-//! A day, or a sweep, as one page of HTML that needs no network: figures, plots and what was broken.
+//! Self-contained HTML reports of a day or a sweep: figures, plots and rule violations.
 
 use super::plots;
 use super::results::{Difference, Line, group};
@@ -19,7 +19,7 @@
     format!("{:.1}%", 100.0 * part)
 }
 
-/// A day that was played.
+/// Report of a simulated day.
 pub fn day(title: &str, day: &Day, outcome: &Outcome) -> Result<String, Box<dyn Error>> {
     let classes: Vec<String> = day.classes.iter().map(|class| class.class.name.clone()).collect();
     let offices: Vec<String> = day.offices.iter().map(|office| office.office.name.clone()).collect();
@@ -82,7 +82,8 @@
     })
 }
 
-/// A sweep: a plot for each value of what is neither on the axis nor a curve, a table of all cells, and differences from a base.
+/// Report of a sweep: one plot per combination of the settings that are neither axis nor curve, a table of all cells, and
+/// the differences from the base.
 pub fn sweep(
     title: &str,
     lines: &[Line],
@@ -98,16 +99,16 @@
     let rest: Vec<&str> = names.iter().copied().filter(|name| *name != x && *name != curves).collect();
     let mut plots = Vec::new();
     for (key, _) in group(lines, &rest, figure) {
-        let some: Vec<Line> = lines
+        let selected: Vec<Line> = lines
             .iter()
             .filter(|line| rest.iter().zip(&key).all(|(name, value)| line.value(name) == Some(value)))
             .cloned()
             .collect();
-        let told: Vec<String> =
+        let labels: Vec<String> =
             rest.iter().zip(&key).map(|(name, value)| format!("{name} {value}")).collect();
         let title =
-            if told.is_empty() { figure.to_string() } else { format!("{figure}: {}", told.join(", ")) };
-        plots.push(super::plots::sweep(&some, x, curves, figure, &title)?);
+            if labels.is_empty() { figure.to_string() } else { format!("{figure}: {}", labels.join(", ")) };
+        plots.push(super::plots::sweep(&selected, x, curves, figure, &title)?);
     }
     let cells: Vec<Vec<String>> = group(lines, &names, figure)
         .into_iter()
@@ -159,9 +160,9 @@
         day("a <day> & more", &drawn, &plan.play(4).unwrap()).unwrap()
     }
 
-    /// Guards against a report that looks the same whatever became of the day, needs a network, or is no HTML for a name.
+    /// Guards against reports that hide a collapse, load external resources, or don't escape names.
     #[test]
-    fn the_report_shows_a_collapse_and_needs_no_network() {
+    fn report_shows_a_collapse_and_is_self_contained() {
         let (quiet, heavy) = (page_at("0.15"), page_at("1.5"));
         assert!(heavy.contains("Collapse") && !quiet.contains("Collapse"));
         for page in [quiet, heavy] {
--- a/crates/testkit/src/model/results.rs
+++ b/crates/testkit/src/model/results.rs
@@ -1,5 +1,5 @@
-//! Runs over all cores, and their results: a line of JSON for each as it ends, so that a sweep that was cut short goes on where
-//! it stopped; and a CSV file at the end.
+//! Parallel runs and their results. Each run appends a JSON line when it ends, so that an interrupted sweep can resume; a CSV
+//! file is written at the end.
 
 use super::experiment::{Experiment, Setting};
 use super::stats::Estimate;
@@ -15,37 +15,37 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 
-/// A run and what it came to.
+/// Result of a run. The fields are stored in the results file.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// Of what the experiment's runs have in common.
+    /// Fingerprint of the experiment.
     pub print: String,
-    /// The cell: settings and values in the order of the grid.
+    /// Settings of the cell, in the order of the grid.
     pub cell: Vec<Setting>,
-    /// The seed.
+    /// Random seed of the run.
     pub seed: u64,
-    /// The one figure.
+    /// Overall score.
     pub g: f64,
-    /// Its parts: the whole, the worst window, the worst class, the worst office.
+    /// Components of the score: whole day, worst window, worst class, worst tenant.
     pub parts: [f64; 4],
-    /// Requests late, and work wasted, as parts.
+    /// Fractions of late requests and of wasted work.
     pub prices: [f64; 2],
-    /// Rules broken.
+    /// Number of rule violations.
     pub broken: u64,
-    /// First tries, all tries, requests served.
+    /// Requests.
     pub asked: u64,
-    /// See `asked`.
+    /// All attempts.
     pub tries: u64,
-    /// See `asked`.
+    /// Requests served.
     pub served: u64,
-    /// Tries turned away by servers.
+    /// Attempts rejected by servers.
     pub refused: u64,
-    /// Events that were played.
+    /// Simulated events.
     pub events: u64,
 }
 
 impl Line {
-    /// Of a day that was played.
+    /// Summarizes a simulated day.
     pub fn new(print: &str, cell: &[Setting], outcome: &Outcome) -> Self {
         let report = &outcome.report;
         let total = &outcome.total;
@@ -65,12 +65,12 @@
         }
     }
 
-    /// A setting of its cell.
+    /// Value of a setting of the cell.
     pub fn value(&self, name: &str) -> Option<&str> {
         self.cell.iter().find(|(setting, _)| setting == name).map(|(_, value)| value.as_str())
     }
 
-    /// A figure by its name.
+    /// Value of a figure by name, as in [`FIGURES`].
     pub fn figure(&self, name: &str) -> Option<f64> {
         Some(match name {
             "g" => self.g,
@@ -88,7 +88,7 @@
     }
 }
 
-/// The figures that a line has.
+/// Names of the figures of a result.
 pub const FIGURES: [&str; 10] = [
     "g",
     "whole",
@@ -102,7 +102,7 @@
     "served",
 ];
 
-/// Reads results; a last line that was cut off is passed over.
+/// Reads results; an incomplete last line is ignored.
 pub fn read(path: &Path) -> io::Result<Vec<Line>> {
     let mut lines = Vec::new();
     let mut reader = BufReader::new(File::open(path)?);
@@ -123,18 +123,18 @@
     Ok(lines)
 }
 
-/// What a sweep came to.
+/// Result of a sweep.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Swept {
-    /// Runs that were there already, and runs that were played.
+    /// Runs found in the results file.
     pub found: usize,
-    /// See `found`.
+    /// Runs simulated now.
     pub played: usize,
-    /// Whether it was cut short.
+    /// Whether the sweep was interrupted.
     pub cut: bool,
 }
 
-/// Plays what of an experiment is not in the file yet, until it is done or told to end.
+/// Simulates the runs of an experiment that are not in the file yet, until all are done or `end` is set.
 pub fn sweep(experiment: &Experiment, path: &Path, quiet: bool, end: &AtomicBool) -> io::Result<Swept> {
     let other = |text: String| io::Error::new(io::ErrorKind::InvalidData, text);
     let print = experiment.print();
@@ -143,12 +143,12 @@
         let why = format!("expected results of this experiment and build ({print}), got {}", line.print);
         return Err(other(why));
     }
-    // Without a cut-off line, or one that stands there twice.
+    // Drops an incomplete last line and duplicates.
     write(path, &done)?;
     let known: BTreeSet<(&[Setting], u64)> = done.iter().map(|line| (&line.cell[..], line.seed)).collect();
     let cells = experiment.cells();
     let mut todo = Vec::new();
-    // Seed by seed, so that a sweep that is cut short has all cells for some of them.
+    // Ordered by seed, so that an interrupted sweep has all cells for some seeds.
     for &seed in &experiment.seeds {
         todo.extend(cells.iter().filter(|cell| !known.contains(&(&cell[..], seed))).map(|cell| (cell, seed)));
     }
@@ -158,7 +158,8 @@
         if quiet { ProgressBar::hidden() } else { ProgressBar::new(todo.len() as u64).with_style(style) };
     let (sender, receiver) = unbounded::<Line>();
     let file = OpenOptions::new().append(true).open(path)?;
-    let keeper = thread::Builder::new().name("results".into()).spawn(move || keep(file, receiver.iter()))?;
+    let writer =
+        thread::Builder::new().name("results".into()).spawn(move || append_lines(file, receiver.iter()))?;
     let result = todo.par_iter().try_for_each(|(cell, seed)| {
         if end.load(Ordering::Relaxed) {
             return Ok(());
@@ -166,37 +167,37 @@
         let plan = experiment.plan(cell).map_err(io::Error::other)?;
         let outcome = plan.play(*seed).map_err(|why| other(format!("{cell:?}, seed {seed}: {why}")))?;
         bar.inc(1);
-        // Its keeper ends first only where it can't write, and says so itself.
+        // Fails only if the writer thread has ended with a write error, which is reported below.
         let _ = sender.send(Line::new(&print, cell, &outcome));
         Ok::<(), io::Error>(())
     });
     drop(sender);
     let played =
-        keeper.join().map_err(|_| io::Error::other("the thread that keeps results has panicked"))??;
+        writer.join().map_err(|_| io::Error::other("the thread that keeps results has panicked"))??;
     bar.finish_and_clear();
     result?;
     let mut lines = read(path)?;
     let order = |line: &Line| cells.iter().position(|cell| *cell == line.cell).unwrap_or(usize::MAX);
     lines.sort_by_cached_key(|line| (order(line), line.seed));
-    // The same runs give the same file, in whichever order they ended.
+    // Sorted, so that the same runs give the same file regardless of the order in which they ended.
     write(path, &lines)?;
     write_csv(&path.with_extension("csv"), &lines)?;
     let cut = played < todo.len();
     Ok(Swept { found: done.len(), played, cut })
 }
 
-fn keep(mut file: File, lines: impl Iterator<Item = Line>) -> io::Result<usize> {
-    let mut kept = 0;
+fn append_lines(mut file: File, lines: impl Iterator<Item = Line>) -> io::Result<usize> {
+    let mut written = 0;
     for line in lines {
         let mut text = serde_json::to_string(&line)?;
         text.push('\n');
         file.write_all(text.as_bytes())?;
-        kept += 1;
+        written += 1;
     }
-    Ok(kept)
+    Ok(written)
 }
 
-/// In place of what was there, at once.
+/// Replaces the results file atomically.
 fn write(path: &Path, lines: &[Line]) -> io::Result<()> {
     let mut beside = PathBuf::from(path);
     beside.add_extension("new");
@@ -223,10 +224,10 @@
     csv.flush()
 }
 
-/// A figure of a group of runs: the values of the settings that name it, and the estimate.
+/// Settings that identify a group of runs, and the estimate of a figure over them.
 pub type Grouped = (Vec<String>, Estimate);
 
-/// The estimates of a figure, by the values of some settings, in the order in which they come.
+/// Estimates of a figure by the values of some settings, in order of first appearance.
 pub fn group(lines: &[Line], by: &[&str], figure: &str) -> Vec<Grouped> {
     let mut order = Vec::new();
     let mut groups = BTreeMap::<Vec<String>, Vec<f64>>::new();
@@ -241,20 +242,20 @@
     order.into_iter().filter_map(|key| Some((key.clone(), Estimate::of(groups.get(&key)?)?))).collect()
 }
 
-/// A difference from a base: the rest of the cell, the value that is compared, and the estimate over pairs of one seed.
+/// Difference from a base value, over pairs of runs with the same seed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Difference {
-    /// The rest of the cell.
+    /// Other settings of the cell.
     pub rest: Vec<Setting>,
-    /// The value that is compared with the base.
+    /// Value that is compared with the base.
     pub value: String,
-    /// Base less value: above 0 the base has more.
+    /// Base minus value; positive if the base has more.
     pub estimate: Estimate,
-    /// Pairs.
+    /// Number of pairs.
     pub pairs: usize,
 }
 
-/// Differences of a figure between one value of a setting and all its others, paired by the rest of the cell and the seed.
+/// Differences of a figure between one value of a setting and all others, paired by the other settings and the seed.
 pub fn compare(lines: &[Line], by: &str, base: &str, figure: &str) -> Vec<Difference> {
     let rest =
         |line: &Line| -> Vec<Setting> { line.cell.iter().filter(|(name, _)| name != by).cloned().collect() };
@@ -266,7 +267,7 @@
     let (mut order, mut pairs) = (Vec::new(), BTreeMap::<(Vec<Setting>, String), Vec<f64>>::new());
     for line in lines.iter().filter(|line| line.value(by) != Some(base)) {
         let key = (rest(line), line.value(by).unwrap_or("").to_string());
-        let (Some(mine), Some(of_base)) = (line.figure(figure), bases.get(&(key.0.clone(), line.seed)))
+        let (Some(own), Some(base_value)) = (line.figure(figure), bases.get(&(key.0.clone(), line.seed)))
         else {
             continue;
         };
@@ -274,7 +275,7 @@
         if values.is_empty() {
             order.push(key);
         }
-        values.push(of_base - mine);
+        values.push(base_value - own);
     }
     order
         .into_iter()
@@ -311,19 +312,18 @@
         }
     }
 
-    /// Guards against a sweep that after a Ctrl-C plays again what it had, or leaves something out; and against results that depend
-    /// on threads.
+    /// Guards against a resumed sweep that repeats or omits runs, and against results that depend on the order of threads.
     #[test]
-    fn a_sweep_goes_on_where_it_was_cut() {
+    fn interrupted_sweep_resumes() {
         let (whole, cut) = (file("whole"), file("cut"));
         let end = AtomicBool::new(false);
         let swept = sweep(&experiment(), &whole, true, &end).unwrap();
         assert_eq!(swept, Swept { found: 0, played: 12, cut: false });
         let text = fs::read_to_string(&whole).unwrap();
-        // Told to end before the first run: nothing is played, and that is said.
+        // Interrupted before the first run.
         end.store(true, Ordering::Relaxed);
         assert_eq!(sweep(&experiment(), &cut, true, &end).unwrap(), Swept { found: 0, played: 0, cut: true });
-        // Five runs, and a line that was being written.
+        // Five complete runs and an incomplete line.
         let five: Vec<&str> = text.lines().take(5).collect();
         fs::write(&cut, format!("{}\n{}", five.join("\n"), &text.lines().nth(5).unwrap()[..40])).unwrap();
         end.store(false, Ordering::Relaxed);
@@ -335,9 +335,9 @@
         [whole, cut].iter().for_each(|path| remove(path));
     }
 
-    /// Guards against runs of two experiments in one file.
+    /// Guards against results of two experiments in one file.
     #[test]
-    fn results_of_another_experiment_are_refused() {
+    fn results_of_another_experiment_are_rejected() {
         let path = file("other");
         let end = AtomicBool::new(false);
         sweep(&experiment(), &path, true, &end).unwrap();
@@ -357,9 +357,9 @@
         remove(&path);
     }
 
-    /// Pairs are of one seed and one cell but for what is compared.
+    /// Pairs have the same seed and the same cell except for the compared setting.
     #[test]
-    fn differences_are_paired() {
+    fn differences_are_paired_by_seed_and_cell() {
         let line = |policy: &str, load: &str, seed, g| Line {
             print: String::new(),
             cell: vec![("policy".into(), policy.into()), ("load".into(), load.into())],
@@ -382,7 +382,7 @@
         let found = compare(&lines, "policy", "a", "g");
         assert_eq!(found.len(), 1);
         assert_eq!((found[0].value.as_str(), found[0].pairs), ("b", 6));
-        // Seeds differ by more than the policies, pairs don't.
+        // Seeds differ more than policies, but pairs don't.
         assert!((found[0].estimate.low - 0.2).abs() < 1e-9 && found[0].estimate.differs());
         let grouped = group(&lines, &["load"], "tries");
         assert_eq!(grouped.len(), 2);
--- a/crates/testkit/src/model/stats.rs
+++ b/crates/testkit/src/model/stats.rs
@@ -1,23 +1,23 @@
-//! Means with their intervals, from pairs of runs on the same seeds.
+//! Means with confidence intervals.
 
 use gradepin_model::streams::{Streams, one_of};
 
-/// Resamples of an interval.
+/// Number of bootstrap resamples per interval.
 const RESAMPLES: usize = 2_000;
 
-/// A mean and its interval of 95%.
+/// Mean with its 95% confidence interval.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Estimate {
-    /// The mean.
+    /// Mean of the values.
     pub mean: f64,
-    /// The lower end.
+    /// Lower end of the interval.
     pub low: f64,
-    /// The upper end.
+    /// Upper end of the interval.
     pub high: f64,
 }
 
 impl Estimate {
-    /// By the percentile bootstrap. The same values give the same interval.
+    /// Percentile bootstrap with a fixed seed, so that the same values give the same interval.
     pub fn of(values: &[f64]) -> Option<Self> {
         if values.is_empty() {
             return None;
@@ -33,7 +33,7 @@
         Some(Self { mean, low: at(0.025), high: at(0.975) })
     }
 
-    /// Whether the interval leaves 0 out: more than noise.
+    /// Whether the interval excludes 0, so that a difference is more than noise.
     pub fn differs(&self) -> bool {
         self.low > 0.0 || self.high < 0.0
     }
@@ -43,9 +43,9 @@
 mod tests {
     use super::*;
 
-    /// Guards against intervals that hold nothing or everything.
+    /// Guards against intervals that are too narrow or too wide.
     #[test]
-    fn an_interval_holds_the_mean_and_narrows() {
+    fn interval_contains_the_mean_and_narrows_with_more_values() {
         let values = |count: usize| (0..count).map(|n| (n % 10) as f64 / 10.0).collect::<Vec<f64>>();
         let (few, many) = (Estimate::of(&values(20)).unwrap(), Estimate::of(&values(2_000)).unwrap());
         assert!((few.mean - 0.45).abs() < 1e-9 && few.low < 0.45 && few.high > 0.45);
--- a/crates/testkit/src/model/trace.rs
+++ b/crates/testkit/src/model/trace.rs
@@ -1,7 +1,7 @@
-//! A request's life, or a server's, as a Chrome trace: JSON that chrome://tracing and Perfetto read.
+//! Attempts of a request, or at a machine, as a Chrome trace: JSON for chrome://tracing and Perfetto.
 //!
-//! What happened becomes events of `tracing`, and a layer of `tracing-subscriber` writes them. Its formatter is ours, for times are
-//! those of the day: layers made for Chrome's format read the machine's clock.
+//! Phases become `tracing` events that a `tracing-subscriber` layer writes. The formatter is our own, because times are those
+//! of the simulated day, while existing layers for Chrome's format read the clock of the machine.
 
 use gradepin_model::world::{Story, StoryOf};
 use serde_json::{Map, Value, json};
@@ -15,12 +15,12 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::registry::LookupSpan;
 
-/// Which tries are told.
+/// Attempts to include in a trace.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Which {
-    /// All of a request.
+    /// All attempts of a request.
     Request(u32),
-    /// All that came to a machine.
+    /// All attempts sent to a machine.
     Machine(u32),
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// Writes an event as a line of Chrome's JSON array.
+/// Formats an event as a line of Chrome's JSON array.
 struct Chrome;
 
 impl<S, N> FormatEvent<S, N> for Chrome
@@ -79,7 +79,7 @@
     }
 }
 
-/// What is written, shared with the layer.
+/// Output buffer shared with the layer.
 #[derive(Clone, Default)]
 struct Shared(Arc<Mutex<Vec<u8>>>);
 
@@ -100,7 +100,7 @@
     }
 }
 
-/// The trace of some tries, and how many they are.
+/// Returns the trace of the selected attempts, and their number.
 pub fn chrome(stories: &[Story], which: Which) -> (Vec<u8>, usize) {
     let shared = Shared::default();
     let layer = tracing_subscriber::fmt::layer().event_format(Chrome).with_writer(shared.clone());
@@ -149,9 +149,9 @@
 mod tests {
     use super::*;
 
-    /// Guards against a trace that no viewer reads, and against other requests in it.
+    /// Guards against a malformed trace, and against other requests in it.
     #[test]
-    fn a_request_is_told_in_its_phases() {
+    fn trace_has_the_phases_of_the_selected_request() {
         let story = |request, machine| Story {
             request,
             machine,
