--- a/crates/testkit/tests/configuration.rs
+++ b/crates/testkit/tests/configuration.rs
@@ -1,5 +1,5 @@
-//! Real daemons whose classes, tenants and rules come from committed revisions, on loopback sockets. Waits are upper bounds;
-//! nothing passes or fails by how fast the machine is.
+//! Real daemons with classes, tenants and rules from committed revisions, on loopback sockets. Timeouts are generous upper
+//! bounds, so that no result depends on the speed of the machine.
 
 use gradepin_cluster::authentication::AuthenticationKeys;
 use gradepin_testkit::fleet::{self, CouncilSpec, Fleet, FleetSpec, PeersSpec};
@@ -18,24 +18,24 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-const PATIENCE: Duration = Duration::from_secs(40);
+const TIMEOUT: Duration = Duration::from_secs(40);
 const SEED: u64 = 7;
 const SERVERS: usize = 4;
-/// The last server is no voter.
+/// The last server is not a voter.
 const VOTERS: usize = 3;
-/// The class that is committed.
+/// Class that the tests commit.
 const CLASS: &str = "heat-map";
 
-/// Servers under test; what they need is held with them.
-struct Rig {
+/// Fleet under test with its relays, ledger and folder.
+struct ConfiguredFleet {
     fleet: Fleet,
     folder: PathBuf,
     _net: Net,
     _ledger: Ledger,
 }
 
-impl Rig {
-    /// With these lines in the `config` block.
+impl ConfiguredFleet {
+    /// Starts a fleet with additional lines in the `config` block and founds the consensus group.
     fn start(name: &str, more: &str) -> Self {
         println!("seed {SEED}");
         let folder = fleet::folder(name).unwrap();
@@ -66,21 +66,21 @@
             folder: folder.clone(),
             ..FleetSpec::default()
         };
-        let rig = Self { fleet: Fleet::start(&spec).unwrap(), folder, _net: net, _ledger: ledger };
-        rig.until("the group is founded", || {
-            call(rig.admin(0), "POST", "/fleet/found", "").is_some_and(|(status, _)| status == 200)
+        let fleet = Self { fleet: Fleet::start(&spec).unwrap(), folder, _net: net, _ledger: ledger };
+        fleet.until("the group is founded", || {
+            call(fleet.admin(0), "POST", "/fleet/found", "").is_some_and(|(status, _)| status == 200)
         });
-        rig
+        fleet
     }
 
     fn admin(&self, n: usize) -> SocketAddr {
         self.fleet.nodes[n].admin()
     }
 
-    fn until(&self, what: &str, mut holds: impl FnMut() -> bool) {
+    fn until(&self, what: &str, mut condition: impl FnMut() -> bool) {
         let start = Instant::now();
-        while !holds() {
-            if start.elapsed() >= PATIENCE {
+        while !condition() {
+            if start.elapsed() >= TIMEOUT {
                 for node in &self.fleet.nodes {
                     println!("--- {}\n{}", node.name, node.log());
                 }
@@ -94,7 +94,7 @@
         ask(self.admin(n), "/config/status").unwrap_or_default()
     }
 
-    /// Revision and digest at each server.
+    /// Revision and digest in force at each server.
     fn versions(&self) -> Vec<(u64, String)> {
         let version = |n| {
             let status = self.status(n);
@@ -110,15 +110,15 @@
         });
     }
 
-    /// Hands a change in and asks until it is answered: by a status, and a body.
+    /// Submits a change and polls for its result; returns the status and the body.
     fn change(&self, n: usize, id: &str, changes: Value) -> (u16, Value) {
         let body = json!({"proposal": {"request_id": id, "author": "ada", "reason": "test", "expected": null,
                           "transaction": {"changes": changes}}});
         let (path, body) = (format!("/config/apply?request-id={id}"), body.to_string());
         let mut last = (0, Value::Null);
         self.until(&format!("an answer to {id}"), || {
-            let taken = call(self.admin(n), "POST", "/config/apply", &body);
-            if taken.is_none_or(|(status, _)| status != 202) {
+            let submitted = call(self.admin(n), "POST", "/config/apply", &body);
+            if submitted.is_none_or(|(status, _)| status != 202) {
                 return false;
             }
             let mut answer = None;
@@ -128,16 +128,16 @@
             });
             let (status, text) = answer.unwrap_or_default();
             last = (status, serde_json::from_str(&text).unwrap_or_default());
-            // Without a leader, or where too much is under way, it may be asked again.
+            // Retried while there is no leader or too much is in progress.
             !matches!(status, 429 | 503)
         });
         last
     }
 
-    /// Whether the front of a server knows a class.
-    fn knows(&self, n: usize, class: &str) -> bool {
+    /// Whether a server accepts requests of a class.
+    fn accepts_class(&self, n: usize, class: &str) -> bool {
         let mut stream = TcpStream::connect(self.fleet.nodes[n].address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         let t0 = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis().to_string();
         let fields = [
             ("method", class),
@@ -150,17 +150,17 @@
             ("prio", "0.5"),
         ];
         stream.write_all(&thrift::call(1, &fields, b"1")).unwrap();
-        let (mut came, mut chunk) = (Vec::new(), [0_u8; 1024]);
-        while thrift::frame(&came).unwrap().is_none() {
+        let (mut bytes, mut chunk) = (Vec::new(), [0_u8; 1024]);
+        while thrift::frame(&bytes).unwrap().is_none() {
             let length = stream.read(&mut chunk).unwrap();
             assert!(length > 0, "an answer");
-            came.extend_from_slice(&chunk[..length]);
+            bytes.extend_from_slice(&chunk[..length]);
         }
-        !String::from_utf8_lossy(&came).contains("unknown method")
+        !String::from_utf8_lossy(&bytes).contains("unknown method")
     }
 }
 
-impl Drop for Rig {
+impl Drop for ConfiguredFleet {
     fn drop(&mut self) {
         for node in &mut self.fleet.nodes {
             node.kill();
@@ -179,78 +179,80 @@
     json!([{"PutTenant": {"name": name, "quota_rps": 1.0, "portion": portion}}])
 }
 
-/// Guards the whole way of a change: handed in at one server, in force at all, whatever files say; refused where it is not
-/// valid, and one revision to one request id.
+/// A change submitted at one server comes into force at all servers, regardless of their files. Invalid changes are rejected,
+/// and a repeated request ID gives the same revision.
 #[test]
-fn a_change_handed_in_at_one_server_is_in_force_at_all() {
-    let rig = Rig::start("configuration-change", "");
-    rig.until_all_have(0);
-    assert!((0..SERVERS).all(|n| !rig.knows(n, CLASS) && rig.knows(n, "sheet-view")));
-    let (status, answer) = rig.change(VOTERS, "r-1", put_class());
+fn change_submitted_at_one_server_comes_into_force_everywhere() {
+    let fleet = ConfiguredFleet::start("configuration-change", "");
+    fleet.until_all_have(0);
+    assert!((0..SERVERS).all(|n| !fleet.accepts_class(n, CLASS) && fleet.accepts_class(n, "sheet-view")));
+    let (status, answer) = fleet.change(VOTERS, "r-1", put_class());
     assert_eq!((status, &answer["revision"]), (200, &json!(1)), "{answer}");
-    rig.until_all_have(1);
-    rig.until("the class is known at all", || (0..SERVERS).all(|n| rig.knows(n, CLASS)));
-    assert_eq!(rig.status(0)["source"], "fleet");
+    fleet.until_all_have(1);
+    fleet.until("the class is accepted by all servers", || {
+        (0..SERVERS).all(|n| fleet.accepts_class(n, CLASS))
+    });
+    assert_eq!(fleet.status(0)["source"], "fleet");
 
-    // A file that names neither the new class nor an old one.
-    let node = &rig.fleet.nodes[0];
-    let dropped = |config: &mut Value| {
+    // A file without the new class and without one of the old ones.
+    let node = &fleet.fleet.nodes[0];
+    let drop_class = |config: &mut Value| {
         config["settings"]["profiles"].as_array_mut().unwrap().retain(|class| class["name"] != "deep-zoom");
         for list in ["calls_by_class", "class_skip_worth"] {
             config["settings"]["specifics"][list].as_array_mut().unwrap().pop();
         }
     };
-    node.edit(dropped).unwrap();
+    node.edit(drop_class).unwrap();
     node.reload();
-    rig.until("the file is taken", || {
+    fleet.until("the reloaded file is accepted", || {
         ask_text(node.admin(), "/stats").is_some_and(|text| text.contains("server_cfg_accepted_total 1"))
     });
     assert!(node.log().contains("classes, tenants and rules hold as committed"), "{}", node.log());
-    assert!(rig.knows(0, CLASS) && rig.knows(0, "deep-zoom"));
+    assert!(fleet.accepts_class(0, CLASS) && fleet.accepts_class(0, "deep-zoom"));
 
-    let before = rig.versions();
-    let (status, answer) = rig.change(0, "r-2", put_tenant("osm", 1.2));
+    let before = fleet.versions();
+    let (status, answer) = fleet.change(0, "r-2", put_tenant("osm", 1.2));
     assert_eq!((status, &answer["refused"]), (422, &json!("invalid")), "{answer}");
     assert!(answer["path"].is_string() && answer["expected"].is_string() && answer["came"].is_string());
-    let (status, answer) = rig.change(1, "r-1", put_class());
+    let (status, answer) = fleet.change(1, "r-1", put_class());
     assert_eq!((status, &answer["revision"]), (200, &json!(1)), "one revision to one id: {answer}");
-    assert_eq!(rig.versions(), before);
+    assert_eq!(fleet.versions(), before);
 
-    let (status, answer) = rig.change(2, "r-3", put_tenant("osm", 0.0));
+    let (status, answer) = fleet.change(2, "r-3", put_tenant("osm", 0.0));
     assert_eq!((status, &answer["revision"]), (200, &json!(2)), "{answer}");
-    rig.until_all_have(2);
-    let figures = ask_text(rig.admin(1), "/stats").unwrap();
+    fleet.until_all_have(2);
+    let figures = ask_text(fleet.admin(1), "/stats").unwrap();
     assert!(figures.contains("server_config_revision 2\n"), "{figures}");
     assert!(figures.contains("server_config_age_seconds "), "{figures}");
 }
 
-/// Guards a server's start: from its own disk at once, and where that is empty and the commits that it lacks are no longer
-/// kept, by a whole state from its peers.
+/// A restarted server starts from the snapshot on its disk. With an empty disk, and with the missing commits no longer
+/// available, it fetches a snapshot from its peers.
 #[test]
-fn a_server_starts_from_its_disk_and_an_empty_one_gets_the_whole_state() {
-    let mut rig = Rig::start("configuration-start", "    history 16");
-    let (status, answer) = rig.change(0, "r-1", put_class());
+fn restart_uses_the_disk_snapshot_or_fetches_one_from_peers() {
+    let mut fleet = ConfiguredFleet::start("configuration-start", "    history 16");
+    let (status, answer) = fleet.change(0, "r-1", put_class());
     assert_eq!((status, &answer["revision"]), (200, &json!(1)), "{answer}");
-    rig.until_all_have(1);
-    rig.until("the last server has written it", || {
-        let node = &rig.fleet.nodes[VOTERS];
-        std::fs::read_dir(rig.folder.join(format!("{}.configuration", node.name))).is_ok()
+    fleet.until_all_have(1);
+    fleet.until("the last server has written it", || {
+        let node = &fleet.fleet.nodes[VOTERS];
+        std::fs::read_dir(fleet.folder.join(format!("{}.configuration", node.name))).is_ok()
     });
-    rig.fleet.nodes[VOTERS].terminate();
-    rig.until("the last server is out", || TcpStream::connect(rig.fleet.nodes[VOTERS].address).is_err());
-    rig.fleet.nodes[VOTERS].kill();
-    rig.fleet.nodes[VOTERS].spawn().unwrap();
-    rig.until("it is back by its disk", || rig.status(VOTERS)["source"] == "snapshot");
-    assert!(rig.status(VOTERS)["revision"] == 1 && rig.knows(VOTERS, CLASS));
+    fleet.fleet.nodes[VOTERS].terminate();
+    fleet.until("the last server is out", || TcpStream::connect(fleet.fleet.nodes[VOTERS].address).is_err());
+    fleet.fleet.nodes[VOTERS].kill();
+    fleet.fleet.nodes[VOTERS].spawn().unwrap();
+    fleet.until("it has restarted from its disk", || fleet.status(VOTERS)["source"] == "snapshot");
+    assert!(fleet.status(VOTERS)["revision"] == 1 && fleet.accepts_class(VOTERS, CLASS));
 
-    rig.fleet.nodes[VOTERS].kill();
-    std::fs::remove_dir_all(rig.folder.join(format!("n{VOTERS}.configuration"))).unwrap();
+    fleet.fleet.nodes[VOTERS].kill();
+    std::fs::remove_dir_all(fleet.folder.join(format!("n{VOTERS}.configuration"))).unwrap();
     for n in 2..=20 {
-        let (status, answer) = rig.change(0, &format!("r-{n}"), put_tenant(&format!("t-{n}"), 0.0));
+        let (status, answer) = fleet.change(0, &format!("r-{n}"), put_tenant(&format!("t-{n}"), 0.0));
         assert_eq!((status, &answer["revision"]), (200, &json!(n)), "{answer}");
     }
-    rig.fleet.nodes[VOTERS].spawn().unwrap();
-    rig.until_all_have(20);
-    rig.until("the class is known there", || rig.knows(VOTERS, CLASS));
-    assert_eq!(rig.status(VOTERS)["source"], "fleet");
+    fleet.fleet.nodes[VOTERS].spawn().unwrap();
+    fleet.until_all_have(20);
+    fleet.until("the class is accepted there", || fleet.accepts_class(VOTERS, CLASS));
+    assert_eq!(fleet.status(VOTERS)["source"], "fleet");
 }
--- a/crates/testkit/tests/sockets.rs
+++ b/crates/testkit/tests/daemon_registry.rs
@@ -1,5 +1,5 @@
-//! The real daemon beside a stand-in registry, on loopback sockets. Waits are upper bounds; nothing passes or fails by
-//! how long anything takes.
+//! The real daemon with a stand-in registry, on loopback sockets. Timeouts are generous upper bounds, so that no result
+//! depends on the speed of the machine.
 
 use gradepin_node::registry::Client;
 use gradepin_node::settings::ServiceUrl;
@@ -16,7 +16,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn local() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
@@ -39,9 +39,9 @@
     }
 }
 
-fn shows(registry: &Server, expected: Option<InstanceStatus>) -> bool {
+fn reaches_status(registry: &Server, expected: Option<InstanceStatus>) -> bool {
     let start = Instant::now();
-    while start.elapsed() < PATIENCE {
+    while start.elapsed() < TIMEOUT {
         if registry.instance("TILE-SERVER", "n0").map(|i| i.status) == expected {
             return true;
         }
@@ -50,74 +50,81 @@
     false
 }
 
-/// Hard case 1, and the API's other half: guards against a server that waits for its registry before it serves, or that
-/// can't speak XML or give a password.
+/// Guards against a server that waits for its registry before it serves, or that can't use XML or a password.
 #[test]
-fn a_server_serves_without_its_registry_and_registers_when_it_is_there() {
+fn server_serves_without_its_registry_and_registers_later() {
     let login = ("tiles", "secret");
     let registry = registry(Some(login));
     registry.fail(Fault::Refuse);
-    // Until the listener is really closed.
+    // Time for the listener to close.
     thread::sleep(Duration::from_millis(100));
     let url = format!("http://{}:{}@{}/eureka", login.0, login.1, registry.address());
     let spec = spec("away", url, "format \"xml\"\nzone \"lahti-1\"\nmetadata { rack \"b7\"; }");
     let fleet = Fleet::start(&spec).expect("it is ready without a registry");
-    let habit = ProxyBehavior::thrift(50.0, 1, false);
+    let behavior = ProxyBehavior::thrift(50.0, 1, false);
     let proxy =
-        Proxy::start(1, 5, habit, Box::new(StaticServers { all: vec![fleet.nodes[0].address], turn: 0 }));
+        Proxy::start(1, 5, behavior, Box::new(StaticServers { all: vec![fleet.nodes[0].address], turn: 0 }));
     thread::sleep(Duration::from_millis(500));
-    let books = proxy.expect("a proxy").stop();
-    assert!(books.tries.iter().any(|t| t.end == End::Served && t.correct_result), "{:?}", books.tries);
+    let records = proxy.expect("a proxy").stop();
+    assert!(records.tries.iter().any(|t| t.end == End::Served && t.correct_result), "{:?}", records.tries);
     assert_eq!(registry.instance("TILE-SERVER", "n0"), None);
     registry.fail(Fault::None);
-    assert!(shows(&registry, Some(InstanceStatus::Up)), "{}", registry.summary());
-    let told = registry.instance("tile-server", "n0").expect("it is registered");
+    assert!(reaches_status(&registry, Some(InstanceStatus::Up)), "{}", registry.summary());
+    let record = registry.instance("tile-server", "n0").expect("it is registered");
     assert_eq!(
-        (told.zone(), told.metadata["rack"].as_str(), told.vip.as_str()),
+        (record.zone(), record.metadata["rack"].as_str(), record.vip.as_str()),
         (Some("lahti-1"), "b7", "tiles")
     );
-    assert_eq!(SocketAddr::new(told.ip.expect("an address"), told.port.number), fleet.nodes[0].address);
-    // Hard case 4 on the wire.
+    assert_eq!(SocketAddr::new(record.ip.expect("an address"), record.port.number), fleet.nodes[0].address);
+    // A registry that lost its data gets the registration again.
     registry.fail(Fault::RestartEmpty);
-    assert!(shows(&registry, Some(InstanceStatus::Up)));
+    assert!(reaches_status(&registry, Some(InstanceStatus::Up)));
     drop(fleet);
     fleet::remove(&spec.folder);
 }
 
-/// Hard case 2: whatever the registry does, what was read is answered, and a leave gets through where it can.
+/// A drain answers all received requests regardless of registry faults, and the leave arrives once the registry works.
 #[test]
-fn a_drain_answers_everything_whatever_the_registry_does() {
+fn drain_answers_everything_despite_registry_faults() {
     for fault in [Fault::Hang, Fault::Garbage, Fault::Cut, Fault::Status(500)] {
         let registry = registry(None);
         let spec = spec(&format!("drain-{}", fault.to_string().replace(' ', "-")), registry.url(), "");
         let mut fleet = Fleet::start(&spec).expect("a fleet");
-        assert!(shows(&registry, Some(InstanceStatus::Up)));
-        let habit = ProxyBehavior::thrift(100.0, 1, false);
-        let proxy =
-            Proxy::start(1, 5, habit, Box::new(StaticServers { all: vec![fleet.nodes[0].address], turn: 0 }));
+        assert!(reaches_status(&registry, Some(InstanceStatus::Up)));
+        let behavior = ProxyBehavior::thrift(100.0, 1, false);
+        let proxy = Proxy::start(
+            1,
+            5,
+            behavior,
+            Box::new(StaticServers { all: vec![fleet.nodes[0].address], turn: 0 }),
+        );
         thread::sleep(Duration::from_millis(300));
         registry.fail(fault.clone());
         fleet.nodes[0].terminate();
         thread::sleep(Duration::from_millis(300));
-        let books = proxy.expect("a proxy").stop();
+        let records = proxy.expect("a proxy").stop();
         let unanswered: Vec<_> =
-            books.tries.iter().filter(|t| matches!(t.end, End::Lost | End::TimedOut)).collect();
-        assert!(books.tries.len() > 10 && unanswered.is_empty(), "{fault}: {unanswered:?}");
+            records.tries.iter().filter(|t| matches!(t.end, End::Lost | End::TimedOut)).collect();
+        assert!(records.tries.len() > 10 && unanswered.is_empty(), "{fault}: {unanswered:?}");
         registry.fail(Fault::None);
-        assert!(shows(&registry, Some(InstanceStatus::OutOfService)), "{fault}: {}", registry.summary());
+        assert!(
+            reaches_status(&registry, Some(InstanceStatus::OutOfService)),
+            "{fault}: {}",
+            registry.summary()
+        );
         fleet.nodes[0].kill();
         fleet::remove(&spec.folder);
     }
 }
 
-/// The whole API through the client and the stand-in, in both formats, with an id that needs escaping.
+/// All API calls through client and stand-in, in both formats, with an ID that needs escaping.
 #[test]
-fn every_call_of_the_api_crosses_the_wire() {
+fn every_api_call_works_in_both_formats() {
     for format in [Format::Json, Format::Xml] {
         let registry = registry(None);
         let client = Client::new(&ServiceUrl { url: registry.url(), login: None }, format);
         let (app, id) = ("TILES", "n 1/ä:8443");
-        let ask = |op: RegistryOperation| client.ask(app, id, &op, PATIENCE);
+        let ask = |op: RegistryOperation| client.ask(app, id, &op, TIMEOUT);
         let (up, out) = (InstanceStatus::Up, InstanceStatus::OutOfService);
         assert_eq!(ask(RegistryOperation::FetchOwnRecord), RegistryReply::NotFound);
         assert_eq!(ask(RegistryOperation::Heartbeat { status: up, dirty_ms: 1 }), RegistryReply::NotFound);
@@ -139,19 +146,23 @@
         };
         assert_eq!((record.id.as_str(), record.status, record.overridden), (id, out, out));
         assert_eq!(ask(RegistryOperation::ClearOverride { status: up, dirty_ms: 7 }), RegistryReply::Done);
-        client.metadata(app, id, "zone", "lahti 1", PATIENCE).expect("metadata");
+        client.metadata(app, id, "zone", "lahti 1", TIMEOUT).expect("metadata");
         let fetches = [
-            client.fetch(Fetch::Full, PATIENCE),
-            client.fetch(Fetch::Delta, PATIENCE),
-            client.application(app, PATIENCE),
-            client.vip("tiles", PATIENCE),
+            client.fetch(Fetch::Full, TIMEOUT),
+            client.fetch(Fetch::Delta, TIMEOUT),
+            client.application(app, TIMEOUT),
+            client.vip("tiles", TIMEOUT),
         ];
-        for came in fetches {
-            let came = came.expect("applications");
-            assert_eq!((came.instances.len(), came.instances[0].status), (1, up), "{format:?}");
-            assert_eq!(came.instances[0].zone(), Some("lahti 1"));
+        for applications in fetches {
+            let applications = applications.expect("applications");
+            assert_eq!(
+                (applications.instances.len(), applications.instances[0].status),
+                (1, up),
+                "{format:?}"
+            );
+            assert_eq!(applications.instances[0].zone(), Some("lahti 1"));
         }
-        assert!(client.application("NOTHING", PATIENCE).is_err());
+        assert!(client.application("NOTHING", TIMEOUT).is_err());
         assert_eq!(ask(RegistryOperation::Cancel), RegistryReply::Done);
         assert_eq!(ask(RegistryOperation::Cancel), RegistryReply::NotFound);
     }
--- a/crates/testkit/tests/faults.rs
+++ b/crates/testkit/tests/faults.rs
@@ -1,5 +1,5 @@
-//! The drill of faults in its small form, and a seeded defect for each oracle: it must be seen by that one and by no other.
-//! Waits are upper bounds; what a late machine changes is not scored.
+//! The fault drill with the small schedule, and one injected defect per oracle, which only that oracle must detect. Timeouts
+//! are upper bounds, and runs on an overloaded machine are not scored.
 
 use gradepin_testkit::drill::Verdict;
 use gradepin_testkit::drill::faults::oracles::Oracle;
@@ -8,18 +8,18 @@
 use gradepin_testkit::fleet;
 use std::collections::BTreeSet;
 
-/// Cases beside each other: most of each is the wait for the end of its drain.
-const BESIDE: usize = 6;
+/// Concurrent cases; each mostly waits for the end of its drain.
+const CONCURRENT_CASES: usize = 6;
 
 fn play(seed: u64, defect: Option<Defect>) -> Report {
     let daemon = fleet::daemon().expect("the daemon is built with the workspace's tests");
-    let drill = Drill { daemon, seed, size: Size::SMALL, only: None, beside: BESIDE, defect };
+    let drill = Drill { daemon, seed, size: Size::SMALL, only: None, beside: CONCURRENT_CASES, defect };
     run(&drill).expect("it is played")
 }
 
-/// Guards against a seed that doesn't say what was played, and against a family of faults that is left out.
+/// Guards against schedules that a seed doesn't reproduce, and against missing families of faults.
 #[test]
-fn a_seed_draws_the_same_schedule_each_time_and_every_family() {
+fn seed_reproduces_a_schedule_with_every_fault_family() {
     let cases = schedule(7, Size::FULL);
     assert_eq!(cases, schedule(7, Size::FULL));
     assert_ne!(cases, schedule(8, Size::FULL));
@@ -30,14 +30,14 @@
 }
 
 #[test]
-fn the_small_form_holds_all_oracles() {
+fn small_schedule_satisfies_all_oracles() {
     for seed in [1, 2] {
         let report = play(seed, None);
         assert_ne!(report.verdict, Verdict::NotKept, "seed {seed}: {:#?}", report.failures);
     }
 }
 
-fn only_one_sees(defect: Defect, by: Oracle) {
+fn assert_only_detected_by(defect: Defect, by: Oracle) {
     let report = play(3, Some(defect));
     assert_eq!(report.verdict, Verdict::NotKept);
     for oracle in Oracle::ALL {
@@ -46,21 +46,21 @@
 }
 
 #[test]
-fn a_server_that_ends_before_its_stop_is_seen() {
-    only_one_sees(Defect::Alive, Oracle::Alive);
+fn early_exit_of_a_server_is_detected() {
+    assert_only_detected_by(Defect::Alive, Oracle::Alive);
 }
 
 #[test]
-fn an_answer_that_is_dropped_is_seen() {
-    only_one_sees(Defect::Answers, Oracle::Answers);
+fn dropped_answer_is_detected() {
+    assert_only_detected_by(Defect::Answers, Oracle::Answers);
 }
 
 #[test]
-fn a_valid_configuration_that_never_serves_is_seen() {
-    only_one_sees(Defect::Starts, Oracle::Starts);
+fn valid_configuration_that_never_serves_is_detected() {
+    assert_only_detected_by(Defect::Starts, Oracle::Starts);
 }
 
 #[test]
-fn a_result_that_no_run_made_is_seen() {
-    only_one_sees(Defect::Provenance, Oracle::Provenance);
+fn result_without_a_run_is_detected() {
+    assert_only_detected_by(Defect::Provenance, Oracle::Provenance);
 }
--- a/crates/testkit/tests/load.rs
+++ b/crates/testkit/tests/load.rs
@@ -1,4 +1,4 @@
-//! The kit's open-loop client against a scripted server on loopback. No verdict hangs on how fast the machine is.
+//! The open-loop client proxy against a scripted server on loopback. No result depends on the speed of the machine.
 
 use gradepin_testkit::load::{Proxy, ProxyBehavior, Records, Repeats, RequestRecord, Retry, StaticServers};
 use gradepin_testkit::thrift;
@@ -9,16 +9,16 @@
 use std::thread;
 use std::time::Duration;
 
-/// What the scripted server does with its requests.
+/// Behavior of the scripted server.
 #[derive(Clone, Copy)]
 enum Script {
-    /// Refuses all, and asks to stay away for so many milliseconds.
+    /// Rejects every request with this Retry-After time in milliseconds.
     Refuse(u64),
-    /// Reads nothing for so long, then serves everything.
+    /// Reads nothing for this time, then serves everything.
     Stall(Duration),
 }
 
-/// A server on a loopback address; threads of its own end with their connections.
+/// Starts a scripted server; returns its address and its count of received calls.
 fn server(script: Script) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
     let address = listener.local_addr().expect("an address");
@@ -55,50 +55,50 @@
     }
 }
 
-fn play(address: SocketAddr, habit: ProxyBehavior, seconds: f64) -> Records {
+fn play(address: SocketAddr, behavior: ProxyBehavior, seconds: f64) -> Records {
     let list = StaticServers { all: vec![address], turn: 0 };
-    let proxy = Proxy::start(1, 11, habit, Box::new(list)).expect("a proxy");
+    let proxy = Proxy::start(1, 11, behavior, Box::new(list)).expect("a proxy");
     thread::sleep(Duration::from_secs_f64(seconds));
     proxy.stop()
 }
 
-/// Guards against a patient habit that hurries, and an unlimited one that stops: with advice of 200 ms a caller that
-/// waits 1,450 ms at the most has room for eight tries, and one that ignores advice makes many more.
+/// With a Retry-After time of 200 ms, a patient client that waits at most 1,450 ms makes no more than eight attempts per
+/// request, and a client that ignores it makes many more.
 #[test]
-fn a_patient_proxy_waits_as_told_and_an_unlimited_one_never_does() {
-    let tries = |retry| {
+fn patient_client_honors_retry_after_and_unlimited_client_ignores_it() {
+    let attempts = |retry| {
         let (address, calls) = server(Script::Refuse(200));
-        let habit = ProxyBehavior {
+        let behavior = ProxyBehavior {
             rate: 20.0,
             retry,
             honors_retry_after: false,
             scgi_share: 0.0,
             repeats: Repeats::default(),
         };
-        let books = play(address, habit, 1.0);
-        assert!(books.requests.iter().all(|asked| asked.took_ms.is_none()));
-        let (tries, requests) = (books.tries.len(), books.requests.len());
-        assert!(requests > 0 && calls.load(Ordering::SeqCst) >= tries);
-        (tries, requests)
+        let records = play(address, behavior, 1.0);
+        assert!(records.requests.iter().all(|request| request.took_ms.is_none()));
+        let (attempts, requests) = (records.tries.len(), records.requests.len());
+        assert!(requests > 0 && calls.load(Ordering::SeqCst) >= attempts);
+        (attempts, requests)
     };
-    let (listed, requests) = tries(Retry::Listed(1));
+    let (listed, requests) = attempts(Retry::Listed(1));
     assert_eq!(listed, requests);
-    let (patient, requests) = tries(Retry::Patient);
+    let (patient, requests) = attempts(Retry::Patient);
     assert!(patient > requests && patient <= 8 * requests, "{patient} tries of {requests}");
-    let (unlimited, requests) = tries(Retry::Unlimited);
+    let (unlimited, requests) = attempts(Retry::Unlimited);
     assert!(unlimited > 8 * requests, "{unlimited} tries of {requests}");
 }
 
-/// Guards against omitted waits: a server that stalls for half a second is charged for each request that the schedule
-/// has come meanwhile, and the sender doesn't wait for answers before it sends the next.
+/// Guards against coordinated omission: a stall of half a second counts for every request scheduled during it, because the
+/// client doesn't wait for answers before it sends the next request.
 #[test]
-fn a_stall_is_charged_to_every_request_that_was_to_come_in_it() {
+fn stall_counts_for_every_request_scheduled_during_it() {
     let (address, _) = server(Script::Stall(Duration::from_millis(500)));
-    let books = play(address, ProxyBehavior::thrift(200.0, 1, false), 0.7);
-    let begun = books.requests.iter().map(|asked| asked.arrived_ms).min().expect("requests");
+    let records = play(address, ProxyBehavior::thrift(200.0, 1, false), 0.7);
+    let first_ms = records.requests.iter().map(|request| request.arrived_ms).min().expect("requests");
     let early: Vec<&RequestRecord> =
-        books.requests.iter().filter(|asked| asked.arrived_ms < begun + 250).collect();
+        records.requests.iter().filter(|request| request.arrived_ms < first_ms + 250).collect();
     assert!(early.len() >= 20, "{} came in the first 250 ms", early.len());
-    let waited = early.iter().filter(|asked| asked.took_ms.is_some_and(|ms| ms >= 200)).count();
+    let waited = early.iter().filter(|request| request.took_ms.is_some_and(|ms| ms >= 200)).count();
     assert_eq!(waited, early.len(), "each of them waited for the end of the stall");
 }
--- a/crates/testkit/tests/scale.rs
+++ b/crates/testkit/tests/scale.rs
@@ -1,4 +1,4 @@
-//! The scale commands at small sizes: the same verdict each time, none of which hangs on how fast the machine is. Each test names its seed.
+//! The scale commands at small sizes. No verdict depends on the speed of the machine; all tests print their seed.
 
 use serde_json::Value;
 use std::io;
@@ -8,9 +8,9 @@
 use std::time::{Duration, Instant};
 
 const SEED: &str = "11";
-/// Servers of a fleet of the model; the largest is what the tests plan for, so that nothing is extrapolated.
+/// Sizes of simulated fleets; the largest is the target, so that nothing is extrapolated.
 const SERVERS: [&str; 4] = ["--sizes", "4,6,9,14,21", "--target", "21"];
-/// Tenants of a real server's settings.
+/// Sizes of the settings of a real server, in tenants.
 const TENANTS: [&str; 4] = ["--sizes", "11,22,44,88,176", "--target", "176"];
 
 fn kit(command: &str, args: &[&str]) -> Command {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn membership_holds_its_budgets_and_a_stand_in_that_costs_more_is_caught() {
+fn membership_holds_its_budgets_and_added_cost_is_detected() {
     let short = with(&SERVERS, &["--seconds", "3", "--from", "1"]);
     let (status, text) = run("membership", &short);
     assert_eq!(status, Some(0));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn counters_give_the_same_figures_for_a_seed_and_files_for_programs_and_people() {
+fn counters_are_reproducible_and_written_as_json_and_plot() {
     let (json, plot) = (file("counters.json"), file("counters.svg"));
     let paths = [json.display().to_string(), plot.display().to_string()];
     let files = ["--json", &paths[0], "--plot", &paths[1], "--seconds", "9", "--from", "6"];
@@ -65,9 +65,9 @@
     [json, plot].iter().for_each(|path| std::fs::remove_file(path).expect("a file of ours"));
 }
 
-/// A fit that lies: past its factor, and from too few sizes, nothing is said, and a claim isn't taken as kept.
+/// Guards against misleading fits: beyond the maximum extrapolation, or with too few sizes, claims count as not kept.
 #[test]
-fn what_cannot_be_extrapolated_is_refused_and_said() {
+fn unsupported_extrapolation_is_refused() {
     let (status, text) = run("counters", &["--sizes", "4,6,9,14,21", "--seconds", "1", "--from", "0.5"]);
     assert_eq!(status, Some(1));
     assert!(text.contains("not extrapolated: 1100 is 52.4 times the largest size measured"));
@@ -83,9 +83,9 @@
     assert!(text.contains("settings.memory") && text.contains("settings.gap-one"));
 }
 
-/// The load tool too slow: here it may never be late at all, so it always is.
+/// The allowed delay of the load generator is zero here, so that it always counts as late.
 #[test]
-fn requests_are_not_scored_when_the_load_itself_is_late() {
+fn requests_are_not_scored_if_the_load_is_late() {
     let late = ["--seconds", "0.3", "--most-lag-ms", "0", "--no-reloads"];
     let (status, text) = run("requests", &with(&TENANTS, &late));
     assert_eq!(status, Some(1));
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn connections_hold_their_budgets_at_small_sizes_and_descriptors_are_checked_before_the_start() {
+fn connections_hold_their_budgets_and_descriptors_are_checked_first() {
     let few = ["--sizes", "8,16,32,64,128", "--target", "128", "--seconds", "0.1"];
     let (status, text) = run("connections", &few);
     assert_eq!(status, Some(0));
@@ -104,13 +104,13 @@
 }
 
 #[test]
-fn consensus_tells_its_figures() {
+fn consensus_prints_its_figures() {
     let (status, text) = run("consensus", &["--sizes", "2,4,8,16,32", "--target", "32"]);
     assert_eq!(status, Some(0));
     assert!(text.contains("consensus.syncs") && text.contains("consensus.disk"));
 }
 
-/// The processes whose parent is this one.
+/// IDs of the child processes of `parent`.
 fn children(parent: u32) -> Vec<u32> {
     let all = std::fs::read_dir("/proc").into_iter().flatten().flatten();
     let pids = all.filter_map(|entry| entry.file_name().to_str()?.parse::<u32>().ok());
@@ -122,7 +122,7 @@
     stat.rsplit_once(')')?.1.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// Looks until something is there, for a minute at the most.
+/// Polls `look` until it returns a value, for at most a minute.
 fn until<T>(mut look: impl FnMut() -> Option<T>) -> Option<T> {
     let begin = Instant::now();
     while begin.elapsed() < Duration::from_secs(60) {
@@ -140,14 +140,14 @@
 }
 
 #[test]
-fn nothing_is_left_behind_by_a_run_that_is_interrupted() {
+fn interrupted_run_leaves_no_processes() {
     let args = with(&TENANTS, &["--idle", "600"]);
     let mut kit =
         kit("settings", &args).stdout(Stdio::null()).stderr(Stdio::piped()).spawn().expect("the kit");
     let daemon = until(|| children(kit.id()).first().copied());
     let signalled = interrupt(&kit);
     let status = until(|| kit.try_wait().expect("its status"));
-    // Ended here whatever came of it.
+    // Killed here in any case, before the assertions.
     let _ = kit.kill();
     let text = io::read_to_string(kit.stderr.take().expect("what it says")).expect("text");
     println!("seed {SEED}: daemon {daemon:?}, status {status:?}, {text}");
--- a/crates/testkit/tests/hollow.rs
+++ b/crates/testkit/tests/scale_fleet.rs
@@ -1,5 +1,5 @@
-//! `scale fleet` as a program: hollow servers and real daemons in one fleet, on loopback sockets. Waits are upper bounds;
-//! nothing passes or fails by how fast the machine is.
+//! The `scale fleet` command: hollow servers and real daemons in one fleet on loopback sockets. Timeouts are generous upper
+//! bounds, so that no result depends on the speed of the machine.
 
 use rustix::process::{Pid, Signal, kill_process, test_kill_process};
 use serde_json::Value;
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 const SEED: &str = "7";
 
 fn scale_fleet(args: &[&str]) -> Command {
@@ -17,7 +17,7 @@
     command
 }
 
-/// Plays one, and gives whether it ended well, and its figures.
+/// Runs a fleet; returns whether it succeeded, its figures, and its output.
 fn play(name: &str, args: &[&str]) -> (bool, Value, String) {
     println!("seed {SEED}");
     let file: PathBuf =
@@ -30,10 +30,10 @@
     (output.status.success(), serde_json::from_str(&figures).expect("figures are JSON"), text)
 }
 
-/// Guards the fleet: hollow servers and real daemons know each other, count each other and talk about the same, also after
-/// a cut between regions.
+/// Hollow servers and real daemons form one membership and exchange the same kinds of messages, also after a partition
+/// between regions.
 #[test]
-fn hollow_and_real_servers_are_one_fleet() {
+fn hollow_and_real_servers_form_one_fleet() {
     let (_, figures, text) = play(
         "one",
         &["--sizes", "12", "--processes", "2", "--seconds", "2", "--cut", "1", "--patience", "30"],
@@ -52,9 +52,9 @@
     assert!(outcome["uneven"].as_array().is_some_and(|all| all.iter().all(|one| one["cost"] != "Bytes")));
 }
 
-/// Guards the budget: one stand-in that sends a kilobyte a second and burns a millisecond a tick more is found out.
+/// A server with an extra kilobyte per second and an extra millisecond per tick is detected.
 #[test]
-fn one_that_spends_more_is_caught() {
+fn extra_cost_of_one_server_is_detected() {
     let spend = ["--spend-bytes", "1024", "--spend-us", "1000"];
     let args = [&["--sizes", "12", "--seconds", "4"], &spend[..]].concat();
     let (_, figures, text) = play("spends", &args);
@@ -64,17 +64,17 @@
     }
 }
 
-/// Guards against a start that can't end well.
+/// Guards against runs that start without enough resources.
 #[test]
-fn what_there_is_no_room_for_is_said_at_once() {
+fn insufficient_resources_are_reported_at_once() {
     let output = scale_fleet(&["--sizes", "900000", "--processes", "1"]).output().expect("the kit runs");
     let text = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success() && text.contains("needs") || text.contains("need about"), "{text}");
 }
 
-/// Guards against what is left behind: interrupted in the middle, all processes of the run are gone, by their ids.
+/// After an interruption, none of the process IDs of the run exists any more.
 #[test]
-fn an_interrupted_run_leaves_nothing() {
+fn interrupted_run_leaves_no_processes() {
     let mut run = scale_fleet(&["--sizes", "12", "--seconds", "600"])
         .stdout(Stdio::null())
         .stderr(Stdio::null())
@@ -82,12 +82,12 @@
         .expect("the kit runs");
     let begin = Instant::now();
     let mut started = Vec::new();
-    while started.len() < 5 && begin.elapsed() < PATIENCE {
+    while started.len() < 5 && begin.elapsed() < TIMEOUT {
         thread::sleep(Duration::from_millis(50));
         started = children(run.id());
     }
     let _ = kill_process(pid(run.id()), Signal::INT);
-    let ended = wait(&mut run, PATIENCE);
+    let ended = wait(&mut run, TIMEOUT);
     if !ended {
         let _ = run.kill();
     }
@@ -100,9 +100,9 @@
     Pid::from_raw(id as i32).expect("a process has an id")
 }
 
-fn wait(child: &mut Child, patience: Duration) -> bool {
+fn wait(child: &mut Child, timeout: Duration) -> bool {
     let begin = Instant::now();
-    while begin.elapsed() < patience {
+    while begin.elapsed() < timeout {
         if matches!(child.try_wait(), Ok(Some(_))) {
             return true;
         }
@@ -111,7 +111,7 @@
     false
 }
 
-/// The processes that this one started.
+/// IDs of the child processes of `parent`.
 fn children(parent: u32) -> Vec<u32> {
     let parent_of = |id: u32| {
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
--- a/crates/testkit/tests/shared.rs
+++ b/crates/testkit/tests/shared_ledger.rs
@@ -1,5 +1,5 @@
-//! Real daemons that talk to each other, with relays between them, on loopback sockets. Waits are upper bounds; nothing
-//! passes or fails by how fast the machine is.
+//! Real daemons in a cluster, some with relays between them, on loopback sockets. Timeouts are generous upper bounds, so that
+//! no result depends on the speed of the machine.
 
 use gradepin_cluster::authentication::AuthenticationKeys;
 use gradepin_testkit::drill::shared::{Drill, run};
@@ -16,28 +16,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
+fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < PATIENCE, "waited in vain for: {what}");
+    while !condition() {
+        assert!(start.elapsed() < TIMEOUT, "waited in vain for: {what}");
         thread::sleep(Duration::from_millis(50));
     }
 }
 
-/// A short drill: three daemons, the zone that has borrowed is cut off while all ask for more than there is.
+/// Short drill with three daemons: the zone that has borrowed slots is partitioned while total demand exceeds the capacity.
 #[test]
-fn a_short_drill_keeps_its_claims() {
+fn short_ledger_drill_keeps_its_claims() {
     let daemon = fleet::daemon().expect("the daemon is built with the workspace's tests");
     let drill = Drill { daemon, seed: 3, servers: 3, seconds: 26, plain: false, history: None };
     assert!(run(&drill).expect("it is played"), "a claim is not kept");
 }
 
-/// Guards a server's address against a stranger's flood: it goes on answering its operators and its peers, believes
-/// nothing, and says what it dropped.
+/// A server flooded with unauthenticated datagrams keeps answering operators and peers, learns nothing from them, and counts
+/// the dropped ones.
 #[test]
-fn a_flood_of_strangers_datagrams_changes_nothing() {
+fn flood_of_unauthenticated_datagrams_has_no_effect() {
     let folder = fleet::folder("shared-flood").unwrap();
     let listen: Vec<_> = (0..3).map(|_| fleet::peer_address()).collect();
     let history = Arc::<History>::default();
@@ -88,10 +88,10 @@
     fleet::remove(&folder);
 }
 
-/// A short drill of what the fleet agrees on: three daemons, each replaced in a release under load, and a bad version that is
-/// stopped and taken back by itself.
+/// Short rollout drill with three daemons under load: every server is replaced, and a faulty version is halted and rolled
+/// back automatically.
 #[test]
-fn a_short_release_keeps_its_claims() {
+fn short_rollout_drill_keeps_its_claims() {
     let daemon = fleet::daemon().expect("the daemon is built with the workspace's tests");
     let drill = release::Drill {
         daemon,
@@ -106,12 +106,12 @@
     assert_eq!(release::run(&drill).expect("it is played"), Verdict::Kept);
 }
 
-/// Guards a ledger that was away and comes back cold from servers that lend each other nothing and hear of it each by its
-/// own tries: together they send it what their shares allow, and beyond that only chance.
+/// A ledger that returns cold after an outage must not be overloaded by servers that don't lend slots and discover its return
+/// independently: their mean number of calls stays within the sum of their quotas.
 #[test]
-fn a_ledger_that_comes_back_cold_gets_the_shares_of_all_servers_and_no_burst() {
+fn ledger_that_returns_cold_is_not_overloaded() {
     const SERVERS: usize = 20;
-    const SURVIVES: f64 = 4.0;
+    const COLD_CAPACITY: f64 = 4.0;
     const SPAN_US: u64 = 5_000_000;
     let folder = fleet::folder("shared-cold").unwrap();
     let listen: Vec<_> = (0..SERVERS).map(|_| fleet::peer_address()).collect();
@@ -128,18 +128,18 @@
             listen,
             zones: vec!["z".into(); SERVERS],
             ledgers: ledger.addresses.clone(),
-            share: SURVIVES / SERVERS as f64,
+            share: COLD_CAPACITY / SERVERS as f64,
             lends: false,
             plain: false,
         }),
         folder: folder.clone(),
         ..FleetSpec::default()
     };
-    // It is away, and cold when it is back; many ask every server for more than it may call for.
+    // The ledger is away and will be slow when it returns, while the load on every server exceeds its quota.
     ledger.close(&(0..SERVERS).collect::<Vec<_>>());
     ledger.slow(8);
     let fleet = Fleet::start(&spec).unwrap();
-    let callers: Vec<Proxy> = (0..SERVERS)
+    let clients: Vec<Proxy> = (0..SERVERS)
         .map(|n| {
             let list = StaticServers { all: vec![fleet.nodes[n].address], turn: 0 };
             Proxy::start(n as u64 + 1, n as u64, ProxyBehavior::thrift(6.0, 1, true), Box::new(list)).unwrap()
@@ -149,30 +149,30 @@
     let back_us = history.elapsed_us();
     ledger.close(&[]);
     thread::sleep(Duration::from_secs(7));
-    callers.into_iter().for_each(|caller| drop(caller.stop()));
+    clients.into_iter().for_each(|client| drop(client.stop()));
     drop(fleet);
     fleet::remove(&folder);
     // Number of calls in flight at the ledger, and the time of its last change.
-    let (mut in_flight, mut course) = (0_usize, vec![(back_us, 0_usize)]);
+    let (mut in_flight, mut in_flight_by_time) = (0_usize, vec![(back_us, 0_usize)]);
     for entry in history.read().into_iter().filter(|entry| entry.at_us >= back_us) {
         match entry.observation {
             Observation::CallBegan(_) => in_flight += 1,
             Observation::CallEnded(_) => in_flight = in_flight.saturating_sub(1),
             _ => continue,
         }
-        course.push((entry.at_us, in_flight));
+        in_flight_by_time.push((entry.at_us, in_flight));
     }
-    let most = course.iter().map(|(_, in_flight)| *in_flight).max().unwrap();
-    let begun = course.windows(2).filter(|two| two[1].1 > two[0].1).count();
-    let held: f64 = course
+    let most = in_flight_by_time.iter().map(|(_, in_flight)| *in_flight).max().unwrap();
+    let calls = in_flight_by_time.windows(2).filter(|two| two[1].1 > two[0].1).count();
+    let call_time: f64 = in_flight_by_time
         .windows(2)
         .filter(|two| two[0].0 < back_us + SPAN_US)
         .map(|two| two[0].1 as f64 * (two[1].0.min(back_us + SPAN_US) - two[0].0) as f64)
         .sum();
-    let mean = held / SPAN_US as f64;
-    println!("{begun} calls, {most} at once at the most, {mean:.2} in the mean of its first span");
-    assert!(begun > SERVERS, "it was called at all");
-    assert!(mean <= SURVIVES, "{mean:.2} in the mean");
-    // How many come in one instant depends here on how the machine runs twenty processes: that claim is proven in virtual
-    // time, by the decisions' tests/cold_dependency.rs.
+    let mean = call_time / SPAN_US as f64;
+    println!("{calls} calls, {most} at once at the most, {mean:.2} in the mean of its first span");
+    assert!(calls > SERVERS, "it was called at all");
+    assert!(mean <= COLD_CAPACITY, "{mean:.2} in the mean");
+    // The peak at one instant depends on how the machine schedules twenty processes; tests/cold_dependency.rs of the decisions
+    // covers it in virtual time.
 }
--- a/crates/testkit/tests/store.rs
+++ b/crates/testkit/tests/store.rs
@@ -1,5 +1,5 @@
-//! The real daemon with a store, killed and started again on loopback sockets. Waits are upper bounds; nothing passes or
-//! fails by how long anything takes.
+//! The real daemon with a store, killed and restarted on loopback sockets. Timeouts are generous upper bounds, so that no
+//! result depends on the speed of the machine.
 
 use gradepin_testkit::fleet::{self, Fleet, FleetSpec};
 use gradepin_testkit::load::classes;
@@ -14,11 +14,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(20);
-/// How long a station insists; the kit's window is 8 s.
-const INSISTS: Duration = Duration::from_secs(6);
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// Time for which a client repeats a save; the idempotency window is 8 s.
+const RETRY_TIME: Duration = Duration::from_secs(6);
 
-struct Stage {
+struct StoreServer {
     fleet: Fleet,
     folder: PathBuf,
 }
@@ -28,7 +28,7 @@
     FleetSpec {
         daemon: fleet::daemon().expect("the daemon is built with the workspace's tests"),
         processor: Spec { classes: work, ..Spec::default() },
-        // What a slow machine takes must not be what ends requests.
+        // Long deadlines, so that a slow machine doesn't end requests.
         scale: 10,
         store: true,
         folder: fleet::folder(name).expect("a folder"),
@@ -36,7 +36,7 @@
     }
 }
 
-impl Stage {
+impl StoreServer {
     fn up(spec: &FleetSpec) -> Self {
         Self { fleet: Fleet::start(spec).expect("a fleet"), folder: spec.folder.clone() }
     }
@@ -49,11 +49,11 @@
         self.folder.join("n0.store")
     }
 
-    /// Waits until all ends told so far are durable. An answer waits for its run's intent alone, and its end follows: a
-    /// server killed between the two knows the run as unknown, as it should. A later save is begun behind them.
-    fn settled(&self, number: u64) {
+    /// Waits until all outcomes answered so far are durable. An answer waits only for the intent of its run, and the outcome is
+    /// written later; after a kill in between, the outcome is correctly unknown. A later save is written after them.
+    fn wait_durable(&self, number: u64) {
         let name = format!("settled{number}");
-        served(self.saver(number).insist(&name, &name, INSISTS, |_| {}), &name);
+        served(self.saver(number).insist(&name, &name, RETRY_TIME, |_| {}), &name);
     }
 
     fn runs_of(&mut self, body: &str) -> usize {
@@ -61,19 +61,19 @@
         self.fleet.nodes[0].begun.iter().filter(|begun| begun.body == body.as_bytes()).count()
     }
 
-    /// Waits until the log says something.
-    fn logs(&self, text: &str) {
+    /// Waits until the server's log contains `text`.
+    fn wait_for_log(&self, text: &str) {
         let start = Instant::now();
         while !self.fleet.nodes[0].log().contains(text) {
-            assert!(start.elapsed() < PATIENCE, "never '{text}' in {}", self.fleet.nodes[0].log());
+            assert!(start.elapsed() < TIMEOUT, "never '{text}' in {}", self.fleet.nodes[0].log());
             thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// What a health check's answer says of the store.
+    /// Store state in the answer to a health check.
     fn health(&self) -> Option<String> {
         let mut stream = TcpStream::connect(self.fleet.nodes[0].address).expect("a connection");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
         stream.write_all(&thrift::health(1)).expect("it takes bytes");
         let (mut bytes, mut chunk) = (Vec::new(), [0; 8192]);
         loop {
@@ -89,7 +89,7 @@
     }
 }
 
-impl Drop for Stage {
+impl Drop for StoreServer {
     fn drop(&mut self) {
         self.fleet.nodes.iter_mut().for_each(fleet::Node::kill);
         fleet::remove(&self.folder);
@@ -100,72 +100,72 @@
     assert_eq!(tried, Some(Tried::Served(format!("result of {body}").into_bytes())));
 }
 
-/// Hard cases 2 and 3: guards against a second run after a kill, whether the save had ended or still ran, and against a
-/// repeat in the first milliseconds that finds an empty table.
+/// Guards against a second run after a kill, whether the save had ended or was still running, and against a repeat in the
+/// first milliseconds that finds an empty table.
 #[test]
-fn a_save_runs_once_though_its_server_is_killed() {
-    let mut stage = Stage::up(&spec("store-kill", 150));
-    let mut saver = stage.saver(1);
-    served(saver.insist("t1", "one", INSISTS, |_| {}), "one");
-    stage.settled(2);
+fn save_runs_once_although_its_server_is_killed() {
+    let mut server = StoreServer::up(&spec("store-kill", 150));
+    let mut saver = server.saver(1);
+    served(saver.insist("t1", "one", RETRY_TIME, |_| {}), "one");
+    server.wait_durable(2);
     for n in 0..6 {
         let body = format!("running{n}");
-        let address = stage.fleet.nodes[0].address;
+        let address = server.fleet.nodes[0].address;
         let (token, text) = (body.clone(), body.clone());
         let first = thread::spawn(move || Saver::new(address, 50 + n).save(&token, &text, false));
-        // Killed at any moment of the save's life, most while it runs.
+        // Killed at different times of the save, mostly while it runs.
         thread::sleep(Duration::from_millis(20 * n));
-        stage.fleet.nodes[0].kill();
-        stage.fleet.nodes[0].spawn().expect("it starts");
-        // At once, over and over, until it listens.
-        let end = stage.saver(100 + n).insist(&body, &body, INSISTS, |_| {});
+        server.fleet.nodes[0].kill();
+        server.fleet.nodes[0].spawn().expect("it starts");
+        // Repeated from the start, before the server listens.
+        let end = server.saver(100 + n).insist(&body, &body, RETRY_TIME, |_| {});
         match end {
             Some(Tried::Failed(Some(why))) => assert!(why.contains("outcome unknown"), "{why}"),
             end => served(end, &body),
         }
         drop(first.join());
-        assert!(stage.runs_of(&body) <= 1, "{body} ran twice");
+        assert!(server.runs_of(&body) <= 1, "{body} ran twice");
     }
-    served(stage.saver(9).insist("t1", "one", INSISTS, |_| {}), "one");
-    assert_eq!(stage.runs_of("one"), 1);
-    assert_eq!(stage.health().as_deref(), Some("good"));
+    served(server.saver(9).insist("t1", "one", RETRY_TIME, |_| {}), "one");
+    assert_eq!(server.runs_of("one"), 1);
+    assert_eq!(server.health().as_deref(), Some("good"));
 }
 
-/// Guards against a token that is served another's result because the prints of two lives differ, or are the same.
+/// Guards against fingerprints that differ, or are equal, across restarts: a reused key would get the result of another body.
 #[test]
-fn a_token_with_another_body_is_a_conflict_across_lives_too() {
-    let mut stage = Stage::up(&spec("store-conflict", 5));
-    served(stage.saver(1).insist("t1", "mine", INSISTS, |_| {}), "mine");
-    stage.settled(9);
-    stage.fleet.nodes[0].kill();
-    stage.fleet.nodes[0].spawn().expect("it starts");
-    let mut saver = stage.saver(2);
-    assert_eq!(saver.insist("t1", "theirs", INSISTS, |_| {}), Some(Tried::Failed(None)));
-    served(saver.insist("t1", "mine", INSISTS, |_| {}), "mine");
-    assert_eq!((stage.runs_of("mine"), stage.runs_of("theirs")), (1, 0));
+fn key_with_another_body_is_a_conflict_across_restarts() {
+    let mut server = StoreServer::up(&spec("store-conflict", 5));
+    served(server.saver(1).insist("t1", "mine", RETRY_TIME, |_| {}), "mine");
+    server.wait_durable(9);
+    server.fleet.nodes[0].kill();
+    server.fleet.nodes[0].spawn().expect("it starts");
+    let mut saver = server.saver(2);
+    assert_eq!(saver.insist("t1", "theirs", RETRY_TIME, |_| {}), Some(Tried::Failed(None)));
+    served(saver.insist("t1", "mine", RETRY_TIME, |_| {}), "mine");
+    assert_eq!((server.runs_of("mine"), server.runs_of("theirs")), (1, 0));
 }
 
-/// Guards against two servers that write one folder. The second serves all but saves, and takes the folder over once the
-/// first is gone.
+/// Guards against two servers that write to one folder. The second serves everything but saves, and takes the folder over
+/// once the first is gone.
 #[test]
-fn a_second_server_on_one_folder_serves_all_but_saves_until_the_first_is_gone() {
-    let mut first = Stage::up(&spec("store-lock", 5));
+fn second_server_on_a_folder_rejects_saves_until_the_first_is_gone() {
+    let mut first = StoreServer::up(&spec("store-lock", 5));
     let second_spec = spec("store-lock2", 5);
     std::os::unix::fs::symlink(first.store(), second_spec.folder.join("n0.store")).expect("a link");
-    let second = Stage::up(&second_spec);
-    second.logs("another server uses this folder");
+    let second = StoreServer::up(&second_spec);
+    second.wait_for_log("another server uses this folder");
     let mut saver = second.saver(1);
     assert!(matches!(saver.read(), Tried::Served(_)));
     assert!(matches!(saver.save("t1", "one", false), Tried::Refused(1..)));
     assert_ne!(second.health().as_deref(), Some("good"));
     first.fleet.nodes[0].kill();
-    served(saver.insist("t1", "one", INSISTS, |_| {}), "one");
+    served(saver.insist("t1", "one", RETRY_TIME, |_| {}), "one");
 }
 
-/// Guards against a server that doesn't start, or serves nothing, because its folder can't be had; and against a registry
-/// that isn't told.
+/// Guards against a server that doesn't start, or serves nothing, because its folder is unavailable, and against a registry
+/// that isn't notified.
 #[test]
-fn without_its_folder_a_server_serves_all_but_saves_and_says_so() {
+fn server_without_its_folder_rejects_only_saves_and_reports_it() {
     let registry = Server::start(SocketAddr::from(([127, 0, 0, 1], 0)), ServerSettings::default());
     let registry = registry.expect("a registry");
     let spec = FleetSpec {
@@ -173,66 +173,70 @@
         registry_more: "heartbeat-ms 300\nlease-ms 1000\nsteady-ms 0\ntell-every-ms 100".into(),
         ..spec("store-none", 5)
     };
-    // A file stands where the folder should be.
+    // A regular file takes the place of the folder.
     std::fs::write(spec.folder.join("n0.store"), "").expect("a file");
-    let stage = Stage::up(&spec);
-    let mut saver = stage.saver(1);
+    let server = StoreServer::up(&spec);
+    let mut saver = server.saver(1);
     assert!(matches!(saver.read(), Tried::Served(_)));
     assert!(matches!(saver.save("t1", "one", false), Tried::Refused(1..)));
-    stage.logs("the store can't be opened");
-    let says = |word: &str| {
+    server.wait_for_log("the store can't be opened");
+    let wait_for_registry = |word: &str| {
         let start = Instant::now();
-        let told = || registry.instance("TILE-SERVER", "n0").and_then(|i| i.metadata.get("store").cloned());
-        while told().as_deref() != Some(word) {
-            assert!(start.elapsed() < PATIENCE, "the registry says {:?}, not {word}", told());
+        let registered =
+            || registry.instance("TILE-SERVER", "n0").and_then(|i| i.metadata.get("store").cloned());
+        while registered().as_deref() != Some(word) {
+            assert!(start.elapsed() < TIMEOUT, "the registry says {:?}, not {word}", registered());
             thread::sleep(Duration::from_millis(10));
         }
     };
-    says("opening");
-    std::fs::remove_file(stage.store()).expect("removed");
-    served(saver.insist("t1", "one", INSISTS, |_| {}), "one");
-    says("good");
+    wait_for_registry("opening");
+    std::fs::remove_file(server.store()).expect("removed");
+    served(saver.insist("t1", "one", RETRY_TIME, |_| {}), "one");
+    wait_for_registry("good");
 }
 
-/// Guards against a tool that changes what it looks at, misses damage, or loses records when it makes room.
+/// Guards against a tool that modifies a folder while inspecting it, misses damage, or loses records when compacting.
 #[test]
-fn the_tool_checks_dumps_and_compacts_a_folder() {
-    let mut stage = Stage::up(&spec("store-tool", 5));
+fn store_tool_checks_dumps_and_compacts_a_folder() {
+    let mut server = StoreServer::up(&spec("store-tool", 5));
     for n in 0..5 {
         let name = format!("s{n}");
-        served(stage.saver(n).insist(&name, &name, INSISTS, |_| {}), &name);
+        served(server.saver(n).insist(&name, &name, RETRY_TIME, |_| {}), &name);
     }
-    let store = stage.store();
+    let store = server.store();
     let tool = |what: &str| {
         let daemon = fleet::daemon().expect("the daemon is built with the workspace's tests");
         let out = Command::new(daemon).arg("store").arg(what).arg(&store).output().expect("it runs");
         (out.status.success(), String::from_utf8_lossy(&out.stdout).into_owned())
     };
-    // Beside the running server: an end is written after its answer, which waits for the intent alone.
+    // While the server runs: an outcome is written after its answer, which waits only for the intent.
     let start = Instant::now();
     loop {
-        let (whole, text) = tool("check");
-        if whole && text.contains("5 runs may still be asked for: 5 with a result") {
+        let (success, text) = tool("check");
+        if success && text.contains("5 runs may still be asked for: 5 with a result") {
             break;
         }
-        assert!(start.elapsed() < PATIENCE, "{text}");
+        assert!(start.elapsed() < TIMEOUT, "{text}");
         thread::sleep(Duration::from_millis(10));
     }
-    stage.fleet.nodes[0].kill();
-    let (whole, text) = tool("dump");
-    assert!(whole && text.matches("intent ").count() == 5 && text.matches("served ").count() == 5, "{text}");
-    let (whole, text) = tool("compact");
-    assert!(whole && text.contains("5 runs written anew"), "{text}");
-    let (whole, text) = tool("check");
-    assert!(whole && text.contains("5 with a result"), "{text}");
-    // The server reads what the tool wrote.
-    stage.fleet.nodes[0].spawn().expect("it starts");
-    served(stage.saver(9).insist("s3", "s3", INSISTS, |_| {}), "s3");
-    assert_eq!(stage.runs_of("s3"), 1);
-    let (whole, text) = tool("compact");
-    assert!(!whole && text.is_empty(), "a folder in use is left alone: {text}");
-    stage.fleet.nodes[0].kill();
-    // A flipped bit is found, and the server doubts.
+    server.fleet.nodes[0].kill();
+    let (success, text) = tool("dump");
+    assert!(
+        success && text.matches("intent ").count() == 5 && text.matches("served ").count() == 5,
+        "{text}"
+    );
+    let (success, text) = tool("compact");
+    assert!(success && text.contains("5 runs written anew"), "{text}");
+    let (success, text) = tool("check");
+    assert!(success && text.contains("5 with a result"), "{text}");
+    // The server reads the compacted folder.
+    server.fleet.nodes[0].spawn().expect("it starts");
+    served(server.saver(9).insist("s3", "s3", RETRY_TIME, |_| {}), "s3");
+    assert_eq!(server.runs_of("s3"), 1);
+    let (success, text) = tool("compact");
+    assert!(!success && text.is_empty(), "a folder in use is left alone: {text}");
+    server.fleet.nodes[0].kill();
+    // A flipped bit is detected, and the server rejects keys whose runs may be lost.
     let file = std::fs::read_dir(&store)
         .expect("a folder")
         .flatten()
@@ -242,10 +246,10 @@
     let middle = bytes.len() / 2;
     bytes[middle] ^= 4;
     std::fs::write(&file, bytes).expect("written");
-    let (whole, text) = tool("check");
-    assert!(!whole && text.contains("DAMAGED"), "{text}");
-    stage.fleet.nodes[0].spawn().expect("it starts");
-    stage.logs("any token may have run");
-    let tried = stage.saver(10).save("new", "new", false);
+    let (success, text) = tool("check");
+    assert!(!success && text.contains("DAMAGED"), "{text}");
+    server.fleet.nodes[0].spawn().expect("it starts");
+    server.wait_for_log("any token may have run");
+    let tried = server.saver(10).save("new", "new", false);
     assert!(matches!(tried, Tried::Refused(_) | Tried::NoConnection), "{tried:?}");
 }
