--- a/crates/testkit/src/bench/fronts.rs
+++ b/crates/testkit/src/bench/fronts.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// Keeps a process to one core: all the threads that it has, and so those that they start.
+/// Pins all threads of a process to one core; threads that they start inherit it.
 fn pin_to_core(core: Option<usize>, pid: Option<u32>) -> io::Result<()> {
     let (Some(core), Some(pid)) = (core, pid) else { return Ok(()) };
     let mut only = CpuSet::new();
@@ -64,38 +64,38 @@
     Ok(())
 }
 
-/// Measures all ways in turn and prints a line for each, and the ratios.
+/// Measures all alternatives and prints their figures, and their ratios to the minimal forwarder.
 pub fn run(measure: &Measure) -> io::Result<()> {
-    let mut ways: Vec<Alternative> =
+    let mut alternatives: Vec<Alternative> =
         [("Thrift", true), ("SCGI", true), ("Thrift, before", measure.before.is_some())]
             .into_iter()
             .chain([("SCGI, before", measure.before.is_some()), ("bare forwarder", true)])
             .filter(|(_, on)| *on)
             .map(|(name, _)| Alternative { name, rounds: Vec::new() })
             .collect();
-    // In turn, so that a machine that slows down slows all of them.
+    // Interleaved, so that a slower phase of the machine affects all alternatives.
     for round in 0..measure.rounds {
-        for way in &mut ways {
-            let daemon = match (way.name, &measure.before) {
+        for alternative in &mut alternatives {
+            let daemon = match (alternative.name, &measure.before) {
                 ("Thrift, before" | "SCGI, before", Some(before)) => before,
                 _ => &measure.daemon,
             };
-            way.rounds.push(match way.name {
+            alternative.rounds.push(match alternative.name {
                 "bare forwarder" => forwarder(measure, round)?,
                 name => daemon_cpu(measure, daemon, name.starts_with("SCGI"))?,
             });
         }
     }
     let mut medians = Vec::new();
-    for way in &mut ways {
-        way.rounds.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let (cpu, rate) = way.rounds[way.rounds.len() / 2];
-        let (least, most) = (way.rounds[0].0, way.rounds[way.rounds.len() - 1].0);
+    for alternative in &mut alternatives {
+        alternative.rounds.sort_by(|a, b| a.0.total_cmp(&b.0));
+        let (cpu, rate) = alternative.rounds[alternative.rounds.len() / 2];
+        let (least, most) = (alternative.rounds[0].0, alternative.rounds[alternative.rounds.len() - 1].0);
         println!(
             "{:<15} {cpu:>6.1} us of CPU a request ({least:.1} to {most:.1}), {rate:.0} a second",
-            way.name
+            alternative.name
         );
-        medians.push((way.name, cpu));
+        medians.push((alternative.name, cpu));
     }
     let bare = medians.last().map_or(1.0, |(_, cpu)| *cpu);
     for (name, cpu) in &medians[..medians.len() - 1] {
--- a/crates/testkit/src/scale/fleet/server.rs
+++ b/crates/testkit/src/scale/fleet/server.rs
@@ -151,17 +151,17 @@
         })
     }
 
-    /// Its socket.
+    /// Gossip socket, for the event loop of the host.
     pub fn socket(&self) -> &UdpSocket {
         &self.socket
     }
 
-    /// When it has something to do though nothing comes.
+    /// Time at which the server must run even without a datagram.
     pub fn due(&self) -> Time {
         self.due
     }
 
-    /// What it did so far and knew at the last look.
+    /// Counters so far, and membership as of the last poll.
     pub fn figures(&self) -> &ServerFigures {
         &self.figures
     }
