--- a/crates/testkit/src/commands/fleet.rs
+++ b/crates/testkit/src/commands/fleet.rs
@@ -1,8 +1,8 @@
-//! `gradepin-testkit fleet`: real servers under load, a line a second.
+//! `gradepin-testkit fleet`: real servers under load, with one line per second.
 
 use super::shared::{daemon, each_second};
 use crate::fleet::{self, Fleet, FleetSpec};
-use crate::load::{Books, Fixed, Habit, Live, Proxy, classes};
+use crate::load::{IntervalCounts, Proxy, ProxyBehavior, Records, StaticServers, classes};
 use crate::processor::Spec;
 use clap::Args;
 use hdrhistogram::Histogram;
@@ -12,36 +12,36 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Settings of `fleet`.
+/// Arguments of `fleet`.
 #[derive(Debug, Args)]
 pub struct FleetArgs {
-    /// Servers
+    /// Number of servers
     #[arg(long, default_value_t = 3)]
     pub servers: usize,
-    /// First tries a second, of all proxies
+    /// Requests per second of all proxies, without retries
     #[arg(long, default_value_t = 120.0)]
     pub rate: f64,
-    /// Client proxies
+    /// Number of client proxies
     #[arg(long, default_value_t = 3)]
     pub proxies: usize,
-    /// Seconds until it drains by itself; 0 for no end
+    /// Seconds until the fleet drains; 0 to run until a signal
     #[arg(long, default_value_t = 0)]
     pub seconds: u64,
-    /// Seed of everything that is drawn
+    /// Random seed
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Servers start cold, at 21% of their speed
+    /// Start processors cold, at 21% of their speed
     #[arg(long)]
     pub cold: bool,
-    /// Take SCGI too
+    /// Accept SCGI too
     #[arg(long)]
     pub scgi: bool,
-    /// The daemon's program, if it is not beside this one
+    /// Path of the daemon's program; by default the one beside this program
     #[arg(long)]
     pub daemon: Option<PathBuf>,
 }
 
-/// Starts the fleet and its proxies, prints a line a second until the end, and drains it.
+/// Starts the fleet and its proxies, prints one line per second until the end, and drains the fleet.
 pub fn run(args: FleetArgs) -> Result<bool, Box<dyn Error>> {
     let folder = fleet::folder("fleet")?;
     let mut fleet = start(&args, &folder)?;
@@ -53,7 +53,7 @@
         args.seconds == 0 || second < args.seconds
     })?;
     println!("draining");
-    let books: Vec<Books> = running.into_iter().map(Proxy::stop).collect();
+    let books: Vec<Records> = running.into_iter().map(Proxy::stop).collect();
     fleet.drain();
     let requests: usize = books.iter().map(|books| books.requests.len()).sum();
     let served =
@@ -96,15 +96,15 @@
 
 fn proxies(args: &FleetArgs, servers: &[SocketAddr]) -> io::Result<Vec<Proxy>> {
     let start = |n: usize| {
-        let list = Fixed { all: servers.to_vec(), turn: n };
-        let habit = Habit::thrift(args.rate / args.proxies.max(1) as f64, 3, true);
+        let list = StaticServers { all: servers.to_vec(), turn: n };
+        let habit = ProxyBehavior::thrift(args.rate / args.proxies.max(1) as f64, 3, true);
         Proxy::start(n as u64 + 1, args.seed + n as u64, habit, Box::new(list))
     };
     (0..args.proxies).map(start).collect()
 }
 
 fn print_second(second: u64, proxies: &[Proxy], fleet: &Fleet) {
-    let mut sum = Live::default();
+    let mut sum = IntervalCounts::default();
     proxies.iter().map(Proxy::live).for_each(|live| sum.add(live));
     let mut times = Histogram::<u64>::new(3).ok();
     for &us in &sum.times_us {
--- a/crates/testkit/src/drill/faults/mod.rs
+++ b/crates/testkit/src/drill/faults/mod.rs
@@ -28,7 +28,7 @@
 
 use super::{Claims, Verdict};
 use crate::fleet;
-use crate::rig::lag::{Bounds, LagMonitor};
+use crate::harness::machine_delay::{Bounds, MachineDelayMonitor};
 use oracles::{Failure, Late, Oracle};
 use plan::{Case, Size};
 use random::Random;
@@ -44,8 +44,11 @@
 /// Maximum time until a server with a valid configuration serves.
 const MAX_START_TIME: Duration = Duration::from_secs(10);
 /// Bounds on the machine's scheduling lag; past them, measured times say nothing about the servers.
-const LAG_BOUNDS: Bounds =
-    Bounds { mean_beat: Duration::from_millis(4), latest_beat: Duration::from_millis(100), starved: 0.25 };
+const LAG_BOUNDS: Bounds = Bounds {
+    mean_wakeup_delay: Duration::from_millis(4),
+    max_wakeup_delay: Duration::from_millis(100),
+    run_delay_fraction: 0.25,
+};
 /// Maximum failures printed for one case.
 const SHOWN_FAILURES: usize = 4;
 
@@ -124,17 +127,17 @@
     let only = |case: &Case| drill.only.is_none_or(|only| only == case.number);
     let cases: Vec<Case> = cases.into_iter().filter(only).collect();
     println!("seed {}, {} cases", drill.seed, cases.len());
-    let monitor = LagMonitor::start()?;
+    let monitor = MachineDelayMonitor::start()?;
     let tally = Mutex::new(Tally::default());
     run_cases(drill, &cases, &folder, &tally)?;
     if drill.only.is_none() {
         run_starts(drill, &folder, &tally)?;
     }
-    let lag = monitor.lag();
+    let lag = monitor.measured();
     drop(monitor);
     let tally = tally.into_inner().unwrap_or_else(PoisonError::into_inner);
     println!("machine: {}", lag.summary());
-    let claims = claim(&tally, Claims::on_machine(lag.past(&LAG_BOUNDS)));
+    let claims = claim(&tally, Claims::on_machine(lag.exceeded(&LAG_BOUNDS)));
     if tally.failures.is_empty() {
         fleet::remove(&folder);
     } else {
--- a/crates/testkit/src/drill/release/claims.rs
+++ b/crates/testkit/src/drill/release/claims.rs
@@ -5,10 +5,10 @@
 use super::session::Session;
 use super::{MIN_SERVICE_RATIO, OVERRUN_LIMIT, REGRESSION_DETECTION_TIME, STEP_DURATION};
 use crate::drill::Claims;
-use crate::load::{Books, End, Try};
+use crate::harness::supervisor::Replacement;
+use crate::load::{Attempt, End, Records};
 use crate::processor::runs_by;
 use crate::registry::server::unix_ms;
-use crate::rig::supervisor::Began;
 use std::time::Duration;
 
 /// Makes all claims from the observations.
@@ -23,13 +23,13 @@
 
 fn outages(claims: &mut Claims, session: &Session<'_>) {
     let (max_out, max_zone_out) = session.drill.max_out();
-    let all = &session.supervisor.began;
-    let past = |began: &&Began| {
+    let all = &session.supervisor.replacements;
+    let past = |began: &&Replacement| {
         let out: Vec<usize> = began.agreed.iter().chain(&began.unplanned).copied().collect();
         let of_zone = out.iter().filter(|n| *n % 3 == began.server % 3).count();
         out.len() > max_out as usize || of_zone > max_zone_out as usize
     };
-    let over: Vec<&Began> = all.iter().filter(past).collect();
+    let over: Vec<&Replacement> = all.iter().filter(past).collect();
     let first = over.first().map(|began| {
         let at_s = began.at.as_secs_f64();
         let (server, agreed, unplanned) = (began.server, &began.agreed, &began.unplanned);
@@ -76,7 +76,7 @@
 }
 
 /// The fraction served of the requests that arrived in a period, and their number.
-fn served(clients: &[Books], from_ms: u64, to_ms: u64) -> (f64, usize) {
+fn served(clients: &[Records], from_ms: u64, to_ms: u64) -> (f64, usize) {
     let of = clients
         .iter()
         .flat_map(|client| &client.requests)
@@ -105,14 +105,14 @@
 }
 
 fn answers(claims: &mut Claims, session: &Session<'_>, observed: &Observed) {
-    let in_outage = |one: &Try| {
+    let in_outage = |one: &Attempt| {
         let server = session.fleet.nodes.iter().position(|node| node.address == one.server);
         server.is_some_and(|server| session.faults.caused_outage(server, one.t0_ms, one.end_ms))
     };
-    let tries: Vec<&Try> = observed.clients.iter().flat_map(|client| &client.tries).collect();
-    let owed: Vec<&&Try> = tries.iter().filter(|one| !in_outage(one)).collect();
+    let tries: Vec<&Attempt> = observed.clients.iter().flat_map(|client| &client.tries).collect();
+    let owed: Vec<&&Attempt> = tries.iter().filter(|one| !in_outage(one)).collect();
     let lost = owed.iter().filter(|one| matches!(one.end, End::Lost | End::TimedOut)).count();
-    let false_ones = tries.iter().filter(|one| one.end == End::Served && !one.genuine).count();
+    let false_ones = tries.iter().filter(|one| one.end == End::Served && !one.correct_result).count();
     claims.timed(
         lost * 1_000 < 3 * owed.len().max(1),
         "tries answered, all but 3 in 1,000",
--- a/crates/testkit/src/drill/release/clients.rs
+++ b/crates/testkit/src/drill/release/clients.rs
@@ -3,7 +3,7 @@
 
 use super::{CORES, Drill, RUN_WORK};
 use crate::fleet::Fleet;
-use crate::load::{Books, Fixed, Habit, Proxy};
+use crate::load::{Proxy, ProxyBehavior, Records, StaticServers};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 
 /// Clients whose server list is updated by calls of [`Clients::update`].
 pub struct Clients {
-    list: Arc<Mutex<Fixed>>,
+    list: Arc<Mutex<StaticServers>>,
     proxies: Vec<Proxy>,
 }
 
@@ -26,10 +26,10 @@
     /// Starts all clients.
     pub fn start(drill: &Drill, fleet: &Fleet) -> io::Result<Self> {
         let all = fleet.nodes.iter().map(|node| node.address).collect();
-        let list = Arc::new(Mutex::new(Fixed { all, turn: 0 }));
+        let list = Arc::new(Mutex::new(StaticServers { all, turn: 0 }));
         let rate = drill.load * f64::from(CORES) * drill.servers as f64 / RUN_WORK.as_secs_f64();
         let start = |n: usize| {
-            let habit = Habit::thrift(rate / CLIENTS as f64, MAX_ATTEMPTS, true);
+            let habit = ProxyBehavior::thrift(rate / CLIENTS as f64, MAX_ATTEMPTS, true);
             let servers = Box::new(Arc::clone(&list));
             Proxy::start_with(n as u64 + 1, drill.seed * 100 + n as u64, habit, servers, &HashMap::new(), 4)
         };
@@ -48,7 +48,7 @@
     }
 
     /// Stops all clients and returns their records.
-    pub fn stop(self) -> Vec<Books> {
+    pub fn stop(self) -> Vec<Records> {
         let stops: Vec<_> =
             self.proxies.into_iter().map(|proxy| thread::spawn(move || proxy.stop())).collect();
         stops.into_iter().filter_map(|stop| stop.join().ok()).collect()
--- a/crates/testkit/src/drill/release/founding.rs
+++ b/crates/testkit/src/drill/release/founding.rs
@@ -2,7 +2,7 @@
 //! or a temporary rejection; a failure is reported with the responses and excerpts of the servers' logs.
 
 use super::session::Session;
-use crate::rig::play::call;
+use crate::harness::play::call;
 use std::io;
 use std::time::Duration;
 
--- a/crates/testkit/src/drill/release/scenario.rs
+++ b/crates/testkit/src/drill/release/scenario.rs
@@ -4,9 +4,9 @@
 use super::clients::Clients;
 use super::session::Session;
 use super::{REGRESSION_DETECTION_TIME, STEP_DURATION};
-use crate::load::Books;
+use crate::harness::supervisor::NO_SAVES;
+use crate::load::Records;
 use crate::registry::server::unix_ms;
-use crate::rig::supervisor::NO_SAVES;
 use std::io;
 use std::time::{Duration, Instant};
 
@@ -56,7 +56,7 @@
     /// Observations of the bad release.
     pub bad: BadRelease,
     /// Records of the clients.
-    pub clients: Vec<Books>,
+    pub clients: Vec<Records>,
 }
 
 /// Runs the whole scenario.
@@ -93,7 +93,7 @@
 
 /// Starts a version that rejects saves, which must stop and roll back without an operator.
 fn bad_release(session: &mut Session<'_>) -> io::Result<BadRelease> {
-    let began = session.supervisor.began.len();
+    let began = session.supervisor.replacements.len();
     let begin_ms = unix_ms();
     let started = session.start(NO_SAVES)?;
     println!("  the release of {NO_SAVES}: {started:?}");
@@ -114,7 +114,7 @@
             && session.supervisor.all_have(&session.fleet, Some("v2"))
     })?;
     let last_state = session.release_state();
-    let began = &session.supervisor.began[began..];
+    let began = &session.supervisor.replacements[began..];
     let servers = began.iter().filter(|began| began.version == NO_SAVES).count();
     Ok(BadRelease { begin_ms, started_first, stopped, halted_after, why, rolled_back, last_state, servers })
 }
