--- a/crates/model/src/peers/mod.rs
+++ b/crates/model/src/peers/mod.rs
@@ -22,9 +22,9 @@
     /// Servers lend and borrow slots by leases.
     Lending,
     /// Leases whose expiry is ignored; the bound must be violated.
-    IgnoreExpiry,
+    Plain,
     /// A single pool in which the longest waiting run gets the next slot; no real system has this information.
-    SinglePool,
+    AllKnowing,
 }
 
 /// Parameters of a run.
--- a/crates/model/src/peers/world.rs
+++ b/crates/model/src/peers/world.rs
@@ -226,7 +226,7 @@
     }
 
     fn uses_leases(&self) -> bool {
-        matches!(self.spec.sharing, Sharing::Lending | Sharing::IgnoreExpiry)
+        matches!(self.spec.sharing, Sharing::Lending | Sharing::Plain)
     }
 
     fn address(n: usize) -> SocketAddr {
@@ -248,7 +248,7 @@
             address: Self::address(n),
             zone: Arc::from(format!("z{}", n % spec.zones)),
         };
-        let plain = spec.sharing == Sharing::IgnoreExpiry;
+        let plain = spec.sharing == Sharing::Plain;
         let settings = ClusterSettings {
             own,
             seeds: (0..3.min(spec.servers)).map(Self::address).collect(),
@@ -487,7 +487,7 @@
             span_from_seconds(self.spec.call_s),
         );
         server.waiting.push_back(self.now);
-        if self.spec.sharing == Sharing::SinglePool {
+        if self.spec.sharing == Sharing::AllKnowing {
             self.pool.push_back((n, self.now));
             self.serve_pool();
         } else {
@@ -497,7 +497,7 @@
 
     /// Starts all calls that the server may make.
     fn serve(&mut self, n: usize) {
-        if self.spec.sharing == Sharing::SinglePool {
+        if self.spec.sharing == Sharing::AllKnowing {
             return self.serve_pool();
         }
         loop {
@@ -642,7 +642,7 @@
             let took = span_from_seconds((self.now - call.sent_at) as f64 / 1e9);
             self.report_call_end(n, id, Ended::Success, took);
         }
-        if self.spec.sharing == Sharing::SinglePool {
+        if self.spec.sharing == Sharing::AllKnowing {
             self.serve_pool();
         }
     }
@@ -794,7 +794,7 @@
                 let cell = CellId::of(name, "c");
                 let estimate = match spec.sharing {
                     Sharing::Static => quota,
-                    Sharing::SinglePool => f64::INFINITY,
+                    Sharing::AllKnowing => f64::INFINITY,
                     _ => cluster.quota(local, quota, |id| id == cell),
                 };
                 let own = server.asked[tenant].len() as f64;
@@ -833,7 +833,7 @@
             assert_eq!(outcome.breaks, [], "seed {seed}: {:?}", spec(seed, Sharing::Lending).faults);
             assert!(outcome.most <= outcome.bound && outcome.served > 0);
         }
-        let broken = seeds(6, |seed| spec(seed, Sharing::IgnoreExpiry));
+        let broken = seeds(6, |seed| spec(seed, Sharing::Plain));
         assert!(broken.iter().any(|(_, outcome)| !outcome.breaks.is_empty()));
     }
 
@@ -853,7 +853,7 @@
         };
         let none = Faults::default;
         let [fixed, lent, all] =
-            [Sharing::Static, Sharing::Lending, Sharing::SinglePool].map(|sharing| service(sharing, none()));
+            [Sharing::Static, Sharing::Lending, Sharing::AllKnowing].map(|sharing| service(sharing, none()));
         assert!(
             (lent - fixed) / (all - fixed) > 0.8,
             "static {fixed:.3}, lent {lent:.3}, all-knowing {all:.3}"
--- a/crates/model/tests/peers.rs
+++ b/crates/model/tests/peers.rs
@@ -59,7 +59,7 @@
     // All servers ask for more than their share, so that lent slots are needed.
     let crowded = |seed| Spec { load: 1.15, ..spec(seed, 32.0, faults(seed)) };
     bounded(8, crowded);
-    let plain = (1..=8).map(|seed| play(&Spec { sharing: Sharing::IgnoreExpiry, ..crowded(seed) }));
+    let plain = (1..=8).map(|seed| play(&Spec { sharing: Sharing::Plain, ..crowded(seed) }));
     assert!(
         plain.map(|outcome| outcome.breaks.len()).sum::<usize>() > 0,
         "otherwise the test proves nothing"
--- a/crates/testkit/src/model/peers.rs
+++ b/crates/testkit/src/model/peers.rs
@@ -13,8 +13,8 @@
 enum Ways {
     Static,
     Lending,
-    IgnoreExpiry,
-    SinglePool,
+    Plain,
+    AllKnowing,
 }
 
 /// Arguments of the command.
@@ -74,8 +74,8 @@
             sharing: match self.sharing {
                 Ways::Static => Sharing::Static,
                 Ways::Lending => Sharing::Lending,
-                Ways::IgnoreExpiry => Sharing::IgnoreExpiry,
-                Ways::SinglePool => Sharing::SinglePool,
+                Ways::Plain => Sharing::Plain,
+                Ways::AllKnowing => Sharing::AllKnowing,
             },
             load: self.load,
             lean: self.lean,
@@ -94,7 +94,7 @@
     let ways = [
         ("static shares", Sharing::Static),
         ("leases", Sharing::Lending),
-        ("one that knows all", Sharing::SinglePool),
+        ("one that knows all", Sharing::AllKnowing),
     ];
     let curve = |(name, sharing): (&str, Sharing)| {
         let points = [1.0, 1.5, 2.0, 3.0, 4.0, 6.0, 8.0].map(|lean| {
